--- a/cmd/dockhinge-lab/capacity.go
+++ b/cmd/dockhinge-lab/capacity.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"dockhinge.example/dockhinge/lab/capacity"
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // capacityCommand writes the tables of docs/CAPACITY.md from sizes and measured slopes.
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			lines, err := slope.Read(text)
+			lines, err := scalingfit.Read(text)
 			if err != nil {
 				return fmt.Errorf("%s: %w", slopesFile, err)
 			}
@@ -52,7 +52,7 @@
 }
 
 // plotLines draws what the page shows.
-func plotLines(dir string, lines []slope.Line) error {
+func plotLines(dir string, lines []scalingfit.Line) error {
 	return errors.Join(
 		capacity.Plot(filepath.Join(dir, "capacity-rest.svg"), "Processor time of coordinators at rest", lines, "rest.leader.cores", "rest.voter.cores"),
 		capacity.Plot(filepath.Join(dir, "capacity-drain.svg"), "Time until routers have a drain", lines, "drain.p50", "drain.p99", "drain.last"))
--- a/cmd/dockhinge-lab/duty.go
+++ b/cmd/dockhinge-lab/duty.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"dockhinge.example/dockhinge/lab/duty"
+	"dockhinge.example/dockhinge/lab/regression"
 )
 
 func dutyCommand() *cobra.Command {
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			due, began, held := duty.Plan(changed, duty.Options{Full: full, Seed: cmp.Or(seed, time.Now().Unix()), Others: others}), time.Now(), true
+			due, began, held := regression.Plan(changed, regression.Options{Full: full, Seed: cmp.Or(seed, time.Now().Unix()), Others: others}), time.Now(), true
 			if len(due) == 0 {
 				fmt.Println("nothing that the router is built from has changed")
 				return nil
@@ -53,11 +53,11 @@
 			if only {
 				return nil
 			}
-			runs, err := duty.Read(journal)
+			runs, err := regression.Read(journal)
 			if err != nil {
 				return err
 			}
-			for _, v := range duty.Judge(runs, began) {
+			for _, v := range regression.Judge(runs, began) {
 				is, _ := v.Figure()
 				was := "for the first time"
 				if v.Before != nil {
--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -7,12 +7,12 @@
 	"os"
 	"time"
 
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/fleet"
 	"dockhinge.example/dockhinge/lab/load"
-	"dockhinge.example/dockhinge/lab/referee"
 	"dockhinge.example/dockhinge/lab/report"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 type loadFlags struct {
@@ -27,8 +27,8 @@
 	if err != nil {
 		return err
 	}
-	clock := standin.NewClock()
-	front, journal := standin.NewFront(clock), referee.NewJournal(1<<20)
+	clock := fakes.NewClock()
+	front, journal := fakes.NewFront(clock), checker.NewJournal(1<<20)
 	for _, a := range addrs {
 		host, _, err := net.SplitHostPort(a)
 		if err != nil {
--- a/cmd/dockhinge-lab/suspects.go
+++ b/cmd/dockhinge-lab/suspects.go
@@ -11,7 +11,7 @@
 
 	"dockhinge.example/dockhinge/lab/fleet"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/virtual"
+	"dockhinge.example/dockhinge/lab/simulation"
 )
 
 // suspects plays days on which cache servers break off their answers, with routers that tell one another and without, by the same seeds.
@@ -96,13 +96,13 @@
 				x := all[i]
 				fmt.Fprintf(w, "%s\t%d", v.name, len(x.attempts))
 				for _, col := range [][]float64{x.attempts, x.late} {
-					mean, half := virtual.Mean(col)
+					mean, half := simulation.Mean(col)
 					fmt.Fprintf(w, "\t%.1f\t%.1f", mean, half)
 				}
-				by, _ := virtual.Mean(x.by)
-				service, half := virtual.Mean(x.service)
-				breaches, _ := virtual.Mean(x.breaches)
-				cpu, _ := virtual.Mean(x.cpu)
+				by, _ := simulation.Mean(x.by)
+				service, half := simulation.Mean(x.service)
+				breaches, _ := simulation.Mean(x.breaches)
+				cpu, _ := simulation.Mean(x.cpu)
 				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n", by, service, half, breaches*float64(len(x.breaches)), cpu)
 			}
 			w.Flush()
--- a/cmd/dockhinge-lab/tally.go
+++ b/cmd/dockhinge-lab/tally.go
@@ -5,19 +5,19 @@
 
 	"github.com/spf13/cobra"
 
-	"dockhinge.example/dockhinge/lab/tally"
+	"dockhinge.example/dockhinge/lab/traceanalysis"
 )
 
 func tallyCommand() *cobra.Command {
 	return &cobra.Command{Use: "tally DIR", Short: "Add up over a fleet what its routers' logs in DIR hold (routers with log.trace)",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			events, faults, err := tally.Dir(args[0])
+			events, faults, err := traceanalysis.Dir(args[0])
 			if err != nil {
 				return err
 			}
-			tally.PrintFaults(os.Stderr, faults)
-			tally.Count(events).Print(os.Stdout)
+			traceanalysis.PrintFaults(os.Stderr, faults)
+			traceanalysis.Count(events).Print(os.Stdout)
 			return nil
 		}}
 }
--- a/cmd/dockhinge-lab/twin.go
+++ b/cmd/dockhinge-lab/twin.go
@@ -16,15 +16,15 @@
 	"github.com/spf13/cobra"
 
 	"dockhinge.example/dockhinge/lab/report"
-	"dockhinge.example/dockhinge/lab/virtual"
+	"dockhinge.example/dockhinge/lab/simulation"
 )
 
 // played is one day as it was played: what --out writes and --against reads.
 type played struct {
-	Day  string       `json:"day"`
-	Seed uint64       `json:"seed"`
-	Size [2]int       `json:"routers_servers"`
-	Sums virtual.Sums `json:"sums"`
+	Day  string          `json:"day"`
+	Seed uint64          `json:"seed"`
+	Size [2]int          `json:"routers_servers"`
+	Sums simulation.Sums `json:"sums"`
 }
 
 func twin() *cobra.Command {
@@ -36,7 +36,7 @@
 	cmd := &cobra.Command{Use: "twin DAY [DAY...]", Short: "Play days of hundreds of routers in virtual time",
 		Args: cobra.MinimumNArgs(1),
 		Long: "Plays days of the standing test's kinds with the decision module of this build before modelled servers, in virtual\n" +
-			"time: " + strings.Join(slices.Concat(virtual.Days, virtual.SlowStarts, virtual.Releases), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
+			"time: " + strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
 			"by seed, and tells the mean difference with its 95% confidence interval. docs/twin.md tells how far to trust it.",
 		RunE: func(_ *cobra.Command, days []string) error {
 			var jobs []played
@@ -103,7 +103,7 @@
 	for _, p := range jobs {
 		l := report.Line{Name: p.Day + ": served in time, %"}
 		for _, s := range p.Sums.Seconds {
-			l.V = append(l.V, 100*virtual.Share(s.InTime, s.Asked))
+			l.V = append(l.V, 100*simulation.Share(s.InTime, s.Asked))
 		}
 		if n := len(l.V); n > 0 { // the last one is not a whole second
 			l.V = l.V[:n-1]
@@ -112,11 +112,11 @@
 		if p.Day != "release" && p.Day != "release-zone" {
 			continue
 		}
-		day, err := virtual.Twin(p.Day, p.Size[0], p.Size[1], p.Seed)
+		day, err := simulation.Twin(p.Day, p.Size[0], p.Size[1], p.Seed)
 		if err != nil {
 			return err
 		}
-		pl, err := virtual.PlanRelease(p.Size[0], p.Size[1], day.Zones, p.Day == "release-zone", p.Seed)
+		pl, err := simulation.PlanRelease(p.Size[0], p.Size[1], day.Zones, p.Day == "release-zone", p.Seed)
 		if err != nil {
 			return err
 		}
@@ -137,10 +137,10 @@
 	for range max(1, min(workers, len(jobs))) {
 		all.Go(func() {
 			for i := range next {
-				p, err := virtual.Twin(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
+				p, err := simulation.Twin(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
 				p.Shared = shared
 				if err == nil {
-					jobs[i].Sums, err = virtual.Play(p)
+					jobs[i].Sums, err = simulation.Play(p)
 				}
 				errs[i] = err
 			}
@@ -193,10 +193,10 @@
 	}
 	fmt.Fprintln(t)
 	for i, name := range names {
-		mean, half := virtual.Mean(column(now, i))
+		mean, half := simulation.Mean(column(now, i))
 		fmt.Fprintf(t, "%s\t%.4f\t±%.4f", name, mean, half)
 		if before != nil {
-			mean, half := virtual.Mean(column(diff, i))
+			mean, half := simulation.Mean(column(diff, i))
 			mark := ""
 			if mean > half || mean < -half {
 				mark = "*"
@@ -240,8 +240,8 @@
 		fmt.Fprintf(w, "%s, seed %d\n", p.Day, p.Seed)
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
-			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Asked, virtual.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway,
-				s.Attempts, virtual.Share(s.Misses, s.Attempts), virtual.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
+			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway,
+				s.Attempts, simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
@@ -255,9 +255,9 @@
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
-			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.Below, b.Keys, b.Asked, virtual.Share(b.InTime, b.Asked), b.TurnedAway,
-				b.Attempts, virtual.Share(b.AtMains, b.Attempts), virtual.Share(b.Places, b.Keys), virtual.Share(b.Misses, b.Attempts),
-				virtual.Share(b.Cancels, b.Attempts))
+			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway,
+				b.Attempts, simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys), simulation.Share(b.Misses, b.Attempts),
+				simulation.Share(b.Cancels, b.Attempts))
 		}
 		t.Flush()
 		fmt.Fprintln(w)
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -18,10 +18,10 @@
 
 	"dockhinge.example/dockhinge/internal/admin"
 	"dockhinge.example/dockhinge/internal/handover"
+	"dockhinge.example/dockhinge/internal/healthcheck"
 	"dockhinge.example/dockhinge/internal/logging"
 	"dockhinge.example/dockhinge/internal/metrics"
 	"dockhinge.example/dockhinge/internal/operator"
-	"dockhinge.example/dockhinge/internal/probing"
 	"dockhinge.example/dockhinge/internal/router"
 	"dockhinge.example/dockhinge/internal/trace"
 )
@@ -159,7 +159,7 @@
 		return cfg, err
 	}
 	if a := extra.Agreement; len(a.Coordinators) > 0 {
-		cfg.Agreement = &router.Agreement{Coordinators: probing.Coordinators(a.Coordinators), TTL: operator.Time(a.TTL), Probes: a.Probes,
+		cfg.Agreement = &router.Agreement{Coordinators: healthcheck.Coordinators(a.Coordinators), TTL: operator.Time(a.TTL), Probes: a.Probes,
 			ProbeEvery: operator.Time(a.ProbeEvery), ProbeStale: operator.Time(a.ProbeStale), Drains: a.Drains, Label: cmp.Or(a.Label, revision())}
 	}
 	if !extra.Admission.Enabled {
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 )
 
 // tenants prints how fair admission stands at each router, by its second address: who asks, and what each was told.
@@ -36,7 +36,7 @@
 	return errors.Join(bad...)
 }
 
-func askDoor(addr string) (s admit.State, err error) {
+func askDoor(addr string) (s admission.State, err error) {
 	text, err := admin.Call(context.Background(), addr, http.MethodGet, "/-/admission")
 	var no *admin.StatusError
 	switch {
@@ -49,14 +49,14 @@
 }
 
 // printDoor prints a table, who has taken most work first.
-func printDoor(out io.Writer, addr string, s admit.State) error {
+func printDoor(out io.Writer, addr string, s admission.State) error {
 	fmt.Fprintf(out, "%s: limit %.0f, in use %.0f, waiting %d; a request takes %.0f ms; the fleet refuses %.1f%% of what is let in; tables of %.1f MB\n",
 		addr, s.Limit, s.InUse, s.Waiting, s.TakesMS, 100*s.Refused, float64(s.Tables)/1e6)
 	all := 0.0
 	for _, t := range s.Tenants {
 		all += t.Work
 	}
-	slices.SortStableFunc(s.Tenants, func(x, y admit.Count) int { return cmp.Compare(y.Work, x.Work) })
+	slices.SortStableFunc(s.Tenants, func(x, y admission.Count) int { return cmp.Compare(y.Work, x.Work) })
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\tweight\twork %\tshare now %\tasked\tlet in\tserved\tturned\trefused\tretries\tearly\twaiting\ttold ms\t")
 	for _, t := range s.Tenants {
--- a/internal/admit/admit.go
+++ b/internal/admission/admission.go
@@ -1,10 +1,10 @@
-// Package admit decides which requests are admitted before the Balancer sees them: weighted fair shares of work among
+// Package admission decides which requests are admitted before the Balancer sees them: weighted fair shares of work among
 // tenants, within fixed memory, with an honest retry-after for those that are rejected. It does no I/O and has no clock:
 // each call brings the time in milliseconds, and the same seed and calls lead to the same decisions.
 //
 // Fairness is start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels: named tenants and, as one, all others;
 // and the others among themselves. The limit on concurrency follows what the fleet can take (docs/admission-design.md).
-package admit
+package admission
 
 import (
 	"math"
--- a/internal/admit/arrive.go
+++ b/internal/admission/arrive.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 // arrival is a request at the door, with what is known of it.
 type arrival struct {
--- a/internal/admit/ended.go
+++ b/internal/admission/ended.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 // maxChargeFactor bounds what a request is charged, in multiples of what it was thought to cost.
 const maxChargeFactor = 8
--- a/internal/admit/fairqueue.go
+++ b/internal/admission/fairqueue.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 // weightEpsilon is a sum of weights below which nothing is active: what is left of sums and differences by rounding.
 const weightEpsilon = 1e-9
--- a/internal/admit/heap.go
+++ b/internal/admission/heap.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 // heap is a binary heap of small numbers that name records elsewhere, the one with the least key first. It knows where
 // each stands, so that one can be moved or taken out, and allocates nothing once it has its size: container/heap would
--- a/internal/admit/identify.go
+++ b/internal/admission/identify.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"fmt"
--- a/internal/diag/diag.go
+++ b/internal/configerror/configerror.go
@@ -1,5 +1,5 @@
-// Package diag says what is wrong in a file that an operator wrote: the file, the line, the setting and the reason.
-package diag
+// Package configerror says what is wrong in a file that an operator wrote: the file, the line, the setting and the reason.
+package configerror
 
 import (
 	"bytes"
--- a/internal/diag/toml.go
+++ b/internal/configerror/toml.go
@@ -1,4 +1,4 @@
-package diag
+package configerror
 
 import (
 	"bytes"
--- a/internal/coord/client/book.go
+++ b/internal/coord/client/book.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Book is what a client knows of its session and leases, and by it whether it may act. It has no I/O and no clock: all times
@@ -31,7 +31,7 @@
 
 // from is when the time of what was asked for at sent begins.
 func (b *Book) from(sent, now time.Duration) time.Duration {
-	if mutant.Is("time-from-answer") {
+	if failpoint.Is("time-from-answer") {
 		return now
 	}
 	return sent
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
@@ -31,7 +31,7 @@
 	Warm  string  `toml:"warm"`
 }
 
-// LoadBudgets reads the file at path. The error joins a diag.Problem for each mistake.
+// LoadBudgets reads the file at path. The error joins a configerror.Problem for each mistake.
 func LoadBudgets(path string) (cmd rollout.Command, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -44,15 +44,15 @@
 func ParseBudgets(path string, text []byte) (cmd rollout.Command, err error) {
 	cmd.Op = rollout.Set
 	if len(text) > maxFile {
-		return cmd, diag.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+		return cmd, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
 	f := Budgets{Grace: rollout.DefaultGrace.String()}
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return cmd, err
 	}
 	var errs []error
 	bad := func(setting, form string, v ...any) {
-		errs = append(errs, diag.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		errs = append(errs, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/coord"
-	"dockhinge.example/dockhinge/internal/diag"
 )
 
 // Version is that of the file's form.
@@ -40,7 +40,7 @@
 	return d
 }
 
-// Load reads the file at path. The error joins a diag.Problem for each mistake.
+// Load reads the file at path. The error joins a configerror.Problem for each mistake.
 func Load(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,15 +52,15 @@
 // Parse reads a file that was read from path.
 func Parse(path string, text []byte) (File, error) {
 	if len(text) > maxFile {
-		return File{}, diag.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
 	f := File{ClockRate: coord.DefaultRate, SnapshotEvery: 8192, Beat: "250ms", LogLevel: "info"}
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return File{}, err
 	}
 	var all []error
 	bad := func(setting, form string, v ...any) {
-		all = append(all, diag.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		all = append(all, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -6,7 +6,7 @@
 	"net"
 	"os"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 )
 
 // The bounds and defaults of an observer's file.
@@ -34,7 +34,7 @@
 	LogJSON        bool              `toml:"log_json"`
 }
 
-// LoadObserver reads the file at path. The error joins a diag.Problem for each mistake.
+// LoadObserver reads the file at path. The error joins a configerror.Problem for each mistake.
 func LoadObserver(path string) (Observer, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,15 +46,15 @@
 // ParseObserver reads a file that was read from path.
 func ParseObserver(path string, text []byte) (Observer, error) {
 	if len(text) > maxFile {
-		return Observer{}, diag.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+		return Observer{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
 	f := Observer{MaxWatchers: defaultWatchers, JoinsPerSecond: defaultJoins, WatcherBytes: defaultWatcherBytes, LogLevel: "info"}
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return Observer{}, err
 	}
 	var problems []error
 	bad := func(setting, form string, v ...any) {
-		problems = append(problems, diag.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		problems = append(problems, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
@@ -30,7 +30,7 @@
 	Command []string `toml:"command"` // {name}, {to} and {from} are replaced; {to} is the version wanted, also on the way back
 }
 
-// LoadRelease reads the file at path. The error joins a diag.Problem for each mistake.
+// LoadRelease reads the file at path. The error joins a configerror.Problem for each mistake.
 func LoadRelease(path string) (f Release, p rollout.Plan, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,15 +42,15 @@
 // ParseRelease reads a file that was read from path.
 func ParseRelease(path string, text []byte) (f Release, p rollout.Plan, err error) {
 	if len(text) > maxFile {
-		return f, p, diag.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+		return f, p, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
 	f = Release{First: 1, Grow: 2, Bake: "2m", Least: 100, Step: "2m", Learn: "20s", Alpha: 0.001, Floor: 0.8, Tries: 2}
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return f, p, err
 	}
 	var errs []error
 	bad := func(setting, form string, v ...any) {
-		errs = append(errs, diag.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		errs = append(errs, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
@@ -167,7 +167,7 @@
 // Wait is how long coordinators wait, on their clock, before they take back what was given for ttl: on the holder's clock,
 // which may be slow by the rate while theirs is fast by it, ttl has passed by then.
 func (s *State) Wait(ttl time.Duration) time.Duration {
-	if mutant.Is("rate-ignored") {
+	if failpoint.Is("rate-ignored") {
 		return ttl
 	}
 	return time.Duration(math.Ceil(float64(ttl)*(1+s.Rate)/(1-s.Rate))) + 1
@@ -250,7 +250,7 @@
 	// A command that may be repeated, as its answer was lost: what it was told before is told again.
 	se.Acked = max(se.Acked, min(c.Acked, se.Top))
 	maps.DeleteFunc(se.Said, func(q uint64, _ Answer) bool { return q <= se.Acked })
-	if !mutant.Is("command-twice") {
+	if !failpoint.Is("command-twice") {
 		if a, ok := se.Said[c.Seq]; ok {
 			return a
 		}
@@ -274,7 +274,7 @@
 			a = s.acquire(c, se)
 		case Release, HandOver, Write:
 			l := s.Leases[c.Lease]
-			if l == nil || (l.Session != c.Session || l.Token != c.Token) && !(c.Op == Write && mutant.Is("token-unchecked")) {
+			if l == nil || (l.Session != c.Session || l.Token != c.Token) && !(c.Op == Write && failpoint.Is("token-unchecked")) {
 				a = Answer{Code: NotHeld, Text: fmt.Sprintf("lease %s is not held by this session with token %d", c.Lease, c.Token)}
 				if l != nil {
 					a.Token, a.Holder = l.Token, s.holder(l)
@@ -471,7 +471,7 @@
 // holderDoes carries out what only the holder may do.
 func (s *State) holderDoes(c Command, l *Lease) Answer {
 	// A release that was overtaken on its way by an acquire of the same session would take back what that one confirmed.
-	if c.Op != Write && c.Seq < l.Asked && !mutant.Is("release-overtaken") {
+	if c.Op != Write && c.Seq < l.Asked && !failpoint.Is("release-overtaken") {
 		return Answer{Code: Old, Text: fmt.Sprintf("lease %s was asked for again since", c.Lease)}
 	}
 	switch c.Op {
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -27,7 +27,7 @@
 
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/clock"
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Options are those of one coordinator.
@@ -359,7 +359,7 @@
 	if c.Term == n.stamp.term {
 		c.Advance = min(now-n.stamp.last, maxAdvance)
 	}
-	if mutant.Is("wall-clock") {
+	if failpoint.Is("wall-clock") {
 		now = time.Duration(clock.Wall().UnixNano())
 		if c.Term == n.stamp.term {
 			c.Advance = now - n.stamp.last
@@ -378,7 +378,7 @@
 
 // Read calls f with the state as all have agreed on it, not older than the call.
 func (n *Node) Read(f func(*coord.State)) error {
-	if !mutant.Is("stale-read") {
+	if !failpoint.Is("stale-read") {
 		if n.raft.State() != raft.Leader {
 			return ErrNotLeader
 		}
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -21,7 +21,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // disk is the log and the votes in one file, each entry and value with a checksum, as a bit that flips on a disk would
@@ -227,7 +227,7 @@
 
 // StoreLogs writes entries and returns once they are synced.
 func (d *disk) StoreLogs(logs []*raft.Log) error {
-	if mutant.Is("unsynced") {
+	if failpoint.Is("unsynced") {
 		return d.storeLater(logs)
 	}
 	summed := make([]*raft.Log, len(logs))
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -15,7 +15,7 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Options are those of one observer.
@@ -105,7 +105,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	update := protocol.Update{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
-	isStale := mutant.Is("snapshot-older") && revision > o.log.Newest()
+	isStale := failpoint.Is("snapshot-older") && revision > o.log.Newest()
 	if revision < o.log.Compacted() || isStale {
 		update.Batch = o.log.Snapshot(prefix)
 		o.watchers.snapshots++
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -13,7 +13,7 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 const (
@@ -94,7 +94,7 @@
 		return nil, &protocol.Refusal{Code: protocol.Unready, Text: "no state yet", RetryAfterMillis: time.Second.Milliseconds()}
 	}
 	newest := o.log.Newest()
-	if request.after > newest && !mutant.Is("snapshot-older") {
+	if request.after > newest && !failpoint.Is("snapshot-older") {
 		o.watchers.ahead++
 		behind := watchlog.BehindError{After: request.after, Newest: newest}
 		return nil, &protocol.Refusal{Code: protocol.Behind, Text: behind.Error()}
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Limits bound what a Log keeps of past changes. Its documents are bounded by who appends.
@@ -129,10 +129,10 @@
 	}
 	batch := Batch{After: revision, Through: l.newest}
 	first := int(revision - l.compacted)
-	if mutant.Is("change-delivered-twice") && prefix != "" && first > 0 { // Extend would refuse it without a prefix
+	if failpoint.Is("change-delivered-twice") && prefix != "" && first > 0 { // Extend would refuse it without a prefix
 		first--
 	}
-	if mutant.Is("change-skipped") && prefix != "" && len(l.changes)-first > 1 {
+	if failpoint.Is("change-skipped") && prefix != "" && len(l.changes)-first > 1 {
 		first++
 	}
 	bytes := 0
@@ -188,7 +188,7 @@
 
 // restore replaces all by a snapshot that is newer.
 func (l *Log) restore(batch Batch) error {
-	if batch.Through < l.newest && !mutant.Is("snapshot-older") {
+	if batch.Through < l.newest && !failpoint.Is("snapshot-older") {
 		return &StaleError{Held: l.newest, Got: batch.Through}
 	}
 	if batch.Through == l.newest {
--- a/internal/coord/observer/watchlog/mutants_test.go
+++ b/internal/coord/observer/watchlog/mutants_test.go
@@ -5,15 +5,15 @@
 import (
 	"testing"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Each planted fault is found by a walk of the property check.
 func TestMutantsAreFound(t *testing.T) {
-	defer mutant.Plant("")
+	defer failpoint.Plant("")
 	for _, name := range []string{"change-skipped", "change-delivered-twice", "snapshot-older", "acknowledged-early"} {
 		t.Run(name, func(t *testing.T) {
-			mutant.Plant(name)
+			failpoint.Plant(name)
 			for seed := range uint64(checkWalks) {
 				if err := play(seed); err != nil {
 					t.Log(err)
--- a/internal/coord/observer/watchlog/replica.go
+++ b/internal/coord/observer/watchlog/replica.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Replica holds the documents of one prefix as a router has them, by the batches of any chain of logs. It never goes back.
@@ -39,7 +39,7 @@
 	}
 	held := r.revision
 	for _, c := range batch.Changes {
-		if c.Revision <= held && !mutant.Is("change-delivered-twice") {
+		if c.Revision <= held && !failpoint.Is("change-delivered-twice") {
 			return &GapError{Held: held, Got: c.Revision}
 		}
 		if c.Revision > batch.Through {
@@ -59,7 +59,7 @@
 }
 
 func (r *Replica) restore(batch Batch) error {
-	if batch.Through < r.revision && !mutant.Is("snapshot-older") {
+	if batch.Through < r.revision && !failpoint.Is("snapshot-older") {
 		return &StaleError{Held: r.revision, Got: batch.Through}
 	}
 	r.documents = make(map[string]Change, len(batch.Changes))
@@ -75,7 +75,7 @@
 
 // Acknowledged is the revision to acknowledge: the one that is in force.
 func (r *Replica) Acknowledged() uint64 {
-	if mutant.Is("acknowledged-early") {
+	if failpoint.Is("acknowledged-early") {
 		return r.revision
 	}
 	return r.inForce
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // snapshot is what stands in a file: the state with its version and checksum.
@@ -20,11 +20,11 @@
 // Marshal writes the state whole. Equal states give equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	kept := *s
-	if mutant.Is("snapshot-without-leases") {
+	if failpoint.Is("snapshot-without-leases") {
 		kept.Leases = map[string]*Lease{}
 		kept.Sessions = map[string]*Session{}
 	}
-	if mutant.Is("token-reused") {
+	if failpoint.Is("token-reused") {
 		kept.Token = 0
 	}
 	body, err := json.Marshal(&kept)
--- a/internal/mutant/on.go
+++ b/internal/failpoint/on.go
@@ -1,7 +1,7 @@
 //go:build mutants
 
-// Package mutant plants faults by name in a build with the tag mutants, so that the checks can be seen to fail.
-package mutant
+// Package failpoint plants faults by name in a build with the tag mutants, so that the checks can be seen to fail.
+package failpoint
 
 import "os"
 
--- a/internal/probing/board.go
+++ b/internal/healthcheck/board.go
@@ -1,10 +1,10 @@
-// Package probing has routers probe cache servers for one another: of all routers one holds the lease of a share of the servers,
+// Package healthcheck has routers probe cache servers for one another: of all routers one holds the lease of a share of the servers,
 // probes these and tells the others through the agreed state. What it tells carries its age; where it is stale or missing each
 // router probes by itself, as if there were nothing of all this. Only good answers are told: whether a server is bad each router
 // finds out for itself.
 //
 // Probing twice at once does no harm, so these leases are of the kind "harmless" (docs/agreement.md).
-package probing
+package healthcheck
 
 import (
 	"encoding/json"
--- a/internal/probing/run.go
+++ b/internal/healthcheck/run.go
@@ -1,4 +1,4 @@
-package probing
+package healthcheck
 
 import (
 	"context"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,8 +12,8 @@
 
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"dockhinge.example/dockhinge/internal/admit"
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/admission"
+	"dockhinge.example/dockhinge/internal/configerror"
 )
 
 // Version is the version of the file's form that this program reads.
@@ -59,7 +59,7 @@
 	Trace       bool   `toml:"trace"`        // single events too, for dockhinge-lab tally
 }
 
-// Admission switches fair admission on and sets it. Its bounds are internal/admit's.
+// Admission switches fair admission on and sets it. Its bounds are internal/admission's.
 type Admission struct {
 	Enabled      bool     `toml:"enabled"`
 	OthersWeight float64  `toml:"others_weight"`
@@ -95,24 +95,24 @@
 	Tenant  string `toml:"tenant"`
 }
 
-// Config is the section in the terms of internal/admit, but for the classes, which the platform's settings name.
-func (a Admission) Config() (admit.Config, admit.Identify, error) {
-	c := admit.Config{OthersWeight: a.OthersWeight, Flows: a.Flows, Buckets: a.Buckets, TurnMS: a.TurnMS, Queue: a.Queue,
+// Config is the section in the terms of internal/admission, but for the classes, which the platform's settings name.
+func (a Admission) Config() (admission.Config, admission.Identify, error) {
+	c := admission.Config{OthersWeight: a.OthersWeight, Flows: a.Flows, Buckets: a.Buckets, TurnMS: a.TurnMS, Queue: a.Queue,
 		Promises: a.Promises, MaxWaitMS: a.MaxWaitMS, MaxAfterMS: a.MaxAfterMS, Start: a.Start, Least: a.Least, Most: a.Most,
 		RetryShare: a.RetryShare, RetryBurst: a.RetryBurst}
 	for _, t := range a.Tenants {
-		c.Named = append(c.Named, admit.Tenant{Name: t.Name, Weight: t.Weight, Rate: t.Rate, Burst: t.Burst})
+		c.Named = append(c.Named, admission.Tenant{Name: t.Name, Weight: t.Weight, Rate: t.Rate, Burst: t.Burst})
 	}
-	var who admit.Identify
+	var who admission.Identify
 	for i, m := range a.Identify {
-		one, err := admit.NewMatch(m.By, m.Prefix, m.Network, m.Tenant)
+		one, err := admission.NewMatch(m.By, m.Prefix, m.Network, m.Tenant)
 		if err != nil {
-			return c, who, &admit.Error{Setting: fmt.Sprintf("identify[%d]", i), Reason: err.Error()}
+			return c, who, &admission.Error{Setting: fmt.Sprintf("identify[%d]", i), Reason: err.Error()}
 		}
 		who = append(who, one)
 	}
 	checked := c
-	checked.Classes = []admit.Class{{Name: "any", Cost: 1}}
+	checked.Classes = []admission.Class{{Name: "any", Cost: 1}}
 	return c, who, checked.Validate()
 }
 
@@ -130,7 +130,7 @@
 		Agreement: Agreement{TTL: "10s", ProbeEvery: "700ms", ProbeStale: "2500ms"}}
 }
 
-// Load reads the operator file at path. The error joins a diag.Problem for each mistake.
+// Load reads the operator file at path. The error joins a configerror.Problem for each mistake.
 func Load(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -143,16 +143,16 @@
 // one that was left out.
 func Parse(path string, text []byte) (File, error) {
 	if len(text) > maxFile {
-		return File{}, diag.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
 	f := Default()
 	f.Version = 0
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return File{}, err
 	}
 	var all []error
 	bad := func(setting, form string, v ...any) {
-		all = append(all, diag.Problem{File: path, Line: lineOf(text, setting), Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		all = append(all, configerror.Problem{File: path, Line: lineOf(text, setting), Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
@@ -201,7 +201,7 @@
 		bad("log.repeat_burst", "%d is not from 1 to 1000", f.Log.RepeatBurst)
 	}
 	if _, _, err := f.Admission.Config(); err != nil {
-		var e *admit.Error
+		var e *admission.Error
 		if errors.As(err, &e) {
 			bad("admission."+e.Setting, "%s", e.Reason)
 		} else {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 )
 
 func TestMistakesNameLineAndSetting(t *testing.T) {
@@ -32,7 +32,7 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q:\n got %v\nwant %s", text, err, want)
 		}
-		var p diag.Problem
+		var p configerror.Problem
 		if !errors.As(err, &p) {
 			t.Errorf("%q: no problem with a place: %v", text, err)
 		}
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Bounds of what the fleet's load is found out by.
@@ -48,7 +48,7 @@
 		speaks, wanted := l.Share > s.Busy, loadUp
 		if l.Over {
 			speaks, wanted = l.Share < s.Busy/2, loadDown
-			if mutant.Is("busy-flaps") {
+			if failpoint.Is("busy-flaps") {
 				speaks, wanted = l.Share <= s.Busy, 1
 			}
 		}
@@ -81,7 +81,7 @@
 
 // tooBusy tells in words why nothing new goes out; "" where the load doesn't forbid it.
 func (s *State) tooBusy(p *Permit) string {
-	if !s.Load.Over || p.Priority >= Emergency || mutant.Is("busy-ignored") {
+	if !s.Load.Over || p.Priority >= Emergency || failpoint.Is("busy-ignored") {
 		return ""
 	}
 	return fmt.Sprintf("the fleet refuses or fails over %.3g%% of requests: nothing new goes out until it is under %.3g%%", 100*s.Busy, 50*s.Busy)
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Bounds of a release.
@@ -272,7 +272,7 @@
 		s.Version++
 	case r.Baked > clock:
 		s.wake(r.Baked)
-	case s.Halted != nil && !mutant.Is("halt-ignored"): // it stays where it is
+	case s.Halted != nil && !failpoint.Is("halt-ignored"): // it stays where it is
 	case r.Size < len(r.Names) && r.Seen < r.Least: // it bakes on until the new version has been seen to work
 		if clock >= r.Baked+10*r.Bake {
 			s.Halted = &Stop{"release " + r.Name, fmt.Sprintf("%s has answered %d of the %d requests wanted within %v", r.Goal, r.Seen, r.Least, 11*r.Bake), clock}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // The bounds of all tables.
@@ -605,7 +605,7 @@
 		return Answer{Code: OK}
 	}
 	i := slices.IndexFunc(s.Permits, func(p *Permit) bool {
-		return p.Kind == c.Kind && p.Name == c.Name && p.Session == f.Session && (p.Token == c.Token || c.Op == Cancel || mutant.Is("permit-token-unchecked"))
+		return p.Kind == c.Kind && p.Name == c.Name && p.Session == f.Session && (p.Token == c.Token || c.Op == Cancel || failpoint.Is("permit-token-unchecked"))
 	})
 	if i < 0 {
 		return Answer{Code: NotHeld, Text: fmt.Sprintf("no permit of %s/%s with token %d is held by this session", c.Kind, c.Name, c.Token)}
@@ -616,7 +616,7 @@
 		switch {
 		case p.Stage == Begun:
 			return Answer{Code: OK}
-		case p.Stage != Granted && !mutant.Is("permit-token-unchecked"):
+		case p.Stage != Granted && !failpoint.Is("permit-token-unchecked"):
 			return Answer{Code: NotHeld, Text: "the permit was taken back: " + p.Waits}
 		}
 		p.Stage, p.Began, p.Waits, p.Run = Begun, f.Clock, "", t.Run
--- a/internal/rollout/settle.go
+++ b/internal/rollout/settle.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Reason is why a thing is out.
@@ -64,7 +64,7 @@
 		listed := gone+t.counts.leaving > 0
 		// More than half of those that see it must agree: one router with a bad link neither takes a server out nor hides that it is.
 		out := saw == 0 || 2*against > saw
-		if mutant.Is("evidence-of-one") {
+		if failpoint.Is("evidence-of-one") {
 			out = against > 0
 		}
 		turn(t, !out && (t.Suspect == nil || t.Suspect.Over))
@@ -78,7 +78,7 @@
 			continue
 		}
 		// By all lists it belongs to the fleet no more. It may have crashed, or be back and the news be late: it counts as down for a while.
-		if at := max(t.Since, t.Listed) + ForgetAfter*s.Grace; at > clock && !mutant.Is("gone-is-forgotten") {
+		if at := max(t.Since, t.Listed) + ForgetAfter*s.Grace; at > clock && !failpoint.Is("gone-is-forgotten") {
 			s.forget = min(s.forget, at)
 		} else if !slices.ContainsFunc(s.Permits, func(p *Permit) bool { return p.Kind == Server && p.Name == name }) {
 			s.forgetServer(name)
@@ -104,7 +104,7 @@
 		}
 		// Nobody says any more what became of the step. It is over once the thing runs that was started since. What is heard of its
 		// start within the grace may be news from before the step.
-		if at := p.Began + s.Grace; t != nil && at > clock && !mutant.Is("late-news-believed") {
+		if at := p.Began + s.Grace; t != nil && at > clock && !failpoint.Is("late-news-believed") {
 			s.wake(at)
 			p.Run = t.Run
 		}
@@ -131,7 +131,7 @@
 		t := s.Servers[p.Name]
 		for name, r := range s.Routers {
 			switch {
-			case mutant.Is("drain-unacknowledged"):
+			case failpoint.Is("drain-unacknowledged"):
 			case r.Session != "":
 				if r.Acked < p.Drain {
 					missing.add(name)
@@ -208,7 +208,7 @@
 		return Unknown, 0
 	case !t.Up:
 		return Down, 0
-	case warm > clock && !mutant.Is("cold-counts-as-in"):
+	case warm > clock && !failpoint.Is("cold-counts-as-in"):
 		return Cold, warm
 	}
 	return In, 0
@@ -365,18 +365,18 @@
 	if is != In { // it counts already; what is left over must be there all the same, as one that is cold or unknown may well serve
 		cost = 0
 	}
-	if cost > 0 && in[k] <= 1 && !mutant.Is("budget-unchecked") {
+	if cost > 0 && in[k] <= 1 && !failpoint.Is("budget-unchecked") {
 		return fmt.Sprintf("it is the last %s that is in", k)
 	}
-	if cost > 0 && in[k+"\x00"+t.Zone] <= 1 && in[k+"\x00all\x00"+t.Zone] > 1 && !mutant.Is("budget-unchecked") {
+	if cost > 0 && in[k+"\x00"+t.Zone] <= 1 && in[k+"\x00all\x00"+t.Zone] > 1 && !failpoint.Is("budget-unchecked") {
 		return fmt.Sprintf("it is the last %s of zone %s that is in", k, t.Zone)
 	}
 	for _, x := range scopes {
 		switch {
-		case mutant.Is("budget-unchecked"):
+		case failpoint.Is("budget-unchecked"):
 		case x.allowed == 0:
 			return fmt.Sprintf("%s: a share of %v of %d is none: raise it, or say a number", x.text(), x.b.Share, x.n)
-		case len(x.taken)+cost > x.allowed && mutant.Is("out-is-free") && !x.taken[id], len(x.taken)+cost > x.allowed && !mutant.Is("out-is-free"):
+		case len(x.taken)+cost > x.allowed && failpoint.Is("out-is-free") && !x.taken[id], len(x.taken)+cost > x.allowed && !failpoint.Is("out-is-free"):
 			return fmt.Sprintf("%s: %d of at most %d out: %s", x.text(), len(x.taken), x.allowed, Few(x.out))
 		}
 	}
--- a/internal/rollout/suspect.go
+++ b/internal/rollout/suspect.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Bounds of what routers find out for one another.
@@ -67,7 +67,7 @@
 func (s *State) credible() map[string]bool {
 	ok := map[string]bool{}
 	for r, n := range s.sees {
-		ok[r] = n.bad <= max(1, n.all/credibleOne) || mutant.Is("liar-believed")
+		ok[r] = n.bad <= max(1, n.all/credibleOne) || failpoint.Is("liar-believed")
 	}
 	return ok
 }
@@ -80,7 +80,7 @@
 		if x == nil || x.Over {
 			continue
 		}
-		if (x.Until <= clock && !mutant.Is("suspicion-forever")) || t.Run != x.Run || s.Quorum == 0 {
+		if (x.Until <= clock && !failpoint.Is("suspicion-forever")) || t.Run != x.Run || s.Quorum == 0 {
 			x.Over, x.Until = true, min(x.Until, clock)
 			s.Version++
 			s.Drains++
@@ -94,13 +94,13 @@
 	}
 	names := slices.Sorted(maps.Keys(s.Servers))
 	quorum, most := s.Quorum, max(1, len(names)/suspectsOne)
-	if mutant.Is("quorum-of-one") {
+	if failpoint.Is("quorum-of-one") {
 		quorum = 1
 	}
 	credible := s.credible()
 	for _, name := range names {
 		t := s.Servers[name]
-		if t.Suspect != nil && !t.Suspect.Over || held >= most && !mutant.Is("suspects-unbounded") {
+		if t.Suspect != nil && !t.Suspect.Over || held >= most && !failpoint.Is("suspects-unbounded") {
 			continue
 		}
 		since := clock - evidenceAge + 1
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -10,14 +10,14 @@
 
 	"dockhinge.example/dockhinge/decide"
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// admission stands between a request's arrival and the Balancer, where the operator file has it. All of it is the loop's.
-type admission struct {
+// admissionControl stands between a request's arrival and the Balancer, where the operator file has it. All of it is the loop's.
+type admissionControl struct {
 	l         *loop
-	a         *admit.Admission
-	who       admit.Identify
+	a         *admission.Admission
+	who       admission.Identify
 	class     map[string]int
 	others    int    // the place of classes that a reload has brought
 	due       *timer // for what waits
@@ -26,31 +26,31 @@
 
 // Admission is what an operator file says of fair admission.
 type Admission struct {
-	Rules admit.Config // but for the classes, which are the platform's
-	Who   admit.Identify
+	Rules admission.Config // but for the classes, which are the platform's
+	Who   admission.Identify
 }
 
 // newAdmission places the door before the Balancer.
-func newAdmission(l *loop, cfg *Config) (*admission, error) {
-	ad := &admission{l: l, who: cfg.Admission.Who, class: map[string]int{}}
+func newAdmission(l *loop, cfg *Config) (*admissionControl, error) {
+	ad := &admissionControl{l: l, who: cfg.Admission.Who, class: map[string]int{}}
 	rules := cfg.Admission.Rules
 	rules.Classes = nil
 	var longest float64
 	for _, c := range cfg.settings.Config.Classes {
 		ad.class[c.Name] = len(rules.Classes)
 		// The aim tells, class by class, how much work is meant, until it has been measured.
-		rules.Classes = append(rules.Classes, admit.Class{Name: c.Name, Cost: c.Aim, First: c.Effect != decide.Repeatable})
+		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, Cost: c.Aim, First: c.Effect != decide.Repeatable})
 		longest = max(longest, c.Aim)
 	}
 	ad.others = len(rules.Classes)
-	rules.Classes = append(rules.Classes, admit.Class{Name: "(others)", Cost: longest})
+	rules.Classes = append(rules.Classes, admission.Class{Name: "(others)", Cost: longest})
 	var err error
-	ad.a, err = admit.New(withCaps(rules, cfg), cfg.seed, ad)
+	ad.a, err = admission.New(withCaps(rules, cfg), cfg.seed, ad)
 	return ad, err
 }
 
 // withCaps has the platform's bound on times told go before the operator's.
-func withCaps(rules admit.Config, cfg *Config) admit.Config {
+func withCaps(rules admission.Config, cfg *Config) admission.Config {
 	if m := cfg.settings.Config.MaxAfter; m > 0 {
 		rules.MaxAfterMS = m
 	}
@@ -58,18 +58,18 @@
 }
 
 // check tells why the rules of a configuration can't hold from now on.
-func (ad *admission) check(cfg *Config) error {
+func (ad *admissionControl) check(cfg *Config) error {
 	switch {
 	case ad == nil && cfg.Admission == nil:
 		return nil
 	case ad == nil || cfg.Admission == nil:
-		return &admit.Error{Setting: "enabled", Reason: "changes, which takes a new process"}
+		return &admission.Error{Setting: "enabled", Reason: "changes, which takes a new process"}
 	}
 	return ad.a.Check(withCaps(cfg.Admission.Rules, cfg))
 }
 
 // reconfigure has the rules of a configuration, which has been checked, hold from now on.
-func (ad *admission) reconfigure(cfg *Config) {
+func (ad *admissionControl) reconfigure(cfg *Config) {
 	if ad == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // arrive takes a request that the loop has taken.
-func (ad *admission) arrive(r *request, left float64) {
+func (ad *admissionControl) arrive(r *request, left float64) {
 	var from netip.Addr
 	if ad.who.ByNetwork() {
 		from = addrOf(r.slot.c.Conn)
@@ -92,14 +92,14 @@
 		class = ad.others
 	}
 	r.door = doorWaits
-	ad.a.Arrive(ad.l.now(), admit.Request{ID: r.id, Tenant: ad.who.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
+	ad.a.Arrive(ad.l.now(), admission.Request{ID: r.id, Tenant: ad.who.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
 		Key: keyID(r.cmd.key), Size: r.cmd.length, Left: left, Retry: r.cmd.retry})
 	ad.arm()
 }
 
 // over tells that a request has ended: served or not, refused by the Balancer or not, with an answer of so many bytes. One
 // that waited has lost its client, or was refused at its deadline.
-func (ad *admission) over(r *request, served, refused bool, size int) {
+func (ad *admissionControl) over(r *request, served, refused bool, size int) {
 	if ad == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 	case doorWaits:
 		ad.a.Gone(now, r.id)
 	case doorIn:
-		ad.a.Ended(now, admit.End{ID: r.id, Served: served, Refused: refused, Latency: now - r.admittedAt, Attempts: len(r.attempts), Work: r.attemptMillis, Size: size})
+		ad.a.Ended(now, admission.End{ID: r.id, Served: served, Refused: refused, Latency: now - r.admittedAt, Attempts: len(r.attempts), Work: r.attemptMillis, Size: size})
 	default:
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // arm sees to it that what waits is looked at in time.
-func (ad *admission) arm() {
+func (ad *admissionControl) arm() {
 	next := ad.a.Next()
 	if ad.due != nil && ad.due.i >= 0 && ad.due.at <= next {
 		return // it is looked at sooner, and armed again then
@@ -132,7 +132,7 @@
 }
 
 // Admit lets a request through to the Balancer, after the call that led to it.
-func (ad *admission) Admit(id uint32) {
+func (ad *admissionControl) Admit(id uint32) {
 	r := ad.l.reqs[id]
 	if r == nil {
 		return
@@ -146,7 +146,7 @@
 }
 
 // Refuse ends a request at the door.
-func (ad *admission) Refuse(id uint32, after float64) {
+func (ad *admissionControl) Refuse(id uint32, after float64) {
 	if r := ad.l.reqs[id]; r != nil {
 		r.door = doorOut
 		if ad.l.rules.Load().tellsRetryAfter {
@@ -165,7 +165,7 @@
 	if r.l.admission == nil {
 		return nil, admin.ErrOff
 	}
-	var s admit.State
+	var s admission.State
 	if err := r.l.do(ctx, func() error { s = r.l.admission.a.State(shownTenants); return nil }); err != nil {
 		return nil, err
 	}
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
@@ -32,9 +32,9 @@
 	cfg := testConfig(t, d.Listener.Addr().String(), list{})
 	ln := listenLocal(t)
 	m := metrics.New()
-	rules := admit.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
 		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	cfg.Admission = &Admission{rules, admit.Identify{{By: "fact"}}}
+	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
 	r, err := New(cfg, ln, m)
 	if err != nil {
 		t.Fatal(err)
@@ -91,9 +91,9 @@
 
 // Rules of admission are taken with the rest of a configuration, or nothing is and the setting is named.
 func TestAdmissionRulesAtReload(t *testing.T) {
-	rules := admit.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100, MaxAfterMS: 1500,
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100, MaxAfterMS: 1500,
 		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	with := func(r *admit.Config) *Config {
+	with := func(r *admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", list{})
 		if r != nil {
 			cfg.Admission = &Admission{*r, nil}
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	named, larger := rules, rules
-	named.Named = []admit.Tenant{{Name: "a", Weight: 2}}
+	named.Named = []admission.Tenant{{Name: "a", Weight: 2}}
 	larger.Flows = 9
 	if err := l.reconfigure(with(&named)); err != nil || len(l.admission.a.HandOver(l.now()).Tenants) != 1 {
 		t.Errorf("a new tenant: %v", err)
@@ -122,8 +122,8 @@
 // A process takes over what the one before it has told clients.
 func TestAdmissionIsHandedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", list{})
-	cfg.Admission = &Admission{admit.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100,
-		MaxAfterMS: 1500, Start: 7, Least: 1, Most: 9, RetryShare: 1, RetryBurst: 10}, admit.Identify{{By: "fact"}}}
+	cfg.Admission = &Admission{admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100,
+		MaxAfterMS: 1500, Start: 7, Least: 1, Most: 9, RetryShare: 1, RetryBurst: 10}, admission.Identify{{By: "fact"}}}
 	start := func() *Router {
 		r, err := New(cfg, listenLocal(t), metrics.New())
 		if err != nil {
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -11,8 +11,8 @@
 
 	"dockhinge.example/dockhinge/decide"
 	leases "dockhinge.example/dockhinge/internal/coord/client"
-	"dockhinge.example/dockhinge/internal/mutant"
-	"dockhinge.example/dockhinge/internal/probing"
+	"dockhinge.example/dockhinge/internal/failpoint"
+	"dockhinge.example/dockhinge/internal/healthcheck"
 	"dockhinge.example/dockhinge/internal/rollout"
 	"dockhinge.example/dockhinge/internal/rollout/follow"
 )
@@ -51,7 +51,7 @@
 
 // probe takes part in probing for all.
 func (r *Router) probe(ctx context.Context, a *Agreement, c *leases.Client) {
-	probing.Run(ctx, probing.Options{Client: c, TTL: a.TTL, Every: a.ProbeEvery, Board: r.l.board, Now: r.l.now, Servers: r.l.servers, Probe: r.l.ask})
+	healthcheck.Run(ctx, healthcheck.Options{Client: c, TTL: a.TTL, Every: a.ProbeEvery, Board: r.l.board, Now: r.l.now, Servers: r.l.servers, Probe: r.l.ask})
 }
 
 // seen are all cache servers of the list, as this router sees them.
@@ -63,12 +63,12 @@
 			}
 			s := rollout.Seen{Name: name, Zone: e.Zone, Run: strconv.FormatFloat(e.Started, 'f', -1, 64), Is: rollout.Up}
 			switch id, known := l.names.IDs[name]; {
-			case mutant.Is("lies-all") || mutant.Is("lies-some") && known && id%5 == 0: // for the laboratory
+			case failpoint.Is("lies-all") || failpoint.Is("lies-some") && known && id%5 == 0: // for the laboratory
 				s.Is = rollout.Bad
 			case e.State != "active":
 				s.Is = rollout.Leaving
 			case known && l.b.Ejected(id):
-				if !l.hearsay[id] || mutant.Is("hearsay-counts") { // what it was told is no evidence of its own
+				if !l.hearsay[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
 					s.Is = rollout.Bad
 				}
 			default:
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"dockhinge.example/dockhinge/decide"
+	"dockhinge.example/dockhinge/internal/failpoint"
 	"dockhinge.example/dockhinge/internal/metrics"
-	"dockhinge.example/dockhinge/internal/mutant"
 )
 
 // attempt is one attempt of a request.
@@ -66,7 +66,7 @@
 		l.trace.Event(now, "got", "r=%d n=%d s=%08x status=%d note=%d ms=%.1f", r.id, a.index, a.server, got.status, got.note, now-a.startedAt)
 	}
 	switch {
-	case got.status == decide.OK && mutant.Is("fails-some") && r.id%20 == 0: // a version that is bad, for the laboratory
+	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // a version that is bad, for the laboratory
 		l.finish(r, failed(), metrics.Error)
 	case got.status == decide.OK:
 		l.finish(r, served(&r.cmd, got.body), metrics.Success)
@@ -187,7 +187,7 @@
 	} else {
 		got = l.up.attempt(ctx, t, cmd, on)
 	}
-	if mutant.Is("slower") { // a version that is slow, for the laboratory
+	if failpoint.Is("slower") { // a version that is slow, for the laboratory
 		time.Sleep(ms((l.now() - a.startedAt) / 10))
 	}
 	if value == nil {
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/settings"
 	"dockhinge.example/dockhinge/internal/trace"
 )
@@ -72,7 +72,7 @@
 	return c, nil
 }
 
-// Check tells all that is wrong with the configuration at path, as joined diag.Problems; nil where nothing is.
+// Check tells all that is wrong with the configuration at path, as joined configerror.Problems; nil where nothing is.
 func Check(path string, getenv func(string) string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -80,19 +80,19 @@
 	}
 	c := &Config{text: text}
 	if err := json.Unmarshal(text, c); err != nil {
-		p := diag.Problem{File: path, Line: diag.LineAt(text, int64(len(text))), Reason: err.Error()}
+		p := configerror.Problem{File: path, Line: configerror.LineAt(text, int64(len(text))), Reason: err.Error()}
 		var syntax *json.SyntaxError
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &syntax) {
-			p.Line = diag.LineAt(text, syntax.Offset)
+			p.Line = configerror.LineAt(text, syntax.Offset)
 		} else if errors.As(err, &kind) {
-			p.Line, p.Setting = diag.LineAt(text, kind.Offset), kind.Field
+			p.Line, p.Setting = configerror.LineAt(text, kind.Offset), kind.Field
 		}
 		return p
 	}
 	var all []error
 	add := func(setting, reason string) {
-		all = append(all, diag.Problem{File: path, Line: diag.JSONLine(text, setting), Setting: setting, Reason: reason})
+		all = append(all, configerror.Problem{File: path, Line: configerror.JSONLine(text, setting), Setting: setting, Reason: reason})
 	}
 	for _, p := range c.fill(getenv) {
 		add(p.Setting, p.Reason)
@@ -111,9 +111,9 @@
 }
 
 // fill takes what the file leaves out from the environment, and lists what is wrong beside the settings.
-func (c *Config) fill(getenv func(string) string) (bad []diag.Problem) {
+func (c *Config) fill(getenv func(string) string) (bad []configerror.Problem) {
 	add := func(setting, form string, v ...any) {
-		bad = append(bad, diag.Problem{Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		bad = append(bad, configerror.Problem{Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	for _, v := range []struct {
 		at          *string
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/decide"
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
@@ -742,9 +742,9 @@
 	t.Cleanup(answer.let) // before the fake waits for what it has started
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(s.addr)))
 	cfg := longLived(testConfig(t, d.Listener.Addr().String(), list{}))
-	rules := admit.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
 		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	cfg.Admission = &Admission{rules, admit.Identify{{By: "fact"}}}
+	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
 	cfg.settings.Config.Probes = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].Aim = 500 // the door expects a request to take so long
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"dockhinge.example/dockhinge/decide"
+	"dockhinge.example/dockhinge/internal/healthcheck"
 	"dockhinge.example/dockhinge/internal/metrics"
-	"dockhinge.example/dockhinge/internal/probing"
 	"dockhinge.example/dockhinge/internal/rollout"
 	"dockhinge.example/dockhinge/internal/trace"
 )
@@ -56,8 +56,8 @@
 	ready              atomic.Bool     // a list is held
 	answerBy           instant         // when all that is open has to have its answer, as the process is told to end
 	trace              *trace.Trace
-	board              *probing.Board     // what other routers' probes told; nil = each probes by itself
-	admission          *admission         // nil = every request goes to the Balancer
+	board              *healthcheck.Board // what other routers' probes told; nil = each probes by itself
+	admission          *admissionControl         // nil = every request goes to the Balancer
 	ejectedByPeers     map[uint32]float64 // servers that others found bad, and until when that counts,
 	hearsay            map[uint32]bool    // and those of which this router knows nothing else
 	refreshing         bool               // the Balancer is told of the former again
--- a/internal/router/pair.go
+++ b/internal/router/pair.go
@@ -13,7 +13,7 @@
 
 	"dockhinge.example/dockhinge/decide"
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 	"dockhinge.example/dockhinge/internal/handover"
 )
 
@@ -24,9 +24,9 @@
 	Module decide.Carried
 	List   list
 	Names  names
-	Door   *admit.Carried // nil = admission is off
-	ByHand []string       `json:",omitempty"` // servers left out by hand,
-	Agreed []string       `json:",omitempty"` // and by the fleet
+	Door   *admission.Carried // nil = admission is off
+	ByHand []string           `json:",omitempty"` // servers left out by hand,
+	Agreed []string           `json:",omitempty"` // and by the fleet
 }
 
 // ban is a call of the operators, as it goes from one process to the other.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,8 +12,8 @@
 	"dockhinge.example/dockhinge/decide"
 	"dockhinge.example/dockhinge/internal/admin"
 	"dockhinge.example/dockhinge/internal/handover"
+	"dockhinge.example/dockhinge/internal/healthcheck"
 	"dockhinge.example/dockhinge/internal/metrics"
-	"dockhinge.example/dockhinge/internal/probing"
 )
 
 // comeAfterStop is how long connections are taken once the router is told to stop: for 0.4 s new ones still come.
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if cfg.Agreement != nil && cfg.Agreement.Probes {
-		r.l.board = probing.NewBoard(float64(cfg.Agreement.ProbeStale.Milliseconds()))
+		r.l.board = healthcheck.NewBoard(float64(cfg.Agreement.ProbeStale.Milliseconds()))
 	}
 	if cfg.Agreement != nil && cfg.Agreement.Drains {
 		r.l.speed = new(speeds)
--- a/internal/wire/wire.go
+++ b/internal/simulator/simulator.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's text protocol and the decide package: one Balancer for each
+// Package simulator translates between the simulator's text protocol and the decide package: one Balancer for each
 // router instance, sharing nothing. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -7,10 +7,10 @@
 	"strings"
 	"testing"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-func shippedModel(t *testing.T) (*Model, []slope.Line) {
+func shippedModel(t *testing.T) (*Model, []scalingfit.Line) {
 	t.Helper()
 	sizes, err := ShippedSizes()
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, err := slope.Read(text)
+	lines, err := scalingfit.Read(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 }
 
 // line is a straight one through the origin, measured up to a size.
-func line(name string, perRouter, to float64) slope.Line {
-	return slope.Line{Name: name, Unit: "cores", Per: "router", Slope: perRouter, From: 1, To: to, R2: 1}
+func line(name string, perRouter, to float64) scalingfit.Line {
+	return scalingfit.Line{Name: name, Unit: "cores", Per: "router", Slope: perRouter, From: 1, To: to, R2: 1}
 }
 
 // A row over its budget is red, one that no run gave is said to be not measured, and doubling the size doubles a figure.
@@ -66,7 +66,7 @@
 	if s := row.State(NewModel(sizes, nil)); s != NotMeasured {
 		t.Errorf("without a line: %s", s)
 	}
-	m := NewModel(sizes, []slope.Line{line("x", 0.8/sizes.Routers, sizes.Routers)})
+	m := NewModel(sizes, []scalingfit.Line{line("x", 0.8/sizes.Routers, sizes.Routers)})
 	if s := row.State(m); s != Fits {
 		t.Errorf("below the budget: %s", s)
 	}
@@ -76,7 +76,7 @@
 	if text := row.margin(m); text != "20%" {
 		t.Errorf("margin: %s", text)
 	}
-	m = NewModel(sizes, []slope.Line{line("x", 1.5/sizes.Routers, sizes.Routers/2)})
+	m = NewModel(sizes, []scalingfit.Line{line("x", 1.5/sizes.Routers, sizes.Routers/2)})
 	if s := row.State(m); s != Red {
 		t.Errorf("over the budget: %s", s)
 	}
--- a/lab/capacity/figure.go
+++ b/lab/capacity/figure.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // Figure is a value with where it comes from.
@@ -24,12 +24,12 @@
 // Model is the sizes with the lines that were measured.
 type Model struct {
 	Sizes
-	lines map[string]slope.Line
+	lines map[string]scalingfit.Line
 }
 
 // NewModel makes a model of sizes and lines.
-func NewModel(sizes Sizes, lines []slope.Line) *Model {
-	m := &Model{Sizes: sizes, lines: map[string]slope.Line{}}
+func NewModel(sizes Sizes, lines []scalingfit.Line) *Model {
+	m := &Model{Sizes: sizes, lines: map[string]scalingfit.Line{}}
 	for _, l := range lines {
 		m.lines[l.Name] = l
 	}
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // The markers between which the tool writes in the page.
@@ -18,7 +18,7 @@
 var errNoMarkers = errors.New("its markers are missing")
 
 // FillPage puts the tables between a page's markers.
-func FillPage(page []byte, m *Model, lines []slope.Line) ([]byte, error) {
+func FillPage(page []byte, m *Model, lines []scalingfit.Line) ([]byte, error) {
 	before, rest, ok := bytes.Cut(page, []byte(beginMarker))
 	if !ok {
 		return nil, errNoMarkers
@@ -37,7 +37,7 @@
 }
 
 // UpdatePage writes the tables into a page's file.
-func UpdatePage(path string, m *Model, lines []slope.Line) error {
+func UpdatePage(path string, m *Model, lines []scalingfit.Line) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/lab/capacity/plot.go
+++ b/lab/capacity/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // Measures of a plot.
@@ -22,7 +22,7 @@
 var errNothingToPlot = errors.New("no such lines")
 
 // Plot draws measured points and their lines over the size into an SVG file; all must have one unit.
-func Plot(path, title string, lines []slope.Line, names ...string) error {
+func Plot(path, title string, lines []scalingfit.Line, names ...string) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Min, p.Y.Min = 0, 0
@@ -46,7 +46,7 @@
 }
 
 // draw adds a line and its points.
-func draw(p *plot.Plot, l slope.Line, n int) error {
+func draw(p *plot.Plot, l scalingfit.Line, n int) error {
 	var points plotter.XYs
 	for _, one := range l.Points {
 		points = append(points, plotter.XY{X: one.Size, Y: one.Value})
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -12,7 +12,7 @@
 	byDiscovery  = "discovery's list (internal/router)"
 	byRegions    = "missing: regions as the unit of the list (#34; cells are #11)"
 	bySightings  = "one table of routers by servers (internal/rollout)"
-	byProbeLease = "one router probes for all, 16 leases (internal/probing)"
+	byProbeLease = "one router probes for all, 16 leases (internal/healthcheck)"
 )
 
 const (
@@ -179,5 +179,5 @@
 	}}
 }
 
-// probeLeases is into how many leases the servers are dealt (internal/probing).
+// probeLeases is into how many leases the servers are dealt (internal/healthcheck).
 const probeLeases = 16
--- a/lab/capacity/table.go
+++ b/lab/capacity/table.go
@@ -5,7 +5,7 @@
 	"io"
 	"strings"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // Row is one figure of a role at one event.
@@ -103,7 +103,7 @@
 }
 
 // WriteAll writes what the page has between its markers: all red rows, the tables, and the lines that they rest on.
-func WriteAll(w io.Writer, m *Model, lines []slope.Line) {
+func WriteAll(w io.Writer, m *Model, lines []scalingfit.Line) {
 	tables := Tables()
 	writeRed(w, m, tables)
 	for i := range tables {
@@ -130,7 +130,7 @@
 }
 
 // writeLines writes the lines with the runs that gave them.
-func writeLines(w io.Writer, lines []slope.Line) {
+func writeLines(w io.Writer, lines []scalingfit.Line) {
 	fmt.Fprintln(w, "### Slopes")
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "| line | unit | run | from, to | at none | for each 1,000 | misses: root mean square, worst | R² | straight |")
--- a/lab/referee/referee.go
+++ b/lab/checker/checker.go
@@ -1,6 +1,6 @@
-// Package referee judges a run by the rules. It reads what clients, servers and discovery saw and knows nothing of the
+// Package checker judges a run by the rules. It reads what clients, servers and discovery saw and knows nothing of the
 // router: neither its log nor its figures. It does no I/O.
-package referee
+package checker
 
 import (
 	"cmp"
--- a/lab/referee/malformed.go
+++ b/lab/checker/malformed.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // judgeMalformed finds commands that servers could not read: a router passes on what a client sent.
 func judgeMalformed(h *history, add report) {
--- a/lab/referee/readiness.go
+++ b/lab/checker/readiness.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // Bounds of the rule on routers that start.
 const (
--- a/lab/referee/refused_connection_test.go
+++ b/lab/checker/refused_connection_test.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 import (
 	"fmt"
--- a/lab/referee/slow_start.go
+++ b/lab/checker/slow_start.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // Bounds of the rule on cold servers.
 const (
--- a/lab/referee/unanswered.go
+++ b/lab/checker/unanswered.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 // Bounds of the rule on requests that have no answer when their time is up.
 const (
--- a/lab/standin/clock.go
+++ b/lab/fakes/clock.go
@@ -1,7 +1,7 @@
-// Package standin puts the models of lab/model behind real sockets: cache servers, the origin, discovery, the network
+// Package fakes puts the models of lab/model behind real sockets: cache servers, the origin, discovery, the network
 // between them and the front that deals out clients. Faults can be set on each while it runs. What each saw goes into the
 // referee's journal. The protocols are written from their public descriptions.
-package standin
+package fakes
 
 import (
 	"net"
--- a/lab/standin/codec.go
+++ b/lab/fakes/codec.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 // request is a command as a server reads it.
@@ -23,7 +23,7 @@
 	class string
 	idem  string
 	size  int // bytes of the value that came with it
-	hint  referee.TimeoutHint
+	hint  checker.TimeoutHint
 }
 
 // answer is what a server has to say to a request.
@@ -76,9 +76,9 @@
 }
 
 // timeoutHint is how long the router says that it will wait; what is no number tells nothing.
-func timeoutHint(named map[string]string) referee.TimeoutHint {
+func timeoutHint(named map[string]string) checker.TimeoutHint {
 	millis, err := strconv.ParseFloat(named["d"], 64)
-	return referee.TimeoutHint{Millis: millis, IsTold: err == nil}
+	return checker.TimeoutHint{Millis: millis, IsTold: err == nil}
 }
 
 func load(r *model.Report) string {
--- a/lab/standin/discovery.go
+++ b/lab/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -13,15 +13,15 @@
 	"sync"
 	"time"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 // Discovery answers calls for the list. It is one service for all routers, but each router reaches it at a listener of
 // its own, by which it is known, and may be told other addresses than the others.
 type Discovery struct {
 	clock   *Clock
-	journal *referee.Journal
+	journal *checker.Journal
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
@@ -37,7 +37,7 @@
 }
 
 // NewDiscovery starts discovery with a list that holds since long ago. Close ends it.
-func NewDiscovery(p model.DirectoryParams, seed uint64, known []model.Entry, clock *Clock, journal *referee.Journal) *Discovery {
+func NewDiscovery(p model.DirectoryParams, seed uint64, known []model.Entry, clock *Clock, journal *checker.Journal) *Discovery {
 	d := &Discovery{clock: clock, journal: journal, d: model.NewDirectory(p, seed, known), changed: make(chan struct{}), silence: make(chan struct{}), kick: make(chan struct{}, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.wg.Go(d.run)
@@ -74,7 +74,7 @@
 // bookListed tells the referee of what the list has from now on.
 func (d *Discovery) bookListed(now float64, changes model.List) {
 	for _, e := range changes.Servers {
-		d.journal.Add(referee.Event{At: now, Kind: referee.Listed, Server: e.ID, State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
+		d.journal.Add(checker.Event{At: now, Kind: checker.Listed, Server: e.ID, State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
 
@@ -82,7 +82,7 @@
 func (d *Discovery) bookTold(router string, servers []model.Entry) {
 	now := d.clock.Now()
 	for _, e := range servers {
-		d.journal.Add(referee.Event{At: now, Kind: referee.Told, Router: router, Server: e.ID, State: e.State,
+		d.journal.Add(checker.Event{At: now, Kind: checker.Told, Router: router, Server: e.ID, State: e.State,
 			ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
@@ -112,8 +112,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if down != d.down {
-		kind := map[bool]referee.Kind{true: referee.DiscoveryDown, false: referee.DiscoveryUp}[down]
-		d.journal.Add(referee.Event{At: d.clock.Now(), Kind: kind})
+		kind := map[bool]checker.Kind{true: checker.DiscoveryDown, false: checker.DiscoveryUp}[down]
+		d.journal.Add(checker.Event{At: d.clock.Now(), Kind: kind})
 	}
 	d.down = down
 	d.turn()
@@ -175,7 +175,7 @@
 	q := r.URL.Query()
 	d.mu.Lock()
 	d.calls++
-	d.journal.Add(referee.Event{At: d.clock.Now(), Kind: referee.ListCalled, Router: router})
+	d.journal.Add(checker.Event{At: d.clock.Now(), Kind: checker.ListCalled, Router: router})
 	wait, ok := d.d.Call(d.clock.Now())
 	down := d.down
 	d.mu.Unlock()
@@ -246,7 +246,7 @@
 			return l, true
 		case <-silence:
 			now := d.clock.Now()
-			d.journal.Add(referee.Event{At: now, Kind: referee.WatchSilent, Router: router, Deadline: max(0, waitEndAt-now)})
+			d.journal.Add(checker.Event{At: now, Kind: checker.WatchSilent, Router: router, Deadline: max(0, waitEndAt-now)})
 			<-ctx.Done()
 			return l, false
 		case <-ctx.Done():
--- a/lab/standin/standin_test.go
+++ b/lab/fakes/fakes_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -14,18 +14,18 @@
 	"testing"
 	"time"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 const patience = 20 * time.Second // for what must come; a test that passes does not wait for it
 
 type rig struct {
 	clock   *Clock
-	journal *referee.Journal
+	journal *checker.Journal
 }
 
-func newRig() rig { return rig{NewClock(), referee.NewJournal(1 << 16)} }
+func newRig() rig { return rig{NewClock(), checker.NewJournal(1 << 16)} }
 
 var quick = model.Params{Cores: 4, Speed: 1, Queue: 50, Memory: 16 << 20, KeyedMS: 1000}
 
@@ -86,7 +86,7 @@
 }
 
 // until waits for an event of the journal.
-func (r rig) until(t testing.TB, what string, is func(referee.Event) bool) referee.Event {
+func (r rig) until(t testing.TB, what string, is func(checker.Event) bool) checker.Event {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		events, _ := r.journal.Events()
@@ -148,7 +148,7 @@
 		}
 	}
 	events, _ := r.journal.Events() // the second was begun beside the first, and over before it
-	if events[2].Kind != referee.Over || events[2].Request != "2" {
+	if events[2].Kind != checker.Over || events[2].Request != "2" {
 		t.Errorf("got %+v", events)
 	}
 }
@@ -187,7 +187,7 @@
 	ran := 0
 	events, _ := r.journal.Events()
 	for _, e := range events {
-		if e.Kind == referee.Ran {
+		if e.Kind == checker.Ran {
 			ran++
 		}
 	}
@@ -231,8 +231,8 @@
 					t.Errorf("got %q", got)
 				}
 			}
-			e := r.until(t, "end of the attempt", func(e referee.Event) bool { return e.Kind == referee.Over })
-			if want := map[bool]referee.End{true: referee.Turned, false: referee.Made}[spoil == "busy"]; e.End != want {
+			e := r.until(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.Over })
+			if want := map[bool]checker.End{true: checker.Turned, false: checker.Made}[spoil == "busy"]; e.End != want {
 				t.Errorf("it ended as %v", e.End)
 			}
 		})
@@ -245,9 +245,9 @@
 	s.Store("k", 5)
 	p := connect(t, s.Addr())
 	p.send("mg k v O1 Pc=read\r\n")
-	r.until(t, "attempt", func(e referee.Event) bool { return e.Kind == referee.Whole })
+	r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.Whole })
 	p.Close()
-	if e := r.until(t, "end", func(e referee.Event) bool { return e.Kind == referee.Over }); e.End != referee.Dropped {
+	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.Over }); e.End != checker.Dropped {
 		t.Errorf("ended as %v", e.End)
 	}
 	if held, _ := s.Busy(); held != 0 {
@@ -342,11 +342,11 @@
 			break // it is down
 		}
 	}
-	fall := r.until(t, "fall", func(e referee.Event) bool { return e.Kind == referee.Fell })
+	fall := r.until(t, "fall", func(e checker.Event) bool { return e.Kind == checker.Fell })
 	if fall.Began != fall.At-100 {
 		t.Errorf("it counts what came since %v, and fell at %v", fall.Began, fall.At)
 	}
-	if e := r.until(t, "attempt", func(e referee.Event) bool { return e.Kind == referee.Whole }); e.Work != 100 {
+	if e := r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.Whole }); e.Work != 100 {
 		t.Errorf("an attempt's work is %v", e.Work)
 	}
 	for end := time.Now().Add(patience); s.Up(); time.Sleep(time.Millisecond) {
@@ -388,7 +388,7 @@
 	})
 	d.Happened(model.Entry{ID: "s1", State: "leaving"})
 	wg.Wait()
-	r.until(t, "word to the router", func(e referee.Event) bool { return e.Kind == referee.Told && e.State == "leaving" && e.Router == "r0" })
+	r.until(t, "word to the router", func(e checker.Event) bool { return e.Kind == checker.Told && e.State == "leaving" && e.Router == "r0" })
 	wg.Go(func() {
 		if _, code := ask("?after=2&wait_ms=20000"); code != http.StatusServiceUnavailable {
 			t.Errorf("a watch when discovery goes down: %d", code)
@@ -420,7 +420,7 @@
 	}
 	relay.Set(Net{DropBack: true}) // it arrives, and the answer does not come back
 	p.send("mg k v O2 Pc=read\r\n")
-	r.until(t, "attempt behind a one-way partition", func(e referee.Event) bool { return e.Kind == referee.Over && e.Request == "2" })
+	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.Over && e.Request == "2" })
 	relay.Set(Net{})
 	if got := p.line(); got != "EN O2 h0" {
 		t.Errorf("once it has healed: %q", got)
--- a/lab/standin/fuzz_test.go
+++ b/lab/fakes/fuzz_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/lab/standin/malformed_test.go
+++ b/lab/fakes/malformed_test.go
@@ -1,10 +1,10 @@
-package standin
+package fakes
 
 import (
 	"strings"
 	"testing"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // A command that a server can't read stands in the journal; one that breaks off, and what servers are asked beside requests, does not.
@@ -27,14 +27,14 @@
 			p := connect(t, s.Addr())
 			p.send("%s", c.text)
 			if c.malformed {
-				r.until(t, "malformed command", func(e referee.Event) bool { return e.Kind == referee.Malformed && e.Server == "s1" })
+				r.until(t, "malformed command", func(e checker.Event) bool { return e.Kind == checker.Malformed && e.Server == "s1" })
 				return
 			}
 			p.Close()
 			s.Close() // waits for all that it has read
 			events, _ := r.journal.Events()
 			for _, e := range events {
-				if e.Kind == referee.Malformed {
+				if e.Kind == checker.Malformed {
 					t.Errorf("%+v", e)
 				}
 			}
--- a/lab/standin/server.go
+++ b/lab/fakes/server.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 // WorkOf gives the work of a request at a server and the size of its value. It must be safe for concurrent use.
@@ -27,7 +27,7 @@
 	Model    model.Params
 	Seed     uint64
 	Clock    *Clock
-	Journal  *referee.Journal
+	Journal  *checker.Journal
 	Work     WorkOf
 	Probes   bool    // `stats load` is answered
 	Reports  bool    // answers hold load reports
@@ -160,7 +160,7 @@
 	now := s.o.Clock.Now()
 	s.m.Restart(now)
 	s.fell = false
-	s.o.Journal.Add(referee.Event{At: now, Kind: referee.Started, Server: s.o.ID})
+	s.o.Journal.Add(checker.Event{At: now, Kind: checker.Started, Server: s.o.ID})
 	s.wake()
 	return s.listen()
 }
@@ -257,7 +257,7 @@
 	}
 	if s.m.Fallen() && !s.fell {
 		s.fell = true
-		s.o.Journal.Add(referee.Event{At: now, Kind: referee.Fell, Server: s.o.ID, Began: now - s.o.Model.FallForMS})
+		s.o.Journal.Add(checker.Event{At: now, Kind: checker.Fell, Server: s.o.ID, Began: now - s.o.Model.FallForMS})
 		s.kill()
 	}
 	return told
@@ -275,8 +275,8 @@
 // complete gives a slot its answer. The caller holds mu.
 func (s *Server) complete(sl *slot, now float64, o model.Outcome, size int) {
 	sl.a.Outcome, sl.a.id = o, sl.req.id
-	end := map[model.Outcome]referee.End{model.Busy: referee.Turned, model.Missed: referee.Missed,
-		model.Fetching: referee.Missed, model.Failed: referee.Erred}[o]
+	end := map[model.Outcome]checker.End{model.Busy: checker.Turned, model.Missed: checker.Missed,
+		model.Fetching: checker.Missed, model.Failed: checker.Erred}[o]
 	switch o {
 	case model.Served, model.Repeated:
 		s.served.Add(1)
@@ -290,7 +290,7 @@
 			sl.a.value = Value(s.o.ID, sl.req.key, sl.req.id, size)
 		}
 		if o == model.Served && sl.req.kind == "set" {
-			s.o.Journal.Add(referee.Event{At: now, Kind: referee.Ran, Request: sl.req.id, Server: s.o.ID, Idem: sl.req.idem})
+			s.o.Journal.Add(checker.Event{At: now, Kind: checker.Ran, Request: sl.req.id, Server: s.o.ID, Idem: sl.req.idem})
 		}
 	case model.Busy:
 		s.turned.Add(1)
@@ -310,13 +310,13 @@
 
 // over books the end of an attempt, once, before its answer goes out: the router can't act on it sooner than the
 // referee knows of it. The caller holds mu.
-func (s *Server) over(sl *slot, now float64, end referee.End) {
+func (s *Server) over(sl *slot, now float64, end checker.End) {
 	if sl.over {
 		return
 	}
 	sl.over = true
 	delete(sl.conn.held, sl)
-	s.o.Journal.Add(referee.Event{At: now, Kind: referee.Over, Request: sl.req.id, Server: s.o.ID, End: end, Sum: Sum(sl.a.value)})
+	s.o.Journal.Add(checker.Event{At: now, Kind: checker.Over, Request: sl.req.id, Server: s.o.ID, End: end, Sum: Sum(sl.a.value)})
 }
 
 // accept takes connections of one process.
@@ -357,7 +357,7 @@
 	for sl := range c.held {
 		delete(s.pending, sl.job)
 		s.m.Cancel(sl.job)
-		s.over(sl, now, referee.Dropped)
+		s.over(sl, now, checker.Dropped)
 	}
 	close(c.gone)
 	reset(c.Conn)
@@ -405,7 +405,7 @@
 		req, err := c.s.codec.read(r)
 		if err != nil || req.kind == "bad" {
 			if req.kind == "bad" || errors.Is(err, errLine) {
-				c.s.o.Journal.Add(referee.Event{At: c.s.o.Clock.Now(), Kind: referee.Malformed, Server: c.s.o.ID})
+				c.s.o.Journal.Add(checker.Event{At: c.s.o.Clock.Now(), Kind: checker.Malformed, Server: c.s.o.ID})
 			}
 			if err == nil || errors.Is(err, errLine) { // it is told, and the connection is over
 				_, _ = c.Write(c.s.codec.write(request{kind: "bad"}, answer{}))
@@ -445,7 +445,7 @@
 			close(sl.ready)
 		default:
 			work, size := s.o.Work(sl.req.id, sl.req.key, sl.req.class)
-			s.o.Journal.Add(referee.Event{At: now, Kind: referee.Whole, Request: sl.req.id, Server: s.o.ID, Began: sl.began,
+			s.o.Journal.Add(checker.Event{At: now, Kind: checker.Whole, Request: sl.req.id, Server: s.o.ID, Began: sl.began,
 				TimeoutHint: sl.req.hint, Work: work})
 			if sl.req.kind == "set" {
 				size = sl.req.size
--- a/lab/standin/silent_watch_test.go
+++ b/lab/fakes/silent_watch_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 // A watch that falls silent is never answered, and the referee is told of it and of what the list has meanwhile; the next call is
@@ -24,9 +24,9 @@
 	url := "http://" + addr + "/v1/servers"
 	watch := connect(t, addr)
 	watch.send("GET /v1/servers?after=1&wait_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n")
-	r.until(t, "call", func(e referee.Event) bool { return e.Kind == referee.ListCalled && e.Router == "r0" })
-	var silent referee.Event
-	for silent.Kind != referee.WatchSilent { // the watch may not be open yet
+	r.until(t, "call", func(e checker.Event) bool { return e.Kind == checker.ListCalled && e.Router == "r0" })
+	var silent checker.Event
+	for silent.Kind != checker.WatchSilent { // the watch may not be open yet
 		d.SilenceWatches()
 		events, _ := r.journal.Events()
 		silent = events[len(events)-1]
@@ -37,8 +37,8 @@
 	}
 	s1.State = "leaving"
 	d.Happened(s1)
-	r.until(t, "change of the list", func(e referee.Event) bool {
-		return e.Kind == referee.Listed && e.Server == "s1" && e.State == "leaving"
+	r.until(t, "change of the list", func(e checker.Event) bool {
+		return e.Kind == checker.Listed && e.Server == "s1" && e.State == "leaving"
 	})
 	resp, err := http.Get(url + "?after=1&wait_ms=60000")
 	if err != nil {
@@ -66,7 +66,7 @@
 		d.SetDown(down)
 	}
 	events, _ := r.journal.Events()
-	if len(events) != 2 || events[0].Kind != referee.DiscoveryDown || events[1].Kind != referee.DiscoveryUp {
+	if len(events) != 2 || events[0].Kind != checker.DiscoveryDown || events[1].Kind != checker.DiscoveryUp {
 		t.Errorf("%+v", events)
 	}
 }
--- a/lab/standin/timeout_hint_test.go
+++ b/lab/fakes/timeout_hint_test.go
@@ -1,10 +1,10 @@
-package standin
+package fakes
 
 import (
 	"fmt"
 	"testing"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // What an attempt tells its server of its timeout stands in the journal, from a cache server as from the origin.
@@ -19,12 +19,12 @@
 	connect(t, cache.Addr()).send("mg k v Ospoilt Pc=read,d=soon\r\n")
 	connect(t, origin.Addr()).send("GET /k HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: fetched\r\nX-Facts: c=read,d=123.5\r\n\r\n")
 	connect(t, origin.Addr()).send("PUT /k HTTP/1.1\r\nHost: o\r\nContent-Length: 2\r\nX-Correlation-Id: written\r\nX-Facts: c=put,d=77\r\n\r\nab")
-	for id, want := range map[string]referee.TimeoutHint{
+	for id, want := range map[string]checker.TimeoutHint{
 		"cached": {Millis: 480, IsTold: true}, "silent": {}, "spoilt": {},
 		"fetched": {Millis: 123.5, IsTold: true}, "written": {Millis: 77, IsTold: true},
 	} {
-		e := r.until(t, fmt.Sprintf("attempt of request %s", id), func(e referee.Event) bool {
-			return e.Kind == referee.Whole && e.Request == id
+		e := r.until(t, fmt.Sprintf("attempt of request %s", id), func(e checker.Event) bool {
+			return e.Kind == checker.Whole && e.Request == id
 		})
 		if e.TimeoutHint != want {
 			t.Errorf("request %s: got %+v, want %+v", id, e.TimeoutHint, want)
--- a/lab/standin/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -1,12 +1,12 @@
-package standin
+package fakes
 
 import (
 	"math"
 	"net/http"
 	"testing"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 // The referee is told when a server started, as the list says it: with the change, with each answer, and with what a configuration tells.
@@ -20,16 +20,16 @@
 		t.Fatal(err)
 	}
 	d.Happened(model.Entry{ID: "s1", State: "active", Started: r.clock.Unix(startedAt)})
-	listed := r.until(t, "change of the list", func(e referee.Event) bool { return e.Kind == referee.Listed })
+	listed := r.until(t, "change of the list", func(e checker.Event) bool { return e.Kind == checker.Listed })
 	resp, err := http.Get("http://" + addr + "/v1/servers")
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	asked := r.until(t, "word to who asks", func(e referee.Event) bool { return e.Kind == referee.Told && e.Router == "asks" })
+	asked := r.until(t, "word to who asks", func(e checker.Event) bool { return e.Kind == checker.Told && e.Router == "asks" })
 	d.BookKnown("configured")
-	known := r.until(t, "word by configuration", func(e referee.Event) bool { return e.Kind == referee.Told && e.Router == "configured" })
-	for _, e := range []referee.Event{listed, asked, known} {
+	known := r.until(t, "word by configuration", func(e checker.Event) bool { return e.Kind == checker.Told && e.Router == "configured" })
+	for _, e := range []checker.Event{listed, asked, known} {
 		if e.Server != "s1" || math.Abs(e.ServerStartedAt-startedAt) > 0.01 {
 			t.Errorf("%+v", e)
 		}
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // defaultLeasePatience is how long the checker of the leases' history may take, where AgreeOptions doesn't say.
@@ -39,7 +39,7 @@
 	Acts      int
 	Refused   int // acts that the resource refused, as their token was old
 	Grants    int
-	Broken    []referee.Breach
+	Broken    []checker.Breach
 	Undecided []string
 	Failures  []string // what did not hold, the broken rules among them
 	HealedS   float64  // after the last fault until all leases had been taken again
@@ -57,12 +57,12 @@
 	coords         []*coordinator
 	holders        []*proc
 	resource       *proc
-	raftRelays     map[link]*standin.Relay // between coordinators
-	clientRelays   map[link]*standin.Relay // from a holder to a coordinator
-	resourceRelays []*standin.Relay        // by holder
+	raftRelays     map[link]*fakes.Relay // between coordinators
+	clientRelays   map[link]*fakes.Relay // from a holder to a coordinator
+	resourceRelays []*fakes.Relay        // by holder
 
 	mu           sync.Mutex
-	relayFaults  map[*standin.Relay]*relayFaults
+	relayFaults  map[*fakes.Relay]*relayFaults
 	processFault map[*proc]bool // a fault has it down or stopped
 	problems     []string
 }
@@ -73,9 +73,9 @@
 		scenario:     f,
 		options:      o,
 		rng:          rand.New(rand.NewPCG(seed, stream)),
-		raftRelays:   map[link]*standin.Relay{},
-		clientRelays: map[link]*standin.Relay{},
-		relayFaults:  map[*standin.Relay]*relayFaults{},
+		raftRelays:   map[link]*fakes.Relay{},
+		clientRelays: map[link]*fakes.Relay{},
+		relayFaults:  map[*fakes.Relay]*relayFaults{},
 		processFault: map[*proc]bool{},
 	}
 }
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 const (
@@ -170,8 +170,8 @@
 }
 
 // relay starts one to an address that stays the same over all restarts.
-func (a *agreement) relay(to string) (*standin.Relay, error) {
-	relay, err := standin.NewRelay(func() string { return to })
+func (a *agreement) relay(to string) (*fakes.Relay, error) {
+	relay, err := fakes.NewRelay(func() string { return to })
 	if err == nil {
 		a.relayFaults[relay] = &relayFaults{}
 	}
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -14,8 +14,8 @@
 
 	"dockhinge.example/dockhinge/internal/coord/client"
 	"dockhinge.example/dockhinge/internal/coord/node"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 const (
@@ -33,8 +33,8 @@
 type relayFaults struct{ cut, dropThere, dropBack, delay int }
 
 // network is what the relay does while these faults last.
-func (f *relayFaults) network() standin.Net {
-	return standin.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
+func (f *relayFaults) network() fakes.Net {
+	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
 // relayFault picks the count of one kind of fault.
@@ -46,7 +46,7 @@
 func delayFault(f *relayFaults) *int     { return &f.delay }
 
 // faultLinks has a fault on relays and takes it back after a time.
-func (a *agreement) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*standin.Relay) {
+func (a *agreement) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
 	change := func(by int) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -132,7 +132,7 @@
 	case "delay":
 		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
 	case "cut-clients":
-		var relays []*standin.Relay
+		var relays []*fakes.Relay
 		coordinator := t.Who % len(a.coords)
 		for holder := range a.holders {
 			relays = append(relays, a.clientRelays[link{holder, coordinator}])
@@ -150,8 +150,8 @@
 }
 
 // someClientRelays are those from a holder to the coordinator that the fault names, or to all, by the number drawn for it.
-func (a *agreement) someClientRelays(t scenario.Trouble) []*standin.Relay {
-	var relays []*standin.Relay
+func (a *agreement) someClientRelays(t scenario.Trouble) []*fakes.Relay {
+	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
 		if meetsAll || coordinator == t.With {
@@ -163,7 +163,7 @@
 
 // slowThenCut has a holder's answers come late, and from a third of the time on its requests not arrive.
 func (a *agreement) slowThenCut(ctx context.Context, t scenario.Trouble) {
-	var relays []*standin.Relay
+	var relays []*fakes.Relay
 	for coordinator := range a.coords {
 		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
 	}
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/coord/client"
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // Sessions and leases of the client that looks whether all leases can be had again.
@@ -61,7 +61,7 @@
 			res.Grants++
 		}
 	}
-	res.Broken, res.Undecided = referee.JudgeLeases(claims, operations, acts, referee.LeaseRules{Patience: a.options.Patience})
+	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.Patience})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
@@ -74,7 +74,7 @@
 }
 
 // readHolders reads what the holders claimed and asked for.
-func (a *agreement) readHolders() (claims []referee.Claim, operations []referee.Op) {
+func (a *agreement) readHolders() (claims []checker.Claim, operations []checker.Op) {
 	for _, holder := range a.holders {
 		claimed, asked, err := readHolder(a.holderLog(holder.name))
 		if err != nil {
@@ -87,9 +87,9 @@
 }
 
 // readActs reads what was done with the resource.
-func (a *agreement) readActs() (acts []referee.Act) {
+func (a *agreement) readActs() (acts []checker.Act) {
 	if err := lines(a.actsFile(), func(text []byte) {
-		var act referee.Act
+		var act checker.Act
 		if json.Unmarshal(text, &act) == nil {
 			acts = append(acts, act)
 		}
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -15,8 +15,8 @@
 
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/client"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // built are the programs of the agreement with faults, once for all tests; TestMain removes them.
@@ -368,9 +368,9 @@
 	a, c := quiet(t, 3, agreeOptions(t))
 	settled(t, a)
 	addrs := map[string]string{}
-	var relays []*standin.Relay
+	var relays []*fakes.Relay
 	for _, x := range a.coords {
-		r, err := standin.NewRelay(func() string { return x.api })
+		r, err := fakes.NewRelay(func() string { return x.api })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -384,7 +384,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range relays {
-		r.Set(standin.Net{DropBack: true})
+		r.Set(fakes.Net{DropBack: true})
 	}
 	// The referee's own client takes it, and at that moment the deaf one must know that it has lost it.
 	if err := c.Hold(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -15,8 +15,8 @@
 
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/client"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // AgreeCost is what coordinators cost with so many clients.
@@ -315,7 +315,7 @@
 		each.Go(func() {
 			defer func() { <-room }()
 			name := fmt.Sprintf("d%d", n)
-			var relays []*standin.Relay
+			var relays []*fakes.Relay
 			addrs := map[string]string{}
 			defer func() {
 				for _, r := range relays {
@@ -323,7 +323,7 @@
 				}
 			}()
 			for _, x := range a.coords {
-				r, err := standin.NewRelay(func() string { return x.api })
+				r, err := fakes.NewRelay(func() string { return x.api })
 				if err != nil {
 					return
 				}
@@ -335,7 +335,7 @@
 			if err == nil {
 				wait(ctx, rand.Float64()*ttl.Seconds())
 				for _, r := range relays {
-					r.Set(standin.Net{Cut: true})
+					r.Set(fakes.Net{Cut: true})
 				}
 				at := time.Now()
 				err = next.Hold(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -17,9 +17,9 @@
 
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/client"
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
@@ -332,8 +332,8 @@
 		o := &outage{thing: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
 			for _, relay := range fl.toCoord[r.name] { // made before the load
-				relay.Set(standin.Net{Cut: true})
-				defer relay.Set(standin.Net{})
+				relay.Set(fakes.Net{Cut: true})
+				defer relay.Set(fakes.Net{})
 			}
 			continue
 		}
@@ -368,7 +368,7 @@
 	for _, o := range hit {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(referee.Event{At: o.from, Kind: referee.Paused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
@@ -376,7 +376,7 @@
 
 // judgeChanges tells what did not hold of planned changes. It goes by what the laboratory did and by what servers saw: the words
 // of neither routers nor coordinators count. The caller holds mu.
-func (fl *Fleet) judgeChanges(events []referee.Event) (fails []string) {
+func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
 	warm := o.WarmS*1000 - warmedMS
@@ -409,7 +409,7 @@
 	// Nothing begins at a server between the word that it is drained and its return.
 	of := map[string]string{} // router of a request
 	for _, e := range events {
-		if e.Kind == referee.Sent {
+		if e.Kind == checker.Sent {
 			of[e.Request] = e.Router
 		}
 	}
@@ -420,7 +420,7 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != referee.Whole || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
 				continue
 			}
 			known := true
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/coord/clock"
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // wait lets so many seconds pass, and reports whether the run goes on.
@@ -52,9 +52,9 @@
 	case "silence", "spoil", "slow":
 		part := fl.pick(f)
 		both(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
-			var faults standin.Faults
+			var faults fakes.Faults
 			if on {
-				faults = standin.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
+				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
 				m.Set(faults)
@@ -71,7 +71,7 @@
 		})
 	case "origin-busy":
 		both("the origin turns all away", func(on bool) {
-			fl.origin.Set(map[bool]standin.Faults{true: {Spoil: "busy", Share: 1}}[on])
+			fl.origin.Set(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
 		both("discovery is down", fl.discovery.SetDown)
@@ -338,7 +338,7 @@
 			if p == nil {
 				return
 			}
-			fl.journal.Add(referee.Event{At: fl.clock.Now(), Kind: referee.Killed, Router: r.name})
+			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
 			fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -14,11 +14,11 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/load"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 const (
@@ -49,20 +49,20 @@
 	File scenario.File
 	o    Options
 
-	clock     *standin.Clock
-	journal   *referee.Journal
-	front     *standin.Front
-	discovery *standin.Discovery
-	origin    *standin.Server
+	clock     *fakes.Clock
+	journal   *checker.Journal
+	front     *fakes.Front
+	discovery *fakes.Discovery
+	origin    *fakes.Server
 	rng       *rand.Rand // of the faults
 
 	mu         sync.Mutex // guards what follows
 	coords     *agreement // nil = none
 	coordsBusy sync.Mutex // whoever has some of them down; not guarded by mu
 	members    []*member
-	missed     *simplelru.LRU[string, []*standin.Server] // by request: where a read was missing
+	missed     *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
 	routers    []*router
-	relays     map[string]*standin.Relay // router/server
+	relays     map[string]*fakes.Relay // router/server
 	marks      []Mark
 	samples    []Sample
 	began      float64
@@ -77,13 +77,13 @@
 	n          int                 // of ids given
 	changes    []*Change
 	outages    []outage
-	tools      map[string]*proc            // of planned changes that are under way, by thing
-	toCoord    map[string][]*standin.Relay // by router: to the coordinators
+	tools      map[string]*proc          // of planned changes that are under way, by thing
+	toCoord    map[string][]*fakes.Relay // by router: to the coordinators
 }
 
 // member is a cache server's place in the fleet.
 type member struct {
-	*standin.Server
+	*fakes.Server
 	busy  sync.Mutex  // locked by whoever has it down or has it leave
 	entry model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
 	gone  bool        // it has left for good; guarded by the fleet's mu
@@ -110,15 +110,15 @@
 	fl := &Fleet{
 		File:    f,
 		o:       o,
-		clock:   standin.NewClock(),
-		journal: referee.NewJournal(maxEvents),
-		relays:  map[string]*standin.Relay{},
+		clock:   fakes.NewClock(),
+		journal: checker.NewJournal(maxEvents),
+		relays:  map[string]*fakes.Relay{},
 		tools:   map[string]*proc{},
-		toCoord: map[string][]*standin.Relay{},
+		toCoord: map[string][]*fakes.Relay{},
 		rng:     rand.New(rand.NewPCG(f.Seed, stream)),
 	}
-	fl.missed, _ = simplelru.NewLRU[string, []*standin.Server](maxMissed, nil) // the size is positive
-	fl.front = standin.NewFront(fl.clock)
+	fl.missed, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
+	fl.front = fakes.NewFront(fl.clock)
 	return fl
 }
 
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -18,7 +18,7 @@
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/client"
 	"dockhinge.example/dockhinge/internal/coord/clock"
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // HolderConfig is a leaseholder's, a process of the rig.
@@ -37,10 +37,10 @@
 
 // entry is a line of a holder's log.
 type entry struct {
-	Claim *referee.Claim `json:"c,omitempty"`
-	Call  *referee.Op    `json:"call,omitempty"` // written before it is sent, so that a killed holder's last one is known
+	Claim *checker.Claim `json:"c,omitempty"`
+	Call  *checker.Op    `json:"call,omitempty"` // written before it is sent, so that a killed holder's last one is known
 	ID    int            `json:"id,omitempty"`
-	Op    *referee.Op    `json:"op,omitempty"`
+	Op    *checker.Op    `json:"op,omitempty"`
 }
 
 // holder is the process while it runs.
@@ -67,7 +67,7 @@
 }
 
 // op books a call, makes it and books what came of it.
-func (h *holder) op(o referee.Op, f func() (code string, got uint64, holder string)) {
+func (h *holder) op(o checker.Op, f func() (code string, got uint64, holder string)) {
 	h.mu.Lock()
 	h.next++
 	id := h.next
@@ -123,7 +123,7 @@
 func (h *holder) task(ctx context.Context) {
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
-		h.op(referee.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
+		h.op(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
 			rows, err := h.c.Rows(ctx, name)
 			if err != nil {
 				return "", 0, ""
@@ -135,7 +135,7 @@
 		})
 	}
 	var l *client.Lease
-	h.op(referee.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
+	h.op(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
 		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
 		if errors.Is(err, client.ErrLost) { // it was given, and too late
 			return "", 0, ""
@@ -157,7 +157,7 @@
 		if left <= 0 {
 			break
 		}
-		h.log(entry{Claim: &referee.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.Boot())}})
+		h.log(entry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.Boot())}})
 		if h.rng.Float64() < 0.2 {
 			h.act(ctx, l)
 		}
@@ -169,13 +169,13 @@
 	switch u := h.rng.Float64(); {
 	case u < 0.2 && len(h.Others) > 0:
 		to := h.Others[h.rng.IntN(len(h.Others))]
-		h.op(referee.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
+		h.op(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
 			token, err := l.HandOver(ctx, to)
 			code, _ := codeOf(err)
 			return code, token, ""
 		})
 	case u < 0.8:
-		h.op(referee.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
+		h.op(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
 			code, _ := codeOf(l.Release(ctx))
 			return code, 0, ""
 		})
@@ -190,7 +190,7 @@
 
 // write is an act that the agreed state checks.
 func (h *holder) write(ctx context.Context, l *client.Lease) {
-	h.op(referee.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
+	h.op(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
 		code, _ := codeOf(l.Write(ctx, []byte(h.Name)))
 		return code, 0, ""
 	})
@@ -233,7 +233,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		a := referee.Act{Holder: q.Get("holder"), Lease: q.Get("lease"), Token: token, At: int64(clock.Boot())}
+		a := checker.Act{Holder: q.Get("holder"), Lease: q.Get("lease"), Token: token, At: int64(clock.Boot())}
 		a.Refused = token < top[a.Lease]
 		top[a.Lease] = max(top[a.Lease], token)
 		text, _ := json.Marshal(a) // plain data
@@ -253,8 +253,8 @@
 }
 
 // readHolder reads a holder's log, also one whose last line was cut off by a kill.
-func readHolder(path string) (claims []referee.Claim, ops []referee.Op, err error) {
-	open := map[int]referee.Op{}
+func readHolder(path string) (claims []checker.Claim, ops []checker.Op, err error) {
+	open := map[int]checker.Op{}
 	err = lines(path, func(text []byte) {
 		var e entry
 		if json.Unmarshal(text, &e) != nil {
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -21,8 +21,8 @@
 	observerclient "dockhinge.example/dockhinge/internal/coord/observer/client"
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
-	"dockhinge.example/dockhinge/lab/referee"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // The size of a run.
@@ -42,8 +42,8 @@
 type observerProcess struct {
 	*proc
 	api      string
-	upstream []*standin.Relay // to each coordinator
-	regions  []*standin.Relay // from the routers of each region
+	upstream []*fakes.Relay // to each coordinator
+	regions  []*fakes.Relay // from the routers of each region
 }
 
 // watchingRouter is one router: a client of the observers, and what it was given in each of its lives.
@@ -54,7 +54,7 @@
 	gate      chan struct{} // not nil: Apply waits until it is closed
 
 	mu     sync.Mutex
-	lives  []*referee.WatchHistory
+	lives  []*checker.WatchHistory
 	client *observerclient.Client
 	end    func()
 }
@@ -69,7 +69,7 @@
 	routers   []*watchingRouter
 
 	mu        sync.Mutex
-	agreed    []referee.AgreedChange
+	agreed    []checker.AgreedChange
 	revisions map[string]uint64 // of documents that are there
 }
 
@@ -97,7 +97,7 @@
 	return o
 }
 
-func (o *observation) relay(to string) *standin.Relay {
+func (o *observation) relay(to string) *fakes.Relay {
 	o.t.Helper()
 	relay, err := o.agreement.relay(to)
 	if err != nil {
@@ -147,7 +147,7 @@
 
 // start begins a life of the router, which holds nothing.
 func (r *watchingRouter) start() {
-	life := &referee.WatchHistory{Watcher: r.name, Prefix: r.prefix}
+	life := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := observerclient.New(observerclient.Options{Observers: r.observers, Watcher: r.name, Prefix: r.prefix,
 		Apply: func(ctx context.Context, state observerclient.State) error { return r.apply(ctx, life, state) }})
@@ -172,11 +172,11 @@
 	return r.client
 }
 
-func (r *watchingRouter) apply(ctx context.Context, life *referee.WatchHistory, state observerclient.State) error {
+func (r *watchingRouter) apply(ctx context.Context, life *checker.WatchHistory, state observerclient.State) error {
 	r.mu.Lock()
 	gate := r.gate
 	update := state.Update
-	life.Deliveries = append(life.Deliveries, referee.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
+	life.Deliveries = append(life.Deliveries, checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
 		Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
 	r.mu.Unlock()
 	if gate == nil {
@@ -196,10 +196,10 @@
 	r.gate = gate
 }
 
-func agreedChanges(changes []watchlog.Change) []referee.AgreedChange {
-	var all []referee.AgreedChange
+func agreedChanges(changes []watchlog.Change) []checker.AgreedChange {
+	var all []checker.AgreedChange
 	for _, c := range changes {
-		all = append(all, referee.AgreedChange{Revision: c.Revision, Name: c.Name, Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
+		all = append(all, checker.AgreedChange{Revision: c.Revision, Name: c.Name, Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
 	}
 	return all
 }
@@ -216,7 +216,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.agreed = append(o.agreed, referee.AgreedChange{Revision: revision, Name: name, Sum: xxhash.Sum64(value), Deleted: isDeletion})
+	o.agreed = append(o.agreed, checker.AgreedChange{Revision: revision, Name: name, Sum: xxhash.Sum64(value), Deleted: isDeletion})
 	o.revisions[name] = revision
 	if isDeletion {
 		delete(o.revisions, name)
@@ -297,11 +297,11 @@
 	o.mu.Lock()
 	agreed := slices.Clone(o.agreed)
 	o.mu.Unlock()
-	slices.SortFunc(agreed, func(a, b referee.AgreedChange) int { return int(a.Revision) - int(b.Revision) })
+	slices.SortFunc(agreed, func(a, b checker.AgreedChange) int { return int(a.Revision) - int(b.Revision) })
 	for _, router := range o.routers {
 		router.mu.Lock()
 		for _, life := range router.lives {
-			if text := referee.JudgeChanges(agreed, *life); text != "" {
+			if text := checker.JudgeChanges(agreed, *life); text != "" {
 				o.t.Error(text)
 			}
 			deliveries += len(life.Deliveries)
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -13,7 +13,7 @@
 
 	"dockhinge.example/dockhinge/internal/coord/client"
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // observerFaults are the faults of a run, each of which waits for what must come of it.
@@ -87,8 +87,8 @@
 func (o *observation) cutObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
-	setRelays(stale.upstream, standin.Net{Cut: true})
-	defer setRelays(stale.upstream, standin.Net{})
+	setRelays(stale.upstream, fakes.Net{Cut: true})
+	defer setRelays(stale.upstream, fakes.Net{})
 	before, err := stale.status(o.t.Context())
 	if err != nil {
 		o.t.Fatal(err)
@@ -103,7 +103,7 @@
 		}
 		return errNotYet // where all watched the stale one, they have to find that it is
 	})
-	setRelays(other.regions, standin.Net{Cut: true})
+	setRelays(other.regions, fakes.Net{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.Ahead == before.Ahead) {
@@ -111,17 +111,17 @@
 		}
 		return err
 	})
-	setRelays(other.regions, standin.Net{})
+	setRelays(other.regions, fakes.Net{})
 }
 
 // cutRegion has one region lack more than the log holds; all its routers come back at once.
 func (o *observation) cutRegion() {
-	var relays []*standin.Relay
+	var relays []*fakes.Relay
 	for _, observer := range o.observers {
 		relays = append(relays, observer.regions[0])
 	}
-	setRelays(relays, standin.Net{Cut: true})
-	defer setRelays(relays, standin.Net{})
+	setRelays(relays, fakes.Net{Cut: true})
+	defer setRelays(relays, fakes.Net{})
 	o.change(2 * rigHistory)
 	o.awaitRouters("in the other region", o.region(1))
 }
@@ -201,7 +201,7 @@
 	close(gate)
 }
 
-func setRelays(relays []*standin.Relay, net standin.Net) {
+func setRelays(relays []*fakes.Relay, net fakes.Net) {
 	for _, relay := range relays {
 		relay.Set(net)
 	}
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
 	"dockhinge.example/dockhinge/lab/load"
 )
 
@@ -72,10 +72,10 @@
 }
 
 // doors asks each router how fair admission stands there; nothing of those where it is off.
-func (fl *Fleet) doors(ctx context.Context) map[string]admit.State {
-	all := map[string]admit.State{}
+func (fl *Fleet) doors(ctx context.Context) map[string]admission.State {
+	all := map[string]admission.State{}
 	for _, r := range fl.allRouters() {
-		var s admit.State
+		var s admission.State
 		if p := r.newest(); p != nil {
 			if text, err := admin.Call(ctx, p.admin, http.MethodGet, "/-/admission"); err == nil && json.Unmarshal(text, &s) == nil {
 				all[r.name] = s
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/admin"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // router is one router: a name and an address, and the processes that are it, two of them during an upgrade.
@@ -51,7 +51,7 @@
 // another laboratory nor another part of this one takes it before it is bound.
 func FreeAddr() (string, error) {
 	for range 100 {
-		ln, err := net.Listen("tcp", standin.Host(standin.Processes)+":0")
+		ln, err := net.Listen("tcp", fakes.Host(fakes.Processes)+":0")
 		if err != nil {
 			return "", fmt.Errorf("no address: %w", err)
 		}
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
 // startsOf are the events of a router's starts.
-func startsOf(fl *Fleet) (kinds []referee.Kind) {
+func startsOf(fl *Fleet) (kinds []checker.Kind) {
 	events, _ := fl.journal.Events()
 	for _, e := range events {
-		if e.Kind == referee.RouterStarted || e.Kind == referee.RouterReady {
+		if e.Kind == checker.RouterStarted || e.Kind == checker.RouterReady {
 			kinds = append(kinds, e.Kind)
 		}
 	}
@@ -51,7 +51,7 @@
 	if err := fl.startRouter(t.Context(), r); err != nil {
 		t.Fatal(err)
 	}
-	want := []referee.Kind{referee.RouterStarted, referee.RouterReady, referee.RouterStarted, referee.RouterReady}
+	want := []checker.Kind{checker.RouterStarted, checker.RouterReady, checker.RouterStarted, checker.RouterReady}
 	if got := startsOf(fl); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
@@ -63,7 +63,7 @@
 	if err := fl.start(t.Context()); err == nil {
 		t.Error("it started")
 	}
-	if got := startsOf(fl); !slices.Equal(got, []referee.Kind{referee.RouterStarted}) {
+	if got := startsOf(fl); !slices.Equal(got, []checker.Kind{checker.RouterStarted}) {
 		t.Errorf("got %v", got)
 	}
 }
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"strings"
 
-	"dockhinge.example/dockhinge/internal/admit"
+	"dockhinge.example/dockhinge/internal/admission"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/load"
-	"dockhinge.example/dockhinge/lab/referee"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // Mark is something that happened, for the report.
@@ -27,35 +27,35 @@
 // ServerResult is what a server did.
 type ServerResult struct {
 	ID, Zone, Kind string
-	standin.Stats
+	fakes.Stats
 }
 
 // Result is what became of a run.
 type Result struct {
-	Scenario     string                    `json:"scenario"`
-	Command      string                    `json:"command"`
-	Load         load.Result               `json:"load"`
-	Doors        map[string]admit.State    `json:"doors,omitempty"` // fair admission at the end of the load, by router
-	Service      float64                   `json:"service"`         // after the warm-up
-	Tail         float64                   `json:"tail"`            // in the last fifth
-	Attempts     float64                   `json:"attempts_a_request"`
-	AttemptsBy   []int                     `json:"attempts_by_second"` // written whole in each second of the load
-	Broken       []referee.Breach          `json:"broken"`
-	TimeoutHints referee.TimeoutHintCounts `json:"timeout_hints"`
-	Marks        []Mark                    `json:"marks"`
-	Samples      []Sample                  `json:"samples"`
-	Servers      []ServerResult            `json:"servers"`
-	Probes       int64                     `json:"probes"` // answered by cache servers
-	Calls        int                       `json:"discovery_calls"`
-	LateMS       float64                   `json:"machine_late_ms"`   // the longest time by which the machine was late
-	Rude         [2]int                    `json:"rude"`              // misbehaving clients: told or closed on in time, of all
-	Changes      []Change                  `json:"changes,omitempty"` // planned, by the fleet's agreement
-	Released     *Released                 `json:"released,omitempty"`
-	Out          []OutAt                   `json:"out,omitempty"` // as the agreement saw it, at each change
-	Ill          []Ill                     `json:"ill,omitempty"`
-	Killed       bool                      `json:"killed,omitempty"` // whom Options.Kill names
-	Failures     []string                  `json:"failures"`         // what did not hold
-	Cut          bool                      `json:"cut"`              // stopped before its end
+	Scenario     string                     `json:"scenario"`
+	Command      string                     `json:"command"`
+	Load         load.Result                `json:"load"`
+	Doors        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
+	Service      float64                    `json:"service"`         // after the warm-up
+	Tail         float64                    `json:"tail"`            // in the last fifth
+	Attempts     float64                    `json:"attempts_a_request"`
+	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
+	Broken       []checker.Breach           `json:"broken"`
+	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
+	Marks        []Mark                     `json:"marks"`
+	Samples      []Sample                   `json:"samples"`
+	Servers      []ServerResult             `json:"servers"`
+	Probes       int64                      `json:"probes"` // answered by cache servers
+	Calls        int                        `json:"discovery_calls"`
+	LateMS       float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
+	Rude         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
+	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
+	Released     *Released                  `json:"released,omitempty"`
+	Out          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
+	Ill          []Ill                      `json:"ill,omitempty"`
+	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
+	Failures     []string                   `json:"failures"`         // what did not hold
+	Cut          bool                       `json:"cut"`              // stopped before its end
 }
 
 // Ill is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
@@ -70,13 +70,13 @@
 }
 
 // count books what was sent to it.
-func (x *Ill) count(events []referee.Event) {
+func (x *Ill) count(events []checker.Event) {
 	of, by := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == referee.Sent:
+		case e.Kind == checker.Sent:
 			of[e.Request] = e.Router
-		case e.Kind == referee.Whole && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
+		case e.Kind == checker.Whole && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
 			x.Attempts++
 			by[of[e.Request]] = true
 			if e.Began > x.From+1000 {
@@ -103,8 +103,8 @@
 		Load:         got,
 		Marks:        fl.marks,
 		Samples:      fl.samples,
-		Broken:       referee.Judge(events, fl.rules()),
-		TimeoutHints: referee.CountTimeoutHints(events, fl.rules()),
+		Broken:       checker.Judge(events, fl.rules()),
+		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
 		Calls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
 		Rude:         fl.rude,
@@ -136,12 +136,12 @@
 }
 
 // sumUp sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
-func (fl *Fleet) sumUp(res *Result, events []referee.Event) (served int) {
+func (fl *Fleet) sumUp(res *Result, events []checker.Event) (served int) {
 	seconds := res.Load.Seconds
 	attempts := 0
 	res.AttemptsBy = make([]int, len(seconds))
 	for _, e := range events {
-		if e.Kind != referee.Whole {
+		if e.Kind != checker.Whole {
 			continue
 		}
 		attempts++
@@ -181,7 +181,7 @@
 }
 
 // judgeEvents adds planned changes, releases and servers that were left out, and judges these.
-func (fl *Fleet) judgeEvents(res *Result, events []referee.Event) {
+func (fl *Fleet) judgeEvents(res *Result, events []checker.Event) {
 	for _, c := range fl.changes {
 		res.Changes = append(res.Changes, *c)
 	}
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -11,10 +11,10 @@
 	"strings"
 	"sync"
 
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/referee"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // startRouters starts all routers at once and waits until each is ready.
@@ -83,7 +83,7 @@
 				continue
 			}
 			target := addr
-			relay, err := standin.NewRelay(func() string { return target })
+			relay, err := fakes.NewRelay(func() string { return target })
 			if err != nil {
 				return err
 			}
@@ -143,11 +143,11 @@
 
 // startProcess starts a process of a router, and returns once it is ready.
 func (fl *Fleet) startProcess(ctx context.Context, r *router, command, env []string, config map[string]any) error {
-	fl.journal.Add(referee.Event{At: fl.clock.Now(), Kind: referee.RouterStarted, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterStarted, Router: r.name})
 	if err := r.start(ctx, command, env, config, fl.o.Ready); err != nil {
 		return err
 	}
-	fl.journal.Add(referee.Event{At: fl.clock.Now(), Kind: referee.RouterReady, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterReady, Router: r.name})
 	return nil
 }
 
@@ -163,7 +163,7 @@
 		return relay.Addr()
 	}
 	target := e.Addr
-	relay, err := standin.NewRelay(func() string { return target })
+	relay, err := fakes.NewRelay(func() string { return target })
 	if err != nil {
 		fl.problem = append(fl.problem, err.Error())
 		return e.Addr
@@ -174,9 +174,9 @@
 }
 
 // plainNet is the network between a router and a zone when nothing is wrong.
-func (fl *Fleet) plainNet(r *router, zone string) standin.Net {
+func (fl *Fleet) plainNet(r *router, zone string) fakes.Net {
 	if r.zone != zone {
-		return standin.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
+		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
 	}
-	return standin.Net{}
+	return fakes.Net{}
 }
--- a/lab/fleet/rules.go
+++ b/lab/fleet/rules.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
@@ -17,12 +17,12 @@
 }
 
 // rules are those that the referee judges by.
-func (fl *Fleet) rules() referee.Rules {
-	r := referee.Rules{Classes: map[string]referee.Class{}, Group: map[string]map[string]string{"zone": {}, "cell": {}},
+func (fl *Fleet) rules() checker.Rules {
+	r := checker.Rules{Classes: map[string]checker.Class{}, Group: map[string]map[string]string{"zone": {}, "cell": {}},
 		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.late, MachineLateMS: fl.late, MaxAttempts: fl.File.Fleet.MaxAttempts,
 		HasOnlyPlanned: hasOnlyPlanned(fl.File.Faults), HasPushedList: !fl.File.Fleet.AskList}
 	for _, c := range fl.File.Classes {
-		r.Classes[c.Name] = referee.Class{Effect: referee.Effect(c.Effect), Scope: c.Scope, WindowMS: c.WindowMS}
+		r.Classes[c.Name] = checker.Class{Effect: checker.Effect(c.Effect), Scope: c.Scope, WindowMS: c.WindowMS}
 	}
 	for _, m := range fl.members {
 		r.Group["zone"][m.entry.ID], r.Group["cell"][m.entry.ID] = m.entry.Zone, fmt.Sprint(m.entry.Cell)
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"slices"
 
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/load"
 	"dockhinge.example/dockhinge/lab/model"
 	"dockhinge.example/dockhinge/lab/scenario"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // maxMissed bounds the reads of which it is known where they were missing.
@@ -19,7 +19,7 @@
 // build starts the stand-ins.
 func (fl *Fleet) build() (err error) {
 	f := fl.File
-	if fl.origin, err = standin.Start(standin.Host(standin.Servers)+":0", standin.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
+	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
 		Journal: fl.journal, Work: fl.work, Asked: fl.originSaid}); err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 			known = append(known, m.entry)
 		}
 	}
-	fl.discovery = standin.NewDiscovery(f.Discovery, f.Seed, known, fl.clock, fl.journal)
+	fl.discovery = fakes.NewDiscovery(f.Discovery, f.Seed, known, fl.clock, fl.journal)
 	return nil
 }
 
@@ -47,7 +47,7 @@
 	if k.Model.MeanWork == 0 {
 		k.Model.MeanWork = fl.meanWork()
 	}
-	s, err := standin.Start(standin.Host(standin.Servers)+":0", standin.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
+	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
 		Clock: fl.clock, Journal: fl.journal, Work: fl.work, Asked: fl.cacheSaid, Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 // cacheSaid books where a key was missing.
-func (fl *Fleet) cacheSaid(s *standin.Server, _, id string, o model.Outcome, _ bool, _ int) {
+func (fl *Fleet) cacheSaid(s *fakes.Server, _, id string, o model.Outcome, _ bool, _ int) {
 	if o != model.Missed && o != model.Fetching {
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 // originSaid stores what the origin gave where it was missing, at two servers at most, and voids what a write changed.
-func (fl *Fleet) originSaid(_ *standin.Server, key, id string, o model.Outcome, write bool, size int) {
+func (fl *Fleet) originSaid(_ *fakes.Server, key, id string, o model.Outcome, write bool, size int) {
 	if o != model.Served {
 		return
 	}
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // StepKill has a process killed just while the operators' tool stands at one of its steps (a build with the tag faults names them).
@@ -115,7 +115,7 @@
 
 // kill ends a router's process at once.
 func (fl *Fleet) kill(r *router, p *process) {
-	fl.journal.Add(referee.Event{At: fl.clock.Now(), Kind: referee.Killed, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
 	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 }
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dockhinge.example/dockhinge/internal/coord/client"
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // OutAt is how much of a budget was used from a time on.
@@ -63,16 +63,16 @@
 
 // judgeAccused tells which routers were heard on a server that they had asked nothing: what they said they can't have found by
 // themselves. The one that lies is known. The caller holds mu.
-func (fl *Fleet) judgeAccused(events []referee.Event) (fails []string) {
+func (fl *Fleet) judgeAccused(events []checker.Event) (fails []string) {
 	if len(fl.accused) == 0 {
 		return nil
 	}
 	of, asked := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
-		case referee.Sent:
+		case checker.Sent:
 			of[e.Request] = e.Router
-		case referee.Whole:
+		case checker.Whole:
 			asked[of[e.Request]+" "+e.Server] = true
 		}
 	}
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // Run is a ladder that was played, as its file has it.
@@ -22,7 +22,7 @@
 	IdleS         float64 `json:"idle_s"`
 	Steps         []Step  `json:"steps"`
 
-	Slopes []slope.Line `json:"slopes,omitempty"`
+	Slopes []scalingfit.Line `json:"slopes,omitempty"`
 }
 
 // NewRun begins a ladder.
--- a/lab/hollow/slopes.go
+++ b/lab/hollow/slopes.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"dockhinge.example/dockhinge/lab/slope"
+	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
 // figure is one that a ladder gives over the number of routers.
@@ -57,13 +57,13 @@
 	r.Slopes = nil
 	var errs []error
 	for _, f := range figures {
-		var points []slope.Point
+		var points []scalingfit.Point
 		for i := range r.Steps {
 			if s := &r.Steps[i]; s.Failed == "" && (s.RestartFailed == "" || f.name != restartLine) {
-				points = append(points, slope.Point{Size: float64(s.Routers), Value: f.of(s)})
+				points = append(points, scalingfit.Point{Size: float64(s.Routers), Value: f.of(s)})
 			}
 		}
-		line, err := slope.Fit(f.name, f.unit, "router", fmt.Sprintf("hollow, %s UTC", r.At), points)
+		line, err := scalingfit.Fit(f.name, f.unit, "router", fmt.Sprintf("hollow, %s UTC", r.At), points)
 		if err != nil {
 			errs = append(errs, err)
 			continue
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"dockhinge.example/dockhinge/lab/referee"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // slackMS is how long after its deadline a client still reads, so that a late answer is seen as late and not as none: an answer that
@@ -47,7 +47,7 @@
 // Size is that of a key's value in a class: the same each time.
 func Size(c Class, key string) int {
 	low, high := max(c.Bytes[0], 1), max(c.Bytes[1], c.Bytes[0], 1)
-	u := rand.New(rand.NewPCG(standin.Sum([]byte(key)), 8)).Float64()
+	u := rand.New(rand.NewPCG(fakes.Sum([]byte(key)), 8)).Float64()
 	return int(low * math.Pow(high/low, u))
 }
 
@@ -57,7 +57,7 @@
 		return c.WorkMS
 	}
 	s2 := math.Log(1 + c.WorkCV*c.WorkCV)
-	z := rand.New(rand.NewPCG(standin.Sum([]byte(id)), 9)).NormFloat64()
+	z := rand.New(rand.NewPCG(fakes.Sum([]byte(id)), 9)).NormFloat64()
 	return c.WorkMS * math.Exp(math.Sqrt(s2)*z-s2/2)
 }
 
@@ -76,7 +76,7 @@
 	if c.Effect == "by_key" {
 		idem = l.newID()
 	}
-	until, end, answered := intended+c.LimitMS, referee.Failed, false
+	until, end, answered := intended+c.LimitMS, checker.Failed, false
 	for try := 0; ; try++ {
 		now := l.clock.Now()
 		patience := until - now
@@ -111,9 +111,9 @@
 // when it runs twice.
 func mayRepeat(c Class, t attempt) bool {
 	switch {
-	case t.answered && t.end == referee.Served:
+	case t.answered && t.end == checker.Served:
 		return false
-	case t.answered && t.end == referee.Refused, !t.reached:
+	case t.answered && t.end == checker.Refused, !t.reached:
 		return true
 	}
 	return c.Effect == "repeatable" || c.Effect == "by_key" && c.Scope == "all"
@@ -121,7 +121,7 @@
 
 // attempt is how one try ended.
 type attempt struct {
-	end      referee.Answer
+	end      checker.Answer
 	after    float64 // come again in so many milliseconds; 0 = not told
 	answered bool
 	reached  bool // a router may have read it
@@ -136,7 +136,7 @@
 func (l *Load) try(id string, c Class, key, zone, tenant, idem string, size int, patience float64, again bool) attempt {
 	router, addr, err := l.front.Pick(zone)
 	if err != nil {
-		return attempt{end: referee.Failed}
+		return attempt{end: checker.Failed}
 	}
 	var wire strings.Builder
 	facts := fmt.Sprintf("c=%s,d=%d", c.Name, int(patience))
@@ -150,18 +150,18 @@
 	}
 	if c.Write {
 		fmt.Fprintf(&wire, "ms %s %d O%s P%s\r\n", key, size, id, facts)
-		wire.Write(standin.Value("client", key, id, size))
+		wire.Write(fakes.Value("client", key, id, size))
 		wire.WriteString("\r\n")
 	} else {
 		fmt.Fprintf(&wire, "mg %s v O%s P%s\r\n", key, id, facts)
 	}
-	book := func(sent float64, k referee.Kind, newConnection bool) { // a request that reached a router, and what else came of it than an answer
-		l.journal.Add(referee.Event{At: sent, Kind: referee.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
-		l.journal.Add(referee.Event{At: l.clock.Now(), Kind: k, Request: id, Router: router, NewConnection: newConnection})
+	book := func(sent float64, k checker.Kind, newConnection bool) { // a request that reached a router, and what else came of it than an answer
+		l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
+		l.journal.Add(checker.Event{At: l.clock.Now(), Kind: k, Request: id, Router: router, NewConnection: newConnection})
 	}
 	conn, used, err := l.pool.take(addr, patience)
 	if err != nil {
-		return attempt{end: referee.Failed}
+		return attempt{end: checker.Failed}
 	}
 	sent := l.clock.Now()
 	waitMillis, disconnects := l.waitFor(patience)
@@ -170,34 +170,34 @@
 		conn.Close()
 		if n == 0 { // nothing of it has left
 			if !used {
-				book(sent, referee.Closed, true)
+				book(sent, checker.Closed, true)
 			}
-			return attempt{end: referee.Failed, crossed: used}
+			return attempt{end: checker.Failed, crossed: used}
 		}
-		book(sent, referee.Closed, !used)
-		return attempt{end: referee.Failed, reached: true, crossed: used}
+		book(sent, checker.Closed, !used)
+		return attempt{end: checker.Failed, reached: true, crossed: used}
 	}
 	end, after, sum, err := readAnswer(conn.r)
 	var timeout net.Error
 	switch {
 	case disconnects && errors.As(err, &timeout) && timeout.Timeout():
 		conn.Close()
-		book(sent, referee.Disconnected, false)
-		return attempt{end: referee.Failed, reached: true, disconnected: true}
+		book(sent, checker.Disconnected, false)
+		return attempt{end: checker.Failed, reached: true, disconnected: true}
 	case errors.As(err, &timeout) && timeout.Timeout():
 		conn.Close()
-		book(sent, referee.Left, false)
-		return attempt{end: referee.Failed, reached: true}
+		book(sent, checker.Left, false)
+		return attempt{end: checker.Failed, reached: true}
 	case err != nil:
 		conn.Close()
-		book(sent, referee.Closed, !used && errors.Is(err, errNothing))
-		return attempt{end: referee.Failed, reached: true, crossed: used && errors.Is(err, errNothing)}
+		book(sent, checker.Closed, !used && errors.Is(err, errNothing))
+		return attempt{end: checker.Failed, reached: true, crossed: used && errors.Is(err, errNothing)}
 	}
-	l.journal.Add(referee.Event{At: sent, Kind: referee.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
+	l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
 	now := l.clock.Now()
-	l.journal.Add(referee.Event{At: now, Kind: referee.Answered, Request: id, Router: router, Answer: end, Sum: sum})
+	l.journal.Add(checker.Event{At: now, Kind: checker.Answered, Request: id, Router: router, Answer: end, Sum: sum})
 	if conn.r.Buffered() > 0 { // more than one answer
-		l.journal.Add(referee.Event{At: now, Kind: referee.Extra, Request: id, Router: router})
+		l.journal.Add(checker.Event{At: now, Kind: checker.Extra, Request: id, Router: router})
 		conn.Close()
 	} else if l.again() {
 		l.pool.put(addr, conn)
@@ -218,30 +218,30 @@
 var errNothing = errors.New("closed without an answer")
 
 // readAnswer reads a router's answer. Any line that is no value, receipt or refusal is a failure.
-func readAnswer(r *bufio.Reader) (end referee.Answer, after float64, sum uint64, err error) {
+func readAnswer(r *bufio.Reader) (end checker.Answer, after float64, sum uint64, err error) {
 	if _, err := r.Peek(1); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			return referee.Failed, 0, 0, err
+			return checker.Failed, 0, 0, err
 		}
-		return referee.Failed, 0, 0, errNothing
+		return checker.Failed, 0, 0, errNothing
 	}
 	line, err := r.ReadString('\n')
 	if err != nil {
-		return referee.Failed, 0, 0, err
+		return checker.Failed, 0, 0, err
 	}
 	w := strings.Fields(line)
 	switch {
 	case len(w) >= 2 && w[0] == "VA":
 		n, err := strconv.Atoi(w[1])
-		if err != nil || n < 0 || n > standin.MaxValue {
-			return referee.Failed, 0, 0, fmt.Errorf("length %q", w[1])
+		if err != nil || n < 0 || n > fakes.MaxValue {
+			return checker.Failed, 0, 0, fmt.Errorf("length %q", w[1])
 		}
 		value := make([]byte, n+2)
 		if _, err := io.ReadFull(r, value); err != nil {
-			return referee.Failed, 0, 0, err
+			return checker.Failed, 0, 0, err
 		}
-		return referee.Served, 0, standin.Sum(value[:n]), nil
+		return checker.Served, 0, fakes.Sum(value[:n]), nil
 	case len(w) >= 1 && w[0] == "HD":
 		receipt := ""
 		for _, f := range w[1:] {
@@ -249,14 +249,14 @@
 				receipt = f[1:]
 			}
 		}
-		return referee.Served, 0, standin.Sum([]byte(receipt)), nil
+		return checker.Served, 0, fakes.Sum([]byte(receipt)), nil
 	case len(w) >= 2 && w[0] == "SERVER_ERROR" && w[1] == "busy":
 		if len(w) > 2 {
 			after, _ = strconv.ParseFloat(w[2], 64) // 0 where it is no number
 		}
-		return referee.Refused, after, 0, nil
+		return checker.Refused, after, 0, nil
 	}
-	return referee.Failed, 0, 0, nil
+	return checker.Failed, 0, 0, nil
 }
 
 type conn struct {
@@ -283,14 +283,14 @@
 // pool keeps idle connections by address, up to a bound for each.
 type pool struct {
 	most  int
-	clock *standin.Clock
+	clock *fakes.Clock
 
 	mu    sync.Mutex
 	idle  map[string][]*conn
 	fails int
 }
 
-func newPool(most int, clock *standin.Clock) *pool {
+func newPool(most int, clock *fakes.Clock) *pool {
 	return &pool{most: most, clock: clock, idle: map[string][]*conn{}}
 }
 
--- a/lab/load/disconnect_test.go
+++ b/lab/load/disconnect_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // A client that disconnects closes its connection, says so to the referee, and does not come again.
@@ -13,11 +13,11 @@
 		p.Retries, p.Classes[0].LimitMS = 2, 60_000
 		p.DisconnectShare, p.DisconnectMS = 1, [2]float64{1, 20}
 	}, addr)
-	kinds := map[referee.Kind]int{}
+	kinds := map[checker.Kind]int{}
 	for _, e := range events {
 		kinds[e.Kind]++
 	}
-	if n := kinds[referee.Disconnected]; n != 20 || kinds[referee.Sent] != n || len(events) != 2*n {
+	if n := kinds[checker.Disconnected]; n != 20 || kinds[checker.Sent] != n || len(events) != 2*n {
 		t.Errorf("events by kind: %v", kinds)
 	}
 	if c := res.Classes["read"]; c.Asked != 20 || c.Failed != 20 {
@@ -33,7 +33,7 @@
 	} {
 		addr := answers(t, func(string) string { return "" })
 		_, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 50; change(p) }, addr)
-		if len(events) != 2 || events[1].Kind != referee.Left {
+		if len(events) != 2 || events[1].Kind != checker.Left {
 			t.Errorf("%s: %+v", name, events)
 		}
 	}
--- a/lab/load/fuzz_test.go
+++ b/lab/load/fuzz_test.go
@@ -5,7 +5,7 @@
 	"bytes"
 	"testing"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // Whatever a router answers, it is an answer, a failure or an error; a value is served only where it came whole.
@@ -16,10 +16,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		end, _, _, err := readAnswer(bufio.NewReader(bytes.NewReader(text)))
-		if err != nil && end == referee.Served {
+		if err != nil && end == checker.Served {
 			t.Fatal("served with an error")
 		}
-		if end == referee.Served && !bytes.HasPrefix(bytes.TrimLeft(text, " \t\v\f\r\u0085\u00a0"), []byte("VA")) && !bytes.Contains(text, []byte("HD")) {
+		if end == checker.Served && !bytes.HasPrefix(bytes.TrimLeft(text, " \t\v\f\r\u0085\u00a0"), []byte("VA")) && !bytes.Contains(text, []byte("HD")) {
 			t.Fatalf("served: %q", text)
 		}
 	})
--- a/lab/load/late_test.go
+++ b/lab/load/late_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/referee"
+	"dockhinge.example/dockhinge/lab/checker"
 )
 
 // An answer that comes after the client's deadline is seen as late, not as none, and earns nothing.
@@ -16,7 +16,7 @@
 	res, events := sendAll(t, 1, func(p *Params) {
 		p.Classes[0].LimitMS, p.Classes[0].AimMS, p.TryShare = 100, 100, 1
 	}, addr)
-	if len(events) != 2 || events[1].Kind != referee.Answered || events[1].At < events[0].At+events[0].Deadline {
+	if len(events) != 2 || events[1].Kind != checker.Answered || events[1].At < events[0].At+events[0].Deadline {
 		t.Errorf("%+v", events)
 	}
 	if c := res.Classes["read"]; c.Served != 1 || c.InAim != 0 {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -15,8 +15,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"dockhinge.example/dockhinge/lab/referee"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // Class is one class of requests.
@@ -187,9 +187,9 @@
 // Load sends requests.
 type Load struct {
 	p       Params
-	front   *standin.Front
-	clock   *standin.Clock
-	journal *referee.Journal
+	front   *fakes.Front
+	clock   *fakes.Clock
+	journal *checker.Journal
 	pool    *pool
 
 	mu      sync.Mutex // guards what follows
@@ -212,7 +212,7 @@
 }
 
 // New prepares a load through a front.
-func New(p Params, front *standin.Front, clock *standin.Clock, journal *referee.Journal) (*Load, error) {
+func New(p Params, front *fakes.Front, clock *fakes.Clock, journal *checker.Journal) (*Load, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -372,7 +372,7 @@
 const maxSeconds = 7200
 
 // record books the end of a request.
-func (l *Load) record(c Class, tenant string, intended float64, end referee.Answer, answered bool) {
+func (l *Load) record(c Class, tenant string, intended float64, end checker.Answer, answered bool) {
 	took := l.clock.Now() - intended
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -393,7 +393,7 @@
 	}()
 	s.Asked, r.Asked, s.Worth = s.Asked+1, r.Asked+1, s.Worth+c.Worth
 	switch {
-	case answered && end == referee.Served:
+	case answered && end == checker.Served:
 		s.Served, r.Served = s.Served+1, r.Served+1
 		us := int64(min(took*1000, 119e6))
 		_ = l.hists[i].RecordValue(us) // within the bound
@@ -402,7 +402,7 @@
 			s.InAim, r.InAim, s.Gained = s.InAim+1, r.InAim+1, s.Gained+c.Worth
 			share.Gained += c.Worth
 		}
-	case answered && end == referee.Refused:
+	case answered && end == checker.Refused:
 		s.Refused, r.Refused = s.Refused+1, r.Refused+1
 	default:
 		s.Failed, r.Failed = s.Failed+1, r.Failed+1
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"dockhinge.example/dockhinge/lab/referee"
-	"dockhinge.example/dockhinge/lab/standin"
+	"dockhinge.example/dockhinge/lab/checker"
+	"dockhinge.example/dockhinge/lab/fakes"
 )
 
 // answers starts a router that gives to each read what say gives for its line: "" = nothing, "close" = the end, "close after X" = the end after these bytes.
@@ -66,9 +66,9 @@
 const maxWait = 20 * time.Second
 
 // sendUntil sends requests until what the referee knows is enough.
-func sendUntil(t *testing.T, isEnough func([]referee.Event) bool, change func(*Params), addr string) (Result, []referee.Event) {
+func sendUntil(t *testing.T, isEnough func([]checker.Event) bool, change func(*Params), addr string) (Result, []checker.Event) {
 	t.Helper()
-	journal := referee.NewJournal(1 << 16)
+	journal := checker.NewJournal(1 << 16)
 	ctx, stop := context.WithTimeout(t.Context(), maxWait)
 	defer stop()
 	go func() { // ends with ctx at the latest
@@ -83,15 +83,15 @@
 }
 
 // sendAll sends so many requests, and ends once the referee knows what became of each.
-func sendAll(t *testing.T, requests int, change func(*Params), addr string) (Result, []referee.Event) {
+func sendAll(t *testing.T, requests int, change func(*Params), addr string) (Result, []checker.Event) {
 	t.Helper()
-	isEnough := func(events []referee.Event) bool {
-		return count(events, func(e referee.Event) bool { return e.Kind == referee.Sent }) >= requests
+	isEnough := func(events []checker.Event) bool {
+		return count(events, func(e checker.Event) bool { return e.Kind == checker.Sent }) >= requests
 	}
 	return sendUntil(t, isEnough, func(p *Params) { p.MaxRequests = requests; change(p) }, addr)
 }
 
-func count(events []referee.Event, is func(referee.Event) bool) (n int) {
+func count(events []checker.Event, is func(checker.Event) bool) (n int) {
 	for _, e := range events {
 		if is(e) {
 			n++
@@ -101,17 +101,17 @@
 }
 
 // send runs a load of reads against addresses, for a time or a number of requests.
-func send(t *testing.T, change func(*Params), during time.Duration, addrs ...string) (Result, []referee.Event) {
+func send(t *testing.T, change func(*Params), during time.Duration, addrs ...string) (Result, []checker.Event) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), during)
 	defer stop()
-	return run(ctx, t, change, referee.NewJournal(1<<16), addrs...)
+	return run(ctx, t, change, checker.NewJournal(1<<16), addrs...)
 }
 
-func run(ctx context.Context, t *testing.T, change func(*Params), journal *referee.Journal, addrs ...string) (Result, []referee.Event) {
+func run(ctx context.Context, t *testing.T, change func(*Params), journal *checker.Journal, addrs ...string) (Result, []checker.Event) {
 	t.Helper()
-	clock := standin.NewClock()
-	front := standin.NewFront(clock)
+	clock := fakes.NewClock()
+	front := fakes.NewFront(clock)
 	for i, a := range addrs {
 		front.Up(fmt.Sprintf("r%d", i), "", a)
 	}
@@ -182,8 +182,8 @@
 		first[key] = time.Now()
 		return "SERVER_ERROR busy 100\r\n"
 	})
-	isServed := func(e referee.Event) bool { return e.Kind == referee.Answered && e.Answer == referee.Served }
-	res, events := sendUntil(t, func(events []referee.Event) bool { return count(events, isServed) >= 40 }, func(p *Params) {
+	isServed := func(e checker.Event) bool { return e.Kind == checker.Answered && e.Answer == checker.Served }
+	res, events := sendUntil(t, func(events []checker.Event) bool { return count(events, isServed) >= 40 }, func(p *Params) {
 		p.Retries, p.Honour, p.MaxRequests, p.Keys, p.Zipf, p.Drift, p.Classes[0].LimitMS = 2, 1, 50, 100000, 0, 0, 5000
 	}, addr)
 	c := res.Classes["read"]
@@ -192,7 +192,7 @@
 	}
 	ids := map[string]bool{}
 	for _, e := range events {
-		if e.Kind == referee.Sent {
+		if e.Kind == checker.Sent {
 			if ids[e.Request] {
 				t.Errorf("id %s was used twice", e.Request)
 			}
@@ -202,8 +202,8 @@
 }
 
 func TestWhatTheRefereeIsTold(t *testing.T) {
-	for answer, want := range map[string]referee.Kind{
-		fine: referee.Answered, fine + fine: referee.Extra, "": referee.Left, "VA 5 O{id}\r\nhe": referee.Left, "nonsense\r\n": referee.Answered,
+	for answer, want := range map[string]checker.Kind{
+		fine: checker.Answered, fine + fine: checker.Extra, "": checker.Left, "VA 5 O{id}\r\nhe": checker.Left, "nonsense\r\n": checker.Answered,
 	} {
 		addr := answers(t, func(string) string { return answer })
 		res, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 200 }, addr)
@@ -215,11 +215,11 @@
 		}
 	}
 	addr := answers(t, func(string) string { return "close" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != referee.Closed || !events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.Closed || !events[1].NewConnection {
 		t.Errorf("%+v", events)
 	}
 	addr = answers(t, func(string) string { return "close after VA" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != referee.Closed || events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.Closed || events[1].NewConnection {
 		t.Errorf("a connection closed after some bytes: %+v", events)
 	}
 	asked := 0
@@ -230,7 +230,7 @@
 		return "close"
 	})
 	_, events := sendAll(t, 2, func(p *Params) { p.Shape, p.Workers = "closed", 1 }, addr)
-	if len(events) != 4 || events[3].Kind != referee.Closed || events[3].NewConnection {
+	if len(events) != 4 || events[3].Kind != checker.Closed || events[3].NewConnection {
 		t.Errorf("a connection closed that had been used: %+v", events)
 	}
 }
--- a/lab/explore/explore.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,8 +1,8 @@
-// Package explore goes through every order of events of leases, breadth first: the real machine of internal/coord as the one
+// Package modelcheck goes through every order of events of leases, breadth first: the real machine of internal/coord as the one
 // agreed log, the real book-keeping of clients (client.Book), and between them a network that loses, repeats and delays, clocks
 // at both ends of their bound, holders that are stopped between their check and their act, and restarts. What it looks for is two
 // holders that act at once. The consensus beneath is the library's and not explored here.
-package explore
+package modelcheck
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"dockhinge.example/dockhinge/internal/coord"
 	"dockhinge.example/dockhinge/internal/coord/client"
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Params bound a search.
@@ -389,7 +389,7 @@
 func (w *world) act(i int) string {
 	q := &w.parties[i]
 	q.Acting = false
-	if q.Checked < w.lastAct && !mutant.Is("resource-unchecked") {
+	if q.Checked < w.lastAct && !failpoint.Is("resource-unchecked") {
 		return "" // refused
 	}
 	if q.Checked < w.lastAct {
--- a/lab/explore/explore_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"os"
--- a/lab/explore/mutants_test.go
+++ b/lab/modelcheck/mutants_test.go
@@ -1,21 +1,21 @@
 //go:build mutants
 
-package explore
+package modelcheck
 
 import (
 	"strings"
 	"testing"
 
-	"dockhinge.example/dockhinge/internal/mutant"
+	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
 // Each planted fault is found: by the searches where it lies within their depth, else by a walk.
 func TestMutantsAreFound(t *testing.T) {
-	defer mutant.Plant("")
+	defer failpoint.Plant("")
 	for _, name := range []string{"time-from-answer", "rate-ignored", "token-unchecked", "command-twice", "release-overtaken",
 		"token-reused", "snapshot-without-leases", "resource-unchecked"} {
 		t.Run(name, func(t *testing.T) {
-			mutant.Plant(name)
+			failpoint.Plant(name)
 			found := false
 			for what, p := range searches {
 				p.Depth++
--- a/lab/duty/duty.go
+++ b/lab/regression/regression.go
@@ -1,6 +1,6 @@
-// Package duty keeps the standing test: which of the operators' programs a change calls for, and what their journals say of
+// Package regression keeps the standing test: which of the operators' programs a change calls for, and what their journals say of
 // the figures since the last time.
-package duty
+package regression
 
 import (
 	"cmp"
@@ -39,7 +39,7 @@
 // What the router is built from, and the part of it that the simulator plays too.
 var (
 	router = below("cmd/dockhinge/", "decide/", "internal/", "go.mod", "deploy/balancer.toml")
-	module = below("decide/", "internal/wire/", "internal/settings/", "cmd/wirehost/", "deploy/balancer.toml")
+	module = below("decide/", "internal/simulator/", "internal/settings/", "cmd/dockhinge-sim/", "deploy/balancer.toml")
 )
 
 // Programs are all of them, the quickest verdict first.
--- a/lab/duty/duty_test.go
+++ b/lab/regression/regression_test.go
@@ -1,4 +1,4 @@
-package duty
+package regression
 
 import (
 	"fmt"
@@ -24,9 +24,9 @@
 	}{
 		{"decide/decide.go", "simulator brink mass operators fleet"},
 		{"internal/router/loop.go", "brink mass operators earlier"},
-		{"internal/wire/wire.go", "simulator brink mass operators fleet"},
+		{"internal/simulator/wire.go", "simulator brink mass operators fleet"},
 		{"decide/rules_test.go", ""},
-		{"lab/virtual/virtual.go", ""},
+		{"lab/simulation/virtual.go", ""},
 		{"docs/standing.md", ""},
 		{"go.mod", "brink mass operators"},
 		{"deploy/sites/other.toml", ""},
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
+	"dockhinge.example/dockhinge/lab/checker"
 	"dockhinge.example/dockhinge/lab/fleet"
 	"dockhinge.example/dockhinge/lab/load"
-	"dockhinge.example/dockhinge/lab/referee"
 )
 
 func TestPageNeedsNothingBesideIt(t *testing.T) {
@@ -17,7 +17,7 @@
 		Classes: map[string]load.ClassResult{"read": {Asked: 5}}}, AttemptsBy: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
 		Samples: []fleet.Sample{{AtS: 0.5, Routers: map[string]fleet.Use{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
 			{AtS: 1, Routers: map[string]fleet.Use{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}}, Held: map[string]int{"s1": 4}}},
-		Broken: []referee.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"}}
+		Broken: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"}}
 	path := filepath.Join(t.TempDir(), "x.html")
 	if err := Write(path, []fleet.Result{r}); err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 
 func TestTableTellsOfTimeoutHints(t *testing.T) {
 	var text strings.Builder
-	Table(&text, fleet.Result{TimeoutHints: referee.TimeoutHintCounts{First: 40, FirstOverstated: 3, Further: 20, FurtherOverstated: 1}})
+	Table(&text, fleet.Result{TimeoutHints: checker.TimeoutHintCounts{First: 40, FirstOverstated: 3, Further: 20, FurtherOverstated: 1}})
 	if !strings.Contains(text.String(), "3 of 40 first ones, 1 of 20 further ones") {
 		t.Error(text.String())
 	}
--- a/lab/slope/file.go
+++ b/lab/scalingfit/file.go
@@ -1,4 +1,4 @@
-package slope
+package scalingfit
 
 import (
 	"encoding/json"
--- a/lab/slope/slope.go
+++ b/lab/scalingfit/scalingfit.go
@@ -1,5 +1,5 @@
-// Package slope fits lines to what was measured at several sizes, and tells how far they can be trusted.
-package slope
+// Package scalingfit fits lines to what was measured at several sizes, and tells how far they can be trusted.
+package scalingfit
 
 import (
 	"fmt"
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
 )
 
 // Agreement is a scenario of coordinators and leaseholders: who runs, and what may happen to them. The order of faults is drawn
@@ -58,12 +58,12 @@
 // ParseAgreement reads a scenario of this kind that was read from path.
 func ParseAgreement(path string, text []byte) (Agreement, error) {
 	f := Agreement{Seed: 1, DurationS: 20, HealS: 15, Coordinators: 5, Holders: 8, Leases: 3, TTLS: 2, ClockRate: 0.01, SnapshotEach: 200, EveryS: 0.7}
-	if err := diag.DecodeTOML(path, text, &f); err != nil {
+	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return f, err
 	}
 	var all []error
 	bad := func(setting, form string, v ...any) {
-		all = append(all, diag.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+		all = append(all, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
 	}
 	if f.Version != 1 {
 		bad("version", "%d is not 1", f.Version)
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -14,10 +14,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"dockhinge.example/dockhinge/internal/diag"
+	"dockhinge.example/dockhinge/internal/configerror"
+	"dockhinge.example/dockhinge/lab/fakes"
 	"dockhinge.example/dockhinge/lab/load"
 	"dockhinge.example/dockhinge/lab/model"
-	"dockhinge.example/dockhinge/lab/standin"
 )
 
 // File is a scenario.
@@ -205,7 +205,7 @@
 	if toml.Unmarshal(text, &first) == nil && first.Base != "" { // what else is wrong shows below
 		base, err := shipped.ReadFile("files/" + first.Base + ".toml")
 		if err != nil || depth == maxBases {
-			return diag.Problem{File: name, Setting: "base", Reason: fmt.Sprintf("%q is not shipped, or stands on itself", first.Base)}
+			return configerror.Problem{File: name, Setting: "base", Reason: fmt.Sprintf("%q is not shipped, or stands on itself", first.Base)}
 		}
 		if err := f.decode(first.Base, base, depth+1); err != nil {
 			return err
@@ -214,7 +214,7 @@
 	}
 	kinds, classes := f.Kinds, f.Classes
 	f.Kinds, f.Classes = nil, nil
-	err := diag.DecodeTOML(name, text, f)
+	err := configerror.DecodeTOML(name, text, f)
 	if f.Kinds == nil {
 		f.Kinds = kinds
 	}
@@ -283,11 +283,11 @@
 			return fmt.Errorf("%swhat: %q is none of %s", at, t.What, strings.Join(What(), ", "))
 		}
 		for _, n := range needs {
-			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(standin.Spoils, t.Spoil) || t.Answers <= 0,
+			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(fakes.Spoils, t.Spoil) || t.Answers <= 0,
 				"bytes_s": t.BytesS <= 0, "batch": t.Batch < 1, "relays": !f.Fleet.Relays, "coordinators": f.Fleet.Coordinators == 0, "versions": t.Versions < 1, "count": t.Count < 1, "out": !f.Fleet.Out.On() || f.Fleet.Coordinators == 0, "delay_ms": t.DelayMS <= 0}[n]
 			if lacks {
 				return fmt.Errorf("%swhat: %s needs %s", at, t.What, map[string]string{"part": "share, count or servers",
-					"spoil": "spoil (" + strings.Join(standin.Spoils, ", ") + ") and answers", "relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
+					"spoil": "spoil (" + strings.Join(fakes.Spoils, ", ") + ") and answers", "relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
 					map[bool]string{true: n}[n != "part" && n != "spoil" && n != "relays"])
 			}
 		}
--- a/lab/virtual/params.go
+++ b/lab/simulation/params.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"errors"
--- a/lab/virtual/virtual.go
+++ b/lab/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package virtual is the laboratory in virtual time: a fleet of real decision modules before modelled cache servers, origin,
+// Package simulation is the laboratory in virtual time: a fleet of real decision modules before modelled cache servers, origin,
 // discovery, connections and clients, judged by sums over the fleet. Nothing in it waits or reads a clock, so one seed is
 // one day.
-package virtual
+package simulation
 
 import (
 	"fmt"
--- a/lab/tally/tally.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -1,6 +1,6 @@
-// Package tally counts over the logs of a whole fleet what single routers can't see: it reads the lines that a router
+// Package traceanalysis counts over the logs of a whole fleet what single routers can't see: it reads the lines that a router
 // writes with log.trace, and adds them up by second and by server.
-package tally
+package traceanalysis
 
 import (
 	"bufio"
--- a/lab/tally/tally_test.go
+++ b/lab/traceanalysis/traceanalysis_test.go
@@ -1,4 +1,4 @@
-package tally
+package traceanalysis
 
 import (
 	"bytes"
