--- a/decide/carry.go
+++ b/decide/carry.go
@@ -10,46 +10,62 @@
 // Carried is what one process hands on to the process that takes its place: what it was told, what it has promised, and
 // what it has learnt. Both read the same clock. Requests are not part of it: each process answers its own.
 type Carried struct {
-	Servers  []ServerState
-	Bans     map[uint32]float64
-	Keys     []KeyState // the hottest ones
-	Began    float64
-	Arrivals Memory
-	Latency  [3]float64 // mean, mean square and number of samples
-	Jam      Trend
-	Origin   Trend
-	Fetches  float64
-	Bear     float64
-	Keep     float64
+	Servers  []ServerState      `json:"Servers"`
+	Bans     map[uint32]float64 `json:"Bans"`
+	Keys     []KeyState         `json:"Keys"` // the hottest ones
+	Began    float64            `json:"Began"`
+	Arrivals Memory             `json:"Arrivals"`
+	Latency  [3]float64         `json:"Latency"` // mean, mean square and number of samples
+	Jam      Trend              `json:"Jam"`
+	Origin   Trend              `json:"Origin"`
+	Fetches  float64            `json:"Fetches"`
+	Bear     float64            `json:"Bear"`
+	Keep     float64            `json:"Keep"`
 }
 
 // ServerState is what is known of a server.
 type ServerState struct {
-	Entry
-	Listed, Ejected       bool
-	Accept, Doubt, Fails  float64
-	Strikes               int
-	Trial, Pause, Overdue float64
-	Fresh                 *float64 // absent: long ago
-	Budget, Sent          Memory
-	Last                  Load
-	QPS                   float64
-	Heard                 *float64 // absent: never
-	Capacity, Latency     Trend
-	Reply, Passed, Used   float64
+	Endpoint
+	Listed   bool       `json:"Listed"`
+	Ejected  bool       `json:"Ejected"`
+	Accept   float64    `json:"Accept"`
+	Doubt    float64    `json:"Doubt"`
+	Fails    float64    `json:"Fails"`
+	Strikes  int        `json:"Strikes"`
+	Trial    float64    `json:"Trial"`
+	Pause    float64    `json:"Pause"`
+	Overdue  float64    `json:"Overdue"`
+	Fresh    *float64   `json:"Fresh"` // absent: long ago
+	Budget   Memory     `json:"Budget"`
+	Sent     Memory     `json:"Sent"`
+	Last     LoadReport `json:"Last"`
+	QPS      float64    `json:"QPS"`
+	Heard    *float64   `json:"Heard"` // absent: never
+	Capacity Trend      `json:"Capacity"`
+	Latency  Trend      `json:"Latency"`
+	Reply    float64    `json:"Reply"`
+	Passed   float64    `json:"Passed"`
+	Used     float64    `json:"Used"`
 }
 
 // KeyState is the traffic of a key.
 type KeyState struct {
-	ID   uint64
-	Rate Memory
-	Work float64
+	ID   uint64  `json:"ID"`
+	Rate Memory  `json:"Rate"`
+	Work float64 `json:"Work"`
 }
 
 // Memory and Trend are a rate and a level, as they stand.
 type (
-	Memory struct{ V, At float64 }
-	Trend  struct{ V, Floor, At float64 }
+	Memory struct {
+		V  float64 `json:"V"`
+		At float64 `json:"At"`
+	}
+	Trend struct {
+		V     float64 `json:"V"`
+		Floor float64 `json:"Floor"`
+		At    float64 `json:"At"`
+	}
 )
 
 func (r rate) memory() Memory        { return Memory{r.v, r.at} }
@@ -76,7 +92,7 @@
 	}
 	for _, s := range b.servers {
 		s.budget.v /= 2
-		st.Servers = append(st.Servers, ServerState{Entry: s.Entry, Listed: s.listed, Ejected: s.ejected, Accept: s.accept,
+		st.Servers = append(st.Servers, ServerState{Endpoint: s.Endpoint, Listed: s.listed, Ejected: s.ejected, Accept: s.accept,
 			Doubt: s.doubt, Fails: s.fails, Strikes: s.strikes, Trial: s.trial, Pause: s.pause, Overdue: s.overdue,
 			Fresh: finite(s.fresh), Budget: s.budget.memory(), Sent: s.sent.memory(), Last: s.last, QPS: s.qps,
 			Heard: finite(s.heard), Capacity: s.cap.trend(), Latency: s.lat.trend(), Reply: s.reply, Passed: s.passed,
@@ -105,13 +121,13 @@
 		return errors.New("decide: a state that can't be true")
 	}
 	b.began = min(now, st.Began)
-	entries := make([]Entry, 0, len(st.Servers))
+	entries := make([]Endpoint, 0, len(st.Servers))
 	for _, s := range st.Servers {
 		if s.Listed {
-			entries = append(entries, s.Entry)
+			entries = append(entries, s.Endpoint)
 		}
 	}
-	b.Servers(now, Remembered, entries)
+	b.UpdateEndpoints(now, RestoredEndpoints, entries)
 	for _, c := range st.Servers {
 		if s := b.servers[c.ID]; s != nil {
 			s.ejected, s.accept, s.doubt, s.fails, s.strikes = c.Ejected, c.Accept, c.Doubt, c.Fails, c.Strikes
@@ -126,12 +142,12 @@
 	}
 	b.arrivals, b.jam, b.olat = st.Arrivals.rate(), st.Jam.level(), st.Origin.level()
 	b.x = moments{st.Latency[0], st.Latency[1], st.Latency[2]}
-	b.fetches, b.bear, b.keep, b.dirty = st.Fetches, st.Bear, min(st.Keep, b.cfg.ConnIdle), true
+	b.fetches, b.bear, b.keep, b.dirty = st.Fetches, st.Bear, min(st.Keep, b.cfg.IdleTimeoutMillis), true
 	return nil
 }
 
-// Share tells how many processes work as this router now. They split its part of the cold budgets.
-func (b *Balancer) Share(now float64, processes int) {
+// SetProcessCount tells how many processes work as this router now. They split its part of the cold budgets.
+func (b *Balancer) SetProcessCount(now float64, processes int) {
 	b.begin(now)
 	b.processes = max(1, processes)
 }
--- a/decide/carry_test.go
+++ b/decide/carry_test.go
@@ -47,7 +47,7 @@
 			t.Fatalf("sent to %d", s.server)
 		}
 	}
-	n.Servers(100400, Full, fleet(6)) // which knows nothing of the ban
+	n.UpdateEndpoints(100400, AllEndpoints, fleet(6)) // which knows nothing of the ban
 	if !n.servers[out].banned {
 		t.Error("the ban is gone")
 	}
@@ -63,9 +63,9 @@
 		es := fleet(6)
 		b, h := start(t, cfg, es)
 		home := homeOf(t, b, h, 100000, 1, 77)
-		e := b.servers[home].Entry
-		e.Started = 101000
-		b.Servers(101000, Changes, []Entry{e})
+		e := b.servers[home].Endpoint
+		e.StartedAt = 101000
+		b.UpdateEndpoints(101000, ChangedEndpoints, []Endpoint{e})
 		return b, h, home
 	}
 	sends := func(now float64, to uint32, b *Balancer, h *fakeHost, id *uint32) int {
@@ -79,8 +79,8 @@
 	old, oh, _ := cold()
 	both += sends(101200, home, old, oh, &id)
 	young, yh := moved(t, old, 101200)
-	old.Share(101200, 2)
-	young.Share(101200, 2)
+	old.SetProcessCount(101200, 2)
+	young.SetProcessCount(101200, 2)
 	for now := 101300.0; now < 103200; now += 100 {
 		both += sends(now, home, old, oh, &id) + sends(now, home, young, yh, &id)
 	}
@@ -107,8 +107,8 @@
 		if n.TakeOver(100000, bad) == nil || len(n.servers) != 0 {
 			t.Errorf("%s: taken", name)
 		}
-		n.Servers(100000, Remembered, fleet(3))
-		if _, avoided := n.Targets(); avoided != 1 {
+		n.UpdateEndpoints(100000, RestoredEndpoints, fleet(3))
+		if _, avoided := n.CountEndpoints(); avoided != 1 {
 			t.Errorf("%s: %d avoided, want the one that is out by hand", name, avoided)
 		}
 	}
@@ -138,10 +138,10 @@
 // The new process may come with other settings: what it is told of the old one's is brought within them.
 func TestStateMeetsOtherSettings(t *testing.T) {
 	cfg := testConfig()
-	cfg.ConnIdle = 10000
+	cfg.IdleTimeoutMillis = 10000
 	b, _ := start(t, cfg, fleet(3))
 	st := b.HandOver(100000)
-	cfg.ConnIdle = 3000
+	cfg.IdleTimeoutMillis = 3000
 	n, err := New(cfg, 1, newHost())
 	if err != nil {
 		t.Fatal(err)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,19 +21,19 @@
 	maxDoubt  = 7.5  // doubt that ejects: two failures in a row where they are rare, six at one in eight
 )
 
-// Servers takes a list update.
-func (b *Balancer) Servers(now float64, kind ListKind, entries []Entry) {
+// UpdateEndpoints takes a list update.
+func (b *Balancer) UpdateEndpoints(now float64, kind EndpointUpdateKind, entries []Endpoint) {
 	b.begin(now)
-	if kind == Refused {
+	if kind == WatchFailed {
 		b.watchAt = now + b.backOff() // spread, or all routers ask at once again
 		return
 	}
-	if b.watchAt, b.refused = math.Inf(1), 0; b.cfg.AskList && kind == Remembered {
+	if b.watchAt, b.refused = math.Inf(1), 0; b.cfg.PollEndpoints && kind == RestoredEndpoints {
 		b.watchAt = now + b.firstCall() // the next housekeeping after it asks
 	}
 	for _, s := range b.apply(kind, entries) {
-		if s.Started > now-b.cfg.Cold { // a new process has a new record
-			b.renew(s, s.Started)
+		if s.StartedAt > now-b.cfg.SlowStartMillis { // a new process has a new record
+			b.renew(s, s.StartedAt)
 		}
 	}
 	b.buildTable()
@@ -42,15 +42,15 @@
 
 // usable says whether a request, or with nil the solver, may use a server. An ejected one gets single trials.
 func (b *Balancer) usable(s *server, r *request) bool {
-	trial := s.ejected && r != nil && b.now >= s.trial && s.out == 0 && r.class.Effect == Repeatable
+	trial := s.ejected && r != nil && b.now >= s.trial && s.out == 0 && r.class.Effect == Idempotent
 	return s.listed && s.open() && (trial || !s.ejected) && (r == nil || b.afford(s, r.work))
 }
 
 // observe draws from an outcome what it tells of the server's health.
-func (b *Balancer) observe(s *server, st Status, sent float64) {
+func (b *Balancer) observe(s *server, st AttemptStatus, sent float64) {
 	ok := st == OK || st == Miss
 	switch {
-	case ok || st == Failed || st == QueueFull || st == Spoilt:
+	case ok || st == Failed || st == QueueFull || st == MalformedResponse:
 		s.reply, s.strikes, s.passed = b.now, 0, max(s.passed, sent)
 	case st == ConnectError: // its table is full, or where it has not answered lately it is dead
 		if s.turned = b.now; b.now-s.reply > 1000 {
@@ -67,21 +67,21 @@
 	if !ok {
 		b.usual = usualFails(b.order)
 	}
-	if st != TimedOut {
+	if st != Timeout {
 		s.weigh(!ok, b.usual)
 	}
 	if !ok {
-		if s.accept *= 0.88; st == Spoilt { // over eight outcomes: who fails fast must look expensive
+		if s.accept *= 0.88; st == MalformedResponse { // over eight outcomes: who fails fast must look expensive
 			s.accept *= 1.07 // on the way, from any alike: one that spoils most still goes out
 		}
 		if s.ejected || s.doubt >= maxDoubt || s.strikes >= maxStrike {
-			b.eject(s, st == TimedOut)
+			b.eject(s, st == Timeout)
 		}
 		return
 	}
 	// What turns a connection away and serves on another within a second lives: its table is full of idle ones, and all
 	// routers hold fewer. Harm: closing them for each dead server, every router made as many handshakes again.
-	if b.keep = min(b.cfg.ConnIdle, 1.01*b.keep); b.now-s.turned < 1000 {
+	if b.keep = min(b.cfg.IdleTimeoutMillis, 1.01*b.keep); b.now-s.turned < 1000 {
 		b.keep, s.turned = max(200, b.keep/2), math.Inf(-1)
 	}
 	s.accept, s.pause = s.accept+0.12*(1-s.accept), 0.8*s.pause
@@ -251,7 +251,7 @@
 
 // pick draws a server by the solved probabilities; a cold key's is its first candidate.
 func (b *Balancer) pick(r *request) *server {
-	if b.now >= r.until-1 || r.class.Late == 0 && b.now >= r.aim {
+	if b.now >= r.until-1 || r.class.LateWeight == 0 && b.now >= r.aim {
 		b.why = "late"
 		return nil // nothing left to earn
 	}
@@ -301,13 +301,13 @@
 	// A few arrivals over the quota's part are chance: two deviations of a count are not.
 	q := b.quota[r.Tenant] * b.portion * keyTau / 1000
 	if u := b.used[r.Tenant]; u != nil && u.add(b.now, keyTau, 1) > q+2*math.Sqrt(q) {
-		r.worth *= b.cfg.OverWorth
+		r.worth *= b.cfg.OverQuotaWeight
 	}
 	k := r.key
 	k.work += 0.2 * (r.work - k.work) // over five requests
 	k.rate.add(b.now, b.keyMem(), 1)
 	// Where servers fetch by themselves, writes and keys not seen for a while go to the origin too.
-	if r.Write || k.fetch != nil || !b.cfg.Aside && b.now > k.stored+10000 {
+	if r.IsWrite || k.fetch != nil || !b.cfg.CacheAside && b.now > k.stored+10000 {
 		b.hold(r)
 		b.pump()
 	} else {
@@ -339,11 +339,11 @@
 			patience = max(patience, 0.75*(r.aim-b.now))
 		}
 		if b.now+patience < r.until {
-			b.host.Timer(patience, uint64(r.ID)<<8|uint64(len(r.tries)))
+			b.host.SetTimer(patience, uint64(r.ID)<<8|uint64(len(r.tries)))
 		}
 	}
 	if s == b.origin { // a fetch whose answer is lost holds all that wait for the key
-		b.host.Timer(2*max(b.olat.v, 5), uint64(r.ID)<<8|uint64(len(r.tries)))
+		b.host.SetTimer(2*max(b.olat.v, 5), uint64(r.ID)<<8|uint64(len(r.tries)))
 	}
 	b.host.Send(r.ID, s.ID, 0)
 }
@@ -352,19 +352,19 @@
 // may have run from its send on, until its outcome proves the contrary.
 func (b *Balancer) mayRun(r *request, s *server) bool {
 	for _, a := range r.tries {
-		if !a.ran || r.class.Effect == Repeatable {
+		if !a.ran || r.class.Effect == Idempotent {
 			continue
 		}
-		same := a.s.group(r.class.Scope) == s.group(r.class.Scope) && a.s != b.origin && s != b.origin
-		if r.class.Effect == Once || !same || b.now >= a.at+r.class.Window-1 {
+		same := a.s.group(r.class.IdempotencyScope) == s.group(r.class.IdempotencyScope) && a.s != b.origin && s != b.origin
+		if r.class.Effect == NotIdempotent || !same || b.now >= a.at+r.class.IdempotencyWindowMillis-1 {
 			return false
 		}
 	}
-	return len(r.tries) < r.most && (r.out == 0 || b.cfg.Copies)
+	return len(r.tries) < r.most && (r.out == 0 || b.cfg.HedgingAllowed)
 }
 
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Effect == Repeatable || r.class.Effect == Keyed && r.class.Scope == "all" ||
+	return r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.IdempotencyScope == "all" ||
 		!slices.ContainsFunc(r.tries, func(a attempt) bool { return a.ran })
 }
 
@@ -374,7 +374,7 @@
 		return
 	}
 	if b.why = why; b.mayRefuse(r) {
-		b.host.Refuse(r.ID, b.comeBack(r))
+		b.host.Reject(r.ID, b.comeBack(r))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -385,7 +385,7 @@
 func (b *Balancer) close(r *request) {
 	r.closed = true
 	for i, a := range r.tries {
-		if !a.over && b.cfg.Cancel {
+		if !a.over && b.cfg.CancelAllowed {
 			b.host.Cancel(r.ID, i)
 		}
 	}
@@ -398,13 +398,13 @@
 }
 
 func (b *Balancer) ended(r *request, a *attempt, o Outcome) {
-	asked, lost := r.asks, o.Status == Failed && o.Note == 2 && !b.cfg.Aside // lost: the origin's failure
-	if r.asks = false; o.Status.tells() && !lost && !(asked && o.Status == TimedOut) {
+	asked, lost := r.asks, o.Status == Failed && o.Note == 2 && !b.cfg.CacheAside // lost: the origin's failure
+	if r.asks = false; o.Status.tells() && !lost && !(asked && o.Status == Timeout) {
 		b.observe(a.s, o.Status, a.at)
 	}
-	if timeout := o.Status == TimedOut && !asked; a.s != b.origin && (timeout || o.Status == QueueFull) {
-		b.note(a.s, r.class.Aim)
-		if took := o.Latency / r.work; timeout && took > a.s.lat.v { // a jam, though some are answered
+	if timeout := o.Status == Timeout && !asked; a.s != b.origin && (timeout || o.Status == QueueFull) {
+		b.note(a.s, r.class.LatencyObjectiveMillis)
+		if took := o.LatencyMillis / r.work; timeout && took > a.s.lat.v { // a jam, though some are answered
 			a.s.lat.see(b.now, took, min(0.5, 0.2*r.work))
 		}
 	}
@@ -412,7 +412,7 @@
 		b.lost -= 0.2 * b.lost // over five
 	}
 	if a.s == b.origin || asked && o.Note != 1 { // 1: it was there after all
-		b.fetched(r, o.Status, o.Latency)
+		b.fetched(r, o.Status, o.LatencyMillis)
 	}
 	if lost {
 		r.key.stored = 0 // the next request of the key takes a place too
@@ -423,35 +423,35 @@
 			if b.bear = min(0.25, b.bear+0.0005); b.now > r.aim {
 				b.bear = max(0, b.bear-0.01)
 			}
-			b.x.see(o.Latency)
-			b.jam.see(b.now, o.Latency/r.work, 0.1)
-			b.note(a.s, o.Latency/r.work-max(b.jam.floor, a.s.lat.floor))
+			b.x.see(o.LatencyMillis)
+			b.jam.see(b.now, o.LatencyMillis/r.work, 0.1)
+			b.note(a.s, o.LatencyMillis/r.work-max(b.jam.floor, a.s.lat.floor))
 			if a.s.lat.v == 0 { // a light request tells little: the fleet's mean stands in for the rest
-				a.s.lat.see(b.now, b.x.mean+min(1, r.work)*(o.Latency/r.work-b.x.mean), 1)
+				a.s.lat.see(b.now, b.x.mean+min(1, r.work)*(o.LatencyMillis/r.work-b.x.mean), 1)
 			}
-			a.s.lat.see(b.now, o.Latency/r.work, min(0.5, 0.2*r.work))
+			a.s.lat.see(b.now, o.LatencyMillis/r.work, min(0.5, 0.2*r.work))
 		}
 		r.key.stored, r.key.storeAt = b.now, a.s
 	}
 	// A read whose answer was spoilt, or whose connection ended at a server not thought sick, is asked for
 	// again where it is kept: it takes no fetch. A dead server costs a second attempt, which spare bounds.
 	cut := o.Status == Reset || o.Status == ConnectError
-	again := a.s == b.origin && (cut || o.Status == Canceled)
-	spoilt := (o.Status == Spoilt || cut && a.s != b.origin && a.s.doubt < maxDoubt/2) && !r.Write
+	again := a.s == b.origin && (cut || o.Status == Cancelled)
+	spoilt := (o.Status == MalformedResponse || cut && a.s != b.origin && a.s.doubt < maxDoubt/2) && !r.IsWrite
 	if spoilt && a.s != b.origin {
 		r.missed = a.s
 	} else if (spoilt || again) && r.key.fetch == r {
 		r.key.fetch = nil
 	}
 	switch {
-	case r.closed || o.Final:
+	case r.closed || o.IsFinal:
 		b.close(r)
 	case again && b.spare >= 1 && b.mayRun(r, a.s): // it takes a place again
 		b.spare--
 		b.hold(r)
 	case b.now >= r.useful()-1 || a.s == b.origin && !spoilt || lost:
 		b.end(r, "attempt")
-	case o.Status == Miss && b.cfg.Aside:
+	case o.Status == Miss && b.cfg.CacheAside:
 		r.missed = a.s
 		b.hold(r)
 	case r.out > 0 || b.spare < 1 && o.Status != ConnectError: // retries must not become a storm
@@ -471,7 +471,7 @@
 		return
 	}
 	if b.now >= r.aim && r.tries[i].s != b.origin {
-		if r.class.Late == 0 && b.cfg.Cancel && r.class.Effect == Repeatable {
+		if r.class.LateWeight == 0 && b.cfg.CancelAllowed && r.class.Effect == Idempotent {
 			b.host.Cancel(r.ID, i) // worthless by now: others' work goes before it
 		}
 		return
@@ -480,7 +480,7 @@
 	if a.s.reply >= a.at || a.s == b.origin {
 		// Later ones were answered: it is lost, or heavy, and waited for half as long again unless most such
 		// were lost. Harm: a heavy one may be done twice, and a few must tell before losses are known.
-		may := !b.cfg.Copies && b.cfg.Cancel && r.class.Effect == Repeatable && b.spare >= 1
+		may := !b.cfg.HedgingAllowed && b.cfg.CancelAllowed && r.class.Effect == Idempotent && b.spare >= 1
 		if may && a.s.passed > a.at && b.overtaken(a) {
 			if a.s != b.origin {
 				r.missed = a.s
@@ -488,12 +488,12 @@
 			b.host.Cancel(r.ID, i)
 			return
 		}
-		b.host.Timer(0.5*(b.now-a.at), uint64(r.ID)<<8|uint64(i+1))
+		b.host.SetTimer(0.5*(b.now-a.at), uint64(r.ID)<<8|uint64(i+1))
 		return
 	}
 	if !r.asks {
 		r.key.rate.add(b.now, b.keyMem(), b.seldom()) // the key that meets a jam most likely makes it
-		b.note(a.s, r.class.Aim)                      // known a second before the time-out
+		b.note(a.s, r.class.LatencyObjectiveMillis)   // known a second before the time-out
 		a.s.strikes++
 		a.s.accept *= 0.5
 		b.eject(a.s, true)
@@ -501,7 +501,7 @@
 	if b.spare < 1 || r.out > 1 {
 		return
 	}
-	if b.cfg.Copies {
+	if b.cfg.HedgingAllowed {
 		if s := b.pick(r); s != nil {
 			b.spare--
 			b.send(r, s)
@@ -512,32 +512,32 @@
 	r.out--
 	s := b.pick(r)
 	r.out++
-	if s != nil && b.cfg.Cancel && r.class.Effect == Repeatable {
+	if s != nil && b.cfg.CancelAllowed && r.class.Effect == Idempotent {
 		b.host.Cancel(r.ID, i)
-	} else if r.class.Late == 0 && b.now < r.aim {
-		b.host.Timer(r.aim-b.now, uint64(r.ID)<<8|uint64(i+1))
+	} else if r.class.LateWeight == 0 && b.now < r.aim {
+		b.host.SetTimer(r.aim-b.now, uint64(r.ID)<<8|uint64(i+1))
 	}
 }
 
 func (b *Balancer) housekeep() {
-	b.host.Timer(100, tickToken)
+	b.host.SetTimer(100, tickToken)
 	if since := b.now - b.solvedAt; since >= 1000 || b.dirty && since >= 250 {
 		b.solve()
 	}
 	if b.now >= b.watchAt {
 		b.watchAt = b.now + 5000
-		b.host.Watch()
+		b.host.WatchEndpoints()
 	}
 	// Probes are paid for by own requests: a bound on the age of reports cost many probes a request at size.
 	for i, turn := 0, b.turn; i < len(b.order); i++ {
 		s := b.order[(turn+i)%len(b.order)]
-		if s.held && s.out == 0 && b.keep < b.cfg.ConnIdle && b.now > s.sentAt+b.keep {
+		if s.held && s.out == 0 && b.keep < b.cfg.IdleTimeoutMillis && b.now > s.sentAt+b.keep {
 			s.held = false
-			b.host.Close(s.ID)
+			b.host.CloseIdle(s.ID)
 		}
-		if b.cfg.ByProbe && b.cfg.Probes && b.probes >= 1 && b.now-s.probed >= 700 && !s.banned {
+		if b.cfg.LoadByHealthCheck && b.cfg.HealthChecks && b.probes >= 1 && b.now-s.probed >= 700 && !s.banned {
 			b.probes, b.turn, s.probed = b.probes-1, turn+i+1, b.now
-			b.host.Probe(s.ID)
+			b.host.HealthCheck(s.ID)
 		}
 	}
 }
@@ -545,11 +545,11 @@
 // hold makes a request wait for a place at the origin or for a fetch of its key while it can be in time.
 func (b *Balancer) hold(r *request) {
 	by := r.until - 5
-	if r.class.Late == 0 {
+	if r.class.LateWeight == 0 {
 		by = min(by, r.aim-b.olat.v/2)
 	}
 	r.held, b.held = b.now, append(b.held, r)
-	b.host.Timer(max(1, by-b.now), uint64(r.ID)<<8)
+	b.host.SetTimer(max(1, by-b.now), uint64(r.ID)<<8)
 }
 
 // pump lets held requests go on, those worth most first: to where their key is stored, or to the origin.
@@ -559,20 +559,20 @@
 		k, o := r.key, b.origin
 		switch {
 		case r.closed:
-		case !r.Write && k.stored > r.held:
+		case !r.IsWrite && k.stored > r.held:
 			r.missed, r.held = k.storeAt, 0
 			b.try(r)
-		case b.cfg.Aside && (o == nil || !o.open() || !b.mayRun(r, o) || b.now+b.fetchTime() > r.useful()):
+		case b.cfg.CacheAside && (o == nil || !o.open() || !b.mayRun(r, o) || b.now+b.fetchTime() > r.useful()):
 			b.end(r, "origin")
-		case !r.Write && k.fetch != nil || b.fetching() >= max(1, b.fetches):
+		case !r.IsWrite && k.fetch != nil || b.fetching() >= max(1, b.fetches):
 			return false
 		case b.fetches < 1 && b.asked.add(b.now, keyTau, 0) >= b.fetches*keyTau/max(b.olat.v, 100):
 			return false // a whole fetch at each of hundreds of routers jammed the origin
 		default:
-			if r.held = 0; !r.Write {
+			if r.held = 0; !r.IsWrite {
 				k.fetch = r
 			}
-			if r.asks = !b.cfg.Aside; r.asks {
+			if r.asks = !b.cfg.CacheAside; r.asks {
 				b.try(r)
 			} else {
 				b.send(r, o)
@@ -591,25 +591,25 @@
 }
 
 // fetched moves the bound on fetches: up while answers stay quick, down when they slow or fail.
-func (b *Balancer) fetched(r *request, st Status, lat float64) {
-	if st == Spoilt { // it did its work, and its answer was stored
+func (b *Balancer) fetched(r *request, st AttemptStatus, lat float64) {
+	if st == MalformedResponse { // it did its work, and its answer was stored
 		st = OK
 	}
 	if r.key.fetch == r && st == OK {
 		r.key.stored, r.key.storeAt = b.now, r.missed
 	}
-	late := st == TimedOut && lat > 2*b.olat.floor // else it was sent too late: no sign of a slow origin
+	late := st == Timeout && lat > 2*b.olat.floor // else it was sent too late: no sign of a slow origin
 	if st == OK || late {
 		b.olat.see(b.now, lat, 0.1) // over ten fetches
 	}
 	// Beyond half of the aim a queue there serves nobody, as the cache came first. Harm: where the aim is
 	// short for the origin, few are out at once. A floor risen in overload excuses no useless answer.
-	slow := min(2.5*b.olat.floor, max(1.3*b.olat.floor, 0.5*r.class.Aim), 0.8*r.class.Aim)
+	slow := min(2.5*b.olat.floor, max(1.3*b.olat.floor, 0.5*r.class.LatencyObjectiveMillis), 0.8*r.class.LatencyObjectiveMillis)
 	if (st == OK || late) && b.olat.v < slow {
 		// Each time that its fetches have come back a router adds a tenth, and all together four at least: one a router
 		// was a step of two thirds for eighty.
 		b.fetches = min(64, b.fetches+min(1/max(1, b.fetches), max(0.1*min(1, b.fetches), 4/float64(b.cfg.Routers)/max(1, b.fetches))))
-	} else if st.tells() && (st != TimedOut || late) && b.now-b.cutAt > 500 {
+	} else if st.tells() && (st != Timeout || late) && b.now-b.cutAt > 500 {
 		// A tenth of the own requests at least: no origin is built for less, and few places for all starved hundreds.
 		cut, least := 0.8, min(2, max(8/float64(b.cfg.Routers), 0.1*b.perSecond(&b.arrivals, keyTau)*b.olat.floor/1000))
 		if st == Failed { // stopped, or working off a queue that nobody waits for: it needs room
@@ -631,12 +631,12 @@
 // Every request needs a whole one, or half of all routers could send a light one right after the start. A heavy one takes
 // only what is soon to lapse: more light ones are served by the same work.
 func (b *Balancer) afford(s *server, work float64) bool {
-	if b.now >= s.fresh+1.5*b.cfg.Cold { // news of the start may have been late
+	if b.now >= s.fresh+1.5*b.cfg.SlowStartMillis { // news of the start may have been late
 		return true
 	}
 	c := b.typical(s, 10) // a report made amid cheap misses overstates what the server can do
-	growth := 0.4 * b.cfg.FallMult * c * b.warmth(s) / b.shares() / 1000
-	kept := growth * b.cfg.FallFor
+	growth := 0.4 * b.cfg.OverloadFactor * c * b.warmth(s) / b.shares() / 1000
+	kept := growth * b.cfg.OverloadMillis
 	s.budget.v += growth * (b.now - s.budget.at)
 	s.budget.v -= math.Ceil(max(0, s.budget.v-1-kept))
 	s.budget.at = b.now
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -37,18 +37,18 @@
 	h.sends = append(h.sends, sent{id, server})
 }
 func (h *fakeHost) Cancel(id uint32, a int) { h.cancels = append(h.cancels, fmt.Sprint(id, "/", a)) }
-func (h *fakeHost) Refuse(id uint32, wait float64) {
+func (h *fakeHost) Reject(id uint32, wait float64) {
 	h.refused[id]++
 	h.waits = append(h.waits, wait)
 }
-func (h *fakeHost) Fail(id uint32) { h.failed[id]++ }
-func (h *fakeHost) Probe(s uint32) { h.probes = append(h.probes, s) }
-func (h *fakeHost) Close(s uint32) { h.closes = append(h.closes, s) }
-func (h *fakeHost) Timer(after float64, token uint64) {
+func (h *fakeHost) Fail(id uint32)       { h.failed[id]++ }
+func (h *fakeHost) HealthCheck(s uint32) { h.probes = append(h.probes, s) }
+func (h *fakeHost) CloseIdle(s uint32)   { h.closes = append(h.closes, s) }
+func (h *fakeHost) SetTimer(after float64, token uint64) {
 	h.timers = append(h.timers, timer{after, token})
 }
-func (h *fakeHost) Watch()          { h.watches++ }
-func (h *fakeHost) Tell([]byte)     {}
+func (h *fakeHost) WatchEndpoints() { h.watches++ }
+func (h *fakeHost) Gossip([]byte)   {}
 func (h *fakeHost) Log(text string) { h.acts = append(h.acts, text) }
 
 func (h *fakeHost) last() sent { return h.sends[len(h.sends)-1] }
@@ -59,33 +59,33 @@
 func testConfig() Config {
 	return Config{
 		Routers: 2, Classes: []Class{
-			{Name: "read", Effect: Repeatable, Aim: 300, Deadline: 600, Worth: 1},
-			{Name: "dear", Effect: Repeatable, Aim: 300, Deadline: 600, Worth: 4},
-			{Name: "keyed", Effect: Keyed, Scope: "all", Window: 2000, Aim: 300, Deadline: 600, Worth: 1},
-			{Name: "zoned", Effect: Keyed, Scope: "zone", Window: 2000, Aim: 300, Deadline: 600, Worth: 1},
-			{Name: "once", Effect: Once, Aim: 300, Deadline: 600, Worth: 1},
+			{Name: "read", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "dear", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 4},
+			{Name: "keyed", Effect: IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "zoned", Effect: IdempotentByKey, IdempotencyScope: "zone", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "once", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
 		},
-		Cancel: true, Copies: true, MaxAttempts: 4, Cold: 8000, ColdFrom: 0.4, FallMult: 3, FallFor: 2000,
+		CancelAllowed: true, HedgingAllowed: true, MaxAttempts: 4, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000,
 	}
 }
 
 // fleet lists n ready servers with ids that are spread like real ones.
-func fleet(n int) []Entry {
-	var es []Entry
+func fleet(n int) []Endpoint {
+	var es []Endpoint
 	for i := range n {
-		es = append(es, Entry{ID: uint32(mix(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		es = append(es, Endpoint{ID: uint32(mix(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
 	return es
 }
 
-func start(t testing.TB, cfg Config, es []Entry) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, es []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newHost()
 	b, err := New(cfg, 7, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Servers(100000, Remembered, es)
+	b.UpdateEndpoints(100000, RestoredEndpoints, es)
 	return b, h
 }
 
@@ -95,7 +95,7 @@
 }
 
 func ask(b *Balancer, now float64, id uint32, class string, key uint64) {
-	b.Request(now, Request{ID: id, Class: class, Key: key, HasKey: true, Left: 600})
+	b.Request(now, Request{ID: id, Class: class, Key: key, HasKey: true, RemainingMillis: 600})
 }
 
 // ---- M/G/m model ----
@@ -168,7 +168,7 @@
 func models(ns ...int) []*server {
 	var v []*server
 	for i, n := range ns {
-		v = append(v, &server{Entry: Entry{ID: uint32(i + 1)}, n: n, mu: 10})
+		v = append(v, &server{Endpoint: Endpoint{ID: uint32(i + 1)}, n: n, mu: 10})
 	}
 	return v
 }
@@ -265,9 +265,9 @@
 func TestListsAgreeAfterRestart(t *testing.T) {
 	es := fleet(10)
 	b1, _ := start(t, testConfig(), es[:8])
-	b1.Servers(100100, Changes, es[8:])
-	b1.Servers(100200, Changes, []Entry{{ID: es[2].ID, State: Gone}})
-	rest := append(append([]Entry{}, es[3:]...), es[:2]...)
+	b1.UpdateEndpoints(100100, ChangedEndpoints, es[8:])
+	b1.UpdateEndpoints(100200, ChangedEndpoints, []Endpoint{{ID: es[2].ID, State: Removed}})
+	rest := append(append([]Endpoint{}, es[3:]...), es[:2]...)
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
 		l1, l2 := b1.list(&flow{id: key}), b2.list(&flow{id: key})
@@ -289,7 +289,7 @@
 
 func TestChangeMovesFewKeys(t *testing.T) {
 	es := fleet(11)
-	homes := func(es []Entry) map[uint64]uint32 {
+	homes := func(es []Endpoint) map[uint64]uint32 {
 		b, _ := start(t, testConfig(), es)
 		m := map[uint64]uint32{}
 		for key := range uint64(4000) {
@@ -436,8 +436,8 @@
 			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
 				continue // refused
 			}
-			o := Outcome{ID: i + 1, Server: h.last().server, Latency: c.took, Note: 1, Final: true, Load: NoLoad}
-			b.Outcome(now+c.took, o)
+			o := Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: c.took, Note: 1, IsFinal: true, Load: NoLoadReport}
+			b.AttemptEnded(now+c.took, o)
 		}
 		if b.bear < c.low || b.bear > c.high {
 			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.bear, c.low, c.high)
@@ -450,9 +450,9 @@
 	b, h := start(t, testConfig(), fleet(1))
 	for i := range uint32(400) {
 		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
-		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, Left: 600, Hint: hint})
+		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, RemainingMillis: 600, WorkHint: hint})
 		took := 50 + 10*hint
-		b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Latency: took, Note: 1, Final: true, Load: NoLoad})
+		b.AttemptEnded(now+took, Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: took, Note: 1, IsFinal: true, Load: NoLoadReport})
 	}
 	if v := b.order[0].lat.v; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
 		t.Errorf("%v ms a unit of work, want about 105", v)
@@ -511,13 +511,13 @@
 		}
 		ask(b, now, i+1, "read", key)
 		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.Outcome(now+50, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 50, Final: true, Load: NoLoad})
+			b.AttemptEnded(now+50, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 50, IsFinal: true, Load: NoLoadReport})
 		}
 		for _, s := range b.order {
 			s.cap.v, s.qps = 40, 15
 		}
 		b.list(hot)[0].qps = 22
-		b.Timer(now+100, tickToken)
+		b.TimerExpired(now+100, tickToken)
 	}
 	b.solve()
 	if len(hot.v) < 2 || hot.p[0] < 0.1 || hot.p[0] > 0.9 {
@@ -532,16 +532,16 @@
 		hot    bool
 	}{{2, true}, {400, false}} {
 		cfg := testConfig()
-		cfg.Aside, cfg.OriginKind = true, "origin"
-		b, h := start(t, cfg, append(fleet(40), Entry{ID: 77, Kind: "origin"}))
+		cfg.CacheAside, cfg.OriginKind = true, "origin"
+		b, h := start(t, cfg, append(fleet(40), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(c.before) {
 			ask(b, 100010+1000*float64(i)/float64(c.before), 100+i, "read", uint64(100+i))
-			b.Outcome(b.now, Outcome{ID: 100 + i, Server: h.last().server, Latency: 5, Final: true, Load: NoLoad})
+			b.AttemptEnded(b.now, Outcome{RequestID: 100 + i, ServerID: h.last().server, LatencyMillis: 5, IsFinal: true, Load: NoLoadReport})
 		}
 		ask(b, 101010, 1, "read", 9)
 		k := b.reqs[1].key
 		b.servers[h.last().server].reply = 0
-		b.Timer(101200, 1<<8|1)
+		b.TimerExpired(101200, 1<<8|1)
 		if hot := k.rate.v >= hotSeen; hot != c.hot {
 			t.Errorf("%d requests a second: %v arrivals after a stall", c.before, k.rate.v)
 		}
@@ -554,18 +554,18 @@
 		for _, routers := range []int{4, 20, 80} {
 			b.Run(fmt.Sprintf("servers=%d/routers=%d", servers, routers), func(b *testing.B) {
 				cfg := testConfig()
-				cfg.Routers, cfg.Aside, cfg.OriginKind = routers, true, "origin"
-				m, h := start(b, cfg, append(fleet(servers), Entry{ID: 77, Kind: "origin"}))
+				cfg.Routers, cfg.CacheAside, cfg.OriginKind = routers, true, "origin"
+				m, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					now := 100010 + 50*float64(i) // 20 a second
 					ask(m, now, uint32(i+1), "read", mix(uint64(i%500)))
 					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
-						m.Outcome(now+40, Outcome{ID: uint32(i + 1), Server: h.sends[n-1].server, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
+						m.AttemptEnded(now+40, Outcome{RequestID: uint32(i + 1), ServerID: h.sends[n-1].server, Status: OK, LatencyMillis: 40, IsFinal: true, Note: 1, Load: NoLoadReport})
 					}
 					if i%2 == 0 {
-						m.Timer(now+45, tickToken)
+						m.TimerExpired(now+45, tickToken)
 					}
 					h.sends, h.timers = h.sends[:0], h.timers[:0]
 				}
--- a/decide/model.go
+++ b/decide/model.go
@@ -21,9 +21,9 @@
 }
 
 // apply brings a list update into the records and returns the servers that started anew.
-func (b *Balancer) apply(kind ListKind, entries []Entry) (started []*server) {
+func (b *Balancer) apply(kind EndpointUpdateKind, entries []Endpoint) (started []*server) {
 	for _, s := range b.servers {
-		s.listed = s.listed && kind == Changes
+		s.listed = s.listed && kind == ChangedEndpoints
 	}
 	for _, e := range entries {
 		s := b.servers[e.ID]
@@ -32,18 +32,18 @@
 			s = &server{banned: banned, accept: 1, part: 1, reply: b.now, turned: math.Inf(-1), fresh: math.Inf(-1), probed: math.Inf(-1), heard: math.Inf(-1)}
 			b.servers[e.ID] = s
 		}
-		if e.Started > 0 && e.Started != s.Started {
+		if e.StartedAt > 0 && e.StartedAt != s.StartedAt {
 			started = append(started, s)
 		}
-		s.Entry, s.listed = e, e.State != Gone
-		if b.cfg.SizesVary {
+		s.Endpoint, s.listed = e, e.State != Removed
+		if b.cfg.SizesAreLoads {
 			s.Size = 0 // a load figure, which says nothing of the machine
 		}
 	}
 	b.order, b.origin = b.order[:0], nil
 	for id, s := range b.servers {
 		switch {
-		case b.cfg.Aside && s.Kind == b.cfg.OriginKind:
+		case b.cfg.CacheAside && s.Kind == b.cfg.OriginKind:
 			if s.listed && (b.origin == nil || id < b.origin.ID) {
 				b.origin = s
 			}
@@ -164,12 +164,12 @@
 }
 
 // learn takes a load report; absent and absurd figures are passed over.
-func (b *Balancer) learn(s *server, l Load) {
-	if !figure(l.QPS) || !figure(l.Util) || l == s.last {
+func (b *Balancer) learn(s *server, l LoadReport) {
+	if !figure(l.RequestsPerSecond) || !figure(l.Utilization) || l == s.last {
 		return
 	}
-	if s.last, s.qps, s.heard = l, l.QPS, b.now; l.Util > 0.03 && l.QPS > 0 {
-		s.cap.see(b.now, l.QPS/min(l.Util, 1.5)/b.warmth(s), 0.2) // over five reports, as they are noisy
+	if s.last, s.qps, s.heard = l, l.RequestsPerSecond, b.now; l.Utilization > 0.03 && l.RequestsPerSecond > 0 {
+		s.cap.see(b.now, l.RequestsPerSecond/min(l.Utilization, 1.5)/b.warmth(s), 0.2) // over five reports, as they are noisy
 	}
 }
 
@@ -243,10 +243,10 @@
 // warmth is the share of its capacity that a server has at least.
 func (b *Balancer) warmth(s *server) float64 {
 	age := b.now - s.fresh // +Inf of one that has run for long: times a cold share of nothing that is no number
-	if age >= max(b.cfg.Cold, 1) {
+	if age >= max(b.cfg.SlowStartMillis, 1) {
 		return 1
 	}
-	return min(1, b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*max(0, age)/max(b.cfg.Cold, 1))
+	return min(1, b.cfg.SlowStartInitialShare+(1-b.cfg.SlowStartInitialShare)*max(0, age)/max(b.cfg.SlowStartMillis, 1))
 }
 
 // delay gives λT(λ), the requests waiting at an M/G/m server by equations (2) to (5), and its two
@@ -298,14 +298,14 @@
 // elapsed is how long the client has waited in earlier tries, as far as that shows: its aim counts from the first. A first
 // try gets a part of the deadline, alike for all of a class; a later one that has another time left has all that is left.
 func (b *Balancer) elapsed(c *Class, q Request) float64 {
-	if !q.Retry {
-		b.firstLeft[c.Name] = q.Left
+	if !q.IsRetry {
+		b.firstLeft[c.Name] = q.RemainingMillis
 		return 0
 	}
-	if first := b.firstLeft[c.Name]; first == 0 || math.Abs(q.Left-first) < 0.02*first {
+	if first := b.firstLeft[c.Name]; first == 0 || math.Abs(q.RemainingMillis-first) < 0.02*first {
 		return 0
 	}
-	return max(0, c.Deadline-q.Left)
+	return max(0, c.DeadlineMillis-q.RemainingMillis)
 }
 
 // curious is the part of the probes that are paid for which are worth it: all until two dozen servers have told of their
--- a/decide/operate.go
+++ b/decide/operate.go
@@ -19,7 +19,7 @@
 	b.bans[id] = now
 	if s := b.servers[id]; s != nil {
 		s.banned, s.held, b.dirty = true, false, true
-		b.host.Close(id)
+		b.host.CloseIdle(id)
 	}
 	b.pump()
 }
@@ -36,8 +36,8 @@
 	if s := b.servers[id]; s != nil {
 		s.banned, b.dirty = false, true
 		b.renew(s, max(s.fresh, now))
-		if s.Started > since {
-			s.fresh = s.Started
+		if s.StartedAt > since {
+			s.fresh = s.StartedAt
 		}
 	}
 	b.pump()
@@ -50,14 +50,14 @@
 	s.doubt, s.fails, s.pause = 0, b.usual, 0
 }
 
-// Ejected tells whether the router avoids a server because of how it answered.
-func (b *Balancer) Ejected(id uint32) bool {
+// IsEjected tells whether the router avoids a server because of how it answered.
+func (b *Balancer) IsEjected(id uint32) bool {
 	s := b.servers[id]
 	return s != nil && s.ejected
 }
 
-// Targets counts the servers on the list, and those of them that are avoided, by hand or by choice: what the list takes out is no choice.
-func (b *Balancer) Targets() (listed, avoided int) {
+// CountEndpoints counts the servers on the list, and those of them that are avoided, by hand or by choice: what the list takes out is no choice.
+func (b *Balancer) CountEndpoints() (listed, avoided int) {
 	for _, s := range b.servers {
 		if !s.listed {
 			continue
@@ -77,11 +77,11 @@
 		return err
 	}
 	// All that was learnt rests on these.
-	if cfg.Aside != b.cfg.Aside || cfg.OriginKind != b.cfg.OriginKind || cfg.AskList != b.cfg.AskList {
+	if cfg.CacheAside != b.cfg.CacheAside || cfg.OriginKind != b.cfg.OriginKind || cfg.PollEndpoints != b.cfg.PollEndpoints {
 		return errors.New("decide: settings Aside, OriginKind and AskList can't change while a router runs")
 	}
 	b.take(cfg)
-	b.keep, b.dirty = cfg.ConnIdle, true
+	b.keep, b.dirty = cfg.IdleTimeoutMillis, true
 	b.pump()
 	return nil
 }
@@ -98,8 +98,8 @@
 // askTime is the time over which the calls of all routers are spread.
 func (b *Balancer) askTime() float64 {
 	t := min(askSlot*float64(b.cfg.Routers-1), MaxBackOffMillis)
-	if b.cfg.MustAsk > 0 {
-		t = min(t, askPart*b.cfg.MustAsk)
+	if b.cfg.PollWithinMillis > 0 {
+		t = min(t, askPart*b.cfg.PollWithinMillis)
 	}
 	return t
 }
@@ -107,8 +107,8 @@
 // backOff is how long to wait after a refused call: longer after each one in a row, and spread, as all were refused.
 func (b *Balancer) backOff() float64 {
 	least := float64(askEvery)
-	if b.cfg.MustAsk > 0 {
-		least = min(least, askPart*b.cfg.MustAsk)
+	if b.cfg.PollWithinMillis > 0 {
+		least = min(least, askPart*b.cfg.PollWithinMillis)
 	}
 	mean := max(least, b.askTime()) * min(2, 1+float64(b.refused)/4)
 	b.refused++
@@ -118,10 +118,10 @@
 // firstCall is how long to wait after a start: in a release most routers start at once.
 func (b *Balancer) firstCall() float64 { return b.askTime() * b.rng.Float64() }
 
-// WritesGoTo names the server that a write goes to, if there is one: large values are on their way there while they come.
-func (b *Balancer) WritesGoTo(now float64) (server uint32, open bool) {
+// WriteServer names the server that a write goes to, if there is one: large values are on their way there while they come.
+func (b *Balancer) WriteServer(now float64) (server uint32, open bool) {
 	b.begin(now)
-	if !b.cfg.Aside || b.origin == nil || !b.origin.open() {
+	if !b.cfg.CacheAside || b.origin == nil || !b.origin.open() {
 		return 0, false
 	}
 	return b.origin.ID, true
@@ -130,19 +130,19 @@
 // leastAway is the shortest time that a refused client is told to stay away: less is no relief.
 const leastAway = 25
 
-// LeastAway is how long a client stays away at least that is refused before its request gets here, as where there is no
+// MinRetryAfterMillis is how long a client stays away at least that is refused before its request gets here, as where there is no
 // room for its value.
-func (c *Config) LeastAway() float64 {
-	if !c.RetryAfter {
+func (c *Config) MinRetryAfterMillis() float64 {
+	if !c.SendRetryAfter {
 		return 0
 	}
-	return min(leastAway, c.MaxAfter)
+	return min(leastAway, c.MaxRetryAfterMillis)
 }
 
 // comeBack is when a refused client is to come again: once the shortest queue among its servers is gone, but early enough
 // for the answer to be worth something. 0 = clients are not told.
 func (b *Balancer) comeBack(r *request) float64 {
-	if !b.cfg.RetryAfter {
+	if !b.cfg.SendRetryAfter {
 		return 0
 	}
 	wait := math.Inf(1)
@@ -154,5 +154,5 @@
 	if math.IsInf(wait, 1) { // none is in use: trials come after the least pause
 		wait = minPause
 	}
-	return max(b.cfg.LeastAway(), min(wait, r.class.Aim/8, b.cfg.MaxAfter))
+	return max(b.cfg.MinRetryAfterMillis(), min(wait, r.class.LatencyObjectiveMillis/8, b.cfg.MaxRetryAfterMillis))
 }
--- a/decide/operate_test.go
+++ b/decide/operate_test.go
@@ -14,7 +14,7 @@
 	if len(h.sends) != n+1 {
 		t.Fatalf("request %d was not sent", id)
 	}
-	b.Outcome(now+10, Outcome{ID: id, Server: h.last().server, Status: OK, Latency: 10, Final: true, Load: NoLoad})
+	b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
 	return h.last().server
 }
 
@@ -27,9 +27,9 @@
 	id, now := uint32(2), 100100.0
 	for _, news := range []func(){
 		func() {},
-		func() { b.Servers(now, Full, es) },
-		func() { b.Servers(now, Changes, []Entry{{ID: out, State: Gone}}) },
-		func() { b.Servers(now, Changes, []Entry{{ID: out, Size: 1, Started: now}}) }, // back under its id
+		func() { b.UpdateEndpoints(now, AllEndpoints, es) },
+		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, State: Removed}}) },
+		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, Size: 1, StartedAt: now}}) }, // back under its id
 	} {
 		now += 1000
 		news()
@@ -40,11 +40,11 @@
 			}
 		}
 	}
-	if listed, avoided := b.Targets(); listed != 6 || avoided != 1 {
+	if listed, avoided := b.CountEndpoints(); listed != 6 || avoided != 1 {
 		t.Errorf("targets: got %d, %d avoided", listed, avoided)
 	}
 	b.Enable(now, out) // one call ends what two have begun
-	if _, avoided := b.Targets(); avoided != 0 {
+	if _, avoided := b.CountEndpoints(); avoided != 0 {
 		t.Errorf("after the call back: %d avoided", avoided)
 	}
 	if got := homeOf(t, b, h, now+1000, id+1, 77); got != out {
@@ -90,15 +90,15 @@
 		out := homeOf(t, b, h, 100000, 1, 77)
 		id := uint32(10)
 		b.Disable(101000, out)
-		now := 101000 + 2*cfg.Cold
+		now := 101000 + 2*cfg.SlowStartMillis
 		if told { // it came back as soon as it was out, and is warm by now
 			e := *b.servers[out]
-			e.Started = 101001
-			b.Servers(102000, Changes, []Entry{e.Entry})
+			e.StartedAt = 101001
+			b.UpdateEndpoints(102000, ChangedEndpoints, []Endpoint{e.Endpoint})
 		}
 		b.Enable(now, out)
 		got := sentAtOnce(b, h, now+1000, &id, 77, out)
-		if cold := now < b.servers[out].fresh+cfg.Cold; cold == told {
+		if cold := now < b.servers[out].fresh+cfg.SlowStartMillis; cold == told {
 			t.Errorf("told %t: cold %t", told, cold)
 		}
 		if !told && (got < 1 || got > 20) {
@@ -109,13 +109,13 @@
 
 func TestDisabledServerIsNotProbed(t *testing.T) {
 	cfg := testConfig()
-	cfg.ByProbe, cfg.Probes = true, true
+	cfg.LoadByHealthCheck, cfg.HealthChecks = true, true
 	es := fleet(2)
 	b, h := start(t, cfg, es)
 	b.Disable(100000, es[0].ID)
 	b.probes = 4
 	for i := range 20 {
-		b.Timer(100000+float64(i)*500, tickToken)
+		b.TimerExpired(100000+float64(i)*500, tickToken)
 	}
 	if len(h.probes) == 0 {
 		t.Error("the other server was not probed")
@@ -136,7 +136,7 @@
 	ask(b, 100000, 1, "read", 77)
 	next := cfg
 	next.MaxAttempts = 1
-	next.Classes = []Class{{Name: "read", Effect: Once, Aim: 300, Deadline: 600, Worth: 1}, {Name: "new", Aim: 300, Deadline: 600, Worth: 1}}
+	next.Classes = []Class{{Name: "read", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}, {Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}}
 	if err := b.Reconfigure(100010, next); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	for id, more := range map[uint32]int{1: 1, 2: 0} {
 		n := len(h.sends)
 		server := h.sends[id-1].server
-		b.Outcome(100030, Outcome{ID: id, Server: server, Status: Failed, Latency: 10, Load: NoLoad})
+		b.AttemptEnded(100030, Outcome{RequestID: id, ServerID: server, Status: Failed, LatencyMillis: 10, Load: NoLoadReport})
 		if got := len(h.sends) - n; got != more {
 			t.Errorf("request %d: %d more attempts, want %d", id, got, more)
 		}
@@ -167,11 +167,11 @@
 	for _, spoil := range []func(*Config){
 		func(c *Config) { c.MaxAttempts = 0 },
 		func(c *Config) { c.Classes = nil },
-		func(c *Config) { c.Classes = []Class{{Name: "read", Aim: 300, Worth: 1}} },
-		func(c *Config) { c.Aside, c.OriginKind = true, "origin" },
+		func(c *Config) { c.Classes = []Class{{Name: "read", LatencyObjectiveMillis: 300, PriorityWeight: 1}} },
+		func(c *Config) { c.CacheAside, c.OriginKind = true, "origin" },
 	} {
 		cfg := testConfig()
-		cfg.Classes = append(cfg.Classes, Class{Name: "new", Aim: 300, Deadline: 600, Worth: 1})
+		cfg.Classes = append(cfg.Classes, Class{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1})
 		spoil(&cfg)
 		if b.Reconfigure(100000, cfg) == nil {
 			t.Errorf("taken: %+v", cfg)
@@ -191,23 +191,23 @@
 		var calls []float64 // of all routers, in the first 20 s, each refused
 		for me := range routers {
 			cfg := testConfig()
-			cfg.Routers, cfg.Me, cfg.AskList, cfg.MustAsk = routers, me, true, cfgMustAsk
+			cfg.Routers, cfg.RouterIndex, cfg.PollEndpoints, cfg.PollWithinMillis = routers, me, true, cfgMustAsk
 			h := newHost()
 			b, err := New(cfg, uint64(me)*977+5, h)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Servers(100000, Remembered, fleet(6))
+			b.UpdateEndpoints(100000, RestoredEndpoints, fleet(6))
 			first, last := math.Inf(1), 0.0
 			for now := 100000.0; now < 120000; now += 100 {
 				n := h.watches
-				if b.Timer(now, tickToken); h.watches > n {
+				if b.TimerExpired(now, tickToken); h.watches > n {
 					if first = min(first, now); last > 0 && now-last > MaxBackOffMillis+100 { // and a tick
 						t.Errorf("%d routers: %v ms between two calls of one", routers, now-last)
 					}
 					last = now + 10
 					calls = append(calls, now)
-					b.Servers(now+10, Refused, nil)
+					b.UpdateEndpoints(now+10, WatchFailed, nil)
 				}
 			}
 			if first > 100000+cfgMustAsk {
@@ -240,7 +240,7 @@
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
 	for _, tells := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.RetryAfter, cfg.MaxAfter = tells, 1500
+		cfg.SendRetryAfter, cfg.MaxRetryAfterMillis = tells, 1500
 		es := fleet(6)
 		b, h := start(t, cfg, es)
 		for _, s := range b.order {
@@ -250,7 +250,7 @@
 		if h.refused[1] != 1 || len(h.waits) != 1 {
 			t.Fatalf("refused %d times", h.refused[1])
 		}
-		if got := b.cfg.LeastAway(); tells != (got == leastAway) {
+		if got := b.cfg.MinRetryAfterMillis(); tells != (got == leastAway) {
 			t.Errorf("told %t: at least %v", tells, got)
 		}
 		if got := h.waits[0]; tells != (got >= leastAway && got <= 300.0/4) || !tells && got != 0 {
@@ -262,19 +262,19 @@
 // A site whose servers start warm says so by a cold share of 1: they are used as any.
 func TestServersThatStartWarmAreUsed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Cold, cfg.ColdFrom, cfg.Probes, cfg.ByProbe = 1, 1, true, true
+	cfg.SlowStartMillis, cfg.SlowStartInitialShare, cfg.HealthChecks, cfg.LoadByHealthCheck = 1, 1, true, true
 	b, h := start(t, cfg, fleet(6))
 	for i := range uint32(200) {
 		now := 100000 + 20*float64(i)
 		ask(b, now, i+1, "read", uint64(i%20))
 		for _, s := range fleet(6) {
-			b.Probed(now, s.ID, OK, Load{QPS: 50 + float64(i%3), Util: 0.3, EPS: -1, Inflight: -1, Latency: -1})
+			b.HealthCheckEnded(now, s.ID, OK, LoadReport{RequestsPerSecond: 50 + float64(i%3), Utilization: 0.3, ErrorsPerSecond: -1, Inflight: -1, LatencyMillis: -1})
 		}
 		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.Outcome(now+10, Outcome{ID: i + 1, Server: h.last().server, Latency: 10, Final: true, Load: NoLoad})
+			b.AttemptEnded(now+10, Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
 		}
 	}
-	b.Timer(104100, tickToken)
+	b.TimerExpired(104100, tickToken)
 	if served := len(h.sends); served < 190 {
 		t.Errorf("%d of 200 requests were sent", served)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -12,14 +12,14 @@
 
 // TestEveryOutcomeAndEffect drives one request of each effect through each outcome and checks what may follow.
 func TestEveryOutcomeAndEffect(t *testing.T) {
-	all := []Status{Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, Ignored, Spoilt}
+	all := []AttemptStatus{Failed, QueueFull, Timeout, ConnectError, Reset, Cancelled, Unprocessed, MalformedResponse}
 	for _, class := range []string{"read", "keyed", "zoned", "once"} {
 		for _, st := range all {
 			t.Run(fmt.Sprint(class, "/", st), func(t *testing.T) {
 				b, h := start(t, testConfig(), fleet(6))
 				ask(b, 100010, 1, class, 9)
 				first := h.last()
-				b.Outcome(100050, Outcome{ID: 1, Server: first.server, Status: st, Latency: 40, Load: NoLoad})
+				b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: first.server, Status: st, LatencyMillis: 40, Load: NoLoadReport})
 				again := len(h.sends) > 1
 				switch {
 				case class == "once" && !st.NeverRan():
@@ -38,7 +38,7 @@
 						t.Error("no further attempt though one is allowed")
 					}
 				}
-				if again && (h.last().server == first.server) != (st == Spoilt) { // spoilt: the others lack the key
+				if again && (h.last().server == first.server) != (st == MalformedResponse) { // spoilt: the others lack the key
 					t.Error("sent again to the server that just failed, or a spoilt answer's to another")
 				}
 			})
@@ -48,10 +48,10 @@
 
 func TestKeyedIsNotSentAfterItsWindow(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[2].Window = 100
+	cfg.Classes[2].IdempotencyWindowMillis = 100
 	b, h := start(t, cfg, fleet(6))
 	ask(b, 100010, 1, "keyed", 9)
-	b.Outcome(100110, Outcome{ID: 1, Server: h.last().server, Status: Failed, Latency: 100, Load: NoLoad})
+	b.AttemptEnded(100110, Outcome{RequestID: 1, ServerID: h.last().server, Status: Failed, LatencyMillis: 100, Load: NoLoadReport})
 	if len(h.sends) != 1 || h.refused[1] != 1 {
 		t.Errorf("sends %v, refused %d: want one send and a refusal", h.sends, h.refused[1])
 	}
@@ -59,11 +59,11 @@
 
 func TestNeverTwoAtOnceWhereNotAllowed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Copies = false
+	cfg.HedgingAllowed = false
 	b, h := start(t, cfg, fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	for _, tm := range h.timers {
-		b.Timer(100010+tm.after, tm.token)
+		b.TimerExpired(100010+tm.after, tm.token)
 	}
 	if len(h.sends) != 1 {
 		t.Errorf("sends %v while the first is out", h.sends)
@@ -71,7 +71,7 @@
 	if len(h.cancels) != 1 {
 		t.Fatalf("cancels %v: want the silent attempt called off", h.cancels)
 	}
-	b.Outcome(100200, Outcome{ID: 1, Server: h.sends[0].server, Status: Canceled, Latency: 190, Load: NoLoad})
+	b.AttemptEnded(100200, Outcome{RequestID: 1, ServerID: h.sends[0].server, Status: Cancelled, LatencyMillis: 190, Load: NoLoadReport})
 	if len(h.sends) != 2 {
 		t.Error("no second attempt after the cancel")
 	}
@@ -81,16 +81,16 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	s := h.last().server
-	ok := Outcome{ID: 1, Server: s, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad}
-	b.Outcome(100050, ok)
-	b.Outcome(100051, ok)
-	b.Outcome(100052, Outcome{ID: 77, Attempt: 3, Server: 5, Status: Failed, Load: NoLoad})
-	b.Outcome(100053, Outcome{ID: 1, Attempt: -1, Server: s, Status: Failed, Load: NoLoad})
-	b.Gone(100054, 1)
-	b.Gone(100055, 78)
-	b.Started(100056, 79)
-	b.Timer(100057, 80<<8|1)
-	b.Probed(100058, 81, OK, NoLoad)
+	ok := Outcome{RequestID: 1, ServerID: s, Status: OK, LatencyMillis: 40, IsFinal: true, Note: 1, Load: NoLoadReport}
+	b.AttemptEnded(100050, ok)
+	b.AttemptEnded(100051, ok)
+	b.AttemptEnded(100052, Outcome{RequestID: 77, Attempt: 3, ServerID: 5, Status: Failed, Load: NoLoadReport})
+	b.AttemptEnded(100053, Outcome{RequestID: 1, Attempt: -1, ServerID: s, Status: Failed, Load: NoLoadReport})
+	b.ClientDisconnected(100054, 1)
+	b.ClientDisconnected(100055, 78)
+	b.StreamStarted(100056, 79)
+	b.TimerExpired(100057, 80<<8|1)
+	b.HealthCheckEnded(100058, 81, OK, NoLoadReport)
 	if len(h.sends) != 1 || h.answers(1) != 0 || b.servers[s].out != 0 || len(b.reqs) != 0 {
 		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.servers[s].out, len(b.reqs))
 	}
@@ -99,12 +99,12 @@
 func TestNothingNewToDrainingOrGone(t *testing.T) {
 	es := fleet(4)
 	b, h := start(t, testConfig(), es)
-	es[0].State, es[1].State = Draining, Gone
-	b.Servers(100005, Changes, es[:2])
+	es[0].State, es[1].State = Draining, Removed
+	b.UpdateEndpoints(100005, ChangedEndpoints, es[:2])
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
 		ask(b, now, i+1, "read", uint64(i))
-		b.Outcome(now, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 1, Final: true, Load: NoLoad})
+		b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
 	}
 	for _, s := range h.sends {
 		if s.server == es[0].ID || s.server == es[1].ID {
@@ -121,11 +121,11 @@
 	drain[0].State, drain[1].State = Draining, Draining
 	cfg := testConfig()
 	aside := cfg
-	aside.Aside, aside.OriginKind = true, "origin"
+	aside.CacheAside, aside.OriginKind = true, "origin"
 	for name, c := range map[string]struct {
 		cfg Config
-		es  []Entry
-	}{"empty": {cfg, nil}, "draining": {cfg, drain}, "origin only": {aside, []Entry{{ID: 9, Kind: "origin"}}}} {
+		es  []Endpoint
+	}{"empty": {cfg, nil}, "draining": {cfg, drain}, "origin only": {aside, []Endpoint{{ID: 9, Kind: "origin"}}}} {
 		for _, class := range []string{"read", "once", "unknown"} {
 			b, h := start(t, c.cfg, c.es)
 			ask(b, 100010, 1, class, 5)
@@ -139,10 +139,10 @@
 func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
 	es := fleet(3)
 	cfg := testConfig()
-	es[0].Started = 99500
+	es[0].StartedAt = 99500
 	total, capacity := 0.0, 20.0
 	for r := range cfg.Routers {
-		cfg.Me = r
+		cfg.RouterIndex = r
 		b, h := start(t, cfg, es)
 		for _, e := range es {
 			b.servers[e.ID].cap.see(b.now, capacity, 1)
@@ -151,7 +151,7 @@
 			now := 100010 + float64(i)/2
 			ask(b, now, i+1, "read", uint64(i))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
-				b.Outcome(now, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 1, Final: true, Load: NoLoad})
+				b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
 			}
 		}
 		for _, s := range h.sends {
@@ -160,8 +160,8 @@
 			}
 		}
 	}
-	warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*500/cfg.Cold // at the begin of the window
-	if limit := cfg.FallMult * capacity * warmth * cfg.FallFor / 1000; total > limit || total < limit/8 {
+	warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis // at the begin of the window
+	if limit := cfg.OverloadFactor * capacity * warmth * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
 		t.Errorf("%v requests sent to a cold server in the window, its limit is %v", total, limit)
 	}
 }
@@ -171,8 +171,8 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		cfg := testConfig()
-		cfg.Copies, cfg.Cancel, cfg.Aside, cfg.OriginKind = seed%2 == 0, seed%3 != 0, seed%4 > 1, "origin"
-		es := append(fleet(5), Entry{ID: 77, Kind: "origin"})
+		cfg.HedgingAllowed, cfg.CancelAllowed, cfg.CacheAside, cfg.OriginKind = seed%2 == 0, seed%3 != 0, seed%4 > 1, "origin"
+		es := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
 		b, h := start(t, cfg, es)
 		type leg struct {
 			due float64
@@ -195,13 +195,13 @@
 					left := 50 + 500*rng.Float64()
 					until[next] = now + left
 					b.Request(now, Request{ID: next, Class: class, Key: uint64(rng.IntN(20)), HasKey: rng.IntN(9) > 0,
-						Left: left, Write: class == "once"})
+						RemainingMillis: left, IsWrite: class == "once"})
 				}
 			}
 			rest := timers[:0]
 			for _, tm := range timers {
 				if tm.after <= now {
-					b.Timer(now, tm.token)
+					b.TimerExpired(now, tm.token)
 				} else {
 					rest = append(rest, tm)
 				}
@@ -209,27 +209,27 @@
 			timers = rest
 			kept := legs[:0]
 			for _, l := range legs {
-				if l.due > now && until[l.o.ID] > now {
+				if l.due > now && until[l.o.RequestID] > now {
 					kept = append(kept, l)
 					continue
 				}
 				if l.due > now {
-					l.o.Status = TimedOut
+					l.o.Status = Timeout
 				}
-				if answered[l.o.ID]+h.answers(l.o.ID) > 0 {
-					l.o.Final = true
+				if answered[l.o.RequestID]+h.answers(l.o.RequestID) > 0 {
+					l.o.IsFinal = true
 				} else if l.o.Status == OK {
-					l.o.Final = true
-					answered[l.o.ID]++
+					l.o.IsFinal = true
+					answered[l.o.RequestID]++
 				}
-				b.Outcome(now, l.o)
+				b.AttemptEnded(now, l.o)
 			}
 			legs = kept
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
-				st := []Status{OK, OK, Failed, QueueFull, TimedOut, ConnectError, Reset, Miss, Spoilt}[rng.IntN(9)]
+				st := []AttemptStatus{OK, OK, Failed, QueueFull, Timeout, ConnectError, Reset, Miss, MalformedResponse}[rng.IntN(9)]
 				legs = append(legs, leg{now + 300*rng.Float64(),
-					Outcome{ID: s.id, Attempt: tries[s.id], Server: s.server, Status: st, Latency: 20, Load: NoLoad}})
+					Outcome{RequestID: s.id, Attempt: tries[s.id], ServerID: s.server, Status: st, LatencyMillis: 20, Load: NoLoadReport}})
 				tries[s.id]++
 			}
 			for _, tm := range h.timers {
@@ -253,15 +253,15 @@
 func TestAbsurdReportsLeaveTheModelFinite(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(4))
 	inf := math.Inf(1)
-	for i, l := range []Load{NoLoad, {}, {QPS: 5}, {Util: 5}, {QPS: inf, Util: 0.5}, {QPS: 5, Util: inf - inf},
-		{QPS: 1e8, Util: 1e-9}, {QPS: 1e-9, Util: 1e8}, {QPS: -3, Util: 0.5}} {
+	for i, l := range []LoadReport{NoLoadReport, {}, {RequestsPerSecond: 5}, {Utilization: 5}, {RequestsPerSecond: inf, Utilization: 0.5}, {RequestsPerSecond: 5, Utilization: inf - inf},
+		{RequestsPerSecond: 1e8, Utilization: 1e-9}, {RequestsPerSecond: 1e-9, Utilization: 1e8}, {RequestsPerSecond: -3, Utilization: 0.5}} {
 		for j, e := range fleet(4) {
-			b.Probed(100010+float64(i), e.ID, OK, Load{l.QPS + float64(j), l.EPS, l.Util, l.Inflight, l.Latency})
+			b.HealthCheckEnded(100010+float64(i), e.ID, OK, LoadReport{l.RequestsPerSecond + float64(j), l.ErrorsPerSecond, l.Utilization, l.Inflight, l.LatencyMillis})
 		}
 		for r := range uint32(40) {
 			id := uint32(i)*100 + r
 			ask(b, 100010+float64(i), id, "read", uint64(r%3))
-			b.Outcome(100010+float64(i), Outcome{ID: id, Server: h.last().server, Status: OK, Latency: 10, Final: true, Load: l})
+			b.AttemptEnded(100010+float64(i), Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: l})
 		}
 		b.solve()
 		for _, s := range b.order {
@@ -284,15 +284,15 @@
 func TestNewNamesTheBadSetting(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"Routers":             func(c *Config) { c.Routers = 0 },
-		"Me":                  func(c *Config) { c.Me = 5 },
+		"Me":                  func(c *Config) { c.RouterIndex = 5 },
 		"Classes":             func(c *Config) { c.Classes = nil },
-		"Classes[read].Aim":   func(c *Config) { c.Classes[0].Aim = 0 },
-		"Classes[keyed].Scop": func(c *Config) { c.Classes[2].Scope = "planet" },
-		"ColdFrom":            func(c *Config) { c.ColdFrom = 0 },
-		"FallMult":            func(c *Config) { c.FallMult = 0 },
+		"Classes[read].Aim":   func(c *Config) { c.Classes[0].LatencyObjectiveMillis = 0 },
+		"Classes[keyed].Scop": func(c *Config) { c.Classes[2].IdempotencyScope = "planet" },
+		"ColdFrom":            func(c *Config) { c.SlowStartInitialShare = 0 },
+		"FallMult":            func(c *Config) { c.OverloadFactor = 0 },
 		"MaxAttempts":         func(c *Config) { c.MaxAttempts = 0 },
-		"OriginKind":          func(c *Config) { c.Aside = true },
-		"Tenants[x].Quota":    func(c *Config) { c.Tenants = []Tenant{{Name: "x", Quota: -1}} },
+		"OriginKind":          func(c *Config) { c.CacheAside = true },
+		"Tenants[x].Quota":    func(c *Config) { c.Tenants = []Tenant{{Name: "x", QuotaPerSecond: -1}} },
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
@@ -307,14 +307,14 @@
 // Fetches sent too late timed out, and the bound on fetches fell although the origin answered quickly.
 func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, _ := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	was := b.fetches
 	for i := range 20 {
 		b.now += 1000
-		r := &request{class: &Class{Aim: 300}, key: &flow{}}
+		r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}
 		b.fetched(r, OK, 100)
-		b.fetched(r, TimedOut, 40)
+		b.fetched(r, Timeout, 40)
 		if i == 0 {
 			was = b.fetches
 		}
@@ -324,7 +324,7 @@
 	}
 	for range 12 {
 		b.now += 1000
-		b.fetched(&request{class: &Class{Aim: 300}, key: &flow{}}, TimedOut, 900)
+		b.fetched(&request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}, Timeout, 900)
 	}
 	if b.fetches > was/2 {
 		t.Errorf("bound %v though every fetch is slow", b.fetches)
@@ -335,7 +335,7 @@
 func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(2))
 	was := b.fetches
-	r := &request{class: &Class{Aim: 300}, key: &flow{}}
+	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}
 	for range 200 {
 		b.now += 100
 		b.fetched(r, OK, 290)
@@ -347,18 +347,18 @@
 
 func TestOwnMissesOfAKeyShareAFetch(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 5)
 	home := h.last().server
 	ask(b, 100011, 2, "read", 5)
-	b.Outcome(100020, Outcome{ID: 1, Server: home, Status: Miss, Latency: 9, Note: 2, Load: NoLoad})
-	b.Outcome(100021, Outcome{ID: 2, Server: home, Status: Miss, Latency: 9, Note: 2, Load: NoLoad})
+	b.AttemptEnded(100020, Outcome{RequestID: 1, ServerID: home, Status: Miss, LatencyMillis: 9, Note: 2, Load: NoLoadReport})
+	b.AttemptEnded(100021, Outcome{RequestID: 2, ServerID: home, Status: Miss, LatencyMillis: 9, Note: 2, Load: NoLoadReport})
 	ask(b, 100022, 3, "read", 5)
 	if len(h.sends) != 3 || h.last() != (sent{1, 77}) {
 		t.Fatalf("sends %v, want two at the home and one fetch", h.sends)
 	}
-	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 77, Status: OK, Latency: 40, Final: true, Load: NoLoad})
+	b.AttemptEnded(100060, Outcome{RequestID: 1, Attempt: 1, ServerID: 77, Status: OK, LatencyMillis: 40, IsFinal: true, Load: NoLoadReport})
 	if len(h.sends) != 5 || h.sends[3].server != home || h.sends[4].server != home {
 		t.Errorf("sends %v, want the two that waited at the home", h.sends)
 	}
@@ -371,7 +371,7 @@
 		now, was := 100010+300*float64(i), len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > was {
-			b.Outcome(now+20, Outcome{ID: i + 1, Server: h.last().server, Status: Failed, Latency: 20, Note: 2, Load: NoLoad})
+			b.AttemptEnded(now+20, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Failed, LatencyMillis: 20, Note: 2, Load: NoLoadReport})
 		}
 		if len(h.sends) > was+1 {
 			t.Fatalf("request %d was sent again", i+1)
@@ -389,7 +389,7 @@
 	}
 	for i := range uint32(60) { // answers bring the bound back
 		if r := b.reqs[h.last().id]; r != nil && r.out > 0 {
-			b.Outcome(120020+20*float64(i), Outcome{ID: r.ID, Server: h.last().server, Latency: 20, Note: 2, Final: true, Load: NoLoad})
+			b.AttemptEnded(120020+20*float64(i), Outcome{RequestID: r.ID, ServerID: h.last().server, LatencyMillis: 20, Note: 2, IsFinal: true, Load: NoLoadReport})
 		}
 	}
 	if b.fetches < 2 {
@@ -401,11 +401,11 @@
 func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
-	b.Outcome(100041, Outcome{ID: 1, Server: h.last().server, Latency: 40, Note: 2, Final: true, Load: NoLoad})
+	b.AttemptEnded(100041, Outcome{RequestID: 1, ServerID: h.last().server, LatencyMillis: 40, Note: 2, IsFinal: true, Load: NoLoadReport})
 	if ask(b, 101000, 2, "read", 5); b.reqs[2].asks {
 		t.Error("a key stored a second ago was taken for a miss")
 	}
-	b.Outcome(101200, Outcome{ID: 2, Server: h.last().server, Status: Failed, Latency: 200, Note: 2, Load: NoLoad})
+	b.AttemptEnded(101200, Outcome{RequestID: 2, ServerID: h.last().server, Status: Failed, LatencyMillis: 200, Note: 2, Load: NoLoadReport})
 	if ask(b, 102000, 3, "read", 5); !b.reqs[3].asks {
 		t.Error("a key whose fetch failed was taken for stored")
 	}
@@ -428,8 +428,8 @@
 // Without a report every wait was nil, and the first second of a day choked all servers for half a minute.
 func TestUnreportedServersAreNotFlooded(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(6), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.x.see(100)
 	for i := range uint32(600) {
 		ask(b, 100001, i+1, "dear", uint64(i))
@@ -447,13 +447,13 @@
 	s := b.order[0]
 	for range 20 {
 		s.reply = b.now
-		b.observe(s, TimedOut, b.now-400)
+		b.observe(s, Timeout, b.now-400)
 	}
 	if s.accept < 1 || s.ejected {
 		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.accept, s.ejected)
 	}
 	for range 20 {
-		b.observe(s, TimedOut, b.now+1)
+		b.observe(s, Timeout, b.now+1)
 	}
 	if !s.ejected {
 		t.Error("a silent server is still in use")
@@ -466,12 +466,12 @@
 	ask(b, 100001, 1, "read", 5)
 	s := b.servers[h.last().server]
 	was, x := s.lat, b.x
-	b.Outcome(100301, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 300, Note: 2, Final: true, Load: NoLoad})
+	b.AttemptEnded(100301, Outcome{RequestID: 1, ServerID: s.ID, Status: OK, LatencyMillis: 300, Note: 2, IsFinal: true, Load: NoLoadReport})
 	if s.lat != was || b.x != x {
 		t.Errorf("latency %v, moments %v: changed by a fetch", s.lat, b.x)
 	}
 	ask(b, 100302, 2, "read", 5)
-	b.Outcome(100342, Outcome{ID: 2, Server: s.ID, Status: OK, Latency: 40, Note: 1, Final: true, Load: NoLoad})
+	b.AttemptEnded(100342, Outcome{RequestID: 2, ServerID: s.ID, Status: OK, LatencyMillis: 40, Note: 1, IsFinal: true, Load: NoLoadReport})
 	if s.lat.v != 40 || b.x.mean != 40 {
 		t.Errorf("latency %v, mean %v after a hit of 40 ms", s.lat.v, b.x.mean)
 	}
@@ -479,18 +479,18 @@
 
 func TestListIsAskedForAgainAfterARefusal(t *testing.T) {
 	cfg := testConfig()
-	cfg.AskList = true
+	cfg.PollEndpoints = true
 	b, h := start(t, cfg, fleet(3))
 	tickTo := func(from, to float64) {
 		for now := from; now <= to; now += 100 {
-			b.Timer(now, tickToken)
+			b.TimerExpired(now, tickToken)
 		}
 	}
 	tickTo(100100, 100300)
 	if h.watches != 1 {
 		t.Fatalf("%d calls after the start, want 1", h.watches)
 	}
-	b.Servers(100350, Refused, nil)
+	b.UpdateEndpoints(100350, WatchFailed, nil)
 	tickTo(100400, 102000)
 	if h.watches != 2 {
 		t.Fatalf("%d calls after a refusal, want 2", h.watches)
@@ -498,7 +498,7 @@
 	if len(b.order) != 3 {
 		t.Error("a refusal lost the list")
 	}
-	b.Servers(102050, Changes, nil)
+	b.UpdateEndpoints(102050, ChangedEndpoints, nil)
 	tickTo(102100, 120000)
 	if h.watches != 2 {
 		t.Errorf("%d calls while subscribed, want 2", h.watches)
@@ -509,7 +509,7 @@
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.order[0]
 	for range maxStrike {
-		b.observe(s, TimedOut, b.now+1)
+		b.observe(s, Timeout, b.now+1)
 	}
 	if !s.ejected || b.usable(s, read(b, b.flow(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("three signs of silence did not take it out")
@@ -519,7 +519,7 @@
 	}
 	o := b.order[3]
 	for range 2 * maxStrike {
-		b.observe(o, TimedOut, b.now+1)
+		b.observe(o, Timeout, b.now+1)
 	}
 	if o.ejected {
 		t.Error("silence of half the fleet was not taken for our own trouble")
@@ -544,15 +544,15 @@
 // With a bound on the age of reports, a router of a large fleet sent several probes for each of its requests.
 func TestProbesAreAPartOfTheRequests(t *testing.T) {
 	cfg := testConfig()
-	cfg.ByProbe, cfg.Probes, cfg.Routers = true, true, 600
+	cfg.LoadByHealthCheck, cfg.HealthChecks, cfg.Routers = true, true, 600
 	b, h := start(t, cfg, fleet(100))
 	n := uint32(0)
 	for now := 100000.0; now < 160000; now += 100 {
-		b.Timer(now, tickToken)
+		b.TimerExpired(now, tickToken)
 		if int(now)%400 == 0 { // 2.5 requests a second
 			n++
 			ask(b, now, n, "read", uint64(n))
-			b.Outcome(now, Outcome{ID: n, Server: h.last().server, Status: OK, Latency: 1, Final: true, Load: NoLoad})
+			b.AttemptEnded(now, Outcome{RequestID: n, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
 		}
 	}
 	if most := 0.2 * float64(n); float64(len(h.probes)) > most || len(h.probes) < int(n)/10 {
@@ -571,10 +571,10 @@
 // do, cuts of a fifth left a queue there for seconds, and half of all fetches came too late.
 func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, _ := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	b.fetches, b.olat, b.origin.out = 40, level{v: 80, floor: 80, at: b.now}, 12
-	r := &request{class: &Class{Aim: 300}, key: &flow{}}
+	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}
 	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the aim
 		b.now += 10
 		b.fetched(r, OK, 160)
@@ -593,13 +593,13 @@
 func TestFetchesOfManyRoutersAddUpToAFewPlaces(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := testConfig()
-		cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", routers
-		b, h := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
-		r := &request{class: &Class{Aim: 300}, key: &flow{}}
+		cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", routers
+		b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+		r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}
 		b.fetched(r, OK, 30)
 		for range 60 {
 			b.now += 1000
-			b.fetched(r, TimedOut, 900)
+			b.fetched(r, Timeout, 900)
 		}
 		if all := b.fetches * float64(routers); all > 10 {
 			t.Errorf("%d routers: a bound of %v in all though every fetch is late", routers, all)
@@ -608,9 +608,9 @@
 		n := len(h.sends)
 		for i := range uint32(100) { // in 10 s
 			b.now += 100
-			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, Write: true, Left: 600})
+			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, IsWrite: true, RemainingMillis: 600})
 			if r := b.reqs[h.last().id]; r != nil && r.out > 0 {
-				b.Outcome(b.now, Outcome{ID: r.ID, Server: 77, Status: OK, Latency: 100, Final: true, Load: NoLoad})
+				b.AttemptEnded(b.now, Outcome{RequestID: r.ID, ServerID: 77, Status: OK, LatencyMillis: 100, IsFinal: true, Load: NoLoadReport})
 				b.fetches = 0.1
 			}
 		}
@@ -623,35 +623,35 @@
 // Idle connections of hundreds of routers filled the tables of servers, and others' attempts failed to connect.
 func TestConnectErrorsShortenTheTimeThatConnectionsAreKept(t *testing.T) {
 	cfg := testConfig()
-	cfg.ConnIdle = 60000
+	cfg.IdleTimeoutMillis = 60000
 	b, h := start(t, cfg, fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	first := h.last().server
-	b.Outcome(100050, Outcome{ID: 1, Server: first, Status: OK, Latency: 40, Final: true, Load: NoLoad})
-	b.Timer(105000, tickToken)
+	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: first, Status: OK, LatencyMillis: 40, IsFinal: true, Load: NoLoadReport})
+	b.TimerExpired(105000, tickToken)
 	if len(h.closes) != 0 {
 		t.Fatalf("closed %v though no connect failed", h.closes)
 	}
 	for _, s := range b.order[:5] { // dead, for all that is known
 		b.observe(s, ConnectError, b.now)
 	}
-	b.Timer(105050, tickToken)
-	if len(h.closes) != 0 || b.keep != cfg.ConnIdle {
+	b.TimerExpired(105050, tickToken)
+	if len(h.closes) != 0 || b.keep != cfg.IdleTimeoutMillis {
 		t.Fatalf("kept for %v and closed %v after connects that dead servers refused", b.keep, h.closes)
 	}
 	for _, s := range b.order[:5] { // full, as they serve on other connections
 		b.observe(s, OK, b.now)
 	}
-	b.Timer(105100, tickToken)
-	b.Timer(105200, tickToken)
+	b.TimerExpired(105100, tickToken)
+	b.TimerExpired(105200, tickToken)
 	if len(h.closes) != 1 || h.closes[0] != first {
 		t.Errorf("closed %v, want once the server used last 5 s ago, %d", h.closes, first)
 	}
 	for range 1000 {
 		b.observe(b.order[0], OK, b.now)
 	}
-	if b.keep != cfg.ConnIdle {
-		t.Errorf("kept for %v after a thousand answers, want %v", b.keep, cfg.ConnIdle)
+	if b.keep != cfg.IdleTimeoutMillis {
+		t.Errorf("kept for %v after a thousand answers, want %v", b.keep, cfg.IdleTimeoutMillis)
 	}
 }
 
@@ -670,7 +670,7 @@
 			if i > 8*uint32(perSecond) {
 				took = 400
 			}
-			b.Outcome(now+took, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: took, Final: true, Load: NoLoad})
+			b.AttemptEnded(now+took, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: took, IsFinal: true, Load: NoLoadReport})
 		}
 		s := b.order[0]
 		s.out, s.lat = 0, level{v: 40, floor: 40, at: b.now}
@@ -685,19 +685,19 @@
 // A few requests over a quota's part are chance where a router sees little: whole tenants were shed in turn.
 func TestChanceDoesNotPutATenantOverItsQuota(t *testing.T) {
 	cfg := testConfig()
-	cfg.Routers, cfg.OverWorth = 100, 0.05
-	cfg.Tenants = []Tenant{{Name: "x", Quota: 100}} // one a second here
+	cfg.Routers, cfg.OverQuotaWeight = 100, 0.05
+	cfg.Tenants = []Tenant{{Name: "x", QuotaPerSecond: 100}} // one a second here
 	for perSecond, want := range map[int]bool{1: false, 4: true} {
 		b, h := start(t, cfg, fleet(6))
 		over := 0
 		rng := rand.New(rand.NewPCG(3, 4))
 		for i := range uint32(40 * uint32(perSecond)) {
 			now := b.now + rng.ExpFloat64()*1000/float64(perSecond)
-			b.Request(now, Request{ID: i + 1, Class: "read", Tenant: "x", Key: uint64(i), HasKey: true, Left: 600})
+			b.Request(now, Request{ID: i + 1, Class: "read", Tenant: "x", Key: uint64(i), HasKey: true, RemainingMillis: 600})
 			if r := b.reqs[i+1]; r != nil && r.worth < 1 {
 				over++
 			}
-			b.Outcome(now, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 1, Final: true, Load: NoLoad})
+			b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
 		}
 		if share := float64(over) / float64(40*perSecond); want != (share > 0.5) || !want && share > 0.15 {
 			t.Errorf("%d a second for a quota of 1: %v of the requests count as over it", perSecond, share)
@@ -711,19 +711,19 @@
 	ask(b, 100010, 1, "read", 9)
 	s := b.servers[h.last().server]
 	s.qps = 40
-	b.Outcome(100050, Outcome{ID: 1, Server: s.ID, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
+	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: s.ID, Status: OK, LatencyMillis: 40, IsFinal: true, Note: 1, Load: NoLoadReport})
 	idle := b.waitAt(s)
 	for i := range uint32(5) {
 		id := i + 2
 		ask(b, 100060, id, "read", 9)
-		b.Outcome(100060+300, Outcome{ID: id, Server: s.ID, Status: TimedOut, Latency: 300, Load: NoLoad})
+		b.AttemptEnded(100060+300, Outcome{RequestID: id, ServerID: s.ID, Status: Timeout, LatencyMillis: 300, Load: NoLoadReport})
 	}
 	if jammed := b.waitAt(s); jammed < idle+10 {
 		t.Errorf("wait %v after five time-outs, %v before", jammed, idle)
 	}
 	was := s.lat.v
 	ask(b, 100400, 10, "read", 9)
-	b.Outcome(100405, Outcome{ID: 10, Server: s.ID, Status: TimedOut, Latency: 5, Load: NoLoad})
+	b.AttemptEnded(100405, Outcome{RequestID: 10, ServerID: s.ID, Status: Timeout, LatencyMillis: 5, Load: NoLoadReport})
 	if s.lat.v < was {
 		t.Errorf("a time-out of 5 ms lowered the latency from %v to %v", was, s.lat.v)
 	}
@@ -733,8 +733,8 @@
 // answered: only answers and refusals counted.
 func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	refused := 0
 	for i := range uint32(120) {
 		now := 100010 + 350*float64(i)
@@ -743,9 +743,9 @@
 		case !sent:
 			refused++
 		case i < 20:
-			b.Outcome(now+40, Outcome{ID: i + 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
+			b.AttemptEnded(now+40, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 40, IsFinal: true, Note: 1, Load: NoLoadReport})
 		default:
-			b.Outcome(now+600, Outcome{ID: i + 1, Server: h.last().server, Status: TimedOut, Latency: 600, Load: NoLoad})
+			b.AttemptEnded(now+600, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Timeout, LatencyMillis: 600, Load: NoLoadReport})
 		}
 	}
 	if refused < 20 {
@@ -756,16 +756,16 @@
 // A collapse was known by its time-outs only, more than a second late, by when the servers were choked.
 func TestStallsTellOfAJamBeforeTimeOutsDo(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 1)
-	b.Outcome(100050, Outcome{ID: 1, Server: h.last().server, Status: OK, Latency: 40, Final: true, Note: 1, Load: NoLoad})
+	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: h.last().server, Status: OK, LatencyMillis: 40, IsFinal: true, Note: 1, Load: NoLoadReport})
 	was := b.waitAt(b.order[0])
 	for i := range uint32(8) {
 		id, now := i+2, 101010+float64(300*i)
 		ask(b, now, id, "read", uint64(id))
 		b.servers[h.last().server].reply = 0
-		b.Timer(now+200, uint64(id)<<8|1)
+		b.TimerExpired(now+200, uint64(id)<<8|1)
 	}
 	if wait := b.waitAt(b.order[0]); wait < was+30 {
 		t.Errorf("wait %v after eight stalls, %v before", wait, was)
@@ -796,12 +796,12 @@
 	for id := uint32(1); id <= 8; id++ {
 		now := 100000 + float64(id)*100
 		ask(b, now, id, "read", 9)
-		b.Outcome(now+10, Outcome{ID: id, Server: h.last().server, Status: Spoilt, Latency: 10, Load: NoLoad})
+		b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: h.last().server, Status: MalformedResponse, LatencyMillis: 10, Load: NoLoadReport})
 		if s := b.servers[h.sends[0].server]; id == 1 && (s.ejected || s.strikes > 0 || b.keep != keep) {
 			t.Fatalf("after %d: ejected %v, strikes %d, connections kept for %v", id, s.ejected, s.strikes, b.keep)
 		}
 		for a := 1; h.answers(id) == 0; a++ {
-			b.Outcome(now+20, Outcome{ID: id, Attempt: a, Server: h.last().server, Status: Spoilt, Latency: 10, Load: NoLoad})
+			b.AttemptEnded(now+20, Outcome{RequestID: id, Attempt: a, ServerID: h.last().server, Status: MalformedResponse, LatencyMillis: 10, Load: NoLoadReport})
 		}
 	}
 	if s := b.servers[h.sends[0].server]; !s.ejected {
@@ -812,16 +812,16 @@
 // The origin's answer is spoilt on its way to the router, and stored where the key was missing: there it is asked for.
 func TestSpoiltFetchIsAskedForWhereItIsStored(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(3), Entry{ID: 99, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 99, Kind: "origin"}))
 	fetches := b.fetches
 	ask(b, 100010, 1, "read", 9)
 	home := h.last().server
-	b.Outcome(100020, Outcome{ID: 1, Server: home, Status: Miss, Latency: 10, Load: NoLoad})
+	b.AttemptEnded(100020, Outcome{RequestID: 1, ServerID: home, Status: Miss, LatencyMillis: 10, Load: NoLoadReport})
 	if h.last().server != 99 {
 		t.Fatal("no fetch")
 	}
-	b.Outcome(100060, Outcome{ID: 1, Attempt: 1, Server: 99, Status: Spoilt, Latency: 40, Load: NoLoad})
+	b.AttemptEnded(100060, Outcome{RequestID: 1, Attempt: 1, ServerID: 99, Status: MalformedResponse, LatencyMillis: 40, Load: NoLoadReport})
 	if len(h.sends) != 3 || h.last().server != home || b.fetches < fetches || b.keys[9].fetch != nil {
 		t.Errorf("sends %v, bound on fetches %v", h.sends, b.fetches)
 	}
@@ -832,7 +832,7 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	home := b.servers[h.last().server]
-	b.Outcome(100015, Outcome{ID: 1, Server: home.ID, Status: OK, Latency: 5, Final: true, Load: NoLoad})
+	b.AttemptEnded(100015, Outcome{RequestID: 1, ServerID: home.ID, Status: OK, LatencyMillis: 5, IsFinal: true, Load: NoLoadReport})
 	b.observe(home, Reset, 100020)
 	if home.ejected { // a reset is one connection's end
 		t.Fatal("out after a reset")
@@ -852,7 +852,7 @@
 				t.Errorf("tried before it was due")
 			}
 		}
-		b.Outcome(now+10, Outcome{ID: id, Server: s.server, Status: OK, Latency: 10, Final: true, Load: NoLoad})
+		b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: s.server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
 	}
 	if !tried || home.ejected {
 		t.Errorf("tried %v, out %v", tried, home.ejected)
@@ -930,9 +930,9 @@
 	cfg := testConfig()
 	b, h := start(t, cfg, fleet(6))
 	hint := func(id uint32, key uint64, hint float64) *server {
-		b.Request(100000+float64(id), Request{ID: id, Class: "read", Key: key, HasKey: true, Left: 600, Hint: hint})
+		b.Request(100000+float64(id), Request{ID: id, Class: "read", Key: key, HasKey: true, RemainingMillis: 600, WorkHint: hint})
 		s := h.last().server
-		b.Outcome(100010+float64(id), Outcome{ID: id, Server: s, Status: OK, Latency: 10, Final: true, Load: NoLoad})
+		b.AttemptEnded(100010+float64(id), Outcome{RequestID: id, ServerID: s, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
 		return b.servers[s]
 	}
 	first := hint(1, 9, 100)
@@ -956,10 +956,10 @@
 func TestLightRequestsAreWaitedForAsForHalfAUnit(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	patience := func(id uint32, hint float64) float64 {
-		b.Request(100010, Request{ID: id, Class: "read", Key: 9, HasKey: true, Left: 600, Hint: hint})
+		b.Request(100010, Request{ID: id, Class: "read", Key: 9, HasKey: true, RemainingMillis: 600, WorkHint: hint})
 		s := h.last().server
 		p := h.timers[len(h.timers)-1].after
-		b.Outcome(100010, Outcome{ID: id, Server: s, Status: OK, Latency: 20, Final: true, Load: NoLoad})
+		b.AttemptEnded(100010, Outcome{RequestID: id, ServerID: s, Status: OK, LatencyMillis: 20, IsFinal: true, Load: NoLoadReport})
 		return p
 	}
 	patience(1, 100)
@@ -971,7 +971,7 @@
 
 // Homes were spread evenly whatever servers can do: slow ones jammed while fast ones idled.
 func TestHomesAreSpreadByCapacity(t *testing.T) {
-	var es []Entry
+	var es []Endpoint
 	for i, e := range fleet(60) {
 		e.Kind = []string{"fast", "slow"}[i%2]
 		es = append(es, e)
@@ -1029,12 +1029,12 @@
 	b.spare = 0
 	ask(b, 105000, 1, "read", 9)
 	dead := b.servers[h.last().server]
-	b.Outcome(105001, Outcome{ID: 1, Server: dead.ID, Status: ConnectError, Latency: 1, Load: NoLoad})
+	b.AttemptEnded(105001, Outcome{RequestID: 1, ServerID: dead.ID, Status: ConnectError, LatencyMillis: 1, Load: NoLoadReport})
 	if !dead.ejected || len(h.sends) != 2 || h.last().server == dead.ID {
 		t.Errorf("ejected %v, sent %v", dead.ejected, h.sends)
 	}
 	other := b.servers[h.last().server]
-	b.Outcome(105050, Outcome{ID: 1, Attempt: 1, Server: other.ID, Status: OK, Latency: 49, Final: true, Load: NoLoad})
+	b.AttemptEnded(105050, Outcome{RequestID: 1, Attempt: 1, ServerID: other.ID, Status: OK, LatencyMillis: 49, IsFinal: true, Load: NoLoadReport})
 	b.observe(other, ConnectError, 105040)
 	if other.ejected {
 		t.Error("a server that has just answered is out after one connection that was refused")
@@ -1044,8 +1044,8 @@
 // One jammed server made a router of many refuse what was meant for all others.
 func TestAJamIsOfTheServerThatShowsIt(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, _ := start(t, cfg, append(fleet(60), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, _ := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	for range 20 {
 		b.now += 50
 		b.note(b.order[0], 300)
@@ -1067,19 +1067,19 @@
 		var sent [seconds]float64
 		for me := range routers {
 			cfg := testConfig()
-			cfg.Routers, cfg.Me = routers, me
+			cfg.Routers, cfg.RouterIndex = routers, me
 			b, err := New(cfg, uint64(me)*977+5, newHost())
 			if err != nil {
 				t.Fatal(err)
 			}
 			es := fleet(6)
-			b.Servers(100000, Remembered, es)
+			b.UpdateEndpoints(100000, RestoredEndpoints, es)
 			for _, s := range b.order {
 				s.cap.v, s.qps = capacity, 20
 			}
 			b.survey()
-			es[0].Started = 100100
-			b.Servers(100100, Changes, es[:1])
+			es[0].StartedAt = 100100
+			b.UpdateEndpoints(100100, ChangedEndpoints, es[:1])
 			s := b.servers[es[0].ID]
 			for b.now = 100100; b.now < 100100+1000*seconds; b.now += 10 { // sends whatever it may
 				if b.afford(s, 1) {
@@ -1088,7 +1088,7 @@
 				}
 			}
 		}
-		limit := testConfig().FallMult * testConfig().ColdFrom * capacity // a second, at its coldest
+		limit := testConfig().OverloadFactor * testConfig().SlowStartInitialShare * capacity // a second, at its coldest
 		for second, n := range sent {
 			if n < 0.2*limit || n > limit {
 				t.Errorf("%d routers: %v requests in second %d, at a limit of %v", routers, n, second, limit)
@@ -1119,17 +1119,17 @@
 // Work at the origin that comes back too late helps nobody and delays what could be in time.
 func TestNoFetchThatCantBeInTime(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(6), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.olat = level{v: 280, floor: 100, at: 100000}
 	ask(b, 100010, 1, "read", 9)
-	b.Outcome(100050, Outcome{ID: 1, Server: h.last().server, Status: Miss, Latency: 40, Note: 2, Load: NoLoad})
+	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: h.last().server, Status: Miss, LatencyMillis: 40, Note: 2, Load: NoLoadReport})
 	if h.last().server == 77 || h.answers(1) != 1 {
 		t.Errorf("sent %v with 260 ms left of an aim, and fetches that take 280", h.sends)
 	}
-	b.Timer(110000, tickToken) // what was seen of a queue fades
+	b.TimerExpired(110000, tickToken) // what was seen of a queue fades
 	ask(b, 110010, 2, "read", 9)
-	b.Outcome(110050, Outcome{ID: 2, Server: h.last().server, Status: Miss, Latency: 40, Note: 2, Load: NoLoad})
+	b.AttemptEnded(110050, Outcome{RequestID: 2, ServerID: h.last().server, Status: Miss, LatencyMillis: 40, Note: 2, Load: NoLoadReport})
 	if h.last().server != 77 {
 		t.Errorf("sent %v, want the origin asked once its queue is past", h.sends)
 	}
@@ -1138,8 +1138,8 @@
 // A choked server kept its keys until three requests in a row had got no answer at each of eighty routers.
 func TestAStallMovesKeysAtOnce(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind = true, "origin"
-	b, h := start(t, cfg, append(fleet(20), Entry{ID: 77, Kind: "origin"}))
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(20), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 9)
 	s := b.servers[h.last().server]
 	b.model()
@@ -1152,7 +1152,7 @@
 		return n
 	}
 	was := homes()
-	b.Timer(100200, 1<<8|1)
+	b.TimerExpired(100200, 1<<8|1)
 	b.model()
 	if is := homes(); is > was/2 {
 		t.Errorf("%d homes before a stall, %d after", was, is)
@@ -1164,7 +1164,7 @@
 	b, h := start(t, testConfig(), fleet(6))
 	now := 100010.0
 	try := func(id uint32, left float64, retry bool) float64 { // how long its answer is worth something
-		b.Request(now, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, Left: left, Retry: retry})
+		b.Request(now, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true, RemainingMillis: left, IsRetry: retry})
 		if r := b.reqs[id]; r != nil {
 			return r.aim - now
 		}
@@ -1212,7 +1212,7 @@
 		full bool
 	}{{"others are free", false}, {"others are full", true}} {
 		cfg := testConfig()
-		cfg.Copies = false
+		cfg.HedgingAllowed = false
 		b, h := start(t, cfg, fleet(6))
 		ask(b, 100010, 1, "read", 9)
 		if c.full {
@@ -1220,7 +1220,7 @@
 				s.cap.v, s.out = 1, s.out+40
 			}
 		}
-		b.Timer(100100, 1<<8|1)
+		b.TimerExpired(100100, 1<<8|1)
 		if gave := len(h.cancels) > 0; gave == c.full {
 			t.Fatalf("%s: cancelled %v", c.name, h.cancels)
 		}
@@ -1230,11 +1230,11 @@
 		if last := h.timers[len(h.timers)-1]; math.Abs(last.after-210) > 1e-6 || h.answers(1) != 0 {
 			t.Errorf("comes back after %v ms, want the aim; %d answers by then", last.after, h.answers(1))
 		}
-		b.Timer(100311, 1<<8|1)
+		b.TimerExpired(100311, 1<<8|1)
 		if len(h.cancels) != 1 {
 			t.Fatalf("cancelled %v at the aim, when an answer is worth nothing", h.cancels)
 		}
-		b.Outcome(100311, Outcome{ID: 1, Server: h.last().server, Status: Canceled, Latency: 301, Load: NoLoad})
+		b.AttemptEnded(100311, Outcome{RequestID: 1, ServerID: h.last().server, Status: Cancelled, LatencyMillis: 301, Load: NoLoadReport})
 		if h.refused[1] != 1 {
 			t.Error("its client is not told at once")
 		}
@@ -1245,17 +1245,17 @@
 func TestAMissAfterTheStartIsFetchedAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 4, 80, 300} {
 		cfg := testConfig()
-		cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", routers
-		cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 600, 1200
-		b, h := start(t, cfg, append(fleet(6), Entry{ID: 77, Kind: "origin"}))
+		cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", routers
+		cfg.Classes[0].LatencyObjectiveMillis, cfg.Classes[0].DeadlineMillis = 600, 1200
+		b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(12) { // the last is on its way when the next one misses
 			now := 100010 + 300*float64(i)
 			ask(b, now, i+1, "read", uint64(i))
-			b.Outcome(now+20, Outcome{ID: i + 1, Server: h.last().server, Status: Miss, Latency: 20, Note: 2, Load: NoLoad})
+			b.AttemptEnded(now+20, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Miss, LatencyMillis: 20, Note: 2, Load: NoLoadReport})
 			if h.last() != (sent{i + 1, 77}) {
 				t.Fatalf("%d routers: request %d is not fetched: sent %v", routers, i+1, h.sends)
 			}
-			b.Outcome(now+270, Outcome{ID: i + 1, Attempt: 1, Server: 77, Status: OK, Latency: 250, Final: true, Load: NoLoad})
+			b.AttemptEnded(now+270, Outcome{RequestID: i + 1, Attempt: 1, ServerID: 77, Status: OK, LatencyMillis: 250, IsFinal: true, Load: NoLoadReport})
 		}
 	}
 }
@@ -1267,7 +1267,7 @@
 		least, most        float64 // probes for each arrival, late in the day
 	}{{12, 100, 0.14, 0.16}, {150, 17, 0.005, 0.03}} {
 		cfg := testConfig()
-		cfg.Routers, cfg.ByProbe, cfg.Probes = 300, true, true
+		cfg.Routers, cfg.LoadByHealthCheck, cfg.HealthChecks = 300, true, true
 		b, h := start(t, cfg, fleet(c.servers))
 		id, late := uint32(0), 0
 		for i := range 30 * c.perSecond {
@@ -1275,11 +1275,11 @@
 			id++
 			ask(b, now, id, "read", uint64(id%50))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
-				b.Outcome(now+1, Outcome{ID: id, Server: h.last().server, Status: OK, Latency: 50, Final: true, Load: NoLoad})
+				b.AttemptEnded(now+1, Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 50, IsFinal: true, Load: NoLoadReport})
 			}
-			b.Timer(now+2, tickToken)
+			b.TimerExpired(now+2, tickToken)
 			for _, s := range h.probes {
-				b.Probed(now+3, s, OK, Load{QPS: 20 + float64(i%7), Util: 0.4, EPS: -1, Inflight: -1, Latency: -1})
+				b.HealthCheckEnded(now+3, s, OK, LoadReport{RequestsPerSecond: 20 + float64(i%7), Utilization: 0.4, ErrorsPerSecond: -1, Inflight: -1, LatencyMillis: -1})
 			}
 			if i >= 15*c.perSecond {
 				late += len(h.probes)
@@ -1297,9 +1297,9 @@
 // Cuts left hundreds of routers a fortieth of a fetch each, and a bound below one grows with fetches only: it took minutes.
 func TestABoundThatWasCutLeavesATenthOfTheRequests(t *testing.T) {
 	cfg := testConfig()
-	cfg.Aside, cfg.OriginKind, cfg.Routers = true, "origin", 300
-	b, _ := start(t, cfg, append(fleet(3), Entry{ID: 77, Kind: "origin"}))
-	r := &request{class: &Class{Aim: 300}, key: &flow{}}
+	cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", 300
+	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &flow{}}
 	b.fetched(r, OK, 100)
 	for range 400 { // twenty a second
 		b.now += 50
@@ -1308,7 +1308,7 @@
 	for range 200 {
 		b.now += 50
 		b.arrivals.add(b.now, keyTau, 1)
-		b.fetched(r, TimedOut, 900)
+		b.fetched(r, Timeout, 900)
 	}
 	// Two a second of 100 ms each, though every fetch is late: all hundreds together ask for a tenth of what they are asked.
 	if b.fetches < 0.15 || b.fetches > 0.8 {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -23,21 +23,21 @@
 	f := &slowStartFleet{}
 	for me := range routers {
 		cfg := testConfig()
-		cfg.Routers, cfg.Me, cfg.Copies, cfg.Cancel = routers, me, false, false
-		cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 30000, 60000 // no wait keeps a request from the server
+		cfg.Routers, cfg.RouterIndex, cfg.HedgingAllowed, cfg.CancelAllowed = routers, me, false, false
+		cfg.Classes[0].LatencyObjectiveMillis, cfg.Classes[0].DeadlineMillis = 30000, 60000 // no wait keeps a request from the server
 		host := newHost()
 		b, err := New(cfg, mix(seed)^uint64(me), host)
 		if err != nil {
 			t.Fatal(err)
 		}
 		entries := fleet(1)
-		b.Servers(serverStart-100, Remembered, entries)
+		b.UpdateEndpoints(serverStart-100, RestoredEndpoints, entries)
 		s := b.order[0]
-		s.cap.v, s.qps, s.heard = warmRequests*1000/(cfg.FallMult*cfg.FallFor), 1, b.now
+		s.cap.v, s.qps, s.heard = warmRequests*1000/(cfg.OverloadFactor*cfg.OverloadMillis), 1, b.now
 		b.survey()
 		b.hint = 1 // the mean work of requests is known
-		entries[0].Started = serverStart
-		b.Servers(serverStart+toldAfter, Changes, entries)
+		entries[0].StartedAt = serverStart
+		b.UpdateEndpoints(serverStart+toldAfter, ChangedEndpoints, entries)
 		f.routers, f.hosts = append(f.routers, b), append(f.hosts, host)
 	}
 	return f
@@ -48,10 +48,10 @@
 	b, host := f.routers[router], f.hosts[router]
 	f.nextID++
 	was := len(host.sends)
-	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, Left: 60000, Hint: hint})
+	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, RemainingMillis: 60000, WorkHint: hint})
 	sent := len(host.sends) > was
 	if sent {
-		b.Outcome(now, Outcome{ID: f.nextID, Server: b.order[0].ID, Status: OK, Latency: 1, Final: true, Load: NoLoad})
+		b.AttemptEnded(now, Outcome{RequestID: f.nextID, ServerID: b.order[0].ID, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
 	}
 	host.sends, host.timers = host.sends[:0], nil
 	return sent
@@ -64,7 +64,7 @@
 	type arrival struct{ at, work float64 }
 	var window []arrival
 	cfg, bound := f.routers[0].cfg, 1.0
-	for now := serverStart + from; now < min(serverStart+from+2*cfg.FallFor, serverStart+cfg.Cold); now += step {
+	for now := serverStart + from; now < min(serverStart+from+2*cfg.OverloadMillis, serverStart+cfg.SlowStartMillis); now += step {
 		for _, router := range rng.Perm(len(f.routers)) {
 			for most := warmRequests; most > 0; most-- {
 				work, hint := 1.0, 0.0
@@ -81,7 +81,7 @@
 		}
 		sum, kept := 0.0, window[:0]
 		for _, a := range window {
-			if a.at > now-cfg.FallFor {
+			if a.at > now-cfg.OverloadMillis {
 				sum, kept = sum+a.work, append(kept, a)
 			}
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -68,7 +68,7 @@
 
 // server is what a router knows of a server.
 type server struct {
-	Entry
+	Endpoint
 	listed       bool
 	banned       bool    // left out by hand
 	out          int     // own attempts outstanding,
@@ -88,7 +88,7 @@
 	fresh        float64 // start of the cold phase
 	budget       rate    // hard send budget while cold
 	sent         rate    // own work sent
-	last         Load
+	last         LoadReport
 	qps, heard   float64 // reported, a second, and when
 	cap          level   // capacity, requests a second; 0 = not reported
 	lat          level   // latency of a unit of work
@@ -145,14 +145,14 @@
 
 // useful is until when an answer is worth something.
 func (r *request) useful() float64 {
-	if r.class.Late == 0 {
+	if r.class.LateWeight == 0 {
 		return min(r.until, r.aim)
 	}
 	return r.until
 }
 
 // settle books the outcome of an attempt and returns it, or nil if it is not outstanding.
-func (r *request) settle(i int, st Status) *attempt {
+func (r *request) settle(i int, st AttemptStatus) *attempt {
 	if r == nil || i < 0 || i >= len(r.tries) || r.tries[i].over {
 		return nil
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -38,8 +38,8 @@
 type Host interface {
 	// Admit lets a request in.
 	Admit(id uint32)
-	// Refuse rejects a request; its client may come back after so many milliseconds.
-	Refuse(id uint32, afterMS float64)
+	// Reject rejects a request; its client may come back after so many milliseconds.
+	Reject(id uint32, afterMS float64)
 }
 
 // notStarted stands for the time of the first call before there was one.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -29,7 +29,7 @@
 		d.onAdmit(id)
 	}
 }
-func (d *door) Refuse(id uint32, after float64) { d.refused[id] = after; d.ends[id]++ }
+func (d *door) Reject(id uint32, after float64) { d.refused[id] = after; d.ends[id]++ }
 
 func config() Config {
 	return Config{Classes: []Class{{Name: "read", Cost: 10}, {Name: "write", Cost: 10, First: true}}, OthersWeight: 1, Flows: 1024, Buckets: 64,
@@ -401,4 +401,4 @@
 type quiet struct{}
 
 func (quiet) Admit(uint32)           {}
-func (quiet) Refuse(uint32, float64) {}
+func (quiet) Reject(uint32, float64) {}
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -72,7 +72,7 @@
 	if in.early > 0 { // it gains nothing by coming early, and what it was told holds
 		f.count.Refused++
 		f.count.Early++
-		a.host.Refuse(in.request.ID, in.early)
+		a.host.Reject(in.request.ID, in.early)
 		return true
 	}
 	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 { // within its share a tenant may retry as it likes
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -86,7 +86,7 @@
 		a.promise(identity, flowIndex, retryAfter, cost)
 	}
 	a.rejections.add(identity, a.now)
-	a.host.Refuse(id, retryAfter)
+	a.host.Reject(id, retryAfter)
 }
 
 // promise remembers a retry-after, while there is room.
--- a/internal/healthcheck/board.go
+++ b/internal/healthcheck/board.go
@@ -31,9 +31,9 @@
 
 // Report is a good answer to a probe.
 type Report struct {
-	Server uint32      `json:"s"`
-	AgeMS  float64     `json:"a"` // when it was told
-	Load   decide.Load `json:"l"`
+	Server uint32            `json:"s"`
+	AgeMS  float64           `json:"a"` // when it was told
+	Load   decide.LoadReport `json:"l"`
 }
 
 // Encode writes reports as a lease's record of at most so many bytes. Those that don't fit are left out: each router probes
@@ -73,7 +73,7 @@
 }
 
 type dated struct {
-	load decide.Load
+	load decide.LoadReport
 	at   float64 // when it was true at the earliest
 }
 
@@ -105,13 +105,13 @@
 }
 
 // Look tells a server's load by a report that isn't stale.
-func (b *Board) Look(now float64, server uint32) (decide.Load, bool) {
+func (b *Board) Look(now float64, server uint32) (decide.LoadReport, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d, ok := b.known[server]
 	if !ok || d.at+b.staleMS < now {
 		b.missed++
-		return decide.NoLoad, false
+		return decide.NoLoadReport, false
 	}
 	b.used++
 	return d.load, true
--- a/internal/healthcheck/board_test.go
+++ b/internal/healthcheck/board_test.go
@@ -22,15 +22,15 @@
 			server := rapid.Uint32Range(0, 3).Draw(t, "server")
 			if rapid.Bool().Draw(t, "tell") {
 				age := float64(rapid.IntRange(0, 1500).Draw(t, "age"))
-				b.Tell(now, age, Report{Server: server, Load: decide.Load{QPS: now - age}})
+				b.Tell(now, age, Report{Server: server, Load: decide.LoadReport{RequestsPerSecond: now - age}})
 				if old, ok := born[server]; age <= 1000 && (!ok || now-age > old) {
 					born[server] = now - age
 				}
 			}
 			at, known := born[server]
 			load, ok := b.Look(now, server)
-			if want := known && now-at <= 1000; ok != want || ok && load.QPS != at {
-				t.Fatalf("at %v: %v %v, want %v from %v", now, load.QPS, ok, want, at)
+			if want := known && now-at <= 1000; ok != want || ok && load.RequestsPerSecond != at {
+				t.Fatalf("at %v: %v %v, want %v from %v", now, load.RequestsPerSecond, ok, want, at)
 			}
 		}
 	})
@@ -50,9 +50,9 @@
 func TestRecord(t *testing.T) {
 	var all []Report
 	for i := range uint32(500) {
-		all = append(all, Report{Server: i, AgeMS: 1.5, Load: decide.Load{QPS: float64(i), EPS: -1, Util: 0.25, Inflight: 3, Latency: 7}})
+		all = append(all, Report{Server: i, AgeMS: 1.5, Load: decide.LoadReport{RequestsPerSecond: float64(i), ErrorsPerSecond: -1, Utilization: 0.25, Inflight: 3, LatencyMillis: 7}})
 	}
-	all[1].Load.Util = math.NaN() // left out alone
+	all[1].Load.Utilization = math.NaN() // left out alone
 	text := Encode(all, coord.MaxRecord)
 	got, err := Decode(text)
 	if err != nil || len(text) > coord.MaxRecord || len(got) < 30 || got[0] != all[0] || got[1] != all[2] {
--- a/internal/healthcheck/run.go
+++ b/internal/healthcheck/run.go
@@ -23,7 +23,7 @@
 	Board   *Board
 	Now     func() float64 // the router's clock, in milliseconds
 	Servers func(context.Context) ([]uint32, error)
-	Probe   func(context.Context, uint32) (decide.Status, decide.Load)
+	Probe   func(context.Context, uint32) (decide.AttemptStatus, decide.LoadReport)
 }
 
 // mostShares bounds the shares that one router holds, so that no one probes all while others are there.
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -39,8 +39,8 @@
 	for _, c := range cfg.settings.Config.Classes {
 		ad.class[c.Name] = len(rules.Classes)
 		// The aim tells, class by class, how much work is meant, until it has been measured.
-		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, Cost: c.Aim, First: c.Effect != decide.Repeatable})
-		longest = max(longest, c.Aim)
+		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, Cost: c.LatencyObjectiveMillis, First: c.Effect != decide.Idempotent})
+		longest = max(longest, c.LatencyObjectiveMillis)
 	}
 	ad.others = len(rules.Classes)
 	rules.Classes = append(rules.Classes, admission.Class{Name: "(others)", Cost: longest})
@@ -51,7 +51,7 @@
 
 // withCaps has the platform's bound on times told go before the operator's.
 func withCaps(rules admission.Config, cfg *Config) admission.Config {
-	if m := cfg.settings.Config.MaxAfter; m > 0 {
+	if m := cfg.settings.Config.MaxRetryAfterMillis; m > 0 {
 		rules.MaxAfterMS = m
 	}
 	return rules
@@ -145,14 +145,14 @@
 	})
 }
 
-// Refuse ends a request at the door.
-func (ad *admissionControl) Refuse(id uint32, after float64) {
+// Reject ends a request at the door.
+func (ad *admissionControl) Reject(id uint32, after float64) {
 	if r := ad.l.reqs[id]; r != nil {
 		r.door = doorOut
 		if ad.l.rules.Load().tellsRetryAfter {
-			ad.l.Refuse(id, math.Ceil(after))
+			ad.l.Reject(id, math.Ceil(after))
 		} else {
-			ad.l.Refuse(id, 0)
+			ad.l.Reject(id, 0)
 		}
 	}
 }
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -67,7 +67,7 @@
 				s.Is = rollout.Bad
 			case e.State != "active":
 				s.Is = rollout.Leaving
-			case known && l.b.Ejected(id):
+			case known && l.b.IsEjected(id):
 				if !l.hearsay[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
 					s.Is = rollout.Bad
 				}
@@ -113,16 +113,16 @@
 			delete(l.ejectedByPeers, id)
 			continue
 		}
-		if !l.b.Ejected(id) {
+		if !l.b.IsEjected(id) {
 			l.hearsay[id] = true
 			for range mostSigns { // fewer do where it has had some of its own
-				if l.b.Probed(l.now(), id, decide.ConnectError, decide.NoLoad); l.b.Ejected(id) {
+				if l.b.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport); l.b.IsEjected(id) {
 					break
 				}
 			}
 			continue
 		}
-		l.b.Probed(l.now(), id, decide.ConnectError, decide.NoLoad) // it puts off its trial
+		l.b.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport) // it puts off its trial
 	}
 	if l.refreshing = len(l.ejectedByPeers) > 0; l.refreshing {
 		l.after(feedEvery, l.feed)
@@ -133,8 +133,8 @@
 const mostSigns = 3
 
 // firsthand books that this router has found out by itself how a server is that it knew of by others.
-func (l *loop) firsthand(server uint32, st decide.Status) {
-	if _, told := l.ejectedByPeers[server]; l.hearsay[server] && !told && (st == decide.TimedOut || st == decide.ConnectError || st == decide.Reset || st == decide.Failed) {
+func (l *loop) firsthand(server uint32, st decide.AttemptStatus) {
+	if _, told := l.ejectedByPeers[server]; l.hearsay[server] && !told && (st == decide.Timeout || st == decide.ConnectError || st == decide.Reset || st == decide.Failed) {
 		delete(l.hearsay, server)
 	}
 }
@@ -203,14 +203,14 @@
 }
 
 // ask probes a server for all routers.
-func (l *loop) ask(ctx context.Context, server uint32) (st decide.Status, load decide.Load) {
+func (l *loop) ask(ctx context.Context, server uint32) (st decide.AttemptStatus, load decide.LoadReport) {
 	var t *target
 	if err := l.do(ctx, func() error { t = l.targets[server]; return nil }); err != nil || t == nil {
-		return decide.ConnectError, decide.NoLoad
+		return decide.ConnectError, decide.NoLoadReport
 	}
 	ctx, stop := context.WithTimeout(ctx, probeTimeout*time.Millisecond)
 	defer stop()
 	st, load = l.up.probe(ctx, t)
-	l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.QPS, load.Util)
+	l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.RequestsPerSecond, load.Utilization)
 	return st, load
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -20,10 +20,10 @@
 	index         int
 	server        uint32
 	startedAt     float64
-	isDone        bool          // has its outcome; what comes later is nobody's
-	mayHaveRun    bool          // may have run, until its outcome proves the contrary
-	isCancelled   bool          // after it was written: its outcome, once its connection is closed,
-	cancelledAs   decide.Status // is this, unless it was served just then
+	isDone        bool                 // has its outcome; what comes later is nobody's
+	mayHaveRun    bool                 // may have run, until its outcome proves the contrary
+	isCancelled   bool                 // after it was written: its outcome, once its connection is closed,
+	cancelledAs   decide.AttemptStatus // is this, unless it was served just then
 	cancelContext context.CancelFunc
 	timeoutTimer  *timer
 	phase         atomic.Int32
@@ -42,7 +42,7 @@
 	for _, r := range l.reqs {
 		for _, a := range r.attempts {
 			if a.server == server && a.cancelUnsent() {
-				l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Ignored)) })
+				l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Unprocessed)) })
 			}
 		}
 	}
@@ -75,28 +75,28 @@
 	if len(l.hearsay) > 0 {
 		l.firsthand(a.server, got.status)
 	}
-	l.b.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.server, Status: got.status, Latency: now - a.startedAt,
-		Final: r.isDone, Note: got.note, Load: got.load})
+	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: got.status, LatencyMillis: now - a.startedAt,
+		IsFinal: r.isDone, Note: got.note, Load: got.load})
 }
 
 // ends returns an attempt's outcome without a reply.
-func ends(st decide.Status) reply { return reply{status: st, load: decide.NoLoad} }
+func ends(st decide.AttemptStatus) reply { return reply{status: st, load: decide.NoLoadReport} }
 
 // timeOut ends an attempt that is waited for no longer.
 func (l *loop) timeOut(a *attempt) {
 	if a.cancelUnsent() {
 		l.outcome(a, ends(decide.ConnectError)) // the connection never came up, and now nothing will be written
 	} else {
-		a.cancelSent(decide.TimedOut)
+		a.cancelSent(decide.Timeout)
 	}
 }
 
 // cancel ends an attempt by closing its connection.
 func (a *attempt) cancel(l *loop) {
 	if a.cancelUnsent() {
-		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Canceled)) })
+		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Cancelled)) })
 	} else {
-		a.cancelSent(decide.Canceled)
+		a.cancelSent(decide.Cancelled)
 	}
 }
 
@@ -111,7 +111,7 @@
 
 // cancelSent ends the wait for an attempt that is written, as told. Its outcome comes once its connection is closed: a further
 // attempt that was written before that would be a second copy.
-func (a *attempt) cancelSent(as decide.Status) {
+func (a *attempt) cancelSent(as decide.AttemptStatus) {
 	if !a.isDone && !a.isCancelled && a.phase.Load() == phaseWriting {
 		a.isCancelled, a.cancelledAs = true, as
 		a.cancelContext()
@@ -121,10 +121,10 @@
 // repeatWindowEnd is when no further attempt of a request may be written: the window of its effect runs from the send of the first
 // that may have run, and the connection of a later one may take long to come up.
 func (r *request) repeatWindowEnd() float64 {
-	if r.rule.Effect == decide.Keyed {
+	if r.rule.Effect == decide.IdempotentByKey {
 		for _, a := range r.attempts {
 			if a.mayHaveRun {
-				return a.startedAt + r.rule.Window - 1
+				return a.startedAt + r.rule.IdempotencyWindowMillis - 1
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 	t := l.targets[server]
 	forbidden := a.index >= r.maxAttempts || r.attemptsOut > 1 && !r.allowsHedge
 	if r.isDone || t == nil || remaining <= 0 || forbidden {
-		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Ignored)) })
+		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Unprocessed)) })
 		return
 	}
 	a.timeoutTimer = l.after(remaining, func() { l.timeOut(a) })
@@ -175,7 +175,7 @@
 func (l *loop) perform(ctx context.Context, a *attempt, t *target, client *slot, limits sendLimits) {
 	var value *sink // of a value that is passed through
 	on := hooks{
-		once:    a.request.rule.Effect != decide.Repeatable,
+		once:    a.request.rule.Effect != decide.Idempotent,
 		begin:   func() timeoutHint { return l.startWriting(a, client, limits) },
 		wrote:   func() { l.metrics.Dispatches.Add(1) },
 		through: func(got reply) *sink { value = l.openSink(ctx, a, got); return value },
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -147,7 +147,7 @@
 			t.Parallel()
 			s, o := startFake(t, hit), startFake(t, originOK)
 			cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
-			cfg.settings.Config.Probes = false
+			cfg.settings.Config.HealthChecks = false
 			l, clients, addr := partsUnder(t, cfg, 40, box("s-0000000b", s.addr), originAt(o.addr))
 			c := dial(t, addr)
 			busy := newGate(t)
@@ -284,12 +284,16 @@
 	in := func(e entry, state string) entry { e.State = state; return e }
 	for name, news := range map[string]func(l *loop, e, other entry){
 		"leaving": func(l *loop, e, _ entry) {
-			l.list(decide.Changes, list{Version: 2, Servers: []entry{in(e, "leaving")}})
+			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{in(e, "leaving")}})
 		},
-		"left":            func(l *loop, e, _ entry) { l.list(decide.Changes, list{Version: 2, Servers: []entry{in(e, "left")}}) },
-		"left out of all": func(l *loop, _, o entry) { l.list(decide.Full, full(o)) },
-		"moved":           func(l *loop, e, _ entry) { l.list(decide.Changes, list{Version: 2, Servers: []entry{moved(e)}}) },
-		"by hand":         func(l *loop, e, _ entry) { l.setDisabled(ban{ID: e.ID, Disabled: true}) },
+		"left": func(l *loop, e, _ entry) {
+			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{in(e, "left")}})
+		},
+		"left out of all": func(l *loop, _, o entry) { l.list(decide.AllEndpoints, full(o)) },
+		"moved": func(l *loop, e, _ entry) {
+			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{moved(e)}})
+		},
+		"by hand": func(l *loop, e, _ entry) { l.setDisabled(ban{ID: e.ID, Disabled: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -745,9 +749,9 @@
 	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
 		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
 	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
-	cfg.settings.Config.Probes = false
+	cfg.settings.Config.HealthChecks = false
 	for i := range cfg.settings.Config.Classes {
-		cfg.settings.Config.Classes[i].Aim = 500 // the door expects a request to take so long
+		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // the door expects a request to take so long
 	}
 	r = start(t, cfg)
 	for c := dial(t, r.addr); c.ask("mn") != "MN"; {
@@ -827,7 +831,7 @@
 func longLived(cfg *Config) *Config {
 	for i := range cfg.settings.Config.Classes {
 		c := &cfg.settings.Config.Classes[i]
-		c.Aim, c.Deadline, c.Window = 30000, 60000, 60000
+		c.LatencyObjectiveMillis, c.DeadlineMillis, c.IdempotencyWindowMillis = 30000, 60000, 60000
 	}
 	return cfg
 }
@@ -916,7 +920,7 @@
 			cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
 			for i := range cfg.settings.Config.Classes {
 				if k := &cfg.settings.Config.Classes[i]; k.Name == "read" {
-					k.Effect, k.Scope, k.Window = decide.Keyed, "all", 2000
+					k.Effect, k.IdempotencyScope, k.IdempotencyWindowMillis = decide.IdempotentByKey, "all", 2000
 				}
 			}
 			l, _, addr := partsUnder(t, cfg, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr), originAt("127.0.0.1:1"))
@@ -1034,7 +1038,7 @@
 	l := r.router.l
 	dropped := longLived(retuned(t, cfg, `"name":"read"`, `"name":"fetch"`))
 	dropped.Admission = cfg.Admission
-	dropped.settings.Config.Probes = false
+	dropped.settings.Config.HealthChecks = false
 	r.updates <- dropped
 	until(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
 	answer.let()
--- a/internal/router/host.go
+++ b/internal/router/decision_host.go
@@ -11,8 +11,8 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Refuse answers that trying again is harmless.
-func (l *loop) Refuse(id uint32, wait float64) {
+// Reject answers that trying again is harmless.
+func (l *loop) Reject(id uint32, wait float64) {
 	if r := l.reqs[id]; r != nil {
 		l.finish(r, refused(wait), metrics.Overload)
 	}
@@ -28,17 +28,17 @@
 // probeTimeout is how long a probe is waited for, in milliseconds.
 const probeTimeout = 500
 
-// Probe asks a server for its load.
-func (l *loop) Probe(server uint32) {
+// HealthCheck asks a server for its load.
+func (l *loop) HealthCheck(server uint32) {
 	t := l.targets[server]
 	if t == nil {
-		l.deferred = append(l.deferred, func() { l.b.Probed(l.now(), server, decide.ConnectError, decide.NoLoad) })
+		l.deferred = append(l.deferred, func() { l.b.HealthCheckEnded(l.now(), server, decide.ConnectError, decide.NoLoadReport) })
 		return
 	}
 	if l.board != nil {
 		if load, ok := l.board.Look(l.now(), server); ok { // another router has asked it
-			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.QPS, load.Util)
-			l.deferred = append(l.deferred, func() { l.b.Probed(l.now(), server, decide.OK, load) })
+			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.RequestsPerSecond, load.Utilization)
+			l.deferred = append(l.deferred, func() { l.b.HealthCheckEnded(l.now(), server, decide.OK, load) })
 			return
 		}
 	}
@@ -46,32 +46,32 @@
 		ctx, stop := context.WithTimeout(l.ctx, probeTimeout*time.Millisecond)
 		defer stop()
 		st, load := l.up.probe(ctx, t)
-		l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.QPS, load.Util)
-		l.post(func() { l.b.Probed(l.now(), server, st, load) })
+		l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.RequestsPerSecond, load.Utilization)
+		l.post(func() { l.b.HealthCheckEnded(l.now(), server, st, load) })
 	})
 }
 
-// Close closes the idle connections to a server.
-func (l *loop) Close(server uint32) {
+// CloseIdle closes the idle connections to a server.
+func (l *loop) CloseIdle(server uint32) {
 	if t := l.targets[server]; t != nil {
 		l.up.closeIdle(t)
 	}
 }
 
-// Timer calls the Balancer's Timer after that many milliseconds.
-func (l *loop) Timer(after float64, token uint64) {
-	l.after(after, func() { l.b.Timer(l.now(), token) })
+// SetTimer calls the Balancer's Timer after that many milliseconds.
+func (l *loop) SetTimer(after float64, token uint64) {
+	l.after(after, func() { l.b.TimerExpired(l.now(), token) })
 }
 
-// Watch asks discovery for changes from now on.
-func (l *loop) Watch() {
+// WatchEndpoints asks discovery for changes from now on.
+func (l *loop) WatchEndpoints() {
 	if l.disc != nil {
 		l.disc.watch()
 	}
 }
 
-// Tell sends nothing: the module has nothing to tell other routers.
-func (l *loop) Tell([]byte) {}
+// Gossip sends nothing: the module has nothing to tell other routers.
+func (l *loop) Gossip([]byte) {}
 
 // Log writes a line of the module's.
 func (l *loop) Log(text string) { slog.Info("module", "text", text) }
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -36,21 +36,21 @@
 	Started float64 `json:"started_ms"`
 }
 
-var listStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Gone}
+var listStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
 
 // decided is the entry as the module takes it.
-func (e entry) decided() (decide.Entry, error) {
+func (e entry) decided() (decide.Endpoint, error) {
 	st, ok := listStates[e.State]
 	if !ok {
-		return decide.Entry{}, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
+		return decide.Endpoint{}, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
 	}
 	if e.ID == "" {
-		return decide.Entry{}, fmt.Errorf("server at %q without an id", e.Addr)
+		return decide.Endpoint{}, fmt.Errorf("server at %q without an id", e.Addr)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && st != decide.Gone {
-		return decide.Entry{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && st != decide.Removed {
+		return decide.Endpoint{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
 	}
-	return decide.Entry{ID: serverID(e.ID), State: st, Started: e.Started, Size: e.Weight, Zone: e.Zone, Cell: e.Cell,
+	return decide.Endpoint{ID: serverID(e.ID), State: st, StartedAt: e.Started, Size: e.Weight, Zone: e.Zone, Cell: e.Cell,
 		Kind: e.Kind}, nil
 }
 
--- a/internal/router/pair.go
+++ b/internal/router/handover.go
@@ -21,10 +21,10 @@
 
 // handed is what a process gets from the one before it.
 type handed struct {
-	Module decide.Carried
-	List   list
-	Names  names
-	Door   *admission.Carried // nil = admission is off
+	Module decide.Carried     `json:"Module"`
+	List   list               `json:"List"`
+	Names  names              `json:"Names"`
+	Door   *admission.Carried `json:"Door"`       // nil = admission is off
 	ByHand []string           `json:",omitempty"` // servers left out by hand,
 	Agreed []string           `json:",omitempty"` // and by the fleet
 }
@@ -106,7 +106,7 @@
 	r.up.unsized.limit.Store(r.cfg.Limits.MemoryMB << 20 / 16 / int64(n))
 	r.s.share(n)
 	r.l.post(func() {
-		r.l.b.Share(r.l.now(), n)
+		r.l.b.SetProcessCount(r.l.now(), n)
 		if ad := r.l.admission; ad != nil {
 			ad.a.Share(r.l.now(), float64(max(1, ad.processes))/float64(n))
 			ad.processes = n
@@ -168,7 +168,7 @@
 		}
 		l.floor.raise(known.Version)
 	}
-	l.list(decide.Remembered, known)
+	l.list(decide.RestoredEndpoints, known)
 }
 
 // Joined keeps a link to another process of this router until it ends.
@@ -200,9 +200,9 @@
 			if got.Version <= r.l.version {
 				return
 			}
-			kind := decide.Changes
+			kind := decide.ChangedEndpoints
 			if got.Full {
-				kind = decide.Full
+				kind = decide.AllEndpoints
 			}
 			r.l.list(kind, got)
 			r.l.floor.raise(got.Version)
@@ -264,11 +264,11 @@
 }
 
 // keep holds on to a list for a successor.
-func (l *loop) keep(kind decide.ListKind, got list) {
-	if kind == decide.Refused {
+func (l *loop) keep(kind decide.EndpointUpdateKind, got list) {
+	if kind == decide.WatchFailed {
 		return
 	}
-	if kind != decide.Changes || l.entries == nil {
+	if kind != decide.ChangedEndpoints || l.entries == nil {
 		l.entries = make(map[string]entry, len(got.Servers))
 	}
 	l.version = got.Version
--- a/internal/router/pair_test.go
+++ b/internal/router/handover_test.go
@@ -58,7 +58,7 @@
 	}
 	disabled := func(r *running) int64 {
 		done := make(chan int64)
-		r.router.l.post(func() { _, n := r.router.l.b.Targets(); done <- int64(n) })
+		r.router.l.post(func() { _, n := r.router.l.b.CountEndpoints(); done <- int64(n) })
 		return next(t, done, "count")
 	}
 	if got := disabled(young); got != 1 {
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -183,9 +183,9 @@
 			s, o := startFake(t, c.server), startFake(t, c.origin)
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
 			cfg := testConfig(t, d.Listener.Addr().String(), list{})
-			cfg.settings.Config.Cancel = true
+			cfg.settings.Config.CancelAllowed = true
 			for i := range cfg.settings.Config.Classes {
-				cfg.settings.Config.Classes[i].Aim = 1900 // by the load they tell, the servers do 30 a second
+				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900 // by the load they tell, the servers do 30 a second
 			}
 			r := start(t, cfg)
 			others, one := dial(t, r.addr), dial(t, r.addr)
@@ -235,7 +235,7 @@
 	s1, s2, o := startFake(t, far), startFake(t, far), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), list{})
-	cfg.settings.Config.Cancel = true
+	cfg.settings.Config.CancelAllowed = true
 	r := start(t, cfg)
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -9,9 +9,9 @@
 )
 
 // list takes a list of servers.
-func (l *loop) list(kind decide.ListKind, got list) {
+func (l *loop) list(kind decide.EndpointUpdateKind, got list) {
 	l.keep(kind, got)
-	entries := make([]decide.Entry, 0, len(got.Servers))
+	entries := make([]decide.Endpoint, 0, len(got.Servers))
 	named := map[uint32]bool{}
 	for _, e := range got.Servers {
 		d, err := e.decided()
@@ -26,23 +26,23 @@
 			entries = append(entries, l.replaced(d, e.Addr)...)
 		}
 		switch {
-		case d.State == decide.Gone:
+		case d.State == decide.Removed:
 			l.cancelUnsentTo(d.ID)
 			l.drop(d.ID)
 		case t == nil || t.addr != e.Addr:
 			l.cancelUnsentTo(d.ID)
 			l.drop(d.ID)
 			l.targets[d.ID] = l.up.add(e.Addr, e.Kind == l.originKind)
-			l.targets[d.ID].started = d.Started
-		case t.started != d.Started: // connections to the process before it are dead, perhaps without a word
-			t.started = d.Started
+			l.targets[d.ID].started = d.StartedAt
+		case t.started != d.StartedAt: // connections to the process before it are dead, perhaps without a word
+			t.started = d.StartedAt
 			l.up.closeIdle(t)
 		}
 		if d.State == decide.Draining {
 			l.cancelUnsentTo(d.ID)
 		}
 	}
-	if kind == decide.Full || kind == decide.Remembered {
+	if kind == decide.AllEndpoints || kind == decide.RestoredEndpoints {
 		for id := range l.targets {
 			if !named[id] {
 				l.cancelUnsentTo(id)
@@ -51,7 +51,7 @@
 		}
 	}
 	l.trace.Event(l.now(), "list", "kind=%d lines=%d version=%d", kind, len(entries), got.Version)
-	l.b.Servers(l.now(), kind, entries)
+	l.b.UpdateEndpoints(l.now(), kind, entries)
 	l.count()
 	if len(l.targets) > 0 {
 		l.ready.Store(true)
@@ -69,19 +69,19 @@
 }
 
 func (l *loop) count() {
-	listed, avoided := l.b.Targets()
+	listed, avoided := l.b.CountEndpoints()
 	l.metrics.Targets.Store(int64(listed))
 	l.metrics.TargetsDisabled.Store(int64(avoided))
 }
 
 // replaced is the end of the servers that were at the address of a new one: it has come in their place, though the news
 // of their end may be late, and what is meant for them would reach it, cold as it is.
-func (l *loop) replaced(by decide.Entry, addr string) (gone []decide.Entry) {
+func (l *loop) replaced(by decide.Endpoint, addr string) (gone []decide.Endpoint) {
 	for old, t := range l.targets {
-		if t.addr == addr && by.Started > t.started {
+		if t.addr == addr && by.StartedAt > t.started {
 			l.cancelUnsentTo(old)
 			l.drop(old)
-			gone = append(gone, decide.Entry{ID: old, State: decide.Gone})
+			gone = append(gone, decide.Endpoint{ID: old, State: decide.Removed})
 		}
 	}
 	return gone
--- a/internal/router/meta.go
+++ b/internal/router/meta.go
@@ -216,12 +216,12 @@
 
 // reply is what came back for an attempt.
 type reply struct {
-	status decide.Status
+	status decide.AttemptStatus
 	body   []byte // OK: the value or the receipt,
 	length int    // or, where this is above 0, the length of a value that is still to be passed through
 	lineIn bool   // behind which a line end comes
 	note   int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out
-	load   decide.Load
+	load   decide.LoadReport
 	last   bool // the connection carries no further request
 }
 
@@ -263,7 +263,7 @@
 
 // readReply reads a cache server's answer to a command. An error leaves the connection without use.
 func readReply(r *bufio.Reader, c *command) (reply, error) {
-	a := reply{load: decide.NoLoad}
+	a := reply{load: decide.NoLoadReport}
 	line, report, err := readAnswerLine(r)
 	if err != nil {
 		return a, err
@@ -347,13 +347,13 @@
 }
 
 // readLoad reads a load report. One with a figure that can't be read is absent: the rest is no better.
-func readLoad(text string) decide.Load {
-	l := decide.NoLoad
+func readLoad(text string) decide.LoadReport {
+	l := decide.NoLoadReport
 	for f := range strings.SplitSeq(text, ",") {
 		name, v, _ := strings.Cut(strings.TrimSpace(f), "=")
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(v, "xXpP_") { // or hexadecimal
-			return decide.NoLoad
+			return decide.NoLoadReport
 		}
 		settings.SetLoad(&l, name, n)
 	}
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -151,7 +151,7 @@
 
 // readOriginReply reads the origin's answer to c.
 func readOriginReply(r *bufio.Reader, c *command, room *budget) (reply, error) {
-	a := reply{load: decide.NoLoad}
+	a := reply{load: decide.NoLoadReport}
 	method := http.MethodGet
 	if c.verb == "ms" {
 		method = http.MethodPut
@@ -183,13 +183,13 @@
 	return len(b) > 0 && len(b) < maxLine/2 && !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-func readOriginLoad(r *bufio.Reader) (decide.Load, error) {
+func readOriginLoad(r *bufio.Reader) (decide.LoadReport, error) {
 	resp, _, err := readResponse(r, http.MethodGet, false, new(budget))
 	if err != nil {
-		return decide.NoLoad, err
+		return decide.NoLoadReport, err
 	}
 	if resp.StatusCode != http.StatusOK || resp.Close {
-		return decide.NoLoad, malformed("origin load: status %d", resp.StatusCode)
+		return decide.NoLoadReport, malformed("origin load: status %d", resp.StatusCode)
 	}
 	return readLoad(resp.Header.Get("X-Backend-Load")), nil
 }
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -13,8 +13,8 @@
 )
 
 // probe asks a target for its load.
-func (u *upstreams) probe(ctx context.Context, t *target) (decide.Status, decide.Load) {
-	l := decide.NoLoad
+func (u *upstreams) probe(ctx context.Context, t *target) (decide.AttemptStatus, decide.LoadReport) {
+	l := decide.NoLoadReport
 	conn, err := u.take(ctx, t, false)
 	if err != nil {
 		return decide.ConnectError, l
@@ -36,26 +36,26 @@
 	case err == nil:
 		return decide.OK, l
 	case !reuse:
-		return decide.TimedOut, l
+		return decide.Timeout, l
 	}
 	return decide.Reset, l
 }
 
-func readStats(r *bufio.Reader) (decide.Load, error) {
+func readStats(r *bufio.Reader) (decide.LoadReport, error) {
 	var fields []string
 	for range 64 {
 		line, err := readLine(r)
 		if err != nil {
-			return decide.NoLoad, err
+			return decide.NoLoadReport, err
 		}
 		if string(line) == "END" {
 			return readLoad(strings.Join(fields, ",")), nil
 		}
 		var name, value string
 		if n, _ := fmt.Sscanf(string(line), "STAT %s %s", &name, &value); n != 2 {
-			return decide.NoLoad, malformed("statistics line %q", line)
+			return decide.NoLoadReport, malformed("statistics line %q", line)
 		}
 		fields = append(fields, name+"="+value)
 	}
-	return decide.NoLoad, malformed("statistics without an end")
+	return decide.NoLoadReport, malformed("statistics without an end")
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -57,7 +57,7 @@
 	}
 	rules := l.rules.Load()
 	rule := rules.classes[cmd.class]
-	if rule == nil || rule.Effect == decide.Keyed && cmd.idem == "" { // the settings have just changed
+	if rule == nil || rule.Effect == decide.IdempotentByKey && cmd.idem == "" { // the settings have just changed
 		l.releaseValue(&cmd)
 		s.answer([]byte("CLIENT_ERROR the class has changed\r\n"))
 		return
@@ -66,7 +66,7 @@
 	}
 	now := l.now()
 	// No client waits longer than its class allows: nor does the record of one that says so.
-	left := max(0, min(cmd.wait, rule.Deadline)-(now-read))
+	left := max(0, min(cmd.wait, rule.DeadlineMillis)-(now-read))
 	left = max(0, min(left, l.answerBy.load()-grace-now))
 	r := &request{id: l.lastID, cmd: cmd, arrivedAt: now, deadline: now + left, slot: s, rule: rule, maxAttempts: rules.maxAttempts, allowsHedge: rules.allowsHedges}
 	l.metrics.Concurrent.Add(1)
@@ -86,7 +86,7 @@
 func (l *loop) overdue(r *request) {
 	slog.Warn("no answer by its deadline", "request", r.cmd.id)
 	l.Fail(r.id)
-	l.b.Gone(l.now(), r.id)
+	l.b.ClientDisconnected(l.now(), r.id)
 }
 
 // endBy has all that is open, and all that comes, answered by then: the process ends, and what it has not answered is lost.
@@ -104,8 +104,8 @@
 func (l *loop) decide(now float64, r *request) {
 	cmd := &r.cmd
 	l.b.Request(now, decide.Request{ID: r.id, Class: cmd.class, Tenant: cmd.tenant, Key: keyID(cmd.key), HasKey: true,
-		Left: max(0, r.deadline-now), Hint: cmd.hint, Size: cmd.size, Retry: cmd.retry, Write: cmd.verb == "ms",
-		Under: &r.rule.Class, Most: r.maxAttempts}) // it may have waited at the door for longer than the settings have held
+		RemainingMillis: max(0, r.deadline-now), WorkHint: cmd.hint, SizeBytes: cmd.size, IsRetry: cmd.retry, IsWrite: cmd.verb == "ms",
+		ClassAtArrival: &r.rule.Class, MaxAttemptsAtArrival: r.maxAttempts}) // it may have waited at the door for longer than the settings have held
 }
 
 // clientDisconnected ends a request whose client has closed or reset its connection. What is not written yet never is. What is
@@ -116,10 +116,10 @@
 		return
 	}
 	l.finish(r, nil, endDisconnected)
-	l.b.Gone(l.now(), r.id)
+	l.b.ClientDisconnected(l.now(), r.id)
 	for _, a := range r.attempts {
 		if a.cancelUnsent() {
-			l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Canceled)) })
+			l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Cancelled)) })
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		r.rule.count.Ended(how)
 	}
 	if how == metrics.Success && l.speed != nil {
-		l.speed[rollout.SpeedBucket((l.now()-r.arrivedAt)/r.rule.Aim)].Add(1)
+		l.speed[rollout.SpeedBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
 	}
 	if l.trace.On() {
 		l.traceEnd(r, how)
@@ -168,8 +168,8 @@
 	r.attemptMillis += now - a.startedAt
 	l.admission.over(r, true, false, got.length)
 	l.forget(r)
-	l.b.Outcome(now, decide.Outcome{ID: r.id, Attempt: a.index, Server: a.server, Status: decide.OK, Latency: now - a.startedAt,
-		Final: true, Note: got.note, Load: got.load})
+	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: decide.OK, LatencyMillis: now - a.startedAt,
+		IsFinal: true, Note: got.note, Load: got.load})
 	return sl
 }
 
@@ -196,7 +196,7 @@
 func (l *loop) traceEnd(r *request, how metrics.End) {
 	why := "-"
 	if how == metrics.Overload || how == metrics.Error {
-		why = strings.ReplaceAll(l.b.Why(), " ", "-")
+		why = strings.ReplaceAll(l.b.Cause(), " ", "-")
 	}
 	l.trace.Event(l.now(), "end", "r=%d how=%d why=%s left=%.0f tries=%d", r.id, how, why, r.deadline-l.now(), len(r.attempts))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,7 +46,7 @@
 	// Each attempt may hold a value that is read whole: all together a quarter of the memory.
 	attempts := min(sockets*9/20, int(cfg.Limits.MemoryMB<<20/4/maxWhole))
 	r := &Router{cfg: cfg, metrics: m}
-	r.up = newUpstreams(ms(cfg.settings.Config.ConnIdle), ms(cfg.settings.ConnectTimeout), attempts)
+	r.up = newUpstreams(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout), attempts)
 	r.up.trace = cfg.Trace
 	r.up.unsized.limit.Store(cfg.Limits.MemoryMB << 20 / 16)
 	var err error
@@ -121,7 +121,7 @@
 // longest is the longest deadline of a class. It may be called from any goroutine.
 func (l *loop) longest() (longest float64) {
 	for _, k := range l.rules.Load().classes {
-		longest = max(longest, k.Deadline)
+		longest = max(longest, k.DeadlineMillis)
 	}
 	return longest
 }
@@ -248,7 +248,7 @@
 // that is still on its way is older than what the new one tells, and counts for nothing.
 func (l *loop) newSource(cfg *Config, tell func(list)) *discovery {
 	var d *discovery
-	ask := cfg.settings.Config.AskList
+	ask := cfg.settings.Config.PollEndpoints
 	heard := func(do func()) {
 		done := make(chan struct{})
 		l.post(func() {
@@ -264,9 +264,9 @@
 	}
 	d = newDiscovery(cfg.Discovery, ask, cfg.settings.Config.Routers,
 		func(got list) {
-			kind := decide.Changes
+			kind := decide.ChangedEndpoints
 			if got.Full {
-				kind = decide.Full
+				kind = decide.AllEndpoints
 			}
 			heard(func() {
 				if !l.floor.above(got.Version) {
@@ -277,7 +277,7 @@
 		},
 		func() {
 			if ask {
-				heard(func() { l.list(decide.Refused, list{}) })
+				heard(func() { l.list(decide.WatchFailed, list{}) })
 			}
 		})
 	return d
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -475,7 +475,7 @@
 	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), list{})
-	cfg.settings.Config.Cancel = true
+	cfg.settings.Config.CancelAllowed = true
 	r := start(t, cfg)
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
@@ -501,7 +501,7 @@
 			s, o := startFake(t, hit), startFake(t, func(line string) string { <-answer.ch; return originOK(line) })
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
 			cfg := testConfig(t, d.Listener.Addr().String(), list{})
-			cfg.settings.Config.Cancel = allowed
+			cfg.settings.Config.CancelAllowed = allowed
 			r := start(t, cfg)
 			for c := dial(t, r.addr); c.ask("mn") != "MN"; {
 			}
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -23,7 +23,7 @@
 }
 
 func newRules(s decide.Config, m *metrics.Router) *rules {
-	r := &rules{classes: map[string]*rule{}, maxAttempts: s.MaxAttempts, allowsHedges: s.Copies, tellsRetryAfter: s.RetryAfter, retryAfterMillis: s.LeastAway()}
+	r := &rules{classes: map[string]*rule{}, maxAttempts: s.MaxAttempts, allowsHedges: s.HedgingAllowed, tellsRetryAfter: s.SendRetryAfter, retryAfterMillis: s.MinRetryAfterMillis()}
 	for _, c := range s.Classes {
 		r.classes[c.Name] = &rule{c, m.Class(c.Name)}
 	}
@@ -40,7 +40,7 @@
 	}
 	l.admission.reconfigure(cfg)
 	l.rules.Store(newRules(cfg.settings.Config, l.metrics))
-	l.up.retime(ms(cfg.settings.Config.ConnIdle), ms(cfg.settings.ConnectTimeout))
+	l.up.retime(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout))
 	return nil
 }
 
@@ -53,7 +53,7 @@
 	switch {
 	case c == nil:
 		return malformed("class %.40q", cmd.class)
-	case c.Effect == decide.Keyed && cmd.idem == "":
+	case c.Effect == decide.IdempotentByKey && cmd.idem == "":
 		return malformed("class %s takes k", cmd.class)
 	}
 	return nil
--- a/internal/router/names.go
+++ b/internal/router/server_ids.go
@@ -8,9 +8,9 @@
 // names are the ids that discovery has listed so far, with what the module calls them. When there are too many, the one
 // listed for the last time longest ago is forgotten.
 type names struct {
-	IDs  map[string]uint32
-	Seen map[string]int64 // when it was last listed, by count
-	Tick int64
+	IDs  map[string]uint32 `json:"IDs"`
+	Seen map[string]int64  `json:"Seen"` // when it was last listed, by count
+	Tick int64             `json:"Tick"`
 }
 
 func (n *names) add(name string, id uint32) {
--- a/internal/router/timeout_hint.go
+++ b/internal/router/timeout_hint.go
@@ -37,7 +37,7 @@
 func (l *loop) uploadHint(c *command) timeoutHint {
 	allowed := c.wait
 	if rule := l.rules.Load().classes[c.class]; rule != nil {
-		allowed = min(allowed, rule.Deadline)
+		allowed = min(allowed, rule.DeadlineMillis)
 	}
 	return hintFor(min(allowed, l.answerBy.load()-l.now()))
 }
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -136,7 +136,7 @@
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
 	s, up := startFake(t, hit), newGate(t)
 	cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
-	cfg.settings.Config.Probes = false // whose dials are not the request's
+	cfg.settings.Config.HealthChecks = false // whose dials are not the request's
 	l, _, addr := partsUnder(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
 	dialing := make(chan struct{}, 10)
 	l.up.holdDials(dialing, up)
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -56,7 +56,7 @@
 	found := make(chan bool, 1)
 	l.post(func() {
 		var open bool
-		if p.server, open = l.b.WritesGoTo(l.now()); open {
+		if p.server, open = l.b.WriteServer(l.now()); open {
 			p.t = l.targets[p.server]
 		}
 		found <- p.t != nil && p.t.origin
@@ -165,7 +165,7 @@
 	}
 	if on.begin() == 0 {
 		p.done(false)
-		return ends(decide.Ignored) // nothing of its last piece was written
+		return ends(decide.Unprocessed) // nothing of its last piece was written
 	}
 	u.uploading.Add(-1) // from here on it is an attempt like any other
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -81,20 +81,20 @@
 	conn, err := u.take(ctx, t, on.once)
 	switch {
 	case errors.Is(err, errNoSocket):
-		return ends(decide.Ignored)
+		return ends(decide.Unprocessed)
 	case err != nil:
 		return ends(decide.ConnectError)
 	}
 	hint := on.begin()
 	if hint == 0 {
 		u.back(t, conn)
-		return ends(decide.Ignored) // nothing of it was written
+		return ends(decide.Unprocessed) // nothing of it was written
 	}
 	wire, read := c.append(nil, hint), readReply
 	if t.origin {
 		if wire, err = originRequest(t.addr, c, hint); err != nil { // it can't be said in HTTP
 			u.back(t, conn)
-			return ends(decide.Ignored)
+			return ends(decide.Unprocessed)
 		}
 		read = u.readOrigin
 	}
@@ -112,7 +112,7 @@
 func (u *upstreams) receive(t *target, conn *upstreamConn, c *command, stop func() bool,
 	read func(*bufio.Reader, *command) (reply, error), on hooks) reply {
 	on.wrote()
-	a := reply{load: decide.NoLoad}
+	a := reply{load: decide.NoLoadReport}
 	err := conn.begun()
 	answered := err == nil
 	if answered {
@@ -128,7 +128,7 @@
 	u.put(t, conn, stop() && err == nil && !a.last && conn.clean())
 	switch {
 	case answered && err != nil: // not understood, or it broke off: it has run, and the server was at work
-		a.status = decide.Spoilt
+		a.status = decide.MalformedResponse
 	case err != nil: // ended after the last byte: it may have run
 		a.status = decide.Reset
 	}
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -53,7 +53,7 @@
 		answer string
 		write  bool
 		origin bool
-		want   decide.Status
+		want   decide.AttemptStatus
 		note   int
 		reused bool
 	}{
@@ -66,47 +66,47 @@
 		"error":               {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
 		"turned away":         {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":              {answer: "close", want: decide.Reset},
-		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.Spoilt},
-		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"value too long":      {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"bad length":          {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.Spoilt},
-		"another's answer":    {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.Spoilt},
-		"another's miss":      {answer: "EN Ozz\r\n", want: decide.Spoilt},
-		"value for a write":   {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.Spoilt},
-		"no receipt":          {answer: "HD O{id}\r\n", write: true, want: decide.Spoilt},
-		"unknown error":       {answer: "SERVER_ERROR on fire\r\n", want: decide.Spoilt},
-		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.Spoilt},
-		"no protocol":         {answer: "\x00\x01\r\n", want: decide.Spoilt},
-		"endless line":        {answer: long, want: decide.Spoilt},
-		"noise without end":   {answer: "\x07\x01\x02", want: decide.Spoilt},
-		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.Spoilt},
-		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.Spoilt},
-		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.Spoilt},
-		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.Spoilt},
+		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.MalformedResponse},
+		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"value too long":      {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"bad length":          {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"another's answer":    {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.MalformedResponse},
+		"another's miss":      {answer: "EN Ozz\r\n", want: decide.MalformedResponse},
+		"value for a write":   {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.MalformedResponse},
+		"no receipt":          {answer: "HD O{id}\r\n", write: true, want: decide.MalformedResponse},
+		"unknown error":       {answer: "SERVER_ERROR on fire\r\n", want: decide.MalformedResponse},
+		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.MalformedResponse},
+		"no protocol":         {answer: "\x00\x01\r\n", want: decide.MalformedResponse},
+		"endless line":        {answer: long, want: decide.MalformedResponse},
+		"noise without end":   {answer: "\x07\x01\x02", want: decide.MalformedResponse},
+		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
+		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
+		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
+		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
 		"value and a copy":    {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK, note: 1},
 		"miss and noise":      {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, note: 2},
 		"bad report":          {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
 		"id in the report":    {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
 		"origin 1xx ahead":    {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
-		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.Spoilt},
-		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.Spoilt},
+		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
+		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
 		"origin and a copy":   {answer: httpAnswer("200 OK", "fresh") + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK},
 		"origin bad report":   {answer: httpAnswer("200 OK", "fresh", "X-Backend-Load: qps=\x00\x01"), origin: true, want: decide.OK, reused: true},
-		"origin long header":  {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true, want: decide.Spoilt},
-		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)), origin: true, want: decide.Spoilt},
-		"origin of 3 GB":      {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin 500 of 3 GB":  {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin stops short":  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true, want: decide.Spoilt},
-		"origin head stops":   {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.Spoilt},
+		"origin long header":  {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true, want: decide.MalformedResponse},
+		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)), origin: true, want: decide.MalformedResponse},
+		"origin of 3 GB":      {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
+		"origin 500 of 3 GB":  {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
+		"origin stops short":  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
+		"origin head stops":   {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
 		"origin in chunks":    {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n", origin: true, want: decide.OK, reused: true},
-		"origin big chunks":   {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), origin: true, want: decide.Spoilt},
+		"origin big chunks":   {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), origin: true, want: decide.MalformedResponse},
 		"origin to the end":   {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfresh{cut}", origin: true, want: decide.OK},
 		"origin write to end": {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n77{cut}", origin: true, write: true, want: decide.OK},
-		"origin no length":    {answer: "HTTP/1.1 200 OK\r\n\r\nfresh{cut}", origin: true, want: decide.Spoilt},
+		"origin no length":    {answer: "HTTP/1.1 200 OK\r\n\r\nfresh{cut}", origin: true, want: decide.MalformedResponse},
 		"origin value":        {answer: httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
 		"origin receipt":      {answer: httpAnswer("200 OK", "77"), origin: true, write: true, want: decide.OK, reused: true},
 		"origin, last":        {answer: httpAnswer("200 OK", "fresh", "Connection: close"), origin: true, want: decide.OK},
-		"origin no receipt":   {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true, want: decide.Spoilt},
+		"origin no receipt":   {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true, want: decide.MalformedResponse},
 		"origin error":        {answer: httpAnswer("500 Internal Server Error", ""), origin: true, want: decide.Failed, reused: true},
 		"origin bare 503":     {answer: httpAnswer("503 Service Unavailable", ""), origin: true, want: decide.Failed, reused: true},
 		"origin bare 504":     {answer: httpAnswer("504 Gateway Timeout", ""), origin: true, want: decide.Failed, reused: true},
@@ -114,10 +114,10 @@
 		"origin 504 not run":  {answer: httpAnswer("504 Gateway Timeout", "", "X-Unprocessed: 1"), origin: true, want: decide.QueueFull, reused: true},
 		"origin 500, header":  {answer: httpAnswer("500 Oh", "", "X-Unprocessed: 1"), origin: true, want: decide.Failed, reused: true},
 		"origin closed":       {answer: "close", origin: true, want: decide.Reset},
-		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.Spoilt},
-		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValue+1)), origin: true, want: decide.Spoilt},
-		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.Spoilt},
-		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.Spoilt},
+		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.MalformedResponse},
+		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValue+1)), origin: true, want: decide.MalformedResponse},
+		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.MalformedResponse},
+		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.MalformedResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -203,7 +203,7 @@
 	done := make(chan reply, 1)
 	go func() { done <- u.attempt(ctx, b, getCommand(), always) }() // takes the place of the idle one
 	next(t, silent.seen, "request")
-	if got := u.attempt(t.Context(), a, getCommand(), always); got.status != decide.Ignored {
+	if got := u.attempt(t.Context(), a, getCommand(), always); got.status != decide.Unprocessed {
 		t.Errorf("beyond the limit: got %v", got.status)
 	}
 	stop()
@@ -233,7 +233,7 @@
 	f := startFake(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
 	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
 	for _, target := range []*target{u.add(f.addr, false), u.add(o.addr, true)} {
-		if st, l := u.probe(t.Context(), target); st != decide.OK || l.QPS != 12 || l.Util != 0.5 {
+		if st, l := u.probe(t.Context(), target); st != decide.OK || l.RequestsPerSecond != 12 || l.Utilization != 0.5 {
 			t.Errorf("origin %v: got %v, %+v", target.origin, st, l)
 		}
 	}
@@ -272,11 +272,11 @@
 // A report with a figure that can't be read, or that no load can have, is absent.
 func TestUnreadableReportIsAbsent(t *testing.T) {
 	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1", "qps=0x1p3,util=1", "qps=1_0"} {
-		if got := readLoad(text); got != decide.NoLoad {
+		if got := readLoad(text); got != decide.NoLoadReport {
 			t.Errorf("%q: got %+v", text, got)
 		}
 	}
-	if got := readLoad("qps=12.5,util=1e-05,zz=7"); got.QPS != 12.5 || got.Util != 1e-05 {
+	if got := readLoad("qps=12.5,util=1e-05,zz=7"); got.RequestsPerSecond != 12.5 || got.Utilization != 1e-05 {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -61,7 +61,7 @@
 	}
 }
 
-var effects = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
+var effects = map[string]decide.Effect{"repeatable": decide.Idempotent, "by_key": decide.IdempotentByKey, "once": decide.NotIdempotent}
 
 // Parse reads the settings of one instance.
 func Parse(text []byte) (Settings, error) {
@@ -73,16 +73,16 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	c := decide.Config{
-		Routers: s.Balancers, Me: s.MyNumber, Zone: s.Zone, OverWorth: s.OverShareWorth,
-		ByWork: s.CountedBy == "work", Aside: s.FamilyInfo.Mode == "aside",
-		SizesVary: s.Weights == "live", ByProbe: s.LoadInfo.How == "probe",
-		AskList: s.Discovery == "ask", MustAsk: s.Rules.MustAskIn,
-		Probes: s.Caps.MayProbe, Peers: s.Caps.Peers, Cancel: s.Caps.Cancel, Copies: s.Caps.SecondCopies,
-		RetryAfter: s.Caps.RetryAfter, MaxAfter: s.Caps.MaxRetryAfter,
-		MaxAttempts: s.Caps.MaxAttempts, ConnIdle: s.Caps.ConnIdle, CPU: s.Caps.CPUUsPerS,
-		Cold: s.Rules.Cold, ColdFrom: s.Rules.ColdFrom, FallMult: s.Rules.OverloadFactor, FallFor: s.Rules.OverloadFor,
+		Routers: s.Balancers, RouterIndex: s.MyNumber, Zone: s.Zone, OverQuotaWeight: s.OverShareWorth,
+		WeightByWork: s.CountedBy == "work", CacheAside: s.FamilyInfo.Mode == "aside",
+		SizesAreLoads: s.Weights == "live", LoadByHealthCheck: s.LoadInfo.How == "probe",
+		PollEndpoints: s.Discovery == "ask", PollWithinMillis: s.Rules.MustAskIn,
+		HealthChecks: s.Caps.MayProbe, GossipAllowed: s.Caps.Peers, CancelAllowed: s.Caps.Cancel, HedgingAllowed: s.Caps.SecondCopies,
+		SendRetryAfter: s.Caps.RetryAfter, MaxRetryAfterMillis: s.Caps.MaxRetryAfter,
+		MaxAttempts: s.Caps.MaxAttempts, IdleTimeoutMillis: s.Caps.ConnIdle, CPUMicrosPerSecond: s.Caps.CPUUsPerS,
+		SlowStartMillis: s.Rules.Cold, SlowStartInitialShare: s.Rules.ColdFrom, OverloadFactor: s.Rules.OverloadFactor, OverloadMillis: s.Rules.OverloadFor,
 	}
-	if c.Aside {
+	if c.CacheAside {
 		k := s.FamilyInfo.OriginKind
 		if k == nil || *k < 0 || *k >= len(s.Kinds) {
 			return Settings{}, &Error{"familyInfo.originKind", "names no entry of kinds"}
@@ -99,11 +99,11 @@
 		if !ok {
 			return Settings{}, &Error{fmt.Sprintf("categories[%d].effect", i), fmt.Sprintf("unknown value %q", k.Effect)}
 		}
-		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: e, Scope: k.KeyScope, Window: k.Window,
-			Aim: k.Target, Stretch: k.AimStretch, Deadline: k.HardLimit, Worth: k.Gain, Late: k.LateWorth, Stream: k.Stream})
+		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: e, IdempotencyScope: k.KeyScope, IdempotencyWindowMillis: k.Window,
+			LatencyObjectiveMillis: k.Target, ObjectivePerWork: k.AimStretch, DeadlineMillis: k.HardLimit, PriorityWeight: k.Gain, LateWeight: k.LateWorth, IsStream: k.Stream})
 	}
 	for _, t := range s.Projects {
-		c.Tenants = append(c.Tenants, decide.Tenant{Name: t.Name, Quota: t.QuotaPerS})
+		c.Tenants = append(c.Tenants, decide.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS})
 	}
 	if !(s.Caps.ConnectTimeout >= 0) {
 		return Settings{}, &Error{"caps.connectTimeout", fmt.Sprintf("impossible value %v", s.Caps.ConnectTimeout)}
@@ -113,17 +113,17 @@
 
 // SetLoad puts one figure of a load report in its place. Sockets and the simulator's wire have a name each for the
 // same figure; other figures have no use and are passed over.
-func SetLoad(l *decide.Load, name string, v float64) {
+func SetLoad(l *decide.LoadReport, name string, v float64) {
 	switch name {
 	case "rps", "qps":
-		l.QPS = v
+		l.RequestsPerSecond = v
 	case "err_rps", "eps":
-		l.EPS = v
+		l.ErrorsPerSecond = v
 	case "cpu", "util":
-		l.Util = v
+		l.Utilization = v
 	case "active", "inflight":
 		l.Inflight = v
 	case "avg_ms", "latency_ms":
-		l.Latency = v
+		l.LatencyMillis = v
 	}
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -31,17 +31,17 @@
 	out       *bytes.Buffer // the reply to the batch in hand, written once the batch has been understood
 }
 
-var statuses = map[string]decide.Status{
-	"Ok": decide.OK, "Failed": decide.Failed, "QueueFull": decide.QueueFull, "TimedOut": decide.TimedOut,
-	"ConnectError": decide.ConnectError, "ResetByPeer": decide.Reset, "Canceled": decide.Canceled,
-	"Ignored": decide.Ignored, "Miss": decide.Miss,
+var statuses = map[string]decide.AttemptStatus{
+	"Ok": decide.OK, "Failed": decide.Failed, "QueueFull": decide.QueueFull, "TimedOut": decide.Timeout,
+	"ConnectError": decide.ConnectError, "ResetByPeer": decide.Reset, "Canceled": decide.Cancelled,
+	"Ignored": decide.Unprocessed, "Miss": decide.Miss,
 }
 
-var listKinds = map[string]decide.ListKind{
-	"changes": decide.Changes, "all": decide.Full, "remembered": decide.Remembered, "refused": decide.Refused,
+var listKinds = map[string]decide.EndpointUpdateKind{
+	"changes": decide.ChangedEndpoints, "all": decide.AllEndpoints, "remembered": decide.RestoredEndpoints, "refused": decide.WatchFailed,
 }
 
-var states = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.State{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 
 // Run answers batches from in on out until in ends. A malformed batch ends it with an error that names the line.
 func Run(in io.Reader, out io.Writer) error {
@@ -211,8 +211,8 @@
 }
 
 // load reads a report; its absent figures stay below 0.
-func (f *fields) load(columns []string) decide.Load {
-	l := decide.NoLoad
+func (f *fields) load(columns []string) decide.LoadReport {
+	l := decide.NoLoadReport
 	w := f.word()
 	if w == "-" || w == "" && f.err != nil {
 		return l
@@ -268,7 +268,7 @@
 		if err := f.end(kind); err != nil {
 			return err
 		}
-		entries := make([]decide.Entry, 0, min(n, 4096))
+		entries := make([]decide.Endpoint, 0, min(n, 4096))
 		for range n {
 			e, err := readEntry(r)
 			if err != nil {
@@ -276,7 +276,7 @@
 			}
 			entries = append(entries, e)
 		}
-		do = func(b *decide.Balancer) { b.Servers(now, lk, entries) }
+		do = func(b *decide.Balancer) { b.UpdateEndpoints(now, lk, entries) }
 	case "ASK":
 		q := decide.Request{ID: f.uint("requestId"), Class: f.word(), Tenant: f.word()}
 		if k := f.word(); k != "-" {
@@ -286,18 +286,18 @@
 			}
 			q.Key, q.HasKey = v, true
 		}
-		q.Left, q.Hint, q.Size = f.number("remaining", false), f.number("weightHint", true), f.number("size", true)
-		q.Retry, q.Write = f.bool("isRetry"), f.bool("isWrite")
+		q.RemainingMillis, q.WorkHint, q.SizeBytes = f.number("remaining", false), f.number("weightHint", true), f.number("size", true)
+		q.IsRetry, q.IsWrite = f.bool("isRetry"), f.bool("isWrite")
 		do = func(b *decide.Balancer) { b.Request(now, q) }
 	case "VANISHED":
 		q := f.uint("requestId")
-		do = func(b *decide.Balancer) { b.Gone(now, q) }
+		do = func(b *decide.Balancer) { b.ClientDisconnected(now, q) }
 	case "UNDER_WAY":
 		q := f.uint("requestId")
 		f.uint("leg")
 		f.uint("server")
 		f.number("lag", true)
-		do = func(b *decide.Balancer) { b.Started(now, q) }
+		do = func(b *decide.Balancer) { b.StreamStarted(now, q) }
 	case "STATUS_BACK":
 		sv, st := f.uint("server"), oneOf(&f, "outcome", statuses)
 		f.number("lag", true)
@@ -305,13 +305,13 @@
 		if in != nil {
 			columns = in.columns
 		}
-		var l decide.Load
+		var l decide.LoadReport
 		if in != nil {
 			l = f.load(columns)
 		} else {
 			f.word()
 		}
-		do = func(b *decide.Balancer) { b.Probed(now, sv, st, l) }
+		do = func(b *decide.Balancer) { b.HealthCheckEnded(now, sv, st, l) }
 	case "MESSAGE":
 		from := int(f.uint("sender"))
 		w := f.word()
@@ -319,7 +319,7 @@
 		if err != nil {
 			f.fail("octets", w)
 		}
-		do = func(b *decide.Balancer) { b.Peer(now, from, data) }
+		do = func(b *decide.Balancer) { b.GossipReceived(now, from, data) }
 	case "SHUTDOWN":
 		if err := f.end(kind); err != nil {
 			return err
@@ -327,21 +327,21 @@
 		delete(s.instances, id)
 		return nil
 	case "RETURNED":
-		o := decide.Outcome{ID: f.uint("requestId"), Attempt: int(f.uint("leg")), Server: f.uint("server"),
-			Status: oneOf(&f, "outcome", statuses), Latency: f.number("lag", true), Final: f.bool("final"),
+		o := decide.Outcome{RequestID: f.uint("requestId"), Attempt: int(f.uint("leg")), ServerID: f.uint("server"),
+			Status: oneOf(&f, "outcome", statuses), LatencyMillis: f.number("lag", true), IsFinal: f.bool("final"),
 			Note: int(f.number("note", true))}
 		if in != nil {
 			o.Load = f.load(in.columns)
 		} else {
 			f.word()
 		}
-		do = func(b *decide.Balancer) { b.Outcome(now, o) }
+		do = func(b *decide.Balancer) { b.AttemptEnded(now, o) }
 	case "FIRED":
 		w := f.word()
 		token, err := strconv.ParseUint(w, 10, 64)
 		do = func(b *decide.Balancer) {
 			if err == nil { // a token that is not ours has nothing to say
-				b.Timer(now, token)
+				b.TimerExpired(now, token)
 			}
 		}
 	default:
@@ -370,19 +370,19 @@
 }
 
 // readEntry reads one line of a list.
-func readEntry(r *lineReader) (decide.Entry, error) {
+func readEntry(r *lineReader) (decide.Endpoint, error) {
 	text, err := r.next()
 	if err == io.EOF {
-		return decide.Entry{}, errors.New("input ends within a list")
+		return decide.Endpoint{}, errors.New("input ends within a list")
 	}
 	if err != nil {
-		return decide.Entry{}, err
+		return decide.Endpoint{}, err
 	}
 	f := fields{rest: text, more: true}
 	if w := f.word(); w != "M" {
-		return decide.Entry{}, fmt.Errorf("want a list entry, got %q", w)
+		return decide.Endpoint{}, fmt.Errorf("want a list entry, got %q", w)
 	}
-	e := decide.Entry{Started: f.number("startedAt", true), Size: f.number("size", true), ID: f.uint("server"),
+	e := decide.Endpoint{StartedAt: f.number("startedAt", true), Size: f.number("size", true), ID: f.uint("server"),
 		State: oneOf(&f, "mode", states), Zone: f.word(), Cell: int(f.number("bay", true)), Kind: f.word()}
 	return e, f.end("list entry")
 }
@@ -411,15 +411,15 @@
 func (in *instance) Cancel(id uint32, attempt int) {
 	in.line("WITHDRAW", num(id), strconv.Itoa(attempt))
 }
-func (in *instance) Refuse(id uint32, wait float64) { in.line("OVERLOAD_REPLY", num(id), ms(wait)) }
+func (in *instance) Reject(id uint32, wait float64) { in.line("OVERLOAD_REPLY", num(id), ms(wait)) }
 func (in *instance) Fail(id uint32)                 { in.line("GIVE_UP", num(id)) }
-func (in *instance) Probe(server uint32)            { in.line("HEALTH_CHECK", num(server)) }
-func (in *instance) Close(server uint32)            { in.line("LET_GO", num(server)) }
-func (in *instance) Watch()                         { in.line("TAIL", "1") }
-func (in *instance) Timer(after float64, tok uint64) {
+func (in *instance) HealthCheck(server uint32)      { in.line("HEALTH_CHECK", num(server)) }
+func (in *instance) CloseIdle(server uint32)        { in.line("LET_GO", num(server)) }
+func (in *instance) WatchEndpoints()                { in.line("TAIL", "1") }
+func (in *instance) SetTimer(after float64, tok uint64) {
 	in.line("ARM", ms(after), strconv.FormatUint(tok, 10))
 }
-func (in *instance) Tell(data []byte) {
+func (in *instance) Gossip(data []byte) {
 	in.line("MEMO_TO", "-1", base64.StdEncoding.EncodeToString(data))
 }
 func (in *instance) Log(text string) { in.line("RECORD", strings.ReplaceAll(text, "\n", " ")) }
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -55,7 +55,7 @@
 	}
 	d.sums.Asked++
 	d.sums.Work += w.work
-	d.sums.Worth[w.class] += d.p.Config.Classes[w.class].Worth
+	d.sums.Worth[w.class] += d.p.Config.Classes[w.class].PriorityWeight
 	d.second(d.now).Asked++
 	d.band(w).Asked++
 	router := draw(d.rng, d.parts)
@@ -78,7 +78,7 @@
 		return
 	}
 	r.last++
-	left := min(d.p.Clients.Try*c.Deadline, c.Deadline-(d.now-w.asked))
+	left := min(d.p.Clients.Try*c.DeadlineMillis, c.DeadlineMillis-(d.now-w.asked))
 	q := &request{wish: w, id: r.last, key: w.key, work: w.work}
 	r.reqs[q.id] = q
 	d.after(left, func() { r.leave(q) })
@@ -86,7 +86,7 @@
 	if d.p.Hints {
 		hint = w.work
 	}
-	r.b.Request(d.now, decide.Request{ID: q.id, Class: c.Name, Key: q.key, HasKey: true, Left: left, Hint: hint, Retry: w.tries > 1, Write: w.write})
+	r.b.Request(d.now, decide.Request{ID: q.id, Class: c.Name, Key: q.key, HasKey: true, RemainingMillis: left, WorkHint: hint, IsRetry: w.tries > 1, IsWrite: w.write})
 }
 
 // again has a client whose try was not served wait and ask again, while it has tries and time.
@@ -96,7 +96,7 @@
 	if told > 0 && d.rng.Float64() < d.p.Clients.Honour {
 		pause = told * (1 + 0.1*d.rng.Float64())
 	}
-	if w.tries > d.p.Clients.Retries || d.now+pause >= w.asked+c.Deadline {
+	if w.tries > d.p.Clients.Retries || d.now+pause >= w.asked+c.DeadlineMillis {
 		d.lose(w)
 		return
 	}
@@ -134,9 +134,9 @@
 	}
 	w.over = true
 	d.sums.Served++
-	if c := d.p.Config.Classes[w.class]; d.now-w.asked <= c.Aim {
+	if c := d.p.Config.Classes[w.class]; d.now-w.asked <= c.LatencyObjectiveMillis {
 		d.sums.InTime++
-		d.sums.Gained[w.class] += c.Worth
+		d.sums.Gained[w.class] += c.PriorityWeight
 		d.second(w.asked).InTime++
 		d.band(w).InTime++
 	} else {
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -62,13 +62,13 @@
 // router starts the process of a router, which knows a list.
 func (d *day) router(i int, known model.List) (*router, error) {
 	cfg := d.p.Config
-	cfg.Me, cfg.Zone = i, zone(i%d.p.Zones)
+	cfg.RouterIndex, cfg.Zone = i, zone(i%d.p.Zones)
 	r := &router{d: d, zone: cfg.Zone, reqs: map[uint32]*request{}, conns: map[*machine][]*conn{}, version: known.Version, starts: map[uint32]float64{}}
 	var err error
 	if r.b, err = decide.New(cfg, d.rng.Uint64(), r); err != nil {
 		return nil, err
 	}
-	r.update(decide.Remembered, known)
+	r.update(decide.RestoredEndpoints, known)
 	for _, v := range d.servers { // one that starts in the middle knows it before its first request
 		if d.drained[v.id] {
 			r.b.Disable(d.now, v.id)
@@ -78,12 +78,12 @@
 }
 
 // update hands a list to the Balancer, and notes which starts of servers it tells of.
-func (r *router) update(kind decide.ListKind, list model.List) {
+func (r *router) update(kind decide.EndpointUpdateKind, list model.List) {
 	entries := decided(list)
 	for _, entry := range entries {
-		r.starts[entry.ID] = max(r.starts[entry.ID], entry.Started)
+		r.starts[entry.ID] = max(r.starts[entry.ID], entry.StartedAt)
 	}
-	r.b.Servers(r.d.now, kind, entries)
+	r.b.UpdateEndpoints(r.d.now, kind, entries)
 }
 
 // die ends a router's process. Its clients see their connections reset, and its servers too.
@@ -151,12 +151,12 @@
 	}
 	for _, a := range q.tries {
 		if !a.over {
-			r.d.end(a, decide.TimedOut, 0, decide.NoLoad)
+			r.d.end(a, decide.Timeout, 0, decide.NoLoadReport)
 			r.giveUp(a)
 		}
 	}
 	r.finish(q, left, 0)
-	r.b.Gone(r.d.now, q.id)
+	r.b.ClientDisconnected(r.d.now, q.id)
 	delete(r.reqs, q.id)
 }
 
@@ -183,12 +183,12 @@
 		return
 	case refused:
 		d.sums.TurnedAway++
-		d.sums.ByCause[r.b.Why()]++
+		d.sums.ByCause[r.b.Cause()]++
 		d.second(d.now).TurnedAway++
 		d.band(q.wish).TurnedAway++
 	}
 	if q.wish.story == "" {
-		q.wish.story = [...]string{"served", "refused: " + r.b.Why(), "failed", "left"}[how] + q.path()
+		q.wish.story = [...]string{"served", "refused: " + r.b.Cause(), "failed", "left"}[how] + q.path()
 	}
 	d.again(q.wish, told)
 }
@@ -250,21 +250,21 @@
 		}
 		if c == nil {
 			d.sums.Refusals++
-			d.end(a, decide.ConnectError, 0, decide.NoLoad)
+			d.end(a, decide.ConnectError, 0, decide.NoLoadReport)
 			return
 		}
 		a.conn = c
 		d.after(r.net(a.to), func() { d.reach(a) })
 	})
 	if timeout > 0 {
-		d.after(timeout, func() { d.end(a, decide.TimedOut, 0, decide.NoLoad) })
+		d.after(timeout, func() { d.end(a, decide.Timeout, 0, decide.NoLoadReport) })
 	}
 }
 
 // connect brings up a connection to a machine, or takes an idle one, and goes on with it, or with nil.
 func (r *router) connect(v *machine, on func(*conn)) {
 	d, way := r.d, r.net(v)
-	keep := d.p.Config.ConnIdle - min(d.p.Config.ConnIdle/4, 1000)
+	keep := d.p.Config.IdleTimeoutMillis - min(d.p.Config.IdleTimeoutMillis/4, 1000)
 	for kept := r.conns[v]; len(kept) > 0; kept = r.conns[v] {
 		c := kept[0]
 		r.conns[v] = kept[1:]
@@ -344,12 +344,12 @@
 		return
 	}
 	a := q.tries[n]
-	r.d.after(0, func() { r.d.end(a, decide.Canceled, 0, decide.NoLoad) })
+	r.d.after(0, func() { r.d.end(a, decide.Cancelled, 0, decide.NoLoadReport) })
 	r.giveUp(a)
 }
 
-// Refuse and Fail are final answers.
-func (r *router) Refuse(id uint32, wait float64) { r.answer(id, refused, wait) }
+// Reject and Fail are final answers.
+func (r *router) Reject(id uint32, wait float64) { r.answer(id, refused, wait) }
 func (r *router) Fail(id uint32)                 { r.answer(id, failed, 0) }
 
 func (r *router) answer(id uint32, how int, told float64) {
@@ -358,8 +358,8 @@
 	}
 }
 
-// Probe asks a server for its load.
-func (r *router) Probe(server uint32) {
+// HealthCheck asks a server for its load.
+func (r *router) HealthCheck(server uint32) {
 	d, v := r.d, r.d.byID[server]
 	if v == nil {
 		return
@@ -367,12 +367,12 @@
 	if k, ok := d.board[server]; ok && d.now-k.at <= sharedStale { // another router has asked it
 		d.after(0, func() {
 			if !r.dead {
-				r.b.Probed(d.now, server, decide.OK, k.load)
+				r.b.HealthCheckEnded(d.now, server, decide.OK, k.load)
 			}
 		})
 		return
 	}
-	r.ask(v, func(st decide.Status, l decide.Load) { r.b.Probed(d.now, server, st, l) })
+	r.ask(v, func(st decide.AttemptStatus, l decide.LoadReport) { r.b.HealthCheckEnded(d.now, server, st, l) })
 }
 
 // What routers tell one another of servers, as docs/agreement.md has it: each server is asked each Params.Shared by the one whose
@@ -392,7 +392,7 @@
 		}
 		at := d.now
 		d.sums.ForAll++
-		r.ask(v, func(st decide.Status, l decide.Load) {
+		r.ask(v, func(st decide.AttemptStatus, l decide.LoadReport) {
 			if st == decide.OK {
 				id := v.id
 				d.after(sharedLate, func() { d.board[id] = report{l, at} })
@@ -405,25 +405,25 @@
 
 // report is what a router has told the others.
 type report struct {
-	load decide.Load
+	load decide.LoadReport
 	at   float64
 }
 
 // ask probes a server, and tells what became of it once, unless the router dies.
-func (r *router) ask(v *machine, tells func(decide.Status, decide.Load)) {
+func (r *router) ask(v *machine, tells func(decide.AttemptStatus, decide.LoadReport)) {
 	d := r.d
 	d.sums.Probes++
 	told := false
-	tell := func(st decide.Status, l decide.Load) {
+	tell := func(st decide.AttemptStatus, l decide.LoadReport) {
 		if !r.dead && !told {
 			told = true
 			tells(st, l)
 		}
 	}
-	d.after(probeTimeout, func() { tell(decide.TimedOut, decide.NoLoad) })
+	d.after(probeTimeout, func() { tell(decide.Timeout, decide.NoLoadReport) })
 	r.connect(v, func(c *conn) {
 		if c == nil {
-			tell(decide.ConnectError, decide.NoLoad)
+			tell(decide.ConnectError, decide.NoLoadReport)
 			return
 		}
 		d.after(r.net(v), func() {
@@ -440,8 +440,8 @@
 				}
 				c.idle = d.now
 				r.conns[v] = append(r.conns[v], c)
-				if l := decide.NoLoad; ok {
-					l.QPS, l.Util = got.QPS, got.Util
+				if l := decide.NoLoadReport; ok {
+					l.RequestsPerSecond, l.Utilization = got.QPS, got.Util
 					tell(decide.OK, l)
 				}
 			})
@@ -452,8 +452,8 @@
 // probeTimeout is how long a probe is waited for.
 const probeTimeout = 500
 
-// Close closes the idle connections to a server.
-func (r *router) Close(server uint32) {
+// CloseIdle closes the idle connections to a server.
+func (r *router) CloseIdle(server uint32) {
 	v := r.d.byID[server]
 	if v == nil {
 		return
@@ -464,12 +464,12 @@
 	delete(r.conns, v)
 }
 
-// Timer calls the Balancer back.
-func (r *router) Timer(after float64, token uint64) {
+// SetTimer calls the Balancer back.
+func (r *router) SetTimer(after float64, token uint64) {
 	if d := r.d; d.now < begin+d.p.Length+rest {
 		d.after(after, func() {
 			if !r.dead {
-				r.b.Timer(d.now, token)
+				r.b.TimerExpired(d.now, token)
 			}
 		})
 	}
@@ -478,8 +478,8 @@
 // watchEvery is how often a watch looks for news, in milliseconds.
 const watchEvery = 100
 
-// Watch asks for the changes since the version that is held, and waits for more once it has them.
-func (r *router) Watch() { r.d.after(r.d.p.Net, r.watch) }
+// WatchEndpoints asks for the changes since the version that is held, and waits for more once it has them.
+func (r *router) WatchEndpoints() { r.d.after(r.d.p.Net, r.watch) }
 
 func (r *router) watch() {
 	d := r.d
@@ -499,34 +499,34 @@
 		}
 		if !ok {
 			d.sums.Turned++
-			r.b.Servers(d.now, decide.Refused, nil)
+			r.b.UpdateEndpoints(d.now, decide.WatchFailed, nil)
 			return
 		}
 		l := d.list.After(r.version)
 		r.version = l.Version
-		kind := decide.Changes
+		kind := decide.ChangedEndpoints
 		if l.Full {
-			kind = decide.Full
+			kind = decide.AllEndpoints
 		}
 		r.update(kind, l)
 		d.after(0, r.watch)
 	})
 }
 
-// Tell and Log have nobody to reach.
-func (r *router) Tell([]byte) {}
-func (r *router) Log(string)  {}
+// Gossip and Log have nobody to reach.
+func (r *router) Gossip([]byte) {}
+func (r *router) Log(string)    {}
 
 // homes is a Host that notes where requests are sent, and does nothing else.
 type homes struct{ sent map[uint32]uint32 }
 
 func (h *homes) Send(id, server uint32, _ float64) { h.sent[id] = server }
 func (h *homes) Cancel(uint32, int)                {}
-func (h *homes) Refuse(uint32, float64)            {}
+func (h *homes) Reject(uint32, float64)            {}
 func (h *homes) Fail(uint32)                       {}
-func (h *homes) Probe(uint32)                      {}
-func (h *homes) Close(uint32)                      {}
-func (h *homes) Timer(float64, uint64)             {}
-func (h *homes) Watch()                            {}
-func (h *homes) Tell([]byte)                       {}
+func (h *homes) HealthCheck(uint32)                {}
+func (h *homes) CloseIdle(uint32)                  {}
+func (h *homes) SetTimer(float64, uint64)          {}
+func (h *homes) WatchEndpoints()                   {}
+func (h *homes) Gossip([]byte)                     {}
 func (h *homes) Log(string)                        {}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -72,7 +72,7 @@
 	if err := p.check(); err != nil {
 		return Sums{}, err
 	}
-	p.Config.Aside, p.Config.OriginKind, p.Config.AskList = true, "origin", true
+	p.Config.CacheAside, p.Config.OriginKind, p.Config.PollEndpoints = true, "origin", true
 	d := &day{engine: engine{now: begin}, p: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), byID: map[uint32]*machine{},
 		fetching: map[uint64]int{}, out: map[uint64]*attempt{}, drained: map[uint32]bool{}, board: map[uint32]report{}, cold: map[*machine]*coldWindow{}}
 	d.sums.Servers, d.sums.ByCause = make([]ServerSum, p.Servers), map[string]int{}
@@ -205,20 +205,20 @@
 	}
 	h := homes{sent: map[uint32]uint32{}}
 	cfg := d.p.Config
-	cfg.Routers, cfg.Me = 1, 0
+	cfg.Routers, cfg.RouterIndex = 1, 0
 	b, err := decide.New(cfg, d.p.Seed, &h)
 	if err != nil {
 		return err
 	}
-	b.Servers(begin, decide.Remembered, decided(d.list.Whole()))
+	b.UpdateEndpoints(begin, decide.RestoredEndpoints, decided(d.list.Whole()))
 	c := cfg.Classes[0]
 	for i := len(d.key) - 1; i >= 0; i-- {
 		id := uint32(i + 1)
-		b.Request(begin, decide.Request{ID: id, Class: c.Name, Key: d.key[i], HasKey: true, Left: c.Deadline})
+		b.Request(begin, decide.Request{ID: id, Class: c.Name, Key: d.key[i], HasKey: true, RemainingMillis: c.DeadlineMillis})
 		if v := d.byID[h.sent[id]]; v != nil && !v.origin {
 			v.m.Store(begin, name(d.key[i]), 1)
 		}
-		b.Outcome(begin, decide.Outcome{ID: id, Server: h.sent[id], Status: decide.OK, Final: true, Load: decide.NoLoad})
+		b.AttemptEnded(begin, decide.Outcome{RequestID: id, ServerID: h.sent[id], Status: decide.OK, IsFinal: true, Load: decide.NoLoadReport})
 	}
 	return nil
 }
@@ -287,7 +287,7 @@
 	v.up = false
 	v.boot++
 	for _, a := range d.lost(v) {
-		d.after(d.p.Net, func() { d.end(a, decide.Reset, 0, decide.NoLoad) })
+		d.after(d.p.Net, func() { d.end(a, decide.Reset, 0, decide.NoLoadReport) })
 	}
 }
 
@@ -363,14 +363,14 @@
 }
 
 // back sends an answer from its machine, unless that is cut off.
-func (d *day) back(a *attempt, st decide.Status, note int) {
+func (d *day) back(a *attempt, st decide.AttemptStatus, note int) {
 	if !a.to.silent {
-		d.after(a.r.net(a.to), func() { d.end(a, st, note, decide.NoLoad) })
+		d.after(a.r.net(a.to), func() { d.end(a, st, note, decide.NoLoadReport) })
 	}
 }
 
 // end tells a router the outcome of an attempt, once.
-func (d *day) end(a *attempt, st decide.Status, note int, l decide.Load) {
+func (d *day) end(a *attempt, st decide.AttemptStatus, note int, l decide.LoadReport) {
 	if a.over || a.r.dead {
 		return
 	}
@@ -386,7 +386,7 @@
 		if a.to.place >= 0 {
 			d.sums.Servers[a.to.place].Misses++
 		}
-	case st == decide.Canceled && !a.q.over:
+	case st == decide.Cancelled && !a.q.over:
 		d.sums.Cancels++
 		d.band(a.q.wish).Cancels++
 		s.Cancels++
@@ -405,20 +405,20 @@
 	if st == decide.OK {
 		a.r.finish(a.q, served, 0)
 	}
-	a.r.b.Outcome(d.now, decide.Outcome{ID: a.q.id, Attempt: a.n, Server: a.to.id, Status: st, Latency: d.now - a.sent,
-		Final: a.q.over, Note: note, Load: l})
+	a.r.b.AttemptEnded(d.now, decide.Outcome{RequestID: a.q.id, Attempt: a.n, ServerID: a.to.id, Status: st, LatencyMillis: d.now - a.sent,
+		IsFinal: a.q.over, Note: note, Load: l})
 }
 
 // decided is a list in the module's terms.
-func decided(l model.List) []decide.Entry {
-	var es []decide.Entry
+func decided(l model.List) []decide.Endpoint {
+	var es []decide.Endpoint
 	for _, e := range l.Servers {
 		id, _ := strconv.ParseUint(e.ID, 16, 32) // as it was written above
 		state := decide.Ready
 		if e.State == "left" {
-			state = decide.Gone
+			state = decide.Removed
 		}
-		es = append(es, decide.Entry{ID: uint32(id), State: state, Started: e.Started, Size: e.Weight, Zone: e.Zone, Kind: e.Kind})
+		es = append(es, decide.Endpoint{ID: uint32(id), State: state, StartedAt: e.Started, Size: e.Weight, Zone: e.Zone, Kind: e.Kind})
 	}
 	return es
 }
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -51,10 +51,10 @@
 	}
 	cfg := &d.p.Config
 	window.arrivals = append(window.arrivals, coldArrival{d.now, work / d.p.Work, from.starts[v.id] >= v.startedAt})
-	for window.arrivals[0].at <= d.now-cfg.FallFor {
+	for window.arrivals[0].at <= d.now-cfg.OverloadMillis {
 		window.arrivals = window.arrivals[1:]
 	}
-	seen := ColdWindow{Allowed: cfg.FallMult * v.m.Capacity() * cfg.FallFor / d.p.Work, AgeMillis: d.now - v.startedAt}
+	seen := ColdWindow{Allowed: cfg.OverloadFactor * v.m.Capacity() * cfg.OverloadMillis / d.p.Work, AgeMillis: d.now - v.startedAt}
 	for _, arrival := range window.arrivals {
 		seen.Sent += arrival.requests
 		if arrival.told {
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -47,7 +47,7 @@
 	}{{"within the bound", 7, 0, 0, 0}, {"by routers that knew", 10, 2, 1, 1}, {"by routers that did not", 8, 4, 1, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &day{engine: engine{now: start}, cold: map[*machine]*coldWindow{},
-				p: Params{Work: work, Config: decide.Config{FallMult: 2, FallFor: window}}}
+				p: Params{Work: work, Config: decide.Config{OverloadFactor: 2, OverloadMillis: window}}}
 			params := model.Params{Cores: 1, Speed: 0.25, ColdFrom: 0.4, ColdMS: 1e12} // N is 8, the bound 15.7
 			v := &machine{id: 7, up: true, p: params, m: model.New(params, 1, start-1), startedAt: start}
 			v.m.Restart(start)
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -180,9 +180,9 @@
 var statuses = map[string]string{}
 
 func init() {
-	for st, name := range map[decide.Status]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
-		decide.TimedOut: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Canceled: "cancelled",
-		decide.Ignored: "ignored", decide.Miss: "miss", decide.Spoilt: "spoilt"} {
+	for st, name := range map[decide.AttemptStatus]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
+		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Cancelled: "cancelled",
+		decide.Unprocessed: "ignored", decide.Miss: "miss", decide.MalformedResponse: "spoilt"} {
 		statuses[strconv.Itoa(int(st))] = name
 	}
 }
@@ -298,10 +298,10 @@
 			})
 		case "list":
 			both(func(s *Second) {
-				switch decide.ListKind(e.num("kind")) {
-				case decide.Refused:
+				switch decide.EndpointUpdateKind(e.num("kind")) {
+				case decide.WatchFailed:
 					s.Refused++
-				case decide.Remembered:
+				case decide.RestoredEndpoints:
 				default:
 					s.Lists, s.Lines = s.Lists+1, s.Lines+int(e.num("lines"))
 				}
