--- /dev/null
+++ b/internal/coord/config/fixture_test.go
@@ -0,0 +1,89 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// expectStored compares a value with what an earlier program made of the same file, field by field of its stored form.
+func expectStored(t *testing.T, value any, name string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.MarshalIndent(value, "", "\t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(got, '\n'), want) {
+		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// Operators keep their files when the program is replaced. A budgets file that has every key gives the command that the earlier
+// program sent to the coordinators.
+func TestBudgetsFileOfEarlierProgram(t *testing.T) {
+	command, err := LoadBudgets("testdata/budgets.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	expectStored(t, command, "budgets.command.json")
+}
+
+// A release file that has every key gives the plan that the earlier program sent, and the same settings for the driver.
+func TestReleaseFileOfEarlierProgram(t *testing.T) {
+	file, plan, err := LoadRelease("testdata/release.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	expectStored(t, plan, "release.plan.json")
+	want := Release{
+		Version: 1, Name: "7.2", Match: "r*", From: "a", To: "b", First: 2, Grow: 1.5,
+		Bake: "3m", Least: 250, Step: "90s", Learn: "15s",
+		Alpha: 0.002, Floor: 0.75, Kind: "harmless", Tries: 3, Command: []string{"deploy", "{name}", "{to}", "{from}"},
+	}
+	if !reflect.DeepEqual(file, want) {
+		t.Errorf("%+v, want %+v", file, want)
+	}
+}
+
+// A coordinator's file that has every key is read as the earlier program read it.
+func TestCoordinatorFileOfEarlierProgram(t *testing.T) {
+	file, err := Load("testdata/coordinator.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := File{
+		Version: 1, Name: "c1", Dir: "data/c1", Listen: "127.0.0.1:7001", API: "127.0.0.1:7002", Figures: "127.0.0.1:7003",
+		ClockRate: 0.02, SnapshotEvery: 1024, Beat: "300ms", LogLevel: "warn", LogJSON: true,
+		Peers: map[string]string{"c2": "127.0.0.1:7011", "c3": "127.0.0.1:7021"},
+	}
+	if !reflect.DeepEqual(file, want) {
+		t.Errorf("%+v, want %+v", file, want)
+	}
+	if file.BeatTime() != 300*time.Millisecond {
+		t.Errorf("beat %v", file.BeatTime())
+	}
+}
+
+// An observer's file that has every key is read as the earlier program read it.
+func TestObserverFileOfEarlierProgram(t *testing.T) {
+	file, err := LoadObserver("testdata/observer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Observer{
+		Version: 1, Name: "o1", API: "127.0.0.1:7102",
+		Coordinators: map[string]string{"c1": "127.0.0.1:7002", "c2": "127.0.0.1:7012"},
+		MaxWatchers:  512, JoinsPerSecond: 50.5, WatcherBytes: 32768, LogLevel: "debug", LogJSON: true,
+	}
+	if !reflect.DeepEqual(file, want) {
+		t.Errorf("%+v, want %+v", file, want)
+	}
+}
