--- a/cmd/dockhinge-coord/main.go
+++ b/cmd/dockhinge-coord/main.go
@@ -50,8 +50,8 @@
 	r := &cobra.Command{Use: "dockhinge-coord", Short: "Leases for tasks of the whole fleet", SilenceUsage: true, SilenceErrors: true,
 		Long: "A coordinator and the operators' tool for them. docs/agreement.md tells more."}
 	r.AddCommand(serve(), observe(), check(), initGroup(), status(), members(), lease(), recoverOne(), budgets(), fleet(), permit(), drain(),
-		word("undrain", "Have routers send to a drained cache server again", rollout.Clear),
-		word("forget", "Say that a router or cache server that isn't there belongs to the fleet no more", rollout.Forget), halt(), resume(), release(), configuration())
+		word("undrain", "Have routers send to a drained cache server again", rollout.OpClearPermit),
+		word("forget", "Say that a router or cache server that isn't there belongs to the fleet no more", rollout.OpForgetTarget), halt(), resume(), release(), configuration())
 	return r
 }
 
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -24,8 +24,8 @@
 func release() *cobra.Command {
 	cmd := &cobra.Command{Use: "release", Short: "Releases of routers in waves"}
 	cmd.AddCommand(releasePlan(), releaseRun(true), releaseRun(false), releaseStatus(),
-		releaseWord("back", "Bring all routers of the release back to the version before", rollout.WayBack),
-		releaseWord("end", "End the release as it stands", rollout.End))
+		releaseWord("back", "Bring all routers of the release back to the version before", rollout.OpRollBack),
+		releaseWord("end", "End the release as it stands", rollout.OpEndRelease))
 	return cmd
 }
 
@@ -61,20 +61,20 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			names := rollout.Matching(r.All, p.Match)
+			names := rollout.MatchingMembers(r.Members, p.Match)
 			if len(names) == 0 {
 				return fmt.Errorf("match: %q names no router", p.Match)
 			}
-			if p.Learn >= p.Bake {
-				fmt.Fprintf(out, "learn, %v, is not less than bake, %v: what a wave answers doesn't count before the next one begins\n", p.Learn, p.Bake)
+			if p.LearnTime >= p.BakeTime {
+				fmt.Fprintf(out, "learn, %v, is not less than bake, %v: what a wave answers doesn't count before the next one begins\n", p.LearnTime, p.BakeTime)
 			}
 			var warm time.Duration
 			most, binds := len(names), "none"
 			for _, b := range r.Budgets {
-				if b.Kind != rollout.Router {
+				if b.Kind != rollout.KindRouter {
 					continue
 				}
-				warm = max(warm, b.Warm)
+				warm = max(warm, b.SlowStart)
 				if b.Allowed == 0 {
 					fmt.Fprintf(out, "budget %s%s lets nothing out: the release would not move\n", b.Budget, inZone(b.Zone))
 				}
@@ -88,9 +88,9 @@
 			for i, size := range p.Waves(len(names)) {
 				part := names[before:size]
 				rounds := (len(part) + max(1, most) - 1) / max(1, most)
-				took := p.Bake + time.Duration(rounds)*warm
+				took := p.BakeTime + time.Duration(rounds)*warm
 				total += took
-				fmt.Fprintf(w, "%d\t%d\t%d\t%v\t%s\n", i+1, len(part), min(len(part), most), took, rollout.Few(part))
+				fmt.Fprintf(w, "%d\t%d\t%d\t%v\t%s\n", i+1, len(part), min(len(part), most), took, rollout.FirstNames(part))
 				before = size
 			}
 			w.Flush()
@@ -114,18 +114,18 @@
 				return errors.New("there has been no release")
 			}
 			out := cmd.OutOrStdout()
-			if r.Halted != nil {
-				fmt.Fprintf(out, "HALTED by %s: %s\n", r.Halted.By, r.Halted.Why)
+			if r.Halt != nil {
+				fmt.Fprintf(out, "HALTED by %s: %s\n", r.Halt.By, r.Halt.Reason)
 			}
-			e, before, after := rollout.Evidence(c.Bins)
-			fmt.Fprintf(out, "release %s by %s: %s, towards %s; %d of %d routers are there, the wave has %d\n", c.Name, c.By, c.State, c.Goal, len(r.At), len(c.Names), c.Size)
-			fmt.Fprintf(out, "failed or refused: %.3f%% at %s, %.3f%% at %s; evidence that the new one is worse: %.3g\n", 100*before, c.From, 100*after, c.To, e)
-			e, times := rollout.Slowness(c.Bins)
-			fmt.Fprintf(out, "%s takes %.3f times as long as %s; evidence that it is slower: %.3g\n", c.To, times, c.From, e)
-			for _, name := range r.Do {
+			e, before, after := rollout.FailureEvidence(c.Buckets)
+			fmt.Fprintf(out, "release %s by %s: %s, towards %s; %d of %d routers are there, the wave has %d\n", c.Name, c.StartedBy, c.State, c.GoalVersion, len(r.Updated), len(c.Routers), c.WaveSize)
+			fmt.Fprintf(out, "failed or refused: %.3f%% at %s, %.3f%% at %s; evidence that the new one is worse: %.3g\n", 100*before, c.FromVersion, 100*after, c.ToVersion, e)
+			e, times := rollout.LatencyEvidence(c.Buckets)
+			fmt.Fprintf(out, "%s takes %.3f times as long as %s; evidence that it is slower: %.3g\n", c.ToVersion, times, c.FromVersion, e)
+			for _, name := range r.Pending {
 				fmt.Fprintf(out, "to be changed now: router/%s\n", name)
 			}
-			for name, why := range c.Left {
+			for name, why := range c.NotRolledBack {
 				fmt.Fprintf(out, "left: router/%s: %s\n", name, why)
 			}
 			return nil
@@ -160,7 +160,7 @@
 			}
 			return t.operate(cmd.Context(), controllerName, toolTTL, func(ctx context.Context, c *client.Client) error {
 				if start {
-					if _, err := c.Roll(ctx, rollout.Command{Op: rollout.Start, Plan: &p}); err != nil {
+					if _, err := c.Roll(ctx, rollout.Command{Op: rollout.OpStartRelease, Plan: &p}); err != nil {
 						return err
 					}
 					step("started")
@@ -214,46 +214,46 @@
 		switch {
 		case x == nil || x.Name != d.f.Name:
 			return true, fmt.Errorf("release %s is not the one that is under way", d.f.Name)
-		case x.State == rollout.Done && x.Goal == x.To:
-			fmt.Fprintf(d.say, "release %s: done, %d routers have %s\n", x.Name, len(r.At), x.Goal)
+		case x.State == rollout.ReleaseDone && x.GoalVersion == x.ToVersion:
+			fmt.Fprintf(d.say, "release %s: done, %d routers have %s\n", x.Name, len(r.Updated), x.GoalVersion)
 			return true, nil
-		case x.State != rollout.Running:
-			return true, fmt.Errorf("release %s: %s towards %s; %d routers were left", x.Name, x.State, x.Goal, len(x.Left))
+		case x.State != rollout.ReleaseRunning:
+			return true, fmt.Errorf("release %s: %s towards %s; %d routers were left", x.Name, x.State, x.GoalVersion, len(x.NotRolledBack))
 		}
-		if x.Goal != goal { // what was wanted before is wanted no more
+		if x.GoalVersion != goal { // what was wanted before is wanted no more
 			end()
 			wg.Wait()
-			goal = x.Goal
+			goal = x.GoalVersion
 			fresh, cancel := context.WithCancel(ctx)
 			steps, end = fresh, cancel
 		}
-		if e, old, fresh := rollout.Evidence(x.Bins); r.Halted == nil && x.Goal == x.To && rollout.Worse(x.Bins, d.f.Alpha) {
-			why := fmt.Sprintf("%s fails or refuses %.2f%% of requests, and %s %.2f%% at the same time (evidence %.3g)", x.To, 100*fresh, x.From, 100*old, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+		if e, old, fresh := rollout.FailureEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.FailsMoreOften(x.Buckets, d.f.Alpha) {
+			why := fmt.Sprintf("%s fails or refuses %.2f%% of requests, and %s %.2f%% at the same time (evidence %.3g)", x.ToVersion, 100*fresh, x.FromVersion, 100*old, e)
+			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
-		if e, times := rollout.Slowness(x.Bins); r.Halted == nil && x.Goal == x.To && rollout.Slower(x.Bins, d.f.Alpha) {
-			why := fmt.Sprintf("%s takes %.2f times as long as %s at the same time (evidence %.3g)", x.To, times, x.From, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+		if e, times := rollout.LatencyEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.IsSlower(x.Buckets, d.f.Alpha) {
+			why := fmt.Sprintf("%s takes %.2f times as long as %s at the same time (evidence %.3g)", x.ToVersion, times, x.FromVersion, e)
+			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
-		if served, low := rollout.Low(x.Bins, d.f.Floor); r.Halted == nil && x.Goal == x.To && low {
+		if served, low := rollout.ServesTooLittle(x.Buckets, d.f.Floor); r.Halt == nil && x.GoalVersion == x.ToVersion && low {
 			why := fmt.Sprintf("the fleet serves %.1f%% of requests, and %.1f%% must hold", 100*served, 100*d.f.Floor)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
-		now := fmt.Sprintf("towards %s: %d of %d routers there, wave of %d", x.Goal, len(r.At), len(x.Names), x.Size)
-		if r.Halted != nil {
-			now = fmt.Sprintf("halted by %s: %s", r.Halted.By, r.Halted.Why)
+		now := fmt.Sprintf("towards %s: %d of %d routers there, wave of %d", x.GoalVersion, len(r.Updated), len(x.Routers), x.WaveSize)
+		if r.Halt != nil {
+			now = fmt.Sprintf("halted by %s: %s", r.Halt.By, r.Halt.Reason)
 		}
 		if now != told {
 			fmt.Fprintf(d.say, "release %s: %s\n", x.Name, now)
 			told = now
 		}
-		for _, name := range r.Do {
+		for _, name := range r.Pending {
 			mu.Lock()
 			begin := !busy[name] && len(busy) < maxSteps
 			if begin {
@@ -280,19 +280,19 @@
 }
 
 // step brings one router to the goal: permit, command, seen there, permit given back.
-func (d *driver) step(ctx context.Context, name string, x *rollout.Course) error {
-	w := want{t: d.t, priority: "release", why: "release " + x.Name + " towards " + x.Goal}
-	if x.Goal == x.From { // a bad version may have taken out more than the budgets let: what is down may always come back
+func (d *driver) step(ctx context.Context, name string, x *rollout.ReleaseProgress) error {
+	w := want{t: d.t, priority: "release", why: "release " + x.Name + " towards " + x.GoalVersion}
+	if x.GoalVersion == x.FromVersion { // a bad version may have taken out more than the budgets let: what is down may always come back
 		w.priority = "emergency"
 	}
-	token, err := w.take(ctx, d.c, rollout.Router, name, d.say)
+	token, err := w.take(ctx, d.c, rollout.KindRouter, name, d.say)
 	if err != nil {
 		return err
 	}
 	step("step-begun")
 	there := func() (bool, error) {
 		r, err := d.c.Rollout(ctx, 0)
-		return err == nil && slices.Contains(r.At, name), err
+		return err == nil && slices.Contains(r.Updated, name), err
 	}
 	if at, err := there(); err != nil || !at { // else whoever drove before has done it
 		for try := 1; ; try++ {
@@ -300,7 +300,7 @@
 				break
 			}
 			if try >= d.f.Tries {
-				_, e := d.c.Roll(ctx, rollout.Command{Op: rollout.Failed, Name: name, Why: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
+				_, e := d.c.Roll(ctx, rollout.Command{Op: rollout.OpRouterFailed, Name: name, Reason: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
 				return errors.Join(err, e)
 			}
 			if !clock.Sleep(ctx, time.Second) {
@@ -319,7 +319,7 @@
 		}
 	}
 	step("step-seen")
-	_, err = d.c.Roll(ctx, rollout.Command{Op: rollout.Back, Kind: rollout.Router, Name: name, Token: token})
+	_, err = d.c.Roll(ctx, rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: name, Token: token})
 	step("step-back")
 	return err
 }
@@ -328,15 +328,15 @@
 func clip(text string) string { return text[:min(len(text), rollout.MaxText)] }
 
 // run runs the operator's command for one router.
-func (d *driver) run(ctx context.Context, name string, x *rollout.Course, token uint64) error {
-	from := x.From
-	if x.Goal == x.From {
-		from = x.To
+func (d *driver) run(ctx context.Context, name string, x *rollout.ReleaseProgress, token uint64) error {
+	from := x.FromVersion
+	if x.GoalVersion == x.FromVersion {
+		from = x.ToVersion
 	}
 	var words []string
 	for _, w := range d.f.Command {
-		words = append(words, strings.NewReplacer("{name}", name, "{to}", x.Goal, "{from}", from).Replace(w))
+		words = append(words, strings.NewReplacer("{name}", name, "{to}", x.GoalVersion, "{from}", from).Replace(w))
 	}
 	// What the driver says itself stands at the same place.
-	return runCommand(ctx, os.Stderr, words, "DOCKHINGE_PERMIT=router/"+name, "DOCKHINGE_TOKEN="+strconv.FormatUint(token, 10), "DOCKHINGE_VERSION="+x.Goal)
+	return runCommand(ctx, os.Stderr, words, "DOCKHINGE_PERMIT=router/"+name, "DOCKHINGE_TOKEN="+strconv.FormatUint(token, 10), "DOCKHINGE_VERSION="+x.GoalVersion)
 }
--- a/cmd/dockhinge-coord/rollout.go
+++ b/cmd/dockhinge-coord/rollout.go
@@ -76,7 +76,7 @@
 // thing reads KIND/NAME.
 func thing(text string) (rollout.Kind, string, error) {
 	k, name, ok := strings.Cut(text, "/")
-	if kind := rollout.Kind(k); ok && name != "" && (kind == rollout.Router || kind == rollout.Server) {
+	if kind := rollout.Kind(k); ok && name != "" && (kind == rollout.KindRouter || kind == rollout.KindServer) {
 		return kind, name, nil
 	}
 	return "", "", fmt.Errorf("%q is neither router/NAME nor server/NAME", text)
@@ -106,7 +106,7 @@
 				r, err := c.Rollout(ctx, 0)
 				for _, b := range r.Budgets {
 					if b.Allowed == 0 {
-						fmt.Fprintf(cmd.ErrOrStderr(), "warning: budget %s%s lets nothing out: its share of %d is none\n", b.Budget, inZone(b.Zone), b.Things)
+						fmt.Fprintf(cmd.ErrOrStderr(), "warning: budget %s%s lets nothing out: its share of %d is none\n", b.Budget, inZone(b.Zone), b.Targets)
 					}
 				}
 				return err
@@ -150,33 +150,33 @@
 }
 
 func show(to io.Writer, r rollout.Report) error {
-	if r.Halted != nil {
-		fmt.Fprintf(to, "HALTED by %s: %s\n", r.Halted.By, r.Halted.Why)
+	if r.Halt != nil {
+		fmt.Fprintf(to, "HALTED by %s: %s\n", r.Halt.By, r.Halt.Reason)
 	}
-	if l := r.Load; l.Over {
-		fmt.Fprintf(to, "OVER ITS LIMIT: the fleet refuses or fails %.1f%% of requests; nothing new goes out but emergencies\n", 100*l.Share)
+	if l := r.Load; l.IsOverloaded {
+		fmt.Fprintf(to, "OVER ITS LIMIT: the fleet refuses or fails %.1f%% of requests; nothing new goes out but emergencies\n", 100*l.FailedShare)
 	}
 	w := tabwriter.NewWriter(to, 4, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "budget\tkind\tzone\tthings\tmay be out\tout")
 	for _, b := range r.Budgets {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", b.Budget, b.Kind, b.Zone, b.Things, b.Allowed, b.Out)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\n", b.Budget, b.Kind, b.Zone, b.Targets, b.Allowed, b.Out)
 	}
 	fmt.Fprintln(w, "\nout\tzone\twhy\tfor")
-	for _, m := range r.Out {
+	for _, m := range r.Unavailable {
 		why := string(m.Reason)
-		if len(m.By) > 0 {
-			why = fmt.Sprintf("found bad by %s, left out by all", rollout.Few(m.By))
+		if len(m.ReportedBy) > 0 {
+			why = fmt.Sprintf("found bad by %s, left out by all", rollout.FirstNames(m.ReportedBy))
 		}
-		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%v\n", m.Kind, m.Name, m.Zone, why, m.For.Round(time.Second))
+		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%v\n", m.Kind, m.Name, m.Zone, why, m.Duration.Round(time.Second))
 	}
 	fmt.Fprintln(w, "\npermit\tholder\tstage\tfor what\tit waits")
 	for _, p := range r.Permits {
-		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%s\t%s\n", p.Kind, p.Name, p.Client, p.Stage, p.Why, cmp.Or(p.Waits, "-"))
+		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%s\t%s\n", p.Kind, p.Name, p.Client, p.Stage, p.Purpose, cmp.Or(p.WaitReason, "-"))
 	}
 	return w.Flush()
 }
 
-var priorities = map[string]int{"release": rollout.Release, "normal": rollout.Normal, "emergency": rollout.Emergency}
+var priorities = map[string]int{"release": rollout.PriorityRelease, "normal": rollout.PriorityNormal, "emergency": rollout.PriorityEmergency}
 
 // want is a permit that is asked for by a tool.
 type want struct {
@@ -204,7 +204,7 @@
 	if !ok {
 		return 0, fmt.Errorf("--priority: %q is none of release, normal, emergency", w.priority)
 	}
-	cmd := rollout.Command{Kind: k, Name: name, Priority: priority, Within: w.within, Why: w.why}
+	cmd := rollout.Command{Kind: k, Name: name, Priority: priority, ValidFor: w.within, Reason: w.why}
 	var last string
 	var after uint64
 	began, waited := "", clock.Now()
@@ -212,11 +212,11 @@
 		if err != nil && began == "" {
 			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			_, _ = c.Roll(over, rollout.Command{Op: rollout.Cancel, Kind: k, Name: name}) // else it ends with the session
+			_, _ = c.Roll(over, rollout.Command{Op: rollout.OpCancelPermit, Kind: k, Name: name}) // else it ends with the session
 		}
 	}()
 	for {
-		cmd.Op = rollout.Ask
+		cmd.Op = rollout.OpRequestPermit
 		session := c.Session()
 		if began != "" && session != began {
 			return token, errLost
@@ -225,13 +225,13 @@
 			return 0, fmt.Errorf("no permit within %v: %s", w.within, last)
 		}
 		a, err := c.Roll(ctx, cmd)
-		if err == nil && a.Stage == rollout.Granted {
-			cmd.Op, cmd.Token = rollout.Begin, a.Token
+		if err == nil && a.Stage == rollout.StageGranted {
+			cmd.Op, cmd.Token = rollout.OpBeginOutage, a.Token
 			step("granted")
 			a, err = c.Roll(ctx, cmd)
 			step("begun")
 		}
-		if err == nil && a.Stage == rollout.Begun && began == "" { // also where it was begun under this name, by one that died
+		if err == nil && a.Stage == rollout.StageBegun && began == "" { // also where it was begun under this name, by one that died
 			began, token = c.Session(), a.Token
 		}
 		var refused *client.RefusedError
@@ -243,7 +243,7 @@
 			return token, errors.Join(ctx.Err(), errors.New(last))
 		case err != nil:
 			a.Text = "the coordinators don't answer: " + err.Error()
-		case a.Stage == rollout.Begun && (a.Drained || k == rollout.Router):
+		case a.Stage == rollout.StageBegun && (a.Drained || k == rollout.KindRouter):
 			return token, nil
 		}
 		if a.Text != last && a.Text != "" {
@@ -260,7 +260,7 @@
 
 func permit() *cobra.Command {
 	cmd := &cobra.Command{Use: "permit", Short: "Permits to take routers and cache servers out"}
-	cmd.AddCommand(permitTake(), word("clear", "Say that nothing happens any more by a permit whose holder is gone, and that it may come back", rollout.Clear))
+	cmd.AddCommand(permitTake(), word("clear", "Say that nothing happens any more by a permit whose holder is gone, and that it may come back", rollout.OpClearPermit))
 	return cmd
 }
 
@@ -291,7 +291,7 @@
 				if c.Session() != session {
 					return errLost
 				}
-				_, err = c.Roll(ctx, rollout.Command{Op: rollout.Back, Kind: k, Name: name, Token: token})
+				_, err = c.Roll(ctx, rollout.Command{Op: rollout.OpEndOutage, Kind: k, Name: name, Token: token})
 				step("given-back")
 				return err
 			})
@@ -307,7 +307,7 @@
 			"anew, or until 'undrain'.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			k, name, err := thing(args[0])
-			if err != nil || k != rollout.Server {
+			if err != nil || k != rollout.KindServer {
 				return errors.Join(err, fmt.Errorf("%s: only a cache server is drained by the routers", args[0]))
 			}
 			err = w.t.operate(cmd.Context(), w.as, toolTTL, func(ctx context.Context, c *client.Client) error {
@@ -346,7 +346,7 @@
 			if why == "" {
 				return errors.New("--why: say why; others will read it")
 			}
-			return t.roll(cmd.Context(), rollout.Command{Op: rollout.Halt, Why: why})
+			return t.roll(cmd.Context(), rollout.Command{Op: rollout.OpHalt, Reason: why})
 		}}
 	t.add(cmd)
 	cmd.Flags().StringVar(&why, "why", "", "the reason, which fleet shows")
@@ -357,7 +357,7 @@
 	var t tool
 	cmd := &cobra.Command{Use: "resume", Short: "End a halt", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return t.roll(cmd.Context(), rollout.Command{Op: rollout.Resume})
+			return t.roll(cmd.Context(), rollout.Command{Op: rollout.OpResume})
 		}}
 	t.add(cmd)
 	return cmd
--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -556,13 +556,13 @@
 }
 
 // Drains tells which servers are drained, once that is newer than the version after or some seconds have passed; at once for 0.
-func (c *Client) Drains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
+func (c *Client) Drains(ctx context.Context, after uint64) (d rollout.DrainSet, err error) {
 	err = c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d", after), nil, &d)
 	return d, err
 }
 
 // NextDrains waits as Drains does, also for the first version after 0: while nothing was ever drained nobody asks again and again.
-func (c *Client) NextDrains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
+func (c *Client) NextDrains(ctx context.Context, after uint64) (d rollout.DrainSet, err error) {
 	err = c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d&wait=true", after), nil, &d)
 	return d, err
 }
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -42,7 +42,7 @@
 
 // ParseBudgets reads a file that was read from path.
 func ParseBudgets(path string, text []byte) (cmd rollout.Command, err error) {
-	cmd.Op = rollout.Set
+	cmd.Op = rollout.OpSetBudgets
 	if len(text) > maxFile {
 		return cmd, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
@@ -57,16 +57,16 @@
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
 	}
-	if cmd.Grace, err = time.ParseDuration(f.Grace); err != nil || cmd.Grace < rollout.MinGrace || cmd.Grace > rollout.MaxWarm {
-		bad("grace", "%q is no duration from %v to %v", f.Grace, rollout.MinGrace, rollout.MaxWarm)
+	if cmd.Grace, err = time.ParseDuration(f.Grace); err != nil || cmd.Grace < rollout.MinGrace || cmd.Grace > rollout.MaxDuration {
+		bad("grace", "%q is no duration from %v to %v", f.Grace, rollout.MinGrace, rollout.MaxDuration)
 	}
-	if cmd.Expect = f.Routers; f.Routers < 0 || f.Routers > rollout.MaxRouters {
+	if cmd.ExpectedRouters = f.Routers; f.Routers < 0 || f.Routers > rollout.MaxRouters {
 		bad("routers", "%d is not from 0 to %d", f.Routers, rollout.MaxRouters)
 	}
-	if cmd.Quorum = f.Quorum; f.Quorum != 0 && (f.Quorum < rollout.LeastQuorum || f.Quorum > rollout.MostQuorum) {
-		bad("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed", f.Quorum, rollout.LeastQuorum, rollout.MostQuorum)
+	if cmd.EjectionQuorum = f.Quorum; f.Quorum != 0 && (f.Quorum < rollout.MinEjectionQuorum || f.Quorum > rollout.MaxEjectionQuorum) {
+		bad("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed", f.Quorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
 	}
-	if cmd.Busy = f.Busy; !(f.Busy >= 0 && f.Busy < 1) {
+	if cmd.OverloadShare = f.Busy; !(f.Busy >= 0 && f.Busy < 1) {
 		bad("busy", "%v is not between 0 and 1", f.Busy)
 	}
 	if len(f.Budget) == 0 {
@@ -77,10 +77,10 @@
 	}
 	names := map[string]bool{}
 	for i, x := range f.Budget {
-		b := rollout.Budget{Name: x.Name, Kind: rollout.Kind(x.Kind), Match: x.Match, Per: x.Per, Most: x.Most, Share: x.Share}
+		b := rollout.Budget{Name: x.Name, Kind: rollout.Kind(x.Kind), Match: x.Match, Per: x.Per, MaxOut: x.Most, MaxOutShare: x.Share}
 		setting := fmt.Sprintf("budget[%d]", i+1)
 		if x.Warm != "" {
-			if b.Warm, err = time.ParseDuration(x.Warm); err != nil {
+			if b.SlowStart, err = time.ParseDuration(x.Warm); err != nil {
 				bad(setting+".warm", "%q is no duration", x.Warm)
 				continue
 			}
--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -16,7 +16,7 @@
 	}
 	good := "version = 1\ngrace = \"9s\"\nrouters = 3\n[[budget]]\nname = \"a\"\nkind = \"server\"\nper = \"zone\"\nshare = 0.2\nwarm = \"30s\"\n"
 	set, err := ParseBudgets("b.toml", []byte(good))
-	if err != nil || set.Grace != 9*time.Second || set.Expect != 3 || len(set.Budgets) != 1 || set.Budgets[0] != (rollout.Budget{Name: "a", Kind: rollout.Server, Per: "zone", Share: 0.2, Warm: 30 * time.Second}) {
+	if err != nil || set.Grace != 9*time.Second || set.ExpectedRouters != 3 || len(set.Budgets) != 1 || set.Budgets[0] != (rollout.Budget{Name: "a", Kind: rollout.KindServer, Per: "zone", MaxOutShare: 0.2, SlowStart: 30 * time.Second}) {
 		t.Errorf("%+v, %v", set, err)
 	}
 	for text, want := range map[string]string{
@@ -55,7 +55,7 @@
 func TestReleaseFile(t *testing.T) {
 	good := "version = 1\nname = \"x\"\nfrom = \"a\"\nto = \"b\"\nkind = \"checked\"\ncommand = [\"true\", \"{name}\"]\n"
 	f, p, err := ParseRelease("r.toml", []byte(good))
-	if err != nil || f.Alpha != 0.001 || p != (rollout.Plan{Name: "x", From: "a", To: "b", First: 1, Grow: 2, Bake: 2 * time.Minute, Least: 100, Step: 2 * time.Minute, Learn: 20 * time.Second}) {
+	if err != nil || f.Alpha != 0.001 || p != (rollout.ReleasePlan{Name: "x", FromVersion: "a", ToVersion: "b", FirstWave: 1, GrowthFactor: 2, BakeTime: 2 * time.Minute, MinRequests: 100, StepTimeout: 2 * time.Minute, LearnTime: 20 * time.Second}) {
 		t.Errorf("%+v, %+v, %v", f, p, err)
 	}
 	for text, want := range map[string]string{
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -31,7 +31,7 @@
 }
 
 // LoadRelease reads the file at path. The error joins a configerror.Problem for each mistake.
-func LoadRelease(path string) (f Release, p rollout.Plan, err error) {
+func LoadRelease(path string) (f Release, p rollout.ReleasePlan, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return f, p, fmt.Errorf("release: %w", err)
@@ -40,7 +40,7 @@
 }
 
 // ParseRelease reads a file that was read from path.
-func ParseRelease(path string, text []byte) (f Release, p rollout.Plan, err error) {
+func ParseRelease(path string, text []byte) (f Release, p rollout.ReleasePlan, err error) {
 	if len(text) > maxFile {
 		return f, p, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
@@ -55,11 +55,11 @@
 	if f.Version != Version {
 		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
 	}
-	p = rollout.Plan{Name: f.Name, Match: f.Match, From: f.From, To: f.To, First: f.First, Grow: f.Grow, Least: f.Least}
+	p = rollout.ReleasePlan{Name: f.Name, Match: f.Match, FromVersion: f.From, ToVersion: f.To, FirstWave: f.First, GrowthFactor: f.Grow, MinRequests: f.Least}
 	for _, d := range []struct {
 		setting, v string
 		to         *time.Duration
-	}{{"bake", f.Bake, &p.Bake}, {"step", f.Step, &p.Step}, {"learn", f.Learn, &p.Learn}} {
+	}{{"bake", f.Bake, &p.BakeTime}, {"step", f.Step, &p.StepTimeout}, {"learn", f.Learn, &p.LearnTime}} {
 		if *d.to, err = time.ParseDuration(d.v); err != nil {
 			bad(d.setting, "%q is no duration", d.v)
 			*d.to = time.Minute // told already
--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -301,13 +301,13 @@
 	if c.Roll == nil {
 		return bad("roll: empty")
 	}
-	if s.V < 3 && c.Roll.View != nil && len(c.Roll.View.Speed) > 0 {
+	if s.V < 3 && c.Roll.Report != nil && len(c.Roll.Report.LatencyCounts) > 0 {
 		return bad("version: %d is in force, and the speed wants 3", s.V)
 	}
-	if s.V < 3 && c.Roll.Plan != nil && c.Roll.Plan.Learn > 0 {
+	if s.V < 3 && c.Roll.Plan != nil && c.Roll.Plan.LearnTime > 0 {
 		return bad("version: %d is in force, and learn wants 3: once all coordinators run this program, 'members upgrade'", s.V)
 	}
-	if s.V < 3 && (c.Roll.Quorum > 0 || c.Roll.Busy > 0) {
+	if s.V < 3 && (c.Roll.EjectionQuorum > 0 || c.Roll.OverloadShare > 0) {
 		return bad("version: %d is in force, and quorum and busy want 3: once all coordinators run this program, 'members upgrade'", s.V)
 	}
 	if a, awaits := s.AwaitsUpgrade(c); awaits {
@@ -316,18 +316,18 @@
 	if s.Rollout == nil {
 		s.Rollout = rollout.New()
 	}
-	a := s.Rollout.Apply(*c.Roll, rollout.From{Clock: s.Clock, Session: c.Session, Client: se.Client, Opened: se.Opened, Token: s.newToken, EarlierBounds: s.hasEarlierBounds()})
-	return Answer{Code: Code(a.Code), Text: a.Text, Token: a.Token, Stage: a.Stage, Drained: a.Drained}
+	a := s.Rollout.Apply(*c.Roll, rollout.Sender{Time: s.Clock, Session: c.Session, Client: se.Client, SessionOrder: se.Opened, NextToken: s.newToken, HasEarlierLimits: s.hasEarlierBounds()})
+	return Answer{Code: Code(a.Code), Text: a.Text, Token: a.Token, Stage: a.Stage, Drained: a.IsDrained}
 }
 
 // RoutersDrains is what routers go by, with what all coordinators understand; empty until the first command about it.
-func (s *State) RoutersDrains() rollout.Drains {
+func (s *State) RoutersDrains() rollout.DrainSet {
 	if s.Rollout == nil {
-		return rollout.Drains{}
+		return rollout.DrainSet{}
 	}
-	d := s.Rollout.ForRouters(s.Clock, s.V >= 3)
+	d := s.Rollout.DrainSet(s.Clock, s.V >= 3)
 	if !s.hasEarlierBounds() {
-		d.MaxSeen = rollout.MaxSeen
+		d.MaxReportedServers = rollout.MaxReportedServers
 	}
 	return d
 }
@@ -337,7 +337,7 @@
 	if s.Rollout == nil {
 		return 0, 0
 	}
-	return s.Rollout.Version, s.Rollout.Drains
+	return s.Rollout.Version, s.Rollout.DrainVersion
 }
 
 func (s *State) newToken() uint64 {
@@ -395,7 +395,7 @@
 	case c.Op != Roll || c.Roll == nil:
 	case s.V < rolloutVersion:
 		wants = rolloutVersion
-	case s.hasEarlierBounds() && c.Roll.PassesEarlierBounds():
+	case s.hasEarlierBounds() && c.Roll.ExceedsEarlierLimits():
 		wants = boundsVersion
 	}
 	if wants == 0 {
@@ -521,7 +521,7 @@
 	client := s.Sessions[id].Client
 	delete(s.Sessions, id)
 	if s.Rollout != nil {
-		s.Rollout.Ended(id, client, s.Clock, s.newToken)
+		s.Rollout.SessionEnded(id, client, s.Clock, s.newToken)
 	}
 }
 
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -89,7 +89,7 @@
 func TestBoundsBeforeUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
-		must(t, s, Command{Op: Open, Session: fmt.Sprint(i), Client: rollout.RouterClient + fmt.Sprint(i), TTL: time.Minute}, OK)
+		must(t, s, Command{Op: Open, Session: fmt.Sprint(i), Client: rollout.RouterClientPrefix + fmt.Sprint(i), TTL: time.Minute}, OK)
 	}
 	more := Command{Op: Open, Session: "more", Client: "c", TTL: time.Minute}
 	if a := must(t, s, more, Full); a.Text != "sessions: 4096 at most" {
@@ -97,7 +97,7 @@
 	}
 	must(t, s, Command{Op: Upgrade, Version: 3}, OK)
 	see := func(i int) Command {
-		return Command{Op: Roll, Session: fmt.Sprint(i), Seq: 1, Roll: &rollout.Command{Op: rollout.See, View: &rollout.View{}}}
+		return Command{Op: Roll, Session: fmt.Sprint(i), Seq: 1, Roll: &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{}}}
 	}
 	for i := range rollout.EarlierMaxRouters {
 		must(t, s, see(i), OK)
@@ -105,16 +105,16 @@
 	if a := must(t, s, see(rollout.EarlierMaxRouters), Full); a.Text != "routers: 1024 at most" {
 		t.Errorf("%s", a.Text)
 	}
-	large := Command{Op: Roll, Session: "0", Seq: 2, Roll: &rollout.Command{Op: rollout.See, View: &rollout.View{Servers: make([]rollout.Seen, rollout.EarlierMaxSeen+1)}}}
+	large := Command{Op: Roll, Session: "0", Seq: 2, Roll: &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{Servers: make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)}}}
 	if a := must(t, s, large, Bad); !strings.Contains(a.Text, "members upgrade") {
 		t.Errorf("%s", a.Text)
 	}
-	if n := s.RoutersDrains().MaxSeen; n != 0 {
+	if n := s.RoutersDrains().MaxReportedServers; n != 0 {
 		t.Errorf("routers are told of reports of %d servers", n)
 	}
 	must(t, s, Command{Op: Upgrade, Version: boundsVersion}, OK)
 	must(t, s, more, OK)
-	if n := s.RoutersDrains().MaxSeen; n != rollout.MaxSeen {
+	if n := s.RoutersDrains().MaxReportedServers; n != rollout.MaxReportedServers {
 		t.Errorf("routers are told of reports of %d servers", n)
 	}
 }
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -189,7 +189,7 @@
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 	command(t, n.Handler(), coord.Command{Op: coord.Open, Session: "s", Client: "ann", TTL: time.Minute})
-	budgets := &rollout.Command{Op: rollout.Set, Grace: time.Minute, Quorum: rollout.LeastQuorum} // changes what routers go by
+	budgets := &rollout.Command{Op: rollout.OpSetBudgets, Grace: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum} // changes what routers go by
 	if a := command(t, n.Handler(), coord.Command{Op: coord.Roll, Session: "s", Seq: 1, Roll: budgets}); a.Code != coord.OK {
 		t.Fatalf("%+v", a)
 	}
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	text, err := json.Marshal(coord.Command{Op: coord.Roll, Session: "s", Seq: 1, Roll: &rollout.Command{Op: rollout.Ack}})
+	text, err := json.Marshal(coord.Command{Op: coord.Roll, Session: "s", Seq: 1, Roll: &rollout.Command{Op: rollout.OpAcknowledgeDrains}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -211,7 +211,7 @@
 		if !watch(w, r, true) {
 			return
 		}
-		var d rollout.Drains
+		var d rollout.DrainSet
 		err := n.Read(func(s *coord.State) { d = s.RoutersDrains() })
 		n.give(w, d, err)
 	})
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -53,7 +53,7 @@
 	s.next, s.bytes = 0, 0
 	s.restoredDocuments()
 	if s.Rollout != nil {
-		s.Rollout.Restored()
+		s.Rollout.RebuildDerived()
 	}
 	for name, l := range s.Leases {
 		s.bytes += len(l.Record)
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -22,15 +22,15 @@
 
 // joined is a fleet of so many routers, all servers up.
 func joined(routers int) *world {
-	w := newWorld(Budget{Name: "servers", Kind: Server, Most: 1})
+	w := newWorld(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
-		client := RouterClient + fmt.Sprint("r", r)
-		for from := 0; from < benchServers; from += EarlierMaxSeen {
-			v := &View{Zone: "z", Ready: true}
-			for i := from; i < min(from+EarlierMaxSeen, benchServers); i++ {
-				v.Servers = append(v.Servers, Seen{Name: fmt.Sprint("s", r/benchRegionRouters, "-", i), Zone: "z", Run: "1", Is: Up})
+		client := RouterClientPrefix + fmt.Sprint("r", r)
+		for from := 0; from < benchServers; from += EarlierMaxReportedServers {
+			v := &RouterReport{Zone: "z", IsReady: true}
+			for i := from; i < min(from+EarlierMaxReportedServers, benchServers); i++ {
+				v.Servers = append(v.Servers, ServerObservation{Name: fmt.Sprint("s", r/benchRegionRouters, "-", i), Zone: "z", Incarnation: "1", Status: StatusServing})
 			}
-			w.must(Command{Op: See, View: v}, client)
+			w.must(Command{Op: OpReport, Report: v}, client)
 		}
 	}
 	return w
@@ -40,12 +40,12 @@
 func BenchmarkDrain(b *testing.B) {
 	w := joined(benchRouters)
 	for b.Loop() {
-		a := w.must(Command{Op: Ask, Kind: Server, Name: "s0-0"}, "ann")
-		w.must(Command{Op: Begin, Kind: Server, Name: "s0-0", Token: a.Token}, "ann")
+		a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s0-0"}, "ann")
+		w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "s0-0", Token: a.Token}, "ann")
 		for r := range benchRouters {
-			w.must(Command{Op: Ack, Drains: w.s.Drains}, RouterClient+fmt.Sprint("r", r))
+			w.must(Command{Op: OpAcknowledgeDrains, DrainVersion: w.s.DrainVersion}, RouterClientPrefix+fmt.Sprint("r", r))
 		}
-		w.must(Command{Op: Back, Kind: Server, Name: "s0-0", Token: a.Token}, "ann")
+		w.must(Command{Op: OpEndOutage, Kind: KindServer, Name: "s0-0", Token: a.Token}, "ann")
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -89,17 +89,17 @@
 		case "advance":
 			state.Advance(event.Clock, nextToken)
 		case "ended":
-			state.Ended(event.Session, event.Client, event.Clock, nextToken)
+			state.SessionEnded(event.Session, event.Client, event.Clock, nextToken)
 		case "command":
 			var command Command
 			if err := json.Unmarshal(event.Roll, &command); err != nil {
 				t.Fatalf("line %d: %v", number, err)
 			}
 			expectBytes(t, "the command encoded again", encoded(t, command), event.Roll)
-			answer := state.Apply(command, From{
-				Clock: event.Clock, Session: event.Session, Client: event.Client, Opened: event.Opened, Token: nextToken,
+			answer := state.Apply(command, Sender{
+				Time: event.Clock, Session: event.Session, Client: event.Client, SessionOrder: event.Opened, NextToken: nextToken,
 			})
-			got := storedAnswer{answer.Code, answer.Text, answer.Stage, answer.Token, answer.Drained}
+			got := storedAnswer{answer.Code, answer.Text, answer.Stage, answer.Token, answer.IsDrained}
 			if got != *event.Answer {
 				t.Errorf("line %d: %+v, want %+v", number, got, *event.Answer)
 			}
@@ -119,12 +119,12 @@
 	if err := json.Unmarshal(stored, state); err != nil {
 		t.Fatal(err)
 	}
-	state.Restored()
+	state.RebuildDerived()
 	expectBytes(t, "the state encoded again", encoded(t, state), stored)
 
 	now := lastStoredTime(t)
 	expectBytes(t, "the report", encoded(t, state.Report(now)), readStored(t, "report.json"))
-	expectBytes(t, "what routers are told", encoded(t, state.ForRouters(now, true)), readStored(t, "drains.json"))
+	expectBytes(t, "what routers are told", encoded(t, state.DrainSet(now, true)), readStored(t, "drains.json"))
 
 	state.Advance(now, func() uint64 {
 		t.Fatal("the state grants a permit that the program which stored it did not grant")
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -33,7 +33,7 @@
 		c.first++
 	}
 	c.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(rollout.Drains{}) // at once, as a coordinator of an older program does at version 0
+	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as a coordinator of an older program does at version 0
 }
 
 // While nothing was ever drained a router waits for news instead of asking again and again, also before a coordinator that
@@ -48,14 +48,14 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { one.Run(ctx) })
 	Run(ctx, Options{
-		Client:  one,
-		Ready:   func() bool { return true },
-		Counts:  func() (int64, int64, []int64) { return 0, 0, nil },
-		Seen:    func(context.Context) ([]rollout.Seen, error) { return nil, nil },
-		Drain:   func(context.Context, string, bool) error { return nil },
-		Open:    func(context.Context, []string) (int, error) { return 0, nil },
-		Held:    func(context.Context) []string { return nil },
-		Suspect: func(context.Context, []rollout.Suspect) error { return nil },
+		Client:          one,
+		IsReady:         func() bool { return true },
+		RequestCounts:   func() (int64, int64, []int64) { return 0, 0, nil },
+		ObserveServers:  func(context.Context) ([]rollout.ServerObservation, error) { return nil, nil },
+		SetDrained:      func(context.Context, string, bool) error { return nil },
+		OpenAttempts:    func(context.Context, []string) (int, error) { return 0, nil },
+		InheritedDrains: func(context.Context) []string { return nil },
+		SetEjected:      func(context.Context, []rollout.EjectedServer) error { return nil },
 	})
 	wg.Wait()
 	if c.first != 1 || c.waits == 0 {
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -21,61 +21,61 @@
 		{"20 20 20 4 4 20 4 4 4 4", "..ooooooo."},
 		{"20 - 20 20", "...o"},
 	} {
-		w := newWorld(Budget{Name: "s", Kind: Server, Most: 1})
-		w.must(Command{Op: Set, Budgets: w.s.Budgets, Grace: 5 * time.Second, Busy: 0.1}, "operator")
+		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+		w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: 0.1}, "operator")
 		w.router("r2", "z", "s1:up", "s2:up", "s3:up")
 		good, wrong := int64(1), int64(0)
 		tell := func() {
-			w.must(Command{Op: See, View: &View{Ready: true, Good: good, Bad: wrong}}, RouterClient+"r1")
+			w.must(Command{Op: OpReport, Report: &RouterReport{IsReady: true, Served: good, Failed: wrong}}, RouterClientPrefix+"r1")
 		}
 		tell()
 		w.pass(time.Minute)
-		a := w.must(Command{Op: Ask, Kind: Server, Name: "s1", Priority: Normal}, "ann")
-		if a.Stage != Granted {
+		a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s1", Priority: PriorityNormal}, "ann")
+		if a.Stage != StageGranted {
 			t.Fatalf("%+v", a)
 		}
 		for i, f := range strings.Fields(x.shares) {
 			n := int64(1000)
 			share := int64(0)
 			if f == "-" {
-				n = loadLeast - 1
+				n = loadMinRequests - 1
 			} else {
 				for _, c := range f {
 					share = 10*share + int64(c-'0')
 				}
 			}
-			w.pass(loadEvery)
+			w.pass(loadCountInterval)
 			good, wrong = good+n*(100-share)/100, wrong+n*share/100
 			tell() // it ends the count before, and begins one with these
 			want := x.over[i] == 'o'
-			p := w.permit(Server, "s1")
-			if w.s.Load.Over != want || (p.Stage == Granted) == want || want && !strings.Contains(p.Waits, "over 10% of requests") {
+			p := w.permit(KindServer, "s1")
+			if w.s.Load.IsOverloaded != want || (p.Stage == StageGranted) == want || want && !strings.Contains(p.WaitReason, "over 10% of requests") {
 				t.Errorf("%s, count %d: %+v, permit %+v", x.shares, i, w.s.Load, p)
 			}
-			if want && w.do(Command{Op: Begin, Kind: Server, Name: "s1", Token: a.Token}, "ann").Code == OK {
+			if want && w.do(Command{Op: OpBeginOutage, Kind: KindServer, Name: "s1", Token: a.Token}, "ann").Code == CodeOK {
 				t.Errorf("%s, count %d: the step begins", x.shares, i)
 			}
 		}
 	}
-	w := newWorld(Budget{Name: "s", Kind: Server, Most: 1})
-	w.must(Command{Op: Set, Budgets: w.s.Budgets, Grace: 5 * time.Second, Busy: 0.1}, "operator")
+	w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: 0.1}, "operator")
 	w.router("r2", "z", "s1:up", "s2:up", "s3:up")
 	for i := range int64(5) {
-		w.must(Command{Op: See, View: &View{Ready: true, Good: 100*i + 1, Bad: 100 * i}}, RouterClient+"r1")
-		w.pass(loadEvery)
+		w.must(Command{Op: OpReport, Report: &RouterReport{IsReady: true, Served: 100*i + 1, Failed: 100 * i}}, RouterClientPrefix+"r1")
+		w.pass(loadCountInterval)
 	}
-	if !w.s.Load.Over {
+	if !w.s.Load.IsOverloaded {
 		t.Errorf("%+v", w.s.Load)
 	}
-	if a := w.must(Command{Op: Ask, Kind: Server, Name: "s1", Priority: Emergency}, "ann"); a.Stage != Granted {
+	if a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s1", Priority: PriorityEmergency}, "ann"); a.Stage != StageGranted {
 		t.Errorf("an emergency: %+v", a)
 	}
-	w.pass(loadLost)
-	if w.s.Load.Over {
+	w.pass(loadMaxAge)
+	if w.s.Load.IsOverloaded {
 		t.Errorf("without figures: %+v", w.s.Load)
 	}
 	for _, busy := range []float64{-0.1, 1} {
-		if a := w.do(Command{Op: Set, Budgets: w.s.Budgets, Grace: 5 * time.Second, Busy: busy}, "operator"); a.Code != Refused {
+		if a := w.do(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: busy}, "operator"); a.Code != CodeInvalid {
 			t.Errorf("busy %v: %+v", busy, a)
 		}
 	}
--- a/internal/rollout/sightings_test.go
+++ b/internal/rollout/observations_test.go
@@ -13,29 +13,29 @@
 // Sightings have a bound of their own, which all routers that see all servers would pass; one that goes makes room.
 func TestSightingsBound(t *testing.T) {
 	w := newWorld()
-	const routers = MaxSightings / MaxServers
-	report := func(router string, from, n int) Answer {
-		v := &View{Ready: true}
+	const routers = MaxObservations / MaxServers
+	report := func(router string, from, n int) Result {
+		v := &RouterReport{IsReady: true}
 		for i := range n {
-			v.Servers = append(v.Servers, Seen{Name: fmt.Sprint("s", from+i), Is: Up})
+			v.Servers = append(v.Servers, ServerObservation{Name: fmt.Sprint("s", from+i), Status: StatusServing})
 		}
-		return w.do(Command{Op: See, View: v}, RouterClient+router)
+		return w.do(Command{Op: OpReport, Report: v}, RouterClientPrefix+router)
 	}
 	for r := range routers {
-		for from := 0; from < MaxServers; from += MaxSeen {
-			if a := report(fmt.Sprint("r", r), from, MaxSeen); a.Code != OK {
+		for from := 0; from < MaxServers; from += MaxReportedServers {
+			if a := report(fmt.Sprint("r", r), from, MaxReportedServers); a.Code != CodeOK {
 				t.Fatalf("router %d, servers from %d: %+v", r, from, a)
 			}
 		}
 	}
-	if a := report("more", 0, 1); a.Code != Full || !strings.Contains(a.Text, "sightings") {
+	if a := report("more", 0, 1); a.Code != CodeLimitReached || !strings.Contains(a.Text, "sightings") {
 		t.Errorf("one more: %+v", a)
 	}
-	if a := report("r0", 0, 1); a.Code != OK {
+	if a := report("r0", 0, 1); a.Code != CodeOK {
 		t.Errorf("one that is known already: %+v", a)
 	}
-	w.end(RouterClient + "r1")
-	if a := report("more", 0, 1); a.Code != OK {
+	w.end(RouterClientPrefix + "r1")
+	if a := report("more", 0, 1); a.Code != CodeOK {
 		t.Errorf("after a router has gone: %+v", a)
 	}
 }
@@ -43,25 +43,25 @@
 // The counts that are kept are those that a look at all sightings gives, whatever is told, ends, or is forgotten.
 func TestSightCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(Budget{Name: "s", Kind: Server, Most: 1})
+		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 		names := []string{"a1", "b2", "c3"}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			router := rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(t, "router")
 			if rapid.IntRange(0, 5).Draw(t, "end") == 0 {
-				w.end(RouterClient + router)
+				w.end(RouterClientPrefix + router)
 			} else {
-				is := rapid.SampledFrom([]Sight{Up, Bad, Leaving, Gone}).Draw(t, "is")
+				is := rapid.SampledFrom([]ServerStatus{StatusServing, StatusFailing, StatusDraining, StatusRemoved}).Draw(t, "is")
 				w.router(router, "z", rapid.SampledFrom(names).Draw(t, "server")+":"+string(is))
 			}
 			w.pass(DefaultGrace)
 			again := w.s.Clone()
-			again.recount()
-			if again.sightings != w.s.sightings || len(again.sees) != len(w.s.sees) {
-				t.Fatalf("%d sightings by %d routers are counted, there are %d by %d", w.s.sightings, len(w.s.sees), again.sightings, len(again.sees))
+			again.recountObservations()
+			if again.observationCount != w.s.observationCount || len(again.observationsByRouter) != len(w.s.observationsByRouter) {
+				t.Fatalf("%d sightings by %d routers are counted, there are %d by %d", w.s.observationCount, len(w.s.observationsByRouter), again.observationCount, len(again.observationsByRouter))
 			}
-			for router, n := range again.sees {
-				if *w.s.sees[router] != *n {
-					t.Fatalf("router %s: %+v is counted, there are %+v", router, *w.s.sees[router], *n)
+			for router, n := range again.observationsByRouter {
+				if *w.s.observationsByRouter[router] != *n {
+					t.Fatalf("router %s: %+v is counted, there are %+v", router, *w.s.observationsByRouter[router], *n)
 				}
 			}
 			for _, name := range names {
@@ -78,12 +78,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.StringMatching("[a-c]{1,3}"), 1, 8, rapid.ID[string]).Draw(t, "names")
 		set := map[string]bool{}
-		var few fewNames
+		var few firstNames
 		for _, name := range all {
 			few.add(name)
 			set[name] = true
 		}
-		if want := Few(sorted(set)); few.text() != want {
+		if want := FirstNames(sorted(set)); few.text() != want {
 			t.Fatalf("%q, want %q", few.text(), want)
 		}
 	})
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -18,21 +18,21 @@
 
 // The bounds of all tables.
 const (
-	MaxBudgets = 64
-	MaxRouters = 8192 // 5,100 and over half as many again
-	MaxServers = 4096 // 2,500 and over half as many again
-	MaxPermits = 256  // that wait or are given
-	MaxSeen    = 512  // servers in one report
-	// MaxSightings of a server by a router: 13 regions of 392 routers that see 192 servers each, twice. All routers that see all
+	MaxBudgets         = 64
+	MaxRouters         = 8192 // 5,100 and over half as many again
+	MaxServers         = 4096 // 2,500 and over half as many again
+	MaxPermits         = 256  // that wait or are given
+	MaxReportedServers = 512  // servers in one report
+	// MaxObservations of a server by a router: 13 regions of 392 routers that see 192 servers each, twice. All routers that see all
 	// servers would be six times as many.
-	MaxSightings = 2 << 20
-	MaxName      = 128 // bytes
-	MaxText      = 256 // bytes of a purpose or reason
-	MaxWarm      = time.Hour
-	MaxWait      = 24 * time.Hour // of a deadline
-	MinGrace     = time.Second
-
-	ForgetAfter = 10 // times the grace: then a server that is on no list is forgotten
+	MaxObservations = 2 << 20
+	MaxName         = 128 // bytes
+	MaxText         = 256 // bytes of a purpose or reason
+	MaxDuration     = time.Hour
+	MaxPermitWait   = 24 * time.Hour // of a deadline
+	MinGrace        = time.Second
+
+	ForgetAfterGraces = 10 // times the grace: then a server that is on no list is forgotten
 )
 
 // Kind says what a thing is.
@@ -40,18 +40,18 @@
 
 // The kinds.
 const (
-	Router Kind = "router"
-	Server Kind = "server" // a cache server
+	KindRouter Kind = "router"
+	KindServer Kind = "server" // a cache server
 )
 
-// RouterClient begins the names of the routers' sessions.
-const RouterClient = "router/"
+// RouterClientPrefix begins the names of the routers' sessions.
+const RouterClientPrefix = "router/"
 
 // Priorities. One that is higher goes first; Emergency also passes a halt.
 const (
-	Release   = 0
-	Normal    = 5
-	Emergency = 9
+	PriorityRelease   = 0
+	PriorityNormal    = 5
+	PriorityEmergency = 9
 )
 
 // Op says what a command does.
@@ -59,83 +59,83 @@
 
 // The commands.
 const (
-	Set    Op = "budgets" // Budgets, Grace and Expect are in force from here on
-	See    Op = "see"     // a router's View; only from the session of a router
-	Ack    Op = "ack"     // a router sends nothing more to all that was drained at the version Drains; likewise
-	Ask    Op = "ask"     // for the permit to take Kind/Name out; repeated it tells how it stands
-	Begin  Op = "begin"   // the step, by the permit with Token: from here on the thing is out
-	Back   Op = "back"    // the thing is back in service, the permit with Token is given back
-	Cancel Op = "cancel"  // a permit that hasn't begun
-	Clear  Op = "clear"   // an operator's word: whoever had the permit of Kind/Name, nothing happens by it any more
-	Forget Op = "forget"  // an operator's word: Kind/Name, which is not in, belongs to the fleet no more
-	Halt   Op = "halt"    // nothing new goes out, for the reason Why
-	Resume Op = "resume"  // the halt is over
-
-	Start   Op = "release"  // of the Plan
-	WayBack Op = "way-back" // the release goes back to the version before
-	End     Op = "end"      // the release ends as it stands
-	Failed  Op = "failed"   // router Name can't be brought to the goal, for the reason Why
+	OpSetBudgets        Op = "budgets" // Budgets, Grace and Expect are in force from here on
+	OpReport            Op = "see"     // a router's View; only from the session of a router
+	OpAcknowledgeDrains Op = "ack"     // a router sends nothing more to all that was drained at the version Drains; likewise
+	OpRequestPermit     Op = "ask"     // for the permit to take Kind/Name out; repeated it tells how it stands
+	OpBeginOutage       Op = "begin"   // the step, by the permit with Token: from here on the thing is out
+	OpEndOutage         Op = "back"    // the thing is back in service, the permit with Token is given back
+	OpCancelPermit      Op = "cancel"  // a permit that hasn't begun
+	OpClearPermit       Op = "clear"   // an operator's word: whoever had the permit of Kind/Name, nothing happens by it any more
+	OpForgetTarget      Op = "forget"  // an operator's word: Kind/Name, which is not in, belongs to the fleet no more
+	OpHalt              Op = "halt"    // nothing new goes out, for the reason Why
+	OpResume            Op = "resume"  // the halt is over
+
+	OpStartRelease Op = "release"  // of the Plan
+	OpRollBack     Op = "way-back" // the release goes back to the version before
+	OpEndRelease   Op = "end"      // the release ends as it stands
+	OpRouterFailed Op = "failed"   // router Name can't be brought to the goal, for the reason Why
 )
 
 // Command is one of them, from a session.
 type Command struct {
-	Op       Op            `json:"op"`
-	Budgets  []Budget      `json:"budgets,omitempty"`
-	Grace    time.Duration `json:"grace,omitempty"`
-	Expect   int           `json:"expect,omitempty"`
-	Quorum   int           `json:"quorum,omitempty"`
-	Busy     float64       `json:"busy,omitempty"`
-	View     *View         `json:"view,omitempty"`
-	Drains   uint64        `json:"drains,omitempty"`
-	Kind     Kind          `json:"kind,omitempty"`
-	Name     string        `json:"name,omitempty"`
-	Token    uint64        `json:"token,omitempty"`
-	Priority int           `json:"priority,omitempty"`
-	Within   time.Duration `json:"within,omitempty"` // Ask: the permit is not wanted any more after it; 0 = ever
-	Why      string        `json:"why,omitempty"`
-	Plan     *Plan         `json:"plan,omitempty"`
-}
-
-// View is what a router tells of itself and of the cache servers. Servers has what changed since its last one.
-type View struct {
-	Zone    string `json:"zone,omitempty"`
-	Version string `json:"version,omitempty"`
-	Ready   bool   `json:"ready"`
-	Servers []Seen `json:"servers,omitempty"`
-	Good    int64  `json:"good,omitempty"` // requests served since the process began,
-	Bad     int64  `json:"bad,omitempty"`  // and refused or failed; told while a release is under way
+	Op              Op            `json:"op"`
+	Budgets         []Budget      `json:"budgets,omitempty"`
+	Grace           time.Duration `json:"grace,omitempty"`
+	ExpectedRouters int           `json:"expect,omitempty"`
+	EjectionQuorum  int           `json:"quorum,omitempty"`
+	OverloadShare   float64       `json:"busy,omitempty"`
+	Report          *RouterReport `json:"view,omitempty"`
+	DrainVersion    uint64        `json:"drains,omitempty"`
+	Kind            Kind          `json:"kind,omitempty"`
+	Name            string        `json:"name,omitempty"`
+	Token           uint64        `json:"token,omitempty"`
+	Priority        int           `json:"priority,omitempty"`
+	ValidFor        time.Duration `json:"within,omitempty"` // Ask: the permit is not wanted any more after it; 0 = ever
+	Reason          string        `json:"why,omitempty"`
+	Plan            *ReleasePlan  `json:"plan,omitempty"`
+}
+
+// RouterReport is what a router tells of itself and of the cache servers. Servers has what changed since its last one.
+type RouterReport struct {
+	Zone    string              `json:"zone,omitempty"`
+	Version string              `json:"version,omitempty"`
+	IsReady bool                `json:"ready"`
+	Servers []ServerObservation `json:"servers,omitempty"`
+	Served  int64               `json:"good,omitempty"` // requests served since the process began,
+	Failed  int64               `json:"bad,omitempty"`  // and refused or failed; told while a release is under way
 	// Of those served, how many took how long (SpeedBucket); told where Drains.Speed wants it.
-	Speed []int64 `json:"speed,omitempty"`
+	LatencyCounts []int64 `json:"speed,omitempty"`
 }
 
-// Sight is how a router sees a server.
-type Sight string
+// ServerStatus is how a router sees a server.
+type ServerStatus string
 
 // The sights.
 const (
-	Up      Sight = "up"
-	Bad     Sight = "bad"     // it doesn't answer, or answers wrongly
-	Leaving Sight = "leaving" // discovery's list says so
-	Gone    Sight = "gone"    // from discovery's list
+	StatusServing  ServerStatus = "up"
+	StatusFailing  ServerStatus = "bad"     // it doesn't answer, or answers wrongly
+	StatusDraining ServerStatus = "leaving" // discovery's list says so
+	StatusRemoved  ServerStatus = "gone"    // from discovery's list
 )
 
-// Seen is one server as a router sees it.
-type Seen struct {
-	Name string `json:"name"`
-	Zone string `json:"zone,omitempty"`
-	Run  string `json:"run,omitempty"` // tells one start of its process from another, by discovery's list
-	Is   Sight  `json:"is"`
+// ServerObservation is one server as a router sees it.
+type ServerObservation struct {
+	Name        string       `json:"name"`
+	Zone        string       `json:"zone,omitempty"`
+	Incarnation string       `json:"run,omitempty"` // tells one start of its process from another, by discovery's list
+	Status      ServerStatus `json:"is"`
 }
 
 // Budget bounds how many things of a kind are out at once, whatever the reason.
 type Budget struct {
-	Name  string        `json:"name"`
-	Kind  Kind          `json:"kind"`
-	Match string        `json:"match,omitempty"` // names, as path.Match has it; "" = all
-	Per   string        `json:"per,omitempty"`   // "zone": it holds for each zone by itself; "" = for the fleet
-	Most  int           `json:"most,omitempty"`
-	Share float64       `json:"share,omitempty"` // of those that there are, rounded down; where Most is 0
-	Warm  time.Duration `json:"warm,omitempty"`  // one that is back counts as out for so long
+	Name        string        `json:"name"`
+	Kind        Kind          `json:"kind"`
+	Match       string        `json:"match,omitempty"` // names, as path.Match has it; "" = all
+	Per         string        `json:"per,omitempty"`   // "zone": it holds for each zone by itself; "" = for the fleet
+	MaxOut      int           `json:"most,omitempty"`
+	MaxOutShare float64       `json:"share,omitempty"` // of those that there are, rounded down; where Most is 0
+	SlowStart   time.Duration `json:"warm,omitempty"`  // one that is back counts as out for so long
 }
 
 // Check tells what is wrong with a budget.
@@ -143,18 +143,18 @@
 	switch {
 	case b.Name == "" || len(b.Name) > MaxName:
 		return fmt.Errorf("name: %q is not of 1 to %d bytes", b.Name, MaxName)
-	case b.Kind != Router && b.Kind != Server:
+	case b.Kind != KindRouter && b.Kind != KindServer:
 		return fmt.Errorf("kind: %q is none of router, server", b.Kind)
 	case b.Per != "" && b.Per != "zone":
 		return fmt.Errorf("per: %q is not zone", b.Per)
-	case b.Most < 0 || b.Most > MaxRouters:
-		return fmt.Errorf("most: %d is not from 1 to %d", b.Most, MaxRouters)
-	case b.Most > 0 && b.Share != 0:
+	case b.MaxOut < 0 || b.MaxOut > MaxRouters:
+		return fmt.Errorf("most: %d is not from 1 to %d", b.MaxOut, MaxRouters)
+	case b.MaxOut > 0 && b.MaxOutShare != 0:
 		return fmt.Errorf("share: most is given too, and one of them holds")
-	case b.Most == 0 && !(b.Share > 0 && b.Share < 1):
-		return fmt.Errorf("most: 0, and share, %v, is not between 0 and 1: it would never let anything out", b.Share)
-	case b.Warm < 0 || b.Warm > MaxWarm:
-		return fmt.Errorf("warm: %v is not from 0 to %v", b.Warm, MaxWarm)
+	case b.MaxOut == 0 && !(b.MaxOutShare > 0 && b.MaxOutShare < 1):
+		return fmt.Errorf("most: 0, and share, %v, is not between 0 and 1: it would never let anything out", b.MaxOutShare)
+	case b.SlowStart < 0 || b.SlowStart > MaxDuration:
+		return fmt.Errorf("warm: %v is not from 0 to %v", b.SlowStart, MaxDuration)
 	}
 	if _, err := path.Match(b.Match, ""); err != nil || len(b.Match) > MaxName {
 		return fmt.Errorf("match: %q is no pattern of at most %d bytes", b.Match, MaxName)
@@ -176,37 +176,37 @@
 
 // allowed is how many of n things may be out at once.
 func (b *Budget) allowed(n int) int {
-	if b.Most > 0 {
-		return b.Most
+	if b.MaxOut > 0 {
+		return b.MaxOut
 	}
-	return int(math.Floor(b.Share*float64(n) + 1e-9))
+	return int(math.Floor(b.MaxOutShare*float64(n) + 1e-9))
 }
 
-// Thing is a router or cache server that belongs to the fleet.
-type Thing struct {
-	Zone    string        `json:"zone,omitempty"`
-	Version string        `json:"version,omitempty"` // a router's program
-	Up      bool          `json:"up"`
-	Since   time.Duration `json:"since"` // by the agreed clock, when Up became what it is or a permit was given back
-	Run     string        `json:"run,omitempty"`
+// Target is a router or cache server that belongs to the fleet.
+type Target struct {
+	Zone        string        `json:"zone,omitempty"`
+	Version     string        `json:"version,omitempty"` // a router's program
+	IsUp        bool          `json:"up"`
+	ChangedAt   time.Duration `json:"since"` // by the agreed clock, when Up became what it is or a permit was given back
+	Incarnation string        `json:"run,omitempty"`
 
 	// A router's.
-	Session string        `json:"session,omitempty"` // "" = it has none
-	Opened  uint64        `json:"opened,omitempty"`  // the order in which sessions came
-	Ready   bool          `json:"ready,omitempty"`
-	Ended   time.Duration `json:"ended,omitempty"` // when its last session did
-	Acked   uint64        `json:"acked,omitempty"` // the newest version of the drains that it acts by
-	Good    int64         `json:"good,omitempty"`  // as its View told last
-	Bad     int64         `json:"bad,omitempty"`
-	Speed   []int64       `json:"speed,omitempty"`
+	Session            string        `json:"session,omitempty"` // "" = it has none
+	SessionOrder       uint64        `json:"opened,omitempty"`  // the order in which sessions came
+	IsReady            bool          `json:"ready,omitempty"`
+	SessionEndedAt     time.Duration `json:"ended,omitempty"` // when its last session did
+	AcknowledgedDrains uint64        `json:"acked,omitempty"` // the newest version of the drains that it acts by
+	Served             int64         `json:"good,omitempty"`  // as its View told last
+	Failed             int64         `json:"bad,omitempty"`
+	LatencyCounts      []int64       `json:"speed,omitempty"`
 
 	// A server's.
-	Saw     map[string]Sight         `json:"saw,omitempty"`     // by router, as long as its session lasts; changed by State.sight alone
-	Listed  time.Duration            `json:"listed,omitempty"`  // since when discovery's list takes it out, by a router; -1 = it doesn't
-	Found   map[string]time.Duration `json:"found,omitempty"`   // by router: since when it finds the server bad by itself
-	Suspect *Suspicion               `json:"suspect,omitempty"` // the newest
+	Observations map[string]ServerStatus  `json:"saw,omitempty"`     // by router, as long as its session lasts; changed by State.sight alone
+	DelistedAt   time.Duration            `json:"listed,omitempty"`  // since when discovery's list takes it out, by a router; -1 = it doesn't
+	FailingSince map[string]time.Duration `json:"found,omitempty"`   // by router: since when it finds the server bad by itself
+	Ejection     *Ejection                `json:"suspect,omitempty"` // the newest
 
-	counts sightCounts // of Saw
+	counts observationCounts // of Saw
 }
 
 // Stage is how far a permit is.
@@ -214,61 +214,61 @@
 
 // The stages.
 const (
-	Waiting Stage = "waiting"
-	Granted Stage = "granted" // until Begin it can be taken back: a failure elsewhere may need what it would use up
-	Begun   Stage = "begun"
+	StageWaiting Stage = "waiting"
+	StageGranted Stage = "granted" // until Begin it can be taken back: a failure elsewhere may need what it would use up
+	StageBegun   Stage = "begun"
 )
 
 // Permit is one to take a thing out, or the wish for it.
 type Permit struct {
-	ID       uint64        `json:"id"`
-	Token    uint64        `json:"token,omitempty"` // given with Granted; the larger, the later
-	Kind     Kind          `json:"kind"`
-	Name     string        `json:"name"`
-	Session  string        `json:"session"` // "" = the holder is gone, and the permit stays used
-	Client   string        `json:"client"`
-	Priority int           `json:"priority"`
-	Why      string        `json:"why,omitempty"`
-	Stage    Stage         `json:"stage"`
-	Until    time.Duration `json:"until,omitempty"` // it is not wanted after this
-	Began    time.Duration `json:"began,omitempty"`
-	Run      string        `json:"run,omitempty"`     // the thing's, when the step began
-	Drain    uint64        `json:"drain,omitempty"`   // the version of the drains that has it
-	Drained  bool          `json:"drained,omitempty"` // no router sends to it any more
-	Waits    string        `json:"waits,omitempty"`   // why it doesn't go on, in one sentence
-}
-
-// Stop is a halt of all that is new.
-type Stop struct {
-	By  string        `json:"by"`
-	Why string        `json:"why"`
-	At  time.Duration `json:"at"`
+	ID           uint64        `json:"id"`
+	Token        uint64        `json:"token,omitempty"` // given with Granted; the larger, the later
+	Kind         Kind          `json:"kind"`
+	Name         string        `json:"name"`
+	Session      string        `json:"session"` // "" = the holder is gone, and the permit stays used
+	Client       string        `json:"client"`
+	Priority     int           `json:"priority"`
+	Purpose      string        `json:"why,omitempty"`
+	Stage        Stage         `json:"stage"`
+	ExpiresAt    time.Duration `json:"until,omitempty"` // it is not wanted after this
+	BegunAt      time.Duration `json:"began,omitempty"`
+	Incarnation  string        `json:"run,omitempty"`     // the thing's, when the step began
+	DrainVersion uint64        `json:"drain,omitempty"`   // the version of the drains that has it
+	IsDrained    bool          `json:"drained,omitempty"` // no router sends to it any more
+	WaitReason   string        `json:"waits,omitempty"`   // why it doesn't go on, in one sentence
+}
+
+// HaltRecord is a halt of all that is new.
+type HaltRecord struct {
+	By     string        `json:"by"`
+	Reason string        `json:"why"`
+	Time   time.Duration `json:"at"`
 }
 
 // State is the agreed state of it.
 type State struct {
-	Version uint64            `json:"version"`          // grows with each change that anyone may want to know
-	Drains  uint64            `json:"drains"`           // the version of the set of drained servers
-	Grace   time.Duration     `json:"grace"`            // longer than routers' sessions last; one without a session has heard discovery's list by then
-	Expect  int               `json:"expect,omitempty"` // so many routers must take part before a server is drained; 0 = nobody says
-	Quorum  int               `json:"quorum,omitempty"` // so many routers must find a server bad for all to leave it out; 0 = each for itself
-	Busy    float64           `json:"busy,omitempty"`   // where the fleet refuses or fails more than this share, nothing new goes out; 0 = whatever it does
-	Load    Load              `json:"load,omitzero"`
-	Budgets []Budget          `json:"budgets,omitempty"`
-	Routers map[string]*Thing `json:"routers"`
-	Servers map[string]*Thing `json:"servers"`
-	Permits []*Permit         `json:"permits,omitempty"` // by ID
-	Halted  *Stop             `json:"halted,omitempty"`
-	Release *Course           `json:"release,omitempty"`
-	IDs     uint64            `json:"ids"`
-
-	next   time.Duration // nothing changes by time alone before this
-	dirty  bool          // what is seen of servers may have changed since it was weighed,
-	forget time.Duration // or changes by time from here on
-
-	sightings int                     // of all servers
-	touched   []*Thing                // routers that may have become up or down in this command
-	sees      map[string]*sightCounts // by router, of all servers
+	Version         uint64             `json:"version"`          // grows with each change that anyone may want to know
+	DrainVersion    uint64             `json:"drains"`           // the version of the set of drained servers
+	Grace           time.Duration      `json:"grace"`            // longer than routers' sessions last; one without a session has heard discovery's list by then
+	ExpectedRouters int                `json:"expect,omitempty"` // so many routers must take part before a server is drained; 0 = nobody says
+	EjectionQuorum  int                `json:"quorum,omitempty"` // so many routers must find a server bad for all to leave it out; 0 = each for itself
+	OverloadShare   float64            `json:"busy,omitempty"`   // where the fleet refuses or fails more than this share, nothing new goes out; 0 = whatever it does
+	Load            Load               `json:"load,omitzero"`
+	Budgets         []Budget           `json:"budgets,omitempty"`
+	Routers         map[string]*Target `json:"routers"`
+	Servers         map[string]*Target `json:"servers"`
+	Permits         []*Permit          `json:"permits,omitempty"` // by ID
+	Halt            *HaltRecord        `json:"halted,omitempty"`
+	Release         *ReleaseProgress   `json:"release,omitempty"`
+	LastPermitID    uint64             `json:"ids"`
+
+	nextReconcileAt    time.Duration // nothing changes by time alone before this
+	serversChanged     bool          // what is seen of servers may have changed since it was weighed,
+	nextServerChangeAt time.Duration // or changes by time from here on
+
+	observationCount     int                           // of all servers
+	changedRouters       []*Target                     // routers that may have become up or down in this command
+	observationsByRouter map[string]*observationCounts // by router, of all servers
 }
 
 // DefaultGrace is that of a new state.
@@ -276,8 +276,8 @@
 
 // New returns an empty state.
 func New() *State {
-	return &State{Grace: DefaultGrace, Routers: map[string]*Thing{}, Servers: map[string]*Thing{}, next: math.MaxInt64, forget: math.MaxInt64,
-		sees: map[string]*sightCounts{}}
+	return &State{Grace: DefaultGrace, Routers: map[string]*Target{}, Servers: map[string]*Target{}, nextReconcileAt: math.MaxInt64, nextServerChangeAt: math.MaxInt64,
+		observationsByRouter: map[string]*observationCounts{}}
 }
 
 // Code says how a command ended.
@@ -285,86 +285,88 @@
 
 // The ends.
 const (
-	OK      Code = "ok"
-	NotHeld Code = "not-held"
-	Full    Code = "full"
-	Refused Code = "bad"
+	CodeOK           Code = "ok"
+	CodeNotHeld      Code = "not-held"
+	CodeLimitReached Code = "full"
+	CodeInvalid      Code = "bad"
 )
 
-// Answer is what a command gave.
-type Answer struct {
-	Code    Code
-	Text    string
-	Token   uint64
-	Stage   Stage // of the permit
-	Drained bool
+// Result is what a command gave.
+type Result struct {
+	Code      Code
+	Text      string
+	Token     uint64
+	Stage     Stage // of the permit
+	IsDrained bool
 
-	same bool // nothing that others may want to know has changed, unless settling finds it
+	isUnchanged bool // nothing that others may want to know has changed, unless settling finds it
 }
 
-// From is who sends a command, and when.
-type From struct {
-	Clock   time.Duration // agreed
-	Session string
-	Client  string
-	Opened  uint64        // the order in which sessions came
-	Token   func() uint64 // a new one
+// Sender is who sends a command, and when.
+type Sender struct {
+	Time         time.Duration // agreed
+	Session      string
+	Client       string
+	SessionOrder uint64        // the order in which sessions came
+	NextToken    func() uint64 // a new one
 
-	// EarlierBounds tells that a coordinator may have an older program, whose tables have lower bounds.
-	EarlierBounds bool
+	// HasEarlierLimits tells that a coordinator may have an older program, whose tables have lower bounds.
+	HasEarlierLimits bool
 }
 
-func bad(form string, v ...any) Answer { return Answer{Code: Refused, Text: fmt.Sprintf(form, v...)} }
+func invalid(form string, v ...any) Result {
+	return Result{Code: CodeInvalid, Text: fmt.Sprintf(form, v...)}
+}
 
 // Apply carries out a command.
-func (s *State) Apply(c Command, f From) Answer {
-	var a Answer
+func (s *State) Apply(c Command, f Sender) Result {
+	var a Result
 	switch c.Op {
-	case Set:
+	case OpSetBudgets:
 		a = s.set(c)
-	case See:
+	case OpReport:
 		a = s.see(c, f)
-	case Ack:
+	case OpAcknowledgeDrains:
 		a = s.ack(c, f)
-	case Halt:
-		if c.Why == "" || len(c.Why) > MaxText {
-			return bad("why: %d bytes, 1 to %d are wanted", len(c.Why), MaxText)
-		}
-		if s.Halted == nil { // the first reason is the one that counts
-			s.Halted = &Stop{f.Client, c.Why, f.Clock}
-		}
-		a = Answer{Code: OK}
-	case Resume:
-		s.Halted = nil
-		s.again(f.Clock)
-		a = Answer{Code: OK}
-	case Start:
-		a = s.start(c, f)
-	case WayBack, End, Failed:
+	case OpHalt:
+		if c.Reason == "" || len(c.Reason) > MaxText {
+			return invalid("why: %d bytes, 1 to %d are wanted", len(c.Reason), MaxText)
+		}
+		if s.Halt == nil { // the first reason is the one that counts
+			s.Halt = &HaltRecord{f.Client, c.Reason, f.Time}
+		}
+		a = Result{Code: CodeOK}
+	case OpResume:
+		s.Halt = nil
+		s.resumeRelease(f.Time)
+		a = Result{Code: CodeOK}
+	case OpStartRelease:
+		a = s.startRelease(c, f)
+	case OpRollBack, OpEndRelease, OpRouterFailed:
 		a = s.steer(c, f)
-	case Ask, Begin, Back, Cancel, Clear, Forget:
-		if c.Kind != Router && c.Kind != Server {
-			return bad("kind: %q is none of router, server", c.Kind)
+	case OpRequestPermit, OpBeginOutage, OpEndOutage, OpCancelPermit, OpClearPermit, OpForgetTarget:
+		if c.Kind != KindRouter && c.Kind != KindServer {
+			return invalid("kind: %q is none of router, server", c.Kind)
 		}
 		if c.Name == "" || len(c.Name) > MaxName {
-			return bad("name: %q is not of 1 to %d bytes", c.Name, MaxName)
+			return invalid("name: %q is not of 1 to %d bytes", c.Name, MaxName)
 		}
 		a = s.permit(c, f)
 	default:
-		return bad("op: %q is none", c.Op)
+		return invalid("op: %q is none", c.Op)
 	}
-	if a.Code == OK && !a.same { // who only looks wakes nobody
+	if a.Code == CodeOK && !a.isUnchanged { // who only looks wakes nobody
 		s.Version++
 	}
-	s.settle(f.Clock, f.Token)
-	if p := s.own(c, f); p != nil && a.Code == OK { // as it stands after all has been weighed
-		a.Token, a.Stage, a.Text, a.Drained = p.Token, p.Stage, p.Waits, p.Drained
+	s.reconcile(f.Time, f.NextToken)
+	if p := s.permitOfSession(c, f); p != nil && a.Code == CodeOK { // as it stands after all has been weighed
+		a.Token, a.Stage, a.Text, a.IsDrained = p.Token, p.Stage, p.WaitReason, p.IsDrained
 	}
 	return a
 }
 
-// own is the permit of a session for a thing.
-func (s *State) own(c Command, f From) *Permit {
+// permitOfSession is the permit of a session for a thing.
+func (s *State) permitOfSession(c Command, f Sender) *Permit {
 	for _, p := range s.Permits {
 		if p.Kind == c.Kind && p.Name == c.Name && p.Session == f.Session && f.Session != "" {
 			return p
@@ -373,141 +375,141 @@
 	return nil
 }
 
-func (s *State) set(c Command) Answer {
+func (s *State) set(c Command) Result {
 	if len(c.Budgets) > MaxBudgets {
-		return Answer{Code: Full, Text: fmt.Sprintf("budgets: %d, %d at most", len(c.Budgets), MaxBudgets)}
+		return Result{Code: CodeLimitReached, Text: fmt.Sprintf("budgets: %d, %d at most", len(c.Budgets), MaxBudgets)}
 	}
 	names := map[string]bool{}
 	for _, b := range c.Budgets {
 		if err := b.Check(); err != nil {
-			return bad("budget %q: %v", b.Name, err)
+			return invalid("budget %q: %v", b.Name, err)
 		}
 		if names[b.Name] {
-			return bad("budget %q: there are two", b.Name)
+			return invalid("budget %q: there are two", b.Name)
 		}
 		names[b.Name] = true
 	}
-	if c.Grace < MinGrace || c.Grace > MaxWarm {
-		return bad("grace: %v is not from %v to %v", c.Grace, MinGrace, MaxWarm)
+	if c.Grace < MinGrace || c.Grace > MaxDuration {
+		return invalid("grace: %v is not from %v to %v", c.Grace, MinGrace, MaxDuration)
 	}
-	if c.Expect < 0 || c.Expect > MaxRouters {
-		return bad("routers: %d is not from 0 to %d", c.Expect, MaxRouters)
+	if c.ExpectedRouters < 0 || c.ExpectedRouters > MaxRouters {
+		return invalid("routers: %d is not from 0 to %d", c.ExpectedRouters, MaxRouters)
 	}
-	if c.Quorum != 0 && (c.Quorum < LeastQuorum || c.Quorum > MostQuorum) {
-		return bad("quorum: %d is neither 0 nor from %d to %d", c.Quorum, LeastQuorum, MostQuorum)
+	if c.EjectionQuorum != 0 && (c.EjectionQuorum < MinEjectionQuorum || c.EjectionQuorum > MaxEjectionQuorum) {
+		return invalid("quorum: %d is neither 0 nor from %d to %d", c.EjectionQuorum, MinEjectionQuorum, MaxEjectionQuorum)
 	}
-	if !(c.Busy >= 0 && c.Busy < 1) {
-		return bad("busy: %v is not between 0 and 1", c.Busy)
+	if !(c.OverloadShare >= 0 && c.OverloadShare < 1) {
+		return invalid("busy: %v is not between 0 and 1", c.OverloadShare)
 	}
-	s.dirty = true // the grace may differ
-	if s.Quorum != c.Quorum || s.Busy != c.Busy {
-		s.Drains++ // what routers tell, and how soon, may change
+	s.serversChanged = true // the grace may differ
+	if s.EjectionQuorum != c.EjectionQuorum || s.OverloadShare != c.OverloadShare {
+		s.DrainVersion++ // what routers tell, and how soon, may change
 	}
-	s.Busy = c.Busy
-	s.Budgets, s.Grace, s.Expect, s.Quorum = slices.Clone(c.Budgets), c.Grace, c.Expect, c.Quorum
-	return Answer{Code: OK}
+	s.OverloadShare = c.OverloadShare
+	s.Budgets, s.Grace, s.ExpectedRouters, s.EjectionQuorum = slices.Clone(c.Budgets), c.Grace, c.ExpectedRouters, c.EjectionQuorum
+	return Result{Code: CodeOK}
 }
 
-// router names the router whose session it is.
-func router(f From) (name string, ok bool) {
-	name, ok = strings.CutPrefix(f.Client, RouterClient)
+// routerOf names the router whose session it is.
+func routerOf(f Sender) (name string, ok bool) {
+	name, ok = strings.CutPrefix(f.Client, RouterClientPrefix)
 	return name, ok && name != ""
 }
 
-func (s *State) see(c Command, f From) Answer {
-	name, ok := router(f)
-	if !ok || c.View == nil {
-		return bad("see: only a router tells what it sees, in its view")
+func (s *State) see(c Command, f Sender) Result {
+	name, ok := routerOf(f)
+	if !ok || c.Report == nil {
+		return invalid("see: only a router tells what it sees, in its view")
 	}
-	if len(c.View.Servers) > MaxSeen {
-		return bad("view: %d servers, %d at most at once", len(c.View.Servers), MaxSeen)
+	if len(c.Report.Servers) > MaxReportedServers {
+		return invalid("view: %d servers, %d at most at once", len(c.Report.Servers), MaxReportedServers)
 	}
-	for _, x := range c.View.Servers {
-		if x.Name == "" || max(len(x.Name), len(x.Zone), len(x.Run)) > MaxName {
-			return bad("view: server %.32q: its name, zone or run is empty or over %d bytes", x.Name, MaxName)
+	for _, x := range c.Report.Servers {
+		if x.Name == "" || max(len(x.Name), len(x.Zone), len(x.Incarnation)) > MaxName {
+			return invalid("view: server %.32q: its name, zone or run is empty or over %d bytes", x.Name, MaxName)
 		}
 	}
-	if n := len(c.View.Speed); n != 0 && n != SpeedBuckets || slices.ContainsFunc(c.View.Speed, func(n int64) bool { return n < 0 }) {
-		return bad("view: speed has %d counts, or some below 0; %d are wanted", n, SpeedBuckets)
+	if n := len(c.Report.LatencyCounts); n != 0 && n != LatencyBuckets || slices.ContainsFunc(c.Report.LatencyCounts, func(n int64) bool { return n < 0 }) {
+		return invalid("view: speed has %d counts, or some below 0; %d are wanted", n, LatencyBuckets)
 	}
-	if max(len(c.View.Zone), len(c.View.Version)) > MaxName {
-		return bad("view: zone or version over %d bytes", MaxName)
+	if max(len(c.Report.Zone), len(c.Report.Version)) > MaxName {
+		return invalid("view: zone or version over %d bytes", MaxName)
 	}
 	r := s.Routers[name]
 	if r == nil {
-		if limit := f.bounds().routers; len(s.Routers) >= limit {
-			return Answer{Code: Full, Text: fmt.Sprintf("routers: %d at most", limit)}
+		if limit := f.limits().routers; len(s.Routers) >= limit {
+			return Result{Code: CodeLimitReached, Text: fmt.Sprintf("routers: %d at most", limit)}
 		}
-		r = &Thing{Since: f.Clock}
+		r = &Target{ChangedAt: f.Time}
 		s.Routers[name] = r
 	}
 	if r.Session != f.Session { // a new process; what the one before saw is nobody's
-		if r.Session != "" && r.Opened > f.Opened {
-			return Answer{Code: OK, Text: "a newer process of this router speaks for it"}
-		}
-		s.blind(name)
-		r.Session, r.Opened, r.Run, r.Acked = f.Session, f.Opened, f.Session, 0
-		r.Good, r.Bad, r.Speed = 0, 0, nil
-	}
-	s.figures(r, name, c.View, f.Clock)
-	same := r.Zone == c.View.Zone && r.Version == c.View.Version && r.Ready == c.View.Ready && len(c.View.Servers) == 0
-	r.Zone, r.Version, r.Ready = c.View.Zone, c.View.Version, c.View.Ready
-	s.touched = append(s.touched, r)
-	s.dirty = s.dirty || len(c.View.Servers) > 0
-	for _, x := range c.View.Servers {
+		if r.Session != "" && r.SessionOrder > f.SessionOrder {
+			return Result{Code: CodeOK, Text: "a newer process of this router speaks for it"}
+		}
+		s.dropObservationsOf(name)
+		r.Session, r.SessionOrder, r.Incarnation, r.AcknowledgedDrains = f.Session, f.SessionOrder, f.Session, 0
+		r.Served, r.Failed, r.LatencyCounts = 0, 0, nil
+	}
+	s.recordRequestCounts(r, name, c.Report, f.Time)
+	same := r.Zone == c.Report.Zone && r.Version == c.Report.Version && r.IsReady == c.Report.IsReady && len(c.Report.Servers) == 0
+	r.Zone, r.Version, r.IsReady = c.Report.Zone, c.Report.Version, c.Report.IsReady
+	s.changedRouters = append(s.changedRouters, r)
+	s.serversChanged = s.serversChanged || len(c.Report.Servers) > 0
+	for _, x := range c.Report.Servers {
 		t := s.Servers[x.Name]
 		if t == nil {
-			if x.Is == Gone {
+			if x.Status == StatusRemoved {
 				continue
 			}
-			if limit := f.bounds().servers; len(s.Servers) >= limit {
-				return Answer{Code: Full, Text: fmt.Sprintf("servers: %d at most", limit)}
+			if limit := f.limits().servers; len(s.Servers) >= limit {
+				return Result{Code: CodeLimitReached, Text: fmt.Sprintf("servers: %d at most", limit)}
 			}
-			t = &Thing{Since: f.Clock, Listed: -1}
+			t = &Target{ChangedAt: f.Time, DelistedAt: -1}
 			s.Servers[x.Name] = t
 		}
-		if _, known := t.Saw[name]; !known && s.sightings >= MaxSightings {
-			return Answer{Code: Full, Text: fmt.Sprintf("sightings of servers by routers: %d at most", MaxSightings)}
+		if _, known := t.Observations[name]; !known && s.observationCount >= MaxObservations {
+			return Result{Code: CodeLimitReached, Text: fmt.Sprintf("sightings of servers by routers: %d at most", MaxObservations)}
 		}
-		if x.Is != Gone {
-			t.Zone, t.Run = x.Zone, x.Run
+		if x.Status != StatusRemoved {
+			t.Zone, t.Incarnation = x.Zone, x.Incarnation
 		}
-		s.sight(t, name, x.Is)
-		t.found(name, x.Is, f.Clock)
+		s.recordObservation(t, name, x.Status)
+		t.recordFailing(name, x.Status, f.Time)
 	}
-	return Answer{Code: OK, same: same}
+	return Result{Code: CodeOK, isUnchanged: same}
 }
 
-func (s *State) ack(c Command, f From) Answer {
-	name, ok := router(f)
+func (s *State) ack(c Command, f Sender) Result {
+	name, ok := routerOf(f)
 	r := s.Routers[name]
-	if ok && r != nil && r.Opened > f.Opened {
-		return Answer{Code: OK, Text: "a newer process of this router speaks for it"}
+	if ok && r != nil && r.SessionOrder > f.SessionOrder {
+		return Result{Code: CodeOK, Text: "a newer process of this router speaks for it"}
 	}
 	if !ok || r == nil || r.Session != f.Session {
-		return bad("ack: only a router that has told what it sees acknowledges")
+		return invalid("ack: only a router that has told what it sees acknowledges")
 	}
-	r.Acked = max(r.Acked, min(c.Drains, s.Drains))
-	return Answer{Code: OK, same: true}
+	r.AcknowledgedDrains = max(r.AcknowledgedDrains, min(c.DrainVersion, s.DrainVersion))
+	return Result{Code: CodeOK, isUnchanged: true}
 }
 
-// blind drops what a router has seen.
-func (s *State) blind(name string) {
-	s.dirty = true
+// dropObservationsOf drops what a router has seen.
+func (s *State) dropObservationsOf(name string) {
+	s.serversChanged = true
 	for _, t := range s.Servers {
-		s.unsight(t, name)
-		delete(t.Found, name)
+		s.dropObservation(t, name)
+		delete(t.FailingSince, name)
 	}
 }
 
-// Ended tells that a session has.
-func (s *State) Ended(session, client string, clock time.Duration, token func() uint64) {
+// SessionEnded tells that a session has.
+func (s *State) SessionEnded(session, client string, clock time.Duration, token func() uint64) {
 	touched := false
-	if name, ok := router(From{Client: client}); ok {
+	if name, ok := routerOf(Sender{Client: client}); ok {
 		if r := s.Routers[name]; r != nil && r.Session == session {
-			r.Session, r.Ready, r.Ended = "", false, clock
-			s.touched = append(s.touched, r)
-			s.blind(name)
+			r.Session, r.IsReady, r.SessionEndedAt = "", false, clock
+			s.changedRouters = append(s.changedRouters, r)
+			s.dropObservationsOf(name)
 			touched = true
 		}
 	}
@@ -519,149 +521,149 @@
 	}
 	if touched {
 		s.Version++
-		s.settle(clock, token)
+		s.reconcile(clock, token)
 	}
 }
 
 // Advance lets time pass up to clock.
 func (s *State) Advance(clock time.Duration, token func() uint64) {
-	if clock >= s.next {
-		s.settle(clock, token)
+	if clock >= s.nextReconcileAt {
+		s.reconcile(clock, token)
 	}
 }
 
-func (s *State) things(k Kind) map[string]*Thing {
-	if k == Router {
+func (s *State) targets(k Kind) map[string]*Target {
+	if k == KindRouter {
 		return s.Routers
 	}
 	return s.Servers
 }
 
-func (s *State) permit(c Command, f From) Answer {
-	t := s.things(c.Kind)[c.Name]
+func (s *State) permit(c Command, f Sender) Result {
+	t := s.targets(c.Kind)[c.Name]
 	switch c.Op {
-	case Ask:
+	case OpRequestPermit:
 		if t == nil {
-			return bad("%s/%s: the fleet has none; %s", c.Kind, c.Name, s.known(c.Kind))
+			return invalid("%s/%s: the fleet has none; %s", c.Kind, c.Name, s.knownNames(c.Kind))
 		}
-		if c.Priority < Release || c.Priority > Emergency {
-			return bad("priority: %d is not from %d to %d", c.Priority, Release, Emergency)
+		if c.Priority < PriorityRelease || c.Priority > PriorityEmergency {
+			return invalid("priority: %d is not from %d to %d", c.Priority, PriorityRelease, PriorityEmergency)
 		}
-		if c.Within < 0 || c.Within > MaxWait || len(c.Why) > MaxText {
-			return bad("within: %v is not from 0 to %v, or the reason has over %d bytes", c.Within, MaxWait, MaxText)
+		if c.ValidFor < 0 || c.ValidFor > MaxPermitWait || len(c.Reason) > MaxText {
+			return invalid("within: %v is not from 0 to %v, or the reason has over %d bytes", c.ValidFor, MaxPermitWait, MaxText)
 		}
 		// Who has the name of one that died in the step takes it over, with a token of its own.
 		for _, p := range s.Permits {
-			if p.Kind == c.Kind && p.Name == c.Name && p.Stage == Begun && p.Session == "" && p.Client == f.Client {
-				s.drop(func(q *Permit) bool { return q == s.own(c, f) }) // the wish for it that it has had meanwhile
-				p.Session, p.Token, p.Waits = f.Session, f.Token(), ""
-				return Answer{Code: OK}
+			if p.Kind == c.Kind && p.Name == c.Name && p.Stage == StageBegun && p.Session == "" && p.Client == f.Client {
+				s.removePermits(func(q *Permit) bool { return q == s.permitOfSession(c, f) }) // the wish for it that it has had meanwhile
+				p.Session, p.Token, p.WaitReason = f.Session, f.NextToken(), ""
+				return Result{Code: CodeOK}
 			}
 		}
-		if p := s.own(c, f); p != nil {
+		if p := s.permitOfSession(c, f); p != nil {
 			same := p.Priority >= c.Priority
 			p.Priority = max(p.Priority, c.Priority)
-			return Answer{Code: OK, same: same}
+			return Result{Code: CodeOK, isUnchanged: same}
 		}
 		if len(s.Permits) >= MaxPermits {
-			return Answer{Code: Full, Text: fmt.Sprintf("permits: %d at most", MaxPermits)}
+			return Result{Code: CodeLimitReached, Text: fmt.Sprintf("permits: %d at most", MaxPermits)}
 		}
-		s.IDs++
-		p := &Permit{ID: s.IDs, Kind: c.Kind, Name: c.Name, Session: f.Session, Client: f.Client, Priority: c.Priority, Why: c.Why, Stage: Waiting}
-		if c.Within > 0 {
-			p.Until = f.Clock + c.Within
+		s.LastPermitID++
+		p := &Permit{ID: s.LastPermitID, Kind: c.Kind, Name: c.Name, Session: f.Session, Client: f.Client, Priority: c.Priority, Purpose: c.Reason, Stage: StageWaiting}
+		if c.ValidFor > 0 {
+			p.ExpiresAt = f.Time + c.ValidFor
 		}
 		s.Permits = append(s.Permits, p)
-		return Answer{Code: OK}
-	case Clear:
+		return Result{Code: CodeOK}
+	case OpClearPermit:
 		n := len(s.Permits)
-		s.drop(func(p *Permit) bool {
-			out := p.Kind == c.Kind && p.Name == c.Name && p.Stage == Begun
+		s.removePermits(func(p *Permit) bool {
+			out := p.Kind == c.Kind && p.Name == c.Name && p.Stage == StageBegun
 			if out && t != nil {
-				t.Since = f.Clock
+				t.ChangedAt = f.Time
 			}
 			return out
 		})
 		if len(s.Permits) == n {
-			return bad("%s/%s: no permit of it is used", c.Kind, c.Name)
+			return invalid("%s/%s: no permit of it is used", c.Kind, c.Name)
 		}
-		return Answer{Code: OK}
-	case Forget:
+		return Result{Code: CodeOK}
+	case OpForgetTarget:
 		if t == nil {
-			return bad("%s/%s: the fleet has none", c.Kind, c.Name)
+			return invalid("%s/%s: the fleet has none", c.Kind, c.Name)
 		}
-		if t.Up || t.Session != "" {
-			return bad("%s/%s: it is there; only what isn't can be forgotten", c.Kind, c.Name)
+		if t.IsUp || t.Session != "" {
+			return invalid("%s/%s: it is there; only what isn't can be forgotten", c.Kind, c.Name)
 		}
-		if slices.ContainsFunc(s.Permits, func(p *Permit) bool { return p.Kind == c.Kind && p.Name == c.Name && p.Stage == Begun }) {
-			return bad("%s/%s: a permit of it is used: clear that first", c.Kind, c.Name)
+		if slices.ContainsFunc(s.Permits, func(p *Permit) bool { return p.Kind == c.Kind && p.Name == c.Name && p.Stage == StageBegun }) {
+			return invalid("%s/%s: a permit of it is used: clear that first", c.Kind, c.Name)
 		}
-		if c.Kind == Server {
-			s.forgetServer(c.Name)
+		if c.Kind == KindServer {
+			s.removeServer(c.Name)
 		} else {
 			delete(s.Routers, c.Name)
 		}
-		s.drop(func(p *Permit) bool { return p.Kind == c.Kind && p.Name == c.Name })
-		return Answer{Code: OK}
+		s.removePermits(func(p *Permit) bool { return p.Kind == c.Kind && p.Name == c.Name })
+		return Result{Code: CodeOK}
 	}
 	i := slices.IndexFunc(s.Permits, func(p *Permit) bool {
-		return p.Kind == c.Kind && p.Name == c.Name && p.Session == f.Session && (p.Token == c.Token || c.Op == Cancel || failpoint.Is("permit-token-unchecked"))
+		return p.Kind == c.Kind && p.Name == c.Name && p.Session == f.Session && (p.Token == c.Token || c.Op == OpCancelPermit || failpoint.Is("permit-token-unchecked"))
 	})
 	if i < 0 {
-		return Answer{Code: NotHeld, Text: fmt.Sprintf("no permit of %s/%s with token %d is held by this session", c.Kind, c.Name, c.Token)}
+		return Result{Code: CodeNotHeld, Text: fmt.Sprintf("no permit of %s/%s with token %d is held by this session", c.Kind, c.Name, c.Token)}
 	}
 	p := s.Permits[i]
 	switch c.Op {
-	case Begin:
+	case OpBeginOutage:
 		switch {
-		case p.Stage == Begun:
-			return Answer{Code: OK}
-		case p.Stage != Granted && !failpoint.Is("permit-token-unchecked"):
-			return Answer{Code: NotHeld, Text: "the permit was taken back: " + p.Waits}
+		case p.Stage == StageBegun:
+			return Result{Code: CodeOK}
+		case p.Stage != StageGranted && !failpoint.Is("permit-token-unchecked"):
+			return Result{Code: CodeNotHeld, Text: "the permit was taken back: " + p.WaitReason}
 		}
-		p.Stage, p.Began, p.Waits, p.Run = Begun, f.Clock, "", t.Run
-		if p.Kind == Server {
-			s.Drains++
-			p.Drain = s.Drains
+		p.Stage, p.BegunAt, p.WaitReason, p.Incarnation = StageBegun, f.Time, "", t.Incarnation
+		if p.Kind == KindServer {
+			s.DrainVersion++
+			p.DrainVersion = s.DrainVersion
 		}
-	case Back:
-		if p.Stage != Begun {
-			return Answer{Code: NotHeld, Text: fmt.Sprintf("the permit of %s/%s has not begun: cancel it", c.Kind, c.Name)}
+	case OpEndOutage:
+		if p.Stage != StageBegun {
+			return Result{Code: CodeNotHeld, Text: fmt.Sprintf("the permit of %s/%s has not begun: cancel it", c.Kind, c.Name)}
 		}
 		if t != nil {
-			t.Since = f.Clock // it counts as out until it is warm
+			t.ChangedAt = f.Time // it counts as out until it is warm
 			// A router that has the session it had before may not have been touched, or be dead and not missed yet: that shows in time.
-			if p.Kind == Router && t.Session != "" && t.Run == p.Run {
-				t.Since += max(0, s.Grace-s.warm(Router, p.Name))
+			if p.Kind == KindRouter && t.Session != "" && t.Incarnation == p.Incarnation {
+				t.ChangedAt += max(0, s.Grace-s.slowStart(KindRouter, p.Name))
 			}
 		}
-		s.drop(func(q *Permit) bool { return q == p })
-	case Cancel:
-		if p.Stage == Begun {
-			return bad("the step of %s/%s has begun: give it back", c.Kind, c.Name)
+		s.removePermits(func(q *Permit) bool { return q == p })
+	case OpCancelPermit:
+		if p.Stage == StageBegun {
+			return invalid("the step of %s/%s has begun: give it back", c.Kind, c.Name)
 		}
-		s.drop(func(q *Permit) bool { return q == p })
+		s.removePermits(func(q *Permit) bool { return q == p })
 	}
-	return Answer{Code: OK}
+	return Result{Code: CodeOK}
 }
 
-// drop takes permits away, and with one that has begun the drain of its server.
-func (s *State) drop(which func(*Permit) bool) {
+// removePermits takes permits away, and with one that has begun the drain of its server.
+func (s *State) removePermits(which func(*Permit) bool) {
 	s.Permits = slices.DeleteFunc(s.Permits, func(p *Permit) bool {
 		if !which(p) {
 			return false
 		}
-		if p.Drain > 0 {
-			s.Drains++
+		if p.DrainVersion > 0 {
+			s.DrainVersion++
 		}
-		s.dirty = true // a server that only its permit kept may be forgotten
+		s.serversChanged = true // a server that only its permit kept may be forgotten
 		return true
 	})
 }
 
-// known names a few of the things that there are.
-func (s *State) known(k Kind) string {
-	names := slices.Sorted(maps.Keys(s.things(k)))
+// knownNames names a few of the things that there are.
+func (s *State) knownNames(k Kind) string {
+	names := slices.Sorted(maps.Keys(s.targets(k)))
 	if len(names) == 0 {
 		return "no router has told of any yet"
 	}
@@ -671,11 +673,11 @@
 	return "it has " + strings.Join(names, ", ")
 }
 
-// Drained are the servers to which nothing new is sent, sorted.
-func (s *State) Drained() []string {
+// DrainedServers are the servers to which nothing new is sent, sorted.
+func (s *State) DrainedServers() []string {
 	out := []string{}
 	for _, p := range s.Permits {
-		if p.Kind == Server && p.Stage == Begun {
+		if p.Kind == KindServer && p.Stage == StageBegun {
 			out = append(out, p.Name)
 		}
 	}
@@ -683,27 +685,27 @@
 	return slices.Compact(out)
 }
 
-// key orders things for people.
-func key(k Kind, name string) string { return string(k) + "/" + name }
+// targetID orders things for people.
+func targetID(k Kind, name string) string { return string(k) + "/" + name }
 
 // Clone is a copy that shares nothing.
 func (s *State) Clone() *State {
 	c := *s
-	c.touched = nil // each command that touches one weighs it
+	c.changedRouters = nil // each command that touches one weighs it
 	c.Budgets, c.Permits = slices.Clone(s.Budgets), make([]*Permit, len(s.Permits))
 	for i, p := range s.Permits {
 		one := *p
 		c.Permits[i] = &one
 	}
-	copied := func(all map[string]*Thing) map[string]*Thing {
-		to := make(map[string]*Thing, len(all))
+	copied := func(all map[string]*Target) map[string]*Target {
+		to := make(map[string]*Target, len(all))
 		for name, t := range all {
 			one := *t
-			one.Saw, one.Speed, one.Found = maps.Clone(t.Saw), slices.Clone(t.Speed), maps.Clone(t.Found)
-			if t.Suspect != nil {
-				x := *t.Suspect
-				x.By = slices.Clone(x.By)
-				one.Suspect = &x
+			one.Observations, one.LatencyCounts, one.FailingSince = maps.Clone(t.Observations), slices.Clone(t.LatencyCounts), maps.Clone(t.FailingSince)
+			if t.Ejection != nil {
+				x := *t.Ejection
+				x.ReportedBy = slices.Clone(x.ReportedBy)
+				one.Ejection = &x
 			}
 			to[name] = &one
 		}
@@ -711,28 +713,28 @@
 	}
 	c.Release = s.Release.clone()
 	c.Routers, c.Servers = copied(s.Routers), copied(s.Servers)
-	c.sees = make(map[string]*sightCounts, len(s.sees))
-	for name, n := range s.sees {
+	c.observationsByRouter = make(map[string]*observationCounts, len(s.observationsByRouter))
+	for name, n := range s.observationsByRouter {
 		one := *n
-		c.sees[name] = &one
+		c.observationsByRouter[name] = &one
 	}
-	if s.Halted != nil {
-		one := *s.Halted
-		c.Halted = &one
+	if s.Halt != nil {
+		one := *s.Halt
+		c.Halt = &one
 	}
 	return &c
 }
 
-// Restored makes a state whole that was read from a snapshot.
-func (s *State) Restored() {
-	s.next, s.dirty = 0, true
+// RebuildDerived makes a state whole that was read from a snapshot.
+func (s *State) RebuildDerived() {
+	s.nextReconcileAt, s.serversChanged = 0, true
 	for _, r := range s.Routers {
-		s.touched = append(s.touched, r)
+		s.changedRouters = append(s.changedRouters, r)
 	}
-	s.recount()
+	s.recountObservations()
 }
 
-// order is that in which permits are weighed.
-func order(a, b *Permit) int {
+// comparePermits is that in which permits are weighed.
+func comparePermits(a, b *Permit) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.ID, b.ID))
 }
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -42,8 +42,8 @@
 		wg.Go(func() { r.probe(stop, a, c) })
 	}
 	if a.Drains {
-		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Label: a.Label, Ready: r.Ready, Seen: r.l.seen, Open: r.l.openAt, Held: r.l.heldOut, Counts: r.counts, First: known, Suspect: r.l.suspect,
-			Drain: func(ctx context.Context, server string, out bool) error {
+		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Version: a.Label, IsReady: r.Ready, ObserveServers: r.l.seen, OpenAttempts: r.l.openAt, InheritedDrains: r.l.heldOut, RequestCounts: r.counts, OnFirstDrainSet: known, SetEjected: r.l.suspect,
+			SetDrained: func(ctx context.Context, server string, out bool) error {
 				return r.disable(ctx, ban{ID: server, Disabled: out, Known: true, Agreed: true}, nil)
 			}})
 	}
@@ -55,21 +55,21 @@
 }
 
 // seen are all cache servers of the list, as this router sees them.
-func (l *loop) seen(ctx context.Context) (all []rollout.Seen, err error) {
+func (l *loop) seen(ctx context.Context) (all []rollout.ServerObservation, err error) {
 	err = l.do(ctx, func() error {
 		for name, e := range l.entries {
 			if e.Kind == l.originKind {
 				continue
 			}
-			s := rollout.Seen{Name: name, Zone: e.Zone, Run: strconv.FormatFloat(e.Started, 'f', -1, 64), Is: rollout.Up}
+			s := rollout.ServerObservation{Name: name, Zone: e.Zone, Incarnation: strconv.FormatFloat(e.Started, 'f', -1, 64), Status: rollout.StatusServing}
 			switch id, known := l.names.IDs[name]; {
 			case failpoint.Is("lies-all") || failpoint.Is("lies-some") && known && id%5 == 0: // for the laboratory
-				s.Is = rollout.Bad
+				s.Status = rollout.StatusFailing
 			case e.State != "active":
-				s.Is = rollout.Leaving
+				s.Status = rollout.StatusDraining
 			case known && l.b.IsEjected(id):
 				if !l.hearsay[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
-					s.Is = rollout.Bad
+					s.Status = rollout.StatusFailing
 				}
 			default:
 				delete(l.hearsay, id)
@@ -88,12 +88,12 @@
 
 // suspect takes the servers that others found bad, in place of those before. Each ends by its time on this router's clock, whatever
 // becomes of the agreement.
-func (l *loop) suspect(ctx context.Context, all []rollout.Suspect) error {
+func (l *loop) suspect(ctx context.Context, all []rollout.EjectedServer) error {
 	return l.do(ctx, func() error {
 		fresh := map[uint32]float64{}
 		for _, x := range all {
 			if id, ok := l.names.IDs[x.Name]; ok {
-				fresh[id] = l.now() + min(float64(x.Left.Milliseconds()), mostSuspectMS)
+				fresh[id] = l.now() + min(float64(x.Remaining.Milliseconds()), mostSuspectMS)
 			}
 		}
 		if l.ejectedByPeers = fresh; !l.refreshing {
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		for _, s := range all {
-			if s.Is != rollout.Up {
+			if s.Status != rollout.StatusServing {
 				bad = append(bad, s.Name)
 			}
 		}
@@ -32,7 +32,7 @@
 	if err != nil || len(all) != 6 {
 		t.Fatalf("%v, %v", all, err)
 	}
-	if err := r.l.suspect(t.Context(), []rollout.Suspect{{Name: all[0].Name, Left: 300 * time.Millisecond}, {Name: "nobody", Left: time.Hour}}); err != nil {
+	if err := r.l.suspect(t.Context(), []rollout.EjectedServer{{Name: all[0].Name, Remaining: 300 * time.Millisecond}, {Name: "nobody", Remaining: time.Hour}}); err != nil {
 		t.Fatal(err)
 	}
 	if bad, avoided := look(); len(bad) > 0 || avoided != 1 {
@@ -47,7 +47,7 @@
 	}
 	before := timers()
 	for range 40 { // the word comes and goes: it is passed on by one timer all the same
-		for _, word := range [][]rollout.Suspect{nil, {{Name: all[0].Name, Left: 300 * time.Millisecond}}} {
+		for _, word := range [][]rollout.EjectedServer{nil, {{Name: all[0].Name, Remaining: 300 * time.Millisecond}}} {
 			if err := r.l.suspect(t.Context(), word); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -65,7 +65,7 @@
 }
 
 // speeds counts the requests served by how much of their aim they took.
-type speeds [rollout.SpeedBuckets]atomic.Int64
+type speeds [rollout.LatencyBuckets]atomic.Int64
 
 // Bounds of what waits for the loop. Who posts beyond them waits, and operators are told that the router was too busy.
 const (
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -138,7 +138,7 @@
 		r.rule.count.Ended(how)
 	}
 	if how == metrics.Success && l.speed != nil {
-		l.speed[rollout.SpeedBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
+		l.speed[rollout.LatencyBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
 	}
 	if l.trace.On() {
 		l.traceEnd(r, how)
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -72,20 +72,20 @@
 			continue
 		}
 		x := r.Release
-		if r.Halted != nil && x.Goal == "v2" && rel.Halt == "" {
+		if r.Halt != nil && x.GoalVersion == "v2" && rel.Halt == "" {
 			fl.mu.Lock()
-			rel.Halt, rel.HaltS = r.Halted.Why, (fl.clock.Now()-began)/1000
+			rel.Halt, rel.HaltS = r.Halt.Reason, (fl.clock.Now()-began)/1000
 			fl.mu.Unlock()
-			fl.mark("it halts: %s", r.Halted.Why)
+			fl.mark("it halts: %s", r.Halt.Reason)
 		}
 		if rel.Halt != "" && !asked { // an operator has seen it
 			asked = fl.say(ctx, "release", "back")
 		}
-		if x.State == rollout.Done {
+		if x.State == rollout.ReleaseDone {
 			fl.mu.Lock()
 			rel.TookS = (fl.clock.Now() - began) / 1000
 			fl.mu.Unlock()
-			fl.mark("all routers have %s", x.Goal)
+			fl.mark("all routers have %s", x.GoalVersion)
 			return
 		}
 	}
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -38,20 +38,20 @@
 				fl.out = append(fl.out, x)
 			}
 		}
-		for _, x := range r.Out {
-			if len(x.By) == 0 {
+		for _, x := range r.Unavailable {
+			if len(x.ReportedBy) == 0 {
 				continue
 			}
 			if fl.accused == nil {
 				fl.accused = map[string][]string{}
 			}
 			if fl.accused[x.Name] == nil {
-				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.began) / 1000, fmt.Sprintf("all leave out %s, by the word of %v", x.Name, x.By)})
+				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.began) / 1000, fmt.Sprintf("all leave out %s, by the word of %v", x.Name, x.ReportedBy)})
 			}
-			if len(x.By) < fl.File.Fleet.Out.Quorum {
-				fl.problem = append(fl.problem, fmt.Sprintf("%s is left out by the word of %v, and %d must say so", x.Name, x.By, fl.File.Fleet.Out.Quorum))
+			if len(x.ReportedBy) < fl.File.Fleet.Out.Quorum {
+				fl.problem = append(fl.problem, fmt.Sprintf("%s is left out by the word of %v, and %d must say so", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
 			}
-			for _, name := range x.By {
+			for _, name := range x.ReportedBy {
 				if !slices.Contains(fl.accused[x.Name], name) {
 					fl.accused[x.Name] = append(fl.accused[x.Name], name)
 				}
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -141,7 +141,7 @@
 func newFleet(n int, coordinators map[string]string, o Options) *hollowFleet {
 	f := &hollowFleet{o: o, drains: make(chan drainSeen, n)}
 	f.first.Add(n)
-	var servers []rollout.Seen
+	var servers []rollout.ServerObservation
 	for i := range n {
 		region := i / o.RegionRouters
 		if i%o.RegionRouters == 0 {
@@ -170,7 +170,7 @@
 func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
 	defer cancel()
-	_, err := operator.Roll(ctx, rollout.Command{Op: rollout.Set, Grace: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.Server, Most: 1}}})
+	_, err := operator.Roll(ctx, rollout.Command{Op: rollout.OpSetBudgets, Grace: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
 }
 
@@ -393,19 +393,19 @@
 func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string) (took []reached, acked time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
 	defer cancel()
-	thing := rollout.Command{Kind: rollout.Server, Name: server}
+	thing := rollout.Command{Kind: rollout.KindServer, Name: server}
 	var began time.Time
 	if err := repeat(ctx, f.o.Patience, func() error {
-		thing.Op, thing.Token = rollout.Ask, 0
+		thing.Op, thing.Token = rollout.OpRequestPermit, 0
 		a, err := f.roll(ctx, operator, thing)
 		if err != nil {
 			return err
 		}
-		if a.Stage != rollout.Granted {
+		if a.Stage != rollout.StageGranted {
 			return errors.New("waits: " + a.Text)
 		}
 		began = time.Now()
-		thing.Op, thing.Token = rollout.Begin, a.Token
+		thing.Op, thing.Token = rollout.OpBeginOutage, a.Token
 		_, err = operator.Roll(ctx, thing) // it may have been taken back meanwhile, or a bound was reached
 		if err != nil {
 			clock.Sleep(ctx, client.Pause(err, 0))
@@ -427,7 +427,7 @@
 		return nil, 0, err
 	}
 	acked = time.Since(began)
-	thing.Op = rollout.Back
+	thing.Op = rollout.OpEndOutage
 	if _, err := f.roll(ctx, operator, thing); err != nil {
 		return nil, 0, err
 	}
--- a/lab/hollow/router.go
+++ b/lab/hollow/router.go
@@ -73,16 +73,16 @@
 type router struct {
 	name    string
 	zone    string
-	servers []rollout.Seen // of its region
+	servers []rollout.ServerObservation // of its region
 	client  *client.Client
 	drains  chan<- drainSeen
 	first   func()
 }
 
 // newRouter prepares a router; run makes it live.
-func newRouter(name, zone string, servers []rollout.Seen, coordinators map[string]string, ttl time.Duration, traffic *Traffic, drains chan<- drainSeen, first func()) *router {
+func newRouter(name, zone string, servers []rollout.ServerObservation, coordinators map[string]string, ttl time.Duration, traffic *Traffic, drains chan<- drainSeen, first func()) *router {
 	return &router{name: name, zone: zone, servers: servers, drains: drains, first: first, client: client.New(client.Options{
-		Coordinators: coordinators, Client: rollout.RouterClient + name, TTL: ttl, Dial: traffic.dial})}
+		Coordinators: coordinators, Client: rollout.RouterClientPrefix + name, TTL: ttl, Dial: traffic.dial})}
 }
 
 // run keeps the router's session and follows what the fleet agrees on, until ctx ends.
@@ -91,17 +91,17 @@
 	defer wg.Wait()
 	wg.Go(func() { r.client.Run(ctx) })
 	follow.Run(ctx, follow.Options{
-		Client:  r.client,
-		Zone:    r.zone,
-		Label:   "hollow",
-		Ready:   func() bool { return true },
-		Counts:  func() (good, bad int64, speed []int64) { return 0, 0, nil },
-		Seen:    func(context.Context) ([]rollout.Seen, error) { return r.servers, nil },
-		Open:    func(context.Context, []string) (int, error) { return 0, nil },
-		Held:    func(context.Context) []string { return nil },
-		Suspect: func(context.Context, []rollout.Suspect) error { return nil },
-		First:   r.first,
-		Drain: func(ctx context.Context, server string, out bool) error {
+		Client:          r.client,
+		Zone:            r.zone,
+		Version:         "hollow",
+		IsReady:         func() bool { return true },
+		RequestCounts:   func() (good, bad int64, speed []int64) { return 0, 0, nil },
+		ObserveServers:  func(context.Context) ([]rollout.ServerObservation, error) { return r.servers, nil },
+		OpenAttempts:    func(context.Context, []string) (int, error) { return 0, nil },
+		InheritedDrains: func(context.Context) []string { return nil },
+		SetEjected:      func(context.Context, []rollout.EjectedServer) error { return nil },
+		OnFirstDrainSet: r.first,
+		SetDrained: func(ctx context.Context, server string, out bool) error {
 			select {
 			case r.drains <- drainSeen{server, out, time.Now()}:
 				return nil
@@ -112,10 +112,10 @@
 }
 
 // regionServers are the hollow cache servers of a region: what each of its routers reports.
-func regionServers(region, n int) []rollout.Seen {
-	all := make([]rollout.Seen, n)
+func regionServers(region, n int) []rollout.ServerObservation {
+	all := make([]rollout.ServerObservation, n)
 	for i := range all {
-		all[i] = rollout.Seen{Name: serverName(region, i), Zone: zoneName(region, i%zonesPerRegion), Run: "1764651600000", Is: rollout.Up}
+		all[i] = rollout.ServerObservation{Name: serverName(region, i), Zone: zoneName(region, i%zonesPerRegion), Incarnation: "1764651600000", Status: rollout.StatusServing}
 	}
 	return all
 }
--- a/lab/simulation/hard_test.go
+++ b/lab/simulation/hard_test.go
@@ -96,7 +96,7 @@
 				t.Errorf("%d %ss out by plan, %d allowed", n, k, pl.Allowed[k])
 			}
 		}
-		if pl.Most[rollout.Server] < 3 || pl.Most[rollout.Router] < 3 || pl.TookMS <= took {
+		if pl.Most[rollout.KindServer] < 3 || pl.Most[rollout.KindRouter] < 3 || pl.TookMS <= took {
 			t.Errorf("%v out at most, %v ms, %v without a zone lost", pl.Most, pl.TookMS, took)
 		}
 		took = pl.TookMS
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -46,36 +46,36 @@
 	var now time.Duration // the agreed clock
 	var token, opened uint64
 	next := func() uint64 { token++; return token }
-	from := func(client string, n int) rollout.From {
-		return rollout.From{Clock: now, Session: fmt.Sprint(client, "#", n), Client: client, Opened: opened, Token: next}
+	from := func(client string, n int) rollout.Sender {
+		return rollout.Sender{Time: now, Session: fmt.Sprint(client, "#", n), Client: client, SessionOrder: opened, NextToken: next}
 	}
-	do := func(c rollout.Command, f rollout.From) (rollout.Answer, error) {
-		f.Clock = now
+	do := func(c rollout.Command, f rollout.Sender) (rollout.Result, error) {
+		f.Time = now
 		a := s.Apply(c, f)
-		if a.Code != rollout.OK {
+		if a.Code != rollout.CodeOK {
 			return a, fmt.Errorf("%s %s: %s: %s", c.Op, c.Name, a.Code, a.Text)
 		}
 		return a, nil
 	}
-	if _, err := do(rollout.Command{Op: rollout.Set, Grace: 5 * time.Second, Budgets: []rollout.Budget{
-		{Name: "routers", Kind: rollout.Router, Share: shareOut, Warm: routerWarm},
-		{Name: "servers", Kind: rollout.Server, Share: shareOut, Warm: serverWarm},
-		{Name: "zones", Kind: rollout.Server, Per: "zone", Share: shareZone}}}, from("operator", 0)); err != nil {
+	if _, err := do(rollout.Command{Op: rollout.OpSetBudgets, Grace: 5 * time.Second, Budgets: []rollout.Budget{
+		{Name: "routers", Kind: rollout.KindRouter, MaxOutShare: shareOut, SlowStart: routerWarm},
+		{Name: "servers", Kind: rollout.KindServer, MaxOutShare: shareOut, SlowStart: serverWarm},
+		{Name: "zones", Kind: rollout.KindServer, Per: "zone", MaxOutShare: shareZone}}}, from("operator", 0)); err != nil {
 		return pl, err
 	}
 	run := make([]int, routers) // of each router's process
-	state := make([]rollout.Sight, servers)
+	state := make([]rollout.ServerStatus, servers)
 	boot := make([]int, servers)
 	server := func(i int) string { return fmt.Sprintf("s%03d", i) }
 	router := func(i int) string { return fmt.Sprintf("r%03d", i) }
 	tell := func(i int, version string, all []int) error {
 		opened++
-		for part := range slices.Chunk(all, rollout.MaxSeen) {
-			v := &rollout.View{Zone: zone(i % zones), Version: version, Ready: true}
+		for part := range slices.Chunk(all, rollout.MaxReportedServers) {
+			v := &rollout.RouterReport{Zone: zone(i % zones), Version: version, IsReady: true}
 			for _, k := range part {
-				v.Servers = append(v.Servers, rollout.Seen{Name: server(k), Zone: zone(k % zones), Run: fmt.Sprint(boot[k]), Is: state[k]})
+				v.Servers = append(v.Servers, rollout.ServerObservation{Name: server(k), Zone: zone(k % zones), Incarnation: fmt.Sprint(boot[k]), Status: state[k]})
 			}
-			if _, err := do(rollout.Command{Op: rollout.See, View: v}, from(rollout.RouterClient+router(i), run[i])); err != nil {
+			if _, err := do(rollout.Command{Op: rollout.OpReport, Report: v}, from(rollout.RouterClientPrefix+router(i), run[i])); err != nil {
 				return err
 			}
 		}
@@ -83,7 +83,7 @@
 	}
 	every := make([]int, servers)
 	for i := range every {
-		every[i], state[i] = i, rollout.Up
+		every[i], state[i] = i, rollout.StatusServing
 	}
 	version := make([]string, routers)
 	for i := range routers {
@@ -97,8 +97,8 @@
 	now += time.Minute
 	base := now
 	at := func() float64 { return beginMS + float64((now-base)/time.Millisecond) }
-	if _, err := do(rollout.Command{Op: rollout.Start, Plan: &rollout.Plan{Name: "twin", From: "v1", To: "v2", First: 3, Grow: 3, Bake: 2 * time.Second,
-		Step: time.Minute}}, from("release", 0)); err != nil {
+	if _, err := do(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin", FromVersion: "v1", ToVersion: "v2", FirstWave: 3, GrowthFactor: 3, BakeTime: 2 * time.Second,
+		StepTimeout: time.Minute}}, from("release", 0)); err != nil {
 		return pl, err
 	}
 	for _, b := range s.Report(now).Budgets {
@@ -126,7 +126,7 @@
 				part, down[i] = append(part, i), true
 			}
 			pl.Faults = append(pl.Faults, Fault{At: at(), Servers: part, Kind: Kill})
-			see := func(is rollout.Sight) func() error {
+			see := func(is rollout.ServerStatus) func() error {
 				return func() error {
 					for _, i := range part {
 						state[i] = is
@@ -141,13 +141,13 @@
 					return nil
 				}
 			}
-			after(seenMS, see(rollout.Bad))
+			after(seenMS, see(rollout.StatusFailing))
 			after(lostMS, func() error {
 				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: part, Kind: Start})
 				for _, i := range part {
 					delete(down, i)
 				}
-				after(seenMS, see(rollout.Up))
+				after(seenMS, see(rollout.StatusServing))
 				return nil
 			})
 			return nil
@@ -168,7 +168,7 @@
 				boot[i]++
 				changed++
 				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start}, Fault{At: at(), Servers: []int{i}, Kind: Undrain})
-				_, err := do(rollout.Command{Op: rollout.Back, Kind: rollout.Server, Name: name, Token: token}, who)
+				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name, Token: token}, who)
 				return err
 			}
 			after(downMS, start)
@@ -177,8 +177,8 @@
 	}
 	changeRouter := func(i int, token uint64) {
 		pl.Faults = append(pl.Faults, Fault{At: at(), Routers: []int{i}, Kind: Kill})
-		f := from(rollout.RouterClient+router(i), run[i])
-		s.Ended(f.Session, f.Client, now, next)
+		f := from(rollout.RouterClientPrefix+router(i), run[i])
+		s.SessionEnded(f.Session, f.Client, now, next)
 		version[i] = ""
 		after(downMS, func() error {
 			pl.Faults = append(pl.Faults, Fault{At: at(), Routers: []int{i}, Kind: Start})
@@ -188,16 +188,16 @@
 				if err := tell(i, "v2", every); err != nil {
 					return err
 				}
-				_, err := do(rollout.Command{Op: rollout.Back, Kind: rollout.Router, Name: router(i), Token: token}, from("release", 0))
+				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: router(i), Token: token}, from("release", 0))
 				return err
 			})
 			return nil
 		})
 	}
 	const tick = 100 * time.Millisecond
-	for steps := 0; changed < servers || s.Release.State == rollout.Running; steps++ {
+	for steps := 0; changed < servers || s.Release.State == rollout.ReleaseRunning; steps++ {
 		if steps > 100_000 {
-			return pl, fmt.Errorf("the release does not come to its end: %d servers changed, %+v", changed, s.Report(now).Out)
+			return pl, fmt.Errorf("the release does not come to its end: %d servers changed, %+v", changed, s.Report(now).Unavailable)
 		}
 		for len(later) > 0 {
 			i := 0
@@ -223,38 +223,38 @@
 			client string
 		}
 		var asks []ask
-		for _, name := range s.Do() {
+		for _, name := range s.PendingRouters() {
 			i, err := strconv.Atoi(name[1:])
 			if err != nil {
 				return pl, err
 			}
 			if version[i] == "v1" {
-				asks = append(asks, ask{rollout.Router, i, "release"})
+				asks = append(asks, ask{rollout.KindRouter, i, "release"})
 			}
 		}
 		waiting := 0
 		for _, i := range order {
-			if name := server(i); !asked[name] && waiting < 2*max(1, pl.Allowed[rollout.Server]) && !down[i] {
-				asks = append(asks, ask{rollout.Server, i, "op/" + name})
+			if name := server(i); !asked[name] && waiting < 2*max(1, pl.Allowed[rollout.KindServer]) && !down[i] {
+				asks = append(asks, ask{rollout.KindServer, i, "op/" + name})
 				waiting++
 			}
 		}
 		for _, x := range asks[:min(len(asks), rollout.MaxPermits/2)] {
 			name := router(x.i)
-			if x.k == rollout.Server {
+			if x.k == rollout.KindServer {
 				name = server(x.i)
 			}
-			a, err := do(rollout.Command{Op: rollout.Ask, Kind: x.k, Name: name}, from(x.client, 0))
+			a, err := do(rollout.Command{Op: rollout.OpRequestPermit, Kind: x.k, Name: name}, from(x.client, 0))
 			if err != nil {
 				return pl, err
 			}
-			if a.Stage != rollout.Granted {
+			if a.Stage != rollout.StageGranted {
 				continue
 			}
-			if _, err := do(rollout.Command{Op: rollout.Begin, Kind: x.k, Name: name, Token: a.Token}, from(x.client, 0)); err != nil {
+			if _, err := do(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token}, from(x.client, 0)); err != nil {
 				return pl, err
 			}
-			if x.k == rollout.Server {
+			if x.k == rollout.KindServer {
 				asked[name] = true
 				changeServer(x.i, a.Token)
 			} else {
@@ -264,11 +264,11 @@
 		r := s.Report(now)
 		planned := map[rollout.Kind]int{}
 		var out [2]int
-		for _, m := range r.Out {
-			if m.Reason == rollout.Planned {
+		for _, m := range r.Unavailable {
+			if m.Reason == rollout.OutPlanned {
 				planned[m.Kind]++
 			}
-			if m.Kind == rollout.Router {
+			if m.Kind == rollout.KindRouter {
 				out[0]++
 			} else {
 				out[1]++
