--- a/cmd/dockhinge-lab/steps.go
+++ b/cmd/dockhinge-lab/crash_points.go
@@ -20,7 +20,7 @@
 	var rounds, side int
 	var from uint64
 	var logs string
-	cmd := &cobra.Command{Use: "steps", Short: "Each process killed at each step of a release and of a change, by permits of the fleet", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "crash-points", Aliases: []string{"steps"}, Short: "Each process killed at each step of a release and of a change, by permits of the fleet", Args: cobra.NoArgs,
 		Long: "A release of the routers, and a change of all cache servers, with real processes: at each step of the operators' tool the tool\n" +
 			"itself, the leading coordinator, another one, the router or cache server that is changed, another router or the other driver is\n" +
 			"killed, and started again as what supervises it would. All must come to the end that was asked for, each router once.",
--- a/cmd/dockhinge-lab/agreecost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -16,7 +16,7 @@
 	var clients []int
 	var beat string
 	var leases, coordinators, kills, deaths, version int
-	cmd := &cobra.Command{Use: "agree-cost", Short: "What coordinators cost, and how long a fail-over takes", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "lease-cost", Aliases: []string{"agree-cost"}, Short: "What coordinators cost, and how long a fail-over takes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			dir, err := faultsBuild(cmd.Context())
 			if err != nil {
--- a/cmd/dockhinge-lab/agree.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -22,7 +22,7 @@
 	var seeds, from uint64
 	var side int
 	var say, first bool
-	cmd := &cobra.Command{Use: "agree", Short: "Coordinators and leaseholders, with faults between them", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "lease-faults", Aliases: []string{"agree"}, Short: "Coordinators and leaseholders, with faults between them", Args: cobra.NoArgs,
 		Long: "Starts coordinators, leaseholders and a stand-in resource as processes, lets everything between them fail as each seed has\n" +
 			"it, and judges whether two holders ever acted at once. With --mutant a fault is planted in the program, and the exit is 0\n" +
 			"where it was found. The programs are built with the tags faults and mutants into bin/faults.",
--- a/cmd/dockhinge-lab/observecost.go
+++ b/cmd/dockhinge-lab/observer_cost.go
@@ -13,7 +13,7 @@
 func observeCost() *cobra.Command {
 	var routers []int
 	var coordinators, observers, puts int
-	cmd := &cobra.Command{Use: "observe-cost", Short: "What coordinators and observers cost with routers that watch, and how long a change takes to the last", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "observer-cost", Aliases: []string{"observe-cost"}, Short: "What coordinators and observers cost with routers that watch, and how long a change takes to the last", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			dir, err := faultsBuild(cmd.Context())
 			if err != nil {
--- a/cmd/dockhinge-lab/suspects.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -19,7 +19,7 @@
 	var seeds, side, routers, quorum int
 	var from uint64
 	var mutant, logs string
-	cmd := &cobra.Command{Use: "suspects", Short: "What bad cache servers cost a fleet whose routers tell one another, and one whose don't", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "outlier-sharing", Aliases: []string{"suspects"}, Short: "What bad cache servers cost a fleet whose routers tell one another, and one whose don't", Args: cobra.NoArgs,
 		Long: "Two cache servers break off their answers, one after the other, and answer probes. For each seed: routers that each find out by themselves,\n" +
 			"routers that leave out what a quorum found bad, and the latter with a first router that tells of all servers, or of two, that they\n" +
 			"are bad. Counted by what the servers saw.",
--- a/cmd/dockhinge-lab/changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -25,7 +25,7 @@
 	var mutant string
 	var first, calm bool
 	var release, page string
-	cmd := &cobra.Command{Use: "changes", Short: "Planned changes of all cache servers and most routers, with faults by seeds", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "planned-changes", Aliases: []string{"changes"}, Short: "Planned changes of all cache servers and most routers, with faults by seeds", Args: cobra.NoArgs,
 		Long: "Operators change every cache server and most routers by permits of the fleet's agreement, while the seed has tools,\n" +
 			"routers, servers and coordinators die, stop or be cut off. Judged by what the laboratory did and what servers saw: more\n" +
 			"out by plan than the budgets leave, requests at a drained server, a change done twice or never.",
--- a/cmd/dockhinge-lab/duty.go
+++ b/cmd/dockhinge-lab/regression.go
@@ -21,7 +21,7 @@
 	var others []string
 	var seed int64
 	var full, only bool
-	cmd := &cobra.Command{Use: "duty --kit DIR --site FILE --why TEXT", Short: "Play what the standing test asks of this change, and say what fell",
+	cmd := &cobra.Command{Use: "regression --kit DIR --site FILE --why TEXT", Aliases: []string{"duty"}, Short: "Play what the standing test asks of this change, and say what fell",
 		Args: cobra.NoArgs,
 		Long: "Looks at what differs from --since, runs the operators' programs that it calls for, one after the other, from the\n" +
 			"repository's root, and compares what they write to the journal with the last run of the same days: a figure that fell by\n" +
--- a/cmd/dockhinge-lab/twin.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -33,7 +33,7 @@
 	var out, old, plot string
 	var bySecond bool
 	var shared float64
-	cmd := &cobra.Command{Use: "twin DAY [DAY...]", Short: "Play days of hundreds of routers in virtual time",
+	cmd := &cobra.Command{Use: "simulate DAY [DAY...]", Aliases: []string{"twin"}, Short: "Play days of hundreds of routers in virtual time",
 		Args: cobra.MinimumNArgs(1),
 		Long: "Plays days of the standing test's kinds with the decision module of this build before modelled servers, in virtual\n" +
 			"time: " + strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
--- a/cmd/dockhinge-lab/tally.go
+++ b/cmd/dockhinge-lab/trace_summary.go
@@ -9,7 +9,7 @@
 )
 
 func tallyCommand() *cobra.Command {
-	return &cobra.Command{Use: "tally DIR", Short: "Add up over a fleet what its routers' logs in DIR hold (routers with log.trace)",
+	return &cobra.Command{Use: "trace-summary DIR", Aliases: []string{"tally"}, Short: "Add up over a fleet what its routers' logs in DIR hold (routers with log.trace)",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			events, faults, err := traceanalysis.Dir(args[0])
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -56,7 +56,7 @@
 	Format      string `toml:"format"`       // text or json
 	RepeatEvery string `toml:"repeat_every"` // a duration, 1s to 1h
 	RepeatBurst int    `toml:"repeat_burst"` // lines of one event in that time, 1 to 1000
-	Trace       bool   `toml:"trace"`        // single events too, for dockhinge-lab tally
+	Trace       bool   `toml:"trace"`        // single events too, for dockhinge-lab trace-summary
 }
 
 // Admission switches fair admission on and sets it. Its bounds are internal/admission's.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace is a router's record of single events, for a look at a whole fleet afterwards (dockhinge-lab tally).
+// Package trace is a router's record of single events, for a look at a whole fleet afterwards (dockhinge-lab trace-summary).
 // It is off by default. A nil *Trace takes events and does nothing.
 package trace
 
