--- a/cmd/dockhinge-coord/main.go
+++ b/cmd/dockhinge-coord/main.go
@@ -71,7 +71,7 @@
 			if err := unix.Setrlimit(unix.RLIMIT_DATA, &unix.Rlimit{Cur: mostData, Max: mostData}); err != nil {
 				return fmt.Errorf("bounding the memory: %w", err)
 			}
-			log := logging.New(os.Stderr, logging.Options{Level: f.LogLevel, JSON: f.LogJSON, Every: 10 * time.Second, Burst: 20})
+			log := logging.New(os.Stderr, logging.Options{Level: f.LogLevel, JSON: f.LogJSON, RepeatInterval: 10 * time.Second, RepeatBurst: 20})
 			slog.SetDefault(log)
 			if err := node.MakeDir(f.Dir); err != nil {
 				return err
--- a/cmd/dockhinge-coord/observe.go
+++ b/cmd/dockhinge-coord/observe.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			log := logging.New(os.Stderr, logging.Options{Level: file.LogLevel, JSON: file.LogJSON, Every: 10 * time.Second, Burst: 20})
+			log := logging.New(os.Stderr, logging.Options{Level: file.LogLevel, JSON: file.LogJSON, RepeatInterval: 10 * time.Second, RepeatBurst: 20})
 			slog.SetDefault(log)
 			listener, err := net.Listen("tcp", file.API)
 			if err != nil {
--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -40,7 +40,7 @@
 	rules("version = 1")
 	hup <- syscall.SIGHUP
 	hup <- syscall.SIGHUP // this one is taken once the first has been carried out
-	for end := time.Now().Add(10 * time.Second); m.Refused.Load() < 2; {
+	for end := time.Now().Add(10 * time.Second); m.ReloadFailures.Load() < 2; {
 		if time.Now().After(end) {
 			t.Fatal("a bad configuration was not refused")
 		}
@@ -48,7 +48,7 @@
 	write(string(good))
 	rules("version = 1\n[admission]\nothers_weight = -1")
 	hup <- syscall.SIGHUP
-	for end := time.Now().Add(10 * time.Second); m.Refused.Load() < 3; {
+	for end := time.Now().Add(10 * time.Second); m.ReloadFailures.Load() < 3; {
 		if time.Now().After(end) {
 			t.Fatal("a bad operator file was not refused")
 		}
@@ -61,7 +61,7 @@
 			if cfg == nil || cfg.Discovery != "127.0.0.1:9" {
 				t.Errorf("got %+v", cfg)
 			}
-			if a := cfg.Admission; a == nil || len(a.Rules.Named) != 1 || a.Rules.Named[0].Rate != 5 {
+			if a := cfg.Admission; a == nil || len(a.Rules.Tenants) != 1 || a.Rules.Tenants[0].GuaranteedPerSecond != 5 {
 				t.Errorf("got %+v", a)
 			}
 			return
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -39,7 +39,7 @@
 		}
 	}
 	slog.SetDefault(logging.New(os.Stderr, logging.Options{Level: extra.Log.Level, JSON: extra.Log.Format == "json",
-		Every: extra.Log.Every(), Burst: extra.Log.RepeatBurst}))
+		RepeatInterval: extra.Log.RepeatInterval(), RepeatBurst: extra.Log.RepeatBurst}))
 	path := cmp.Or(o.config, os.Getenv("GW_CONFIG"))
 	if path == "" {
 		return fmt.Errorf("GW_CONFIG: not set")
@@ -145,9 +145,9 @@
 	return errors.New("not ready")
 }
 
-func (f *front) Door(ctx context.Context) ([]byte, error) {
+func (f *front) AdmissionState(ctx context.Context) ([]byte, error) {
 	if r := f.router.Load(); r != nil {
-		return r.Door(ctx)
+		return r.AdmissionState(ctx)
 	}
 	return nil, errors.New("not ready")
 }
@@ -159,14 +159,14 @@
 		return cfg, err
 	}
 	if a := extra.Agreement; len(a.Coordinators) > 0 {
-		cfg.Agreement = &router.Agreement{Coordinators: healthcheck.Coordinators(a.Coordinators), TTL: operator.Time(a.TTL), Probes: a.Probes,
-			ProbeEvery: operator.Time(a.ProbeEvery), ProbeStale: operator.Time(a.ProbeStale), Drains: a.Drains, Label: cmp.Or(a.Label, revision())}
+		cfg.Agreement = &router.Agreement{Coordinators: healthcheck.Coordinators(a.Coordinators), TTL: operator.Duration(a.TTL), Probes: a.Probes,
+			ProbeEvery: operator.Duration(a.ProbeEvery), ProbeStale: operator.Duration(a.ProbeStale), Drains: a.Drains, Label: cmp.Or(a.Label, revision())}
 	}
 	if !extra.Admission.Enabled {
 		return cfg, nil
 	}
 	rules, who, err := extra.Admission.Config()
-	cfg.Admission = &router.Admission{Rules: rules, Who: who}
+	cfg.Admission = &router.AdmissionConfig{Rules: rules, Tenants: who}
 	return cfg, err
 }
 
@@ -188,7 +188,7 @@
 			cfg, err = load(path, extra)
 		}
 		if err != nil {
-			m.Refused.Add(1)
+			m.ReloadFailures.Add(1)
 			slog.Warn("SIGHUP: the configuration is kept", "error", err)
 			continue
 		}
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -51,12 +51,12 @@
 // printDoor prints a table, who has taken most work first.
 func printDoor(out io.Writer, addr string, s admission.State) error {
 	fmt.Fprintf(out, "%s: limit %.0f, in use %.0f, waiting %d; a request takes %.0f ms; the fleet refuses %.1f%% of what is let in; tables of %.1f MB\n",
-		addr, s.Limit, s.InUse, s.Waiting, s.TakesMS, 100*s.Refused, float64(s.Tables)/1e6)
+		addr, s.Limit, s.InUse, s.Waiting, s.LatencyMillis, 100*s.RejectShare, float64(s.TableBytes)/1e6)
 	all := 0.0
 	for _, t := range s.Tenants {
-		all += t.Work
+		all += t.WorkMillis
 	}
-	slices.SortStableFunc(s.Tenants, func(x, y admission.Count) int { return cmp.Compare(y.Work, x.Work) })
+	slices.SortStableFunc(s.Tenants, func(x, y admission.TenantStats) int { return cmp.Compare(y.WorkMillis, x.WorkMillis) })
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\tweight\twork %\tshare now %\tasked\tlet in\tserved\tturned\trefused\tretries\tearly\twaiting\ttold ms\t")
 	for _, t := range s.Tenants {
@@ -64,8 +64,8 @@
 		if t.Tenant == "" {
 			name = "(others)"
 		}
-		fmt.Fprintf(w, "%s\t%g\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", name, t.Weight, 100*t.Work/max(all, 1), 100*t.Share,
-			t.Asked, t.Admitted, t.Served, t.Turned, t.Refused, t.Retries, t.Early, t.Waiting, t.Told)
+		fmt.Fprintf(w, "%s\t%g\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", name, t.Weight, 100*t.WorkMillis/max(all, 1), 100*t.Share,
+			t.Requests, t.Admitted, t.Served, t.RejectedDownstream, t.Rejected, t.RejectedRetries, t.RejectedEarly, t.Waiting, t.RetryAfterMillis)
 	}
 	return w.Flush()
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,23 +23,23 @@
 	Metrics() ([]byte, error)
 	// SetDisabled leaves a cache server out, or puts it back. ErrUnknown tells that its id was never listed.
 	SetDisabled(ctx context.Context, id string, disabled bool) error
-	// Door is how fair admission stands, in JSON; ErrOff tells that there is none.
-	Door(ctx context.Context) ([]byte, error)
+	// AdmissionState is how fair admission stands, in JSON; ErrOff tells that there is none.
+	AdmissionState(ctx context.Context) ([]byte, error)
 }
 
-// ErrOff tells that what is asked for is not switched on.
-var ErrOff = errors.New("not switched on")
+// ErrNotEnabled tells that what is asked for is not switched on.
+var ErrNotEnabled = errors.New("not switched on")
 
-// ErrUnknown tells that an id was never listed.
-var ErrUnknown = errors.New("no such cache server")
+// ErrUnknownServer tells that an id was never listed.
+var ErrUnknownServer = errors.New("no such cache server")
 
 // Bounds. An answer is owed within a second, beside callers that keep a connection for four without a whole call.
 const (
-	callTime  = 2 * time.Second        // for a call to come whole
-	workTime  = 900 * time.Millisecond // for what it asks for
-	writeTime = 4 * time.Second        // from the end of its head until the answer is taken
-	maxHead   = 4 << 10                // bytes; the library adds some
-	maxBody   = 1 << 10
+	readTimeout    = 2 * time.Second        // for a call to come whole
+	workTimeout    = 900 * time.Millisecond // for what it asks for
+	writeTimeout   = 4 * time.Second        // from the end of its head until the answer is taken
+	maxHeaderBytes = 4 << 10                // bytes; the library adds some
+	maxBodyBytes   = 1 << 10
 	// MaxConns is how many connections are open at once. One more drives out the one that has been without a whole
 	// call for longest.
 	MaxConns = 16
@@ -47,11 +47,11 @@
 
 // Serve answers calls that come to ln, which it closes, until ctx ends.
 func Serve(ctx context.Context, ln net.Listener, r Router) {
-	door := &door{Listener: ln, open: map[*caller]struct{}{}}
-	s := &http.Server{Handler: handler(r), ReadTimeout: callTime, WriteTimeout: writeTime, IdleTimeout: callTime,
-		MaxHeaderBytes: maxHead, ErrorLog: log.New(io.Discard, "", 0), // callers that leave are no news
+	door := &boundedListener{Listener: ln, open: map[*adminConn]struct{}{}}
+	s := &http.Server{Handler: handler(r), ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: readTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(io.Discard, "", 0), // callers that leave are no news
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, callerKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		}}
 	s.SetKeepAlivesEnabled(false) // one call per connection
 	done := make(chan struct{})
@@ -62,7 +62,7 @@
 		}
 	}()
 	<-ctx.Done()
-	end, cancel := context.WithTimeout(context.Background(), workTime)
+	end, cancel := context.WithTimeout(context.Background(), workTimeout)
 	defer cancel()
 	if s.Shutdown(end) != nil {
 		s.Close() //nolint:errcheck // the listener is closed already
@@ -90,12 +90,12 @@
 	})
 	set := func(disabled bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
-			ctx, cancel := context.WithTimeout(q.Context(), workTime)
+			ctx, cancel := context.WithTimeout(q.Context(), workTimeout)
 			defer cancel()
 			switch err := r.SetDisabled(ctx, q.PathValue("id"), disabled); {
 			case err == nil:
 				w.WriteHeader(http.StatusNoContent)
-			case errors.Is(err, ErrUnknown):
+			case errors.Is(err, ErrUnknownServer):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			default: // it may be done all the same, and may be asked for again
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -105,10 +105,10 @@
 	mux.HandleFunc("PUT /-/cache-servers/{id}/disable", set(true))
 	mux.HandleFunc("PUT /-/cache-servers/{id}/enable", set(false))
 	mux.HandleFunc("GET /-/admission", func(w http.ResponseWriter, q *http.Request) {
-		ctx, cancel := context.WithTimeout(q.Context(), workTime)
+		ctx, cancel := context.WithTimeout(q.Context(), workTimeout)
 		defer cancel()
-		switch text, err := r.Door(ctx); {
-		case errors.Is(err, ErrOff):
+		switch text, err := r.AdmissionState(ctx); {
+		case errors.Is(err, ErrNotEnabled):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -117,13 +117,13 @@
 			w.Write(append(text, '\n')) //nolint:errcheck // the caller has left
 		}
 	})
-	return whole(mux)
+	return requireCompleteCall(mux)
 }
 
-// whole lets only a call through that has come whole: half of one asks for nothing.
-func whole(next http.Handler) http.Handler {
+// requireCompleteCall lets only a call through that has come whole: half of one asks for nothing.
+func requireCompleteCall(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBodyBytes)); err != nil {
 			code := http.StatusBadRequest
 			if big := (*http.MaxBytesError)(nil); errors.As(err, &big) {
 				code = http.StatusRequestEntityTooLarge
@@ -131,8 +131,8 @@
 			http.Error(w, "the body can't be read", code)
 			return
 		}
-		if c, ok := q.Context().Value(callerKey{}).(*caller); ok {
-			c.called()
+		if c, ok := q.Context().Value(connContextKey{}).(*adminConn); ok {
+			c.markComplete()
 		}
 		if p := q.URL.Path; p == "" || p[0] != '/' || path.Clean(p) != p { // the library would redirect: neither yes nor no
 			http.NotFound(w, q)
@@ -142,25 +142,25 @@
 	})
 }
 
-// door bounds the connections that are open at once.
-type door struct {
+// boundedListener bounds the connections that are open at once.
+type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open map[*caller]struct{} // those without a whole call, and those whose call is being answered
+	open map[*adminConn]struct{} // those without a whole call, and those whose call is being answered
 }
 
-// caller is a connection of a caller.
-type caller struct {
+// adminConn is a connection of a caller.
+type adminConn struct {
 	net.Conn
-	d     *door
-	since time.Time
-	whole bool // guarded by d.mu: its call has come
-	once  sync.Once
+	listener   *boundedListener
+	acceptedAt time.Time
+	isComplete bool // guarded by d.mu: its call has come
+	once       sync.Once
 }
 
-type callerKey struct{}
+type connContextKey struct{}
 
-func (d *door) Accept() (net.Conn, error) {
+func (d *boundedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := d.Listener.Accept()
 		if err != nil {
@@ -170,8 +170,8 @@
 			time.Sleep(50 * time.Millisecond) // no descriptor is left: the address must outlive that
 			continue
 		}
-		c := &caller{Conn: nc, d: d, since: time.Now()}
-		if out := d.enter(c); out != nil {
+		c := &adminConn{Conn: nc, listener: d, acceptedAt: time.Now()}
+		if out := d.register(c); out != nil {
 			out.Close()
 			if out == c {
 				continue
@@ -181,14 +181,14 @@
 	}
 }
 
-// enter takes a connection in and returns the one that must go for it, if any: itself where all others have asked.
-func (d *door) enter(c *caller) (out *caller) {
+// register takes a connection in and returns the one that must go for it, if any: itself where all others have asked.
+func (d *boundedListener) register(c *adminConn) (out *adminConn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) >= MaxConns {
 		out = c
 		for o := range d.open {
-			if !o.whole && o.since.Before(out.since) {
+			if !o.isComplete && o.acceptedAt.Before(out.acceptedAt) {
 				out = o
 			}
 		}
@@ -200,18 +200,18 @@
 	return out
 }
 
-func (c *caller) called() {
-	c.d.mu.Lock()
-	defer c.d.mu.Unlock()
-	c.whole = true
+func (c *adminConn) markComplete() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.isComplete = true
 }
 
 // Close closes the connection, which no longer counts.
-func (c *caller) Close() (err error) {
+func (c *adminConn) Close() (err error) {
 	c.once.Do(func() {
-		c.d.mu.Lock()
-		delete(c.d.open, c)
-		c.d.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.open, c)
+		c.listener.mu.Unlock()
 		err = c.Conn.Close()
 	})
 	return err
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, known := f.disabled[id]; !known {
-		return ErrUnknown
+		return ErrUnknownServer
 	}
 	if f.err == nil {
 		f.disabled[id] = disabled
@@ -40,11 +40,11 @@
 	return f.err
 }
 
-func (f *fakeRouter) Door(context.Context) ([]byte, error) {
+func (f *fakeRouter) AdmissionState(context.Context) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unready {
-		return nil, ErrOff
+		return nil, ErrNotEnabled
 	}
 	return []byte(`{"waiting":3}`), f.err
 }
@@ -94,8 +94,8 @@
 		{"PUT", "/-/cache-servers/s-0b/disable", 204, ""},
 		{"PUT", "/-/cache-servers/s-0b/disable", 204, ""},
 		{"PUT", "/-/cache-servers/s-0b/enable", 204, ""},
-		{"PUT", "/-/cache-servers/s-0c/disable", 404, ErrUnknown.Error()},
-		{"PUT", "/-/cache-servers/s-0c/enable", 404, ErrUnknown.Error()},
+		{"PUT", "/-/cache-servers/s-0c/disable", 404, ErrUnknownServer.Error()},
+		{"PUT", "/-/cache-servers/s-0c/enable", 404, ErrUnknownServer.Error()},
 		{"POST", "/-/cache-servers/s-0b/disable", 405, "Method Not Allowed"},
 		{"PUT", "/-/ready", 405, "Method Not Allowed"},
 		{"DELETE", "/-/metrics", 405, "Method Not Allowed"},
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// maxAnswer bounds the answer that a caller reads, in bytes.
-const maxAnswer = 1 << 20
+// maxResponseBytes bounds the answer that a caller reads, in bytes.
+const maxResponseBytes = 1 << 20
 
 // StatusError is an answer that is no yes.
 type StatusError struct {
@@ -21,7 +21,7 @@
 // Call makes one call at the second address of a router and returns what it says. The error is a *StatusError where the
 // router answered otherwise than with yes. One call goes over one connection.
 func Call(ctx context.Context, addr, method, path string) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err == nil && a.StatusCode/100 != 2 {
 		err = &StatusError{a.StatusCode, string(text)}
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -14,24 +14,24 @@
 
 // Request is a request at the door.
 type Request struct {
-	ID     uint32
-	Tenant string
-	Class  int
-	Key    uint64
-	Size   int     // bytes that come with it
-	Left   float64 // ms that remain until its deadline
-	Retry  bool    // marked as a retry
+	ID              uint32
+	Tenant          string
+	Class           int
+	Key             uint64
+	SizeBytes       int     // bytes that come with it
+	RemainingMillis float64 // ms that remain until its deadline
+	IsRetry         bool    // marked as a retry
 }
 
-// End is what became of a request that was admitted.
-type End struct {
-	ID       uint32
-	Served   bool
-	Refused  bool    // rejected by the Balancer, for want of capacity
-	Latency  float64 // ms since it was admitted
-	Attempts int
-	Work     float64 // ms that its attempts took, together
-	Size     int     // bytes of the answer
+// Outcome is what became of a request that was admitted.
+type Outcome struct {
+	ID            uint32
+	Served        bool
+	Rejected      bool    // rejected by the Balancer, for want of capacity
+	LatencyMillis float64 // ms since it was admitted
+	Attempts      int
+	WorkMillis    float64 // ms that its attempts took, together
+	ResponseBytes int     // bytes of the answer
 }
 
 // Host carries out what is decided, within the call that led to it. Each request gets one of the two, once.
@@ -73,11 +73,11 @@
 	guaranteed        heap    // flows with requests within their guaranteed rate, by when the first of these came
 	guaranteedBacklog float64 // their cost
 
-	limiter    limiter
-	costs      costModel
-	promises   promiseTable
-	returns    returnStats
-	rejections rejectionMemory
+	limiter          limiter
+	costs            costModel
+	reservations     reservationTable
+	returnStats      returnTracker
+	recentRejections rejectionMemory
 }
 
 // New returns an Admission, or an error that names the setting that is impossible. All memory is taken here.
@@ -87,28 +87,28 @@
 	}
 	// A request in work needs a record too: as many as the limit on concurrency allows, beside those that wait. What
 	// costs less than the mean may stand there in greater number; beyond the records a request is rejected.
-	recordCount := cfg.Queue + 2*int(cfg.Most)
+	recordCount := cfg.QueueLimit + 2*int(cfg.MaxLimit)
 	flowCount := maxNamedTenants + cfg.Flows + cfg.Buckets + 1
 	a := &Admission{
-		cfg:        cfg,
-		host:       host,
-		rng:        rand.New(rand.NewPCG(seed, 11)),
-		startedAt:  notStarted,
-		flows:      make([]flow, flowCount),
-		named:      map[string]int32{},
-		exact:      make(map[uint64]int32, cfg.Flows),
-		oldest:     noIndex,
-		newest:     noIndex,
-		top:        newFairQueue(flowCount),
-		unnamed:    newFairQueue(flowCount),
-		records:    make([]record, recordCount),
-		byID:       make(map[uint32]int32, recordCount),
-		expiry:     newHeap(recordCount),
-		guaranteed: newHeap(flowCount),
-		limiter:    newLimiter(cfg),
-		costs:      newCostModel(cfg.Classes),
-		promises:   newPromiseTable(cfg.Promises),
-		returns:    returnStats{rate: 1},
+		cfg:          cfg,
+		host:         host,
+		rng:          rand.New(rand.NewPCG(seed, 11)),
+		startedAt:    notStarted,
+		flows:        make([]flow, flowCount),
+		named:        map[string]int32{},
+		exact:        make(map[uint64]int32, cfg.Flows),
+		oldest:       noIndex,
+		newest:       noIndex,
+		top:          newFairQueue(flowCount),
+		unnamed:      newFairQueue(flowCount),
+		records:      make([]record, recordCount),
+		byID:         make(map[uint32]int32, recordCount),
+		expiry:       newHeap(recordCount),
+		guaranteed:   newHeap(flowCount),
+		limiter:      newLimiter(cfg),
+		costs:        newCostModel(cfg.Classes),
+		reservations: newReservationTable(cfg.ReservationLimit),
+		returnStats:  returnTracker{rate: 1},
 	}
 	a.salt = a.rng.Uint64()
 	a.freeRecords = descending(recordCount)
@@ -123,14 +123,14 @@
 		f := &a.flows[i]
 		*f = newFlow()
 		switch {
-		case i < len(a.cfg.Named):
-			a.assign(int32(i), a.cfg.Named[i])
+		case i < len(a.cfg.Tenants):
+			a.assign(int32(i), a.cfg.Tenants[i])
 		case i < maxNamedTenants:
 		case int32(i) == a.unnamedFlow():
 			f.weight = a.cfg.OthersWeight
 		default:
 			f.isUnnamed = true
-			f.retryTokens = a.cfg.RetryBurst
+			f.retryTokens = a.cfg.RetryBudgetBurst
 			if i < firstBucket {
 				a.freeFlows = append(a.freeFlows, int32(i))
 			}
@@ -155,11 +155,11 @@
 		a.limiter.adjustAt = now + windowMillis
 	}
 	a.now = max(now, a.now)
-	if a.now-a.saltedAt >= a.cfg.TurnMS { // so that nobody stays in one bucket with the same heavy tenant
+	if a.now-a.saltedAt >= a.cfg.RehashMillis { // so that nobody stays in one bucket with the same heavy tenant
 		a.saltedAt = a.now
 		a.salt = a.rng.Uint64()
 	}
-	a.expirePromises()
+	a.expireReservations()
 	a.expireWaiting()
 	if a.now >= a.limiter.adjustAt {
 		a.limiter.adjust(a.now, a.contenders())
@@ -167,8 +167,8 @@
 	a.admitWaiting() // a higher limit, or a smaller request at the head, may let some in
 }
 
-// Next is when Tick wants to be called; +Inf where nothing waits.
-func (a *Admission) Next() float64 {
+// NextDeadline is when Tick wants to be called; +Inf where nothing waits.
+func (a *Admission) NextDeadline() float64 {
 	if a.expiry.len() == 0 {
 		return math.Inf(1)
 	}
@@ -178,20 +178,20 @@
 // Tick carries out what is due at now: a request that has waited for as long as it may is rejected.
 func (a *Admission) Tick(now float64) { a.advance(now) }
 
-// Bytes is what the tables take, in bytes, whatever comes.
-func (a *Admission) Bytes() int {
+// TableBytes is what the tables take, in bytes, whatever comes.
+func (a *Admission) TableBytes() int {
 	const (
 		indexBytes    = 4  // of a place in a list of free records
 		heapItemBytes = 16 // an index, a position and a key
 		mapItemBytes  = 30 // some 20 at the size a map was made for, and up to twice that where it has had to grow
 	)
-	heaps := []*heap{&a.top.ready, &a.unnamed.ready, &a.top.longest, &a.unnamed.longest, &a.guaranteed, &a.expiry, &a.promises.expiry}
+	heaps := []*heap{&a.top.ready, &a.unnamed.ready, &a.top.longest, &a.unnamed.longest, &a.guaranteed, &a.expiry, &a.reservations.expiry}
 	total := int(unsafe.Sizeof(*a))
 	total += len(a.flows) * int(unsafe.Sizeof(flow{}))
 	total += len(a.records) * int(unsafe.Sizeof(record{})+indexBytes)
-	total += len(a.promises.entries) * int(unsafe.Sizeof(promise{})+indexBytes)
+	total += len(a.reservations.entries) * int(unsafe.Sizeof(reservation{})+indexBytes)
 	for _, h := range heaps {
 		total += len(h.positions) * heapItemBytes
 	}
-	return total + mapItemBytes*(a.cfg.Flows+len(a.records)+len(a.promises.entries))
+	return total + mapItemBytes*(a.cfg.Flows+len(a.records)+len(a.reservations.entries))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -32,8 +32,8 @@
 func (d *door) Reject(id uint32, after float64) { d.refused[id] = after; d.ends[id]++ }
 
 func config() Config {
-	return Config{Classes: []Class{{Name: "read", Cost: 10}, {Name: "write", Cost: 10, First: true}}, OthersWeight: 1, Flows: 1024, Buckets: 64,
-		TurnMS: 10000, Queue: 512, Promises: 4096, MaxWaitMS: 200, MaxAfterMS: 1500, Start: 8, Least: 8, Most: 8, RetryShare: 0.2, RetryBurst: 20}
+	return Config{Classes: []Class{{Name: "read", CostMillis: 10}, {Name: "write", CostMillis: 10, HasPriority: true}}, OthersWeight: 1, Flows: 1024, Buckets: 64,
+		RehashMillis: 10000, QueueLimit: 512, ReservationLimit: 4096, MaxWaitMillis: 200, MaxRetryAfterMillis: 1500, InitialLimit: 8, MinLimit: 8, MaxLimit: 8, RetryBudgetShare: 0.2, RetryBudgetBurst: 20}
 }
 
 func begin(t testing.TB, c Config) (*Admission, *door) {
@@ -68,8 +68,8 @@
 func (s *shop) ask(tenant string, q Request) uint32 {
 	s.next++
 	q.ID, q.Tenant = s.next, tenant
-	if q.Left == 0 {
-		q.Left = 1000
+	if q.RemainingMillis == 0 {
+		q.RemainingMillis = 1000
 	}
 	s.of[q.ID] = tenant
 	s.asked[tenant]++
@@ -84,7 +84,7 @@
 		if s.inWork[id] <= s.now {
 			delete(s.inWork, id)
 			s.served[s.of[id]]++
-			s.a.Ended(s.now, End{ID: id, Served: true, Latency: 10, Attempts: 1, Work: 10})
+			s.a.Ended(s.now, Outcome{ID: id, Served: true, LatencyMillis: 10, Attempts: 1, WorkMillis: 10})
 		}
 	}
 	s.a.Tick(s.now)
@@ -132,11 +132,11 @@
 
 func TestWeightsShareWorkNotCounts(t *testing.T) {
 	c := config()
-	c.Named = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}
+	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}
 	s := newShop(t, c)
 	for s.now < 4000 {
 		s.ask("a", Request{Key: uint64(s.next)})
-		s.ask("b", Request{Key: uint64(s.next), Size: sizeUnitBytes}) // twice the cost of a's
+		s.ask("b", Request{Key: uint64(s.next), SizeBytes: sizeUnitBytes}) // twice the cost of a's
 		s.step()
 	}
 	a, b := float64(s.served["a"]), 2*float64(s.served["b"])
@@ -166,12 +166,12 @@
 			switch {
 			case b.at <= s.now:
 				again++
-				id := s.ask("big", Request{Key: b.key, Retry: true})
+				id := s.ask("big", Request{Key: b.key, IsRetry: true})
 				if _, no := s.d.refused[id]; !no {
 					kept++
 				}
 			case i%50 == 7 && b.at-s.now > 100: // impatient
-				id := s.ask("big", Request{Key: b.key, Retry: true})
+				id := s.ask("big", Request{Key: b.key, IsRetry: true})
 				if after, no := s.d.refused[id]; !no || math.Abs(after-(b.at-s.now)) > 1 {
 					early++
 				}
@@ -193,7 +193,7 @@
 
 func TestInventedNamesStayAmongTheOthers(t *testing.T) {
 	c := config()
-	c.Named = []Tenant{{Name: "ministry", Weight: 1}}
+	c.Tenants = []Tenant{{Name: "ministry", Weight: 1}}
 	s := newShop(t, c)
 	for s.now < 3000 {
 		for range 3 {
@@ -211,12 +211,12 @@
 
 func TestBoundsAreReachedAndHeld(t *testing.T) {
 	c := config()
-	c.Flows, c.Buckets, c.Queue, c.Promises = 16, 4, 20, 10
+	c.Flows, c.Buckets, c.QueueLimit, c.ReservationLimit = 16, 4, 20, 10
 	a, d := begin(t, c)
 	waiting, promises := 0, 0
 	for i := range uint32(300_000) {
-		a.Arrive(float64(i)/1000, Request{ID: i + 1, Tenant: "x" + fmt.Sprint(i*2654435761), Class: int(i % 2), Key: uint64(i), Left: 1000})
-		waiting, promises = max(waiting, a.waiting), max(promises, len(a.promises.byIdentity))
+		a.Arrive(float64(i)/1000, Request{ID: i + 1, Tenant: "x" + fmt.Sprint(i*2654435761), Class: int(i % 2), Key: uint64(i), RemainingMillis: 1000})
+		waiting, promises = max(waiting, a.waiting), max(promises, len(a.reservations.byIdentity))
 	}
 	if len(a.exact) != 16 || waiting != 20 || promises != 10 || len(a.byID) > 20+16 || len(a.records) != 20+16 {
 		t.Errorf("%d flows, %d waiting, %d promises, %d records of %d", len(a.exact), waiting, promises, len(a.byID), len(a.records))
@@ -225,20 +225,20 @@
 		t.Errorf("%d refused", len(d.refused))
 	}
 	c = config()
-	c.Flows, c.Promises, c.MaxAfterMS = maxCarried+10, maxCarried+10, 1e9
+	c.Flows, c.ReservationLimit, c.MaxRetryAfterMillis = maxSnapshotEntries+10, maxSnapshotEntries+10, 1e9
 	for i := range maxNamedTenants + 1 {
-		c.Named = append(c.Named, Tenant{Name: fmt.Sprint("n", i), Weight: 1})
+		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("n", i), Weight: 1})
 	}
 	if err := c.Validate(); err == nil || !strings.Contains(err.Error(), "admission.tenant") {
 		t.Errorf("a tenant too many: %v", err)
 	}
-	c.Named = c.Named[:maxNamedTenants]
+	c.Tenants = c.Tenants[:maxNamedTenants]
 	a, _ = begin(t, c)
-	for i := range uint32(4 * maxCarried) {
-		a.Arrive(0, Request{ID: i + 1, Tenant: fmt.Sprint("x", i%(maxCarried+10)), Key: uint64(i), Left: 1000})
+	for i := range uint32(4 * maxSnapshotEntries) {
+		a.Arrive(0, Request{ID: i + 1, Tenant: fmt.Sprint("x", i%(maxSnapshotEntries+10)), Key: uint64(i), RemainingMillis: 1000})
 	}
-	if got := a.HandOver(0); len(got.Tenants) != maxCarried || len(got.Promises) != maxCarried {
-		t.Errorf("%d tenants and %d promises carried", len(got.Tenants), len(got.Promises))
+	if got := a.Snapshot(0); len(got.Tenants) != maxSnapshotEntries || len(got.Reservations) != maxSnapshotEntries {
+		t.Errorf("%d tenants and %d promises carried", len(got.Tenants), len(got.Reservations))
 	}
 	if got := a.State(3).Tenants; len(got) != 4 || got[3].Tenant != "" {
 		t.Errorf("%d tenants shown of 3, and the rest", len(got))
@@ -263,8 +263,8 @@
 		}), 1, 150).Draw(t, "events")
 		play := func() (*door, []uint32) {
 			c := config()
-			c.Named = []Tenant{{Name: "n0", Weight: 2, Rate: 20, Burst: 2}, {Name: "n1", Weight: 1}}
-			c.Flows, c.Buckets, c.Queue, c.Promises, c.Start, c.Least, c.Most = 4, 2, 6, 5, 3, 2, 6
+			c.Tenants = []Tenant{{Name: "n0", Weight: 2, GuaranteedPerSecond: 20, GuaranteedBurst: 2}, {Name: "n1", Weight: 1}}
+			c.Flows, c.Buckets, c.QueueLimit, c.ReservationLimit, c.InitialLimit, c.MinLimit, c.MaxLimit = 4, 2, 6, 5, 3, 2, 6
 			a, err := New(c, 5, newDoor())
 			if err != nil {
 				t.Fatal(err)
@@ -281,19 +281,19 @@
 					if e.Tenant < 2 {
 						name = fmt.Sprint("n", e.Tenant)
 					}
-					a.Arrive(now, Request{ID: last, Tenant: name, Class: e.Class, Key: e.Key, Left: e.Left, Size: e.Size, Retry: e.Kind == 5})
+					a.Arrive(now, Request{ID: last, Tenant: name, Class: e.Class, Key: e.Key, RemainingMillis: e.Left, SizeBytes: e.Size, IsRetry: e.Kind == 5})
 				case e.Kind < 8 && len(d.admitted) > 0:
 					id := d.admitted[e.Which%len(d.admitted)]
 					if !ended[id] {
 						ended[id] = true
-						a.Ended(now, End{ID: id, Served: e.Kind == 6, Refused: e.Kind == 7, Latency: e.Gap + 1, Work: e.Gap + 1, Attempts: e.Which % 4})
+						a.Ended(now, Outcome{ID: id, Served: e.Kind == 6, Rejected: e.Kind == 7, LatencyMillis: e.Gap + 1, WorkMillis: e.Gap + 1, Attempts: e.Which % 4})
 					}
 				case e.Kind == 8 && last > 0:
 					id := uint32(e.Which)%last + 1
 					if d.ends[id] == 0 {
 						gone[id] = true
 					}
-					a.Gone(now, id)
+					a.Disconnected(now, id)
 				default:
 					a.Tick(now)
 				}
@@ -310,7 +310,7 @@
 			}
 			for _, id := range d.admitted {
 				if !ended[id] {
-					a.Ended(now+1e6, End{ID: id, Served: true, Latency: 1, Attempts: 1, Work: 10})
+					a.Ended(now+1e6, Outcome{ID: id, Served: true, LatencyMillis: 1, Attempts: 1, WorkMillis: 10})
 				}
 			}
 			balance(t, a)
@@ -342,14 +342,14 @@
 		}
 	}
 	promised := map[int32]float64{}
-	for _, p := range a.promises.byIdentity {
-		promised[a.promises.entries[p].flow] += a.promises.entries[p].cost
+	for _, p := range a.reservations.byIdentity {
+		promised[a.reservations.entries[p].flow] += a.reservations.entries[p].cost
 	}
 	top, in := 0.0, 0.0
 	for i := range a.flows {
 		f, n := &a.flows[i], int32(i)
-		if math.Abs(f.backlog-backlog[n]) > 1e-6 || math.Abs(f.promisedWork-promised[n]) > 1e-6 || f.backlog > 0 != (f.waiting > 0) {
-			t.Fatalf("flow %d: backlog %v of %v, promised %v of %v", i, f.backlog, backlog[n], f.promisedWork, promised[n])
+		if math.Abs(f.backlog-backlog[n]) > 1e-6 || math.Abs(f.reservedWork-promised[n]) > 1e-6 || f.backlog > 0 != (f.waiting > 0) {
+			t.Fatalf("flow %d: backlog %v of %v, promised %v of %v", i, f.backlog, backlog[n], f.reservedWork, promised[n])
 		}
 		if f.isActive() {
 			if f.isUnnamed {
@@ -362,10 +362,10 @@
 	if in > 0 {
 		top += a.cfg.OthersWeight
 	}
-	if waiting != a.waiting || waiting > a.cfg.Queue || math.Abs(inUse-a.limiter.inUse) > 1e-6 || math.Abs(top-a.top.activeWeight) > 1e-6 || math.Abs(in-a.unnamed.activeWeight) > 1e-6 {
+	if waiting != a.waiting || waiting > a.cfg.QueueLimit || math.Abs(inUse-a.limiter.inUse) > 1e-6 || math.Abs(top-a.top.activeWeight) > 1e-6 || math.Abs(in-a.unnamed.activeWeight) > 1e-6 {
 		t.Fatalf("waiting %d of %d, in use %v of %v, weights %v of %v and %v of %v", a.waiting, waiting, a.limiter.inUse, inUse, a.top.activeWeight, top, a.unnamed.activeWeight, in)
 	}
-	if len(a.freeRecords)+len(a.byID) != len(a.records) || len(a.promises.free)+len(a.promises.byIdentity) != len(a.promises.entries) {
+	if len(a.freeRecords)+len(a.byID) != len(a.records) || len(a.reservations.free)+len(a.reservations.byIdentity) != len(a.reservations.entries) {
 		t.Fatal("a record is lost")
 	}
 }
@@ -373,7 +373,7 @@
 // benchmark plays requests of so many tenants at so many a millisecond, of which 6.4 can be served.
 func benchmark(b *testing.B, tenants int, rate float64) {
 	c := config()
-	c.Start, c.Least, c.Most = 64, 64, 64
+	c.InitialLimit, c.MinLimit, c.MaxLimit = 64, 64, 64
 	a, err := New(c, 1, quiet{})
 	if err != nil {
 		b.Fatal(err)
@@ -387,9 +387,9 @@
 	b.ResetTimer()
 	for i := range uint32(b.N) {
 		now := float64(i) / rate
-		a.Arrive(now, Request{ID: i, Tenant: names[int(i)%tenants], Key: uint64(i), Left: 1000})
+		a.Arrive(now, Request{ID: i, Tenant: names[int(i)%tenants], Key: uint64(i), RemainingMillis: 1000})
 		if i >= lag {
-			a.Ended(now, End{ID: i - lag, Served: true, Latency: 10, Work: 10, Attempts: 1})
+			a.Ended(now, Outcome{ID: i - lag, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 		}
 	}
 }
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -9,7 +9,7 @@
 	isRetry      bool    // marked as one, or its like was rejected lately
 	isGuaranteed bool    // within its tenant's guaranteed rate
 	hasFreeShare bool    // it is due, and its tenant's share is free
-	redemption
+	claim
 }
 
 // Arrive takes a request at the door. It is admitted, rejected or has to wait; the Host is told.
@@ -17,13 +17,13 @@
 	a.advance(now)
 	in := a.newArrival(q)
 	if a.waiting == 0 && a.hasCapacity(in.cost) && len(a.freeRecords) > 0 { // nobody is held back
-		if in.early > 0 {
-			a.forget(a.promises.byIdentity[in.identity])
+		if in.earlyMillis > 0 {
+			a.releaseReservation(a.reservations.byIdentity[in.identity])
 		}
 		a.admit(a.newRecord(&in))
 		return
 	}
-	if a.rejectAtDoor(&in) {
+	if a.rejectOnArrival(&in) {
 		return
 	}
 	allowed := a.allowedWait(&in)
@@ -43,44 +43,44 @@
 func (a *Admission) newArrival(q Request) arrival {
 	flowIndex, hash := a.find(q.Tenant)
 	f := &a.flows[flowIndex]
-	f.count.Asked++
+	f.stats.Requests++
 	in := arrival{request: q, flow: flowIndex}
-	in.cost = a.costs.estimate(q.Class) * sizeFactor(q.Size)
+	in.cost = a.costs.estimate(q.Class) * sizeFactor(q.SizeBytes)
 	in.identity = combinedHash(hash, q.Key, uint64(q.Class))
-	in.isRetry = q.Retry || a.rejections.has(in.identity, a.now)
-	in.redemption = a.redeem(in.identity)
+	in.isRetry = q.IsRetry || a.recentRejections.has(in.identity, a.now)
+	in.claim = a.claimReservation(in.identity)
 	in.hasFreeShare = in.isDue() && f.waiting == 0 && f.finishTag <= a.queueOf(f).virtualTime
 	if in.isDue() {
-		a.returns.returned++
+		a.returnStats.returned++
 	}
 	if in.hasFreeShare {
-		a.returns.returnedFree++
+		a.returnStats.returnedWithinShare++
 	}
 	if !in.isRetry && !in.isDue() {
-		f.retryTokens = min(a.cfg.RetryBurst, f.retryTokens+a.cfg.RetryShare)
+		f.retryTokens = min(a.cfg.RetryBudgetBurst, f.retryTokens+a.cfg.RetryBudgetShare)
 	}
 	f.refillGuarantee(a.now)
 	in.isGuaranteed = f.guaranteedTokens >= 1
 	return in
 }
 
-// rejectAtDoor rejects a request that may not wait, whatever the wait would be, and tells whether it did. A retry that
+// rejectOnArrival rejects a request that may not wait, whatever the wait would be, and tells whether it did. A retry that
 // may wait is taken from its tenant's retry budget.
-func (a *Admission) rejectAtDoor(in *arrival) bool {
+func (a *Admission) rejectOnArrival(in *arrival) bool {
 	f := &a.flows[in.flow]
 	needsToken := in.isRetry && !in.isDue()
-	if in.early > 0 { // it gains nothing by coming early, and what it was told holds
-		f.count.Refused++
-		f.count.Early++
-		a.host.Reject(in.request.ID, in.early)
+	if in.earlyMillis > 0 { // it gains nothing by coming early, and what it was told holds
+		f.stats.Rejected++
+		f.stats.RejectedEarly++
+		a.host.Reject(in.request.ID, in.earlyMillis)
 		return true
 	}
 	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 { // within its share a tenant may retry as it likes
-		f.count.Retries++
+		f.stats.RejectedRetries++
 		a.reject(in.request.ID, in.flow, in.cost, in.identity)
 		return true
 	}
-	isFull := a.waiting >= a.cfg.Queue
+	isFull := a.waiting >= a.cfg.QueueLimit
 	if len(a.freeRecords) == 0 || isFull && !a.evictFor(in.flow) {
 		a.reject(in.request.ID, in.flow, in.cost, in.identity)
 		return true
@@ -94,14 +94,14 @@
 // allowedWait is how long a request may wait, so that what remains of its deadline suffices for an answer. One that came
 // when it was told may wait for longer: while there is a fair chance it is given one.
 func (a *Admission) allowedWait(in *arrival) float64 {
-	remaining := in.request.Left
+	remaining := in.request.RemainingMillis
 	latency := a.costs.latencyByClass[in.request.Class]
 	if !in.isDue() {
-		return min(a.cfg.MaxWaitMS, remaining/2, remaining-1.5*latency)
+		return min(a.cfg.MaxWaitMillis, remaining/2, remaining-1.5*latency)
 	}
-	allowed := min(a.cfg.MaxWaitMS, remaining-latency)
+	allowed := min(a.cfg.MaxWaitMillis, remaining-latency)
 	if in.hasFreeShare { // it goes next, so that a moment will do
-		allowed = max(allowed, min(a.cfg.MaxWaitMS, remaining/4))
+		allowed = max(allowed, min(a.cfg.MaxWaitMillis, remaining/4))
 	}
 	return allowed
 }
--- a/internal/admission/costs.go
+++ b/internal/admission/costs.go
@@ -36,7 +36,7 @@
 		classes:        classes,
 		workByClass:    make([]float64, len(classes)),
 		latencyByClass: make([]float64, len(classes)),
-		mean:           classes[0].Cost,
+		mean:           classes[0].CostMillis,
 	}
 }
 
@@ -47,9 +47,9 @@
 		return work
 	}
 	if m.scale > 0 {
-		return m.classes[class].Cost * m.scale
+		return m.classes[class].CostMillis * m.scale
 	}
-	return m.classes[class].Cost
+	return m.classes[class].CostMillis
 }
 
 // admitted follows the mean cost.
@@ -63,7 +63,7 @@
 
 // observeWork learns from the work that a request took.
 func (m *costModel) observeWork(class int32, work float64) {
-	scale := work / m.classes[class].Cost
+	scale := work / m.classes[class].CostMillis
 	m.workByClass[class] = follow(m.workByClass[class], work, workGain)
 	if m.scale == 0 { // from here on costs are in measured terms
 		m.mean *= scale
@@ -86,9 +86,9 @@
 	f := &a.flows[i]
 	rate := a.rateOf(i)
 	debt := max(0, f.finishTag-a.queueOf(f).virtualTime) * f.weight
-	dueWithin := min(within, max(0, a.now+within-f.promisesDueFrom))
-	returning := min(f.promisedWork, rate*dueWithin)
-	return (debt + f.backlog + a.returns.rate*returning) / rate
+	dueWithin := min(within, max(0, a.now+within-f.reservationsDueFrom))
+	returning := min(f.reservedWork, rate*dueWithin)
+	return (debt + f.backlog + a.returnStats.rate*returning) / rate
 }
 
 // rateOf is the work that a flow is given in a millisecond while it wants more: its share, and once it has wanted more
--- a/internal/admission/ended.go
+++ b/internal/admission/ended.go
@@ -4,7 +4,7 @@
 const maxChargeFactor = 8
 
 // Ended tells what became of a request that was admitted.
-func (a *Admission) Ended(now float64, e End) {
+func (a *Admission) Ended(now float64, e Outcome) {
 	a.advance(now)
 	i, ok := a.byID[e.ID]
 	if !ok || a.records[i].isQueued {
@@ -20,26 +20,26 @@
 		a.limiter.ended++
 	}
 	if e.Served {
-		a.flows[r.flow].count.Served++
+		a.flows[r.flow].stats.Served++
 	}
-	if e.Refused {
-		a.countRejectedInside(&r, e)
+	if e.Rejected {
+		a.countDownstreamRejection(&r, e)
 	}
-	if e.Served && e.Latency > 0 && e.Work > 0 {
+	if e.Served && e.LatencyMillis > 0 && e.WorkMillis > 0 {
 		a.observe(&r, e)
 	}
 	a.settleCharge(&r, e)
 	a.admitWaiting()
 }
 
-// countRejectedInside books a request that was admitted and that the Balancer rejected for want of capacity. A retry has
+// countDownstreamRejection books a request that was admitted and that the Balancer rejected for want of capacity. A retry has
 // little time left: that it is rejected says nothing of capacity.
-func (a *Admission) countRejectedInside(r *record, e End) {
-	count := &a.flows[r.flow].count
+func (a *Admission) countDownstreamRejection(r *record, e Outcome) {
+	count := &a.flows[r.flow].stats
 	hadAttempt := e.Attempts > 0
-	count.Turned++
+	count.RejectedDownstream++
 	if hadAttempt {
-		count.After++
+		count.RejectedAfterAttempt++
 	}
 	switch {
 	case r.isRetry:
@@ -48,38 +48,38 @@
 	default:
 		a.limiter.overloadRejects++
 	}
-	a.rejections.add(r.identity, a.now)
+	a.recentRejections.add(r.identity, a.now)
 }
 
 // observe learns from the latency and the work of a request that was served. What takes long for its size says nothing
 // of overload.
-func (a *Admission) observe(r *record, e End) {
-	a.costs.observeLatency(r.class, e.Latency)
-	if r.size+e.Size > sizeUnitBytes {
+func (a *Admission) observe(r *record, e Outcome) {
+	a.costs.observeLatency(r.class, e.LatencyMillis)
+	if r.size+e.ResponseBytes > sizeUnitBytes {
 		return
 	}
-	a.limiter.observeStretch(e.Latency / a.cfg.Classes[r.class].Cost)
-	a.costs.observeWork(r.class, e.Work)
+	a.limiter.observeStretch(e.LatencyMillis / a.cfg.Classes[r.class].CostMillis)
+	a.costs.observeWork(r.class, e.WorkMillis)
 }
 
 // settleCharge charges a flow what a request has cost in place of what was thought: its time with servers, and the bytes
 // that went through.
-func (a *Admission) settleCharge(r *record, e End) {
+func (a *Admission) settleCharge(r *record, e Outcome) {
 	cost := r.cost / sizeFactor(r.size)
-	actual := min(e.Work+cost*float64(r.size+e.Size)/sizeUnitBytes, maxChargeFactor*r.cost)
+	actual := min(e.WorkMillis+cost*float64(r.size+e.ResponseBytes)/sizeUnitBytes, maxChargeFactor*r.cost)
 	if e.Attempts == 0 {
 		actual = 0
 	}
 	a.correct(r.flow, actual-r.cost)
-	a.flows[r.flow].count.Work += actual - r.cost
+	a.flows[r.flow].stats.WorkMillis += actual - r.cost
 }
 
-// Gone tells that a client has disconnected; what it waited for is dropped.
-func (a *Admission) Gone(now float64, id uint32) {
+// Disconnected tells that a client has disconnected; what it waited for is dropped.
+func (a *Admission) Disconnected(now float64, id uint32) {
 	a.advance(now)
 	if i, ok := a.byID[id]; ok && a.records[i].isQueued {
-		a.flows[a.records[i].flow].count.Left++
-		a.drop(i)
+		a.flows[a.records[i].flow].stats.Disconnected++
+		a.dropQueued(i)
 	}
 	a.admitWaiting()
 }
--- a/internal/admission/fairqueue.go
+++ b/internal/admission/fairqueue.go
@@ -35,10 +35,10 @@
 		i = a.unnamed.ready.first()
 	}
 	f := &a.flows[i]
-	if f.head[firstList] != noIndex {
-		return f.head[firstList]
+	if f.head[priorityList] != noIndex {
+		return f.head[priorityList]
 	}
-	return f.head[otherList]
+	return f.head[ordinaryList]
 }
 
 // charge moves a flow's tag on by what it was given, and the virtual time to where that began.
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -18,8 +18,8 @@
 // The lists in which a flow's requests wait, in the order in which they go.
 const (
 	guaranteedList = iota // within the tenant's guaranteed rate
-	firstList             // of a class that goes first
-	otherList
+	priorityList          // of a class that goes first
+	ordinaryList
 	listCount
 )
 
@@ -47,11 +47,11 @@
 	guaranteedTokens float64 // requests in hand,
 	guaranteedAt     float64 // as they stood at this time
 
-	promisedWork    float64 // cost that was rejected with a retry-after and is expected back
-	promisesDueFrom float64 // when the first of it is due, about
-	retryTokens     float64 // retries in hand
-	older, newer    int32   // exact flows, by when they were last used
-	count           Count
+	reservedWork        float64 // cost that was rejected with a retry-after and is expected back
+	reservationsDueFrom float64 // when the first of it is due, about
+	retryTokens         float64 // retries in hand
+	older, newer        int32   // exact flows, by when they were last used
+	stats               TenantStats
 }
 
 // newFlow is a flow without a tenant.
@@ -69,16 +69,16 @@
 func (f *flow) setTenant(name string) { f.nameLen = uint8(copy(f.name[:], name)) }
 
 // isActive tells that a flow counts among those that share the work.
-func (f *flow) isActive() bool { return f.waiting > 0 || f.promisedWork > 0 }
+func (f *flow) isActive() bool { return f.waiting > 0 || f.reservedWork > 0 }
 
 // isIdle tells that a flow has nothing open and nothing promised.
-func (f *flow) isIdle() bool { return f.open == 0 && f.promisedWork <= 0 }
+func (f *flow) isIdle() bool { return f.open == 0 && f.reservedWork <= 0 }
 
 // setGuarantee sets the rate that goes ahead of all shares.
 func (f *flow) setGuarantee(tenant Tenant) {
-	f.guaranteedRate = tenant.Rate / 1000
-	f.guaranteedBurst = tenant.Burst
-	if tenant.Rate == 0 {
+	f.guaranteedRate = tenant.GuaranteedPerSecond / 1000
+	f.guaranteedBurst = tenant.GuaranteedBurst
+	if tenant.GuaranteedPerSecond == 0 {
 		f.guaranteedBurst = 0
 	}
 	f.guaranteedTokens = min(f.guaranteedTokens, f.guaranteedBurst)
@@ -99,7 +99,7 @@
 	f := &a.flows[i]
 	f.used = true
 	f.weight = tenant.Weight
-	f.retryTokens = a.cfg.RetryBurst
+	f.retryTokens = a.cfg.RetryBudgetBurst
 	f.guaranteedAt = a.now
 	f.setGuarantee(tenant)
 	f.guaranteedTokens = f.guaranteedBurst
@@ -127,9 +127,9 @@
 	f.used = true
 	f.recentWork = 0
 	f.finishTag = 0
-	f.promisedWork = 0
-	f.retryTokens = min(a.cfg.RetryBurst, newTenantRetryTokens)
-	f.count = Count{}
+	f.reservedWork = 0
+	f.retryTokens = min(a.cfg.RetryBudgetBurst, newTenantRetryTokens)
+	f.stats = TenantStats{}
 	f.setTenant(tenant)
 	a.exact[hash] = i
 	a.link(i)
--- a/internal/admission/identify.go
+++ b/internal/admission/identify.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// Match says whom a request is of, where it applies.
-type Match struct {
+// TenantRule says whom a request is of, where it applies.
+type TenantRule struct {
 	By      string // fact (what the client says in t), key (by its prefix) or network (the client's address)
 	Prefix  string // key: that the key begins with
 	Network netip.Prefix
 	Tenant  string // whom it is of; "" = fact: what the client says, network: its address
 }
 
-// Identify tells tenants by the first match; without one, a request is of the shared default, "".
-type Identify []Match
+// TenantRules tells tenants by the first match; without one, a request is of the shared default, "".
+type TenantRules []TenantRule
 
-// NewMatch checks a match.
-func NewMatch(by, prefix, network, tenant string) (m Match, err error) {
-	m = Match{By: by, Prefix: prefix, Tenant: tenant}
+// NewTenantRule checks a match.
+func NewTenantRule(by, prefix, network, tenant string) (m TenantRule, err error) {
+	m = TenantRule{By: by, Prefix: prefix, Tenant: tenant}
 	switch {
 	case by == "fact":
 	case by == "key" && prefix != "" && tenant != "":
@@ -37,12 +37,12 @@
 }
 
 // ByNetwork tells whether the client's address counts.
-func (ms Identify) ByNetwork() bool {
-	return slices.ContainsFunc(ms, func(m Match) bool { return m.By == "network" })
+func (ms TenantRules) ByNetwork() bool {
+	return slices.ContainsFunc(ms, func(m TenantRule) bool { return m.By == "network" })
 }
 
 // Tenant tells whom a request is of: fact is what its client says, addr where it comes from.
-func (ms Identify) Tenant(fact, key string, addr netip.Addr) string {
+func (ms TenantRules) Tenant(fact, key string, addr netip.Addr) string {
 	for _, m := range ms {
 		switch {
 		case m.By == "fact" && fact != "" && m.Tenant == "":
--- a/internal/admission/identify_test.go
+++ b/internal/admission/identify_test.go
@@ -6,9 +6,9 @@
 )
 
 func TestFirstMatchWins(t *testing.T) {
-	var ms Identify
+	var ms TenantRules
 	for _, m := range [][4]string{{"key", "health:", "", "health"}, {"network", "", "10.1.0.0/16", "finance"}, {"fact"}, {"network", "", "0.0.0.0/0", ""}} {
-		one, err := NewMatch(m[0], m[1], m[2], m[3])
+		one, err := NewTenantRule(m[0], m[1], m[2], m[3])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, m := range [][4]string{{"name"}, {"key", "x", "", ""}, {"key", "", "", "x"}, {"network", "", "10.0.0.0/40", "x"}} {
-		if _, err := NewMatch(m[0], m[1], m[2], m[3]); err == nil {
+		if _, err := NewTenantRule(m[0], m[1], m[2], m[3]); err == nil {
 			t.Errorf("%v passes", m)
 		}
 	}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -75,7 +75,7 @@
 }
 
 func newLimiter(cfg Config) limiter {
-	return limiter{limit: cfg.Start, least: cfg.Least, greatest: cfg.Most, recentHigh: cfg.Start}
+	return limiter{limit: cfg.InitialLimit, least: cfg.MinLimit, greatest: cfg.MaxLimit, recentHigh: cfg.InitialLimit}
 }
 
 // set sets the limit, within its bounds.
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -61,23 +61,23 @@
 		c := config()
 		weights := []float64{1, 2, 4}
 		for i, w := range weights {
-			c.Named = append(c.Named, Tenant{Name: string(rune('a' + i)), Weight: w})
+			c.Tenants = append(c.Tenants, Tenant{Name: string(rune('a' + i)), Weight: w})
 		}
 		const places = 3
-		c.Classes = []Class{{Name: "read", Cost: 8}} // in eighths, so that sums are exact
-		c.Start, c.Least, c.Most, c.Queue, c.MaxWaitMS = places, places, places, 1<<12, 1e9
+		c.Classes = []Class{{Name: "read", CostMillis: 8}} // in eighths, so that sums are exact
+		c.InitialLimit, c.MinLimit, c.MaxLimit, c.QueueLimit, c.MaxWaitMillis = places, places, places, 1<<12, 1e9
 		a, d := begin(t, c)
 		m := &exact{weights: weights, finish: make([]float64, 3), places: places}
 		ended := map[uint32]bool{}
 		for n, e := range events[:min(len(events), 1<<11)] {
 			if e < 0x80 {
 				id, flow := uint32(n), int(e)%3
-				a.Arrive(0, Request{ID: id, Tenant: c.Named[flow].Name, Key: uint64(n), Left: math.MaxFloat32})
+				a.Arrive(0, Request{ID: id, Tenant: c.Tenants[flow].Name, Key: uint64(n), RemainingMillis: math.MaxFloat32})
 				m.arrive(id, flow, 8)
 			} else if open := slices.DeleteFunc(slices.Clone(d.admitted), func(id uint32) bool { return ended[id] }); len(open) > 0 {
 				id := open[int(e&0x7f)%len(open)]
 				ended[id] = true
-				a.Ended(0, End{ID: id, Served: true, Latency: 8, Work: 8, Attempts: 1})
+				a.Ended(0, Outcome{ID: id, Served: true, LatencyMillis: 8, WorkMillis: 8, Attempts: 1})
 				m.ended()
 			}
 			if !slices.Equal(d.admitted, m.went) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -26,13 +26,13 @@
 	last := len(a.freeRecords) - 1
 	i := a.freeRecords[last]
 	a.freeRecords = a.freeRecords[:last]
-	list := uint8(otherList)
+	list := uint8(ordinaryList)
 	switch {
 	case in.isGuaranteed:
 		list = guaranteedList
 		a.flows[in.flow].guaranteedTokens--
-	case a.cfg.Classes[in.request.Class].First:
-		list = firstList
+	case a.cfg.Classes[in.request.Class].HasPriority:
+		list = priorityList
 	}
 	a.records[i] = record{
 		id:           in.request.ID,
@@ -41,7 +41,7 @@
 		next:         noIndex,
 		prev:         noIndex,
 		cost:         in.cost,
-		size:         in.request.Size,
+		size:         in.request.SizeBytes,
 		identity:     in.identity,
 		list:         list,
 		isRetry:      in.isRetry || in.isDue(),
@@ -161,23 +161,23 @@
 	}
 }
 
-// drop ends a waiting request that is not admitted.
-func (a *Admission) drop(i int32) {
+// dropQueued ends a waiting request that is not admitted.
+func (a *Admission) dropQueued(i int32) {
 	a.dequeue(i)
 	a.release(i)
 }
 
-// dropAndReject ends a waiting request and tells its client when to come back.
-func (a *Admission) dropAndReject(i int32) {
+// rejectQueued ends a waiting request and tells its client when to come back.
+func (a *Admission) rejectQueued(i int32) {
 	r := a.records[i]
-	a.drop(i)
+	a.dropQueued(i)
 	a.reject(r.id, r.flow, r.cost, r.identity)
 }
 
 // expireWaiting rejects the requests that have waited for as long as they may.
 func (a *Admission) expireWaiting() {
 	for a.expiry.len() > 0 && a.expiry.firstKey() <= a.now {
-		a.dropAndReject(a.expiry.first())
+		a.rejectQueued(a.expiry.first())
 	}
 }
 
@@ -189,14 +189,14 @@
 		return false
 	}
 	f := &a.flows[longest]
-	newest := f.tail[otherList]
+	newest := f.tail[ordinaryList]
 	if newest == noIndex {
-		newest = f.tail[firstList]
+		newest = f.tail[priorityList]
 	}
 	if newest == noIndex {
 		return false
 	}
-	a.dropAndReject(newest)
+	a.rejectQueued(newest)
 	return true
 }
 
@@ -244,10 +244,10 @@
 	a.costs.admitted(r.cost)
 	f.recentWork = f.recentWork*math.Exp((f.recentWorkAt-a.now)/rateTimeConstantMillis) + r.cost
 	f.recentWorkAt = a.now
-	f.count.Admitted++
-	f.count.Work += r.cost
+	f.stats.Admitted++
+	f.stats.WorkMillis += r.cost
 	if r.retryAfter > 0 {
-		a.returns.admitted(a.now-r.rejectedAt, r.retryAfter, r.hadFreeShare)
+		a.returnStats.recordAdmitted(a.now-r.rejectedAt, r.retryAfter, r.hadFreeShare)
 	}
 	a.host.Admit(r.id)
 }
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -26,13 +26,13 @@
 	}{
 		{"flows", float64(cfg.Flows), float64(a.cfg.Flows)},
 		{"buckets", float64(cfg.Buckets), float64(a.cfg.Buckets)},
-		{"queue", float64(cfg.Queue), float64(a.cfg.Queue)},
-		{"promises", float64(cfg.Promises), float64(a.cfg.Promises)},
-		{"most", cfg.Most, a.cfg.Most},
-		{"start", cfg.Start, a.cfg.Start},
+		{"queue", float64(cfg.QueueLimit), float64(a.cfg.QueueLimit)},
+		{"promises", float64(cfg.ReservationLimit), float64(a.cfg.ReservationLimit)},
+		{"most", cfg.MaxLimit, a.cfg.MaxLimit},
+		{"start", cfg.InitialLimit, a.cfg.InitialLimit},
 	} {
 		if size.after != size.before {
-			return &Error{size.name, fmt.Sprintf("%v, was %v: this takes a new process", size.after, size.before)}
+			return &SettingError{size.name, fmt.Sprintf("%v, was %v: this takes a new process", size.after, size.before)}
 		}
 	}
 	return nil
@@ -43,7 +43,7 @@
 func (a *Admission) checkRoomForTenants(cfg Config) error {
 	needed, free := 0, 0
 	stillNamed := map[string]bool{}
-	for _, tenant := range cfg.Named {
+	for _, tenant := range cfg.Tenants {
 		stillNamed[tenant.Name] = true
 		if _, ok := a.named[tenant.Name]; !ok {
 			needed++
@@ -56,7 +56,7 @@
 		}
 	}
 	if needed > free {
-		return &Error{"tenant", fmt.Sprintf("%d new ones, and %d places while requests of old ones are open", needed, free)}
+		return &SettingError{"tenant", fmt.Sprintf("%d new ones, and %d places while requests of old ones are open", needed, free)}
 	}
 	return nil
 }
@@ -69,11 +69,11 @@
 	}
 	a.advance(now)
 	cfg.Classes = a.cfg.Classes
-	a.updateNamed(cfg.Named)
-	a.addNamed(cfg.Named)
+	a.updateNamed(cfg.Tenants)
+	a.addNamed(cfg.Tenants)
 	a.setWeight(a.unnamedFlow(), cfg.OthersWeight)
 	a.cfg = cfg
-	a.limiter.setBounds(cfg.Least, cfg.Most)
+	a.limiter.setBounds(cfg.MinLimit, cfg.MaxLimit)
 	a.admitWaiting()
 	return nil
 }
@@ -115,12 +115,12 @@
 		}
 		f := &a.flows[next]
 		f.finishTag = 0
-		f.promisedWork = 0
-		f.count = Count{}
+		f.reservedWork = 0
+		f.stats = TenantStats{}
 		a.assign(next, tenant)
 		if old, ok := a.exact[xxhash.Sum64String(tenant.Name)]; ok {
-			f.count = a.flows[old].count
-			a.flows[old].count = Count{}
+			f.stats = a.flows[old].stats
+			a.flows[old].stats = TenantStats{}
 		}
 	}
 }
--- a/internal/admission/returns.go
+++ b/internal/admission/returns.go
@@ -14,41 +14,41 @@
 	rejectionMillis = 5000
 )
 
-// returnStats follows the clients that were rejected with a retry-after: whether they come back when they were told, and
+// returnTracker follows the clients that were rejected with a retry-after: whether they come back when they were told, and
 // what becomes of them then.
-type returnStats struct {
-	rate         float64 // share of those told to come back that do, when they were told
-	returned     uint64  // clients that came back when they were told,
-	returnedFree uint64  // of these, those whose tenant's share was free then,
-	kept         uint64  // and of the first those admitted,
-	keptFree     uint64  // and of the second
+type returnTracker struct {
+	rate                float64 // share of those told to come back that do, when they were told
+	returned            uint64  // clients that came back when they were told,
+	returnedWithinShare uint64  // of these, those whose tenant's share was free then,
+	returnedAdmitted    uint64  // and of the first those admitted,
+	admittedWithinShare uint64  // and of the second
 
 	// Of those admitted, by how far the real time was from the one told, in steps of retryAfterErrorStep.
 	errors [maxRetryAfterErrorSteps + 1]uint64
 }
 
-// came books that a client has come back when it was told.
-func (s *returnStats) came() { s.rate += returnRateGain * (1 - s.rate) }
+// recordReturn books that a client has come back when it was told.
+func (s *returnTracker) recordReturn() { s.rate += returnRateGain * (1 - s.rate) }
 
-// stayedAway books that a client has not come back.
-func (s *returnStats) stayedAway() { s.rate -= returnRateGain * s.rate }
+// recordNoReturn books that a client has not come back.
+func (s *returnTracker) recordNoReturn() { s.rate -= returnRateGain * s.rate }
 
-// admitted books that a client which came back is admitted, so many milliseconds after it was told to come after others.
-func (s *returnStats) admitted(actual, retryAfter float64, hadFreeShare bool) {
-	s.kept++
+// recordAdmitted books that a client which came back is admitted, so many milliseconds after it was told to come after others.
+func (s *returnTracker) recordAdmitted(actual, retryAfter float64, hadFreeShare bool) {
+	s.returnedAdmitted++
 	if hadFreeShare {
-		s.keptFree++
+		s.admittedWithinShare++
 	}
 	steps := math.Abs(actual-retryAfter) / retryAfter / retryAfterErrorStep
 	s.errors[int(min(maxRetryAfterErrorSteps, steps))]++
 }
 
 // errorQuantile is a quantile of how far real times were from those told, to the upper end of its step.
-func (s *returnStats) errorQuantile(quantile float64) float64 {
+func (s *returnTracker) errorQuantile(quantile float64) float64 {
 	below := 0.0
 	for i, count := range s.errors {
 		below += float64(count)
-		if below > 0 && below >= quantile*float64(s.kept) {
+		if below > 0 && below >= quantile*float64(s.returnedAdmitted) {
 			return float64(i+1) * retryAfterErrorStep
 		}
 	}
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -15,7 +15,7 @@
 // What a tenant is guaranteed is let in at once where others have to wait, and no more than that.
 func TestGuaranteedRateGoesAhead(t *testing.T) {
 	c := config()
-	c.Named = []Tenant{{Name: "vital", Weight: 0.01, Rate: 200, Burst: 4}}
+	c.Tenants = []Tenant{{Name: "vital", Weight: 0.01, GuaranteedPerSecond: 200, GuaranteedBurst: 4}}
 	s := newShop(t, c)
 	carry := 0.0
 	for s.now < 5000 { // others ask for 2,000 a second of 800, vital for its 200
@@ -43,7 +43,7 @@
 // New weights hold in the middle of a burst; what waits stays, and a size that can't change is named.
 func TestRulesChangeInABurst(t *testing.T) {
 	c := config()
-	c.Named = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
+	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
 	s := newShop(t, c)
 	play := func(until float64) (a, b int) {
 		a, b = s.served["a"], s.served["b"]
@@ -59,7 +59,7 @@
 	}
 	before := s.a.waiting
 	more := c
-	more.Named = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 4}, {Name: "new", Weight: 1}}
+	more.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 4}, {Name: "new", Weight: 1}}
 	if err := s.a.Reconfigure(s.now, more); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		t.Errorf("%d and %d at weights 1 and 4", a, b)
 	}
 	less := c
-	less.Named = []Tenant{{Name: "a", Weight: 1}} // b becomes one of the others, at once for new requests
+	less.Tenants = []Tenant{{Name: "a", Weight: 1}} // b becomes one of the others, at once for new requests
 	if err := s.a.Reconfigure(s.now, less); err != nil {
 		t.Fatal(err)
 	}
@@ -80,8 +80,8 @@
 			t.Error("the place of a tenant that is named no longer is kept")
 		}
 	}
-	less.Queue++
-	var e *Error
+	less.QueueLimit++
+	var e *SettingError
 	if err := s.a.Reconfigure(s.now, less); err == nil || !errors.As(err, &e) || e.Setting != "queue" {
 		t.Errorf("a new size: %v", err)
 	}
@@ -90,7 +90,7 @@
 // A successor goes on with the limit, the debts and the promises, and takes nothing that is of no use.
 func TestSuccessorKeepsWhatWasTold(t *testing.T) {
 	c := config()
-	c.Named = []Tenant{{Name: "ministry", Weight: 2}}
+	c.Tenants = []Tenant{{Name: "ministry", Weight: 2}}
 	s := newShop(t, c)
 	for s.now < 1000 {
 		for i := range 4 {
@@ -99,33 +99,33 @@
 		s.ask("ministry", Request{Key: uint64(s.next) | 1<<40})
 		s.step()
 	}
-	text, err := json.Marshal(s.a.HandOver(s.now))
+	text, err := json.Marshal(s.a.Snapshot(s.now))
 	if err != nil || len(text) > 2<<20 {
 		t.Fatal(len(text), err)
 	}
-	var got Carried
+	var got Snapshot
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
 	b, _ := begin(t, c)
-	if err := b.TakeOver(5e6, got); err != nil { // another clock
+	if err := b.Restore(5e6, got); err != nil { // another clock
 		t.Fatal(err)
 	}
-	if len(b.promises.byIdentity) != len(s.a.promises.byIdentity) || len(b.promises.byIdentity) == 0 || b.limiter.limit != s.a.limiter.limit || len(b.State(100).Tenants) != 4 {
-		t.Fatalf("%d promises of %d, limit %v of %v, %+v", len(b.promises.byIdentity), len(s.a.promises.byIdentity), b.limiter.limit, s.a.limiter.limit, b.State(100))
+	if len(b.reservations.byIdentity) != len(s.a.reservations.byIdentity) || len(b.reservations.byIdentity) == 0 || b.limiter.limit != s.a.limiter.limit || len(b.State(100).Tenants) != 4 {
+		t.Fatalf("%d promises of %d, limit %v of %v, %+v", len(b.reservations.byIdentity), len(s.a.reservations.byIdentity), b.limiter.limit, s.a.limiter.limit, b.State(100))
 	}
-	for who, p := range s.a.promises.byIdentity { // due at the same time from now
-		if was, is := s.a.promises.entries[p].dueAt-s.now, b.promises.entries[b.promises.byIdentity[who]].dueAt-5e6; math.Abs(max(0, was)-is) > 1e-6 {
+	for who, p := range s.a.reservations.byIdentity { // due at the same time from now
+		if was, is := s.a.reservations.entries[p].dueAt-s.now, b.reservations.entries[b.reservations.byIdentity[who]].dueAt-5e6; math.Abs(max(0, was)-is) > 1e-6 {
 			t.Fatalf("due in %v, was %v", is, was)
 		}
 	}
-	for _, bad := range []Carried{{}, {Limit: math.NaN(), MeanMS: 1}, {Limit: 1, MeanMS: -1}, {Limit: 1, MeanMS: 1, Promises: make([]CarriedPromise, maxCarried+1)}} {
-		if n, _ := begin(t, c); n.TakeOver(0, bad) == nil || n.limiter.limit != c.Start {
+	for _, bad := range []Snapshot{{}, {Limit: math.NaN(), MeanCostMillis: 1}, {Limit: 1, MeanCostMillis: -1}, {Limit: 1, MeanCostMillis: 1, Reservations: make([]ReservationSnapshot, maxSnapshotEntries+1)}} {
+		if n, _ := begin(t, c); n.Restore(0, bad) == nil || n.limiter.limit != c.InitialLimit {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
-	b.Share(5e6, 0.5)
-	if b.limiter.limit != max(c.Least, s.a.limiter.limit/2) {
+	b.ScaleLimit(5e6, 0.5)
+	if b.limiter.limit != max(c.MinLimit, s.a.limiter.limit/2) {
 		t.Errorf("limit %v of %v for one of two processes", b.limiter.limit, s.a.limiter.limit)
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	carry := 0.0
 	for s.now < 20000 {
-		s.ask("large", Request{Class: 1, Key: uint64(s.next), Size: 64 * sizeUnitBytes})
+		s.ask("large", Request{Class: 1, Key: uint64(s.next), SizeBytes: 64 * sizeUnitBytes})
 		for carry += 0.4; carry >= 1; carry-- { // half of what there is
 			s.ask("small", Request{Key: uint64(s.next)})
 		}
@@ -181,7 +181,7 @@
 // Capacity halves while queues are full: the limit follows, nobody is left waiting, and it comes back.
 func TestCapacityHalves(t *testing.T) {
 	c := config()
-	c.Least, c.Most = 1, 64
+	c.MinLimit, c.MaxLimit = 1, 64
 	s := newShop(t, c)
 	speed, places := 10.0, 8.0
 	s.d.onAdmit = func(id uint32) { s.inWork[id] = s.now + max(speed, speed*float64(len(s.inWork))/places) } // processor sharing
@@ -219,20 +219,20 @@
 // A queue full of requests whose clients have gone lets in those that are still there.
 func TestQueueOfTheGone(t *testing.T) {
 	c := config()
-	c.Queue, c.Start, c.Least, c.Most, c.MaxWaitMS = 50, 1, 1, 1, 1e5
+	c.QueueLimit, c.InitialLimit, c.MinLimit, c.MaxLimit, c.MaxWaitMillis = 50, 1, 1, 1, 1e5
 	a, d := begin(t, c)
 	for i := range uint32(51) {
-		a.Arrive(0, Request{ID: i, Tenant: "a", Key: uint64(i), Left: 1e6})
+		a.Arrive(0, Request{ID: i, Tenant: "a", Key: uint64(i), RemainingMillis: 1e6})
 	}
 	waiting := a.waiting
 	for i := range uint32(51) {
-		a.Gone(1, i)
+		a.Disconnected(1, i)
 	}
 	if a.waiting != 0 || waiting == 0 {
 		t.Fatalf("%d waited, and %d do", waiting, a.waiting)
 	}
-	a.Arrive(2, Request{ID: 99, Tenant: "a", Key: 99, Left: 1e6})
-	a.Ended(3, End{ID: 0, Served: true, Latency: 3, Work: 3, Attempts: 1})
+	a.Arrive(2, Request{ID: 99, Tenant: "a", Key: 99, RemainingMillis: 1e6})
+	a.Ended(3, Outcome{ID: 0, Served: true, LatencyMillis: 3, WorkMillis: 3, Attempts: 1})
 	if n := len(d.admitted); n != 2 || d.admitted[1] != 99 {
 		t.Errorf("let in: %v", d.admitted)
 	}
@@ -251,7 +251,7 @@
 	}
 	empty := heap()
 	c := config()
-	c.Start, c.Most = 64, 4096
+	c.InitialLimit, c.MaxLimit = 64, 4096
 	a, err := New(c, 1, quiet{})
 	if err != nil {
 		t.Fatal(err)
@@ -262,16 +262,16 @@
 		for j := range 8 {
 			name[j] = byte(i>>(4*j))&15 + 'a'
 		}
-		a.Arrive(float64(i)/10, Request{ID: i, Tenant: string(name), Key: uint64(i), Left: 1000})
+		a.Arrive(float64(i)/10, Request{ID: i, Tenant: string(name), Key: uint64(i), RemainingMillis: 1000})
 		if i%3 == 0 {
-			a.Ended(float64(i)/10, End{ID: i, Served: true, Latency: 10, Work: 10, Attempts: 1})
+			a.Ended(float64(i)/10, Outcome{ID: i, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 		}
 	}
 	grown := int64(heap()) - int64(began)
 	taken := int64(began) - int64(empty)
-	t.Logf("%d bytes taken at the start, stated %d; %d more after a million names", taken, a.Bytes(), grown)
-	if grown > 200_000 || math.Abs(float64(taken)-float64(a.Bytes())) > 0.25*float64(taken) {
-		t.Errorf("%d bytes taken at the start, stated %d; %d more after a million names", taken, a.Bytes(), grown)
+	t.Logf("%d bytes taken at the start, stated %d; %d more after a million names", taken, a.TableBytes(), grown)
+	if grown > 200_000 || math.Abs(float64(taken)-float64(a.TableBytes())) > 0.25*float64(taken) {
+		t.Errorf("%d bytes taken at the start, stated %d; %d more after a million names", taken, a.TableBytes(), grown)
 	}
 	runtime.KeepAlive(a)
 }
@@ -283,10 +283,10 @@
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), 2, 6).Draw(t, "weights")
 		total, sizes := 0.0, rapid.SliceOfN(rapid.IntRange(0, 4*sizeUnitBytes), 1, 7).Draw(t, "sizes")
 		for i, w := range weights {
-			c.Named = append(c.Named, Tenant{Name: fmt.Sprint("n", i), Weight: w})
+			c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("n", i), Weight: w})
 			total += w
 		}
-		c.Start, c.Least, c.Most = 2, 2, 2
+		c.InitialLimit, c.MinLimit, c.MaxLimit = 2, 2, 2
 		d := newDoor()
 		a, err := New(c, 3, d)
 		if err != nil {
@@ -300,14 +300,14 @@
 				id++
 				size := sizes[(int(now)+i)%len(sizes)]
 				of[id], work[id] = i, 1+float64(size)/sizeUnitBytes
-				a.Arrive(now, Request{ID: id, Tenant: fmt.Sprint("n", i), Key: uint64(id), Left: 1e5, Size: size})
+				a.Arrive(now, Request{ID: id, Tenant: fmt.Sprint("n", i), Key: uint64(id), RemainingMillis: 1e5, SizeBytes: size})
 			}
 			for _, i := range slices.Clone(d.admitted) {
 				if end[i]++; end[i] == 10 {
 					if now >= 2000 { // by then it is known that nobody comes back as told
 						got[of[i]] += work[i]
 					}
-					a.Ended(now, End{ID: i, Served: true, Latency: 10, Work: 10, Attempts: 1})
+					a.Ended(now, Outcome{ID: i, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 				}
 			}
 			d.admitted = slices.DeleteFunc(d.admitted, func(i uint32) bool { return end[i] >= 10 })
@@ -328,11 +328,11 @@
 func TestNamedAgainKeepsItsFlow(t *testing.T) {
 	for index, name := range []string{"a", "b"} {
 		c := config()
-		c.Named = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
+		c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
 		a, _ := begin(t, c)
-		a.Arrive(0, Request{ID: 1, Tenant: name, Left: 1000})
+		a.Arrive(0, Request{ID: 1, Tenant: name, RemainingMillis: 1000})
 		without := c
-		without.Named = slices.DeleteFunc(slices.Clone(c.Named), func(tenant Tenant) bool { return tenant.Name == name })
+		without.Tenants = slices.DeleteFunc(slices.Clone(c.Tenants), func(tenant Tenant) bool { return tenant.Name == name })
 		for at, rules := range []Config{without, c} {
 			if err := a.Reconfigure(float64(at+1), rules); err != nil {
 				t.Fatal(err)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -23,10 +23,10 @@
 const Version = 1
 
 const (
-	stepTime = 500 * time.Millisecond // for each step of joining
-	sendTime = 150 * time.Millisecond // for a message to be taken by the peer
-	maxFrame = 4 << 20                // bytes of a message
-	maxJoins = 4                      // peers that are joining at once
+	stepTimeout        = 500 * time.Millisecond // for each step of joining
+	sendTimeout        = 150 * time.Millisecond // for a message to be taken by the peer
+	maxFrameBytes      = 4 << 20                // bytes of a message
+	maxConcurrentJoins = 4                      // peers that are joining at once
 )
 
 // Message is what one process tells the other.
@@ -40,42 +40,42 @@
 
 // The kinds of messages that this package itself uses.
 const (
-	hello  = "hello"
-	state  = "state"
-	answer = "answer"
+	helloKind  = "hello"
+	stateKind  = "state"
+	answerKind = "answer"
 )
 
 // Link joins two processes.
 type Link struct {
-	c       *net.UnixConn
-	writing sync.Mutex
+	conn    *net.UnixConn
+	writeMu sync.Mutex
 
-	mu    sync.Mutex
-	calls map[uint64]chan string
-	last  uint64
-	ended chan struct{}
-	once  sync.Once
+	mu           sync.Mutex
+	pendingCalls map[uint64]chan string
+	lastCall     uint64
+	closed       chan struct{}
+	once         sync.Once
 }
 
-// ErrEnded tells that the peer is gone.
-var ErrEnded = errors.New("handover: the other process is gone")
+// ErrPeerClosed tells that the peer is gone.
+var ErrPeerClosed = errors.New("handover: the other process is gone")
 
 func newLink(c *net.UnixConn) *Link {
-	return &Link{c: c, calls: map[uint64]chan string{}, ended: make(chan struct{})}
+	return &Link{conn: c, pendingCalls: map[uint64]chan string{}, closed: make(chan struct{})}
 }
 
 // Close ends the link.
 func (l *Link) Close() {
 	l.once.Do(func() {
-		close(l.ended)
-		l.c.Close()
+		close(l.closed)
+		l.conn.Close()
 	})
 }
 
-// Ended reports whether the peer is gone.
-func (l *Link) Ended() bool {
+// IsClosed reports whether the peer is gone.
+func (l *Link) IsClosed() bool {
 	select {
-	case <-l.ended:
+	case <-l.closed:
 		return true
 	default:
 		return false
@@ -84,8 +84,8 @@
 
 // Send tells the peer something. It does not wait for longer than a moment; a peer that does not read is given up.
 func (l *Link) Send(m Message) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	return l.send(m, nil)
 }
 
@@ -94,18 +94,18 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(text) > maxFrame {
+	if len(text) > maxFrameBytes {
 		return fmt.Errorf("handover: message of %d bytes", len(text))
 	}
 	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
-	l.c.SetWriteDeadline(time.Now().Add(sendTime))
+	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if rights != nil { // they travel with the first byte
-		if _, _, err = l.c.WriteMsgUnix(frame[:1], rights, nil); err == nil {
+		if _, _, err = l.conn.WriteMsgUnix(frame[:1], rights, nil); err == nil {
 			frame = frame[1:]
 		}
 	}
 	if err == nil {
-		_, err = l.c.Write(frame)
+		_, err = l.conn.Write(frame)
 	}
 	if err != nil { // part of a frame may be out: nothing can follow it
 		l.Close()
@@ -122,17 +122,17 @@
 	}
 	got := make(chan string, 1)
 	l.mu.Lock()
-	l.last++
-	n := l.last
-	l.calls[n] = got
+	l.lastCall++
+	n := l.lastCall
+	l.pendingCalls[n] = got
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.calls, n)
+		delete(l.pendingCalls, n)
 		l.mu.Unlock()
 	}()
 	if err := l.Send(Message{Kind: kind, Call: n, Body: text}); err != nil {
-		return ErrEnded
+		return ErrPeerClosed
 	}
 	select {
 	case text := <-got:
@@ -140,8 +140,8 @@
 			return errors.New(text)
 		}
 		return nil
-	case <-l.ended:
-		return ErrEnded
+	case <-l.closed:
+		return ErrPeerClosed
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -153,17 +153,17 @@
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
 	defer l.Close()
-	l.c.SetReadDeadline(time.Time{})
+	l.conn.SetReadDeadline(time.Time{})
 	for {
-		m, err := readMessage(l.c)
+		m, err := readMessage(l.conn)
 		if err != nil {
 			return
 		}
-		if m.Kind == answer {
+		if m.Kind == answerKind {
 			l.mu.Lock()
-			if got := l.calls[m.Call]; got != nil {
+			if got := l.pendingCalls[m.Call]; got != nil {
 				got <- m.Error
-				delete(l.calls, m.Call)
+				delete(l.pendingCalls, m.Call)
 			}
 			l.mu.Unlock()
 			continue
@@ -172,7 +172,7 @@
 		if m.Call == 0 {
 			continue
 		}
-		back := Message{Kind: answer, Call: m.Call}
+		back := Message{Kind: answerKind, Call: m.Call}
 		if err != nil {
 			back.Error = err.Error()
 		}
@@ -189,7 +189,7 @@
 		return m, fmt.Errorf("handover: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > maxFrame {
+	if n > maxFrameBytes {
 		return m, fmt.Errorf("handover: message of %d bytes", n)
 	}
 	text, err := io.ReadAll(io.LimitReader(r, int64(n)))
@@ -205,9 +205,9 @@
 	return m, nil
 }
 
-// place is where the process that serves addr listens for the next one. The directory is opened first, as the length
+// socketPath is where the process that serves addr listens for the next one. The directory is opened first, as the length
 // of a Unix socket's path is bounded and that of $TMPDIR is not.
-func place(dir, addr string) (path string, d *os.File, err error) {
+func socketPath(dir, addr string) (path string, d *os.File, err error) {
 	if d, err = os.Open(dir); err != nil {
 		return "", nil, fmt.Errorf("handover: %w", err)
 	}
@@ -218,12 +218,12 @@
 
 // Join gets the listening socket for addr, and a state, from the process that serves there.
 func Join(ctx context.Context, dir, addr string) (*Link, net.Listener, []byte, error) {
-	path, d, err := place(dir, addr)
+	path, d, err := socketPath(dir, addr)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	defer d.Close()
-	dialer := net.Dialer{Timeout: stepTime}
+	dialer := net.Dialer{Timeout: stepTimeout}
 	c, err := dialer.DialContext(ctx, "unix", path)
 	if op := (*net.OpError)(nil); errors.As(err, &op) {
 		err = op.Err // without the path, which names a descriptor
@@ -241,21 +241,21 @@
 }
 
 func (l *Link) join() (net.Listener, []byte, error) {
-	if err := l.send(Message{Kind: hello, Version: Version}, nil); err != nil {
+	if err := l.send(Message{Kind: helloKind, Version: Version}, nil); err != nil {
 		return nil, nil, err
 	}
-	l.c.SetReadDeadline(time.Now().Add(2 * stepTime)) // a loop at work has to bring the state
-	fd, first, err := readSocket(l.c)
+	l.conn.SetReadDeadline(time.Now().Add(2 * stepTimeout)) // a loop at work has to bring the state
+	fd, first, err := readSocket(l.conn)
 	if err != nil {
 		return nil, nil, err
 	}
 	file := os.NewFile(uintptr(fd), "listener")
 	defer file.Close() // the listener has a descriptor of its own
-	m, err := readMessage(io.MultiReader(first, l.c))
+	m, err := readMessage(io.MultiReader(first, l.conn))
 	if err != nil {
 		return nil, nil, err
 	}
-	if m.Kind != state || m.Version != Version {
+	if m.Kind != stateKind || m.Version != Version {
 		return nil, nil, fmt.Errorf("handover: %q of version %d, want a state of version %d", m.Kind, m.Version, Version)
 	}
 	ln, err := net.FileListener(file)
@@ -313,7 +313,7 @@
 // what State returns, and then Joined has the link, which it runs until it ends. The path is this process's from then
 // on, whoever had it before: a dead one's file is in nobody's way.
 func Serve(ctx context.Context, dir, addr string, ln syscall.Conn, peer Peer) error {
-	path, d, err := place(dir, addr)
+	path, d, err := socketPath(dir, addr)
 	if err != nil {
 		return err
 	}
@@ -336,7 +336,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	room := make(chan struct{}, maxJoins)
+	room := make(chan struct{}, maxConcurrentJoins)
 	for {
 		c, err := u.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -360,7 +360,7 @@
 			defer func() { <-room }()
 			l := newLink(c)
 			defer l.Close()
-			if err := l.welcome(ctx, ln, peer); err != nil {
+			if err := l.handOver(ctx, ln, peer); err != nil {
 				return
 			}
 			peer.Joined(ctx, l)
@@ -377,18 +377,18 @@
 	Joined(ctx context.Context, l *Link)
 }
 
-func (l *Link) welcome(ctx context.Context, ln syscall.Conn, peer Peer) error {
-	l.c.SetReadDeadline(time.Now().Add(stepTime))
-	m, err := readMessage(l.c)
+func (l *Link) handOver(ctx context.Context, ln syscall.Conn, peer Peer) error {
+	l.conn.SetReadDeadline(time.Now().Add(stepTimeout))
+	m, err := readMessage(l.conn)
 	if err != nil {
 		return err
 	}
-	if m.Kind != hello || m.Version != Version {
+	if m.Kind != helloKind || m.Version != Version {
 		return fmt.Errorf("handover: %q of version %d, want a hello of version %d", m.Kind, m.Version, Version)
 	}
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, stepTime)
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	st, err := peer.State(ctx, l)
 	if err != nil {
@@ -403,7 +403,7 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	ctl := raw.Control(func(fd uintptr) {
-		err = l.send(Message{Kind: state, Version: Version, Body: body}, syscall.UnixRights(int(fd)))
+		err = l.send(Message{Kind: stateKind, Version: Version, Body: body}, syscall.UnixRights(int(fd)))
 	})
 	return errors.Join(ctl, err)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("got %v", err)
 	}
 	oldLink.Close()
-	if err := link.Call(t.Context(), "ban", "z"); !errors.Is(err, ErrEnded) {
+	if err := link.Call(t.Context(), "ban", "z"); !errors.Is(err, ErrPeerClosed) {
 		t.Errorf("with the peer gone: got %v", err)
 	}
 }
@@ -131,7 +131,7 @@
 // Each process in its turn has the path, and what a dead one left there is in nobody's way.
 func TestNewestProcessHasThePath(t *testing.T) {
 	dir := t.TempDir()
-	path, d, err := place(dir, "a:1")
+	path, d, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,7 +166,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			path, d, err := place(dir, "a:1")
+			path, d, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -202,7 +202,7 @@
 	p, _ := serve(t, dir, "a:1", "first")
 	join(t, dir, "a:1", "first")
 	<-p.joined
-	path, d, err := place(dir, "a:1")
+	path, d, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,7 +313,7 @@
 		before := descriptors(t)
 		for n := range whole {
 			dir := t.TempDir()
-			path, d, err := place(dir, "a:1")
+			path, d, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -363,9 +363,9 @@
 				return nil
 			}
 		}
-		for l := next(); !l.Ended(); {
+		for l := next(); !l.IsClosed(); {
 		}
-		path, d, err := place(dir, "a:1")
+		path, d, err := socketPath(dir, "a:1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -382,7 +382,7 @@
 				for end := time.Now().Add(10 * time.Second); ; {
 					select {
 					case l := <-p.joined:
-						for !l.Ended() {
+						for !l.IsClosed() {
 						}
 					default:
 					}
@@ -397,7 +397,7 @@
 				}
 			}
 		}
-		for l := next(); !l.Ended(); {
+		for l := next(); !l.IsClosed(); {
 		}
 	})
 }
--- a/internal/healthcheck/board.go
+++ b/internal/healthcheck/board.go
@@ -14,26 +14,26 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Shares is into how many leases the servers are dealt.
-const Shares = 16
+// Shards is into how many leases the servers are dealt.
+const Shards = 16
 
-// Prefix begins the names of these leases.
-const Prefix = "probe/"
+// LeasePrefix begins the names of these leases.
+const LeasePrefix = "probe/"
 
-// maxServers bounds the reports that are kept; the list of servers is bounded well below it.
-const maxServers = 4096
+// maxReports bounds the reports that are kept; the list of servers is bounded well below it.
+const maxReports = 4096
 
-// Share is the one that a server belongs to.
-func Share(server uint32) int { return int(server * 2654435761 >> 28) } // Fibonacci hashing to four bits
+// ShardOf is the one that a server belongs to.
+func ShardOf(server uint32) int { return int(server * 2654435761 >> 28) } // Fibonacci hashing to four bits
 
-// Lease names a share's lease.
-func Lease(share int) string { return fmt.Sprintf("%s%d", Prefix, share) }
+// LeaseName names a share's lease.
+func LeaseName(share int) string { return fmt.Sprintf("%s%d", LeasePrefix, share) }
 
 // Report is a good answer to a probe.
 type Report struct {
-	Server uint32            `json:"s"`
-	AgeMS  float64           `json:"a"` // when it was told
-	Load   decide.LoadReport `json:"l"`
+	ServerID  uint32            `json:"s"`
+	AgeMillis float64           `json:"a"` // when it was told
+	Load      decide.LoadReport `json:"l"`
 }
 
 // Encode writes reports as a lease's record of at most so many bytes. Those that don't fit are left out: each router probes
@@ -62,64 +62,64 @@
 	return reports, err
 }
 
-// Board is what is known of servers by others' probes. It has no clock and does no I/O; it may be used from any goroutine.
-type Board struct {
-	staleMS float64
+// ReportCache is what is known of servers by others' probes. It has no clock and does no I/O; it may be used from any goroutine.
+type ReportCache struct {
+	staleMillis float64
 
-	mu     sync.Mutex
-	known  map[uint32]dated
-	used   int // times that a report took the place of a probe
-	missed int // times that there was none, or a stale one
+	mu      sync.Mutex
+	reports map[uint32]cachedReport
+	hits    int // times that a report took the place of a probe
+	misses  int // times that there was none, or a stale one
 }
 
-type dated struct {
-	load decide.LoadReport
-	at   float64 // when it was true at the earliest
+type cachedReport struct {
+	load         decide.LoadReport
+	trueAtMillis float64 // when it was true at the earliest
 }
 
-// NewBoard returns a board on which a report counts until it is so old.
-func NewBoard(staleMS float64) *Board {
-	return &Board{staleMS: staleMS, known: map[uint32]dated{}}
+// NewReportCache returns a board on which a report counts until it is so old.
+func NewReportCache(staleMS float64) *ReportCache {
+	return &ReportCache{staleMillis: staleMS, reports: map[uint32]cachedReport{}}
 }
 
-// Tell books a report that was true ageMS before now at the earliest. An older one than is known changes nothing.
-func (b *Board) Tell(now, ageMS float64, r Report) {
+// Add books a report that was true ageMS before now at the earliest. An older one than is known changes nothing.
+func (b *ReportCache) Add(now, ageMS float64, r Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := now - ageMS
-	old, ok := b.known[r.Server]
-	if ok && old.at >= at || at+b.staleMS < now {
+	old, ok := b.reports[r.ServerID]
+	if ok && old.trueAtMillis >= at || at+b.staleMillis < now {
 		return
 	}
-	if !ok && len(b.known) >= maxServers {
-		for id, d := range b.known {
-			if d.at+b.staleMS < now {
-				delete(b.known, id)
+	if !ok && len(b.reports) >= maxReports {
+		for id, d := range b.reports {
+			if d.trueAtMillis+b.staleMillis < now {
+				delete(b.reports, id)
 			}
 		}
-		if len(b.known) >= maxServers {
+		if len(b.reports) >= maxReports {
 			return
 		}
 	}
-	b.known[r.Server] = dated{r.Load, at}
+	b.reports[r.ServerID] = cachedReport{r.Load, at}
 }
 
-// Look tells a server's load by a report that isn't stale.
-func (b *Board) Look(now float64, server uint32) (decide.LoadReport, bool) {
+// Lookup tells a server's load by a report that isn't stale.
+func (b *ReportCache) Lookup(now float64, server uint32) (decide.LoadReport, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d, ok := b.known[server]
-	if !ok || d.at+b.staleMS < now {
-		b.missed++
+	d, ok := b.reports[server]
+	if !ok || d.trueAtMillis+b.staleMillis < now {
+		b.misses++
 		return decide.NoLoadReport, false
 	}
-	b.used++
+	b.hits++
 	return d.load, true
 }
 
 // Counts are how often a report took the place of a probe, and how often there was none.
-func (b *Board) Counts() (used, missed int) {
+func (b *ReportCache) Counts() (used, missed int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used, b.missed
+	return b.hits, b.misses
 }
--- a/internal/healthcheck/board_test.go
+++ b/internal/healthcheck/board_test.go
@@ -14,7 +14,7 @@
 // is bounded.
 func TestBoard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBoard(1000)
+		b := NewReportCache(1000)
 		now := 0.0
 		born := map[uint32]float64{} // the newest report's birth
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
@@ -22,27 +22,27 @@
 			server := rapid.Uint32Range(0, 3).Draw(t, "server")
 			if rapid.Bool().Draw(t, "tell") {
 				age := float64(rapid.IntRange(0, 1500).Draw(t, "age"))
-				b.Tell(now, age, Report{Server: server, Load: decide.LoadReport{RequestsPerSecond: now - age}})
+				b.Add(now, age, Report{ServerID: server, Load: decide.LoadReport{RequestsPerSecond: now - age}})
 				if old, ok := born[server]; age <= 1000 && (!ok || now-age > old) {
 					born[server] = now - age
 				}
 			}
 			at, known := born[server]
-			load, ok := b.Look(now, server)
+			load, ok := b.Lookup(now, server)
 			if want := known && now-at <= 1000; ok != want || ok && load.RequestsPerSecond != at {
 				t.Fatalf("at %v: %v %v, want %v from %v", now, load.RequestsPerSecond, ok, want, at)
 			}
 		}
 	})
-	b := NewBoard(1000)
-	for i := range uint32(2 * maxServers) {
-		b.Tell(0, 0, Report{Server: i})
+	b := NewReportCache(1000)
+	for i := range uint32(2 * maxReports) {
+		b.Add(0, 0, Report{ServerID: i})
 	}
-	if len(b.known) != maxServers {
-		t.Errorf("%d known", len(b.known))
+	if len(b.reports) != maxReports {
+		t.Errorf("%d known", len(b.reports))
 	}
-	if b.Tell(5000, 0, Report{Server: 9 * maxServers}); len(b.known) != 1 {
-		t.Errorf("%d known after all were stale", len(b.known))
+	if b.Add(5000, 0, Report{ServerID: 9 * maxReports}); len(b.reports) != 1 {
+		t.Errorf("%d known after all were stale", len(b.reports))
 	}
 }
 
@@ -50,7 +50,7 @@
 func TestRecord(t *testing.T) {
 	var all []Report
 	for i := range uint32(500) {
-		all = append(all, Report{Server: i, AgeMS: 1.5, Load: decide.LoadReport{RequestsPerSecond: float64(i), ErrorsPerSecond: -1, Utilization: 0.25, Inflight: 3, LatencyMillis: 7}})
+		all = append(all, Report{ServerID: i, AgeMillis: 1.5, Load: decide.LoadReport{RequestsPerSecond: float64(i), ErrorsPerSecond: -1, Utilization: 0.25, Inflight: 3, LatencyMillis: 7}})
 	}
 	all[1].Load.Utilization = math.NaN() // left out alone
 	text := Encode(all, coord.MaxRecord)
@@ -65,9 +65,9 @@
 
 // The servers are dealt about evenly.
 func TestShares(t *testing.T) {
-	var n [Shares]int
+	var n [Shards]int
 	for i := range uint32(16000) {
-		n[Share(i*40503)]++
+		n[ShardOf(i*40503)]++
 	}
 	for share, k := range n {
 		if k < 500 || k > 2000 {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -11,10 +11,10 @@
 
 // Options say how to log.
 type Options struct {
-	Level string        // debug, info, warn or error
-	JSON  bool          // else text
-	Every time.Duration // in this time, of one event,
-	Burst int           // so many lines; 0 = no bound
+	Level          string        // debug, info, warn or error
+	JSON           bool          // else text
+	RepeatInterval time.Duration // in this time, of one event,
+	RepeatBurst    int           // so many lines; 0 = no bound
 }
 
 // maxEvents bounds the events that are told apart for the limit; those beyond share one limit.
@@ -29,8 +29,8 @@
 	if o.JSON {
 		h = slog.NewJSONHandler(w, ho)
 	}
-	if o.Burst > 0 {
-		h = &limiter{next: h, events: &events{every: o.Every, burst: o.Burst, seen: map[event]*window{}}}
+	if o.RepeatBurst > 0 {
+		h = &limiter{next: h, events: &eventLimits{every: o.RepeatInterval, burst: o.RepeatBurst, windows: map[event]*window{}}}
 	}
 	return slog.New(h)
 }
@@ -42,52 +42,52 @@
 }
 
 type window struct {
-	since         time.Time
-	lines, unsaid int
+	startedAt         time.Time
+	lines, suppressed int
 }
 
-// events counts lines by event. It has no clock: the records bring their time.
-type events struct {
-	mu    sync.Mutex
-	every time.Duration
-	burst int
-	seen  map[event]*window
-	rest  window
+// eventLimits counts lines by event. It has no clock: the records bring their time.
+type eventLimits struct {
+	mu       sync.Mutex
+	every    time.Duration
+	burst    int
+	windows  map[event]*window
+	overflow window
 }
 
-// pass reports whether an event may be logged at now, and how many were not since the last that was.
-func (e *events) pass(of event, now time.Time) (ok bool, unsaid int) {
+// allow reports whether an event may be logged at now, and how many were not since the last that was.
+func (e *eventLimits) allow(of event, now time.Time) (ok bool, unsaid int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := e.seen[of]
+	w := e.windows[of]
 	if w == nil {
-		if len(e.seen) >= maxEvents {
-			for k, old := range e.seen { // those that are over and owe no count
-				if now.Sub(old.since) >= e.every && old.unsaid == 0 {
-					delete(e.seen, k)
+		if len(e.windows) >= maxEvents {
+			for k, old := range e.windows { // those that are over and owe no count
+				if now.Sub(old.startedAt) >= e.every && old.suppressed == 0 {
+					delete(e.windows, k)
 				}
 			}
 		}
-		if w = &e.rest; len(e.seen) < maxEvents {
-			w = &window{since: now}
-			e.seen[of] = w
+		if w = &e.overflow; len(e.windows) < maxEvents {
+			w = &window{startedAt: now}
+			e.windows[of] = w
 		}
 	}
-	if now.Sub(w.since) >= e.every {
-		w.since, w.lines = now, 0
+	if now.Sub(w.startedAt) >= e.every {
+		w.startedAt, w.lines = now, 0
 	}
 	if w.lines++; w.lines > e.burst {
-		w.unsaid++
+		w.suppressed++
 		return false, 0
 	}
-	unsaid, w.unsaid = w.unsaid, 0
+	unsaid, w.suppressed = w.suppressed, 0
 	return true, unsaid
 }
 
 // limiter passes on a bounded number of lines of each event.
 type limiter struct {
 	next   slog.Handler
-	events *events
+	events *eventLimits
 }
 
 func (l *limiter) Enabled(ctx context.Context, level slog.Level) bool {
@@ -95,7 +95,7 @@
 }
 
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
-	ok, unsaid := l.events.pass(event{r.Level, r.Message}, r.Time)
+	ok, unsaid := l.events.allow(event{r.Level, r.Message}, r.Time)
 	if !ok {
 		return nil
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,7 +12,7 @@
 
 func TestRepeatedEventsAreCountedNotWritten(t *testing.T) {
 	var b bytes.Buffer
-	log := New(&b, Options{Level: "info", Every: 10 * time.Second, Burst: 2})
+	log := New(&b, Options{Level: "info", RepeatInterval: 10 * time.Second, RepeatBurst: 2})
 	at := time.Unix(1000, 0)
 	say := func(msg string, after time.Duration) {
 		r := slog.NewRecord(at.Add(after), slog.LevelWarn, msg, 0)
@@ -35,16 +35,16 @@
 }
 
 func TestEventsHaveABound(t *testing.T) {
-	e := &events{every: time.Second, burst: 1, seen: map[event]*window{}}
+	e := &eventLimits{every: time.Second, burst: 1, windows: map[event]*window{}}
 	now := time.Unix(1000, 0)
 	for i := range 10 * maxEvents {
-		e.pass(event{msg: fmt.Sprint(i)}, now)
+		e.allow(event{msg: fmt.Sprint(i)}, now)
 	}
-	if len(e.seen) != maxEvents || e.rest.unsaid != 9*maxEvents-1 {
-		t.Errorf("%d events, %d beyond unsaid", len(e.seen), e.rest.unsaid)
+	if len(e.windows) != maxEvents || e.overflow.suppressed != 9*maxEvents-1 {
+		t.Errorf("%d events, %d beyond unsaid", len(e.windows), e.overflow.suppressed)
 	}
-	e.pass(event{msg: "new"}, now.Add(time.Second)) // all are over by now
-	if len(e.seen) != 1 {
-		t.Errorf("%d events once the old ones are over", len(e.seen))
+	e.allow(event{msg: "new"}, now.Add(time.Second)) // all are over by now
+	if len(e.windows) != 1 {
+		t.Errorf("%d events once the old ones are over", len(e.windows))
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -8,35 +8,35 @@
 	"sync/atomic"
 )
 
-// End says how a request ended.
-type End int
+// Outcome says how a request ended.
+type Outcome int
 
 // The ways a request can end.
 const (
-	Success  End = iota // served
-	Overload            // refused
-	Error               // failed
-	ends
+	Success  Outcome = iota // served
+	Overload                // refused
+	Error                   // failed
+	outcomeCount
 )
 
 // Class holds the counts of one class. They only grow, as readers take differences.
 type Class struct {
-	ended [ends]atomic.Int64
+	counts [outcomeCount]atomic.Int64
 }
 
 // Ended counts the end of a request.
-func (c *Class) Ended(how End) { c.ended[how].Add(1) }
+func (c *Class) Ended(how Outcome) { c.counts[how].Add(1) }
 
 // Router holds the figures of one process. Every count starts at 0 with it.
 type Router struct {
 	mu      sync.RWMutex
 	classes map[string]*Class // also those that a reload has dropped: what they counted is not undone
 
-	Dispatches       atomic.Int64 // attempts written whole
-	Concurrent       atomic.Int64 // requests taken and not ended
-	Targets          atomic.Int64 // cache servers in the list
-	TargetsDisabled  atomic.Int64 // and those of them that are avoided
-	Reloads, Refused atomic.Int64 // files taken and turned down at SIGHUP
+	Dispatches                      atomic.Int64 // attempts written whole
+	Concurrent                      atomic.Int64 // requests taken and not ended
+	Targets                         atomic.Int64 // cache servers in the list
+	TargetsDisabled                 atomic.Int64 // and those of them that are avoided
+	ReloadSuccesses, ReloadFailures atomic.Int64 // files taken and turned down at SIGHUP
 }
 
 // New returns the figures of a process that has done nothing yet.
@@ -76,20 +76,20 @@
 
 // ProbeReports counts what other routers' probes were worth.
 type ProbeReports struct {
-	Used   int `json:"used"`   // times that a report took the place of a probe
-	Missed int `json:"missed"` // times that there was none, or a stale one
+	Hits   int `json:"used"`   // times that a report took the place of a probe
+	Misses int `json:"missed"` // times that there was none, or a stale one
 }
 
 // Snapshot reads all figures.
 func (m *Router) Snapshot() Snapshot {
 	s := Snapshot{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
 		Dispatches: m.Dispatches.Load(), Concurrent: m.Concurrent.Load(), Targets: m.Targets.Load(),
-		TargetsDisabled: m.TargetsDisabled.Load(), ReloadSuccess: m.Reloads.Load(), ReloadFailure: m.Refused.Load()}
+		TargetsDisabled: m.TargetsDisabled.Load(), ReloadSuccess: m.ReloadSuccesses.Load(), ReloadFailure: m.ReloadFailures.Load()}
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	for name, c := range m.classes {
-		s.Success[name], s.Overload[name] = c.ended[Success].Load(), c.ended[Overload].Load()
-		s.Error[name] = c.ended[Error].Load()
+		s.Success[name], s.Overload[name] = c.counts[Success].Load(), c.counts[Overload].Load()
+		s.Error[name] = c.counts[Error].Load()
 	}
 	return s
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -19,8 +19,8 @@
 	m.Concurrent.Store(14)
 	m.Targets.Store(12)
 	m.TargetsDisabled.Store(1)
-	m.Reloads.Store(3)
-	m.Refused.Store(2)
+	m.ReloadSuccesses.Store(3)
+	m.ReloadFailures.Store(2)
 	text, err := m.JSON(nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -22,8 +22,8 @@
 // maxCoordinators is how many there may be.
 const maxCoordinators = 9
 
-// maxFile bounds an operator file in bytes.
-const maxFile = 1 << 20
+// maxFileBytes bounds an operator file in bytes.
+const maxFileBytes = 1 << 20
 
 // File is an operator file. The docs tags are checked against docs/configuration.md by a test.
 type File struct {
@@ -44,8 +44,8 @@
 	Label        string   `toml:"label"`        // what its program's version is called there, at most 64 bytes; "" = the program's own
 }
 
-// Time reads a duration of the file, which has been checked.
-func Time(text string) time.Duration {
+// Duration reads a duration of the file, which has been checked.
+func Duration(text string) time.Duration {
 	d, _ := time.ParseDuration(text)
 	return d
 }
@@ -96,28 +96,28 @@
 }
 
 // Config is the section in the terms of internal/admission, but for the classes, which the platform's settings name.
-func (a Admission) Config() (admission.Config, admission.Identify, error) {
-	c := admission.Config{OthersWeight: a.OthersWeight, Flows: a.Flows, Buckets: a.Buckets, TurnMS: a.TurnMS, Queue: a.Queue,
-		Promises: a.Promises, MaxWaitMS: a.MaxWaitMS, MaxAfterMS: a.MaxAfterMS, Start: a.Start, Least: a.Least, Most: a.Most,
-		RetryShare: a.RetryShare, RetryBurst: a.RetryBurst}
+func (a Admission) Config() (admission.Config, admission.TenantRules, error) {
+	c := admission.Config{OthersWeight: a.OthersWeight, Flows: a.Flows, Buckets: a.Buckets, RehashMillis: a.TurnMS, QueueLimit: a.Queue,
+		ReservationLimit: a.Promises, MaxWaitMillis: a.MaxWaitMS, MaxRetryAfterMillis: a.MaxAfterMS, InitialLimit: a.Start, MinLimit: a.Least, MaxLimit: a.Most,
+		RetryBudgetShare: a.RetryShare, RetryBudgetBurst: a.RetryBurst}
 	for _, t := range a.Tenants {
-		c.Named = append(c.Named, admission.Tenant{Name: t.Name, Weight: t.Weight, Rate: t.Rate, Burst: t.Burst})
+		c.Tenants = append(c.Tenants, admission.Tenant{Name: t.Name, Weight: t.Weight, GuaranteedPerSecond: t.Rate, GuaranteedBurst: t.Burst})
 	}
-	var who admission.Identify
+	var who admission.TenantRules
 	for i, m := range a.Identify {
-		one, err := admission.NewMatch(m.By, m.Prefix, m.Network, m.Tenant)
+		one, err := admission.NewTenantRule(m.By, m.Prefix, m.Network, m.Tenant)
 		if err != nil {
-			return c, who, &admission.Error{Setting: fmt.Sprintf("identify[%d]", i), Reason: err.Error()}
+			return c, who, &admission.SettingError{Setting: fmt.Sprintf("identify[%d]", i), Reason: err.Error()}
 		}
 		who = append(who, one)
 	}
 	checked := c
-	checked.Classes = []admission.Class{{Name: "any", Cost: 1}}
+	checked.Classes = []admission.Class{{Name: "any", CostMillis: 1}}
 	return c, who, checked.Validate()
 }
 
-// Every is RepeatEvery as a duration; the file has been checked.
-func (l Log) Every() time.Duration {
+// RepeatInterval is RepeatEvery as a duration; the file has been checked.
+func (l Log) RepeatInterval() time.Duration {
 	d, _ := time.ParseDuration(l.RepeatEvery)
 	return d
 }
@@ -142,8 +142,8 @@
 // Parse reads an operator file that was read from path. Unknown keys are mistakes: a key misspelt must not pass for
 // one that was left out.
 func Parse(path string, text []byte) (File, error) {
-	if len(text) > maxFile {
-		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+	if len(text) > maxFileBytes {
+		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFileBytes)}
 	}
 	f := Default()
 	f.Version = 0
@@ -176,7 +176,7 @@
 	between("agreement.ttl", f.Agreement.TTL, 3*time.Second, time.Minute)
 	between("agreement.probe_every", f.Agreement.ProbeEvery, 200*time.Millisecond, 10*time.Second)
 	between("agreement.probe_stale", f.Agreement.ProbeStale, 500*time.Millisecond, 30*time.Second)
-	if Time(f.Agreement.ProbeStale) <= Time(f.Agreement.ProbeEvery) {
+	if Duration(f.Agreement.ProbeStale) <= Duration(f.Agreement.ProbeEvery) {
 		bad("agreement.probe_stale", "%q is not more than probe_every, %q: no report would ever count", f.Agreement.ProbeStale, f.Agreement.ProbeEvery)
 	}
 	if len(f.Agreement.Coordinators) > maxCoordinators {
@@ -201,7 +201,7 @@
 		bad("log.repeat_burst", "%d is not from 1 to 1000", f.Log.RepeatBurst)
 	}
 	if _, _, err := f.Admission.Config(); err != nil {
-		var e *admission.Error
+		var e *admission.SettingError
 		if errors.As(err, &e) {
 			bad("admission."+e.Setting, "%s", e.Reason)
 		} else {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%q: no problem with a place: %v", text, err)
 		}
 	}
-	if _, err := Parse("f.toml", make([]byte, maxFile+1)); err == nil {
+	if _, err := Parse("f.toml", make([]byte, maxFileBytes+1)); err == nil {
 		t.Error("a file over the bound passes")
 	}
 }
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -15,44 +15,44 @@
 
 // admissionControl stands between a request's arrival and the Balancer, where the operator file has it. All of it is the loop's.
 type admissionControl struct {
-	l         *loop
-	a         *admission.Admission
-	who       admission.Identify
-	class     map[string]int
-	others    int    // the place of classes that a reload has brought
-	due       *timer // for what waits
-	processes int    // that are this router, and share the limit
+	loop       *loop
+	admission  *admission.Admission
+	tenants    admission.TenantRules
+	classIndex map[string]int
+	otherClass int    // the place of classes that a reload has brought
+	timer      *timer // for what waits
+	processes  int    // that are this router, and share the limit
 }
 
-// Admission is what an operator file says of fair admission.
-type Admission struct {
-	Rules admission.Config // but for the classes, which are the platform's
-	Who   admission.Identify
+// AdmissionConfig is what an operator file says of fair admission.
+type AdmissionConfig struct {
+	Rules   admission.Config // but for the classes, which are the platform's
+	Tenants admission.TenantRules
 }
 
 // newAdmission places the door before the Balancer.
 func newAdmission(l *loop, cfg *Config) (*admissionControl, error) {
-	ad := &admissionControl{l: l, who: cfg.Admission.Who, class: map[string]int{}}
+	ad := &admissionControl{loop: l, tenants: cfg.Admission.Tenants, classIndex: map[string]int{}}
 	rules := cfg.Admission.Rules
 	rules.Classes = nil
 	var longest float64
 	for _, c := range cfg.settings.Config.Classes {
-		ad.class[c.Name] = len(rules.Classes)
+		ad.classIndex[c.Name] = len(rules.Classes)
 		// The aim tells, class by class, how much work is meant, until it has been measured.
-		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, Cost: c.LatencyObjectiveMillis, First: c.Effect != decide.Idempotent})
+		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, CostMillis: c.LatencyObjectiveMillis, HasPriority: c.Effect != decide.Idempotent})
 		longest = max(longest, c.LatencyObjectiveMillis)
 	}
-	ad.others = len(rules.Classes)
-	rules.Classes = append(rules.Classes, admission.Class{Name: "(others)", Cost: longest})
+	ad.otherClass = len(rules.Classes)
+	rules.Classes = append(rules.Classes, admission.Class{Name: "(others)", CostMillis: longest})
 	var err error
-	ad.a, err = admission.New(withCaps(rules, cfg), cfg.seed, ad)
+	ad.admission, err = admission.New(withCaps(rules, cfg), cfg.seed, ad)
 	return ad, err
 }
 
 // withCaps has the platform's bound on times told go before the operator's.
 func withCaps(rules admission.Config, cfg *Config) admission.Config {
 	if m := cfg.settings.Config.MaxRetryAfterMillis; m > 0 {
-		rules.MaxAfterMS = m
+		rules.MaxRetryAfterMillis = m
 	}
 	return rules
 }
@@ -63,9 +63,9 @@
 	case ad == nil && cfg.Admission == nil:
 		return nil
 	case ad == nil || cfg.Admission == nil:
-		return &admission.Error{Setting: "enabled", Reason: "changes, which takes a new process"}
+		return &admission.SettingError{Setting: "enabled", Reason: "changes, which takes a new process"}
 	}
-	return ad.a.Check(withCaps(cfg.Admission.Rules, cfg))
+	return ad.admission.Check(withCaps(cfg.Admission.Rules, cfg))
 }
 
 // reconfigure has the rules of a configuration, which has been checked, hold from now on.
@@ -73,43 +73,43 @@
 	if ad == nil {
 		return
 	}
-	if err := ad.a.Reconfigure(ad.l.now(), withCaps(cfg.Admission.Rules, cfg)); err != nil {
+	if err := ad.admission.Reconfigure(ad.loop.now(), withCaps(cfg.Admission.Rules, cfg)); err != nil {
 		slog.Warn("admission: the rules are kept", "error", err)
 		return
 	}
-	ad.who = cfg.Admission.Who
+	ad.tenants = cfg.Admission.Tenants
 	ad.arm()
 }
 
 // arrive takes a request that the loop has taken.
 func (ad *admissionControl) arrive(r *request, left float64) {
 	var from netip.Addr
-	if ad.who.ByNetwork() {
-		from = addrOf(r.slot.c.Conn)
+	if ad.tenants.ByNetwork() {
+		from = clientAddr(r.slot.c.Conn)
 	}
-	class, ok := ad.class[r.cmd.class]
+	class, ok := ad.classIndex[r.cmd.class]
 	if !ok {
-		class = ad.others
+		class = ad.otherClass
 	}
-	r.door = doorWaits
-	ad.a.Arrive(ad.l.now(), admission.Request{ID: r.id, Tenant: ad.who.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
-		Key: keyID(r.cmd.key), Size: r.cmd.length, Left: left, Retry: r.cmd.retry})
+	r.admissionStage = admissionQueued
+	ad.admission.Arrive(ad.loop.now(), admission.Request{ID: r.id, Tenant: ad.tenants.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
+		Key: keyID(r.cmd.key), SizeBytes: r.cmd.length, RemainingMillis: left, IsRetry: r.cmd.retry})
 	ad.arm()
 }
 
-// over tells that a request has ended: served or not, refused by the Balancer or not, with an answer of so many bytes. One
+// ended tells that a request has ended: served or not, refused by the Balancer or not, with an answer of so many bytes. One
 // that waited has lost its client, or was refused at its deadline.
-func (ad *admissionControl) over(r *request, served, refused bool, size int) {
+func (ad *admissionControl) ended(r *request, served, refused bool, size int) {
 	if ad == nil {
 		return
 	}
-	was, now := r.door, ad.l.now()
-	r.door = doorOut
+	was, now := r.admissionStage, ad.loop.now()
+	r.admissionStage = admissionNone
 	switch was {
-	case doorWaits:
-		ad.a.Gone(now, r.id)
-	case doorIn:
-		ad.a.Ended(now, admission.End{ID: r.id, Served: served, Refused: refused, Latency: now - r.admittedAt, Attempts: len(r.attempts), Work: r.attemptMillis, Size: size})
+	case admissionQueued:
+		ad.admission.Disconnected(now, r.id)
+	case admissionAdmitted:
+		ad.admission.Ended(now, admission.Outcome{ID: r.id, Served: served, Rejected: refused, LatencyMillis: now - r.admittedAt, Attempts: len(r.attempts), WorkMillis: r.attemptMillis, ResponseBytes: size})
 	default:
 		return
 	}
@@ -118,14 +118,14 @@
 
 // arm sees to it that what waits is looked at in time.
 func (ad *admissionControl) arm() {
-	next := ad.a.Next()
-	if ad.due != nil && ad.due.i >= 0 && ad.due.at <= next {
+	next := ad.admission.NextDeadline()
+	if ad.timer != nil && ad.timer.i >= 0 && ad.timer.at <= next {
 		return // it is looked at sooner, and armed again then
 	}
-	ad.l.timers.stop(ad.due)
+	ad.loop.timers.stop(ad.timer)
 	if !math.IsInf(next, 1) {
-		ad.due = ad.l.after(next-ad.l.now(), func() {
-			ad.a.Tick(ad.l.now())
+		ad.timer = ad.loop.after(next-ad.loop.now(), func() {
+			ad.admission.Tick(ad.loop.now())
 			ad.arm()
 		})
 	}
@@ -133,26 +133,26 @@
 
 // Admit lets a request through to the Balancer, after the call that led to it.
 func (ad *admissionControl) Admit(id uint32) {
-	r := ad.l.reqs[id]
+	r := ad.loop.reqs[id]
 	if r == nil {
 		return
 	}
-	r.door, r.admittedAt = doorIn, ad.l.now()
-	ad.l.deferred = append(ad.l.deferred, func() {
+	r.admissionStage, r.admittedAt = admissionAdmitted, ad.loop.now()
+	ad.loop.deferred = append(ad.loop.deferred, func() {
 		if !r.isDone {
-			ad.l.decide(ad.l.now(), r)
+			ad.loop.decide(ad.loop.now(), r)
 		}
 	})
 }
 
 // Reject ends a request at the door.
 func (ad *admissionControl) Reject(id uint32, after float64) {
-	if r := ad.l.reqs[id]; r != nil {
-		r.door = doorOut
-		if ad.l.rules.Load().tellsRetryAfter {
-			ad.l.Reject(id, math.Ceil(after))
+	if r := ad.loop.reqs[id]; r != nil {
+		r.admissionStage = admissionNone
+		if ad.loop.rules.Load().tellsRetryAfter {
+			ad.loop.Reject(id, math.Ceil(after))
 		} else {
-			ad.l.Reject(id, 0)
+			ad.loop.Reject(id, 0)
 		}
 	}
 }
@@ -160,13 +160,13 @@
 // shownTenants is how many tenants are shown by name.
 const shownTenants = 100
 
-// Door is how admission stands, in JSON; admin.ErrOff tells that there is none.
-func (r *Router) Door(ctx context.Context) ([]byte, error) {
+// AdmissionState is how admission stands, in JSON; admin.ErrOff tells that there is none.
+func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
 	if r.l.admission == nil {
-		return nil, admin.ErrOff
+		return nil, admin.ErrNotEnabled
 	}
 	var s admission.State
-	if err := r.l.do(ctx, func() error { s = r.l.admission.a.State(shownTenants); return nil }); err != nil {
+	if err := r.l.do(ctx, func() error { s = r.l.admission.admission.State(shownTenants); return nil }); err != nil {
 		return nil, err
 	}
 	return json.Marshal(s)
@@ -174,13 +174,13 @@
 
 // The places of a request before the Balancer.
 const (
-	doorOut   = iota // is no matter of the door's, or not any more
-	doorWaits        // waits there
-	doorIn           // was let in
+	admissionNone     = iota // is no matter of the door's, or not any more
+	admissionQueued          // waits there
+	admissionAdmitted        // was let in
 )
 
-// addrOf is the address of a client, without the port.
-func addrOf(c net.Conn) netip.Addr {
+// clientAddr is the address of a client, without the port.
+func clientAddr(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr().Unmap()
 	}
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -32,9 +32,9 @@
 	cfg := testConfig(t, d.Listener.Addr().String(), list{})
 	ln := listenLocal(t)
 	m := metrics.New()
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
-		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
+		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
+	cfg.Admission = &AdmissionConfig{rules, admission.TenantRules{{By: "fact"}}}
 	r, err := New(cfg, ln, m)
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	// waiting tells how many wait at the door, once the loop has done all that was sent before.
 	waiting := func() int {
 		n := make(chan int)
-		r.l.post(func() { n <- r.l.admission.a.State(0).Waiting })
+		r.l.post(func() { n <- r.l.admission.admission.State(0).Waiting })
 		return next(t, n, "count")
 	}
 	until := func(n int) {
@@ -91,12 +91,12 @@
 
 // Rules of admission are taken with the rest of a configuration, or nothing is and the setting is named.
 func TestAdmissionRulesAtReload(t *testing.T) {
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100, MaxAfterMS: 1500,
-		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 100, MaxRetryAfterMillis: 1500,
+		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
 	with := func(r *admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", list{})
 		if r != nil {
-			cfg.Admission = &Admission{*r, nil}
+			cfg.Admission = &AdmissionConfig{*r, nil}
 		}
 		return cfg
 	}
@@ -106,9 +106,9 @@
 		t.Fatal(err)
 	}
 	named, larger := rules, rules
-	named.Named = []admission.Tenant{{Name: "a", Weight: 2}}
+	named.Tenants = []admission.Tenant{{Name: "a", Weight: 2}}
 	larger.Flows = 9
-	if err := l.reconfigure(with(&named)); err != nil || len(l.admission.a.HandOver(l.now()).Tenants) != 1 {
+	if err := l.reconfigure(with(&named)); err != nil || len(l.admission.admission.Snapshot(l.now()).Tenants) != 1 {
 		t.Errorf("a new tenant: %v", err)
 	}
 	for setting, cfg := range map[string]*Config{"admission.flows": with(&larger), "admission.enabled": with(nil)} {
@@ -122,8 +122,8 @@
 // A process takes over what the one before it has told clients.
 func TestAdmissionIsHandedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", list{})
-	cfg.Admission = &Admission{admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100,
-		MaxAfterMS: 1500, Start: 7, Least: 1, Most: 9, RetryShare: 1, RetryBurst: 10}, admission.Identify{{By: "fact"}}}
+	cfg.Admission = &AdmissionConfig{admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 100,
+		MaxRetryAfterMillis: 1500, InitialLimit: 7, MinLimit: 1, MaxLimit: 9, RetryBudgetShare: 1, RetryBudgetBurst: 10}, admission.TenantRules{{By: "fact"}}}
 	start := func() *Router {
 		r, err := New(cfg, listenLocal(t), metrics.New())
 		if err != nil {
@@ -134,8 +134,8 @@
 	}
 	before, after := start(), start()
 	before.l.names.add("s-0000000b", 11) // a state without names is none
-	before.l.admission.a.Share(before.l.now(), 0.5)
-	door := before.l.admission.a.HandOver(before.l.now())
+	before.l.admission.admission.ScaleLimit(before.l.now(), 0.5)
+	door := before.l.admission.admission.Snapshot(before.l.now())
 	text, err := json.Marshal(handed{Module: before.l.b.HandOver(before.l.now()), Names: before.l.names.copied(), Door: &door})
 	if err == nil {
 		err = after.Inherit(text, nil)
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	after.begin()
-	if limit := after.l.admission.a.State(0).Limit; limit != 3.5 {
+	if limit := after.l.admission.admission.State(0).Limit; limit != 3.5 {
 		t.Errorf("limit %v after the upgrade, 3.5 before", limit)
 	}
 }
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -51,7 +51,7 @@
 
 // probe takes part in probing for all.
 func (r *Router) probe(ctx context.Context, a *Agreement, c *leases.Client) {
-	healthcheck.Run(ctx, healthcheck.Options{Client: c, TTL: a.TTL, Every: a.ProbeEvery, Board: r.l.board, Now: r.l.now, Servers: r.l.servers, Probe: r.l.ask})
+	healthcheck.Run(ctx, healthcheck.Options{Client: c, LeaseTTL: a.TTL, Interval: a.ProbeEvery, Reports: r.l.board, NowMillis: r.l.now, Servers: r.l.servers, Probe: r.l.ask})
 }
 
 // seen are all cache servers of the list, as this router sees them.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -62,7 +62,7 @@
 	r := a.request
 	r.attemptsOut--
 	now := l.now()
-	if r.attemptMillis += now - a.startedAt; l.trace.On() {
+	if r.attemptMillis += now - a.startedAt; l.trace.Enabled() {
 		l.trace.Event(now, "got", "r=%d n=%d s=%08x status=%d note=%d ms=%.1f", r.id, a.index, a.server, got.status, got.note, now-a.startedAt)
 	}
 	switch {
@@ -155,7 +155,7 @@
 		return
 	}
 	a.timeoutTimer = l.after(remaining, func() { l.timeOut(a) })
-	if l.trace.On() {
+	if l.trace.Enabled() {
 		l.trace.Event(now, "send", "r=%d n=%d s=%08x origin=%t started=%.0f key=%x", r.id, a.index, server, t.origin, t.started, keyID(r.cmd.key))
 	}
 	client := r.slot
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -32,7 +32,7 @@
 	Settings json.RawMessage `json:"settings"`
 
 	// Admission is what an operator file says of fair admission; nil = it is off.
-	Admission *Admission `json:"-"`
+	Admission *AdmissionConfig `json:"-"`
 
 	// Agreement is what an operator file says of the coordinators; nil = there are none.
 	Agreement *Agreement `json:"-"`
@@ -148,7 +148,7 @@
 
 // replaces tells why a configuration can't take the place of another while the router runs.
 func (c *Config) replaces(old *Config) error {
-	key, err := settings.Lost(old.text, c.text, "known") // the list may be any
+	key, err := settings.MissingKey(old.text, c.text, "known") // the list may be any
 	switch {
 	case err != nil:
 		return fmt.Errorf("GW_CONFIG: %w", err)
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -746,9 +746,9 @@
 	t.Cleanup(answer.let) // before the fake waits for what it has started
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(s.addr)))
 	cfg := longLived(testConfig(t, d.Listener.Addr().String(), list{}))
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
-		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
+	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
+		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
+	cfg.Admission = &AdmissionConfig{rules, admission.TenantRules{{By: "fact"}}}
 	cfg.settings.Config.HealthChecks = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // the door expects a request to take so long
@@ -760,7 +760,7 @@
 	first.send(key(1, "a", 60000) + "\r\n")
 	next(t, s.seen, "the first, which takes the one place")
 	second.send(key(2, "b", 60000) + "\r\n")
-	until(t, r.router.l, "the second at the door", func() bool { return r.router.l.admission.a.State(0).Waiting == 1 })
+	until(t, r.router.l, "the second at the door", func() bool { return r.router.l.admission.admission.State(0).Waiting == 1 })
 	return r, s, answer, first, second, cfg
 }
 
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if l.board != nil {
-		if load, ok := l.board.Look(l.now(), server); ok { // another router has asked it
+		if load, ok := l.board.Lookup(l.now(), server); ok { // another router has asked it
 			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.RequestsPerSecond, load.Utilization)
 			l.deferred = append(l.deferred, func() { l.b.HealthCheckEnded(l.now(), server, decide.OK, load) })
 			return
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -21,12 +21,12 @@
 
 // handed is what a process gets from the one before it.
 type handed struct {
-	Module decide.Carried     `json:"Module"`
-	List   list               `json:"List"`
-	Names  names              `json:"Names"`
-	Door   *admission.Carried `json:"Door"`       // nil = admission is off
-	ByHand []string           `json:",omitempty"` // servers left out by hand,
-	Agreed []string           `json:",omitempty"` // and by the fleet
+	Module decide.Carried      `json:"Module"`
+	List   list                `json:"List"`
+	Names  names               `json:"Names"`
+	Door   *admission.Snapshot `json:"Door"`       // nil = admission is off
+	ByHand []string            `json:",omitempty"` // servers left out by hand,
+	Agreed []string            `json:",omitempty"` // and by the fleet
 }
 
 // ban is a call of the operators, as it goes from one process to the other.
@@ -70,7 +70,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k := range p.links {
-		if k.Ended() {
+		if k.IsClosed() {
 			delete(p.links, k)
 		} else {
 			ks = append(ks, k)
@@ -108,7 +108,7 @@
 	r.l.post(func() {
 		r.l.b.SetProcessCount(r.l.now(), n)
 		if ad := r.l.admission; ad != nil {
-			ad.a.Share(r.l.now(), float64(max(1, ad.processes))/float64(n))
+			ad.admission.ScaleLimit(r.l.now(), float64(max(1, ad.processes))/float64(n))
 			ad.processes = n
 			ad.arm()
 		}
@@ -124,7 +124,7 @@
 		h = handed{Module: r.l.b.HandOver(r.l.now()), List: r.l.known(), Names: r.l.names.copied(),
 			ByHand: slices.Collect(maps.Keys(r.l.disabledByOperator)), Agreed: slices.Collect(maps.Keys(r.l.disabledByFleet))}
 		if r.l.admission != nil {
-			door := r.l.admission.a.HandOver(r.l.now())
+			door := r.l.admission.admission.Snapshot(r.l.now())
 			h.Door = &door
 		}
 		return nil
@@ -155,7 +155,7 @@
 			slog.Warn("what the process before has learnt is of no use", "error", err)
 		}
 		if l.admission != nil && h.Door != nil {
-			if err := l.admission.a.TakeOver(l.now(), *h.Door); err != nil {
+			if err := l.admission.admission.Restore(l.now(), *h.Door); err != nil {
 				slog.Warn("what the process before has learnt of tenants is of no use", "error", err)
 			}
 		}
@@ -218,7 +218,7 @@
 // The answer is yes only if it holds in all of them.
 func (r *Router) disable(ctx context.Context, o ban, from *handover.Link) error {
 	here := r.l.do(ctx, func() error { return r.l.setDisabled(o) })
-	if here != nil && !errors.Is(here, admin.ErrUnknown) {
+	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
 		return here
 	}
 	o.Known = o.Known || here == nil
@@ -230,14 +230,14 @@
 		switch err := k.Call(ctx, banKind, o); {
 		case err == nil:
 			found = true
-		case errors.Is(err, handover.ErrEnded) || err.Error() == admin.ErrUnknown.Error():
+		case errors.Is(err, handover.ErrPeerClosed) || err.Error() == admin.ErrUnknownServer.Error():
 		default:
 			return errNotDone
 		}
 	}
 	switch {
 	case !found:
-		return admin.ErrUnknown
+		return admin.ErrUnknownServer
 	case here != nil: // only another process's list has had it so far
 		o.Known = true
 		return r.l.do(ctx, func() error { return r.l.setDisabled(o) })
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("calls back at the old one: %d disabled at the new one", got)
 	}
 	for _, r := range []*running{old, young} {
-		if err := r.router.SetDisabled(t.Context(), "s-000000ff", true); !errors.Is(err, admin.ErrUnknown) {
+		if err := r.router.SetDisabled(t.Context(), "s-000000ff", true); !errors.Is(err, admin.ErrUnknownServer) {
 			t.Errorf("an id never listed: got %v", err)
 		}
 	}
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -56,12 +56,12 @@
 	ready              atomic.Bool     // a list is held
 	answerBy           instant         // when all that is open has to have its answer, as the process is told to end
 	trace              *trace.Trace
-	board              *healthcheck.Board // what other routers' probes told; nil = each probes by itself
-	admission          *admissionControl  // nil = every request goes to the Balancer
-	ejectedByPeers     map[uint32]float64 // servers that others found bad, and until when that counts,
-	hearsay            map[uint32]bool    // and those of which this router knows nothing else
-	refreshing         bool               // the Balancer is told of the former again
-	speed              *speeds            // nil = nobody wants it
+	board              *healthcheck.ReportCache // what other routers' probes told; nil = each probes by itself
+	admission          *admissionControl        // nil = every request goes to the Balancer
+	ejectedByPeers     map[uint32]float64       // servers that others found bad, and until when that counts,
+	hearsay            map[uint32]bool          // and those of which this router knows nothing else
+	refreshing         bool                     // the Balancer is told of the former again
+	speed              *speeds                  // nil = nobody wants it
 }
 
 // speeds counts the requests served by how much of their aim they took.
--- a/internal/router/meta.go
+++ b/internal/router/meta.go
@@ -355,7 +355,7 @@
 		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(v, "xXpP_") { // or hexadecimal
 			return decide.NoLoadReport
 		}
-		settings.SetLoad(&l, name, n)
+		settings.SetLoadField(&l, name, n)
 	}
 	return l
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -51,10 +51,10 @@
 func TestDisableOverTheList(t *testing.T) {
 	a, o := startFake(t, hit), startFake(t, originOK)
 	r, d := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
-	if err := r.router.SetDisabled(t.Context(), "s-000000bb", true); !errors.Is(err, admin.ErrUnknown) {
+	if err := r.router.SetDisabled(t.Context(), "s-000000bb", true); !errors.Is(err, admin.ErrUnknownServer) {
 		t.Errorf("an id that was never listed: got %v", err)
 	}
-	if err := r.router.SetDisabled(t.Context(), "x-0000000b", true); !errors.Is(err, admin.ErrUnknown) {
+	if err := r.router.SetDisabled(t.Context(), "x-0000000b", true); !errors.Is(err, admin.ErrUnknownServer) {
 		t.Errorf("an id that only ends like a listed one: got %v", err)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -184,7 +184,7 @@
 	dialer := u.dialer
 	u.mu.Unlock()
 	c, err := dialer.DialContext(ctx, "tcp", t.addr)
-	if u.trace.On() {
+	if u.trace.Enabled() {
 		u.trace.Event(float64(time.Now().UnixMicro())/1000, "dial", "to=%s ok=%t", t.addr, err == nil)
 	}
 	if err != nil {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -13,21 +13,21 @@
 
 // request is a request from its arrival until it is answered and its attempts are back.
 type request struct {
-	id            uint32
-	cmd           command
-	deadline      float64
-	slot          *slot
-	deadlineTimer *timer // the last moment for an answer
-	isDone        bool   // has its final answer, or its client has disconnected
-	attempts      []*attempt
-	rule          *rule   // the rule, maxAttempts and allowsHedge are as the settings were on arrival
-	maxAttempts   int     // all together
-	allowsHedge   bool    // two may be out at once
-	door          int     // its place in admission
-	arrivedAt     float64 // on the loop's clock, as the other times
-	admittedAt    float64
-	attemptMillis float64 // that its attempts have taken
-	attemptsOut   int     // without an outcome so far
+	id             uint32
+	cmd            command
+	deadline       float64
+	slot           *slot
+	deadlineTimer  *timer // the last moment for an answer
+	isDone         bool   // has its final answer, or its client has disconnected
+	attempts       []*attempt
+	rule           *rule   // the rule, maxAttempts and allowsHedge are as the settings were on arrival
+	maxAttempts    int     // all together
+	allowsHedge    bool    // two may be out at once
+	admissionStage int     // its place in admission
+	arrivedAt      float64 // on the loop's clock, as the other times
+	admittedAt     float64
+	attemptMillis  float64 // that its attempts have taken
+	attemptsOut    int     // without an outcome so far
 }
 
 // grace after a client's deadline within which the answer to a time-out at the deadline comes.
@@ -71,7 +71,7 @@
 	r := &request{id: l.lastID, cmd: cmd, arrivedAt: now, deadline: now + left, slot: s, rule: rule, maxAttempts: rules.maxAttempts, allowsHedge: rules.allowsHedges}
 	l.metrics.Concurrent.Add(1)
 	l.reqs[r.id], l.unanswered[cmd.id], s.req = r, r, r
-	if l.trace.On() {
+	if l.trace.Enabled() {
 		l.trace.Event(now, "ask", "r=%d class=%s key=%x retry=%t left=%.0f", r.id, cmd.class, keyID(cmd.key), cmd.retry, left)
 	}
 	r.deadlineTimer = l.after(left+grace, func() { l.overdue(r) })
@@ -125,10 +125,10 @@
 }
 
 // endDisconnected is the end of a request whose client has disconnected: it counts as none.
-const endDisconnected metrics.End = -1
+const endDisconnected metrics.Outcome = -1
 
 // finish ends a request: the only place where one is answered, so none is answered twice.
-func (l *loop) finish(r *request, answer []byte, how metrics.End) {
+func (l *loop) finish(r *request, answer []byte, how metrics.Outcome) {
 	if r.isDone {
 		return
 	}
@@ -140,10 +140,10 @@
 	if how == metrics.Success && l.speed != nil {
 		l.speed[rollout.SpeedBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
 	}
-	if l.trace.On() {
+	if l.trace.Enabled() {
 		l.traceEnd(r, how)
 	}
-	l.admission.over(r, how == metrics.Success, how == metrics.Overload, len(answer))
+	l.admission.ended(r, how == metrics.Success, how == metrics.Overload, len(answer))
 	r.slot.answer(answer)
 	r.slot.req, r.slot = nil, nil
 	l.timers.stop(r.deadlineTimer)
@@ -166,7 +166,7 @@
 	r.slot.req, r.slot = nil, nil
 	now := l.now()
 	r.attemptMillis += now - a.startedAt
-	l.admission.over(r, true, false, got.length)
+	l.admission.ended(r, true, false, got.length)
 	l.forget(r)
 	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: decide.OK, LatencyMillis: now - a.startedAt,
 		IsFinal: true, Note: got.note, Load: got.load})
@@ -193,7 +193,7 @@
 }
 
 // traceEnd keeps how a request ended.
-func (l *loop) traceEnd(r *request, how metrics.End) {
+func (l *loop) traceEnd(r *request, how metrics.Outcome) {
 	why := "-"
 	if how == metrics.Overload || how == metrics.Error {
 		why = strings.ReplaceAll(l.b.Cause(), " ", "-")
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,7 +46,7 @@
 	// Each attempt may hold a value that is read whole: all together a quarter of the memory.
 	attempts := min(sockets*9/20, int(cfg.Limits.MemoryMB<<20/4/maxWhole))
 	r := &Router{cfg: cfg, metrics: m}
-	r.up = newUpstreams(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout), attempts)
+	r.up = newUpstreams(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeoutMillis), attempts)
 	r.up.trace = cfg.Trace
 	r.up.unsized.limit.Store(cfg.Limits.MemoryMB << 20 / 16)
 	var err error
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if cfg.Agreement != nil && cfg.Agreement.Probes {
-		r.l.board = healthcheck.NewBoard(float64(cfg.Agreement.ProbeStale.Milliseconds()))
+		r.l.board = healthcheck.NewReportCache(float64(cfg.Agreement.ProbeStale.Milliseconds()))
 	}
 	if cfg.Agreement != nil && cfg.Agreement.Drains {
 		r.l.speed = new(speeds)
@@ -139,7 +139,7 @@
 		return r.metrics.JSON(nil)
 	}
 	used, missed := r.l.board.Counts()
-	return r.metrics.JSON(&metrics.ProbeReports{Used: used, Missed: missed})
+	return r.metrics.JSON(&metrics.ProbeReports{Hits: used, Misses: missed})
 }
 
 // SetDisabled leaves a cache server out, or puts it back.
@@ -172,7 +172,7 @@
 	}
 	switch {
 	case !known:
-		return admin.ErrUnknown
+		return admin.ErrUnknownServer
 	}
 	mine, other, by := l.disabledByOperator, l.disabledByFleet, "hand"
 	if o.Agreed {
@@ -235,11 +235,11 @@
 		}
 	}
 	if err != nil {
-		l.metrics.Refused.Add(1)
+		l.metrics.ReloadFailures.Add(1)
 		slog.Warn("SIGHUP: the configuration is kept", "error", err)
 		return false
 	}
-	l.metrics.Reloads.Add(1)
+	l.metrics.ReloadSuccesses.Add(1)
 	slog.Info("SIGHUP: the configuration is taken", "discovery", cfg.Discovery, "classes", cfg.settings.Config.ClassNames())
 	return true
 }
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -40,7 +40,7 @@
 	}
 	l.admission.reconfigure(cfg)
 	l.rules.Store(newRules(cfg.settings.Config, l.metrics))
-	l.up.retime(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout))
+	l.up.retime(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeoutMillis))
 	return nil
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -11,11 +11,11 @@
 
 // Every settings object holds these keys. Where one is missing, a zero would stand in for it and might pass for a value.
 var (
-	needed      = []string{"balancers", "myNumber", "categories", "caps", "rules"}
-	neededCaps  = []string{"maxAttempts"}
-	neededRules = []string{"cold", "coldFrom", "overloadFactor", "overloadFor"}
-	neededClass = []string{"name", "effect", "target", "hardLimit", "gain"}
-	neededKeyed = []string{"window", "keyScope"}
+	requiredKeys      = []string{"balancers", "myNumber", "categories", "caps", "rules"}
+	requiredCapsKeys  = []string{"maxAttempts"}
+	requiredRulesKeys = []string{"cold", "coldFrom", "overloadFactor", "overloadFor"}
+	requiredClassKeys = []string{"name", "effect", "target", "hardLimit", "gain"}
+	requiredByKeyKeys = []string{"window", "keyScope"}
 )
 
 // Error is a mistake in a settings object.
@@ -26,8 +26,8 @@
 
 func (e *Error) Error() string { return "settings: " + e.Key + ": " + e.Reason }
 
-// words are the settings' names of what the module calls by others.
-var words = map[string]string{"Routers": "balancers", "Me": "myNumber", "Classes": "categories",
+// settingKeys are the settings' names of what the module calls by others.
+var settingKeys = map[string]string{"Routers": "balancers", "Me": "myNumber", "Classes": "categories",
 	"MaxAttempts": "caps.maxAttempts", "Cold": "rules.cold", "ColdFrom": "rules.coldFrom", "FallMult": "rules.overloadFactor",
 	"FallFor": "rules.overloadFor", "ConnIdle": "caps.connIdle", "CPU": "caps.cpuUsPerS", "OverWorth": "overShareWorth",
 	"OriginKind": "familyInfo.originKind", "Name": "name", "Aim": "target", "Deadline": "hardLimit", "Worth": "gain",
@@ -44,9 +44,9 @@
 	}
 	var v *decide.SettingError
 	if errors.As(err, &v) {
-		key := words[v.Field]
+		key := settingKeys[v.Field]
 		if v.List != "" {
-			key = fmt.Sprintf("%s[%d].%s", words[v.List], v.At, key)
+			key = fmt.Sprintf("%s[%d].%s", settingKeys[v.List], v.At, key)
 		}
 		err = &Error{key, fmt.Sprintf("impossible value %v", v.Value)}
 	}
@@ -77,23 +77,23 @@
 			}
 		}
 	}
-	lacks("", top, needed)
-	lacks("caps.", s.Caps, neededCaps)
-	lacks("rules.", s.Rules, neededRules)
+	lacks("", top, requiredKeys)
+	lacks("caps.", s.Caps, requiredCapsKeys)
+	lacks("rules.", s.Rules, requiredRulesKeys)
 	for i, c := range s.Categories {
-		keys := neededClass
+		keys := requiredClassKeys
 		if string(c["effect"]) == `"by_key"` {
-			keys = slices.Concat(neededClass, neededKeyed)
+			keys = slices.Concat(requiredClassKeys, requiredByKeyKeys)
 		}
 		lacks(fmt.Sprintf("categories[%d].", i), c, keys)
 	}
 	return all
 }
 
-// Lost names the first key that one JSON object holds and a later form of it lacks, as "limits.memory_mb", or returns
+// MissingKey names the first key that one JSON object holds and a later form of it lacks, as "limits.memory_mb", or returns
 // "" where there is none. Of a list of objects, the later ones must each have what all of the earlier ones had. Inside the
 // keys named as data, anything may differ.
-func Lost(was, is []byte, data ...string) (string, error) {
+func MissingKey(was, is []byte, data ...string) (string, error) {
 	var a, b any
 	if err := json.Unmarshal(was, &a); err != nil {
 		return "", err
@@ -101,10 +101,10 @@
 	if err := json.Unmarshal(is, &b); err != nil {
 		return "", err
 	}
-	return lost("", a, b, data), nil
+	return missingKey("", a, b, data), nil
 }
 
-func lost(at string, was, is any, data []string) string {
+func missingKey(at string, was, is any, data []string) string {
 	if slices.Contains(data, at) {
 		return ""
 	}
@@ -128,7 +128,7 @@
 			if !ok {
 				return name
 			}
-			if l := lost(name, was[k], v, data); l != "" {
+			if l := missingKey(name, was[k], v, data); l != "" {
 				return l
 			}
 		}
@@ -137,12 +137,12 @@
 		if !ok {
 			return at
 		}
-		common := shared(was)
+		common := commonKeys(was)
 		if common == nil {
 			return ""
 		}
 		for i, v := range is {
-			if l := lost(fmt.Sprintf("%s[%d]", at, i), common, v, data); l != "" {
+			if l := missingKey(fmt.Sprintf("%s[%d]", at, i), common, v, data); l != "" {
 				return l
 			}
 		}
@@ -150,8 +150,8 @@
 	return ""
 }
 
-// shared holds the keys that all objects of a list have; nil where it holds anything else, or nothing.
-func shared(list []any) any {
+// commonKeys holds the keys that all objects of a list have; nil where it holds anything else, or nothing.
+func commonKeys(list []any) any {
 	var common map[string]any
 	for i, v := range list {
 		o, ok := v.(map[string]any)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,9 +11,9 @@
 
 // Settings is the settings object in the terms of the decide package, with what only its host needs.
 type Settings struct {
-	Config         decide.Config
-	Columns        []string // of the load reports on the simulator's wire
-	ConnectTimeout float64  // a connection not established within these milliseconds has failed; 0 = not told
+	Config               decide.Config
+	LoadColumns          []string // of the load reports on the simulator's wire
+	ConnectTimeoutMillis float64  // a connection not established within these milliseconds has failed; 0 = not told
 }
 
 // object mirrors the settings object; unknown keys are ignored.
@@ -108,12 +108,12 @@
 	if !(s.Caps.ConnectTimeout >= 0) {
 		return Settings{}, &Error{"caps.connectTimeout", fmt.Sprintf("impossible value %v", s.Caps.ConnectTimeout)}
 	}
-	return Settings{Config: c, Columns: s.LoadInfo.Columns, ConnectTimeout: s.Caps.ConnectTimeout}, nil
+	return Settings{Config: c, LoadColumns: s.LoadInfo.Columns, ConnectTimeoutMillis: s.Caps.ConnectTimeout}, nil
 }
 
-// SetLoad puts one figure of a load report in its place. Sockets and the simulator's wire have a name each for the
+// SetLoadField puts one figure of a load report in its place. Sockets and the simulator's wire have a name each for the
 // same figure; other figures have no use and are passed over.
-func SetLoad(l *decide.LoadReport, name string, v float64) {
+func SetLoadField(l *decide.LoadReport, name string, v float64) {
 	switch name {
 	case "rps", "qps":
 		l.RequestsPerSecond = v
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	if err := s.Config.Validate(); err != nil {
 		t.Error(err)
 	}
-	if got := s.Config; len(got.Classes) != 2 || got.MaxAttempts != 3 || got.OriginKind != "origin" || s.ConnectTimeout != 250 {
+	if got := s.Config; len(got.Classes) != 2 || got.MaxAttempts != 3 || got.OriginKind != "origin" || s.ConnectTimeoutMillis != 250 {
 		t.Errorf("got %+v", s)
 	}
 }
@@ -75,7 +75,7 @@
 		`{"a":1,"d":{},"f":[]}`:                             "a",
 		`{"a":{"b":1,"c":[]},"f":[]}`:                       "d",
 	} {
-		if got, err := Lost([]byte(was), []byte(is), "d"); err != nil || got != want {
+		if got, err := MissingKey([]byte(was), []byte(is), "d"); err != nil || got != want {
 			t.Errorf("%s: got %q, %v, want %q", is, got, err, want)
 		}
 	}
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -231,7 +231,7 @@
 			f.fail("load report", w)
 			return l
 		}
-		settings.SetLoad(&l, columns[i], v)
+		settings.SetLoadField(&l, columns[i], v)
 	}
 	return l
 }
@@ -361,7 +361,7 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{id: id, out: s.out, columns: set.Columns}
+	in := &instance{id: id, out: s.out, columns: set.LoadColumns}
 	if in.b, err = decide.New(set.Config, seed, in); err != nil {
 		return err
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// Mark begins each line, wherever a collector's own prefix ends.
-	Mark = "trace "
+	// LinePrefix begins each line, wherever a collector's own prefix ends.
+	LinePrefix = "trace "
 	// MaxPerFlush bounds the events kept between two flushes; those beyond are counted only.
 	MaxPerFlush = 4096
 )
@@ -21,15 +21,15 @@
 	out     io.Writer
 	mu      sync.Mutex
 	buf     bytes.Buffer
-	held    int
+	count   int
 	dropped int
 }
 
 // New returns a trace that writes to out.
 func New(out io.Writer) *Trace { return &Trace{out: out} }
 
-// On tells whether events are kept: what is dear to put together need not be.
-func (t *Trace) On() bool { return t != nil }
+// Enabled tells whether events are kept: what is dear to put together need not be.
+func (t *Trace) Enabled() bool { return t != nil }
 
 // Event keeps one event: at is Unix time in milliseconds, form and v give its fields as name=value, set apart by spaces.
 func (t *Trace) Event(at float64, name, form string, v ...any) {
@@ -38,12 +38,12 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.held >= MaxPerFlush {
+	if t.count >= MaxPerFlush {
 		t.dropped++
 		return
 	}
-	t.held++
-	fmt.Fprintf(&t.buf, "%s%.2f %s ", Mark, at, name)
+	t.count++
+	fmt.Fprintf(&t.buf, "%s%.2f %s ", LinePrefix, at, name)
 	fmt.Fprintf(&t.buf, form, v...)
 	t.buf.WriteByte('\n')
 }
@@ -56,11 +56,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.dropped > 0 {
-		fmt.Fprintf(&t.buf, "%s%.2f dropped n=%d\n", Mark, at, t.dropped)
+		fmt.Fprintf(&t.buf, "%s%.2f dropped n=%d\n", LinePrefix, at, t.dropped)
 	}
 	if t.buf.Len() > 0 {
 		_, _ = t.out.Write(t.buf.Bytes()) // a log that can't be written stops no router
 	}
 	t.buf.Reset()
-	t.held, t.dropped = 0, 0
+	t.count, t.dropped = 0, 0
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -30,7 +30,7 @@
 	var tr *Trace
 	tr.Event(1, "dial", "to=a ok=true")
 	tr.Flush(2)
-	if tr.On() {
+	if tr.Enabled() {
 		t.Error("a trace that is none is on")
 	}
 }
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -40,9 +40,9 @@
 		fmt.Fprintln(t, "\nrouter\tlimit\twaiting\ttakes ms\tcame when told\tlet in\tshare free\tlet in\ttold and real apart, p50 %\tp90 %\t")
 		for _, name := range sorted(r.Doors) {
 			d := r.Doors[name]
-			fmt.Fprintf(t, "%s\t%.0f\t%d\t%.0f\t%d\t%.3f\t%d\t%.3f\t%.0f\t%.0f\t\n", name, d.Limit, d.Waiting, d.TakesMS, d.Returned,
-				float64(d.Kept)/float64(max(1, d.Returned)),
-				d.ReturnedFree, float64(d.KeptFree)/float64(max(1, d.ReturnedFree)), 100*d.Off50, 100*d.Off90)
+			fmt.Fprintf(t, "%s\t%.0f\t%d\t%.0f\t%d\t%.3f\t%d\t%.3f\t%.0f\t%.0f\t\n", name, d.Limit, d.Waiting, d.LatencyMillis, d.Returned,
+				float64(d.ReturnedAdmitted)/float64(max(1, d.Returned)),
+				d.ReturnedWithinShare, float64(d.AdmittedWithinShare)/float64(max(1, d.ReturnedWithinShare)), 100*d.RetryAfterErrorP50, 100*d.RetryAfterErrorP90)
 		}
 		t.Flush()
 	}
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -54,11 +54,11 @@
 
 // parse reads a line; ok is false where it holds no event.
 func parse(line string) (e Event, ok bool, err error) {
-	at := strings.Index(line, trace.Mark)
+	at := strings.Index(line, trace.LinePrefix)
 	if at < 0 || at > 0 && strings.Contains(line[:at], "msg=") {
 		return e, false, nil
 	}
-	parts := strings.Fields(line[at+len(trace.Mark):])
+	parts := strings.Fields(line[at+len(trace.LinePrefix):])
 	if len(parts) < 2 {
 		return e, true, fmt.Errorf("cut short")
 	}
