--- a/cmd/dockhinge-lab/regression.go
+++ b/cmd/dockhinge-lab/regression.go
@@ -26,7 +26,7 @@
 		Long: "Looks at what differs from --since, runs the operators' programs that it calls for, one after the other, from the\n" +
 			"repository's root, and compares what they write to the journal with the last run of the same days: a figure that fell by\n" +
 			"more than 0.03, a broken rule, a crash or a failed gate end it with 3. The files must not change meanwhile: run it in a\n" +
-			"second worktree. docs/standing.md tells what to do then.",
+			"second worktree. docs/regression.md tells what to do then.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			changed, err := changedSince(cmd.Context(), since)
 			if err != nil {
--- a/lab/regression/regression_test.go
+++ b/lab/regression/regression_test.go
@@ -27,7 +27,7 @@
 		{"internal/simulator/wire.go", "simulator brink mass operators fleet"},
 		{"decide/rules_test.go", ""},
 		{"lab/simulation/virtual.go", ""},
-		{"docs/standing.md", ""},
+		{"docs/regression.md", ""},
 		{"go.mod", "brink mass operators"},
 		{"deploy/sites/other.toml", ""},
 	} {
