--- a/cmd/dockhinge-coord/configstatus.go
+++ b/cmd/dockhinge-coord/configstatus.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		s := one.Status
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", name, s.Revision, ageText(s.AgeMillis), s.Upstream, s.Watchers, s.Acknowledged, s.Refused, s.Lies)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\n", name, s.Revision, ageText(s.AgeMillis), s.Upstream, s.Watchers, s.Acknowledged, s.RejectedJoins, s.InvalidAcknowledgements)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/dockhinge-coord/configuration.go
+++ b/cmd/dockhinge-coord/configuration.go
@@ -49,9 +49,9 @@
 	ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
 	defer cancel()
 	return t.operate(ctx, "", toolTTL, func(ctx context.Context, c *client.Client) error {
-		revision, err := c.Put(ctx, put)
-		var refused *client.RefusedError
-		if errors.As(err, &refused) && refused.Code == coord.Conflict {
+		revision, err := c.PutDocument(ctx, put)
+		var refused *client.RejectedError
+		if errors.As(err, &refused) && refused.Code == coord.CodeConflict {
 			return fmt.Errorf("%s; look at it with 'config get' and say --expect %d", refused.Text, refused.Revision)
 		}
 		if err != nil {
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, toolTTL)
 	defer cancel()
-	history, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).History(ctx, name)
+	history, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).DocumentHistory(ctx, name)
 	if err == nil && len(history) == 0 {
 		err = fmt.Errorf("document %s: there is none", name)
 	}
@@ -156,7 +156,7 @@
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
 			defer cancel()
-			rows, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).Documents(ctx, strings.Join(args, ""))
+			rows, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).ListDocuments(ctx, strings.Join(args, ""))
 			if err != nil {
 				return err
 			}
--- a/cmd/dockhinge-coord/configuration_test.go
+++ b/cmd/dockhinge-coord/configuration_test.go
@@ -46,7 +46,7 @@
 // Watchers of an observer that is behind, and of one that doesn't answer, aren't counted as having the newest revision.
 func TestConfigStatus(t *testing.T) {
 	observers := map[string]observerStatus{
-		"o1": {Status: protocol.Status{Revision: 7, Watchers: 10, Acknowledged: 9, Lagging: []protocol.Lagging{{Watcher: "r1", Revision: 6, SinceMillis: 2500}}}},
+		"o1": {Status: protocol.Status{Revision: 7, Watchers: 10, Acknowledged: 9, Lagging: []protocol.LaggingWatcher{{Watcher: "r1", Revision: 6, SinceMillis: 2500}}}},
 		"o2": {Status: protocol.Status{Revision: 6, Watchers: 5, Acknowledged: 5, AgeMillis: -1}},
 		"o3": {Error: "refused"},
 	}
--- a/cmd/dockhinge-coord/lease.go
+++ b/cmd/dockhinge-coord/lease.go
@@ -35,14 +35,14 @@
 			if len(args) > 0 {
 				name = args[0]
 			}
-			rows, err := client.New(client.Options{Coordinators: all, TTL: 6 * time.Second}).Rows(cmd.Context(), name)
+			rows, err := client.New(client.Options{Coordinators: all, TTL: 6 * time.Second}).ListLeases(cmd.Context(), name)
 			if err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 4, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "lease\tholder\ttoken\tends in\tpurpose")
 			for _, r := range rows {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%.1fs\t%s\n", r.Lease, r.Holder, r.Token, r.Left.Seconds(), r.Purpose)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%.1fs\t%s\n", r.Lease, r.Holder, r.Token, r.Remaining.Seconds(), r.Purpose)
 			}
 			return w.Flush()
 		}}
@@ -76,7 +76,7 @@
 			}
 			var status error
 			err := t.operate(cmd.Context(), as, ttl, func(ctx context.Context, c *client.Client) error {
-				return c.Hold(ctx, args[0], purpose, ttl, margin, func(inner context.Context, l *client.Lease) error {
+				return c.RunWithLease(ctx, args[0], purpose, ttl, margin, func(inner context.Context, l *client.Lease) error {
 					status = runUnder(inner, l, args[1:], margin)
 					return nil
 				})
@@ -111,7 +111,7 @@
 	case <-ctx.Done():
 	}
 	_ = syscall.Kill(group, syscall.SIGTERM) // it may have ended
-	t := time.NewTimer(min(margin*2/3, max(0, l.Left()-margin/3)))
+	t := time.NewTimer(min(margin*2/3, max(0, l.Remaining()-margin/3)))
 	defer t.Stop()
 	select {
 	case err := <-done:
--- a/cmd/dockhinge-coord/main.go
+++ b/cmd/dockhinge-coord/main.go
@@ -73,7 +73,7 @@
 			}
 			log := logging.New(os.Stderr, logging.Options{Level: f.LogLevel, JSON: f.LogJSON, Every: 10 * time.Second, Burst: 20})
 			slog.SetDefault(log)
-			if err := node.MakeDir(f.Dir); err != nil {
+			if err := node.MakeDirectory(f.Dir); err != nil {
 				return err
 			}
 			ln, err := net.Listen("tcp", f.API)
@@ -97,7 +97,7 @@
 			var wg sync.WaitGroup
 			if figures != nil {
 				wg.Go(func() {
-					if err := node.Serve(ctx, figures, n.Figures()); err != nil {
+					if err := node.Serve(ctx, figures, n.MetricsHandler()); err != nil {
 						log.Error("figures can't be told", "error", err)
 					}
 				})
@@ -110,8 +110,8 @@
 }
 
 func options(f config.File, log *slog.Logger) node.Options {
-	return node.Options{Name: f.Name, Dir: f.Dir, Listen: f.Listen, API: f.API, Peers: f.Peers, Rate: f.ClockRate,
-		SnapshotEvery: f.SnapshotEvery, Beat: f.BeatTime(), Log: log, Fatal: func(err error) {
+	return node.Options{Name: f.Name, Directory: f.Dir, ListenAddress: f.Listen, ClientAddress: f.API, PeerAddresses: f.Peers, ClockRateBound: f.ClockRate,
+		SnapshotEntries: f.SnapshotEvery, HeartbeatTimeout: f.BeatTime(), Log: log, OnFatal: func(err error) {
 			fmt.Fprintln(os.Stderr, "dockhinge-coord: it can't go on:", err)
 			os.Exit(4)
 		}}
@@ -219,8 +219,8 @@
 				}
 				s := got[name]
 				led = led || s.State == "Leader"
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f / %.1f\t%.1f / %.1f\n", name, s.State, s.Leader, s.Term, s.Last, s.Applied,
-					s.Lag, s.Sessions, s.Leases, s.Refused, s.FsyncP50MS, s.FsyncP99MS, s.CommitP50MS, s.CommitP99MS)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f / %.1f\t%.1f / %.1f\n", name, s.State, s.Leader, s.Term, s.LastLogIndex, s.AppliedIndex,
+					s.Lag, s.Sessions, s.Leases, s.Rejected, s.FsyncP50Millis, s.FsyncP99Millis, s.CommitP50Millis, s.CommitP99Millis)
 			}
 			w.Flush()
 			if !led {
@@ -269,7 +269,7 @@
 		if s.State != "Waiting" {
 			return fmt.Errorf("%s: belongs to a group already", name)
 		}
-		group = append(group, node.Member{Name: name, Identity: s.Identity, Address: s.Listen})
+		group = append(group, node.Member{Name: name, Identity: s.Identity, Address: s.ListenAddress})
 	}
 	slices.SortFunc(group, func(a, b node.Member) int { return strings.Compare(a.Name, b.Name) })
 	// One begins; it is chosen as the leader and the others get the group from it.
@@ -308,8 +308,8 @@
 	}
 	got, fails := statuses(ctx, all)
 	for name, s := range got {
-		if to == 0 || s.Understands < to {
-			to = s.Understands
+		if to == 0 || s.SupportedVersion < to {
+			to = s.SupportedVersion
 		}
 		for _, m := range s.Members {
 			if all[m.Name] == "" {
@@ -321,11 +321,11 @@
 		return 0, fmt.Errorf("%s: %w (each must answer: one that runs an older program could not go on)", name, err)
 	}
 	return to, t.leading(ctx, func(leader string) error {
-		var a coord.Answer
-		if err := client.Call(ctx, http.MethodPost, leader, "/v1/upgrade", coord.Command{Version: to}, &a); err != nil {
+		var a coord.Response
+		if err := client.Call(ctx, http.MethodPost, leader, "/v1/upgrade", coord.Command{TargetVersion: to}, &a); err != nil {
 			return err
 		}
-		if a.Code != coord.OK {
+		if a.Code != coord.CodeOK {
 			return errors.New(a.Text)
 		}
 		return nil
@@ -344,7 +344,7 @@
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 4, 4, 2, ' ', 0)
 				fmt.Fprintln(w, "name\tidentity\taddress\tvotes\tleads\tanswers")
 				for _, m := range all {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%t\n", m.Name, m.Identity, m.Address, m.Voter, m.Leader, m.Answers)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%t\n", m.Name, m.Identity, m.Address, m.IsVoter, m.IsLeader, m.IsReachable)
 				}
 				return w.Flush()
 			})
@@ -364,7 +364,7 @@
 					return fmt.Errorf("%s: the coordinator there is %s and %s; one that belongs to no group is wanted", name, s.Name, s.State)
 				}
 				err = t.leading(cmd.Context(), func(leader string) error {
-					return client.Call(cmd.Context(), http.MethodPost, leader, "/v1/members", node.Member{Name: name, Identity: s.Identity, Address: s.Listen, Newest: s.Understands}, nil)
+					return client.Call(cmd.Context(), http.MethodPost, leader, "/v1/members", node.Member{Name: name, Identity: s.Identity, Address: s.ListenAddress, SupportedVersion: s.SupportedVersion}, nil)
 				})
 			}
 			return err
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, toolTTL)
 	defer cancel()
-	return client.New(client.Options{Coordinators: all, TTL: toolTTL}).Rollout(ctx, 0)
+	return client.New(client.Options{Coordinators: all, TTL: toolTTL}).RolloutReport(ctx, 0)
 }
 
 func releasePlan() *cobra.Command {
@@ -160,7 +160,7 @@
 			}
 			return t.operate(cmd.Context(), controllerName, toolTTL, func(ctx context.Context, c *client.Client) error {
 				if start {
-					if _, err := c.Roll(ctx, rollout.Command{Op: rollout.Start, Plan: &p}); err != nil {
+					if _, err := c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Start, Plan: &p}); err != nil {
 						return err
 					}
 					step("started")
@@ -168,7 +168,7 @@
 				d := driver{t: t, c: c, f: f, say: cmd.ErrOrStderr()}
 				for {
 					over := false
-					err := c.Hold(ctx, controllerLease, "drives release "+p.Name, controllerTTL, controllerMargin, func(inner context.Context, _ *client.Lease) (err error) {
+					err := c.RunWithLease(ctx, controllerLease, "drives release "+p.Name, controllerTTL, controllerMargin, func(inner context.Context, _ *client.Lease) (err error) {
 						over, err = d.drive(inner)
 						return err
 					})
@@ -202,7 +202,7 @@
 	var after uint64
 	var told string
 	for ctx.Err() == nil {
-		r, err := d.c.Rollout(ctx, after)
+		r, err := d.c.RolloutReport(ctx, after)
 		if err != nil {
 			if !clock.Sleep(ctx, 200*time.Millisecond) {
 				return false, ctx.Err()
@@ -229,19 +229,19 @@
 		}
 		if e, old, fresh := rollout.Evidence(x.Bins); r.Halted == nil && x.Goal == x.To && rollout.Worse(x.Bins, d.f.Alpha) {
 			why := fmt.Sprintf("%s fails or refuses %.2f%% of requests, and %s %.2f%% at the same time (evidence %.3g)", x.To, 100*fresh, x.From, 100*old, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
 				continue
 			}
 		}
 		if e, times := rollout.Slowness(x.Bins); r.Halted == nil && x.Goal == x.To && rollout.Slower(x.Bins, d.f.Alpha) {
 			why := fmt.Sprintf("%s takes %.2f times as long as %s at the same time (evidence %.3g)", x.To, times, x.From, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
 				continue
 			}
 		}
 		if served, low := rollout.Low(x.Bins, d.f.Floor); r.Halted == nil && x.Goal == x.To && low {
 			why := fmt.Sprintf("the fleet serves %.1f%% of requests, and %.1f%% must hold", 100*served, 100*d.f.Floor)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Halt, Why: why}); err != nil {
 				continue
 			}
 		}
@@ -291,7 +291,7 @@
 	}
 	step("step-begun")
 	there := func() (bool, error) {
-		r, err := d.c.Rollout(ctx, 0)
+		r, err := d.c.RolloutReport(ctx, 0)
 		return err == nil && slices.Contains(r.At, name), err
 	}
 	if at, err := there(); err != nil || !at { // else whoever drove before has done it
@@ -300,7 +300,7 @@
 				break
 			}
 			if try >= d.f.Tries {
-				_, e := d.c.Roll(ctx, rollout.Command{Op: rollout.Failed, Name: name, Why: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
+				_, e := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Failed, Name: name, Why: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
 				return errors.Join(err, e)
 			}
 			if !clock.Sleep(ctx, time.Second) {
@@ -319,7 +319,7 @@
 		}
 	}
 	step("step-seen")
-	_, err = d.c.Roll(ctx, rollout.Command{Op: rollout.Back, Kind: rollout.Router, Name: name, Token: token})
+	_, err = d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Back, Kind: rollout.Router, Name: name, Token: token})
 	step("step-back")
 	return err
 }
--- a/cmd/dockhinge-coord/rollout.go
+++ b/cmd/dockhinge-coord/rollout.go
@@ -38,7 +38,7 @@
 		host, _ := os.Hostname()
 		as = fmt.Sprintf("%s/%d", host, os.Getpid())
 	}
-	c := client.New(client.Options{Coordinators: all, Client: as, TTL: ttl})
+	c := client.New(client.Options{Coordinators: all, ClientName: as, TTL: ttl})
 	ctx, end := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithTimeout(ctx, toolTTL)
 	defer cancel()
 	return t.operate(ctx, "", toolTTL, func(ctx context.Context, x *client.Client) error {
-		_, err := x.Roll(ctx, c)
+		_, err := x.ExecuteRollout(ctx, c)
 		return err
 	})
 }
@@ -100,10 +100,10 @@
 				return err
 			}
 			return t.operate(cmd.Context(), "", toolTTL, func(ctx context.Context, c *client.Client) error {
-				if _, err := c.Roll(ctx, set); err != nil {
+				if _, err := c.ExecuteRollout(ctx, set); err != nil {
 					return err
 				}
-				r, err := c.Rollout(ctx, 0)
+				r, err := c.RolloutReport(ctx, 0)
 				for _, b := range r.Budgets {
 					if b.Allowed == 0 {
 						fmt.Fprintf(cmd.ErrOrStderr(), "warning: budget %s%s lets nothing out: its share of %d is none\n", b.Budget, inZone(b.Zone), b.Things)
@@ -135,7 +135,7 @@
 			}
 			ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
 			defer cancel()
-			r, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).Rollout(ctx, 0)
+			r, err := client.New(client.Options{Coordinators: all, TTL: toolTTL}).RolloutReport(ctx, 0)
 			if err != nil {
 				return err
 			}
@@ -212,45 +212,45 @@
 		if err != nil && began == "" {
 			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 			defer cancel()
-			_, _ = c.Roll(over, rollout.Command{Op: rollout.Cancel, Kind: k, Name: name}) // else it ends with the session
+			_, _ = c.ExecuteRollout(over, rollout.Command{Op: rollout.Cancel, Kind: k, Name: name}) // else it ends with the session
 		}
 	}()
 	for {
 		cmd.Op = rollout.Ask
-		session := c.Session()
+		session := c.SessionID()
 		if began != "" && session != began {
 			return token, errLost
 		}
 		if began == "" && w.within > 0 && clock.Now()-waited > w.within {
 			return 0, fmt.Errorf("no permit within %v: %s", w.within, last)
 		}
-		a, err := c.Roll(ctx, cmd)
+		a, err := c.ExecuteRollout(ctx, cmd)
 		if err == nil && a.Stage == rollout.Granted {
 			cmd.Op, cmd.Token = rollout.Begin, a.Token
 			step("granted")
-			a, err = c.Roll(ctx, cmd)
+			a, err = c.ExecuteRollout(ctx, cmd)
 			step("begun")
 		}
 		if err == nil && a.Stage == rollout.Begun && began == "" { // also where it was begun under this name, by one that died
-			began, token = c.Session(), a.Token
+			began, token = c.SessionID(), a.Token
 		}
-		var refused *client.RefusedError
+		var refused *client.RejectedError
 		switch {
-		case errors.As(err, &refused) && refused.Code == coord.NotHeld: // taken back between the two
+		case errors.As(err, &refused) && refused.Code == coord.CodeNotHeld: // taken back between the two
 		case errors.As(err, &refused):
 			return token, err
 		case err != nil && ctx.Err() != nil:
 			return token, errors.Join(ctx.Err(), errors.New(last))
 		case err != nil:
 			a.Text = "the coordinators don't answer: " + err.Error()
-		case a.Stage == rollout.Begun && (a.Drained || k == rollout.Router):
+		case a.Stage == rollout.Begun && (a.IsDrained || k == rollout.Router):
 			return token, nil
 		}
 		if a.Text != last && a.Text != "" {
 			fmt.Fprintf(say, "%s/%s: %s\n", k, name, a.Text)
 			last = a.Text
 		}
-		r, err := c.Rollout(ctx, after)
+		r, err := c.RolloutReport(ctx, after)
 		if err != nil && !clock.Sleep(ctx, 200*time.Millisecond) {
 			return token, ctx.Err()
 		}
@@ -283,15 +283,15 @@
 					return err
 				}
 				step("drained")
-				session := c.Session()
+				session := c.SessionID()
 				if err := runCommand(ctx, os.Stdout, args[1:], "DOCKHINGE_PERMIT="+args[0], "DOCKHINGE_TOKEN="+strconv.FormatUint(token, 10)); err != nil {
 					return fmt.Errorf("%s counts as out until it is seen started anew, or until 'permit clear %s': %w", args[0], args[0], err)
 				}
 				step("ran")
-				if c.Session() != session {
+				if c.SessionID() != session {
 					return errLost
 				}
-				_, err = c.Roll(ctx, rollout.Command{Op: rollout.Back, Kind: k, Name: name, Token: token})
+				_, err = c.ExecuteRollout(ctx, rollout.Command{Op: rollout.Back, Kind: k, Name: name, Token: token})
 				step("given-back")
 				return err
 			})
--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -29,12 +29,12 @@
 
 // Options are those of a client.
 type Options struct {
-	Coordinators map[string]string    // addresses for clients, by name
-	Client       string               // its name, by which leases are handed over
-	TTL          time.Duration        // of the session
-	TryMS        int                  // one coordinator is given so long to answer; 0: a sixth of TTL, 1 s at most
-	Clock        func() time.Duration // nil: clock.Now
-	Log          *slog.Logger
+	Coordinators         map[string]string    // addresses for clients, by name
+	ClientName           string               // its name, by which leases are handed over
+	TTL                  time.Duration        // of the session
+	RequestTimeoutMillis int                  // one coordinator is given so long to answer; 0: a sixth of TTL, 1 s at most
+	Clock                func() time.Duration // nil: clock.Now
+	Log                  *slog.Logger
 
 	// Dial opens a connection; nil: a net.Dialer with a second's timeout. Tools that count bytes wrap it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -42,42 +42,42 @@
 
 // Bounds of a client.
 const (
-	maxUnderWay = coord.MaxRemembered / 2 // commands of a session under way at once
-	maxAnswer   = 8 << 20                 // bytes
-	leastPause  = 20 * time.Millisecond   // before a further try, doubled each time
-	mostPause   = time.Second
-	watchFor    = 10 * time.Second
-	lookAgain   = 100 * time.Millisecond // whether a lease under which something runs is still there
+	maxCommandsInFlight = coord.MaxCachedResponses / 2 // commands of a session under way at once
+	maxResponseBytes    = 8 << 20                      // bytes
+	minRetryPause       = 20 * time.Millisecond        // before a further try, doubled each time
+	maxRetryPause       = time.Second
+	watchDuration       = 10 * time.Second
+	leaseCheckInterval  = 100 * time.Millisecond // whether a lease under which something runs is still there
 )
 
 // Errors of a client.
 var (
 	ErrNoSession = errors.New("no session with the coordinators")
-	ErrLost      = errors.New("the lease's time is out")
+	ErrLeaseLost = errors.New("the lease's time is out")
 )
 
-// RefusedError is what the coordinators answered where it is no OK. With the code NoSession it isn't known whether the command was
+// RejectedError is what the coordinators answered where it is no OK. With the code NoSession it isn't known whether the command was
 // carried out: an earlier sending of it may have been, and what a session was answered is forgotten when it ends.
-type RefusedError struct{ coord.Answer }
+type RejectedError struct{ coord.Response }
 
 // Client is a session with what it holds.
 type Client struct {
-	o    Options
-	http *http.Client
-	room chan struct{}
-	wg   sync.WaitGroup
-
-	mu      sync.Mutex // guards what follows
-	book    Book
-	session string        // its id; also while it is not known whether it is there
-	opened  chan struct{} // closed once a session is there; a new one after each loss
-	life    context.Context
-	seq     uint64
-	under   map[uint64]bool // commands whose answer has not come
-	settled chan struct{}   // closed, and replaced, once one of them is settled or the session is another
-	leader  string
-	refusal error // why there is no session, by the coordinators
-	bytes   int64 // of all that was sent and answered
+	options      Options
+	http         *http.Client
+	commandSlots chan struct{}
+	wg           sync.WaitGroup
+
+	mu               sync.Mutex // guards what follows
+	leases           LeaseTable
+	sessionID        string        // its id; also while it is not known whether it is there
+	sessionReady     chan struct{} // closed once a session is there; a new one after each loss
+	sessionContext   context.Context
+	lastSequence     uint64
+	pending          map[uint64]bool // commands whose answer has not come
+	windowMoved      chan struct{}   // closed, and replaced, once one of them is settled or the session is another
+	leader           string
+	sessionError     error // why there is no session, by the coordinators
+	transferredBytes int64 // of all that was sent and answered
 }
 
 // New prepares a client; Run makes it live.
@@ -85,8 +85,8 @@
 	if o.Clock == nil {
 		o.Clock = clock.Now
 	}
-	if o.TryMS == 0 {
-		o.TryMS = int(min(o.TTL/6, time.Second).Milliseconds())
+	if o.RequestTimeoutMillis == 0 {
+		o.RequestTimeoutMillis = int(min(o.TTL/6, time.Second).Milliseconds())
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -94,8 +94,8 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: time.Second}).DialContext
 	}
-	return &Client{o: o, room: make(chan struct{}, maxUnderWay), opened: make(chan struct{}), under: map[uint64]bool{}, settled: make(chan struct{}),
-		http: &http.Client{Transport: &http.Transport{DialContext: o.Dial, MaxConnsPerHost: 2 * maxUnderWay,
+	return &Client{options: o, commandSlots: make(chan struct{}, maxCommandsInFlight), sessionReady: make(chan struct{}), pending: map[uint64]bool{}, windowMoved: make(chan struct{}),
+		http: &http.Client{Transport: &http.Transport{DialContext: o.Dial, MaxConnsPerHost: 2 * maxCommandsInFlight,
 			MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
@@ -105,90 +105,90 @@
 	defer c.wg.Wait()
 	for ctx.Err() == nil {
 		life, end := context.WithCancel(ctx)
-		if c.open(life) {
-			c.keep(life)
+		if c.openSession(life) {
+			c.keepSessionAlive(life)
 		}
 		c.mu.Lock()
-		c.book.Lost()
-		c.opened = make(chan struct{})
+		c.leases.SessionLost()
+		c.sessionReady = make(chan struct{})
 		c.mu.Unlock()
 		end()
 	}
 }
 
-// open asks for a session with a new id until there is one.
-func (c *Client) open(ctx context.Context) bool {
+// openSession asks for a session with a new id until there is one.
+func (c *Client) openSession(ctx context.Context) bool {
 	raw := make([]byte, 16)
 	_, _ = crand.Read(raw) // never fails
 	id := hex.EncodeToString(raw)
 	c.mu.Lock()
-	c.session, c.seq, c.under, c.life = id, 0, map[uint64]bool{}, ctx
+	c.sessionID, c.lastSequence, c.pending, c.sessionContext = id, 0, map[uint64]bool{}, ctx
 	c.wakeWindow()
 	c.mu.Unlock()
-	within := c.patience()
-	for pause := leastPause; ctx.Err() == nil; pause = min(2*pause, mostPause) {
+	within := c.newRequestTimeout()
+	for pause := minRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		// Each try counts from its own sending: the coordinators count the newest that they carried out.
-		sent := c.o.Clock()
-		a, err := c.onceWithin(ctx, within.now, coord.Command{Op: coord.Open, Session: id, Client: c.o.Client, TTL: c.o.TTL})
-		within.after(err)
+		sent := c.options.Clock()
+		a, err := c.sendWithin(ctx, within.current, coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: c.options.ClientName, TTL: c.options.TTL})
+		within.observe(err)
 		switch {
-		case err == nil && a.Code == coord.OK:
+		case err == nil && a.Code == coord.CodeOK:
 			c.mu.Lock()
-			c.book.Opened(c.o.TTL, sent, c.o.Clock())
-			ok := c.book.Open(c.o.Clock())
+			c.leases.SessionOpened(c.options.TTL, sent, c.options.Clock())
+			ok := c.leases.HasSession(c.options.Clock())
 			if ok {
-				c.refusal = nil
-				close(c.opened)
+				c.sessionError = nil
+				close(c.sessionReady)
 			}
 			c.mu.Unlock()
 			if ok {
 				return true
 			}
 		case err == nil:
-			c.o.Log.Warn("no session", "answer", a.Error())
-			pause = mostPause
-			err = &RefusedError{a}
+			c.options.Log.Warn("no session", "answer", a.Error())
+			pause = maxRetryPause
+			err = &RejectedError{a}
 		}
 		c.mu.Lock()
-		c.refusal = err
+		c.sessionError = err
 		c.mu.Unlock()
-		if !clock.Sleep(ctx, Pause(err, jitter(pause))) {
+		if !clock.Sleep(ctx, RetryDelay(err, jitter(pause))) {
 			return false
 		}
 	}
 	return false
 }
 
-// keep keeps the session until it is lost or ctx ends; then it is closed.
-func (c *Client) keep(ctx context.Context) {
-	pause, every := time.Duration(0), c.o.TTL/3
+// keepSessionAlive keeps the session until it is lost or ctx ends; then it is closed.
+func (c *Client) keepSessionAlive(ctx context.Context) {
+	pause, every := time.Duration(0), c.options.TTL/3
 	next := jitter(every)
 	for {
 		if !clock.Sleep(ctx, next) {
-			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.try())
-			_, _ = c.once(over, coord.Command{Op: coord.Close, Session: c.session}) // else it ends by its time
+			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.baseRequestTimeout())
+			_, _ = c.send(over, coord.Command{Op: coord.OpCloseSession, SessionID: c.sessionID}) // else it ends by its time
 			cancel()
 			return
 		}
-		sent := c.o.Clock()
-		a, err := c.once(ctx, coord.Command{Op: coord.Keep, Session: c.session})
-		now := c.o.Clock()
+		sent := c.options.Clock()
+		a, err := c.send(ctx, coord.Command{Op: coord.OpKeepAlive, SessionID: c.sessionID})
+		now := c.options.Clock()
 		c.mu.Lock()
-		if err == nil && a.Code == coord.OK {
-			c.book.Kept(sent, now)
+		if err == nil && a.Code == coord.CodeOK {
+			c.leases.KeptAlive(sent, now)
 		}
-		open := c.book.Open(now)
+		open := c.leases.HasSession(now)
 		c.mu.Unlock()
-		if err == nil && a.Code == coord.NoSession || !open {
-			c.o.Log.Warn("session lost", "answer", a.Code, "error", err)
+		if err == nil && a.Code == coord.CodeNoSession || !open {
+			c.options.Log.Warn("session lost", "answer", a.Code, "error", err)
 			return
 		}
-		if err == nil && a.Code != coord.OK {
-			err = &RefusedError{a}
+		if err == nil && a.Code != coord.CodeOK {
+			err = &RejectedError{a}
 		}
 		if next, pause = jitter(every), 0; err != nil { // sooner again, but not all at once
-			pause = min(max(2*pause, leastPause), every)
-			next = min(Pause(err, jitter(pause)), every) // later would lose the session
+			pause = min(max(2*pause, minRetryPause), every)
+			next = min(RetryDelay(err, jitter(pause)), every) // later would lose the session
 		}
 	}
 }
@@ -198,14 +198,14 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)+1))
 }
 
-// once sends a command to the leader as far as it is known, following those who name another, until one has carried it out or
+// send sends a command to the leader as far as it is known, following those who name another, until one has carried it out or
 // all have been asked.
-func (c *Client) once(ctx context.Context, cmd coord.Command) (coord.Answer, error) {
-	return c.onceWithin(ctx, c.try(), cmd)
+func (c *Client) send(ctx context.Context, cmd coord.Command) (coord.Response, error) {
+	return c.sendWithin(ctx, c.baseRequestTimeout(), cmd)
 }
 
-// onceWithin does so with another time for each coordinator to answer.
-func (c *Client) onceWithin(ctx context.Context, within time.Duration, cmd coord.Command) (a coord.Answer, err error) {
+// sendWithin does so with another time for each coordinator to answer.
+func (c *Client) sendWithin(ctx context.Context, within time.Duration, cmd coord.Command) (a coord.Response, err error) {
 	text, err := json.Marshal(cmd)
 	if err != nil {
 		return a, err
@@ -220,21 +220,21 @@
 	next := c.leader
 	c.mu.Unlock()
 	var order []string
-	for name := range c.o.Coordinators {
+	for name := range c.options.Coordinators {
 		order = append(order, name)
 	}
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	var errs []error
 	failed := map[string]bool{} // these gave no answer, or have reached a bound: they aren't asked again, whoever names them as the leader
-	for tries := 0; tries < 2*len(c.o.Coordinators) && ctx.Err() == nil; tries++ {
-		if c.o.Coordinators[next] == "" {
+	for tries := 0; tries < 2*len(c.options.Coordinators) && ctx.Err() == nil; tries++ {
+		if c.options.Coordinators[next] == "" {
 			if len(order) == 0 {
 				break
 			}
 			next = order[0]
 		}
 		order = slices.DeleteFunc(order, func(s string) bool { return s == next })
-		hint, err := c.ask(ctx, within, next, method, path, body, into)
+		hint, err := c.requestOne(ctx, within, next, method, path, body, into)
 		if err == nil {
 			c.mu.Lock()
 			c.leader = next
@@ -242,7 +242,7 @@
 			return nil
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", next, err))
-		var elsewhere *elsewhereError
+		var elsewhere *redirectError
 		failed[next] = !errors.As(err, &elsewhere)
 		if hint != "" && failed[hint] {
 			break // a command that is sent again while it waits there only adds to what has to wait
@@ -258,19 +258,19 @@
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// elsewhereError is what a coordinator says that doesn't lead.
-type elsewhereError struct{ text string }
+// redirectError is what a coordinator says that doesn't lead.
+type redirectError struct{ text string }
 
-func (e *elsewhereError) Error() string { return e.text }
+func (e *redirectError) Error() string { return e.text }
 
-// ask asks one coordinator. It returns the leader's name where that one knows another.
-func (c *Client) ask(ctx context.Context, within time.Duration, name, method, path string, body []byte, into any) (leader string, err error) {
+// requestOne asks one coordinator. It returns the leader's name where that one knows another.
+func (c *Client) requestOne(ctx context.Context, within time.Duration, name, method, path string, body []byte, into any) (leader string, err error) {
 	if method == http.MethodGet {
-		within += watchFor
+		within += watchDuration
 	}
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.o.Coordinators[name]+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.options.Coordinators[name]+path, bytes.NewReader(body))
 	if err != nil {
 		return "", err
 	}
@@ -279,12 +279,12 @@
 		return "", err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return "", err
 	}
 	c.mu.Lock()
-	c.bytes += int64(len(body) + len(text))
+	c.transferredBytes += int64(len(body) + len(text))
 	c.mu.Unlock()
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -292,71 +292,71 @@
 	case http.StatusMisdirectedRequest:
 		var x struct{ Leader, Text string }
 		_ = json.Unmarshal(text, &x) // a body that can't be read names nobody
-		return x.Leader, &elsewhereError{x.Text}
+		return x.Leader, &redirectError{x.Text}
 	case http.StatusServiceUnavailable:
 		return "", retryLater(resp.Header, text)
 	}
 	return "", fmt.Errorf("%s: %s", resp.Status, bytes.TrimSpace(text))
 }
 
-// Bytes is how much was sent and answered so far, bodies only.
-func (c *Client) Bytes() int64 {
+// TransferredBytes is how much was sent and answered so far, bodies only.
+func (c *Client) TransferredBytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bytes
+	return c.transferredBytes
 }
 
 // outcome is what became of a command.
 type outcome struct {
-	a     coord.Answer
-	first time.Duration // when it was sent first
-	in    string        // the session in which it was sent
-	err   error
+	response    coord.Response
+	firstSentAt time.Duration // when it was sent first
+	sessionID   string        // the session in which it was sent
+	err         error
 }
 
-// do has a numbered command carried out once, however often it must be sent, and waits for its answer until ctx ends. Where
+// execute has a numbered command carried out once, however often it must be sent, and waits for its answer until ctx ends. Where
 // the caller doesn't wait any more, the command is settled all the same, and late gets what became of it.
 // A command with a session is carried out in that one or not at all (ErrLost).
-func (c *Client) do(ctx context.Context, cmd coord.Command, late func(outcome)) outcome {
+func (c *Client) execute(ctx context.Context, cmd coord.Command, late func(outcome)) outcome {
 	c.mu.Lock()
-	opened := c.opened
+	opened := c.sessionReady
 	c.mu.Unlock()
 	select {
 	case <-opened:
 	case <-ctx.Done():
-		return outcome{err: c.noSession()}
+		return outcome{err: c.noSessionError()}
 	}
 	select {
-	case c.room <- struct{}{}:
+	case c.commandSlots <- struct{}{}:
 	case <-ctx.Done():
 		return outcome{err: ctx.Err()}
 	}
 	if err := c.lockWindow(ctx); err != nil {
-		<-c.room
+		<-c.commandSlots
 		return outcome{err: err}
 	}
-	if !c.book.Open(c.o.Clock()) {
+	if !c.leases.HasSession(c.options.Clock()) {
 		c.mu.Unlock()
-		<-c.room
+		<-c.commandSlots
 		return outcome{err: ErrNoSession}
 	}
-	if cmd.Session != "" && cmd.Session != c.session {
+	if cmd.SessionID != "" && cmd.SessionID != c.sessionID {
 		c.mu.Unlock()
-		<-c.room
-		return outcome{err: ErrLost}
+		<-c.commandSlots
+		return outcome{err: ErrLeaseLost}
 	}
-	c.seq++
-	cmd.Seq, cmd.Session = c.seq, c.session
-	c.under[cmd.Seq] = true
-	life, session := c.life, c.session
+	c.lastSequence++
+	cmd.Sequence, cmd.SessionID = c.lastSequence, c.sessionID
+	c.pending[cmd.Sequence] = true
+	life, session := c.sessionContext, c.sessionID
 	got := make(chan outcome)
 	gone := make(chan struct{})
 	c.wg.Add(1)
 	c.mu.Unlock()
 	go func() {
 		defer c.wg.Done()
-		o := c.settle(life, session, cmd)
-		<-c.room
+		o := c.repeatUntilAnswered(life, session, cmd)
+		<-c.commandSlots
 		select {
 		case got <- o:
 		case <-gone:
@@ -379,14 +379,14 @@
 func (c *Client) lockWindow(ctx context.Context) error {
 	for {
 		c.mu.Lock()
-		oldest := c.seq + 1
-		for seq := range c.under {
+		oldest := c.lastSequence + 1
+		for seq := range c.pending {
 			oldest = min(oldest, seq)
 		}
-		if c.seq+1 < oldest+coord.MaxRemembered {
+		if c.lastSequence+1 < oldest+coord.MaxCachedResponses {
 			return nil
 		}
-		settled := c.settled
+		settled := c.windowMoved
 		c.mu.Unlock()
 		select {
 		case <-settled:
@@ -398,89 +398,89 @@
 
 // wakeWindow has those look again who wait for room in the window. The caller holds mu.
 func (c *Client) wakeWindow() {
-	close(c.settled)
-	c.settled = make(chan struct{})
+	close(c.windowMoved)
+	c.windowMoved = make(chan struct{})
 }
 
-// noSession is ErrNoSession, with what the coordinators said where they refused one.
-func (c *Client) noSession() error {
+// noSessionError is ErrNoSession, with what the coordinators said where they refused one.
+func (c *Client) noSessionError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refusal == nil {
+	if c.sessionError == nil {
 		return ErrNoSession
 	}
-	return fmt.Errorf("%w: %w", ErrNoSession, c.refusal)
+	return fmt.Errorf("%w: %w", ErrNoSession, c.sessionError)
 }
 
-// settle repeats a command until it is answered or the session is over.
-func (c *Client) settle(life context.Context, session string, cmd coord.Command) outcome {
-	o := outcome{first: c.o.Clock(), in: session}
-	within := c.patience()
-	for pause := leastPause; ; pause = min(2*pause, mostPause) {
+// repeatUntilAnswered repeats a command until it is answered or the session is over.
+func (c *Client) repeatUntilAnswered(life context.Context, session string, cmd coord.Command) outcome {
+	o := outcome{firstSentAt: c.options.Clock(), sessionID: session}
+	within := c.newRequestTimeout()
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		c.mu.Lock()
-		cmd.Acked = c.seq
-		for q := range c.under {
-			cmd.Acked = min(cmd.Acked, q-1)
+		cmd.AcknowledgedThrough = c.lastSequence
+		for q := range c.pending {
+			cmd.AcknowledgedThrough = min(cmd.AcknowledgedThrough, q-1)
 		}
 		c.mu.Unlock()
-		o.a, o.err = c.onceWithin(life, within.now, cmd)
-		within.after(o.err)
+		o.response, o.err = c.sendWithin(life, within.current, cmd)
+		within.observe(o.err)
 		if o.err == nil {
 			break
 		}
-		if !clock.Sleep(life, Pause(o.err, jitter(pause))) {
+		if !clock.Sleep(life, RetryDelay(o.err, jitter(pause))) {
 			o.err = ErrNoSession
 			return o
 		}
 	}
 	c.mu.Lock()
-	if c.session == session {
-		delete(c.under, cmd.Seq)
+	if c.sessionID == session {
+		delete(c.pending, cmd.Sequence)
 	}
 	c.wakeWindow()
 	c.mu.Unlock()
-	if o.a.Code != coord.OK {
-		o.err = &RefusedError{o.a}
+	if o.response.Code != coord.CodeOK {
+		o.err = &RejectedError{o.response}
 	}
 	return o
 }
 
 // Lease is one that was acquired.
 type Lease struct {
-	c       *Client
-	session string // in which it was acquired: in another one it isn't held
-	Name    string
-	Token   uint64
+	client    *Client
+	sessionID string // in which it was acquired: in another one it isn't held
+	Name      string
+	Token     uint64
 }
 
 // Acquire asks for a lease once. A RefusedError with the code Held tells who holds it.
 func (c *Client) Acquire(ctx context.Context, name, purpose string, ttl time.Duration) (*Lease, error) {
-	o := c.do(ctx, coord.Command{Op: coord.Acquire, Lease: name, Purpose: purpose, TTL: ttl}, func(o outcome) {
+	o := c.execute(ctx, coord.Command{Op: coord.OpAcquire, Lease: name, Purpose: purpose, TTL: ttl}, func(o outcome) {
 		if o.err == nil { // nobody waits for it any more
 			c.mu.Lock()
-			life := c.life
+			life := c.sessionContext
 			c.mu.Unlock()
-			c.do(life, coord.Command{Op: coord.Release, Session: o.in, Lease: name, Token: o.a.Token}, nil)
+			c.execute(life, coord.Command{Op: coord.OpRelease, SessionID: o.sessionID, Lease: name, Token: o.response.Token}, nil)
 		}
 	})
 	if o.err != nil {
 		return nil, o.err
 	}
 	c.mu.Lock()
-	ok := c.session == o.in && c.book.Granted(name, o.a.Token, ttl, o.first, c.o.Clock())
+	ok := c.sessionID == o.sessionID && c.leases.Granted(name, o.response.Token, ttl, o.firstSentAt, c.options.Clock())
 	c.mu.Unlock()
 	if !ok {
-		return nil, ErrLost
+		return nil, ErrLeaseLost
 	}
-	return &Lease{c, o.in, name, o.a.Token}, nil
+	return &Lease{c, o.sessionID, name, o.response.Token}, nil
 }
 
-// Left is how much of the lease's time is left now: 0 where it must not be acted on. It is the check before an act; the act
+// Remaining is how much of the lease's time is left now: 0 where it must not be acted on. It is the check before an act; the act
 // itself must go through what checks the token, or be harmless twice.
-func (l *Lease) Left() time.Duration {
-	l.c.mu.Lock()
-	defer l.c.mu.Unlock()
-	token, left, ok := l.c.book.Held(l.Name, l.c.o.Clock())
+func (l *Lease) Remaining() time.Duration {
+	l.client.mu.Lock()
+	defer l.client.mu.Unlock()
+	token, left, ok := l.client.leases.Held(l.Name, l.client.options.Clock())
 	if !ok || token != l.Token {
 		return 0
 	}
@@ -494,12 +494,12 @@
 	go func() { // ended by the function that is returned, which waits for it
 		defer close(done)
 		for {
-			left := l.Left() - margin
+			left := l.Remaining() - margin
 			if left <= 0 {
-				cancel(ErrLost)
+				cancel(ErrLeaseLost)
 				return
 			}
-			if !clock.Sleep(ctx, min(left, lookAgain)) { // it may be lost before its time
+			if !clock.Sleep(ctx, min(left, leaseCheckInterval)) { // it may be lost before its time
 				return
 			}
 		}
@@ -509,134 +509,134 @@
 
 // Release gives the lease back. Nothing may be acted on it from the call on.
 func (l *Lease) Release(ctx context.Context) error {
-	l.c.mu.Lock()
-	l.c.book.Drop(l.Name, l.Token)
-	l.c.mu.Unlock()
-	return l.c.do(ctx, coord.Command{Op: coord.Release, Session: l.session, Lease: l.Name, Token: l.Token}, nil).err
+	l.client.mu.Lock()
+	l.client.leases.Forget(l.Name, l.Token)
+	l.client.mu.Unlock()
+	return l.client.execute(ctx, coord.Command{Op: coord.OpRelease, SessionID: l.sessionID, Lease: l.Name, Token: l.Token}, nil).err
 }
 
-// HandOver gives the lease to the client of that name, and tells that one's token. Nothing may be acted on it from the call on;
+// Transfer gives the lease to the client of that name, and tells that one's token. Nothing may be acted on it from the call on;
 // where it is refused, the lease is this client's to acquire again, and Acquire gives it back at once.
-func (l *Lease) HandOver(ctx context.Context, to string) (token uint64, err error) {
-	l.c.mu.Lock()
-	l.c.book.Drop(l.Name, l.Token)
-	l.c.mu.Unlock()
-	o := l.c.do(ctx, coord.Command{Op: coord.HandOver, Session: l.session, Lease: l.Name, Token: l.Token, To: to}, nil)
-	return o.a.Token, o.err
+func (l *Lease) Transfer(ctx context.Context, to string) (token uint64, err error) {
+	l.client.mu.Lock()
+	l.client.leases.Forget(l.Name, l.Token)
+	l.client.mu.Unlock()
+	o := l.client.execute(ctx, coord.Command{Op: coord.OpTransfer, SessionID: l.sessionID, Lease: l.Name, Token: l.Token, Successor: to}, nil)
+	return o.response.Token, o.err
 }
 
-// Write sets the lease's record, if it is still held with its token when the write is carried out: an act that the agreed
+// WriteRecord sets the lease's record, if it is still held with its token when the write is carried out: an act that the agreed
 // state itself checks.
-func (l *Lease) Write(ctx context.Context, record []byte) error {
-	return l.c.do(ctx, coord.Command{Op: coord.Write, Session: l.session, Lease: l.Name, Token: l.Token, Record: record}, nil).err
+func (l *Lease) WriteRecord(ctx context.Context, record []byte) error {
+	return l.client.execute(ctx, coord.Command{Op: coord.OpWriteRecord, SessionID: l.sessionID, Lease: l.Name, Token: l.Token, Record: record}, nil).err
 }
 
-// Rows are the leases that are held, of one name or all (""), not older than the call.
-func (c *Client) Rows(ctx context.Context, name string) (rows []coord.Row, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, "/v1/leases?name="+url.QueryEscape(name), nil, &rows)
+// ListLeases are the leases that are held, of one name or all (""), not older than the call.
+func (c *Client) ListLeases(ctx context.Context, name string) (rows []coord.LeaseStatus, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, "/v1/leases?name="+url.QueryEscape(name), nil, &rows)
 	return rows, err
 }
 
-// Under are the leases whose names begin so, not older than the call.
-func (c *Client) Under(ctx context.Context, prefix string) (rows []coord.Row, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, "/v1/leases?prefix="+url.QueryEscape(prefix), nil, &rows)
+// ListLeasesWithPrefix are the leases whose names begin so, not older than the call.
+func (c *Client) ListLeasesWithPrefix(ctx context.Context, prefix string) (rows []coord.LeaseStatus, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, "/v1/leases?prefix="+url.QueryEscape(prefix), nil, &rows)
 	return rows, err
 }
 
-// Roll has a command about who may be out carried out. An error is a RefusedError where the coordinators refused it.
-func (c *Client) Roll(ctx context.Context, cmd rollout.Command) (coord.Answer, error) {
-	o := c.do(ctx, coord.Command{Op: coord.Roll, Roll: &cmd}, nil)
-	return o.a, o.err
+// ExecuteRollout has a command about who may be out carried out. An error is a RefusedError where the coordinators refused it.
+func (c *Client) ExecuteRollout(ctx context.Context, cmd rollout.Command) (coord.Response, error) {
+	o := c.execute(ctx, coord.Command{Op: coord.OpRollout, Rollout: &cmd}, nil)
+	return o.response, o.err
 }
 
-// Rollout tells who is out, once it is newer than the version after or some seconds have passed; at once for 0.
-func (c *Client) Rollout(ctx context.Context, after uint64) (r rollout.Report, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/rollout?after=%d", after), nil, &r)
+// RolloutReport tells who is out, once it is newer than the version after or some seconds have passed; at once for 0.
+func (c *Client) RolloutReport(ctx context.Context, after uint64) (r rollout.Report, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/rollout?after=%d", after), nil, &r)
 	return r, err
 }
 
 // Drains tells which servers are drained, once that is newer than the version after or some seconds have passed; at once for 0.
 func (c *Client) Drains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d", after), nil, &d)
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d", after), nil, &d)
 	return d, err
 }
 
-// NextDrains waits as Drains does, also for the first version after 0: while nothing was ever drained nobody asks again and again.
-func (c *Client) NextDrains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d&wait=true", after), nil, &d)
+// WatchDrains waits as Drains does, also for the first version after 0: while nothing was ever drained nobody asks again and again.
+func (c *Client) WatchDrains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d&wait=true", after), nil, &d)
 	return d, err
 }
 
-// Put has a document of the agreed configuration put, and tells its revision. An error is a RefusedError where the coordinators
+// PutDocument has a document of the agreed configuration put, and tells its revision. An error is a RefusedError where the coordinators
 // refused it; with the code Conflict it tells the document's revision.
-func (c *Client) Put(ctx context.Context, put coord.DocumentPut) (revision uint64, err error) {
-	o := c.do(ctx, coord.Command{Op: coord.Put, Document: &put}, nil)
-	return o.a.Revision, o.err
+func (c *Client) PutDocument(ctx context.Context, put coord.DocumentPut) (revision uint64, err error) {
+	o := c.execute(ctx, coord.Command{Op: coord.OpPutDocument, Document: &put}, nil)
+	return o.response.Revision, o.err
 }
 
-// History tells what the coordinators keep of a document's changes, the oldest first, not older than the call.
-func (c *Client) History(ctx context.Context, name string) (history []watchlog.Change, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, protocol.HistoryPath+"?name="+url.QueryEscape(name), nil, &history)
+// DocumentHistory tells what the coordinators keep of a document's changes, the oldest first, not older than the call.
+func (c *Client) DocumentHistory(ctx context.Context, name string) (history []watchlog.Change, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, protocol.HistoryPath+"?name="+url.QueryEscape(name), nil, &history)
 	return history, err
 }
 
-// Documents lists the documents whose names begin with prefix, not older than the call.
-func (c *Client) Documents(ctx context.Context, prefix string) (rows []protocol.DocumentRow, err error) {
-	err = c.call(ctx, c.try(), http.MethodGet, protocol.DocumentsPath+"?prefix="+url.QueryEscape(prefix), nil, &rows)
+// ListDocuments lists the documents whose names begin with prefix, not older than the call.
+func (c *Client) ListDocuments(ctx context.Context, prefix string) (rows []protocol.DocumentRow, err error) {
+	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, protocol.DocumentsPath+"?prefix="+url.QueryEscape(prefix), nil, &rows)
 	return rows, err
 }
 
-// Session is the id of the session that is there; "" where none is.
-func (c *Client) Session() string {
+// SessionID is the id of the session that is there; "" where none is.
+func (c *Client) SessionID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.book.Open(c.o.Clock()) {
+	if !c.leases.HasSession(c.options.Clock()) {
 		return ""
 	}
-	return c.session
+	return c.sessionID
 }
 
-// Watch waits until a lease is held with another token (0: is free), for some seconds at most.
-func (c *Client) Watch(ctx context.Context, name string, token uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, watchFor)
+// WatchLease waits until a lease is held with another token (0: is free), for some seconds at most.
+func (c *Client) WatchLease(ctx context.Context, name string, token uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, watchDuration)
 	defer cancel()
-	var a coord.Answer
-	return c.call(ctx, c.try(), http.MethodGet, fmt.Sprintf("/v1/watch?lease=%s&token=%d", url.QueryEscape(name), token), nil, &a)
+	var a coord.Response
+	return c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/watch?lease=%s&token=%d", url.QueryEscape(name), token), nil, &a)
 }
 
-// Hold waits until the lease is held, runs f under it, and gives it back; f's context ends margin before the lease's time is
+// RunWithLease waits until the lease is held, runs f under it, and gives it back; f's context ends margin before the lease's time is
 // out. It returns f's error, or why there is no lease once ctx has ended.
-func (c *Client) Hold(ctx context.Context, name, purpose string, ttl, margin time.Duration, f func(context.Context, *Lease) error) error {
-	for pause := leastPause; ; {
+func (c *Client) RunWithLease(ctx context.Context, name, purpose string, ttl, margin time.Duration, f func(context.Context, *Lease) error) error {
+	for pause := minRetryPause; ; {
 		l, err := c.Acquire(ctx, name, purpose, ttl)
 		if err == nil {
 			inner, end := l.Context(ctx, margin)
 			err := f(inner, l)
 			end()
-			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.try())
+			over, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.baseRequestTimeout())
 			defer cancel()
 			_ = l.Release(over) // else it ends by its time
 			return err
 		}
-		var held *RefusedError
+		var held *RejectedError
 		switch {
 		case ctx.Err() != nil:
 			return errors.Join(err, ctx.Err())
-		case errors.As(err, &held) && held.Code == coord.Held:
-			if c.Watch(ctx, name, held.Token) == nil {
-				pause = leastPause
+		case errors.As(err, &held) && held.Code == coord.CodeHeld:
+			if c.WatchLease(ctx, name, held.Token) == nil {
+				pause = minRetryPause
 				if !clock.Sleep(ctx, jitter(pause)) { // who waits for the same doesn't come all at once
 					return ctx.Err()
 				}
 				continue
 			}
-		case errors.As(err, &held) && held.Code == coord.Bad:
+		case errors.As(err, &held) && held.Code == coord.CodeInvalid:
 			return err
 		}
-		if !clock.Sleep(ctx, Pause(err, jitter(pause))) {
+		if !clock.Sleep(ctx, RetryDelay(err, jitter(pause))) {
 			return errors.Join(err, ctx.Err())
 		}
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
@@ -661,7 +661,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	got, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return err
--- a/internal/coord/client/patience_test.go
+++ b/internal/coord/client/request_timeout_test.go
@@ -15,20 +15,20 @@
 
 // Patience grows with answers that don't come in time alone, up to half of the session's time.
 func TestPatience(t *testing.T) {
-	p := New(Options{TTL: 10 * time.Second}).patience()
-	if p.now != time.Second {
-		t.Errorf("it begins with %v", p.now)
+	p := New(Options{TTL: 10 * time.Second}).newRequestTimeout()
+	if p.current != time.Second {
+		t.Errorf("it begins with %v", p.current)
 	}
-	p.after(nil)
-	p.after(errors.New("connection refused"))
-	if p.now != time.Second {
-		t.Errorf("%v after other errors", p.now)
+	p.observe(nil)
+	p.observe(errors.New("connection refused"))
+	if p.current != time.Second {
+		t.Errorf("%v after other errors", p.current)
 	}
 	for range 5 {
-		p.after(errors.Join(context.DeadlineExceeded))
+		p.observe(errors.Join(context.DeadlineExceeded))
 	}
-	if p.now != 5*time.Second {
-		t.Errorf("%v after many", p.now)
+	if p.current != 5*time.Second {
+		t.Errorf("%v after many", p.current)
 	}
 }
 
@@ -42,13 +42,13 @@
 		opens++
 		mu.Unlock()
 		time.Sleep(slow)
-		_ = json.NewEncoder(w).Encode(coord.Answer{Code: coord.OK})
+		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeOK})
 	}))
 	defer s.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, Client: "r", TTL: 10 * time.Second, TryMS: 50})
+	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50})
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
-	if !c.open(ctx) {
+	if !c.openSession(ctx) {
 		t.Error("no session")
 	}
 	if opens > 5 { // 50, 100, 200, 400 ms
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -35,11 +35,11 @@
 	return &RetryLaterError{Text: answer.Text, RetryAfter: answer.RetryAfter}
 }
 
-// Pause is how long to wait after an error: not less than the coordinators asked for, and up to half of that longer, so that
+// RetryDelay is how long to wait after an error: not less than the coordinators asked for, and up to half of that longer, so that
 // those who were told the same don't come at once; otherwise where they asked for nothing.
-func Pause(err error, otherwise time.Duration) time.Duration {
+func RetryDelay(err error, otherwise time.Duration) time.Duration {
 	var asked time.Duration
-	var refused *RefusedError
+	var refused *RejectedError
 	var later *RetryLaterError
 	switch {
 	case errors.As(err, &later):
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -19,10 +19,10 @@
 func TestPause(t *testing.T) {
 	const asked = time.Second
 	for _, err := range []error{&RetryLaterError{"full", asked}, errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
-		&RefusedError{coord.Answer{Code: coord.Full, RetryAfter: asked}}} {
+		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}}} {
 		seen := map[time.Duration]bool{}
 		for range 100 {
-			d := Pause(err, time.Millisecond)
+			d := RetryDelay(err, time.Millisecond)
 			if d < asked || d > asked*3/2 {
 				t.Fatalf("%v: %v", err, d)
 			}
@@ -32,13 +32,13 @@
 			t.Errorf("%v: %d times of 100 differ", err, len(seen))
 		}
 	}
-	if d := Pause(errors.New("another"), time.Millisecond); d != time.Millisecond {
+	if d := RetryDelay(errors.New("another"), time.Millisecond); d != time.Millisecond {
 		t.Errorf("%v after an error that asks for nothing", d)
 	}
-	if d := Pause(&RetryLaterError{"lies", time.Hour}, 0); d > maxRetryAfter*3/2 {
+	if d := RetryDelay(&RetryLaterError{"lies", time.Hour}, 0); d > maxRetryAfter*3/2 {
 		t.Errorf("%v is believed", d)
 	}
-	if d := Pause(retryLater(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
+	if d := RetryDelay(retryLater(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
 		t.Errorf("%v by the header alone", d)
 	}
 }
@@ -52,10 +52,10 @@
 		mu.Lock()
 		tries = append(tries, time.Now())
 		mu.Unlock()
-		_ = json.NewEncoder(w).Encode(coord.Answer{Code: coord.Full, Text: "sessions: 3 at most", RetryAfter: asked})
+		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeLimitReached, Text: "sessions: 3 at most", RetryAfter: asked})
 	}))
 	defer s.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, Client: "r", TTL: 10 * time.Second})
+	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "r", TTL: 10 * time.Second})
 	ctx, stop := context.WithTimeout(t.Context(), 6*asked)
 	defer stop()
 	var wg sync.WaitGroup
@@ -93,7 +93,7 @@
 		defer s.Close()
 		coordinators[name] = s.Listener.Addr().String()
 	}
-	c := New(Options{Coordinators: coordinators, Client: "r", TTL: 10 * time.Second})
+	c := New(Options{Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second})
 	_, err := c.Drains(t.Context(), 0)
 	var later *RetryLaterError
 	if !errors.As(err, &later) || later.RetryAfter != time.Second {
@@ -126,8 +126,8 @@
 		defer s.Close()
 		coordinators[name] = s.Listener.Addr().String()
 	}
-	c := New(Options{Coordinators: coordinators, Client: "r", TTL: 10 * time.Second, TryMS: 50})
-	if _, err := c.once(t.Context(), coord.Command{Op: coord.Keep}); err == nil {
+	c := New(Options{Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50})
+	if _, err := c.send(t.Context(), coord.Command{Op: coord.OpKeepAlive}); err == nil {
 		t.Error("it was answered")
 	}
 	if n := asked.Load(); n != 1 {
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -36,7 +36,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.V = 1
+	c.Version = 1
 	_ = json.NewEncoder(w).Encode(l.state.Apply(c, 1))
 }
 
@@ -45,7 +45,7 @@
 	late := &lateCoordinator{state: coord.New(), late: "late", letGo: make(chan struct{})}
 	server := httptest.NewServer(late)
 	defer server.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": server.Listener.Addr().String()}, Client: "c", TTL: time.Minute})
+	c := New(Options{Coordinators: map[string]string{"c1": server.Listener.Addr().String()}, ClientName: "c", TTL: time.Minute})
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -58,11 +58,11 @@
 	})
 	for under := 0; under == 0; { // until it is under way
 		c.mu.Lock()
-		under = len(c.under)
+		under = len(c.pending)
 		c.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
-	for i := range coord.MaxRemembered - 1 {
+	for i := range coord.MaxCachedResponses - 1 {
 		if _, err := c.Acquire(ctx, fmt.Sprint("l", i), "", 10*time.Second); err != nil {
 			t.Fatalf("number %d: %v", i, err)
 		}
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -54,7 +54,7 @@
 	if len(text) > maxFile {
 		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
 	}
-	f := File{ClockRate: coord.DefaultRate, SnapshotEvery: 8192, Beat: "250ms", LogLevel: "info"}
+	f := File{ClockRate: coord.DefaultClockRateBound, SnapshotEvery: 8192, Beat: "250ms", LogLevel: "info"}
 	if err := configerror.DecodeTOML(path, text, &f); err != nil {
 		return File{}, err
 	}
@@ -82,8 +82,8 @@
 	if f.Listen != "" && f.Listen == f.API {
 		bad("api", "%q is the address for the other coordinators too", f.API)
 	}
-	if !(f.ClockRate >= 0 && f.ClockRate <= coord.MaxRate) {
-		bad("clock_rate", "%v is not from 0 to %v", f.ClockRate, coord.MaxRate)
+	if !(f.ClockRate >= 0 && f.ClockRate <= coord.MaxClockRateBound) {
+		bad("clock_rate", "%v is not from 0 to %v", f.ClockRate, coord.MaxClockRateBound)
 	}
 	if f.SnapshotEvery < 16 || f.SnapshotEvery > 1_000_000 {
 		bad("snapshot_every", "%d is not from 16 to 1,000,000", f.SnapshotEvery)
--- a/internal/coord/history_faults.go
+++ b/internal/coord/history_faults.go
@@ -12,7 +12,7 @@
 func HistoryLimit() int {
 	limit, err := strconv.Atoi(os.Getenv("DOCKHINGE_MAX_HISTORY"))
 	if err != nil || limit < 1 {
-		return MaxHistory
+		return MaxHistoryChanges
 	}
 	return limit
 }
--- a/internal/coord/history_true.go
+++ b/internal/coord/history_nofaults.go
@@ -3,4 +3,4 @@
 package coord
 
 // HistoryLimit is how many changes of the agreed configuration are kept.
-func HistoryLimit() int { return MaxHistory }
+func HistoryLimit() int { return MaxHistoryChanges }
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -35,70 +35,70 @@
 	reservedDescriptors   = 1024 // of the process: for its log, its snapshots and the other coordinators
 )
 
-// FullError tells that a bound has been reached, and when to come back.
-type FullError struct {
+// LimitError tells that a bound has been reached, and when to come back.
+type LimitError struct {
 	Text       string
 	RetryAfter time.Duration
 }
 
-func (e *FullError) Error() string { return e.Text }
+func (e *LimitError) Error() string { return e.Text }
 
 // returnSchedule gives those who are refused times to come back that lie apart, so that their number doesn't decide how many
 // come at once.
 type returnSchedule struct {
-	perSecond int           // come back
-	longest   time.Duration // after it was told
+	perSecond     int           // come back
+	maxRetryAfter time.Duration // after it was told
 
-	mu   sync.Mutex
-	free time.Duration // the first time that was not given away yet, on the coordinator's clock
+	mu           sync.Mutex
+	nextReturnAt time.Duration // the first time that was not given away yet, on the coordinator's clock
 }
 
 // tableReturns is the schedule of those who find a table full.
 func tableReturns() *returnSchedule {
-	return &returnSchedule{perSecond: tableReturnsPerSecond, longest: maxTableRetryAfter}
+	return &returnSchedule{perSecond: tableReturnsPerSecond, maxRetryAfter: maxTableRetryAfter}
 }
 
 // commandReturns is the schedule of those who find too many commands under way.
 func commandReturns() *returnSchedule {
-	return &returnSchedule{perSecond: commandReturnsPerSecond, longest: maxCommandRetryAfter}
+	return &returnSchedule{perSecond: commandReturnsPerSecond, maxRetryAfter: maxCommandRetryAfter}
 }
 
-// next is after how long one more client is to come back.
-func (r *returnSchedule) next(now time.Duration) time.Duration {
+// nextRetryAfter is after how long one more client is to come back.
+func (r *returnSchedule) nextRetryAfter(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.free = min(max(r.free+time.Second/time.Duration(r.perSecond), now+minRetryAfter), now+r.longest)
-	return r.free - now
+	r.nextReturnAt = min(max(r.nextReturnAt+time.Second/time.Duration(r.perSecond), now+minRetryAfter), now+r.maxRetryAfter)
+	return r.nextReturnAt - now
 }
 
-// full counts an answer that refuses by a bound, and adds when to come back.
-func (n *Node) full(a coord.Answer, returns *returnSchedule) coord.Answer {
-	n.refused.Add(1)
-	a.RetryAfter = returns.next(clock.Now())
+// withRetryAfter counts an answer that refuses by a bound, and adds when to come back.
+func (n *Node) withRetryAfter(a coord.Response, returns *returnSchedule) coord.Response {
+	n.rejected.Add(1)
+	a.RetryAfter = returns.nextRetryAfter(clock.Now())
 	return a
 }
 
 // awaitsUpgrade refuses a command for which the version in force is too old. A coordinator that has just started may not have
 // read it yet: only what the leader has from all others counts.
-func (n *Node) awaitsUpgrade(c coord.Command) (a coord.Answer, awaits bool, err error) {
+func (n *Node) awaitsUpgrade(c coord.Command) (a coord.Response, awaits bool, err error) {
 	n.mu.Lock()
 	a, awaits = n.state.AwaitsUpgrade(c)
 	n.mu.Unlock()
 	if awaits {
-		err = n.Read(func(s *coord.State) { a, awaits = s.AwaitsUpgrade(c) })
+		err = n.LinearizableRead(func(s *coord.State) { a, awaits = s.AwaitsUpgrade(c) })
 	}
 	return a, awaits, err
 }
 
-// refusesSession refuses a session for which there is no room before it gets into the log: a fleet over the bound that tries
+// rejectsSession refuses a session for which there is no room before it gets into the log: a fleet over the bound that tries
 // again costs the other coordinators nothing. Only a leader knows the state well enough to do so.
-func (n *Node) refusesSession(c coord.Command) (coord.Answer, bool) {
-	if c.Op != coord.Open || n.raft.State() != raft.Leader {
-		return coord.Answer{}, false
+func (n *Node) rejectsSession(c coord.Command) (coord.Response, bool) {
+	if c.Op != coord.OpOpenSession || n.raft.State() != raft.Leader {
+		return coord.Response{}, false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state.RefusesSession(c.Session)
+	return n.state.RejectsSession(c.SessionID)
 }
 
 // retryAfterSeconds is a time to come back as HTTP's header has it: whole seconds, rounded up.
@@ -106,8 +106,8 @@
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// connectionBound is how many connections of clients are served at once, by the constant and by what the process may open.
-func connectionBound() int {
+// connectionLimitForProcess is how many connections of clients are served at once, by the constant and by what the process may open.
+func connectionLimitForProcess() int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return MaxConnections
@@ -166,6 +166,6 @@
 			return
 		}
 		w.Header().Set("Connection", "close")
-		giveFull(w, &FullError{Text: "connections: " + strconv.Itoa(l.bound) + " at most", RetryAfter: l.returns.next(clock.Now())})
+		writeLimitReached(w, &LimitError{Text: "connections: " + strconv.Itoa(l.bound) + " at most", RetryAfter: l.returns.nextRetryAfter(clock.Now())})
 	})
 }
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -25,16 +25,16 @@
 	}
 	listen := ln.Addr().String()
 	ln.Close()
-	n, err := Start(Options{Name: "c1", Dir: t.TempDir(), Listen: listen, API: "127.0.0.1:1", Rate: coord.DefaultRate, SnapshotEvery: 1 << 20, Beat: 100 * time.Millisecond})
+	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 1 << 20, HeartbeatTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.Close() })
-	if err := n.Init([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, Voter: true}}); err != nil {
+	if err := n.Bootstrap([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, IsVoter: true}}); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		if _, err := n.Do(coord.Command{Op: coord.Upgrade, Version: coord.Version}); err == nil {
+		if _, err := n.Propose(coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.Version}); err == nil {
 			return n
 		}
 		select {
@@ -50,15 +50,15 @@
 	n := single(t)
 	n.mu.Lock()
 	for i := range coord.MaxSessions {
-		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{Client: "c", TTL: coord.MaxTTL, Kept: n.state.Clock, Leases: map[string]bool{}}
+		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{Client: "c", TTL: coord.MaxTTL, KeptAliveAt: n.state.Clock, Leases: map[string]bool{}}
 	}
 	n.mu.Unlock()
 	const tries = 500
 	before := n.raft.LastIndex()
 	var last time.Duration
 	for i := range tries {
-		a := command(t, n.Handler(), coord.Command{Op: coord.Open, Session: fmt.Sprint("more", i), Client: "c", TTL: time.Minute})
-		if a.Code != coord.Full || !strings.Contains(a.Text, "sessions") || a.RetryAfter < minRetryAfter || a.RetryAfter > maxTableRetryAfter {
+		a := command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: fmt.Sprint("more", i), Client: "c", TTL: time.Minute})
+		if a.Code != coord.CodeLimitReached || !strings.Contains(a.Text, "sessions") || a.RetryAfter < minRetryAfter || a.RetryAfter > maxTableRetryAfter {
 			t.Fatalf("%+v", a)
 		}
 		last = a.RetryAfter
@@ -69,15 +69,15 @@
 	if last < minRetryAfter+tries*time.Second/tableReturnsPerSecond/2 {
 		t.Errorf("the last of %d is to come back after %v, which is with the first", tries, last)
 	}
-	if got := n.Status().Refused; got != tries {
+	if got := n.Status().Rejected; got != tries {
 		t.Errorf("%d refusals are counted, there were %d", got, tries)
 	}
-	if a := command(t, n.Handler(), coord.Command{Op: coord.Open, Session: "s1", Client: "c", TTL: time.Minute}); a.Code != coord.OK {
+	if a := command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: "s1", Client: "c", TTL: time.Minute}); a.Code != coord.CodeOK {
 		t.Errorf("a session that is there: %+v", a)
 	}
 }
 
-func command(t *testing.T, h http.Handler, c coord.Command) (a coord.Answer) {
+func command(t *testing.T, h http.Handler, c coord.Command) (a coord.Response) {
 	t.Helper()
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -95,41 +95,41 @@
 func TestWatchersAndCommandsFull(t *testing.T) {
 	n := single(t)
 	n.mu.Lock()
-	n.count = MaxWatchers
+	n.watchers = MaxWatchers
 	n.mu.Unlock()
 	w := httptest.NewRecorder()
 	n.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/drains?after=1000", nil))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" || !strings.Contains(w.Body.String(), "watchers") {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
-	n.under.Store(MaxCommands)
-	if a := command(t, n.Handler(), coord.Command{Op: coord.Keep, Session: "s"}); a.Code != coord.Full || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
+	n.commandsInFlight.Store(MaxCommandsInFlight)
+	if a := command(t, n.Handler(), coord.Command{Op: coord.OpKeepAlive, SessionID: "s"}); a.Code != coord.CodeLimitReached || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
 		t.Errorf("%+v", a)
 	}
-	n.under.Store(MaxOtherCommands)
-	open := coord.Command{Op: coord.Open, Session: "s", Client: "c", TTL: time.Minute}
-	if a := command(t, n.Handler(), open); a.Code != coord.Full || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
+	n.commandsInFlight.Store(MaxOtherCommandsInFlight)
+	open := coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}
+	if a := command(t, n.Handler(), open); a.Code != coord.CodeLimitReached || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
 		t.Errorf("%+v", a)
 	}
-	if a := command(t, n.Handler(), coord.Command{Op: coord.Keep, Session: "s"}); a.Code != coord.NoSession {
+	if a := command(t, n.Handler(), coord.Command{Op: coord.OpKeepAlive, SessionID: "s"}); a.Code != coord.CodeNoSession {
 		t.Errorf("a keep-alive: %+v", a)
 	}
-	n.under.Store(0)
+	n.commandsInFlight.Store(0)
 }
 
 // Whoever is refused gets a time apart from the others', between the bounds; a schedule that was idle starts from now.
 func TestReturnSchedule(t *testing.T) {
 	r := tableReturns()
-	if first, second := r.next(0), r.next(0); first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
+	if first, second := r.nextRetryAfter(0), r.nextRetryAfter(0); first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
 		t.Errorf("%v, %v", first, second)
 	}
 	for range 2 * tableReturnsPerSecond * int(maxTableRetryAfter/time.Second) {
-		r.next(0)
+		r.nextRetryAfter(0)
 	}
-	if d := r.next(0); d != maxTableRetryAfter {
+	if d := r.nextRetryAfter(0); d != maxTableRetryAfter {
 		t.Errorf("%v after many", d)
 	}
-	if d := r.next(time.Hour); d != minRetryAfter {
+	if d := r.nextRetryAfter(time.Hour); d != minRetryAfter {
 		t.Errorf("%v after an hour", d)
 	}
 }
@@ -188,9 +188,9 @@
 	if w.Code != http.StatusOK {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
-	command(t, n.Handler(), coord.Command{Op: coord.Open, Session: "s", Client: "ann", TTL: time.Minute})
+	command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "ann", TTL: time.Minute})
 	budgets := &rollout.Command{Op: rollout.Set, Grace: time.Minute, Quorum: rollout.LeastQuorum} // changes what routers go by
-	if a := command(t, n.Handler(), coord.Command{Op: coord.Roll, Session: "s", Seq: 1, Roll: budgets}); a.Code != coord.OK {
+	if a := command(t, n.Handler(), coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: budgets}); a.Code != coord.CodeOK {
 		t.Fatalf("%+v", a)
 	}
 	if code := <-answered; code != http.StatusOK {
@@ -206,12 +206,12 @@
 	}
 	listen := ln.Addr().String()
 	ln.Close()
-	n, err := Start(Options{Name: "c1", Dir: t.TempDir(), Listen: listen, API: "127.0.0.1:1", Rate: coord.DefaultRate, SnapshotEvery: 100, Beat: 100 * time.Millisecond})
+	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 100, HeartbeatTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	text, err := json.Marshal(coord.Command{Op: coord.Roll, Session: "s", Seq: 1, Roll: &rollout.Command{Op: rollout.Ack}})
+	text, err := json.Marshal(coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: &rollout.Command{Op: rollout.Ack}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coord/node/api_test.go
+++ b/internal/coord/node/api_test.go
@@ -19,12 +19,12 @@
 	}
 	listen := ln.Addr().String()
 	ln.Close()
-	n, err := Start(Options{Name: "c1", Dir: t.TempDir(), Listen: listen, API: "127.0.0.1:1", Rate: coord.DefaultRate, SnapshotEvery: 100, Beat: 100 * time.Millisecond})
+	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 100, HeartbeatTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	h := n.Figures()
+	h := n.MetricsHandler()
 	ask := func(method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(`{"op":"open"}`)))
@@ -41,7 +41,7 @@
 			t.Errorf("POST %s: %d", path, w.Code)
 		}
 	}
-	if err := n.Init([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, Voter: true}}); err != nil {
+	if err := n.Bootstrap([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, IsVoter: true}}); err != nil {
 		t.Fatal(err)
 	}
 	for w := ask(http.MethodGet, "/-/ready"); w.Code != http.StatusOK; w = ask(http.MethodGet, "/-/ready") {
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	maxChangesWait  = time.Second // of a long poll; short, so that an observer knows how old its state is
-	maxChangesBytes = 256 << 10   // of one answer, unless it is a snapshot
-	changesKey      = "\x00changes"
+	maxPollDuration   = time.Second // of a long poll; short, so that an observer knows how old its state is
+	maxChangesBytes   = 256 << 10   // of one answer, unless it is a snapshot
+	documentsWatchKey = "\x00changes"
 )
 
 // Changes waits until there are changes of the agreed configuration after a revision, or ctx ends, and reads them. Any
 // coordinator answers from its own state, so that observers cost the leader no more than another one.
 func (n *Node) Changes(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
-	err := n.watch(ctx, changesKey, func(s *coord.State) bool { return s.Revision() > after })
+	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
 		return protocol.Update{}, err
 	}
@@ -52,7 +52,7 @@
 	}
 	last := n.raft.LastContact()
 	if last.IsZero() {
-		return 0, &protocol.Refusal{Code: protocol.Unready, Text: "no leader has been heard of"}
+		return 0, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no leader has been heard of"}
 	}
 	return time.Since(last), nil
 }
@@ -61,27 +61,27 @@
 func (n *Node) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(cmp.Or(r.URL.Query().Get("after"), "0"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, &protocol.Refusal{Code: protocol.Invalid, Text: "after: " + err.Error()})
+		reject(w, http.StatusBadRequest, &protocol.Rejection{Code: protocol.CodeInvalid, Text: "after: " + err.Error()})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), maxChangesWait)
+	ctx, cancel := context.WithTimeout(r.Context(), maxPollDuration)
 	defer cancel()
 	update, err := n.Changes(ctx, after, r.URL.Query().Get("prefix"))
 	var behind *watchlog.BehindError
-	var refusal *protocol.Refusal
+	var refusal *protocol.Rejection
 	switch {
 	case errors.As(err, &behind):
-		refuse(w, http.StatusConflict, &protocol.Refusal{Code: protocol.Behind, Text: err.Error()})
+		reject(w, http.StatusConflict, &protocol.Rejection{Code: protocol.CodeBehind, Text: err.Error()})
 	case errors.As(err, &refusal):
-		refuse(w, http.StatusServiceUnavailable, refusal)
+		reject(w, http.StatusServiceUnavailable, refusal)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, &protocol.Refusal{Code: protocol.Unready, Text: err.Error()})
+		reject(w, http.StatusServiceUnavailable, &protocol.Rejection{Code: protocol.CodeNotReady, Text: err.Error()})
 	default:
-		n.give(w, update, nil)
+		n.writeResponse(w, update, nil)
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, refusal *protocol.Refusal) {
+func reject(w http.ResponseWriter, status int, refusal *protocol.Rejection) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(refusal) // a client that has gone needs no answer
@@ -90,17 +90,17 @@
 // serveHistory answers GET /v1/history?name=NAME with what is kept of a document's changes.
 func (n *Node) serveHistory(w http.ResponseWriter, r *http.Request) {
 	history := []watchlog.Change{}
-	err := n.Read(func(s *coord.State) { history = append(history, s.Changes.History(r.URL.Query().Get("name"))...) })
-	n.give(w, history, err)
+	err := n.LinearizableRead(func(s *coord.State) { history = append(history, s.Documents.History(r.URL.Query().Get("name"))...) })
+	n.writeResponse(w, history, err)
 }
 
 // serveDocuments answers GET /v1/documents?prefix=PREFIX with a list.
 func (n *Node) serveDocuments(w http.ResponseWriter, r *http.Request) {
 	rows := []protocol.DocumentRow{}
-	err := n.Read(func(s *coord.State) {
-		for _, c := range s.Changes.Snapshot(r.URL.Query().Get("prefix")).Changes {
+	err := n.LinearizableRead(func(s *coord.State) {
+		for _, c := range s.Documents.Snapshot(r.URL.Query().Get("prefix")).Changes {
 			rows = append(rows, protocol.DocumentRow{Name: c.Name, Revision: c.Revision, Bytes: len(c.Value)})
 		}
 	})
-	n.give(w, rows, err)
+	n.writeResponse(w, rows, err)
 }
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -23,7 +23,7 @@
 	}
 	listen := ln.Addr().String()
 	ln.Close()
-	n, err := Start(Options{Name: "c1", Dir: t.TempDir(), Listen: listen, API: "127.0.0.1:1", Rate: coord.DefaultRate, SnapshotEvery: 100, Beat: 100 * time.Millisecond})
+	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 100, HeartbeatTimeout: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 			t.Error(err)
 		}
 	})
-	if err := n.Init([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, Voter: true}}); err != nil {
+	if err := n.Bootstrap([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, IsVoter: true}}); err != nil {
 		t.Fatal(err)
 	}
 	for n.Leader() == "" {
@@ -46,9 +46,9 @@
 }
 
 // do has a command agreed on, which must end as it should.
-func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Answer {
+func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
 	t.Helper()
-	a, err := n.Do(c)
+	a, err := n.Propose(c)
 	if err != nil || a.Code != want {
 		t.Fatalf("%+v, %v, want %s", a, err, want)
 	}
@@ -56,12 +56,12 @@
 }
 
 // poll asks for changes and reads the answer into one of the two.
-func poll(t *testing.T, n *Node, query string) (int, protocol.Update, protocol.Refusal) {
+func poll(t *testing.T, n *Node, query string) (int, protocol.Update, protocol.Rejection) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	n.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, protocol.ChangesPath+"?"+query, nil))
 	var update protocol.Update
-	var refusal protocol.Refusal
+	var refusal protocol.Rejection
 	into := any(&update)
 	if w.Code != http.StatusOK {
 		into = &refusal
@@ -76,10 +76,10 @@
 // where the changes are gone, and refused by type where the coordinator is behind the one that asks.
 func TestChanges(t *testing.T) {
 	n := leading(t)
-	do(t, n, coord.Command{Op: coord.Upgrade, Version: coord.DocumentVersion}, coord.OK)
-	do(t, n, coord.Command{Op: coord.Open, Session: "s", Client: "c", TTL: time.Minute}, coord.OK)
+	do(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
+	do(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
 	put := func(seq uint64, name string) {
-		do(t, n, coord.Command{Op: coord.Put, Session: "s", Seq: seq, Acked: seq - 1, Document: &coord.DocumentPut{Name: name, Value: []byte(name)}}, coord.OK)
+		do(t, n, coord.Command{Op: coord.OpPutDocument, SessionID: "s", Sequence: seq, AcknowledgedThrough: seq - 1, Document: &coord.DocumentPut{Name: name, Value: []byte(name)}}, coord.CodeOK)
 	}
 	got := make(chan protocol.Update, 1)
 	done := make(chan struct{})
@@ -105,14 +105,14 @@
 	if code, update, _ := poll(t, n, "after=2"); code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 {
 		t.Errorf("%d %+v", code, update)
 	}
-	if code, _, refusal := poll(t, n, "after=3"); code != http.StatusConflict || refusal.Code != protocol.Behind {
+	if code, _, refusal := poll(t, n, "after=3"); code != http.StatusConflict || refusal.Code != protocol.CodeBehind {
 		t.Errorf("%d %+v", code, refusal)
 	}
-	if code, _, refusal := poll(t, n, "after=x"); code != http.StatusBadRequest || refusal.Code != protocol.Invalid {
+	if code, _, refusal := poll(t, n, "after=x"); code != http.StatusBadRequest || refusal.Code != protocol.CodeInvalid {
 		t.Errorf("%d %+v", code, refusal)
 	}
 	n.mu.Lock()
-	n.state.Changes.Compact(2)
+	n.state.Documents.Compact(2)
 	n.mu.Unlock()
 	if code, update, _ := poll(t, n, "after=1"); code != http.StatusOK || !update.Snapshot || update.Through != 2 || len(update.Changes) != 2 {
 		t.Errorf("%d %+v", code, update)
@@ -122,22 +122,22 @@
 // A document is refused before all coordinators understand it, and the refusal never gets into the log.
 func TestPutBeforeUpgrade(t *testing.T) {
 	n := leading(t)
-	if err := n.Read(func(*coord.State) {}); err != nil { // what the leader begins with is carried out by then
+	if err := n.LinearizableRead(func(*coord.State) {}); err != nil { // what the leader begins with is carried out by then
 		t.Fatal(err)
 	}
-	before := n.Status().Applied // the last command's entry: the barrier of a read is none
+	before := n.Status().AppliedIndex // the last command's entry: the barrier of a read is none
 	s := httptest.NewServer(n.Handler())
 	defer s.Close()
-	code, a := postCommand(t, s, coord.Command{Op: coord.Put, Session: "s", Seq: 1, Document: &coord.DocumentPut{Name: "a"}})
-	if err := n.Read(func(*coord.State) {}); err != nil {
+	code, a := postCommand(t, s, coord.Command{Op: coord.OpPutDocument, SessionID: "s", Sequence: 1, Document: &coord.DocumentPut{Name: "a"}})
+	if err := n.LinearizableRead(func(*coord.State) {}); err != nil {
 		t.Fatal(err)
 	}
-	if after := n.Status().Applied; code != http.StatusOK || a.Code != coord.Bad || after != before {
+	if after := n.Status().AppliedIndex; code != http.StatusOK || a.Code != coord.CodeInvalid || after != before {
 		t.Errorf("%d %+v, commands up to entry %d, were up to %d", code, a, after, before)
 	}
 }
 
-func postCommand(t *testing.T, s *httptest.Server, c coord.Command) (int, coord.Answer) {
+func postCommand(t *testing.T, s *httptest.Server, c coord.Command) (int, coord.Response) {
 	t.Helper()
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var a coord.Answer
+	var a coord.Response
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coord/node/repeats_test.go
+++ b/internal/coord/node/duplicates_test.go
@@ -14,14 +14,14 @@
 // with another number and one without any are carried out by themselves.
 func TestRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var r repeats
+		var r duplicateCommands
 		var carried atomic.Int64
 		release := make(chan struct{})
 		lost := errors.New("not the leader")
-		slow := func() (coord.Answer, error) {
+		slow := func() (coord.Response, error) {
 			carried.Add(1)
 			<-release
-			return coord.Answer{Code: coord.OK, Token: 7}, lost
+			return coord.Response{Code: coord.CodeOK, Token: 7}, lost
 		}
 		var wg sync.WaitGroup
 		send := func(c coord.Command) {
@@ -32,27 +32,27 @@
 			})
 		}
 		for range 10 {
-			send(coord.Command{Session: "s", Seq: 1})
+			send(coord.Command{SessionID: "s", Sequence: 1})
 		}
 		synctest.Wait()
 		if n := carried.Load(); n != 1 {
 			t.Errorf("carried out %d times", n)
 		}
-		send(coord.Command{Session: "s", Seq: 2})
-		send(coord.Command{Session: "t", Seq: 1})
-		send(coord.Command{Session: "s"})
-		send(coord.Command{Session: "s"})
+		send(coord.Command{SessionID: "s", Sequence: 2})
+		send(coord.Command{SessionID: "t", Sequence: 1})
+		send(coord.Command{SessionID: "s"})
+		send(coord.Command{SessionID: "s"})
 		synctest.Wait()
 		if n := carried.Load(); n != 5 {
 			t.Errorf("%d were carried out, 5 differ", n)
 		}
 		close(release)
 		wg.Wait()
-		if _, err := r.do(coord.Command{Session: "s", Seq: 1}, slow); !errors.Is(err, lost) || carried.Load() != 6 {
+		if _, err := r.do(coord.Command{SessionID: "s", Sequence: 1}, slow); !errors.Is(err, lost) || carried.Load() != 6 {
 			t.Errorf("one that came later: %v", err)
 		}
-		if len(r.waiting) != 0 {
-			t.Errorf("%d are kept", len(r.waiting))
+		if len(r.pending) != 0 {
+			t.Errorf("%d are kept", len(r.pending))
 		}
 	})
 }
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -32,67 +32,67 @@
 
 // Options are those of one coordinator.
 type Options struct {
-	Name          string            // unique among the coordinators
-	Dir           string            // of log, snapshots and identity; it must be there
-	Listen        string            // for the other coordinators
-	API           string            // for clients
-	Peers         map[string]string // other coordinators' addresses as they are reached from here, by name; else as they are known to all
-	Rate          float64           // bound on the rate of all clocks
-	SnapshotEvery uint64            // entries between two snapshots
-	Beat          time.Duration     // how long a leader may be silent before another is chosen
-	Log           *slog.Logger
-	Fatal         func(error) // the process must end now
+	Name             string            // unique among the coordinators
+	Directory        string            // of log, snapshots and identity; it must be there
+	ListenAddress    string            // for the other coordinators
+	ClientAddress    string            // for clients
+	PeerAddresses    map[string]string // other coordinators' addresses as they are reached from here, by name; else as they are known to all
+	ClockRateBound   float64           // bound on the rate of all clocks
+	SnapshotEntries  uint64            // entries between two snapshots
+	HeartbeatTimeout time.Duration     // how long a leader may be silent before another is chosen
+	Log              *slog.Logger
+	OnFatal          func(error) // the process must end now
 }
 
-func (o Options) address(id string) string { return o.Name + "/" + id + "@" + o.Listen }
+func (o Options) peerAddress(id string) string { return o.Name + "/" + id + "@" + o.ListenAddress }
 
 // Bounds and times of a coordinator.
 const (
-	MaxCommands = 8192 // of clients, under way at once: as many as sessions, as all may keep theirs at once
-	// MaxOtherCommands are under way at once that keep no session: about what a busy leader carries out in the second for which
+	MaxCommandsInFlight = 8192 // of clients, under way at once: as many as sessions, as all may keep theirs at once
+	// MaxOtherCommandsInFlight are under way at once that keep no session: about what a busy leader carries out in the second for which
 	// clients wait (4,470 small ones were measured). Beyond it who comes is told when to come back, and sessions that are there are kept.
-	MaxOtherCommands = 4096
-	MaxWatchers      = 16384                  // clients that wait for a change: two for each session
-	tickEvery        = 200 * time.Millisecond // time passes in the agreed state at least this often
-	maxAdvance       = time.Second            // at most so much passes with one command: a leader that was stopped ends nobody at once
-	applyWithin      = 2 * time.Second        // a command is taken over by the library
+	MaxOtherCommandsInFlight = 4096
+	MaxWatchers              = 16384                  // clients that wait for a change: two for each session
+	tickInterval             = 200 * time.Millisecond // time passes in the agreed state at least this often
+	maxElapsedPerCommand     = time.Second            // at most so much passes with one command: a leader that was stopped ends nobody at once
+	proposeTimeout           = 2 * time.Second        // a command is taken over by the library
 )
 
-const defaultEpochEvery = 10 * time.Second
+const defaultEpochInterval = 10 * time.Second
 
 // Node is one coordinator.
 type Node struct {
-	o     Options
-	id    string // of the directory
-	nonce uint64 // of this run
-	began uint64 // the disk's epoch when it started
-	epoch atomic.Uint64
-	meet  sync.Mutex // guards what the disk knows of the others' runs
-	disk  *disk
-	raft  *raft.Raft
-	trans *raft.NetworkTransport
-	link  *link
-
-	mu      sync.Mutex // guards state, applied and waiting
-	state   *coord.State
-	applied uint64
-	waiting map[string]chan struct{} // by lease: closed when it changes
-	count   int                      // of who waits
-
-	stamp struct { // the leader's clock
+	options    Options
+	identity   string // of the directory
+	nonce      uint64 // of this run
+	startEpoch uint64 // the disk's epoch when it started
+	epoch      atomic.Uint64
+	peerRunsMu sync.Mutex // guards what the disk knows of the others' runs
+	store      *diskStore
+	raft       *raft.Raft
+	transport  *raft.NetworkTransport
+	peers      *peerLayer
+
+	mu           sync.Mutex // guards state, applied and waiting
+	state        *coord.State
+	appliedIndex uint64
+	watches      map[string]chan struct{} // by lease: closed when it changes
+	watchers     int                      // of who waits
+
+	leaderClock struct { // the leader's clock
 		sync.Mutex
 		term uint64
 		last time.Duration
 	}
-	under    atomic.Int64    // commands under way
-	refused  atomic.Int64    // as a bound was reached
-	tables   *returnSchedule // of clients that found a table full,
-	commands *returnSchedule // or too many commands under way
-	barrier  sharedBarrier   // of readers
-	repeats  repeats         // of commands under way
+	commandsInFlight atomic.Int64      // commands under way
+	rejected         atomic.Int64      // as a bound was reached
+	tableReturns     *returnSchedule   // of clients that found a table full,
+	commandReturns   *returnSchedule   // or too many commands under way
+	readBarrier      sharedBarrier     // of readers
+	duplicates       duplicateCommands // of commands under way
 
-	figures sync.Mutex
-	commits *hdrhistogram.Histogram // of commands, from when they came to their answer, in microseconds
+	latencyMu     sync.Mutex
+	commitLatency *hdrhistogram.Histogram // of commands, from when they came to their answer, in microseconds
 
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -100,59 +100,59 @@
 
 // Start opens the directory and takes part. Close ends it.
 func Start(o Options) (n *Node, err error) {
-	if o.Beat == 0 {
-		o.Beat = 250 * time.Millisecond
+	if o.HeartbeatTimeout == 0 {
+		o.HeartbeatTimeout = 250 * time.Millisecond
 	}
-	if o.SnapshotEvery == 0 {
-		o.SnapshotEvery = 8192
+	if o.SnapshotEntries == 0 {
+		o.SnapshotEntries = 8192
 	}
-	if o.Fatal == nil {
-		o.Fatal = func(err error) { panic(err) }
+	if o.OnFatal == nil {
+		o.OnFatal = func(err error) { panic(err) }
 	}
-	n = &Node{o: o, state: coord.New(), waiting: map[string]chan struct{}{}, commits: hdrhistogram.New(1, 60_000_000, 2),
-		tables: tableReturns(), commands: commandReturns()}
+	n = &Node{options: o, state: coord.New(), watches: map[string]chan struct{}{}, commitLatency: hdrhistogram.New(1, 60_000_000, 2),
+		tableReturns: tableReturns(), commandReturns: commandReturns()}
 	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{o.Log}, DisableTime: true})
-	snaps, floor, err := snapshots(o.Dir, log)
+	snaps, floor, err := openSnapshots(o.Directory, log)
 	if err != nil {
 		return nil, err
 	}
-	if n.disk, err = openDisk(o.Dir, floor, o.Fatal); err != nil {
+	if n.store, err = openStore(o.Directory, floor, o.OnFatal); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, n.disk.Close())
+			err = errors.Join(err, n.store.Close())
 		}
 	}()
-	if err := n.identify(); err != nil {
+	if err := n.loadIdentity(); err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", o.Listen)
+	ln, err := net.Listen("tcp", o.ListenAddress)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	n.link = &link{Listener: ln, n: n, conns: map[net.Conn]bool{}}
-	n.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: n.link, MaxPool: 3, Timeout: 2 * time.Second,
+	n.peers = &peerLayer{Listener: ln, node: n, connections: map[net.Conn]bool{}}
+	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: n.peers, MaxPool: 3, Timeout: 2 * time.Second,
 		Logger: log, MsgpackUseNewTimeFormat: true})
 	c := raft.DefaultConfig()
-	c.LocalID, c.Logger = raft.ServerID(n.id), log
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = o.Beat, o.Beat, o.Beat
+	c.LocalID, c.Logger = raft.ServerID(n.identity), log
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = o.HeartbeatTimeout, o.HeartbeatTimeout, o.HeartbeatTimeout
 	c.CommitTimeout = 20 * time.Millisecond
-	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = o.SnapshotEvery, 2*time.Second, o.SnapshotEvery/2+1
+	c.SnapshotThreshold, c.SnapshotInterval, c.TrailingLogs = o.SnapshotEntries, 2*time.Second, o.SnapshotEntries/2+1
 	c.BatchApplyCh, c.NoLegacyTelemetry = true, true
-	if n.raft, err = raft.NewRaft(c, (*machine)(n), n.disk, n.disk, snaps, n.trans); err != nil {
-		return nil, errors.Join(fmt.Errorf("raft: %w", err), n.trans.Close())
+	if n.raft, err = raft.NewRaft(c, (*stateMachine)(n), n.store, n.store, snaps, n.transport); err != nil {
+		return nil, errors.Join(fmt.Errorf("raft: %w", err), n.transport.Close())
 	}
-	n.barrier.propose = func() error { return n.raft.Barrier(applyWithin).Error() }
+	n.readBarrier.propose = func() error { return n.raft.Barrier(proposeTimeout).Error() }
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	n.wg.Go(func() { n.tick(ctx) })
-	n.wg.Go(func() { n.age(ctx) })
+	n.wg.Go(func() { n.advanceTime(ctx) })
+	n.wg.Go(func() { n.advanceEpoch(ctx) })
 	return n, nil
 }
 
-// snapshots opens the directory's snapshots and tells the last entry that the newest of them holds.
-func snapshots(dir string, log hclog.Logger) (store *raft.FileSnapshotStore, last uint64, err error) {
+// openSnapshots opens the directory's snapshots and tells the last entry that the newest of them holds.
+func openSnapshots(dir string, log hclog.Logger) (store *raft.FileSnapshotStore, last uint64, err error) {
 	if store, err = raft.NewFileSnapshotStoreWithLogger(dir, 2, log); err != nil {
 		return nil, 0, err
 	}
@@ -173,9 +173,9 @@
 	return len(p), nil
 }
 
-// identify reads the directory's identity and epoch, or gives it one where it is empty.
-func (n *Node) identify() error {
-	id, err := n.disk.Get([]byte(identityKey))
+// loadIdentity reads the directory's identity and epoch, or gives it one where it is empty.
+func (n *Node) loadIdentity() error {
+	id, err := n.store.Get([]byte(identityKey))
 	if err != nil && err.Error() != "not found" {
 		return err
 	}
@@ -185,51 +185,51 @@
 			return err
 		}
 		id = []byte(hex.EncodeToString(raw))
-		if err := n.disk.Set([]byte(identityKey), id); err != nil {
+		if err := n.store.Set([]byte(identityKey), id); err != nil {
 			return err
 		}
 	}
-	n.id = string(id)
-	epoch, err := n.disk.GetUint64([]byte(epochKey))
+	n.identity = string(id)
+	epoch, err := n.store.GetUint64([]byte(epochKey))
 	if err != nil {
 		return err
 	}
-	n.began, n.nonce = epoch+1, mrand.Uint64()
+	n.startEpoch, n.nonce = epoch+1, mrand.Uint64()
 	n.epoch.Store(epoch + 1)
-	return n.disk.SetUint64([]byte(epochKey), epoch+1)
+	return n.store.SetUint64([]byte(epochKey), epoch+1)
 }
 
-// seen books the run of another coordinator, and tells why it must not be talked to, or "". A disk that is as it was left gives
+// checkPeerRun books the run of another coordinator, and tells why it must not be talked to, or "". A disk that is as it was left gives
 // each start an epoch above all that it had told; one that was put back from a copy gives one that is not above. A first line that
 // comes late, from the same run or one that has ended, says nothing of the disk.
-func (n *Node) seen(id string, r run) string {
-	n.meet.Lock()
-	defer n.meet.Unlock()
-	k := []byte(seenKey + id)
-	var known run
-	v, err := n.disk.Get(k)
+func (n *Node) checkPeerRun(id string, r processRun) string {
+	n.peerRunsMu.Lock()
+	defer n.peerRunsMu.Unlock()
+	k := []byte(peerRunKeyPrefix + id)
+	var known processRun
+	v, err := n.store.Get(k)
 	switch {
 	case err != nil && err.Error() != "not found":
 		return err.Error()
 	case err == nil && len(v) == 16:
 		known.nonce, known.epoch = binary.LittleEndian.Uint64(v), binary.LittleEndian.Uint64(v[8:])
 	}
-	if r.nonce != known.nonce && r.start <= known.epoch {
-		return fmt.Sprintf("%s (it started at epoch %d, and %d was seen)", oldDisk, r.start, known.epoch)
+	if r.nonce != known.nonce && r.startEpoch <= known.epoch {
+		return fmt.Sprintf("%s (it started at epoch %d, and %d was seen)", outdatedDisk, r.startEpoch, known.epoch)
 	}
 	if r.nonce == known.nonce && r.epoch <= known.epoch {
 		return ""
 	}
 	v = binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, r.nonce), r.epoch)
-	if err := n.disk.Set(k, v); err != nil {
+	if err := n.store.Set(k, v); err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
-// age lets the disk's epoch grow and tells all others, so that a copy put back later is known as one.
-func (n *Node) age(ctx context.Context) {
-	t := time.NewTicker(epochEvery)
+// advanceEpoch lets the disk's epoch grow and tells all others, so that a copy put back later is known as one.
+func (n *Node) advanceEpoch(ctx context.Context) {
+	t := time.NewTicker(epochInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -238,13 +238,13 @@
 		case <-t.C:
 		}
 		next := n.epoch.Load() + 1
-		if n.disk.SetUint64([]byte(epochKey), next) != nil {
+		if n.store.SetUint64([]byte(epochKey), next) != nil {
 			return // fatal has been called
 		}
 		n.epoch.Store(next)
 		for _, s := range n.voters() {
-			if string(s.ID) != n.id {
-				if c, err := n.link.Dial(s.Address, helloWithin); err == nil {
+			if string(s.ID) != n.identity {
+				if c, err := n.peers.Dial(s.Address, handshakeTimeout); err == nil {
 					c.Close()
 				}
 			}
@@ -265,12 +265,12 @@
 	n.cancel()
 	err := n.raft.Shutdown().Error()
 	n.wg.Wait()
-	return errors.Join(err, n.trans.Close(), n.disk.Close())
+	return errors.Join(err, n.transport.Close(), n.store.Close())
 }
 
-// tick lets time pass in the agreed state while this coordinator leads, and tells the bound on clock rate where it changed.
-func (n *Node) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+// advanceTime lets time pass in the agreed state while this coordinator leads, and tells the bound on clock rate where it changed.
+func (n *Node) advanceTime(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -282,16 +282,16 @@
 			continue
 		}
 		n.mu.Lock()
-		idle, rate := len(n.state.Sessions) == 0, n.state.Rate
+		idle, rate := len(n.state.Sessions) == 0, n.state.ClockRateBound
 		n.mu.Unlock()
-		n.stamp.Lock()
-		fresh := clock.Now()-n.stamp.last < tickEvery/2
-		n.stamp.Unlock()
+		n.leaderClock.Lock()
+		fresh := clock.Now()-n.leaderClock.last < tickInterval/2
+		n.leaderClock.Unlock()
 		switch {
-		case rate != n.o.Rate:
-			_, _ = n.Do(coord.Command{Op: coord.Configure, Rate: n.o.Rate}) // the next tick tries again
+		case rate != n.options.ClockRateBound:
+			_, _ = n.Propose(coord.Command{Op: coord.OpSetClockRate, ClockRateBound: n.options.ClockRateBound}) // the next tick tries again
 		case !idle && !fresh:
-			_, _ = n.Do(coord.Command{Op: coord.Tick}) // likewise
+			_, _ = n.Propose(coord.Command{Op: coord.OpTick}) // likewise
 		}
 	}
 }
@@ -300,72 +300,72 @@
 // repeated with its number.
 var ErrNotLeader = errors.New("not the leader")
 
-// Do has a command agreed on and carried out.
-func (n *Node) Do(c coord.Command) (coord.Answer, error) {
+// Propose has a command agreed on and carried out.
+func (n *Node) Propose(c coord.Command) (coord.Response, error) {
 	limit := int64(maxCommands(c.Op))
-	if n.under.Add(1) > limit {
-		n.under.Add(-1)
-		return n.full(coord.Answer{Code: coord.Full, Text: fmt.Sprintf("commands under way: %d at most", limit)}, n.commands), nil
+	if n.commandsInFlight.Add(1) > limit {
+		n.commandsInFlight.Add(-1)
+		return n.withRetryAfter(coord.Response{Code: coord.CodeLimitReached, Text: fmt.Sprintf("commands under way: %d at most", limit)}, n.commandReturns), nil
 	}
-	defer n.under.Add(-1)
-	if a, refused := n.refusesSession(c); refused {
-		return n.full(a, n.tables), nil
+	defer n.commandsInFlight.Add(-1)
+	if a, refused := n.rejectsSession(c); refused {
+		return n.withRetryAfter(a, n.tableReturns), nil
 	}
-	return n.repeats.do(c, func() (coord.Answer, error) { return n.agree(c) })
+	return n.duplicates.do(c, func() (coord.Response, error) { return n.proposeAndWait(c) })
 }
 
 // maxCommands is how many commands may be under way where one more is to be carried out.
 func maxCommands(op coord.Op) int {
-	if op == coord.Keep {
-		return MaxCommands
+	if op == coord.OpKeepAlive {
+		return MaxCommandsInFlight
 	}
-	return MaxOtherCommands
+	return MaxOtherCommandsInFlight
 }
 
-// agree has a command written to the log and waits until it is carried out.
-func (n *Node) agree(c coord.Command) (coord.Answer, error) {
+// proposeAndWait has a command written to the log and waits until it is carried out.
+func (n *Node) proposeAndWait(c coord.Command) (coord.Response, error) {
 	began := time.Now()
 	n.mu.Lock()
-	c.V = n.state.V
+	c.Version = n.state.Version
 	n.mu.Unlock()
-	f, err := n.propose(c)
+	f, err := n.submit(c)
 	if err != nil {
-		return coord.Answer{}, err
+		return coord.Response{}, err
 	}
 	if err := f.Error(); err != nil {
-		return coord.Answer{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
+		return coord.Response{}, fmt.Errorf("%w: %w", ErrNotLeader, err)
 	}
-	a, ok := f.Response().(coord.Answer)
+	a, ok := f.Response().(coord.Response)
 	if !ok {
 		return a, fmt.Errorf("no answer: %v", f.Response())
 	}
-	if a.Code == coord.Full {
-		a = n.full(a, n.tables)
+	if a.Code == coord.CodeLimitReached {
+		a = n.withRetryAfter(a, n.tableReturns)
 	}
-	n.figures.Lock()
-	_ = n.commits.RecordValue(min(time.Since(began).Microseconds(), 60_000_000)) // within the bound
-	n.figures.Unlock()
+	n.latencyMu.Lock()
+	_ = n.commitLatency.RecordValue(min(time.Since(began).Microseconds(), 60_000_000)) // within the bound
+	n.latencyMu.Unlock()
 	return a, nil
 }
 
-// propose measures what has passed on the leader's clock and hands the command to the library, in one order: the log's.
-func (n *Node) propose(c coord.Command) (raft.ApplyFuture, error) {
-	n.stamp.Lock()
-	defer n.stamp.Unlock()
+// submit measures what has passed on the leader's clock and hands the command to the library, in one order: the log's.
+func (n *Node) submit(c coord.Command) (raft.ApplyFuture, error) {
+	n.leaderClock.Lock()
+	defer n.leaderClock.Unlock()
 	// The clock is read after the term: what another leader has measured before this term was chosen can't be in it, and
 	// the machine drops it if the entry comes to stand under another term.
 	c.Term = n.raft.CurrentTerm()
 	now := clock.Now()
-	if c.Term == n.stamp.term {
-		c.Advance = min(now-n.stamp.last, maxAdvance)
+	if c.Term == n.leaderClock.term {
+		c.Elapsed = min(now-n.leaderClock.last, maxElapsedPerCommand)
 	}
 	if failpoint.Is("wall-clock") {
 		now = time.Duration(clock.Wall().UnixNano())
-		if c.Term == n.stamp.term {
-			c.Advance = now - n.stamp.last
+		if c.Term == n.leaderClock.term {
+			c.Elapsed = now - n.leaderClock.last
 		}
 	}
-	n.stamp.term, n.stamp.last = c.Term, now
+	n.leaderClock.term, n.leaderClock.last = c.Term, now
 	text, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -373,16 +373,16 @@
 	if n.raft.State() != raft.Leader {
 		return nil, ErrNotLeader
 	}
-	return n.raft.Apply(text, applyWithin), nil
+	return n.raft.Apply(text, proposeTimeout), nil
 }
 
-// Read calls f with the state as all have agreed on it, not older than the call.
-func (n *Node) Read(f func(*coord.State)) error {
+// LinearizableRead calls f with the state as all have agreed on it, not older than the call.
+func (n *Node) LinearizableRead(f func(*coord.State)) error {
 	if !failpoint.Is("stale-read") {
 		if n.raft.State() != raft.Leader {
 			return ErrNotLeader
 		}
-		if err := n.barrier.wait(); err != nil {
+		if err := n.readBarrier.wait(); err != nil {
 			return fmt.Errorf("%w: %w", ErrNotLeader, err)
 		}
 	}
@@ -392,9 +392,9 @@
 	return nil
 }
 
-// Watch waits until a lease is held with another token than this one (0: is free), has another record, or ctx ends. It tells
+// WatchLease waits until a lease is held with another token than this one (0: is free), has another record, or ctx ends. It tells
 // nothing but that it may be worth asking.
-func (n *Node) Watch(ctx context.Context, lease string, token uint64) error {
+func (n *Node) WatchLease(ctx context.Context, lease string, token uint64) error {
 	return n.watch(ctx, lease, func(s *coord.State) bool {
 		l := s.Leases[lease]
 		return (l == nil) != (token == 0) || l != nil && l.Token != token
@@ -403,16 +403,16 @@
 
 // What may be watched beside leases, whose names have no such byte.
 const (
-	rolloutKey = "\x00rollout"
-	drainsKey  = "\x00drains"
+	rolloutWatchKey = "\x00rollout"
+	drainsWatchKey  = "\x00drains"
 )
 
 // WatchRollout waits until who is out has a newer version than this one, or ctx ends; with drains alone, until the set of
 // drained servers has.
 func (n *Node) WatchRollout(ctx context.Context, drains bool, after uint64) error {
-	key := rolloutKey
+	key := rolloutWatchKey
 	if drains {
-		key = drainsKey
+		key = drainsWatchKey
 	}
 	return n.watch(ctx, key, func(s *coord.State) bool {
 		version, drain := s.RolloutVersions()
@@ -427,21 +427,21 @@
 		n.mu.Unlock()
 		return nil
 	}
-	if n.count >= MaxWatchers {
+	if n.watchers >= MaxWatchers {
 		n.mu.Unlock()
-		n.refused.Add(1)
-		return &FullError{Text: fmt.Sprintf("watchers: %d at most", MaxWatchers), RetryAfter: n.tables.next(clock.Now())}
+		n.rejected.Add(1)
+		return &LimitError{Text: fmt.Sprintf("watchers: %d at most", MaxWatchers), RetryAfter: n.tableReturns.nextRetryAfter(clock.Now())}
 	}
-	c := n.waiting[lease]
+	c := n.watches[lease]
 	if c == nil {
 		c = make(chan struct{})
-		n.waiting[lease] = c
+		n.watches[lease] = c
 	}
-	n.count++
+	n.watchers++
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
-		n.count--
+		n.watchers--
 		n.mu.Unlock()
 	}()
 	select {
@@ -454,64 +454,64 @@
 // Leader names the leader as far as it is known here; "" otherwise.
 func (n *Node) Leader() string {
 	addr, _ := n.raft.LeaderWithID()
-	name, _, _, err := address(addr).apart()
+	name, _, _, err := peerAddress(addr).split()
 	if err != nil {
 		return ""
 	}
 	return name
 }
 
-// machine is the agreed state as the library drives it.
-type machine Node
+// stateMachine is the agreed state as the library drives it.
+type stateMachine Node
 
 // Apply carries out an entry of the log.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c coord.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil { // all coordinators refuse it alike
-		return coord.Answer{Code: coord.Bad, Text: err.Error()}
+		return coord.Response{Code: coord.CodeInvalid, Text: err.Error()}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	version, drains := m.state.RolloutVersions()
 	revision := m.state.Revision()
 	a := m.state.Apply(c, l.Term)
-	if a.Code == coord.Newer { // going on would leave this state behind the others'
-		m.o.Fatal(fmt.Errorf("%s: this program is too old for what the others agree on", a.Text))
+	if a.Code == coord.CodeUnknownVersion { // going on would leave this state behind the others'
+		m.options.OnFatal(fmt.Errorf("%s: this program is too old for what the others agree on", a.Text))
 	}
-	m.applied = l.Index
-	changed := m.state.Changed()
+	m.appliedIndex = l.Index
+	changed := m.state.ChangedLeases()
 	if v, d := m.state.RolloutVersions(); v != version {
-		changed = append(changed, rolloutKey)
+		changed = append(changed, rolloutWatchKey)
 		if d != drains {
-			changed = append(changed, drainsKey)
+			changed = append(changed, drainsWatchKey)
 		}
 	}
 	if m.state.Revision() != revision {
-		changed = append(changed, changesKey)
+		changed = append(changed, documentsWatchKey)
 	}
 	for _, name := range changed {
-		if w := m.waiting[name]; w != nil {
+		if w := m.watches[name]; w != nil {
 			close(w)
-			delete(m.waiting, name)
+			delete(m.watches, name)
 		}
 	}
 	return a
 }
 
 // Snapshot takes the state as it is.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	step("snapshot-begun")
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	crashPoint("snapshot-begun")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	text, err := m.state.Marshal()
-	step("snapshot-taken")
-	return snapshot(text), err
+	crashPoint("snapshot-taken")
+	return stateSnapshot(text), err
 }
 
 // Restore replaces the state by a snapshot.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	step("restore-begun")
+	crashPoint("restore-begun")
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -523,71 +523,71 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	for name, w := range m.waiting { // all may have changed
+	for name, w := range m.watches { // all may have changed
 		close(w)
-		delete(m.waiting, name)
+		delete(m.watches, name)
 	}
 	return nil
 }
 
-type snapshot []byte
+type stateSnapshot []byte
 
 // Persist writes the snapshot; the library syncs it and gives it its name.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s[:len(s)/2]); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
-	step("snapshot-half-written")
+	crashPoint("snapshot-half-written")
 	if _, err := sink.Write(s[len(s)/2:]); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
-	step("snapshot-written")
+	crashPoint("snapshot-written")
 	err := sink.Close()
-	step("snapshot-named") // and the log not cut yet
+	crashPoint("snapshot-named") // and the log not cut yet
 	return err
 }
 
 // Release lets the state go.
-func (snapshot) Release() {}
+func (stateSnapshot) Release() {}
 
 // Recover makes a coordinator's directory the only voter's, after a majority was lost for good, and raises all tokens above
 // any that the lost ones may have given. What they had agreed on and this one hadn't heard of is gone.
 func Recover(o Options) error {
-	n := &Node{o: o, state: coord.New(), waiting: map[string]chan struct{}{}}
-	snaps, floor, err := snapshots(o.Dir, hclog.NewNullLogger())
+	n := &Node{options: o, state: coord.New(), watches: map[string]chan struct{}{}}
+	snaps, floor, err := openSnapshots(o.Directory, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
-	disk, err := openDisk(o.Dir, floor, o.Fatal)
+	disk, err := openStore(o.Directory, floor, o.OnFatal)
 	if err != nil {
 		return err
 	}
-	n.disk = disk
-	if err := n.identify(); err != nil {
+	n.store = disk
+	if err := n.loadIdentity(); err != nil {
 		return errors.Join(err, disk.Close())
 	}
-	addr, trans := raft.NewInmemTransport(raft.ServerAddress(o.address(n.id)))
+	addr, trans := raft.NewInmemTransport(raft.ServerAddress(o.peerAddress(n.identity)))
 	c := raft.DefaultConfig()
-	c.LocalID, c.Logger = raft.ServerID(n.id), hclog.NewNullLogger()
-	err = raft.RecoverCluster(c, (*raised)(n), disk, disk, snaps, trans, raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(n.id), Address: addr}}})
+	c.LocalID, c.Logger = raft.ServerID(n.identity), hclog.NewNullLogger()
+	err = raft.RecoverCluster(c, (*recoveryStateMachine)(n), disk, disk, snaps, trans, raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(n.identity), Address: addr}}})
 	return errors.Join(err, disk.Close())
 }
 
-// raised is the machine whose snapshot has its tokens raised and its sessions ended: nobody holds anything.
-type raised Node
+// recoveryStateMachine is the machine whose snapshot has its tokens raised and its sessions ended: nobody holds anything.
+type recoveryStateMachine Node
 
-func (m *raised) Apply(l *raft.Log) any         { return (*machine)(m).Apply(l) }
-func (m *raised) Restore(r io.ReadCloser) error { return (*machine)(m).Restore(r) }
-func (m *raised) Snapshot() (raft.FSMSnapshot, error) {
+func (m *recoveryStateMachine) Apply(l *raft.Log) any         { return (*stateMachine)(m).Apply(l) }
+func (m *recoveryStateMachine) Restore(r io.ReadCloser) error { return (*stateMachine)(m).Restore(r) }
+func (m *recoveryStateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.state.Apply(coord.Command{V: coord.Version, Op: coord.Raise, Token: m.state.Token + 1<<40}, 0)
+	m.state.Apply(coord.Command{Version: coord.Version, Op: coord.OpRaiseTokens, Token: m.state.LastToken + 1<<40}, 0)
 	text, err := m.state.Marshal()
-	return snapshot(text), err
+	return stateSnapshot(text), err
 }
 
-// MakeDir makes a coordinator's directory.
-func MakeDir(dir string) error {
+// MakeDirectory makes a coordinator's directory.
+func MakeDirectory(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("dir: %w", err)
 	}
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -24,22 +24,22 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// disk is the log and the votes in one file, each entry and value with a checksum, as a bit that flips on a disk would
+// diskStore is the log and the votes in one file, each entry and value with a checksum, as a bit that flips on a disk would
 // otherwise be agreed on.
-type disk struct {
+type diskStore struct {
 	*raftboltdb.BoltStore
 	fatal func(error) // the vote can't be kept: the process must end
 
-	mu    sync.Mutex
-	syncs *hdrhistogram.Histogram // of writes with their sync, in microseconds
-	held  []*raft.Log             // with the mutant unsynced only
+	mu           sync.Mutex
+	syncLatency  *hdrhistogram.Histogram // of writes with their sync, in microseconds
+	unsyncedLogs []*raft.Log             // with the mutant unsynced only
 }
 
 // errDamaged tells that what stands on the disk isn't what was written.
 var errDamaged = errors.New("the log is damaged; this coordinator must come back with an empty directory, as a new member")
 
-// openDisk opens the log in dir and reads it through. Up to the entry floor, which a snapshot holds, entries may be missing.
-func openDisk(dir string, floor uint64, fatal func(error)) (d *disk, err error) {
+// openStore opens the log in dir and reads it through. Up to the entry floor, which a snapshot holds, entries may be missing.
+func openStore(dir string, floor uint64, fatal func(error)) (d *diskStore, err error) {
 	path := filepath.Join(dir, "log.db")
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file that was cut off under its map
 	defer func() {
@@ -48,7 +48,7 @@
 		}
 	}()
 	if _, err := os.Stat(path); err == nil {
-		if err := inspect(path); err != nil {
+		if err := inspectFile(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -62,8 +62,8 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	d = &disk{BoltStore: store, fatal: fatal, syncs: hdrhistogram.New(1, 60_000_000, 2)}
-	if err := d.check(floor); err != nil {
+	d = &diskStore{BoltStore: store, fatal: fatal, syncLatency: hdrhistogram.New(1, 60_000_000, 2)}
+	if err := d.verify(floor); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), store.Close())
 	}
 	return d, nil
@@ -78,9 +78,9 @@
 	metaMagic  = 0xED0CDAED
 )
 
-// inspect finds damage that the file's own library would pass over: a meta page that is spoilt has it go back silently to the one
+// inspectFile finds damage that the file's own library would pass over: a meta page that is spoilt has it go back silently to the one
 // before, which forgets the last transaction and with it, perhaps, a vote; and a key that is spoilt looks like one never written.
-func inspect(path string) error {
+func inspectFile(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 			}
 			return b.ForEach(func(k, _ []byte) error {
 				switch {
-				case strings.HasPrefix(string(k), seenKey):
+				case strings.HasPrefix(string(k), peerRunKeyPrefix):
 					return nil
 				case slices.Contains([]string{"CurrentTerm", "LastVoteTerm", "LastVoteCand", identityKey, epochKey}, string(k)): // raft's and ours
 					return nil
@@ -159,14 +159,14 @@
 
 // The keys of what this package keeps beside the library's.
 const (
-	identityKey = "identity"
-	epochKey    = "epoch"
-	seenKey     = "seen/"
+	identityKey      = "identity"
+	epochKey         = "epoch"
+	peerRunKeyPrefix = "seen/"
 )
 
-// check reads all that is there. A snapshot that came from the leader leaves a hole between what the log had before and what
+// verify reads all that is there. A snapshot that came from the leader leaves a hole between what the log had before and what
 // came after it.
-func (d *disk) check(floor uint64) error {
+func (d *diskStore) verify(floor uint64) error {
 	first, err := d.FirstIndex()
 	if err != nil {
 		return err
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func logSum(l *raft.Log) []byte {
+func entryChecksum(l *raft.Log) []byte {
 	h := xxhash.New()
 	var head [17]byte
 	binary.LittleEndian.PutUint64(head[:], l.Index)
@@ -201,9 +201,9 @@
 }
 
 // GetLog reads an entry and holds it against its checksum.
-func (d *disk) GetLog(i uint64, l *raft.Log) error {
+func (d *diskStore) GetLog(i uint64, l *raft.Log) error {
 	d.mu.Lock()
-	for _, h := range d.held {
+	for _, h := range d.unsyncedLogs {
 		if h.Index == i {
 			*l = *h
 			d.mu.Unlock()
@@ -215,7 +215,7 @@
 	if err := d.BoltStore.GetLog(i, l); err != nil {
 		return err
 	}
-	if l.Index != i || string(l.Extensions) != string(logSum(l)) {
+	if l.Index != i || string(l.Extensions) != string(entryChecksum(l)) {
 		return fmt.Errorf("entry %d: %w", i, errDamaged)
 	}
 	l.Extensions = nil
@@ -223,84 +223,84 @@
 }
 
 // StoreLog writes an entry.
-func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *diskStore) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs writes entries and returns once they are synced.
-func (d *disk) StoreLogs(logs []*raft.Log) error {
+func (d *diskStore) StoreLogs(logs []*raft.Log) error {
 	if failpoint.Is("unsynced") {
-		return d.storeLater(logs)
+		return d.storeUnsynced(logs)
 	}
 	summed := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		c := *l
-		c.Extensions = logSum(l)
+		c.Extensions = entryChecksum(l)
 		summed[i] = &c
 	}
 	began := time.Now()
 	slowSync()
 	err := d.BoltStore.StoreLogs(summed)
 	d.mu.Lock()
-	_ = d.syncs.RecordValue(min(time.Since(began).Microseconds(), 60_000_000)) // within the bound
+	_ = d.syncLatency.RecordValue(min(time.Since(began).Microseconds(), 60_000_000)) // within the bound
 	d.mu.Unlock()
 	return err
 }
 
-// storeLater keeps the newest entries in memory only, as a disk does with what was not synced.
-func (d *disk) storeLater(logs []*raft.Log) error {
+// storeUnsynced keeps the newest entries in memory only, as a disk does with what was not synced.
+func (d *diskStore) storeUnsynced(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held = append(d.held, logs...)
-	n := len(d.held) - 50
+	d.unsyncedLogs = append(d.unsyncedLogs, logs...)
+	n := len(d.unsyncedLogs) - 50
 	if n <= 0 {
 		return nil
 	}
 	var down []*raft.Log
-	for _, l := range d.held[:n] {
+	for _, l := range d.unsyncedLogs[:n] {
 		c := *l
-		c.Extensions = logSum(l)
+		c.Extensions = entryChecksum(l)
 		down = append(down, &c)
 	}
-	d.held = append([]*raft.Log(nil), d.held[n:]...)
+	d.unsyncedLogs = append([]*raft.Log(nil), d.unsyncedLogs[n:]...)
 	return d.BoltStore.StoreLogs(down)
 }
 
 // LastIndex is that of the newest entry.
-func (d *disk) LastIndex() (uint64, error) {
+func (d *diskStore) LastIndex() (uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if n := len(d.held); n > 0 {
-		return d.held[n-1].Index, nil
+	if n := len(d.unsyncedLogs); n > 0 {
+		return d.unsyncedLogs[n-1].Index, nil
 	}
 	return d.BoltStore.LastIndex()
 }
 
 // FirstIndex is that of the oldest entry.
-func (d *disk) FirstIndex() (uint64, error) {
+func (d *diskStore) FirstIndex() (uint64, error) {
 	first, err := d.BoltStore.FirstIndex()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if first == 0 && len(d.held) > 0 {
-		first = d.held[0].Index
+	if first == 0 && len(d.unsyncedLogs) > 0 {
+		first = d.unsyncedLogs[0].Index
 	}
 	return first, err
 }
 
 // DeleteRange forgets entries.
-func (d *disk) DeleteRange(low, high uint64) error {
+func (d *diskStore) DeleteRange(low, high uint64) error {
 	d.mu.Lock()
-	kept := d.held[:0]
-	for _, h := range d.held {
+	kept := d.unsyncedLogs[:0]
+	for _, h := range d.unsyncedLogs {
 		if h.Index < low || h.Index > high {
 			kept = append(kept, h)
 		}
 	}
-	d.held = kept
+	d.unsyncedLogs = kept
 	d.mu.Unlock()
 	return d.BoltStore.DeleteRange(low, high)
 }
 
 // Set keeps a value with its checksum. Where a vote can't be kept, the process must not go on: it would vote twice.
-func (d *disk) Set(k, v []byte) error {
+func (d *diskStore) Set(k, v []byte) error {
 	err := d.BoltStore.Set(k, binary.LittleEndian.AppendUint64(append([]byte(nil), v...), xxhash.Sum64(v)))
 	if err != nil {
 		d.fatal(fmt.Errorf("%s can't be written: %w", k, err))
@@ -309,7 +309,7 @@
 }
 
 // Get reads a value and holds it against its checksum.
-func (d *disk) Get(k []byte) ([]byte, error) {
+func (d *diskStore) Get(k []byte) ([]byte, error) {
 	v, err := d.BoltStore.Get(k)
 	if err != nil {
 		return nil, err
@@ -322,12 +322,12 @@
 }
 
 // SetUint64 keeps a number.
-func (d *disk) SetUint64(k []byte, v uint64) error {
+func (d *diskStore) SetUint64(k []byte, v uint64) error {
 	return d.Set(k, binary.LittleEndian.AppendUint64(nil, v))
 }
 
 // GetUint64 reads a number; 0 where there is none.
-func (d *disk) GetUint64(k []byte) (uint64, error) {
+func (d *diskStore) GetUint64(k []byte) (uint64, error) {
 	v, err := d.Get(k)
 	if err != nil {
 		if err.Error() == "not found" {
@@ -341,9 +341,9 @@
 	return binary.LittleEndian.Uint64(v), nil
 }
 
-// quantiles of the time that a write with its sync takes, in milliseconds.
-func (d *disk) quantiles() (p50, p99 float64) {
+// syncLatencyMillis of the time that a write with its sync takes, in milliseconds.
+func (d *diskStore) syncLatencyMillis() (p50, p99 float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return float64(d.syncs.ValueAtQuantile(50)) / 1000, float64(d.syncs.ValueAtQuantile(99)) / 1000
+	return float64(d.syncLatency.ValueAtQuantile(50)) / 1000, float64(d.syncLatency.ValueAtQuantile(99)) / 1000
 }
--- a/internal/coord/node/store_test.go
+++ b/internal/coord/node/store_test.go
@@ -15,7 +15,7 @@
 func written(t *testing.T) (dir string, want map[string]string) {
 	t.Helper()
 	dir = t.TempDir()
-	d, err := openDisk(dir, 0, func(err error) { t.Fatal(err) })
+	d, err := openStore(dir, 0, func(err error) { t.Fatal(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 		if err := os.WriteFile(filepath.Join(into, "log.db"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, err := openDisk(into, 0, func(err error) { t.Fatal(err) })
+		d, err := openStore(into, 0, func(err error) { t.Fatal(err) })
 		if err != nil {
 			if !errors.Is(err, errDamaged) {
 				t.Errorf("%s: refused without saying that it is damaged: %v", what, err)
@@ -93,7 +93,7 @@
 // A hole in the log is damage, unless a snapshot holds what is missing.
 func TestHole(t *testing.T) {
 	dir, _ := written(t)
-	d, err := openDisk(dir, 0, func(err error) { t.Fatal(err) })
+	d, err := openStore(dir, 0, func(err error) { t.Fatal(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,10 +103,10 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := openDisk(dir, 11, nil); !errors.Is(err, errDamaged) {
+	if _, err := openStore(dir, 11, nil); !errors.Is(err, errDamaged) {
 		t.Errorf("a hole was passed over: %v", err)
 	}
-	d, err = openDisk(dir, 12, nil)
+	d, err = openStore(dir, 12, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -16,19 +16,19 @@
 // ends. By the answer the client knows how old its state is: a line of the watch may have been under way for any time, and the
 // answer can't be older than the request.
 func (c *Client) acknowledge(ctx context.Context) {
-	ticker := time.NewTicker(heartbeat)
+	ticker := time.NewTicker(maxAcknowledgeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.news:
+		case <-c.acknowledgeDue:
 		case <-ticker.C:
 		}
 		if err := c.acknowledgeOnce(ctx); err != nil {
 			c.options.Log.Debug("not acknowledged", "error", err) // the next heartbeat tries again
 		}
-		if !clock.Sleep(ctx, acknowledgeGap) {
+		if !clock.Sleep(ctx, minAcknowledgeInterval) {
 			return
 		}
 	}
@@ -39,7 +39,7 @@
 	if address == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, silence)
+	ctx, cancel := context.WithTimeout(ctx, silenceTimeout)
 	defer cancel()
 	_, inForce := c.Revision()
 	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.Watcher, Revision: inForce})
@@ -59,7 +59,7 @@
 	if response.StatusCode != http.StatusOK {
 		return readRefusal(response)
 	}
-	var answer protocol.Acknowledged
+	var answer protocol.AcknowledgementResponse
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxRefusalBytes)).Decode(&answer); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 }
 
 // confirmed books how old the state is, by the answer to what was sent at an instant.
-func (c *Client) confirmed(answer protocol.Acknowledged, sent time.Duration) {
+func (c *Client) confirmed(answer protocol.AcknowledgementResponse, sent time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.AgeMillis < 0 || c.replica.Revision() < answer.Newest {
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -38,28 +38,28 @@
 
 // The client's pauses and patience.
 const (
-	minPause       = 50 * time.Millisecond // after an observer failed, doubled each time
-	maxPause       = 2 * time.Second
-	silence        = 2 * time.Second // without a byte from an observer, which sends progress twice a second
-	minStale       = 5 * time.Second // a watch whose state is older moves, twice as late each time in a row
-	maxStale       = time.Minute
-	acknowledgeGap = 200 * time.Millisecond // between two acknowledgements, at least
-	heartbeat      = 2 * time.Second        // likewise, at most
-	retryJitter    = 4                      // a come-back time is lengthened by up to this part of it
+	minPause               = 50 * time.Millisecond // after an observer failed, doubled each time
+	maxPause               = 2 * time.Second
+	silenceTimeout         = 2 * time.Second // without a byte from an observer, which sends progress twice a second
+	minStaleAge            = 5 * time.Second // a watch whose state is older moves, twice as late each time in a row
+	maxStaleAge            = time.Minute
+	minAcknowledgeInterval = 200 * time.Millisecond // between two acknowledgements, at least
+	maxAcknowledgeInterval = 2 * time.Second        // likewise, at most
+	retryJitter            = 4                      // a come-back time is lengthened by up to this part of it
 )
 
 // Client is one watcher.
 type Client struct {
-	options Options
-	http    *http.Client
-	news    chan struct{} // of one: there may be something to acknowledge
-
-	mu         sync.Mutex // guards what follows
-	replica    *watchlog.Replica
-	observer   string        // that is watched now; "" while none is
-	isRefused  bool          // Apply has failed, and not succeeded since
-	completeAt time.Duration // on clock.Now: what is held was all there was at this instant, at the earliest
-	isComplete bool          // completeAt has been set
+	options        Options
+	http           *http.Client
+	acknowledgeDue chan struct{} // of one: there may be something to acknowledge
+
+	mu             sync.Mutex // guards what follows
+	replica        *watchlog.Replica
+	observer       string        // that is watched now; "" while none is
+	isApplyFailing bool          // Apply has failed, and not succeeded since
+	completeAt     time.Duration // on clock.Now: what is held was all there was at this instant, at the earliest
+	isComplete     bool          // completeAt has been set
 }
 
 // New prepares a client; Run has it watch.
@@ -68,12 +68,12 @@
 		options.Log = slog.New(slog.DiscardHandler)
 	}
 	return &Client{
-		options: options,
-		replica: watchlog.NewReplica(),
-		news:    make(chan struct{}, 1),
+		options:        options,
+		replica:        watchlog.NewReplica(),
+		acknowledgeDue: make(chan struct{}, 1),
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: time.Second}).DialContext,
-			ResponseHeaderTimeout: silence,
+			ResponseHeaderTimeout: silenceTimeout,
 			MaxConnsPerHost:       2,
 			MaxIdleConnsPerHost:   1,
 			IdleConnTimeout:       time.Minute,
@@ -110,7 +110,7 @@
 	wg.Go(func() { c.acknowledge(ctx) })
 	order := slices.Clone(c.options.Observers)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	pause, stale := minPause, minStale
+	pause, stale := minPause, minStaleAge
 	for i := 0; ctx.Err() == nil && len(order) > 0; i++ {
 		address := order[i%len(order)]
 		updates, err := c.watch(ctx, address, stale)
@@ -123,20 +123,20 @@
 			pause = minPause
 		}
 		if errors.Is(err, errStale) {
-			stale = min(2*stale, maxStale)
+			stale = min(2*stale, maxStaleAge)
 		} else if updates > 0 {
-			stale = minStale
+			stale = minStaleAge
 		}
-		if !clock.Sleep(ctx, comeBack(err, pause)) {
+		if !clock.Sleep(ctx, reconnectDelay(err, pause)) {
 			return
 		}
 		pause = min(2*pause, maxPause)
 	}
 }
 
-// comeBack is how long to wait: what the observer told, and a part more; else the pause, spread over half of it to one and a half.
-func comeBack(err error, pause time.Duration) time.Duration {
-	var refusal *protocol.Refusal
+// reconnectDelay is how long to wait: what the observer told, and a part more; else the pause, spread over half of it to one and a half.
+func reconnectDelay(err error, pause time.Duration) time.Duration {
+	var refusal *protocol.Rejection
 	if errors.As(err, &refusal) && refusal.RetryAfterMillis > 0 {
 		told := refusal.RetryAfter()
 		return told + rand.N(told/retryJitter+1)
@@ -151,8 +151,8 @@
 	c.wake()
 }
 
-// take takes an update and puts it in force.
-func (c *Client) take(ctx context.Context, update protocol.Update) error {
+// receive takes an update and puts it in force.
+func (c *Client) receive(ctx context.Context, update protocol.Update) error {
 	state, err := c.extend(update)
 	if err != nil {
 		return err
@@ -162,16 +162,16 @@
 		if err != nil {
 			c.options.Log.Warn("what was in force stays", "revision", state.Revision, "error", err)
 		}
-		c.applied(err)
+		c.recordApplyResult(err)
 	}
-	c.putInForce(state.Revision)
+	c.markApplied(state.Revision)
 	return nil
 }
 
 func (c *Client) extend(update protocol.Update) (State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.replica.Take(update.Batch); err != nil {
+	if err := c.replica.Apply(update.Batch); err != nil {
 		return State{}, err
 	}
 	state := State{Revision: c.replica.Revision(), Update: update}
@@ -181,18 +181,18 @@
 	return state, nil
 }
 
-func (c *Client) applied(err error) {
+func (c *Client) recordApplyResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isRefused = err != nil
+	c.isApplyFailing = err != nil
 }
 
-// putInForce books that a revision is in force and has it acknowledged.
-func (c *Client) putInForce(revision uint64) {
+// markApplied books that a revision is in force and has it acknowledged.
+func (c *Client) markApplied(revision uint64) {
 	c.mu.Lock()
 	before := c.replica.Acknowledged()
-	if !c.isRefused {
-		c.replica.PutInForce(revision)
+	if !c.isApplyFailing {
+		c.replica.MarkApplied(revision)
 	}
 	hasNews := c.replica.Acknowledged() != before
 	c.mu.Unlock()
@@ -204,7 +204,7 @@
 // wake has the revision that is in force acknowledged soon.
 func (c *Client) wake() {
 	select {
-	case c.news <- struct{}{}:
+	case c.acknowledgeDue <- struct{}{}:
 	default: // one is waiting already
 	}
 }
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -22,7 +22,7 @@
 	staysOpen    bool
 	asked        []string // the revisions from which watches were begun
 	acknowledged []uint64
-	answer       protocol.Acknowledged
+	answer       protocol.AcknowledgementResponse
 }
 
 func (f *fakeObserver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -206,17 +206,17 @@
 // The age is known only from an answer that tells nothing newer than what is held, and counts from the asking.
 func TestAge(t *testing.T) {
 	c := New(Options{})
-	if err := c.replica.Take(snapshot(5).Batch); err != nil {
+	if err := c.replica.Apply(snapshot(5).Batch); err != nil {
 		t.Fatal(err)
 	}
-	for _, answer := range []protocol.Acknowledged{{Newest: 6}, {Newest: 5, AgeMillis: -1}} {
+	for _, answer := range []protocol.AcknowledgementResponse{{Newest: 6}, {Newest: 5, AgeMillis: -1}} {
 		c.confirmed(answer, 0)
 		if _, ok := c.Age(); ok {
 			t.Errorf("%+v: an age is known", answer)
 		}
 	}
-	c.confirmed(protocol.Acknowledged{Newest: 5, AgeMillis: 1000}, time.Hour)
-	c.confirmed(protocol.Acknowledged{Newest: 5, AgeMillis: 9000}, time.Hour) // older: it doesn't go back
+	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 1000}, time.Hour)
+	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 9000}, time.Hour) // older: it doesn't go back
 	if c.completeAt != time.Hour-time.Second {
 		t.Errorf("complete at %v", c.completeAt)
 	}
@@ -224,15 +224,15 @@
 
 // A time to come back is kept, with a part more that spreads the herd; without one the pause is spread.
 func TestComeBack(t *testing.T) {
-	told := &protocol.Refusal{Code: protocol.Busy, RetryAfterMillis: 8000}
+	told := &protocol.Rejection{Code: protocol.CodeOverloaded, RetryAfterMillis: 8000}
 	seen := map[time.Duration]bool{}
 	for range 100 {
-		got := comeBack(fmt.Errorf("joining: %w", told), time.Second)
+		got := reconnectDelay(fmt.Errorf("joining: %w", told), time.Second)
 		if got < 8*time.Second || got > 10*time.Second {
 			t.Fatalf("%v", got)
 		}
 		seen[got] = true
-		if got := comeBack(errors.New("reset"), time.Second); got < time.Second/2 || got > 3*time.Second/2 {
+		if got := reconnectDelay(errors.New("reset"), time.Second); got < time.Second/2 || got > 3*time.Second/2 {
 			t.Fatalf("%v", got)
 		}
 	}
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -35,9 +35,9 @@
 	defer response.Body.Close()
 	c.setObserver(address)
 	began := time.Now()
-	watchdog := time.AfterFunc(silence, cancel) // a stopped observer's connection stays open
+	watchdog := time.AfterFunc(silenceTimeout, cancel) // a stopped observer's connection stays open
 	defer watchdog.Stop()
-	lines := bufio.NewScanner(&watched{from: response.Body, watchdog: watchdog})
+	lines := bufio.NewScanner(&watchdogReader{from: response.Body, watchdog: watchdog})
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var update protocol.Update
@@ -45,10 +45,10 @@
 			return updates, fmt.Errorf("reading an update: %w", err)
 		}
 		watchdog.Stop() // Apply takes as long as it takes
-		if err := c.take(ctx, update); err != nil {
+		if err := c.receive(ctx, update); err != nil {
 			return updates, err
 		}
-		watchdog.Reset(silence)
+		watchdog.Reset(silenceTimeout)
 		updates++
 		age, isComplete := c.Age()
 		if time.Since(began) > staleAfter && (!isComplete || age > staleAfter) {
@@ -86,23 +86,23 @@
 	if err != nil {
 		return err
 	}
-	var refusal protocol.Refusal
+	var refusal protocol.Rejection
 	if json.Unmarshal(body, &refusal) != nil || refusal.Code == "" {
 		return fmt.Errorf("the observer answered %s", response.Status)
 	}
 	return &refusal
 }
 
-// watched puts the watchdog off with each byte: a snapshot may take longer than silence to come.
-type watched struct {
+// watchdogReader puts the watchdog off with each byte: a snapshot may take longer than silence to come.
+type watchdogReader struct {
 	from     io.Reader
 	watchdog *time.Timer
 }
 
-func (w *watched) Read(p []byte) (int, error) {
+func (w *watchdogReader) Read(p []byte) (int, error) {
 	n, err := w.from.Read(p)
 	if n > 0 {
-		w.watchdog.Reset(silence)
+		w.watchdog.Reset(silenceTimeout)
 	}
 	return n, err
 }
--- a/internal/coord/observer/follow.go
+++ b/internal/coord/observer/follow.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return answered, err
 		}
-		if err := o.take(update, askedAt); err != nil {
+		if err := o.apply(update, askedAt); err != nil {
 			return answered, err
 		}
 		if update.Age() > maxUpstreamAge && len(o.options.Coordinators) > 1 {
@@ -91,7 +91,7 @@
 		return update, err
 	}
 	if response.StatusCode != http.StatusOK {
-		var refusal protocol.Refusal
+		var refusal protocol.Rejection
 		if json.Unmarshal(body, &refusal) != nil || refusal.Code == "" {
 			return update, fmt.Errorf("polling for changes: %s", response.Status)
 		}
--- a/internal/coord/observer/join.go
+++ b/internal/coord/observer/join_limiter.go
@@ -12,10 +12,10 @@
 // joinLimiter admits joins at a bounded rate, and tells each that it turns away a time of its own to come back, so that those
 // turned away together don't come back together. It has no clock.
 type joinLimiter struct {
-	perSecond  float64
-	tokens     float64
-	at         time.Duration // tokens are as of this instant
-	comeBackAt time.Duration // given to the one that was turned away last
+	perSecond    float64
+	tokens       float64
+	tokensAt     time.Duration // tokens are as of this instant
+	lastReturnAt time.Duration // given to the one that was turned away last
 }
 
 func newJoinLimiter(perSecond float64) *joinLimiter {
@@ -24,14 +24,14 @@
 
 // admit takes one in at an instant, or tells after what time there is room for it.
 func (l *joinLimiter) admit(now time.Duration) (retryAfter time.Duration, ok bool) {
-	l.tokens = min(joinBurst, l.tokens+(now-l.at).Seconds()*l.perSecond)
-	l.at = now
+	l.tokens = min(joinBurst, l.tokens+(now-l.tokensAt).Seconds()*l.perSecond)
+	l.tokensAt = now
 	if l.tokens >= 1 {
 		l.tokens--
 		return 0, true
 	}
 	gap := time.Duration(float64(time.Second) / l.perSecond)
-	l.comeBackAt = max(l.comeBackAt, now) + gap
-	l.comeBackAt = min(l.comeBackAt, now+maxRetryAfter)
-	return l.comeBackAt - now, false
+	l.lastReturnAt = max(l.lastReturnAt, now) + gap
+	l.lastReturnAt = min(l.lastReturnAt, now+maxRetryAfter)
+	return l.lastReturnAt - now, false
 }
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -72,8 +72,8 @@
 	o.follow(ctx)
 }
 
-// take extends the state by an update that was asked for at an instant of clock.Now.
-func (o *Observer) take(update protocol.Update, askedAt time.Duration) error {
+// apply extends the state by an update that was asked for at an instant of clock.Now.
+func (o *Observer) apply(update protocol.Update, askedAt time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	before := o.log.Newest()
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -63,7 +63,7 @@
 		batch, err = c.log.Snapshot(""), nil
 	}
 	if err != nil {
-		refuse(w, http.StatusConflict, &protocol.Refusal{Code: protocol.Behind, Text: err.Error()})
+		reject(w, http.StatusConflict, &protocol.Rejection{Code: protocol.CodeBehind, Text: err.Error()})
 		return
 	}
 	_ = json.NewEncoder(w).Encode(protocol.Update{Batch: batch, Newest: c.log.Newest()})
@@ -170,7 +170,7 @@
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &update) != nil {
 		return protocol.Update{}, false
 	}
-	if err := replica.Take(update.Batch); err != nil {
+	if err := replica.Apply(update.Batch); err != nil {
 		t.Fatal(err)
 	}
 	return update, true
@@ -214,19 +214,19 @@
 		query  string
 		code   protocol.Code
 	}{
-		{unready, "watcher=w", protocol.Unready},
-		{routers, "watcher=w&after=5", protocol.Behind},
-		{routers, "watcher=w", protocol.Busy},
-		{routers, "", protocol.Invalid},
-		{routers, "watcher=w&after=x", protocol.Invalid},
-		{routers, "watcher=w&prefix=" + string(bytes.Repeat([]byte("p"), 129)), protocol.Invalid},
+		{unready, "watcher=w", protocol.CodeNotReady},
+		{routers, "watcher=w&after=5", protocol.CodeBehind},
+		{routers, "watcher=w", protocol.CodeOverloaded},
+		{routers, "", protocol.CodeInvalid},
+		{routers, "watcher=w&after=x", protocol.CodeInvalid},
+		{routers, "watcher=w&prefix=" + string(bytes.Repeat([]byte("p"), 129)), protocol.CodeInvalid},
 	} {
 		response := watch(t, want.server, want.query)
-		var refusal protocol.Refusal
+		var refusal protocol.Rejection
 		if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code != want.code {
 			t.Errorf("%s: %+v, %v, want %s", want.query, refusal, err, want.code)
 		}
-		if want.code == protocol.Busy && response.Header.Get("Retry-After") == "" {
+		if want.code == protocol.CodeOverloaded && response.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: no time to come back", want.query)
 		}
 	}
@@ -246,11 +246,11 @@
 	for i := range 10 * joinBurst { // room for one comes each second meanwhile
 		response := watch(t, routers, fmt.Sprint("watcher=w", i))
 		if response.StatusCode == http.StatusServiceUnavailable {
-			var refusal protocol.Refusal
-			if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code != protocol.Busy || refusal.RetryAfter() <= 0 {
+			var refusal protocol.Rejection
+			if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code != protocol.CodeOverloaded || refusal.RetryAfter() <= 0 {
 				t.Errorf("%+v, %v", refusal, err)
 			}
-			if o.Status().Refused != 1 {
+			if o.Status().RejectedJoins != 1 {
 				t.Errorf("%+v", o.Status())
 			}
 			return
--- a/internal/coord/observer/protocol/protocol.go
+++ b/internal/coord/observer/protocol/protocol.go
@@ -33,24 +33,24 @@
 
 // The refusals.
 const (
-	Behind     Code = "behind"      // the one that was asked has older state than the watcher: ask another
-	Unready    Code = "unready"     // it has no state yet: ask another
-	Busy       Code = "busy"        // too many join at once, or watch: RetryAfterMillis
-	Invalid    Code = "invalid"     // the request is impossible
-	NotWatched Code = "not-watched" // an acknowledgement of who doesn't watch here, or of a revision that it wasn't given
+	CodeBehind      Code = "behind"      // the one that was asked has older state than the watcher: ask another
+	CodeNotReady    Code = "unready"     // it has no state yet: ask another
+	CodeOverloaded  Code = "busy"        // too many join at once, or watch: RetryAfterMillis
+	CodeInvalid     Code = "invalid"     // the request is impossible
+	CodeNotWatching Code = "not-watched" // an acknowledgement of who doesn't watch here, or of a revision that it wasn't given
 )
 
-// Refusal is the body of an answer that isn't 200. It is an error.
-type Refusal struct {
+// Rejection is the body of an answer that isn't 200. It is an error.
+type Rejection struct {
 	Code             Code   `json:"code"`
 	Text             string `json:"text"`
 	RetryAfterMillis int64  `json:"retryAfterMillis,omitempty"`
 }
 
-func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s", r.Code, r.Text) }
+func (r *Rejection) Error() string { return fmt.Sprintf("%s: %s", r.Code, r.Text) }
 
 // RetryAfter is RetryAfterMillis as a duration.
-func (r *Refusal) RetryAfter() time.Duration {
+func (r *Rejection) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMillis) * time.Millisecond
 }
 
@@ -60,8 +60,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Acknowledged answers an Acknowledgement: who has everything through Newest knows by it how old that is.
-type Acknowledged struct {
+// AcknowledgementResponse answers an Acknowledgement: who has everything through Newest knows by it how old that is.
+type AcknowledgementResponse struct {
 	Newest    uint64 `json:"newest"`
 	AgeMillis int64  `json:"ageMillis"`
 }
@@ -73,8 +73,8 @@
 	Bytes    int    `json:"bytes"`
 }
 
-// Lagging is a watcher that has not acknowledged the newest revision.
-type Lagging struct {
+// LaggingWatcher is a watcher that has not acknowledged the newest revision.
+type LaggingWatcher struct {
 	Watcher     string `json:"watcher"`
 	Revision    uint64 `json:"revision"` // that it acknowledged
 	SinceMillis int64  `json:"sinceMillis"`
@@ -82,17 +82,17 @@
 
 // Status is how an observer stands, its watchers summed up.
 type Status struct {
-	Name         string    `json:"name"`
-	Revision     uint64    `json:"revision"`
-	AgeMillis    int64     `json:"ageMillis"` // -1: it has no state yet
-	Upstream     string    `json:"upstream"`  // the coordinator that it follows
-	Watchers     int       `json:"watchers"`
-	Acknowledged int       `json:"acknowledged"` // watchers that have the newest revision in force
-	Lagging      []Lagging `json:"lagging"`      // the others, the longest first, MaxLagging at most
-	Snapshots    int64     `json:"snapshots"`    // given to watchers
-	Refused      int64     `json:"refused"`      // joins, as too many came at once or watch
-	Ahead        int64     `json:"ahead"`        // joins turned away, as the watcher had newer state
-	Lies         int64     `json:"lies"`         // acknowledgements of what was not given
+	Name                    string           `json:"name"`
+	Revision                uint64           `json:"revision"`
+	AgeMillis               int64            `json:"ageMillis"` // -1: it has no state yet
+	Upstream                string           `json:"upstream"`  // the coordinator that it follows
+	Watchers                int              `json:"watchers"`
+	Acknowledged            int              `json:"acknowledged"` // watchers that have the newest revision in force
+	Lagging                 []LaggingWatcher `json:"lagging"`      // the others, the longest first, MaxLagging at most
+	Snapshots               int64            `json:"snapshots"`    // given to watchers
+	RejectedJoins           int64            `json:"refused"`      // joins, as too many came at once or watch
+	RejectedAhead           int64            `json:"ahead"`        // joins turned away, as the watcher had newer state
+	InvalidAcknowledgements int64            `json:"lies"`         // acknowledgements of what was not given
 }
 
 // MaxLagging bounds Status.Lagging.
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxBatchBytes   = 64 << 10 // of one update, unless it is a snapshot
-	progressEvery   = 500 * time.Millisecond
-	retryWhenFull   = 5 * time.Second
-	maxRequestBytes = 4 << 10
+	maxBatchBytes          = 64 << 10 // of one update, unless it is a snapshot
+	progressEvery          = 500 * time.Millisecond
+	watcherLimitRetryAfter = 5 * time.Second
+	maxRequestBytes        = 4 << 10
 )
 
 // Handler serves routers and the operators' tool.
@@ -45,11 +45,11 @@
 func parseWatch(r *http.Request) (watchRequest, error) {
 	query := r.URL.Query()
 	request := watchRequest{watcher: query.Get("watcher"), prefix: query.Get("prefix")}
-	if request.watcher == "" || len(request.watcher) > coord.MaxName {
-		return request, fmt.Errorf("watcher: %d bytes, and 1 to %d are wanted", len(request.watcher), coord.MaxName)
+	if request.watcher == "" || len(request.watcher) > coord.MaxNameBytes {
+		return request, fmt.Errorf("watcher: %d bytes, and 1 to %d are wanted", len(request.watcher), coord.MaxNameBytes)
 	}
-	if len(request.prefix) > coord.MaxName {
-		return request, fmt.Errorf("prefix: %d bytes, at most %d", len(request.prefix), coord.MaxName)
+	if len(request.prefix) > coord.MaxNameBytes {
+		return request, fmt.Errorf("prefix: %d bytes, at most %d", len(request.prefix), coord.MaxNameBytes)
 	}
 	after, err := strconv.ParseUint(cmp.Or(query.Get("after"), "0"), 10, 64)
 	if err != nil {
@@ -64,14 +64,14 @@
 func (o *Observer) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatch(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, &protocol.Refusal{Code: protocol.Invalid, Text: err.Error()})
+		reject(w, http.StatusBadRequest, &protocol.Rejection{Code: protocol.CodeInvalid, Text: err.Error()})
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	watch, refusal := o.join(request, cancel)
 	if refusal != nil {
-		refuse(w, http.StatusServiceUnavailable, refusal)
+		reject(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	defer func() {
@@ -87,29 +87,29 @@
 }
 
 // join admits a watcher, or tells why not.
-func (o *Observer) join(request watchRequest, end func()) (*watcher, *protocol.Refusal) {
+func (o *Observer) join(request watchRequest, end func()) (*watcher, *protocol.Rejection) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.isReady {
-		return nil, &protocol.Refusal{Code: protocol.Unready, Text: "no state yet", RetryAfterMillis: time.Second.Milliseconds()}
+		return nil, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no state yet", RetryAfterMillis: time.Second.Milliseconds()}
 	}
 	newest := o.log.Newest()
 	if request.after > newest && !failpoint.Is("snapshot-older") {
-		o.watchers.ahead++
+		o.watchers.rejectedAhead++
 		behind := watchlog.BehindError{After: request.after, Newest: newest}
-		return nil, &protocol.Refusal{Code: protocol.Behind, Text: behind.Error()}
+		return nil, &protocol.Rejection{Code: protocol.CodeBehind, Text: behind.Error()}
 	}
 	now := clock.Now()
 	if retryAfter, ok := o.joins.admit(now); !ok {
-		o.watchers.refused++
+		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("joins: %v a second at most", o.options.JoinsPerSecond)
-		return nil, &protocol.Refusal{Code: protocol.Busy, Text: text, RetryAfterMillis: retryAfter.Milliseconds()}
+		return nil, &protocol.Rejection{Code: protocol.CodeOverloaded, Text: text, RetryAfterMillis: retryAfter.Milliseconds()}
 	}
 	watch := o.watchers.join(request.watcher, request.after, newest, now, end)
 	if watch == nil {
-		o.watchers.refused++
+		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("watchers: %d at most", o.options.MaxWatchers)
-		return nil, &protocol.Refusal{Code: protocol.Busy, Text: text, RetryAfterMillis: retryWhenFull.Milliseconds()}
+		return nil, &protocol.Rejection{Code: protocol.CodeOverloaded, Text: text, RetryAfterMillis: watcherLimitRetryAfter.Milliseconds()}
 	}
 	return watch, nil
 }
@@ -130,7 +130,7 @@
 			return err
 		}
 		if len(update.Changes) > 0 || update.Snapshot || isProgressDue {
-			o.given(watch, update.Through)
+			o.recordSent(watch, update.Through)
 			if err := out.writeLine(ctx, update); err != nil {
 				return err
 			}
@@ -149,34 +149,34 @@
 	}
 }
 
-func (o *Observer) given(watch *watcher, revision uint64) {
+func (o *Observer) recordSent(watch *watcher, revision uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	watch.given = max(watch.given, revision)
+	watch.sentThrough = max(watch.sentThrough, revision)
 }
 
 // serveAcknowledge answers POST /v1/acknowledge.
 func (o *Observer) serveAcknowledge(w http.ResponseWriter, r *http.Request) {
 	var a protocol.Acknowledgement
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&a); err != nil {
-		refuse(w, http.StatusBadRequest, &protocol.Refusal{Code: protocol.Invalid, Text: err.Error()})
+		reject(w, http.StatusBadRequest, &protocol.Rejection{Code: protocol.CodeInvalid, Text: err.Error()})
 		return
 	}
 	o.mu.Lock()
-	answer := protocol.Acknowledged{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
+	answer := protocol.AcknowledgementResponse{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
 	ok := o.watchers.acknowledge(a, answer.Newest)
 	o.mu.Unlock()
 	if !ok {
 		text := fmt.Sprintf("%s doesn't watch here, or was not given revision %d", a.Watcher, a.Revision)
-		refuse(w, http.StatusConflict, &protocol.Refusal{Code: protocol.NotWatched, Text: text})
+		reject(w, http.StatusConflict, &protocol.Rejection{Code: protocol.CodeNotWatching, Text: text})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer) // who has gone needs no answer
 }
 
-// refuse answers with a refusal, and with Retry-After in whole seconds, rounded up, where it tells a time.
-func refuse(w http.ResponseWriter, status int, refusal *protocol.Refusal) {
+// reject answers with a refusal, and with Retry-After in whole seconds, rounded up, where it tells a time.
+func reject(w http.ResponseWriter, status int, refusal *protocol.Rejection) {
 	if refusal.RetryAfterMillis > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((refusal.RetryAfterMillis+999)/1000, 10))
 	}
--- a/internal/coord/observer/watchers.go
+++ b/internal/coord/observer/watchers.go
@@ -10,18 +10,18 @@
 
 // watcherTable holds who watches, what each was given and what it has acknowledged. It has no clock; the Observer's mu guards it.
 type watcherTable struct {
-	limit     int
-	byName    map[string]*watcher
-	snapshots int64
-	refused   int64
-	ahead     int64
-	lies      int64
+	limit                   int
+	byName                  map[string]*watcher
+	snapshots               int64
+	rejectedJoins           int64
+	rejectedAhead           int64
+	invalidAcknowledgements int64
 }
 
 // watcher is one router's watch.
 type watcher struct {
 	name         string
-	given        uint64 // everything through this revision was sent
+	sentThrough  uint64 // everything through this revision was sent
 	acknowledged uint64
 	isLagging    bool
 	laggingSince time.Duration
@@ -39,7 +39,7 @@
 	if before == nil && len(t.byName) >= t.limit {
 		return nil
 	}
-	w := &watcher{name: name, given: revision, end: end}
+	w := &watcher{name: name, sentThrough: revision, end: end}
 	if before != nil {
 		before.end()
 	}
@@ -72,8 +72,8 @@
 	if w == nil {
 		return false
 	}
-	if a.Revision > w.given {
-		t.lies++
+	if a.Revision > w.sentThrough {
+		t.invalidAcknowledgements++
 		return false
 	}
 	w.acknowledged = max(w.acknowledged, a.Revision)
@@ -85,16 +85,16 @@
 
 // status sums the watchers up.
 func (t *watcherTable) status(newest uint64, now time.Duration) protocol.Status {
-	status := protocol.Status{Revision: newest, Watchers: len(t.byName), Snapshots: t.snapshots, Refused: t.refused, Ahead: t.ahead, Lies: t.lies, Lagging: []protocol.Lagging{}}
+	status := protocol.Status{Revision: newest, Watchers: len(t.byName), Snapshots: t.snapshots, RejectedJoins: t.rejectedJoins, RejectedAhead: t.rejectedAhead, InvalidAcknowledgements: t.invalidAcknowledgements, Lagging: []protocol.LaggingWatcher{}}
 	for _, w := range t.byName {
 		if !w.isLagging {
 			status.Acknowledged++
 			continue
 		}
 		since := (now - w.laggingSince).Milliseconds()
-		status.Lagging = append(status.Lagging, protocol.Lagging{Watcher: w.name, Revision: w.acknowledged, SinceMillis: since})
+		status.Lagging = append(status.Lagging, protocol.LaggingWatcher{Watcher: w.name, Revision: w.acknowledged, SinceMillis: since})
 	}
-	slices.SortFunc(status.Lagging, func(a, b protocol.Lagging) int {
+	slices.SortFunc(status.Lagging, func(a, b protocol.LaggingWatcher) int {
 		return cmp.Or(cmp.Compare(b.SinceMillis, a.SinceMillis), cmp.Compare(a.Watcher, b.Watcher))
 	})
 	status.Lagging = status.Lagging[:min(len(status.Lagging), protocol.MaxLagging)]
--- a/internal/coord/observer/watchers_test.go
+++ b/internal/coord/observer/watchers_test.go
@@ -31,7 +31,7 @@
 	table := newWatcherTable(1000)
 	for i := range protocol.MaxLagging + 2 {
 		w := table.join(fmt.Sprint("w", i), 0, 0, 0, nil)
-		w.given = 7
+		w.sentThrough = 7
 	}
 	table.changed(7, time.Second)
 	acknowledge := func(name string, revision uint64) bool {
@@ -41,8 +41,8 @@
 		t.Error("an acknowledgement was taken or refused wrongly")
 	}
 	status := table.status(7, 4*time.Second)
-	if status.Watchers != protocol.MaxLagging+2 || status.Acknowledged != 1 || len(status.Lagging) != protocol.MaxLagging || status.Lies != 1 {
-		t.Errorf("%d watchers, %d acknowledged, %d lagging, %d lies", status.Watchers, status.Acknowledged, len(status.Lagging), status.Lies)
+	if status.Watchers != protocol.MaxLagging+2 || status.Acknowledged != 1 || len(status.Lagging) != protocol.MaxLagging || status.InvalidAcknowledgements != 1 {
+		t.Errorf("%d watchers, %d acknowledged, %d lagging, %d lies", status.Watchers, status.Acknowledged, len(status.Lagging), status.InvalidAcknowledgements)
 	}
 	if first := status.Lagging[0]; first.Watcher != "w1" || first.Revision != 6 || first.SinceMillis != 3000 {
 		t.Errorf("%+v", first)
--- a/internal/coord/observer/watchlog/change.go
+++ b/internal/coord/observer/watchlog/change.go
@@ -43,15 +43,15 @@
 }
 
 // GapError tells that a change or batch doesn't follow what is held.
-type GapError struct{ Held, Got uint64 }
+type GapError struct{ Current, Got uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("change of revision %d: it doesn't follow revision %d, which is held", e.Got, e.Held)
+	return fmt.Sprintf("change of revision %d: it doesn't follow revision %d, which is held", e.Got, e.Current)
 }
 
 // StaleError tells that a snapshot is older than what is held.
-type StaleError struct{ Held, Got uint64 }
+type StaleError struct{ Current, Got uint64 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("snapshot of revision %d: revision %d is held", e.Got, e.Held)
+	return fmt.Sprintf("snapshot of revision %d: revision %d is held", e.Got, e.Current)
 }
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -94,7 +94,7 @@
 	case 12:
 		x := w.watchers[w.rng.IntN(checkWatchers)]
 		x.inForce = x.replica.Revision()
-		x.replica.PutInForce(x.inForce)
+		x.replica.MarkApplied(x.inForce)
 	default:
 		return w.deliver(w.watchers[w.rng.IntN(checkWatchers)])
 	}
@@ -146,7 +146,7 @@
 		return err
 	}
 	batch = overTheWire(batch)
-	if err := x.replica.Take(batch); err != nil {
+	if err := x.replica.Apply(batch); err != nil {
 		var stale *StaleError
 		if batch.Snapshot && batch.Through < x.delivered && errors.As(err, &stale) {
 			return nil
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -67,7 +67,7 @@
 // Append adds the next change; its revision must be one above the newest.
 func (l *Log) Append(c Change) error {
 	if c.Revision != l.newest+1 {
-		return &GapError{Held: l.newest, Got: c.Revision}
+		return &GapError{Current: l.newest, Got: c.Revision}
 	}
 	l.newest = c.Revision
 	if l.documents == nil {
@@ -110,9 +110,9 @@
 	l.compacted = through
 }
 
-// Raise lifts the newest revision, after changes were lost for good, above all that the lost ones may have had. Every watcher
+// SkipRevisions lifts the newest revision, after changes were lost for good, above all that the lost ones may have had. Every watcher
 // gets a snapshot.
-func (l *Log) Raise(by uint64) {
+func (l *Log) SkipRevisions(by uint64) {
 	l.newest += by
 	l.changes, l.bytes, l.compacted = nil, 0, l.newest
 }
@@ -168,15 +168,15 @@
 		return l.restore(batch)
 	}
 	if batch.After != l.newest {
-		return &GapError{Held: l.newest, Got: batch.After + 1}
+		return &GapError{Current: l.newest, Got: batch.After + 1}
 	}
 	for i, c := range batch.Changes {
 		if want := l.newest + 1 + uint64(i); c.Revision != want {
-			return &GapError{Held: want - 1, Got: c.Revision}
+			return &GapError{Current: want - 1, Got: c.Revision}
 		}
 	}
 	if want := l.newest + uint64(len(batch.Changes)); batch.Through != want {
-		return &GapError{Held: want, Got: batch.Through}
+		return &GapError{Current: want, Got: batch.Through}
 	}
 	for _, c := range batch.Changes {
 		if err := l.Append(c); err != nil {
@@ -189,7 +189,7 @@
 // restore replaces all by a snapshot that is newer.
 func (l *Log) restore(batch Batch) error {
 	if batch.Through < l.newest && !failpoint.Is("snapshot-older") {
-		return &StaleError{Held: l.newest, Got: batch.Through}
+		return &StaleError{Current: l.newest, Got: batch.Through}
 	}
 	if batch.Through == l.newest {
 		return nil
@@ -239,7 +239,7 @@
 	bytes := 0
 	for i, c := range s.Changes {
 		if want := s.Compacted + 1 + uint64(i); c.Revision != want {
-			return &GapError{Held: want - 1, Got: c.Revision}
+			return &GapError{Current: want - 1, Got: c.Revision}
 		}
 		bytes += c.Size()
 	}
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -96,7 +96,7 @@
 func TestRaise(t *testing.T) {
 	l := NewLog(Limits{Changes: 10, Bytes: 1000})
 	put(t, l, "a", 1)
-	l.Raise(100)
+	l.SkipRevisions(100)
 	var compacted *CompactedError
 	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) {
 		t.Errorf("%v", err)
@@ -111,7 +111,7 @@
 func TestRefusedWhole(t *testing.T) {
 	r, l := NewReplica(), NewLog(Limits{Changes: 10, Bytes: 1000})
 	good := Batch{Through: 2, Changes: []Change{{Revision: 1, Name: "a"}, {Revision: 2, Name: "b"}}}
-	if err := errors.Join(r.Take(good), l.Extend(good)); err != nil {
+	if err := errors.Join(r.Apply(good), l.Extend(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, bad := range []Batch{
@@ -123,14 +123,14 @@
 		{After: 2, Through: 3, Changes: []Change{{Revision: 2, Name: "c"}}},
 		{Snapshot: true, Through: 1},
 	} {
-		if r.Take(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
+		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
 			t.Errorf("replica took %+v", bad)
 		}
 		if l.Extend(bad) == nil || l.Newest() != 2 || l.Len() != 2 {
 			t.Errorf("log took %+v", bad)
 		}
 	}
-	if r.PutInForce(9); r.Acknowledged() != 2 {
+	if r.MarkApplied(9); r.Acknowledged() != 2 {
 		t.Errorf("%d acknowledged of 2", r.Acknowledged())
 	}
 }
--- a/internal/coord/observer/watchlog/replica.go
+++ b/internal/coord/observer/watchlog/replica.go
@@ -12,7 +12,7 @@
 type Replica struct {
 	documents map[string]Change
 	revision  uint64 // through which all is held
-	inForce   uint64 // the revision that was in force last
+	applied   uint64 // the revision that was in force last
 }
 
 // NewReplica returns one that holds nothing, at revision 0.
@@ -28,22 +28,22 @@
 	return documents
 }
 
-// Take takes a batch, whole or not at all. A snapshot older than what is held is a StaleError, changes that don't follow what is
+// Apply takes a batch, whole or not at all. A snapshot older than what is held is a StaleError, changes that don't follow what is
 // held are a GapError; after either the watcher asks another observer, from Revision.
-func (r *Replica) Take(batch Batch) error {
+func (r *Replica) Apply(batch Batch) error {
 	if batch.Snapshot {
 		return r.restore(batch)
 	}
 	if batch.After != r.revision || batch.Through < batch.After {
-		return &GapError{Held: r.revision, Got: batch.After + 1}
+		return &GapError{Current: r.revision, Got: batch.After + 1}
 	}
 	held := r.revision
 	for _, c := range batch.Changes {
 		if c.Revision <= held && !failpoint.Is("change-delivered-twice") {
-			return &GapError{Held: held, Got: c.Revision}
+			return &GapError{Current: held, Got: c.Revision}
 		}
 		if c.Revision > batch.Through {
-			return &GapError{Held: batch.Through, Got: c.Revision}
+			return &GapError{Current: batch.Through, Got: c.Revision}
 		}
 		held = c.Revision
 	}
@@ -60,7 +60,7 @@
 
 func (r *Replica) restore(batch Batch) error {
 	if batch.Through < r.revision && !failpoint.Is("snapshot-older") {
-		return &StaleError{Held: r.revision, Got: batch.Through}
+		return &StaleError{Current: r.revision, Got: batch.Through}
 	}
 	r.documents = make(map[string]Change, len(batch.Changes))
 	for _, c := range batch.Changes {
@@ -70,13 +70,13 @@
 	return nil
 }
 
-// PutInForce tells that the documents through the revision are in force.
-func (r *Replica) PutInForce(revision uint64) { r.inForce = max(r.inForce, min(revision, r.revision)) }
+// MarkApplied tells that the documents through the revision are in force.
+func (r *Replica) MarkApplied(revision uint64) { r.applied = max(r.applied, min(revision, r.revision)) }
 
 // Acknowledged is the revision to acknowledge: the one that is in force.
 func (r *Replica) Acknowledged() uint64 {
 	if failpoint.Is("acknowledged-early") {
 		return r.revision
 	}
-	return r.inForce
+	return r.applied
 }
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -25,13 +25,13 @@
 		kept.Sessions = map[string]*Session{}
 	}
 	if failpoint.Is("token-reused") {
-		kept.Token = 0
+		kept.LastToken = 0
 	}
 	body, err := json.Marshal(&kept)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return json.Marshal(snapshot{s.V, xxhash.Sum64(body), body})
+	return json.Marshal(snapshot{s.Version, xxhash.Sum64(body), body})
 }
 
 // Unmarshal reads a state of this version or an older one, and refuses a damaged one.
@@ -50,15 +50,15 @@
 	if err := json.Unmarshal(f.State, s); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.next, s.bytes = 0, 0
-	s.restoredDocuments()
+	s.nextExpiry, s.recordBytes = 0, 0
+	s.recountDocumentBytes()
 	if s.Rollout != nil {
 		s.Rollout.Restored()
 	}
 	for name, l := range s.Leases {
-		s.bytes += len(l.Record)
-		if s.Sessions[l.Session] == nil {
-			return nil, fmt.Errorf("snapshot: lease %s is of session %s, which isn't there", name, l.Session)
+		s.recordBytes += len(l.Record)
+		if s.Sessions[l.SessionID] == nil {
+			return nil, fmt.Errorf("snapshot: lease %s is of session %s, which isn't there", name, l.SessionID)
 		}
 	}
 	for id, se := range s.Sessions {
@@ -66,7 +66,7 @@
 			se.Leases = map[string]bool{}
 		}
 		for name := range se.Leases {
-			if l := s.Leases[name]; l == nil || l.Session != id {
+			if l := s.Leases[name]; l == nil || l.SessionID != id {
 				return nil, fmt.Errorf("snapshot: session %s lists lease %s, which it doesn't hold", id, name)
 			}
 		}
--- a/internal/healthcheck/board_test.go
+++ b/internal/healthcheck/board_test.go
@@ -53,9 +53,9 @@
 		all = append(all, Report{Server: i, AgeMS: 1.5, Load: decide.LoadReport{RequestsPerSecond: float64(i), ErrorsPerSecond: -1, Utilization: 0.25, Inflight: 3, LatencyMillis: 7}})
 	}
 	all[1].Load.Utilization = math.NaN() // left out alone
-	text := Encode(all, coord.MaxRecord)
+	text := Encode(all, coord.MaxRecordBytes)
 	got, err := Decode(text)
-	if err != nil || len(text) > coord.MaxRecord || len(got) < 30 || got[0] != all[0] || got[1] != all[2] {
+	if err != nil || len(text) > coord.MaxRecordBytes || len(got) < 30 || got[0] != all[0] || got[1] != all[2] {
 		t.Errorf("%d bytes, %d reports, %v", len(text), len(got), err)
 	}
 	if got, err := Decode(Encode(nil, 10)); err != nil || len(got) != 0 {
--- a/internal/healthcheck/run.go
+++ b/internal/healthcheck/run.go
@@ -43,7 +43,7 @@
 			return
 		}
 		asked := o.Now()
-		rows, err := o.Client.Under(ctx, Prefix)
+		rows, err := o.Client.ListLeasesWithPrefix(ctx, Prefix)
 		if err != nil {
 			continue // what is known gets stale by itself
 		}
@@ -56,7 +56,7 @@
 				continue // one that has told nothing yet
 			}
 			// Its age is that in the record, that of the record, and what has passed since it was asked for.
-			age := float64(r.Age.Milliseconds()) + now - asked
+			age := float64(r.RecordAge.Milliseconds()) + now - asked
 			for _, x := range reports {
 				o.Board.Tell(now, age+x.AgeMS, x)
 			}
@@ -76,8 +76,8 @@
 		share := free[rand.IntN(len(free))]
 		l, err := o.Client.Acquire(ctx, Lease(share), "probes for all routers", o.TTL)
 		if err != nil {
-			var held *client.RefusedError
-			if !errors.As(err, &held) || held.Code != coord.Held {
+			var held *client.RejectedError
+			if !errors.As(err, &held) || held.Code != coord.CodeHeld {
 				slog.Debug("no lease to probe", "lease", Lease(share), "error", err)
 			}
 			continue
@@ -109,7 +109,7 @@
 		for _, r := range reports {
 			o.Board.Tell(o.Now(), r.AgeMS, r)
 		}
-		if err := l.Write(under, Encode(reports, coord.MaxRecord)); err != nil && under.Err() == nil {
+		if err := l.WriteRecord(under, Encode(reports, coord.MaxRecordBytes)); err != nil && under.Err() == nil {
 			slog.Debug("what was probed could not be told", "lease", l.Name, "error", err)
 		}
 		if !clock.Sleep(under, o.Every) {
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -89,7 +89,7 @@
 		case <-f.news:
 		case <-time.After(pause/2 + rand.N(pause)):
 		}
-		session := f.o.Client.Session()
+		session := f.o.Client.SessionID()
 		if session == "" {
 			f.alone(ctx)
 			continue
@@ -131,10 +131,10 @@
 		for fresh || figures && (good > lastGood || bad > lastBad) && clock.Now()-at >= tellFigures || len(changed) > 0 || is != ready {
 			part := changed[:min(len(changed), maxSeen)]
 			// What is answered to a process that a newer one has replaced is no error.
-			_, err := f.o.Client.Roll(ctx, rollout.Command{Op: rollout.See, View: &rollout.View{Zone: f.o.Zone, Version: f.o.Label, Ready: is, Servers: part, Good: good, Bad: bad, Speed: speed}})
+			_, err := f.o.Client.ExecuteRollout(ctx, rollout.Command{Op: rollout.See, View: &rollout.View{Zone: f.o.Zone, Version: f.o.Label, Ready: is, Servers: part, Good: good, Bad: bad, Speed: speed}})
 			if err != nil {
 				f.log("what the router sees could not be told", err)
-				clock.Sleep(ctx, client.Pause(err, 0))
+				clock.Sleep(ctx, client.RetryDelay(err, 0))
 				break
 			}
 			for _, s := range part {
@@ -151,9 +151,9 @@
 		done := f.done
 		f.mu.Unlock()
 		if in == session && done > acked {
-			if _, err := f.o.Client.Roll(ctx, rollout.Command{Op: rollout.Ack, Drains: done}); err != nil {
+			if _, err := f.o.Client.ExecuteRollout(ctx, rollout.Command{Op: rollout.Ack, Drains: done}); err != nil {
 				f.log("what is drained could not be acknowledged", err)
-				clock.Sleep(ctx, client.Pause(err, 0))
+				clock.Sleep(ctx, client.RetryDelay(err, 0))
 				in = "" // as it may be that this session was never told of
 				continue
 			}
@@ -163,9 +163,9 @@
 }
 
 func (f *follower) log(what string, err error) {
-	var refused *client.RefusedError
+	var refused *client.RejectedError
 	if errors.As(err, &refused) {
-		slog.Warn(what, "answer", refused.Answer.Error())
+		slog.Warn(what, "answer", refused.Response.Error())
 	}
 }
 
@@ -176,13 +176,13 @@
 	for first := true; ctx.Err() == nil; {
 		// Asked for at once at the beginning, then whenever it changes.
 		asked := clock.Now()
-		ask := f.o.Client.NextDrains
+		ask := f.o.Client.WatchDrains
 		if first {
 			ask = f.o.Client.Drains
 		}
 		d, err := ask(ctx, version)
 		if err != nil {
-			if !clock.Sleep(ctx, client.Pause(err, every+rand.N(every))) {
+			if !clock.Sleep(ctx, client.RetryDelay(err, every+rand.N(every))) {
 				return
 			}
 			continue
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -23,7 +23,7 @@
 
 func (c *calls) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/drains" {
-		_ = json.NewEncoder(w).Encode(coord.Answer{Code: coord.OK})
+		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeOK})
 		return
 	}
 	c.mu.Lock()
@@ -44,7 +44,7 @@
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	one := client.New(client.Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, Client: "router/r", TTL: 10 * time.Second})
+	one := client.New(client.Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "router/r", TTL: 10 * time.Second})
 	var wg sync.WaitGroup
 	wg.Go(func() { one.Run(ctx) })
 	Run(ctx, Options{
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -34,7 +34,7 @@
 // agree takes part in what the fleet agrees on until ctx ends; new tasks are taken until it is told to stop. known is called
 // once what is drained is in force.
 func (r *Router) agree(ctx, stop context.Context, a *Agreement, known func()) {
-	c := leases.New(leases.Options{Coordinators: a.Coordinators, Client: "router/" + r.cfg.Name, TTL: a.TTL, Log: slog.Default()})
+	c := leases.New(leases.Options{Coordinators: a.Coordinators, ClientName: "router/" + r.cfg.Name, TTL: a.TTL, Log: slog.Default()})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { c.Run(ctx) })
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -249,7 +249,7 @@
 	if err != nil && !strings.Contains(err.Error(), "is none") {
 		return err
 	}
-	member := node.Member{Name: c.name, Identity: s.Identity, Address: c.listen, Newest: s.Understands}
+	member := node.Member{Name: c.name, Identity: s.Identity, Address: c.listen, SupportedVersion: s.SupportedVersion}
 	return client.Call(ctx, http.MethodPost, leader.api, "/v1/members", member, nil)
 }
 
--- a/lab/fleet/agree_group.go
+++ b/lab/fleet/agree_group.go
@@ -119,7 +119,7 @@
 
 // liveClient runs a client until end is called, which waits for it.
 func liveClient(ctx context.Context, coordinators map[string]string, name string, ttl time.Duration) (c *client.Client, end func()) {
-	c = client.New(client.Options{Coordinators: coordinators, Client: name, TTL: ttl})
+	c = client.New(client.Options{Coordinators: coordinators, ClientName: name, TTL: ttl})
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -39,7 +39,7 @@
 	defer end()
 	for number := range a.scenario.Leases {
 		nothing := func(context.Context, *client.Lease) error { return nil }
-		if err := last.Hold(ctx, leaseName(number), "healed", healedLeaseTTL, healedMargin, nothing); err != nil {
+		if err := last.RunWithLease(ctx, leaseName(number), "healed", healedLeaseTTL, healedMargin, nothing); err != nil {
 			return fmt.Errorf("lease %s can't be had: %w", leaseName(number), err)
 		}
 	}
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		for _, c := range a.coords {
-			if s, err := c.status(t.Context()); err != nil || s.Applied+20 < top.Applied || s.Leader != l.name {
+			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex || s.Leader != l.name {
 				return errors.Join(fmt.Errorf("%s is behind", c.name), err)
 			}
 		}
@@ -158,13 +158,13 @@
 		t.Fatalf("%+v, %v", second, err)
 	}
 	old.signal(syscall.SIGCONT)
-	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api}, Client: "reader", TTL: 20 * time.Second})
+	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api}, ClientName: "reader", TTL: 20 * time.Second})
 	for range 20 { // through the old one alone: the truth or nothing
-		if rows, err := alone.Rows(t.Context(), "x"); err == nil && (len(rows) != 1 || rows[0].Token != second.Token) {
+		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil && (len(rows) != 1 || rows[0].Token != second.Token) {
 			t.Fatalf("the old leader tells %+v", rows)
 		}
 	}
-	if second.Left() <= 0 {
+	if second.Remaining() <= 0 {
 		t.Error("the lease was lost")
 	}
 }
@@ -290,9 +290,9 @@
 	if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
 		t.Errorf("%s", out)
 	}
-	rows, err := c.Rows(t.Context(), "kept")
-	if err != nil || len(rows) != 1 || rows[0].Token != l.Token || l.Left() <= 0 {
-		t.Errorf("%+v, %v: token %d was held, %v left", rows, err, l.Token, l.Left())
+	rows, err := c.ListLeases(t.Context(), "kept")
+	if err != nil || len(rows) != 1 || rows[0].Token != l.Token || l.Remaining() <= 0 {
+		t.Errorf("%+v, %v: token %d was held, %v left", rows, err, l.Token, l.Remaining())
 	}
 	back := a.coords[0]
 	if err := back.end(20 * time.Second); err != nil {
@@ -387,8 +387,8 @@
 		r.Set(fakes.Net{DropBack: true})
 	}
 	// The referee's own client takes it, and at that moment the deaf one must know that it has lost it.
-	if err := c.Hold(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
-		if left := l.Left(); left > 0 {
+	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
+		if left := l.Remaining(); left > 0 {
 			return fmt.Errorf("two hold it: the deaf one has %v left", left)
 		}
 		return nil
@@ -483,9 +483,9 @@
 				a.up(x.proc)
 			}
 			settled(t, a)
-			rows, err := c.Rows(t.Context(), "kept")
-			if err != nil || len(rows) != 1 || rows[0].Token != kept.Token || kept.Left() <= 0 {
-				t.Errorf("%+v, %v: token %d was held, %v left", rows, err, kept.Token, kept.Left())
+			rows, err := c.ListLeases(t.Context(), "kept")
+			if err != nil || len(rows) != 1 || rows[0].Token != kept.Token || kept.Remaining() <= 0 {
+				t.Errorf("%+v, %v: token %d was held, %v left", rows, err, kept.Token, kept.Remaining())
 			}
 		})
 	}
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultRate, snapshotEach // no slow disk, no stepping clock that matters
+	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // no slow disk, no stepping clock that matters
 	a := newAgreement(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
@@ -79,11 +79,11 @@
 		if err != nil {
 			return err
 		}
-		var answer coord.Answer
-		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{Version: version}, &answer); err != nil {
+		var answer coord.Response
+		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: version}, &answer); err != nil {
 			return err
 		}
-		if answer.Code != coord.OK {
+		if answer.Code != coord.CodeOK {
 			return answer
 		}
 		return nil
@@ -116,7 +116,7 @@
 		}
 	}
 	s, err := l.status(ctx)
-	u.FsyncP50, u.FsyncP99 = s.FsyncP50MS, s.FsyncP99MS
+	u.FsyncP50, u.FsyncP99 = s.FsyncP50Millis, s.FsyncP99Millis
 	return u, err
 }
 
@@ -145,7 +145,7 @@
 	defer end()
 	all := make([]*client.Client, clients)
 	for i := range all {
-		all[i] = client.New(client.Options{Coordinators: a.addresses(), Client: fmt.Sprintf("r%d", i), TTL: 10 * time.Second})
+		all[i] = client.New(client.Options{Coordinators: a.addresses(), ClientName: fmt.Sprintf("r%d", i), TTL: 10 * time.Second})
 		wg.Go(func() { all[i].Run(run) })
 	}
 	began := time.Now()
@@ -174,7 +174,7 @@
 	m.Opened = time.Since(began)
 	sum := func() (n int64) {
 		for _, c := range all {
-			n += c.Bytes()
+			n += c.TransferredBytes()
 		}
 		return n
 	}
@@ -269,7 +269,7 @@
 				return err
 			}
 			for _, x := range a.coords {
-				if s, err := x.status(ctx); err != nil || s.Last+5 < top.Last || s.Leader != l.name {
+				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < top.LastLogIndex || s.Leader != l.name {
 					return errors.Join(errors.New("not all are there"), err)
 				}
 			}
@@ -338,7 +338,7 @@
 					r.Set(fakes.Net{Cut: true})
 				}
 				at := time.Now()
-				err = next.Hold(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
+				err = next.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
 					mu.Lock()
 					took = append(took, time.Since(at))
 					mu.Unlock()
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -56,12 +56,12 @@
 	if err != nil {
 		return err
 	}
-	var answer coord.Answer
-	upgrade := coord.Command{Version: coord.Version}
+	var answer coord.Response
+	upgrade := coord.Command{TargetVersion: coord.Version}
 	if err := client.Call(ctx, http.MethodPost, leader.api, "/v1/upgrade", upgrade, &answer); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
-	if answer.Code != coord.OK {
+	if answer.Code != coord.CodeOK {
 		return fmt.Errorf("upgrade: %s", answer.Text)
 	}
 	return nil
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -131,7 +131,7 @@
 	}
 	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
 	if err := until(t.Context(), time.Minute, func() error {
-		r, err := reader.Rollout(t.Context(), 0)
+		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (r.Servers < 7 || r.Routers < 2) {
 			err = fmt.Errorf("%d servers and %d routers are known", r.Servers, r.Routers)
 		}
@@ -179,7 +179,7 @@
 	}
 	wg.Wait()
 	if err := until(t.Context(), time.Minute, func() error {
-		r, err := reader.Rollout(t.Context(), 0)
+		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (len(r.Permits) > 0 || len(r.Drained) > 0) {
 			err = fmt.Errorf("%d permits and %d drains are left", len(r.Permits), len(r.Drained))
 		}
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -87,17 +87,17 @@
 }
 
 // codeOf is an error's code: "" where it isn't known what became of the call.
-func codeOf(err error) (string, coord.Answer) {
-	var r *client.RefusedError
+func codeOf(err error) (string, coord.Response) {
+	var r *client.RejectedError
 	switch {
 	case err == nil:
-		return string(coord.OK), coord.Answer{}
+		return string(coord.CodeOK), coord.Response{}
 	case errors.As(err, &r):
-		return string(r.Code), r.Answer
-	case errors.Is(err, client.ErrLost): // nothing was sent
-		return "lost", coord.Answer{}
+		return string(r.Code), r.Response
+	case errors.Is(err, client.ErrLeaseLost): // nothing was sent
+		return "lost", coord.Response{}
 	}
-	return "", coord.Answer{}
+	return "", coord.Response{}
 }
 
 // Holder takes leases, acts under them and gives them back, until ctx ends.
@@ -108,7 +108,7 @@
 	}
 	defer f.Close()
 	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)), next: int(clock.Boot()/time.Millisecond) << 12,
-		c: client.New(client.Options{Coordinators: cfg.Coordinators, Client: cfg.Name, TTL: cfg.TTL})}
+		c: client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { h.c.Run(ctx) })
@@ -124,7 +124,7 @@
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
 		h.op(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
-			rows, err := h.c.Rows(ctx, name)
+			rows, err := h.c.ListLeases(ctx, name)
 			if err != nil {
 				return "", 0, ""
 			}
@@ -137,7 +137,7 @@
 	var l *client.Lease
 	h.op(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
 		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
-		if errors.Is(err, client.ErrLost) { // it was given, and too late
+		if errors.Is(err, client.ErrLeaseLost) { // it was given, and too late
 			return "", 0, ""
 		}
 		code, a := codeOf(err)
@@ -153,7 +153,7 @@
 	until := clock.Boot() + time.Duration(h.rng.Float64()*float64(h.Hold))
 	for ctx.Err() == nil && clock.Boot() < until {
 		from := clock.Boot()
-		left := l.Left()
+		left := l.Remaining()
 		if left <= 0 {
 			break
 		}
@@ -170,7 +170,7 @@
 	case u < 0.2 && len(h.Others) > 0:
 		to := h.Others[h.rng.IntN(len(h.Others))]
 		h.op(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
-			token, err := l.HandOver(ctx, to)
+			token, err := l.Transfer(ctx, to)
 			code, _ := codeOf(err)
 			return code, token, ""
 		})
@@ -191,7 +191,7 @@
 // write is an act that the agreed state checks.
 func (h *holder) write(ctx context.Context, l *client.Lease) {
 	h.op(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
-		code, _ := codeOf(l.Write(ctx, []byte(h.Name)))
+		code, _ := codeOf(l.WriteRecord(ctx, []byte(h.Name)))
 		return code, 0, ""
 	})
 }
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -210,7 +210,7 @@
 	expected := o.revisions[name]
 	o.mu.Unlock()
 	put := coord.DocumentPut{Name: name, Value: value, Delete: isDeletion, Expected: expected}
-	revision, err := o.puts.Put(o.t.Context(), put)
+	revision, err := o.puts.PutDocument(o.t.Context(), put)
 	if err != nil {
 		return fmt.Errorf("putting %s: %w", name, err)
 	}
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -106,8 +106,8 @@
 	setRelays(other.regions, fakes.Net{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
-		if err == nil && (status.AgeMillis < 2000 || status.Ahead == before.Ahead) {
-			err = fmt.Errorf("it tells %d ms, and turned %d away", status.AgeMillis, status.Ahead-before.Ahead)
+		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
+			err = fmt.Errorf("it tells %d ms, and turned %d away", status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
 		}
 		return err
 	})
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -58,7 +58,7 @@
 	}
 	operator, end := liveClient(ctx, a.addresses(), "operator", 20*time.Second)
 	defer end()
-	revision, err := operator.Put(ctx, coord.DocumentPut{Name: "measure"})
+	revision, err := operator.PutDocument(ctx, coord.DocumentPut{Name: "measure"})
 	if err != nil {
 		return cost, err
 	}
@@ -74,7 +74,7 @@
 	}
 	var took []time.Duration
 	for i := range puts {
-		revision, err = operator.Put(ctx, coord.DocumentPut{Name: "measure", Value: fmt.Appendf(nil, "%0100d", i), Expected: revision})
+		revision, err = operator.PutDocument(ctx, coord.DocumentPut{Name: "measure", Value: fmt.Appendf(nil, "%0100d", i), Expected: revision})
 		if err != nil {
 			return cost, err
 		}
@@ -94,11 +94,11 @@
 	if err != nil {
 		return err
 	}
-	var answer coord.Answer
-	if err := client.Call(ctx, http.MethodPost, leader.api, "/v1/upgrade", coord.Command{Version: coord.Version}, &answer); err != nil {
+	var answer coord.Response
+	if err := client.Call(ctx, http.MethodPost, leader.api, "/v1/upgrade", coord.Command{TargetVersion: coord.Version}, &answer); err != nil {
 		return err
 	}
-	if answer.Code != coord.OK {
+	if answer.Code != coord.CodeOK {
 		return fmt.Errorf("upgrade: %w", errors.New(answer.Text))
 	}
 	return nil
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -67,7 +67,7 @@
 	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
 	asked := false
 	for wait(ctx, 0.1) {
-		r, err := reader.Rollout(ctx, 0)
+		r, err := reader.RolloutReport(ctx, 0)
 		if err != nil || r.Release == nil {
 			continue
 		}
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -26,7 +26,7 @@
 func (fl *Fleet) hear(ctx context.Context) {
 	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
 	for after := uint64(0); wait(ctx, 0.02); {
-		r, err := reader.Rollout(ctx, after)
+		r, err := reader.RolloutReport(ctx, after)
 		if err != nil {
 			continue
 		}
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -123,11 +123,11 @@
 	if err != nil {
 		return err
 	}
-	var a coord.Answer
-	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{Version: coord.Version}, &a); err != nil {
+	var a coord.Response
+	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: coord.Version}, &a); err != nil {
 		return err
 	}
-	if a.Code != coord.OK {
+	if a.Code != coord.CodeOK {
 		return a
 	}
 	return nil
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -117,11 +117,11 @@
 }
 
 // roll has a command of the operators' tool carried out, coming back as told where a bound was reached.
-func (f *hollowFleet) roll(ctx context.Context, operator *client.Client, c rollout.Command) (a coord.Answer, err error) {
+func (f *hollowFleet) roll(ctx context.Context, operator *client.Client, c rollout.Command) (a coord.Response, err error) {
 	for {
-		a, err = operator.Roll(ctx, c)
-		var refused *client.RefusedError
-		if !errors.As(err, &refused) || refused.Code != coord.Full || !clock.Sleep(ctx, client.Pause(err, askAgain)) {
+		a, err = operator.ExecuteRollout(ctx, c)
+		var refused *client.RejectedError
+		if !errors.As(err, &refused) || refused.Code != coord.CodeLimitReached || !clock.Sleep(ctx, client.RetryDelay(err, askAgain)) {
 			return a, err
 		}
 	}
@@ -161,7 +161,7 @@
 
 // operator is a session of the operators' tool.
 func (f *hollowFleet) operator(ctx context.Context, coordinators map[string]string) *client.Client {
-	c := client.New(client.Options{Coordinators: coordinators, Client: "operator", TTL: operatorTTL})
+	c := client.New(client.Options{Coordinators: coordinators, ClientName: "operator", TTL: operatorTTL})
 	f.wg.Go(func() { c.Run(ctx) })
 	return c
 }
@@ -170,7 +170,7 @@
 func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
 	defer cancel()
-	_, err := operator.Roll(ctx, rollout.Command{Op: rollout.Set, Grace: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.Server, Most: 1}}})
+	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.Set, Grace: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.Server, Most: 1}}})
 	return err
 }
 
@@ -227,7 +227,7 @@
 func (f *hollowFleet) sessions(ctx context.Context) error {
 	missing := f.routers
 	return repeat(ctx, f.o.Patience, func() error {
-		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.Session() != "" })
+		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.SessionID() != "" })
 		if len(missing) > 0 {
 			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.o.Patience)
 		}
@@ -245,12 +245,12 @@
 func (f *hollowFleet) reported(ctx context.Context, operator *client.Client, step *Step) error {
 	regions := (len(f.routers) + f.o.RegionRouters - 1) / f.o.RegionRouters
 	return repeat(ctx, f.o.Patience, func() error {
-		began, bytes := time.Now(), operator.Bytes()
-		report, err := operator.Rollout(ctx, 0)
+		began, bytes := time.Now(), operator.TransferredBytes()
+		report, err := operator.RolloutReport(ctx, 0)
 		if err != nil {
 			return err
 		}
-		step.ReportBytes = float64(operator.Bytes() - bytes)
+		step.ReportBytes = float64(operator.TransferredBytes() - bytes)
 		if report.Routers < len(f.routers) || report.Servers < regions*f.o.RegionServers {
 			time.Sleep(reportShare * time.Since(began)) // the leader copies its whole state for each
 			return errNotReported
@@ -275,7 +275,7 @@
 	if err := repeat(ctx, startWithin, func() error { l, status, err = g.leader(ctx); return err }); err != nil {
 		return u, err
 	}
-	u = groupUse{leader: l.name, process: map[string]use{}, at: time.Now(), last: status.Last, p99MS: status.CommitP99MS}
+	u = groupUse{leader: l.name, process: map[string]use{}, at: time.Now(), last: status.LastLogIndex, p99MS: status.CommitP99Millis}
 	for _, c := range g.all {
 		if u.process[c.name], err = processUse(c.cmd.Process.Pid); err != nil {
 			return u, err
@@ -406,9 +406,9 @@
 		}
 		began = time.Now()
 		thing.Op, thing.Token = rollout.Begin, a.Token
-		_, err = operator.Roll(ctx, thing) // it may have been taken back meanwhile, or a bound was reached
+		_, err = operator.ExecuteRollout(ctx, thing) // it may have been taken back meanwhile, or a bound was reached
 		if err != nil {
-			clock.Sleep(ctx, client.Pause(err, 0))
+			clock.Sleep(ctx, client.RetryDelay(err, 0))
 		}
 		return err
 	}); err != nil {
@@ -419,7 +419,7 @@
 	}
 	if err := repeat(ctx, f.o.Patience, func() error {
 		a, err := f.roll(ctx, operator, thing) // repeated it tells how the permit stands
-		if err == nil && !a.Drained {
+		if err == nil && !a.IsDrained {
 			err = errors.New("not drained: " + a.Text)
 		}
 		return err
--- a/lab/hollow/router.go
+++ b/lab/hollow/router.go
@@ -82,7 +82,7 @@
 // newRouter prepares a router; run makes it live.
 func newRouter(name, zone string, servers []rollout.Seen, coordinators map[string]string, ttl time.Duration, traffic *Traffic, drains chan<- drainSeen, first func()) *router {
 	return &router{name: name, zone: zone, servers: servers, drains: drains, first: first, client: client.New(client.Options{
-		Coordinators: coordinators, Client: rollout.RouterClient + name, TTL: ttl, Dial: traffic.dial})}
+		Coordinators: coordinators, ClientName: rollout.RouterClient + name, TTL: ttl, Dial: traffic.dial})}
 }
 
 // run keeps the router's session and follows what the fleet agrees on, until ctx ends.
