--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -52,14 +52,14 @@
 	From    int
 	Life    int // of the client that sent it
 	Cmd     coord.Command
-	Answer  coord.Answer
+	Answer  coord.Response
 	Sent    time.Duration // on the client's clock
 	Repeats int           // how often it may still be carried out
 }
 
 // party is one client.
 type party struct {
-	book    client.Book
+	book    client.LeaseTable
 	Life    int // how often it was started
 	Session int // its number, in its id
 	Asked   bool
@@ -145,7 +145,7 @@
 		p := w.parties[i]
 		text, _ := json.Marshal(p) // plain data
 		_, _ = h.Write(text)
-		_, _ = h.Write([]byte(p.book.Text()))
+		_, _ = h.Write([]byte(p.book.Fingerprint()))
 	}
 	var msgs [][]byte
 	for _, m := range w.net {
@@ -162,7 +162,7 @@
 
 func newWorld(p Params) *world {
 	w := &world{machine: coord.New()}
-	w.machine.Apply(coord.Command{V: coord.Version, Op: coord.Configure, Rate: p.Rate}, 1)
+	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate, ClockRateBound: p.Rate}, 1)
 	for range p.Clients {
 		w.parties = append(w.parties, party{Dropped: map[uint64]bool{}})
 	}
@@ -171,12 +171,12 @@
 			break
 		}
 		q, id := &w.parties[i], fmt.Sprintf("s%d.0", i)
-		w.agree(coord.Command{Op: coord.Open, Session: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
-		q.book.Opened(ttl, 0, 0)
+		w.agree(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
+		q.book.SessionOpened(ttl, 0, 0)
 		q.Asked, q.Open = true, true
 		if i == 0 {
 			q.Seq = 1
-			q.Token = w.agree(coord.Command{Op: coord.Acquire, Session: id, Lease: lease, TTL: ttl, Seq: 1}, p).Token
+			q.Token = w.agree(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease, TTL: ttl, Sequence: 1}, p).Token
 			q.Given = q.Token
 			q.book.Granted(lease, q.Token, ttl, 0, 0)
 		}
@@ -205,32 +205,32 @@
 		session := fmt.Sprintf("s%d.%d", i, q.Life)
 		put := func(w *world, c coord.Command) {
 			q := &w.parties[i]
-			c.V, c.Session, c.Acked = coord.Version, session, q.acked()
+			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acked()
 			w.net = append(w.net, message{From: i, Life: q.Life, Cmd: c, Sent: w.clockOf(i, p), Repeats: 1})
 		}
 		_, _, held := q.book.Held(lease, now)
 		if send && !q.Asked && !q.Open {
 			add(2, func(w *world) string {
 				w.parties[i].Asked = true
-				put(w, coord.Command{Op: coord.Open, Client: fmt.Sprintf("c%d", i), TTL: ttl})
+				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
 			}, "c%d asks for a session", i)
 		}
-		if send && q.Open && q.book.Open(now) && w.underWay(i, coord.Keep) == 0 {
-			add(2, func(w *world) string { put(w, coord.Command{Op: coord.Keep}); return "" }, "c%d keeps its session", i)
+		if send && q.Open && q.book.HasSession(now) && w.underWay(i, coord.OpKeepAlive) == 0 {
+			add(2, func(w *world) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" }, "c%d keeps its session", i)
 		}
 		if send && q.Open && !q.Wants && !held {
 			add(2, func(w *world) string {
 				q := &w.parties[i]
 				q.Wants, q.First = true, w.clockOf(i, p)
-				put(w, coord.Command{Op: coord.Acquire, Lease: lease, TTL: ttl, Seq: q.number()})
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.number()})
 				q.Asks = q.Seq
 				return ""
 			}, "c%d asks for the lease", i)
 		}
-		if send && q.Open && q.Wants && w.underWay(i, coord.Acquire) == 0 {
+		if send && q.Open && q.Wants && w.underWay(i, coord.OpAcquire) == 0 {
 			add(1, func(w *world) string {
-				put(w, coord.Command{Op: coord.Acquire, Lease: lease, TTL: ttl, Seq: w.parties[i].Asks})
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.parties[i].Asks})
 				return ""
 			}, "c%d repeats that it asks for the lease", i)
 		}
@@ -244,20 +244,20 @@
 				give := func(op coord.Op, to string) func(*world) string {
 					return func(w *world) string {
 						q := &w.parties[i]
-						q.book.Drop(lease, q.Token)
-						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Seq: q.number(), To: to})
+						q.book.Forget(lease, q.Token)
+						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.number(), Successor: to})
 						return ""
 					}
 				}
-				add(0.3, give(coord.Release, ""), "c%d gives the lease back", i)
-				add(0.3, give(coord.HandOver, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d hands the lease over", i)
+				add(0.3, give(coord.OpRelease, ""), "c%d gives the lease back", i)
+				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d hands the lease over", i)
 			}
 		}
 		if q.Acting && send {
 			add(0.3, func(w *world) string {
 				q := &w.parties[i]
 				q.Acting = false
-				put(w, coord.Command{Op: coord.Write, Lease: lease, Token: q.Checked, Seq: q.number(), Record: []byte("x")})
+				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.Checked, Sequence: q.number(), Record: []byte("x")})
 				return ""
 			}, "c%d acts through the agreed state", i)
 		}
@@ -306,14 +306,14 @@
 }
 
 // agree has a command carried out with the time that has passed at the leader.
-func (w *world) agree(c coord.Command, p Params) coord.Answer {
-	c.V, c.Term, c.Advance = coord.Version, 1, w.leaderClock(p)-w.leaderAt
+func (w *world) agree(c coord.Command, p Params) coord.Response {
+	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderAt
 	w.leaderAt = w.leaderClock(p)
 	return w.machine.Apply(c, 1)
 }
 
 func (w *world) tick(p Params) string {
-	w.agree(coord.Command{Op: coord.Tick}, p)
+	w.agree(coord.Command{Op: coord.OpTick}, p)
 	if w.now%(2*step) == 0 { // a snapshot is read back
 		text, err := w.machine.Marshal()
 		if err == nil {
@@ -329,13 +329,13 @@
 // carryOut has a command agreed on and sends its answer.
 func (w *world) carryOut(m message, p Params) string {
 	said := false // it was carried out before, and is only told again
-	if se := w.machine.Sessions[m.Cmd.Session]; se != nil {
-		_, said = se.Said[m.Cmd.Seq]
+	if se := w.machine.Sessions[m.Cmd.SessionID]; se != nil {
+		_, said = se.Responses[m.Cmd.Sequence]
 	}
 	a := w.agree(m.Cmd, p)
-	if m.Cmd.Op == coord.Write && a.Code == coord.OK && !said {
-		if m.Cmd.Token < w.machine.Token { // there is one lease, so the newest token is its newest holder's
-			return fmt.Sprintf("c%d acted in the agreed state with token %d after token %d was given", m.From, m.Cmd.Token, w.machine.Token)
+	if m.Cmd.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !said {
+		if m.Cmd.Token < w.machine.LastToken { // there is one lease, so the newest token is its newest holder's
+			return fmt.Sprintf("c%d acted in the agreed state with token %d after token %d was given", m.From, m.Cmd.Token, w.machine.LastToken)
 		}
 	}
 	if len(w.net) < p.Messages {
@@ -360,10 +360,10 @@
 	if l := w.machine.Leases[lease]; l != nil {
 		for i := range w.parties {
 			q := &w.parties[i]
-			if q.Dropped[l.Token] && l.Session == fmt.Sprintf("s%d.%d", i, q.Life) {
+			if q.Dropped[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) {
 				return fmt.Sprintf("c%d has given back token %d, was told so, and holds it again", i, l.Token)
 			}
-			if l.Session == fmt.Sprintf("s%d.%d", i, q.Life) && l.Asked > 0 && l.Asked <= q.acked() && l.Token != q.Given {
+			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) && l.AcquireSequence > 0 && l.AcquireSequence <= q.acked() && l.Token != q.Given {
 				return fmt.Sprintf("c%d holds token %d by a command that it has had its answer to, and doesn't know of it", i, l.Token)
 			}
 		}
@@ -415,38 +415,38 @@
 	}
 	now := w.clockOf(m.From, p)
 	switch m.Cmd.Op {
-	case coord.Open:
-		if q.Open || m.Answer.Code != coord.OK {
+	case coord.OpOpenSession:
+		if q.Open || m.Answer.Code != coord.CodeOK {
 			return ""
 		}
-		q.book.Opened(ttl, m.Sent, now)
-		q.Open = q.book.Open(now)
+		q.book.SessionOpened(ttl, m.Sent, now)
+		q.Open = q.book.HasSession(now)
 		return w.promised(p)
-	case coord.Keep:
+	case coord.OpKeepAlive:
 		switch m.Answer.Code {
-		case coord.OK:
-			q.book.Kept(m.Sent, now)
-		case coord.NoSession:
-			q.book.Lost()
+		case coord.CodeOK:
+			q.book.KeptAlive(m.Sent, now)
+		case coord.CodeNoSession:
+			q.book.SessionLost()
 			q.Open = false
 		}
 		return w.promised(p)
 	}
-	k := slices.Index(q.Under, m.Cmd.Seq)
+	k := slices.Index(q.Under, m.Cmd.Sequence)
 	if k < 0 {
 		return "" // answered before
 	}
 	q.Under = slices.Delete(slices.Clone(q.Under), k, k+1)
 	switch {
-	case m.Cmd.Op == coord.Acquire:
+	case m.Cmd.Op == coord.OpAcquire:
 		q.Wants = false
-		if m.Answer.Code == coord.OK {
+		if m.Answer.Code == coord.CodeOK {
 			q.Given = m.Answer.Token
 			if q.book.Granted(lease, m.Answer.Token, ttl, q.First, now) {
 				q.Token = m.Answer.Token
 			}
 		}
-	case m.Answer.Code == coord.OK && m.Cmd.Op != coord.Write:
+	case m.Answer.Code == coord.CodeOK && m.Cmd.Op != coord.OpWriteRecord:
 		q.Dropped[m.Cmd.Token] = true
 	}
 	return w.promised(p)
