--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, toolTTL)
 	defer cancel()
-	return client.New(client.Options{Coordinators: all, TTL: toolTTL}).Rollout(ctx, 0)
+	return client.New(client.Options{Coordinators: all, TTL: toolTTL}).RolloutReport(ctx, 0)
 }
 
 func releasePlan() *cobra.Command {
@@ -160,7 +160,7 @@
 			}
 			return t.operate(cmd.Context(), controllerName, toolTTL, func(ctx context.Context, c *client.Client) error {
 				if start {
-					if _, err := c.Roll(ctx, rollout.Command{Op: rollout.OpStartRelease, Plan: &p}); err != nil {
+					if _, err := c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpStartRelease, Plan: &p}); err != nil {
 						return err
 					}
 					step("started")
@@ -168,7 +168,7 @@
 				d := driver{t: t, c: c, f: f, say: cmd.ErrOrStderr()}
 				for {
 					over := false
-					err := c.Hold(ctx, controllerLease, "drives release "+p.Name, controllerTTL, controllerMargin, func(inner context.Context, _ *client.Lease) (err error) {
+					err := c.RunWithLease(ctx, controllerLease, "drives release "+p.Name, controllerTTL, controllerMargin, func(inner context.Context, _ *client.Lease) (err error) {
 						over, err = d.drive(inner)
 						return err
 					})
@@ -202,7 +202,7 @@
 	var after uint64
 	var told string
 	for ctx.Err() == nil {
-		r, err := d.c.Rollout(ctx, after)
+		r, err := d.c.RolloutReport(ctx, after)
 		if err != nil {
 			if !clock.Sleep(ctx, 200*time.Millisecond) {
 				return false, ctx.Err()
@@ -229,19 +229,19 @@
 		}
 		if e, old, fresh := rollout.FailureEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.FailsMoreOften(x.Buckets, d.f.Alpha) {
 			why := fmt.Sprintf("%s fails or refuses %.2f%% of requests, and %s %.2f%% at the same time (evidence %.3g)", x.ToVersion, 100*fresh, x.FromVersion, 100*old, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
 		if e, times := rollout.LatencyEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.IsSlower(x.Buckets, d.f.Alpha) {
 			why := fmt.Sprintf("%s takes %.2f times as long as %s at the same time (evidence %.3g)", x.ToVersion, times, x.FromVersion, e)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
 		if served, low := rollout.ServesTooLittle(x.Buckets, d.f.Floor); r.Halt == nil && x.GoalVersion == x.ToVersion && low {
 			why := fmt.Sprintf("the fleet serves %.1f%% of requests, and %.1f%% must hold", 100*served, 100*d.f.Floor)
-			if _, err := d.c.Roll(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
+			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
 				continue
 			}
 		}
@@ -291,7 +291,7 @@
 	}
 	step("step-begun")
 	there := func() (bool, error) {
-		r, err := d.c.Rollout(ctx, 0)
+		r, err := d.c.RolloutReport(ctx, 0)
 		return err == nil && slices.Contains(r.Updated, name), err
 	}
 	if at, err := there(); err != nil || !at { // else whoever drove before has done it
@@ -300,7 +300,7 @@
 				break
 			}
 			if try >= d.f.Tries {
-				_, e := d.c.Roll(ctx, rollout.Command{Op: rollout.OpRouterFailed, Name: name, Reason: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
+				_, e := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpRouterFailed, Name: name, Reason: clip(fmt.Sprintf("its command failed %d times: %v", try, err))})
 				return errors.Join(err, e)
 			}
 			if !clock.Sleep(ctx, time.Second) {
@@ -319,7 +319,7 @@
 		}
 	}
 	step("step-seen")
-	_, err = d.c.Roll(ctx, rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: name, Token: token})
+	_, err = d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: name, Token: token})
 	step("step-back")
 	return err
 }
--- a/cmd/dockhinge-lab/duty.go
+++ b/cmd/dockhinge-lab/regression.go
@@ -21,12 +21,12 @@
 	var others []string
 	var seed int64
 	var full, only bool
-	cmd := &cobra.Command{Use: "duty --kit DIR --site FILE --why TEXT", Short: "Play what the standing test asks of this change, and say what fell",
+	cmd := &cobra.Command{Use: "regression --kit DIR --site FILE --why TEXT", Aliases: []string{"duty"}, Short: "Play what the standing test asks of this change, and say what fell",
 		Args: cobra.NoArgs,
 		Long: "Looks at what differs from --since, runs the operators' programs that it calls for, one after the other, from the\n" +
 			"repository's root, and compares what they write to the journal with the last run of the same days: a figure that fell by\n" +
 			"more than 0.03, a broken rule, a crash or a failed gate end it with 3. The files must not change meanwhile: run it in a\n" +
-			"second worktree. docs/standing.md tells what to do then.",
+			"second worktree. docs/regression.md tells what to do then.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			changed, err := changedSince(cmd.Context(), since)
 			if err != nil {
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -89,7 +89,7 @@
 		case <-f.appliedVersionChanged:
 		case <-time.After(pause/2 + rand.N(pause)):
 		}
-		session := f.options.Client.Session()
+		session := f.options.Client.SessionID()
 		if session == "" {
 			f.endDrainsByDiscovery(ctx)
 			continue
@@ -131,10 +131,10 @@
 		for fresh || figures && (good > lastGood || bad > lastBad) && clock.Now()-at >= countsInterval || len(changed) > 0 || is != ready {
 			part := changed[:min(len(changed), maxSeen)]
 			// What is answered to a process that a newer one has replaced is no error.
-			_, err := f.options.Client.Roll(ctx, rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{Zone: f.options.Zone, Version: f.options.Version, IsReady: is, Servers: part, Served: good, Failed: bad, LatencyCounts: speed}})
+			_, err := f.options.Client.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{Zone: f.options.Zone, Version: f.options.Version, IsReady: is, Servers: part, Served: good, Failed: bad, LatencyCounts: speed}})
 			if err != nil {
 				f.log("what the router sees could not be told", err)
-				clock.Sleep(ctx, client.Pause(err, 0))
+				clock.Sleep(ctx, client.RetryDelay(err, 0))
 				break
 			}
 			for _, s := range part {
@@ -151,9 +151,9 @@
 		done := f.appliedVersion
 		f.mu.Unlock()
 		if in == session && done > acked {
-			if _, err := f.options.Client.Roll(ctx, rollout.Command{Op: rollout.OpAcknowledgeDrains, DrainVersion: done}); err != nil {
+			if _, err := f.options.Client.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpAcknowledgeDrains, DrainVersion: done}); err != nil {
 				f.log("what is drained could not be acknowledged", err)
-				clock.Sleep(ctx, client.Pause(err, 0))
+				clock.Sleep(ctx, client.RetryDelay(err, 0))
 				in = "" // as it may be that this session was never told of
 				continue
 			}
@@ -163,9 +163,9 @@
 }
 
 func (f *follower) log(what string, err error) {
-	var refused *client.RefusedError
+	var refused *client.RejectedError
 	if errors.As(err, &refused) {
-		slog.Warn(what, "answer", refused.Answer.Error())
+		slog.Warn(what, "answer", refused.Response.Error())
 	}
 }
 
@@ -176,13 +176,13 @@
 	for first := true; ctx.Err() == nil; {
 		// Asked for at once at the beginning, then whenever it changes.
 		asked := clock.Now()
-		ask := f.options.Client.NextDrains
+		ask := f.options.Client.WatchDrains
 		if first {
 			ask = f.options.Client.Drains
 		}
 		d, err := ask(ctx, version)
 		if err != nil {
-			if !clock.Sleep(ctx, client.Pause(err, reportInterval+rand.N(reportInterval))) {
+			if !clock.Sleep(ctx, client.RetryDelay(err, reportInterval+rand.N(reportInterval))) {
 				return
 			}
 			continue
