--- /dev/null
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -0,0 +1,153 @@
+package client
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
+)
+
+// fixture is what an observer of an earlier version answered, byte for byte.
+func fixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("..", "testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// recordedObserver answers watches and acknowledgements with recorded bytes and keeps watches open.
+type recordedObserver struct {
+	status          int
+	watch           []byte
+	acknowledgement []byte
+}
+
+func (o *recordedObserver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == protocol.AcknowledgePath {
+		_, _ = w.Write(o.acknowledgement)
+		return
+	}
+	w.WriteHeader(o.status)
+	_, _ = w.Write(o.watch)
+	if o.status == http.StatusOK {
+		_ = http.NewResponseController(w).Flush()
+		<-r.Context().Done()
+	}
+}
+
+// Routers and observers are upgraded one after the other, so a new client reads the stream of an
+// older observer. The recorded stream has the changes through revision 5, a progress notice, a
+// change of routers/a at 6 and the deletion of routers/b at 7. A client that read a field under
+// another name would stay at an older revision, keep the deleted document or never know its age.
+func TestClientReadsEarlierObserver(t *testing.T) {
+	watch := fixture(t, "watch-from-start.jsonl")
+	_, changes, _ := bytes.Cut(fixture(t, "watch-changes.jsonl"), []byte("\n")) // its first line begins at 3
+	watch = append(watch, changes...)
+	observer := &recordedObserver{
+		status:          http.StatusOK,
+		watch:           watch,
+		acknowledgement: fixture(t, "acknowledgement.json"),
+	}
+	r := run(t, nil, observer)
+	eventually(t, func() error {
+		held, applied := r.Revision()
+		if held != 7 || applied != 7 {
+			return fmt.Errorf("revision %d, applied %d, want 7", held, applied)
+		}
+		return nil
+	})
+	eventually(t, func() error {
+		if age, ok := r.Age(); !ok || age < 317*time.Millisecond {
+			return fmt.Errorf("age %v, %v", age, ok)
+		}
+		return nil
+	})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	documents := r.states[len(r.states)-1].Documents
+	if len(documents) != 1 || documents[0].Name != "routers/a" || documents[0].Revision != 6 ||
+		string(documents[0].Value) != "{\"b\":1}\n" {
+		t.Errorf("%+v", documents)
+	}
+}
+
+// A client that fell behind the observer's log is sent a snapshot. It replaces what the client has.
+func TestClientReadsEarlierSnapshot(t *testing.T) {
+	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
+	r := run(t, nil, observer)
+	eventually(t, func() error {
+		if held, _ := r.Revision(); held != 7 {
+			return fmt.Errorf("revision %d", held)
+		}
+		return nil
+	})
+}
+
+// An observer of an earlier version rejects watches. The client must know the code, by which it
+// tells an observer that is behind from one that is overloaded, and the time to come back.
+func TestClientReadsEarlierRejections(t *testing.T) {
+	for name, want := range map[string]protocol.Rejection{
+		"watch-behind.json":     {Code: protocol.CodeBehind},
+		"watch-overloaded.json": {Code: protocol.CodeOverloaded, RetryAfterMillis: 1000},
+		"watch-invalid.json":    {Code: protocol.CodeInvalid},
+	} {
+		t.Run(name, func(t *testing.T) {
+			observer := &recordedObserver{status: http.StatusServiceUnavailable, watch: fixture(t, name)}
+			server := httptest.NewServer(observer)
+			defer server.Close()
+			c := New(Options{Watcher: "w"})
+			_, err := c.open(t.Context(), server.Listener.Addr().String())
+			var got *protocol.Rejection
+			if !errors.As(err, &got) || got.Code != want.Code || got.RetryAfterMillis != want.RetryAfterMillis {
+				t.Errorf("%v, want %+v", err, want)
+			}
+		})
+	}
+}
+
+// What this version writes is what the earlier one wrote: older routers read it.
+func TestMessagesHaveTheEarlierBytes(t *testing.T) {
+	for name, message := range map[string]any{
+		"acknowledgement.json":            protocol.AcknowledgementResponse{},
+		"acknowledgement-rejected.json":   protocol.Rejection{},
+		"coordinator-changes.json":        protocol.Update{},
+		"coordinator-changes-behind.json": protocol.Rejection{},
+		"status.json":                     protocol.Status{},
+		"watch-behind.json":               protocol.Rejection{},
+		"watch-changes.jsonl":             protocol.Update{},
+		"watch-from-start.jsonl":          protocol.Update{},
+		"watch-invalid.json":              protocol.Rejection{},
+		"watch-overloaded.json":           protocol.Rejection{},
+		"watch-snapshot.jsonl":            protocol.Update{},
+	} {
+		t.Run(name, func(t *testing.T) {
+			text := fixture(t, name)
+			var again bytes.Buffer
+			for line := range bytes.Lines(text) {
+				pointer := reflect.New(reflect.TypeOf(message))
+				decoder := json.NewDecoder(bytes.NewReader(line))
+				decoder.DisallowUnknownFields()
+				if err := decoder.Decode(pointer.Interface()); err != nil {
+					t.Fatal(err)
+				}
+				if err := json.NewEncoder(&again).Encode(pointer.Interface()); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if !bytes.Equal(again.Bytes(), text) {
+				t.Errorf("written\n%s\nrecorded\n%s", &again, text)
+			}
+		})
+	}
+}
