--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -117,11 +117,11 @@
 			if r.Halt != nil {
 				fmt.Fprintf(out, "HALTED by %s: %s\n", r.Halt.By, r.Halt.Reason)
 			}
-			e, before, after := rollout.FailureEvidence(c.Buckets)
+			failures := rollout.CompareFailures(c.Buckets)
 			fmt.Fprintf(out, "release %s by %s: %s, towards %s; %d of %d routers are there, the wave has %d\n", c.Name, c.StartedBy, c.State, c.GoalVersion, len(r.Updated), len(c.Routers), c.WaveSize)
-			fmt.Fprintf(out, "failed or refused: %.3f%% at %s, %.3f%% at %s; evidence that the new one is worse: %.3g\n", 100*before, c.FromVersion, 100*after, c.ToVersion, e)
-			e, times := rollout.LatencyEvidence(c.Buckets)
-			fmt.Fprintf(out, "%s takes %.3f times as long as %s; evidence that it is slower: %.3g\n", c.ToVersion, times, c.FromVersion, e)
+			fmt.Fprintf(out, "failed or refused: %.3f%% at %s, %.3f%% at %s; evidence that the new one is worse: %.3g\n", 100*failures.FromShare, c.FromVersion, 100*failures.ToShare, c.ToVersion, failures.Evidence)
+			latency := rollout.CompareLatency(c.Buckets)
+			fmt.Fprintf(out, "%s takes %.3f times as long as %s; evidence that it is slower: %.3g\n", c.ToVersion, latency.Ratio, c.FromVersion, latency.Evidence)
 			for _, name := range r.Pending {
 				fmt.Fprintf(out, "to be changed now: router/%s\n", name)
 			}
@@ -227,23 +227,8 @@
 			fresh, cancel := context.WithCancel(ctx)
 			steps, end = fresh, cancel
 		}
-		if e, old, fresh := rollout.FailureEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.FailsMoreOften(x.Buckets, d.f.Alpha) {
-			why := fmt.Sprintf("%s fails or refuses %.2f%% of requests, and %s %.2f%% at the same time (evidence %.3g)", x.ToVersion, 100*fresh, x.FromVersion, 100*old, e)
-			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
-				continue
-			}
-		}
-		if e, times := rollout.LatencyEvidence(x.Buckets); r.Halt == nil && x.GoalVersion == x.ToVersion && rollout.IsSlower(x.Buckets, d.f.Alpha) {
-			why := fmt.Sprintf("%s takes %.2f times as long as %s at the same time (evidence %.3g)", x.ToVersion, times, x.FromVersion, e)
-			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
-				continue
-			}
-		}
-		if served, low := rollout.ServesTooLittle(x.Buckets, d.f.Floor); r.Halt == nil && x.GoalVersion == x.ToVersion && low {
-			why := fmt.Sprintf("the fleet serves %.1f%% of requests, and %.1f%% must hold", 100*served, 100*d.f.Floor)
-			if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: why}); err != nil {
-				continue
-			}
+		if r.Halt == nil && !d.haltByComparison(ctx, x) {
+			continue
 		}
 		now := fmt.Sprintf("towards %s: %d of %d routers there, wave of %d", x.GoalVersion, len(r.Updated), len(x.Routers), x.WaveSize)
 		if r.Halt != nil {
@@ -279,6 +264,17 @@
 	return false, ctx.Err()
 }
 
+// haltByComparison halts the release where its new version does worse. It returns false if the coordinators did not take the halt.
+func (d *driver) haltByComparison(ctx context.Context, x *rollout.ReleaseProgress) bool {
+	limits := rollout.ComparisonLimits{FalseHaltShare: d.f.Alpha, MinServedShare: d.f.Floor}
+	for _, reason := range x.ComparisonHalts(limits) {
+		if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: reason}); err != nil {
+			return false
+		}
+	}
+	return true
+}
+
 // step brings one router to the goal: permit, command, seen there, permit given back.
 func (d *driver) step(ctx context.Context, name string, x *rollout.ReleaseProgress) error {
 	w := want{t: d.t, priority: "release", why: "release " + x.Name + " towards " + x.GoalVersion}
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -12,7 +12,8 @@
 	benchServers       = 192
 )
 
-// BenchmarkJoin is what a fleet of 1,000 routers that join costs the agreed state: each reports the 192 servers of its region.
+// BenchmarkJoin is what a fleet of 1,000 routers that join costs the agreed state: each reports the
+// 192 servers of its region.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
 		joined(benchRouters)
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -9,123 +9,162 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Bounds of what routers find out for one another.
+// Limits of State.EjectionQuorum. One router alone is never believed: its own link or process may
+// be at fault.
 const (
-	MinEjectionQuorum = 2 // one router is never believed
+	MinEjectionQuorum = 2
 	MaxEjectionQuorum = 16
+)
 
-	failingReportMaxAge   = 10 * time.Second // what a router found out counts for so long
-	firstEjectionDuration = 3 * time.Second  // a server is left out by all for so long at first, twice as long each further time
-	maxEjectionDuration   = 30 * time.Second
-	ejectionMemory        = 2 * maxEjectionDuration // after so long without a suspicion the next one is a first one
-	maxFailingDivisor     = 4                       // a router that finds more than one of so many servers bad, and more than one, has a fault of its own
-	maxEjectedDivisor     = 5                       // at most one of so many servers, and one, is left out by the word of others
-	maxNamedReporters     = 8                       // routers that are named
+// Constants of shared ejection. Durations are agreed time.
+const (
+	// failingReportMaxAge is how long it counts that a router began to find a server failing.
+	failingReportMaxAge = 10 * time.Second
+	// firstEjectionDuration is how long a first ejection lasts; each further one in a row lasts
+	// twice as long.
+	firstEjectionDuration = 3 * time.Second
+	// maxEjectionDuration bounds the doubling.
+	maxEjectionDuration = 30 * time.Second
+	// maxEjectionDoublings bounds the shift; far more than maxEjectionDuration needs.
+	maxEjectionDoublings = 10
+	// ejectionMemory is how long after an ejection the next one still counts as in a row with it.
+	ejectionMemory = 2 * maxEjectionDuration
+	// maxFailingDivisor: a router that finds more than one in so many servers failing, and more
+	// than one, has a fault of its own and is not believed.
+	maxFailingDivisor = 4
+	// maxEjectedDivisor: at most one in so many servers, but always one, is ejected at once.
+	maxEjectedDivisor = 5
+	// maxNamedReporters is how many of the routers that reported a server are kept.
+	maxNamedReporters = 8
 )
 
-// Ejection has all routers leave a server out, as a quorum of them found it bad. It ends by its time, whatever becomes of it.
+// Ejection has all routers leave a server out, because a quorum of them found it failing. It ends
+// by time, whatever becomes of the server; the newest one stays in the state after its end.
 type Ejection struct {
-	EndsAt           time.Duration `json:"until"`
-	ConsecutiveCount int           `json:"times"` // in a row
-	ReportedBy       []string      `json:"by"`
-	Incarnation      string        `json:"run"` // the server's, when it began: one that is started anew is not suspected
-	IsOver           bool          `json:"over,omitempty"`
+	// EndsAt is when the ejection ends or has ended.
+	EndsAt time.Duration `json:"until"`
+	// ConsecutiveCount is how many ejections of the server were in a row, with this one.
+	ConsecutiveCount int `json:"times"`
+	// ReportedBy are the first routers that found the server failing, sorted.
+	ReportedBy []string `json:"by"`
+	// Incarnation is the server's when the ejection began: a restarted server is not ejected.
+	Incarnation string `json:"run"`
+	// IsOver tells that the ejection has ended.
+	IsOver bool `json:"over,omitempty"`
 }
 
-// EjectedServer is one for a router.
+// EjectedServer is an ejection as routers are told of it.
 type EjectedServer struct {
-	Name      string        `json:"name"`
-	Remaining time.Duration `json:"left"` // by the agreed clock; the router ends it by its own
+	// Name is the server's.
+	Name string `json:"name"`
+	// Remaining is agreed time until the ejection ends. The router measures it on its own clock.
+	Remaining time.Duration `json:"left"`
 }
 
-// EjectedServers are the servers that are left out as others found them bad, by name.
-func (s *State) EjectedServers(clock time.Duration) (all []EjectedServer) {
-	for name, t := range s.Servers { // few of thousands are suspected: only these are sorted
-		if x := t.Ejection; x != nil && !x.IsOver && x.EndsAt > clock {
-			all = append(all, EjectedServer{name, x.EndsAt - clock})
-		}
-	}
-	slices.SortFunc(all, func(a, b EjectedServer) int { return strings.Compare(a.Name, b.Name) })
-	return all
-}
+// isEjected tells whether an ejection of the server is in force.
+func (t *Target) isEjected() bool { return t.Ejection != nil && !t.Ejection.IsOver }
 
-// recordFailing books whether a router finds a server bad by itself.
-func (t *Target) recordFailing(router string, is ServerStatus, clock time.Duration) {
-	if is != StatusFailing {
-		delete(t.FailingSince, router)
-		return
-	}
-	if _, known := t.FailingSince[router]; !known {
-		if t.FailingSince == nil {
-			t.FailingSince = map[string]time.Duration{}
+// EjectedServers are the servers that routers leave out by a quorum's reports, by name.
+func (s *State) EjectedServers(now time.Duration) (ejected []EjectedServer) {
+	for name, server := range s.Servers { // few of thousands are ejected: only these are sorted
+		if server.isEjected() && server.Ejection.EndsAt > now {
+			ejected = append(ejected, EjectedServer{Name: name, Remaining: server.Ejection.EndsAt - now})
 		}
-		t.FailingSince[router] = clock
 	}
+	slices.SortFunc(ejected, func(a, b EjectedServer) int { return strings.Compare(a.Name, b.Name) })
+	return ejected
 }
 
-// credibleRouters tells which routers' evidence counts: one that finds many servers bad is cut off or broken itself.
+// credibleRouters are the routers whose reports count. One that finds many servers failing is cut
+// off or broken itself.
 func (s *State) credibleRouters() map[string]bool {
-	ok := map[string]bool{}
-	for r, n := range s.observationsByRouter {
-		ok[r] = n.failing <= max(1, n.total/maxFailingDivisor) || failpoint.Is("liar-believed")
+	credible := map[string]bool{}
+	for router, n := range s.observationsByRouter {
+		credible[router] = n.failing <= max(1, n.total/maxFailingDivisor) || failpoint.Is("liar-believed")
 	}
-	return ok
+	return credible
 }
 
-// updateEjections weighs what routers found. It is a function of the state and the clock.
-func (s *State) updateEjections(clock time.Duration) {
-	held := 0
-	for _, t := range s.Servers {
-		x := t.Ejection
-		if x == nil || x.IsOver {
-			continue
-		}
-		if (x.EndsAt <= clock && !failpoint.Is("suspicion-forever")) || t.Incarnation != x.Incarnation || s.EjectionQuorum == 0 {
-			x.IsOver, x.EndsAt = true, min(x.EndsAt, clock)
-			s.Version++
-			s.DrainVersion++
-			continue
-		}
-		held++
-		s.nextServerChangeAt = min(s.nextServerChangeAt, x.EndsAt)
-	}
+// updateEjections ends the ejections whose time is over and ejects the servers that a quorum finds
+// failing.
+func (s *State) updateEjections(now time.Duration) {
+	ejectedCount := s.endEjections(now)
 	if s.EjectionQuorum == 0 {
 		return
 	}
-	names := slices.Sorted(maps.Keys(s.Servers))
-	quorum, most := s.EjectionQuorum, max(1, len(names)/maxEjectedDivisor)
+	quorum := s.EjectionQuorum
 	if failpoint.Is("quorum-of-one") {
 		quorum = 1
 	}
+	names := slices.Sorted(maps.Keys(s.Servers))
+	maxEjected := max(1, len(names)/maxEjectedDivisor)
 	credible := s.credibleRouters()
 	for _, name := range names {
-		t := s.Servers[name]
-		if t.Ejection != nil && !t.Ejection.IsOver || held >= most && !failpoint.Is("suspects-unbounded") {
+		server := s.Servers[name]
+		if server.isEjected() || ejectedCount >= maxEjected && !failpoint.Is("suspects-unbounded") {
 			continue
 		}
-		since := clock - failingReportMaxAge + 1
-		if t.Ejection != nil { // what was found before it was over has had its effect
-			since = max(since, t.Ejection.EndsAt)
+		reporters := server.failingReporters(credible, now)
+		if len(reporters) < quorum {
+			continue
 		}
-		var by []string
-		for r, at := range t.FailingSince {
-			if credible[r] && at >= since {
-				by = append(by, r)
-			}
+		s.eject(server, reporters, now)
+		ejectedCount++
+	}
+}
+
+// endEjections ends the ejections whose time is over, and those of restarted servers. It returns
+// how many stay in force.
+func (s *State) endEjections(now time.Duration) (ejectedCount int) {
+	for _, server := range s.Servers {
+		if !server.isEjected() {
+			continue
 		}
-		if len(by) < quorum {
+		ejection := server.Ejection
+		isTimeOver := ejection.EndsAt <= now && !failpoint.Is("suspicion-forever")
+		if isTimeOver || server.Incarnation != ejection.Incarnation || s.EjectionQuorum == 0 {
+			ejection.IsOver = true
+			ejection.EndsAt = min(ejection.EndsAt, now)
+			s.Version++
+			s.DrainVersion++
 			continue
 		}
-		slices.Sort(by)
-		x := &Ejection{ConsecutiveCount: 1, ReportedBy: by[:min(len(by), maxNamedReporters)], Incarnation: t.Incarnation}
-		if t.Ejection != nil && clock-t.Ejection.EndsAt < ejectionMemory {
-			x.ConsecutiveCount = t.Ejection.ConsecutiveCount + 1
+		ejectedCount++
+		s.serverChangesAt(ejection.EndsAt)
+	}
+	return ejectedCount
+}
+
+// failingReporters are the credible routers that began to find the server failing lately, and after
+// its last ejection: what they found before has had its effect.
+func (t *Target) failingReporters(credible map[string]bool, now time.Duration) (reporters []string) {
+	since := now - failingReportMaxAge + 1
+	if t.Ejection != nil {
+		since = max(since, t.Ejection.EndsAt)
+	}
+	for router, at := range t.FailingSince {
+		if credible[router] && at >= since {
+			reporters = append(reporters, router)
 		}
-		x.EndsAt = clock + min(maxEjectionDuration, firstEjectionDuration<<min(x.ConsecutiveCount-1, 10))
-		t.Ejection = x
-		held++
-		s.nextServerChangeAt = min(s.nextServerChangeAt, x.EndsAt)
-		s.Version++
-		s.DrainVersion++
 	}
+	slices.Sort(reporters)
+	return reporters
+}
+
+// eject puts an ejection in force, longer than the one before it where that was short ago.
+func (s *State) eject(server *Target, reporters []string, now time.Duration) {
+	count := 1
+	if server.Ejection != nil && now-server.Ejection.EndsAt < ejectionMemory {
+		count = server.Ejection.ConsecutiveCount + 1
+	}
+	doublings := min(count-1, maxEjectionDoublings)
+	server.Ejection = &Ejection{
+		EndsAt:           now + min(maxEjectionDuration, firstEjectionDuration<<doublings),
+		ConsecutiveCount: count,
+		ReportedBy:       reporters[:min(len(reporters), maxNamedReporters)],
+		Incarnation:      server.Incarnation,
+	}
+	s.serverChangesAt(server.Ejection.EndsAt)
+	s.Version++
+	s.DrainVersion++
 }
--- a/internal/rollout/ejection_test.go
+++ b/internal/rollout/ejection_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever routers tell, in whatever order: a server is left out by the word of others only where so many that are to be believed found
-// it bad within the last ten seconds, after the last time; never more than a fifth; never longer than it may last, nor after a
-// restart; and a state that was read back from its text goes on alike. The book of who told what is the test's own.
+// Whatever routers tell, in whatever order: a server is left out by the word of others only where
+// so many that are to be believed found it bad within the last ten seconds, after the last time;
+// never more than a fifth; never longer than it may last, nor after a restart; and a state that was
+// read back from its text goes on alike. The book of who told what is the test's own.
 func TestSuspicion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quorum := rapid.IntRange(2, 4).Draw(t, "quorum")
@@ -123,8 +124,9 @@
 	})
 }
 
-// A quorum has all leave a server out, and it counts as out; one router and one that finds all servers bad are not believed; it ends by
-// its time, lasts longer the next time, and ends at once where the server is started anew.
+// A quorum has all leave a server out, and it counts as out; one router and one that finds all
+// servers bad are not believed; it ends by its time, lasts longer the next time, and ends at once
+// where the server is started anew.
 func TestSuspected(t *testing.T) {
 	w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	if a := w.do(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, EjectionQuorum: 1}, "operator"); a.Code != CodeInvalid {
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// storedEvent is one line of testdata/commands.jsonl: an input of the state machine, and the answer that the program which
-// wrote the file gave to it.
+// storedEvent is one line of testdata/commands.jsonl: an input of the state machine, and the answer
+// that the program which wrote the file gave to it.
 type storedEvent struct {
 	Kind    string          `json:"kind"` // command, ended or advance
 	Clock   time.Duration   `json:"clock"`
@@ -68,9 +68,10 @@
 	return last
 }
 
-// Coordinators of an earlier program and of this one run side by side and apply the same log. The commands in testdata were
-// stored by the program of the day before the types of this package were renamed. A program that reads one of them in another
-// way, answers it in other words, or encodes the state in another way would make the replicas differ.
+// Coordinators of an earlier program and of this one run side by side and apply the same log. The
+// commands in testdata were stored by the program of the day before the types of this package were
+// renamed. A program that reads one of them in another way, answers it in other words, or encodes
+// the state in another way would make the replicas differ.
 func TestStoredCommands(t *testing.T) {
 	state := New()
 	lastToken := uint64(0)
@@ -110,9 +111,10 @@
 	expectBytes(t, "the state", encoded(t, state), readStored(t, "state.json"))
 }
 
-// A coordinator that starts reads the state from its snapshot. The stored one has budgets, drains, permits of each stage, a
-// release in its second wave, evidence of failing servers and an ejection. A field that is lost or read in another way would
-// change what the state encodes to, or what is reported of it.
+// A coordinator that starts reads the state from its snapshot. The stored one has budgets, drains,
+// permits of each stage, a release in its second wave, evidence of failing servers and an ejection.
+// A field that is lost or read in another way would change what the state encodes to, or what is
+// reported of it.
 func TestStoredState(t *testing.T) {
 	stored := readStored(t, "state.json")
 	state := New()
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -7,82 +7,112 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Bounds of what the fleet's load is found out by.
+// Constants of the fleet's load. Durations are agreed time.
 const (
-	loadCountInterval     = 2 * time.Second  // of agreed time, over which requests are counted
-	loadMinRequests       = 50               // requests in it: fewer say nothing
-	countsUntilOverloaded = 2                // so many in a row over the bound, and the fleet is over its limit;
-	countsUntilRecovered  = 3                // so many under half of it, and it is not any more
-	loadMaxAge            = 10 * time.Second // without figures nothing is known of it
+	// loadCountInterval is over which requests are counted.
+	loadCountInterval = 2 * time.Second
+	// loadMinRequests is how many requests a count needs: fewer say nothing.
+	loadMinRequests = 50
+	// countsUntilOverloaded is how many counts in a row above the bound make the fleet overloaded.
+	countsUntilOverloaded = 2
+	// countsUntilRecovered is how many counts in a row below half of the bound end the overload.
+	countsUntilRecovered = 3
+	// loadMaxAge is how long an overload holds when no counts are reported any more.
+	loadMaxAge = 10 * time.Second
 )
 
-// Load is how the fleet as a whole is loaded, by what all routers tell they answered. Over has two bounds, so that it doesn't flap.
+// Load is how the fleet as a whole is loaded, by the counts that all routers report. Overload
+// begins above State.OverloadShare and ends below half of it, so that it does not flap.
 type Load struct {
-	IsOverloaded      bool          `json:"over,omitempty"`
-	ChangedAt         time.Duration `json:"since,omitempty"`
-	FailedShare       float64       `json:"share"` // refused or failed, in the last whole count
-	CountBeganAt      time.Duration `json:"open"`  // when the count began
-	Served            int64         `json:"good"`
-	Failed            int64         `json:"bad"`
-	ConsecutiveCounts int           `json:"row"` // counts in a row that speak against what Over is
+	// IsOverloaded tells that nothing new may go out but emergencies.
+	IsOverloaded bool `json:"over,omitempty"`
+	// ChangedAt is when IsOverloaded changed.
+	ChangedAt time.Duration `json:"since,omitempty"`
+	// FailedShare is the share of rejected or failed requests in the last complete count.
+	FailedShare float64 `json:"share"`
+	// CountBeganAt is when the present count began.
+	CountBeganAt time.Duration `json:"open"`
+	// Served is the present count of served requests.
+	Served int64 `json:"good"`
+	// Failed is the present count of rejected or failed requests.
+	Failed int64 `json:"bad"`
+	// ConsecutiveCounts is how many complete counts in a row spoke against IsOverloaded.
+	ConsecutiveCounts int `json:"row"`
 }
 
-// countRequests books what a router has answered since it told last.
-func (s *State) countRequests(good, wrong int64, clock time.Duration) {
-	l := &s.Load
-	if s.OverloadShare == 0 || good < 0 || wrong < 0 {
+// countRequests adds what a router has answered since its last report to the present count.
+func (s *State) countRequests(served, failed int64, now time.Duration) {
+	if s.OverloadShare == 0 || served < 0 || failed < 0 {
 		return
 	}
-	if clock >= l.CountBeganAt+loadCountInterval {
-		s.closeLoadCount(clock)
+	if now >= s.Load.CountBeganAt+loadCountInterval {
+		s.closeLoadCount(now)
 	}
-	l.Served, l.Failed = l.Served+good, l.Failed+wrong
+	s.Load.Served += served
+	s.Load.Failed += failed
 }
 
-// closeLoadCount ends a count and begins another.
-func (s *State) closeLoadCount(clock time.Duration) {
-	l := &s.Load
-	all := l.Served + l.Failed
-	if all >= loadMinRequests {
-		l.FailedShare = ratio(float64(l.Failed), float64(all))
-		speaks, wanted := l.FailedShare > s.OverloadShare, countsUntilOverloaded
-		if l.IsOverloaded {
-			speaks, wanted = l.FailedShare < s.OverloadShare/2, countsUntilRecovered
-			if failpoint.Is("busy-flaps") {
-				speaks, wanted = l.FailedShare <= s.OverloadShare, 1
-			}
+// closeLoadCount weighs the present count and begins another.
+func (s *State) closeLoadCount(now time.Duration) {
+	load := &s.Load
+	total := load.Served + load.Failed
+	if total >= loadMinRequests {
+		load.FailedShare = ratio(float64(load.Failed), float64(total))
+		contradicts, countsNeeded := s.contradictsLoad()
+		if contradicts {
+			load.ConsecutiveCounts++
+		} else {
+			load.ConsecutiveCounts = 0
 		}
-		if l.ConsecutiveCounts++; !speaks {
-			l.ConsecutiveCounts = 0
-		}
-		if l.ConsecutiveCounts >= wanted {
-			s.setOverloaded(!l.IsOverloaded, clock)
+		if load.ConsecutiveCounts >= countsNeeded {
+			s.setOverloaded(!load.IsOverloaded, now)
 		}
 	}
-	l.Served, l.Failed, l.CountBeganAt = 0, 0, clock
+	load.Served = 0
+	load.Failed = 0
+	load.CountBeganAt = now
+}
+
+// contradictsLoad tells whether the last complete count speaks against IsOverloaded, and how many
+// such counts in a row change it.
+func (s *State) contradictsLoad() (contradicts bool, countsNeeded int) {
+	switch {
+	case !s.Load.IsOverloaded:
+		return s.Load.FailedShare > s.OverloadShare, countsUntilOverloaded
+	case failpoint.Is("busy-flaps"):
+		return s.Load.FailedShare <= s.OverloadShare, 1
+	}
+	return s.Load.FailedShare < s.OverloadShare/2, countsUntilRecovered
 }
 
-func (s *State) setOverloaded(over bool, clock time.Duration) {
-	s.Load.IsOverloaded, s.Load.ChangedAt, s.Load.ConsecutiveCounts = over, clock, 0
+func (s *State) setOverloaded(isOverloaded bool, now time.Duration) {
+	s.Load.IsOverloaded = isOverloaded
+	s.Load.ChangedAt = now
+	s.Load.ConsecutiveCounts = 0
 	s.Version++
 }
 
-// updateOverload tells whether the fleet is over its limit, as far as figures tell; it forgets where none have come for long.
-func (s *State) updateOverload(clock time.Duration) {
+// updateOverload ends an overload that no counts have confirmed for loadMaxAge, or that is not
+// asked for any more. Without it a fleet whose routers stop reporting would stay overloaded for
+// ever.
+func (s *State) updateOverload(now time.Duration) {
 	if !s.Load.IsOverloaded {
 		return
 	}
-	if at := s.Load.CountBeganAt + loadMaxAge; s.OverloadShare > 0 && at > clock {
-		s.reconcileAt(at)
+	expiresAt := s.Load.CountBeganAt + loadMaxAge
+	if s.OverloadShare > 0 && expiresAt > now {
+		s.reconcileAt(expiresAt)
 		return
 	}
-	s.setOverloaded(false, clock)
+	s.setOverloaded(false, now)
 }
 
-// overloadReason tells in words why nothing new goes out; "" where the load doesn't forbid it.
+// overloadReason tells why the load lets nothing new out; "" where it does.
 func (s *State) overloadReason(p *Permit) string {
 	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.Is("busy-ignored") {
 		return ""
 	}
-	return fmt.Sprintf("the fleet refuses or fails over %.3g%% of requests: nothing new goes out until it is under %.3g%%", 100*s.OverloadShare, 50*s.OverloadShare)
+	return fmt.Sprintf(
+		"the fleet refuses or fails over %.3g%% of requests: nothing new goes out until it is under %.3g%%",
+		100*s.OverloadShare, 50*s.OverloadShare)
 }
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// The fleet is over its limit after two counts in a row beyond the bound, and no more after three under half of it; meanwhile nothing
-// new goes out but in an emergency, and a permit that was granted is taken back. Few requests say nothing, and lost figures end it.
+// The fleet is over its limit after two counts in a row beyond the bound, and no more after three
+// under half of it; meanwhile nothing new goes out but in an emergency, and a permit that was
+// granted is taken back. Few requests say nothing, and lost figures end it.
 func TestLoad(t *testing.T) {
 	for _, x := range []struct {
 		shares string // refused in each count, in per cent; - = few requests
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Sightings have a bound of their own, which all routers that see all servers would pass; one that goes makes room.
+// Sightings have a bound of their own, which all routers that see all servers would pass; one that
+// goes makes room.
 func TestSightingsBound(t *testing.T) {
 	w := newWorld()
 	const routers = MaxObservations / MaxServers
@@ -40,7 +41,8 @@
 	}
 }
 
-// The counts that are kept are those that a look at all sightings gives, whatever is told, ends, or is forgotten.
+// The counts that are kept are those that a look at all sightings gives, whatever is told, ends, or
+// is forgotten.
 func TestSightCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// Whatever the fleet and the plan: waves grow as planned, none begins before the one before it is complete and has baked, and in
-// the end all have the version; the way back from any point brings all back.
+// Whatever the fleet and the plan: waves grow as planned, none begins before the one before it is
+// complete and has baked, and in the end all have the version; the way back from any point brings
+// all back.
 func TestRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 24).Draw(t, "routers")
@@ -95,8 +96,8 @@
 	})
 }
 
-// A release halts where a router doesn't come back or its command fails, and where nobody uses the new version; on the way back
-// one that can't is named and left.
+// A release halts where a router doesn't come back or its command fails, and where nobody uses the
+// new version; on the way back one that can't is named and left.
 func TestReleaseHalts(t *testing.T) {
 	halted := func(w *world, want string) {
 		t.Helper()
@@ -168,8 +169,9 @@
 	}
 }
 
-// sampled draws the figures of a canary among n old routers, some 20 requests a second each, until the evidence halts it; it returns
-// after how many bins, or -1. The load's own share of failures wanders and jumps, alike for both.
+// sampled draws the figures of a canary among n old routers, some 20 requests a second each, until
+// the evidence halts it; it returns after how many bins, or -1. The load's own share of failures
+// wanders and jumps, alike for both.
 func sampled(rng *rand.Rand, routers int, worse float64, bins int) int {
 	var all []ComparisonBucket
 	base := 0.002 + 0.03*rng.Float64()
@@ -222,8 +224,9 @@
 	}
 }
 
-// timed draws how long a canary's requests and those of n old routers take, some 20 a second each: hits and misses, whose share and
-// speed wander for all alike. times is by how much the canary is slower. It returns after how many bins it halts, or -1.
+// timed draws how long a canary's requests and those of n old routers take, some 20 a second each:
+// hits and misses, whose share and speed wander for all alike. times is by how much the canary is
+// slower. It returns after how many bins it halts, or -1.
 func timed(rng *rand.Rand, routers int, times float64, bins int) int {
 	var all []ComparisonBucket
 	miss, load := 0.1+0.2*rng.Float64(), 1.0
@@ -281,11 +284,11 @@
 	}
 	fast, slow := make([]int64, LatencyBuckets), make([]int64, LatencyBuckets)
 	fast[3], slow[5] = 100, 100
-	if _, times := LatencyEvidence([]ComparisonBucket{{LatencyCounts: [2][]int64{fast, slow}}}); math.Abs(times-2) > 1e-9 { // two half octaves
+	if times := CompareLatency([]ComparisonBucket{{LatencyCounts: [2][]int64{fast, slow}}}).Ratio; math.Abs(times-2) > 1e-9 { // two half octaves
 		t.Errorf("%v times", times)
 	}
 	for _, none := range [][]ComparisonBucket{nil, {{}}, {{LatencyCounts: [2][]int64{fast, nil}}}, {{LatencyCounts: [2][]int64{fast, fast}}}} {
-		if e, _ := LatencyEvidence(none); e != 1 {
+		if e := CompareLatency(none).Evidence; e != 1 {
 			t.Errorf("%v: evidence %v", none, e)
 		}
 	}
@@ -300,7 +303,8 @@
 	}
 }
 
-// A fleet that serves little halts a release, whichever version it is; one second of trouble or few requests don't.
+// A fleet that serves little halts a release, whichever version it is; one second of trouble or few
+// requests don't.
 func TestLow(t *testing.T) {
 	well, ill := ComparisonBucket{Served: [2]int64{90, 9}, Failed: [2]int64{1, 0}}, ComparisonBucket{Served: [2]int64{50, 5}, Failed: [2]int64{40, 5}}
 	for _, x := range []struct {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -111,15 +111,16 @@
 	}
 	warm := time.Duration(0)
 	for _, b := range w.s.Budgets {
-		if b.covers(k, name) {
+		if b.covers(targetRef{k, name}) {
 			warm = max(warm, b.SlowStart)
 		}
 	}
 	return w.clock < t.ChangedAt+warm
 }
 
-// Whatever happens, in whatever order: a step begins only within every budget, one thing has one step, tokens of a thing grow,
-// drained is said only after all routers that could send have said so, and a state read back from its text goes on alike.
+// Whatever happens, in whatever order: a step begins only within every budget, one thing has one
+// step, tokens of a thing grow, drained is said only after all routers that could send have said
+// so, and a state read back from its text goes on alike.
 func TestBudgetsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(
@@ -158,24 +159,24 @@
 				if a.Code != CodeOK || began {
 					continue
 				}
-				if p.Token <= w.given[targetID(k, name)] {
-					t.Fatalf("event %d: token %d after %d", i, p.Token, w.given[targetID(k, name)])
+				if p.Token <= w.given[targetRef{k, name}.String()] {
+					t.Fatalf("event %d: token %d after %d", i, p.Token, w.given[targetRef{k, name}.String()])
 				}
-				w.given[targetID(k, name)] = p.Token
+				w.given[targetRef{k, name}.String()] = p.Token
 				if down && p.Priority == PriorityEmergency {
 					continue
 				}
 				for _, b := range w.s.Budgets {
 					out, n := 0, 0
 					for other, x := range w.s.targets(k) {
-						if b.covers(k, other) && (b.Per == "" || x.Zone == thing.Zone) {
+						if b.covers(targetRef{k, other}) && (b.Per == "" || x.Zone == thing.Zone) {
 							n++
 							if w.isOut(k, other, x) {
 								out++
 							}
 						}
 					}
-					if b.covers(k, name) && out > b.allowed(n) {
+					if b.covers(targetRef{k, name}) && out > b.allowed(n) {
 						t.Fatalf("event %d: budget %s: %d out of %d allowed, after %s/%s began", i, b.Name, out, b.allowed(n), k, name)
 					}
 				}
@@ -211,7 +212,7 @@
 func (w *world) check(t *rapid.T) {
 	begun := map[string]bool{}
 	for _, p := range w.s.Permits {
-		id := targetID(p.Kind, p.Name)
+		id := p.target().String()
 		if p.Stage == StageBegun && begun[id] {
 			t.Fatalf("two steps of %s at once", id)
 		}
@@ -385,7 +386,8 @@
 	}
 }
 
-// One of the same name takes over from a holder that died in the step, with a higher token; one of another name waits.
+// One of the same name takes over from a holder that died in the step, with a higher token; one of
+// another name waits.
 func TestTakeOver(t *testing.T) {
 	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	ask := func(who string) Result {
@@ -407,7 +409,8 @@
 	}
 }
 
-// A server is drained when all routers have said so that could send to it, a cut-off one by discovery's list and time.
+// A server is drained when all routers have said so that could send to it, a cut-off one by
+// discovery's list and time.
 func TestDrained(t *testing.T) {
 	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "ann")
@@ -434,7 +437,8 @@
 	}
 }
 
-// A server that all lists have dropped counts as out for a while, also when it was changed just then, and is forgotten after it.
+// A server that all lists have dropped counts as out for a while, also when it was changed just
+// then, and is forgotten after it.
 func TestGone(t *testing.T) {
 	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "ann")
