--- /dev/null
+++ b/decide/balancer.go
@@ -0,0 +1,267 @@
+package decide
+
+import (
+	"math"
+	"math/rand/v2"
+)
+
+// Balancer decides for one router. Its methods must not be called concurrently.
+type Balancer struct {
+	// cfg holds the settings.
+	cfg Config
+	// host carries out the decisions.
+	host Host
+	// rng draws the random numbers; equal seeds and events lead to equal decisions.
+	rng *rand.Rand
+	// now is the time of the event in hand, ms.
+	now float64
+	// startedAt is the time of the first event, ms; below 0 = there was none.
+	startedAt float64
+	// classes are the settings' classes by name.
+	classes map[string]*Class
+	// maxPriority is the largest priority weight of a class.
+	maxPriority float64
+	// firstTryMillis is the time that a client's first try had, by class.
+	firstTryMillis map[string]float64
+	// quotas are the tenants' (tenant_quota.go).
+	quotas tenantQuotas
+	// membership are the servers (endpoints.go).
+	membership membership
+	// discovery is when to poll for the list (discovery_backoff.go).
+	discovery discoveryPolling
+	// capacities are modelled from load reports (load_report.go).
+	capacities capacityModel
+	// placement is the state of the solver (placement.go).
+	placement placementState
+	// keys are the keys' traffic (key_traffic.go).
+	keys keyTable
+	// requests are those without a final answer or with attempts in flight, by id.
+	requests map[uint32]*request
+	// arrivals counts requests over trafficTimeConstantMillis.
+	arrivals decayingSum
+	// meanHint is the EWMA of work hints; 0 = none yet.
+	meanHint float64
+	// serviceTime are the moments of the latencies of answers, ms.
+	serviceTime moments
+	// latencyPerWork follows the latency of a unit of work over all servers, ms.
+	latencyPerWork trend
+	// commonWait is the wait that is common to the servers (waiting_time.go).
+	commonWait cachedWait
+	// toleratedWaitShare is the least share of the time left that a queue may take (rejection.go).
+	toleratedWaitShare float64
+	// usualFailureShare is the share of attempts that fail at the median server (outlier.go).
+	usualFailureShare float64
+	// lostShare is the share of overtaken attempts whose answers are lost (hedge.go).
+	lostShare float64
+	// retryBudget is the number of further attempts in hand (retry.go).
+	retryBudget float64
+	// healthChecks is whose turn it is (health_check.go).
+	healthChecks healthChecks
+	// originFetches is how much the origin is asked (origin_fetch.go).
+	originFetches originFetches
+	// idleTimeoutMillis is how long idle connections are kept (idle_connections.go).
+	idleTimeoutMillis float64
+	// cause is the cause of the last rejection or failure.
+	cause rejectionCause
+	// processes is the number of processes that work as this router; 0 = this one only.
+	processes int
+}
+
+const (
+	// initialRetryBudget lets a new router retry before it has seen arrivals, in attempts.
+	initialRetryBudget = 10
+	// initialToleratedWaitShare is the tolerated share of a new router.
+	initialToleratedWaitShare = 0.2
+	// initialFetchesOfFleet is the number of fetches that all routers together start with.
+	initialFetchesOfFleet = 32
+	// maxInitialFetches bounds those of one router.
+	maxInitialFetches = 8
+	// healthCheckStarts spreads the server that routers check first.
+	healthCheckStarts = 4096
+)
+
+// New returns a Balancer for the settings, or a *SettingError that names the setting that is
+// missing or impossible.
+func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
+	if err := cfg.Validate(); err != nil {
+		return nil, err
+	}
+	b := &Balancer{
+		host:      host,
+		rng:       rand.New(rand.NewPCG(seed, 1)),
+		startedAt: -1,
+		quotas:    tenantQuotas{usage: map[string]*decayingSum{}},
+		membership: membership{
+			servers:    map[uint32]*server{},
+			disabledAt: map[uint32]float64{},
+		},
+		discovery:          discoveryPolling{pollAt: math.Inf(1)},
+		placement:          placementState{trafficShare: 1 / float64(cfg.Routers)},
+		keys:               keyTable{byID: map[uint64]*keyTraffic{}},
+		requests:           map[uint32]*request{},
+		toleratedWaitShare: initialToleratedWaitShare,
+		retryBudget:        initialRetryBudget,
+		healthChecks:       healthChecks{next: int(seed % healthCheckStarts)},
+		// One at each router at least: one at a time follows the origin's pace by itself.
+		originFetches:     originFetches{limit: min(maxInitialFetches, max(1, initialFetchesOfFleet/float64(cfg.Routers)))},
+		idleTimeoutMillis: cfg.IdleTimeoutMillis,
+	}
+	b.useSettings(cfg)
+	return b, nil
+}
+
+// useSettings has requests that arrive from now on come under the settings.
+func (b *Balancer) useSettings(cfg Config) {
+	b.cfg = cfg
+	b.maxPriority = 0
+	b.classes = map[string]*Class{}
+	b.firstTryMillis = map[string]float64{}
+	for i := range cfg.Classes {
+		c := &cfg.Classes[i]
+		b.classes[c.Name] = c
+		b.maxPriority = max(b.maxPriority, c.PriorityWeight)
+	}
+	b.quotas.useTenants(cfg.Tenants)
+}
+
+// begin notes the time of an event; each method that takes one calls it first.
+func (b *Balancer) begin(now float64) {
+	b.now = now
+	if b.startedAt < 0 {
+		b.startedAt = now
+		b.placement.solvedAt = now
+		b.host.SetTimer(housekeepingMillis, housekeepingToken)
+	}
+}
+
+// Cause is the cause of the rejection or failure that the Host is being told of: a word or two for
+// the log.
+func (b *Balancer) Cause() string { return string(b.cause) }
+
+// Request takes a request of a client. A request of an unknown class fails.
+func (b *Balancer) Request(now float64, q Request) {
+	b.begin(now)
+	class := b.classes[q.Class]
+	maxAttempts := b.cfg.MaxAttempts
+	if q.ClassAtArrival != nil {
+		class = q.ClassAtArrival
+		maxAttempts = q.MaxAttemptsAtArrival
+	}
+	if class == nil {
+		b.host.Fail(q.ID)
+		return
+	}
+	r := &request{
+		Request:     q,
+		class:       class,
+		maxAttempts: maxAttempts,
+		deadlineAt:  now + q.RemainingMillis,
+		priority:    class.PriorityWeight,
+		work:        b.workOf(q.WorkHint),
+		key:         b.trafficOf(q),
+	}
+	r.objectiveAt = now + b.objectiveMillis(class, q)
+	b.requests[q.ID] = r
+	b.arrive(r)
+}
+
+// arrive counts a new request and decides where it goes first.
+func (b *Balancer) arrive(r *request) {
+	b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
+	b.earnRetries()
+	b.earnHealthChecks()
+	if b.exceedsQuota(r.Tenant) {
+		r.priority *= b.cfg.OverQuotaWeight
+	}
+	b.countArrival(r.key, r.work)
+	if b.needsOrigin(r) {
+		b.waitForOrigin(r)
+		b.serveWaiting()
+		return
+	}
+	b.forward(r)
+}
+
+// forward sends a request to a server, or answers it where no attempt is worth its work.
+func (b *Balancer) forward(r *request) {
+	s := b.pick(r)
+	if s == nil {
+		b.answer(r, b.cause)
+		return
+	}
+	b.send(r, s)
+}
+
+// send starts an attempt and the timer of its patience.
+func (b *Balancer) send(r *request, s *server) {
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, mayHaveRun: true})
+	r.inFlight++
+	s.attempts.inFlight++
+	s.attempts.lastSentAt = b.now
+	s.connection.mayBeOpen = true
+	if s == b.membership.origin {
+		b.host.SetTimer(b.fetchPatienceMillis(), attemptToken(r.ID, len(r.attempts)-1))
+	} else {
+		s.slowStart.budget.requests -= slowStartCost(r.work)
+		s.attempts.work.add(b.now, workTimeConstantMillis, r.work)
+		if patience := b.patienceMillis(r, s); b.now+patience < r.deadlineAt {
+			b.host.SetTimer(patience, attemptToken(r.ID, len(r.attempts)-1))
+		}
+	}
+	b.host.Send(r.ID, s.ID, 0)
+}
+
+// AttemptEnded takes the end of an attempt. One that is not in flight only leaves its load report.
+func (b *Balancer) AttemptEnded(now float64, o Outcome) {
+	b.begin(now)
+	if s := b.membership.servers[o.ServerID]; s != nil {
+		b.learnLoad(s, o.Load)
+	}
+	r := b.requests[o.RequestID]
+	if a := r.endAttempt(o.Attempt, o.Status); a != nil {
+		b.attemptEnded(r, a, o)
+	}
+}
+
+// ClientDisconnected takes that the client closed or reset its connection: it needs no answer.
+func (b *Balancer) ClientDisconnected(now float64, requestID uint32) {
+	b.begin(now)
+	r := b.requests[requestID]
+	if r == nil || r.isAnswered {
+		return
+	}
+	b.close(r)
+	b.serveWaiting()
+}
+
+// StreamStarted takes that a stream has begun: the attempt belongs to the client, and nothing is
+// left to decide.
+func (b *Balancer) StreamStarted(now float64, requestID uint32) {
+	b.begin(now)
+	if r := b.requests[requestID]; r != nil {
+		r.deadlineAt = math.Inf(1)
+		r.objectiveAt = math.Inf(-1)
+	}
+}
+
+// GossipReceived takes a message of another router. Routers send each other nothing yet.
+func (b *Balancer) GossipReceived(now float64, _ int, _ []byte) { b.begin(now) }
+
+// Reconfigure takes new settings, or returns an error and changes nothing: a *SettingError, or
+// ErrFixedSetting. Requests that have arrived keep the class and the number of attempts that they
+// arrived under.
+func (b *Balancer) Reconfigure(now float64, cfg Config) error {
+	b.begin(now)
+	if err := cfg.Validate(); err != nil {
+		return err
+	}
+	hasSameOrigin := cfg.CacheAside == b.cfg.CacheAside && cfg.OriginKind == b.cfg.OriginKind
+	if !hasSameOrigin || cfg.PollEndpoints != b.cfg.PollEndpoints {
+		return ErrFixedSetting
+	}
+	b.useSettings(cfg)
+	b.idleTimeoutMillis = cfg.IdleTimeoutMillis
+	b.placement.isStale = true
+	b.serveWaiting()
+	return nil
+}
--- /dev/null
+++ b/decide/config.go
@@ -0,0 +1,266 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+)
+
+// Effect says whether a request may run more than once.
+type Effect int
+
+// The effects that a class of requests can have.
+const (
+	// Idempotent requests are safe to repeat.
+	Idempotent Effect = iota
+	// IdempotentByKey requests carry a key by which a group of servers drops repeats for a while.
+	IdempotentByKey
+	// NotIdempotent requests must never run twice.
+	NotIdempotent
+)
+
+// The scopes in which servers drop repeats of an IdempotentByKey request together.
+const (
+	scopeAll  = "all"
+	scopeZone = "zone"
+	scopeCell = "cell"
+)
+
+// Class describes one class of requests.
+type Class struct {
+	// Name identifies the class in Request.Class.
+	Name string
+	// Effect says whether its requests may run more than once.
+	Effect Effect
+	// IdempotencyScope names the servers that drop repeats together: "all", "zone" or "cell". It
+	// is used by IdempotentByKey only.
+	IdempotencyScope string
+	// IdempotencyWindowMillis is how long servers drop repeats, from the send of the first attempt
+	// that may have run. It is used by IdempotentByKey only.
+	IdempotencyWindowMillis float64
+	// LatencyObjectiveMillis is the time within which an answer has its full weight.
+	LatencyObjectiveMillis float64
+	// ObjectivePerWork extends the objective by this multiple of the request's work hint.
+	ObjectivePerWork float64
+	// DeadlineMillis is how long a client waits over all its tries.
+	DeadlineMillis float64
+	// PriorityWeight is what an answer within the objective counts for.
+	PriorityWeight float64
+	// LateWeight is the share of PriorityWeight that is left after the objective; 0 = none.
+	LateWeight float64
+	// IsStream says that answers are streamed.
+	IsStream bool
+}
+
+// Tenant is one of the parties that share the service.
+type Tenant struct {
+	// Name identifies the tenant in Request.Tenant.
+	Name string
+	// QuotaPerSecond is the number of requests a second, over all routers, that have full priority.
+	QuotaPerSecond float64
+}
+
+// Config holds the settings of a Balancer.
+type Config struct {
+	// Routers is the number of routers of the fleet.
+	Routers int
+	// RouterIndex is this router's number, from 0.
+	RouterIndex int
+	// Zone is the zone that this router is in.
+	Zone string
+	// Classes lists the classes of requests that are served.
+	Classes []Class
+	// Tenants lists the tenants that have a quota.
+	Tenants []Tenant
+	// OverQuotaWeight is the share of its priority that a request beyond its tenant's quota keeps.
+	OverQuotaWeight float64
+	// WeightByWork says that priority is counted for each unit of work, else for each request.
+	WeightByWork bool
+
+	// CacheAside says that a miss comes back and the router asks the origin; else servers fetch by
+	// themselves.
+	CacheAside bool
+	// OriginKind is the kind of the listed server that is the origin, with CacheAside.
+	OriginKind string
+
+	// SizesAreLoads says that listed sizes are load figures, which change from list to list.
+	SizesAreLoads bool
+	// LoadByHealthCheck says that loads are reported in the results of health checks only.
+	LoadByHealthCheck bool
+	// PollEndpoints says that the endpoint list is sent only to routers that ask for it.
+	PollEndpoints bool
+	// PollWithinMillis is the time after a change within which routers are to have asked; 0 = any.
+	PollWithinMillis float64
+	// HealthChecks says that health checks are allowed.
+	HealthChecks bool
+	// GossipAllowed says that routers may send messages to each other.
+	GossipAllowed bool
+	// CancelAllowed says that attempts may be cancelled.
+	CancelAllowed bool
+	// HedgingAllowed says that a second attempt may run beside the first.
+	HedgingAllowed bool
+	// SendRetryAfter says that rejected clients are told how long to stay away.
+	SendRetryAfter bool
+	// MaxRetryAfterMillis is the longest time that they are told.
+	MaxRetryAfterMillis float64
+	// MaxAttempts is the number of attempts that a request may have.
+	MaxAttempts int
+	// IdleTimeoutMillis is the time after which idle connections close by themselves; 0 = not
+	// known, and none is closed sooner.
+	IdleTimeoutMillis float64
+	// CPUMicrosPerSecond is the CPU time that a router may use; 0 = no limit.
+	CPUMicrosPerSecond float64
+
+	// SlowStartMillis is the time after its start at which a server is warm at the latest.
+	SlowStartMillis float64
+	// SlowStartInitialShare is the share of its capacity that a server has at its start.
+	SlowStartInitialShare float64
+	// OverloadFactor is the multiple of its capacity which a cold server does not survive when it
+	// is sent that much for OverloadMillis.
+	OverloadFactor float64
+	// OverloadMillis is the time meant by OverloadFactor.
+	OverloadMillis float64
+}
+
+// ClassNames lists the names of the classes.
+func (c *Config) ClassNames() (names []string) {
+	for _, k := range c.Classes {
+		names = append(names, k.Name)
+	}
+	return names
+}
+
+// The lists of Config that a SettingError can name.
+const (
+	classList  = "Classes"
+	tenantList = "Tenants"
+)
+
+// noValue stands for the value of a setting that is missing.
+const noValue = "(none)"
+
+// SettingError names a setting that is missing or impossible.
+type SettingError struct {
+	// Field is the name of the field of Config, or of Class or Tenant.
+	Field string
+	// List is "Classes", "Tenants" or "".
+	List string
+	// At is the entry's place in the list.
+	At int
+	// Entry is the entry's name.
+	Entry string
+	// Value is the value that is impossible.
+	Value any
+}
+
+// Error names the setting and its value.
+func (e *SettingError) Error() string {
+	name := e.Field
+	if e.List != "" {
+		name = fmt.Sprintf("%s[%s].%s", e.List, e.Entry, e.Field)
+	}
+	return fmt.Sprintf("decide: setting %s: impossible value %v", name, e.Value)
+}
+
+// Validate reports the first setting that is missing or impossible, as a *SettingError.
+func (c *Config) Validate() error {
+	if err := c.validateRouter(); err != nil {
+		return err
+	}
+	if err := c.validateSlowStart(); err != nil {
+		return err
+	}
+	if err := c.validateLimits(); err != nil {
+		return err
+	}
+	for i := range c.Classes {
+		if err := c.Classes[i].validate(i); err != nil {
+			return err
+		}
+	}
+	for i, t := range c.Tenants {
+		if t.Name == "" || !isNotNegative(t.QuotaPerSecond) {
+			return &SettingError{"QuotaPerSecond", tenantList, i, t.Name, t.QuotaPerSecond}
+		}
+	}
+	return nil
+}
+
+// setting returns the error for a field of Config itself.
+func setting(name string, value any) error { return &SettingError{Field: name, Value: value} }
+
+func isPositive(v float64) bool    { return v > 0 && !math.IsInf(v, 1) }
+func isNotNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+
+func (c *Config) validateRouter() error {
+	switch {
+	case c.Routers < 1:
+		return setting("Routers", c.Routers)
+	case c.RouterIndex < 0 || c.RouterIndex >= c.Routers:
+		return setting("RouterIndex", c.RouterIndex)
+	case len(c.Classes) == 0:
+		return setting(classList, noValue)
+	case c.MaxAttempts < 1:
+		return setting("MaxAttempts", c.MaxAttempts)
+	}
+	return nil
+}
+
+func (c *Config) validateSlowStart() error {
+	switch {
+	case !isNotNegative(c.SlowStartMillis):
+		return setting("SlowStartMillis", c.SlowStartMillis)
+	case !(c.SlowStartInitialShare > 0 && c.SlowStartInitialShare <= 1):
+		return setting("SlowStartInitialShare", c.SlowStartInitialShare)
+	case !isPositive(c.OverloadFactor):
+		return setting("OverloadFactor", c.OverloadFactor)
+	case !isPositive(c.OverloadMillis):
+		return setting("OverloadMillis", c.OverloadMillis)
+	}
+	return nil
+}
+
+func (c *Config) validateLimits() error {
+	switch {
+	case !isNotNegative(c.IdleTimeoutMillis):
+		return setting("IdleTimeoutMillis", c.IdleTimeoutMillis)
+	case !isNotNegative(c.CPUMicrosPerSecond):
+		return setting("CPUMicrosPerSecond", c.CPUMicrosPerSecond)
+	case !isNotNegative(c.OverQuotaWeight):
+		return setting("OverQuotaWeight", c.OverQuotaWeight)
+	case c.CacheAside && c.OriginKind == "":
+		return setting("OriginKind", noValue)
+	}
+	return nil
+}
+
+// validate reports the first impossible value of the class at a place of Config.Classes.
+func (c *Class) validate(at int) error {
+	invalid := func(field string, value any) error {
+		return &SettingError{field, classList, at, c.Name, value}
+	}
+	switch {
+	case c.Name == "":
+		return invalid("Name", noValue)
+	case !isPositive(c.LatencyObjectiveMillis):
+		return invalid("LatencyObjectiveMillis", c.LatencyObjectiveMillis)
+	case !isPositive(c.DeadlineMillis):
+		return invalid("DeadlineMillis", c.DeadlineMillis)
+	case !isNotNegative(c.PriorityWeight):
+		return invalid("PriorityWeight", c.PriorityWeight)
+	case !isNotNegative(c.ObjectivePerWork):
+		return invalid("ObjectivePerWork", c.ObjectivePerWork)
+	case c.Effect < Idempotent || c.Effect > NotIdempotent:
+		return invalid("Effect", c.Effect)
+	}
+	if c.Effect != IdempotentByKey {
+		return nil
+	}
+	if !isNotNegative(c.IdempotencyWindowMillis) {
+		return invalid("IdempotencyWindowMillis", c.IdempotencyWindowMillis)
+	}
+	switch c.IdempotencyScope {
+	case scopeAll, scopeZone, scopeCell:
+		return nil
+	}
+	return invalid("IdempotencyScope", c.IdempotencyScope)
+}
--- /dev/null
+++ b/decide/endpoints.go
@@ -0,0 +1,181 @@
+package decide
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strconv"
+)
+
+const (
+	// hashTableBits gives the memento-hash table 8192 buckets, so that claims seldom collide.
+	hashTableBits = 13
+	// bucketClaims is the number of buckets that a server claims.
+	bucketClaims = 64
+	// candidateLimit is the length of a key's list: the hottest key is more than six servers of a
+	// large fleet can serve.
+	candidateLimit = 20
+	// maxDraws bounds the draws over the table for one list, where servers are few.
+	maxDraws = 4 << hashTableBits
+)
+
+// membership is the servers that a router knows.
+type membership struct {
+	// servers are those listed, and those with attempts in flight, by id.
+	servers map[uint32]*server
+	// disabledAt is since when operators have left servers out, ms; they may be listed or not.
+	disabledAt map[uint32]float64
+	// caches are the listed cache servers, by ascending id.
+	caches []*server
+	// origin is the listed origin, with CacheAside. It is never a candidate.
+	origin *server
+	// hashTable is the memento-hash table: the server of each bucket; nil = removed.
+	hashTable []*server
+	// hashEpoch is the number of the table; lists made from an earlier one are made anew.
+	hashEpoch int
+}
+
+// UpdateEndpoints takes an update of the endpoint list, or that a watch for one failed.
+func (b *Balancer) UpdateEndpoints(now float64, kind EndpointUpdateKind, entries []Endpoint) {
+	b.begin(now)
+	if kind == WatchFailed {
+		b.discovery.pollAt = now + b.pollBackoffMillis()
+		return
+	}
+	b.discovery.pollAt = math.Inf(1)
+	b.discovery.failures = 0
+	if b.cfg.PollEndpoints && kind == RestoredEndpoints {
+		b.discovery.pollAt = now + b.firstPollMillis()
+	}
+	for _, s := range b.applyEndpoints(kind, entries) {
+		if s.StartedAt > now-b.cfg.SlowStartMillis {
+			b.resetServer(s, s.StartedAt)
+		}
+	}
+	b.membership.rebuildHashTable()
+	b.placement.isStale = true
+}
+
+// applyEndpoints brings an update into the records and returns the servers that started anew.
+func (b *Balancer) applyEndpoints(kind EndpointUpdateKind, entries []Endpoint) (started []*server) {
+	m := &b.membership
+	for _, s := range m.servers {
+		s.isListed = s.isListed && kind == ChangedEndpoints
+	}
+	for _, e := range entries {
+		s := m.servers[e.ID]
+		if s == nil {
+			_, isDisabled := m.disabledAt[e.ID]
+			s = newServer(b.now, isDisabled)
+			m.servers[e.ID] = s
+		}
+		if e.StartedAt > 0 && e.StartedAt != s.StartedAt {
+			started = append(started, s)
+		}
+		s.Endpoint = e
+		s.isListed = e.State != Removed
+		if b.cfg.SizesAreLoads {
+			s.Size = 0 // a load figure says nothing of the machine
+		}
+	}
+	m.sortOut(b.cfg)
+	return started
+}
+
+// sortOut finds the origin and the cache servers, and forgets servers that are neither listed nor
+// working for this router.
+func (m *membership) sortOut(cfg Config) {
+	m.caches = m.caches[:0]
+	m.origin = nil
+	for id, s := range m.servers {
+		switch {
+		case cfg.CacheAside && s.Kind == cfg.OriginKind:
+			if s.isListed && (m.origin == nil || id < m.origin.ID) {
+				m.origin = s
+			}
+		case s.isListed:
+			m.caches = append(m.caches, s)
+		case s.attempts.inFlight == 0:
+			delete(m.servers, id)
+		}
+	}
+	slices.SortFunc(m.caches, func(p, q *server) int { return cmp.Compare(p.ID, q.ID) })
+}
+
+// rebuildHashTable fills the buckets of the memento-hash. A bucket that no listed server claims
+// counts as removed: the table follows from ids alone, not from an order of changes, so that
+// routers agree, and few keys move with a change.
+func (m *membership) rebuildHashTable() {
+	m.hashEpoch++
+	m.hashTable = make([]*server, 1<<hashTableBits)
+	for _, s := range m.caches {
+		for i := range bucketClaims {
+			bucket := splitMix64(uint64(s.ID)<<8|uint64(i)) >> (64 - hashTableBits)
+			holder := m.hashTable[bucket]
+			if holder == nil || claimRank(bucket, s.ID) < claimRank(bucket, holder.ID) {
+				m.hashTable[bucket] = s
+			}
+		}
+	}
+}
+
+// claimRank orders the servers that claim the same bucket; the lowest gets it.
+func claimRank(bucket uint64, id uint32) uint64 { return splitMix64(bucket ^ uint64(id)<<16) }
+
+// hashList gives the first distinct servers of a key. Keys of a removed bucket are drawn again over
+// the table.
+func (m *membership) hashList(k *keyTraffic) []*server {
+	if k.hashEpoch == m.hashEpoch {
+		return k.hashList
+	}
+	k.hashEpoch = m.hashEpoch
+	k.hashList = nil
+	k.copies = nil
+	length := min(candidateLimit, len(m.caches))
+	hash := splitMix64(k.id)
+	for draw := 0; len(k.hashList) < length && draw < maxDraws; draw++ {
+		s := m.hashTable[hash>>(64-hashTableBits)]
+		if s != nil && !slices.Contains(k.hashList, s) {
+			k.hashList = append(k.hashList, s)
+		}
+		hash = splitMix64(hash)
+	}
+	return k.hashList
+}
+
+// idempotencyGroup names those that drop repeats together with the server.
+func (s *server) idempotencyGroup(scope string) string {
+	switch scope {
+	case scopeZone:
+		return s.Zone
+	case scopeCell:
+		return strconv.Itoa(s.Cell)
+	}
+	return ""
+}
+
+// CountEndpoints counts the servers on the list, and those of them that are left out, by operators
+// or by outlier detection. A draining server that is ejected counts as draining only.
+func (b *Balancer) CountEndpoints() (listed, avoided int) {
+	for _, s := range b.membership.servers {
+		if !s.isListed {
+			continue
+		}
+		listed++
+		if s.isDisabled || s.health.isEjected && s.State == Ready {
+			avoided++
+		}
+	}
+	return listed, avoided
+}
+
+// WriteServer names the server that a write goes to, if there is one. Large values are on their way
+// there while they come.
+func (b *Balancer) WriteServer(now float64) (serverID uint32, isAvailable bool) {
+	b.begin(now)
+	origin := b.membership.origin
+	if !b.cfg.CacheAside || origin == nil || !origin.acceptsNewWork() {
+		return 0, false
+	}
+	return origin.ID, true
+}
--- /dev/null
+++ b/decide/handover.go
@@ -0,0 +1,283 @@
+package decide
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// maxSnapshotKeys is the number of keys, the hottest ones, that a snapshot holds.
+const maxSnapshotKeys = 256
+
+// The bounds within which the values of a snapshot can be true.
+const (
+	maxClockDifferenceMillis    = 1000
+	maxSnapshotToleratedWait    = 1
+	maxSnapshotIdleTimeoutMilli = math.MaxFloat64
+)
+
+// Snapshot is what one process hands to the process that takes its place: what it was told, what
+// operators asked for, and what it has learnt. Both read the same clock. Requests are not part of
+// it: each process answers its own.
+//
+// It is stored as JSON, and an old process may be of an earlier release: the tags are the names
+// that were first used, and stay.
+type Snapshot struct {
+	// Servers are the servers, by ascending id.
+	Servers []ServerSnapshot `json:"Servers"`
+	// DisabledAt is since when operators have left servers out, ms, by id.
+	DisabledAt map[uint32]float64 `json:"Bans"`
+	// Keys are the hottest keys.
+	Keys []KeySnapshot `json:"Keys"`
+	// StartedAt is the time of the first event, ms.
+	StartedAt float64 `json:"Began"`
+	// Arrivals counts requests.
+	Arrivals SumSnapshot `json:"Arrivals"`
+	// ServiceTime is the mean (ms), the mean square (ms²) and the number of samples.
+	ServiceTime [3]float64 `json:"Latency"`
+	// LatencyPerWork follows the latency of a unit of work over all servers, ms.
+	LatencyPerWork TrendSnapshot `json:"Jam"`
+	// FetchLatency follows the latency of fetches, ms.
+	FetchLatency TrendSnapshot `json:"Origin"`
+	// FetchLimit bounds the fetches in flight.
+	FetchLimit float64 `json:"Fetches"`
+	// ToleratedWaitShare is the least share of the time left that a queue may take.
+	ToleratedWaitShare float64 `json:"Bear"`
+	// IdleTimeoutMillis is how long idle connections are kept.
+	IdleTimeoutMillis float64 `json:"Keep"`
+}
+
+// ServerSnapshot is what is known of a server. The fields are those of the server's record.
+type ServerSnapshot struct {
+	Endpoint
+	// IsListed says that the endpoint list names it.
+	IsListed bool `json:"Listed"`
+	// IsEjected says that it is left out for its failures.
+	IsEjected bool `json:"Ejected"`
+	// AcceptedShare is the share of attempts that it accepts.
+	AcceptedShare float64 `json:"Accept"`
+	// Evidence is the evidence for a fault of its own.
+	Evidence float64 `json:"Doubt"`
+	// FailureShare is the share of attempts that fail.
+	FailureShare float64 `json:"Fails"`
+	// Unanswered counts the signs of silence since the last reply.
+	Unanswered int `json:"Strikes"`
+	// ProbeAt is when it may be probed, ms.
+	ProbeAt float64 `json:"Trial"`
+	// EjectionMillis is the pause before that.
+	EjectionMillis float64 `json:"Pause"`
+	// ForcedProbeAt is when it must be probed, ms.
+	ForcedProbeAt float64 `json:"Overdue"`
+	// StartedAt is when it started, ms; absent: long ago.
+	StartedAt *float64 `json:"Fresh"`
+	// Budget is what is left of its slow-start budget, in requests.
+	Budget SumSnapshot `json:"Budget"`
+	// Work is the work sent by this router.
+	Work SumSnapshot `json:"Sent"`
+	// LastReport is the last load report that was used.
+	LastReport LoadReport `json:"Last"`
+	// ReportedPerSecond is its rate of requests by that report.
+	ReportedPerSecond float64 `json:"QPS"`
+	// ReportedAt is the time of that report, ms; absent: never.
+	ReportedAt *float64 `json:"Heard"`
+	// CapacityPerSecond follows what it can serve.
+	CapacityPerSecond TrendSnapshot `json:"Capacity"`
+	// LatencyPerWork follows its latency for a unit of work, ms.
+	LatencyPerWork TrendSnapshot `json:"Latency"`
+	// LastReplyAt is the time of the last reply, ms.
+	LastReplyAt float64 `json:"Reply"`
+	// LatestAnsweredSentAt is when the latest of the answered attempts was sent, ms.
+	LatestAnsweredSentAt float64 `json:"Passed"`
+	// LastSentAt is when the last attempt was sent, ms.
+	LastSentAt float64 `json:"Used"`
+}
+
+// KeySnapshot is the traffic of a key.
+type KeySnapshot struct {
+	// ID is the key.
+	ID uint64 `json:"ID"`
+	// Arrivals counts its requests.
+	Arrivals SumSnapshot `json:"Rate"`
+	// MeanWork is the mean work of a request.
+	MeanWork float64 `json:"Work"`
+}
+
+// SumSnapshot is a decaying sum, or a budget, as it stands.
+type SumSnapshot struct {
+	// Value is the sum at UpdatedAt.
+	Value float64 `json:"V"`
+	// UpdatedAt is the time of its last change, ms.
+	UpdatedAt float64 `json:"At"`
+}
+
+// TrendSnapshot is a trend as it stands.
+type TrendSnapshot struct {
+	// Value is the EWMA.
+	Value float64 `json:"V"`
+	// Floor is the value while nothing is wrong.
+	Floor float64 `json:"Floor"`
+	// UpdatedAt is the time of the last sample, ms.
+	UpdatedAt float64 `json:"At"`
+}
+
+func (s decayingSum) snapshot() SumSnapshot { return SumSnapshot{s.value, s.updatedAt} }
+func (s SumSnapshot) restore() decayingSum  { return decayingSum{s.Value, s.UpdatedAt} }
+func (t trend) snapshot() TrendSnapshot     { return TrendSnapshot{t.value, t.floor, t.updatedAt} }
+func (t TrendSnapshot) restore() trend      { return trend{t.Value, t.Floor, t.UpdatedAt} }
+
+// finiteOrAbsent leaves out an instant of -Inf, which JSON can't hold.
+func finiteOrAbsent(at float64) *float64 {
+	if math.IsInf(at, 0) {
+		return nil
+	}
+	return &at
+}
+
+// orNever reads an instant that may be absent.
+func orNever(at *float64) float64 {
+	if at == nil {
+		return math.Inf(-1)
+	}
+	return *at
+}
+
+// isWithin says whether a value is within bounds; NaN is not.
+func isWithin(v, low, high float64) bool { return v >= low && v <= high }
+
+// HandOver returns the state for a process that is to work beside this one. What the slow-start
+// budgets have left is split between the two.
+func (b *Balancer) HandOver(now float64) Snapshot {
+	b.begin(now)
+	state := Snapshot{
+		DisabledAt:         map[uint32]float64{},
+		StartedAt:          b.startedAt,
+		Arrivals:           b.arrivals.snapshot(),
+		ServiceTime:        [3]float64{b.serviceTime.mean, b.serviceTime.square, b.serviceTime.samples},
+		LatencyPerWork:     b.latencyPerWork.snapshot(),
+		FetchLatency:       b.originFetches.latency.snapshot(),
+		FetchLimit:         b.originFetches.limit,
+		ToleratedWaitShare: b.toleratedWaitShare,
+		IdleTimeoutMillis:  b.idleTimeoutMillis,
+	}
+	for id, at := range b.membership.disabledAt {
+		state.DisabledAt[id] = at
+	}
+	for _, s := range b.membership.servers {
+		s.slowStart.budget.requests /= 2
+		state.Servers = append(state.Servers, s.snapshot())
+	}
+	slices.SortFunc(state.Servers, func(p, q ServerSnapshot) int { return cmp.Compare(p.ID, q.ID) })
+	keys := b.currentKeys()
+	slices.SortFunc(keys, func(p, q *keyTraffic) int {
+		return cmp.Or(cmp.Compare(q.arrivals.value, p.arrivals.value), cmp.Compare(p.id, q.id))
+	})
+	for _, k := range keys[:min(len(keys), maxSnapshotKeys)] {
+		state.Keys = append(state.Keys, KeySnapshot{k.id, k.arrivals.snapshot(), k.meanWork})
+	}
+	return state
+}
+
+func (s *server) snapshot() ServerSnapshot {
+	return ServerSnapshot{
+		Endpoint:             s.Endpoint,
+		IsListed:             s.isListed,
+		IsEjected:            s.health.isEjected,
+		AcceptedShare:        s.health.acceptedShare,
+		Evidence:             s.health.evidence,
+		FailureShare:         s.health.failureShare,
+		Unanswered:           s.health.unanswered,
+		ProbeAt:              s.health.probeAt,
+		EjectionMillis:       s.health.ejectionMillis,
+		ForcedProbeAt:        s.health.forcedProbeAt,
+		StartedAt:            finiteOrAbsent(s.slowStart.startedAt),
+		Budget:               SumSnapshot{s.slowStart.budget.requests, s.slowStart.budget.updatedAt},
+		Work:                 s.attempts.work.snapshot(),
+		LastReport:           s.load.lastReport,
+		ReportedPerSecond:    s.load.reportedPerSecond,
+		ReportedAt:           finiteOrAbsent(s.load.reportedAt),
+		CapacityPerSecond:    s.load.capacityPerSecond.snapshot(),
+		LatencyPerWork:       s.load.latencyPerWork.snapshot(),
+		LastReplyAt:          s.health.lastReplyAt,
+		LatestAnsweredSentAt: s.health.latestAnsweredSentAt,
+		LastSentAt:           s.attempts.lastSentAt,
+	}
+}
+
+// TakeOver takes the state of the process before this one, before the first list and the first
+// request. What operators have disabled holds in any case; of what was learnt, nothing is taken if
+// some of it can't be true, as where the clocks of the two disagree. It returns ErrNotFirst after
+// another event, and ErrImpossibleSnapshot.
+func (b *Balancer) TakeOver(now float64, state Snapshot) error {
+	if b.startedAt >= 0 {
+		return ErrNotFirst
+	}
+	b.begin(now)
+	for id, at := range state.DisabledAt {
+		b.membership.disabledAt[id] = min(at, now)
+	}
+	if !state.isPossible(now) {
+		return ErrImpossibleSnapshot
+	}
+	b.startedAt = min(now, state.StartedAt)
+	b.restoreServers(now, state.Servers)
+	for _, k := range state.Keys {
+		traffic := b.trafficOf(Request{Key: k.ID, HasKey: true})
+		traffic.arrivals = k.Arrivals.restore()
+		traffic.meanWork = k.MeanWork
+	}
+	b.arrivals = state.Arrivals.restore()
+	b.latencyPerWork = state.LatencyPerWork.restore()
+	b.originFetches.latency = state.FetchLatency.restore()
+	b.serviceTime = moments{state.ServiceTime[0], state.ServiceTime[1], state.ServiceTime[2]}
+	b.originFetches.limit = state.FetchLimit
+	b.toleratedWaitShare = state.ToleratedWaitShare
+	b.idleTimeoutMillis = min(state.IdleTimeoutMillis, b.cfg.IdleTimeoutMillis)
+	b.placement.isStale = true
+	return nil
+}
+
+// isPossible says whether the values of a snapshot can be true.
+func (s *Snapshot) isPossible(now float64) bool {
+	return isWithin(s.FetchLimit, 0, maxFetchLimit) &&
+		isWithin(s.ToleratedWaitShare, 0, maxSnapshotToleratedWait) &&
+		isWithin(s.IdleTimeoutMillis, 0, maxSnapshotIdleTimeoutMilli) &&
+		isWithin(s.StartedAt, 0, now+maxClockDifferenceMillis)
+}
+
+// restoreServers takes the list of the process before this one, and what it knew of its servers.
+func (b *Balancer) restoreServers(now float64, servers []ServerSnapshot) {
+	entries := make([]Endpoint, 0, len(servers))
+	for _, s := range servers {
+		if s.IsListed {
+			entries = append(entries, s.Endpoint)
+		}
+	}
+	b.UpdateEndpoints(now, RestoredEndpoints, entries)
+	for _, state := range servers {
+		if s := b.membership.servers[state.ID]; s != nil {
+			s.restore(state)
+		}
+	}
+}
+
+func (s *server) restore(state ServerSnapshot) {
+	s.health.isEjected = state.IsEjected
+	s.health.acceptedShare = state.AcceptedShare
+	s.health.evidence = state.Evidence
+	s.health.failureShare = state.FailureShare
+	s.health.unanswered = state.Unanswered
+	s.health.probeAt = state.ProbeAt
+	s.health.ejectionMillis = state.EjectionMillis
+	s.health.forcedProbeAt = state.ForcedProbeAt
+	s.slowStart.startedAt = orNever(state.StartedAt)
+	s.slowStart.budget = slowStartBudget{requests: state.Budget.Value, updatedAt: state.Budget.UpdatedAt}
+	s.attempts.work = state.Work.restore()
+	s.load.lastReport = state.LastReport
+	s.load.reportedPerSecond = state.ReportedPerSecond
+	s.load.reportedAt = orNever(state.ReportedAt)
+	s.load.capacityPerSecond = state.CapacityPerSecond.restore()
+	s.load.latencyPerWork = state.LatencyPerWork.restore()
+	s.health.lastReplyAt = state.LastReplyAt
+	s.health.latestAnsweredSentAt = state.LatestAnsweredSentAt
+	s.attempts.lastSentAt = state.LastSentAt
+}
--- /dev/null
+++ b/decide/housekeeping.go
@@ -0,0 +1,58 @@
+package decide
+
+const (
+	// housekeepingMillis is the time between two rounds.
+	housekeepingMillis = 100
+	// housekeepingToken is the token of the housekeeping timer; other tokens hold a request and one
+	// of its attempts.
+	housekeepingToken = 1 << 63
+
+	// attemptBits is the number of low bits of a token that hold an attempt's number plus one; 0
+	// there stands for the request itself.
+	attemptBits = 8
+	attemptMask = 1<<attemptBits - 1
+)
+
+// waitToken is the token of the timer that ends a request's wait for the origin.
+func waitToken(requestID uint32) uint64 { return uint64(requestID) << attemptBits }
+
+// attemptToken is the token of the timer of an attempt's patience.
+func attemptToken(requestID uint32, number int) uint64 {
+	return waitToken(requestID) | uint64(number+1)
+}
+
+// TimerExpired takes a timer that has expired.
+func (b *Balancer) TimerExpired(now float64, token uint64) {
+	b.begin(now)
+	if token == housekeepingToken {
+		b.housekeep()
+		return
+	}
+	r := b.requests[uint32(token>>attemptBits)]
+	if r == nil || r.isAnswered {
+		return
+	}
+	if numberPlusOne := int(token & attemptMask); numberPlusOne > 0 {
+		b.patienceEnded(r, numberPlusOne-1)
+	} else if r.waitingSince > 0 && r.inFlight == 0 {
+		b.answer(r, causeWaited)
+	}
+	b.serveWaiting()
+}
+
+// housekeep does what is done at intervals: it renews the placement, polls discovery, closes idle
+// connections and sends health checks.
+func (b *Balancer) housekeep() {
+	b.host.SetTimer(housekeepingMillis, housekeepingToken)
+	b.solveIfDue()
+	b.pollDiscovery()
+	caches := b.membership.caches
+	first := b.healthChecks.next
+	for i := range caches {
+		s := caches[(first+i)%len(caches)]
+		b.closeIfIdle(s)
+		if b.checkIfDue(s) {
+			b.healthChecks.next = first + i + 1
+		}
+	}
+}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -76,7 +76,7 @@
 		l.firsthand(a.server, got.status)
 	}
 	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: got.status, LatencyMillis: now - a.startedAt,
-		IsFinal: r.isDone, Note: got.note, Load: got.load})
+		IsFinal: r.isDone, CacheResult: decide.CacheResult(got.note), Load: got.load})
 }
 
 // ends returns an attempt's outcome without a reply.
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -21,7 +21,7 @@
 
 // handed is what a process gets from the one before it.
 type handed struct {
-	Module decide.Carried     `json:"Module"`
+	Module decide.Snapshot    `json:"Module"`
 	List   list               `json:"List"`
 	Names  names              `json:"Names"`
 	Door   *admission.Carried `json:"Door"`       // nil = admission is off
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -169,7 +169,7 @@
 	l.admission.over(r, true, false, got.length)
 	l.forget(r)
 	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: decide.OK, LatencyMillis: now - a.startedAt,
-		IsFinal: true, Note: got.note, Load: got.load})
+		IsFinal: true, CacheResult: decide.CacheResult(got.note), Load: got.load})
 	return sl
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -27,11 +27,16 @@
 func (e *Error) Error() string { return "settings: " + e.Key + ": " + e.Reason }
 
 // words are the settings' names of what the module calls by others.
-var words = map[string]string{"Routers": "balancers", "Me": "myNumber", "Classes": "categories",
-	"MaxAttempts": "caps.maxAttempts", "Cold": "rules.cold", "ColdFrom": "rules.coldFrom", "FallMult": "rules.overloadFactor",
-	"FallFor": "rules.overloadFor", "ConnIdle": "caps.connIdle", "CPU": "caps.cpuUsPerS", "OverWorth": "overShareWorth",
-	"OriginKind": "familyInfo.originKind", "Name": "name", "Aim": "target", "Deadline": "hardLimit", "Worth": "gain",
-	"Stretch": "aimStretch", "Effect": "effect", "Window": "window", "Scope": "keyScope", "Quota": "quotaPerS", "Tenants": "projects"}
+var words = map[string]string{
+	"Routers": "balancers", "RouterIndex": "myNumber", "Classes": "categories", "Tenants": "projects",
+	"MaxAttempts": "caps.maxAttempts", "IdleTimeoutMillis": "caps.connIdle", "CPUMicrosPerSecond": "caps.cpuUsPerS",
+	"SlowStartMillis": "rules.cold", "SlowStartInitialShare": "rules.coldFrom",
+	"OverloadFactor": "rules.overloadFactor", "OverloadMillis": "rules.overloadFor",
+	"OverQuotaWeight": "overShareWorth", "OriginKind": "familyInfo.originKind",
+	"Name": "name", "Effect": "effect", "IdempotencyScope": "keyScope", "IdempotencyWindowMillis": "window",
+	"LatencyObjectiveMillis": "target", "ObjectivePerWork": "aimStretch", "DeadlineMillis": "hardLimit",
+	"PriorityWeight": "gain", "QuotaPerSecond": "quotaPerS",
+}
 
 // Problems lists what is wrong with a settings object: every key that it lacks, or else the first impossible value.
 func Problems(text []byte) []error {
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -329,7 +329,7 @@
 	case "RETURNED":
 		o := decide.Outcome{RequestID: f.uint("requestId"), Attempt: int(f.uint("leg")), ServerID: f.uint("server"),
 			Status: oneOf(&f, "outcome", statuses), LatencyMillis: f.number("lag", true), IsFinal: f.bool("final"),
-			Note: int(f.number("note", true))}
+			CacheResult: decide.CacheResult(f.number("note", true))}
 		if in != nil {
 			o.Load = f.load(in.columns)
 		} else {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -406,7 +406,7 @@
 		a.r.finish(a.q, served, 0)
 	}
 	a.r.b.AttemptEnded(d.now, decide.Outcome{RequestID: a.q.id, Attempt: a.n, ServerID: a.to.id, Status: st, LatencyMillis: d.now - a.sent,
-		IsFinal: a.q.over, Note: note, Load: l})
+		IsFinal: a.q.over, CacheResult: decide.CacheResult(note), Load: l})
 }
 
 // decided is a list in the module's terms.
