--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -556,13 +556,13 @@
 }
 
 // Drains tells which servers are drained, once that is newer than the version after or some seconds have passed; at once for 0.
-func (c *Client) Drains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
+func (c *Client) Drains(ctx context.Context, after uint64) (d rollout.DrainSet, err error) {
 	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d", after), nil, &d)
 	return d, err
 }
 
 // WatchDrains waits as Drains does, also for the first version after 0: while nothing was ever drained nobody asks again and again.
-func (c *Client) WatchDrains(ctx context.Context, after uint64) (d rollout.Drains, err error) {
+func (c *Client) WatchDrains(ctx context.Context, after uint64) (d rollout.DrainSet, err error) {
 	err = c.call(ctx, c.baseRequestTimeout(), http.MethodGet, fmt.Sprintf("/v1/drains?after=%d&wait=true", after), nil, &d)
 	return d, err
 }
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -89,7 +89,7 @@
 func TestBoundsBeforeUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
-		must(t, s, Command{Op: OpOpenSession, SessionID: fmt.Sprint(i), Client: rollout.RouterClient + fmt.Sprint(i), TTL: time.Minute}, CodeOK)
+		must(t, s, Command{Op: OpOpenSession, SessionID: fmt.Sprint(i), Client: rollout.RouterClientPrefix + fmt.Sprint(i), TTL: time.Minute}, CodeOK)
 	}
 	more := Command{Op: OpOpenSession, SessionID: "more", Client: "c", TTL: time.Minute}
 	if a := must(t, s, more, CodeLimitReached); a.Text != "sessions: 4096 at most" {
@@ -97,7 +97,7 @@
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
 	see := func(i int) Command {
-		return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: &rollout.Command{Op: rollout.See, View: &rollout.View{}}}
+		return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{}}}
 	}
 	for i := range rollout.EarlierMaxRouters {
 		must(t, s, see(i), CodeOK)
@@ -105,16 +105,16 @@
 	if a := must(t, s, see(rollout.EarlierMaxRouters), CodeLimitReached); a.Text != "routers: 1024 at most" {
 		t.Errorf("%s", a.Text)
 	}
-	large := Command{Op: OpRollout, SessionID: "0", Sequence: 2, Rollout: &rollout.Command{Op: rollout.See, View: &rollout.View{Servers: make([]rollout.Seen, rollout.EarlierMaxSeen+1)}}}
+	large := Command{Op: OpRollout, SessionID: "0", Sequence: 2, Rollout: &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{Servers: make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)}}}
 	if a := must(t, s, large, CodeInvalid); !strings.Contains(a.Text, "members upgrade") {
 		t.Errorf("%s", a.Text)
 	}
-	if n := s.RouterDrains().MaxSeen; n != 0 {
+	if n := s.RouterDrains().MaxReportedServers; n != 0 {
 		t.Errorf("routers are told of reports of %d servers", n)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: fleetLimitsVersion}, CodeOK)
 	must(t, s, more, CodeOK)
-	if n := s.RouterDrains().MaxSeen; n != rollout.MaxSeen {
+	if n := s.RouterDrains().MaxReportedServers; n != rollout.MaxReportedServers {
 		t.Errorf("routers are told of reports of %d servers", n)
 	}
 }
