--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	r.OnShare(share)
+	r.OnProcessCount(share)
 	if link != nil {
 		if err := r.Inherit(state, link); err != nil {
 			slog.Warn("handover", "error", err)
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -85,15 +85,15 @@
 func (ad *admissionControl) arrive(r *request, left float64) {
 	var from netip.Addr
 	if ad.who.ByNetwork() {
-		from = addrOf(r.slot.c.Conn)
+		from = addrOf(r.response.conn.Conn)
 	}
-	class, ok := ad.class[r.cmd.class]
+	class, ok := ad.class[r.command.class]
 	if !ok {
 		class = ad.others
 	}
-	r.door = doorWaits
-	ad.a.Arrive(ad.l.now(), admission.Request{ID: r.id, Tenant: ad.who.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
-		Key: keyID(r.cmd.key), Size: r.cmd.length, Left: left, Retry: r.cmd.retry})
+	r.admissionState = doorWaits
+	ad.a.Arrive(ad.l.now(), admission.Request{ID: r.id, Tenant: ad.who.Tenant(r.command.tenant, r.command.key, from), Class: class,
+		Key: keyID(r.command.key), Size: r.command.valueBytes, Left: left, Retry: r.command.isRetry})
 	ad.arm()
 }
 
@@ -103,8 +103,8 @@
 	if ad == nil {
 		return
 	}
-	was, now := r.door, ad.l.now()
-	r.door = doorOut
+	was, now := r.admissionState, ad.l.now()
+	r.admissionState = doorOut
 	switch was {
 	case doorWaits:
 		ad.a.Gone(now, r.id)
@@ -119,7 +119,7 @@
 // arm sees to it that what waits is looked at in time.
 func (ad *admissionControl) arm() {
 	next := ad.a.Next()
-	if ad.due != nil && ad.due.i >= 0 && ad.due.at <= next {
+	if ad.due != nil && ad.due.heapIndex >= 0 && ad.due.at <= next {
 		return // it is looked at sooner, and armed again then
 	}
 	ad.l.timers.stop(ad.due)
@@ -133,11 +133,11 @@
 
 // Admit lets a request through to the Balancer, after the call that led to it.
 func (ad *admissionControl) Admit(id uint32) {
-	r := ad.l.reqs[id]
+	r := ad.l.requests[id]
 	if r == nil {
 		return
 	}
-	r.door, r.admittedAt = doorIn, ad.l.now()
+	r.admissionState, r.admittedAt = doorIn, ad.l.now()
 	ad.l.deferred = append(ad.l.deferred, func() {
 		if !r.isDone {
 			ad.l.decide(ad.l.now(), r)
@@ -147,8 +147,8 @@
 
 // Reject ends a request at the door.
 func (ad *admissionControl) Reject(id uint32, after float64) {
-	if r := ad.l.reqs[id]; r != nil {
-		r.door = doorOut
+	if r := ad.l.requests[id]; r != nil {
+		r.admissionState = doorOut
 		if ad.l.rules.Load().tellsRetryAfter {
 			ad.l.Reject(id, math.Ceil(after))
 		} else {
@@ -162,11 +162,11 @@
 
 // Door is how admission stands, in JSON; admin.ErrOff tells that there is none.
 func (r *Router) Door(ctx context.Context) ([]byte, error) {
-	if r.l.admission == nil {
+	if r.loop.admission == nil {
 		return nil, admin.ErrOff
 	}
 	var s admission.State
-	if err := r.l.do(ctx, func() error { s = r.l.admission.a.State(shownTenants); return nil }); err != nil {
+	if err := r.loop.call(ctx, func() error { s = r.loop.admission.a.State(shownTenants); return nil }); err != nil {
 		return nil, err
 	}
 	return json.Marshal(s)
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -29,7 +29,7 @@
 	t.Cleanup(func() { close(release) })
 	origin := startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", cache.addr), originAt(origin.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	ln := listenLocal(t)
 	m := metrics.New()
 	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
@@ -46,7 +46,7 @@
 	// waiting tells how many wait at the door, once the loop has done all that was sent before.
 	waiting := func() int {
 		n := make(chan int)
-		r.l.post(func() { n <- r.l.admission.a.State(0).Waiting })
+		r.loop.post(func() { n <- r.loop.admission.a.State(0).Waiting })
 		return next(t, n, "count")
 	}
 	until := func(n int) {
@@ -94,7 +94,7 @@
 	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100, MaxAfterMS: 1500,
 		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
 	with := func(r *admission.Config) *Config {
-		cfg := testConfig(t, "127.0.0.1:9", list{})
+		cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 		if r != nil {
 			cfg.Admission = &Admission{*r, nil}
 		}
@@ -121,7 +121,7 @@
 
 // A process takes over what the one before it has told clients.
 func TestAdmissionIsHandedOver(t *testing.T) {
-	cfg := testConfig(t, "127.0.0.1:9", list{})
+	cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 	cfg.Admission = &Admission{admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 100,
 		MaxAfterMS: 1500, Start: 7, Least: 1, Most: 9, RetryShare: 1, RetryBurst: 10}, admission.Identify{{By: "fact"}}}
 	start := func() *Router {
@@ -129,22 +129,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { r.s.ln.Close() })
+		t.Cleanup(func() { r.clients.listener.Close() })
 		return r
 	}
 	before, after := start(), start()
-	before.l.names.add("s-0000000b", 11) // a state without names is none
-	before.l.admission.a.Share(before.l.now(), 0.5)
-	door := before.l.admission.a.HandOver(before.l.now())
-	text, err := json.Marshal(handed{Module: before.l.b.HandOver(before.l.now()), Names: before.l.names.copied(), Door: &door})
+	before.loop.serverIDs.add("s-0000000b", 11) // a state without names is none
+	before.loop.admission.a.Share(before.loop.now(), 0.5)
+	door := before.loop.admission.a.HandOver(before.loop.now())
+	text, err := json.Marshal(handoverState{Decisions: before.loop.balancer.HandOver(before.loop.now()), ServerIDs: before.loop.serverIDs.clone(), Admission: &door})
 	if err == nil {
 		err = after.Inherit(text, nil)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.begin()
-	if limit := after.l.admission.a.State(0).Limit; limit != 3.5 {
+	after.restoreState()
+	if limit := after.loop.admission.a.State(0).Limit; limit != 3.5 {
 		t.Errorf("limit %v after the upgrade, 3.5 before", limit)
 	}
 }
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -28,151 +28,151 @@
 	Label        string        // what its program's version is called there
 }
 
-// knowWithin is how long a router waits at its start for what is drained. Without an answer it goes by discovery's list alone.
-const knowWithin = 2 * time.Second
+// drainsKnownTimeout is how long a router waits at its start for what is drained. Without an answer it goes by discovery's list alone.
+const drainsKnownTimeout = 2 * time.Second
 
-// agree takes part in what the fleet agrees on until ctx ends; new tasks are taken until it is told to stop. known is called
+// runAgreement takes part in what the fleet agrees on until ctx ends; new tasks are taken until it is told to stop. known is called
 // once what is drained is in force.
-func (r *Router) agree(ctx, stop context.Context, a *Agreement, known func()) {
+func (r *Router) runAgreement(ctx, stop context.Context, a *Agreement, known func()) {
 	c := leases.New(leases.Options{Coordinators: a.Coordinators, Client: "router/" + r.cfg.Name, TTL: a.TTL, Log: slog.Default()})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { c.Run(ctx) })
 	if a.Probes {
-		wg.Go(func() { r.probe(stop, a, c) })
+		wg.Go(func() { r.runHealthChecks(stop, a, c) })
 	}
 	if a.Drains {
-		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Label: a.Label, Ready: r.Ready, Seen: r.l.seen, Open: r.l.openAt, Held: r.l.heldOut, Counts: r.counts, First: known, Suspect: r.l.suspect,
+		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Label: a.Label, Ready: r.Ready, Seen: r.loop.endpointViews, Open: r.loop.openAttempts, Held: r.loop.disabledServers, Counts: r.releaseCounts, First: known, Suspect: r.loop.setPeerEjections,
 			Drain: func(ctx context.Context, server string, out bool) error {
-				return r.disable(ctx, ban{ID: server, Disabled: out, Known: true, Agreed: true}, nil)
+				return r.disable(ctx, disableCall{ServerID: server, Disabled: out, IsListed: true, ByFleet: true}, nil)
 			}})
 	}
 }
 
-// probe takes part in probing for all.
-func (r *Router) probe(ctx context.Context, a *Agreement, c *leases.Client) {
-	healthcheck.Run(ctx, healthcheck.Options{Client: c, TTL: a.TTL, Every: a.ProbeEvery, Board: r.l.board, Now: r.l.now, Servers: r.l.servers, Probe: r.l.ask})
+// runHealthChecks takes part in probing for all.
+func (r *Router) runHealthChecks(ctx context.Context, a *Agreement, c *leases.Client) {
+	healthcheck.Run(ctx, healthcheck.Options{Client: c, TTL: a.TTL, Every: a.ProbeEvery, Board: r.loop.healthReports, Now: r.loop.now, Servers: r.loop.cacheServerIDs, Probe: r.loop.healthCheck})
 }
 
-// seen are all cache servers of the list, as this router sees them.
-func (l *loop) seen(ctx context.Context) (all []rollout.Seen, err error) {
-	err = l.do(ctx, func() error {
+// endpointViews are all cache servers of the list, as this router sees them.
+func (l *loop) endpointViews(ctx context.Context) (all []rollout.Seen, err error) {
+	err = l.call(ctx, func() error {
 		for name, e := range l.entries {
 			if e.Kind == l.originKind {
 				continue
 			}
-			s := rollout.Seen{Name: name, Zone: e.Zone, Run: strconv.FormatFloat(e.Started, 'f', -1, 64), Is: rollout.Up}
-			switch id, known := l.names.IDs[name]; {
+			s := rollout.Seen{Name: name, Zone: e.Zone, Run: strconv.FormatFloat(e.StartedMillis, 'f', -1, 64), Is: rollout.Up}
+			switch id, known := l.serverIDs.IDs[name]; {
 			case failpoint.Is("lies-all") || failpoint.Is("lies-some") && known && id%5 == 0: // for the laboratory
 				s.Is = rollout.Bad
 			case e.State != "active":
 				s.Is = rollout.Leaving
-			case known && l.b.IsEjected(id):
-				if !l.hearsay[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
+			case known && l.balancer.IsEjected(id):
+				if !l.ejectedOnlyByPeers[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
 					s.Is = rollout.Bad
 				}
 			default:
-				delete(l.hearsay, id)
+				delete(l.ejectedOnlyByPeers, id)
 			}
 			all = append(all, s)
 		}
-		maps.DeleteFunc(l.hearsay, func(id uint32, _ bool) bool { return l.targets[id] == nil }) // it has left the list
+		maps.DeleteFunc(l.ejectedOnlyByPeers, func(id uint32, _ bool) bool { return l.targets[id] == nil }) // it has left the list
 		return nil
 	})
 	return all, err
 }
 
-// feedEvery is how often what others found out is told to the Balancer again, in milliseconds: well below its shortest pause until it
+// peerEjectionRefreshMillis is how often what others found out is told to the Balancer again, in milliseconds: well below its shortest pause until it
 // would try the server.
-const feedEvery = 100
+const peerEjectionRefreshMillis = 100
 
-// suspect takes the servers that others found bad, in place of those before. Each ends by its time on this router's clock, whatever
+// setPeerEjections takes the servers that others found bad, in place of those before. Each ends by its time on this router's clock, whatever
 // becomes of the agreement.
-func (l *loop) suspect(ctx context.Context, all []rollout.Suspect) error {
-	return l.do(ctx, func() error {
+func (l *loop) setPeerEjections(ctx context.Context, all []rollout.Suspect) error {
+	return l.call(ctx, func() error {
 		fresh := map[uint32]float64{}
 		for _, x := range all {
-			if id, ok := l.names.IDs[x.Name]; ok {
-				fresh[id] = l.now() + min(float64(x.Left.Milliseconds()), mostSuspectMS)
+			if id, ok := l.serverIDs.IDs[x.Name]; ok {
+				fresh[id] = l.now() + min(float64(x.Left.Milliseconds()), maxPeerEjectionMillis)
 			}
 		}
-		if l.ejectedByPeers = fresh; !l.refreshing {
-			l.feed()
+		if l.ejectedByPeers = fresh; !l.isRefreshingPeerEjections {
+			l.applyPeerEjections()
 		}
 		return nil
 	})
 }
 
-// mostSuspectMS bounds how long a server is left out by one word of others.
-const mostSuspectMS = 30000
+// maxPeerEjectionMillis bounds how long a server is left out by one word of others.
+const maxPeerEjectionMillis = 30000
 
-// feed has the Balancer avoid what others found bad, as by probes that failed, which is the only way in which it is told so.
-func (l *loop) feed() {
+// applyPeerEjections has the Balancer avoid what others found bad, as by probes that failed, which is the only way in which it is told so.
+func (l *loop) applyPeerEjections() {
 	for id, until := range l.ejectedByPeers {
 		if until <= l.now() {
 			delete(l.ejectedByPeers, id)
 			continue
 		}
-		if !l.b.IsEjected(id) {
-			l.hearsay[id] = true
-			for range mostSigns { // fewer do where it has had some of its own
-				if l.b.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport); l.b.IsEjected(id) {
+		if !l.balancer.IsEjected(id) {
+			l.ejectedOnlyByPeers[id] = true
+			for range maxFailedChecks { // fewer do where it has had some of its own
+				if l.balancer.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport); l.balancer.IsEjected(id) {
 					break
 				}
 			}
 			continue
 		}
-		l.b.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport) // it puts off its trial
+		l.balancer.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport) // it puts off its trial
 	}
-	if l.refreshing = len(l.ejectedByPeers) > 0; l.refreshing {
-		l.after(feedEvery, l.feed)
+	if l.isRefreshingPeerEjections = len(l.ejectedByPeers) > 0; l.isRefreshingPeerEjections {
+		l.after(peerEjectionRefreshMillis, l.applyPeerEjections)
 	}
 }
 
-// mostSigns are enough for the Balancer to avoid a server, unless it avoids half of them already.
-const mostSigns = 3
+// maxFailedChecks are enough for the Balancer to avoid a server, unless it avoids half of them already.
+const maxFailedChecks = 3
 
-// firsthand books that this router has found out by itself how a server is that it knew of by others.
-func (l *loop) firsthand(server uint32, st decide.AttemptStatus) {
-	if _, told := l.ejectedByPeers[server]; l.hearsay[server] && !told && (st == decide.Timeout || st == decide.ConnectError || st == decide.Reset || st == decide.Failed) {
-		delete(l.hearsay, server)
+// recordOwnEvidence books that this router has found out by itself how a server is that it knew of by others.
+func (l *loop) recordOwnEvidence(server uint32, st decide.AttemptStatus) {
+	if _, told := l.ejectedByPeers[server]; l.ejectedOnlyByPeers[server] && !told && (st == decide.Timeout || st == decide.ConnectError || st == decide.Reset || st == decide.Failed) {
+		delete(l.ejectedOnlyByPeers, server)
 	}
 }
 
-// counts are the requests served so far, and those refused or failed; and how many took how long.
-func (r *Router) counts() (good, bad int64, speed []int64) {
+// releaseCounts are the requests served so far, and those refused or failed; and how many took how long.
+func (r *Router) releaseCounts() (good, bad int64, speed []int64) {
 	s := r.metrics.Snapshot()
 	for name := range s.Success {
 		good += s.Success[name]
 		bad += s.Overload[name] + s.Error[name]
 	}
-	if r.l.speed != nil {
-		for i := range r.l.speed {
-			speed = append(speed, r.l.speed[i].Load())
+	if r.loop.latencies != nil {
+		for i := range r.loop.latencies {
+			speed = append(speed, r.loop.latencies[i].Load())
 		}
 	}
 	return good, bad, speed
 }
 
-// heldOut names the servers that are left out by the fleet's word.
-func (l *loop) heldOut(ctx context.Context) (names []string) {
-	_ = l.do(ctx, func() error { // where the loop has ended, nothing is left out
+// disabledServers names the servers that are left out by the fleet's word.
+func (l *loop) disabledServers(ctx context.Context) (names []string) {
+	_ = l.call(ctx, func() error { // where the loop has ended, nothing is left out
 		names = slices.Collect(maps.Keys(l.disabledByFleet))
 		return nil
 	})
 	return names
 }
 
-// openAt counts the attempts that are out at servers, and the values that come from them.
-func (l *loop) openAt(ctx context.Context, servers []string) (n int, err error) {
-	err = l.do(ctx, func() error {
+// openAttempts counts the attempts that are out at servers, and the values that come from them.
+func (l *loop) openAttempts(ctx context.Context, servers []string) (n int, err error) {
+	err = l.call(ctx, func() error {
 		at := map[uint32]bool{}
 		for _, name := range servers {
-			if id, ok := l.names.IDs[name]; ok {
+			if id, ok := l.serverIDs.IDs[name]; ok {
 				at[id] = true
 			}
 		}
-		for _, r := range l.reqs {
+		for _, r := range l.requests {
 			for _, a := range r.attempts {
 				if at[a.server] && !a.isDone {
 					n++
@@ -189,11 +189,11 @@
 	return n, err
 }
 
-// servers are the ids of all on the list but the origin.
-func (l *loop) servers(ctx context.Context) (ids []uint32, err error) {
-	err = l.do(ctx, func() error {
+// cacheServerIDs are the ids of all on the list but the origin.
+func (l *loop) cacheServerIDs(ctx context.Context) (ids []uint32, err error) {
+	err = l.call(ctx, func() error {
 		for id, t := range l.targets {
-			if !t.origin {
+			if !t.isOrigin {
 				ids = append(ids, id)
 			}
 		}
@@ -202,15 +202,15 @@
 	return ids, err
 }
 
-// ask probes a server for all routers.
-func (l *loop) ask(ctx context.Context, server uint32) (st decide.AttemptStatus, load decide.LoadReport) {
+// healthCheck probes a server for all routers.
+func (l *loop) healthCheck(ctx context.Context, server uint32) (st decide.AttemptStatus, load decide.LoadReport) {
 	var t *target
-	if err := l.do(ctx, func() error { t = l.targets[server]; return nil }); err != nil || t == nil {
+	if err := l.call(ctx, func() error { t = l.targets[server]; return nil }); err != nil || t == nil {
 		return decide.ConnectError, decide.NoLoadReport
 	}
-	ctx, stop := context.WithTimeout(ctx, probeTimeout*time.Millisecond)
+	ctx, stop := context.WithTimeout(ctx, healthCheckTimeoutMillis*time.Millisecond)
 	defer stop()
-	st, load = l.up.probe(ctx, t)
+	st, load = l.upstreams.probe(ctx, t)
 	l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.RequestsPerSecond, load.Utilization)
 	return st, load
 }
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -14,7 +14,7 @@
 	r := run.router
 	look := func() (bad []string, avoided int64) {
 		t.Helper()
-		all, err := r.l.seen(t.Context())
+		all, err := r.loop.endpointViews(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,16 +23,16 @@
 				bad = append(bad, s.Name)
 			}
 		}
-		if err := r.l.do(t.Context(), func() error { r.l.count(); return nil }); err != nil {
+		if err := r.loop.call(t.Context(), func() error { r.loop.publishEndpointCounts(); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		return bad, r.metrics.TargetsDisabled.Load()
 	}
-	all, err := r.l.seen(t.Context())
+	all, err := r.loop.endpointViews(t.Context())
 	if err != nil || len(all) != 6 {
 		t.Fatalf("%v, %v", all, err)
 	}
-	if err := r.l.suspect(t.Context(), []rollout.Suspect{{Name: all[0].Name, Left: 300 * time.Millisecond}, {Name: "nobody", Left: time.Hour}}); err != nil {
+	if err := r.loop.setPeerEjections(t.Context(), []rollout.Suspect{{Name: all[0].Name, Left: 300 * time.Millisecond}, {Name: "nobody", Left: time.Hour}}); err != nil {
 		t.Fatal(err)
 	}
 	if bad, avoided := look(); len(bad) > 0 || avoided != 1 {
@@ -40,7 +40,7 @@
 	}
 	timers := func() (n int) {
 		t.Helper()
-		if err := r.l.do(t.Context(), func() error { n = len(r.l.timers); return nil }); err != nil {
+		if err := r.loop.call(t.Context(), func() error { n = len(r.loop.timers); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		return n
@@ -48,7 +48,7 @@
 	before := timers()
 	for range 40 { // the word comes and goes: it is passed on by one timer all the same
 		for _, word := range [][]rollout.Suspect{nil, {{Name: all[0].Name, Left: 300 * time.Millisecond}}} {
-			if err := r.l.suspect(t.Context(), word); err != nil {
+			if err := r.loop.setPeerEjections(t.Context(), word); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -57,17 +57,17 @@
 		t.Errorf("%d timers after the word came 40 times, %d before", n, before)
 	}
 	for told := 1; told > 0; { // its time is over by itself
-		if err := r.l.do(t.Context(), func() error { told = len(r.l.ejectedByPeers); return nil }); err != nil {
+		if err := r.loop.call(t.Context(), func() error { told = len(r.loop.ejectedByPeers); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := r.l.do(t.Context(), func() error { r.l.hearsay[12345] = true; return nil }); err != nil { // of a server that has left
+	if err := r.loop.call(t.Context(), func() error { r.loop.ejectedOnlyByPeers[12345] = true; return nil }); err != nil { // of a server that has left
 		t.Fatal(err)
 	}
 	look()
-	if err := r.l.do(t.Context(), func() error {
-		if r.l.hearsay[12345] {
+	if err := r.loop.call(t.Context(), func() error {
+		if r.loop.ejectedOnlyByPeers[12345] {
 			t.Error("what was heard of a server that has left the list is kept")
 		}
 		return nil
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -23,7 +23,7 @@
 	isDone        bool                 // has its outcome; what comes later is nobody's
 	mayHaveRun    bool                 // may have run, until its outcome proves the contrary
 	isCancelled   bool                 // after it was written: its outcome, once its connection is closed,
-	cancelledAs   decide.AttemptStatus // is this, unless it was served just then
+	cancelStatus  decide.AttemptStatus // is this, unless it was served just then
 	cancelContext context.CancelFunc
 	timeoutTimer  *timer
 	phase         atomic.Int32
@@ -39,10 +39,10 @@
 // cancelUnsentTo ends the attempts at a server that are not written yet, as nothing new may go there: another may take them. An
 // attempt whose connection takes as long to come up as a drain's grace would else be sent after it.
 func (l *loop) cancelUnsentTo(server uint32) {
-	for _, r := range l.reqs {
+	for _, r := range l.requests {
 		for _, a := range r.attempts {
 			if a.server == server && a.cancelUnsent() {
-				l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Unprocessed)) })
+				l.deferred = append(l.deferred, func() { l.outcome(a, replyWithoutAnswer(decide.Unprocessed)) })
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	if a.isCancelled && got.status != decide.OK {
-		got = ends(a.cancelledAs)
+		got = replyWithoutAnswer(a.cancelStatus)
 	}
 	a.isDone, a.mayHaveRun = true, !got.status.NeverRan()
 	a.cancelContext()
@@ -63,29 +63,31 @@
 	r.attemptsOut--
 	now := l.now()
 	if r.attemptMillis += now - a.startedAt; l.trace.On() {
-		l.trace.Event(now, "got", "r=%d n=%d s=%08x status=%d note=%d ms=%.1f", r.id, a.index, a.server, got.status, got.note, now-a.startedAt)
+		l.trace.Event(now, "got", "r=%d n=%d s=%08x status=%d note=%d ms=%.1f", r.id, a.index, a.server, got.status, got.cacheNote, now-a.startedAt)
 	}
 	switch {
 	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // a version that is bad, for the laboratory
-		l.finish(r, failed(), metrics.Error)
+		l.finish(r, failedAnswer(), metrics.Error)
 	case got.status == decide.OK:
-		l.finish(r, served(&r.cmd, got.body), metrics.Success)
+		l.finish(r, servedAnswer(&r.command, got.body), metrics.Success)
 	}
 	l.forget(r)
-	if len(l.hearsay) > 0 {
-		l.firsthand(a.server, got.status)
+	if len(l.ejectedOnlyByPeers) > 0 {
+		l.recordOwnEvidence(a.server, got.status)
 	}
-	l.b.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: got.status, LatencyMillis: now - a.startedAt,
-		IsFinal: r.isDone, Note: got.note, Load: got.load})
+	l.balancer.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: got.status, LatencyMillis: now - a.startedAt,
+		IsFinal: r.isDone, Note: got.cacheNote, Load: got.load})
 }
 
-// ends returns an attempt's outcome without a reply.
-func ends(st decide.AttemptStatus) reply { return reply{status: st, load: decide.NoLoadReport} }
+// replyWithoutAnswer returns an attempt's outcome without a reply.
+func replyWithoutAnswer(st decide.AttemptStatus) reply {
+	return reply{status: st, load: decide.NoLoadReport}
+}
 
 // timeOut ends an attempt that is waited for no longer.
 func (l *loop) timeOut(a *attempt) {
 	if a.cancelUnsent() {
-		l.outcome(a, ends(decide.ConnectError)) // the connection never came up, and now nothing will be written
+		l.outcome(a, replyWithoutAnswer(decide.ConnectError)) // the connection never came up, and now nothing will be written
 	} else {
 		a.cancelSent(decide.Timeout)
 	}
@@ -94,7 +96,7 @@
 // cancel ends an attempt by closing its connection.
 func (a *attempt) cancel(l *loop) {
 	if a.cancelUnsent() {
-		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Cancelled)) })
+		l.deferred = append(l.deferred, func() { l.outcome(a, replyWithoutAnswer(decide.Cancelled)) })
 	} else {
 		a.cancelSent(decide.Cancelled)
 	}
@@ -113,7 +115,7 @@
 // attempt that was written before that would be a second copy.
 func (a *attempt) cancelSent(as decide.AttemptStatus) {
 	if !a.isDone && !a.isCancelled && a.phase.Load() == phaseWriting {
-		a.isCancelled, a.cancelledAs = true, as
+		a.isCancelled, a.cancelStatus = true, as
 		a.cancelContext()
 	}
 }
@@ -133,7 +135,7 @@
 
 // Send starts an attempt. A time-out of 0, and any later than the client's, ends with the client's wait.
 func (l *loop) Send(id, server uint32, timeout float64) {
-	r := l.reqs[id]
+	r := l.requests[id]
 	if r == nil { // it is done and nothing is out: the Balancer has no record of it either
 		return
 	}
@@ -151,15 +153,15 @@
 	t := l.targets[server]
 	forbidden := a.index >= r.maxAttempts || r.attemptsOut > 1 && !r.allowsHedge
 	if r.isDone || t == nil || remaining <= 0 || forbidden {
-		l.deferred = append(l.deferred, func() { l.outcome(a, ends(decide.Unprocessed)) })
+		l.deferred = append(l.deferred, func() { l.outcome(a, replyWithoutAnswer(decide.Unprocessed)) })
 		return
 	}
 	a.timeoutTimer = l.after(remaining, func() { l.timeOut(a) })
 	if l.trace.On() {
-		l.trace.Event(now, "send", "r=%d n=%d s=%08x origin=%t started=%.0f key=%x", r.id, a.index, server, t.origin, t.started, keyID(r.cmd.key))
+		l.trace.Event(now, "send", "r=%d n=%d s=%08x origin=%t started=%.0f key=%x", r.id, a.index, server, t.isOrigin, t.startedAt, keyID(r.command.key))
 	}
-	client := r.slot
-	l.work.Go(func() {
+	client := r.response
+	l.background.Go(func() {
 		defer cancel()
 		l.perform(ctx, a, t, client, limits)
 	})
@@ -172,20 +174,20 @@
 }
 
 // perform carries an attempt out, on a goroutine of its own, and tells the loop how it ended.
-func (l *loop) perform(ctx context.Context, a *attempt, t *target, client *slot, limits sendLimits) {
-	var value *sink // of a value that is passed through
-	on := hooks{
-		once:    a.request.rule.Effect != decide.Idempotent,
-		begin:   func() timeoutHint { return l.startWriting(a, client, limits) },
-		wrote:   func() { l.metrics.Dispatches.Add(1) },
-		through: func(got reply) *sink { value = l.openSink(ctx, a, got); return value },
-	}
-	cmd := &a.request.cmd
+func (l *loop) perform(ctx context.Context, a *attempt, t *target, client *response, limits sendLimits) {
+	var value *valueStream // of a value that is passed through
+	on := attemptHooks{
+		isNotRepeatable: a.request.rule.Effect != decide.Idempotent,
+		beforeWrite:     func() timeoutHint { return l.startWriting(a, client, limits) },
+		afterWrite:      func() { l.metrics.Dispatches.Add(1) },
+		openStream:      func(got reply) *valueStream { value = l.openValueStream(ctx, a, got); return value },
+	}
+	cmd := &a.request.command
 	var got reply
-	if cmd.up != nil {
-		got = l.up.finish(ctx, a.server, cmd, on)
+	if cmd.upload != nil {
+		got = l.upstreams.finishUpload(ctx, a.server, cmd, on)
 	} else {
-		got = l.up.attempt(ctx, t, cmd, on)
+		got = l.upstreams.roundTrip(ctx, t, cmd, on)
 	}
 	if failpoint.Is("slower") { // a version that is slow, for the laboratory
 		time.Sleep(ms((l.now() - a.startedAt) / 10))
@@ -195,13 +197,13 @@
 		return
 	}
 	isWhole := got.status == decide.OK
-	l.post(func() { l.passed(a, isWhole) })
-	value.end(isWhole)
+	l.post(func() { l.endStream(a, isWhole) })
+	value.finish(isWhole)
 }
 
 // Cancel cancels an attempt.
 func (l *loop) Cancel(id uint32, n int) {
-	if r := l.reqs[id]; r != nil && n >= 0 && n < len(r.attempts) {
+	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
 		r.attempts[n].cancel(l)
 	}
 }
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// budget bounds the bytes that are kept for one purpose.
-type budget struct {
+// byteBudget bounds the bytes that are kept for one purpose.
+type byteBudget struct {
 	used  atomic.Int64
 	limit atomic.Int64
 }
 
-// take takes n bytes if there is room.
-func (b *budget) take(n int) bool {
+// tryReserve takes n bytes if there is room.
+func (b *byteBudget) tryReserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.limit.Load() {
 		return true
 	}
-	b.give(n)
+	b.release(n)
 	return false
 }
 
-func (b *budget) add(n int) { b.used.Add(int64(n)) }
+func (b *byteBudget) reserve(n int) { b.used.Add(int64(n)) }
 
-func (b *budget) give(n int) { b.used.Add(-int64(n)) }
+func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -13,9 +13,9 @@
 )
 
 // parts is a router whose loop the test can look at.
-func parts(t *testing.T, memoryMB int64, places int, entries ...entry) (*loop, string) {
+func parts(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, string) {
 	t.Helper()
-	cfg := testConfig(t, "127.0.0.1:1", list{})
+	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	cfg.Limits.MemoryMB = memoryMB
 	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
 	if err != nil {
@@ -25,7 +25,7 @@
 	s := newClients(l, ln, places)
 	s.wg.Go(func() { l.run(t.Context()) })
 	s.wg.Go(s.accept)
-	l.post(func() { l.list(0, full(entries...)) })
+	l.post(func() { l.updateEndpoints(0, full(entries...)) })
 	return l, ln.Addr().String()
 }
 
@@ -57,8 +57,8 @@
 				own++
 			}
 		}
-		if len(l.reqs)+len(l.unanswered) > 0 || own > 0 || len(l.timers) > 150 || l.valueBytes.used.Load() != 0 || l.answerBytes.used.Load() != 0 {
-			t.Errorf("%d requests, %d ids, %d timers (%d far away), %d and %d bytes", len(l.reqs), len(l.unanswered), len(l.timers), own,
+		if len(l.requests)+len(l.unanswered) > 0 || own > 0 || len(l.timers) > 150 || l.valueBytes.used.Load() != 0 || l.answerBytes.used.Load() != 0 {
+			t.Errorf("%d requests, %d ids, %d timers (%d far away), %d and %d bytes", len(l.requests), len(l.unanswered), len(l.timers), own,
 				l.valueBytes.used.Load(), l.answerBytes.used.Load())
 		}
 	})
@@ -105,7 +105,7 @@
 		if got := c.line(); got != "EOF" {
 			t.Errorf("%s: got %q", name, got)
 		}
-		if took := time.Since(began); took > firstTime*3+time.Second {
+		if took := time.Since(began); took > firstCommandTimeout*3+time.Second {
 			t.Errorf("%s: closed after %v", name, took)
 		}
 	}
@@ -184,8 +184,8 @@
 func TestUnknownCommandsAreBounded(t *testing.T) {
 	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
 	c := dial(t, r.addr)
-	c.send(strings.Repeat("version\r\n", 10*maxUnknown))
-	for range maxUnknown {
+	c.send(strings.Repeat("version\r\n", 10*maxUnknownCommands))
+	for range maxUnknownCommands {
 		if got := c.line(); got != "ERROR" {
 			t.Errorf("got %q", got)
 		}
@@ -201,9 +201,9 @@
 	release := make(chan struct{})
 	o := startFake(t, func(line string) string { <-release; return originOK(line) })
 	l, addr := parts(t, 16, 100, originAt(o.addr)) // a budget of 1 MiB
-	value := strings.Repeat("v", maxWhole)
+	value := strings.Repeat("v", maxBufferedValue)
 	write := func(c *client, id int) {
-		c.send(fmt.Sprintf("ms 7f3a9c21e0b4d655 %d Ow%d Pc=put,t=t,d=2000,k=%d\r\n%s\r\n", maxWhole, id, id, value))
+		c.send(fmt.Sprintf("ms 7f3a9c21e0b4d655 %d Ow%d Pc=put,t=t,d=2000,k=%d\r\n%s\r\n", maxBufferedValue, id, id, value))
 	}
 	var first []*client
 	for i := range 16 {
@@ -232,7 +232,7 @@
 // Answers that a client does not take are bounded too: what comes beyond is refused before it is asked for.
 func TestUntakenAnswersAreBounded(t *testing.T) {
 	l, addr := parts(t, 16, 10, originAt("127.0.0.1:1"))
-	l.answerBytes.add(int(l.answerBytes.limit.Load()))
+	l.answerBytes.reserve(int(l.answerBytes.limit.Load()))
 	c := dial(t, addr)
 	if got := c.ask(read("a1", 2000)); got != "SERVER_ERROR busy" {
 		t.Errorf("got %q", got)
@@ -254,11 +254,11 @@
 	}
 	defer s.Close()
 	s.SetReadDeadline(time.Unix(1, 0))
-	if waiting(s) {
+	if hasInput(s) {
 		t.Error("input before any was sent")
 	}
 	c.send("mn\r\n")
-	for end := time.Now().Add(wait); !waiting(s); {
+	for end := time.Now().Add(wait); !hasInput(s); {
 		if time.Now().After(end) {
 			t.Fatal("the input does not show")
 		}
@@ -279,12 +279,12 @@
 		c := dial(t, addr)
 		c.ask(read(fmt.Sprint("a", i), 2000))
 		kept = append(kept, c)
-		time.Sleep(rest + 20*time.Millisecond) // time itself is what counts
+		time.Sleep(restAfterAnswer + 20*time.Millisecond) // time itself is what counts
 	}
 	if got := kept[0].line(); got != "EOF" {
 		t.Errorf("got %q", got)
 	}
-	if took := time.Since(began); took > idleTime {
+	if took := time.Since(began); took > idleTimeout {
 		t.Errorf("only after %v, by time", took)
 	}
 	if got := kept[4].ask(read("b", 2000)); got != "VA 5 Ob hello" {
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -28,7 +28,7 @@
 		MemoryMB int64 `json:"memory_mb"`
 		Sockets  int   `json:"sockets"`
 	} `json:"limits"`
-	Known    list            `json:"known"`
+	Known    endpointList    `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
 	// Admission is what an operator file says of fair admission; nil = it is off.
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -85,7 +85,7 @@
 					c.send(key(1, fmt.Sprint("w", i), 60000) + "\r\n")
 				}
 				until(t, l, "a full pipeline", func() bool { return len(l.unanswered) == maxPipelined+1 })
-				c.send(strings.Repeat("mn\r\n", 2*maxLine/4))
+				c.send(strings.Repeat("mn\r\n", 2*maxLineBytes/4))
 			}},
 			{"turned away", func(t *testing.T, l *loop, s *clients, c *client) {
 				c.send(key(1, "w0", 60000) + "\r\nmg what\r\nand more")
@@ -130,7 +130,7 @@
 				if got := first.line(); got != "VA 5 Of fresh" {
 					t.Errorf("the one that fetched got %q", got)
 				}
-				until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+				until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 				if len(s.seen)+len(o.seen) > 0 {
 					t.Errorf("sent on: %q", append(drained(s.seen), drained(o.seen)...))
 				}
@@ -146,7 +146,7 @@
 		t.Run(command[:2], func(t *testing.T) {
 			t.Parallel()
 			s, o := startFake(t, hit), startFake(t, originOK)
-			cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
+			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 			cfg.settings.Config.HealthChecks = false
 			l, clients, addr := partsUnder(t, cfg, 40, box("s-0000000b", s.addr), originAt(o.addr))
 			c := dial(t, addr)
@@ -164,7 +164,7 @@
 				clients.mu.Unlock()
 			}
 			busy.let()
-			until(t, l, "the end of the command", func() bool { return l.lastID == 1 && len(l.reqs) == 0 })
+			until(t, l, "the end of the command", func() bool { return l.lastID == 1 && len(l.requests) == 0 })
 			if len(s.seen)+len(o.seen) > 0 {
 				t.Errorf("sent on: %q", append(drained(s.seen), drained(o.seen)...))
 			}
@@ -180,15 +180,15 @@
 }
 
 // partsOf is parts with the clients too.
-func partsOf(t *testing.T, memoryMB int64, places int, entries ...entry) (*loop, *clients, string) {
+func partsOf(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
-	cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
+	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.Limits.MemoryMB = memoryMB
 	return partsUnder(t, cfg, places, entries...)
 }
 
 // partsUnder is the same with settings of its own.
-func partsUnder(t *testing.T, cfg *Config, places int, entries ...entry) (*loop, *clients, string) {
+func partsUnder(t *testing.T, cfg *Config, places int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
 	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
 	if err != nil {
@@ -201,7 +201,7 @@
 	go func() { defer close(ended); l.run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
 	s.wg.Go(s.accept)
-	l.post(func() { l.list(0, full(entries...)) })
+	l.post(func() { l.updateEndpoints(0, full(entries...)) })
 	return l, s, ln.Addr().String()
 }
 
@@ -214,7 +214,7 @@
 				s, up := startFake(t, hit), newGate(t)
 				dialing := make(chan struct{}, 10)
 				l, _, addr := partsOf(t, 192, 40, box("s-0000000b", s.addr), originAt(s.addr))
-				l.up.holdDials(dialing, up)
+				l.upstreams.holdDials(dialing, up)
 				c := dial(t, addr)
 				c.send(key(1, "w0", 60000) + "\r\n")
 				next(t, dialing, "a dial")
@@ -230,7 +230,7 @@
 					until(t, l, "the end of the request", func() bool { return len(l.unanswered) == 0 })
 					up.let()
 				}
-				until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+				until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 				if len(s.seen) > 0 {
 					t.Errorf("sent on: %q", drained(s.seen))
 				}
@@ -257,7 +257,7 @@
 			next(t, s.closed, "the break")
 			c.goes(how)
 			held.let()
-			until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+			until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 			if len(s.seen)+len(o.seen) > 0 {
 				t.Errorf("sent again: %q", append(drained(s.seen), drained(o.seen)...))
 			}
@@ -280,20 +280,20 @@
 // A server that begins to drain, is gone, moves, or is left out by hand while a connection to it comes up gets nothing over
 // it: the drain's grace may be over by then. The request goes elsewhere.
 func TestNothingIsSentOverAConnectionThatCameUpAfterADrain(t *testing.T) {
-	moved := func(e entry) entry { e.Addr = "127.0.0.1:1"; return e }
-	in := func(e entry, state string) entry { e.State = state; return e }
-	for name, news := range map[string]func(l *loop, e, other entry){
-		"leaving": func(l *loop, e, _ entry) {
-			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{in(e, "leaving")}})
+	moved := func(e listEntry) listEntry { e.Addr = "127.0.0.1:1"; return e }
+	in := func(e listEntry, state string) listEntry { e.State = state; return e }
+	for name, news := range map[string]func(l *loop, e, other listEntry){
+		"leaving": func(l *loop, e, _ listEntry) {
+			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{in(e, "leaving")}})
 		},
-		"left": func(l *loop, e, _ entry) {
-			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{in(e, "left")}})
+		"left": func(l *loop, e, _ listEntry) {
+			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{in(e, "left")}})
 		},
-		"left out of all": func(l *loop, _, o entry) { l.list(decide.AllEndpoints, full(o)) },
-		"moved": func(l *loop, e, _ entry) {
-			l.list(decide.ChangedEndpoints, list{Version: 2, Servers: []entry{moved(e)}})
+		"left out of all": func(l *loop, _, o listEntry) { l.updateEndpoints(decide.AllEndpoints, full(o)) },
+		"moved": func(l *loop, e, _ listEntry) {
+			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{moved(e)}})
 		},
-		"by hand": func(l *loop, e, _ entry) { l.setDisabled(ban{ID: e.ID, Disabled: true}) },
+		"by hand": func(l *loop, e, _ listEntry) { l.setDisabled(disableCall{ServerID: e.ID, Disabled: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -301,7 +301,7 @@
 			dialing := make(chan struct{}, 10)
 			e := box("s-0000000b", s.addr)
 			l, _, addr := partsOf(t, 192, 40, e, originAt(o.addr))
-			l.up.holdDials(dialing, up)
+			l.upstreams.holdDials(dialing, up)
 			c := dial(t, addr)
 			c.send(key(1, "w0", 60000) + "\r\n")
 			next(t, dialing, "a dial")
@@ -309,7 +309,7 @@
 			until(t, l, "the attempt called off", func() bool { r := l.unanswered["w0"]; return r == nil || r.attempts[0].isDone })
 			up.let()
 			c.line() // whatever the module makes of it
-			until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+			until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 			if len(s.seen) > 0 {
 				t.Errorf("sent to it: %q", drained(s.seen))
 			}
@@ -357,7 +357,7 @@
 	busy.send(key(2, "c", 60000) + "\r\n")
 	until(t, l, "its arrival", func() bool { return len(l.unanswered) == len(open)+1 })
 	clients.startDrain()
-	look(l, func() { l.endBy(l.now() + 100) })
+	look(l, func() { l.answerAllBy(l.now() + 100) })
 	busy.send(key(3, "d", 60000) + "\r\n")
 	for _, c := range append(open, busy, busy) {
 		if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR") {
@@ -380,10 +380,10 @@
 		c.send(key(1, fmt.Sprint("q", i), 60000) + "\r\n")
 		queued = append(queued, c)
 	}
-	ln.(*net.TCPListener).SetDeadline(past) // as for one that gets no processor before the time is up
+	ln.(*net.TCPListener).SetDeadline(expiredDeadline) // as for one that gets no processor before the time is up
 	late.wg.Go(late.accept)
-	<-late.accepted
-	late.acceptLast()
+	<-late.acceptDone
+	late.acceptQueued()
 	ln.Close()
 	late.drain(t.Context(), t.Context())
 	for i, c := range queued {
@@ -430,18 +430,18 @@
 	at, let := make(chan *cutOffConn, 10), newGate(t)
 	clients := newClients(l, cutOff{listenLocal(t), at, let}, 10)
 	clients.wg.Go(clients.accept)
-	c := dial(t, clients.ln.Addr().String())
+	c := dial(t, clients.listener.Addr().String())
 	c.send(key(1, "a", 60000)[:9])
 	nc := next(t, at, "a read behind the first part")
 	clients.mu.Lock()
 	for conn := range clients.conns {
 		conn.mu.Lock() // as drop does, with the rest coming meanwhile
-		conn.closing, conn.by = true, time.Now().Add(time.Hour)
+		conn.isDraining, conn.commandDeadline = true, time.Now().Add(time.Hour)
 		conn.mu.Unlock()
 	}
 	clients.mu.Unlock()
 	c.send(key(1, "a", 60000)[9:] + "\r\n")
-	for !waiting(nc) {
+	for !hasInput(nc) {
 	}
 	let.let()
 	if got := c.line(); got != "VA 5 Oa hello" {
@@ -494,13 +494,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &clientConn{Conn: nc, r: bufio.NewReader(nc), dead: make(chan struct{})}
+	c := &clientConn{Conn: nc, reader: bufio.NewReader(nc), unwritable: make(chan struct{})}
 	client.send(key(1, "late", 60000) + "\r\n")
-	for !waiting(nc) {
+	for !hasInput(nc) {
 	}
 	io.WriteString(nc, "HD Oa c5c0f\r\n")
 	ended := make(chan struct{})
-	go func() { defer close(ended); c.finish(false) }()
+	go func() { defer close(ended); c.closeAfterAnswers(false) }()
 	if got := client.line(); got != "HD Oa c5c0f" {
 		t.Errorf("got %q", got)
 	}
@@ -525,14 +525,14 @@
 	})
 	u := testUpstreams(t, 10*time.Second, 10)
 	target := u.add(o.addr, true)
-	if got := u.attempt(t.Context(), target, putCommand(), always); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), target, putCommand(), always); got.status != decide.OK {
 		t.Fatalf("got %v", got.status)
 	}
 	armed.Store(true)
-	time.Sleep(originRest) // which the kept one rests
+	time.Sleep(originIdleMinimum) // which the kept one rests
 	on := always
-	on.wrote = shut.let // it is written whole, and the server, which has it, says nothing
-	if got := u.attempt(t.Context(), target, putCommand(), on); got.status != decide.Reset {
+	on.afterWrite = shut.let // it is written whole, and the server, which has it, says nothing
+	if got := u.roundTrip(t.Context(), target, putCommand(), on); got.status != decide.Reset {
 		t.Errorf("got %v, want a reset", got.status)
 	}
 	if o.conns.Load() != 1 || len(o.seen) != 2 {
@@ -545,29 +545,29 @@
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	old, err := u.take(t.Context(), target, false)
+	old, err := u.acquire(t.Context(), target, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := u.take(t.Context(), target, false)
+	fresh, err := u.acquire(t.Context(), target, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.put(target, old, true)
-	u.put(target, fresh, true)
+	u.release(target, old, true)
+	u.release(target, fresh, true)
 	was := time.Now().Add(-5 * time.Second)
 	u.mu.Lock()
-	old.since = was
+	old.idleSince = was
 	u.mu.Unlock()
-	u.attempt(t.Context(), target, getCommand(), hooks{false, func() timeoutHint { return 0 }, nothing, nowhere})
-	if kept := idle(u, target); len(kept) != 2 || kept[0] != old || !kept[0].since.Equal(was) {
+	u.roundTrip(t.Context(), target, getCommand(), attemptHooks{false, func() timeoutHint { return 0 }, nothing, nowhere})
+	if kept := idle(u, target); len(kept) != 2 || kept[0] != old || !kept[0].idleSince.Equal(was) {
 		t.Errorf("it counts as new: %v", kept)
 	}
 	// What can't be repeated goes over the one that was used last.
-	if got, err := u.take(t.Context(), target, true); err != nil || got != fresh {
+	if got, err := u.acquire(t.Context(), target, true); err != nil || got != fresh {
 		t.Errorf("got %v, %v", got, err)
 	} else {
-		u.back(target, got)
+		u.releaseUnused(target, got)
 	}
 }
 
@@ -608,12 +608,12 @@
 			t.Cleanup(d.Close)
 			t.Cleanup(hold.let)
 			told := make(chan int64, 10)
-			disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(l list) { told <- l.Version }, func() { t.Error("a failure was told of") })
-			disc.pace.wait, disc.pace.slack = 50*time.Millisecond, 50*time.Millisecond
+			disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(l endpointList) { told <- l.Version }, func() { t.Error("a failure was told of") })
+			disc.timing.watchWait, disc.timing.watchSlack = 50*time.Millisecond, 50*time.Millisecond
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { defer close(ended); disc.run(ctx) }()
-			disc.watch()
+			disc.requestWatch()
 			for _, want := range []int64{1, 2} {
 				if got := next(t, told, "list"); got != want {
 					t.Errorf("version %d, want %d", got, want)
@@ -630,11 +630,11 @@
 	for says, want := range map[string]string{
 		`{}`: "without version", `null`: "without version", `[]`: "cannot unmarshal", `{"version":2,"full":true}`: "without servers",
 		`{"version":2,"full":true,"servers":null}`: "without servers", `{"version":2,"full":false,"servers":[`: "unexpected",
-		`{"version":2,"full":true,"servers":[]}` + strings.Repeat(" ", maxList): "over 2097152 bytes",
+		`{"version":2,"full":true,"servers":[]}` + strings.Repeat(" ", maxListBytes): "over 2097152 bytes",
 	} {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, says) }))
 		ctx, stop := context.WithCancel(t.Context())
-		disc := newDiscovery(d.Listener.Addr().String(), false, 1, func(l list) { t.Errorf("%.60s was taken for %+v", says, l); stop() }, nothing)
+		disc := newDiscovery(d.Listener.Addr().String(), false, 1, func(l endpointList) { t.Errorf("%.60s was taken for %+v", says, l); stop() }, nothing)
 		if _, err := disc.follow(ctx); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.60s: got %v", says, err)
 		}
@@ -648,13 +648,13 @@
 // found out. Back-off, wait and slack together stay under the time after which a change counts as told.
 func TestFirstWatchAfterAFailureIsShort(t *testing.T) {
 	const toldWithin = 6 * time.Second
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedPace.first + sharedPace.slack; sum > toldWithin {
+	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.watchWaitAfterFailure + sharedTiming.watchSlack; sum > toldWithin {
 		t.Errorf("asked: news comes %v after a failure at most", sum)
 	}
-	if sharedPace.pause > decide.MaxBackOffMillis*time.Millisecond {
-		t.Errorf("asked: the pause of %v is longer than the back-off that it runs beside", sharedPace.pause)
+	if sharedTiming.maxBackoff > decide.MaxBackOffMillis*time.Millisecond {
+		t.Errorf("asked: the pause of %v is longer than the back-off that it runs beside", sharedTiming.maxBackoff)
 	}
-	if sum := agentPace.pause + agentPace.first + agentPace.slack; sum > toldWithin {
+	if sum := agentTiming.maxBackoff + agentTiming.watchWaitAfterFailure + agentTiming.watchSlack; sum > toldWithin {
 		t.Errorf("pushed: news comes %v after a failure at most", sum)
 	}
 	waits := make(chan string, 10)
@@ -677,12 +677,12 @@
 	t.Cleanup(hold.let)
 	ctx, stop := context.WithCancel(t.Context())
 	var disc *discovery
-	disc = newDiscovery(d.Listener.Addr().String(), true, 350, func(list) {}, func() { disc.watch() })
-	disc.pace.pause = 2
+	disc = newDiscovery(d.Listener.Addr().String(), true, 350, func(endpointList) {}, func() { disc.requestWatch() })
+	disc.timing.maxBackoff = 2
 	ended := make(chan struct{})
 	go func() { defer close(ended); disc.run(ctx) }()
-	disc.watch()
-	long, short := fmt.Sprint(disc.pace.wait.Milliseconds()), fmt.Sprint(disc.pace.first.Milliseconds())
+	disc.requestWatch()
+	long, short := fmt.Sprint(disc.timing.watchWait.Milliseconds()), fmt.Sprint(disc.timing.watchWaitAfterFailure.Milliseconds())
 	for i, want := range []string{"", long, short, long} {
 		if got := next(t, waits, "call"); got != want {
 			t.Errorf("call %d waits %q ms, want %q", i, got, want)
@@ -705,17 +705,17 @@
 	t.Cleanup(d.Close)
 	t.Cleanup(fail.let)
 	broke := make(chan struct{}, 10)
-	disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(list) {}, func() { broke <- struct{}{} })
-	disc.pace.pause = 2
+	disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(endpointList) {}, func() { broke <- struct{}{} })
+	disc.timing.maxBackoff = 2
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); disc.run(ctx) }()
-	disc.watch()
+	disc.requestWatch()
 	next(t, arrived, "call")
-	disc.watch() // the module has waited long for an answer
+	disc.requestWatch() // the module has waited long for an answer
 	fail.let()
 	next(t, broke, "failure")
-	disc.watch()
+	disc.requestWatch()
 	next(t, broke, "failure of the call after it")
 	stop()
 	<-ended
@@ -728,15 +728,24 @@
 func TestAgentIsCalledAgainSoon(t *testing.T) {
 	d := newDiscovery("127.0.0.1:1", false, 300, nil, nil)
 	for range 100 {
-		if p := d.pause(false); p > 100*time.Millisecond {
+		if p := d.backoff(false); p > 100*time.Millisecond {
 			t.Fatalf("pause of %v", p)
 		}
 	}
-	if _, err := d.call(t.Context(), d.url, time.Second); err == nil || errors.Is(err, errSilent) {
+	if _, err := d.get(t.Context(), d.url, time.Second); err == nil || errors.Is(err, errSilentWatch) {
 		t.Errorf("got %v", err)
 	}
 }
 
+// onePlaceAdmission admits one request at a time.
+func onePlaceAdmission() *Admission {
+	return &Admission{
+		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8,
+			MaxWaitMS: 1e6, MaxAfterMS: 1500, Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10},
+		Who: admission.Identify{{By: "fact"}},
+	}
+}
+
 // atTheDoor starts a router with admission and one place behind it. The first client's request has that place and gets its
 // answer once that is let go; the second one's, b, waits at the door. settings are those of the router, to be changed.
 func atTheDoor(t *testing.T) (r *running, s *fake, answer gate, first, second *client, settings *Config) {
@@ -745,10 +754,8 @@
 	s = startFake(t, func(line string) string { <-answer.ch; return hit(line) })
 	t.Cleanup(answer.let) // before the fake waits for what it has started
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(s.addr)))
-	cfg := longLived(testConfig(t, d.Listener.Addr().String(), list{}))
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8, MaxWaitMS: 1e6, MaxAfterMS: 1500,
-		Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10}
-	cfg.Admission = &Admission{rules, admission.Identify{{By: "fact"}}}
+	cfg := longLived(testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	cfg.Admission = onePlaceAdmission()
 	cfg.settings.Config.HealthChecks = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // the door expects a request to take so long
@@ -760,22 +767,22 @@
 	first.send(key(1, "a", 60000) + "\r\n")
 	next(t, s.seen, "the first, which takes the one place")
 	second.send(key(2, "b", 60000) + "\r\n")
-	until(t, r.router.l, "the second at the door", func() bool { return r.router.l.admission.a.State(0).Waiting == 1 })
+	until(t, r.router.loop, "the second at the door", func() bool { return r.router.loop.admission.a.State(0).Waiting == 1 })
 	return r, s, answer, first, second, cfg
 }
 
 // The same behind the door of admission, on a connection that drains.
 func TestRequestThatWaitsAtTheDoorIsNotSentOnForAClientThatLeft(t *testing.T) {
 	r, s, answer, first, second, _ := atTheDoor(t)
-	l := r.router.l
-	r.router.s.startDrain()
+	l := r.router.loop
+	r.router.clients.startDrain()
 	second.Close()
 	until(t, l, "the end of the second", func() bool { return l.unanswered["b"] == nil })
 	answer.let()
 	if got := first.line(); got != "VA 5 Oa hello" {
 		t.Errorf("the first got %q", got)
 	}
-	until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+	until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 	if len(s.seen) > 0 {
 		t.Errorf("sent on: %q", drained(s.seen))
 	}
@@ -788,21 +795,21 @@
 	s := startFake(t, once("EN O{id} h0\r\n", hit))
 	o := startFake(t, func(line string) string { <-fetch.ch; return originOK(line) })
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-	old := start(t, longLived(testConfig(t, d.Listener.Addr().String(), list{})))
+	old := start(t, longLived(testConfig(t, d.Listener.Addr().String(), endpointList{})))
 	stays, leaves := dial(t, old.addr), dial(t, old.addr)
 	for stays.ask("mn") != "MN" || leaves.ask("mn") != "MN" {
 	}
-	l := old.router.l
+	l := old.router.loop
 	stays.send(key(1, "a", 60000) + "\r\n")
 	next(t, o.seen, "the fetch")
 	leaves.send(key(1, "b", 60000) + "\r\n")
 	until(t, l, "the one that waits", func() bool { return l.unanswered["b"] != nil })
-	young, end := succeeded(t, old, longLived(testConfig(t, "127.0.0.1:1", list{})))
+	young, end := succeeded(t, old, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
 	defer end()
 	for !young.router.Ready() || old.router.peers.count() == 0 {
 	}
 	old.stop()
-	for !old.router.s.draining.Load() {
+	for !old.router.clients.isDraining.Load() {
 	}
 	leaves.goes("reset")
 	until(t, l, "its end", func() bool { return l.unanswered["b"] == nil })
@@ -821,7 +828,7 @@
 // ends has all that a client's connection has started end.
 func (s *clients) ends(t *testing.T) {
 	t.Helper()
-	s.ln.Close()
+	s.listener.Close()
 	done := make(chan struct{})
 	go func() { defer close(done); s.drain(context.Background(), context.Background()) }()
 	next(t, done, "end of all connections")
@@ -864,16 +871,16 @@
 				if err != nil {
 					panic(err)
 				}
-				c := &upstreamConn{Conn: slowClose{nc.(*net.TCPConn), closing, let}, since: time.Now()}
-				c.r = bufio.NewReaderSize(c, maxLine)
-				l.up.mu.Lock()
-				l.up.open++
-				l.up.mu.Unlock()
-				l.up.put(t, c, true)
+				c := &upstreamConn{Conn: slowClose{nc.(*net.TCPConn), closing, let}, idleSince: time.Now()}
+				c.reader = bufio.NewReaderSize(c, maxLineBytes)
+				l.upstreams.mu.Lock()
+				l.upstreams.openConns++
+				l.upstreams.mu.Unlock()
+				l.upstreams.release(t, c, true)
 			}
 			look(l, func() {
 				for _, t := range l.targets {
-					if !t.origin {
+					if !t.isOrigin {
 						keep(t)
 					}
 				}
@@ -917,7 +924,7 @@
 			ends := once("close", hit)
 			answer := func(line string) string { <-cut.ch; return ends(line) }
 			a, b := startFake(t, answer), startFake(t, answer)
-			cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
+			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 			for i := range cfg.settings.Config.Classes {
 				if k := &cfg.settings.Config.Classes[i]; k.Name == "read" {
 					k.Effect, k.IdempotencyScope, k.IdempotencyWindowMillis = decide.IdempotentByKey, "all", 2000
@@ -932,7 +939,7 @@
 			case <-time.After(wait):
 				t.Fatal("no attempt")
 			}
-			l.up.holdDials(dialing, up)
+			l.upstreams.holdDials(dialing, up)
 			var began float64
 			look(l, func() { began = l.unanswered["w0"].attempts[0].startedAt })
 			cut.let() // it may have run
@@ -942,7 +949,7 @@
 			}
 			up.let()
 			got := c.line()
-			until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+			until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 			if n := len(a.seen) + len(b.seen); late && (n > 0 || !strings.HasPrefix(got, "SERVER_ERROR")) || !late && got != "VA 5 Ow0 hello" {
 				t.Errorf("got %q, written again %d times", got, n)
 			}
@@ -970,19 +977,19 @@
 		for conn := range clients.conns {
 			conn.mu.Lock()
 			defer conn.mu.Unlock()
-			return conn.watching
+			return conn.isWatchingForDisconnect
 		}
 		return false
 	})
 	c.send(key(3, "c", 60000) + "\r\n")
-	look(l, func() { l.endBy(l.now()) })
+	look(l, func() { l.answerAllBy(l.now()) })
 	for _, want := range []string{"SERVER_ERROR", "SERVER_ERROR", "EOF"} {
 		if got := c.line(); !strings.HasPrefix(got, want) {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 	c.Close()
-	clients.ln.Close()
+	clients.listener.Close()
 	next(t, drained, "the end of all connections")
 	until(t, l, "the end of all", func() bool { return len(l.unanswered) == 0 })
 }
@@ -1008,9 +1015,9 @@
 				t.Fatal(err)
 			}
 			how := make(chan string, 10)
-			c := &clientConn{Conn: shut{nc.(*net.TCPConn), how}, r: bufio.NewReader(nc), dead: make(chan struct{}), answered: time.Now().Add(at)}
+			c := &clientConn{Conn: shut{nc.(*net.TCPConn), how}, reader: bufio.NewReader(nc), unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(at)}
 			ended := make(chan struct{})
-			go func() { defer close(ended); c.finish(false) }()
+			go func() { defer close(ended); c.closeAfterAnswers(false) }()
 			if got := client.line(); got != "EOF" {
 				t.Errorf("got %q", got)
 			}
@@ -1035,7 +1042,7 @@
 // A request that waits at the door keeps the rules that it came under, though its class is dropped meanwhile.
 func TestRequestAtTheDoorOutlivesItsClass(t *testing.T) {
 	r, _, answer, first, second, cfg := atTheDoor(t)
-	l := r.router.l
+	l := r.router.loop
 	dropped := longLived(retuned(t, cfg, `"name":"read"`, `"name":"fetch"`))
 	dropped.Admission = cfg.Admission
 	dropped.settings.Config.HealthChecks = false
@@ -1054,10 +1061,10 @@
 func TestListThatCrossesTheHandOverReachesTheNewProcess(t *testing.T) {
 	s, o := startFake(t, hit), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-	old := start(t, testConfig(t, d.Listener.Addr().String(), list{}))
+	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	for c := dial(t, old.addr); c.ask("mn") != "MN"; {
 	}
-	l, held := old.router.l, newGate(t)
+	l, held := old.router.loop, newGate(t)
 	running := make(chan struct{})
 	l.post(func() { close(running); <-held.ch })
 	next(t, running, "the loop")
@@ -1073,10 +1080,10 @@
 		}
 		held.let()
 	}()
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", list{}))
+	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
 	next(t, asked, "the call for the state")
-	until(t, young.router.l, "the list", func() bool { return young.router.l.entries["s-0000000b"].State == "leaving" })
+	until(t, young.router.loop, "the list", func() bool { return young.router.loop.entries["s-0000000b"].State == "leaving" })
 }
 
 // Whoever waits for a client to leave learns that this side has closed the connection: else it would look again without end.
@@ -1088,18 +1095,18 @@
 		t.Fatal(err)
 	}
 	none := 0
-	c.SetReadDeadline(past)
-	if awaitEnd(c, &none) {
+	c.SetReadDeadline(expiredDeadline)
+	if awaitDisconnect(c, &none) {
 		t.Error("the end of the time was taken for the client's")
 	}
 	c.SetReadDeadline(time.Time{})
 	ended := make(chan bool, 1)
-	go func() { ended <- awaitEnd(c, &none) }()
+	go func() { ended <- awaitDisconnect(c, &none) }()
 	c.Close()
 	if !next(t, ended, "the end of the wait") {
 		t.Error("the close was not seen")
 	}
-	if !awaitEnd(c, &none) {
+	if !awaitDisconnect(c, &none) {
 		t.Error("a closed connection was not seen")
 	}
 	client.Close()
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -13,60 +13,60 @@
 
 // Reject answers that trying again is harmless.
 func (l *loop) Reject(id uint32, wait float64) {
-	if r := l.reqs[id]; r != nil {
-		l.finish(r, refused(wait), metrics.Overload)
+	if r := l.requests[id]; r != nil {
+		l.finish(r, rejectedAnswer(wait), metrics.Overload)
 	}
 }
 
 // Fail answers with no promise.
 func (l *loop) Fail(id uint32) {
-	if r := l.reqs[id]; r != nil {
-		l.finish(r, failed(), metrics.Error)
+	if r := l.requests[id]; r != nil {
+		l.finish(r, failedAnswer(), metrics.Error)
 	}
 }
 
-// probeTimeout is how long a probe is waited for, in milliseconds.
-const probeTimeout = 500
+// healthCheckTimeoutMillis is how long a probe is waited for, in milliseconds.
+const healthCheckTimeoutMillis = 500
 
 // HealthCheck asks a server for its load.
 func (l *loop) HealthCheck(server uint32) {
 	t := l.targets[server]
 	if t == nil {
-		l.deferred = append(l.deferred, func() { l.b.HealthCheckEnded(l.now(), server, decide.ConnectError, decide.NoLoadReport) })
+		l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, decide.ConnectError, decide.NoLoadReport) })
 		return
 	}
-	if l.board != nil {
-		if load, ok := l.board.Look(l.now(), server); ok { // another router has asked it
+	if l.healthReports != nil {
+		if load, ok := l.healthReports.Look(l.now(), server); ok { // another router has asked it
 			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.RequestsPerSecond, load.Utilization)
-			l.deferred = append(l.deferred, func() { l.b.HealthCheckEnded(l.now(), server, decide.OK, load) })
+			l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, decide.OK, load) })
 			return
 		}
 	}
-	l.work.Go(func() {
-		ctx, stop := context.WithTimeout(l.ctx, probeTimeout*time.Millisecond)
+	l.background.Go(func() {
+		ctx, stop := context.WithTimeout(l.ctx, healthCheckTimeoutMillis*time.Millisecond)
 		defer stop()
-		st, load := l.up.probe(ctx, t)
+		st, load := l.upstreams.probe(ctx, t)
 		l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.RequestsPerSecond, load.Utilization)
-		l.post(func() { l.b.HealthCheckEnded(l.now(), server, st, load) })
+		l.post(func() { l.balancer.HealthCheckEnded(l.now(), server, st, load) })
 	})
 }
 
 // CloseIdle closes the idle connections to a server.
 func (l *loop) CloseIdle(server uint32) {
 	if t := l.targets[server]; t != nil {
-		l.up.closeIdle(t)
+		l.upstreams.closeIdle(t)
 	}
 }
 
 // SetTimer calls the Balancer's Timer after that many milliseconds.
 func (l *loop) SetTimer(after float64, token uint64) {
-	l.after(after, func() { l.b.TimerExpired(l.now(), token) })
+	l.after(after, func() { l.balancer.TimerExpired(l.now(), token) })
 }
 
 // WatchEndpoints asks discovery for changes from now on.
 func (l *loop) WatchEndpoints() {
-	if l.disc != nil {
-		l.disc.watch()
+	if l.discovery != nil {
+		l.discovery.requestWatch()
 	}
 }
 
--- a/internal/router/descriptors.go
+++ b/internal/router/descriptors.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// places bounds the connections that are open.
-type places struct {
-	mu           sync.Mutex
-	used         int
-	limit, whole int
-	freed        chan struct{} // of capacity 1
+// descriptorQuota bounds the connections that are open.
+type descriptorQuota struct {
+	mu                 sync.Mutex
+	used               int
+	limit, routerLimit int
+	released           chan struct{} // of capacity 1
 }
 
-func (p *places) take() bool {
+func (p *descriptorQuota) tryAcquire() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.used >= p.limit {
@@ -20,25 +20,25 @@
 	return true
 }
 
-func (p *places) give() {
+func (p *descriptorQuota) release() {
 	p.mu.Lock()
 	p.used--
 	p.mu.Unlock()
 	select {
-	case p.freed <- struct{}{}:
+	case p.released <- struct{}{}:
 	default:
 	}
 }
 
-// share sets the limit and returns how many are over it.
-func (p *places) share(processes int) int {
+// setProcessCount sets the limit and returns how many are over it.
+func (p *descriptorQuota) setProcessCount(processes int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = p.whole / processes
+	p.limit = p.routerLimit / processes
 	return max(0, p.used-p.limit)
 }
 
-func (p *places) half() int64 {
+func (p *descriptorQuota) halfLimit() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return int64(p.limit / 2)
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -18,28 +18,28 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// list is a list of servers, or the changes to one, in discovery's form.
-type list struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []entry `json:"servers"`
+// endpointList is a list of servers, or the changes to one, in discovery's form.
+type endpointList struct {
+	Version    int64       `json:"version"`
+	IsComplete bool        `json:"full"`
+	Servers    []listEntry `json:"servers"`
 }
 
-type entry struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started float64 `json:"started_ms"`
+type listEntry struct {
+	ID            string  `json:"id"`
+	Addr          string  `json:"addr"`
+	Zone          string  `json:"zone"`
+	Kind          string  `json:"kind"`
+	Cell          int     `json:"cell"`
+	State         string  `json:"state"`
+	Weight        float64 `json:"weight"`
+	StartedMillis float64 `json:"started_ms"`
 }
 
 var listStates = map[string]decide.State{"active": decide.Ready, "leaving": decide.Draining, "left": decide.Removed}
 
-// decided is the entry as the module takes it.
-func (e entry) decided() (decide.Endpoint, error) {
+// endpoint is the entry as the module takes it.
+func (e listEntry) endpoint() (decide.Endpoint, error) {
 	st, ok := listStates[e.State]
 	if !ok {
 		return decide.Endpoint{}, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
@@ -50,7 +50,7 @@
 	if _, _, err := net.SplitHostPort(e.Addr); err != nil && st != decide.Removed {
 		return decide.Endpoint{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
 	}
-	return decide.Endpoint{ID: serverID(e.ID), State: st, StartedAt: e.Started, Size: e.Weight, Zone: e.Zone, Cell: e.Cell,
+	return decide.Endpoint{ID: serverID(e.ID), State: st, StartedAt: e.StartedMillis, Size: e.Weight, Zone: e.Zone, Cell: e.Cell,
 		Kind: e.Kind}, nil
 }
 
@@ -77,65 +77,65 @@
 
 // discovery asks for the list and then watches it.
 type discovery struct {
-	url    string
-	client *http.Client
-	failed bool  // the last call
-	holds  bool  // a list is held,
-	from   int64 // of this version: else the whole one is asked for
-	onAsk  bool  // watches only once asked, and tells of failures
-	pace   pace
-	asked  chan struct{} // of capacity 1
-	tell   func(l list)  // takes a list
-	broke  func()        // takes a failure
+	url            string
+	client         *http.Client
+	lastCallFailed bool  // the last call
+	holdsList      bool  // a list is held,
+	heldVersion    int64 // of this version: else the whole one is asked for
+	isPolled       bool  // watches only once asked, and tells of failures
+	timing         discoveryTiming
+	watchRequested chan struct{}        // of capacity 1
+	onList         func(l endpointList) // takes a list
+	onFailure      func()               // takes a failure
 }
 
-// pace is how long discovery is waited for. A watch that says nothing looks like a list that does not change, until
+// discoveryTiming is how long discovery is waited for. A watch that says nothing looks like a list that does not change, until
 // its wait is over: only then is it found to be dead, with all the news that it has swallowed.
-type pace struct {
-	list  time.Duration // for the whole list
-	wait  time.Duration // of one call of a watch,
-	first time.Duration // of the first one after a failure, which may meet a discovery that still says nothing
-	slack time.Duration // after it
-	again time.Duration // at most between a failure and the next call, where the one before went well,
-	pause time.Duration // and where it did not: half of it at least, spread
+type discoveryTiming struct {
+	listTimeout           time.Duration // for the whole list
+	watchWait             time.Duration // of one call of a watch,
+	watchWaitAfterFailure time.Duration // of the first one after a failure, which may meet a discovery that still says nothing
+	watchSlack            time.Duration // after it
+	maxBackoffAfterAnswer time.Duration // at most between a failure and the next call, where the one before went well,
+	maxBackoff            time.Duration // and where it did not: half of it at least, spread
 }
 
 var (
 	// The agent on the router's own machine answers at once and at no cost. What it has told, even into a connection
 	// that ends, must be acted on within 500 ms; what it gets when it is back counts as told at once, so it is asked often.
-	agentPace = pace{list: 250 * time.Millisecond, wait: 2 * time.Second, first: 2 * time.Second, slack: 250 * time.Millisecond, again: 50 * time.Millisecond, pause: 100 * time.Millisecond}
+	agentTiming = discoveryTiming{listTimeout: 250 * time.Millisecond, watchWait: 2 * time.Second, watchWaitAfterFailure: 2 * time.Second, watchSlack: 250 * time.Millisecond, maxBackoffAfterAnswer: 50 * time.Millisecond, maxBackoff: 100 * time.Millisecond}
 	// One discovery for all works through calls in turn: they are few, wait long, and come spread when it is back.
-	sharedPace = pace{list: 2 * time.Second, wait: 10 * time.Second, first: time.Second, slack: time.Second, again: 500 * time.Millisecond, pause: time.Second}
+	sharedTiming = discoveryTiming{listTimeout: 2 * time.Second, watchWait: 10 * time.Second, watchWaitAfterFailure: time.Second, watchSlack: time.Second, maxBackoffAfterAnswer: 500 * time.Millisecond, maxBackoff: time.Second}
 )
 
-// among is the pace where that many routers call one discovery: each end of a wait is a call more, from each of them.
-func (p pace) among(routers int) pace {
-	p.wait = min(p.wait*time.Duration(max(8, routers))/8, time.Minute)
+// forRouters is the pace where that many routers call one discovery: each end of a wait is a call more, from each of them.
+func (p discoveryTiming) forRouters(routers int) discoveryTiming {
+	p.watchWait = min(p.watchWait*time.Duration(max(8, routers))/8, time.Minute)
 	return p
 }
 
 const (
-	dialTimeout = time.Second
-	quickAnswer = 50 * time.Millisecond
-	maxList     = 2 << 20 // an indented list of 2,500 servers takes 0.7 MB
-	maxHeaders  = 64 << 10
+	dialTimeout      = time.Second
+	minWatchInterval = 50 * time.Millisecond
+	maxListBytes     = 2 << 20 // an indented list of 2,500 servers takes 0.7 MB
+	maxHeaderBytes   = 64 << 10
 )
 
-func newDiscovery(addr string, onAsk bool, routers int, tell func(list), broke func()) *discovery {
-	p := agentPace
+func newDiscovery(addr string, onAsk bool, routers int, tell func(endpointList), broke func()) *discovery {
+	p := agentTiming
 	if onAsk {
-		p = sharedPace.among(routers)
+		p = sharedTiming.forRouters(routers)
 	}
-	return &discovery{pace: p, url: "http://" + addr + "/v1/servers", onAsk: onAsk, asked: make(chan struct{}, 1),
-		tell: tell, broke: broke,
-		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, MaxResponseHeaderBytes: maxHeaders,
+	return &discovery{timing: p, url: "http://" + addr + "/v1/servers", isPolled: onAsk, watchRequested: make(chan struct{}, 1),
+		onList: tell, onFailure: broke,
+		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, MaxResponseHeaderBytes: maxHeaderBytes,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// watch asks discovery to be watched from now on.
-func (d *discovery) watch() {
+// requestWatch asks discovery to be watched from now on.
+func (d *discovery) requestWatch() {
 	select {
-	case d.asked <- struct{}{}:
+	case d.watchRequested <- struct{}{}:
 	default:
 	}
 }
@@ -146,9 +146,9 @@
 	defer d.client.CloseIdleConnections()
 	failing, silent := false, false // one line is enough
 	for ctx.Err() == nil {
-		if d.onAsk && !silent {
+		if d.isPolled && !silent {
 			select {
-			case <-d.asked:
+			case <-d.watchRequested:
 			case <-ctx.Done():
 				return
 			}
@@ -163,84 +163,84 @@
 		failing = true
 		// A watch that said nothing to the end of its wait has swallowed news that counts as told soon after, so a new one is
 		// opened at once: that makes no more calls than watches that end well. All else is for the module to ask again.
-		if silent = d.onAsk && errors.Is(err, errSilent); silent {
+		if silent = d.isPolled && errors.Is(err, errSilentWatch); silent {
 			continue
 		}
 		select { // asked for before this failure, which the module does not know of yet
-		case <-d.asked:
+		case <-d.watchRequested:
 		default:
 		}
-		d.broke()
+		d.onFailure()
 		select {
-		case <-time.After(d.pause(heard)):
+		case <-time.After(d.backoff(heard)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// pause is the time between a failure and the next call, where the call before it went well or did not.
-func (d *discovery) pause(heard bool) time.Duration {
-	p := d.pace.pause/2 + rand.N(d.pace.pause/2) // spread, or all would ask at once when it is back
+// backoff is the time between a failure and the next call, where the call before it went well or did not.
+func (d *discovery) backoff(heard bool) time.Duration {
+	p := d.timing.maxBackoff/2 + rand.N(d.timing.maxBackoff/2) // spread, or all would ask at once when it is back
 	if heard {
-		p = min(p, d.pace.again)
+		p = min(p, d.timing.maxBackoffAfterAnswer)
 	}
 	return p
 }
 
-// errSilent tells of a watch whose wait went by without a word.
-var errSilent = errors.New("a silent watch")
+// errSilentWatch tells of a watch whose wait went by without a word.
+var errSilentWatch = errors.New("a silent watch")
 
 // follow gets the whole list, or what has changed since the version that is held, and the changes after it, until a call
 // fails, and tells whether any went well.
 func (d *discovery) follow(ctx context.Context) (heard bool, err error) {
 	asked := time.Now()
-	var l list
-	if !d.holds {
-		l, err = d.call(ctx, d.url, d.pace.list)
+	var l endpointList
+	if !d.holdsList {
+		l, err = d.get(ctx, d.url, d.timing.listTimeout)
 	} else { // one call, not two
-		wait := d.pace.wait
-		if d.failed {
-			wait = d.pace.first
+		wait := d.timing.watchWait
+		if d.lastCallFailed {
+			wait = d.timing.watchWaitAfterFailure
 		}
-		l, err = d.watched(ctx, d.from, wait)
+		l, err = d.callWatch(ctx, d.heldVersion, wait)
 	}
 	for err == nil && ctx.Err() == nil { // else another discovery is heard by now
-		d.failed = false
-		if heard = true; d.onAsk {
-			d.holds, d.from = true, l.Version
+		d.lastCallFailed = false
+		if heard = true; d.isPolled {
+			d.holdsList, d.heldVersion = true, l.Version
 		}
-		d.tell(l)
-		if !l.Full && len(l.Servers) == 0 && time.Since(asked) < quickAnswer {
+		d.onList(l)
+		if !l.IsComplete && len(l.Servers) == 0 && time.Since(asked) < minWatchInterval {
 			select { // an agent that does not wait would be asked without end; a watch bears a pause of 200 ms
-			case <-time.After(quickAnswer):
+			case <-time.After(minWatchInterval):
 			case <-ctx.Done():
 			}
 		}
 		asked = time.Now()
-		l, err = d.watched(ctx, l.Version, d.pace.wait)
+		l, err = d.callWatch(ctx, l.Version, d.timing.watchWait)
 	}
-	d.failed = true
+	d.lastCallFailed = true
 	return heard, err
 }
 
-// watched makes the call of a watch that waits so long for changes.
-func (d *discovery) watched(ctx context.Context, version int64, wait time.Duration) (list, error) {
-	l, err := d.call(ctx, d.after(version, wait), wait+d.pace.slack)
+// callWatch makes the call of a watch that waits so long for changes.
+func (d *discovery) callWatch(ctx context.Context, version int64, wait time.Duration) (endpointList, error) {
+	l, err := d.get(ctx, d.watchURL(version, wait), wait+d.timing.watchSlack)
 	if ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) {
-		err = errors.Join(errSilent, err)
+		err = errors.Join(errSilentWatch, err)
 	}
 	return l, err
 }
 
-// after is the address of a watch's call.
-func (d *discovery) after(version int64, wait time.Duration) string {
+// watchURL is the address of a watch's call.
+func (d *discovery) watchURL(version int64, wait time.Duration) string {
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", d.url, version, wait.Milliseconds())
 }
 
-func (d *discovery) call(ctx context.Context, url string, within time.Duration) (list, error) {
+func (d *discovery) get(ctx context.Context, url string, within time.Duration) (endpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	var l list
+	var l endpointList
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return l, fmt.Errorf("discovery: %w", err)
@@ -253,22 +253,22 @@
 	if resp.StatusCode != http.StatusOK {
 		return l, fmt.Errorf("discovery: status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList+1))
-	if err == nil && len(body) > maxList {
-		err = fmt.Errorf("a list of over %d bytes", maxList)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
+	if err == nil && len(body) > maxListBytes {
+		err = fmt.Errorf("a list of over %d bytes", maxListBytes)
 	}
 	if err == nil {
-		err = readList(body, &l)
+		err = parseList(body, &l)
 	}
 	if err != nil {
-		return list{}, fmt.Errorf("discovery: %w", err)
+		return endpointList{}, fmt.Errorf("discovery: %w", err)
 	}
 	return l, nil
 }
 
-// readList reads a list. What lacks a version is none, nor is a whole list that lacks the servers, though it may be JSON:
+// parseList reads a list. What lacks a version is none, nor is a whole list that lacks the servers, though it may be JSON:
 // taken for one, it would stand for a list without news or without servers.
-func readList(body []byte, l *list) error {
+func parseList(body []byte, l *endpointList) error {
 	var has struct {
 		Version *int64 `json:"version"`
 		Full    bool   `json:"full"`
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -19,32 +19,45 @@
 
 // While an old and a new process live, they are one router: what one is told, the other is told.
 
-// handed is what a process gets from the one before it.
-type handed struct {
-	Module decide.Carried     `json:"Module"`
-	List   list               `json:"List"`
-	Names  names              `json:"Names"`
-	Door   *admission.Carried `json:"Door"`       // nil = admission is off
-	ByHand []string           `json:",omitempty"` // servers left out by hand,
-	Agreed []string           `json:",omitempty"` // and by the fleet
+// handoverState is what a process gets from the one before it. The tags are the bytes of the wire
+// between two versions of the program and stay as they are.
+type handoverState struct {
+	// Decisions is what the decision module has learnt.
+	Decisions decide.Carried `json:"Module"`
+	// List is the endpoint list as the old process holds it.
+	List endpointList `json:"List"`
+	// ServerIDs are the server names that discovery has listed so far.
+	ServerIDs serverIDs `json:"Names"`
+	// Admission is the state of fair admission; nil while it is off.
+	Admission *admission.Carried `json:"Door"`
+	// DisabledByOperator names the servers that an operator has disabled.
+	DisabledByOperator []string `json:"ByHand,omitempty"`
+	// DisabledByFleet names the servers that the fleet has agreed to disable.
+	DisabledByFleet []string `json:"Agreed,omitempty"`
 }
 
-// ban is a call of the operators, as it goes from one process to the other.
-type ban struct {
-	ID       string `json:"id"`
-	Disabled bool   `json:"disabled"`
-	Known    bool   `json:"known"`            // the sender's list had the id
-	Agreed   bool   `json:"agreed,omitempty"` // by the fleet, not by hand
+// disableCall disables or enables one cache server. It is an operator's call or the fleet's
+// agreement, and goes from one process of this router to the other as it stands here.
+type disableCall struct {
+	// ServerID is the server's name on the endpoint list.
+	ServerID string `json:"id"`
+	// Disabled is true to disable the server, false to enable it.
+	Disabled bool `json:"disabled"`
+	// IsListed is set where the sender's list has had the server, so that a receiver whose list
+	// has not takes the call all the same.
+	IsListed bool `json:"known"`
+	// ByFleet is set for the fleet's agreement, and not for an operator's call.
+	ByFleet bool `json:"agreed,omitempty"`
 }
 
 const (
-	banKind  = "ban"
-	listKind = "list"
+	disableKind = "ban"
+	listKind    = "list"
 )
 
 // peers are the links to the processes that are this router too.
 type peers struct {
-	onShare func(processes int) // may be nil
+	onProcessCount func(processes int) // may be nil
 
 	mu    sync.Mutex
 	links map[*handover.Link]bool // true = it counts
@@ -91,24 +104,24 @@
 	return n
 }
 
-// OnShare has f called with the number of processes that are this router, whenever it changes. It must be set before
+// OnProcessCount has f called with the number of processes that are this router, whenever it changes. It must be set before
 // the first peer joins.
-func (r *Router) OnShare(f func(processes int)) { r.peers.onShare = f }
+func (r *Router) OnProcessCount(f func(processes int)) { r.peers.onProcessCount = f }
 
-// share splits the limits among the processes that are this router now.
-func (r *Router) share() {
+// splitLimits splits the limits among the processes that are this router now.
+func (r *Router) splitLimits() {
 	n := 1 + r.peers.count()
-	if r.peers.onShare != nil {
-		r.peers.onShare(n)
+	if r.peers.onProcessCount != nil {
+		r.peers.onProcessCount(n)
 	}
-	r.l.share(n)
-	r.up.share(n)
-	r.up.unsized.limit.Store(r.cfg.Limits.MemoryMB << 20 / 16 / int64(n))
-	r.s.share(n)
-	r.l.post(func() {
-		r.l.b.SetProcessCount(r.l.now(), n)
-		if ad := r.l.admission; ad != nil {
-			ad.a.Share(r.l.now(), float64(max(1, ad.processes))/float64(n))
+	r.loop.setProcessCount(n)
+	r.upstreams.setProcessCount(n)
+	r.upstreams.unsizedValues.limit.Store(r.cfg.Limits.MemoryMB << 20 / 16 / int64(n))
+	r.clients.setProcessCount(n)
+	r.loop.post(func() {
+		r.loop.balancer.SetProcessCount(r.loop.now(), n)
+		if ad := r.loop.admission; ad != nil {
+			ad.a.Share(r.loop.now(), float64(max(1, ad.processes))/float64(n))
 			ad.processes = n
 			ad.arm()
 		}
@@ -118,14 +131,14 @@
 
 // State is what a successor is to know. From then on it is told what this process is told.
 func (r *Router) State(ctx context.Context, k *handover.Link) (any, error) {
-	var h handed
-	err := r.l.do(ctx, func() error {
+	var h handoverState
+	err := r.loop.call(ctx, func() error {
 		r.peers.add(k, false)
-		h = handed{Module: r.l.b.HandOver(r.l.now()), List: r.l.known(), Names: r.l.names.copied(),
-			ByHand: slices.Collect(maps.Keys(r.l.disabledByOperator)), Agreed: slices.Collect(maps.Keys(r.l.disabledByFleet))}
-		if r.l.admission != nil {
-			door := r.l.admission.a.HandOver(r.l.now())
-			h.Door = &door
+		h = handoverState{Decisions: r.loop.balancer.HandOver(r.loop.now()), List: r.loop.currentList(), ServerIDs: r.loop.serverIDs.clone(),
+			DisabledByOperator: slices.Collect(maps.Keys(r.loop.disabledByOperator)), DisabledByFleet: slices.Collect(maps.Keys(r.loop.disabledByFleet))}
+		if r.loop.admission != nil {
+			door := r.loop.admission.a.HandOver(r.loop.now())
+			h.Admission = &door
 		}
 		return nil
 	})
@@ -135,119 +148,119 @@
 // Inherit takes the state of the process before this one, and the link to it. It is called before Run.
 func (r *Router) Inherit(text []byte, k *handover.Link) error {
 	r.link = k
-	h := new(handed)
+	h := new(handoverState)
 	if err := json.Unmarshal(text, h); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if h.Names.IDs == nil || h.Names.Seen == nil || len(h.Names.IDs) > maxNames {
+	if h.ServerIDs.IDs == nil || h.ServerIDs.LastListed == nil || len(h.ServerIDs.IDs) > maxServerIDs {
 		return errors.New("handover: a state without names")
 	}
-	r.before = h
+	r.inherited = h
 	return nil
 }
 
-// begin gives the loop the list that the router starts with, on the loop.
-func (r *Router) begin() {
-	l, known := r.l, r.cfg.Known
-	if h := r.before; h != nil {
-		r.before = nil
-		if err := l.b.TakeOver(l.now(), h.Module); err != nil {
+// restoreState gives the loop the list that the router starts with, on the loop.
+func (r *Router) restoreState() {
+	l, known := r.loop, r.cfg.Known
+	if h := r.inherited; h != nil {
+		r.inherited = nil
+		if err := l.balancer.TakeOver(l.now(), h.Decisions); err != nil {
 			slog.Warn("what the process before has learnt is of no use", "error", err)
 		}
-		if l.admission != nil && h.Door != nil {
-			if err := l.admission.a.TakeOver(l.now(), *h.Door); err != nil {
+		if l.admission != nil && h.Admission != nil {
+			if err := l.admission.a.TakeOver(l.now(), *h.Admission); err != nil {
 				slog.Warn("what the process before has learnt of tenants is of no use", "error", err)
 			}
 		}
-		l.names, known = h.Names, h.List
-		for _, name := range h.ByHand[:min(len(h.ByHand), maxNames)] {
+		l.serverIDs, known = h.ServerIDs, h.List
+		for _, name := range h.DisabledByOperator[:min(len(h.DisabledByOperator), maxServerIDs)] {
 			l.disabledByOperator[name] = true
 		}
-		for _, name := range h.Agreed[:min(len(h.Agreed), maxNames)] {
+		for _, name := range h.DisabledByFleet[:min(len(h.DisabledByFleet), maxServerIDs)] {
 			l.disabledByFleet[name] = true
 		}
-		l.floor.raise(known.Version)
+		l.staleGuard.raise(known.Version)
 	}
-	l.list(decide.RestoredEndpoints, known)
+	l.updateEndpoints(decide.RestoredEndpoints, known)
 }
 
 // Joined keeps a link to another process of this router until it ends.
 func (r *Router) Joined(ctx context.Context, k *handover.Link) {
 	r.peers.add(k, true)
-	r.share()
-	k.Run(ctx, func(m handover.Message) error { return r.told(ctx, k, m) })
+	r.splitLimits()
+	k.Run(ctx, func(m handover.Message) error { return r.handleMessage(ctx, k, m) })
 	r.peers.remove(k)
-	r.share()
+	r.splitLimits()
 }
 
-// told takes a message of another process.
-func (r *Router) told(ctx context.Context, from *handover.Link, m handover.Message) error {
+// handleMessage takes a message of another process.
+func (r *Router) handleMessage(ctx context.Context, from *handover.Link, m handover.Message) error {
 	switch m.Kind {
-	case banKind:
-		var o ban
+	case disableKind:
+		var o disableCall
 		if err := json.Unmarshal(m.Body, &o); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		ctx, cancel := context.WithTimeout(ctx, banTime)
+		ctx, cancel := context.WithTimeout(ctx, disableTimeout)
 		defer cancel()
 		return r.disable(ctx, o, from)
 	case listKind:
-		var got list
+		var got endpointList
 		if err := json.Unmarshal(m.Body, &got); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		r.l.post(func() {
-			if got.Version <= r.l.version {
+		r.loop.post(func() {
+			if got.Version <= r.loop.listVersion {
 				return
 			}
 			kind := decide.ChangedEndpoints
-			if got.Full {
+			if got.IsComplete {
 				kind = decide.AllEndpoints
 			}
-			r.l.list(kind, got)
-			r.l.floor.raise(got.Version)
+			r.loop.updateEndpoints(kind, got)
+			r.loop.staleGuard.raise(got.Version)
 		})
 	}
 	return nil
 }
 
-// banTime is how long another process takes at most for a ban: the caller has less than a second.
-const banTime = 700 * time.Millisecond
+// disableTimeout is how long another process takes at most for a ban: the caller has less than a second.
+const disableTimeout = 700 * time.Millisecond
 
 // disable carries out a call of the operators here and in all other processes of this router but the one it came from.
 // The answer is yes only if it holds in all of them.
-func (r *Router) disable(ctx context.Context, o ban, from *handover.Link) error {
-	here := r.l.do(ctx, func() error { return r.l.setDisabled(o) })
+func (r *Router) disable(ctx context.Context, o disableCall, from *handover.Link) error {
+	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
 	if here != nil && !errors.Is(here, admin.ErrUnknown) {
 		return here
 	}
-	o.Known = o.Known || here == nil
+	o.IsListed = o.IsListed || here == nil
 	found := here == nil
 	for _, k := range r.peers.all() {
 		if k == from {
 			continue
 		}
-		switch err := k.Call(ctx, banKind, o); {
+		switch err := k.Call(ctx, disableKind, o); {
 		case err == nil:
 			found = true
 		case errors.Is(err, handover.ErrEnded) || err.Error() == admin.ErrUnknown.Error():
 		default:
-			return errNotDone
+			return errLoopBusy
 		}
 	}
 	switch {
 	case !found:
 		return admin.ErrUnknown
 	case here != nil: // only another process's list has had it so far
-		o.Known = true
-		return r.l.do(ctx, func() error { return r.l.setDisabled(o) })
+		o.IsListed = true
+		return r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
 	}
 	return nil
 }
 
-// tellList tells the other processes what discovery has told this one.
-func (r *Router) tellList(got list) {
-	if len(got.Servers) == 0 && !got.Full {
+// broadcastList tells the other processes what discovery has told this one.
+func (r *Router) broadcastList(got endpointList) {
+	if len(got.Servers) == 0 && !got.IsComplete {
 		return
 	}
 	ks := r.peers.all()
@@ -263,15 +276,15 @@
 	}
 }
 
-// keep holds on to a list for a successor.
-func (l *loop) keep(kind decide.EndpointUpdateKind, got list) {
+// recordList holds on to a list for a successor.
+func (l *loop) recordList(kind decide.EndpointUpdateKind, got endpointList) {
 	if kind == decide.WatchFailed {
 		return
 	}
 	if kind != decide.ChangedEndpoints || l.entries == nil {
-		l.entries = make(map[string]entry, len(got.Servers))
+		l.entries = make(map[string]listEntry, len(got.Servers))
 	}
-	l.version = got.Version
+	l.listVersion = got.Version
 	for _, e := range got.Servers {
 		if e.State == "left" {
 			delete(l.entries, e.ID)
@@ -281,23 +294,27 @@
 	}
 }
 
-// known is the list as it is held.
-func (l *loop) known() list {
-	got := list{Version: l.version, Full: true}
+// currentList is the list as it is held.
+func (l *loop) currentList() endpointList {
+	got := endpointList{Version: l.listVersion, IsComplete: true}
 	for _, e := range l.entries {
 		got.Servers = append(got.Servers, e)
 	}
 	return got
 }
 
-// floor is a version that another process has told of: for a while discovery may still answer with what was before.
-type floor struct {
-	version int64
-	until   time.Time
+// staleGuard is a version that another process has told of: for a while discovery may still answer with what was before.
+type staleGuard struct {
+	version   int64
+	expiresAt time.Time
 }
 
-const floorTime = 10 * time.Second // after that a lower version is no old answer, but another count
+const staleGuardTime = 10 * time.Second // after that a lower version is no old answer, but another count
 
-func (f *floor) raise(version int64) { f.version, f.until = version, time.Now().Add(floorTime) }
+func (f *staleGuard) raise(version int64) {
+	f.version, f.expiresAt = version, time.Now().Add(staleGuardTime)
+}
 
-func (f *floor) above(version int64) bool { return version < f.version && time.Now().Before(f.until) }
+func (f *staleGuard) isStale(version int64) bool {
+	return version < f.version && time.Now().Before(f.expiresAt)
+}
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -19,7 +19,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		if err := handover.Serve(ctx, dir, "x", old.router.s.ln.(*net.TCPListener), old.router); err != nil {
+		if err := handover.Serve(ctx, dir, "x", old.router.clients.listener.(*net.TCPListener), old.router); err != nil {
 			t.Error(err)
 		}
 	})
@@ -43,7 +43,7 @@
 func TestTwoProcessesAreOneRouter(t *testing.T) {
 	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", a.addr), box("s-0000000c", b.addr), originAt(o.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	old := start(t, cfg)
 	c := dial(t, old.addr)
 	for c.ask("mn") != "MN" {
@@ -52,13 +52,13 @@
 		t.Fatal(err)
 	}
 	// The new one's configuration and discovery tell it nothing: all it knows is from the old one.
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", list{}))
+	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	c2 := dial(t, young.addr)
 	for !young.router.Ready() {
 	}
 	disabled := func(r *running) int64 {
 		done := make(chan int64)
-		r.router.l.post(func() { _, n := r.router.l.b.CountEndpoints(); done <- int64(n) })
+		r.router.loop.post(func() { _, n := r.router.loop.balancer.CountEndpoints(); done <- int64(n) })
 		return next(t, done, "count")
 	}
 	if got := disabled(young); got != 1 {
@@ -91,7 +91,7 @@
 	d.change(gone, box("s-0000000d", b.addr))
 	for disabledBy := 0; disabledBy == 0; {
 		done := make(chan int)
-		young.router.l.post(func() { done <- len(young.router.l.entries) })
+		young.router.loop.post(func() { done <- len(young.router.loop.entries) })
 		if next(t, done, "list") == 4 {
 			disabledBy = 1
 		}
@@ -100,7 +100,7 @@
 		t.Errorf("an id that the old one's discovery listed: %v", err)
 	}
 	// Limits are split while both live, and whole again once one is gone.
-	if got := old.router.l.valueBytes.limit.Load(); got != 192<<20/16/2 {
+	if got := old.router.loop.valueBytes.limit.Load(); got != 192<<20/16/2 {
 		t.Errorf("memory of the old one: %d", got)
 	}
 	old.stop()
@@ -108,7 +108,7 @@
 		t.Error(err)
 	}
 	end()
-	for young.router.peers.count() > 0 || young.router.l.valueBytes.limit.Load() != 192<<20/16 {
+	for young.router.peers.count() > 0 || young.router.loop.valueBytes.limit.Load() != 192<<20/16 {
 	}
 	c3 := dial(t, young.addr)
 	for _, c := range []*client{c2, c3} { // one of them may have been the old one's
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -18,10 +18,10 @@
 }
 
 // startFlaky starts n servers.
-func startFlaky(t testing.TB, n int, fails func(server, n int) bool) (*flaky, []entry) {
+func startFlaky(t testing.TB, n int, fails func(server, n int) bool) (*flaky, []listEntry) {
 	t.Helper()
 	f := &flaky{first: map[string]int{}, last: map[string]int{}, count: make([]int, n), fails: fails}
-	var entries []entry
+	var entries []listEntry
 	for i := range n {
 		s := startFake(t, func(line string) string {
 			f.mu.Lock()
@@ -182,7 +182,7 @@
 			t.Parallel()
 			s, o := startFake(t, c.server), startFake(t, c.origin)
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-			cfg := testConfig(t, d.Listener.Addr().String(), list{})
+			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = true
 			for i := range cfg.settings.Config.Classes {
 				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900 // by the load they tell, the servers do 30 a second
@@ -234,7 +234,7 @@
 	}
 	s1, s2, o := startFake(t, far), startFake(t, far), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	cfg.settings.Config.CancelAllowed = true
 	r := start(t, cfg)
 	c := dial(t, r.addr)
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -26,46 +26,46 @@
 // Balancer's Host, and no method of it blocks.
 type loop struct {
 	clock
-	b                  *decide.Balancer
-	up                 *upstreams
-	disc               *discovery // the one that is heard
-	metrics            *metrics.Router
-	originKind         string
-	rules              atomic.Pointer[rules] // what requests that arrive now come under
-	onStart            func()                // goes before all else
-	events             chan func()
-	priorityEvents     chan func()   // goes before events: what operators ask for
-	done               chan struct{} // closed when the loop has ended: events no longer count
-	ctx                context.Context
-	work               sync.WaitGroup // attempts and probes, which end soon after ctx
-	timers             timerHeap
-	deferred           []func() // what a Host method has caused: the Balancer must not be called from within its call
-	reqs               map[uint32]*request
-	lastID             uint32
-	unanswered         map[string]*request // those that are not answered, by their client's id
-	valueBytes         budget              // bytes of the values of requests in hand
-	answerBytes        budget              // bytes of answers that no client has taken yet
-	targets            map[uint32]*target
-	entries            map[string]entry // the list as it is held,
-	version            int64            // and its version
-	floor              floor
-	names              names
-	disabledByOperator map[string]bool // servers that are left out by hand,
-	disabledByFleet    map[string]bool // and by what the fleet agrees on; both bounded by maxNames
-	memory             int64           // bytes that the router may take
-	ready              atomic.Bool     // a list is held
-	answerBy           instant         // when all that is open has to have its answer, as the process is told to end
-	trace              *trace.Trace
-	board              *healthcheck.Board // what other routers' probes told; nil = each probes by itself
-	admission          *admissionControl  // nil = every request goes to the Balancer
-	ejectedByPeers     map[uint32]float64 // servers that others found bad, and until when that counts,
-	hearsay            map[uint32]bool    // and those of which this router knows nothing else
-	refreshing         bool               // the Balancer is told of the former again
-	speed              *speeds            // nil = nobody wants it
+	balancer                  *decide.Balancer
+	upstreams                 *upstreams
+	discovery                 *discovery // the one that is heard
+	metrics                   *metrics.Router
+	originKind                string
+	rules                     atomic.Pointer[rules] // what requests that arrive now come under
+	onStart                   func()                // goes before all else
+	events                    chan func()
+	priorityEvents            chan func()   // goes before events: what operators ask for
+	done                      chan struct{} // closed when the loop has ended: events no longer count
+	ctx                       context.Context
+	background                sync.WaitGroup // attempts and probes, which end soon after ctx
+	timers                    timerHeap
+	deferred                  []func() // what a Host method has caused: the Balancer must not be called from within its call
+	requests                  map[uint32]*request
+	lastID                    uint32
+	unanswered                map[string]*request // those that are not answered, by their client's id
+	valueBytes                byteBudget          // bytes of the values of requests in hand
+	answerBytes               byteBudget          // bytes of answers that no client has taken yet
+	targets                   map[uint32]*target
+	entries                   map[string]listEntry // the list as it is held,
+	listVersion               int64                // and its version
+	staleGuard                staleGuard
+	serverIDs                 serverIDs
+	disabledByOperator        map[string]bool // servers that are left out by hand,
+	disabledByFleet           map[string]bool // and by what the fleet agrees on; both bounded by maxNames
+	memoryBytes               int64           // bytes that the router may take
+	hasEndpoints              atomic.Bool     // a list is held
+	answerBy                  instant         // when all that is open has to have its answer, as the process is told to end
+	trace                     *trace.Trace
+	healthReports             *healthcheck.Board // what other routers' probes told; nil = each probes by itself
+	admission                 *admissionControl  // nil = every request goes to the Balancer
+	ejectedByPeers            map[uint32]float64 // servers that others found bad, and until when that counts,
+	ejectedOnlyByPeers        map[uint32]bool    // and those of which this router knows nothing else
+	isRefreshingPeerEjections bool               // the Balancer is told of the former again
+	latencies                 *latencyHistogram  // nil = nobody wants it
 }
 
-// speeds counts the requests served by how much of their aim they took.
-type speeds [rollout.SpeedBuckets]atomic.Int64
+// latencyHistogram counts the requests served by how much of their aim they took.
+type latencyHistogram [rollout.SpeedBuckets]atomic.Int64
 
 // Bounds of what waits for the loop. Who posts beyond them waits, and operators are told that the router was too busy.
 const (
@@ -77,34 +77,34 @@
 	s := cfg.settings.Config
 	l := &loop{
 		clock:              clock{time.Now()},
-		up:                 up,
+		upstreams:          up,
 		metrics:            m,
 		originKind:         s.OriginKind,
 		events:             make(chan func(), maxEvents),
 		priorityEvents:     make(chan func(), maxPriorityEvents),
 		done:               make(chan struct{}),
-		reqs:               map[uint32]*request{},
+		requests:           map[uint32]*request{},
 		unanswered:         map[string]*request{},
 		targets:            map[uint32]*target{},
 		disabledByOperator: map[string]bool{},
 		disabledByFleet:    map[string]bool{},
-		hearsay:            map[uint32]bool{},
+		ejectedOnlyByPeers: map[uint32]bool{},
 		trace:              cfg.Trace,
 	}
 	l.rules.Store(newRules(s, m))
-	l.memory = cfg.Limits.MemoryMB << 20
-	l.share(1)
+	l.memoryBytes = cfg.Limits.MemoryMB << 20
+	l.setProcessCount(1)
 	var err error
-	if l.b, err = decide.New(s, cfg.seed, l); err == nil && cfg.Admission != nil {
+	if l.balancer, err = decide.New(s, cfg.seed, l); err == nil && cfg.Admission != nil {
 		l.admission, err = newAdmission(l, cfg)
 	}
 	return l, err
 }
 
-// share leaves this process an equal part of the memory, while several processes are one router. A value is in memory
+// setProcessCount leaves this process an equal part of the memory, while several processes are one router. A value is in memory
 // up to three times, as it came and as it goes out.
-func (l *loop) share(processes int) {
-	part := l.memory / int64(processes)
+func (l *loop) setProcessCount(processes int) {
+	part := l.memoryBytes / int64(processes)
 	l.valueBytes.limit.Store(part / 16)
 	l.answerBytes.limit.Store(part / 8)
 }
@@ -126,7 +126,7 @@
 	if l.onStart != nil {
 		l.onStart()
 	}
-	l.report()
+	l.reportPeriodically()
 	for {
 		select {
 		case event := <-l.priorityEvents:
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -8,35 +8,35 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// list takes a list of servers.
-func (l *loop) list(kind decide.EndpointUpdateKind, got list) {
-	l.keep(kind, got)
+// updateEndpoints takes a list of servers.
+func (l *loop) updateEndpoints(kind decide.EndpointUpdateKind, got endpointList) {
+	l.recordList(kind, got)
 	entries := make([]decide.Endpoint, 0, len(got.Servers))
 	named := map[uint32]bool{}
 	for _, e := range got.Servers {
-		d, err := e.decided()
+		d, err := e.endpoint()
 		if err != nil {
 			slog.Warn("discovery: entry passed over", "error", err)
 			continue
 		}
 		entries, named[d.ID] = append(entries, d), true
-		l.names.add(e.ID, d.ID)
+		l.serverIDs.add(e.ID, d.ID)
 		t := l.targets[d.ID]
 		if t == nil && d.State == decide.Ready {
-			entries = append(entries, l.replaced(d, e.Addr)...)
+			entries = append(entries, l.removeReplaced(d, e.Addr)...)
 		}
 		switch {
 		case d.State == decide.Removed:
 			l.cancelUnsentTo(d.ID)
-			l.drop(d.ID)
+			l.removeTarget(d.ID)
 		case t == nil || t.addr != e.Addr:
 			l.cancelUnsentTo(d.ID)
-			l.drop(d.ID)
-			l.targets[d.ID] = l.up.add(e.Addr, e.Kind == l.originKind)
-			l.targets[d.ID].started = d.StartedAt
-		case t.started != d.StartedAt: // connections to the process before it are dead, perhaps without a word
-			t.started = d.StartedAt
-			l.up.closeIdle(t)
+			l.removeTarget(d.ID)
+			l.targets[d.ID] = l.upstreams.add(e.Addr, e.Kind == l.originKind)
+			l.targets[d.ID].startedAt = d.StartedAt
+		case t.startedAt != d.StartedAt: // connections to the process before it are dead, perhaps without a word
+			t.startedAt = d.StartedAt
+			l.upstreams.closeIdle(t)
 		}
 		if d.State == decide.Draining {
 			l.cancelUnsentTo(d.ID)
@@ -46,58 +46,58 @@
 		for id := range l.targets {
 			if !named[id] {
 				l.cancelUnsentTo(id)
-				l.drop(id)
+				l.removeTarget(id)
 			}
 		}
 	}
 	l.trace.Event(l.now(), "list", "kind=%d lines=%d version=%d", kind, len(entries), got.Version)
-	l.b.UpdateEndpoints(l.now(), kind, entries)
-	l.count()
+	l.balancer.UpdateEndpoints(l.now(), kind, entries)
+	l.publishEndpointCounts()
 	if len(l.targets) > 0 {
-		l.ready.Store(true)
+		l.hasEndpoints.Store(true)
 	}
 }
 
-// reportEvery is how old the figures of servers get, in milliseconds.
-const reportEvery = 200
+// reportIntervalMillis is how old the figures of servers get, in milliseconds.
+const reportIntervalMillis = 200
 
-// report keeps the figures of servers up to date.
-func (l *loop) report() {
-	l.count()
+// reportPeriodically keeps the figures of servers up to date.
+func (l *loop) reportPeriodically() {
+	l.publishEndpointCounts()
 	l.trace.Flush(l.now())
-	l.after(reportEvery, l.report)
+	l.after(reportIntervalMillis, l.reportPeriodically)
 }
 
-func (l *loop) count() {
-	listed, avoided := l.b.CountEndpoints()
+func (l *loop) publishEndpointCounts() {
+	listed, avoided := l.balancer.CountEndpoints()
 	l.metrics.Targets.Store(int64(listed))
 	l.metrics.TargetsDisabled.Store(int64(avoided))
 }
 
-// replaced is the end of the servers that were at the address of a new one: it has come in their place, though the news
+// removeReplaced is the end of the servers that were at the address of a new one: it has come in their place, though the news
 // of their end may be late, and what is meant for them would reach it, cold as it is.
-func (l *loop) replaced(by decide.Endpoint, addr string) (gone []decide.Endpoint) {
+func (l *loop) removeReplaced(by decide.Endpoint, addr string) (gone []decide.Endpoint) {
 	for old, t := range l.targets {
-		if t.addr == addr && by.StartedAt > t.started {
+		if t.addr == addr && by.StartedAt > t.startedAt {
 			l.cancelUnsentTo(old)
-			l.drop(old)
+			l.removeTarget(old)
 			gone = append(gone, decide.Endpoint{ID: old, State: decide.Removed})
 		}
 	}
 	return gone
 }
 
-// follow hears d from now on, and no discovery before it. The list that is held stays until d gives a whole one.
-func (l *loop) follow(d *discovery) {
-	if l.disc != nil {
-		d.watch() // the Balancer has asked already, of the one before
+// setDiscovery hears d from now on, and no discovery before it. The list that is held stays until d gives a whole one.
+func (l *loop) setDiscovery(d *discovery) {
+	if l.discovery != nil {
+		d.requestWatch() // the Balancer has asked already, of the one before
 	}
-	l.disc, l.floor = d, floor{} // its versions may be others
+	l.discovery, l.staleGuard = d, staleGuard{} // its versions may be others
 }
 
-func (l *loop) drop(id uint32) {
+func (l *loop) removeTarget(id uint32) {
 	if t := l.targets[id]; t != nil {
 		delete(l.targets, id)
-		l.up.remove(t)
+		l.upstreams.remove(t)
 	}
 }
--- a/internal/router/meta.go
+++ b/internal/router/meta.go
@@ -18,12 +18,12 @@
 // The memcache meta text protocol, as clients speak it to routers and routers to cache servers.
 
 const (
-	maxLine  = 4096     // of a command or an answer
-	maxKey   = 250      // memcache's own limit
-	maxWhole = 64 << 10 // of a value that is read whole before anything is done with it
-	maxValue = 4 << 20  // of the protocol: a longer value is passed through in pieces
-	maxID    = 64
-	maxFacts = 32
+	maxLineBytes      = 4096     // of a command or an answer
+	maxKeyBytes       = 250      // memcache's own limit
+	maxBufferedValue  = 64 << 10 // of a value that is read whole before anything is done with it
+	maxValueBytes     = 4 << 20  // of the protocol: a longer value is passed through in pieces
+	maxIDBytes        = 64
+	maxMetadataFields = 32
 )
 
 // errMalformed is the root of all errors about what a peer has sent.
@@ -35,18 +35,18 @@
 
 // command is a request of a client.
 type command struct {
-	verb   string // "mg", "ms", or another of one word
-	key    string
-	id     string  // opaque, O
-	facts  string  // P, as it came
-	length int     // ms: of the value,
-	value  []byte  // which is read last,
-	up     *upload // or on its way already
-	kept   int     // bytes of it in memory
+	verb          string // "mg", "ms", or another of one word
+	key           string
+	id            string  // opaque, O
+	metadata      string  // P, as it came
+	valueBytes    int     // ms: of the value,
+	value         []byte  // which is read last,
+	upload        *upload // or on its way already
+	reservedBytes int     // bytes of it in memory
 
-	class, tenant, idem string
-	wait, hint, size    float64 // ms, ms, bytes
-	retry               bool
+	class, tenant, idempotencyKey              string
+	remainingMillis, workHintMillis, sizeBytes float64 // ms, ms, bytes
+	isRetry                                    bool
 }
 
 // readLine returns a line without its end, valid until the next read. The reader's buffer bounds it.
@@ -73,7 +73,7 @@
 // readLength reads the length of a value.
 func readLength(text string) (int, error) {
 	n, err := strconv.ParseUint(text, 10, 31)
-	if err != nil || n > maxValue {
+	if err != nil || n > maxValueBytes {
 		return 0, malformed("value length %.40q", text)
 	}
 	return int(n), nil
@@ -116,12 +116,12 @@
 	if c.verb != "mg" && c.verb != "ms" {
 		return c, nil
 	}
-	if len(parts) != 5 || len(parts[1]) > maxKey {
-		return c, malformed("%s takes a key of up to %d bytes, %s, O and P", c.verb, maxKey, map[string]string{"mg": "v", "ms": "a length"}[c.verb])
+	if len(parts) != 5 || len(parts[1]) > maxKeyBytes {
+		return c, malformed("%s takes a key of up to %d bytes, %s, O and P", c.verb, maxKeyBytes, map[string]string{"mg": "v", "ms": "a length"}[c.verb])
 	}
 	c.key = parts[1]
 	if c.verb == "ms" {
-		if c.length, err = readLength(parts[2]); err != nil {
+		if c.valueBytes, err = readLength(parts[2]); err != nil {
 			return c, err
 		}
 	} else if parts[2] != "v" {
@@ -129,10 +129,10 @@
 	}
 	for _, f := range parts[3:] {
 		switch {
-		case f[0] == 'O' && c.id == "" && len(f) > 1 && len(f) <= 1+maxID:
+		case f[0] == 'O' && c.id == "" && len(f) > 1 && len(f) <= 1+maxIDBytes:
 			c.id = f[1:]
-		case f[0] == 'P' && c.facts == "":
-			c.facts = f[1:]
+		case f[0] == 'P' && c.metadata == "":
+			c.metadata = f[1:]
 		default:
 			return c, malformed("flag %.40q", f)
 		}
@@ -140,16 +140,16 @@
 	if c.id == "" {
 		return c, malformed("no id")
 	}
-	return c, c.readFacts()
+	return c, c.parseMetadata()
 }
 
-// readFacts reads the list of names and values; unknown names are passed over.
-func (c *command) readFacts() error {
-	c.wait = -1
+// parseMetadata reads the list of names and values; unknown names are passed over.
+func (c *command) parseMetadata() error {
+	c.remainingMillis = -1
 	var names []string
-	for f := range strings.SplitSeq(c.facts, ",") {
+	for f := range strings.SplitSeq(c.metadata, ",") {
 		name, v, found := strings.Cut(f, "=")
-		if !found || name == "" || v == "" || slices.Contains(names, name) || len(names) == maxFacts {
+		if !found || name == "" || v == "" || slices.Contains(names, name) || len(names) == maxMetadataFields {
 			return malformed("fact %.40q", f)
 		}
 		names = append(names, name)
@@ -160,17 +160,17 @@
 		case "t":
 			c.tenant = v
 		case "k":
-			c.idem = v
+			c.idempotencyKey = v
 		case "r":
-			if c.retry = v == "1"; !c.retry && v != "0" {
+			if c.isRetry = v == "1"; !c.isRetry && v != "0" {
 				return malformed("fact %.40q", f)
 			}
 		case "d":
-			at = &c.wait
+			at = &c.remainingMillis
 		case "h":
-			at = &c.hint
+			at = &c.workHintMillis
 		case "size":
-			at = &c.size
+			at = &c.sizeBytes
 		}
 		if at == nil {
 			continue
@@ -181,8 +181,8 @@
 		}
 		*at = n
 	}
-	c.hint /= 1000 // microseconds on sockets; the module counts in milliseconds throughout
-	if c.class == "" || c.wait < 0 {
+	c.workHintMillis /= 1000 // microseconds on sockets; the module counts in milliseconds throughout
+	if c.class == "" || c.remainingMillis < 0 {
 		return malformed("no class or no time")
 	}
 	return nil
@@ -207,7 +207,7 @@
 		b = append(b, " v"...)
 	}
 	b = append(append(append(b, " O"...), c.id...), " P"...)
-	b = append(append(b, c.factsWith(hint)...), "\r\n"...)
+	b = append(append(b, c.metadataWithHint(hint)...), "\r\n"...)
 	if c.verb == "ms" {
 		b = append(append(b, c.value...), "\r\n"...)
 	}
@@ -216,13 +216,13 @@
 
 // reply is what came back for an attempt.
 type reply struct {
-	status decide.AttemptStatus
-	body   []byte // OK: the value or the receipt,
-	length int    // or, where this is above 0, the length of a value that is still to be passed through
-	lineIn bool   // behind which a line end comes
-	note   int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out
-	load   decide.LoadReport
-	last   bool // the connection carries no further request
+	status           decide.AttemptStatus
+	body             []byte // OK: the value or the receipt,
+	streamedBytes    int    // or, where this is above 0, the length of a value that is still to be passed through
+	hasLineEnd       bool   // behind which a line end comes
+	cacheNote        int    // 1 hit, 2 miss, 3 miss while another fetch of the key is out
+	load             decide.LoadReport
+	closesConnection bool // the connection carries no further request
 }
 
 // answerKinds are the beginnings of a cache server's answers.
@@ -279,8 +279,8 @@
 	case kind == "VA" && c.verb == "mg":
 		if id, err = answerID(flags[1:]); err == nil && id == c.id { // else its value is nobody's, and not read
 			var n int
-			if n, err = readLength(flags[0]); err == nil && n > maxWhole {
-				a.length, a.lineIn = n, true
+			if n, err = readLength(flags[0]); err == nil && n > maxBufferedValue {
+				a.streamedBytes, a.hasLineEnd = n, true
 				_, err = r.Peek(1) // one that does not come is no answer
 			} else if err == nil {
 				a.body, err = readValue(r, n, false)
@@ -318,9 +318,9 @@
 		case 'c':
 			receipt = f[1:]
 		case 'h':
-			a.note = map[string]int{"h1": 1, "h0": 2}[f]
+			a.cacheNote = map[string]int{"h1": 1, "h0": 2}[f]
 		case 'Z':
-			a.note = 3
+			a.cacheNote = 3
 		}
 	}
 	if kind == "HD" {
@@ -362,10 +362,10 @@
 
 // The answers that a client gets.
 
-// servedHead is the beginning of an answer whose value is passed through.
-func servedHead(c *command, n int) []byte { return fmt.Appendf(nil, "VA %d O%s\r\n", n, c.id) }
+// streamedAnswerHead is the beginning of an answer whose value is passed through.
+func streamedAnswerHead(c *command, n int) []byte { return fmt.Appendf(nil, "VA %d O%s\r\n", n, c.id) }
 
-func served(c *command, body []byte) []byte {
+func servedAnswer(c *command, body []byte) []byte {
 	if c.verb == "ms" {
 		return fmt.Appendf(nil, "HD O%s c%s\r\n", c.id, body)
 	}
@@ -373,11 +373,11 @@
 	return append(append(b, body...), "\r\n"...)
 }
 
-func refused(wait float64) []byte {
+func rejectedAnswer(wait float64) []byte {
 	if wait < 1 {
 		return []byte("SERVER_ERROR busy\r\n")
 	}
 	return fmt.Appendf(nil, "SERVER_ERROR busy %d\r\n", int64(wait))
 }
 
-func failed() []byte { return []byte("SERVER_ERROR failed\r\n") }
+func failedAnswer() []byte { return []byte("SERVER_ERROR failed\r\n") }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -80,26 +80,26 @@
 
 // A call that the loop has no time for is answered all the same.
 func TestCallToABusyLoop(t *testing.T) {
-	r, err := New(testConfig(t, "127.0.0.1:1", list{}), listenLocal(t), metrics.New())
+	r, err := New(testConfig(t, "127.0.0.1:1", endpointList{}), listenLocal(t), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if err := r.SetDisabled(ctx, "s-0000000b", true); !errors.Is(err, errNotDone) {
+	if err := r.SetDisabled(ctx, "s-0000000b", true); !errors.Is(err, errLoopBusy) {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestForgottenIDsAreTheOldest(t *testing.T) {
-	var n names
+	var n serverIDs
 	n.add("first", 1)
-	for i := range maxNames - 1 {
+	for i := range maxServerIDs - 1 {
 		n.add(fmt.Sprint("s-", i), uint32(i))
 	}
 	n.add("first", 1) // listed again
 	n.add("one more", 2)
-	if len(n.IDs) != maxNames || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
+	if len(n.IDs) != maxServerIDs || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
 		t.Errorf("%d ids", len(n.IDs))
 	}
 	if _, kept := n.IDs["s-0"]; kept {
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -16,7 +16,7 @@
 // The origin's HTTP/1.1.
 
 const (
-	maxHead        = 16 << 10 // bytes of a status line and headers
+	maxHeadBytes   = 16 << 10 // bytes of a status line and headers
 	maxProvisional = 8        // 1xx answers ahead of the answer
 )
 
@@ -24,7 +24,7 @@
 func originRequest(addr string, c *command, hint timeoutHint) ([]byte, error) {
 	r := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: addr, Path: "/" + c.key},
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: addr,
-		Header: http.Header{"X-Correlation-Id": {c.id}, "X-Facts": {c.factsWith(hint)}, "User-Agent": {""}}}
+		Header: http.Header{"X-Correlation-Id": {c.id}, "X-Facts": {c.metadataWithHint(hint)}, "User-Agent": {""}}}
 	if c.verb == "ms" {
 		r.Method, r.ContentLength, r.Body = http.MethodPut, int64(len(c.value)), io.NopCloser(bytes.NewReader(c.value))
 	}
@@ -40,7 +40,7 @@
 	var head []byte
 	for {
 		line, err := r.ReadSlice('\n')
-		if err == bufio.ErrBufferFull || len(head)+len(line) > maxHead {
+		if err == bufio.ErrBufferFull || len(head)+len(line) > maxHeadBytes {
 			return nil, malformed("origin head too long")
 		}
 		if err != nil {
@@ -63,7 +63,7 @@
 
 // readResponse reads an answer of the origin with its body. The body is read here, as the library's Close would read
 // an unwanted one to its end, however long that is.
-func readResponse(r *bufio.Reader, method string, through bool, room *budget) (*http.Response, []byte, error) {
+func readResponse(r *bufio.Reader, method string, through bool, room *byteBudget) (*http.Response, []byte, error) {
 	for range maxProvisional {
 		head, err := readHead(r)
 		if err != nil {
@@ -74,7 +74,7 @@
 		case err != nil:
 			return nil, nil, malformed("origin answer: %v", err)
 		case resp.StatusCode >= 200:
-			if through && resp.StatusCode == http.StatusOK && resp.ContentLength > maxWhole && resp.ContentLength <= maxValue {
+			if through && resp.StatusCode == http.StatusOK && resp.ContentLength > maxBufferedValue && resp.ContentLength <= maxValueBytes {
 				_, err := r.Peek(1)
 				return resp, nil, err // the body is passed through
 			}
@@ -89,11 +89,11 @@
 
 // readBody reads the body that an answer announces. One that ends with the connection is whole only where the answer
 // said that it would: else it can't be told from a broken one.
-func readBody(r *bufio.Reader, resp *http.Response, ends bool, room *budget) ([]byte, error) {
+func readBody(r *bufio.Reader, resp *http.Response, ends bool, room *byteBudget) ([]byte, error) {
 	n := resp.ContentLength
 	chunked := slices.Contains(resp.TransferEncoding, "chunked")
 	switch {
-	case n > maxWhole || n < 0 && !chunked && !ends:
+	case n > maxBufferedValue || n < 0 && !chunked && !ends:
 		return nil, malformed("origin value of %d bytes", n)
 	case n < 0 && !chunked:
 		return readUnsized(r, room)
@@ -118,19 +118,19 @@
 
 // readUnsized reads a body whose length shows only at its end. As an answer to a client begins with the length, such a
 // body must be read whole, however long: beyond the usual, as far as there is room.
-func readUnsized(r io.Reader, room *budget) ([]byte, error) {
+func readUnsized(r io.Reader, room *byteBudget) ([]byte, error) {
 	var body []byte
 	taken := 0
-	defer func() { room.give(taken) }()
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
+	defer func() { room.release(taken) }()
+	buf := chunkPool.Get().(*[chunkBytes]byte)
+	defer chunkPool.Put(buf)
 	for {
 		n, err := r.Read(buf[:])
-		if body = append(body, buf[:n]...); len(body) > maxValue {
-			return nil, malformed("origin value of over %d bytes", maxValue)
+		if body = append(body, buf[:n]...); len(body) > maxValueBytes {
+			return nil, malformed("origin value of over %d bytes", maxValueBytes)
 		}
-		if more := len(body) - maxWhole - taken; more > 0 {
-			if !room.take(more) {
+		if more := len(body) - maxBufferedValue - taken; more > 0 {
+			if !room.tryReserve(more) {
 				return nil, malformed("origin value of unknown length: no room for more than %d bytes", len(body))
 			}
 			taken += more
@@ -146,11 +146,11 @@
 
 // readOrigin reads the origin's answer to c, within the bound on values of unknown length.
 func (u *upstreams) readOrigin(r *bufio.Reader, c *command) (reply, error) {
-	return readOriginReply(r, c, &u.unsized)
+	return readOriginReply(r, c, &u.unsizedValues)
 }
 
 // readOriginReply reads the origin's answer to c.
-func readOriginReply(r *bufio.Reader, c *command, room *budget) (reply, error) {
+func readOriginReply(r *bufio.Reader, c *command, room *byteBudget) (reply, error) {
 	a := reply{load: decide.NoLoadReport}
 	method := http.MethodGet
 	if c.verb == "ms" {
@@ -160,11 +160,11 @@
 	if err != nil {
 		return a, err
 	}
-	a.body, a.load, a.last = body, readLoad(resp.Header.Get("X-Backend-Load")), resp.Close
+	a.body, a.load, a.closesConnection = body, readLoad(resp.Header.Get("X-Backend-Load")), resp.Close
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
-		if a.status = decide.OK; body == nil && resp.ContentLength > maxWhole {
-			a.length = int(resp.ContentLength)
+		if a.status = decide.OK; body == nil && resp.ContentLength > maxBufferedValue {
+			a.streamedBytes = int(resp.ContentLength)
 		}
 		if c.verb == "ms" && !isReceipt(a.body) {
 			return a, malformed("receipt %.40q", a.body)
@@ -180,11 +180,11 @@
 
 // isReceipt says whether a receipt can stand in an answer's line.
 func isReceipt(b []byte) bool {
-	return len(b) > 0 && len(b) < maxLine/2 && !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r > '~' })
+	return len(b) > 0 && len(b) < maxLineBytes/2 && !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
 func readOriginLoad(r *bufio.Reader) (decide.LoadReport, error) {
-	resp, _, err := readResponse(r, http.MethodGet, false, new(budget))
+	resp, _, err := readResponse(r, http.MethodGet, false, new(byteBudget))
 	if err != nil {
 		return decide.NoLoadReport, err
 	}
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -19,11 +19,11 @@
 
 // target is a cache server or the origin, at one address.
 type target struct {
-	addr    string
-	origin  bool
-	started float64         // of its process; the loop's
-	idle    []*upstreamConn // longest idle first; guarded by upstreams.mu
-	gone    bool            // no connection to it is kept any more
+	addr      string
+	isOrigin  bool
+	startedAt float64         // of its process; the loop's
+	idle      []*upstreamConn // longest idle first; guarded by upstreams.mu
+	isRemoved bool            // no connection to it is kept any more
 }
 
 // upstreams keeps the connections to cache servers and origin.
@@ -31,36 +31,36 @@
 	dialer  net.Dialer
 	maxIdle time.Duration
 
-	mu      sync.Mutex
-	unsized budget // bytes of values whose length shows at their end, beyond the usual
-	limit   int    // of this process's part
-	whole   int    // of the router
-	open    int    // connections open or being opened
-	targets map[*target]struct{}
+	mu            sync.Mutex
+	unsizedValues byteBudget // bytes of values whose length shows at their end, beyond the usual
+	limit         int        // of this process's part
+	routerLimit   int        // of the router
+	openConns     int        // connections open or being opened
+	targets       map[*target]struct{}
 
-	trace     *trace.Trace // of connections made
-	uploading atomic.Int64 // large writes on their way
+	trace   *trace.Trace // of connections made
+	uploads atomic.Int64 // large writes on their way
 }
 
-// mostUploads bounds the large writes on their way, which slow clients may hold for long: the rest is for attempts.
-func (u *upstreams) mostUploads() int64 {
+// uploadLimit bounds the large writes on their way, which slow clients may hold for long: the rest is for attempts.
+func (u *upstreams) uploadLimit() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return int64(max(1, u.limit/4))
 }
 
-// errNoSocket tells that the limit on sockets is reached.
-var errNoSocket = errors.New("no socket left")
+// errNoDescriptor tells that the limit on sockets is reached.
+var errNoDescriptor = errors.New("no socket left")
 
 func newUpstreams(connIdle, connectTimeout time.Duration, limit int) *upstreams {
-	u := &upstreams{limit: limit, whole: limit, targets: map[*target]struct{}{}}
+	u := &upstreams{limit: limit, routerLimit: limit, targets: map[*target]struct{}{}}
 	u.dialer.KeepAlive = -1
-	u.retime(connIdle, connectTimeout)
+	u.setTimeouts(connIdle, connectTimeout)
 	return u
 }
 
-// retime sets how long connections may stand idle at a server, and how long one may take to come up.
-func (u *upstreams) retime(connIdle, connectTimeout time.Duration) {
+// setTimeouts sets how long connections may stand idle at a server, and how long one may take to come up.
+func (u *upstreams) setTimeouts(connIdle, connectTimeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dialer.Timeout = connectTimeout
@@ -70,17 +70,17 @@
 	}
 }
 
-// share leaves this process an equal part of the sockets, while several processes are one router.
-func (u *upstreams) share(processes int) {
+// setProcessCount leaves this process an equal part of the sockets, while several processes are one router.
+func (u *upstreams) setProcessCount(processes int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.limit = u.whole / processes
-	for u.open > u.limit && u.evict() {
+	u.limit = u.routerLimit / processes
+	for u.openConns > u.limit && u.evictIdle() {
 	}
 }
 
 func (u *upstreams) add(addr string, origin bool) *target {
-	t := &target{addr: addr, origin: origin}
+	t := &target{addr: addr, isOrigin: origin}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.targets[t] = struct{}{}
@@ -90,7 +90,7 @@
 // remove lets a target go once its attempts are back.
 func (u *upstreams) remove(t *target) {
 	u.mu.Lock()
-	t.gone = true
+	t.isRemoved = true
 	delete(u.targets, t)
 	u.mu.Unlock()
 	u.closeIdle(t)
@@ -101,7 +101,7 @@
 	u.mu.Lock()
 	old := t.idle
 	t.idle = nil
-	u.open -= len(old)
+	u.openConns -= len(old)
 	u.mu.Unlock()
 	closeAll(old)
 }
@@ -132,30 +132,30 @@
 		u.mu.Lock()
 		for t := range u.targets {
 			t.idle = slices.DeleteFunc(t.idle, func(c *upstreamConn) bool {
-				dead := time.Since(c.since) >= u.maxIdle || !c.quiet()
+				dead := time.Since(c.idleSince) >= u.maxIdle || !c.isQuiet()
 				if dead {
 					old = append(old, c)
 				}
 				return dead
 			})
 		}
-		u.open -= len(old)
+		u.openConns -= len(old)
 		u.mu.Unlock()
 		closeAll(old)
 	}
 }
 
-// originRest is how long a connection to the origin rests after an answer. Answers in HTTP carry no id: a second copy
+// originIdleMinimum is how long a connection to the origin rests after an answer. Answers in HTTP carry no id: a second copy
 // of the last one that comes a moment later must be there before the next request is, and not be taken for its answer.
-const originRest = 20 * time.Millisecond
+const originIdleMinimum = 20 * time.Millisecond
 
-// take returns a connection to t, a kept one where there is one. For what can't be repeated it is the one that was used
+// acquire returns a connection to t, a kept one where there is one. For what can't be repeated it is the one that was used
 // last: a server may close sooner than it is meant to, and what is written just then is lost.
-func (u *upstreams) take(ctx context.Context, t *target, once bool) (*upstreamConn, error) {
+func (u *upstreams) acquire(ctx context.Context, t *target, once bool) (*upstreamConn, error) {
 	u.mu.Lock()
 	for {
 		rested := len(t.idle)
-		for rested > 0 && t.origin && time.Since(t.idle[rested-1].since) < originRest {
+		for rested > 0 && t.isOrigin && time.Since(t.idle[rested-1].idleSince) < originIdleMinimum {
 			rested--
 		}
 		if rested == 0 {
@@ -169,18 +169,18 @@
 		}
 		c := t.idle[i]
 		t.idle = slices.Delete(t.idle, i, i+1)
-		if time.Since(c.since) < u.maxIdle && c.quiet() {
+		if time.Since(c.idleSince) < u.maxIdle && c.isQuiet() {
 			u.mu.Unlock()
 			return c, nil
 		}
-		u.open--
+		u.openConns--
 		c.Close()
 	}
-	if u.open >= u.limit && !u.evict() {
+	if u.openConns >= u.limit && !u.evictIdle() {
 		u.mu.Unlock()
-		return nil, errNoSocket
+		return nil, errNoDescriptor
 	}
-	u.open++
+	u.openConns++
 	dialer := u.dialer
 	u.mu.Unlock()
 	c, err := dialer.DialContext(ctx, "tcp", t.addr)
@@ -189,20 +189,20 @@
 	}
 	if err != nil {
 		u.mu.Lock()
-		u.open--
+		u.openConns--
 		u.mu.Unlock()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	uc := &upstreamConn{Conn: c, since: time.Now()}
-	uc.r = bufio.NewReaderSize(uc, maxLine)
+	uc := &upstreamConn{Conn: c, idleSince: time.Now()}
+	uc.reader = bufio.NewReaderSize(uc, maxLineBytes)
 	return uc, nil
 }
 
-// evict closes the connection that has been idle for longest. The caller holds mu.
-func (u *upstreams) evict() bool {
+// evictIdle closes the connection that has been idle for longest. The caller holds mu.
+func (u *upstreams) evictIdle() bool {
 	var from *target
 	for t := range u.targets {
-		if len(t.idle) > 0 && (from == nil || t.idle[0].since.Before(from.idle[0].since)) {
+		if len(t.idle) > 0 && (from == nil || t.idle[0].idleSince.Before(from.idle[0].idleSince)) {
 			from = t
 		}
 	}
@@ -211,34 +211,34 @@
 	}
 	from.idle[0].Close()
 	from.idle = slices.Delete(from.idle, 0, 1)
-	u.open--
+	u.openConns--
 	return true
 }
 
-// put keeps a connection for the next attempt, or closes it.
-func (u *upstreams) put(t *target, c *upstreamConn, reuse bool) {
+// release keeps a connection for the next attempt, or closes it.
+func (u *upstreams) release(t *target, c *upstreamConn, reuse bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if reuse = reuse && !t.gone; reuse {
-		c.since = time.Now()
+	if reuse = reuse && !t.isRemoved; reuse {
+		c.idleSince = time.Now()
 		t.idle = append(t.idle, c)
 		return
 	}
-	u.open--
+	u.openConns--
 	c.Close()
 }
 
-// back returns a connection that was taken and not used. Its server counts it as idle since it was: so does this.
-func (u *upstreams) back(t *target, c *upstreamConn) {
+// releaseUnused returns a connection that was taken and not used. Its server counts it as idle since it was: so does this.
+func (u *upstreams) releaseUnused(t *target, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if t.gone || !c.quiet() {
-		u.open--
+	if t.isRemoved || !c.isQuiet() {
+		u.openConns--
 		c.Close()
 		return
 	}
 	i := 0
-	for i < len(t.idle) && t.idle[i].since.Before(c.since) {
+	for i < len(t.idle) && t.idle[i].idleSince.Before(c.idleSince) {
 		i++
 	}
 	t.idle = slices.Insert(t.idle, i, c)
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -15,23 +15,23 @@
 // probe asks a target for its load.
 func (u *upstreams) probe(ctx context.Context, t *target) (decide.AttemptStatus, decide.LoadReport) {
 	l := decide.NoLoadReport
-	conn, err := u.take(ctx, t, false)
+	conn, err := u.acquire(ctx, t, false)
 	if err != nil {
 		return decide.ConnectError, l
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	ask, read := "stats load\r\n", readStats
-	if t.origin {
+	ask, read := "stats load\r\n", readStatsLoad
+	if t.isOrigin {
 		ask, read = "GET /load HTTP/1.1\r\nHost: "+t.addr+"\r\n\r\n", readOriginLoad
 	}
 	if _, err = io.WriteString(conn, ask); err == nil {
-		err = conn.begun()
+		err = conn.awaitFirstByte()
 	}
 	if err == nil {
-		l, err = read(conn.r)
+		l, err = read(conn.reader)
 	}
 	reuse := stop()
-	u.put(t, conn, reuse && err == nil && conn.clean())
+	u.release(t, conn, reuse && err == nil && conn.isReusable())
 	switch {
 	case err == nil:
 		return decide.OK, l
@@ -41,7 +41,7 @@
 	return decide.Reset, l
 }
 
-func readStats(r *bufio.Reader) (decide.LoadReport, error) {
+func readStatsLoad(r *bufio.Reader) (decide.LoadReport, error) {
 	var fields []string
 	for range 64 {
 		line, err := readLine(r)
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -31,7 +31,7 @@
 		}
 	}))
 	t.Cleanup(func() { slow.CloseClientConnections(); slow.Close() })
-	r.updates <- testConfig(t, slow.Listener.Addr().String(), list{})
+	r.updates <- testConfig(t, slow.Listener.Addr().String(), endpointList{})
 	next(t, ended, "end of a first call, which was not answered") // so the new one is asked again and again
 	if got := c.ask(read("a1", 5000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("while the new one is silent: got %q", got)
@@ -57,23 +57,23 @@
 
 // An answer of the old discovery that is on its way when the new one is named is not heard.
 func TestLateAnswerOfTheOldDiscoveryIsPassedOver(t *testing.T) {
-	cfg := testConfig(t, "127.0.0.1:1", list{})
+	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	l, err := newLoop(cfg, newUpstreams(time.Second, time.Second, 10), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, fresh := l.newSource(cfg, func(list) {}), l.newSource(cfg, func(list) {})
+	old, fresh := l.newWatch(cfg, func(endpointList) {}), l.newWatch(cfg, func(endpointList) {})
 	// told has a discovery tell a list, and the loop take it after what comes between the two.
 	told := func(d *discovery, between func()) {
 		done := make(chan struct{})
-		go func() { defer close(done); d.tell(full(box("s-0000000b", "127.0.0.1:1"))) }()
+		go func() { defer close(done); d.onList(full(box("s-0000000b", "127.0.0.1:1"))) }()
 		event := next(t, l.events, "the list")
 		between()
 		event()
 		next(t, done, "the end of telling it")
 	}
-	l.follow(old)
-	told(old, func() { l.follow(fresh) })
+	l.setDiscovery(old)
+	told(old, func() { l.setDiscovery(fresh) })
 	if len(l.targets) != 0 {
 		t.Error("the old discovery is still heard")
 	}
@@ -109,7 +109,7 @@
 func TestNewClassesAtReload(t *testing.T) {
 	a, o := startFake(t, hit), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", a.addr), originAt(o.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	r := start(t, cfg)
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
@@ -137,7 +137,7 @@
 }
 
 func TestFileThatLacksAKeyReplacesNothing(t *testing.T) {
-	cfg := testConfig(t, "127.0.0.1:1", list{})
+	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	for text, key := range map[string]string{`"connIdle":10000,`: "settings.caps.connIdle", `"cancel":false,`: "settings.caps.cancel",
 		`"weights":"nominal",`: "settings.weights", `"cores":1,`: "limits.cores"} {
 		got := retuned(t, cfg, text, "")
@@ -162,8 +162,8 @@
 		fmt.Fprint(w, `{"version":42,"full":false,"servers":[]}`)
 	}))
 	t.Cleanup(srv.Close)
-	d := newDiscovery(srv.Listener.Addr().String(), true, 36, func(list) {}, func() {})
-	d.holds, d.from = true, 41
+	d := newDiscovery(srv.Listener.Addr().String(), true, 36, func(endpointList) {}, func() {})
+	d.holdsList, d.heldVersion = true, 41
 	for range 2 {
 		if _, err := d.follow(t.Context()); err == nil {
 			t.Fatal("no end of a refused watch")
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -7,90 +7,90 @@
 	"time"
 )
 
-// push makes a place for the answer to a command that has come.
-func (c *clientConn) push() *slot {
-	sl := &slot{c: c}
+// appendResponse makes a place for the answer to a command that has come.
+func (c *clientConn) appendResponse() *response {
+	sl := &response{conn: c}
 	c.mu.Lock()
-	c.queue = append(c.queue, sl)
+	c.pending = append(c.pending, sl)
 	c.mu.Unlock()
 	return sl
 }
 
 // answer gives the answer to a command. It does not block.
-func (sl *slot) answer(text []byte) {
-	c := sl.c
-	c.s.l.answerBytes.add(len(text))
+func (sl *response) answer(text []byte) {
+	c := sl.conn
+	c.clients.loop.answerBytes.reserve(len(text))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if sl.text, sl.ready = text, true; c.broken {
-		c.s.l.answerBytes.give(len(text))
+	if sl.answerBytes, sl.isReady = text, true; c.isUnwritable {
+		c.clients.loop.answerBytes.release(len(text))
 		return
 	}
-	c.begun()
+	c.startWriter()
 }
 
-// begun has answers written if some are there and none is being written. The caller holds mu.
-func (c *clientConn) begun() {
-	if c.writing == 0 && c.queue[0].ready {
-		if out, size := c.batch(); len(out) > 0 {
-			c.s.wg.Go(func() { c.write(out, size) })
+// startWriter has answers written if some are there and none is being written. The caller holds mu.
+func (c *clientConn) startWriter() {
+	if c.answersInWrite == 0 && c.pending[0].isReady {
+		if out, size := c.nextBatch(); len(out) > 0 {
+			c.clients.wg.Go(func() { c.writeAnswers(out, size) })
 		}
 	}
 }
 
-// batch takes the answers that are there off the queue, in the order of the commands. Where a value that is passed
+// nextBatch takes the answers that are there off the queue, in the order of the commands. Where a value that is passed
 // through comes next, it returns none: the writing is then up to the value's sink. The caller holds mu.
-func (c *clientConn) batch() (out net.Buffers, size int) {
-	c.writing = 0
-	for len(c.queue) > 0 && c.queue[0].ready {
-		if turn := c.queue[0].turn; turn != nil {
+func (c *clientConn) nextBatch() (out net.Buffers, size int) {
+	c.answersInWrite = 0
+	for len(c.pending) > 0 && c.pending[0].isReady {
+		if turn := c.pending[0].streamTurn; turn != nil {
 			if len(out) == 0 {
-				c.queue, c.writing = c.queue[1:], 1
+				c.pending, c.answersInWrite = c.pending[1:], 1
 				close(turn)
 			}
 			return out, size
 		}
-		out, size = append(out, c.queue[0].text), size+len(c.queue[0].text)
-		c.queue, c.writing = c.queue[1:], c.writing+1
+		out, size = append(out, c.pending[0].answerBytes), size+len(c.pending[0].answerBytes)
+		c.pending, c.answersInWrite = c.pending[1:], c.answersInWrite+1
 	}
 	return out, size
 }
 
-// write writes answers until none is there.
-func (c *clientConn) write(out net.Buffers, size int) {
+// writeAnswers writes answers until none is there.
+func (c *clientConn) writeAnswers(out net.Buffers, size int) {
 	for len(out) > 0 {
-		c.SetWriteDeadline(time.Now().Add(answerTime))
+		c.SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 		_, err := out.WriteTo(c.Conn)
-		c.s.l.answerBytes.give(size)
-		out, size = c.written(err)
+		c.clients.loop.answerBytes.release(size)
+		out, size = c.afterWrite(err)
 	}
 }
 
-// written books what has been written and returns what is next.
-func (c *clientConn) written(err error) (out net.Buffers, size int) {
+// afterWrite books what has been written and returns what is next.
+func (c *clientConn) afterWrite(err error) (out net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil && !c.broken {
-		c.breakOff()
+	if err != nil && !c.isUnwritable {
+		c.markUnwritable()
 		c.Close() // which ends the reader too; it tells the loop
 	}
-	if c.broken {
-		c.writing = 0
+	if c.isUnwritable {
+		c.answersInWrite = 0
 		return nil, 0
 	}
-	c.answered = time.Now()
-	if out, size = c.batch(); c.open() == 0 {
-		c.queue = nil // and the answers that its array holds
-		c.since = c.answered
+	c.lastAnswerAt = time.Now()
+	if out, size = c.nextBatch(); c.unanswered() == 0 {
+		c.pending = nil // and the answers that its array holds
+		c.idleStart = c.lastAnswerAt
 	}
 	switch {
-	case c.watching: // it may be what is waited for
-		c.SetReadDeadline(past)
-	case c.open() > 0 || c.reading && c.closing: // a command that has begun has its own time
-	case c.closing:
-		c.SetReadDeadline(past)
+	case c.isWatchingForDisconnect: // it may be what is waited for
+		c.SetReadDeadline(expiredDeadline)
+	case c.unanswered() > 0 || c.isReadingCommand && c.isDraining: // a command that has begun has its own time
+	case c.isDraining:
+		c.SetReadDeadline(expiredDeadline)
 	default:
-		c.SetReadDeadline(c.since.Add(idleTime))
+		c.SetReadDeadline(c.idleStart.Add(idleTimeout))
 	}
 	return out, size
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -185,14 +185,14 @@
 type directory struct {
 	*httptest.Server
 	mu      sync.Mutex
-	lists   []list // the whole list first, then changes
+	lists   []endpointList // the whole list first, then changes
 	changed chan struct{}
 	calls   chan string
 }
 
-func startDirectory(t testing.TB, first list) *directory {
+func startDirectory(t testing.TB, first endpointList) *directory {
 	t.Helper()
-	d := &directory{lists: []list{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
+	d := &directory{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls <- r.URL.RawQuery
 		after := r.URL.Query().Get("after")
@@ -211,7 +211,7 @@
 			select {
 			case <-changed:
 			case <-time.After(time.Duration(ms) * time.Millisecond):
-				json.NewEncoder(w).Encode(list{Version: last(after)})
+				json.NewEncoder(w).Encode(endpointList{Version: last(after)})
 				return
 			case <-r.Context().Done():
 				return
@@ -229,26 +229,28 @@
 }
 
 // change tells of a change.
-func (d *directory) change(entries ...entry) {
+func (d *directory) change(entries ...listEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	last := d.lists[len(d.lists)-1]
-	d.lists = append(d.lists, list{Version: last.Version + 1, Servers: entries})
+	d.lists = append(d.lists, endpointList{Version: last.Version + 1, Servers: entries})
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func box(id, addr string) entry {
-	return entry{ID: id, Addr: addr, Zone: "a", Kind: "box", State: "active", Weight: 1}
+func box(id, addr string) listEntry {
+	return listEntry{ID: id, Addr: addr, Zone: "a", Kind: "box", State: "active", Weight: 1}
 }
 
-func originAt(addr string) entry {
+func originAt(addr string) listEntry {
 	e := box("s-00000063", addr)
 	e.Kind = "origin"
 	return e
 }
 
-func full(entries ...entry) list { return list{Version: 1, Full: true, Servers: entries} }
+func full(entries ...listEntry) endpointList {
+	return endpointList{Version: 1, IsComplete: true, Servers: entries}
+}
 
 // running is a router under test.
 type running struct {
@@ -259,7 +261,7 @@
 	updates chan *Config
 }
 
-func testConfig(t testing.TB, discovery string, known list) *Config {
+func testConfig(t testing.TB, discovery string, known endpointList) *Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "known": known, "settings": json.RawMessage(testSettings)})
@@ -277,14 +279,20 @@
 	return cfg
 }
 
-func start(t testing.TB, cfg *Config) *running {
+// newRouter is a router that serves on a listener once it runs.
+func newRouter(t testing.TB, cfg *Config, listener net.Listener) *Router {
 	t.Helper()
-	ln := listenLocal(t)
-	r, err := New(cfg, ln, metrics.New())
+	r, err := New(cfg, listener, metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, r, ln)
+	return r
+}
+
+func start(t testing.TB, cfg *Config) *running {
+	t.Helper()
+	listener := listenLocal(t)
+	return run(t, newRouter(t, cfg, listener), listener)
 }
 
 func run(t testing.TB, router *Router, ln net.Listener) *running {
@@ -301,10 +309,10 @@
 }
 
 // serving starts a router over a list that discovery gives, and waits until it is ready.
-func serving(t testing.TB, entries ...entry) (*running, *directory) {
+func serving(t testing.TB, entries ...listEntry) (*running, *directory) {
 	t.Helper()
 	d := startDirectory(t, full(entries...))
-	r := start(t, testConfig(t, d.Listener.Addr().String(), list{}))
+	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	next(t, d.calls, "call for the list")
 	next(t, d.calls, "watch")
 	c := dial(t, r.addr)
@@ -474,7 +482,7 @@
 func TestCanceledAttemptIsGivenUp(t *testing.T) {
 	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	cfg.settings.Config.CancelAllowed = true
 	r := start(t, cfg)
 	c := dial(t, r.addr)
@@ -500,7 +508,7 @@
 			answer := newGate(t)
 			s, o := startFake(t, hit), startFake(t, func(line string) string { <-answer.ch; return originOK(line) })
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-			cfg := testConfig(t, d.Listener.Addr().String(), list{})
+			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = allowed
 			r := start(t, cfg)
 			for c := dial(t, r.addr); c.ask("mn") != "MN"; {
@@ -509,14 +517,14 @@
 			c.send(bill("a1", 60000) + "\r\n") // the module itself gives up reads only
 			next(t, o.seen, "request")
 			c.Close()
-			until(t, r.router.l, "the end of the request", func() bool { return len(r.router.l.unanswered) == 0 })
+			until(t, r.router.loop, "the end of the request", func() bool { return len(r.router.loop.unanswered) == 0 })
 			if !allowed {
 				if len(o.ended) > 0 {
 					t.Error("given up")
 				}
 				answer.let()
-				until(t, r.router.l, "the end of the attempt", func() bool { return len(r.router.l.reqs) == 0 })
-				if kept := idle(r.router.up, origin(r.router.l)); len(kept) != 1 || o.conns.Load() != 1 {
+				until(t, r.router.loop, "the end of the attempt", func() bool { return len(r.router.loop.requests) == 0 })
+				if kept := idle(r.router.upstreams, origin(r.router.loop)); len(kept) != 1 || o.conns.Load() != 1 {
 					t.Errorf("%d of %d connections kept", len(kept), o.conns.Load())
 				}
 				return
@@ -531,7 +539,7 @@
 func origin(l *loop) (at *target) {
 	look(l, func() {
 		for _, t := range l.targets {
-			if t.origin {
+			if t.isOrigin {
 				at = t
 			}
 		}
@@ -618,7 +626,7 @@
 func TestNotReadyWithoutAList(t *testing.T) {
 	ln := listenLocal(t)
 	ln.Close()
-	r := start(t, testConfig(t, ln.Addr().String(), list{}))
+	r := start(t, testConfig(t, ln.Addr().String(), endpointList{}))
 	if got := dial(t, r.addr).ask("mn"); got != "SERVER_ERROR not ready" {
 		t.Errorf("got %q", got)
 	}
@@ -748,13 +756,13 @@
 
 func TestCommandIsRead(t *testing.T) {
 	in := "ms 7f3a9c21e0b4d655 3 Oa1 Pc=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1\r\nabc\r\n"
-	r := bufio.NewReaderSize(strings.NewReader(in), maxLine)
+	r := bufio.NewReaderSize(strings.NewReader(in), maxLineBytes)
 	got, err := readCommand(r)
 	if err == nil {
-		got.value, err = readValue(r, got.length, false)
+		got.value, err = readValue(r, got.valueBytes, false)
 	}
-	want := command{verb: "ms", length: 3, idem: "7", key: "7f3a9c21e0b4d655", id: "a1", facts: "c=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1",
-		value: []byte("abc"), class: "put", tenant: "acme", wait: 480.5, hint: 52, size: 3, retry: true} // h is in microseconds
+	want := command{verb: "ms", valueBytes: 3, idempotencyKey: "7", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1",
+		value: []byte("abc"), class: "put", tenant: "acme", remainingMillis: 480.5, workHintMillis: 52, sizeBytes: 3, isRetry: true} // h is in microseconds
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v", got, err)
 	}
@@ -766,10 +774,10 @@
 	f.Add([]byte("ms k 99999999999999999999 O P\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		read := func(in []byte) (command, error) {
-			r := bufio.NewReaderSize(bytes.NewReader(in), 2*maxLine)
+			r := bufio.NewReaderSize(bytes.NewReader(in), 2*maxLineBytes)
 			c, err := readCommand(r)
 			if err == nil && c.verb == "ms" {
-				c.value, err = readValue(r, c.length, false)
+				c.value, err = readValue(r, c.valueBytes, false)
 			}
 			return c, err
 		}
@@ -777,7 +785,7 @@
 		if err != nil || c.verb != "mg" && c.verb != "ms" {
 			return
 		}
-		again, err := read(c.append(nil, hintFor(c.wait)))
+		again, err := read(c.append(nil, hintFor(c.remainingMillis)))
 		if err != nil || again.key != c.key || again.id != c.id || !bytes.Equal(again.value, c.value) {
 			t.Errorf("%q came back as %+v, %v", in, again, err)
 		}
@@ -796,8 +804,8 @@
 			c.verb = "ms"
 		}
 		for _, parse := range []func(*bufio.Reader, *command) (reply, error){readReply,
-			func(r *bufio.Reader, c *command) (reply, error) { return readOriginReply(r, c, new(budget)) }} {
-			if a, err := parse(bufio.NewReaderSize(bytes.NewReader(in), maxLine), c); err == nil && len(a.body) > maxWhole {
+			func(r *bufio.Reader, c *command) (reply, error) { return readOriginReply(r, c, new(byteBudget)) }} {
+			if a, err := parse(bufio.NewReaderSize(bytes.NewReader(in), maxLineBytes), c); err == nil && len(a.body) > maxBufferedValue {
 				t.Errorf("%d bytes of %q", len(a.body), in)
 			}
 		}
@@ -830,7 +838,7 @@
 	}))
 	defer d.Close()
 	defer d.CloseClientConnections()
-	r := start(t, testConfig(t, d.Listener.Addr().String(), list{}))
+	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	var before call
 	for i, after := range []string{"", "after=1&", "after=1&", "", "", "after=3&", "after=3&", "after=4&"} {
 		c := next(t, calls, fmt.Sprintf("call %d", i))
@@ -853,7 +861,7 @@
 	e := box("s-0000000b", s.addr)
 	r, d := serving(t, e, originAt(o.addr))
 	dial(t, r.addr).ask(read("a1", 2000))
-	e.Started = float64(time.Now().UnixMilli())
+	e.StartedMillis = float64(time.Now().UnixMilli())
 	began := time.Now()
 	d.change(e)
 	next(t, s.ended, "end of the old connection")
@@ -885,7 +893,7 @@
 	}))
 	defer d.Close()
 	defer d.CloseClientConnections()
-	r := start(t, testConfig(t, d.Listener.Addr().String(), list{}))
+	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	next(t, calls, "call for the list")
 	next(t, calls, "watch")
 	began := time.Now()
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -35,17 +35,17 @@
 	if err := l.admission.check(cfg); err != nil {
 		return err
 	}
-	if err := l.b.Reconfigure(l.now(), cfg.settings.Config); err != nil {
+	if err := l.balancer.Reconfigure(l.now(), cfg.settings.Config); err != nil {
 		return err
 	}
 	l.admission.reconfigure(cfg)
 	l.rules.Store(newRules(cfg.settings.Config, l.metrics))
-	l.up.retime(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout))
+	l.upstreams.setTimeouts(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeout))
 	return nil
 }
 
-// check tells what is wrong with a command for this deployment. It may be called from any goroutine.
-func (l *loop) check(cmd *command) error {
+// checkCommand tells what is wrong with a command for this deployment. It may be called from any goroutine.
+func (l *loop) checkCommand(cmd *command) error {
 	if cmd.verb != "mg" && cmd.verb != "ms" {
 		return nil
 	}
@@ -53,7 +53,7 @@
 	switch {
 	case c == nil:
 		return malformed("class %.40q", cmd.class)
-	case c.Effect == decide.IdempotentByKey && cmd.idem == "":
+	case c.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "":
 		return malformed("class %s takes k", cmd.class)
 	}
 	return nil
--- a/internal/router/server_ids.go
+++ b/internal/router/server_ids.go
@@ -2,35 +2,37 @@
 
 import "maps"
 
-// maxNames bounds the ids that are remembered. In service servers are replaced by new ones for months.
-const maxNames = 4096
+// maxServerIDs bounds the ids that are remembered. In service servers are replaced by new ones for months.
+const maxServerIDs = 4096
 
-// names are the ids that discovery has listed so far, with what the module calls them. When there are too many, the one
+// serverIDs are the ids that discovery has listed so far, with what the module calls them. When there are too many, the one
 // listed for the last time longest ago is forgotten.
-type names struct {
-	IDs  map[string]uint32 `json:"IDs"`
-	Seen map[string]int64  `json:"Seen"` // when it was last listed, by count
-	Tick int64             `json:"Tick"`
+type serverIDs struct {
+	IDs        map[string]uint32 `json:"IDs"`
+	LastListed map[string]int64  `json:"Seen"` // when it was last listed, by count
+	ListCount  int64             `json:"Tick"`
 }
 
-func (n *names) add(name string, id uint32) {
+func (n *serverIDs) add(name string, id uint32) {
 	if n.IDs == nil {
-		n.IDs, n.Seen = map[string]uint32{}, map[string]int64{}
+		n.IDs, n.LastListed = map[string]uint32{}, map[string]int64{}
 	}
-	n.Tick++
-	n.IDs[name], n.Seen[name] = id, n.Tick
-	if len(n.IDs) <= maxNames {
+	n.ListCount++
+	n.IDs[name], n.LastListed[name] = id, n.ListCount
+	if len(n.IDs) <= maxServerIDs {
 		return
 	}
 	oldest := name
-	for k, at := range n.Seen {
-		if at < n.Seen[oldest] {
+	for k, at := range n.LastListed {
+		if at < n.LastListed[oldest] {
 			oldest = k
 		}
 	}
 	delete(n.IDs, oldest)
-	delete(n.Seen, oldest)
+	delete(n.LastListed, oldest)
 }
 
-// copied is a copy that another goroutine may read.
-func (n *names) copied() names { return names{maps.Clone(n.IDs), maps.Clone(n.Seen), n.Tick} }
+// clone is a copy that another goroutine may read.
+func (n *serverIDs) clone() serverIDs {
+	return serverIDs{maps.Clone(n.IDs), maps.Clone(n.LastListed), n.ListCount}
+}
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -9,11 +9,11 @@
 )
 
 // largeFleet is a list of so many cache servers and the origin, with ids and addresses of the usual length.
-func largeFleet(servers int) list {
-	entries := []entry{originAt("127.0.0.1:1")}
+func largeFleet(servers int) endpointList {
+	entries := []listEntry{originAt("127.0.0.1:1")}
 	for i := range servers {
 		e := box(fmt.Sprintf("s-%08x", 0x5be20000+i), fmt.Sprintf("10.%d.%d.%d:11211", 100+i>>16, 100+i>>8&0x7f, 100+i&0x7f))
-		e.Zone, e.Kind, e.Cell, e.Weight, e.Started = fmt.Sprintf("region-%02d-zone-%02d", i%13, i%47), "box", i%64, 1.25, 1796188180127
+		e.Zone, e.Kind, e.Cell, e.Weight, e.StartedMillis = fmt.Sprintf("region-%02d-zone-%02d", i%13, i%47), "box", i%64, 1.25, 1796188180127
 		entries = append(entries, e)
 	}
 	return full(entries...)
@@ -42,19 +42,19 @@
 	}))
 	t.Cleanup(d.Close)
 	t.Cleanup(hold.let)
-	old := start(t, testConfig(t, d.Listener.Addr().String(), list{}))
-	until(t, old.router.l, "the list", func() bool { return len(old.router.l.targets) == servers+1 })
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", list{}))
+	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	until(t, old.router.loop, "the list", func() bool { return len(old.router.loop.targets) == servers+1 })
+	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
-	until(t, young.router.l, "the successor's list", func() bool { return len(young.router.l.targets) == servers+1 })
-	var state handed
-	look(old.router.l, func() {
-		l := old.router.l
-		state = handed{Module: l.b.HandOver(l.now()), List: l.known(), Names: l.names.copied()}
+	until(t, young.router.loop, "the successor's list", func() bool { return len(young.router.loop.targets) == servers+1 })
+	var state handoverState
+	look(old.router.loop, func() {
+		l := old.router.loop
+		state = handoverState{Decisions: l.balancer.HandOver(l.now()), List: l.currentList(), ServerIDs: l.serverIDs.clone()}
 	})
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d servers: a list of %d bytes, indented %d of %d, a handed-over state of %d", servers, len(compact), len(indented), maxList, len(text))
+	t.Logf("%d servers: a list of %d bytes, indented %d of %d, a handed-over state of %d", servers, len(compact), len(indented), maxListBytes, len(text))
 }
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// waiting reports whether there is something to read on a connection.
-func waiting(c net.Conn) bool {
+// hasInput reports whether there is something to read on a connection.
+func hasInput(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
@@ -37,30 +37,30 @@
 	return n, err
 }
 
-// ended reports whether the other side of a connection has closed it or is gone, also where input stands before the end.
-func ended(c net.Conn) (end bool) {
-	onSocket(c, func(raw syscall.RawConn) {
-		if raw.Control(func(fd uintptr) { end = endedAt(int(fd)) }) != nil {
+// hasEnded reports whether the other side of a connection has closed it or is gone, also where input stands before the end.
+func hasEnded(c net.Conn) (end bool) {
+	withSocket(c, func(raw syscall.RawConn) {
+		if raw.Control(func(fd uintptr) { end = socketHasEnded(int(fd)) }) != nil {
 			end = true // this side has closed it
 		}
 	})
 	return end
 }
 
-// awaitEnd waits until ended holds, which it tells, or the time for reading is up. Up to so many bytes of input are thrown
+// awaitDisconnect waits until ended holds, which it tells, or the time for reading is up. Up to so many bytes of input are thrown
 // away meanwhile: a client that sends on can't say that it leaves once there is no room for what it sends.
-func awaitEnd(c net.Conn, unwanted *int) (end bool) {
-	onSocket(c, func(raw syscall.RawConn) {
+func awaitDisconnect(c net.Conn, unwanted *int) (end bool) {
+	withSocket(c, func(raw syscall.RawConn) {
 		err := raw.Read(func(fd uintptr) bool {
 			for *unwanted > 0 {
-				var b [maxLine]byte
+				var b [maxLineBytes]byte
 				n, err := syscall.Read(int(fd), b[:])
 				if err != nil || n <= 0 {
 					break
 				}
 				*unwanted -= n
 			}
-			end = endedAt(int(fd))
+			end = socketHasEnded(int(fd))
 			return end
 		})
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -70,8 +70,8 @@
 	return end
 }
 
-// endedAt is ended for a socket. What stands before the end hides it from a look at the input, but not from a poll.
-func endedAt(fd int) bool {
+// socketHasEnded is ended for a socket. What stands before the end hides it from a look at the input, but not from a poll.
+func socketHasEnded(fd int) bool {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
@@ -80,19 +80,19 @@
 	case err != nil || n == 0:
 		return true
 	}
-	return polled(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return pollSocket(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// queued reports whether a connection stands in a listener's queue.
-func queued(ln net.Listener) (stands bool) {
-	onSocket(ln, func(raw syscall.RawConn) {
-		raw.Control(func(fd uintptr) { stands = polled(int(fd), unix.POLLIN)&unix.POLLIN != 0 }) //nolint:errcheck // closed: none stands there
+// hasQueuedConnection reports whether a connection stands in a listener's queue.
+func hasQueuedConnection(ln net.Listener) (stands bool) {
+	withSocket(ln, func(raw syscall.RawConn) {
+		raw.Control(func(fd uintptr) { stands = pollSocket(int(fd), unix.POLLIN)&unix.POLLIN != 0 }) //nolint:errcheck // closed: none stands there
 	})
 	return stands
 }
 
-// polled asks a socket for events without waiting for them.
-func polled(fd int, events int16) int16 {
+// pollSocket asks a socket for events without waiting for them.
+func pollSocket(fd int, events int16) int16 {
 	of := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if n, err := unix.Poll(of, 0); err != nil || n == 0 {
 		return 0
@@ -100,8 +100,8 @@
 	return of[0].Revents
 }
 
-// onSocket calls do with the socket of a connection or a listener, if it has one.
-func onSocket(c any, do func(raw syscall.RawConn)) {
+// withSocket calls do with the socket of a connection or a listener, if it has one.
+func withSocket(c any, do func(raw syscall.RawConn)) {
 	if sc, ok := c.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			do(raw)
--- a/internal/router/streaming_test.go
+++ b/internal/router/streaming_test.go
@@ -95,10 +95,10 @@
 		t.Cleanup(func() { c.Close() })
 	}
 	from := &upstreamConn{Conn: up}
-	from.r = bufio.NewReaderSize(from, maxLine)
+	from.reader = bufio.NewReaderSize(from, maxLineBytes)
 	turn := make(chan struct{})
 	close(turn)
-	s := &sink{ctx: t.Context(), sl: &slot{c: &clientConn{Conn: down, dead: make(chan struct{})}, turn: turn}}
+	s := &valueStream{ctx: t.Context(), response: &response{conn: &clientConn{Conn: down, unwritable: make(chan struct{})}, streamTurn: turn}}
 	var given atomic.Int64
 	go func() {
 		for range n / step {
@@ -110,7 +110,7 @@
 		io.WriteString(server, "\r\n")
 	}()
 	done := make(chan error, 1)
-	go func() { done <- s.pass(from, reply{length: n, lineIn: true}) }()
+	go func() { done <- s.copyValue(from, reply{streamedBytes: n, hasLineEnd: true}) }()
 	b := make([]byte, step)
 	for taken := int64(0); taken < n; {
 		m, err := reader.Read(b)
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 		taken += int64(m)
-		if ahead := given.Load() - taken; ahead > piece+2*maxLine {
+		if ahead := given.Load() - taken; ahead > chunkBytes+2*maxLineBytes {
 			t.Fatalf("%d bytes lie between", ahead)
 		}
 	}
@@ -154,10 +154,10 @@
 			t.Errorf("the origin got %.100q and %d bytes", got, len(got))
 		}
 	}
-	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 || r.router.l.valueBytes.used.Load() != 0 {
-		t.Errorf("got %+v, %d bytes held", got, r.router.l.valueBytes.used.Load())
+	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 || r.router.loop.valueBytes.used.Load() != 0 {
+		t.Errorf("got %+v, %d bytes held", got, r.router.loop.valueBytes.used.Load())
 	}
-	if n := r.router.up.uploading.Load(); n != 0 {
+	if n := r.router.upstreams.uploads.Load(); n != 0 {
 		t.Errorf("%d writes on their way", n)
 	}
 }
@@ -210,7 +210,7 @@
 		}
 		c.Close()
 	}
-	for r.router.up.uploading.Load() != 0 || r.router.l.valueBytes.used.Load() != 0 {
+	for r.router.upstreams.uploads.Load() != 0 || r.router.loop.valueBytes.used.Load() != 0 {
 	}
 	if len(o.seen) != 0 || r.figures(t).Dispatches != 0 {
 		t.Error("a write that broke off has run")
--- a/internal/router/timeout_hint.go
+++ b/internal/router/timeout_hint.go
@@ -20,10 +20,10 @@
 	return timeoutHint(min(remainingMillis, math.MaxInt32))
 }
 
-// factsWith is the list of names and values that an upstream gets with a command, a cache server and the origin alike: as
+// metadataWithHint is the list of names and values that an upstream gets with a command, a cache server and the origin alike: as
 // the client sent it, but for the timeout hint. A client that sent none leaves it without.
-func (c *command) factsWith(hint timeoutHint) string {
-	facts := strings.Split(c.facts, ",")
+func (c *command) metadataWithHint(hint timeoutHint) string {
+	facts := strings.Split(c.metadata, ",")
 	for i, fact := range facts {
 		if strings.HasPrefix(fact, "d=") {
 			facts[i] = "d=" + strconv.FormatInt(int64(hint), 10)
@@ -35,7 +35,7 @@
 // uploadHint is the hint in the head of a large write, which goes out while the value is still coming. A request's time
 // begins with its last byte, so all that the client and the class allow is left then.
 func (l *loop) uploadHint(c *command) timeoutHint {
-	allowed := c.wait
+	allowed := c.remainingMillis
 	if rule := l.rules.Load().classes[c.class]; rule != nil {
 		allowed = min(allowed, rule.DeadlineMillis)
 	}
@@ -44,8 +44,8 @@
 
 // startWriting moves an attempt on to being written, before its first byte, and returns the hint for it; 0 where nothing may
 // be written any more: its client has disconnected, its time is up, or it was cancelled.
-func (l *loop) startWriting(a *attempt, client *slot, limits sendLimits) timeoutHint {
-	if client.c.disconnected() { // the loop may not have heard of it yet
+func (l *loop) startWriting(a *attempt, client *response, limits sendLimits) timeoutHint {
+	if client.conn.disconnected() { // the loop may not have heard of it yet
 		l.post(func() { l.clientDisconnected(client) })
 		return 0
 	}
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -114,7 +114,7 @@
 			s, o, up := startFake(t, hit), startFake(t, originOK), newGate(t)
 			dialing := make(chan struct{}, 10)
 			l, _, addr := partsOf(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-			l.up.holdDials(dialing, up)
+			l.upstreams.holdDials(dialing, up)
 			c := dial(t, addr)
 			c.send(command)
 			next(t, dialing, "a dial")
@@ -135,11 +135,11 @@
 // Nothing is written when less than the least hint is left, though the loop is too busy to end the attempt.
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
 	s, up := startFake(t, hit), newGate(t)
-	cfg := longLived(testConfig(t, "127.0.0.1:1", list{}))
+	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.settings.Config.HealthChecks = false // whose dials are not the request's
 	l, _, addr := partsUnder(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
 	dialing := make(chan struct{}, 10)
-	l.up.holdDials(dialing, up)
+	l.upstreams.holdDials(dialing, up)
 	c := dial(t, addr)
 	const short = 400
 	c.send(key(1, "w0", short) + "\r\n")
@@ -153,7 +153,7 @@
 	if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR") {
 		t.Errorf("got %q", got)
 	}
-	until(t, l, "the end of all", func() bool { return len(l.reqs) == 0 })
+	until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 	if len(s.seen) > 0 {
 		t.Errorf("sent: %q", drained(s.seen))
 	}
@@ -172,8 +172,8 @@
 			most := float64(allowed)
 			if ending { // the process is told to end
 				most = 1500
-				l := r.router.l
-				look(l, func() { l.endBy(l.now() + most) })
+				l := r.router.loop
+				look(l, func() { l.answerAllBy(l.now() + most) })
 			}
 			had := time.Now()
 			c.send(strings.Replace(largeWrite("w1", bigValue(1<<20)), "d=2000", "d=60000", 1))
@@ -207,15 +207,15 @@
 			s := startFake(t, func(line string) string { <-answer.ch; return miss(line) })
 			o := startFake(t, originOK)
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-			r := start(t, longLived(testConfig(t, d.Listener.Addr().String(), list{})))
-			l := r.router.l
+			r := start(t, longLived(testConfig(t, d.Listener.Addr().String(), endpointList{})))
+			l := r.router.loop
 			c := dial(t, r.addr)
 			for c.ask("mn") != "MN" {
 			}
 			c.send(key(1, "w0", longWait) + "\r\n")
 			next(t, s.seen, "the read")
 			if upgrade {
-				young, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", list{})))
+				young, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
 				defer end()
 				for !young.router.Ready() || r.router.peers.count() == 0 {
 				}
@@ -226,7 +226,7 @@
 			time.Sleep(held)
 			missed := time.Now()
 			answer.let()
-			atMost(t, next(t, o.seen, "its fetch"), min(l.longest(), leastStop)+afterStop, told, missed)
+			atMost(t, next(t, o.seen, "its fetch"), min(l.longestDeadline(), minStopMillis)+answerMarginMillis, told, missed)
 			if got := c.line(); got != "VA 5 Ow0 fresh" {
 				t.Errorf("got %q", got)
 			}
@@ -244,7 +244,7 @@
 		}
 	}
 	for facts, want := range map[string]string{"c=read,d=480,t=t": "c=read,d=7,t=t", "d=480,c=read": "d=7,c=read", "c=read": "c=read", "c=read,dd=480": "c=read,dd=480"} {
-		if got := (&command{facts: facts}).factsWith(7); got != want {
+		if got := (&command{metadata: facts}).metadataWithHint(7); got != want {
 			t.Errorf("%q became %q, want %q", facts, got, want)
 		}
 	}
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -9,9 +9,9 @@
 
 // timer is something to do at a time.
 type timer struct {
-	at float64
-	do func()
-	i  int // its place in the heap; -1 = it is not there
+	at        float64
+	do        func()
+	heapIndex int // its place in the heap; -1 = it is not there
 }
 
 func (l *loop) after(ms float64, do func()) *timer {
@@ -28,8 +28,8 @@
 
 // stop takes a timer out, with all that it holds: waiting until it is due would keep each request for seconds.
 func (h *timerHeap) stop(t *timer) {
-	if t != nil && t.i >= 0 {
-		heap.Remove(h, t.i)
+	if t != nil && t.heapIndex >= 0 {
+		heap.Remove(h, t.heapIndex)
 	}
 }
 
@@ -39,19 +39,19 @@
 
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].i, h[j].i = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
-	t.i = len(*h)
+	t.heapIndex = len(*h)
 	*h = append(*h, t)
 }
 
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1], last.i = nil, -1
+	old[len(old)-1], last.heapIndex = nil, -1
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -14,76 +14,76 @@
 // Large writes. All but the last piece is passed on while it comes; the last one waits for the module's decision.
 
 const (
-	lastPiece  = 4 << 10
-	uploadTime = time.Minute // for all of a large value to come: some bytes now and then are no progress
+	lastChunkBytes = 4 << 10
+	uploadTimeout  = time.Minute // for all of a large value to come: some bytes now and then are no progress
 )
 
 // upload is a large write on its way.
 type upload struct {
-	server uint32
-	conn   *upstreamConn // nil = the server does not take it
-	t      *target
-	last   []byte
-	over   atomic.Bool // its connection is an attempt's, or closed
-	u      *upstreams
+	server    uint32
+	conn      *upstreamConn // nil = the server does not take it
+	target    *target
+	lastChunk []byte
+	isSettled atomic.Bool // its connection is an attempt's, or closed
+	upstreams *upstreams
 }
 
-// errNoPlace tells that a large write can't be taken on now.
-var errNoPlace = errors.New("no place for a large write")
+// errNoUploadCapacity tells that a large write can't be taken on now.
+var errNoUploadCapacity = errors.New("no place for a large write")
 
-// close gives up a write that is not to be: its last piece was never sent, so it has not run.
-func (p *upload) close() {
-	if p != nil && p.over.CompareAndSwap(false, true) {
-		p.done(false)
+// abandon gives up a write that is not to be: its last piece was never sent, so it has not run.
+func (p *upload) abandon() {
+	if p != nil && p.isSettled.CompareAndSwap(false, true) {
+		p.release(false)
 	}
 }
 
-// done gives the connection back.
-func (p *upload) done(reuse bool) {
+// release gives the connection back.
+func (p *upload) release(reuse bool) {
 	if p.conn != nil {
-		p.u.put(p.t, p.conn, reuse)
+		p.upstreams.release(p.target, p.conn, reuse)
 	}
-	p.u.uploading.Add(-1)
+	p.upstreams.uploads.Add(-1)
 }
 
 // startUpload opens a connection for a large write to where the module says that writes go.
 func (l *loop) startUpload(cmd *command) (*upload, error) {
-	if l.up.uploading.Add(1) > l.up.mostUploads() {
-		l.up.uploading.Add(-1)
-		return nil, errNoPlace
+	if l.upstreams.uploads.Add(1) > l.upstreams.uploadLimit() {
+		l.upstreams.uploads.Add(-1)
+		return nil, errNoUploadCapacity
 	}
-	p := &upload{u: l.up}
+	p := &upload{upstreams: l.upstreams}
 	found := make(chan bool, 1)
 	l.post(func() {
 		var open bool
-		if p.server, open = l.b.WriteServer(l.now()); open {
-			p.t = l.targets[p.server]
+		if p.server, open = l.balancer.WriteServer(l.now()); open {
+			p.target = l.targets[p.server]
 		}
-		found <- p.t != nil && p.t.origin
+		found <- p.target != nil && p.target.isOrigin
 	})
 	select {
 	case ok := <-found:
 		if !ok {
-			l.up.uploading.Add(-1)
-			return nil, errNoPlace
+			l.upstreams.uploads.Add(-1)
+			return nil, errNoUploadCapacity
 		}
 	case <-l.done:
-		l.up.uploading.Add(-1)
-		return nil, errNoPlace
+		l.upstreams.uploads.Add(-1)
+		return nil, errNoUploadCapacity
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), serverMoves)
+	ctx, cancel := context.WithTimeout(context.Background(), serverProgressTimeout)
 	defer cancel()
-	conn, err := l.up.take(ctx, p.t, true)
+	conn, err := l.upstreams.acquire(ctx, p.target, true)
 	if err != nil {
 		return p, nil // it has not run, which the module is told once the request is there
 	}
 	hint := l.uploadHint(cmd)
 	if hint == 0 {
-		l.up.back(p.t, conn)
+		l.upstreams.releaseUnused(p.target, conn)
 		return p, nil // likewise
 	}
 	p.conn = conn
-	p.write(uploadHead(p.t.addr, cmd, hint))
+	p.write(uploadHead(p.target.addr, cmd, hint))
 	return p, nil
 }
 
@@ -91,7 +91,7 @@
 func uploadHead(addr string, c *command, hint timeoutHint) []byte {
 	path := (&url.URL{Path: "/" + c.key}).RequestURI()
 	return fmt.Appendf(nil, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\nX-Correlation-Id: %s\r\nX-Facts: %s\r\n\r\n",
-		path, addr, c.length, c.id, c.factsWith(hint))
+		path, addr, c.valueBytes, c.id, c.metadataWithHint(hint))
 }
 
 // write passes a part on. A server that does not take it is left; the client is still read to the end of its value.
@@ -99,23 +99,23 @@
 	if p.conn == nil {
 		return
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(serverMoves))
+	p.conn.SetWriteDeadline(time.Now().Add(serverProgressTimeout))
 	if _, err := p.conn.Write(b); err != nil {
-		p.u.put(p.t, p.conn, false)
+		p.upstreams.release(p.target, p.conn, false)
 		p.conn = nil
 		return
 	}
 	p.conn.SetWriteDeadline(time.Time{})
 }
 
-// readLarge reads a large value and the line end behind it, handing pieces on as they come; p may be nil, and the value
+// readLargeValue reads a large value and the line end behind it, handing pieces on as they come; p may be nil, and the value
 // is then passed over.
-func (c *clientConn) readLarge(n int, p *upload) error {
-	c.taking.Store(true)
-	defer c.taking.Store(false)
-	end := time.Now().Add(uploadTime)
+func (c *clientConn) readLargeValue(n int, p *upload) error {
+	c.isReceivingLargeValue.Store(true)
+	defer c.isReceivingLargeValue.Store(false)
+	end := time.Now().Add(uploadTimeout)
 	move := func() {
-		at := time.Now().Add(commandTime)
+		at := time.Now().Add(commandTimeout)
 		if end.Before(at) {
 			at = end
 		}
@@ -123,11 +123,11 @@
 		defer c.mu.Unlock()
 		c.SetReadDeadline(at)
 	}
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
-	for left := n - lastPiece; left > 0; {
+	buf := chunkPool.Get().(*[chunkBytes]byte)
+	defer chunkPool.Put(buf)
+	for left := n - lastChunkBytes; left > 0; {
 		move()
-		m, err := c.r.Read(buf[:min(left, piece)])
+		m, err := c.reader.Read(buf[:min(left, chunkBytes)])
 		if left -= m; m > 0 && p != nil {
 			p.write(buf[:m])
 		}
@@ -135,12 +135,12 @@
 			return err
 		}
 	}
-	last := make([]byte, 0, lastPiece+2)
+	last := make([]byte, 0, lastChunkBytes+2)
 	for len(last) < cap(last) {
 		move()
-		m, err := c.r.Read(last[len(last):cap(last)])
+		m, err := c.reader.Read(last[len(last):cap(last)])
 		last = last[:len(last)+m]
-		if over := len(last) - lastPiece; over > 0 && string(last[lastPiece:]) != "\r\n"[:over] {
+		if over := len(last) - lastChunkBytes; over > 0 && string(last[lastChunkBytes:]) != "\r\n"[:over] {
 			return malformed("value without its end")
 		}
 		if err != nil && len(last) < cap(last) {
@@ -148,31 +148,31 @@
 		}
 	}
 	if p != nil {
-		p.last = last[:lastPiece]
+		p.lastChunk = last[:lastChunkBytes]
 	}
 	return nil
 }
 
-// finish sends the last piece of a large write, which makes it an attempt, and reads the answer.
-func (u *upstreams) finish(ctx context.Context, server uint32, c *command, on hooks) reply {
-	p := c.up
-	if p.server != server || !p.over.CompareAndSwap(false, true) { // the value is gone, and can't be sent again
-		return ends(decide.ConnectError)
+// finishUpload sends the last piece of a large write, which makes it an attempt, and reads the answer.
+func (u *upstreams) finishUpload(ctx context.Context, server uint32, c *command, on attemptHooks) reply {
+	p := c.upload
+	if p.server != server || !p.isSettled.CompareAndSwap(false, true) { // the value is gone, and can't be sent again
+		return replyWithoutAnswer(decide.ConnectError)
 	}
-	if p.conn == nil || !p.conn.quiet() { // it has closed, or answered what it has not got whole
-		p.done(false)
-		return ends(decide.ConnectError)
+	if p.conn == nil || !p.conn.isQuiet() { // it has closed, or answered what it has not got whole
+		p.release(false)
+		return replyWithoutAnswer(decide.ConnectError)
 	}
-	if on.begin() == 0 {
-		p.done(false)
-		return ends(decide.Unprocessed) // nothing of its last piece was written
+	if on.beforeWrite() == 0 {
+		p.release(false)
+		return replyWithoutAnswer(decide.Unprocessed) // nothing of its last piece was written
 	}
-	u.uploading.Add(-1) // from here on it is an attempt like any other
+	u.uploads.Add(-1) // from here on it is an attempt like any other
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
-	if _, err := p.conn.Write(p.last); err != nil {
+	if _, err := p.conn.Write(p.lastChunk); err != nil {
 		stop()
-		u.put(p.t, p.conn, false)
-		return ends(decide.ConnectError)
+		u.release(p.target, p.conn, false)
+		return replyWithoutAnswer(decide.ConnectError)
 	}
-	return u.receive(p.t, p.conn, c, stop, u.readOrigin, on)
+	return u.readAnswer(p.target, p.conn, c, stop, u.readOrigin, on)
 }
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -15,17 +15,17 @@
 )
 
 func getCommand() *command {
-	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", facts: "c=read,t=t,d=480", class: "read", wait: 480}
+	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=read,t=t,d=480", class: "read", remainingMillis: 480}
 }
 
 func putCommand() *command {
-	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", facts: "c=put,t=t,d=480,k=7", class: "put", wait: 480, value: []byte("abc")}
+	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=t,d=480,k=7", class: "put", remainingMillis: 480, value: []byte("abc")}
 }
 
-func nothing()            {}
-func nowhere(reply) *sink { return nil }
+func nothing()                   {}
+func nowhere(reply) *valueStream { return nil }
 
-var always = hooks{false, func() timeoutHint { return 400 }, nothing, nowhere}
+var always = attemptHooks{false, func() timeoutHint { return 400 }, nothing, nowhere}
 
 func testUpstreams(t *testing.T, idle time.Duration, limit int) *upstreams {
 	t.Helper()
@@ -115,7 +115,7 @@
 		"origin 500, header":  {answer: httpAnswer("500 Oh", "", "X-Unprocessed: 1"), origin: true, want: decide.Failed, reused: true},
 		"origin closed":       {answer: "close", origin: true, want: decide.Reset},
 		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.MalformedResponse},
-		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValue+1)), origin: true, want: decide.MalformedResponse},
+		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValueBytes+1)), origin: true, want: decide.MalformedResponse},
 		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.MalformedResponse},
 		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.MalformedResponse},
 	} {
@@ -127,9 +127,9 @@
 			if c.write {
 				cmd = putCommand()
 			}
-			got := u.attempt(t.Context(), target, cmd, always)
-			if got.status != c.want || got.note != c.note {
-				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.note, c.want, c.note)
+			got := u.roundTrip(t.Context(), target, cmd, always)
+			if got.status != c.want || got.cacheNote != c.note {
+				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheNote, c.want, c.note)
 			}
 			next(t, f.seen, "request")
 			if len(f.seen) > 0 {
@@ -147,7 +147,7 @@
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), false)
 	ln.Close()
-	if got := u.attempt(t.Context(), refusing, getCommand(), always); got.status != decide.ConnectError {
+	if got := u.roundTrip(t.Context(), refusing, getCommand(), always); got.status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.status)
 	}
 }
@@ -164,10 +164,10 @@
 	})
 	target := u.add(f.addr, true)
 	for n := range 3 {
-		if got := u.attempt(t.Context(), target, putCommand(), always); got.status != decide.OK {
+		if got := u.roundTrip(t.Context(), target, putCommand(), always); got.status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.status)
 		}
-		for kept := idle(u, target); len(kept) > 0 && kept[0].quiet(); {
+		for kept := idle(u, target); len(kept) > 0 && kept[0].isQuiet(); {
 			time.Sleep(time.Millisecond) // until the end has come over the socket
 		}
 	}
@@ -180,15 +180,15 @@
 	f := startFake(t, hit)
 	u := testUpstreams(t, 400*time.Millisecond, 10)
 	target, began := u.add(f.addr, false), time.Now()
-	u.attempt(t.Context(), target, getCommand(), always)
+	u.roundTrip(t.Context(), target, getCommand(), always)
 	next(t, f.ended, "end of the idle connection")
 	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.open != 0 {
-		t.Errorf("%d connections are still counted", u.open)
+	if u.openConns != 0 {
+		t.Errorf("%d connections are still counted", u.openConns)
 	}
 }
 
@@ -196,19 +196,19 @@
 	u := testUpstreams(t, 10*time.Second, 1)
 	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
 	a, b := u.add(f.addr, false), u.add(silent.addr, false)
-	if got := u.attempt(t.Context(), a, getCommand(), always); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.OK {
 		t.Fatalf("got %v", got.status)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan reply, 1)
-	go func() { done <- u.attempt(ctx, b, getCommand(), always) }() // takes the place of the idle one
+	go func() { done <- u.roundTrip(ctx, b, getCommand(), always) }() // takes the place of the idle one
 	next(t, silent.seen, "request")
-	if got := u.attempt(t.Context(), a, getCommand(), always); got.status != decide.Unprocessed {
+	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.Unprocessed {
 		t.Errorf("beyond the limit: got %v", got.status)
 	}
 	stop()
 	next(t, done, "end of the attempt that was given up")
-	if got := u.attempt(t.Context(), a, getCommand(), always); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.OK {
 		t.Errorf("once there is room: got %v", got.status)
 	}
 }
@@ -218,8 +218,8 @@
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	u.attempt(t.Context(), target, getCommand(), hooks{false, func() timeoutHint { return 0 }, nothing, nowhere})
-	if got := u.attempt(t.Context(), target, getCommand(), always); got.status != decide.OK {
+	u.roundTrip(t.Context(), target, getCommand(), attemptHooks{false, func() timeoutHint { return 0 }, nothing, nowhere})
+	if got := u.roundTrip(t.Context(), target, getCommand(), always); got.status != decide.OK {
 		t.Errorf("got %v", got.status)
 	}
 	next(t, f.seen, "request")
@@ -234,7 +234,7 @@
 	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
 	for _, target := range []*target{u.add(f.addr, false), u.add(o.addr, true)} {
 		if st, l := u.probe(t.Context(), target); st != decide.OK || l.RequestsPerSecond != 12 || l.Utilization != 0.5 {
-			t.Errorf("origin %v: got %v, %+v", target.origin, st, l)
+			t.Errorf("origin %v: got %v, %+v", target.isOrigin, st, l)
 		}
 	}
 	if st, _ := u.probe(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr, false)); st == decide.OK {
@@ -247,25 +247,25 @@
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	first, err := u.take(t.Context(), target, false)
+	first, err := u.acquire(t.Context(), target, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := u.take(t.Context(), target, false)
+	second, err := u.acquire(t.Context(), target, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.put(target, first, true)
-	u.put(target, second, true)
+	u.release(target, first, true)
+	u.release(target, second, true)
 	for n, want := range []*upstreamConn{first, second, first} {
-		got, err := u.take(t.Context(), target, false)
+		got, err := u.acquire(t.Context(), target, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got != want {
 			t.Errorf("turn %d went to another connection", n)
 		}
-		u.put(target, got, true)
+		u.release(target, got, true)
 	}
 }
 
@@ -300,7 +300,7 @@
 					}
 					answer := httpAnswer("200 OK", req.Header.Get("X-Correlation-Id"))
 					io.WriteString(c, answer)
-					time.AfterFunc(originRest/4, func() { io.WriteString(c, answer) })
+					time.AfterFunc(originIdleMinimum/4, func() { io.WriteString(c, answer) })
 				}
 			}()
 		}
@@ -310,11 +310,11 @@
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.id = fmt.Sprint("a", n)
-		if got := u.attempt(t.Context(), target, cmd, always); string(got.body) != cmd.id {
+		if got := u.roundTrip(t.Context(), target, cmd, always); string(got.body) != cmd.id {
 			t.Errorf("request %s: got status %v, %q", cmd.id, got.status, got.body)
 		}
 		if n == 2 { // the copies are there now
-			for kept := idle(u, target); len(kept) > 0 && (kept[0].quiet() || time.Since(kept[0].since) < originRest); kept = idle(u, target) {
+			for kept := idle(u, target); len(kept) > 0 && (kept[0].isQuiet() || time.Since(kept[0].idleSince) < originIdleMinimum); kept = idle(u, target) {
 				time.Sleep(time.Millisecond)
 			}
 		}
