--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -738,11 +738,11 @@
 }
 
 // onePlaceAdmission admits one request at a time.
-func onePlaceAdmission() *Admission {
-	return &Admission{
-		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, TurnMS: 10000, Queue: 2, Promises: 8,
-			MaxWaitMS: 1e6, MaxAfterMS: 1500, Start: 1, Least: 1, Most: 1, RetryShare: 1, RetryBurst: 10},
-		Who: admission.Identify{{By: "fact"}},
+func onePlaceAdmission() *AdmissionConfig {
+	return &AdmissionConfig{
+		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
+			InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10},
+		Tenants: admission.TenantRules{{By: "fact"}},
 	}
 }
 
@@ -767,7 +767,7 @@
 	first.send(key(1, "a", 60000) + "\r\n")
 	next(t, s.seen, "the first, which takes the one place")
 	second.send(key(2, "b", 60000) + "\r\n")
-	until(t, r.router.loop, "the second at the door", func() bool { return r.router.loop.admission.a.State(0).Waiting == 1 })
+	until(t, r.router.loop, "the second at the door", func() bool { return r.router.loop.admission.admission.State(0).Waiting == 1 })
 	return r, s, answer, first, second, cfg
 }
 
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -29,7 +29,7 @@
 	// ServerIDs are the server names that discovery has listed so far.
 	ServerIDs serverIDs `json:"Names"`
 	// Admission is the state of fair admission; nil while it is off.
-	Admission *admission.Carried `json:"Door"`
+	Admission *admission.Snapshot `json:"Door"`
 	// DisabledByOperator names the servers that an operator has disabled.
 	DisabledByOperator []string `json:"ByHand,omitempty"`
 	// DisabledByFleet names the servers that the fleet has agreed to disable.
@@ -83,7 +83,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k := range p.links {
-		if k.Ended() {
+		if k.IsClosed() {
 			delete(p.links, k)
 		} else {
 			ks = append(ks, k)
@@ -121,7 +121,7 @@
 	r.loop.post(func() {
 		r.loop.balancer.SetProcessCount(r.loop.now(), n)
 		if ad := r.loop.admission; ad != nil {
-			ad.a.Share(r.loop.now(), float64(max(1, ad.processes))/float64(n))
+			ad.admission.ScaleLimit(r.loop.now(), float64(max(1, ad.processes))/float64(n))
 			ad.processes = n
 			ad.arm()
 		}
@@ -137,7 +137,7 @@
 		h = handoverState{Decisions: r.loop.balancer.HandOver(r.loop.now()), List: r.loop.currentList(), ServerIDs: r.loop.serverIDs.clone(),
 			DisabledByOperator: slices.Collect(maps.Keys(r.loop.disabledByOperator)), DisabledByFleet: slices.Collect(maps.Keys(r.loop.disabledByFleet))}
 		if r.loop.admission != nil {
-			door := r.loop.admission.a.HandOver(r.loop.now())
+			door := r.loop.admission.admission.Snapshot(r.loop.now())
 			h.Admission = &door
 		}
 		return nil
@@ -168,7 +168,7 @@
 			slog.Warn("what the process before has learnt is of no use", "error", err)
 		}
 		if l.admission != nil && h.Admission != nil {
-			if err := l.admission.a.TakeOver(l.now(), *h.Admission); err != nil {
+			if err := l.admission.admission.Restore(l.now(), *h.Admission); err != nil {
 				slog.Warn("what the process before has learnt of tenants is of no use", "error", err)
 			}
 		}
@@ -231,7 +231,7 @@
 // The answer is yes only if it holds in all of them.
 func (r *Router) disable(ctx context.Context, o disableCall, from *handover.Link) error {
 	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
-	if here != nil && !errors.Is(here, admin.ErrUnknown) {
+	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
 		return here
 	}
 	o.IsListed = o.IsListed || here == nil
@@ -243,14 +243,14 @@
 		switch err := k.Call(ctx, disableKind, o); {
 		case err == nil:
 			found = true
-		case errors.Is(err, handover.ErrEnded) || err.Error() == admin.ErrUnknown.Error():
+		case errors.Is(err, handover.ErrPeerClosed) || err.Error() == admin.ErrUnknownServer.Error():
 		default:
 			return errLoopBusy
 		}
 	}
 	switch {
 	case !found:
-		return admin.ErrUnknown
+		return admin.ErrUnknownServer
 	case here != nil: // only another process's list has had it so far
 		o.IsListed = true
 		return r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -56,12 +56,12 @@
 	hasEndpoints              atomic.Bool     // a list is held
 	answerBy                  instant         // when all that is open has to have its answer, as the process is told to end
 	trace                     *trace.Trace
-	healthReports             *healthcheck.Board // what other routers' probes told; nil = each probes by itself
-	admission                 *admissionControl  // nil = every request goes to the Balancer
-	ejectedByPeers            map[uint32]float64 // servers that others found bad, and until when that counts,
-	ejectedOnlyByPeers        map[uint32]bool    // and those of which this router knows nothing else
-	isRefreshingPeerEjections bool               // the Balancer is told of the former again
-	latencies                 *latencyHistogram  // nil = nobody wants it
+	healthReports             *healthcheck.ReportCache // what other routers' probes told; nil = each probes by itself
+	admission                 *admissionControl        // nil = every request goes to the Balancer
+	ejectedByPeers            map[uint32]float64       // servers that others found bad, and until when that counts,
+	ejectedOnlyByPeers        map[uint32]bool          // and those of which this router knows nothing else
+	isRefreshingPeerEjections bool                     // the Balancer is told of the former again
+	latencies                 *latencyHistogram        // nil = nobody wants it
 }
 
 // latencyHistogram counts the requests served by how much of their aim they took.
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -23,7 +23,7 @@
 	rule           *rule   // the rule, maxAttempts and allowsHedge are as the settings were on arrival
 	maxAttempts    int     // all together
 	allowsHedge    bool    // two may be out at once
-	admissionState int     // its place in admission
+	admissionStage int     // its place in admission
 	arrivedAt      float64 // on the loop's clock, as the other times
 	admittedAt     float64
 	attemptMillis  float64 // that its attempts have taken
@@ -71,7 +71,7 @@
 	r := &request{id: l.lastID, command: cmd, arrivedAt: now, deadline: now + left, response: s, rule: rule, maxAttempts: rules.maxAttempts, allowsHedge: rules.allowsHedges}
 	l.metrics.Concurrent.Add(1)
 	l.requests[r.id], l.unanswered[cmd.id], s.request = r, r, r
-	if l.trace.On() {
+	if l.trace.Enabled() {
 		l.trace.Event(now, "ask", "r=%d class=%s key=%x retry=%t left=%.0f", r.id, cmd.class, keyID(cmd.key), cmd.isRetry, left)
 	}
 	r.deadlineTimer = l.after(left+answerGraceMillis, func() { l.overdue(r) })
@@ -125,10 +125,10 @@
 }
 
 // endDisconnected is the end of a request whose client has disconnected: it counts as none.
-const endDisconnected metrics.End = -1
+const endDisconnected metrics.Outcome = -1
 
 // finish ends a request: the only place where one is answered, so none is answered twice.
-func (l *loop) finish(r *request, answer []byte, how metrics.End) {
+func (l *loop) finish(r *request, answer []byte, how metrics.Outcome) {
 	if r.isDone {
 		return
 	}
@@ -140,10 +140,10 @@
 	if how == metrics.Success && l.latencies != nil {
 		l.latencies[rollout.SpeedBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
 	}
-	if l.trace.On() {
+	if l.trace.Enabled() {
 		l.traceEnd(r, how)
 	}
-	l.admission.over(r, how == metrics.Success, how == metrics.Overload, len(answer))
+	l.admission.ended(r, how == metrics.Success, how == metrics.Overload, len(answer))
 	r.response.answer(answer)
 	r.response.request, r.response = nil, nil
 	l.timers.stop(r.deadlineTimer)
@@ -166,7 +166,7 @@
 	r.response.request, r.response = nil, nil
 	now := l.now()
 	r.attemptMillis += now - a.startedAt
-	l.admission.over(r, true, false, got.streamedBytes)
+	l.admission.ended(r, true, false, got.streamedBytes)
 	l.forget(r)
 	l.balancer.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: decide.OK, LatencyMillis: now - a.startedAt,
 		IsFinal: true, Note: got.cacheNote, Load: got.load})
@@ -193,7 +193,7 @@
 }
 
 // traceEnd keeps how a request ended.
-func (l *loop) traceEnd(r *request, how metrics.End) {
+func (l *loop) traceEnd(r *request, how metrics.Outcome) {
 	why := "-"
 	if how == metrics.Overload || how == metrics.Error {
 		why = strings.ReplaceAll(l.balancer.Cause(), " ", "-")
