--- a/internal/coord/coord.go
+++ b/internal/coord/coord.go
@@ -303,13 +303,13 @@
 	if c.Rollout == nil {
 		return invalid("roll: empty")
 	}
-	if s.Version < 3 && c.Rollout.View != nil && len(c.Rollout.View.Speed) > 0 {
+	if s.Version < 3 && c.Rollout.Report != nil && len(c.Rollout.Report.LatencyCounts) > 0 {
 		return invalid("version: %d is in force, and the speed wants 3", s.Version)
 	}
-	if s.Version < 3 && c.Rollout.Plan != nil && c.Rollout.Plan.Learn > 0 {
+	if s.Version < 3 && c.Rollout.Plan != nil && c.Rollout.Plan.LearnTime > 0 {
 		return invalid("version: %d is in force, and learn wants 3: once all coordinators run this program, 'members upgrade'", s.Version)
 	}
-	if s.Version < 3 && (c.Rollout.Quorum > 0 || c.Rollout.Busy > 0) {
+	if s.Version < 3 && (c.Rollout.EjectionQuorum > 0 || c.Rollout.OverloadShare > 0) {
 		return invalid("version: %d is in force, and quorum and busy want 3: once all coordinators run this program, 'members upgrade'", s.Version)
 	}
 	if a, awaits := s.AwaitsUpgrade(c); awaits {
@@ -318,18 +318,18 @@
 	if s.Rollout == nil {
 		s.Rollout = rollout.New()
 	}
-	a := s.Rollout.Apply(*c.Rollout, rollout.From{Clock: s.Clock, Session: c.SessionID, Client: se.Client, Opened: se.OpenedIndex, Token: s.newToken, EarlierBounds: s.hasEarlierBounds()})
-	return Response{Code: Code(a.Code), Text: a.Text, Token: a.Token, Stage: a.Stage, IsDrained: a.Drained}
+	a := s.Rollout.Apply(*c.Rollout, rollout.Sender{Time: s.Clock, Session: c.SessionID, Client: se.Client, SessionOrder: se.OpenedIndex, NextToken: s.newToken, HasEarlierLimits: s.hasEarlierBounds()})
+	return Response{Code: Code(a.Code), Text: a.Text, Token: a.Token, Stage: a.Stage, IsDrained: a.IsDrained}
 }
 
 // RouterDrains is what routers go by, with what all coordinators understand; empty until the first command about it.
-func (s *State) RouterDrains() rollout.Drains {
+func (s *State) RouterDrains() rollout.DrainSet {
 	if s.Rollout == nil {
-		return rollout.Drains{}
+		return rollout.DrainSet{}
 	}
-	d := s.Rollout.ForRouters(s.Clock, s.Version >= 3)
+	d := s.Rollout.DrainSet(s.Clock, s.Version >= 3)
 	if !s.hasEarlierBounds() {
-		d.MaxSeen = rollout.MaxSeen
+		d.MaxReportedServers = rollout.MaxReportedServers
 	}
 	return d
 }
@@ -339,7 +339,7 @@
 	if s.Rollout == nil {
 		return 0, 0
 	}
-	return s.Rollout.Version, s.Rollout.Drains
+	return s.Rollout.Version, s.Rollout.DrainVersion
 }
 
 func (s *State) newToken() uint64 {
@@ -397,7 +397,7 @@
 	case c.Op != OpRollout || c.Rollout == nil:
 	case s.Version < rolloutVersion:
 		wants = rolloutVersion
-	case s.hasEarlierBounds() && c.Rollout.PassesEarlierBounds():
+	case s.hasEarlierBounds() && c.Rollout.ExceedsEarlierLimits():
 		wants = fleetLimitsVersion
 	}
 	if wants == 0 {
@@ -523,7 +523,7 @@
 	client := s.Sessions[id].Client
 	delete(s.Sessions, id)
 	if s.Rollout != nil {
-		s.Rollout.Ended(id, client, s.Clock, s.newToken)
+		s.Rollout.SessionEnded(id, client, s.Clock, s.newToken)
 	}
 }
 
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -53,7 +53,7 @@
 	s.nextExpiry, s.recordBytes = 0, 0
 	s.recountDocumentBytes()
 	if s.Rollout != nil {
-		s.Rollout.Restored()
+		s.Rollout.RebuildDerived()
 	}
 	for name, l := range s.Leases {
 		s.recordBytes += len(l.Record)
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -42,8 +42,8 @@
 		wg.Go(func() { r.runHealthChecks(stop, a, c) })
 	}
 	if a.Drains {
-		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Label: a.Label, Ready: r.Ready, Seen: r.loop.endpointViews, Open: r.loop.openAttempts, Held: r.loop.disabledServers, Counts: r.releaseCounts, First: known, Suspect: r.loop.setPeerEjections,
-			Drain: func(ctx context.Context, server string, out bool) error {
+		follow.Run(ctx, follow.Options{Client: c, Zone: r.cfg.settings.Config.Zone, Version: a.Label, IsReady: r.Ready, ObserveServers: r.loop.endpointViews, OpenAttempts: r.loop.openAttempts, InheritedDrains: r.loop.disabledServers, RequestCounts: r.releaseCounts, OnFirstDrainSet: known, SetEjected: r.loop.setPeerEjections,
+			SetDrained: func(ctx context.Context, server string, out bool) error {
 				return r.disable(ctx, disableCall{ServerID: server, Disabled: out, IsListed: true, ByFleet: true}, nil)
 			}})
 	}
@@ -55,21 +55,21 @@
 }
 
 // endpointViews are all cache servers of the list, as this router sees them.
-func (l *loop) endpointViews(ctx context.Context) (all []rollout.Seen, err error) {
+func (l *loop) endpointViews(ctx context.Context) (all []rollout.ServerObservation, err error) {
 	err = l.call(ctx, func() error {
 		for name, e := range l.entries {
 			if e.Kind == l.originKind {
 				continue
 			}
-			s := rollout.Seen{Name: name, Zone: e.Zone, Run: strconv.FormatFloat(e.StartedMillis, 'f', -1, 64), Is: rollout.Up}
+			s := rollout.ServerObservation{Name: name, Zone: e.Zone, Incarnation: strconv.FormatFloat(e.StartedMillis, 'f', -1, 64), Status: rollout.StatusServing}
 			switch id, known := l.serverIDs.IDs[name]; {
 			case failpoint.Is("lies-all") || failpoint.Is("lies-some") && known && id%5 == 0: // for the laboratory
-				s.Is = rollout.Bad
+				s.Status = rollout.StatusFailing
 			case e.State != "active":
-				s.Is = rollout.Leaving
+				s.Status = rollout.StatusDraining
 			case known && l.balancer.IsEjected(id):
 				if !l.ejectedOnlyByPeers[id] || failpoint.Is("hearsay-counts") { // what it was told is no evidence of its own
-					s.Is = rollout.Bad
+					s.Status = rollout.StatusFailing
 				}
 			default:
 				delete(l.ejectedOnlyByPeers, id)
@@ -88,12 +88,12 @@
 
 // setPeerEjections takes the servers that others found bad, in place of those before. Each ends by its time on this router's clock, whatever
 // becomes of the agreement.
-func (l *loop) setPeerEjections(ctx context.Context, all []rollout.Suspect) error {
+func (l *loop) setPeerEjections(ctx context.Context, all []rollout.EjectedServer) error {
 	return l.call(ctx, func() error {
 		fresh := map[uint32]float64{}
 		for _, x := range all {
 			if id, ok := l.serverIDs.IDs[x.Name]; ok {
-				fresh[id] = l.now() + min(float64(x.Left.Milliseconds()), maxPeerEjectionMillis)
+				fresh[id] = l.now() + min(float64(x.Remaining.Milliseconds()), maxPeerEjectionMillis)
 			}
 		}
 		if l.ejectedByPeers = fresh; !l.isRefreshingPeerEjections {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -65,7 +65,7 @@
 }
 
 // latencyHistogram counts the requests served by how much of their aim they took.
-type latencyHistogram [rollout.SpeedBuckets]atomic.Int64
+type latencyHistogram [rollout.LatencyBuckets]atomic.Int64
 
 // Bounds of what waits for the loop. Who posts beyond them waits, and operators are told that the router was too busy.
 const (
