--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -10,66 +10,78 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// snapshot is what stands in a file: the state with its version and checksum.
+// snapshot is the form in which a state is stored.
 type snapshot struct {
-	V     int             `json:"v"`
-	Sum   uint64          `json:"sum"` // xxHash64 of State
-	State json.RawMessage `json:"state"`
+	Version  int             `json:"v"`
+	Checksum uint64          `json:"sum"` // xxHash64 of State
+	State    json.RawMessage `json:"state"`
 }
 
-// Marshal writes the state whole. Equal states give equal bytes.
+// Marshal encodes the state. Equal states give equal bytes.
 func (s *State) Marshal() ([]byte, error) {
-	kept := *s
+	stored := *s
 	if failpoint.Is("snapshot-without-leases") {
-		kept.Leases = map[string]*Lease{}
-		kept.Sessions = map[string]*Session{}
+		stored.Leases = map[string]*Lease{}
+		stored.Sessions = map[string]*Session{}
 	}
 	if failpoint.Is("token-reused") {
-		kept.LastToken = 0
+		stored.LastToken = 0
 	}
-	body, err := json.Marshal(&kept)
+	body, err := json.Marshal(&stored)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return json.Marshal(snapshot{s.Version, xxhash.Sum64(body), body})
+	return json.Marshal(snapshot{Version: s.Version, Checksum: xxhash.Sum64(body), State: body})
 }
 
-// Unmarshal reads a state of this version or an older one, and refuses a damaged one.
+// Unmarshal decodes a state of this version or an older one. Its error says what is damaged or that
+// the version is unknown; a coordinator must not start from such a snapshot.
 func Unmarshal(text []byte) (*State, error) {
-	var f snapshot
-	if err := json.Unmarshal(text, &f); err != nil {
+	var stored snapshot
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if f.V < 1 || f.V > Version {
-		return nil, fmt.Errorf("snapshot: version %d, and this program knows 1 to %d", f.V, Version)
+	if stored.Version < 1 || stored.Version > Version {
+		return nil, fmt.Errorf("snapshot: version %d, and this program knows 1 to %d", stored.Version, Version)
 	}
-	if sum := xxhash.Sum64(bytes.TrimSpace(f.State)); sum != f.Sum {
-		return nil, fmt.Errorf("snapshot: its checksum is %x, and %x stands in it: the file is damaged", sum, f.Sum)
+	if sum := xxhash.Sum64(bytes.TrimSpace(stored.State)); sum != stored.Checksum {
+		return nil, fmt.Errorf("snapshot: its checksum is %x, and %x stands in it: the file is damaged",
+			sum, stored.Checksum)
 	}
 	s := New()
-	if err := json.Unmarshal(f.State, s); err != nil {
+	if err := json.Unmarshal(stored.State, s); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.nextExpiry, s.recordBytes = 0, 0
+	if err := s.linkLeases(); err != nil {
+		return nil, fmt.Errorf("snapshot: %w", err)
+	}
+	s.nextExpiry = 0 // unknown: the next command looks
 	s.recountDocumentBytes()
 	if s.Rollout != nil {
 		s.Rollout.Restored()
 	}
-	for name, l := range s.Leases {
-		s.recordBytes += len(l.Record)
-		if s.Sessions[l.SessionID] == nil {
-			return nil, fmt.Errorf("snapshot: lease %s is of session %s, which isn't there", name, l.SessionID)
+	return s, nil
+}
+
+// linkLeases checks that sessions and leases name each other, and counts the records. A lease
+// without its session would never expire.
+func (s *State) linkLeases() error {
+	s.recordBytes = 0
+	for name, lease := range s.Leases {
+		s.recordBytes += len(lease.Record)
+		if s.Sessions[lease.SessionID] == nil {
+			return fmt.Errorf("lease %s is of session %s, which isn't there", name, lease.SessionID)
 		}
 	}
-	for id, se := range s.Sessions {
-		if se.Leases == nil {
-			se.Leases = map[string]bool{}
+	for id, session := range s.Sessions {
+		if session.Leases == nil {
+			session.Leases = map[string]bool{}
 		}
-		for name := range se.Leases {
-			if l := s.Leases[name]; l == nil || l.SessionID != id {
-				return nil, fmt.Errorf("snapshot: session %s lists lease %s, which it doesn't hold", id, name)
+		for name := range session.Leases {
+			if lease := s.Leases[name]; lease == nil || lease.SessionID != id {
+				return fmt.Errorf("session %s lists lease %s, which it doesn't hold", id, name)
 			}
 		}
 	}
-	return s, nil
+	return nil
 }
