--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -12,208 +12,339 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// command draws one of any kind, over few names, so that they meet.
-func command(t *rapid.T, token uint64) Command {
-	return Command{Version: Version, Term: rapid.Uint64Range(1, 2).Draw(t, "term"),
-		Op:        rapid.SampledFrom([]Op{OpTick, OpOpenSession, OpKeepAlive, OpCloseSession, OpAcquire, OpAcquire, OpRelease, OpTransfer, OpWriteRecord, OpRaiseTokens, OpSetClockRate, "none"}).Draw(t, "op"),
-		Elapsed:   time.Duration(rapid.Int64Range(-1, 3).Draw(t, "advance")) * time.Second,
-		SessionID: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "session"), Sequence: rapid.Uint64Range(0, 40).Draw(t, "seq"),
-		AcknowledgedThrough: rapid.Uint64Range(0, 40).Draw(t, "acked"), Client: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "client"),
-		Lease: rapid.SampledFrom([]string{"l", "m", strings.Repeat("n", MaxNameBytes+1)}).Draw(t, "lease"), Successor: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "to"),
-		TTL: time.Duration(rapid.Int64Range(0, 5).Draw(t, "ttl")) * time.Second, Token: rapid.Uint64Range(0, token+1).Draw(t, "token"),
-		ClockRateBound: rapid.SampledFrom([]float64{0, 0.01, 0.5}).Draw(t, "rate"), Record: make([]byte, rapid.SampledFrom([]int{0, 3, MaxRecordBytes + 1}).Draw(t, "record"))}
-}
-
-// Whatever comes: all replicas agree, also one that began from a snapshot; tokens only grow; nobody holds without a session; and
-// nothing is taken back before its time by any clock within the bound.
+var drawnOps = []Op{
+	OpTick, OpOpenSession, OpKeepAlive, OpCloseSession, OpAcquire, OpAcquire, OpRelease, OpTransfer,
+	OpWriteRecord, OpRaiseTokens, OpSetClockRate, "none",
+}
+
+// drawCommand draws a command of any kind, over few names, so that the commands meet.
+func drawCommand(t *rapid.T, lastToken uint64) Command {
+	seconds := func(low, high int64, label string) time.Duration {
+		return time.Duration(rapid.Int64Range(low, high).Draw(t, label)) * time.Second
+	}
+	longName := strings.Repeat("n", MaxNameBytes+1)
+	recordBytes := []int{0, 3, MaxRecordBytes + 1}
+	return Command{
+		Version:             Version,
+		Term:                rapid.Uint64Range(1, 2).Draw(t, "term"),
+		Op:                  rapid.SampledFrom(drawnOps).Draw(t, "op"),
+		Elapsed:             seconds(-1, 3, "advance"),
+		SessionID:           rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "session"),
+		Sequence:            rapid.Uint64Range(0, 40).Draw(t, "seq"),
+		AcknowledgedThrough: rapid.Uint64Range(0, 40).Draw(t, "acked"),
+		Client:              rapid.SampledFrom([]string{"x", "y"}).Draw(t, "client"),
+		Lease:               rapid.SampledFrom([]string{"l", "m", longName}).Draw(t, "lease"),
+		Successor:           rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "to"),
+		TTL:                 seconds(0, 5, "ttl"),
+		Token:               rapid.Uint64Range(0, lastToken+1).Draw(t, "token"),
+		ClockRateBound:      rapid.SampledFrom([]float64{0, 0.01, 0.5}).Draw(t, "rate"),
+		Record:              make([]byte, rapid.SampledFrom(recordBytes).Draw(t, "record")),
+	}
+}
+
+// Two replicas apply the same random commands; one of them is restored from its own snapshot now and
+// then, as after a restart. Whatever comes, they give the same responses and have the same bytes;
+// tokens only grow; no lease is held without a session; and no lease is taken back before its time
+// is over by any clock within the bound. A wrong machine would let replicas differ, or two holders
+// act at once.
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
-		token := uint64(0)
+		lastToken := uint64(0)
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
-			c := command(t, a.LastToken)
+			c := drawCommand(t, a.LastToken)
 			before := a.Clone()
 			got, other := a.Apply(c, 1), b.Apply(c, 1)
 			if got != other {
 				t.Fatalf("%+v: %+v and %+v", c, got, other)
 			}
-			one, err := a.Marshal()
-			if err != nil {
-				t.Fatal(err)
-			}
-			two, err := b.Marshal()
-			if err != nil || !bytes.Equal(one, two) {
-				t.Fatalf("%+v: %v\n%s\n%s", c, err, one, two)
-			}
+			text := sameBytes(t, a, b)
 			if rapid.Bool().Draw(t, "restore") {
-				if b, err = Unmarshal(two); err != nil {
+				restored, err := Unmarshal(text)
+				if err != nil {
 					t.Fatal(err)
 				}
+				b = restored
 			}
-			if a.LastToken < token {
-				t.Fatalf("token %d after %d", a.LastToken, token)
-			}
-			token = a.LastToken
-			for name, l := range a.Leases {
-				if a.Sessions[l.SessionID] == nil || !a.Sessions[l.SessionID].Leases[name] {
-					t.Fatalf("lease %s of session %q, which doesn't have it", name, l.SessionID)
-				}
-			}
-			// What was held and is held by nobody or another now was given back, or its time on a slow holder's clock is over.
-			for name, l := range before.Leases {
-				now := a.Leases[name]
-				if now != nil && now.Token == l.Token {
-					continue
-				}
-				byHolder := c.SessionID == l.SessionID && (c.Op == OpRelease || c.Op == OpTransfer || c.Op == OpCloseSession)
-				passed := float64(a.Clock-before.Sessions[l.SessionID].KeptAliveAt) / (1 + before.ClockRateBound) * (1 - before.ClockRateBound)
-				if !byHolder && passed < float64(l.TTL) {
-					t.Fatalf("%+v: lease %s was taken back %v after it was kept, of %v", c, name, time.Duration(passed), l.TTL)
-				}
+			if a.LastToken < lastToken {
+				t.Fatalf("token %d after %d", a.LastToken, lastToken)
 			}
+			lastToken = a.LastToken
+			checkHoldersHaveSessions(t, a)
+			checkNothingTakenBackEarly(t, c, before, a)
 		}
 	})
 }
 
+// sameBytes encodes both states, which must give the same bytes, and returns them.
+func sameBytes(t *rapid.T, a, b *State) []byte {
+	t.Helper()
+	one, err := a.Marshal()
+	if err != nil {
+		t.Fatal(err)
+	}
+	two, err := b.Marshal()
+	if err != nil || !bytes.Equal(one, two) {
+		t.Fatalf("%v\n%s\n%s", err, one, two)
+	}
+	return two
+}
+
+func checkHoldersHaveSessions(t *rapid.T, s *State) {
+	t.Helper()
+	for name, lease := range s.Leases {
+		session := s.Sessions[lease.SessionID]
+		if session == nil || !session.Leases[name] {
+			t.Fatalf("lease %s of session %q, which doesn't have it", name, lease.SessionID)
+		}
+	}
+}
+
+// checkNothingTakenBackEarly checks the leases that were held before a command and are free or have
+// another token after it: the holder gave them back, or their time on a slow holder's clock is over.
+func checkNothingTakenBackEarly(t *rapid.T, c Command, before, after *State) {
+	t.Helper()
+	for name, lease := range before.Leases {
+		now := after.Leases[name]
+		if now != nil && now.Token == lease.Token {
+			continue
+		}
+		isGivenBack := c.Op == OpRelease || c.Op == OpTransfer || c.Op == OpCloseSession
+		if isGivenBack && c.SessionID == lease.SessionID {
+			continue
+		}
+		sinceKeptAlive := float64(after.Clock - before.Sessions[lease.SessionID].KeptAliveAt)
+		onSlowClock := sinceKeptAlive / (1 + before.ClockRateBound) * (1 - before.ClockRateBound)
+		if onSlowClock < float64(lease.TTL) {
+			t.Fatalf("%+v: lease %s was taken back %v after it was kept alive, of %v",
+				c, name, time.Duration(onSlowClock), lease.TTL)
+		}
+	}
+}
+
+// must applies a command, which must end with the code.
 func must(t *testing.T, s *State, c Command, want Code) Response {
 	t.Helper()
 	c.Version = 1
-	a := s.Apply(c, 1)
-	if a.Code != want {
-		t.Fatalf("%s: %+v, want %s", c.Op, a, want)
+	response := s.Apply(c, 1)
+	if response.Code != want {
+		t.Fatalf("%s: %+v, want %s", c.Op, response, want)
 	}
-	return a
+	return response
+}
+
+func openCommand(id, client string, ttl time.Duration) Command {
+	return Command{Op: OpOpenSession, SessionID: id, Client: client, TTL: ttl}
+}
+
+func tickCommand(elapsed time.Duration) Command {
+	return Command{Op: OpTick, Term: 1, Elapsed: elapsed}
+}
+
+// reportCommand is the first report of router i of what it sees.
+func reportCommand(i int) Command {
+	report := &rollout.Command{Op: rollout.See, View: &rollout.View{}}
+	return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: report}
 }
 
-// Until all coordinators run this program, tables are full where an older one's are, or the two would come to different states.
+// A rolling upgrade is under way: some coordinators run an older program, whose tables are smaller.
+// A session or router beyond the older limits is rejected by all alike until 'members upgrade', or
+// the two programs would come to different states.
 func TestBoundsBeforeUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
-		must(t, s, Command{Op: OpOpenSession, SessionID: fmt.Sprint(i), Client: rollout.RouterClient + fmt.Sprint(i), TTL: time.Minute}, CodeOK)
+		must(t, s, openCommand(fmt.Sprint(i), rollout.RouterClient+fmt.Sprint(i), time.Minute), CodeOK)
 	}
-	more := Command{Op: OpOpenSession, SessionID: "more", Client: "c", TTL: time.Minute}
-	if a := must(t, s, more, CodeLimitReached); a.Text != "sessions: 4096 at most" {
-		t.Errorf("%s", a.Text)
+	more := openCommand("more", "c", time.Minute)
+	if response := must(t, s, more, CodeLimitReached); response.Text != "sessions: 4096 at most" {
+		t.Errorf("%s", response.Text)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
-	see := func(i int) Command {
-		return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: &rollout.Command{Op: rollout.See, View: &rollout.View{}}}
-	}
 	for i := range rollout.EarlierMaxRouters {
-		must(t, s, see(i), CodeOK)
+		must(t, s, reportCommand(i), CodeOK)
 	}
-	if a := must(t, s, see(rollout.EarlierMaxRouters), CodeLimitReached); a.Text != "routers: 1024 at most" {
-		t.Errorf("%s", a.Text)
+	beyond := must(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
+	if beyond.Text != "routers: 1024 at most" {
+		t.Errorf("%s", beyond.Text)
 	}
-	large := Command{Op: OpRollout, SessionID: "0", Sequence: 2, Rollout: &rollout.Command{Op: rollout.See, View: &rollout.View{Servers: make([]rollout.Seen, rollout.EarlierMaxSeen+1)}}}
-	if a := must(t, s, large, CodeInvalid); !strings.Contains(a.Text, "members upgrade") {
-		t.Errorf("%s", a.Text)
+	large := reportCommand(0)
+	large.Sequence = 2
+	large.Rollout.View.Servers = make([]rollout.Seen, rollout.EarlierMaxSeen+1)
+	if response := must(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
+		t.Errorf("%s", response.Text)
 	}
 	if n := s.RouterDrains().MaxSeen; n != 0 {
-		t.Errorf("routers are told of reports of %d servers", n)
+		t.Errorf("routers are notified of reports of %d servers", n)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: fleetLimitsVersion}, CodeOK)
 	must(t, s, more, CodeOK)
 	if n := s.RouterDrains().MaxSeen; n != rollout.MaxSeen {
-		t.Errorf("routers are told of reports of %d servers", n)
+		t.Errorf("routers are notified of reports of %d servers", n)
+	}
+}
+
+// acquireCommand is the acquire of lease i, by one of 512 sessions.
+func acquireCommand(i int) Command {
+	return Command{
+		Op: OpAcquire, SessionID: fmt.Sprint(i % 512), TTL: time.Minute, Lease: fmt.Sprint("l", i),
+		Sequence: uint64(i/512 + 1), AcknowledgedThrough: uint64(i / 512),
+	}
+}
+
+// writeCommand is the largest record of lease i, by the same session.
+func writeCommand(i int) Command {
+	return Command{
+		Op: OpWriteRecord, SessionID: fmt.Sprint(i % 512), Lease: fmt.Sprint("l", i),
+		Sequence: uint64(18 + i/512), AcknowledgedThrough: uint64(17 + i/512),
+		Token: uint64(i + 1), Record: make([]byte, MaxRecordBytes),
 	}
 }
 
-// Each table refuses with the name of its bound, and has room again when something has gone.
+// Each table fills up, rejects one more with the name of its limit, and has capacity again once
+// something has gone. A table without a limit would grow until the coordinator has no memory left.
 func TestBounds(t *testing.T) {
 	s := New()
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: Version}, CodeOK)
 	for i := range MaxSessions {
-		must(t, s, Command{Op: OpOpenSession, SessionID: fmt.Sprint(i), Client: "c", TTL: time.Minute}, CodeOK)
+		must(t, s, openCommand(fmt.Sprint(i), "c", time.Minute), CodeOK)
 	}
-	if a := must(t, s, Command{Op: OpOpenSession, SessionID: "more", Client: "c", TTL: time.Minute}, CodeLimitReached); !strings.Contains(a.Text, fmt.Sprint(MaxSessions)) {
-		t.Errorf("%s", a.Text)
-	}
-	take := func(i int) Command {
-		return Command{Op: OpAcquire, SessionID: fmt.Sprint(i % 512), Sequence: uint64(i/512 + 1), AcknowledgedThrough: uint64(i / 512), Lease: fmt.Sprint("l", i), TTL: time.Minute}
+	full := must(t, s, openCommand("more", "c", time.Minute), CodeLimitReached)
+	if !strings.Contains(full.Text, fmt.Sprint(MaxSessions)) {
+		t.Errorf("%s", full.Text)
 	}
 	for i := range MaxLeases {
-		must(t, s, take(i), CodeOK)
+		must(t, s, acquireCommand(i), CodeOK)
 	}
-	must(t, s, take(MaxLeases), CodeLimitReached)
+	must(t, s, acquireCommand(MaxLeases), CodeLimitReached)
 	for i := range MaxTotalRecordBytes / MaxRecordBytes {
-		must(t, s, Command{Op: OpWriteRecord, SessionID: fmt.Sprint(i % 512), Sequence: uint64(18 + i/512), AcknowledgedThrough: uint64(17 + i/512), Lease: fmt.Sprint("l", i), Token: uint64(i + 1), Record: make([]byte, MaxRecordBytes)}, CodeOK)
+		must(t, s, writeCommand(i), CodeOK)
+	}
+	oneByte := Command{
+		Op: OpWriteRecord, SessionID: "511", Sequence: 25, AcknowledgedThrough: 24,
+		Lease: "l8191", Token: 8192, Record: []byte{1},
 	}
-	must(t, s, Command{Op: OpWriteRecord, SessionID: "511", Sequence: 25, AcknowledgedThrough: 24, Lease: "l8191", Token: 8192, Record: []byte{1}}, CodeLimitReached)
+	must(t, s, oneByte, CodeLimitReached)
 	must(t, s, Command{Op: OpCloseSession, SessionID: "0"}, CodeOK) // 16 leases and 4 records
-	must(t, s, Command{Op: OpWriteRecord, SessionID: "511", Sequence: 26, AcknowledgedThrough: 25, Lease: "l8191", Token: 8192, Record: []byte{1}}, CodeOK)
-	must(t, s, Command{Op: OpOpenSession, SessionID: "more", Client: "c", TTL: time.Minute}, CodeOK)
-	for q := range uint64(MaxCachedResponses) {
-		must(t, s, Command{Op: OpAcquire, SessionID: "more", Sequence: q + 1, Lease: "x", TTL: time.Minute}, CodeOK)
-	}
-	must(t, s, Command{Op: OpAcquire, SessionID: "more", Sequence: MaxCachedResponses + 1, Lease: "x", TTL: time.Minute}, CodeLimitReached)
-	must(t, s, Command{Op: OpAcquire, SessionID: "more", Sequence: MaxCachedResponses + 1, AcknowledgedThrough: 1, Lease: "x", TTL: time.Minute}, CodeOK)
-	must(t, s, Command{Op: OpAcquire, SessionID: "more", Sequence: 1, Lease: "x", TTL: time.Minute}, CodeSuperseded)
-	for _, c := range []Command{{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Second - 1}, {Op: OpOpenSession, SessionID: "s", Client: strings.Repeat("c", MaxNameBytes+1), TTL: time.Minute},
-		{Op: OpAcquire, SessionID: "more", Sequence: MaxCachedResponses + 2, AcknowledgedThrough: 2, Lease: "y", TTL: 2 * time.Minute}, {Op: OpAcquire, SessionID: "more", Sequence: MaxCachedResponses + 3, AcknowledgedThrough: 3, Lease: "y", TTL: time.Minute, Purpose: strings.Repeat("p", MaxPurposeBytes+1)}} {
-		must(t, s, c, CodeInvalid)
+	oneByte.Sequence = 26
+	oneByte.AcknowledgedThrough = 25
+	must(t, s, oneByte, CodeOK)
+	must(t, s, openCommand("more", "c", time.Minute), CodeOK)
+	checkResponseWindow(t, s)
+	checkInvalidCommands(t, s)
+	unknown := Command{Version: Version + 1, Op: OpTick}
+	if response := s.Apply(unknown, 1); response.Code != CodeUnknownVersion {
+		t.Errorf("%+v", response)
+	}
+}
+
+// checkResponseWindow has the session "more" use up the responses that are kept for it.
+func checkResponseWindow(t *testing.T, s *State) {
+	t.Helper()
+	acquire := func(sequence, acknowledged uint64) Command {
+		return Command{
+			Op: OpAcquire, SessionID: "more", Lease: "x", TTL: time.Minute,
+			Sequence: sequence, AcknowledgedThrough: acknowledged,
+		}
 	}
-	c := Command{Version: Version + 1, Op: OpTick}
-	if a := s.Apply(c, 1); a.Code != CodeUnknownVersion {
-		t.Errorf("%+v", a)
+	for sequence := range uint64(MaxCachedResponses) {
+		must(t, s, acquire(sequence+1, 0), CodeOK)
 	}
+	must(t, s, acquire(MaxCachedResponses+1, 0), CodeLimitReached)
+	must(t, s, acquire(MaxCachedResponses+1, 1), CodeOK)
+	must(t, s, acquire(1, 0), CodeSuperseded)
 }
 
-// Three hundred sessions that end in the same second end at one command, with all that they held.
+// checkInvalidCommands sends fields that are out of bounds.
+func checkInvalidCommands(t *testing.T, s *State) {
+	t.Helper()
+	acquire := Command{Op: OpAcquire, SessionID: "more", Lease: "y", TTL: time.Minute}
+	longTTL := acquire
+	longTTL.Sequence = MaxCachedResponses + 2
+	longTTL.AcknowledgedThrough = 2
+	longTTL.TTL = 2 * time.Minute
+	longPurpose := acquire
+	longPurpose.Sequence = MaxCachedResponses + 3
+	longPurpose.AcknowledgedThrough = 3
+	longPurpose.Purpose = strings.Repeat("p", MaxPurposeBytes+1)
+	for _, c := range []Command{
+		openCommand("s", "c", time.Second-1),
+		openCommand("s", strings.Repeat("c", MaxNameBytes+1), time.Minute),
+		longTTL,
+		longPurpose,
+	} {
+		must(t, s, c, CodeInvalid)
+	}
+}
+
+// Three hundred sessions fall silent in the same second, as when a network is cut. One command ends
+// all of them with all that they held, and not before their time; time that another term's leader
+// measured counts nothing.
 func TestManyEndAtOnce(t *testing.T) {
 	s := New()
-	for i := range 300 {
-		must(t, s, Command{Op: OpOpenSession, SessionID: fmt.Sprint(i), Client: fmt.Sprint(i), TTL: 10 * time.Second}, CodeOK)
-		must(t, s, Command{Op: OpAcquire, SessionID: fmt.Sprint(i), Sequence: 1, Lease: fmt.Sprint("l", i), TTL: 10 * time.Second}, CodeOK)
+	const sessions = 300
+	const ttl = 10 * time.Second
+	for i := range sessions {
+		id := fmt.Sprint(i)
+		must(t, s, openCommand(id, id, ttl), CodeOK)
+		must(t, s, Command{Op: OpAcquire, SessionID: id, Sequence: 1, Lease: "l" + id, TTL: ttl}, CodeOK)
 	}
-	must(t, s, Command{Op: OpTick, Term: 1, Elapsed: s.ExpiryDelay(10*time.Second) - 1}, CodeOK)
-	if len(s.Leases) != 300 {
+	must(t, s, tickCommand(s.ExpiryDelay(ttl)-1), CodeOK)
+	if len(s.Leases) != sessions {
 		t.Fatalf("%d leases before the time", len(s.Leases))
 	}
-	must(t, s, Command{Op: OpTick, Term: 2, Elapsed: time.Hour}, CodeOK) // measured in another term: it counts nothing
-	must(t, s, Command{Op: OpTick, Term: 1, Elapsed: 1}, CodeOK)
-	if len(s.Leases)+len(s.Sessions) != 0 || len(s.ChangedLeases()) != 300 {
+	must(t, s, Command{Op: OpTick, Term: 2, Elapsed: time.Hour}, CodeOK)
+	must(t, s, tickCommand(1), CodeOK)
+	if len(s.Leases)+len(s.Sessions) != 0 || len(s.ChangedLeases()) != sessions {
 		t.Errorf("%d leases, %d sessions, %d changed", len(s.Leases), len(s.Sessions), len(s.ChangedLeases()))
 	}
 }
 
-// A lease handed over to one that has no session, or a dead one, stays; to one that dies after it, it ends by that one's time.
+// A holder transfers its lease to a client that has no session, then to one that has been silent for
+// longer than the lease lasts: both are rejected and the lease stays. Then the successor is alive,
+// gets the lease under a higher token, and dies: the lease ends by the successor's time. A wrong
+// machine would give the lease to a dead process and keep it from all others.
 func TestHandOverToTheDead(t *testing.T) {
 	s := New()
-	must(t, s, Command{Op: OpOpenSession, SessionID: "a", Client: "a", TTL: 30 * time.Second}, CodeOK)
-	must(t, s, Command{Op: OpOpenSession, SessionID: "b", Client: "b", TTL: 30 * time.Second}, CodeOK)
-	token := must(t, s, Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: 5 * time.Second}, CodeOK).Token
-	give := func(seq uint64, to string, want Code) Response {
-		return must(t, s, Command{Op: OpTransfer, SessionID: "a", Sequence: seq, Lease: "l", Token: token, Successor: to}, want)
-	}
-	give(2, "nobody", CodeNoClient)
-	must(t, s, Command{Op: OpTick, Term: 1, Elapsed: 4 * time.Second}, CodeOK)
+	const leaseTTL = 5 * time.Second
+	must(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
+	must(t, s, openCommand("b", "b", 30*time.Second), CodeOK)
+	acquire := Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: leaseTTL}
+	token := must(t, s, acquire, CodeOK).Token
+	transfer := func(sequence uint64, successor string, want Code) Response {
+		c := Command{
+			Op: OpTransfer, SessionID: "a", Sequence: sequence, Lease: "l", Token: token, Successor: successor,
+		}
+		return must(t, s, c, want)
+	}
+	transfer(2, "nobody", CodeNoClient)
+	must(t, s, tickCommand(4*time.Second), CodeOK)
 	must(t, s, Command{Op: OpKeepAlive, SessionID: "a"}, CodeOK)
-	must(t, s, Command{Op: OpTick, Term: 1, Elapsed: 2 * time.Second}, CodeOK)
-	give(3, "b", CodeNoClient) // silent for longer than the lease lasts
+	must(t, s, tickCommand(2*time.Second), CodeOK)
+	transfer(3, "b", CodeNoClient) // silent for longer than the lease lasts
 	must(t, s, Command{Op: OpKeepAlive, SessionID: "b"}, CodeOK)
-	if got := give(4, "b", CodeOK).Token; got <= token {
+	if got := transfer(4, "b", CodeOK).Token; got <= token {
 		t.Errorf("token %d after %d", got, token)
 	}
-	must(t, s, Command{Op: OpTick, Term: 1, Elapsed: s.ExpiryDelay(5 * time.Second)}, CodeOK)
+	must(t, s, tickCommand(s.ExpiryDelay(leaseTTL)), CodeOK)
 	if len(s.Leases) != 0 {
 		t.Error("a dead successor keeps it")
 	}
 }
 
-// A snapshot that is damaged at any byte, or newer, is refused.
+// A snapshot's file is damaged: one bit is flipped, or its end is missing, at any byte; or a newer
+// program wrote it. Unmarshal rejects it. A machine that read it would differ from the others.
 func TestSnapshotRefused(t *testing.T) {
 	s := New()
-	must(t, s, Command{Op: OpOpenSession, SessionID: "a", Client: "a", TTL: 30 * time.Second}, CodeOK)
+	must(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
 	must(t, s, Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: 5 * time.Second}, CodeOK)
 	text, err := s.Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range text {
-		bad := bytes.Clone(text)
-		bad[i] ^= 1
-		if got, err := Unmarshal(bad); err == nil {
+		damaged := bytes.Clone(text)
+		damaged[i] ^= 1
+		if got, err := Unmarshal(damaged); err == nil {
 			if again, err := got.Marshal(); err != nil || !bytes.Equal(again, text) {
 				t.Errorf("byte %d flipped: read as %s", i, again)
 			}
@@ -222,7 +353,9 @@
 			t.Errorf("cut at %d: read", i)
 		}
 	}
-	if _, err := Unmarshal(bytes.Replace(text, []byte(`{"v":1`), fmt.Appendf(nil, `{"v":%d`, Version+1), 1)); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("version %d", Version+1)) {
+	newer := bytes.Replace(text, []byte(`{"v":1`), fmt.Appendf(nil, `{"v":%d`, Version+1), 1)
+	_, err = Unmarshal(newer)
+	if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("version %d", Version+1)) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/coord/document_test.go
+++ b/internal/coord/document_test.go
@@ -1,7 +1,6 @@
 package coord
 
 import (
-	"bytes"
 	"fmt"
 	"strings"
 	"testing"
@@ -21,17 +20,27 @@
 
 // putter numbers a session's commands.
 type putter struct {
-	state *State
-	seq   uint64
+	state    *State
+	sequence uint64
 }
 
 func (p *putter) put(t *testing.T, put DocumentPut, want Code) Response {
 	t.Helper()
-	p.seq++
-	return must(t, p.state, Command{Op: OpPutDocument, SessionID: "s", Sequence: p.seq, AcknowledgedThrough: p.seq - 1, Document: &put}, want)
+	p.sequence++
+	return must(t, p.state, p.command(put), want)
 }
 
-// A document is put only over the revision that was expected; one counter goes over all changes; a repeated command changes nothing.
+// command is the session's newest one.
+func (p *putter) command(put DocumentPut) Command {
+	return Command{
+		Op: OpPutDocument, SessionID: "s", Document: &put,
+		Sequence: p.sequence, AcknowledgedThrough: p.sequence - 1,
+	}
+}
+
+// Two operators put the same document. The second one expects a revision that is no longer there and
+// gets a conflict with the one that is; one counter goes over all changes; a command that is sent
+// again changes nothing. A wrong machine would lose the first operator's change.
 func TestCompareAndSet(t *testing.T) {
 	p := putter{state: agreed(t)}
 	first := p.put(t, DocumentPut{Name: "a", Value: []byte("1")}, CodeOK)
@@ -44,19 +53,22 @@
 	}
 	p.put(t, DocumentPut{Name: "a", Value: []byte("2"), Expected: 2}, CodeConflict)
 	second := p.put(t, DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}, CodeOK)
-	again := must(t, p.state, Command{Op: OpPutDocument, SessionID: "s", Sequence: p.seq, AcknowledgedThrough: p.seq - 1, Document: &DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}}, CodeOK)
+	again := must(t, p.state, p.command(DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}), CodeOK)
 	if second != again || p.state.Revision() != 3 {
 		t.Errorf("%+v, repeated %+v, newest %d", second, again, p.state.Revision())
 	}
 	p.put(t, DocumentPut{Name: "a", Delete: true, Expected: 3}, CodeOK)
 	p.put(t, DocumentPut{Name: "a", Delete: true}, CodeInvalid)
 	p.put(t, DocumentPut{Name: "a", Value: []byte("3")}, CodeOK)
-	if history := p.state.Documents.History("a"); len(history) != 4 || !history[2].Deleted || string(history[3].Value) != "3" {
+	history := p.state.Documents.History("a")
+	if len(history) != 4 || !history[2].Deleted || string(history[3].Value) != "3" {
 		t.Errorf("%+v", history)
 	}
 }
 
-// What is impossible is refused by words, and so is all of it before every coordinator understands it.
+// A put that is impossible is rejected with the reason, and every put is rejected while an older
+// coordinator doesn't understand documents. A machine that carried it out would differ from the
+// older one's.
 func TestDocumentRefused(t *testing.T) {
 	p := putter{state: agreed(t)}
 	for text, put := range map[string]DocumentPut{
@@ -74,13 +86,16 @@
 	old := New()
 	must(t, old, Command{Op: OpUpgrade, TargetVersion: DocumentVersion - 1}, CodeOK)
 	must(t, old, Command{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, CodeOK)
-	a := must(t, old, Command{Op: OpPutDocument, SessionID: "s", Sequence: 1, Document: &DocumentPut{Name: "a"}}, CodeInvalid)
+	put := Command{Op: OpPutDocument, SessionID: "s", Sequence: 1, Document: &DocumentPut{Name: "a"}}
+	a := must(t, old, put, CodeInvalid)
 	if !strings.Contains(a.Text, "members upgrade") || old.Revision() != 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Each bound of the documents is reached, named, and has room again; the history is bounded without refusing anything.
+// The documents reach the limit of their number, then that of their bytes: one more is rejected with
+// the limit's name, and there is capacity again once one is deleted. The history is bounded without
+// rejecting anything: the oldest changes are compacted and a watcher that is behind gets a snapshot.
 func TestDocumentBounds(t *testing.T) {
 	p := putter{state: agreed(t)}
 	for i := range MaxDocuments {
@@ -98,8 +113,9 @@
 	for i := range count {
 		p.put(t, DocumentPut{Name: fmt.Sprint(i), Value: large}, CodeOK)
 	}
-	if a := p.put(t, DocumentPut{Name: "more", Value: large}, CodeLimitReached); !strings.Contains(a.Text, "bytes together") {
-		t.Errorf("%+v", a)
+	full := p.put(t, DocumentPut{Name: "more", Value: large}, CodeLimitReached)
+	if !strings.Contains(full.Text, "bytes together") {
+		t.Errorf("%+v", full)
 	}
 	p.put(t, DocumentPut{Name: "0", Value: large, Expected: 1}, CodeOK) // it replaces as much as it brings
 	p.put(t, DocumentPut{Name: "0", Delete: true, Expected: p.state.Revision()}, CodeOK)
@@ -121,33 +137,25 @@
 	}
 }
 
-// All replicas agree on the documents whatever comes, also one that began from a snapshot, and after a majority was lost.
+// Two replicas apply the same random puts and deletions; one is restored from its own snapshot now
+// and then, and now and then a majority was lost and the revision is raised. They have the same
+// bytes, and the revision never goes back.
 func TestAnyDocuments(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, b := agreed(t), agreed(t)
 		revision := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(r, "commands") {
-			put := DocumentPut{Name: rapid.SampledFrom([]string{"a", "b", "c c"}).Draw(r, "name"), Delete: rapid.Bool().Draw(r, "delete"),
-				Expected: rapid.Uint64Range(0, revision+1).Draw(r, "expected"), Value: make([]byte, rapid.SampledFrom([]int{0, 9, MaxDocumentBytes + 1}).Draw(r, "value"))}
-			c := Command{Version: Version, Op: OpPutDocument, SessionID: "s", Sequence: uint64(i + 1), AcknowledgedThrough: uint64(i), Document: &put}
-			if rapid.IntRange(0, 20).Draw(r, "raise") == 0 {
-				c = Command{Version: Version, Op: OpRaiseTokens}
-			}
+			c := drawDocumentCommand(r, uint64(i+1), revision)
 			if got, other := a.Apply(c, 1), b.Apply(c, 1); got != other {
 				r.Fatalf("%+v: %+v and %+v", c, got, other)
 			}
-			one, err := a.Marshal()
-			if err != nil {
-				r.Fatal(err)
-			}
-			two, err := b.Marshal()
-			if err != nil || !bytes.Equal(one, two) {
-				r.Fatalf("%v\n%s\n%s", err, one, two)
-			}
+			text := sameBytes(r, a, b)
 			if rapid.Bool().Draw(r, "restore") {
-				if b, err = Unmarshal(two); err != nil {
+				restored, err := Unmarshal(text)
+				if err != nil {
 					r.Fatal(err)
 				}
+				b = restored
 			}
 			if a.documentBytes != b.documentBytes {
 				r.Fatalf("%d and %d bytes of documents", a.documentBytes, b.documentBytes)
@@ -159,3 +167,19 @@
 		}
 	})
 }
+
+func drawDocumentCommand(r *rapid.T, sequence, revision uint64) Command {
+	put := DocumentPut{
+		Name:     rapid.SampledFrom([]string{"a", "b", "c c"}).Draw(r, "name"),
+		Delete:   rapid.Bool().Draw(r, "delete"),
+		Expected: rapid.Uint64Range(0, revision+1).Draw(r, "expected"),
+		Value:    make([]byte, rapid.SampledFrom([]int{0, 9, MaxDocumentBytes + 1}).Draw(r, "value")),
+	}
+	if rapid.IntRange(0, 20).Draw(r, "raise") == 0 {
+		return Command{Version: Version, Op: OpRaiseTokens}
+	}
+	return Command{
+		Version: Version, Op: OpPutDocument, SessionID: "s", Document: &put,
+		Sequence: sequence, AcknowledgedThrough: sequence - 1,
+	}
+}
