--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -143,7 +143,7 @@
 
 // reportCommand is the first report of router i of what it sees.
 func reportCommand(i int) Command {
-	report := &rollout.Command{Op: rollout.See, View: &rollout.View{}}
+	report := &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{}}
 	return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: report}
 }
 
@@ -153,7 +153,7 @@
 func TestBoundsBeforeUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
-		must(t, s, openCommand(fmt.Sprint(i), rollout.RouterClient+fmt.Sprint(i), time.Minute), CodeOK)
+		must(t, s, openCommand(fmt.Sprint(i), rollout.RouterClientPrefix+fmt.Sprint(i), time.Minute), CodeOK)
 	}
 	more := openCommand("more", "c", time.Minute)
 	if response := must(t, s, more, CodeLimitReached); response.Text != "sessions: 4096 at most" {
@@ -169,16 +169,16 @@
 	}
 	large := reportCommand(0)
 	large.Sequence = 2
-	large.Rollout.View.Servers = make([]rollout.Seen, rollout.EarlierMaxSeen+1)
+	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)
 	if response := must(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
 		t.Errorf("%s", response.Text)
 	}
-	if n := s.RouterDrains().MaxSeen; n != 0 {
+	if n := s.RouterDrains().MaxReportedServers; n != 0 {
 		t.Errorf("routers are notified of reports of %d servers", n)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: fleetLimitsVersion}, CodeOK)
 	must(t, s, more, CodeOK)
-	if n := s.RouterDrains().MaxSeen; n != rollout.MaxSeen {
+	if n := s.RouterDrains().MaxReportedServers; n != rollout.MaxReportedServers {
 		t.Errorf("routers are notified of reports of %d servers", n)
 	}
 }
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -211,7 +211,7 @@
 		if !watch(w, r, true) {
 			return
 		}
-		var d rollout.Drains
+		var d rollout.DrainSet
 		err := n.LinearizableRead(func(s *coord.State) { d = s.RouterDrains() })
 		n.writeResponse(w, d, err)
 	})
--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -10,20 +10,20 @@
 	if s.Rollout == nil {
 		s.Rollout = rollout.New()
 	}
-	answer := s.Rollout.Apply(*c.Rollout, rollout.From{
-		Clock:         s.Clock,
-		Session:       c.SessionID,
-		Client:        session.Client,
-		Opened:        session.OpenedIndex,
-		Token:         s.newToken,
-		EarlierBounds: s.hasEarlierLimits(),
+	result := s.Rollout.Apply(*c.Rollout, rollout.Sender{
+		Time:             s.Clock,
+		Session:          c.SessionID,
+		Client:           session.Client,
+		SessionOrder:     session.OpenedIndex,
+		NextToken:        s.newToken,
+		HasEarlierLimits: s.hasEarlierLimits(),
 	})
 	return Response{
-		Code:      Code(answer.Code),
-		Text:      answer.Text,
-		Token:     answer.Token,
-		Stage:     answer.Stage,
-		IsDrained: answer.Drained,
+		Code:      Code(result.Code),
+		Text:      result.Text,
+		Token:     result.Token,
+		Stage:     result.Stage,
+		IsDrained: result.IsDrained,
 	}
 }
 
@@ -37,14 +37,15 @@
 		return invalid("roll: empty"), true
 	}
 	if s.Version < rolloutSignalVersion {
-		view, plan := c.Rollout.View, c.Rollout.Plan
-		if view != nil && len(view.Speed) > 0 {
+		report := c.Rollout.Report
+		plan := c.Rollout.Plan
+		if report != nil && len(report.LatencyCounts) > 0 {
 			return invalid("version: %d is in force, and the speed wants 3", s.Version), true
 		}
-		if plan != nil && plan.Learn > 0 {
+		if plan != nil && plan.LearnTime > 0 {
 			return requiresSignalVersion(s.Version, "learn wants"), true
 		}
-		if c.Rollout.Quorum > 0 || c.Rollout.Busy > 0 {
+		if c.Rollout.EjectionQuorum > 0 || c.Rollout.OverloadShare > 0 {
 			return requiresSignalVersion(s.Version, "quorum and busy want"), true
 		}
 	}
@@ -60,13 +61,13 @@
 
 // RouterDrains is the set of drained servers and what else routers go by, in the fields that all
 // coordinators understand; empty until the first command of internal/rollout.
-func (s *State) RouterDrains() rollout.Drains {
+func (s *State) RouterDrains() rollout.DrainSet {
 	if s.Rollout == nil {
-		return rollout.Drains{}
+		return rollout.DrainSet{}
 	}
-	drains := s.Rollout.ForRouters(s.Clock, s.Version >= rolloutSignalVersion)
+	drains := s.Rollout.DrainSet(s.Clock, s.Version >= rolloutSignalVersion)
 	if !s.hasEarlierLimits() {
-		drains.MaxSeen = rollout.MaxSeen
+		drains.MaxReportedServers = rollout.MaxReportedServers
 	}
 	return drains
 }
@@ -77,5 +78,5 @@
 	if s.Rollout == nil {
 		return 0, 0
 	}
-	return s.Rollout.Version, s.Rollout.Drains
+	return s.Rollout.Version, s.Rollout.DrainVersion
 }
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -98,7 +98,7 @@
 	client := s.Sessions[id].Client
 	delete(s.Sessions, id)
 	if s.Rollout != nil {
-		s.Rollout.Ended(id, client, s.Clock, s.newToken)
+		s.Rollout.SessionEnded(id, client, s.Clock, s.newToken)
 	}
 }
 
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -58,7 +58,7 @@
 	s.nextExpiry = 0 // unknown: the next command looks
 	s.recountDocumentBytes()
 	if s.Rollout != nil {
-		s.Rollout.Restored()
+		s.Rollout.RebuildDerived()
 	}
 	return s, nil
 }
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -85,15 +85,15 @@
 func (ad *admissionControl) arrive(r *request, left float64) {
 	var from netip.Addr
 	if ad.tenants.ByNetwork() {
-		from = clientAddr(r.slot.c.Conn)
+		from = clientAddr(r.response.conn.Conn)
 	}
-	class, ok := ad.classIndex[r.cmd.class]
+	class, ok := ad.classIndex[r.command.class]
 	if !ok {
 		class = ad.otherClass
 	}
 	r.admissionStage = admissionQueued
-	ad.admission.Arrive(ad.loop.now(), admission.Request{ID: r.id, Tenant: ad.tenants.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
-		Key: keyID(r.cmd.key), SizeBytes: r.cmd.length, RemainingMillis: left, IsRetry: r.cmd.retry})
+	ad.admission.Arrive(ad.loop.now(), admission.Request{ID: r.id, Tenant: ad.tenants.Tenant(r.command.tenant, r.command.key, from), Class: class,
+		Key: keyID(r.command.key), SizeBytes: r.command.valueBytes, RemainingMillis: left, IsRetry: r.command.isRetry})
 	ad.arm()
 }
 
@@ -119,7 +119,7 @@
 // arm sees to it that what waits is looked at in time.
 func (ad *admissionControl) arm() {
 	next := ad.admission.NextDeadline()
-	if ad.timer != nil && ad.timer.i >= 0 && ad.timer.at <= next {
+	if ad.timer != nil && ad.timer.heapIndex >= 0 && ad.timer.at <= next {
 		return // it is looked at sooner, and armed again then
 	}
 	ad.loop.timers.stop(ad.timer)
@@ -133,7 +133,7 @@
 
 // Admit lets a request through to the Balancer, after the call that led to it.
 func (ad *admissionControl) Admit(id uint32) {
-	r := ad.loop.reqs[id]
+	r := ad.loop.requests[id]
 	if r == nil {
 		return
 	}
@@ -147,7 +147,7 @@
 
 // Reject ends a request at the door.
 func (ad *admissionControl) Reject(id uint32, after float64) {
-	if r := ad.loop.reqs[id]; r != nil {
+	if r := ad.loop.requests[id]; r != nil {
 		r.admissionStage = admissionNone
 		if ad.loop.rules.Load().tellsRetryAfter {
 			ad.loop.Reject(id, math.Ceil(after))
@@ -162,11 +162,11 @@
 
 // AdmissionState is how admission stands, in JSON; admin.ErrOff tells that there is none.
 func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
-	if r.l.admission == nil {
+	if r.loop.admission == nil {
 		return nil, admin.ErrNotEnabled
 	}
 	var s admission.State
-	if err := r.l.do(ctx, func() error { s = r.l.admission.admission.State(shownTenants); return nil }); err != nil {
+	if err := r.loop.call(ctx, func() error { s = r.loop.admission.admission.State(shownTenants); return nil }); err != nil {
 		return nil, err
 	}
 	return json.Marshal(s)
