--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -76,7 +76,7 @@
 		l.recordOwnEvidence(a.server, got.status)
 	}
 	l.balancer.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: got.status, LatencyMillis: now - a.startedAt,
-		IsFinal: r.isDone, Note: got.cacheNote, Load: got.load})
+		IsFinal: r.isDone, CacheResult: decide.CacheResult(got.cacheNote), Load: got.load})
 }
 
 // replyWithoutAnswer returns an attempt's outcome without a reply.
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -23,7 +23,7 @@
 // between two versions of the program and stay as they are.
 type handoverState struct {
 	// Decisions is what the decision module has learnt.
-	Decisions decide.Carried `json:"Module"`
+	Decisions decide.Snapshot `json:"Module"`
 	// List is the endpoint list as the old process holds it.
 	List endpointList `json:"List"`
 	// ServerIDs are the server names that discovery has listed so far.
