--- /dev/null
+++ b/internal/coord/client/command.go
@@ -0,0 +1,151 @@
+package client
+
+import (
+	"context"
+	"time"
+
+	"dockhinge.example/dockhinge/internal/coord"
+	"dockhinge.example/dockhinge/internal/coord/clock"
+)
+
+// outcome is what became of a numbered command.
+type outcome struct {
+	response    coord.Response
+	firstSentAt time.Duration // on the client's clock
+	sessionID   string        // in which it was sent
+	err         error
+}
+
+// execute has a numbered command carried out once, however often it must be sent, and waits for its
+// response until ctx ends. Where the caller no longer waits, the command is repeated all the same
+// until its outcome is known, and onLateOutcome, if any, gets it.
+//
+// A command that names a session is carried out in that session or not at all (ErrLeaseLost).
+func (c *Client) execute(ctx context.Context, command coord.Command, onLateOutcome func(outcome)) outcome {
+	c.mu.Lock()
+	sessionReady := c.sessionReady
+	c.mu.Unlock()
+	select {
+	case <-sessionReady:
+	case <-ctx.Done():
+		return outcome{err: c.noSessionError()}
+	}
+	select {
+	case c.commandSlots <- struct{}{}:
+	case <-ctx.Done():
+		return outcome{err: ctx.Err()}
+	}
+	command, sessionContext, err := c.enterWindow(ctx, command)
+	if err != nil {
+		<-c.commandSlots
+		return outcome{err: err}
+	}
+	result := make(chan outcome)
+	callerLeft := make(chan struct{})
+	go func() { // ends with the session at the latest; Run waits for it
+		defer c.wg.Done()
+		o := c.repeatUntilAnswered(sessionContext, command)
+		<-c.commandSlots
+		select {
+		case result <- o:
+		case <-callerLeft:
+			if onLateOutcome != nil {
+				onLateOutcome(o)
+			}
+		}
+	}()
+	select {
+	case o := <-result:
+		return o
+	case <-ctx.Done():
+		close(callerLeft)
+		return outcome{err: ctx.Err()}
+	}
+}
+
+// enterWindow numbers a command in the session that is there and counts it in wg.
+func (c *Client) enterWindow(ctx context.Context, command coord.Command) (coord.Command, context.Context, error) {
+	if err := c.lockWindow(ctx); err != nil {
+		return command, nil, err
+	}
+	defer c.mu.Unlock()
+	if !c.leases.HasSession(c.options.Clock()) {
+		return command, nil, ErrNoSession
+	}
+	if command.SessionID != "" && command.SessionID != c.sessionID {
+		return command, nil, ErrLeaseLost
+	}
+	c.lastSequence++
+	command.Sequence = c.lastSequence
+	command.SessionID = c.sessionID
+	c.pending[command.Sequence] = true
+	c.wg.Add(1)
+	return command, c.sessionContext, nil
+}
+
+// lockWindow locks mu once the next sequence number lies within what the coordinators remember
+// beyond the oldest command whose response hasn't come: others may have been answered by the dozen
+// while that one is repeated, and a command beyond the window is rejected. After an error mu isn't
+// locked.
+func (c *Client) lockWindow(ctx context.Context) error {
+	for {
+		c.mu.Lock()
+		if c.lastSequence-c.acknowledgedThrough() < coord.MaxCachedResponses {
+			return nil
+		}
+		windowMoved := c.windowMoved
+		c.mu.Unlock()
+		select {
+		case <-windowMoved:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// acknowledgedThrough is the sequence number through which all responses have come. The caller holds
+// mu.
+func (c *Client) acknowledgedThrough() uint64 {
+	through := c.lastSequence
+	for sequence := range c.pending {
+		through = min(through, sequence-1)
+	}
+	return through
+}
+
+// wakeWindow has those look again who wait in lockWindow. The caller holds mu.
+func (c *Client) wakeWindow() {
+	close(c.windowMoved)
+	c.windowMoved = make(chan struct{})
+}
+
+// repeatUntilAnswered sends a command until it is answered or the session is over. The coordinators
+// carry it out once, by its sequence number.
+func (c *Client) repeatUntilAnswered(sessionContext context.Context, command coord.Command) outcome {
+	o := outcome{firstSentAt: c.options.Clock(), sessionID: command.SessionID}
+	timeout := c.newRequestTimeout()
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
+		c.mu.Lock()
+		command.AcknowledgedThrough = c.acknowledgedThrough()
+		c.mu.Unlock()
+		o.response, o.err = c.sendWithin(sessionContext, timeout.current, command)
+		timeout.observe(o.err)
+		if o.err == nil {
+			break
+		}
+		if !clock.Sleep(sessionContext, RetryDelay(o.err, jitter(pause))) {
+			o.err = ErrNoSession
+			return o
+		}
+	}
+	c.mu.Lock()
+	if c.sessionID == command.SessionID {
+		delete(c.pending, command.Sequence)
+	}
+	c.wakeWindow()
+	c.mu.Unlock()
+	if o.response.Code != coord.CodeOK {
+		o.err = &RejectedError{o.response}
+	}
+	return o
+}
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -9,13 +9,15 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// LeaseTable is what a client knows of its session and leases, and by it whether it may act. It has no I/O and no clock: all times
-// are the caller's, on one clock. An end is counted from when a request was sent, never from when it was answered.
+// LeaseTable is what a client knows of its session and leases, and by which it may act. It has no
+// I/O and no clock: all times are the caller's, on one clock. An expiry is counted from when a
+// request was sent, never from when its response came: the coordinators began to count before they
+// responded, and a holder that counted from the response would act beyond its time.
 type LeaseTable struct {
 	sessionTTL       time.Duration
-	sessionExpiresAt time.Duration // of the session
+	sessionExpiresAt time.Duration
 	hasSession       bool
-	leases           map[string]*heldLease
+	leases           map[string]*heldLease // by name
 }
 
 type heldLease struct {
@@ -24,103 +26,101 @@
 	expiresAt time.Duration
 }
 
-// SessionOpened books a session that was asked for at sent.
-func (b *LeaseTable) SessionOpened(ttl, sent, now time.Duration) {
-	*b = LeaseTable{sessionTTL: ttl, sessionExpiresAt: b.countedFrom(sent, now) + ttl, hasSession: true, leases: map[string]*heldLease{}}
+// SessionOpened records a session that was asked for at sentAt.
+func (t *LeaseTable) SessionOpened(ttl, sentAt, now time.Duration) {
+	*t = LeaseTable{
+		sessionTTL:       ttl,
+		sessionExpiresAt: countedFrom(sentAt, now) + ttl,
+		hasSession:       true,
+		leases:           map[string]*heldLease{},
+	}
 }
 
-// countedFrom is when the time of what was asked for at sent begins.
-func (b *LeaseTable) countedFrom(sent, now time.Duration) time.Duration {
+// countedFrom is when the time of what was asked for at sentAt begins.
+func countedFrom(sentAt, now time.Duration) time.Duration {
 	if failpoint.Is("time-from-answer") {
 		return now
 	}
-	return sent
+	return sentAt
 }
 
-// KeptAlive books that the session was kept by a command that was sent at sent and whose answer came at now. What had ended by
-// then stays ended: the coordinators may have given it to another before the command reached them.
-func (b *LeaseTable) KeptAlive(sent, now time.Duration) {
-	if !b.HasSession(now) {
+// KeptAlive records that the session was kept alive by a command that was sent at sentAt and whose
+// response came at now. What had expired by then stays expired: the coordinators may have given it
+// to another holder before the command reached them.
+func (t *LeaseTable) KeptAlive(sentAt, now time.Duration) {
+	if !t.HasSession(now) {
 		return
 	}
-	from := b.countedFrom(sent, now)
-	b.sessionExpiresAt = max(b.sessionExpiresAt, from+b.sessionTTL)
-	for name, e := range b.leases {
-		if now >= e.expiresAt {
-			delete(b.leases, name)
-		} else {
-			e.expiresAt = max(e.expiresAt, from+e.ttl)
+	from := countedFrom(sentAt, now)
+	t.sessionExpiresAt = max(t.sessionExpiresAt, from+t.sessionTTL)
+	for name, lease := range t.leases {
+		if now >= lease.expiresAt {
+			delete(t.leases, name)
+			continue
 		}
+		lease.expiresAt = max(lease.expiresAt, from+lease.ttl)
 	}
 }
 
-// Granted books a lease, and reports whether any of its time is left.
-func (b *LeaseTable) Granted(name string, token uint64, ttl, sent, now time.Duration) bool {
-	until := b.countedFrom(sent, now) + ttl
-	if !b.HasSession(now) || now >= until {
+// Granted records a lease, and reports whether any of its time is left.
+func (t *LeaseTable) Granted(name string, token uint64, ttl, sentAt, now time.Duration) bool {
+	expiresAt := countedFrom(sentAt, now) + ttl
+	if !t.HasSession(now) || now >= expiresAt {
 		return false
 	}
-	if e := b.leases[name]; e != nil && e.token == token && now < e.expiresAt {
-		e.expiresAt = max(e.expiresAt, until)
-	} else {
-		b.leases[name] = &heldLease{token, ttl, until}
+	known := t.leases[name]
+	if known != nil && known.token == token && now < known.expiresAt {
+		known.expiresAt = max(known.expiresAt, expiresAt)
+		return true
 	}
+	t.leases[name] = &heldLease{token: token, ttl: ttl, expiresAt: expiresAt}
 	return true
 }
 
-// Forget forgets a lease that is held with this token: the client has stopped acting on it.
-func (b *LeaseTable) Forget(name string, token uint64) {
-	if e := b.leases[name]; e != nil && e.token == token {
-		delete(b.leases, name)
+// Forget removes a lease that is held with this token: the client has stopped acting on it.
+func (t *LeaseTable) Forget(name string, token uint64) {
+	if lease := t.leases[name]; lease != nil && lease.token == token {
+		delete(t.leases, name)
 	}
 }
 
-// SessionLost forgets all: the coordinators say that the session has ended.
-func (b *LeaseTable) SessionLost() { *b = LeaseTable{} }
+// SessionLost removes everything: the coordinators said that the session has ended.
+func (t *LeaseTable) SessionLost() { *t = LeaseTable{} }
 
 // HasSession reports whether the session is there.
-func (b *LeaseTable) HasSession(now time.Duration) bool {
-	return b.hasSession && now < b.sessionExpiresAt
+func (t *LeaseTable) HasSession(now time.Duration) bool {
+	return t.hasSession && now < t.sessionExpiresAt
 }
 
-// Held tells a lease's token and how much of its time is left.
-func (b *LeaseTable) Held(name string, now time.Duration) (token uint64, left time.Duration, ok bool) {
-	e := b.leases[name]
-	if e == nil || !b.HasSession(now) || now >= e.expiresAt {
+// Held is a lease's token and how much of its time is left; false where it must not be acted on.
+func (t *LeaseTable) Held(name string, now time.Duration) (token uint64, remaining time.Duration, ok bool) {
+	lease := t.leases[name]
+	if lease == nil || !t.HasSession(now) || now >= lease.expiresAt {
 		return 0, 0, false
 	}
-	return e.token, min(e.expiresAt, b.sessionExpiresAt) - now, true
+	return lease.token, min(lease.expiresAt, t.sessionExpiresAt) - now, true
 }
 
-// Count is how many leases are held.
-func (b *LeaseTable) Count(now time.Duration) (n int) {
-	for name := range b.leases {
-		if _, _, ok := b.Held(name, now); ok {
-			n++
-		}
+// Clone returns a copy that shares nothing.
+func (t *LeaseTable) Clone() LeaseTable {
+	c := *t
+	if t.leases == nil {
+		return c
 	}
-	return n
-}
-
-// Clone is a copy that shares nothing.
-func (b *LeaseTable) Clone() LeaseTable {
-	c := *b
-	if b.leases != nil {
-		c.leases = map[string]*heldLease{}
-		for name, e := range b.leases {
-			one := *e
-			c.leases[name] = &one
-		}
+	c.leases = make(map[string]*heldLease, len(t.leases))
+	for name, lease := range t.leases {
+		copied := *lease
+		c.leases[name] = &copied
 	}
 	return c
 }
 
-// Fingerprint tells all that the book knows: equal books give equal texts.
-func (b *LeaseTable) Fingerprint() string {
-	text := fmt.Sprint(b.sessionTTL, b.sessionExpiresAt, b.hasSession)
-	for _, name := range slices.Sorted(maps.Keys(b.leases)) {
-		e := b.leases[name]
-		text += fmt.Sprint(" ", name, e.token, e.ttl, e.expiresAt)
+// Fingerprint is a text of all that the table knows: equal tables give equal texts.
+func (t *LeaseTable) Fingerprint() string {
+	text := fmt.Sprint(t.sessionTTL, t.sessionExpiresAt, t.hasSession)
+	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
+		lease := t.leases[name]
+		text += fmt.Sprint(" ", name, lease.token, lease.ttl, lease.expiresAt)
 	}
 	return text
 }
--- a/internal/coord/client/request_timeout_test.go
+++ b/internal/coord/client/request_timeout_test.go
@@ -13,7 +13,10 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Patience grows with answers that don't come in time alone, up to half of the session's time.
+// A coordinator is slow, then others refuse connections. The timeout doubles only where a response
+// didn't come in time, up to half of the session's TTL. A client that doubled it after every error
+// would wait long for a coordinator that is back; one that never did would lengthen a slow leader's
+// queue.
 func TestPatience(t *testing.T) {
 	p := New(Options{TTL: 10 * time.Second}).newRequestTimeout()
 	if p.current != time.Second {
@@ -32,7 +35,9 @@
 	}
 }
 
-// A leader that answers later than clients wait at first gets a session open all the same.
+// The leader needs 300 ms for each response, and the client waits 50 ms at first. The timeout grows
+// until the response comes in time, so that the session is opened; with a fixed timeout the client
+// would ask for ever and never have a session.
 func TestSlowLeader(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	var mu sync.Mutex
@@ -45,7 +50,12 @@
 		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeOK})
 	}))
 	defer s.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50})
+	c := New(Options{
+		Coordinators:         map[string]string{"c1": s.Listener.Addr().String()},
+		ClientName:           "r",
+		TTL:                  10 * time.Second,
+		RequestTimeoutMillis: 50,
+	})
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
 	if !c.openSession(ctx) {
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -9,47 +9,53 @@
 	"time"
 )
 
-// maxRetryAfter bounds the time to come back that is believed.
-const maxRetryAfter = 5 * time.Minute
+const (
+	minRetryPause = 20 * time.Millisecond // before the first retry; doubled for each further one
+	maxRetryPause = time.Second
 
-// RetryLaterError is what a coordinator answers that has reached a bound of its own, as of connections or watchers.
-type RetryLaterError struct {
-	Text       string
-	RetryAfter time.Duration
-}
-
-func (e *RetryLaterError) Error() string {
-	return e.Text + ", retry after " + e.RetryAfter.Round(time.Millisecond).String()
-}
+	// maxRetryAfter bounds the Retry-After that is believed.
+	maxRetryAfter = 5 * time.Minute
+)
 
-// retryLater reads such an answer. A body that can't be read leaves the header's whole seconds.
-func retryLater(h http.Header, body []byte) error {
-	var answer struct {
+// retryLater reads the body of a coordinator that has reached a limit. A body that can't be read
+// leaves the header's whole seconds; 0 means to come back as after any other error.
+func retryLater(header http.Header, body []byte) error {
+	var rejection struct {
 		Text       string        `json:"text"`
 		RetryAfter time.Duration `json:"retry_after"`
 	}
-	if json.Unmarshal(body, &answer) != nil || answer.RetryAfter <= 0 {
-		seconds, _ := strconv.Atoi(h.Get("Retry-After")) // 0: come back as after any error
-		answer.RetryAfter = time.Duration(seconds) * time.Second
+	if json.Unmarshal(body, &rejection) != nil || rejection.RetryAfter <= 0 {
+		seconds, _ := strconv.Atoi(header.Get("Retry-After"))
+		rejection.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	return &RetryLaterError{Text: answer.Text, RetryAfter: answer.RetryAfter}
+	return &RetryLaterError{Text: rejection.Text, RetryAfter: rejection.RetryAfter}
 }
 
-// RetryDelay is how long to wait after an error: not less than the coordinators asked for, and up to half of that longer, so that
-// those who were told the same don't come at once; otherwise where they asked for nothing.
+// RetryDelay is how long to wait after an error: not less than the coordinators asked for, and up to
+// half of that longer, so that clients which got the same time don't come back at once; otherwise
+// where they asked for nothing.
 func RetryDelay(err error, otherwise time.Duration) time.Duration {
-	var asked time.Duration
-	var refused *RejectedError
+	retryAfter := min(retryAfterOf(err), maxRetryAfter)
+	if retryAfter <= 0 {
+		return otherwise
+	}
+	return retryAfter + rand.N(retryAfter/2+1)
+}
+
+// retryAfterOf is the time to come back that an error carries, or 0.
+func retryAfterOf(err error) time.Duration {
 	var later *RetryLaterError
-	switch {
-	case errors.As(err, &later):
-		asked = later.RetryAfter
-	case errors.As(err, &refused):
-		asked = refused.RetryAfter
+	if errors.As(err, &later) {
+		return later.RetryAfter
 	}
-	asked = min(asked, maxRetryAfter)
-	if asked <= 0 {
-		return otherwise
+	var rejected *RejectedError
+	if errors.As(err, &rejected) {
+		return rejected.RetryAfter
 	}
-	return asked + rand.N(asked/2+1)
+	return 0
+}
+
+// jitter spreads a pause over half of it to one and a half.
+func jitter(pause time.Duration) time.Duration {
+	return pause/2 + time.Duration(rand.Int64N(int64(pause)+1))
 }
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -15,11 +15,15 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Who was told when to come back comes no sooner, and those who were told the same come apart.
+// A hundred clients get the same Retry-After. None comes back sooner, and they come back spread over
+// half of it. A client that came sooner, or all at once, would overload the coordinator again.
 func TestPause(t *testing.T) {
 	const asked = time.Second
-	for _, err := range []error{&RetryLaterError{"full", asked}, errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
-		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}}} {
+	for _, err := range []error{
+		&RetryLaterError{"full", asked},
+		errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
+		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}},
+	} {
 		seen := map[time.Duration]bool{}
 		for range 100 {
 			d := RetryDelay(err, time.Millisecond)
@@ -43,7 +47,9 @@
 	}
 }
 
-// A refused session is asked for again no sooner than told, and who waits for it is told why in the coordinators' words.
+// The coordinators' table of sessions is full. The client asks again no sooner than the Retry-After
+// says, and a caller that waits for the session gets the coordinators' reason. A client that ignored
+// it would add load to full coordinators, and an operator would not learn why there is no lease.
 func TestSessionRefused(t *testing.T) {
 	const asked = 200 * time.Millisecond
 	var mu sync.Mutex
@@ -52,10 +58,12 @@
 		mu.Lock()
 		tries = append(tries, time.Now())
 		mu.Unlock()
-		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeLimitReached, Text: "sessions: 3 at most", RetryAfter: asked})
+		full := coord.Response{Code: coord.CodeLimitReached, Text: "sessions: 3 at most", RetryAfter: asked}
+		_ = json.NewEncoder(w).Encode(full)
 	}))
 	defer s.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "r", TTL: 10 * time.Second})
+	coordinators := map[string]string{"c1": s.Listener.Addr().String()}
+	c := New(Options{Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second})
 	ctx, stop := context.WithTimeout(t.Context(), 6*asked)
 	defer stop()
 	var wg sync.WaitGroup
@@ -75,7 +83,8 @@
 	}
 }
 
-// A leader that has no room for a watcher is asked once, however many others name it.
+// The leader has reached its limit of watchers, and four followers name it as the leader. It is asked
+// once. A client that followed each redirect would ask it five times in one call.
 func TestFullLeaderAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -104,7 +113,8 @@
 	}
 }
 
-// A leader that doesn't answer in time is asked once in a call, however many others name it: what it has waits there already.
+// The leader doesn't respond in time, and four followers name it as the leader. It is asked once in a
+// call: the command waits there already, and sending it again would lengthen its queue.
 func TestSilentLeaderAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	ended := make(chan struct{})
@@ -126,7 +136,9 @@
 		defer s.Close()
 		coordinators[name] = s.Listener.Addr().String()
 	}
-	c := New(Options{Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50})
+	c := New(Options{
+		Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50,
+	})
 	if _, err := c.send(t.Context(), coord.Command{Op: coord.OpKeepAlive}); err == nil {
 		t.Error("it was answered")
 	}
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -13,12 +13,12 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// lateCoordinator carries commands out alone, and keeps back what asks for one lease until it is let go.
+// lateCoordinator carries commands out alone, but those for one lease only once released is closed.
 type lateCoordinator struct {
-	mu    sync.Mutex
-	state *coord.State
-	late  string
-	letGo chan struct{}
+	mu       sync.Mutex
+	state    *coord.State
+	late     string
+	released chan struct{}
 }
 
 func (l *lateCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +29,7 @@
 	}
 	if c.Lease == l.late {
 		select {
-		case <-l.letGo:
+		case <-l.released:
 		case <-r.Context().Done():
 			return
 		}
@@ -40,12 +40,15 @@
 	_ = json.NewEncoder(w).Encode(l.state.Apply(c, 1))
 }
 
-// One command whose answer doesn't come has no other refused: those beyond what the coordinators remember wait for it.
+// One command's response doesn't come while the client sends others. The coordinators remember
+// MaxCachedResponses beyond it, and reject what lies further. The client holds such commands back
+// until the late response has come; a client that sent them would have them rejected.
 func TestLateCommandHoldsTheWindow(t *testing.T) {
-	late := &lateCoordinator{state: coord.New(), late: "late", letGo: make(chan struct{})}
+	late := &lateCoordinator{state: coord.New(), late: "late", released: make(chan struct{})}
 	server := httptest.NewServer(late)
 	defer server.Close()
-	c := New(Options{Coordinators: map[string]string{"c1": server.Listener.Addr().String()}, ClientName: "c", TTL: time.Minute})
+	coordinators := map[string]string{"c1": server.Listener.Addr().String()}
+	c := New(Options{Coordinators: coordinators, ClientName: "c", TTL: time.Minute})
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -77,7 +80,7 @@
 	if _, err := c.Acquire(brief, "beyond too", "", 10*time.Second); err == nil {
 		t.Error("a command beyond the window was carried out")
 	}
-	close(late.letGo)
+	close(late.released)
 	for what, c := range map[string]chan error{"late": errs, "beyond": next} {
 		if err := <-c; err != nil {
 			t.Errorf("%s: %v", what, err)
