--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -16,50 +16,64 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// Bounds on when clients that were refused come back.
+// Limits on commands in flight.
+const (
+	// MaxCommandsInFlight is as many as there are sessions, as all may send their keep-alives at once.
+	MaxCommandsInFlight = 8192
+
+	// MaxOtherCommandsInFlight bounds commands other than keep-alives, by about what a busy leader
+	// carries out in the second for which clients wait. Beyond it they are rejected with a time to
+	// come back, so that the sessions that are there can be kept alive.
+	MaxOtherCommandsInFlight = 4096
+)
+
+// Bounds on when rejected clients come back.
 const (
 	minRetryAfter = time.Second
 
-	// Who finds a table full is told to come back at times that lie 5 ms apart: there may be no room for long.
+	// Clients that find a table full come back 5 ms apart: it may stay full for long.
 	tableReturnsPerSecond = 200
 	maxTableRetryAfter    = time.Minute
 
-	// Who finds too many commands under way, at times half a millisecond apart: they are carried out within seconds.
+	// Clients that find too many commands in flight come back half a millisecond apart: the commands
+	// are carried out within seconds.
 	commandReturnsPerSecond = 2000
 	maxCommandRetryAfter    = 5 * time.Second
 )
 
-// Bounds on connections.
+// Limits on connections.
 const (
-	maxRefusedConnections = 256  // over the bound, kept only until they have been told when to come back
-	reservedDescriptors   = 1024 // of the process: for its log, its snapshots and the other coordinators
+	// maxRejectedConnections lie over the limit, and are kept only until they got their Retry-After.
+	maxRejectedConnections = 256
+	// reservedDescriptors of the process are for its log, its snapshots and the other coordinators.
+	reservedDescriptors = 1024
 )
 
-// LimitError tells that a bound has been reached, and when to come back.
-type LimitError struct {
-	Text       string
-	RetryAfter time.Duration
+// maxCommands is how many commands may be in flight where one more is to be carried out.
+func maxCommands(op coord.Op) int {
+	if op == coord.OpKeepAlive {
+		return MaxCommandsInFlight
+	}
+	return MaxOtherCommandsInFlight
 }
 
-func (e *LimitError) Error() string { return e.Text }
-
-// returnSchedule gives those who are refused times to come back that lie apart, so that their number doesn't decide how many
-// come at once.
+// returnSchedule gives rejected clients times to come back that lie apart, so that their number
+// doesn't decide how many come at once.
 type returnSchedule struct {
-	perSecond     int           // come back
-	maxRetryAfter time.Duration // after it was told
+	perSecond     int
+	maxRetryAfter time.Duration
 
 	mu           sync.Mutex
-	nextReturnAt time.Duration // the first time that was not given away yet, on the coordinator's clock
+	nextReturnAt time.Duration // given out last, on clock.Now
 }
 
-// tableReturns is the schedule of those who find a table full.
-func tableReturns() *returnSchedule {
+// newTableReturns is the schedule of clients that find a table full.
+func newTableReturns() *returnSchedule {
 	return &returnSchedule{perSecond: tableReturnsPerSecond, maxRetryAfter: maxTableRetryAfter}
 }
 
-// commandReturns is the schedule of those who find too many commands under way.
-func commandReturns() *returnSchedule {
+// newCommandReturns is the schedule of clients that find too many commands in flight.
+func newCommandReturns() *returnSchedule {
 	return &returnSchedule{perSecond: commandReturnsPerSecond, maxRetryAfter: maxCommandRetryAfter}
 }
 
@@ -67,31 +81,35 @@
 func (r *returnSchedule) nextRetryAfter(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nextReturnAt = min(max(r.nextReturnAt+time.Second/time.Duration(r.perSecond), now+minRetryAfter), now+r.maxRetryAfter)
+	gap := time.Second / time.Duration(r.perSecond)
+	earliest := now + minRetryAfter
+	latest := now + r.maxRetryAfter
+	r.nextReturnAt = min(max(r.nextReturnAt+gap, earliest), latest)
 	return r.nextReturnAt - now
 }
 
-// withRetryAfter counts an answer that refuses by a bound, and adds when to come back.
-func (n *Node) withRetryAfter(a coord.Response, returns *returnSchedule) coord.Response {
+// withRetryAfter counts a response that rejects by a limit, and adds when to come back.
+func (n *Node) withRetryAfter(response coord.Response, returns *returnSchedule) coord.Response {
 	n.rejected.Add(1)
-	a.RetryAfter = returns.nextRetryAfter(clock.Now())
-	return a
+	response.RetryAfter = returns.nextRetryAfter(clock.Now())
+	return response
 }
 
-// awaitsUpgrade refuses a command for which the version in force is too old. A coordinator that has just started may not have
-// read it yet: only what the leader has from all others counts.
-func (n *Node) awaitsUpgrade(c coord.Command) (a coord.Response, awaits bool, err error) {
+// awaitsUpgrade rejects a command for which the version in force is too old. A coordinator that has
+// just started may not have read the version yet: only what the leader has from all others counts.
+func (n *Node) awaitsUpgrade(c coord.Command) (response coord.Response, awaits bool, err error) {
 	n.mu.Lock()
-	a, awaits = n.state.AwaitsUpgrade(c)
+	response, awaits = n.state.AwaitsUpgrade(c)
 	n.mu.Unlock()
 	if awaits {
-		err = n.LinearizableRead(func(s *coord.State) { a, awaits = s.AwaitsUpgrade(c) })
+		err = n.LinearizableRead(func(s *coord.State) { response, awaits = s.AwaitsUpgrade(c) })
 	}
-	return a, awaits, err
+	return response, awaits, err
 }
 
-// rejectsSession refuses a session for which there is no room before it gets into the log: a fleet over the bound that tries
-// again costs the other coordinators nothing. Only a leader knows the state well enough to do so.
+// rejectsSession rejects a session for which there is no capacity before it gets into the log: a
+// fleet over the limit that retries costs the other coordinators nothing. Only a leader knows the
+// state well enough to do so.
 func (n *Node) rejectsSession(c coord.Command) (coord.Response, bool) {
 	if c.Op != coord.OpOpenSession || n.raft.State() != raft.Leader {
 		return coord.Response{}, false
@@ -101,33 +119,35 @@
 	return n.state.RejectsSession(c.SessionID)
 }
 
-// retryAfterSeconds is a time to come back as HTTP's header has it: whole seconds, rounded up.
+// retryAfterSeconds is HTTP's header Retry-After: whole seconds, rounded up.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// connectionLimitForProcess is how many connections of clients are served at once, by the constant and by what the process may open.
+// connectionLimitForProcess is how many connections of clients are served at once: MaxConnections, or
+// fewer where the process may open fewer descriptors.
 func connectionLimitForProcess() int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return MaxConnections
 	}
-	room := int(min(limit.Cur, math.MaxInt32)) - reservedDescriptors - maxRefusedConnections
-	return max(1, min(MaxConnections, room))
+	available := int(min(limit.Cur, math.MaxInt32)) - reservedDescriptors - maxRejectedConnections
+	return max(1, min(MaxConnections, available))
 }
 
-// connectionLimit answers what comes over a connection beyond the bound with when to come back, and closes it.
+// connectionLimit answers what comes over a connection beyond the limit with when to come back, and
+// closes the connection.
 type connectionLimit struct {
 	bound   int
 	returns *returnSchedule
 
 	mu   sync.Mutex
 	open map[net.Conn]bool // whether it counts against the bound
-	used int
+	used int               // connections that count
 }
 
 func newConnectionLimit(bound int) *connectionLimit {
-	return &connectionLimit{bound: bound, returns: tableReturns(), open: map[net.Conn]bool{}}
+	return &connectionLimit{bound: bound, returns: newTableReturns(), open: map[net.Conn]bool{}}
 }
 
 // overBound is the key under which a connection's context has whether it lies beyond the bound.
@@ -137,12 +157,12 @@
 func (l *connectionLimit) opened(ctx context.Context, c net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	within := l.used < l.bound
-	if within {
+	isWithin := l.used < l.bound
+	if isWithin {
 		l.used++
 	}
-	l.open[c] = within
-	return context.WithValue(ctx, overBound{}, !within)
+	l.open[c] = isWithin
+	return context.WithValue(ctx, overBound{}, !isWithin)
 }
 
 // changed counts a connection that ended.
@@ -158,14 +178,17 @@
 	delete(l.open, c)
 }
 
-// handler serves connections within the bound by h.
-func (l *connectionLimit) handler(h http.Handler) http.Handler {
+// handler serves connections within the bound by another handler.
+func (l *connectionLimit) handler(within http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if over, _ := r.Context().Value(overBound{}).(bool); !over {
-			h.ServeHTTP(w, r)
+		if isOver, _ := r.Context().Value(overBound{}).(bool); !isOver {
+			within.ServeHTTP(w, r)
 			return
 		}
 		w.Header().Set("Connection", "close")
-		writeLimitReached(w, &LimitError{Text: "connections: " + strconv.Itoa(l.bound) + " at most", RetryAfter: l.returns.nextRetryAfter(clock.Now())})
+		writeLimitReached(w, &LimitError{
+			Text:       "connections: " + strconv.Itoa(l.bound) + " at most",
+			RetryAfter: l.returns.nextRetryAfter(clock.Now()),
+		})
 	})
 }
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -1,11 +1,9 @@
 package node
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -16,111 +14,86 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// single starts a coordinator that is a group by itself and leads it.
-func single(t *testing.T) *Node {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := ln.Addr().String()
-	ln.Close()
-	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 1 << 20, HeartbeatTimeout: 100 * time.Millisecond})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { n.Close() })
-	if err := n.Bootstrap([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, IsVoter: true}}); err != nil {
-		t.Fatal(err)
-	}
-	for {
-		if _, err := n.Propose(coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.Version}); err == nil {
-			return n
-		}
-		select {
-		case <-t.Context().Done():
-			t.Fatal("never leads")
-		case <-time.After(10 * time.Millisecond):
-		}
-	}
-}
-
-// A session over the bound is refused in words, with a time to come back, and costs no entry of the log; times lie apart.
+// The table of sessions is full, and 500 clients ask for one more each. Every one is rejected with the
+// table's name and a time to come back, the times lie apart, and the rejections cost no entries of the
+// log. A leader that wrote them to the log would be kept from real work by a fleet over the limit.
 func TestSessionsFull(t *testing.T) {
 	n := single(t)
 	n.mu.Lock()
 	for i := range coord.MaxSessions {
-		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{Client: "c", TTL: coord.MaxTTL, KeptAliveAt: n.state.Clock, Leases: map[string]bool{}}
+		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{
+			Client: "c", TTL: coord.MaxTTL, KeptAliveAt: n.state.Clock, Leases: map[string]bool{},
+		}
 	}
 	n.mu.Unlock()
-	const tries = 500
+	const attempts = 500
+	open := coord.Command{Op: coord.OpOpenSession, Client: "c", TTL: time.Minute}
 	before := n.raft.LastIndex()
 	var last time.Duration
-	for i := range tries {
-		a := command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: fmt.Sprint("more", i), Client: "c", TTL: time.Minute})
-		if a.Code != coord.CodeLimitReached || !strings.Contains(a.Text, "sessions") || a.RetryAfter < minRetryAfter || a.RetryAfter > maxTableRetryAfter {
-			t.Fatalf("%+v", a)
+	for i := range attempts {
+		open.SessionID = fmt.Sprint("more", i)
+		_, response := postCommand(t, n, open)
+		isNamed := strings.Contains(response.Text, "sessions")
+		isBounded := response.RetryAfter >= minRetryAfter && response.RetryAfter <= maxTableRetryAfter
+		if response.Code != coord.CodeLimitReached || !isNamed || !isBounded {
+			t.Fatalf("%+v", response)
 		}
-		last = a.RetryAfter
-	}
-	if grown := n.raft.LastIndex() - before; grown > tries/4 { // time passes in the log all the same
-		t.Errorf("%d refusals wrote %d entries of the log", tries, grown)
-	}
-	if last < minRetryAfter+tries*time.Second/tableReturnsPerSecond/2 {
-		t.Errorf("the last of %d is to come back after %v, which is with the first", tries, last)
+		last = response.RetryAfter
 	}
-	if got := n.Status().Rejected; got != tries {
-		t.Errorf("%d refusals are counted, there were %d", got, tries)
+	if grown := n.raft.LastIndex() - before; grown > attempts/4 { // time passes in the log all the same
+		t.Errorf("%d rejections wrote %d entries of the log", attempts, grown)
 	}
-	if a := command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: "s1", Client: "c", TTL: time.Minute}); a.Code != coord.CodeOK {
-		t.Errorf("a session that is there: %+v", a)
+	if last < minRetryAfter+attempts*time.Second/tableReturnsPerSecond/2 {
+		t.Errorf("the last of %d is to come back after %v, which is with the first", attempts, last)
 	}
-}
-
-func command(t *testing.T, h http.Handler, c coord.Command) (a coord.Response) {
-	t.Helper()
-	text, err := json.Marshal(c)
-	if err != nil {
-		t.Fatal(err)
+	if got := n.Status().Rejected; got != attempts {
+		t.Errorf("%d rejections are counted, there were %d", got, attempts)
 	}
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/command", bytes.NewReader(text)))
-	if err := json.Unmarshal(w.Body.Bytes(), &a); err != nil {
-		t.Fatalf("%d %s: %v", w.Code, w.Body, err)
+	open.SessionID = "s1"
+	if _, response := postCommand(t, n, open); response.Code != coord.CodeOK {
+		t.Errorf("a session that is there: %+v", response)
 	}
-	return a
 }
 
-// A client that would be one watcher, or have one command under way, too many is told so and when to come back.
+// The limits of watchers and of commands in flight are reached. One more is rejected with the limit's
+// name and a time to come back; a keep-alive still gets through where other commands don't, or a busy
+// leader would end the sessions that are there.
 func TestWatchersAndCommandsFull(t *testing.T) {
 	n := single(t)
 	n.mu.Lock()
 	n.watchers = MaxWatchers
 	n.mu.Unlock()
-	w := httptest.NewRecorder()
-	n.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/drains?after=1000", nil))
-	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" || !strings.Contains(w.Body.String(), "watchers") {
+	w := serve(n.Handler(), http.MethodGet, "/v1/drains?after=1000", nil)
+	hasHeader := w.Header().Get("Retry-After") != ""
+	if w.Code != http.StatusServiceUnavailable || !hasHeader || !strings.Contains(w.Body.String(), "watchers") {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
-	n.commandsInFlight.Store(MaxCommandsInFlight)
-	if a := command(t, n.Handler(), coord.Command{Op: coord.OpKeepAlive, SessionID: "s"}); a.Code != coord.CodeLimitReached || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
-		t.Errorf("%+v", a)
+	checkRejected := func(c coord.Command) {
+		t.Helper()
+		_, response := postCommand(t, n, c)
+		isBounded := response.RetryAfter >= minRetryAfter && response.RetryAfter <= maxCommandRetryAfter
+		if response.Code != coord.CodeLimitReached || !isBounded {
+			t.Errorf("%+v", response)
+		}
 	}
+	keepAlive := coord.Command{Op: coord.OpKeepAlive, SessionID: "s"}
+	n.commandsInFlight.Store(MaxCommandsInFlight)
+	checkRejected(keepAlive)
 	n.commandsInFlight.Store(MaxOtherCommandsInFlight)
-	open := coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}
-	if a := command(t, n.Handler(), open); a.Code != coord.CodeLimitReached || a.RetryAfter < minRetryAfter || a.RetryAfter > maxCommandRetryAfter {
-		t.Errorf("%+v", a)
-	}
-	if a := command(t, n.Handler(), coord.Command{Op: coord.OpKeepAlive, SessionID: "s"}); a.Code != coord.CodeNoSession {
-		t.Errorf("a keep-alive: %+v", a)
+	checkRejected(coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute})
+	if _, response := postCommand(t, n, keepAlive); response.Code != coord.CodeNoSession {
+		t.Errorf("a keep-alive: %+v", response)
 	}
 	n.commandsInFlight.Store(0)
 }
 
-// Whoever is refused gets a time apart from the others', between the bounds; a schedule that was idle starts from now.
+// Thousands of clients are rejected in a row: each gets a time of its own, between the bounds. After an
+// hour without any the schedule starts from now. With one time for all, all would come back at once.
 func TestReturnSchedule(t *testing.T) {
-	r := tableReturns()
-	if first, second := r.nextRetryAfter(0), r.nextRetryAfter(0); first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
+	r := newTableReturns()
+	first := r.nextRetryAfter(0)
+	second := r.nextRetryAfter(0)
+	if first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
 		t.Errorf("%v, %v", first, second)
 	}
 	for range 2 * tableReturnsPerSecond * int(maxTableRetryAfter/time.Second) {
@@ -134,28 +107,34 @@
 	}
 }
 
-// A connection beyond the bound is answered with when to come back and closed; once another has ended, there is room again.
+// A server has capacity for one connection and gets two. The second one is answered with a time to come
+// back and closed; once the first has ended, it is served. A server that only let it wait would tell
+// the client nothing.
 func TestConnectionsFull(t *testing.T) {
 	limit := newConnectionLimit(1)
-	s := httptest.NewUnstartedServer(limit.handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })))
-	s.Config.ConnContext, s.Config.ConnState = limit.opened, limit.changed
+	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
+	s := httptest.NewUnstartedServer(limit.handler(served))
+	s.Config.ConnContext = limit.opened
+	s.Config.ConnState = limit.changed
 	s.Start()
 	defer s.Close()
 	ask := func(c *http.Client) (int, string, http.Header) {
-		resp, err := c.Get(s.URL)
+		response, err := c.Get(s.URL)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(text), resp.Header
+		defer response.Body.Close()
+		text, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(text), response.Header
 	}
-	first, second := &http.Client{Transport: &http.Transport{}}, &http.Client{Transport: &http.Transport{}}
+	first := &http.Client{Transport: &http.Transport{}}
+	second := &http.Client{Transport: &http.Transport{}}
 	if code, text, _ := ask(first); code != http.StatusOK || text != "served" {
 		t.Fatalf("%d %s", code, text)
 	}
 	code, text, header := ask(second)
-	if code != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || !strings.Contains(text, "connections: 1 at most") {
+	isExplained := header.Get("Retry-After") != "" && strings.Contains(text, "connections: 1 at most")
+	if code != http.StatusServiceUnavailable || !isExplained {
 		t.Errorf("%d %s %v", code, text, header)
 	}
 	if code, _, _ := ask(first); code != http.StatusOK {
@@ -167,14 +146,14 @@
 	}
 }
 
-// A watch for what follows version 0 waits like any other, where it is asked to; without that word it is answered at once.
+// A router watches the drains before anything was ever drained. With wait=true it waits for the first
+// version like any other; without, it is answered at once. If it never waited, every router would poll
+// again and again until the first drain.
 func TestWatchFromNothing(t *testing.T) {
 	n := single(t)
 	answered := make(chan int, 1)
 	go func() { // ends with the watch, at the latest when its time is over
-		w := httptest.NewRecorder()
-		n.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/drains?after=0&wait=true", nil))
-		answered <- w.Code
+		answered <- serve(n.Handler(), http.MethodGet, "/v1/drains?after=0&wait=true", nil).Code
 	}()
 	for watchers := 0; watchers == 0; watchers = n.Status().Watchers {
 		select {
@@ -183,41 +162,34 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	w := httptest.NewRecorder()
-	n.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/drains?after=0", nil))
-	if w.Code != http.StatusOK {
+	if w := serve(n.Handler(), http.MethodGet, "/v1/drains?after=0", nil); w.Code != http.StatusOK {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
-	command(t, n.Handler(), coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "ann", TTL: time.Minute})
-	budgets := &rollout.Command{Op: rollout.OpSetBudgets, Grace: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum} // changes what routers go by
-	if a := command(t, n.Handler(), coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: budgets}); a.Code != coord.CodeOK {
-		t.Fatalf("%+v", a)
+	postCommand(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "ann", TTL: time.Minute})
+	budgets := &rollout.Command{ // changes what routers go by
+		Op: rollout.OpSetBudgets, Grace: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum,
+	}
+	setBudgets := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: budgets}
+	if _, response := postCommand(t, n, setBudgets); response.Code != coord.CodeOK {
+		t.Fatalf("%+v", response)
 	}
 	if code := <-answered; code != http.StatusOK {
 		t.Errorf("%d", code)
 	}
 }
 
-// A coordinator that doesn't lead, and may know less than the others, refuses no command by the version that it knows.
+// A coordinator that doesn't lead has an old state, by whose version a command is not understood yet.
+// It redirects to the leader, which knows better; if it rejected the command, a client would give up
+// something that the group understands.
 func TestOldStateRefusesNothing(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := ln.Addr().String()
-	ln.Close()
-	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 100, HeartbeatTimeout: 100 * time.Millisecond})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer n.Close()
-	text, err := json.Marshal(coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: &rollout.Command{Op: rollout.OpAcknowledgeDrains}})
+	n := startNode(t, 100)
+	acknowledge := &rollout.Command{Op: rollout.OpAcknowledgeDrains}
+	c := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: acknowledge}
+	text, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := httptest.NewRecorder()
-	n.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/command", bytes.NewReader(text)))
-	if w.Code != http.StatusMisdirectedRequest {
+	if w := serve(n.Handler(), http.MethodPost, "/v1/command", text); w.Code != http.StatusMisdirectedRequest {
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 }
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -18,19 +18,22 @@
 )
 
 const (
-	maxPollDuration   = time.Second // of a long poll; short, so that an observer knows how old its state is
-	maxChangesBytes   = 256 << 10   // of one answer, unless it is a snapshot
-	documentsWatchKey = "\x00changes"
+	// maxPollDuration of a long poll is short, so that an observer knows how old its state is.
+	maxPollDuration = time.Second
+
+	// maxChangesBytes of one answer, unless it is a snapshot.
+	maxChangesBytes = 256 << 10
 )
 
-// Changes waits until there are changes of the agreed configuration after a revision, or ctx ends, and reads them. Any
-// coordinator answers from its own state, so that observers cost the leader no more than another one.
+// Changes waits until there are changes of documents after a revision, or ctx ends, and reads them.
+// Any coordinator answers from its own state, so that observers cost the leader no more than another
+// one. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a LimitError.
 func (n *Node) Changes(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
 	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
 		return protocol.Update{}, err
 	}
-	age, err := n.stateAge() // before the state is read, so that it is not younger than told
+	age, err := n.stateAge() // before the state is read, so that it is not older than the answer says
 	if err != nil {
 		return protocol.Update{}, err
 	}
@@ -41,8 +44,8 @@
 	return protocol.Update{Batch: batch, Newest: newest, AgeMillis: age.Milliseconds()}, err
 }
 
-// stateAge is how long ago this coordinator's state was complete, at most as far as it can know: now at a leader that a majority
-// confirms, at a follower since its leader was last heard of.
+// stateAge is how long ago this coordinator's state was complete, at most as far as it can know: now
+// at a leader that a majority confirms, at a follower since its leader was last heard of.
 func (n *Node) stateAge() (time.Duration, error) {
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
@@ -50,55 +53,60 @@
 		}
 		return 0, nil
 	}
-	last := n.raft.LastContact()
-	if last.IsZero() {
+	lastContact := n.raft.LastContact()
+	if lastContact.IsZero() {
 		return 0, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no leader has been heard of"}
 	}
-	return time.Since(last), nil
+	return time.Since(lastContact), nil
 }
 
 // serveChanges answers GET /v1/changes?after=REVISION&prefix=PREFIX.
 func (n *Node) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(cmp.Or(r.URL.Query().Get("after"), "0"), 10, 64)
 	if err != nil {
-		reject(w, http.StatusBadRequest, &protocol.Rejection{Code: protocol.CodeInvalid, Text: "after: " + err.Error()})
+		rejection := &protocol.Rejection{Code: protocol.CodeInvalid, Text: "after: " + err.Error()}
+		writeRejection(w, http.StatusBadRequest, rejection)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxPollDuration)
 	defer cancel()
 	update, err := n.Changes(ctx, after, r.URL.Query().Get("prefix"))
 	var behind *watchlog.BehindError
-	var refusal *protocol.Rejection
+	var rejection *protocol.Rejection
 	switch {
 	case errors.As(err, &behind):
-		reject(w, http.StatusConflict, &protocol.Rejection{Code: protocol.CodeBehind, Text: err.Error()})
-	case errors.As(err, &refusal):
-		reject(w, http.StatusServiceUnavailable, refusal)
+		rejection = &protocol.Rejection{Code: protocol.CodeBehind, Text: err.Error()}
+		writeRejection(w, http.StatusConflict, rejection)
+	case errors.As(err, &rejection):
+		writeRejection(w, http.StatusServiceUnavailable, rejection)
 	case err != nil:
-		reject(w, http.StatusServiceUnavailable, &protocol.Rejection{Code: protocol.CodeNotReady, Text: err.Error()})
+		rejection = &protocol.Rejection{Code: protocol.CodeNotReady, Text: err.Error()}
+		writeRejection(w, http.StatusServiceUnavailable, rejection)
 	default:
 		n.writeResponse(w, update, nil)
 	}
 }
 
-func reject(w http.ResponseWriter, status int, refusal *protocol.Rejection) {
+func writeRejection(w http.ResponseWriter, status int, rejection *protocol.Rejection) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal) // a client that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(rejection) // a client that has disconnected needs no answer
 }
 
 // serveHistory answers GET /v1/history?name=NAME with what is kept of a document's changes.
 func (n *Node) serveHistory(w http.ResponseWriter, r *http.Request) {
+	name := r.URL.Query().Get("name")
 	history := []watchlog.Change{}
-	err := n.LinearizableRead(func(s *coord.State) { history = append(history, s.Documents.History(r.URL.Query().Get("name"))...) })
+	err := n.LinearizableRead(func(s *coord.State) { history = append(history, s.Documents.History(name)...) })
 	n.writeResponse(w, history, err)
 }
 
 // serveDocuments answers GET /v1/documents?prefix=PREFIX with a list.
 func (n *Node) serveDocuments(w http.ResponseWriter, r *http.Request) {
+	prefix := r.URL.Query().Get("prefix")
 	rows := []protocol.DocumentRow{}
 	err := n.LinearizableRead(func(s *coord.State) {
-		for _, c := range s.Documents.Snapshot(r.URL.Query().Get("prefix")).Changes {
+		for _, c := range s.Documents.Snapshot(prefix).Changes {
 			rows = append(rows, protocol.DocumentRow{Name: c.Name, Revision: c.Revision, Bytes: len(c.Value)})
 		}
 	})
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -1,12 +1,8 @@
 package node
 
 import (
-	"bytes"
 	"encoding/json"
-	"fmt"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"testing"
 	"time"
 
@@ -14,37 +10,6 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// leading starts a group of one coordinator that leads.
-func leading(t *testing.T) *Node {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := ln.Addr().String()
-	ln.Close()
-	n, err := Start(Options{Name: "c1", Directory: t.TempDir(), ListenAddress: listen, ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound, SnapshotEntries: 100, HeartbeatTimeout: 100 * time.Millisecond})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := n.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	if err := n.Bootstrap([]Member{{Name: "c1", Identity: n.Status().Identity, Address: listen, IsVoter: true}}); err != nil {
-		t.Fatal(err)
-	}
-	for n.Leader() == "" {
-		select {
-		case <-t.Context().Done():
-			t.Fatal("no leader")
-		case <-time.After(5 * time.Millisecond):
-		}
-	}
-	return n
-}
-
 // do has a command agreed on, which must end as it should.
 func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
 	t.Helper()
@@ -58,35 +23,40 @@
 // poll asks for changes and reads the answer into one of the two.
 func poll(t *testing.T, n *Node, query string) (int, protocol.Update, protocol.Rejection) {
 	t.Helper()
-	w := httptest.NewRecorder()
-	n.Handler().ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, protocol.ChangesPath+"?"+query, nil))
+	w := serve(n.Handler(), http.MethodGet, protocol.ChangesPath+"?"+query, nil)
 	var update protocol.Update
-	var refusal protocol.Rejection
+	var rejection protocol.Rejection
 	into := any(&update)
 	if w.Code != http.StatusOK {
-		into = &refusal
+		into = &rejection
 	}
 	if err := json.Unmarshal(w.Body.Bytes(), into); err != nil {
 		t.Fatalf("%s: %v", w.Body, err)
 	}
-	return w.Code, update, refusal
+	return w.Code, update, rejection
 }
 
-// A long poll is answered with what comes after its revision, with a notice of progress where nothing comes, with a snapshot
-// where the changes are gone, and refused by type where the coordinator is behind the one that asks.
+// An observer polls for changes. It gets what comes after its revision, a notice of progress where
+// nothing comes, a snapshot where the changes are compacted, and a typed rejection where the
+// coordinator is behind the observer. A coordinator that answered an observer that is ahead with its
+// own older state would take changes back from routers.
 func TestChanges(t *testing.T) {
 	n := leading(t)
 	do(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
 	do(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
-	put := func(seq uint64, name string) {
-		do(t, n, coord.Command{Op: coord.OpPutDocument, SessionID: "s", Sequence: seq, AcknowledgedThrough: seq - 1, Document: &coord.DocumentPut{Name: name, Value: []byte(name)}}, coord.CodeOK)
+	put := func(sequence uint64, name string) {
+		document := &coord.DocumentPut{Name: name, Value: []byte(name)}
+		do(t, n, coord.Command{
+			Op: coord.OpPutDocument, SessionID: "s", Document: document,
+			Sequence: sequence, AcknowledgedThrough: sequence - 1,
+		}, coord.CodeOK)
 	}
 	got := make(chan protocol.Update, 1)
 	done := make(chan struct{})
 	go func() { // ends with its one poll, which is waited for below
 		defer close(done)
-		for after := uint64(0); ; {
-			code, update, _ := poll(t, n, fmt.Sprint("after=", after))
+		for {
+			code, update, _ := poll(t, n, "after=0")
 			if code != http.StatusOK || len(update.Changes) > 0 {
 				got <- update
 				return
@@ -95,62 +65,57 @@
 	}()
 	put(1, "a/1")
 	<-done
-	if update := <-got; update.Snapshot || update.After != 0 || update.Through != 1 || len(update.Changes) != 1 || string(update.Changes[0].Value) != "a/1" {
+	update := <-got
+	isOneChange := len(update.Changes) == 1 && string(update.Changes[0].Value) == "a/1"
+	if update.Snapshot || update.After != 0 || update.Through != 1 || !isOneChange {
 		t.Errorf("%+v", update)
 	}
 	put(2, "b/1")
-	if code, update, _ := poll(t, n, "after=1&prefix=a/"); code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 || update.Newest != 2 {
+	code, update, _ := poll(t, n, "after=1&prefix=a/")
+	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 || update.Newest != 2 {
 		t.Errorf("%d %+v: what lies outside the prefix is progress alone", code, update)
 	}
-	if code, update, _ := poll(t, n, "after=2"); code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 {
+	code, update, _ = poll(t, n, "after=2")
+	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 {
 		t.Errorf("%d %+v", code, update)
 	}
-	if code, _, refusal := poll(t, n, "after=3"); code != http.StatusConflict || refusal.Code != protocol.CodeBehind {
-		t.Errorf("%d %+v", code, refusal)
+	code, _, rejection := poll(t, n, "after=3")
+	if code != http.StatusConflict || rejection.Code != protocol.CodeBehind {
+		t.Errorf("%d %+v", code, rejection)
 	}
-	if code, _, refusal := poll(t, n, "after=x"); code != http.StatusBadRequest || refusal.Code != protocol.CodeInvalid {
-		t.Errorf("%d %+v", code, refusal)
+	code, _, rejection = poll(t, n, "after=x")
+	if code != http.StatusBadRequest || rejection.Code != protocol.CodeInvalid {
+		t.Errorf("%d %+v", code, rejection)
 	}
 	n.mu.Lock()
 	n.state.Documents.Compact(2)
 	n.mu.Unlock()
-	if code, update, _ := poll(t, n, "after=1"); code != http.StatusOK || !update.Snapshot || update.Through != 2 || len(update.Changes) != 2 {
+	code, update, _ = poll(t, n, "after=1")
+	if code != http.StatusOK || !update.Snapshot || update.Through != 2 || len(update.Changes) != 2 {
 		t.Errorf("%d %+v", code, update)
 	}
 }
 
-// A document is refused before all coordinators understand it, and the refusal never gets into the log.
+// A document is put while an older coordinator doesn't understand documents. The leader rejects it and
+// writes nothing to the log: an older coordinator would reject the entry in other words, and its state
+// would differ.
 func TestPutBeforeUpgrade(t *testing.T) {
 	n := leading(t)
-	if err := n.LinearizableRead(func(*coord.State) {}); err != nil { // what the leader begins with is carried out by then
-		t.Fatal(err)
-	}
-	before := n.Status().AppliedIndex // the last command's entry: the barrier of a read is none
-	s := httptest.NewServer(n.Handler())
-	defer s.Close()
-	code, a := postCommand(t, s, coord.Command{Op: coord.OpPutDocument, SessionID: "s", Sequence: 1, Document: &coord.DocumentPut{Name: "a"}})
-	if err := n.LinearizableRead(func(*coord.State) {}); err != nil {
-		t.Fatal(err)
-	}
-	if after := n.Status().AppliedIndex; code != http.StatusOK || a.Code != coord.CodeInvalid || after != before {
-		t.Errorf("%d %+v, commands up to entry %d, were up to %d", code, a, after, before)
-	}
-}
-
-func postCommand(t *testing.T, s *httptest.Server, c coord.Command) (int, coord.Response) {
-	t.Helper()
-	text, err := json.Marshal(c)
-	if err != nil {
-		t.Fatal(err)
+	readAll := func() {
+		t.Helper()
+		if err := n.LinearizableRead(func(*coord.State) {}); err != nil {
+			t.Fatal(err)
+		}
 	}
-	resp, err := http.Post(s.URL+"/v1/command", "application/json", bytes.NewReader(text))
-	if err != nil {
-		t.Fatal(err)
+	readAll()                         // what the leader begins with is applied by then
+	before := n.Status().AppliedIndex // that of the newest command: a read's barrier is none
+	put := coord.Command{
+		Op: coord.OpPutDocument, SessionID: "s", Sequence: 1, Document: &coord.DocumentPut{Name: "a"},
 	}
-	defer resp.Body.Close()
-	var a coord.Response
-	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
-		t.Fatal(err)
+	code, response := postCommand(t, n, put)
+	readAll()
+	after := n.Status().AppliedIndex
+	if code != http.StatusOK || response.Code != coord.CodeInvalid || after != before {
+		t.Errorf("%d %+v, commands up to entry %d, were up to %d", code, response, after, before)
 	}
-	return resp.StatusCode, a
 }
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -145,7 +145,8 @@
 	}
 	for _, w := range want {
 		got := leases[w.Lease]
-		if got.Holder != w.Holder || got.Token != w.Token || got.Purpose != w.Purpose || !bytes.Equal(got.Record, w.Record) {
+		isHeld := got.Holder == w.Holder && got.Token == w.Token
+		if !isHeld || got.Purpose != w.Purpose || !bytes.Equal(got.Record, w.Record) {
 			t.Errorf("%+v, want %+v", got, w)
 		}
 	}
--- a/internal/coord/node/duplicates.go
+++ b/internal/coord/node/duplicates.go
@@ -6,11 +6,13 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// duplicateCommands has a numbered command that a client sends again, while the first still waits to be agreed on, wait with that one: the
-// state would give it the first one's answer anyway. Without that a leader that needs longer than clients wait gets each command
-// several times, and so needs longer still.
+// duplicateCommands has a numbered command that a client sends again, while the first sending still
+// waits to be agreed on, wait with that one: the state would give it the same response anyway.
+// Without that a leader that needs longer than clients wait gets each command several times, and so
+// needs longer still.
 //
-// Commands without a number are not joined: what a client may count on by a keep-alive begins when that one was sent.
+// Commands without a number are not joined: what a client may count on by a keep-alive begins when
+// that keep-alive was sent.
 type duplicateCommands struct {
 	mu      sync.Mutex
 	pending map[commandKey]*pendingCommand
--- a/internal/coord/node/duplicates_test.go
+++ b/internal/coord/node/duplicates_test.go
@@ -10,8 +10,9 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A numbered command that is sent again while the first waits is carried out once, and all get its answer; one that comes later, one
-// with another number and one without any are carried out by themselves.
+// A slow leader gets the same numbered command ten times. It is carried out once, and all get its
+// response; one that comes later, one with another number and one without any are carried out by
+// themselves. A leader that carried out each sending would only get slower.
 func TestRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r duplicateCommands
@@ -48,7 +49,8 @@
 		}
 		close(release)
 		wg.Wait()
-		if _, err := r.do(coord.Command{SessionID: "s", Sequence: 1}, slow); !errors.Is(err, lost) || carried.Load() != 6 {
+		_, err := r.do(coord.Command{SessionID: "s", Sequence: 1}, slow)
+		if !errors.Is(err, lost) || carried.Load() != 6 {
 			t.Errorf("one that came later: %v", err)
 		}
 		if len(r.pending) != 0 {
--- a/internal/coord/node/faults.go
+++ b/internal/coord/node/faults.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A build with the tag faults lets the laboratory make each sync take longer (DOCKHINGE_SLOW_SYNC, as 50ms), the disk's epoch
-// grow more often (DOCKHINGE_EPOCH_EVERY), and the process die at a step (DOCKHINGE_KILL_AT).
+// A build with the tag faults lets the laboratory make each sync take longer (DOCKHINGE_SLOW_SYNC, as
+// 50ms), the directory's epoch grow more often (DOCKHINGE_EPOCH_EVERY), and the process end at a crash
+// point (DOCKHINGE_KILL_AT).
 var (
 	syncTakes     = duration("DOCKHINGE_SLOW_SYNC", 0)
 	epochInterval = duration("DOCKHINGE_EPOCH_EVERY", defaultEpochInterval)
@@ -22,7 +23,7 @@
 	return otherwise
 }
 
-// crashPoint kills the process, as SIGKILL from outside does, where this is the step to die at.
+// crashPoint kills the process, as SIGKILL from outside does, where this is the one to end at.
 func crashPoint(name string) {
 	if os.Getenv("DOCKHINGE_KILL_AT") == name {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
--- /dev/null
+++ b/internal/coord/node/identity.go
@@ -0,0 +1,158 @@
+package node
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	mrand "math/rand/v2"
+	"time"
+
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// The keys of what this package stores beside the library's own.
+const (
+	identityKey      = "identity"
+	epochKey         = "epoch"
+	peerRunKeyPrefix = "seen/"
+)
+
+const (
+	// defaultEpochInterval is how often the directory's epoch grows: a copy that is put back after
+	// that long is known as one.
+	defaultEpochInterval = 10 * time.Second
+
+	identityBytes = 8
+	peerRunBytes  = 16 // nonce and epoch
+)
+
+// processRun is one start of a coordinator's process.
+type processRun struct {
+	nonce      uint64 // drawn at the start
+	startEpoch uint64 // the directory's epoch at the start
+	epoch      uint64 // the directory's epoch now
+}
+
+func (n *Node) run() processRun {
+	return processRun{nonce: n.nonce, startEpoch: n.startEpoch, epoch: n.epoch.Load()}
+}
+
+// loadIdentity reads the directory's identity and raises its epoch. An empty directory gets a new
+// identity.
+func (n *Node) loadIdentity() error {
+	identity, err := n.store.Get([]byte(identityKey))
+	if errors.Is(err, raftboltdb.ErrKeyNotFound) {
+		identity, err = n.newIdentity()
+	}
+	if err != nil {
+		return err
+	}
+	epoch, err := n.store.GetUint64([]byte(epochKey))
+	if err != nil {
+		return err
+	}
+	n.identity = string(identity)
+	n.startEpoch = epoch + 1
+	n.nonce = mrand.Uint64()
+	n.epoch.Store(n.startEpoch)
+	return n.store.SetUint64([]byte(epochKey), n.startEpoch)
+}
+
+func (n *Node) newIdentity() ([]byte, error) {
+	random := make([]byte, identityBytes)
+	if _, err := rand.Read(random); err != nil {
+		return nil, err
+	}
+	identity := []byte(hex.EncodeToString(random))
+	return identity, n.store.Set([]byte(identityKey), identity)
+}
+
+// checkPeerRun records the run of another coordinator. Its error says why this one must not talk to
+// it: an outdatedDiskError where the peer's disk was put back from an old copy and has forgotten
+// votes.
+//
+// A disk that is as its process left it gives each start an epoch above all that were sent before;
+// one that was put back gives one that is not above. A handshake that comes late, from the same run
+// or from one that has ended, says nothing of the disk.
+func (n *Node) checkPeerRun(identity string, run processRun) error {
+	n.peerRunsMu.Lock()
+	defer n.peerRunsMu.Unlock()
+	key := []byte(peerRunKeyPrefix + identity)
+	stored, err := n.store.Get(key)
+	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
+		return err
+	}
+	known := decodePeerRun(stored)
+	if run.nonce != known.nonce && run.startEpoch <= known.epoch {
+		return &outdatedDiskError{startEpoch: run.startEpoch, knownEpoch: known.epoch}
+	}
+	if run.nonce == known.nonce && run.epoch <= known.epoch {
+		return nil
+	}
+	return n.store.Set(key, encodePeerRun(run))
+}
+
+func encodePeerRun(run processRun) []byte {
+	encoded := binary.LittleEndian.AppendUint64(nil, run.nonce)
+	return binary.LittleEndian.AppendUint64(encoded, run.epoch)
+}
+
+// decodePeerRun is the zero run where nothing is stored.
+func decodePeerRun(stored []byte) processRun {
+	if len(stored) != peerRunBytes {
+		return processRun{}
+	}
+	return processRun{
+		nonce: binary.LittleEndian.Uint64(stored),
+		epoch: binary.LittleEndian.Uint64(stored[8:]),
+	}
+}
+
+// outdatedDiskPrefix begins the text by which the owner of an outdated disk is rejected: a peer knows
+// by it that it must end. It travels between programs of different versions.
+const outdatedDiskPrefix = "your disk is older than one that was seen of you"
+
+// outdatedDiskError says that a peer's disk is older than it was.
+type outdatedDiskError struct {
+	startEpoch uint64
+	knownEpoch uint64
+}
+
+func (e *outdatedDiskError) Error() string {
+	return fmt.Sprintf("%s (it started at epoch %d, and %d was seen)", outdatedDiskPrefix, e.startEpoch, e.knownEpoch)
+}
+
+// advanceEpoch lets the directory's epoch grow and tells all peers, so that a copy that is put back
+// later is known as one. Start owns it; it ends with ctx.
+func (n *Node) advanceEpoch(ctx context.Context) {
+	ticker := time.NewTicker(epochInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		next := n.epoch.Load() + 1
+		if n.store.SetUint64([]byte(epochKey), next) != nil {
+			return // OnFatal has been called
+		}
+		n.epoch.Store(next)
+		n.greetPeers()
+	}
+}
+
+// greetPeers exchanges handshakes with all peers.
+func (n *Node) greetPeers() {
+	for _, server := range n.servers() {
+		if string(server.ID) == n.identity {
+			continue
+		}
+		if connection, err := n.peers.Dial(server.Address, handshakeTimeout); err == nil {
+			connection.Close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/coord/node/membership.go
@@ -0,0 +1,199 @@
+package node
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/hashicorp/raft"
+)
+
+// MaxMembers bounds the coordinators of a group.
+const MaxMembers = 9
+
+// Member is one coordinator as the others know it.
+type Member struct {
+	Name     string `json:"name"`
+	Identity string `json:"identity"`
+	Address  string `json:"address"` // host:port for the other coordinators
+	IsVoter  bool   `json:"voter"`
+	IsLeader bool   `json:"leader,omitempty"`
+
+	// SupportedVersion is the newest version of commands that its program understands, as said by the
+	// one that is to be added.
+	SupportedVersion int `json:"newest,omitempty"`
+	// IsReachable says, in the list of members alone, that it responds to the one that lists.
+	IsReachable bool `json:"answers"`
+}
+
+func (m Member) server() raft.Server {
+	address := peerAddress{name: m.Name, identity: m.Identity, hostport: m.Address}
+	return raft.Server{ID: raft.ServerID(m.Identity), Address: address.serverAddress()}
+}
+
+// servers are the members of the group as the library has them; none before the group is made.
+func (n *Node) servers() []raft.Server {
+	future := n.raft.GetConfiguration()
+	if future.Error() != nil {
+		return nil
+	}
+	return future.Configuration().Servers
+}
+
+// listMembers lists the group. With probe it asks each whether it responds, which takes a while where
+// one doesn't.
+func (n *Node) listMembers(probe bool) []Member {
+	isLeader := n.raft.State() == raft.Leader
+	reachable := map[raft.ServerID]bool{}
+	if probe {
+		reachable = n.probeMembers()
+	}
+	var members []Member
+	for _, server := range n.servers() {
+		address, err := parsePeerAddress(server.Address)
+		if err != nil {
+			continue
+		}
+		isSelf := address.identity == n.identity
+		members = append(members, Member{
+			Name:        address.name,
+			Identity:    address.identity,
+			Address:     address.hostport,
+			IsVoter:     server.Suffrage == raft.Voter,
+			IsLeader:    isLeader && isSelf,
+			IsReachable: reachable[server.ID] || isSelf,
+		})
+	}
+	return members
+}
+
+// probeMembers asks each coordinator, side by side, whether it responds.
+func (n *Node) probeMembers() map[raft.ServerID]bool {
+	type probe struct {
+		id          raft.ServerID
+		isReachable bool
+	}
+	servers := n.servers()
+	probes := make(chan probe, len(servers))
+	for _, server := range servers {
+		go func() { // ends within the timeout; the loop below waits for all
+			connection, err := n.peers.Dial(server.Address, handshakeTimeout/4)
+			if err == nil {
+				connection.Close()
+			}
+			probes <- probe{id: server.ID, isReachable: err == nil}
+		}()
+	}
+	reachable := map[raft.ServerID]bool{}
+	for range servers {
+		result := <-probes
+		reachable[result.id] = result.isReachable
+	}
+	return reachable
+}
+
+// Bootstrap makes the first group, of coordinators whose directories are all empty.
+func (n *Node) Bootstrap(members []Member) error {
+	if len(members) == 0 || len(members) > MaxMembers {
+		return fmt.Errorf("members: %d, between 1 and %d must be named", len(members), MaxMembers)
+	}
+	if len(n.servers()) > 0 {
+		return fmt.Errorf("coordinator %s belongs to a group already", n.options.Name)
+	}
+	var group raft.Configuration
+	isMember := false
+	for _, member := range members {
+		isMember = isMember || member.Identity == n.identity
+		group.Servers = append(group.Servers, member.server())
+	}
+	if !isMember {
+		return fmt.Errorf("members: coordinator %s with identity %s is not among them", n.options.Name, n.identity)
+	}
+	return n.raft.BootstrapCluster(group).Error()
+}
+
+// AddMember takes a coordinator with an empty directory into the group. It gets the log first and
+// votes once it has it.
+func (n *Node) AddMember(m Member) error {
+	if n.raft.State() != raft.Leader {
+		return ErrNotLeader
+	}
+	n.mu.Lock()
+	version := n.state.Version
+	n.mu.Unlock()
+	if m.SupportedVersion < version {
+		return fmt.Errorf("members: %s runs a program that knows commands up to version %d, and %d is in force",
+			m.Name, m.SupportedVersion, version)
+	}
+	servers := n.servers()
+	if len(servers) >= MaxMembers {
+		return fmt.Errorf("members: %d at most", MaxMembers)
+	}
+	for _, server := range servers {
+		address, err := parsePeerAddress(server.Address)
+		if err == nil && address.name == m.Name && address.identity != m.Identity {
+			return fmt.Errorf("members: %s is one already, with another disk (%s): remove that one first",
+				m.Name, address.identity)
+		}
+	}
+	added := m.server()
+	if err := n.checkQuorum(append(slices.Clone(servers), added)); err != nil {
+		return err
+	}
+	if err := n.raft.AddNonvoter(added.ID, added.Address, 0, proposeTimeout).Error(); err != nil {
+		return err
+	}
+	return n.raft.AddVoter(added.ID, added.Address, 0, proposeTimeout).Error()
+}
+
+// RemoveMember takes a coordinator out of the group, whether it runs or not. A leader that is to be
+// removed hands the leadership over first and returns ErrNotLeader: it couldn't report its own
+// removal.
+func (n *Node) RemoveMember(name string) error {
+	if n.raft.State() != raft.Leader {
+		return ErrNotLeader
+	}
+	servers := n.servers()
+	i := slices.IndexFunc(servers, func(server raft.Server) bool {
+		address, err := parsePeerAddress(server.Address)
+		return err == nil && address.name == name
+	})
+	if i < 0 {
+		return fmt.Errorf("members: %s is none", name)
+	}
+	if len(servers) == 1 {
+		return fmt.Errorf("members: %s is the last one", name)
+	}
+	if string(servers[i].ID) == n.identity {
+		if err := n.raft.LeadershipTransfer().Error(); err != nil {
+			return err
+		}
+		return ErrNotLeader
+	}
+	if err := n.checkQuorum(slices.Delete(slices.Clone(servers), i, i+1)); err != nil {
+		return err
+	}
+	return n.raft.RemoveServer(servers[i].ID, 0, proposeTimeout).Error()
+}
+
+// checkQuorum returns an error where a change would leave no majority that responds now: no change
+// may be the one that stops the group.
+func (n *Node) checkQuorum(after []raft.Server) error {
+	reachable := n.probeMembers()
+	reachable[raft.ServerID(n.identity)] = true
+	voters := 0
+	alive := 0
+	for _, server := range after {
+		if server.Suffrage != raft.Voter {
+			continue
+		}
+		voters++
+		if reachable[server.ID] {
+			alive++
+		}
+	}
+	if alive <= voters/2 {
+		return fmt.Errorf("of the %d coordinators that there would be %d answer, which is no majority: "+
+			"nothing was changed", voters, alive)
+	}
+	return nil
+}
--- a/internal/coord/node/nofaults.go
+++ b/internal/coord/node/nofaults.go
@@ -2,11 +2,11 @@
 
 package node
 
-// slowSync does nothing but in a build for the laboratory.
+// slowSync does nothing but in a build with the tag faults.
 func slowSync() {}
 
-// crashPoint does nothing either.
+// crashPoint does nothing but in a build with the tag faults.
 func crashPoint(string) {}
 
-// epochInterval is how often the disk's epoch grows; what was put back is known by it.
+// epochInterval is how often the directory's epoch grows.
 const epochInterval = defaultEpochInterval
--- a/internal/coord/node/peers.go
+++ b/internal/coord/node/peers.go
@@ -1,6 +1,8 @@
 package node
 
 import (
+	"cmp"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -10,158 +12,192 @@
 	"github.com/hashicorp/raft"
 )
 
-// peerLayer carries the library's bytes between coordinators. Each connection begins with a line from either side that names who
-// is there, by the identity that its directory got when it was empty, and how far its disk had come: a wiped disk must not
-// answer for the voter that it was, and neither may one that was put back from an old copy, as it has forgotten its votes.
+// MaxPeerConnections bounds the connections that other coordinators open to this one.
+const MaxPeerConnections = 256
+
+const (
+	handshakeTimeout  = 2 * time.Second
+	maxHandshakeBytes = 1024 // of one side's line
+)
+
+// The bytes of the handshake, which programs of different versions exchange.
+const (
+	handshakeFormat  = "dockhinge-coord 1 %s %s %d %d %d"
+	rejectionPrefix  = "refused: "
+	noWantedIdentity = "-"
+)
+
+// peerLayer carries the library's bytes between coordinators. Each connection begins with a line
+// from either side that names its identity, which its directory got when it was empty, and the
+// directory's epoch: a wiped disk must not answer for the voter that it was, and neither may one
+// that was put back from an old copy, as it has forgotten its votes and would vote twice in a term.
 type peerLayer struct {
 	net.Listener
 	node *Node
 
 	mu          sync.Mutex
-	connections map[net.Conn]bool // that came in; MaxLinks at most
+	connections map[net.Conn]bool // that came in; MaxPeerConnections at most
 }
 
-// MaxPeerConnections bounds the connections from other coordinators.
-const MaxPeerConnections = 256
+// Addr is the address by which the others know this coordinator.
+func (p *peerLayer) Addr() net.Addr {
+	return networkAddress(p.node.options.peerAddress(p.node.identity))
+}
 
-// handshakeTimeout bounds the first line of a connection in time, helloBytes in length.
-const (
-	handshakeTimeout  = 2 * time.Second
-	maxHandshakeBytes = 1024
-)
+// networkAddress is a peer's address in the form that the library stores.
+type networkAddress string
 
-// Addr is what the others know this coordinator by.
-func (k *peerLayer) Addr() net.Addr { return peerAddress(k.node.options.peerAddress(k.node.identity)) }
+func (a networkAddress) Network() string { return "tcp" }
+func (a networkAddress) String() string  { return string(a) }
 
-// peerAddress is a coordinator's as the library carries it: NAME/IDENTITY@HOST:PORT.
-type peerAddress string
+// peerAddress is a coordinator's address as the library carries it: NAME/IDENTITY@HOST:PORT.
+type peerAddress struct {
+	name     string
+	identity string
+	hostport string
+}
 
-func (a peerAddress) Network() string { return "tcp" }
-func (a peerAddress) String() string  { return string(a) }
+func (a peerAddress) serverAddress() raft.ServerAddress {
+	return raft.ServerAddress(a.name + "/" + a.identity + "@" + a.hostport)
+}
 
-// split takes an address apart.
-func (a peerAddress) split() (name, id, hostport string, err error) {
-	who, hostport, ok := strings.Cut(string(a), "@")
-	name, id, ok2 := strings.Cut(who, "/")
-	if !ok || !ok2 {
-		return "", "", "", fmt.Errorf("coordinator %q: not NAME/IDENTITY@HOST:PORT", string(a))
+func parsePeerAddress(address raft.ServerAddress) (peerAddress, error) {
+	owner, hostport, hasHostport := strings.Cut(string(address), "@")
+	name, identity, hasIdentity := strings.Cut(owner, "/")
+	if !hasHostport || !hasIdentity {
+		return peerAddress{}, fmt.Errorf("coordinator %q: not NAME/IDENTITY@HOST:PORT", string(address))
 	}
-	return name, id, hostport, nil
+	return peerAddress{name: name, identity: identity, hostport: hostport}, nil
 }
 
-// peerHandshake is a side's first line: its own identity, the identity it wants (empty in an answer), and its run.
+// peerHandshake is one side's line.
 type peerHandshake struct {
-	identity, wantedIdentity string
-	run                      processRun
-}
-
-// processRun is one start of a coordinator: a number drawn for it, the epoch of its disk when it started, and that of now.
-type processRun struct{ nonce, startEpoch, epoch uint64 }
-
-func (k *peerLayer) handshakeLine(to string) string {
-	return fmt.Sprintf("dockhinge-coord 1 %s %s %d %d %d\n", k.node.identity, orDash(to), k.node.nonce, k.node.startEpoch, k.node.epoch.Load())
+	identity       string
+	wantedIdentity string // of the other side; noWantedIdentity in an answer
+	run            processRun
 }
 
-func orDash(s string) string {
-	if s == "" {
-		return "-"
-	}
-	return s
+func (p *peerLayer) writeHandshake(c net.Conn, wantedIdentity string) error {
+	run := p.node.run()
+	line := fmt.Sprintf(handshakeFormat+"\n", p.node.identity, cmp.Or(wantedIdentity, noWantedIdentity),
+		run.nonce, run.startEpoch, run.epoch)
+	_, err := c.Write([]byte(line))
+	return err
 }
 
-// readHandshake reads the other side's line. It takes no byte behind the line.
-func readHandshake(c net.Conn) (g peerHandshake, err error) {
+// readHandshake reads the other side's line. It takes no byte beyond the line, which are the
+// library's.
+func readHandshake(c net.Conn) (peerHandshake, error) {
 	var line []byte
-	one := make([]byte, 1)
+	next := make([]byte, 1)
 	for len(line) < maxHandshakeBytes {
-		if _, err := c.Read(one); err != nil {
-			return g, err
+		if _, err := c.Read(next); err != nil {
+			return peerHandshake{}, err
 		}
-		if one[0] == '\n' {
+		if next[0] == '\n' {
 			break
 		}
-		line = append(line, one[0])
+		line = append(line, next[0])
 	}
-	if text, ok := strings.CutPrefix(string(line), "refused: "); ok {
-		return g, &rejectedByPeerError{text}
+	if text, ok := strings.CutPrefix(string(line), rejectionPrefix); ok {
+		return peerHandshake{}, &rejectedByPeerError{text: text}
 	}
-	if _, err := fmt.Sscanf(string(line), "dockhinge-coord 1 %s %s %d %d %d", &g.identity, &g.wantedIdentity, &g.run.nonce, &g.run.startEpoch, &g.run.epoch); err != nil {
-		return g, fmt.Errorf("no coordinator's first line: %q", line)
+	var h peerHandshake
+	_, err := fmt.Sscanf(string(line), handshakeFormat,
+		&h.identity, &h.wantedIdentity, &h.run.nonce, &h.run.startEpoch, &h.run.epoch)
+	if err != nil {
+		return h, fmt.Errorf("no coordinator's first line: %q", line)
 	}
-	return g, nil
+	return h, nil
 }
 
-// rejectedByPeerError is why the other side doesn't talk to us.
+// rejectedByPeerError is why the other side doesn't talk to this one.
 type rejectedByPeerError struct{ text string }
 
-func (e *rejectedByPeerError) Error() string { return "refused: " + e.text }
+func (e *rejectedByPeerError) Error() string { return rejectionPrefix + e.text }
 
-// outdatedDisk begins the refusal of a disk that was put back.
-const outdatedDisk = "your disk is older than one that was seen of you"
+// isOutdatedDisk reports whether the other side knows that this disk was put back from an old copy.
+func (e *rejectedByPeerError) isOutdatedDisk() bool {
+	return strings.HasPrefix(e.text, outdatedDiskPrefix)
+}
 
 // Dial connects to a coordinator and makes sure that it is the one that is meant.
-func (k *peerLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	name, id, hostport, err := peerAddress(to).split()
+func (p *peerLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	address, err := parsePeerAddress(to)
 	if err != nil {
 		return nil, err
 	}
-	if own := k.node.options.PeerAddresses[name]; own != "" {
-		hostport = own
+	hostport := address.hostport
+	if override := p.node.options.PeerAddresses[address.name]; override != "" {
+		hostport = override
 	}
-	c, err := net.DialTimeout("tcp", hostport, timeout)
+	connection, err := net.DialTimeout("tcp", hostport, timeout)
 	if err != nil {
 		return nil, err
 	}
-	if err := k.handshake(c, id, timeout); err != nil {
-		c.Close()
-		return nil, fmt.Errorf("coordinator %s: %w", name, err)
+	if err := p.handshake(connection, address.identity, timeout); err != nil {
+		connection.Close()
+		return nil, fmt.Errorf("coordinator %s: %w", address.name, err)
 	}
-	return c, nil
+	return connection, nil
 }
 
-func (k *peerLayer) handshake(c net.Conn, id string, timeout time.Duration) error {
+// handshake sends this side's line and checks the other's.
+func (p *peerLayer) handshake(c net.Conn, identity string, timeout time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(min(handshakeTimeout, timeout)))
-	if _, err := c.Write([]byte(k.handshakeLine(id))); err != nil {
+	if err := p.writeHandshake(c, identity); err != nil {
 		return err
 	}
-	there, err := readHandshake(c)
+	peer, err := readHandshake(c)
 	if err != nil {
-		if r, ok := err.(*rejectedByPeerError); ok && strings.HasPrefix(r.text, outdatedDisk) {
-			k.node.options.OnFatal(fmt.Errorf("%s: this directory was put back from an old copy, and has forgotten votes; it must come back empty, as a new member", r.text))
-		}
+		p.endIfOutdated(err)
 		return err
 	}
-	if there.identity != id {
-		return fmt.Errorf("it is %s now, and %s is meant: its disk is another", there.identity, id)
+	if peer.identity != identity {
+		return fmt.Errorf("it is %s now, and %s is meant: its disk is another", peer.identity, identity)
 	}
-	if why := k.node.checkPeerRun(there.identity, there.run); why != "" {
-		return fmt.Errorf("%s", why)
+	if err := p.node.checkPeerRun(peer.identity, peer.run); err != nil {
+		return err
 	}
 	return c.SetDeadline(time.Time{})
 }
 
-// Accept takes a connection of a coordinator that means this one and has not forgotten anything.
-func (k *peerLayer) Accept() (net.Conn, error) {
+// endIfOutdated ends the process whose disk has forgotten votes: it must not take part again.
+func (p *peerLayer) endIfOutdated(err error) {
+	var rejected *rejectedByPeerError
+	if errors.As(err, &rejected) && rejected.isOutdatedDisk() {
+		p.node.options.OnFatal(fmt.Errorf("%s: this directory was put back from an old copy, "+
+			"and has forgotten votes; it must come back empty, as a new member", rejected.text))
+	}
+}
+
+// Accept takes a connection of a coordinator. Its handshake is checked at the first Read.
+func (p *peerLayer) Accept() (net.Conn, error) {
 	for {
-		c, err := k.Listener.Accept()
+		connection, err := p.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		k.mu.Lock()
-		full := len(k.connections) >= MaxPeerConnections
-		if !full {
-			k.connections[c] = true
+		if p.register(connection) {
+			return &incomingConnection{Conn: connection, layer: p}, nil
 		}
-		k.mu.Unlock()
-		if full {
-			c.Close()
-			continue
-		}
-		return &incomingConnection{Conn: c, layer: k}, nil
+		connection.Close()
 	}
 }
 
-// incomingConnection checks the first line at the first read, on the connection's own goroutine, so that a silent caller holds up nobody.
+// register counts a connection, and reports false where there are too many.
+func (p *peerLayer) register(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.connections) >= MaxPeerConnections {
+		return false
+	}
+	p.connections[c] = true
+	return true
+}
+
+// incomingConnection checks the handshake at the first Read, on the connection's own goroutine, so
+// that a silent caller holds up nobody.
 type incomingConnection struct {
 	net.Conn
 	layer          *peerLayer
@@ -177,28 +213,32 @@
 	return c.Conn.Read(p)
 }
 
+// acceptHandshake checks the other side's line and answers with this side's, or with why not.
 func (c *incomingConnection) acceptHandshake() error {
 	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
-	g, err := readHandshake(c.Conn)
+	peer, err := readHandshake(c.Conn)
 	if err != nil {
 		return err
 	}
-	why := ""
-	if g.wantedIdentity != c.layer.node.identity {
-		why = fmt.Sprintf("%s is meant, and this is %s", g.wantedIdentity, c.layer.node.identity)
-	} else {
-		why = c.layer.node.checkPeerRun(g.identity, g.run)
-	}
-	if why != "" {
-		_, _ = c.Conn.Write([]byte("refused: " + strings.ReplaceAll(why, "\n", " ") + "\n")) // it is closed all the same
-		return fmt.Errorf("%s", why)
+	if err := c.checkPeer(peer); err != nil {
+		reason := strings.ReplaceAll(err.Error(), "\n", " ")
+		_, _ = c.Conn.Write([]byte(rejectionPrefix + reason + "\n")) // it is closed all the same
+		return err
 	}
-	if _, err := c.Conn.Write([]byte(c.layer.handshakeLine(""))); err != nil {
+	if err := c.layer.writeHandshake(c.Conn, noWantedIdentity); err != nil {
 		return err
 	}
 	return c.SetDeadline(time.Time{})
 }
 
+func (c *incomingConnection) checkPeer(peer peerHandshake) error {
+	node := c.layer.node
+	if peer.wantedIdentity != node.identity {
+		return fmt.Errorf("%s is meant, and this is %s", peer.wantedIdentity, node.identity)
+	}
+	return node.checkPeerRun(peer.identity, peer.run)
+}
+
 func (c *incomingConnection) Close() error {
 	c.layer.mu.Lock()
 	delete(c.layer.connections, c.Conn)
--- a/internal/coord/node/read_barrier.go
+++ b/internal/coord/node/read_barrier.go
@@ -2,14 +2,16 @@
 
 import "sync"
 
-// sharedBarrier lets readers that come while a barrier is under way share the next one: each entry of the log that it takes serves
-// all who came before it was proposed. A change wakes thousands of watchers at once, and each of them reads.
+// sharedBarrier lets readers that come while a barrier is under way share the next one: each entry of
+// the log that a barrier takes serves all who came before it was proposed. A change wakes thousands of
+// watchers at once, and each of them reads. A reader must not be served by a barrier that was proposed
+// before it came: the state could be older than its call.
 type sharedBarrier struct {
 	propose func() error // one barrier: an entry of the log that is waited for
 
 	mu      sync.Mutex
 	running bool
-	next    *barrierRound // of those who wait for the one after; nil where nobody does
+	next    *barrierRound // of readers that wait for the one after; nil where there are none
 }
 
 // barrierRound is one barrier with those who wait for it.
--- a/internal/coord/node/read_barrier_test.go
+++ b/internal/coord/node/read_barrier_test.go
@@ -8,7 +8,8 @@
 	"testing/synctest"
 )
 
-// Readers that come while a barrier is under way share the next one, never that one: it may have been proposed before they came.
+// A thousand readers come while a barrier is under way. They share the next one, and never that one: it
+// was proposed before they came, and would let them read a state that is older than their call.
 func TestSharedBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var proposed atomic.Int64
--- a/internal/coord/node/store_test.go
+++ b/internal/coord/node/store_test.go
@@ -27,7 +27,13 @@
 		}
 		want[fmt.Sprint(i)] = string(l.Data)
 	}
-	for k, v := range map[string]string{"CurrentTerm": "\x05\x00\x00\x00\x00\x00\x00\x00", "LastVoteTerm": "\x05\x00\x00\x00\x00\x00\x00\x00", "LastVoteCand": "c1", identityKey: "abc", epochKey: "\x01\x00\x00\x00\x00\x00\x00\x00"} {
+	for k, v := range map[string]string{
+		currentTermKey:       "\x05\x00\x00\x00\x00\x00\x00\x00",
+		lastVoteTermKey:      "\x05\x00\x00\x00\x00\x00\x00\x00",
+		lastVoteCandidateKey: "c1",
+		identityKey:          "abc",
+		epochKey:             "\x01\x00\x00\x00\x00\x00\x00\x00",
+	} {
 		if err := d.Set([]byte(k), []byte(v)); err != nil {
 			t.Fatal(err)
 		}
@@ -39,8 +45,8 @@
 	return dir, want
 }
 
-// A log that was cut off anywhere, or has a flipped bit anywhere, is refused, or holds all that was written: nothing is forgotten
-// silently.
+// A log's file is cut off anywhere, or has a flipped bit anywhere. It is reported as damaged, or holds
+// all that was written. A store that forgot a vote silently would vote twice in one term.
 func TestDamageIsNeverSilent(t *testing.T) {
 	dir, want := written(t)
 	whole, err := os.ReadFile(filepath.Join(dir, "log.db"))
@@ -48,7 +54,7 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	refused := 0
+	rejected := 0
 	for n := range 300 {
 		text := append([]byte(nil), whole...)
 		at := rng.IntN(len(text))
@@ -65,9 +71,9 @@
 		d, err := openStore(into, 0, func(err error) { t.Fatal(err) })
 		if err != nil {
 			if !errors.Is(err, errDamaged) {
-				t.Errorf("%s: refused without saying that it is damaged: %v", what, err)
+				t.Errorf("%s: rejected without saying that it is damaged: %v", what, err)
 			}
-			refused++
+			rejected++
 			continue
 		}
 		for i := uint64(1); i <= 40; i++ {
@@ -76,7 +82,7 @@
 				t.Errorf("%s: entry %d: %q, %v", what, i, l.Data, err)
 			}
 		}
-		for _, k := range []string{"CurrentTerm", "LastVoteTerm", "LastVoteCand", identityKey, epochKey} {
+		for _, k := range []string{currentTermKey, lastVoteTermKey, lastVoteCandidateKey, identityKey, epochKey} {
 			if v, err := d.Get([]byte(k)); err != nil || string(v) != want[k] {
 				t.Errorf("%s: %s: %q, %v", what, k, v, err)
 			}
@@ -85,12 +91,13 @@
 			t.Error(err)
 		}
 	}
-	if refused < 50 {
-		t.Errorf("%d of 300 refused: the damage met nothing", refused)
+	if rejected < 50 {
+		t.Errorf("%d of 300 rejected: the damage met nothing", rejected)
 	}
 }
 
-// A hole in the log is damage, unless a snapshot holds what is missing.
+// Entries are missing in the middle of a log. That is damage, unless a snapshot holds what is missing:
+// a snapshot from the leader leaves such a hole. A store that passed over it would skip commands.
 func TestHole(t *testing.T) {
 	dir, _ := written(t)
 	d, err := openStore(dir, 0, func(err error) { t.Fatal(err) })
