--- a/internal/coord/clock/clock.go
+++ b/internal/coord/clock/clock.go
@@ -1,5 +1,6 @@
-// Package clock is the clock of leases: it neither steps with the wall clock nor stops while the machine is suspended. It
-// starts anywhere; only differences mean something.
+// Package clock is the clock of leases. It neither steps with the wall clock nor stops while the
+// machine is suspended: a holder that counted without the suspend would act on a lease that another
+// holds by then. The clock starts anywhere; only differences mean something.
 package clock
 
 import (
@@ -18,13 +19,13 @@
 	return time.Duration(t.Nano())
 }
 
-// Sleep waits, and reports whether ctx has not ended. It may sleep longer where the machine is suspended: what may be done after it
-// is for Now to tell.
+// Sleep waits for d, and reports whether ctx has not ended. It may take longer where the machine is
+// suspended; what may be done after it must be asked of Now.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/coord/clock/nofaults.go
+++ b/internal/coord/clock/nofaults.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Now is the time on the clock.
+// Now is the time on the clock of leases.
 func Now() time.Duration { return Boot() }
 
-// Wall is the wall clock, for people to read only.
+// Wall is the wall clock, for what people read only.
 func Wall() time.Time { return time.Now() }
--- a/internal/coord/observer/watchlog/mutants_test.go
+++ b/internal/coord/observer/watchlog/mutants_test.go
@@ -10,10 +10,10 @@
 
 // Each planted fault is found by a walk of the property check.
 func TestMutantsAreFound(t *testing.T) {
-	defer failpoint.Plant("")
+	defer failpoint.Inject("")
 	for _, name := range []string{"change-skipped", "change-delivered-twice", "snapshot-older", "acknowledged-early"} {
 		t.Run(name, func(t *testing.T) {
-			failpoint.Plant(name)
+			failpoint.Inject(name)
 			for seed := range uint64(checkWalks) {
 				if err := play(seed); err != nil {
 					t.Log(err)
--- a/lab/modelcheck/mutants_test.go
+++ b/lab/modelcheck/mutants_test.go
@@ -11,11 +11,11 @@
 
 // Each planted fault is found: by the searches where it lies within their depth, else by a walk.
 func TestMutantsAreFound(t *testing.T) {
-	defer failpoint.Plant("")
+	defer failpoint.Inject("")
 	for _, name := range []string{"time-from-answer", "rate-ignored", "token-unchecked", "command-twice", "release-overtaken",
 		"token-reused", "snapshot-without-leases", "resource-unchecked"} {
 		t.Run(name, func(t *testing.T) {
-			failpoint.Plant(name)
+			failpoint.Inject(name)
 			found := false
 			for what, p := range searches {
 				p.Depth++
