--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -12,9 +12,10 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// acknowledge tells the observer that is watched which revision is in force, once that changes and at each heartbeat, until ctx
-// ends. By the answer the client knows how old its state is: a line of the watch may have been under way for any time, and the
-// answer can't be older than the request.
+// acknowledge sends the applied revision to the observer that is watched, once it changes and every
+// maxAcknowledgeInterval, until ctx ends; Run waits for it. By the answer the client knows how old its
+// state is: a line of the watch may have been on its way for any time, and the answer can't be older than
+// the request.
 func (c *Client) acknowledge(ctx context.Context) {
 	ticker := time.NewTicker(maxAcknowledgeInterval)
 	defer ticker.Stop()
@@ -26,7 +27,7 @@
 		case <-ticker.C:
 		}
 		if err := c.acknowledgeOnce(ctx); err != nil {
-			c.options.Log.Debug("not acknowledged", "error", err) // the next heartbeat tries again
+			c.options.Log.Debug("not acknowledged", "error", err) // the next one follows anyway
 		}
 		if !clock.Sleep(ctx, minAcknowledgeInterval) {
 			return
@@ -41,13 +42,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, silenceTimeout)
 	defer cancel()
-	_, inForce := c.Revision()
-	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.Watcher, Revision: inForce})
+	_, applied := c.Revision()
+	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.Watcher, Revision: applied})
 	if err != nil {
 		return err
 	}
 	sent := clock.Now()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+protocol.AcknowledgePath, bytes.NewReader(body))
+	url := "http://" + address + protocol.AcknowledgePath
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -57,17 +59,17 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return readRefusal(response)
+		return readRejection(response)
 	}
 	var answer protocol.AcknowledgementResponse
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxRefusalBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxRejectionBytes)).Decode(&answer); err != nil {
 		return err
 	}
 	c.confirmed(answer, sent)
 	return nil
 }
 
-// confirmed books how old the state is, by the answer to what was sent at an instant.
+// confirmed records how old the state is, by the answer to what was sent at an instant.
 func (c *Client) confirmed(answer protocol.AcknowledgementResponse, sent time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,5 +77,6 @@
 		return
 	}
 	completeAt := sent - time.Duration(answer.AgeMillis)*time.Millisecond
-	c.completeAt, c.isComplete = max(c.completeAt, completeAt), true
+	c.completeAt = max(c.completeAt, completeAt)
+	c.isComplete = true
 }
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -1,5 +1,6 @@
-// Package client watches the agreed configuration as a router does: through one observer of a list, moving to another when that
-// one fails, falls silent or is stale. Its revision never goes back. Nothing on a request's way waits for it.
+// Package client watches the agreed documents as a router does: through one observer of a list, moving
+// to another when that one fails, falls silent or is stale. Its revision never goes back. Nothing in a
+// request's path waits for it.
 package client
 
 import (
@@ -18,7 +19,7 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// State is what a router is to put in force.
+// State is what a router is to apply.
 type State struct {
 	Revision  uint64
 	Documents []watchlog.Change // all under the prefix, by name
@@ -27,25 +28,40 @@
 
 // Options are those of a client.
 type Options struct {
-	Observers []string // addresses
+	Observers []string // addresses (host:port)
 	Watcher   string   // the router's name, by which its acknowledgements are counted
-	Prefix    string   // of the documents that concern it
-	// Apply puts a state in force, whole or not at all. Where it fails, what was in force stays, and nothing is acknowledged
-	// until a later state is in force. It is called from one goroutine, for updates that have changes; it must be set.
+	Prefix    string   // of the names of the documents to watch
+
+	// Apply applies a state, completely or not at all. Where it fails, the state before stays applied,
+	// and nothing is acknowledged until a later state is applied. It is called from one goroutine, for
+	// updates that have changes; it must be set.
 	Apply func(context.Context, State) error
-	Log   *slog.Logger
+
+	Log *slog.Logger // nil: nothing is logged
 }
 
-// The client's pauses and patience.
+// The client's times.
 const (
-	minPause               = 50 * time.Millisecond // after an observer failed, doubled each time
-	maxPause               = 2 * time.Second
-	silenceTimeout         = 2 * time.Second // without a byte from an observer, which sends progress twice a second
-	minStaleAge            = 5 * time.Second // a watch whose state is older moves, twice as late each time in a row
-	maxStaleAge            = time.Minute
-	minAcknowledgeInterval = 200 * time.Millisecond // between two acknowledgements, at least
-	maxAcknowledgeInterval = 2 * time.Second        // likewise, at most
-	retryJitter            = 4                      // a come-back time is lengthened by up to this part of it
+	minPause = 50 * time.Millisecond // after an observer failed; doubled for each further one
+	maxPause = 2 * time.Second
+
+	// silenceTimeout is how long an observer may send no byte; it sends progress notices twice a second.
+	silenceTimeout = 2 * time.Second
+
+	// minStaleAge is the age of the state at which a watch moves to another observer; it doubles each
+	// time in a row, as all observers may be stale.
+	minStaleAge = 5 * time.Second
+	maxStaleAge = time.Minute
+
+	minAcknowledgeInterval = 200 * time.Millisecond
+	maxAcknowledgeInterval = 2 * time.Second
+
+	// A Retry-After is lengthened by up to one part in retryJitter, so that clients which were rejected
+	// together don't come back together.
+	retryJitter = 4
+
+	dialTimeout           = time.Second
+	idleConnectionTimeout = time.Minute
 )
 
 // Client is one watcher.
@@ -56,10 +72,11 @@
 
 	mu             sync.Mutex // guards what follows
 	replica        *watchlog.Replica
-	observer       string        // that is watched now; "" while none is
-	isApplyFailing bool          // Apply has failed, and not succeeded since
-	completeAt     time.Duration // on clock.Now: what is held was all there was at this instant, at the earliest
-	isComplete     bool          // completeAt has been set
+	observer       string // address of the one that is watched now; "" while none is
+	isApplyFailing bool   // Apply has failed, and not succeeded since
+	isComplete     bool   // completeAt has been set
+	// completeAt is an instant of clock.Now at which the replica had all that there was.
+	completeAt time.Duration
 }
 
 // New prepares a client; Run has it watch.
@@ -72,23 +89,23 @@
 		replica:        watchlog.NewReplica(),
 		acknowledgeDue: make(chan struct{}, 1),
 		http: &http.Client{Transport: &http.Transport{
-			DialContext:           (&net.Dialer{Timeout: time.Second}).DialContext,
+			DialContext:           (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			ResponseHeaderTimeout: silenceTimeout,
 			MaxConnsPerHost:       2,
 			MaxIdleConnsPerHost:   1,
-			IdleConnTimeout:       time.Minute,
+			IdleConnTimeout:       idleConnectionTimeout,
 		}},
 	}
 }
 
-// Revision is the one through which all is held, and the one that was in force last.
-func (c *Client) Revision() (held, inForce uint64) {
+// Revision is the one through which the replica is complete, and the one that was applied last.
+func (c *Client) Revision() (complete, applied uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.Revision(), c.replica.Acknowledged()
 }
 
-// Age is how long ago what is held was all there was, at most; false where it never was.
+// Age is how long ago the replica had all that there was, at most; false where it never had.
 func (c *Client) Age() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,12 +151,13 @@
 	}
 }
 
-// reconnectDelay is how long to wait: what the observer told, and a part more; else the pause, spread over half of it to one and a half.
+// reconnectDelay is how long to wait after a watch ended: what the observer asked for, and up to a part
+// more; else the pause, spread over half of it to one and a half.
 func reconnectDelay(err error, pause time.Duration) time.Duration {
-	var refusal *protocol.Rejection
-	if errors.As(err, &refusal) && refusal.RetryAfterMillis > 0 {
-		told := refusal.RetryAfter()
-		return told + rand.N(told/retryJitter+1)
+	var rejection *protocol.Rejection
+	if errors.As(err, &rejection) && rejection.RetryAfterMillis > 0 {
+		retryAfter := rejection.RetryAfter()
+		return retryAfter + rand.N(retryAfter/retryJitter+1)
 	}
 	return pause/2 + rand.N(pause+1)
 }
@@ -151,7 +169,7 @@
 	c.wake()
 }
 
-// receive takes an update and puts it in force.
+// receive takes an update into the replica and applies it.
 func (c *Client) receive(ctx context.Context, update protocol.Update) error {
 	state, err := c.extend(update)
 	if err != nil {
@@ -160,7 +178,7 @@
 	if update.Snapshot || len(update.Changes) > 0 {
 		err = c.options.Apply(ctx, state)
 		if err != nil {
-			c.options.Log.Warn("what was in force stays", "revision", state.Revision, "error", err)
+			c.options.Log.Warn("the state before stays applied", "revision", state.Revision, "error", err)
 		}
 		c.recordApplyResult(err)
 	}
@@ -187,7 +205,7 @@
 	c.isApplyFailing = err != nil
 }
 
-// markApplied books that a revision is in force and has it acknowledged.
+// markApplied records that a revision is applied, and has it acknowledged.
 func (c *Client) markApplied(revision uint64) {
 	c.mu.Lock()
 	before := c.replica.Acknowledged()
@@ -201,10 +219,10 @@
 	}
 }
 
-// wake has the revision that is in force acknowledged soon.
+// wake has the applied revision acknowledged soon.
 func (c *Client) wake() {
 	select {
 	case c.acknowledgeDue <- struct{}{}:
-	default: // one is waiting already
+	default: // a signal is waiting already
 	}
 }
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -56,18 +56,18 @@
 	f.updates, f.staysOpen = updates, staysOpen
 }
 
-// router is a client with what it was given to put in force.
+// router is a client with the states that it was given to apply.
 type router struct {
 	*Client
 	mu     sync.Mutex
 	states []State
-	refuse func(State) bool
+	reject func(State) bool
 }
 
 // run starts a client of observers that speak through these handlers, until the test ends.
-func run(t *testing.T, refuse func(State) bool, observers ...http.Handler) *router {
+func run(t *testing.T, reject func(State) bool, observers ...http.Handler) *router {
 	t.Helper()
-	r := &router{refuse: refuse}
+	r := &router{reject: reject}
 	var addresses []string
 	var servers []*httptest.Server
 	for _, handler := range observers {
@@ -91,8 +91,8 @@
 func (r *router) apply(_ context.Context, state State) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.refuse != nil && r.refuse(state) {
-		return errors.New("refused")
+	if r.reject != nil && r.reject(state) {
+		return errors.New("rejected")
 	}
 	r.states = append(r.states, state)
 	return nil
@@ -136,7 +136,9 @@
 	return update
 }
 
-// A client moves to another observer where its own ends, goes on from its revision, and takes nothing older or that doesn't follow.
+// A client's observer ends, and the others are stale or send changes that don't follow. The client moves
+// until it finds one that goes on from its revision; it never applies anything older. A client that did
+// would bring an old configuration back.
 func TestNeverGoesBack(t *testing.T) {
 	first, second := &fakeObserver{}, &fakeObserver{}
 	first.script(false, snapshot(5, "a", "b"))
@@ -175,14 +177,15 @@
 	return len(f.asked)
 }
 
-// What could not be put in force isn't acknowledged, nor is what follows it without a change; the next state that can be is.
+// A state can't be applied. It isn't acknowledged, nor is the progress that follows it; the next state that
+// is applied is. A client that acknowledged it would make operators believe that the change is applied.
 func TestRefusedStateIsNotAcknowledged(t *testing.T) {
 	observer := &fakeObserver{}
 	observer.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6))
 	r := run(t, func(s State) bool { return s.Revision == 5 }, observer)
 	eventually(t, held(r, 6))
-	if _, inForce := r.Revision(); inForce != 4 {
-		t.Errorf("revision %d is said to be in force", inForce)
+	if _, applied := r.Revision(); applied != 4 {
+		t.Errorf("revision %d is said to be applied", applied)
 	}
 	eventually(t, func() error {
 		observer.mu.Lock()
@@ -196,14 +199,16 @@
 	other.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6), differences(6, 7, "good"))
 	r = run(t, func(s State) bool { return s.Revision == 5 }, other)
 	eventually(t, func() error {
-		if _, inForce := r.Revision(); inForce != 7 {
-			return fmt.Errorf("revision %d is in force", inForce)
+		if _, applied := r.Revision(); applied != 7 {
+			return fmt.Errorf("revision %d is applied", applied)
 		}
 		return nil
 	})
 }
 
-// The age is known only from an answer that tells nothing newer than what is held, and counts from the asking.
+// Acknowledgements are answered with the observer's newest revision and age. The client's age is known only
+// from an answer with nothing newer than its replica, and counts from the sending; otherwise a client that
+// lags would believe it is complete.
 func TestAge(t *testing.T) {
 	c := New(Options{})
 	if err := c.replica.Apply(snapshot(5).Batch); err != nil {
@@ -222,7 +227,8 @@
 	}
 }
 
-// A time to come back is kept, with a part more that spreads the herd; without one the pause is spread.
+// An observer rejects many clients with the same Retry-After. Each waits at least that long and up to a
+// quarter longer, so that they don't come back together; without a Retry-After the pause is spread.
 func TestComeBack(t *testing.T) {
 	told := &protocol.Rejection{Code: protocol.CodeOverloaded, RetryAfterMillis: 8000}
 	seen := map[time.Duration]bool{}
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxLineBytes    = 16 << 20 // a snapshot of all documents in base64, twice over
-	maxRefusalBytes = 4 << 10
+	maxLineBytes      = 16 << 20 // a snapshot of all documents in base64, twice over
+	maxRejectionBytes = 4 << 10
 )
 
-// errStale tells that a watch goes on, and its observer's state is too old.
+// errStale says that the watch works, and its observer's state is too old.
 var errStale = errors.New("the observer's state is too old")
 
-// watch watches one observer until it fails, falls silent, or what is held is older than staleAfter. It reports how many updates
-// were taken.
+// watch watches one observer until it fails, sends nothing for silenceTimeout, or the replica is older
+// than staleAfter. It returns how many updates were received.
 func (c *Client) watch(ctx context.Context, address string, staleAfter time.Duration) (updates int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,11 +61,16 @@
 	return updates, io.ErrUnexpectedEOF
 }
 
-// open begins a watch from the revision that is held.
+// open begins a watch from the replica's revision.
 func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
-	held, _ := c.Revision()
-	query := url.Values{"watcher": {c.options.Watcher}, "prefix": {c.options.Prefix}, "after": {strconv.FormatUint(held, 10)}}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+protocol.WatchPath+"?"+query.Encode(), nil)
+	revision, _ := c.Revision()
+	query := url.Values{
+		"watcher": {c.options.Watcher},
+		"prefix":  {c.options.Prefix},
+		"after":   {strconv.FormatUint(revision, 10)},
+	}
+	target := "http://" + address + protocol.WatchPath + "?" + query.Encode()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -77,23 +82,23 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, readRefusal(response)
+	return nil, readRejection(response)
 }
 
-// readRefusal reads the error that an answer other than 200 tells.
-func readRefusal(response *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBytes))
+// readRejection is the error that an answer other than 200 carries.
+func readRejection(response *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxRejectionBytes))
 	if err != nil {
 		return err
 	}
-	var refusal protocol.Rejection
-	if json.Unmarshal(body, &refusal) != nil || refusal.Code == "" {
+	var rejection protocol.Rejection
+	if json.Unmarshal(body, &rejection) != nil || rejection.Code == "" {
 		return fmt.Errorf("the observer answered %s", response.Status)
 	}
-	return &refusal
+	return &rejection
 }
 
-// watchdogReader puts the watchdog off with each byte: a snapshot may take longer than silence to come.
+// watchdogReader resets the watchdog with each byte: a snapshot may take longer than silenceTimeout.
 type watchdogReader struct {
 	from     io.Reader
 	watchdog *time.Timer
--- a/internal/coord/observer/follow.go
+++ b/internal/coord/observer/follow.go
@@ -91,11 +91,11 @@
 		return update, err
 	}
 	if response.StatusCode != http.StatusOK {
-		var refusal protocol.Rejection
-		if json.Unmarshal(body, &refusal) != nil || refusal.Code == "" {
+		var rejection protocol.Rejection
+		if json.Unmarshal(body, &rejection) != nil || rejection.Code == "" {
 			return update, fmt.Errorf("polling for changes: %s", response.Status)
 		}
-		return update, &refusal
+		return update, &rejection
 	}
 	return update, json.Unmarshal(body, &update)
 }
--- a/internal/coord/observer/join_limiter.go
+++ b/internal/coord/observer/join_limiter.go
@@ -1,28 +1,29 @@
 package observer
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	joinBurst     = 32               // watches that may begin at once
-	maxRetryAfter = 60 * time.Second // told to who joins; a fleet that needs longer spreads over its own jitter
+	joinBurst = 32 // watches that may begin at once
+
+	// maxRetryAfter bounds the Retry-After of a join. A fleet that needs longer is spread by its clients'
+	// own jitter.
+	maxRetryAfter = 60 * time.Second
 )
 
-// joinLimiter admits joins at a bounded rate, and tells each that it turns away a time of its own to come back, so that those
-// turned away together don't come back together. It has no clock.
+// joinLimiter admits joins at a bounded rate, and gives each that it rejects a time of its own to come
+// back, so that those which were rejected together don't come back together. It has no clock.
 type joinLimiter struct {
 	perSecond    float64
 	tokens       float64
-	tokensAt     time.Duration // tokens are as of this instant
-	lastReturnAt time.Duration // given to the one that was turned away last
+	tokensAt     time.Duration // instant of tokens
+	lastReturnAt time.Duration // given to the join that was rejected last
 }
 
 func newJoinLimiter(perSecond float64) *joinLimiter {
 	return &joinLimiter{perSecond: perSecond, tokens: joinBurst}
 }
 
-// admit takes one in at an instant, or tells after what time there is room for it.
+// admit admits a join at an instant, or returns after what time there is capacity for it.
 func (l *joinLimiter) admit(now time.Duration) (retryAfter time.Duration, ok bool) {
 	l.tokens = min(joinBurst, l.tokens+(now-l.tokensAt).Seconds()*l.perSecond)
 	l.tokensAt = now
--- a/internal/coord/observer/join_limiter_test.go
+++ b/internal/coord/observer/join_limiter_test.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// A herd that comes at once is admitted at the rate, and who comes back when told to is admitted then: each is turned away once.
+// A thousand routers join at once, as after an observer's restart. They are admitted at the rate, and one
+// that comes back when it was asked to is admitted then: each is rejected once. With one time for all they
+// would come back together, and most be rejected again.
 func TestHerdIsAdmittedAtTheRate(t *testing.T) {
 	const herd, perSecond = 1000, 100
 	limiter := newJoinLimiter(perSecond)
@@ -34,7 +36,7 @@
 	}
 }
 
-// No come-back time is beyond the bound, however many come.
+// A hundred thousand join at once: no Retry-After is beyond the bound, so that no router waits for hours.
 func TestRetryAfterIsBounded(t *testing.T) {
 	limiter := newJoinLimiter(1)
 	for range 100_000 {
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -1,6 +1,6 @@
-// Package observer is a read-only replica of the agreed configuration: it follows the coordinators without a vote and serves
-// watches to hundreds of routers, so that the coordinators' cost depends on the observers alone. Its state is in memory; a
-// restarted one takes a snapshot.
+// Package observer is a read-only replica of the agreed documents: it follows the coordinators without
+// a vote and serves watches to hundreds of routers, so that the coordinators' cost depends on the
+// number of observers alone. Its state is in memory; a restarted one takes a snapshot.
 package observer
 
 import (
@@ -21,7 +21,7 @@
 // Options are those of one observer.
 type Options struct {
 	Name           string
-	Coordinators   map[string]string // addresses for clients, by name
+	Coordinators   map[string]string // addresses for clients (host:port), by name
 	MaxWatchers    int
 	JoinsPerSecond float64 // at which watches are begun
 	WatcherBytes   int     // a second, to each watcher
@@ -36,14 +36,15 @@
 	mu         sync.Mutex // guards what follows
 	log        *watchlog.Log
 	isReady    bool
-	completeAt time.Duration // on clock.Now: the state was complete then, at the earliest
-	following  string        // the coordinator
+	completeAt time.Duration // on clock.Now: the state was complete then, or later
+	following  string        // the coordinator that is polled
 	changed    chan struct{} // closed, and replaced, once the log has changed
 	watchers   *watcherTable
 	joins      *joinLimiter
 }
 
-// logLimits are those of the coordinators' log: a watcher that an observer can't serve differences, they couldn't either.
+// logLimits are those of the coordinators' log: a watcher that needs a snapshot of an observer would
+// need one of them too.
 var logLimits = watchlog.Limits{Changes: coord.HistoryLimit(), Bytes: coord.MaxHistoryBytes}
 
 // New prepares an observer; Run has it follow the coordinators.
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// ageMillis is how long ago the state was complete at most; -1 where it never was. The caller holds mu.
+// ageMillis is how long ago the state was complete, at most; -1 where it never was. The caller holds mu.
 func (o *Observer) ageMillis() int64 {
 	if !o.isReady {
 		return -1
@@ -100,7 +101,8 @@
 	return (clock.Now() - o.completeAt).Milliseconds()
 }
 
-// read is what a watcher gets that has everything through a revision, and what is closed once there may be more.
+// read is the update for a watcher that has everything through a revision, and a channel that is closed
+// once there may be more.
 func (o *Observer) read(revision uint64, prefix string) (protocol.Update, <-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,11 +118,13 @@
 	return update, o.changed, err
 }
 
-// Status tells how the observer stands, its watchers summed up.
+// Status is how the observer stands, with a summary of its watchers.
 func (o *Observer) Status() protocol.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	status := o.watchers.status(o.log.Newest(), clock.Now())
-	status.Name, status.Upstream, status.AgeMillis = o.options.Name, o.following, o.ageMillis()
+	status.Name = o.options.Name
+	status.Upstream = o.following
+	status.AgeMillis = o.ageMillis()
 	return status
 }
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -30,7 +30,8 @@
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.log.Append(watchlog.Change{Revision: c.log.Newest() + 1, Name: name, Value: make([]byte, size)}); err != nil {
+	change := watchlog.Change{Revision: c.log.Newest() + 1, Name: name, Value: make([]byte, size)}
+	if err := c.log.Append(change); err != nil {
 		t.Fatal(err)
 	}
 	close(c.changed)
@@ -107,13 +108,15 @@
 const socketBytes = 64 << 10
 
 // routerClient is a router's HTTP client.
-var routerClient = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+var routerClient = &http.Client{Transport: &http.Transport{DialContext: dialRouter}}
+
+func dialRouter(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	return conn, conn.(*net.TCPConn).SetReadBuffer(socketBytes)
-}}}
+}
 
 var plenty = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytes: 1 << 30}
 
@@ -136,7 +139,8 @@
 // watch opens a watch as a router does.
 func watch(t *testing.T, routers *httptest.Server, query string) *http.Response {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, routers.URL+protocol.WatchPath+"?"+query, nil)
+	url := routers.URL + protocol.WatchPath + "?" + query
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +180,8 @@
 	return update, true
 }
 
-// A watch gets differences under its prefix, and progress where nothing of it changes.
+// Documents change under a watcher's prefix and beside it. The watch gets the changes under its prefix, and
+// progress notices for the others, and can acknowledge the newest revision by either.
 func TestWatch(t *testing.T) {
 	o, upstream, routers := started(t, plenty)
 	lines, replica := scanner(watch(t, routers, "watcher=w1&prefix=a/")), watchlog.NewReplica()
@@ -197,15 +202,19 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	if status := o.Status(); response.StatusCode != http.StatusOK || status.Acknowledged != 1 || status.Watchers != 1 || status.Upstream != "c1" {
+	status := o.Status()
+	isCounted := status.Acknowledged == 1 && status.Watchers == 1 && status.Upstream == "c1"
+	if response.StatusCode != http.StatusOK || !isCounted {
 		t.Errorf("%s %+v", response.Status, status)
 	}
 }
 
-// What can't be served is refused by type: before there is state, ahead of it, too many, impossible; and one who acknowledges what
-// it wasn't given.
+// Watches come that can't be served: before there is state, ahead of it, too many, impossible; and an
+// acknowledgement of what was not sent. Each is rejected with its code, by which a client moves to another
+// observer or waits; with a wrong code it would stay or hurry.
 func TestRefusals(t *testing.T) {
-	unready := httptest.NewServer(New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytes: 1 << 20}).Handler())
+	stateless := New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
+	unready := httptest.NewServer(stateless.Handler())
 	defer unready.Close()
 	_, _, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytes: 1 << 20})
 	next(t, scanner(watch(t, routers, "watcher=first")), watchlog.NewReplica())
@@ -222,33 +231,36 @@
 		{routers, "watcher=w&prefix=" + string(bytes.Repeat([]byte("p"), 129)), protocol.CodeInvalid},
 	} {
 		response := watch(t, want.server, want.query)
-		var refusal protocol.Rejection
-		if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code != want.code {
-			t.Errorf("%s: %+v, %v, want %s", want.query, refusal, err, want.code)
+		var rejection protocol.Rejection
+		if err := json.NewDecoder(response.Body).Decode(&rejection); err != nil || rejection.Code != want.code {
+			t.Errorf("%s: %+v, %v, want %s", want.query, rejection, err, want.code)
 		}
 		if want.code == protocol.CodeOverloaded && response.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: no time to come back", want.query)
 		}
 	}
-	response, err := http.Post(routers.URL+protocol.AcknowledgePath, "application/json", bytes.NewBufferString(`{"watcher":"first","revision":9}`))
+	body := bytes.NewBufferString(`{"watcher":"first","revision":9}`)
+	response, err := http.Post(routers.URL+protocol.AcknowledgePath, "application/json", body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusConflict {
-		t.Errorf("a lie was answered by %s", response.Status)
+		t.Errorf("an invalid acknowledgement was answered by %s", response.Status)
 	}
 }
 
-// Joins beyond the rate are turned away with a time to come back.
+// More watchers join than the rate admits. They are rejected with a time to come back; an observer that
+// admitted all would send hundreds of snapshots at once.
 func TestJoinsAreLimited(t *testing.T) {
 	o, _, routers := started(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
-	for i := range 10 * joinBurst { // room for one comes each second meanwhile
+	for i := range 10 * joinBurst { // capacity for one comes each second meanwhile
 		response := watch(t, routers, fmt.Sprint("watcher=w", i))
 		if response.StatusCode == http.StatusServiceUnavailable {
-			var refusal protocol.Rejection
-			if err := json.NewDecoder(response.Body).Decode(&refusal); err != nil || refusal.Code != protocol.CodeOverloaded || refusal.RetryAfter() <= 0 {
-				t.Errorf("%+v, %v", refusal, err)
+			var rejection protocol.Rejection
+			err := json.NewDecoder(response.Body).Decode(&rejection)
+			if err != nil || rejection.Code != protocol.CodeOverloaded || rejection.RetryAfter() <= 0 {
+				t.Errorf("%+v, %v", rejection, err)
 			}
 			if o.Status().RejectedJoins != 1 {
 				t.Errorf("%+v", o.Status())
@@ -256,10 +268,12 @@
 			return
 		}
 	}
-	t.Errorf("%d joins were let in", 10*joinBurst)
+	t.Errorf("%d joins were admitted", 10*joinBurst)
 }
 
-// A watcher that doesn't read holds up nobody, and gets a snapshot once the log has gone beyond it.
+// One watcher doesn't read its connection while documents change. Another one keeps up without a snapshot,
+// and the slow one gets a snapshot once the log is compacted beyond it. An observer with a queue for each
+// watcher would run out of memory, or hold up the others.
 func TestSlowWatcher(t *testing.T) {
 	o, upstream, routers := started(t, plenty)
 	slow := watch(t, routers, "watcher=slow") // its header has come; its body isn't read
@@ -283,7 +297,7 @@
 	snapshots := 0
 	for late.Revision() < documents*rounds {
 		update, ok := tryNext(t, lines, late)
-		if !ok { // on a slow machine it was let go meanwhile: it comes again from where it is
+		if !ok { // on a slow machine it was disconnected meanwhile: it watches again from its revision
 			lines = scanner(watch(t, routers, fmt.Sprint("watcher=slow&after=", late.Revision())))
 		}
 		if update.Snapshot {
@@ -298,7 +312,8 @@
 	}
 }
 
-// Bytes to a watcher are bounded a second.
+// A watcher is sent more than its rate of bytes a second. It takes as long as the rate says; without the
+// bound one snapshot would take the bandwidth of all watchers.
 func TestPace(t *testing.T) {
 	const rate = 160 << 10
 	_, upstream, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytes: rate})
@@ -316,7 +331,8 @@
 	}
 }
 
-// Who comes again under its name ends its watch before, as the old connection may be half open.
+// A router's connection breaks without the observer noticing, and it watches again. Its watch before ends;
+// else the router would be counted twice.
 func TestComeAgain(t *testing.T) {
 	o, _, routers := started(t, plenty)
 	first, replica := scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica()
--- a/internal/coord/observer/paced_writer.go
+++ b/internal/coord/observer/paced_writer.go
@@ -13,7 +13,7 @@
 
 const (
 	pieceBytes   = 16 << 10         // written at once
-	writeTimeout = 10 * time.Second // a watcher that takes no piece for so long is let go
+	writeTimeout = 10 * time.Second // a watcher that takes no piece for so long is disconnected
 )
 
 // pacedWriter writes lines to one watcher at a bounded rate, in pieces.
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -17,10 +17,12 @@
 )
 
 const (
-	maxBatchBytes          = 64 << 10 // of one update, unless it is a snapshot
-	progressEvery          = 500 * time.Millisecond
+	maxBatchBytes    = 64 << 10               // of one update, unless it is a snapshot
+	progressInterval = 500 * time.Millisecond // between progress notices; clients time out after four
+	maxRequestBytes  = 4 << 10
+
+	notReadyRetryAfter     = time.Second
 	watcherLimitRetryAfter = 5 * time.Second
-	maxRequestBytes        = 4 << 10
 )
 
 // Handler serves routers and the operators' tool.
@@ -30,7 +32,7 @@
 	mux.HandleFunc("POST "+protocol.AcknowledgePath, o.serveAcknowledge)
 	mux.HandleFunc("GET "+protocol.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(o.Status()) // who has gone needs no answer
+		_ = json.NewEncoder(w).Encode(o.Status()) // a client that has disconnected needs no answer
 	})
 	return mux
 }
@@ -46,7 +48,8 @@
 	query := r.URL.Query()
 	request := watchRequest{watcher: query.Get("watcher"), prefix: query.Get("prefix")}
 	if request.watcher == "" || len(request.watcher) > coord.MaxNameBytes {
-		return request, fmt.Errorf("watcher: %d bytes, and 1 to %d are wanted", len(request.watcher), coord.MaxNameBytes)
+		return request, fmt.Errorf("watcher: %d bytes, and 1 to %d are wanted",
+			len(request.watcher), coord.MaxNameBytes)
 	}
 	if len(request.prefix) > coord.MaxNameBytes {
 		return request, fmt.Errorf("prefix: %d bytes, at most %d", len(request.prefix), coord.MaxNameBytes)
@@ -59,8 +62,8 @@
 	return request, nil
 }
 
-// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with a line of JSON an update until the router goes,
-// is too slow for its connection, or comes again.
+// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with one line of JSON for
+// each update, until the router disconnects, doesn't read for writeTimeout, or begins another watch.
 func (o *Observer) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatch(r)
 	if err != nil {
@@ -69,9 +72,9 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	watch, refusal := o.join(request, cancel)
-	if refusal != nil {
-		reject(w, http.StatusServiceUnavailable, refusal)
+	watch, rejection := o.join(request, cancel)
+	if rejection != nil {
+		reject(w, http.StatusServiceUnavailable, rejection)
 		return
 	}
 	defer func() {
@@ -86,12 +89,16 @@
 	}
 }
 
-// join admits a watcher, or tells why not.
+// join admits a watcher, or returns why not.
 func (o *Observer) join(request watchRequest, end func()) (*watcher, *protocol.Rejection) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.isReady {
-		return nil, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no state yet", RetryAfterMillis: time.Second.Milliseconds()}
+		return nil, &protocol.Rejection{
+			Code:             protocol.CodeNotReady,
+			Text:             "no state yet",
+			RetryAfterMillis: notReadyRetryAfter.Milliseconds(),
+		}
 	}
 	newest := o.log.Newest()
 	if request.after > newest && !failpoint.Is("snapshot-older") {
@@ -103,26 +110,35 @@
 	if retryAfter, ok := o.joins.admit(now); !ok {
 		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("joins: %v a second at most", o.options.JoinsPerSecond)
-		return nil, &protocol.Rejection{Code: protocol.CodeOverloaded, Text: text, RetryAfterMillis: retryAfter.Milliseconds()}
+		return nil, overloaded(text, retryAfter)
 	}
 	watch := o.watchers.join(request.watcher, request.after, newest, now, end)
 	if watch == nil {
 		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("watchers: %d at most", o.options.MaxWatchers)
-		return nil, &protocol.Rejection{Code: protocol.CodeOverloaded, Text: text, RetryAfterMillis: watcherLimitRetryAfter.Milliseconds()}
+		return nil, overloaded(text, watcherLimitRetryAfter)
 	}
 	return watch, nil
 }
 
-// stream sends updates. A watcher has no queue of its own: it is a revision in the log, so that a slow one costs nothing, and
-// gets a snapshot once the log has gone beyond it.
+// overloaded is a rejection by a limit.
+func overloaded(text string, retryAfter time.Duration) *protocol.Rejection {
+	return &protocol.Rejection{
+		Code:             protocol.CodeOverloaded,
+		Text:             text,
+		RetryAfterMillis: retryAfter.Milliseconds(),
+	}
+}
+
+// stream sends updates until the watch ends. A watcher has no queue of its own: it is a revision in the
+// log, so that a slow one costs nothing, and gets a snapshot once the log is compacted beyond it.
 func (o *Observer) stream(ctx context.Context, out *pacedWriter, request watchRequest, watch *watcher) error {
 	if err := out.begin(); err != nil {
 		return err
 	}
 	revision := request.after
-	isProgressDue := true // the first line tells at once how far this observer is
-	progress := time.NewTicker(progressEvery)
+	isProgressDue := true // the first line says at once which revision this observer has
+	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	for {
 		update, changed, err := o.read(revision, request.prefix)
@@ -134,7 +150,8 @@
 			if err := out.writeLine(ctx, update); err != nil {
 				return err
 			}
-			revision, isProgressDue = update.Through, false
+			revision = update.Through
+			isProgressDue = false
 		}
 		if update.Through < update.Newest && len(update.Changes) > 0 {
 			continue // the rest of a large batch
@@ -172,15 +189,16 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // who has gone needs no answer
+	_ = json.NewEncoder(w).Encode(answer) // a client that has disconnected needs no answer
 }
 
-// reject answers with a refusal, and with Retry-After in whole seconds, rounded up, where it tells a time.
-func reject(w http.ResponseWriter, status int, refusal *protocol.Rejection) {
-	if refusal.RetryAfterMillis > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt((refusal.RetryAfterMillis+999)/1000, 10))
+// reject answers with a rejection, and with Retry-After in whole seconds, rounded up, where it has a
+// time to come back.
+func reject(w http.ResponseWriter, status int, rejection *protocol.Rejection) {
+	if rejection.RetryAfterMillis > 0 {
+		w.Header().Set("Retry-After", strconv.FormatInt((rejection.RetryAfterMillis+999)/1000, 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal) // who has gone needs no answer
+	_ = json.NewEncoder(w).Encode(rejection) // a client that has disconnected needs no answer
 }
--- a/internal/coord/observer/watchers.go
+++ b/internal/coord/observer/watchers.go
@@ -8,10 +8,13 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// watcherTable holds who watches, what each was given and what it has acknowledged. It has no clock; the Observer's mu guards it.
+// watcherTable has the watchers, what each was sent and what it has acknowledged. It has no clock; the
+// Observer's mu guards it.
 type watcherTable struct {
-	limit                   int
-	byName                  map[string]*watcher
+	limit  int
+	byName map[string]*watcher
+
+	// What follows counts since the start; see protocol.Status.
 	snapshots               int64
 	rejectedJoins           int64
 	rejectedAhead           int64
@@ -21,8 +24,8 @@
 // watcher is one router's watch.
 type watcher struct {
 	name         string
-	sentThrough  uint64 // everything through this revision was sent
-	acknowledged uint64
+	sentThrough  uint64 // revision through which everything was sent
+	acknowledged uint64 // revision
 	isLagging    bool
 	laggingSince time.Duration
 	end          func() // ends the watch
@@ -32,8 +35,8 @@
 	return &watcherTable{limit: limit, byName: map[string]*watcher{}}
 }
 
-// join enters a watch from a revision. A watch of the same name ends: its router has come again. It returns nil where the table
-// is full.
+// join adds a watch from a revision. A watch of the same name ends: its router has connected again, and
+// the old connection may be half open. It returns nil where the table is full.
 func (t *watcherTable) join(name string, revision, newest uint64, now time.Duration, end func()) *watcher {
 	before := t.byName[name]
 	if before == nil && len(t.byName) >= t.limit {
@@ -45,28 +48,34 @@
 	}
 	t.byName[name] = w
 	if newest > 0 {
-		w.isLagging, w.laggingSince = true, now
+		w.lag(now)
 	}
 	return w
 }
 
-// leave takes a watch out, unless another of its name has come.
+// leave removes a watch, unless another one of its name has replaced it.
 func (t *watcherTable) leave(w *watcher) {
 	if t.byName[w.name] == w {
 		delete(t.byName, w.name)
 	}
 }
 
-// changed tells that there is a newer revision, which nobody has acknowledged yet.
+// changed records that there is a newer revision, which no watcher has acknowledged yet.
 func (t *watcherTable) changed(newest uint64, now time.Duration) {
 	for _, w := range t.byName {
 		if !w.isLagging && w.acknowledged < newest {
-			w.isLagging, w.laggingSince = true, now
+			w.lag(now)
 		}
 	}
 }
 
-// acknowledge books that a watcher has a revision in force. It is false for who doesn't watch here or wasn't given it.
+func (w *watcher) lag(now time.Duration) {
+	w.isLagging = true
+	w.laggingSince = now
+}
+
+// acknowledge records that a watcher has applied a revision. It returns false for a watcher that doesn't
+// watch here or wasn't sent the revision.
 func (t *watcherTable) acknowledge(a protocol.Acknowledgement, newest uint64) bool {
 	w := t.byName[a.Watcher]
 	if w == nil {
@@ -83,16 +92,25 @@
 	return true
 }
 
-// status sums the watchers up.
+// status is the watchers' part of an observer's status.
 func (t *watcherTable) status(newest uint64, now time.Duration) protocol.Status {
-	status := protocol.Status{Revision: newest, Watchers: len(t.byName), Snapshots: t.snapshots, RejectedJoins: t.rejectedJoins, RejectedAhead: t.rejectedAhead, InvalidAcknowledgements: t.invalidAcknowledgements, Lagging: []protocol.LaggingWatcher{}}
+	status := protocol.Status{
+		Revision:                newest,
+		Watchers:                len(t.byName),
+		Snapshots:               t.snapshots,
+		RejectedJoins:           t.rejectedJoins,
+		RejectedAhead:           t.rejectedAhead,
+		InvalidAcknowledgements: t.invalidAcknowledgements,
+		Lagging:                 []protocol.LaggingWatcher{},
+	}
 	for _, w := range t.byName {
 		if !w.isLagging {
 			status.Acknowledged++
 			continue
 		}
 		since := (now - w.laggingSince).Milliseconds()
-		status.Lagging = append(status.Lagging, protocol.LaggingWatcher{Watcher: w.name, Revision: w.acknowledged, SinceMillis: since})
+		lagging := protocol.LaggingWatcher{Watcher: w.name, Revision: w.acknowledged, SinceMillis: since}
+		status.Lagging = append(status.Lagging, lagging)
 	}
 	slices.SortFunc(status.Lagging, func(a, b protocol.LaggingWatcher) int {
 		return cmp.Or(cmp.Compare(b.SinceMillis, a.SinceMillis), cmp.Compare(a.Watcher, b.Watcher))
--- a/internal/coord/observer/watchers_test.go
+++ b/internal/coord/observer/watchers_test.go
@@ -8,17 +8,18 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// The table refuses beyond its bound, has room for who comes again under its name, and ends that one's watch before.
+// The table is full. A third watcher is rejected; one that connects again under its name is admitted, and
+// its watch before ends. If that one counted, a router could not come back after its connection broke.
 func TestWatcherTableIsBounded(t *testing.T) {
 	table := newWatcherTable(2)
 	ended := ""
 	one := table.join("a", 0, 0, 0, func() { ended = "a" })
 	table.join("b", 0, 0, 0, func() { ended = "b" })
 	if table.join("c", 0, 0, 0, nil) != nil {
-		t.Error("a third one was let in")
+		t.Error("a third one was admitted")
 	}
 	if table.join("a", 0, 0, 0, nil) == nil || ended != "a" {
-		t.Errorf("who came again was refused, or %q ended", ended)
+		t.Errorf("one that connected again was rejected, or %q ended", ended)
 	}
 	table.leave(one) // it has come again since
 	if len(table.byName) != 2 {
@@ -26,7 +27,9 @@
 	}
 }
 
-// Who has not got the newest revision is told by name and since when, the longest first; what was not given can't be acknowledged.
+// Watchers lag behind the newest revision. The status names them, those first that lag for longest; a
+// revision that was not sent can't be acknowledged. An operator would else believe that a change is
+// applied everywhere.
 func TestLagging(t *testing.T) {
 	table := newWatcherTable(1000)
 	for i := range protocol.MaxLagging + 2 {
@@ -38,21 +41,24 @@
 		return table.acknowledge(protocol.Acknowledgement{Watcher: name, Revision: revision}, 7)
 	}
 	if !acknowledge("w0", 7) || !acknowledge("w1", 6) || acknowledge("w2", 8) || acknowledge("nobody", 1) {
-		t.Error("an acknowledgement was taken or refused wrongly")
+		t.Error("an acknowledgement was taken or rejected wrongly")
 	}
 	status := table.status(7, 4*time.Second)
-	if status.Watchers != protocol.MaxLagging+2 || status.Acknowledged != 1 || len(status.Lagging) != protocol.MaxLagging || status.InvalidAcknowledgements != 1 {
-		t.Errorf("%d watchers, %d acknowledged, %d lagging, %d lies", status.Watchers, status.Acknowledged, len(status.Lagging), status.InvalidAcknowledgements)
+	isCounted := status.Watchers == protocol.MaxLagging+2 && len(status.Lagging) == protocol.MaxLagging
+	if !isCounted || status.Acknowledged != 1 || status.InvalidAcknowledgements != 1 {
+		t.Errorf("%d watchers, %d acknowledged, %d lagging, %d invalid acknowledgements",
+			status.Watchers, status.Acknowledged, len(status.Lagging), status.InvalidAcknowledgements)
 	}
 	if first := status.Lagging[0]; first.Watcher != "w1" || first.Revision != 6 || first.SinceMillis != 3000 {
 		t.Errorf("%+v", first)
 	}
 	table.join("late", 0, 7, 3*time.Second, nil)
 	status = table.status(7, 4*time.Second)
-	if last := status.Lagging[len(status.Lagging)-1]; status.Watchers != protocol.MaxLagging+3 || last.SinceMillis != 3000 {
+	last := status.Lagging[len(status.Lagging)-1]
+	if status.Watchers != protocol.MaxLagging+3 || last.SinceMillis != 3000 {
 		t.Errorf("%+v", last)
 	}
-	table.changed(8, 5*time.Second) // who lags since longer stays so
+	table.changed(8, 5*time.Second) // one that lags for longer stays so
 	if first := table.status(8, 6*time.Second).Lagging[0]; first.SinceMillis != 5000 {
 		t.Errorf("%+v", first)
 	}
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -27,7 +27,7 @@
 	observer  int
 	delivered uint64            // newest revision through which the checker has seen deliveries
 	documents map[string]Change // as the deliveries alone would have them
-	inForce   uint64            // what the router put in force
+	applied   uint64            // what the router applied
 }
 
 // world is the agreed order with observers and watchers of it.
@@ -53,7 +53,7 @@
 }
 
 func (x *watcher) restart() {
-	x.replica, x.documents, x.delivered, x.inForce = NewReplica(), map[string]Change{}, 0, 0
+	x.replica, x.documents, x.delivered, x.applied = NewReplica(), map[string]Change{}, 0, 0
 }
 
 // state is what the agreed order has under a prefix at a revision.
@@ -93,8 +93,8 @@
 		}
 	case 12:
 		x := w.watchers[w.rng.IntN(checkWatchers)]
-		x.inForce = x.replica.Revision()
-		x.replica.MarkApplied(x.inForce)
+		x.applied = x.replica.Revision()
+		x.replica.MarkApplied(x.applied)
 	default:
 		return w.deliver(w.watchers[w.rng.IntN(checkWatchers)])
 	}
@@ -102,7 +102,8 @@
 }
 
 func (w *world) change() error {
-	c := Change{Revision: uint64(len(w.agreed) + 1), Name: fmt.Sprintf("%s/%d", []string{"a", "b"}[w.rng.IntN(2)], w.rng.IntN(3))}
+	name := fmt.Sprintf("%s/%d", []string{"a", "b"}[w.rng.IntN(2)], w.rng.IntN(3))
+	c := Change{Revision: uint64(len(w.agreed) + 1), Name: name}
 	if w.rng.IntN(5) == 0 {
 		c.Deleted = true
 	} else {
@@ -141,7 +142,7 @@
 		if !w.staleSnapshot() {
 			return nil
 		}
-		batch = log.Snapshot(x.prefix) // an observer that answers what it shouldn't: the replica must refuse it
+		batch = log.Snapshot(x.prefix) // an observer that answers what it shouldn't: the replica must reject it
 	case err != nil:
 		return err
 	}
@@ -151,7 +152,7 @@
 		if batch.Snapshot && batch.Through < x.delivered && errors.As(err, &stale) {
 			return nil
 		}
-		return fmt.Errorf("a batch that follows was refused: %w", err)
+		return fmt.Errorf("a batch that follows was rejected: %w", err)
 	}
 	return w.judge(x, batch)
 }
@@ -188,13 +189,14 @@
 	if err := w.deliveredAll(x.prefix, batch); err != nil {
 		return err
 	}
-	if got := x.replica.Acknowledged(); got > x.inForce {
-		return fmt.Errorf("revision %d was acknowledged, and %d is in force", got, x.inForce)
+	if got := x.replica.Acknowledged(); got > x.applied {
+		return fmt.Errorf("revision %d was acknowledged, and %d is applied", got, x.applied)
 	}
 	return nil
 }
 
-// deliveredAll checks that differences are exactly those of the agreed order: a change that the next one hides counts too.
+// deliveredAll checks that differences are exactly those of the agreed order: a change that the next one
+// hides counts too.
 func (w *world) deliveredAll(prefix string, batch Batch) error {
 	if batch.Snapshot {
 		return nil
@@ -206,7 +208,8 @@
 		}
 	}
 	if len(want) != len(batch.Changes) {
-		return fmt.Errorf("after revision %d through %d: %d changes, and %d were agreed on", batch.After, batch.Through, len(batch.Changes), len(want))
+		return fmt.Errorf("after revision %d through %d: %d changes, and %d were agreed on",
+			batch.After, batch.Through, len(batch.Changes), len(want))
 	}
 	for i, c := range want {
 		if batch.Changes[i].Revision != c.Revision {
@@ -284,8 +287,10 @@
 	return nil
 }
 
-// Over any chain of moves, kills, restarts, compaction and stale observers, each watcher sees the agreed order: nothing twice,
-// nothing left out, never back, acknowledged only once in force; and at the end all agree.
+// Watchers move between observers, observers are killed, restarted, compacted or stale, in random order.
+// Each watcher sees the agreed order: nothing twice, nothing left out, never back, acknowledged only once
+// applied; and at the end all agree. A wrong log or replica would have a router on other documents than
+// the rest of the fleet.
 func TestAnyInterleaving(t *testing.T) {
 	for seed := range uint64(checkWalks) {
 		if err := play(seed); err != nil {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -11,14 +11,14 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Limits bound what a Log keeps of past changes. Its documents are bounded by who appends.
+// Limits bound what a Log keeps of past changes. The documents are bounded by the caller of Append.
 type Limits struct {
 	Changes int // at most this many
 	Bytes   int // at most this much, by Change.Size; the newest change is kept whatever its size
 }
 
-// Log is the state of all documents with the newest changes that led to it. Its cost of a watcher is nothing: a watcher is a
-// revision, from which After reads. The zero Log isn't ready; NewLog makes one.
+// Log is the state of all documents with the newest changes that led to it. A watcher costs it nothing:
+// it is a revision, from which After reads. The zero Log isn't ready; NewLog makes one.
 type Log struct {
 	limits    Limits
 	documents map[string]Change // nil until the first
@@ -34,7 +34,7 @@
 // Newest is the revision of the newest change, 0 where there was none.
 func (l *Log) Newest() uint64 { return l.newest }
 
-// Compacted is the revision through which changes are gone.
+// Compacted is the revision through which changes are no longer kept.
 func (l *Log) Compacted() uint64 { return l.compacted }
 
 // IsZero reports whether there was never a change.
@@ -49,8 +49,8 @@
 	return c, ok
 }
 
-// History are the changes of a document that the log still has, the oldest first. The newest is among them also where the log
-// has compacted it.
+// History are the changes of a document that the log still has, the oldest first. The one that made the
+// document what it is now is among them also where the log has compacted it.
 func (l *Log) History(name string) []Change {
 	var history []Change
 	for _, c := range l.changes {
@@ -84,14 +84,19 @@
 	return nil
 }
 
-// enforceLimits compacts the oldest changes once a bound is passed.
+// enforceLimits compacts the oldest changes once a limit is passed.
 func (l *Log) enforceLimits() {
-	through, count, bytes := l.compacted, len(l.changes), l.bytes
+	through := l.compacted
+	count := len(l.changes)
+	bytes := l.bytes
 	for _, c := range l.changes {
-		if count <= l.limits.Changes && bytes <= l.limits.Bytes || count <= 1 {
+		isWithin := count <= l.limits.Changes && bytes <= l.limits.Bytes
+		if isWithin || count <= 1 {
 			break
 		}
-		through, count, bytes = c.Revision, count-1, bytes-c.Size()
+		through = c.Revision
+		count--
+		bytes -= c.Size()
 	}
 	l.Compact(through)
 }
@@ -102,24 +107,26 @@
 	if through <= l.compacted {
 		return
 	}
-	gone := int(through - l.compacted)
-	for _, c := range l.changes[:gone] {
+	compacted := int(through - l.compacted)
+	for _, c := range l.changes[:compacted] {
 		l.bytes -= c.Size()
 	}
-	l.changes = slices.Delete(l.changes, 0, gone)
+	l.changes = slices.Delete(l.changes, 0, compacted)
 	l.compacted = through
 }
 
-// SkipRevisions lifts the newest revision, after changes were lost for good, above all that the lost ones may have had. Every watcher
-// gets a snapshot.
+// SkipRevisions raises the newest revision, after changes were lost for good, above all that the lost
+// ones may have had. Every watcher gets a snapshot.
 func (l *Log) SkipRevisions(by uint64) {
 	l.newest += by
-	l.changes, l.bytes, l.compacted = nil, 0, l.newest
+	l.changes = nil
+	l.bytes = 0
+	l.compacted = l.newest
 }
 
-// After reads what follows a revision, for who takes the documents whose names begin with prefix. The batch has at most maxBytes
-// of changes, but at least one where there is one. A CompactedError asks for a snapshot instead; a BehindError tells that this
-// log is stale for the watcher.
+// After reads the changes after a revision, of the documents whose names begin with prefix. The batch
+// has at most maxBytes of changes, but at least one where there is one. The error is a CompactedError,
+// after which the caller sends a Snapshot, or a BehindError, as the log is stale for the watcher.
 func (l *Log) After(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
@@ -128,13 +135,7 @@
 		return Batch{}, &CompactedError{After: revision, Compacted: l.compacted}
 	}
 	batch := Batch{After: revision, Through: l.newest}
-	first := int(revision - l.compacted)
-	if failpoint.Is("change-delivered-twice") && prefix != "" && first > 0 { // Extend would refuse it without a prefix
-		first--
-	}
-	if failpoint.Is("change-skipped") && prefix != "" && len(l.changes)-first > 1 {
-		first++
-	}
+	first := l.injectFault(int(revision-l.compacted), prefix)
 	bytes := 0
 	for _, c := range l.changes[first:] {
 		if !strings.HasPrefix(c.Name, prefix) {
@@ -150,6 +151,21 @@
 	return batch, nil
 }
 
+// injectFault moves the first change that After reads, for the mutants of delivery. They need a prefix:
+// Extend, whose batches have none, would reject a gap or a repeat.
+func (l *Log) injectFault(first int, prefix string) int {
+	if prefix == "" {
+		return first
+	}
+	if failpoint.Is("change-delivered-twice") && first > 0 {
+		return first - 1
+	}
+	if failpoint.Is("change-skipped") && len(l.changes)-first > 1 {
+		return first + 1
+	}
+	return first
+}
+
 // Snapshot is the state of all documents whose names begin with prefix.
 func (l *Log) Snapshot(prefix string) Batch {
 	batch := Batch{Through: l.newest, Snapshot: true}
@@ -162,7 +178,8 @@
 	return batch
 }
 
-// Extend takes a batch of another log, read without a prefix, whole or not at all.
+// Extend appends a batch of another log, read without a prefix, completely or not at all. The error is a
+// GapError or a StaleError.
 func (l *Log) Extend(batch Batch) error {
 	if batch.Snapshot {
 		return l.restore(batch)
@@ -198,15 +215,18 @@
 	for _, c := range batch.Changes {
 		l.documents[c.Name] = c
 	}
-	l.changes, l.bytes = nil, 0
-	l.compacted, l.newest = batch.Through, batch.Through
+	l.changes = nil
+	l.bytes = 0
+	l.compacted = batch.Through
+	l.newest = batch.Through
 	return nil
 }
 
 // Clone is a copy that shares nothing that changes; values of documents never do.
 func (l *Log) Clone() *Log {
 	c := *l
-	c.documents, c.changes = maps.Clone(l.documents), slices.Clone(l.changes)
+	c.documents = maps.Clone(l.documents)
+	c.changes = slices.Clone(l.changes)
 	return &c
 }
 
@@ -218,7 +238,7 @@
 	Changes   []Change          `json:"changes,omitempty"`
 }
 
-// MarshalJSON writes the log whole. Equal logs give equal bytes.
+// MarshalJSON encodes the complete log. Equal logs give equal bytes.
 func (l *Log) MarshalJSON() ([]byte, error) {
 	documents := l.documents
 	if documents == nil {
@@ -227,7 +247,7 @@
 	return json.Marshal(stored{l.compacted, l.newest, documents, l.changes})
 }
 
-// UnmarshalJSON reads a log, and refuses one whose changes have a gap. The limits stay as they are.
+// UnmarshalJSON decodes a log, and rejects one whose changes have a gap. The limits stay as they are.
 func (l *Log) UnmarshalJSON(text []byte) error {
 	var s stored
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -246,6 +266,10 @@
 	if s.Documents == nil {
 		s.Documents = map[string]Change{}
 	}
-	l.compacted, l.newest, l.documents, l.changes, l.bytes = s.Compacted, s.Newest, s.Documents, s.Changes, bytes
+	l.compacted = s.Compacted
+	l.newest = s.Newest
+	l.documents = s.Documents
+	l.changes = s.Changes
+	l.bytes = bytes
 	return nil
 }
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// Both bounds of a log hold, and who asks for what is gone is told so by type.
+// A log passes its limit of changes, then that of bytes: the oldest changes are compacted, and a watcher
+// that asks for them gets a CompactedError. A log without limits would grow until there is no memory.
 func TestLimits(t *testing.T) {
 	l := NewLog(Limits{Changes: 3, Bytes: 1000})
 	for range 5 {
@@ -45,7 +46,8 @@
 	}
 }
 
-// A batch is bounded in bytes, and its revisions continue where it ends, also where a prefix leaves changes out.
+// A watcher with a prefix reads more changes than fit a batch. The batch is bounded in bytes, and the next
+// one continues where it ends, also where the prefix leaves changes out; a wrong one would skip changes.
 func TestBatches(t *testing.T) {
 	l := NewLog(Limits{Changes: 100, Bytes: 1 << 20})
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
@@ -65,7 +67,8 @@
 	}
 }
 
-// A log read back is the same, byte for byte; one with a gap is refused.
+// A log is stored and read back, as with a coordinator's snapshot: it is the same, byte for byte. One with
+// a gap is rejected; a coordinator that read it would send watchers an incomplete history.
 func TestStored(t *testing.T) {
 	l := NewLog(Limits{Changes: 2, Bytes: 1000})
 	for _, name := range []string{"a", "b", "c"} {
@@ -92,7 +95,8 @@
 	}
 }
 
-// After Raise all watchers get a snapshot, and revisions only grow.
+// A majority of coordinators was lost for good and revisions are skipped. Every watcher gets a snapshot,
+// and revisions only grow; else a watcher could keep a change of the lost ones under a number used again.
 func TestRaise(t *testing.T) {
 	l := NewLog(Limits{Changes: 10, Bytes: 1000})
 	put(t, l, "a", 1)
@@ -107,7 +111,8 @@
 	}
 }
 
-// A batch that doesn't follow changes nothing, whole or not at all.
+// Batches come that don't follow: with a gap, a repeat, or from an older snapshot. They change nothing;
+// a replica that applied a part of one would have documents that never were together.
 func TestRefusedWhole(t *testing.T) {
 	r, l := NewReplica(), NewLog(Limits{Changes: 10, Bytes: 1000})
 	good := Batch{Through: 2, Changes: []Change{{Revision: 1, Name: "a"}, {Revision: 2, Name: "b"}}}
--- a/internal/coord/observer/watchlog/mutants_test.go
+++ b/internal/coord/observer/watchlog/mutants_test.go
@@ -8,7 +8,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Each planted fault is found by a walk of the property check.
+// Each injected fault is found by a walk of the property check.
 func TestMutantsAreFound(t *testing.T) {
 	defer failpoint.Inject("")
 	for _, name := range []string{"change-skipped", "change-delivered-twice", "snapshot-older", "acknowledged-early"} {
