--- a/internal/coord/node/recovery.go
+++ b/internal/coord/node/recovery.go
@@ -17,7 +17,7 @@
 // Recover makes a coordinator's directory that of the only voter, after a majority was lost for good,
 // and raises all tokens above any that the lost ones may have given: else a holder of theirs could
 // still act with a token that is newer than its successor's. What the lost ones had agreed on and
-// this one hadn't heard of is gone.
+// this one had not received is lost.
 func Recover(o Options) error {
 	n := newNode(o)
 	snapshots, floor, err := openSnapshots(o.Directory, hclog.NewNullLogger())
--- a/internal/coord/node/store_inspect.go
+++ b/internal/coord/node/store_inspect.go
@@ -67,7 +67,7 @@
 	}
 	pageSize := int64(binary.LittleEndian.Uint32(page[pageHeaderBytes+pageSizeOffset:]))
 	if pageSize < minPageSize || pageSize > maxPageSize {
-		return fmt.Errorf("%w: its first page is spoilt", errDamaged)
+		return fmt.Errorf("%w: its first page is invalid", errDamaged)
 	}
 	for _, offset := range []int64{0, pageSize} {
 		if _, err := file.ReadAt(page, offset); err != nil {
@@ -86,7 +86,7 @@
 	_, _ = checksum.Write(meta[:metaBytes])
 	hasMagic := binary.LittleEndian.Uint32(meta) == metaMagic
 	if !hasMagic || binary.LittleEndian.Uint64(meta[metaBytes:]) != checksum.Sum64() {
-		return fmt.Errorf("%w: a meta page is spoilt, and the one before it is older", errDamaged)
+		return fmt.Errorf("%w: a meta page is invalid, and the one before it is older", errDamaged)
 	}
 	// Pages that are free now are written and read later: a file that was cut off in them faults then.
 	size, err := file.Stat()
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -144,7 +144,7 @@
 
 // rejectDuplicate gives the response to a command that must not be carried out: it was carried out
 // before, and a client that didn't get the response has sent it again, or it lies beyond the window
-// in which duplicates can be told. Without this a repeated release would take back a later grant.
+// in which duplicates are recognised. Without this a repeated release would take back a later grant.
 func (session *Session) rejectDuplicate(sequence uint64) (Response, bool) {
 	if failpoint.Is("command-twice") {
 		return Response{}, false
