--- /dev/null
+++ b/internal/coord/rollout.go
@@ -0,0 +1,82 @@
+package coord
+
+import "dockhinge.example/dockhinge/internal/rollout"
+
+// applyRollout carries out a command of internal/rollout.
+func (s *State) applyRollout(c Command, session *Session) Response {
+	if response, rejected := s.rejectRollout(c); rejected {
+		return response
+	}
+	if s.Rollout == nil {
+		s.Rollout = rollout.New()
+	}
+	result := s.Rollout.Apply(*c.Rollout, rollout.Sender{
+		Time:             s.Clock,
+		Session:          c.SessionID,
+		Client:           session.Client,
+		SessionOrder:     session.OpenedIndex,
+		NextToken:        s.newToken,
+		HasEarlierLimits: s.hasEarlierLimits(),
+	})
+	return Response{
+		Code:      Code(result.Code),
+		Text:      result.Text,
+		Token:     result.Token,
+		Stage:     result.Stage,
+		IsDrained: result.IsDrained,
+	}
+}
+
+// rejectRollout gives the response to a command that is empty or that not all coordinators
+// understand at the version in force.
+func (s *State) rejectRollout(c Command) (response Response, rejected bool) {
+	if s.Version < rolloutVersion {
+		return RequiresVersion(s.Version, rolloutVersion), true
+	}
+	if c.Rollout == nil {
+		return invalid("roll: empty"), true
+	}
+	if s.Version < rolloutSignalVersion {
+		report := c.Rollout.Report
+		plan := c.Rollout.Plan
+		if report != nil && len(report.LatencyCounts) > 0 {
+			return invalid("version: %d is in force, and the speed wants 3", s.Version), true
+		}
+		if plan != nil && plan.LearnTime > 0 {
+			return requiresSignalVersion(s.Version, "learn wants"), true
+		}
+		if c.Rollout.EjectionQuorum > 0 || c.Rollout.OverloadShare > 0 {
+			return requiresSignalVersion(s.Version, "quorum and busy want"), true
+		}
+	}
+	return s.AwaitsUpgrade(c)
+}
+
+// requiresSignalVersion names the fields for which the version in force is too old. The text is part
+// of the replicated state, as older coordinators have it.
+func requiresSignalVersion(inForce int, what string) Response {
+	return invalid("version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
+		inForce, what, rolloutSignalVersion)
+}
+
+// RouterDrains is the set of drained servers and what else routers go by, in the fields that all
+// coordinators understand; empty until the first command of internal/rollout.
+func (s *State) RouterDrains() rollout.DrainSet {
+	if s.Rollout == nil {
+		return rollout.DrainSet{}
+	}
+	drains := s.Rollout.DrainSet(s.Clock, s.Version >= rolloutSignalVersion)
+	if !s.hasEarlierLimits() {
+		drains.MaxReportedServers = rollout.MaxReportedServers
+	}
+	return drains
+}
+
+// RolloutVersions are those of the rollout's state and of the set of drained servers, by which
+// watchers know that there is something new; 0 until the first command of internal/rollout.
+func (s *State) RolloutVersions() (version, drains uint64) {
+	if s.Rollout == nil {
+		return 0, 0
+	}
+	return s.Rollout.Version, s.Rollout.DrainVersion
+}
