--- a/cmd/dockhinge-sim/main.go
+++ b/cmd/dockhinge-sim/main.go
@@ -1,4 +1,5 @@
-// Command dockhinge-sim runs Balancers on the simulator's wire: batches on standard input, replies on standard output.
+// Command dockhinge-sim runs Balancers on the simulator's line protocol: it reads batches on
+// standard input and writes replies on standard output.
 package main
 
 import (
@@ -10,9 +11,17 @@
 	"dockhinge.example/dockhinge/internal/simulator"
 )
 
+const (
+	// threads is one, as batches are handled one at a time: more only add to the CPU time that the
+	// simulator measures.
+	threads = 1
+	// gcPercent lets the heap grow to five times what is in use, which saves CPU time.
+	gcPercent = 400
+)
+
 func main() {
-	runtime.GOMAXPROCS(1) // one batch at a time: more threads only add to the bill
-	debug.SetGCPercent(400)
+	runtime.GOMAXPROCS(threads)
+	debug.SetGCPercent(gcPercent)
 	if err := simulator.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "dockhinge-sim:", err)
 		os.Exit(1)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -102,14 +102,19 @@
 		toleratedWaitShare: initialToleratedWaitShare,
 		retryBudget:        initialRetryBudget,
 		healthChecks:       healthChecks{next: int(seed % healthCheckStarts)},
-		// One at each router at least: one at a time follows the origin's pace by itself.
-		originFetches:     originFetches{limit: min(maxInitialFetches, max(1, initialFetchesOfFleet/float64(cfg.Routers)))},
+		originFetches:      originFetches{limit: initialFetchLimit(cfg.Routers)},
 		idleTimeoutMillis: cfg.IdleTimeoutMillis,
 	}
 	b.useSettings(cfg)
 	return b, nil
 }
 
+// initialFetchLimit is a router's share of the fetches that the fleet starts with, but one at least:
+// one at a time follows the origin's pace by itself.
+func initialFetchLimit(routers int) float64 {
+	return min(maxInitialFetches, max(1, initialFetchesOfFleet/float64(routers)))
+}
+
 // useSettings has requests that arrive from now on come under the settings.
 func (b *Balancer) useSettings(cfg Config) {
 	b.cfg = cfg
--- a/decide/waiting_time.go
+++ b/decide/waiting_time.go
@@ -30,13 +30,15 @@
 // other routers' requests there are their rate times the latency seen; own attempts in flight are
 // known.
 func (b *Balancer) expectedWaitMillis(s *server) float64 {
-	faded := math.Exp((s.load.latencyPerWork.updatedAt - b.now) / latencySeenMillis)
-	othersPerSecond := max(0, s.load.reportedPerSecond-b.perSecond(&s.attempts.work, workTimeConstantMillis))
-	othersInFlight := othersPerSecond * s.load.latencyPerWork.value / millisPerSecond * faded
-	guess := b.observedWaitMillis(s)
+	latency := &s.load.latencyPerWork
+	faded := math.Exp((latency.updatedAt - b.now) / latencySeenMillis)
+	ownPerSecond := b.perSecond(&s.attempts.work, workTimeConstantMillis)
+	othersPerSecond := max(0, s.load.reportedPerSecond-ownPerSecond)
+	othersInFlight := othersPerSecond * latency.value / millisPerSecond * faded
+	observed := b.observedWaitMillis(s)
 	capacity := b.capacityPerSecond(s) * b.warmShare(s)
-	queueMillis := (float64(s.attempts.inFlight)+othersInFlight+1)*millisPerSecond/capacity - s.load.latencyPerWork.floor
-	return guess + max(0, queueMillis)
+	inFlight := float64(s.attempts.inFlight) + othersInFlight + 1
+	return observed + max(0, inFlight*millisPerSecond/capacity-latency.floor)
 }
 
 // observedWaitMillis is the mean of the waits that a server has shown lately. Where each server is
--- /dev/null
+++ b/internal/simulator/events.go
@@ -0,0 +1,179 @@
+package simulator
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+
+	"dockhinge.example/dockhinge/decide"
+)
+
+// maxPreparedEntries bounds the entries that memory is set aside for before they were read: the
+// number that a line announces may be wrong.
+const maxPreparedEntries = 4096
+
+// deliver hands an event that was read to a Balancer.
+type deliver func(b *decide.Balancer)
+
+// event reads one event and hands it to its instance. An event for an instance that is not open is
+// checked as any other and then ignored.
+func (s *session) event(now float64, text string) error {
+	f := newFields(text)
+	kind := f.word()
+	id := f.instanceID()
+	switch kind {
+	case eventOpen:
+		return s.open(&f, id)
+	case eventClose:
+		if err := f.end(kind); err != nil {
+			return err
+		}
+		delete(s.instances, id)
+		return nil
+	}
+	in := s.instances[id]
+	to, err := s.readEvent(kind, &f, now, in)
+	if err != nil {
+		return err
+	}
+	if err := f.end(kind); err != nil {
+		return err
+	}
+	if in != nil {
+		to(in.balancer)
+	}
+	return nil
+}
+
+// readEvent reads the fields of an event.
+func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (deliver, error) {
+	switch kind {
+	case eventEndpoints:
+		return s.readEndpoints(f, now)
+	case eventRequest:
+		return readRequest(f, now), nil
+	case eventClientDisconnected:
+		id := f.uint("requestId")
+		return func(b *decide.Balancer) { b.ClientDisconnected(now, id) }, nil
+	case eventStreamStarted:
+		return readStreamStarted(f, now), nil
+	case eventAttemptEnded:
+		return readAttemptEnded(f, now, in), nil
+	case eventHealthCheckEnded:
+		return readHealthCheckEnded(f, now, in), nil
+	case eventGossip:
+		from := int(f.uint("sender"))
+		data := f.octets()
+		return func(b *decide.Balancer) { b.GossipReceived(now, from, data) }, nil
+	case eventTimer:
+		return readTimer(f, now), nil
+	}
+	return nil, fmt.Errorf("unknown event %q", kind)
+}
+
+// readEndpoints reads an update of the endpoint list, with a line for each entry.
+func (s *session) readEndpoints(f *fields, now float64) (deliver, error) {
+	kind := oneOf(f, "kind", updateKinds)
+	f.numberOrAbsent("version")
+	count := f.uint("number of entries")
+	if err := f.end(eventEndpoints); err != nil {
+		return nil, err
+	}
+	entries := make([]decide.Endpoint, 0, min(count, maxPreparedEntries))
+	for range count {
+		entry, err := s.readEntry()
+		if err != nil {
+			return nil, err
+		}
+		entries = append(entries, entry)
+	}
+	return func(b *decide.Balancer) { b.UpdateEndpoints(now, kind, entries) }, nil
+}
+
+// readEntry reads one line of an endpoint list.
+func (s *session) readEntry() (decide.Endpoint, error) {
+	text, err := s.lines.next()
+	if errors.Is(err, io.EOF) {
+		return decide.Endpoint{}, errEndsInList
+	}
+	if err != nil {
+		return decide.Endpoint{}, err
+	}
+	f := newFields(text)
+	if word := f.word(); word != listEntry {
+		return decide.Endpoint{}, fmt.Errorf("want a list entry, got %q", word)
+	}
+	entry := decide.Endpoint{
+		StartedAt: f.numberOrAbsent("startedAt"),
+		Size:      f.numberOrAbsent("size"),
+		ID:        f.uint("server"),
+		State:     oneOf(&f, "mode", states),
+		Zone:      f.word(),
+		Cell:      int(f.numberOrAbsent("bay")),
+		Kind:      f.word(),
+	}
+	return entry, f.end("list entry")
+}
+
+func readRequest(f *fields, now float64) deliver {
+	q := decide.Request{ID: f.uint("requestId"), Class: f.word(), Tenant: f.word()}
+	q.Key, q.HasKey = f.key()
+	q.RemainingMillis = f.number("remaining")
+	q.WorkHint = f.numberOrAbsent("weightHint")
+	q.SizeBytes = f.numberOrAbsent("size")
+	q.IsRetry = f.bool("isRetry")
+	q.IsWrite = f.bool("isWrite")
+	return func(b *decide.Balancer) { b.Request(now, q) }
+}
+
+func readStreamStarted(f *fields, now float64) deliver {
+	id := f.uint("requestId")
+	f.uint("leg")
+	f.uint("server")
+	f.numberOrAbsent("lag")
+	return func(b *decide.Balancer) { b.StreamStarted(now, id) }
+}
+
+func readAttemptEnded(f *fields, now float64, in *instance) deliver {
+	o := decide.Outcome{
+		RequestID:     f.uint("requestId"),
+		Attempt:       int(f.uint("leg")),
+		ServerID:      f.uint("server"),
+		Status:        oneOf(f, "outcome", statuses),
+		LatencyMillis: f.numberOrAbsent("lag"),
+		IsFinal:       f.bool("final"),
+		CacheResult:   decide.CacheResult(f.numberOrAbsent("note")),
+		Load:          readLoad(f, in),
+	}
+	return func(b *decide.Balancer) { b.AttemptEnded(now, o) }
+}
+
+func readHealthCheckEnded(f *fields, now float64, in *instance) deliver {
+	server := f.uint("server")
+	status := oneOf(f, "outcome", statuses)
+	f.numberOrAbsent("lag")
+	load := readLoad(f, in)
+	return func(b *decide.Balancer) { b.HealthCheckEnded(now, server, status, load) }
+}
+
+// readLoad reads a load report. The columns are those of the instance's settings; without an
+// instance the report is passed over.
+func readLoad(f *fields, in *instance) decide.LoadReport {
+	if in == nil {
+		f.word()
+		return decide.NoLoadReport
+	}
+	return f.load(in.loadColumns)
+}
+
+// readTimer reads the token of a timer. One that is no number was not set by a Balancer and is
+// ignored.
+func readTimer(f *fields, now float64) deliver {
+	token, err := strconv.ParseUint(f.word(), 10, 64)
+	return func(b *decide.Balancer) {
+		if err == nil {
+			b.TimerExpired(now, token)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/lines.go
@@ -0,0 +1,215 @@
+package simulator
+
+import (
+	"bufio"
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"strconv"
+	"strings"
+
+	"dockhinge.example/dockhinge/decide"
+	"dockhinge.example/dockhinge/internal/settings"
+)
+
+// readBufferBytes holds a batch of ordinary size.
+const readBufferBytes = 1 << 20
+
+// lineReader reads lines of any length and counts them.
+type lineReader struct {
+	in     *bufio.Reader
+	number int // of the last line, from 1
+}
+
+func newLineReader(in io.Reader) *lineReader {
+	return &lineReader{in: bufio.NewReaderSize(in, readBufferBytes)}
+}
+
+// next returns the next line without its end; io.EOF only at a clean end of the input.
+func (l *lineReader) next() (string, error) {
+	text, err := l.in.ReadString('\n')
+	if errors.Is(err, io.EOF) && text == "" {
+		return "", io.EOF
+	}
+	l.number++
+	if errors.Is(err, io.EOF) {
+		return "", errEndsInLine
+	}
+	if err != nil {
+		return "", fmt.Errorf("reading: %w", err)
+	}
+	return strings.TrimSuffix(text[:len(text)-1], "\r"), nil
+}
+
+// fields walks through the fields of a line, which one space divides; the first error is kept.
+type fields struct {
+	rest    string // what was not read yet
+	hasMore bool   // the line goes on; the rest may be empty
+	err     error
+}
+
+func newFields(line string) fields { return fields{rest: line, hasMore: true} }
+
+// word reads a field as it is.
+func (f *fields) word() string {
+	if !f.hasMore {
+		if f.err == nil {
+			f.err = errors.New("too few values")
+		}
+		return ""
+	}
+	word, rest, hasMore := strings.Cut(f.rest, " ")
+	f.rest = rest
+	f.hasMore = hasMore
+	return word
+}
+
+// fail keeps that a field is not what it should be, if nothing was wrong before.
+func (f *fields) fail(name, word string) {
+	if f.err == nil {
+		f.err = fmt.Errorf("bad %s %q", name, word)
+	}
+}
+
+// remainder reads all that is left of the line.
+func (f *fields) remainder() string {
+	if !f.hasMore {
+		return f.word()
+	}
+	f.hasMore = false
+	return f.rest
+}
+
+// number reads a finite number.
+func (f *fields) number(name string) float64 { return f.parseNumber(name, f.word()) }
+
+// numberOrAbsent reads a finite number; an absent one is 0.
+func (f *fields) numberOrAbsent(name string) float64 {
+	word := f.word()
+	if word == absent {
+		return 0
+	}
+	return f.parseNumber(name, word)
+}
+
+func (f *fields) parseNumber(name, word string) float64 {
+	v, err := strconv.ParseFloat(word, 64)
+	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+		f.fail(name, word)
+		return 0
+	}
+	return v
+}
+
+// uint reads the number of a request, attempt or server.
+func (f *fields) uint(name string) uint32 {
+	word := f.word()
+	v, err := strconv.ParseUint(word, 10, 32)
+	if err != nil {
+		f.fail(name, word)
+	}
+	return uint32(v)
+}
+
+// bool reads a flag; an absent one is not set.
+func (f *fields) bool(name string) bool {
+	word := f.word()
+	if word != "0" && word != "1" && word != absent {
+		f.fail(name, word)
+	}
+	return word == "1"
+}
+
+// instanceID reads the number of an instance, which is kept as it was written.
+func (f *fields) instanceID() string {
+	id := f.word()
+	if _, err := strconv.ParseUint(id, 10, 63); err != nil {
+		f.fail("instance", id)
+	}
+	return id
+}
+
+// seed reads a seed of random numbers, which may be negative.
+func (f *fields) seed() uint64 {
+	word := f.word()
+	if seed, err := strconv.ParseUint(word, 10, 64); err == nil {
+		return seed
+	}
+	seed, err := strconv.ParseInt(word, 10, 64)
+	if err != nil {
+		f.fail("entropy", word)
+	}
+	return uint64(seed)
+}
+
+// key reads the key of a request, if it has one.
+func (f *fields) key() (key uint64, hasKey bool) {
+	word := f.word()
+	if word == absent {
+		return 0, false
+	}
+	key, err := strconv.ParseUint(word, 16, 64)
+	if err != nil {
+		f.fail("affinity", word)
+	}
+	return key, true
+}
+
+// octets reads bytes in base64.
+func (f *fields) octets() []byte {
+	word := f.word()
+	data, err := base64.StdEncoding.DecodeString(strings.TrimSuffix(word, absent))
+	if err != nil {
+		f.fail("octets", word)
+	}
+	return data
+}
+
+// load reads a load report with the given columns; its absent figures stay below 0.
+func (f *fields) load(columns []string) decide.LoadReport {
+	report := decide.NoLoadReport
+	word := f.word()
+	if word == absent || word == "" && f.err != nil {
+		return report
+	}
+	figures := strings.Split(word, ",")
+	if len(figures) != len(columns) {
+		f.fail("load report", word)
+		return report
+	}
+	for i, figure := range figures {
+		if figure == absent || figure == "" {
+			continue
+		}
+		v, err := strconv.ParseFloat(figure, 64)
+		if err != nil {
+			f.fail("load report", word)
+			return report
+		}
+		settings.SetLoadField(&report, columns[i], v)
+	}
+	return report
+}
+
+// end returns what is wrong with a line that should end here.
+func (f *fields) end(what string) error {
+	if f.err == nil && f.hasMore {
+		f.err = fmt.Errorf("too many values at %q", f.rest)
+	}
+	if f.err != nil {
+		return fmt.Errorf("%s: %w", what, f.err)
+	}
+	return nil
+}
+
+// oneOf reads one of some words, and returns what it means.
+func oneOf[T any](f *fields, name string, words map[string]T) T {
+	word := f.word()
+	v, ok := words[word]
+	if !ok {
+		f.fail(name, word)
+	}
+	return v
+}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestReportColumns(t *testing.T) {
-	f := fields{rest: "140,7,0.62,5,9,-", more: true}
+	f := newFields("140,7,0.62,5,9,-")
 	l := f.load([]string{"rps", "active", "cpu", "avg_ms", "x0", "err_rps"})
 	want := decide.LoadReport{RequestsPerSecond: 140, Inflight: 7, Utilization: 0.62, LatencyMillis: 5, ErrorsPerSecond: -1}
 	if l != want || f.end("x") != nil {
