--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -103,7 +103,7 @@
 		retryBudget:        initialRetryBudget,
 		healthChecks:       healthChecks{next: int(seed % healthCheckStarts)},
 		originFetches:      originFetches{limit: initialFetchLimit(cfg.Routers)},
-		idleTimeoutMillis: cfg.IdleTimeoutMillis,
+		idleTimeoutMillis:  cfg.IdleTimeoutMillis,
 	}
 	b.useSettings(cfg)
 	return b, nil
