--- /dev/null
+++ b/decide/balancer_test.go
@@ -0,0 +1,197 @@
+package decide
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// BenchmarkRouter is what a request with its outcome, and its part of housekeeping, costs the
+// module: docs/fleet.md.
+func BenchmarkRouter(b *testing.B) {
+	for _, servers := range []int{12, 30, 60} {
+		for _, routers := range []int{4, 20, 80} {
+			b.Run(fmt.Sprintf("servers=%d/routers=%d", servers, routers), func(b *testing.B) {
+				cfg := testConfig()
+				cfg.Routers, cfg.CacheAside, cfg.OriginKind = routers, true, "origin"
+				m, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
+				b.ReportAllocs()
+				b.ResetTimer()
+				for i := range b.N {
+					now := 100010 + 50*float64(i) // 20 a second
+					ask(m, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
+					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
+						m.AttemptEnded(now+40, Outcome{RequestID: uint32(i + 1), ServerID: h.sends[n-1].server, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+					}
+					if i%2 == 0 {
+						m.TimerExpired(now+45, housekeepingToken)
+					}
+					h.sends, h.timers = h.sends[:0], h.timers[:0]
+				}
+			})
+		}
+	}
+}
+
+// Outcomes come twice, late, and for requests, attempts and servers that are not known. Nothing may
+// follow from them, and nothing may be left behind.
+func TestLateDuplicateAndUnknownIDs(t *testing.T) {
+	b, h := start(t, testConfig(), fleet(6))
+	ask(b, 100010, 1, "read", 9)
+	s := h.last().server
+	ok := Outcome{RequestID: 1, ServerID: s, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport}
+	b.AttemptEnded(100050, ok)
+	b.AttemptEnded(100051, ok)
+	b.AttemptEnded(100052, Outcome{RequestID: 77, Attempt: 3, ServerID: 5, Status: Failed, Load: NoLoadReport})
+	b.AttemptEnded(100053, Outcome{RequestID: 1, Attempt: -1, ServerID: s, Status: Failed, Load: NoLoadReport})
+	b.ClientDisconnected(100054, 1)
+	b.ClientDisconnected(100055, 78)
+	b.StreamStarted(100056, 79)
+	b.TimerExpired(100057, 80<<8|1)
+	b.HealthCheckEnded(100058, 81, OK, NoLoadReport)
+	if len(h.sends) != 1 || h.answers(1) != 0 || b.membership.servers[s].attempts.inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.membership.servers[s].attempts.inFlight, len(b.requests))
+	}
+}
+
+// Attempts end in every way at random times, timers expire and clients give up. Each request must
+// get exactly one final answer, nothing may be sent after it, and nothing may be left behind.
+func TestEveryRequestIsAnsweredOnce(t *testing.T) {
+	for seed := range uint64(30) {
+		rng := rand.New(rand.NewPCG(seed, 2))
+		cfg := testConfig()
+		cfg.HedgingAllowed, cfg.CancelAllowed, cfg.CacheAside, cfg.OriginKind = seed%2 == 0, seed%3 != 0, seed%4 > 1, "origin"
+		es := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
+		b, h := start(t, cfg, es)
+		type leg struct {
+			due float64
+			o   Outcome
+		}
+		answered, tries, until := map[uint32]int{}, map[uint32]int{}, map[uint32]float64{}
+		h.onSend = func(id uint32) {
+			if answered[id]+h.answers(id) > 0 {
+				t.Fatalf("seed %d: request %d sent after its answer", seed, id)
+			}
+		}
+		var legs []leg
+		seen, timers := 0, []timer{}
+		next := uint32(0)
+		for now := 100000.0; now < 104000; now += 5 {
+			if now < 103000 {
+				for range rng.IntN(4) {
+					next++
+					class := cfg.Classes[rng.IntN(5)].Name
+					left := 50 + 500*rng.Float64()
+					until[next] = now + left
+					b.Request(now, Request{ID: next, Class: class, Key: uint64(rng.IntN(20)), HasKey: rng.IntN(9) > 0,
+						RemainingMillis: left, IsWrite: class == "once"})
+				}
+			}
+			rest := timers[:0]
+			for _, tm := range timers {
+				if tm.after <= now {
+					b.TimerExpired(now, tm.token)
+				} else {
+					rest = append(rest, tm)
+				}
+			}
+			timers = rest
+			kept := legs[:0]
+			for _, l := range legs {
+				if l.due > now && until[l.o.RequestID] > now {
+					kept = append(kept, l)
+					continue
+				}
+				if l.due > now {
+					l.o.Status = Timeout
+				}
+				if answered[l.o.RequestID]+h.answers(l.o.RequestID) > 0 {
+					l.o.IsFinal = true
+				} else if l.o.Status == OK {
+					l.o.IsFinal = true
+					answered[l.o.RequestID]++
+				}
+				b.AttemptEnded(now, l.o)
+			}
+			legs = kept
+			for ; seen < len(h.sends); seen++ {
+				s := h.sends[seen]
+				st := []AttemptStatus{OK, OK, Failed, QueueFull, Timeout, ConnectError, Reset, Miss, MalformedResponse}[rng.IntN(9)]
+				legs = append(legs, leg{now + 300*rng.Float64(),
+					Outcome{RequestID: s.id, Attempt: tries[s.id], ServerID: s.server, Status: st, LatencyMillis: 20, Load: NoLoadReport}})
+				tries[s.id]++
+			}
+			for _, tm := range h.timers {
+				timers = append(timers, timer{now + tm.after, tm.token})
+			}
+			h.timers = nil
+		}
+		for id := uint32(1); id <= next; id++ {
+			if n := answered[id] + h.answers(id); n != 1 {
+				t.Fatalf("seed %d: request %d has %d answers", seed, id, n)
+			}
+		}
+		if len(b.requests) != 0 || len(b.originFetches.waiting) != 0 {
+			t.Errorf("seed %d: %d requests and %d held are not forgotten", seed, len(b.requests), len(b.originFetches.waiting))
+		}
+	}
+}
+
+// The settings change while a request is in flight. It must keep its rules; what arrives later
+// comes under the new ones.
+func TestReconfigure(t *testing.T) {
+	cfg := testConfig()
+	cfg.MaxAttempts = 3
+	b, h := start(t, cfg, fleet(6))
+	b.retryBudget = 20
+	ask(b, 100000, 1, "read", 77)
+	next := cfg
+	next.MaxAttempts = 1
+	next.Classes = []Class{{Name: "read", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}, {Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}}
+	if err := b.Reconfigure(100010, next); err != nil {
+		t.Fatal(err)
+	}
+	ask(b, 100020, 2, "read", 78)
+	for id, more := range map[uint32]int{1: 1, 2: 0} {
+		n := len(h.sends)
+		server := h.sends[id-1].server
+		b.AttemptEnded(100030, Outcome{RequestID: id, ServerID: server, Status: Failed, LatencyMillis: 10, Load: NoLoadReport})
+		if got := len(h.sends) - n; got != more {
+			t.Errorf("request %d: %d more attempts, want %d", id, got, more)
+		}
+	}
+	if h.failed[2] != 1 || h.rejected[2] != 0 {
+		t.Errorf("a write that may have run: failed %d, refused %d", h.failed[2], h.rejected[2])
+	}
+	ask(b, 100040, 3, "dear", 79) // dropped
+	if h.failed[3] != 1 {
+		t.Error("a class that was dropped was served")
+	}
+	ask(b, 100050, 4, "new", 80)
+	if h.answers(4) != 0 {
+		t.Error("a new class was not served")
+	}
+}
+
+// New settings are impossible, or change what can't change. None of them may be taken.
+func TestBadReconfigurationChangesNothing(t *testing.T) {
+	b, h := start(t, testConfig(), fleet(6))
+	for _, spoil := range []func(*Config){
+		func(c *Config) { c.MaxAttempts = 0 },
+		func(c *Config) { c.Classes = nil },
+		func(c *Config) { c.Classes = []Class{{Name: "read", LatencyObjectiveMillis: 300, PriorityWeight: 1}} },
+		func(c *Config) { c.CacheAside, c.OriginKind = true, "origin" },
+	} {
+		cfg := testConfig()
+		cfg.Classes = append(cfg.Classes, Class{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1})
+		spoil(&cfg)
+		if b.Reconfigure(100000, cfg) == nil {
+			t.Errorf("taken: %+v", cfg)
+		}
+	}
+	ask(b, 100001, 1, "new", 5)
+	ask(b, 100001, 2, "dear", 5)
+	if h.failed[1] != 1 || h.answers(2) != 0 {
+		t.Error("something of a bad configuration was taken")
+	}
+}
--- /dev/null
+++ b/decide/config_test.go
@@ -0,0 +1,28 @@
+package decide
+
+import (
+	"strings"
+	"testing"
+)
+
+// A setting is impossible. The error must name it, and in which entry of which list it is.
+func TestNewNamesTheBadSetting(t *testing.T) {
+	for want, spoil := range map[string]func(*Config){
+		"Routers":                              func(c *Config) { c.Routers = 0 },
+		"RouterIndex":                          func(c *Config) { c.RouterIndex = 5 },
+		"Classes":                              func(c *Config) { c.Classes = nil },
+		"Classes[read].LatencyObjectiveMillis": func(c *Config) { c.Classes[0].LatencyObjectiveMillis = 0 },
+		"Classes[keyed].IdempotencyScope":      func(c *Config) { c.Classes[2].IdempotencyScope = "planet" },
+		"SlowStartInitialShare":                func(c *Config) { c.SlowStartInitialShare = 0 },
+		"OverloadFactor":                       func(c *Config) { c.OverloadFactor = 0 },
+		"MaxAttempts":                          func(c *Config) { c.MaxAttempts = 0 },
+		"OriginKind":                           func(c *Config) { c.CacheAside = true },
+		"Tenants[x].QuotaPerSecond":            func(c *Config) { c.Tenants = []Tenant{{Name: "x", QuotaPerSecond: -1}} },
+	} {
+		cfg := testConfig()
+		spoil(&cfg)
+		if _, err := New(cfg, 1, newHost()); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("want an error that names %s, got %v", want, err)
+		}
+	}
+}
--- /dev/null
+++ b/decide/discovery_backoff_test.go
@@ -0,0 +1,90 @@
+package decide
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+// The call for the endpoint list fails. The router must keep its list and poll again after a while,
+// once, and not at all while its watch stands.
+func TestListIsPolledAgainAfterAFailure(t *testing.T) {
+	cfg := testConfig()
+	cfg.PollEndpoints = true
+	b, h := start(t, cfg, fleet(3))
+	tickTo := func(from, to float64) {
+		for now := from; now <= to; now += 100 {
+			b.TimerExpired(now, housekeepingToken)
+		}
+	}
+	tickTo(100100, 100300)
+	if h.watches != 1 {
+		t.Fatalf("%d calls after the start, want 1", h.watches)
+	}
+	b.UpdateEndpoints(100350, WatchFailed, nil)
+	tickTo(100400, 102000)
+	if h.watches != 2 {
+		t.Fatalf("%d calls after a refusal, want 2", h.watches)
+	}
+	if len(b.membership.caches) != 3 {
+		t.Error("a refusal lost the list")
+	}
+	b.UpdateEndpoints(102050, ChangedEndpoints, nil)
+	tickTo(102100, 120000)
+	if h.watches != 2 {
+		t.Errorf("%d calls while subscribed, want 2", h.watches)
+	}
+}
+
+// All routers of a fleet start at once and every call to discovery fails. Their calls must be
+// spread over the time that discovery needs, each router must call again in time for a change to
+// arrive, and none faster than that.
+func TestRoutersPollWithinTheirSlots(t *testing.T) {
+	for _, routers := range []int{4, 36, 80, 350, 5100} {
+		var calls []float64 // of all routers, in the first 20 s, each refused
+		for me := range routers {
+			cfg := testConfig()
+			cfg.Routers, cfg.RouterIndex, cfg.PollEndpoints, cfg.PollWithinMillis = routers, me, true, cfgMustAsk
+			h := newHost()
+			b, err := New(cfg, uint64(me)*977+5, h)
+			if err != nil {
+				t.Fatal(err)
+			}
+			b.UpdateEndpoints(100000, RestoredEndpoints, fleet(6))
+			first, last := math.Inf(1), 0.0
+			for now := 100000.0; now < 120000; now += 100 {
+				n := h.watches
+				if b.TimerExpired(now, housekeepingToken); h.watches > n {
+					if first = min(first, now); last > 0 && now-last > MaxBackOffMillis+100 { // and a tick
+						t.Errorf("%d routers: %v ms between two calls of one", routers, now-last)
+					}
+					last = now + 10
+					calls = append(calls, now)
+					b.UpdateEndpoints(now+10, WatchFailed, nil)
+				}
+			}
+			if first > 100000+cfgMustAsk {
+				t.Errorf("%d routers: the first call of one came after %v ms", routers, first-100000)
+			}
+		}
+		perSecond := float64(len(calls)) / 20
+		share := float64(routers) / (MaxBackOffMillis * 2 / 3) // calls a ms when all wait as long as they may, spread
+		if perSecond < 2 || perSecond > max(6, 1.2*share*1000) {
+			t.Errorf("%d routers: %.1f calls a second", routers, perSecond)
+		}
+		slices.Sort(calls)
+		burst := 0
+		for from, to := 0, 0; to < len(calls); to++ {
+			for calls[to]-calls[from] >= 500 {
+				from++
+			}
+			burst = max(burst, to-from+1)
+		}
+		// The second calls of those who were late with their first meet the third ones of others; beyond that it is chance.
+		if most := float64(routers) / 4; float64(burst) > max(10, most+3*math.Sqrt(most)) {
+			t.Errorf("%d routers: %d calls in half a second", routers, burst)
+		}
+	}
+}
+
+const cfgMustAsk = 10000 // ms without asking after which news counts as told
--- a/decide/carry_test.go
+++ b/decide/handover_test.go
@@ -27,6 +27,8 @@
 	return n, h
 }
 
+// A process hands over while one server is disabled, one drains and one is ejected. The new process
+// must send nothing to any of the three.
 func TestBansDrainsAndHealthGoOver(t *testing.T) {
 	es := fleet(6)
 	es[2].State = Draining
@@ -56,7 +58,8 @@
 	}
 }
 
-// The old and the new process together send a cold server no more than one alone would have.
+// A process hands over while a server is cold. The old and the new one together must send it no
+// more than one alone would have.
 func TestColdBudgetHoldsOverAHandover(t *testing.T) {
 	cfg := testConfig()
 	cold := func() (*Balancer, *fakeHost, uint32) {
@@ -89,6 +92,8 @@
 	}
 }
 
+// A snapshot holds values that can't be true. Only what operators have disabled may be taken; and
+// none may be taken after another event.
 func TestOfAStateThatCantBeTrueOnlyBansAreTaken(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(3))
 	b.Disable(100000, fleet(3)[0].ID)
@@ -117,6 +122,7 @@
 	}
 }
 
+// Two Balancers see the same events. They must hand over the same bytes.
 func TestHandingOverIsDeterministic(t *testing.T) {
 	var states [2]string
 	for i := range states {
@@ -135,7 +141,8 @@
 	}
 }
 
-// The new process may come with other settings: what it is told of the old one's is brought within them.
+// The new process has a shorter idle timeout than the old one. What it takes over must come within
+// it.
 func TestStateMeetsOtherSettings(t *testing.T) {
 	cfg := testConfig()
 	cfg.IdleTimeoutMillis = 10000
--- /dev/null
+++ b/decide/helpers_test.go
@@ -0,0 +1,142 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+// fakeHost records the actions of a Balancer.
+type fakeHost struct {
+	acts     []string
+	sends    []sent
+	rejected map[uint32]int
+	failed   map[uint32]int
+	cancels  []string
+	timers   []timer
+	probes   []uint32
+	closes   []uint32
+	watches  int
+	onSend   func(id uint32)
+	waits    []float64
+}
+
+type sent struct{ id, server uint32 }
+
+type timer struct {
+	after float64
+	token uint64
+}
+
+func newHost() *fakeHost { return &fakeHost{rejected: map[uint32]int{}, failed: map[uint32]int{}} }
+
+func (h *fakeHost) Send(id, server uint32, _ float64) {
+	if h.onSend != nil {
+		h.onSend(id)
+	}
+	h.sends = append(h.sends, sent{id, server})
+}
+
+func (h *fakeHost) Cancel(id uint32, a int) { h.cancels = append(h.cancels, fmt.Sprint(id, "/", a)) }
+
+func (h *fakeHost) Reject(id uint32, wait float64) {
+	h.rejected[id]++
+	h.waits = append(h.waits, wait)
+}
+
+func (h *fakeHost) Fail(id uint32) { h.failed[id]++ }
+
+func (h *fakeHost) HealthCheck(s uint32) { h.probes = append(h.probes, s) }
+
+func (h *fakeHost) CloseIdle(s uint32) { h.closes = append(h.closes, s) }
+
+func (h *fakeHost) SetTimer(after float64, token uint64) {
+	h.timers = append(h.timers, timer{after, token})
+}
+
+func (h *fakeHost) WatchEndpoints() { h.watches++ }
+
+func (h *fakeHost) Gossip([]byte) {}
+
+func (h *fakeHost) Log(text string) { h.acts = append(h.acts, text) }
+
+func (h *fakeHost) last() sent { return h.sends[len(h.sends)-1] }
+
+// answers is the number of final answers that a request got from the Balancer itself.
+func (h *fakeHost) answers(id uint32) int { return h.rejected[id] + h.failed[id] }
+
+func testConfig() Config {
+	return Config{
+		Routers: 2, Classes: []Class{
+			{Name: "read", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "dear", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 4},
+			{Name: "keyed", Effect: IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "zoned", Effect: IdempotentByKey, IdempotencyScope: "zone", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "once", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+		},
+		CancelAllowed: true, HedgingAllowed: true, MaxAttempts: 4, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000,
+	}
+}
+
+// fleet lists n ready servers with ids that are spread like real ones.
+func fleet(n int) []Endpoint {
+	var es []Endpoint
+	for i := range n {
+		es = append(es, Endpoint{ID: uint32(splitMix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+	}
+	return es
+}
+
+func start(t testing.TB, cfg Config, es []Endpoint) (*Balancer, *fakeHost) {
+	t.Helper()
+	h := newHost()
+	b, err := New(cfg, 7, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.UpdateEndpoints(100000, RestoredEndpoints, es)
+	return b, h
+}
+
+// read is a request for a key that has time and worth to spare.
+func read(b *Balancer, k *keyTraffic) *request {
+	return &request{maxAttempts: b.cfg.MaxAttempts, class: &b.cfg.Classes[0], key: k, work: 1, priority: 1,
+		deadlineAt: b.now + 600, objectiveAt: b.now + 300}
+}
+
+func ask(b *Balancer, now float64, id uint32, class string, key uint64) {
+	b.Request(now, Request{ID: id, Class: class, Key: key, HasKey: true, RemainingMillis: 600})
+}
+
+// fill leaves a server with so much outstanding that a further request would be late.
+func fill(b *Balancer, s *server) {
+	s.load.capacityPerSecond.update(b.now, 10, 1)
+	s.load.latencyPerWork.update(b.now, 100, 1)
+	s.attempts.inFlight = 30
+}
+
+// homeOf is where a request of the key goes when nothing is wrong.
+func homeOf(t *testing.T, b *Balancer, h *fakeHost, now float64, id uint32, key uint64) uint32 {
+	t.Helper()
+	n := len(h.sends)
+	ask(b, now, id, "read", key)
+	if len(h.sends) != n+1 {
+		t.Fatalf("request %d was not sent", id)
+	}
+	b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+	return h.last().server
+}
+
+// sent counts the requests that a server gets at one moment, of many that have their home there.
+func sentAtOnce(b *Balancer, h *fakeHost, now float64, id *uint32, key uint64, to uint32) (n int) {
+	was := len(h.sends)
+	for range 200 {
+		*id++
+		ask(b, now, *id, "read", key)
+	}
+	for _, s := range h.sends[was:] {
+		if s.server == to {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/decide/rejection_test.go
@@ -0,0 +1,128 @@
+package decide
+
+import (
+	"testing"
+)
+
+// All servers have a queue of 100 ms. A request of low priority is rejected at once, one of high
+// priority is sent.
+func TestFullFleetRejectsEarlyTheLowestPriorityFirst(t *testing.T) {
+	b, h := start(t, testConfig(), fleet(6))
+	for _, s := range b.membership.caches {
+		fill(b, s)
+		s.attempts.inFlight = 1 // a wait of 100 ms
+	}
+	ask(b, 100001, 1, "read", 5)
+	ask(b, 100001, 2, "dear", 6)
+	if h.rejected[1] != 1 || h.rejected[2] != 0 || len(h.sends) != 1 {
+		t.Errorf("refused %v, sends %v: want the cheap one refused and the dear one sent", h.rejected, h.sends)
+	}
+}
+
+// Overloaded servers answer late although their queues look short. After many late answers a router
+// must tolerate shorter queues; quick answers leave it at the most.
+func TestLateAnswersLowerTheToleratedWait(t *testing.T) {
+	for _, c := range []struct {
+		took      float64
+		low, high float64
+	}{{20, 0.24, 0.25}, {400, 0, 0.16}} {
+		b, h := start(t, testConfig(), fleet(6))
+		for i := range uint32(300) {
+			now := 100001 + 500*float64(i)
+			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
+				continue // refused
+			}
+			o := Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: c.took, CacheResult: CacheHit, IsFinal: true, Load: NoLoadReport}
+			b.AttemptEnded(now+c.took, o)
+		}
+		if b.toleratedWaitShare < c.low || b.toleratedWaitShare > c.high {
+			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.toleratedWaitShare, c.low, c.high)
+		}
+	}
+}
+
+// No server can be used: none is listed, all drain, or only the origin is there. Each request, also
+// one of an unknown class, gets one final answer at once.
+func TestRequestWithoutCandidatesIsAnswered(t *testing.T) {
+	drain := fleet(2)
+	drain[0].State, drain[1].State = Draining, Draining
+	cfg := testConfig()
+	aside := cfg
+	aside.CacheAside, aside.OriginKind = true, "origin"
+	for name, c := range map[string]struct {
+		cfg Config
+		es  []Endpoint
+	}{"empty": {cfg, nil}, "draining": {cfg, drain}, "origin only": {aside, []Endpoint{{ID: 9, Kind: "origin"}}}} {
+		for _, class := range []string{"read", "once", "unknown"} {
+			b, h := start(t, c.cfg, c.es)
+			ask(b, 100010, 1, class, 5)
+			if h.answers(1) != 1 || len(h.sends) != 0 {
+				t.Errorf("%s, %s: %d answers, sends %v", name, class, h.answers(1), h.sends)
+			}
+		}
+	}
+}
+
+// An overload has raised the floor of servers that are idle by now, and a request is rejected for
+// it. Twelve seconds later the next one must be sent, as no answer could correct the floor
+// otherwise.
+func TestFloorSeenFades(t *testing.T) {
+	b, h := start(t, testConfig(), fleet(6))
+	for _, s := range b.membership.caches {
+		s.load.capacityPerSecond.update(b.now, 100, 1)
+		s.load.latencyPerWork.update(b.now, 250, 1)
+	}
+	ask(b, 100001, 1, "read", 5)
+	ask(b, 112001, 2, "read", 6)
+	if h.rejected[1] != 1 || h.rejected[2] != 0 {
+		t.Errorf("refused %v: want the first only", h.rejected)
+	}
+}
+
+// Every attempt at a large fleet begins to time out. The router must begin to shed load, though it
+// has asked each server only once or twice.
+func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
+	cfg := testConfig()
+	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
+	refused := 0
+	for i := range uint32(120) {
+		now := 100010 + 350*float64(i)
+		ask(b, now, i+1, "read", uint64(i))
+		switch sent := len(h.sends) > 0 && h.last().id == i+1; {
+		case !sent:
+			refused++
+		case i < 20:
+			b.AttemptEnded(now+40, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+		default:
+			b.AttemptEnded(now+600, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Timeout, LatencyMillis: 600, Load: NoLoadReport})
+		}
+	}
+	if refused < 20 {
+		t.Errorf("%d of 100 requests refused early while every attempt timed out", refused)
+	}
+}
+
+// A request is rejected. Where the settings allow it, the client must be told when to come again,
+// within bounds; else nothing.
+func TestRejectionTellsRetryAfter(t *testing.T) {
+	for _, tells := range []bool{true, false} {
+		cfg := testConfig()
+		cfg.SendRetryAfter, cfg.MaxRetryAfterMillis = tells, 1500
+		es := fleet(6)
+		b, h := start(t, cfg, es)
+		for _, s := range b.membership.caches {
+			fill(b, s)
+		}
+		ask(b, 100000, 1, "read", 5)
+		if h.rejected[1] != 1 || len(h.waits) != 1 {
+			t.Fatalf("refused %d times", h.rejected[1])
+		}
+		if got := b.cfg.MinRetryAfterMillis(); tells != (got == minRetryAfterMillis) {
+			t.Errorf("told %t: at least %v", tells, got)
+		}
+		if got := h.waits[0]; tells != (got >= minRetryAfterMillis && got <= 300.0/4) || !tells && got != 0 {
+			t.Errorf("told %t: wait %v", tells, got)
+		}
+	}
+}
--- a/decide/slowstart_test.go
+++ b/decide/slow_start_test.go
@@ -7,6 +7,97 @@
 	"testing"
 )
 
+// A server has just started, and each router could send it enough to overload it many times over.
+// All together must keep within what it survives, and still use it.
+func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
+	es := fleet(3)
+	cfg := testConfig()
+	es[0].StartedAt = 99500
+	total, capacity := 0.0, 20.0
+	for r := range cfg.Routers {
+		cfg.RouterIndex = r
+		b, h := start(t, cfg, es)
+		for _, e := range es {
+			b.membership.servers[e.ID].load.capacityPerSecond.update(b.now, capacity, 1)
+		}
+		for i := range uint32(4000) { // 2 s at 2000 a second, enough to fell it many times over
+			now := 100010 + float64(i)/2
+			ask(b, now, i+1, "read", uint64(i))
+			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
+				b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+			}
+		}
+		for _, s := range h.sends {
+			if s.server == es[0].ID {
+				total++
+			}
+		}
+	}
+	warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis // at the begin of the window
+	if limit := cfg.OverloadFactor * capacity * warmth * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
+		t.Errorf("%v requests sent to a cold server in the window, its limit is %v", total, limit)
+	}
+}
+
+// Eighty routers share the budget of a cold server, less than a request each. All together must
+// send evenly from the first second on, and no more than a few routers do.
+func TestManyRoutersWarmAServerEvenly(t *testing.T) {
+	const seconds, capacity = 4, 50.0
+	for _, routers := range []int{4, 80} {
+		var sent [seconds]float64
+		for me := range routers {
+			cfg := testConfig()
+			cfg.Routers, cfg.RouterIndex = routers, me
+			b, err := New(cfg, uint64(me)*977+5, newHost())
+			if err != nil {
+				t.Fatal(err)
+			}
+			es := fleet(6)
+			b.UpdateEndpoints(100000, RestoredEndpoints, es)
+			for _, s := range b.membership.caches {
+				s.load.capacityPerSecond.value, s.load.reportedPerSecond = capacity, 20
+			}
+			b.surveyCapacities()
+			es[0].StartedAt = 100100
+			b.UpdateEndpoints(100100, ChangedEndpoints, es[:1])
+			s := b.membership.servers[es[0].ID]
+			for b.now = 100100; b.now < 100100+1000*seconds; b.now += 10 { // sends whatever it may
+				if b.hasSlowStartBudget(s, 1) {
+					s.slowStart.budget.requests--
+					sent[int(b.now-100100)/1000]++
+				}
+			}
+		}
+		limit := testConfig().OverloadFactor * testConfig().SlowStartInitialShare * capacity // a second, at its coldest
+		for second, n := range sent {
+			if n < 0.2*limit || n > limit {
+				t.Errorf("%d routers: %v requests in second %d, at a limit of %v", routers, n, second, limit)
+			}
+		}
+	}
+}
+
+// Settings say by an initial share of 1 that servers start warm. They must be used as any.
+func TestServersThatStartWarmAreUsed(t *testing.T) {
+	cfg := testConfig()
+	cfg.SlowStartMillis, cfg.SlowStartInitialShare, cfg.HealthChecks, cfg.LoadByHealthCheck = 1, 1, true, true
+	b, h := start(t, cfg, fleet(6))
+	for i := range uint32(200) {
+		now := 100000 + 20*float64(i)
+		ask(b, now, i+1, "read", uint64(i%20))
+		for _, s := range fleet(6) {
+			b.HealthCheckEnded(now, s.ID, OK, LoadReport{RequestsPerSecond: 50 + float64(i%3), Utilization: 0.3, ErrorsPerSecond: -1, Inflight: -1, LatencyMillis: -1})
+		}
+		if len(h.sends) > 0 && h.last().id == i+1 {
+			b.AttemptEnded(now+10, Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+		}
+	}
+	b.TimerExpired(104100, housekeepingToken)
+	if served := len(h.sends); served < 190 {
+		t.Errorf("%d of 200 requests were sent", served)
+	}
+}
+
 // slowStartFleet is a fleet of routers that share nothing before one server that has just started.
 type slowStartFleet struct {
 	routers []*Balancer
@@ -94,10 +185,10 @@
 	return sent, allowed, bound, total
 }
 
-// All routers that were told of a start send the server together no more than N + 2 sqrt(N) + 2 requests of mean work in
-// any window, whatever their number, however long clients stayed away before, and however light the requests are. Where
-// each part was filled up to one request, 80 routers and more sent over the bound after six quiet seconds, and where a
-// light request needed half of one, 300 did right after the start.
+// All routers that know of a start send the server as much as they may. Together that must be no
+// more than N + 2 sqrt(N) + 2 requests of mean work in any window, whatever their number, however
+// long clients stayed away before, and however light the requests are; and no less than a fifth of
+// N.
 func TestTheFleetsSumInSlowStartIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name        string
