--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -21,7 +21,7 @@
 					now := 100010 + 50*float64(i) // 20 a second
 					ask(m, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
 					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
-						m.AttemptEnded(now+40, Outcome{RequestID: uint32(i + 1), ServerID: h.sends[n-1].server, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+						m.AttemptEnded(now+40, withResult(CacheHit, served(uint32(i+1), h.sends[n-1].server, 40)))
 					}
 					if i%2 == 0 {
 						m.TimerExpired(now+45, housekeepingToken)
@@ -39,7 +39,7 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	s := h.last().server
-	ok := Outcome{RequestID: 1, ServerID: s, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport}
+	ok := withResult(CacheHit, served(1, s, 40))
 	b.AttemptEnded(100050, ok)
 	b.AttemptEnded(100051, ok)
 	b.AttemptEnded(100052, Outcome{RequestID: 77, Attempt: 3, ServerID: 5, Status: Failed, Load: NoLoadReport})
@@ -49,8 +49,9 @@
 	b.StreamStarted(100056, 79)
 	b.TimerExpired(100057, 80<<8|1)
 	b.HealthCheckEnded(100058, 81, OK, NoLoadReport)
-	if len(h.sends) != 1 || h.answers(1) != 0 || b.membership.servers[s].attempts.inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("sends %v, answers %d, out %d, held %d", h.sends, h.answers(1), b.membership.servers[s].attempts.inFlight, len(b.requests))
+	inFlight := b.membership.servers[s].attempts.inFlight
+	if len(h.sends) != 1 || h.answers(1) != 0 || inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("sends %v, answers %d, in flight %d, requests %d", h.sends, h.answers(1), inFlight, len(b.requests))
 	}
 }
 
@@ -60,14 +61,20 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		cfg := testConfig()
-		cfg.HedgingAllowed, cfg.CancelAllowed, cfg.CacheAside, cfg.OriginKind = seed%2 == 0, seed%3 != 0, seed%4 > 1, "origin"
+		cfg.HedgingAllowed = seed%2 == 0
+		cfg.CancelAllowed = seed%3 != 0
+		cfg.CacheAside = seed%4 > 1
+		cfg.OriginKind = "origin"
 		es := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
 		b, h := start(t, cfg, es)
 		type leg struct {
 			due float64
 			o   Outcome
 		}
-		answered, tries, until := map[uint32]int{}, map[uint32]int{}, map[uint32]float64{}
+		statuses := []AttemptStatus{OK, OK, Failed, QueueFull, Timeout, ConnectError, Reset, Miss, MalformedResponse}
+		answered := map[uint32]int{}
+		attempts := map[uint32]int{}
+		deadlines := map[uint32]float64{}
 		h.onSend = func(id uint32) {
 			if answered[id]+h.answers(id) > 0 {
 				t.Fatalf("seed %d: request %d sent after its answer", seed, id)
@@ -81,10 +88,10 @@
 				for range rng.IntN(4) {
 					next++
 					class := cfg.Classes[rng.IntN(5)].Name
-					left := 50 + 500*rng.Float64()
-					until[next] = now + left
+					remaining := 50 + 500*rng.Float64()
+					deadlines[next] = now + remaining
 					b.Request(now, Request{ID: next, Class: class, Key: uint64(rng.IntN(20)), HasKey: rng.IntN(9) > 0,
-						RemainingMillis: left, IsWrite: class == "once"})
+						RemainingMillis: remaining, IsWrite: class == "once"})
 				}
 			}
 			rest := timers[:0]
@@ -98,7 +105,7 @@
 			timers = rest
 			kept := legs[:0]
 			for _, l := range legs {
-				if l.due > now && until[l.o.RequestID] > now {
+				if l.due > now && deadlines[l.o.RequestID] > now {
 					kept = append(kept, l)
 					continue
 				}
@@ -116,10 +123,10 @@
 			legs = kept
 			for ; seen < len(h.sends); seen++ {
 				s := h.sends[seen]
-				st := []AttemptStatus{OK, OK, Failed, QueueFull, Timeout, ConnectError, Reset, Miss, MalformedResponse}[rng.IntN(9)]
+				st := statuses[rng.IntN(len(statuses))]
 				legs = append(legs, leg{now + 300*rng.Float64(),
-					Outcome{RequestID: s.id, Attempt: tries[s.id], ServerID: s.server, Status: st, LatencyMillis: 20, Load: NoLoadReport}})
-				tries[s.id]++
+					ofAttempt(attempts[s.id], ended(s.id, s.server, st, 20))})
+				attempts[s.id]++
 			}
 			for _, tm := range h.timers {
 				timers = append(timers, timer{now + tm.after, tm.token})
@@ -132,7 +139,8 @@
 			}
 		}
 		if len(b.requests) != 0 || len(b.originFetches.waiting) != 0 {
-			t.Errorf("seed %d: %d requests and %d held are not forgotten", seed, len(b.requests), len(b.originFetches.waiting))
+			t.Errorf("seed %d: %d requests and %d that wait are not forgotten", seed, len(b.requests),
+				len(b.originFetches.waiting))
 		}
 	}
 }
@@ -147,7 +155,10 @@
 	ask(b, 100000, 1, "read", 77)
 	next := cfg
 	next.MaxAttempts = 1
-	next.Classes = []Class{{Name: "read", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}, {Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}}
+	next.Classes = []Class{
+		{Name: "read", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+		{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+	}
 	if err := b.Reconfigure(100010, next); err != nil {
 		t.Fatal(err)
 	}
@@ -155,15 +166,15 @@
 	for id, more := range map[uint32]int{1: 1, 2: 0} {
 		n := len(h.sends)
 		server := h.sends[id-1].server
-		b.AttemptEnded(100030, Outcome{RequestID: id, ServerID: server, Status: Failed, LatencyMillis: 10, Load: NoLoadReport})
+		b.AttemptEnded(100030, ended(id, server, Failed, 10))
 		if got := len(h.sends) - n; got != more {
 			t.Errorf("request %d: %d more attempts, want %d", id, got, more)
 		}
 	}
 	if h.failed[2] != 1 || h.rejected[2] != 0 {
-		t.Errorf("a write that may have run: failed %d, refused %d", h.failed[2], h.rejected[2])
+		t.Errorf("a write that may have run: failed %d, rejected %d", h.failed[2], h.rejected[2])
 	}
-	ask(b, 100040, 3, "dear", 79) // dropped
+	ask(b, 100040, 3, "important", 79) // dropped
 	if h.failed[3] != 1 {
 		t.Error("a class that was dropped was served")
 	}
@@ -176,21 +187,22 @@
 // New settings are impossible, or change what can't change. None of them may be taken.
 func TestBadReconfigurationChangesNothing(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for _, spoil := range []func(*Config){
+	for _, damage := range []func(*Config){
 		func(c *Config) { c.MaxAttempts = 0 },
 		func(c *Config) { c.Classes = nil },
 		func(c *Config) { c.Classes = []Class{{Name: "read", LatencyObjectiveMillis: 300, PriorityWeight: 1}} },
 		func(c *Config) { c.CacheAside, c.OriginKind = true, "origin" },
 	} {
 		cfg := testConfig()
-		cfg.Classes = append(cfg.Classes, Class{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1})
-		spoil(&cfg)
+		added := Class{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}
+		cfg.Classes = append(cfg.Classes, added)
+		damage(&cfg)
 		if b.Reconfigure(100000, cfg) == nil {
 			t.Errorf("taken: %+v", cfg)
 		}
 	}
 	ask(b, 100001, 1, "new", 5)
-	ask(b, 100001, 2, "dear", 5)
+	ask(b, 100001, 2, "important", 5)
 	if h.failed[1] != 1 || h.answers(2) != 0 {
 		t.Error("something of a bad configuration was taken")
 	}
--- a/decide/bans_test.go
+++ b/decide/bans_test.go
@@ -13,14 +13,16 @@
 	b.Disable(100100, out)
 	b.Disable(100100, out) // repeated calls are harmless
 	id, now := uint32(2), 100100.0
-	for _, news := range []func(){
+	for _, update := range []func(){
 		func() {},
 		func() { b.UpdateEndpoints(now, AllEndpoints, es) },
 		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, State: Removed}}) },
-		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, Size: 1, StartedAt: now}}) }, // back under its id
+		func() { // back under its id
+			b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, Size: 1, StartedAt: now}})
+		},
 	} {
 		now += 1000
-		news()
+		update()
 		for range 20 {
 			id++
 			if got := homeOf(t, b, h, now, id, 77); got == out {
@@ -29,14 +31,14 @@
 		}
 	}
 	if listed, avoided := b.CountEndpoints(); listed != 6 || avoided != 1 {
-		t.Errorf("targets: got %d, %d avoided", listed, avoided)
+		t.Errorf("listed %d, %d avoided", listed, avoided)
 	}
-	b.Enable(now, out) // one call ends what two have begun
+	b.Enable(now, out) // one call ends two
 	if _, avoided := b.CountEndpoints(); avoided != 0 {
-		t.Errorf("after the call back: %d avoided", avoided)
+		t.Errorf("after it was enabled: %d avoided", avoided)
 	}
 	if got := homeOf(t, b, h, now+1000, id+1, 77); got != out {
-		t.Errorf("after the call back: sent to %d, want %d", got, out)
+		t.Errorf("after it was enabled: sent to %d, want %d", got, out)
 	}
 }
 
@@ -50,7 +52,7 @@
 	}
 	ask(b, 100001, 1, "read", 5)
 	if len(h.sends) != 0 || h.rejected[1] != 1 {
-		t.Errorf("sent %d, refused %d", len(h.sends), h.rejected[1])
+		t.Errorf("sent %d, rejected %d", len(h.sends), h.rejected[1])
 	}
 }
 
@@ -58,24 +60,24 @@
 // yet; if the list has told of a start long ago, it must be warm.
 func TestEnabledServerIsCold(t *testing.T) {
 	cfg := testConfig()
-	for _, told := range []bool{false, true} {
+	for _, isListed := range []bool{false, true} {
 		es := fleet(6)
 		b, h := start(t, cfg, es)
 		out := homeOf(t, b, h, 100000, 1, 77)
 		id := uint32(10)
 		b.Disable(101000, out)
 		now := 101000 + 2*cfg.SlowStartMillis
-		if told { // it came back as soon as it was out, and is warm by now
+		if isListed { // it restarted as soon as it was disabled, and is warm by now
 			e := *b.membership.servers[out]
 			e.StartedAt = 101001
 			b.UpdateEndpoints(102000, ChangedEndpoints, []Endpoint{e.Endpoint})
 		}
 		b.Enable(now, out)
 		got := sentAtOnce(b, h, now+1000, &id, 77, out)
-		if cold := now < b.membership.servers[out].slowStart.startedAt+cfg.SlowStartMillis; cold == told {
-			t.Errorf("told %t: cold %t", told, cold)
+		if cold := now < b.membership.servers[out].slowStart.startedAt+cfg.SlowStartMillis; cold == isListed {
+			t.Errorf("start listed %t: cold %t", isListed, cold)
 		}
-		if !told && (got < 1 || got > 20) {
+		if !isListed && (got < 1 || got > 20) {
 			t.Errorf("%d of 200 requests at once at a server that may be cold", got)
 		}
 	}
@@ -92,12 +94,12 @@
 	for i := range 20 {
 		b.TimerExpired(100000+float64(i)*500, housekeepingToken)
 	}
-	if len(h.probes) == 0 {
-		t.Error("the other server was not probed")
+	if len(h.healthChecks) == 0 {
+		t.Error("the other server was not checked")
 	}
-	for _, p := range h.probes {
+	for _, p := range h.healthChecks {
 		if p == es[0].ID {
-			t.Fatal("a disabled server was probed")
+			t.Fatal("a disabled server was checked")
 		}
 	}
 }
--- a/decide/config_test.go
+++ b/decide/config_test.go
@@ -7,7 +7,8 @@
 
 // A setting is impossible. The error must name it, and in which entry of which list it is.
 func TestNewNamesTheBadSetting(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+	negative := []Tenant{{Name: "x", QuotaPerSecond: -1}}
+	for want, damage := range map[string]func(*Config){
 		"Routers":                              func(c *Config) { c.Routers = 0 },
 		"RouterIndex":                          func(c *Config) { c.RouterIndex = 5 },
 		"Classes":                              func(c *Config) { c.Classes = nil },
@@ -17,10 +18,10 @@
 		"OverloadFactor":                       func(c *Config) { c.OverloadFactor = 0 },
 		"MaxAttempts":                          func(c *Config) { c.MaxAttempts = 0 },
 		"OriginKind":                           func(c *Config) { c.CacheAside = true },
-		"Tenants[x].QuotaPerSecond":            func(c *Config) { c.Tenants = []Tenant{{Name: "x", QuotaPerSecond: -1}} },
+		"Tenants[x].QuotaPerSecond":            func(c *Config) { c.Tenants = negative },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		damage(&cfg)
 		if _, err := New(cfg, 1, newHost()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error that names %s, got %v", want, err)
 		}
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -24,10 +24,10 @@
 	b.UpdateEndpoints(100350, WatchFailed, nil)
 	tickTo(100400, 102000)
 	if h.watches != 2 {
-		t.Fatalf("%d calls after a refusal, want 2", h.watches)
+		t.Fatalf("%d calls after a failure, want 2", h.watches)
 	}
 	if len(b.membership.caches) != 3 {
-		t.Error("a refusal lost the list")
+		t.Error("a failure lost the list")
 	}
 	b.UpdateEndpoints(102050, ChangedEndpoints, nil)
 	tickTo(102100, 120000)
@@ -41,10 +41,10 @@
 // arrive, and none faster than that.
 func TestRoutersPollWithinTheirSlots(t *testing.T) {
 	for _, routers := range []int{4, 36, 80, 350, 5100} {
-		var calls []float64 // of all routers, in the first 20 s, each refused
+		var calls []float64 // of all routers, in the first 20 s, each of which fails
 		for me := range routers {
 			cfg := testConfig()
-			cfg.Routers, cfg.RouterIndex, cfg.PollEndpoints, cfg.PollWithinMillis = routers, me, true, cfgMustAsk
+			cfg.Routers, cfg.RouterIndex, cfg.PollEndpoints, cfg.PollWithinMillis = routers, me, true, pollWithinMillis
 			h := newHost()
 			b, err := New(cfg, uint64(me)*977+5, h)
 			if err != nil {
@@ -63,7 +63,7 @@
 					b.UpdateEndpoints(now+10, WatchFailed, nil)
 				}
 			}
-			if first > 100000+cfgMustAsk {
+			if first > 100000+pollWithinMillis {
 				t.Errorf("%d routers: the first call of one came after %v ms", routers, first-100000)
 			}
 		}
@@ -80,11 +80,13 @@
 			}
 			burst = max(burst, to-from+1)
 		}
-		// The second calls of those who were late with their first meet the third ones of others; beyond that it is chance.
+		// The second calls of those who were late with their first meet the third ones of others;
+		// beyond that it is chance.
 		if most := float64(routers) / 4; float64(burst) > max(10, most+3*math.Sqrt(most)) {
 			t.Errorf("%d routers: %d calls in half a second", routers, burst)
 		}
 	}
 }
 
-const cfgMustAsk = 10000 // ms without asking after which news counts as told
+// pollWithinMillis is the time after a change within which routers are to have asked.
+const pollWithinMillis = 10000
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -92,7 +92,7 @@
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
 		ask(b, now, i+1, "read", uint64(i))
-		b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(now, served(i+1, h.last().server, 1))
 	}
 	for _, s := range h.sends {
 		if s.server == es[0].ID || s.server == es[1].ID {
--- a/decide/handover_fixture_test.go
+++ b/decide/handover_fixture_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// The files in testdata were written by the program as it was before its names were changed: handover.json is what it
-// handed over at fixtureHandOverMillis with servers out by hand, ejected, cold, draining and removed, and
-// handover_continued.json what a process of it did that took over: where it sent the requests of playFixture, and what
-// it handed on in turn.
+// The files in testdata were written by the program as it was before its names were changed:
+// handover.json is what it handed over at fixtureHandOverMillis with servers disabled, ejected,
+// cold, draining and removed, and handover_continued.json what a process of it did that took over:
+// where it sent the requests of playFixture, and what it handed on in turn.
 const (
 	fixtureHandOverMillis  = 110000.0
 	fixtureContinuedMillis = 114000.0
@@ -38,7 +38,8 @@
 	attempts := map[uint32]int{}
 	for now := from; now < to; now += 20 {
 		id++
-		b.Request(now, Request{ID: id, Class: []string{"read", "dear", "keyed"}[id%3], Key: uint64(id*id) % 37, HasKey: true,
+		class := []string{"read", "important", "keyed"}[id%3]
+		b.Request(now, Request{ID: id, Class: class, Key: uint64(id*id) % 37, HasKey: true,
 			RemainingMillis: 600, WorkHint: float64(10 + id%7)})
 		for ; answered < len(h.sends); answered++ {
 			s := h.sends[answered]
@@ -76,9 +77,9 @@
 	}
 }
 
-// An upgrade starts a new process beside an old one, which hands it what it has learnt. The new one must understand
-// every field: it goes on to send each request to the server that the old program would have chosen, and hands on the
-// same state in the same words.
+// An upgrade starts a new process beside an old one, which hands it what it has learnt. The new one
+// must understand every field: it goes on to send each request to the server that the old program
+// would have chosen, and hands on the same state in the same words.
 func TestStateOfTheEarlierProgramMeansTheSame(t *testing.T) {
 	var state Snapshot
 	readFixture(t, "handover.json", &state)
@@ -100,7 +101,8 @@
 	}
 	for i, s := range h.sends[:min(len(h.sends), len(want.Sends))] {
 		if w := want.Sends[i]; s.id != w[0] || s.server != w[1] {
-			t.Fatalf("send %d: request %d to server %d, the earlier program sent %d to %d", i, s.id, s.server, w[0], w[1])
+			t.Fatalf("send %d: request %d to server %d, the earlier program sent %d to %d", i, s.id, s.server,
+				w[0], w[1])
 		}
 	}
 	text, err := json.Marshal(b.HandOver(fixtureContinuedMillis))
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -35,26 +35,26 @@
 	b, h := start(t, testConfig(), es)
 	out := homeOf(t, b, h, 100000, 1, 77)
 	b.Disable(100100, out)
-	sick := b.membership.caches[0]
-	if sick.ID == out || sick.ID == es[2].ID {
-		sick = b.membership.caches[1]
+	failing := b.membership.caches[0]
+	if failing.ID == out || failing.ID == es[2].ID {
+		failing = b.membership.caches[1]
 	}
-	sick.health.isEjected, sick.health.probeAt, sick.health.forcedProbeAt = true, 1e9, 1e9
+	failing.health.isEjected, failing.health.probeAt, failing.health.forcedProbeAt = true, 1e9, 1e9
 	n, h2 := moved(t, b, 100200)
 	for id := range uint32(300) {
 		homeOf(t, n, h2, 100300+float64(id)*20, id+1, uint64(id)*7919)
 	}
 	for _, s := range h2.sends {
-		if s.server == out || s.server == es[2].ID || s.server == sick.ID {
+		if s.server == out || s.server == es[2].ID || s.server == failing.ID {
 			t.Fatalf("sent to %d", s.server)
 		}
 	}
 	n.UpdateEndpoints(100400, AllEndpoints, fleet(6)) // which knows nothing of the ban
 	if !n.membership.servers[out].isDisabled {
-		t.Error("the ban is gone")
+		t.Error("the server is no longer disabled")
 	}
 	if n.arrivals.value == 0 && b.arrivals.value != 0 {
-		t.Error("the rate of arrivals is gone")
+		t.Error("the rate of arrivals is lost")
 	}
 }
 
@@ -98,13 +98,13 @@
 	b, _ := start(t, testConfig(), fleet(3))
 	b.Disable(100000, fleet(3)[0].ID)
 	good := b.HandOver(100000)
-	for name, spoil := range map[string]func(*Snapshot){
-		"fetches": func(c *Snapshot) { c.FetchLimit = -1 },
-		"future":  func(c *Snapshot) { c.StartedAt = 1e12 },
-		"bear":    func(c *Snapshot) { c.ToleratedWaitShare = 7 },
+	for name, damage := range map[string]func(*Snapshot){
+		"fetches":        func(c *Snapshot) { c.FetchLimit = -1 },
+		"future":         func(c *Snapshot) { c.StartedAt = 1e12 },
+		"tolerated wait": func(c *Snapshot) { c.ToleratedWaitShare = 7 },
 	} {
 		bad := good
-		spoil(&bad)
+		damage(&bad)
 		n, err := New(testConfig(), 1, newHost())
 		if err != nil {
 			t.Fatal(err)
@@ -114,7 +114,7 @@
 		}
 		n.UpdateEndpoints(100000, RestoredEndpoints, fleet(3))
 		if _, avoided := n.CountEndpoints(); avoided != 1 {
-			t.Errorf("%s: %d avoided, want the one that is out by hand", name, avoided)
+			t.Errorf("%s: %d avoided, want the disabled one", name, avoided)
 		}
 	}
 	if b.TakeOver(100001, good) == nil {
@@ -154,6 +154,6 @@
 		t.Fatal(err)
 	}
 	if err := n.TakeOver(100000, st); err != nil || n.idleTimeoutMillis != 3000 || len(n.membership.caches) != 3 {
-		t.Errorf("keep %v, %d servers, %v", n.idleTimeoutMillis, len(n.membership.caches), err)
+		t.Errorf("idle timeout %v, %d servers, %v", n.idleTimeoutMillis, len(n.membership.caches), err)
 	}
 }
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -16,18 +16,18 @@
 		if int(now)%400 == 0 { // 2.5 requests a second
 			n++
 			ask(b, now, n, "read", uint64(n))
-			b.AttemptEnded(now, Outcome{RequestID: n, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now, served(n, h.last().server, 1))
 		}
 	}
-	if most := 0.2 * float64(n); float64(len(h.probes)) > most || len(h.probes) < int(n)/10 {
-		t.Errorf("%d probes for %d requests, want 0.1 to 0.2 each", len(h.probes), n)
+	if most := 0.2 * float64(n); float64(len(h.healthChecks)) > most || len(h.healthChecks) < int(n)/10 {
+		t.Errorf("%d health checks for %d requests, want 0.1 to 0.2 each", len(h.healthChecks), n)
 	}
 	seen := map[uint32]bool{}
-	for _, id := range h.probes {
+	for _, id := range h.healthChecks {
 		seen[id] = true
 	}
-	if len(seen) != len(h.probes) {
-		t.Errorf("%d probes went to %d servers: want them in turn", len(h.probes), len(seen))
+	if len(seen) != len(h.healthChecks) {
+		t.Errorf("%d health checks went to %d servers: want them in turn", len(h.healthChecks), len(seen))
 	}
 }
 
@@ -36,7 +36,7 @@
 func TestHealthChecksStopWhereTheyTellLittle(t *testing.T) {
 	for _, c := range []struct {
 		servers, perSecond int
-		least, most        float64 // probes for each arrival, late in the day
+		least, most        float64 // health checks for each arrival, late in the day
 	}{{12, 100, 0.14, 0.16}, {150, 17, 0.005, 0.03}} {
 		cfg := testConfig()
 		cfg.Routers, cfg.LoadByHealthCheck, cfg.HealthChecks = 300, true, true
@@ -47,21 +47,22 @@
 			id++
 			ask(b, now, id, "read", uint64(id%50))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
-				b.AttemptEnded(now+1, Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 50, IsFinal: true, Load: NoLoadReport})
+				b.AttemptEnded(now+1, served(id, h.last().server, 50))
 			}
 			b.TimerExpired(now+2, housekeepingToken)
-			for _, s := range h.probes {
-				b.HealthCheckEnded(now+3, s, OK, LoadReport{RequestsPerSecond: 20 + float64(i%7), Utilization: 0.4, ErrorsPerSecond: -1, Inflight: -1, LatencyMillis: -1})
+			for _, s := range h.healthChecks {
+				b.HealthCheckEnded(now+3, s, OK, loadReport(20+float64(i%7), 0.4))
 			}
 			if i >= 15*c.perSecond {
-				late += len(h.probes)
+				late += len(h.healthChecks)
 			}
-			h.probes = h.probes[:0]
+			h.healthChecks = h.healthChecks[:0]
 		}
-		// At the least 700 ms pass between two probes of a server.
+		// At the least 700 ms pass between two checks of a server.
 		most := min(c.most, float64(c.servers)/0.7/float64(c.perSecond))
 		if got := float64(late) / float64(15*c.perSecond); got < min(c.least, 0.8*most) || got > most {
-			t.Errorf("%d servers at %d a second: %.3f probes for each arrival, want %.3f to %.3f", c.servers, c.perSecond, got, c.least, most)
+			t.Errorf("%d servers at %d a second: %.3f health checks for each arrival, want %.3f to %.3f",
+				c.servers, c.perSecond, got, c.least, most)
 		}
 	}
 }
--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -17,7 +17,7 @@
 		b, h := start(t, cfg, append(fleet(40), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(c.before) {
 			ask(b, 100010+1000*float64(i)/float64(c.before), 100+i, "read", uint64(100+i))
-			b.AttemptEnded(b.now, Outcome{RequestID: 100 + i, ServerID: h.last().server, LatencyMillis: 5, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(b.now, served(100+i, h.last().server, 5))
 		}
 		ask(b, 101010, 1, "read", 9)
 		k := b.requests[1].key
@@ -45,7 +45,7 @@
 	if len(h.cancels) != 1 {
 		t.Fatalf("cancels %v: want the silent attempt called off", h.cancels)
 	}
-	b.AttemptEnded(100200, Outcome{RequestID: 1, ServerID: h.sends[0].server, Status: Cancelled, LatencyMillis: 190, Load: NoLoadReport})
+	b.AttemptEnded(100200, ended(1, h.sends[0].server, Cancelled, 190))
 	if len(h.sends) != 2 {
 		t.Error("no second attempt after the cancel")
 	}
@@ -58,7 +58,7 @@
 	cfg.CacheAside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 1)
-	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: h.last().server, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+	b.AttemptEnded(100050, withResult(CacheHit, served(1, h.last().server, 40)))
 	was := b.expectedWaitMillis(b.membership.caches[0])
 	for i := range uint32(8) {
 		id, now := i+2, 101010+float64(300*i)
@@ -79,7 +79,7 @@
 		b.Request(100010, Request{ID: id, Class: "read", Key: 9, HasKey: true, RemainingMillis: 600, WorkHint: hint})
 		s := h.last().server
 		p := h.timers[len(h.timers)-1].after
-		b.AttemptEnded(100010, Outcome{RequestID: id, ServerID: s, Status: OK, LatencyMillis: 20, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(100010, served(id, s, 20))
 		return p
 	}
 	patience(1, 100)
@@ -131,22 +131,22 @@
 			}
 		}
 		b.TimerExpired(100100, 1<<8|1)
-		if gave := len(h.cancels) > 0; gave == c.full {
+		if isCancelled := len(h.cancels) > 0; isCancelled == c.full {
 			t.Fatalf("%s: cancelled %v", c.name, h.cancels)
 		}
 		if !c.full {
 			continue
 		}
 		if last := h.timers[len(h.timers)-1]; math.Abs(last.after-210) > 1e-6 || h.answers(1) != 0 {
-			t.Errorf("comes back after %v ms, want the aim; %d answers by then", last.after, h.answers(1))
+			t.Errorf("looked at again after %v ms, want the objective; %d answers by then", last.after, h.answers(1))
 		}
 		b.TimerExpired(100311, 1<<8|1)
 		if len(h.cancels) != 1 {
-			t.Fatalf("cancelled %v at the aim, when an answer is worth nothing", h.cancels)
+			t.Fatalf("cancelled %v at the objective, when an answer is worth nothing", h.cancels)
 		}
-		b.AttemptEnded(100311, Outcome{RequestID: 1, ServerID: h.last().server, Status: Cancelled, LatencyMillis: 301, Load: NoLoadReport})
+		b.AttemptEnded(100311, ended(1, h.last().server, Cancelled, 301))
 		if h.rejected[1] != 1 {
-			t.Error("its client is not told at once")
+			t.Error("its client is not rejected at once")
 		}
 	}
 }
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -7,17 +7,17 @@
 
 // fakeHost records the actions of a Balancer.
 type fakeHost struct {
-	acts     []string
-	sends    []sent
-	rejected map[uint32]int
-	failed   map[uint32]int
-	cancels  []string
-	timers   []timer
-	probes   []uint32
-	closes   []uint32
-	watches  int
-	onSend   func(id uint32)
-	waits    []float64
+	acts         []string
+	sends        []sent
+	rejected     map[uint32]int
+	failed       map[uint32]int
+	cancels      []string
+	timers       []timer
+	healthChecks []uint32
+	closes       []uint32
+	watches      int
+	onSend       func(id uint32)
+	waits        []float64
 }
 
 type sent struct{ id, server uint32 }
@@ -45,7 +45,7 @@
 
 func (h *fakeHost) Fail(id uint32) { h.failed[id]++ }
 
-func (h *fakeHost) HealthCheck(s uint32) { h.probes = append(h.probes, s) }
+func (h *fakeHost) HealthCheck(s uint32) { h.healthChecks = append(h.healthChecks, s) }
 
 func (h *fakeHost) CloseIdle(s uint32) { h.closes = append(h.closes, s) }
 
@@ -68,12 +68,16 @@
 	return Config{
 		Routers: 2, Classes: []Class{
 			{Name: "read", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
-			{Name: "dear", Effect: Idempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 4},
-			{Name: "keyed", Effect: IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
-			{Name: "zoned", Effect: IdempotentByKey, IdempotencyScope: "zone", IdempotencyWindowMillis: 2000, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "important", Effect: Idempotent,
+				LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 4},
+			{Name: "keyed", Effect: IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 2000,
+				LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
+			{Name: "zoned", Effect: IdempotentByKey, IdempotencyScope: "zone", IdempotencyWindowMillis: 2000,
+				LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
 			{Name: "once", Effect: NotIdempotent, LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1},
 		},
-		CancelAllowed: true, HedgingAllowed: true, MaxAttempts: 4, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000,
+		CancelAllowed: true, HedgingAllowed: true, MaxAttempts: 4,
+		SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000,
 	}
 }
 
@@ -81,7 +85,8 @@
 func fleet(n int) []Endpoint {
 	var es []Endpoint
 	for i := range n {
-		es = append(es, Endpoint{ID: uint32(splitMix64(uint64(i + 1))), Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		id := uint32(splitMix64(uint64(i + 1)))
+		es = append(es, Endpoint{ID: id, Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
 	return es
 }
@@ -122,7 +127,7 @@
 	if len(h.sends) != n+1 {
 		t.Fatalf("request %d was not sent", id)
 	}
-	b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(now+10, served(id, h.last().server, 10))
 	return h.last().server
 }
 
@@ -140,3 +145,35 @@
 	}
 	return n
 }
+
+// served is the outcome of a first attempt that answered its request.
+func served(requestID, serverID uint32, millis float64) Outcome {
+	o := ended(requestID, serverID, OK, millis)
+	o.IsFinal = true
+	return o
+}
+
+// ended is the outcome of a first attempt whose request has no final answer yet.
+func ended(requestID, serverID uint32, status AttemptStatus, millis float64) Outcome {
+	return Outcome{RequestID: requestID, ServerID: serverID, Status: status, LatencyMillis: millis, Load: NoLoadReport}
+}
+
+// ofAttempt is an outcome as that of a later attempt.
+func ofAttempt(number int, o Outcome) Outcome {
+	o.Attempt = number
+	return o
+}
+
+// withResult is an outcome with what the server says of the key.
+func withResult(result CacheResult, o Outcome) Outcome {
+	o.CacheResult = result
+	return o
+}
+
+// loadReport is a report of a rate and a utilisation alone.
+func loadReport(perSecond, utilization float64) LoadReport {
+	l := NoLoadReport
+	l.RequestsPerSecond = perSecond
+	l.Utilization = utilization
+	return l
+}
--- a/decide/idle_connections_test.go
+++ b/decide/idle_connections_test.go
@@ -13,7 +13,7 @@
 	b, h := start(t, cfg, fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	first := h.last().server
-	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: first, Status: OK, LatencyMillis: 40, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100050, served(1, first, 40))
 	b.TimerExpired(105000, housekeepingToken)
 	if len(h.closes) != 0 {
 		t.Fatalf("closed %v though no connect failed", h.closes)
@@ -23,7 +23,7 @@
 	}
 	b.TimerExpired(105050, housekeepingToken)
 	if len(h.closes) != 0 || b.idleTimeoutMillis != cfg.IdleTimeoutMillis {
-		t.Fatalf("kept for %v and closed %v after connects that dead servers refused", b.idleTimeoutMillis, h.closes)
+		t.Fatalf("kept for %v and closed %v after connects that dead servers rejected", b.idleTimeoutMillis, h.closes)
 	}
 	for _, s := range b.membership.caches[:5] { // full, as they serve on other connections
 		b.observe(s, OK, b.now)
--- a/decide/load_report_test.go
+++ b/decide/load_report_test.go
@@ -10,19 +10,33 @@
 func TestAbsurdReportsLeaveTheModelFinite(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(4))
 	inf := math.Inf(1)
-	for i, l := range []LoadReport{NoLoadReport, {}, {RequestsPerSecond: 5}, {Utilization: 5}, {RequestsPerSecond: inf, Utilization: 0.5}, {RequestsPerSecond: 5, Utilization: inf - inf},
-		{RequestsPerSecond: 1e8, Utilization: 1e-9}, {RequestsPerSecond: 1e-9, Utilization: 1e8}, {RequestsPerSecond: -3, Utilization: 0.5}} {
+	for i, l := range []LoadReport{
+		NoLoadReport,
+		{},
+		{RequestsPerSecond: 5},
+		{Utilization: 5},
+		{RequestsPerSecond: inf, Utilization: 0.5},
+		{RequestsPerSecond: 5, Utilization: inf - inf},
+		{RequestsPerSecond: 1e8, Utilization: 1e-9},
+		{RequestsPerSecond: 1e-9, Utilization: 1e8},
+		{RequestsPerSecond: -3, Utilization: 0.5},
+	} {
 		for j, e := range fleet(4) {
-			b.HealthCheckEnded(100010+float64(i), e.ID, OK, LoadReport{l.RequestsPerSecond + float64(j), l.ErrorsPerSecond, l.Utilization, l.Inflight, l.LatencyMillis})
+			report := l
+			report.RequestsPerSecond += float64(j)
+			b.HealthCheckEnded(100010+float64(i), e.ID, OK, report)
 		}
 		for r := range uint32(40) {
 			id := uint32(i)*100 + r
 			ask(b, 100010+float64(i), id, "read", uint64(r%3))
-			b.AttemptEnded(100010+float64(i), Outcome{RequestID: id, ServerID: h.last().server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: l})
+			o := served(id, h.last().server, 10)
+			o.Load = l
+			b.AttemptEnded(100010+float64(i), o)
 		}
 		b.solve()
 		for _, s := range b.membership.caches {
-			if s.model.channels < 1 || s.model.channels > 256 || s.model.arrivalsPerSecond < 0 || s.model.arrivalsPerSecond != s.model.arrivalsPerSecond || s.model.arrivalsPerSecond > 1e12 {
+			arrivals := s.model.arrivalsPerSecond
+			if s.model.channels < 1 || s.model.channels > 256 || !(arrivals >= 0 && arrivals <= 1e12) {
 				t.Errorf("report %v: n %d, load %v", l, s.model.channels, s.model.arrivalsPerSecond)
 			}
 		}
@@ -44,7 +58,7 @@
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.serviceTime.add(100)
 	for i := range uint32(600) {
-		ask(b, 100001, i+1, "dear", uint64(i))
+		ask(b, 100001, i+1, "important", uint64(i))
 	}
 	if n := len(h.sends) / 6; n < 3 || n > 12 {
 		t.Errorf("%d requests out at each server that has not reported yet", n)
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -22,14 +22,14 @@
 		}
 	}
 	if b.originFetches.limit < was {
-		t.Errorf("bound fell from %v to %v", was, b.originFetches.limit)
+		t.Errorf("limit fell from %v to %v", was, b.originFetches.limit)
 	}
 	for range 12 {
 		b.now += 1000
 		b.fetchEnded(&request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}, Timeout, 900)
 	}
 	if b.originFetches.limit > was/2 {
-		t.Errorf("bound %v though every fetch is slow", b.originFetches.limit)
+		t.Errorf("limit %v though every fetch is slow", b.originFetches.limit)
 	}
 }
 
@@ -44,7 +44,7 @@
 		b.fetchEnded(r, OK, 290)
 	}
 	if b.originFetches.limit > was/2 {
-		t.Errorf("bound %v: fetches of 290 ms for an aim of 300 were taken for quick", b.originFetches.limit)
+		t.Errorf("limit %v: fetches of 290 ms for an objective of 300 were taken for quick", b.originFetches.limit)
 	}
 }
 
@@ -57,13 +57,13 @@
 	ask(b, 100010, 1, "read", 5)
 	home := h.last().server
 	ask(b, 100011, 2, "read", 5)
-	b.AttemptEnded(100020, Outcome{RequestID: 1, ServerID: home, Status: Miss, LatencyMillis: 9, CacheResult: CacheMiss, Load: NoLoadReport})
-	b.AttemptEnded(100021, Outcome{RequestID: 2, ServerID: home, Status: Miss, LatencyMillis: 9, CacheResult: CacheMiss, Load: NoLoadReport})
+	b.AttemptEnded(100020, withResult(CacheMiss, ended(1, home, Miss, 9)))
+	b.AttemptEnded(100021, withResult(CacheMiss, ended(2, home, Miss, 9)))
 	ask(b, 100022, 3, "read", 5)
 	if len(h.sends) != 3 || h.last() != (sent{1, 77}) {
 		t.Fatalf("sends %v, want two at the home and one fetch", h.sends)
 	}
-	b.AttemptEnded(100060, Outcome{RequestID: 1, Attempt: 1, ServerID: 77, Status: OK, LatencyMillis: 40, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100060, ofAttempt(1, served(1, 77, 40)))
 	if len(h.sends) != 5 || h.sends[3].server != home || h.sends[4].server != home {
 		t.Errorf("sends %v, want the two that waited at the home", h.sends)
 	}
@@ -78,29 +78,30 @@
 		now, was := 100010+300*float64(i), len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > was {
-			b.AttemptEnded(now+20, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Failed, LatencyMillis: 20, CacheResult: CacheMiss, Load: NoLoadReport})
+			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Failed, 20)))
 		}
 		if len(h.sends) > was+1 {
 			t.Fatalf("request %d was sent again", i+1)
 		}
 	}
 	if n := len(h.sends); n < 6 || n > 20 || b.originFetches.limit > 0.5 || countEjected(b.membership.caches) > 0 {
-		t.Errorf("%d sends for 40 requests, bound %v, %d ejected", n, b.originFetches.limit, countEjected(b.membership.caches))
+		t.Errorf("%d sends for 40 requests, limit %v, %d ejected", n, b.originFetches.limit,
+			countEjected(b.membership.caches))
 	}
 	n := len(h.sends)
 	for i := range uint32(40) {
 		ask(b, 120000, 100+i, "once", uint64(100+i))
 	}
 	if out := len(h.sends) - n; out != 1 {
-		t.Errorf("%d out at a bound of %v", out, b.originFetches.limit)
+		t.Errorf("%d out at a limit of %v", out, b.originFetches.limit)
 	}
 	for i := range uint32(60) { // answers bring the bound back
 		if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
-			b.AttemptEnded(120020+20*float64(i), Outcome{RequestID: r.ID, ServerID: h.last().server, LatencyMillis: 20, CacheResult: CacheMiss, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(120020+20*float64(i), withResult(CacheMiss, served(r.ID, h.last().server, 20)))
 		}
 	}
 	if b.originFetches.limit < 2 {
-		t.Errorf("bound %v after the origin came back", b.originFetches.limit)
+		t.Errorf("limit %v after the origin came back", b.originFetches.limit)
 	}
 }
 
@@ -109,11 +110,11 @@
 func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
-	b.AttemptEnded(100041, Outcome{RequestID: 1, ServerID: h.last().server, LatencyMillis: 40, CacheResult: CacheMiss, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100041, withResult(CacheMiss, served(1, h.last().server, 40)))
 	if ask(b, 101000, 2, "read", 5); b.requests[2].isServerFetch {
 		t.Error("a key stored a second ago was taken for a miss")
 	}
-	b.AttemptEnded(101200, Outcome{RequestID: 2, ServerID: h.last().server, Status: Failed, LatencyMillis: 200, CacheResult: CacheMiss, Load: NoLoadReport})
+	b.AttemptEnded(101200, withResult(CacheMiss, ended(2, h.last().server, Failed, 200)))
 	if ask(b, 102000, 3, "read", 5); !b.requests[3].isServerFetch {
 		t.Error("a key whose fetch failed was taken for stored")
 	}
@@ -125,19 +126,23 @@
 	cfg := testConfig()
 	cfg.CacheAside, cfg.OriginKind = true, "origin"
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
-	b.originFetches.limit, b.originFetches.latency, b.membership.origin.attempts.inFlight = 40, trend{value: 80, floor: 80, updatedAt: b.now}, 12
+	b.originFetches.limit = 40
+	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
+	b.membership.origin.attempts.inFlight = 12
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
-	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the aim
+	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the objective
 		b.now += 10
 		b.fetchEnded(r, OK, 160)
 	}
 	if b.originFetches.limit >= 12 {
-		t.Errorf("a bound of %v with 12 out, half of the aim late", b.originFetches.limit)
+		t.Errorf("a limit of %v with 12 out, half of the objective late", b.originFetches.limit)
 	}
-	b.originFetches.limit, b.originFetches.latency, b.membership.origin.attempts.inFlight = 40, trend{value: 80, floor: 80, updatedAt: b.now}, 2
+	b.originFetches.limit = 40
+	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
+	b.membership.origin.attempts.inFlight = 2
 	b.now += 1000
-	if b.fetchEnded(r, Reset, 400); b.originFetches.limit < 30 { // a lost answer tells of no queue
-		t.Errorf("a bound of %v after one reset", b.originFetches.limit)
+	if b.fetchEnded(r, Reset, 400); b.originFetches.limit < 30 { // a lost answer shows no queue
+		t.Errorf("a limit of %v after one reset", b.originFetches.limit)
 	}
 }
 
@@ -155,20 +160,22 @@
 			b.fetchEnded(r, Timeout, 900)
 		}
 		if all := b.originFetches.limit * float64(routers); all > 10 {
-			t.Errorf("%d routers: a bound of %v in all though every fetch is late", routers, all)
+			t.Errorf("%d routers: a limit of %v in all though every fetch is late", routers, all)
 		}
 		b.originFetches.limit, b.originFetches.latency = 0.1, trend{value: 100, floor: 100}
 		n := len(h.sends)
 		for i := range uint32(100) { // in 10 s
 			b.now += 100
-			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, IsWrite: true, RemainingMillis: 600})
+			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, IsWrite: true,
+				RemainingMillis: 600})
 			if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
-				b.AttemptEnded(b.now, Outcome{RequestID: r.ID, ServerID: 77, Status: OK, LatencyMillis: 100, IsFinal: true, Load: NoLoadReport})
+				b.AttemptEnded(b.now, served(r.ID, 77, 100))
 				b.originFetches.limit = 0.1
 			}
 		}
-		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) { // of a few, an answer lifts it over one
-			t.Errorf("%d routers: %d fetches in 10 s at a bound of 0.1 and 100 ms each, want about ten", routers, sent)
+		// Of a few routers, an answer lifts the limit over one.
+		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) {
+			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms each, want about ten", routers, sent)
 		}
 	}
 }
@@ -182,11 +189,11 @@
 	fetches := b.originFetches.limit
 	ask(b, 100010, 1, "read", 9)
 	home := h.last().server
-	b.AttemptEnded(100020, Outcome{RequestID: 1, ServerID: home, Status: Miss, LatencyMillis: 10, Load: NoLoadReport})
+	b.AttemptEnded(100020, ended(1, home, Miss, 10))
 	if h.last().server != 99 {
 		t.Fatal("no fetch")
 	}
-	b.AttemptEnded(100060, Outcome{RequestID: 1, Attempt: 1, ServerID: 99, Status: MalformedResponse, LatencyMillis: 40, Load: NoLoadReport})
+	b.AttemptEnded(100060, ofAttempt(1, ended(1, 99, MalformedResponse, 40)))
 	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < fetches || b.keys.byID[9].fetch != nil {
 		t.Errorf("sends %v, bound on fetches %v", h.sends, b.originFetches.limit)
 	}
@@ -206,7 +213,8 @@
 		for range int(math.Ceil(was)) { // a round of fetches
 			b.fetchEnded(&request{class: b.classes["read"], key: &keyTraffic{}}, OK, 100)
 		}
-		if grown := (b.originFetches.limit - was) * float64(routers); b.originFetches.limit < 64 && (grown < 0.5 || grown > 32) {
+		grown := (b.originFetches.limit - was) * float64(routers)
+		if b.originFetches.limit < 64 && (grown < 0.5 || grown > 32) {
 			t.Errorf("%d routers: the bounds of all grew from 128 by %.1f in one round", routers, grown)
 		}
 	}
@@ -220,15 +228,15 @@
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.originFetches.latency = trend{value: 280, floor: 100, updatedAt: 100000}
 	ask(b, 100010, 1, "read", 9)
-	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: h.last().server, Status: Miss, LatencyMillis: 40, CacheResult: CacheMiss, Load: NoLoadReport})
+	b.AttemptEnded(100050, withResult(CacheMiss, ended(1, h.last().server, Miss, 40)))
 	if h.last().server == 77 || h.answers(1) != 1 {
-		t.Errorf("sent %v with 260 ms left of an aim, and fetches that take 280", h.sends)
+		t.Errorf("sent %v with 260 ms left of an objective, and fetches that take 280", h.sends)
 	}
 	b.TimerExpired(110000, housekeepingToken) // what was seen of a queue fades
 	ask(b, 110010, 2, "read", 9)
-	b.AttemptEnded(110050, Outcome{RequestID: 2, ServerID: h.last().server, Status: Miss, LatencyMillis: 40, CacheResult: CacheMiss, Load: NoLoadReport})
+	b.AttemptEnded(110050, withResult(CacheMiss, ended(2, h.last().server, Miss, 40)))
 	if h.last().server != 77 {
-		t.Errorf("sent %v, want the origin asked once its queue is past", h.sends)
+		t.Errorf("sent %v, want the origin once its queue has faded", h.sends)
 	}
 }
 
@@ -243,11 +251,11 @@
 		for i := range uint32(12) { // the last is on its way when the next one misses
 			now := 100010 + 300*float64(i)
 			ask(b, now, i+1, "read", uint64(i))
-			b.AttemptEnded(now+20, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Miss, LatencyMillis: 20, CacheResult: CacheMiss, Load: NoLoadReport})
+			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Miss, 20)))
 			if h.last() != (sent{i + 1, 77}) {
 				t.Fatalf("%d routers: request %d is not fetched: sent %v", routers, i+1, h.sends)
 			}
-			b.AttemptEnded(now+270, Outcome{RequestID: i + 1, Attempt: 1, ServerID: 77, Status: OK, LatencyMillis: 250, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now+270, ofAttempt(1, served(i+1, 77, 250)))
 		}
 	}
 }
@@ -269,8 +277,8 @@
 		b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
 		b.fetchEnded(r, Timeout, 900)
 	}
-	// Two a second of 100 ms each, though every fetch is late: all hundreds together ask for a tenth of what they are asked.
+	// Two a second of 100 ms each, though every fetch is late: a tenth of the requests.
 	if b.originFetches.limit < 0.15 || b.originFetches.limit > 0.8 {
-		t.Errorf("a bound of %.3f", b.originFetches.limit)
+		t.Errorf("a limit of %.3f", b.originFetches.limit)
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -15,7 +15,8 @@
 		b.observe(s, Timeout, b.now-400)
 	}
 	if s.health.acceptedShare < 1 || s.health.isEjected {
-		t.Errorf("accept %.2f, ejected %v: a server that answers others was blamed", s.health.acceptedShare, s.health.isEjected)
+		t.Errorf("accepted share %.2f, ejected %v: a server that answers others was blamed", s.health.acceptedShare,
+			s.health.isEjected)
 	}
 	for range 20 {
 		b.observe(s, Timeout, b.now+1)
@@ -45,11 +46,11 @@
 		b.observe(o, Timeout, b.now+1)
 	}
 	if o.health.isEjected {
-		t.Error("silence of half the fleet was not taken for our own trouble")
+		t.Error("silence of half the fleet was not taken for a fault of the router's own")
 	}
 	b.now = s.health.probeAt + 1
 	if !b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
-		t.Fatal("no trial after the pause")
+		t.Fatal("no probe after the pause")
 	}
 	for _, o := range b.membership.caches {
 		o.load.capacityPerSecond.update(b.now, 100, 1)
@@ -57,7 +58,8 @@
 	b.serviceTime.add(100)
 	b.observe(s, OK, b.now)
 	if b.prepareModels(); s.health.isEjected || s.model.channels > 6 || b.membership.caches[5].model.channels != 10 {
-		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.health.isEjected, s.model.channels, b.membership.caches[5].model.channels)
+		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.health.isEjected,
+			s.model.channels, b.membership.caches[5].model.channels)
 	}
 	if b.observe(s, Failed, b.now); !s.health.isEjected {
 		t.Error("one failure after the return did not take it out again")
@@ -68,20 +70,22 @@
 // as long as before. A server all of whose answers are damaged must be ejected.
 func TestMalformedAnswersAreNoSignOfADeadServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	keep := b.idleTimeoutMillis
+	idleTimeout := b.idleTimeoutMillis
 	for id := uint32(1); id <= 8; id++ {
 		now := 100000 + float64(id)*100
 		ask(b, now, id, "read", 9)
-		b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: h.last().server, Status: MalformedResponse, LatencyMillis: 10, Load: NoLoadReport})
-		if s := b.membership.servers[h.sends[0].server]; id == 1 && (s.health.isEjected || s.health.unanswered > 0 || b.idleTimeoutMillis != keep) {
-			t.Fatalf("after %d: ejected %v, strikes %d, connections kept for %v", id, s.health.isEjected, s.health.unanswered, b.idleTimeoutMillis)
+		b.AttemptEnded(now+10, ended(id, h.last().server, MalformedResponse, 10))
+		health := b.membership.servers[h.sends[0].server].health
+		if id == 1 && (health.isEjected || health.unanswered > 0 || b.idleTimeoutMillis != idleTimeout) {
+			t.Fatalf("after %d: ejected %v, unanswered %d, connections kept for %v", id, health.isEjected,
+				health.unanswered, b.idleTimeoutMillis)
 		}
 		for a := 1; h.answers(id) == 0; a++ {
-			b.AttemptEnded(now+20, Outcome{RequestID: id, Attempt: a, ServerID: h.last().server, Status: MalformedResponse, LatencyMillis: 10, Load: NoLoadReport})
+			b.AttemptEnded(now+20, ofAttempt(a, ended(id, h.last().server, MalformedResponse, 10)))
 		}
 	}
 	if s := b.membership.servers[h.sends[0].server]; !s.health.isEjected {
-		t.Error("a server that spoils everything is still in use")
+		t.Error("a server whose answers are all damaged is still in use")
 	}
 }
 
@@ -91,7 +95,7 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	home := b.membership.servers[h.last().server]
-	b.AttemptEnded(100015, Outcome{RequestID: 1, ServerID: home.ID, Status: OK, LatencyMillis: 5, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100015, served(1, home.ID, 5))
 	b.observe(home, Reset, 100020)
 	if home.health.isEjected { // a reset is one connection's end
 		t.Fatal("out after a reset")
@@ -111,7 +115,7 @@
 				t.Errorf("tried before it was due")
 			}
 		}
-		b.AttemptEnded(now+10, Outcome{RequestID: id, ServerID: s.server, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(now+10, served(id, s.server, 10))
 	}
 	if !tried || home.health.isEjected {
 		t.Errorf("tried %v, out %v", tried, home.health.isEjected)
@@ -170,17 +174,18 @@
 	if !s.health.isEjected {
 		t.Fatal("two resets do not take a server out of a quiet fleet")
 	}
-	trial := s.health.probeAt
+	probeAt := s.health.probeAt
 	for range 10 {
 		b.observe(s, Reset, b.now)
 		b.eject(s, true)
 	}
-	if s.health.probeAt != trial || s.health.forcedProbeAt != trial {
-		t.Errorf("trial due at %.0f (%.0f), at %.0f (%.0f) after what was sent before", trial, trial, s.health.probeAt, s.health.forcedProbeAt)
+	if s.health.probeAt != probeAt || s.health.forcedProbeAt != probeAt {
+		t.Errorf("probe due at %.0f, at %.0f (forced at %.0f) after what was sent before", probeAt, s.health.probeAt,
+			s.health.forcedProbeAt)
 	}
-	b.now = trial + 1
-	if b.observe(s, Reset, b.now); s.health.probeAt <= trial+minEjectionMillis {
-		t.Errorf("a failed trial is followed by another after %.0f ms", s.health.probeAt-trial)
+	b.now = probeAt + 1
+	if b.observe(s, Reset, b.now); s.health.probeAt <= probeAt+minEjectionMillis {
+		t.Errorf("a failed probe is followed by another after %.0f ms", s.health.probeAt-probeAt)
 	}
 }
 
@@ -191,14 +196,14 @@
 	b.retryBudget = 0
 	ask(b, 105000, 1, "read", 9)
 	dead := b.membership.servers[h.last().server]
-	b.AttemptEnded(105001, Outcome{RequestID: 1, ServerID: dead.ID, Status: ConnectError, LatencyMillis: 1, Load: NoLoadReport})
+	b.AttemptEnded(105001, ended(1, dead.ID, ConnectError, 1))
 	if !dead.health.isEjected || len(h.sends) != 2 || h.last().server == dead.ID {
 		t.Errorf("ejected %v, sent %v", dead.health.isEjected, h.sends)
 	}
 	other := b.membership.servers[h.last().server]
-	b.AttemptEnded(105050, Outcome{RequestID: 1, Attempt: 1, ServerID: other.ID, Status: OK, LatencyMillis: 49, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(105050, ofAttempt(1, served(1, other.ID, 49)))
 	b.observe(other, ConnectError, 105040)
 	if other.health.isEjected {
-		t.Error("a server that has just answered is out after one connection that was refused")
+		t.Error("a server that has just answered is ejected after one connection that did not come up")
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -8,7 +8,8 @@
 func models(ns ...int) []*server {
 	var v []*server
 	for i, n := range ns {
-		v = append(v, &server{Endpoint: Endpoint{ID: uint32(i + 1)}, model: serverModel{channels: n, servicePerSecond: 10}})
+		model := serverModel{channels: n, servicePerSecond: 10}
+		v = append(v, &server{Endpoint: Endpoint{ID: uint32(i + 1)}, model: model})
 	}
 	return v
 }
@@ -172,7 +173,7 @@
 	k.storedOn = l[2]
 	ask(b, 100002, 2, "read", 5)
 	if h.rejected[1] != 1 || len(h.sends) != 1 || h.last() != (sent{2, l[2].ID}) {
-		t.Errorf("refused %v, sends %v: want a refusal, then a send to where the key is", h.rejected, h.sends)
+		t.Errorf("rejected %v, sends %v: want a rejection, then a send to where the key is", h.rejected, h.sends)
 	}
 }
 
@@ -216,7 +217,7 @@
 		}
 		ask(b, now, i+1, "read", key)
 		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.AttemptEnded(now+50, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 50, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now+50, served(i+1, h.last().server, 50))
 		}
 		for _, s := range b.membership.caches {
 			s.load.capacityPerSecond.value, s.load.reportedPerSecond = 40, 15
@@ -245,7 +246,8 @@
 		b, _ := start(t, testConfig(), es)
 		for i, s := range b.membership.caches {
 			// Reports are noisy, and each router has its own.
-			s.load.capacityPerSecond.value = map[string]float64{"fast": 90, "slow": 30}[s.Kind] * (1 + 0.1*float64((i+router)%3-1))
+			noise := 1 + 0.1*float64((i+router)%3-1)
+			s.load.capacityPerSecond.value = map[string]float64{"fast": 90, "slow": 30}[s.Kind] * noise
 			s.load.reportedPerSecond, s.load.reportedAt = 0.5*s.load.capacityPerSecond.value, b.now
 		}
 		b.prepareModels()
@@ -275,10 +277,10 @@
 		}
 		well := count()
 		s.health.acceptedShare = 0.5
-		sick := count()
+		failing := count()
 		s.health.acceptedShare, s.slowStart.startedAt = 1, b.now
-		if cold := count(); sick > well/2 || cold > well*2/3 || cold == 0 {
-			t.Errorf("homes: %d while well, %d when half fails, %d when just started", well, sick, cold)
+		if cold := count(); failing > well/2 || cold > well*2/3 || cold == 0 {
+			t.Errorf("homes: %d while well, %d when half fails, %d when just started", well, failing, cold)
 		}
 	}
 	if moved > keys/10 {
@@ -296,7 +298,9 @@
 	b.arrivals = decayingSum{value: 100, updatedAt: b.now}
 	b.serviceTime = moments{mean: 100, square: 20000, samples: 400}
 	for _, s := range b.membership.caches {
-		s.load.capacityPerSecond.value, s.load.reportedPerSecond, s.load.reportedAt = 50, 8, b.now // 10 are busy with the key, at 400 a second
+		s.load.capacityPerSecond.value = 50
+		s.load.reportedPerSecond = 8 // the key has 400 a second in all
+		s.load.reportedAt = b.now
 		s.attempts.work = decayingSum{value: 0.1, updatedAt: b.now}
 	}
 	b.originFetches.latency = trend{value: 100, floor: 100, updatedAt: b.now}
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -13,9 +13,10 @@
 		s.attempts.inFlight = 1 // a wait of 100 ms
 	}
 	ask(b, 100001, 1, "read", 5)
-	ask(b, 100001, 2, "dear", 6)
+	ask(b, 100001, 2, "important", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 || len(h.sends) != 1 {
-		t.Errorf("refused %v, sends %v: want the cheap one refused and the dear one sent", h.rejected, h.sends)
+		t.Errorf("rejected %v, sends %v: want the ordinary one rejected and the important one sent", h.rejected,
+			h.sends)
 	}
 }
 
@@ -30,13 +31,14 @@
 		for i := range uint32(300) {
 			now := 100001 + 500*float64(i)
 			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
-				continue // refused
+				continue // rejected
 			}
-			o := Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: c.took, CacheResult: CacheHit, IsFinal: true, Load: NoLoadReport}
+			o := withResult(CacheHit, served(i+1, h.last().server, c.took))
 			b.AttemptEnded(now+c.took, o)
 		}
 		if b.toleratedWaitShare < c.low || b.toleratedWaitShare > c.high {
-			t.Errorf("answers after %v ms: %v of the aim is borne, want %v to %v", c.took, b.toleratedWaitShare, c.low, c.high)
+			t.Errorf("answers after %v ms: a wait of %v of the objective is tolerated, want %v to %v", c.took,
+				b.toleratedWaitShare, c.low, c.high)
 		}
 	}
 }
@@ -75,7 +77,7 @@
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 112001, 2, "read", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 {
-		t.Errorf("refused %v: want the first only", h.rejected)
+		t.Errorf("rejected %v: want the first only", h.rejected)
 	}
 }
 
@@ -85,30 +87,30 @@
 	cfg := testConfig()
 	cfg.CacheAside, cfg.OriginKind = true, "origin"
 	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
-	refused := 0
+	rejected := 0
 	for i := range uint32(120) {
 		now := 100010 + 350*float64(i)
 		ask(b, now, i+1, "read", uint64(i))
 		switch sent := len(h.sends) > 0 && h.last().id == i+1; {
 		case !sent:
-			refused++
+			rejected++
 		case i < 20:
-			b.AttemptEnded(now+40, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+			b.AttemptEnded(now+40, withResult(CacheHit, served(i+1, h.last().server, 40)))
 		default:
-			b.AttemptEnded(now+600, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: Timeout, LatencyMillis: 600, Load: NoLoadReport})
+			b.AttemptEnded(now+600, ended(i+1, h.last().server, Timeout, 600))
 		}
 	}
-	if refused < 20 {
-		t.Errorf("%d of 100 requests refused early while every attempt timed out", refused)
+	if rejected < 20 {
+		t.Errorf("%d of 100 requests rejected early while every attempt timed out", rejected)
 	}
 }
 
 // A request is rejected. Where the settings allow it, the client must be told when to come again,
 // within bounds; else nothing.
 func TestRejectionTellsRetryAfter(t *testing.T) {
-	for _, tells := range []bool{true, false} {
+	for _, isSent := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.SendRetryAfter, cfg.MaxRetryAfterMillis = tells, 1500
+		cfg.SendRetryAfter, cfg.MaxRetryAfterMillis = isSent, 1500
 		es := fleet(6)
 		b, h := start(t, cfg, es)
 		for _, s := range b.membership.caches {
@@ -116,13 +118,13 @@
 		}
 		ask(b, 100000, 1, "read", 5)
 		if h.rejected[1] != 1 || len(h.waits) != 1 {
-			t.Fatalf("refused %d times", h.rejected[1])
+			t.Fatalf("rejected %d times", h.rejected[1])
 		}
-		if got := b.cfg.MinRetryAfterMillis(); tells != (got == minRetryAfterMillis) {
-			t.Errorf("told %t: at least %v", tells, got)
+		if got := b.cfg.MinRetryAfterMillis(); isSent != (got == minRetryAfterMillis) {
+			t.Errorf("Retry-After sent %t: at least %v", isSent, got)
 		}
-		if got := h.waits[0]; tells != (got >= minRetryAfterMillis && got <= 300.0/4) || !tells && got != 0 {
-			t.Errorf("told %t: wait %v", tells, got)
+		if got := h.waits[0]; isSent != (got >= minRetryAfterMillis && got <= 300.0/4) || !isSent && got != 0 {
+			t.Errorf("Retry-After sent %t: %v", isSent, got)
 		}
 	}
 }
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -11,11 +11,13 @@
 	b, h := start(t, testConfig(), fleet(1))
 	for i := range uint32(400) {
 		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
-		b.Request(now, Request{ID: i + 1, Class: "dear", Key: 1, HasKey: true, RemainingMillis: 600, WorkHint: hint})
+		b.Request(now, Request{ID: i + 1, Class: "important", Key: 1, HasKey: true, RemainingMillis: 600,
+			WorkHint: hint})
 		took := 50 + 10*hint
-		b.AttemptEnded(now+took, Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: took, CacheResult: CacheHit, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(now+took, withResult(CacheHit, served(i+1, h.last().server, took)))
 	}
-	if v := b.membership.caches[0].load.latencyPerWork.value; v < 80 || v > 160 { // the mean is 105 ms, at a mean work of 1
+	// The mean is 105 ms, at a mean work of 1.
+	if v := b.membership.caches[0].load.latencyPerWork.value; v < 80 || v > 160 {
 		t.Errorf("%v ms a unit of work, want about 105", v)
 	}
 }
@@ -31,16 +33,16 @@
 				b, h := start(t, testConfig(), fleet(6))
 				ask(b, 100010, 1, class, 9)
 				first := h.last()
-				b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: first.server, Status: st, LatencyMillis: 40, Load: NoLoadReport})
+				b.AttemptEnded(100050, ended(1, first.server, st, 40))
 				again := len(h.sends) > 1
 				switch {
 				case class == "once" && !st.NeverRan():
 					if again || h.rejected[1] > 0 || h.failed[1] != 1 {
-						t.Errorf("may have run: sends %v, refused %d, failed %d", h.sends, h.rejected[1], h.failed[1])
+						t.Errorf("may have run: sends %v, rejected %d, failed %d", h.sends, h.rejected[1], h.failed[1])
 					}
 				case class == "zoned" && !st.NeverRan():
 					if h.rejected[1] > 0 {
-						t.Error("a refusal that is not true")
+						t.Error("a rejection that is not true")
 					}
 					if again && b.membership.servers[h.last().server].Zone != b.membership.servers[first.server].Zone {
 						t.Error("sent again outside the group")
@@ -50,8 +52,8 @@
 						t.Error("no further attempt though one is allowed")
 					}
 				}
-				if again && (h.last().server == first.server) != (st == MalformedResponse) { // spoilt: the others lack the key
-					t.Error("sent again to the server that just failed, or a spoilt answer's to another")
+				if again && (h.last().server == first.server) != (st == MalformedResponse) {
+					t.Error("sent again to the server that just failed, or after a malformed answer to another")
 				}
 			})
 		}
@@ -65,9 +67,9 @@
 	cfg.Classes[2].IdempotencyWindowMillis = 100
 	b, h := start(t, cfg, fleet(6))
 	ask(b, 100010, 1, "keyed", 9)
-	b.AttemptEnded(100110, Outcome{RequestID: 1, ServerID: h.last().server, Status: Failed, LatencyMillis: 100, Load: NoLoadReport})
+	b.AttemptEnded(100110, ended(1, h.last().server, Failed, 100))
 	if len(h.sends) != 1 || h.rejected[1] != 1 {
-		t.Errorf("sends %v, refused %d: want one send and a refusal", h.sends, h.rejected[1])
+		t.Errorf("sends %v, rejected %d: want one send and a rejection", h.sends, h.rejected[1])
 	}
 }
 
@@ -78,12 +80,12 @@
 	ask(b, 100001, 1, "read", 5)
 	s := b.membership.servers[h.last().server]
 	was, x := s.load.latencyPerWork, b.serviceTime
-	b.AttemptEnded(100301, Outcome{RequestID: 1, ServerID: s.ID, Status: OK, LatencyMillis: 300, CacheResult: CacheMiss, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100301, withResult(CacheMiss, served(1, s.ID, 300)))
 	if s.load.latencyPerWork != was || b.serviceTime != x {
 		t.Errorf("latency %v, moments %v: changed by a fetch", s.load.latencyPerWork, b.serviceTime)
 	}
 	ask(b, 100302, 2, "read", 5)
-	b.AttemptEnded(100342, Outcome{RequestID: 2, ServerID: s.ID, Status: OK, LatencyMillis: 40, CacheResult: CacheHit, IsFinal: true, Load: NoLoadReport})
+	b.AttemptEnded(100342, withResult(CacheHit, served(2, s.ID, 40)))
 	if s.load.latencyPerWork.value != 40 || b.serviceTime.mean != 40 {
 		t.Errorf("latency %v, mean %v after a hit of 40 ms", s.load.latencyPerWork.value, b.serviceTime.mean)
 	}
@@ -95,9 +97,10 @@
 	cfg := testConfig()
 	b, h := start(t, cfg, fleet(6))
 	hint := func(id uint32, key uint64, hint float64) *server {
-		b.Request(100000+float64(id), Request{ID: id, Class: "read", Key: key, HasKey: true, RemainingMillis: 600, WorkHint: hint})
+		b.Request(100000+float64(id), Request{ID: id, Class: "read", Key: key, HasKey: true, RemainingMillis: 600,
+			WorkHint: hint})
 		s := h.last().server
-		b.AttemptEnded(100010+float64(id), Outcome{RequestID: id, ServerID: s, Status: OK, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(100010+float64(id), served(id, s, 10))
 		return b.membership.servers[s]
 	}
 	first := hint(1, 9, 100)
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -24,7 +24,7 @@
 			now := 100010 + float64(i)/2
 			ask(b, now, i+1, "read", uint64(i))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
-				b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+				b.AttemptEnded(now, served(i+1, h.last().server, 1))
 			}
 		}
 		for _, s := range h.sends {
@@ -33,7 +33,8 @@
 			}
 		}
 	}
-	warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis // at the begin of the window
+	// The share of its capacity at the begin of the window.
+	warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis
 	if limit := cfg.OverloadFactor * capacity * warmth * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
 		t.Errorf("%v requests sent to a cold server in the window, its limit is %v", total, limit)
 	}
@@ -86,10 +87,10 @@
 		now := 100000 + 20*float64(i)
 		ask(b, now, i+1, "read", uint64(i%20))
 		for _, s := range fleet(6) {
-			b.HealthCheckEnded(now, s.ID, OK, LoadReport{RequestsPerSecond: 50 + float64(i%3), Utilization: 0.3, ErrorsPerSecond: -1, Inflight: -1, LatencyMillis: -1})
+			b.HealthCheckEnded(now, s.ID, OK, loadReport(50+float64(i%3), 0.3))
 		}
 		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.AttemptEnded(now+10, Outcome{RequestID: i + 1, ServerID: h.last().server, LatencyMillis: 10, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now+10, served(i+1, h.last().server, 10))
 		}
 	}
 	b.TimerExpired(104100, housekeepingToken)
@@ -107,15 +108,16 @@
 
 const serverStart = 100100.0 // when the server starts, ms
 
-// newSlowStartFleet tells all routers of the start some time after it. Warm, the server bears warmRequests in the time in
-// which a cold one falls.
-func newSlowStartFleet(t *testing.T, routers int, seed uint64, warmRequests, toldAfter float64) *slowStartFleet {
+// newSlowStartFleet lets all routers know of the start some time after it. Once warm, the server can
+// serve warmRequests within OverloadMillis without being overloaded.
+func newSlowStartFleet(t *testing.T, routers int, seed uint64, warmRequests, listedAfter float64) *slowStartFleet {
 	t.Helper()
 	f := &slowStartFleet{}
 	for me := range routers {
 		cfg := testConfig()
 		cfg.Routers, cfg.RouterIndex, cfg.HedgingAllowed, cfg.CancelAllowed = routers, me, false, false
-		cfg.Classes[0].LatencyObjectiveMillis, cfg.Classes[0].DeadlineMillis = 30000, 60000 // no wait keeps a request from the server
+		cfg.Classes[0].LatencyObjectiveMillis = 30000 // no wait keeps a request from the server
+		cfg.Classes[0].DeadlineMillis = 60000
 		host := newHost()
 		b, err := New(cfg, splitMix64(seed)^uint64(me), host)
 		if err != nil {
@@ -124,11 +126,13 @@
 		entries := fleet(1)
 		b.UpdateEndpoints(serverStart-100, RestoredEndpoints, entries)
 		s := b.membership.caches[0]
-		s.load.capacityPerSecond.value, s.load.reportedPerSecond, s.load.reportedAt = warmRequests*1000/(cfg.OverloadFactor*cfg.OverloadMillis), 1, b.now
+		s.load.capacityPerSecond.value = warmRequests * 1000 / (cfg.OverloadFactor * cfg.OverloadMillis)
+		s.load.reportedPerSecond = 1
+		s.load.reportedAt = b.now
 		b.surveyCapacities()
 		b.meanHint = 1 // the mean work of requests is known
 		entries[0].StartedAt = serverStart
-		b.UpdateEndpoints(serverStart+toldAfter, ChangedEndpoints, entries)
+		b.UpdateEndpoints(serverStart+listedAfter, ChangedEndpoints, entries)
 		f.routers, f.hosts = append(f.routers, b), append(f.hosts, host)
 	}
 	return f
@@ -142,20 +146,23 @@
 	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, RemainingMillis: 60000, WorkHint: hint})
 	sent := len(host.sends) > was
 	if sent {
-		b.AttemptEnded(now, Outcome{RequestID: f.nextID, ServerID: b.membership.caches[0].ID, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+		b.AttemptEnded(now, served(f.nextID, b.membership.caches[0].ID, 1))
 	}
 	host.sends, host.timers = host.sends[:0], nil
 	return sent
 }
 
-// worstWindow has every router send whatever it may, from a time after the start on, and returns the window of FallFor
-// that came nearest to its bound: what was sent, N, and the bound N + 2 sqrt(N) + 2. With hints, the work of requests is
-// told and varies around a mean of 1.
-func (f *slowStartFleet) worstWindow(rng *rand.Rand, warmRequests, from, step float64, hints bool) (sent, allowed, bound, total float64) {
+// worstWindow has every router send whatever it may, from a time after the start on, and returns the
+// window of OverloadMillis that came nearest to its bound: what was sent, N, and the bound
+// N + 2 sqrt(N) + 2. With hints, the work of requests is known and varies around a mean of 1.
+func (f *slowStartFleet) worstWindow(rng *rand.Rand, warmRequests, from, step float64, hints bool) (
+	sent, allowed, bound, total float64,
+) {
 	type arrival struct{ at, work float64 }
 	var window []arrival
 	cfg, bound := f.routers[0].cfg, 1.0
-	for now := serverStart + from; now < min(serverStart+from+2*cfg.OverloadMillis, serverStart+cfg.SlowStartMillis); now += step {
+	end := min(serverStart+from+2*cfg.OverloadMillis, serverStart+cfg.SlowStartMillis)
+	for now := serverStart + from; now < end; now += step {
 		for _, router := range rng.Perm(len(f.routers)) {
 			for most := warmRequests; most > 0; most-- {
 				work, hint := 1.0, 0.0
@@ -191,13 +198,13 @@
 // N.
 func TestTheFleetsSumInSlowStartIsBounded(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		told, quiet float64 // ms from the start until routers are told of it, and until clients come
-		hints       bool
+		name               string
+		listedAfter, quiet float64 // ms from the start until routers know of it, and until clients come
+		hints              bool
 	}{
 		{"at once", 0, 0, false},
 		{"light and heavy requests", 0, 0, true},
-		{"told late", 3000, 3000, false},
+		{"listed late", 3000, 3000, false},
 		{"after two seconds", 0, 2000, false},
 		{"after six seconds", 0, 6000, false},
 		{"light and heavy requests after six seconds", 0, 6000, true},
@@ -210,11 +217,13 @@
 			for _, warm := range sizes {
 				t.Run(fmt.Sprintf("%s, %d routers, warm %v", c.name, routers, warm), func(t *testing.T) {
 					for seed := range seeds {
-						f := newSlowStartFleet(t, routers, seed, warm, c.told)
-						sent, allowed, bound, total := f.worstWindow(rand.New(rand.NewPCG(seed, 1)), warm, c.quiet, step, c.hints)
+						f := newSlowStartFleet(t, routers, seed, warm, c.listedAfter)
+						rng := rand.New(rand.NewPCG(seed, 1))
+						sent, allowed, bound, total := f.worstWindow(rng, warm, c.quiet, step, c.hints)
 						t.Logf("seed %d: sent %.1f, N %.1f, bound %.1f", seed, sent, allowed, bound)
 						if sent > bound {
-							t.Errorf("seed %d: %.1f requests of mean work in a window, N is %.1f, the bound %.1f", seed, sent, allowed, bound)
+							t.Errorf("seed %d: %.1f requests of mean work in a window, N is %.1f, the bound %.1f",
+								seed, sent, allowed, bound)
 						}
 						if least := 0.2 * allowed; total < least {
 							t.Errorf("seed %d: only %.1f sent, N is %.1f", seed, total, allowed)
--- a/decide/tenant_quota_test.go
+++ b/decide/tenant_quota_test.go
@@ -17,11 +17,12 @@
 		rng := rand.New(rand.NewPCG(3, 4))
 		for i := range uint32(40 * uint32(perSecond)) {
 			now := b.now + rng.ExpFloat64()*1000/float64(perSecond)
-			b.Request(now, Request{ID: i + 1, Class: "read", Tenant: "x", Key: uint64(i), HasKey: true, RemainingMillis: 600})
+			b.Request(now, Request{ID: i + 1, Class: "read", Tenant: "x", Key: uint64(i), HasKey: true,
+				RemainingMillis: 600})
 			if r := b.requests[i+1]; r != nil && r.priority < 1 {
 				over++
 			}
-			b.AttemptEnded(now, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: 1, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now, served(i+1, h.last().server, 1))
 		}
 		if share := float64(over) / float64(40*perSecond); want != (share > 0.5) || !want && share > 0.15 {
 			t.Errorf("%d a second for a quota of 1: %v of the requests count as over it", perSecond, share)
--- a/decide/waiting_time_test.go
+++ b/decide/waiting_time_test.go
@@ -11,12 +11,12 @@
 	for _, s := range b.membership.caches {
 		s.load.capacityPerSecond.update(b.now, 10, 1)
 		s.load.latencyPerWork.update(b.now, 100, 1)
-		s.load.latencyPerWork.value, s.load.reportedPerSecond = 2000, 20 // others hold 40 requests
+		s.load.latencyPerWork.value, s.load.reportedPerSecond = 2000, 20 // others have 40 requests in flight
 	}
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 110001, 2, "read", 5)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 {
-		t.Errorf("refused %v: want the first only", h.rejected)
+		t.Errorf("rejected %v: want the first only", h.rejected)
 	}
 }
 
@@ -36,7 +36,7 @@
 			if i > 8*uint32(perSecond) {
 				took = 400
 			}
-			b.AttemptEnded(now+took, Outcome{RequestID: i + 1, ServerID: h.last().server, Status: OK, LatencyMillis: took, IsFinal: true, Load: NoLoadReport})
+			b.AttemptEnded(now+took, served(i+1, h.last().server, took))
 		}
 		s := b.membership.caches[0]
 		s.attempts.inFlight, s.load.latencyPerWork = 0, trend{value: 40, floor: 40, updatedAt: b.now}
@@ -56,19 +56,19 @@
 	ask(b, 100010, 1, "read", 9)
 	s := b.membership.servers[h.last().server]
 	s.load.reportedPerSecond = 40
-	b.AttemptEnded(100050, Outcome{RequestID: 1, ServerID: s.ID, Status: OK, LatencyMillis: 40, IsFinal: true, CacheResult: CacheHit, Load: NoLoadReport})
+	b.AttemptEnded(100050, withResult(CacheHit, served(1, s.ID, 40)))
 	idle := b.expectedWaitMillis(s)
 	for i := range uint32(5) {
 		id := i + 2
 		ask(b, 100060, id, "read", 9)
-		b.AttemptEnded(100060+300, Outcome{RequestID: id, ServerID: s.ID, Status: Timeout, LatencyMillis: 300, Load: NoLoadReport})
+		b.AttemptEnded(100060+300, ended(id, s.ID, Timeout, 300))
 	}
-	if jammed := b.expectedWaitMillis(s); jammed < idle+10 {
-		t.Errorf("wait %v after five time-outs, %v before", jammed, idle)
+	if overloaded := b.expectedWaitMillis(s); overloaded < idle+10 {
+		t.Errorf("wait %v after five time-outs, %v before", overloaded, idle)
 	}
 	was := s.load.latencyPerWork.value
 	ask(b, 100400, 10, "read", 9)
-	b.AttemptEnded(100405, Outcome{RequestID: 10, ServerID: s.ID, Status: Timeout, LatencyMillis: 5, Load: NoLoadReport})
+	b.AttemptEnded(100405, ended(10, s.ID, Timeout, 5))
 	if s.load.latencyPerWork.value < was {
 		t.Errorf("a time-out of 5 ms lowered the latency from %v to %v", was, s.load.latencyPerWork.value)
 	}
@@ -86,8 +86,8 @@
 	b.now += 100
 	well := b.expectedWaitMillis(s)
 	s.health.isEjected = true
-	if sick := b.expectedWaitMillis(s); sick < 300 || well > 100 {
-		t.Errorf("wait %v at an ejected server, %v at another of a busy router", sick, well)
+	if failing := b.expectedWaitMillis(s); failing < 300 || well > 100 {
+		t.Errorf("wait %v at an ejected server, %v at another of a busy router", failing, well)
 	}
 }
 
@@ -104,7 +104,9 @@
 		}
 	}
 	b.now += 100
-	if jammed, well := b.expectedWaitMillis(b.membership.caches[0]), b.expectedWaitMillis(b.membership.caches[30]); jammed < 200 || well > 40 {
-		t.Errorf("a wait of %v at the jammed server, of %v at another", jammed, well)
+	overloaded := b.expectedWaitMillis(b.membership.caches[0])
+	well := b.expectedWaitMillis(b.membership.caches[30])
+	if overloaded < 200 || well > 40 {
+		t.Errorf("a wait of %v at the overloaded server, of %v at another", overloaded, well)
 	}
 }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -27,6 +27,8 @@
 	return out.String(), err
 }
 
+// Each batch, also an empty one, gets one reply with its actions: a read goes to a cache server, a
+// write to the origin.
 func TestBatchesAreAnswered(t *testing.T) {
 	out, err := run(t, "SYNC 1\nCOMMIT\n\n"+opening+
 		"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nASK 3 8 lock - - 500 - - 0 1\nCOMMIT\n")
@@ -44,6 +46,8 @@
 	}
 }
 
+// Every kind of event comes, also late ones, ones for instances that are not open, and timers that no
+// Balancer has set. Each batch must be answered.
 func TestEveryEventIsRead(t *testing.T) {
 	out, err := run(t, opening+"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 - - 0 0\nCOMMIT\n"+
 		"SYNC 1010\nRETURNED 3 7 0 11 Failed 5.0 0 - 140,7,0.62\nRETURNED 3 7 0 12 Miss 5.0 0 2 -\n"+
@@ -59,37 +63,47 @@
 	}
 }
 
+// The columns of load reports are named by the settings. Each figure must go to its field, an absent
+// one stays below 0, and one without a use is ignored.
 func TestReportColumns(t *testing.T) {
 	f := newFields("140,7,0.62,5,9,-")
 	l := f.load([]string{"rps", "active", "cpu", "avg_ms", "x0", "err_rps"})
-	want := decide.LoadReport{RequestsPerSecond: 140, Inflight: 7, Utilization: 0.62, LatencyMillis: 5, ErrorsPerSecond: -1}
+	want := decide.LoadReport{
+		RequestsPerSecond: 140, Inflight: 7, Utilization: 0.62, LatencyMillis: 5, ErrorsPerSecond: -1,
+	}
 	if l != want || f.end("x") != nil {
 		t.Errorf("got %+v, want %+v", l, want)
 	}
 }
 
-func TestMalformedInputIsRefused(t *testing.T) {
+// A batch is cut short, or a value in it is wrong. The adapter must end with an error of one line that
+// names the line of the input and what is wrong there.
+func TestMalformedInputIsRejected(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
-		"no start":         {"COMMIT\n", "line 1: want SYNC"},
-		"bad clock":        {"SYNC x\nCOMMIT\n", "line 1: SYNC: bad clock"},
-		"no end":           {"SYNC 1\n", "line 1: input ends within a batch"},
-		"half a line":      {"SYNC 1\nCOMM", "line 2: input ends within a line"},
-		"unknown event":    {"SYNC 1\nDANCE 3\nCOMMIT\n", `line 2: unknown event "DANCE"`},
-		"bad instance":     {"SYNC 1\nFIRED x sweep\nCOMMIT\n", "line 2: FIRED: bad instance"},
-		"too few values":   {opening + "SYNC 2\nASK 3 7 read\nCOMMIT\n", "line 9: ASK: too few values"},
-		"too many values":  {opening + "SYNC 2\nVANISHED 3 7 8\nCOMMIT\n", "line 9: VANISHED: too many values"},
-		"bad key":          {opening + "SYNC 2\nASK 3 7 read t zz 240 - - 0 0\nCOMMIT\n", `line 9: ASK: bad affinity "zz"`},
-		"bad outcome":      {opening + "SYNC 2\nRETURNED 3 7 0 11 Fine 5 0 - -\nCOMMIT\n", "bad outcome"},
-		"bad report":       {opening + "SYNC 2\nRETURNED 3 7 0 11 Ok 5 0 - 1,2\nCOMMIT\n", "bad load report"},
-		"infinite":         {opening + "SYNC 2\nASK 3 7 read t - inf - - 0 0\nCOMMIT\n", "bad remaining"},
-		"list cut short":   {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 2\nM - 1 11 ready a 0 box\nCOMMIT\n", "line 11: want a list entry"},
-		"bad mode":         {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 1\nM - 1 11 asleep a 0 box\nCOMMIT\n", "bad mode"},
+		"no start":        {"COMMIT\n", "line 1: want SYNC"},
+		"bad clock":       {"SYNC x\nCOMMIT\n", "line 1: SYNC: bad clock"},
+		"no end":          {"SYNC 1\n", "line 1: input ends within a batch"},
+		"half a line":     {"SYNC 1\nCOMM", "line 2: input ends within a line"},
+		"unknown event":   {"SYNC 1\nDANCE 3\nCOMMIT\n", `line 2: unknown event "DANCE"`},
+		"bad instance":    {"SYNC 1\nFIRED x sweep\nCOMMIT\n", "line 2: FIRED: bad instance"},
+		"too few values":  {opening + "SYNC 2\nASK 3 7 read\nCOMMIT\n", "line 9: ASK: too few values"},
+		"too many values": {opening + "SYNC 2\nVANISHED 3 7 8\nCOMMIT\n", "line 9: VANISHED: too many values"},
+		"bad key": {opening + "SYNC 2\nASK 3 7 read t zz 240 - - 0 0\nCOMMIT\n",
+			`line 9: ASK: bad affinity "zz"`},
+		"bad outcome": {opening + "SYNC 2\nRETURNED 3 7 0 11 Fine 5 0 - -\nCOMMIT\n", "bad outcome"},
+		"bad report":  {opening + "SYNC 2\nRETURNED 3 7 0 11 Ok 5 0 - 1,2\nCOMMIT\n", "bad load report"},
+		"infinite":    {opening + "SYNC 2\nASK 3 7 read t - inf - - 0 0\nCOMMIT\n", "bad remaining"},
+		"list cut short": {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 2\nM - 1 11 ready a 0 box\nCOMMIT\n",
+			"line 11: want a list entry"},
+		"bad mode": {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 1\nM - 1 11 asleep a 0 box\nCOMMIT\n",
+			"bad mode"},
 		"settings no JSON": {"SYNC 1\nOPEN_INSTANCE 3 42 {\nCOMMIT\n", "line 2: settings"},
 		"settings empty":   {"SYNC 1\nOPEN_INSTANCE 3 42 {}\nCOMMIT\n", "settings: balancers"},
 		"settings effect": {"SYNC 1\nOPEN_INSTANCE 3 42 " + strings.Replace(testSettings, "once", "never", 1) +
 			"\nCOMMIT\n", "categories[1].effect"},
-		"settings origin": {"SYNC 1\nOPEN_INSTANCE 3 42 " + strings.Replace(testSettings, `"originKind":1`, `"originKind":7`, 1) +
-			"\nCOMMIT\n", "familyInfo.originKind"},
+		"settings origin": {"SYNC 1\nOPEN_INSTANCE 3 42 " +
+			strings.Replace(testSettings, `"originKind":1`, `"originKind":7`, 1) + "\nCOMMIT\n",
+			"familyInfo.originKind"},
 	} {
 		_, err := run(t, c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
@@ -98,7 +112,8 @@
 	}
 }
 
-// A reply longer than a writer's buffer went out in part before the batch turned out to be malformed.
+// A batch with a reply longer than a writer's buffer turns out to be malformed at its end. Nothing of
+// its reply may have been written by then.
 func TestNothingOfAMalformedBatchIsAnswered(t *testing.T) {
 	var in strings.Builder
 	in.WriteString(opening + "SYNC 1005\n")
@@ -109,12 +124,13 @@
 	if err != nil || len(good) < 1<<17 {
 		t.Fatalf("%d bytes of reply, error %v", len(good), err)
 	}
-	if out, err := run(t, in.String()+"DANCE 3\nCOMMIT\n"); err == nil || strings.Count(out, "\n") != strings.Count(out, "OK\n")+1 {
+	out, err := run(t, in.String()+"DANCE 3\nCOMMIT\n")
+	if err == nil || strings.Count(out, "\n") != strings.Count(out, "OK\n")+1 {
 		t.Errorf("%d bytes of reply, error %v: want the opening's reply alone", len(out), err)
 	}
 }
 
-// Instances act alike whether they share a process or not.
+// Two instances share a process. Each must act as it would alone.
 func TestInstancesShareNothing(t *testing.T) {
 	script := func(ids ...int) string {
 		var in strings.Builder
@@ -163,7 +179,8 @@
 func FuzzRun(f *testing.F) {
 	f.Add(opening + "SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nFIRED 3 1793\nCOMMIT\n")
 	f.Add(opening + "SYNC 1005\nRETURNED 3 7 0 11 Ok 18.5 1 - 140,7,0.62\nSTATUS_BACK 3 11 Ok 1 nan,1,1e300\nCOMMIT\n")
-	f.Add(opening + "SYNC 1005\nDIRECTORY_UPDATE 3 all 2 1\nM 9e9 -1 12 draining b -3 box\nASK 3 1 lock - - 0 -1 -1 1 1\nCOMMIT\n")
+	f.Add(opening + "SYNC 1005\nDIRECTORY_UPDATE 3 all 2 1\nM 9e9 -1 12 draining b -3 box\n" +
+		"ASK 3 1 lock - - 0 -1 -1 1 1\nCOMMIT\n")
 	f.Add(opening + "SYNC 900\nMESSAGE 3 1 aGkgNw==\nVANISHED 3 7\nSHUTDOWN 3\nUNDER_WAY 3 1 1 1 1\nCOMMIT\n")
 	f.Add("SYNC 1\nDIRECTORY_UPDATE 3 all 2 4294967295\n")
 	f.Fuzz(func(t *testing.T, in string) {
