--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -57,7 +57,7 @@
 	retryBudget float64
 	// healthChecks is whose turn it is (health_check.go).
 	healthChecks healthChecks
-	// originFetches is how much the origin is asked (origin_fetch.go).
+	// originFetches limits the fetches from the origin (origin_fetch.go).
 	originFetches originFetches
 	// idleTimeoutMillis is how long idle connections are kept (idle_connections.go).
 	idleTimeoutMillis float64
@@ -139,7 +139,7 @@
 	}
 }
 
-// Cause is the cause of the rejection or failure that the Host is being told of: a word or two for
+// Cause is the cause of the rejection or failure that the Host is carrying out: a word or two for
 // the log.
 func (b *Balancer) Cause() string { return string(b.cause) }
 
@@ -187,7 +187,7 @@
 	b.forward(r)
 }
 
-// forward sends a request to a server, or answers it where no attempt is worth its work.
+// forward sends a request to a server, or answers it where no attempt would help.
 func (b *Balancer) forward(r *request) {
 	s := b.pick(r)
 	if s == nil {
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -13,7 +13,9 @@
 		for _, routers := range []int{4, 20, 80} {
 			b.Run(fmt.Sprintf("servers=%d/routers=%d", servers, routers), func(b *testing.B) {
 				cfg := testConfig()
-				cfg.Routers, cfg.CacheAside, cfg.OriginKind = routers, true, "origin"
+				cfg.Routers = routers
+				cfg.CacheAside = true
+				cfg.OriginKind = "origin"
 				m, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -26,7 +28,8 @@
 					if i%2 == 0 {
 						m.TimerExpired(now+45, housekeepingToken)
 					}
-					h.sends, h.timers = h.sends[:0], h.timers[:0]
+					h.sends = h.sends[:0]
+					h.timers = h.timers[:0]
 				}
 			})
 		}
@@ -81,7 +84,8 @@
 			}
 		}
 		var legs []leg
-		seen, timers := 0, []timer{}
+		seen := 0
+		timers := []timer{}
 		next := uint32(0)
 		for now := 100000.0; now < 104000; now += 5 {
 			if now < 103000 {
--- a/decide/bans.go
+++ b/decide/bans.go
@@ -18,7 +18,7 @@
 }
 
 // Enable puts a server back, however often it was disabled. Meanwhile it was most likely restarted,
-// though the list may not say so yet: unless the list has told of a start since, it counts as just
+// though the list may not say so yet: unless the list has shown a start since, it counts as just
 // started, and so as cold.
 func (b *Balancer) Enable(now float64, serverID uint32) {
 	b.begin(now)
--- a/decide/bans_test.go
+++ b/decide/bans_test.go
@@ -12,7 +12,8 @@
 	out := homeOf(t, b, h, 100000, 1, 77)
 	b.Disable(100100, out)
 	b.Disable(100100, out) // repeated calls are harmless
-	id, now := uint32(2), 100100.0
+	id := uint32(2)
+	now := 100100.0
 	for _, update := range []func(){
 		func() {},
 		func() { b.UpdateEndpoints(now, AllEndpoints, es) },
@@ -86,7 +87,8 @@
 // A disabled server must get no health checks; the others do.
 func TestDisabledServerGetsNoHealthChecks(t *testing.T) {
 	cfg := testConfig()
-	cfg.LoadByHealthCheck, cfg.HealthChecks = true, true
+	cfg.LoadByHealthCheck = true
+	cfg.HealthChecks = true
 	es := fleet(2)
 	b, h := start(t, cfg, es)
 	b.Disable(100000, es[0].ID)
--- a/decide/config.go
+++ b/decide/config.go
@@ -98,9 +98,9 @@
 	CancelAllowed bool
 	// HedgingAllowed says that a second attempt may run beside the first.
 	HedgingAllowed bool
-	// SendRetryAfter says that rejected clients are told how long to stay away.
+	// SendRetryAfter says that rejected clients get a Retry-After.
 	SendRetryAfter bool
-	// MaxRetryAfterMillis is the longest time that they are told.
+	// MaxRetryAfterMillis is the longest Retry-After.
 	MaxRetryAfterMillis float64
 	// MaxAttempts is the number of attempts that a request may have.
 	MaxAttempts int
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -40,7 +40,7 @@
 	return r.deadlineAt
 }
 
-// isTooLate says whether no attempt that starts now can be worth anything.
+// isTooLate says whether no attempt that starts now can be in time.
 func (r *request) isTooLate(now float64) bool {
 	return now >= r.deadlineAt-minRemainingMillis || r.class.LateWeight == 0 && now >= r.objectiveAt
 }
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -44,14 +44,18 @@
 		var calls []float64 // of all routers, in the first 20 s, each of which fails
 		for me := range routers {
 			cfg := testConfig()
-			cfg.Routers, cfg.RouterIndex, cfg.PollEndpoints, cfg.PollWithinMillis = routers, me, true, pollWithinMillis
+			cfg.Routers = routers
+			cfg.RouterIndex = me
+			cfg.PollEndpoints = true
+			cfg.PollWithinMillis = pollWithinMillis
 			h := newHost()
 			b, err := New(cfg, uint64(me)*977+5, h)
 			if err != nil {
 				t.Fatal(err)
 			}
 			b.UpdateEndpoints(100000, RestoredEndpoints, fleet(6))
-			first, last := math.Inf(1), 0.0
+			first := math.Inf(1)
+			last := 0.0
 			for now := 100000.0; now < 120000; now += 100 {
 				n := h.watches
 				if b.TimerExpired(now, housekeepingToken); h.watches > n {
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -14,7 +14,8 @@
 	rest := append(append([]Endpoint{}, es[3:]...), es[:2]...)
 	b2, _ := start(t, testConfig(), rest)
 	for key := range uint64(500) {
-		l1, l2 := b1.membership.hashList(&keyTraffic{id: key}), b2.membership.hashList(&keyTraffic{id: key})
+		l1 := b1.membership.hashList(&keyTraffic{id: key})
+		l2 := b2.membership.hashList(&keyTraffic{id: key})
 		if want := min(candidateLimit, len(rest)); len(l1) != want || len(l2) != want {
 			t.Fatalf("key %d: lists of %d and %d", key, len(l1), len(l2))
 		}
@@ -42,8 +43,11 @@
 		}
 		return m
 	}
-	before, without, with := homes(es[:10]), homes(es[1:10]), homes(es)
-	moved, share := 0, map[uint32]int{}
+	before := homes(es[:10])
+	without := homes(es[1:10])
+	with := homes(es)
+	moved := 0
+	share := map[uint32]int{}
 	for key, h := range before {
 		share[h]++
 		if h != es[0].ID && without[key] != h {
@@ -87,7 +91,8 @@
 func TestNothingNewToDrainingOrRemoved(t *testing.T) {
 	es := fleet(4)
 	b, h := start(t, testConfig(), es)
-	es[0].State, es[1].State = Draining, Removed
+	es[0].State = Draining
+	es[1].State = Removed
 	b.UpdateEndpoints(100005, ChangedEndpoints, es[:2])
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
--- a/decide/handover.go
+++ b/decide/handover.go
@@ -16,9 +16,9 @@
 	maxSnapshotIdleTimeoutMilli = math.MaxFloat64
 )
 
-// Snapshot is what one process hands to the process that takes its place: what it was told, what
-// operators asked for, and what it has learnt. Both read the same clock. Requests are not part of
-// it: each process answers its own.
+// Snapshot is what one process hands to the process that takes its place: the endpoint list, what
+// operators have disabled, and what it has learnt. Both read the same clock. Requests are not part
+// of it: each process answers its own.
 //
 // It is stored as JSON, and an old process may be of an earlier release: the tags are the names
 // that were first used, and stay.
--- a/decide/handover_fixture_test.go
+++ b/decide/handover_fixture_test.go
@@ -23,9 +23,7 @@
 }
 
 func fixtureConfig() Config {
-	cfg := testConfig()
-	cfg.CacheAside = true
-	cfg.OriginKind = "origin"
+	cfg := cacheAsideConfig()
 	cfg.IdleTimeoutMillis = 20000
 	return cfg
 }
@@ -48,11 +46,14 @@
 			attempts[s.id]++
 			switch {
 			case s.server == servers[1].ID:
-				o.Status, o.IsFinal = Reset, false
+				o.Status = Reset
+				o.IsFinal = false
 			case s.server == servers[2].ID && s.id%2 == 0:
 				continue // never comes back
 			case s.id%11 == 0 && s.server != 77:
-				o.Status, o.IsFinal, o.CacheResult = Miss, false, CacheMiss
+				o.Status = Miss
+				o.IsFinal = false
+				o.CacheResult = CacheMiss
 			case s.server == 77:
 				o.LatencyMillis = 60
 			}
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -39,7 +39,9 @@
 	if failing.ID == out || failing.ID == es[2].ID {
 		failing = b.membership.caches[1]
 	}
-	failing.health.isEjected, failing.health.probeAt, failing.health.forcedProbeAt = true, 1e9, 1e9
+	failing.health.isEjected = true
+	failing.health.probeAt = 1e9
+	failing.health.forcedProbeAt = 1e9
 	n, h2 := moved(t, b, 100200)
 	for id := range uint32(300) {
 		homeOf(t, n, h2, 100300+float64(id)*20, id+1, uint64(id)*7919)
@@ -75,7 +77,9 @@
 		return sentAtOnce(b, h, now, id, 77, to)
 	}
 	alone, h, home := cold()
-	id, single, both := uint32(1000), 0, 0
+	id := uint32(1000)
+	single := 0
+	both := 0
 	for now := 101200.0; now < 103200; now += 100 {
 		single += sends(now, home, alone, h, &id)
 	}
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -27,7 +27,7 @@
 }
 
 // usefulCheckShare is the share of the health checks paid for which are worth sending: all until
-// two dozen servers have told of their kinds, then as many as keep reports fresh. Where a server's
+// two dozen servers have reported, then as many as keep reports fresh. Where a server's
 // report is old long before its next, reports tell little and cost more.
 func (b *Balancer) usefulCheckShare() float64 {
 	perSecond := checksPerArrival * b.perSecond(&b.arrivals, trafficTimeConstantMillis)
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -8,7 +8,9 @@
 // the servers in turn.
 func TestHealthChecksAreAPartOfTheRequests(t *testing.T) {
 	cfg := testConfig()
-	cfg.LoadByHealthCheck, cfg.HealthChecks, cfg.Routers = true, true, 600
+	cfg.LoadByHealthCheck = true
+	cfg.HealthChecks = true
+	cfg.Routers = 600
 	b, h := start(t, cfg, fleet(100))
 	n := uint32(0)
 	for now := 100000.0; now < 160000; now += 100 {
@@ -39,9 +41,12 @@
 		least, most        float64 // health checks for each arrival, late in the day
 	}{{12, 100, 0.14, 0.16}, {150, 17, 0.005, 0.03}} {
 		cfg := testConfig()
-		cfg.Routers, cfg.LoadByHealthCheck, cfg.HealthChecks = 300, true, true
+		cfg.Routers = 300
+		cfg.LoadByHealthCheck = true
+		cfg.HealthChecks = true
 		b, h := start(t, cfg, fleet(c.servers))
-		id, late := uint32(0), 0
+		id := uint32(0)
+		late := 0
 		for i := range 30 * c.perSecond {
 			now := 100010 + float64(i)*1000/float64(c.perSecond)
 			id++
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -24,7 +24,7 @@
 	lostWeight = 0.2
 	// mostlyLost is the lost share from which an overtaken attempt is cancelled at once.
 	mostlyLost = 0.5
-	// lostDecay lowers the share with each one cancelled at once, as that tells nothing: soon the
+	// lostDecay lowers the share with each one cancelled at once, as that shows nothing: soon the
 	// next one is waited for.
 	lostDecay = 0.97
 )
--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -12,8 +12,7 @@
 		before int // requests in the second before
 		hot    bool
 	}{{2, true}, {400, false}} {
-		cfg := testConfig()
-		cfg.CacheAside, cfg.OriginKind = true, "origin"
+		cfg := cacheAsideConfig()
 		b, h := start(t, cfg, append(fleet(40), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(c.before) {
 			ask(b, 100010+1000*float64(i)/float64(c.before), 100+i, "read", uint64(100+i))
@@ -54,14 +53,14 @@
 // A fleet stops answering. Attempts past their patience must raise the expected wait long before
 // the first timeout.
 func TestStallsShowAnOverloadBeforeTimeoutsDo(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 1)
 	b.AttemptEnded(100050, withResult(CacheHit, served(1, h.last().server, 40)))
 	was := b.expectedWaitMillis(b.membership.caches[0])
 	for i := range uint32(8) {
-		id, now := i+2, 101010+float64(300*i)
+		id := i + 2
+		now := 101010 + float64(300*i)
 		ask(b, now, id, "read", uint64(id))
 		b.membership.servers[h.last().server].health.lastReplyAt = 0
 		b.TimerExpired(now+200, uint64(id)<<8|1)
@@ -83,7 +82,8 @@
 		return p
 	}
 	patience(1, 100)
-	half, light := patience(2, 50), patience(3, 5)
+	half := patience(2, 50)
+	light := patience(3, 5)
 	if light < 0.9*half || light > 1.1*half {
 		t.Errorf("patience %.0f ms for half a unit and %.0f for a twentieth", half, light)
 	}
@@ -92,8 +92,7 @@
 // An attempt is past its patience at a server that answers nobody. Its keys must begin to move at
 // once, not after three such signs at each router.
 func TestAStallMovesKeysAtOnce(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(20), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 9)
 	s := b.membership.servers[h.last().server]
@@ -127,7 +126,8 @@
 		ask(b, 100010, 1, "read", 9)
 		if c.full {
 			for _, s := range b.membership.caches {
-				s.load.capacityPerSecond.value, s.attempts.inFlight = 1, s.attempts.inFlight+40
+				s.load.capacityPerSecond.value = 1
+				s.attempts.inFlight += 40
 			}
 		}
 		b.TimerExpired(100100, 1<<8|1)
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -81,6 +81,14 @@
 	}
 }
 
+// cacheAsideConfig is testConfig for servers that leave misses to the router.
+func cacheAsideConfig() Config {
+	cfg := testConfig()
+	cfg.CacheAside = true
+	cfg.OriginKind = "origin"
+	return cfg
+}
+
 // fleet lists n ready servers with ids that are spread like real ones.
 func fleet(n int) []Endpoint {
 	var es []Endpoint
--- a/decide/load_report_test.go
+++ b/decide/load_report_test.go
@@ -53,8 +53,7 @@
 // No server has reported its load yet, and 600 requests come at once. Each server must get a few
 // and not all, or the first second would overload them.
 func TestUnreportedServersAreNotFlooded(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.serviceTime.add(100)
 	for i := range uint32(600) {
--- a/decide/messages.go
+++ b/decide/messages.go
@@ -58,7 +58,7 @@
 	Key uint64
 	// HasKey says that Key is set.
 	HasKey bool
-	// RemainingMillis is the time until the client gives up this try.
+	// RemainingMillis is the time until the client's deadline for this try.
 	RemainingMillis float64
 	// WorkHint is the expected work, in any unit; 0 = unknown.
 	WorkHint float64
@@ -176,12 +176,12 @@
 // returned. Attempts of a request are numbered from 0 in the order of Send.
 type Host interface {
 	// Send starts an attempt; it ends by AttemptEnded, after the timeout (ms) at the latest.
-	// 0 = when the client gives up.
+	// 0 = at the client's deadline.
 	Send(requestID, serverID uint32, timeoutMillis float64)
 	// Cancel ends an attempt.
 	Cancel(requestID uint32, attempt int)
-	// Reject is a final answer which says that trying again is harmless, and after which time (ms)
-	// it is useful; 0 = not told.
+	// Reject is a final answer which says that trying again is harmless, with a Retry-After (ms);
+	// 0 = none.
 	Reject(requestID uint32, retryAfterMillis float64)
 	// Fail is a final answer that makes no promise.
 	Fail(requestID uint32)
--- a/decide/origin_fetch.go
+++ b/decide/origin_fetch.go
@@ -62,7 +62,7 @@
 	failedLeastDivisor = 40
 )
 
-// originFetches is how much the origin is asked, and who waits for it.
+// originFetches limits the fetches from the origin.
 type originFetches struct {
 	// limit bounds the fetches in flight; below 1, fetches pause between two.
 	limit float64
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -8,8 +8,7 @@
 // Fetches that were sent too late time out while the origin answers others quickly. The limit on
 // fetches must not fall for that; when every fetch is slow it must.
 func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	was := b.originFetches.limit
 	for i := range 20 {
@@ -51,8 +50,7 @@
 // Two requests miss the same key, and a third comes. One fetch is made for all, and the others then
 // go to where the key is stored.
 func TestOwnMissesOfAKeyShareAFetch(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	ask(b, 100010, 1, "read", 5)
 	home := h.last().server
@@ -75,7 +73,8 @@
 func TestFailedFetchIsTheOriginsFault(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for i := range uint32(40) { // 300 ms apart; the bound falls, and fetches come to pause
-		now, was := 100010+300*float64(i), len(h.sends)
+		now := 100010 + 300*float64(i)
+		was := len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > was {
 			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Failed, 20)))
@@ -123,8 +122,7 @@
 // The limit has risen far above the fetches in flight when a queue builds up at the origin: it must
 // fall below them at once. One lost answer must not cut it as far.
 func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	b.originFetches.limit = 40
 	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
@@ -150,8 +148,8 @@
 // fetches at a time, which below one at each means pauses.
 func TestFetchesOfManyRoutersAddUpToAFewPlaces(t *testing.T) {
 	for _, routers := range []int{4, 300} {
-		cfg := testConfig()
-		cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", routers
+		cfg := cacheAsideConfig()
+		cfg.Routers = routers
 		b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 		r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 		b.fetchEnded(r, OK, 30)
@@ -162,7 +160,8 @@
 		if all := b.originFetches.limit * float64(routers); all > 10 {
 			t.Errorf("%d routers: a limit of %v in all though every fetch is late", routers, all)
 		}
-		b.originFetches.limit, b.originFetches.latency = 0.1, trend{value: 100, floor: 100}
+		b.originFetches.limit = 0.1
+		b.originFetches.latency = trend{value: 100, floor: 100}
 		n := len(h.sends)
 		for i := range uint32(100) { // in 10 s
 			b.now += 100
@@ -183,8 +182,7 @@
 // The origin's answer is damaged on its way to the router, and stored where the key was missing. It
 // must be asked for there, and the limit on fetches must not fall.
 func TestMalformedFetchIsAskedForWhereItIsStored(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 99, Kind: "origin"}))
 	fetches := b.originFetches.limit
 	ask(b, 100010, 1, "read", 9)
@@ -223,8 +221,7 @@
 // A key is missing, and less of the objective is left than a fetch takes: it must not be sent. Once
 // the queue at the origin has faded from memory, the next one must.
 func TestNoFetchThatCantBeInTime(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.originFetches.latency = trend{value: 280, floor: 100, updatedAt: 100000}
 	ask(b, 100010, 1, "read", 9)
@@ -244,9 +241,10 @@
 // routers there are.
 func TestAMissAfterTheStartIsFetchedAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 4, 80, 300} {
-		cfg := testConfig()
-		cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", routers
-		cfg.Classes[0].LatencyObjectiveMillis, cfg.Classes[0].DeadlineMillis = 600, 1200
+		cfg := cacheAsideConfig()
+		cfg.Routers = routers
+		cfg.Classes[0].LatencyObjectiveMillis = 600
+		cfg.Classes[0].DeadlineMillis = 1200
 		b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(12) { // the last is on its way when the next one misses
 			now := 100010 + 300*float64(i)
@@ -263,8 +261,8 @@
 // Every fetch is late, and the limit is cut again and again. It must still leave a tenth of the own
 // requests, as a limit below one grows with fetches only.
 func TestABoundThatWasCutLeavesATenthOfTheRequests(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind, cfg.Routers = true, "origin", 300
+	cfg := cacheAsideConfig()
+	cfg.Routers = 300
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 	b.fetchEnded(r, OK, 100)
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -106,7 +106,8 @@
 	}
 	tried := false
 	for i := range 40 {
-		id, now := uint32(100+i), 100100+float64(i)*200
+		id := uint32(100 + i)
+		now := 100100 + float64(i)*200
 		ask(b, now, id, "read", 9)
 		s := h.last()
 		if s.server == home.ID && !tried {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -265,7 +265,7 @@
 
 // pick chooses the server of a request's next attempt, or none, and then notes the cause. The
 // server is drawn by the solved shares; that of a cold key is its home. If its queue is too long,
-// the key's list is gone along.
+// the next ones of the key's list are tried.
 func (b *Balancer) pick(r *request) *server {
 	if r.isTooLate(b.now) {
 		b.cause = causeLate
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -91,12 +91,14 @@
 	}{{1, 1, 1}, {28, 10, 2}, {55, 10, 3}, {28, 1e6, 1}} {
 		k := &keyTraffic{}
 		v := models(3, 3, 3, 3)
-		b.placement.scale, b.originFetches.latency.value = 1, c.fetch
+		b.placement.scale = 1
+		b.originFetches.latency.value = c.fetch
 		b.widen(k, v, c.total)
 		if len(k.copies) != c.want && (c.want == 1 || len(k.copies) < c.want) {
 			t.Errorf("total %v, fetch %v: %d servers, want %d", c.total, c.fetch, len(k.copies), c.want)
 		}
-		sum, load := 0.0, 0.0
+		sum := 0.0
+		load := 0.0
 		for j, p := range k.shares {
 			sum += p
 			load += k.copies[j].model.arrivalsPerSecond
@@ -112,7 +114,8 @@
 	b, _ := start(t, testConfig(), fleet(6))
 	k := b.trafficOf(Request{Key: 5, HasKey: true})
 	l := b.membership.hashList(k)
-	k.copies, k.shares = []*server{l[0], l[2]}, []float64{0.7, 0.3}
+	k.copies = []*server{l[0], l[2]}
+	k.shares = []float64{0.7, 0.3}
 	n := map[*server]int{}
 	for range 10000 {
 		n[b.pick(read(b, k))]++
@@ -154,7 +157,8 @@
 	l := b.membership.hashList(k)
 	fill(b, l[0])
 	b.solve()
-	k.copies, k.shares = l[:1], []float64{1}
+	k.copies = l[:1]
+	k.shares = []float64{1}
 	ask(b, 100001, 1, "read", 5)
 	if len(h.sends) != 1 || h.last().server != l[1].ID {
 		t.Errorf("sends %v, want one to the second of the list", h.sends)
@@ -211,7 +215,8 @@
 	b, h := start(t, cfg, fleet(40))
 	hot := b.trafficOf(Request{Key: 1, HasKey: true})
 	for i := range uint32(100) { // 2.5 a second, the key once in 20
-		now, key := 100010+400*float64(i), uint64(i)
+		now := 100010 + 400*float64(i)
+		key := uint64(i)
 		if i%20 == 0 {
 			key = 1
 		}
@@ -220,7 +225,8 @@
 			b.AttemptEnded(now+50, served(i+1, h.last().server, 50))
 		}
 		for _, s := range b.membership.caches {
-			s.load.capacityPerSecond.value, s.load.reportedPerSecond = 40, 15
+			s.load.capacityPerSecond.value = 40
+			s.load.reportedPerSecond = 15
 		}
 		b.membership.hashList(hot)[0].load.reportedPerSecond = 22
 		b.TimerExpired(now+100, housekeepingToken)
@@ -241,14 +247,16 @@
 		es = append(es, e)
 	}
 	first := map[uint64]uint32{}
-	moved, keys := 0, 4000
+	moved := 0
+	keys := 4000
 	for router := range 2 {
 		b, _ := start(t, testConfig(), es)
 		for i, s := range b.membership.caches {
 			// Reports are noisy, and each router has its own.
 			noise := 1 + 0.1*float64((i+router)%3-1)
 			s.load.capacityPerSecond.value = map[string]float64{"fast": 90, "slow": 30}[s.Kind] * noise
-			s.load.reportedPerSecond, s.load.reportedAt = 0.5*s.load.capacityPerSecond.value, b.now
+			s.load.reportedPerSecond = 0.5 * s.load.capacityPerSecond.value
+			s.load.reportedAt = b.now
 		}
 		b.prepareModels()
 		homes := map[string]int{}
@@ -278,7 +286,8 @@
 		well := count()
 		s.health.acceptedShare = 0.5
 		failing := count()
-		s.health.acceptedShare, s.slowStart.startedAt = 1, b.now
+		s.health.acceptedShare = 1
+		s.slowStart.startedAt = b.now
 		if cold := count(); failing > well/2 || cold > well*2/3 || cold == 0 {
 			t.Errorf("homes: %d while well, %d when half fails, %d when just started", well, failing, cold)
 		}
--- a/decide/queueing_test.go
+++ b/decide/queueing_test.go
@@ -9,7 +9,8 @@
 // ones half as many wait.
 func TestDelayAgainstKnownValues(t *testing.T) {
 	erlangC := func(m int, a float64) float64 { // by the sum, as printed in textbooks
-		sum, term := 0.0, 1.0
+		sum := 0.0
+		term := 1.0
 		for k := range m {
 			if k > 0 {
 				term *= a / float64(k)
@@ -43,7 +44,8 @@
 func TestDelayDerivatives(t *testing.T) {
 	for _, m := range []int{1, 2, 5, 13} {
 		for _, rho := range []float64{0.05, 0.4, 0.8, 0.97, 1.2} {
-			mu, c2 := 8.0, 1.7
+			mu := 8.0
+			c2 := 1.7
 			lam := rho * float64(m) * mu
 			e := 1e-4 * lam
 			_, d, h := mgmWaiting(lam, m, mu, c2)
--- a/decide/records.go
+++ b/decide/records.go
@@ -157,7 +157,7 @@
 	maxAttempts int
 	// key is its key's traffic.
 	key *keyTraffic
-	// deadlineAt is when the client gives up, ms.
+	// deadlineAt is the client's deadline for this try, ms.
 	deadlineAt float64
 	// objectiveAt is when the answer loses weight, ms.
 	objectiveAt float64
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -35,11 +35,10 @@
 	// floorSeenMillis is the time constant by which a floor fades that was seen in an overload.
 	floorSeenMillis = 10000
 
-	// minRetryAfterMillis is the shortest time that a rejected client is told to stay away: less
-	// is no relief.
+	// minRetryAfterMillis is the shortest Retry-After: less is no relief.
 	minRetryAfterMillis = 25
-	// retryAfterDivisor is the part of the latency objective that it is told at most, as its answer
-	// has to be in time after that.
+	// retryAfterDivisor is the part of the latency objective that a Retry-After takes at most, as the
+	// answer has to be in time after that.
 	retryAfterDivisor = 8
 )
 
@@ -110,8 +109,8 @@
 	}
 }
 
-// retryAfterMillis is when a rejected client is to come again: once the shortest queue among its
-// servers is gone, but early enough for the answer to be in time. 0 = clients are not told.
+// retryAfterMillis is the Retry-After of a rejected client: once the shortest queue among its
+// servers is gone, but early enough for the answer to be in time; 0 = none is sent.
 func (b *Balancer) retryAfterMillis(r *request) float64 {
 	if !b.cfg.SendRetryAfter {
 		return 0
@@ -129,8 +128,8 @@
 	return max(b.cfg.MinRetryAfterMillis(), longest)
 }
 
-// MinRetryAfterMillis is the shortest time that a client is told that is rejected before its
-// request gets here, as where there is no capacity for its value; 0 = clients are not told.
+// MinRetryAfterMillis is the Retry-After of a client that is rejected before its request gets here,
+// as where there is no capacity for its value; 0 = none is sent.
 func (c *Config) MinRetryAfterMillis() float64 {
 	if !c.SendRetryAfter {
 		return 0
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -47,10 +47,12 @@
 // one of an unknown class, gets one final answer at once.
 func TestRequestWithoutCandidatesIsAnswered(t *testing.T) {
 	drain := fleet(2)
-	drain[0].State, drain[1].State = Draining, Draining
+	drain[0].State = Draining
+	drain[1].State = Draining
 	cfg := testConfig()
 	aside := cfg
-	aside.CacheAside, aside.OriginKind = true, "origin"
+	aside.CacheAside = true
+	aside.OriginKind = "origin"
 	for name, c := range map[string]struct {
 		cfg Config
 		es  []Endpoint
@@ -84,8 +86,7 @@
 // Every attempt at a large fleet begins to time out. The router must begin to shed load, though it
 // has asked each server only once or twice.
 func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	rejected := 0
 	for i := range uint32(120) {
@@ -110,7 +111,8 @@
 func TestRejectionTellsRetryAfter(t *testing.T) {
 	for _, isSent := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.SendRetryAfter, cfg.MaxRetryAfterMillis = isSent, 1500
+		cfg.SendRetryAfter = isSent
+		cfg.MaxRetryAfterMillis = 1500
 		es := fleet(6)
 		b, h := start(t, cfg, es)
 		for _, s := range b.membership.caches {
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -10,7 +10,8 @@
 func TestLatencyCountsForItsWork(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(1))
 	for i := range uint32(400) {
-		now, hint := 100001+500*float64(i), 1.0+9*float64(i%2)
+		now := 100001 + 500*float64(i)
+		hint := 1.0 + 9*float64(i%2)
 		b.Request(now, Request{ID: i + 1, Class: "important", Key: 1, HasKey: true, RemainingMillis: 600,
 			WorkHint: hint})
 		took := 50 + 10*hint
@@ -79,7 +80,8 @@
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
 	s := b.membership.servers[h.last().server]
-	was, x := s.load.latencyPerWork, b.serviceTime
+	was := s.load.latencyPerWork
+	x := b.serviceTime
 	b.AttemptEnded(100301, withResult(CacheMiss, served(1, s.ID, 300)))
 	if s.load.latencyPerWork != was || b.serviceTime != x {
 		t.Errorf("latency %v, moments %v: changed by a fetch", s.load.latencyPerWork, b.serviceTime)
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -13,7 +13,8 @@
 	es := fleet(3)
 	cfg := testConfig()
 	es[0].StartedAt = 99500
-	total, capacity := 0.0, 20.0
+	total := 0.0
+	capacity := 20.0
 	for r := range cfg.Routers {
 		cfg.RouterIndex = r
 		b, h := start(t, cfg, es)
@@ -48,7 +49,8 @@
 		var sent [seconds]float64
 		for me := range routers {
 			cfg := testConfig()
-			cfg.Routers, cfg.RouterIndex = routers, me
+			cfg.Routers = routers
+			cfg.RouterIndex = me
 			b, err := New(cfg, uint64(me)*977+5, newHost())
 			if err != nil {
 				t.Fatal(err)
@@ -56,7 +58,8 @@
 			es := fleet(6)
 			b.UpdateEndpoints(100000, RestoredEndpoints, es)
 			for _, s := range b.membership.caches {
-				s.load.capacityPerSecond.value, s.load.reportedPerSecond = capacity, 20
+				s.load.capacityPerSecond.value = capacity
+				s.load.reportedPerSecond = 20
 			}
 			b.surveyCapacities()
 			es[0].StartedAt = 100100
@@ -81,7 +84,10 @@
 // Settings say by an initial share of 1 that servers start warm. They must be used as any.
 func TestServersThatStartWarmAreUsed(t *testing.T) {
 	cfg := testConfig()
-	cfg.SlowStartMillis, cfg.SlowStartInitialShare, cfg.HealthChecks, cfg.LoadByHealthCheck = 1, 1, true, true
+	cfg.SlowStartMillis = 1
+	cfg.SlowStartInitialShare = 1
+	cfg.HealthChecks = true
+	cfg.LoadByHealthCheck = true
 	b, h := start(t, cfg, fleet(6))
 	for i := range uint32(200) {
 		now := 100000 + 20*float64(i)
@@ -115,7 +121,10 @@
 	f := &slowStartFleet{}
 	for me := range routers {
 		cfg := testConfig()
-		cfg.Routers, cfg.RouterIndex, cfg.HedgingAllowed, cfg.CancelAllowed = routers, me, false, false
+		cfg.Routers = routers
+		cfg.RouterIndex = me
+		cfg.HedgingAllowed = false
+		cfg.CancelAllowed = false
 		cfg.Classes[0].LatencyObjectiveMillis = 30000 // no wait keeps a request from the server
 		cfg.Classes[0].DeadlineMillis = 60000
 		host := newHost()
@@ -133,14 +142,16 @@
 		b.meanHint = 1 // the mean work of requests is known
 		entries[0].StartedAt = serverStart
 		b.UpdateEndpoints(serverStart+listedAfter, ChangedEndpoints, entries)
-		f.routers, f.hosts = append(f.routers, b), append(f.hosts, host)
+		f.routers = append(f.routers, b)
+		f.hosts = append(f.hosts, host)
 	}
 	return f
 }
 
 // request has a client ask a router, and says whether the request went to the server, which answers at once.
 func (f *slowStartFleet) request(router int, now, hint float64) bool {
-	b, host := f.routers[router], f.hosts[router]
+	b := f.routers[router]
+	host := f.hosts[router]
 	f.nextID++
 	was := len(host.sends)
 	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, RemainingMillis: 60000, WorkHint: hint})
@@ -148,7 +159,8 @@
 	if sent {
 		b.AttemptEnded(now, served(f.nextID, b.membership.caches[0].ID, 1))
 	}
-	host.sends, host.timers = host.sends[:0], nil
+	host.sends = host.sends[:0]
+	host.timers = nil
 	return sent
 }
 
@@ -160,12 +172,14 @@
 ) {
 	type arrival struct{ at, work float64 }
 	var window []arrival
-	cfg, bound := f.routers[0].cfg, 1.0
+	cfg := f.routers[0].cfg
+	bound = 1.0
 	end := min(serverStart+from+2*cfg.OverloadMillis, serverStart+cfg.SlowStartMillis)
 	for now := serverStart + from; now < end; now += step {
 		for _, router := range rng.Perm(len(f.routers)) {
 			for most := warmRequests; most > 0; most-- {
-				work, hint := 1.0, 0.0
+				work := 1.0
+				hint := 0.0
 				if hints {
 					work = 0.5 + rng.Float64()
 					hint = work
@@ -177,16 +191,20 @@
 				total += work
 			}
 		}
-		sum, kept := 0.0, window[:0]
+		sum := 0.0
+		kept := window[:0]
 		for _, a := range window {
 			if a.at > now-cfg.OverloadMillis {
-				sum, kept = sum+a.work, append(kept, a)
+				sum = sum + a.work
+				kept = append(kept, a)
 			}
 		}
 		window = kept
 		n := warmRequests * f.routers[0].warmShare(f.routers[0].membership.caches[0])
 		if most := n + 2*math.Sqrt(n) + 2; sum/most > sent/bound {
-			sent, allowed, bound = sum, n, most
+			sent = sum
+			allowed = n
+			bound = most
 		}
 	}
 	return sent, allowed, bound, total
@@ -210,9 +228,13 @@
 		{"light and heavy requests after six seconds", 0, 6000, true},
 	} {
 		for _, routers := range []int{1, 5, 24, 80, 300, 5100} {
-			seeds, step, sizes := uint64(3), 100.0, []float64{60, 400}
+			seeds := uint64(3)
+			step := 100.0
+			sizes := []float64{60, 400}
 			if routers > 1000 { // takes long
-				seeds, step, sizes = 1, 500, sizes[:1]
+				seeds = 1
+				step = 500
+				sizes = sizes[:1]
 			}
 			for _, warm := range sizes {
 				t.Run(fmt.Sprintf("%s, %d routers, warm %v", c.name, routers, warm), func(t *testing.T) {
--- a/decide/tenant_quota_test.go
+++ b/decide/tenant_quota_test.go
@@ -9,7 +9,8 @@
 // are chance and must keep their priority; four times as many must not.
 func TestChanceDoesNotPutATenantOverItsQuota(t *testing.T) {
 	cfg := testConfig()
-	cfg.Routers, cfg.OverQuotaWeight = 100, 0.05
+	cfg.Routers = 100
+	cfg.OverQuotaWeight = 0.05
 	cfg.Tenants = []Tenant{{Name: "x", QuotaPerSecond: 100}} // one a second here
 	for perSecond, want := range map[int]bool{1: false, 4: true} {
 		b, h := start(t, cfg, fleet(6))
--- a/decide/waiting_time_test.go
+++ b/decide/waiting_time_test.go
@@ -39,7 +39,8 @@
 			b.AttemptEnded(now+took, served(i+1, h.last().server, took))
 		}
 		s := b.membership.caches[0]
-		s.attempts.inFlight, s.load.latencyPerWork = 0, trend{value: 40, floor: 40, updatedAt: b.now}
+		s.attempts.inFlight = 0
+		s.load.latencyPerWork = trend{value: 40, floor: 40, updatedAt: b.now}
 		s.load.capacityPerSecond.value = 100
 		return b.expectedWaitMillis(s)
 	}
@@ -93,8 +94,7 @@
 
 // One of many servers shows long waits. A router must expect them there and not at the others.
 func TestAnOverloadIsOfTheServerThatShowsIt(t *testing.T) {
-	cfg := testConfig()
-	cfg.CacheAside, cfg.OriginKind = true, "origin"
+	cfg := cacheAsideConfig()
 	b, _ := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
 	for range 20 {
 		b.now += 50
