--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("sends %v while the first is out", h.sends)
 	}
 	if len(h.cancels) != 1 {
-		t.Fatalf("cancels %v: want the silent attempt called off", h.cancels)
+		t.Fatalf("cancels %v: want the silent attempt cancelled", h.cancels)
 	}
 	b.AttemptEnded(100200, ended(1, h.sends[0].server, Cancelled, 190))
 	if len(h.sends) != 2 {
