--- /dev/null
+++ b/decide/load_report_test.go
@@ -0,0 +1,65 @@
+package decide
+
+import (
+	"math"
+	"testing"
+)
+
+// Servers report nothing, infinity, or utilisations beyond reason. The model must stay finite, and
+// all shares between 0 and 1.
+func TestAbsurdReportsLeaveTheModelFinite(t *testing.T) {
+	b, h := start(t, testConfig(), fleet(4))
+	inf := math.Inf(1)
+	for i, l := range []LoadReport{
+		NoLoadReport,
+		{},
+		{RequestsPerSecond: 5},
+		{Utilization: 5},
+		{RequestsPerSecond: inf, Utilization: 0.5},
+		{RequestsPerSecond: 5, Utilization: inf - inf},
+		{RequestsPerSecond: 1e8, Utilization: 1e-9},
+		{RequestsPerSecond: 1e-9, Utilization: 1e8},
+		{RequestsPerSecond: -3, Utilization: 0.5},
+	} {
+		for j, e := range fleet(4) {
+			report := l
+			report.RequestsPerSecond += float64(j)
+			b.HealthCheckEnded(100010+float64(i), e.ID, OK, report)
+		}
+		for r := range uint32(40) {
+			id := uint32(i)*100 + r
+			ask(b, 100010+float64(i), id, "read", uint64(r%3))
+			o := served(id, h.last().server, 10)
+			o.Load = l
+			b.AttemptEnded(100010+float64(i), o)
+		}
+		b.solve()
+		for _, s := range b.membership.caches {
+			arrivals := s.model.arrivalsPerSecond
+			if s.model.channels < 1 || s.model.channels > 256 || !(arrivals >= 0 && arrivals <= 1e12) {
+				t.Errorf("report %v: n %d, load %v", l, s.model.channels, s.model.arrivalsPerSecond)
+			}
+		}
+		for _, k := range b.keys.all {
+			for _, p := range k.shares {
+				if p != p || p < 0 || p > 1+1e-9 {
+					t.Errorf("report %v: share %v", l, p)
+				}
+			}
+		}
+	}
+}
+
+// No server has reported its load yet, and 600 requests come at once. Each server must get a few
+// and not all, or the first second would overload them.
+func TestUnreportedServersAreNotFlooded(t *testing.T) {
+	cfg := cacheAsideConfig()
+	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
+	b.serviceTime.add(100)
+	for i := range uint32(600) {
+		ask(b, 100001, i+1, "important", uint64(i))
+	}
+	if n := len(h.sends) / 6; n < 3 || n > 12 {
+		t.Errorf("%d requests out at each server that has not reported yet", n)
+	}
+}
--- /dev/null
+++ b/decide/slow_start_test.go
@@ -0,0 +1,258 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// A server has just started, and each router could send it enough to overload it many times over.
+// All together must keep within what it survives, and still use it.
+func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
+	es := fleet(3)
+	cfg := testConfig()
+	es[0].StartedAt = 99500
+	total := 0.0
+	capacity := 20.0
+	for r := range cfg.Routers {
+		cfg.RouterIndex = r
+		b, h := start(t, cfg, es)
+		for _, e := range es {
+			b.membership.servers[e.ID].load.capacityPerSecond.update(b.now, capacity, 1)
+		}
+		for i := range uint32(4000) { // 2 s at 2000 a second, enough to fell it many times over
+			now := 100010 + float64(i)/2
+			ask(b, now, i+1, "read", uint64(i))
+			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
+				b.AttemptEnded(now, served(i+1, h.last().server, 1))
+			}
+		}
+		for _, s := range h.sends {
+			if s.server == es[0].ID {
+				total++
+			}
+		}
+	}
+	// The share of its capacity at the begin of the window.
+	warmth := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis
+	if limit := cfg.OverloadFactor * capacity * warmth * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
+		t.Errorf("%v requests sent to a cold server in the window, its limit is %v", total, limit)
+	}
+}
+
+// Eighty routers share the budget of a cold server, less than a request each. All together must
+// send evenly from the first second on, and no more than a few routers do.
+func TestManyRoutersWarmAServerEvenly(t *testing.T) {
+	const seconds, capacity = 4, 50.0
+	for _, routers := range []int{4, 80} {
+		var sent [seconds]float64
+		for me := range routers {
+			cfg := testConfig()
+			cfg.Routers = routers
+			cfg.RouterIndex = me
+			b, err := New(cfg, uint64(me)*977+5, newHost())
+			if err != nil {
+				t.Fatal(err)
+			}
+			es := fleet(6)
+			b.UpdateEndpoints(100000, RestoredEndpoints, es)
+			for _, s := range b.membership.caches {
+				s.load.capacityPerSecond.value = capacity
+				s.load.reportedPerSecond = 20
+			}
+			b.surveyCapacities()
+			es[0].StartedAt = 100100
+			b.UpdateEndpoints(100100, ChangedEndpoints, es[:1])
+			s := b.membership.servers[es[0].ID]
+			for b.now = 100100; b.now < 100100+1000*seconds; b.now += 10 { // sends whatever it may
+				if b.hasSlowStartBudget(s, 1) {
+					s.slowStart.budget.requests--
+					sent[int(b.now-100100)/1000]++
+				}
+			}
+		}
+		limit := testConfig().OverloadFactor * testConfig().SlowStartInitialShare * capacity // a second, at its coldest
+		for second, n := range sent {
+			if n < 0.2*limit || n > limit {
+				t.Errorf("%d routers: %v requests in second %d, at a limit of %v", routers, n, second, limit)
+			}
+		}
+	}
+}
+
+// Settings say by an initial share of 1 that servers start warm. They must be used as any.
+func TestServersThatStartWarmAreUsed(t *testing.T) {
+	cfg := testConfig()
+	cfg.SlowStartMillis = 1
+	cfg.SlowStartInitialShare = 1
+	cfg.HealthChecks = true
+	cfg.LoadByHealthCheck = true
+	b, h := start(t, cfg, fleet(6))
+	for i := range uint32(200) {
+		now := 100000 + 20*float64(i)
+		ask(b, now, i+1, "read", uint64(i%20))
+		for _, s := range fleet(6) {
+			b.HealthCheckEnded(now, s.ID, OK, loadReport(50+float64(i%3), 0.3))
+		}
+		if len(h.sends) > 0 && h.last().id == i+1 {
+			b.AttemptEnded(now+10, served(i+1, h.last().server, 10))
+		}
+	}
+	b.TimerExpired(104100, housekeepingToken)
+	if served := len(h.sends); served < 190 {
+		t.Errorf("%d of 200 requests were sent", served)
+	}
+}
+
+// slowStartFleet is a fleet of routers that share nothing before one server that has just started.
+type slowStartFleet struct {
+	routers []*Balancer
+	hosts   []*fakeHost
+	nextID  uint32
+}
+
+const serverStart = 100100.0 // when the server starts, ms
+
+// newSlowStartFleet lets all routers know of the start some time after it. Once warm, the server can
+// serve warmRequests within OverloadMillis without being overloaded.
+func newSlowStartFleet(t *testing.T, routers int, seed uint64, warmRequests, listedAfter float64) *slowStartFleet {
+	t.Helper()
+	f := &slowStartFleet{}
+	for me := range routers {
+		cfg := testConfig()
+		cfg.Routers = routers
+		cfg.RouterIndex = me
+		cfg.HedgingAllowed = false
+		cfg.CancelAllowed = false
+		cfg.Classes[0].LatencyObjectiveMillis = 30000 // no wait keeps a request from the server
+		cfg.Classes[0].DeadlineMillis = 60000
+		host := newHost()
+		b, err := New(cfg, splitMix64(seed)^uint64(me), host)
+		if err != nil {
+			t.Fatal(err)
+		}
+		entries := fleet(1)
+		b.UpdateEndpoints(serverStart-100, RestoredEndpoints, entries)
+		s := b.membership.caches[0]
+		s.load.capacityPerSecond.value = warmRequests * 1000 / (cfg.OverloadFactor * cfg.OverloadMillis)
+		s.load.reportedPerSecond = 1
+		s.load.reportedAt = b.now
+		b.surveyCapacities()
+		b.meanHint = 1 // the mean work of requests is known
+		entries[0].StartedAt = serverStart
+		b.UpdateEndpoints(serverStart+listedAfter, ChangedEndpoints, entries)
+		f.routers = append(f.routers, b)
+		f.hosts = append(f.hosts, host)
+	}
+	return f
+}
+
+// request has a client ask a router, and says whether the request went to the server, which answers at once.
+func (f *slowStartFleet) request(router int, now, hint float64) bool {
+	b := f.routers[router]
+	host := f.hosts[router]
+	f.nextID++
+	was := len(host.sends)
+	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, RemainingMillis: 60000, WorkHint: hint})
+	sent := len(host.sends) > was
+	if sent {
+		b.AttemptEnded(now, served(f.nextID, b.membership.caches[0].ID, 1))
+	}
+	host.sends = host.sends[:0]
+	host.timers = nil
+	return sent
+}
+
+// worstWindow has every router send whatever it may, from a time after the start on, and returns the
+// window of OverloadMillis that came nearest to its bound: what was sent, N, and the bound
+// N + 2 sqrt(N) + 2. With hints, the work of requests is known and varies around a mean of 1.
+func (f *slowStartFleet) worstWindow(rng *rand.Rand, warmRequests, from, step float64, hints bool) (
+	sent, allowed, bound, total float64,
+) {
+	type arrival struct{ at, work float64 }
+	var window []arrival
+	cfg := f.routers[0].cfg
+	bound = 1.0
+	end := min(serverStart+from+2*cfg.OverloadMillis, serverStart+cfg.SlowStartMillis)
+	for now := serverStart + from; now < end; now += step {
+		for _, router := range rng.Perm(len(f.routers)) {
+			for most := warmRequests; most > 0; most-- {
+				work := 1.0
+				hint := 0.0
+				if hints {
+					work = 0.5 + rng.Float64()
+					hint = work
+				}
+				if !f.request(router, now, hint) {
+					break
+				}
+				window = append(window, arrival{now, work})
+				total += work
+			}
+		}
+		sum := 0.0
+		kept := window[:0]
+		for _, a := range window {
+			if a.at > now-cfg.OverloadMillis {
+				sum = sum + a.work
+				kept = append(kept, a)
+			}
+		}
+		window = kept
+		n := warmRequests * f.routers[0].warmShare(f.routers[0].membership.caches[0])
+		if most := n + 2*math.Sqrt(n) + 2; sum/most > sent/bound {
+			sent = sum
+			allowed = n
+			bound = most
+		}
+	}
+	return sent, allowed, bound, total
+}
+
+// All routers that know of a start send the server as much as they may. Together that must be no
+// more than N + 2 sqrt(N) + 2 requests of mean work in any window, whatever their number, however
+// long clients stayed away before, and however light the requests are; and no less than a fifth of
+// N.
+func TestTheFleetsSumInSlowStartIsBounded(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		listedAfter, quiet float64 // ms from the start until routers know of it, and until clients come
+		hints              bool
+	}{
+		{"at once", 0, 0, false},
+		{"light and heavy requests", 0, 0, true},
+		{"listed late", 3000, 3000, false},
+		{"after two seconds", 0, 2000, false},
+		{"after six seconds", 0, 6000, false},
+		{"light and heavy requests after six seconds", 0, 6000, true},
+	} {
+		for _, routers := range []int{1, 5, 24, 80, 300, 5100} {
+			seeds := uint64(3)
+			step := 100.0
+			sizes := []float64{60, 400}
+			if routers > 1000 { // takes long
+				seeds = 1
+				step = 500
+				sizes = sizes[:1]
+			}
+			for _, warm := range sizes {
+				t.Run(fmt.Sprintf("%s, %d routers, warm %v", c.name, routers, warm), func(t *testing.T) {
+					for seed := range seeds {
+						f := newSlowStartFleet(t, routers, seed, warm, c.listedAfter)
+						rng := rand.New(rand.NewPCG(seed, 1))
+						sent, allowed, bound, total := f.worstWindow(rng, warm, c.quiet, step, c.hints)
+						t.Logf("seed %d: sent %.1f, N %.1f, bound %.1f", seed, sent, allowed, bound)
+						if sent > bound {
+							t.Errorf("seed %d: %.1f requests of mean work in a window, N is %.1f, the bound %.1f",
+								seed, sent, allowed, bound)
+						}
+						if least := 0.2 * allowed; total < least {
+							t.Errorf("seed %d: only %.1f sent, N is %.1f", seed, total, allowed)
+						}
+					}
+				})
+			}
+		}
+	}
+}
