--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -2,89 +2,106 @@
 
 import (
 	"bufio"
-	"errors"
 	"io"
 	"net"
-	"os"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// clientConn is a client's connection. One goroutine reads commands; while there are answers to write, another writes
-// them in the order of the commands.
+// clientConn is a client's connection.
+//
+//	          first byte            whole command
+//	 ┌──────┐ ─────────▶ ┌─────────┐ ─────────▶ ┌───────────┐
+//	 │ idle │            │ reading │            │ answering │ (up to maxPipelined commands)
+//	 └──────┘ ◀───────── └─────────┘ ◀───────── └───────────┘
+//	    │     (answered)      │      first byte       │
+//	    │                     │                       │
+//	    │ idleTimeout,        │ malformed, quit,      │ draining and
+//	    │ evicted, draining   │ commandTimeout        │ nothing more to read
+//	    ▼                     ▼                       ▼
+//	 ┌──────────────────────────────────────────────────┐
+//	 │ finishing: no command is read, answers go out    │ ─────────▶ closed
+//	 └──────────────────────────────────────────────────┘
+//
+// In each state a disconnect of the client or a failed write makes the connection unwritable: its
+// pending answers are abandoned, its requests are cancelled, and it is closed.
+//
+// The reader goroutine, which clients.serve starts, owns reader and the connection: it runs
+// readCommands and then closeAfterAnswers, and ends when the connection is closed. While answers are
+// ready, one writer goroutine or one valueStream writes them; which of them it is, startWriter and
+// nextBatch decide under mu. Both end before clients.drain returns.
 type clientConn struct {
 	net.Conn
-	clients               *clients
-	reader                *bufio.Reader
-	isReceivingLargeValue atomic.Bool // a large value is coming
-	isCountedAsActive     atomic.Bool // among those that have asked
-	hasDisconnected       atomic.Bool // the client has gone: what waits is not sent on
-
-	mu                      sync.Mutex
-	pending                 []*response   // whose answers are not being written yet
-	answersInWrite          int           // answers that are
-	isUnwritable            bool          // nothing can be written any more,
-	unwritable              chan struct{} // which closes this
-	hasSentCommand          bool          // a command has come
-	isReadingCommand        bool          // another has begun,
-	commandDeadline         time.Time     // and has to be whole by then
-	isWatchingForDisconnect bool          // the reader waits for the client to leave: the end of its time wakes it
-	isDraining              bool          // ends as soon as nothing waits for its answer
-	idleStart               time.Time     // idle since, while nothing is open
-	lastAnswerAt            time.Time     // when an answer was last written
+	clients *clients
+	// reader buffers the input. It belongs to the reader goroutine.
+	reader *bufio.Reader
+	// isReceivingLargeValue is set while a value is forwarded as it comes.
+	isReceivingLargeValue atomic.Bool
+	// isCountedAsActive is set once the connection counts in clients.activeConns.
+	isCountedAsActive atomic.Bool
+	// hasDisconnected is set once the client has closed or reset the connection: no attempt of its
+	// requests may be written any more.
+	hasDisconnected atomic.Bool
+
+	// mu guards all fields below, and the order of changes to the read deadline.
+	mu sync.Mutex
+	// pending holds the answers that no writer has taken yet, in the order of the commands.
+	pending []*response
+	// answersInWrite counts the answers that the writer has taken and not written.
+	answersInWrite int
+	// isUnwritable is set once nothing can be written any more.
+	isUnwritable bool
+	// unwritable is closed when isUnwritable is set.
+	unwritable chan struct{}
+	// hasSentCommand is set once a whole command has come.
+	hasSentCommand bool
+	// isReadingCommand is set while part of a command has come.
+	isReadingCommand bool
+	// commandDeadline is when the command that is being read has to be whole.
+	commandDeadline time.Time
+	// isWatchingForDisconnect is set while the reader waits in watchForDisconnect; an expired read
+	// deadline wakes it.
+	isWatchingForDisconnect bool
+	// isDraining is set when the connection is to end as soon as nothing is unanswered.
+	isDraining bool
+	// idleStart is when the connection was accepted or had its last answer written.
+	idleStart time.Time
+	// lastAnswerAt is when an answer was last written.
+	lastAnswerAt time.Time
 }
 
-// expiredDeadline is a time for reading that is up.
+// expiredDeadline is a read deadline in the past: it ends a read that waits.
 var expiredDeadline = time.Unix(1, 0)
 
-// Read is how commands are read. One that is being read when the connection is to give way is not cut off where the rest
-// of it is there already: its client can't tell that it was not taken.
-func (c *clientConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendForLateInput() {
-		return c.Conn.Read(b)
-	}
-	return n, err
-}
-
-// extendForLateInput tells whether the end of the connection has extendForLateInput a command that is being read, which then has its time again.
-func (c *clientConn) extendForLateInput() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.isDraining || !c.isReadingCommand || !time.Now().Before(c.commandDeadline) || !hasInput(c.Conn) {
-		return false
-	}
-	c.SetReadDeadline(c.commandDeadline)
-	return true
-}
-
-// unanswered counts the commands that are not answered. The caller holds mu.
+// unanswered counts the commands that have no answer written. The caller holds mu.
 func (c *clientConn) unanswered() int { return len(c.pending) + c.answersInWrite }
 
-// idleSince tells since when the connection has had no request open.
-func (c *clientConn) idleSince() (since time.Time, idle bool) {
+// idleSince reports whether the connection has no unanswered command, and since when. A connection
+// that has sent no command within firstCommandGrace counts as idle for longer than it is: else
+// silent connections, which are always young, would have clients evicted that send requests.
+func (c *clientConn) idleSince() (since time.Time, isIdle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if since = c.idleStart; !c.hasSentCommand && time.Since(since) > firstCommandGrace { // else silent ones would drive out the usual clients
+	since = c.idleStart
+	if !c.hasSentCommand && time.Since(since) > firstCommandGrace {
 		since = since.Add(-silentConnPenalty)
 	}
 	return since, c.unanswered() == 0 && !c.isDraining && !c.isReceivingLargeValue.Load()
 }
 
-// drain ends the connection once nothing waits for its answer and no command is coming. Until then it is read on: what a
-// client sends on a connection that is open is taken, and its leaving is seen.
+// drain ends the connection once nothing is unanswered and no command is coming. Until then it is
+// read on: a client may send while its connection is open, and its disconnect has to be seen.
 func (c *clientConn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isDraining = true; !c.isReadingCommand && c.unanswered() == 0 {
+	c.isDraining = true
+	if !c.isReadingCommand && c.unanswered() == 0 {
 		c.SetReadDeadline(expiredDeadline)
 	}
 }
 
-// closeIfIdle ends the connection at once if no request is open: half a command is none.
+// closeIfIdle ends the connection at once if nothing is unanswered; part of a command is dropped.
 func (c *clientConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,168 +111,49 @@
 	}
 }
 
-// beginCommand tells that a command has begun. The first one's time has run since the connection came.
-func (c *clientConn) beginCommand(first bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.isReadingCommand = true; !first || c.isDraining {
-		c.commandDeadline = time.Now().Add(commandTimeout)
-		c.SetReadDeadline(c.commandDeadline)
-	}
-}
-
-// awaitNextCommand waits until there is room for the next command and sets the time for it: none while requests are open, as then
-// the client's leaving is waited for.
-func (c *clientConn) awaitNextCommand() error {
-	c.mu.Lock()
-	c.isReadingCommand, c.hasSentCommand = false, true
-	c.mu.Unlock()
-	if c.watchForDisconnect(func() bool { return c.unanswered() < maxPipelined }, 0) {
-		return io.EOF
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	switch {
-	case c.isUnwritable:
-		return net.ErrClosed
-	case c.clients.commandsClosed.Load():
-		return os.ErrDeadlineExceeded
-	case c.unanswered() > 0:
-		c.SetReadDeadline(time.Time{})
-	case c.isDraining: // what has come already is answered
-		c.SetReadDeadline(expiredDeadline)
-	default:
-		c.SetReadDeadline(time.Now().Add(idleTimeout))
-	}
-	return nil
-}
+// disconnected reports whether the client has disconnected, as far as that can be known by now.
+func (c *clientConn) disconnected() bool { return c.hasDisconnected.Load() || hasEnded(c.Conn) }
 
-// watchForDisconnect waits until done holds or nothing can be written any more, and tells whether the client has left instead. Up to so many bytes of
-// input are thrown away meanwhile, the rest is not read: the client's end is seen behind it. done is asked with mu held.
-func (c *clientConn) watchForDisconnect(done func() bool, unwanted int) (left bool) {
+// watchForDisconnect waits until isDone holds or nothing can be written any more, and reports whether
+// the client has disconnected instead. Up to discardBytes of input are thrown away meanwhile and the
+// rest is left unread; the end of the input is seen behind it. isDone is called with mu held.
+func (c *clientConn) watchForDisconnect(isDone func() bool, discardBytes int) (hasDisconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !done() && !c.isUnwritable {
+	for !isDone() && !c.isUnwritable {
 		c.isWatchingForDisconnect = true
 		c.SetReadDeadline(time.Time{})
 		c.mu.Unlock()
-		left := awaitDisconnect(c.Conn, &unwanted)
+		hasDisconnected = awaitDisconnect(c.Conn, &discardBytes)
 		c.mu.Lock()
-		if c.isWatchingForDisconnect = false; left {
+		c.isWatchingForDisconnect = false
+		if hasDisconnected {
 			return true
 		}
 	}
 	return false
 }
 
-// disconnected tells whether the client has left, as far as that can be known by now.
-func (c *clientConn) disconnected() bool { return c.hasDisconnected.Load() || hasEnded(c.Conn) }
-
-// readCommands reads commands until the client leaves, is turned away for what it sent, or the connection's time is up.
-func (c *clientConn) readCommands() (turnedAway bool) {
-	unknown := 0
-	for first := true; ; first = false {
-		_, err := c.reader.Peek(1)
-		if errors.Is(err, os.ErrDeadlineExceeded) && !c.clients.commandsClosed.Load() && hasInput(c.Conn) { // a command that crosses the end of the time
-			c.beginCommand(false)
-			_, err = c.reader.Peek(1)
-		}
-		if err != nil {
-			return c.endReading(err)
-		}
-		c.beginCommand(first)
-		cmd, err := readCommand(c.reader) // the value is read only if the rest makes sense
-		if err == nil {
-			err = c.clients.loop.checkCommand(&cmd)
-		}
-		refuse := err == nil && (cmd.verb == "mg" || cmd.verb == "ms") && !c.clients.loop.reserveValue(&cmd)
-		if err == nil && cmd.verb == "ms" {
-			refuse, err = c.readWriteValue(&cmd, refuse)
-		}
-		read := c.clients.loop.now()
-		if err != nil && !errors.Is(err, errMalformed) {
-			return c.endReading(err)
-		}
-		sl := c.appendResponse()
-		switch {
-		case err != nil:
-			sl.answer([]byte("CLIENT_ERROR " + err.Error() + "\r\n"))
-			return true
-		case refuse: // many large writes at once must not cost the router its life
-			c.clients.loop.metrics.Class(cmd.class).Ended(metrics.Overload)
-			sl.answer(rejectedAnswer(c.clients.loop.rules.Load().retryAfterMillis))
-		case cmd.verb == "mg" || cmd.verb == "ms":
-			c.clients.loop.post(func() { c.clients.loop.arrive(cmd, read, sl) })
-		case cmd.verb == "mn":
-			sl.answer(c.clients.readiness())
-		case cmd.verb == "quit":
-			sl.answer(nil)
-			return true
-		default:
-			sl.answer([]byte("ERROR\r\n"))
-			if unknown++; unknown == maxUnknownCommands {
-				return true
-			}
-		}
-		if first {
-			c.clients.countActive(c)
-		}
-		if err := c.awaitNextCommand(); err != nil {
-			return c.endReading(err)
-		}
-	}
-}
-
-// readWriteValue reads the value of a write, or passes a large one on while it comes. It tells whether the write is to be
-// refused; what was held for it is then given back, as after an error.
-func (c *clientConn) readWriteValue(cmd *command, refuse bool) (bool, error) {
-	l := c.clients.loop
-	if cmd.valueBytes <= maxBufferedValue {
-		v, err := readValue(c.reader, cmd.valueBytes, refuse)
-		if cmd.value = v; err != nil && !refuse {
-			l.releaseValue(cmd)
-		}
-		return refuse, err
-	}
-	full := refuse
-	if !refuse {
-		up, err := l.startUpload(cmd)
-		cmd.upload, refuse = up, err != nil
-	}
-	err := c.readLargeValue(cmd.valueBytes, cmd.upload)
-	if !full && (refuse || err != nil) {
-		l.releaseValue(cmd)
-	}
-	return refuse, err
-}
-
-// endReading ends the reading of a connection after an error. Where the client has not left, what was taken is answered.
-func (c *clientConn) endReading(err error) (turnedAway bool) {
-	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.abandonAnswers()
-	}
-	return false
-}
-
-// abandonAnswers gives up what waits for its answer, as nobody takes it any more.
+// abandonAnswers drops the pending answers and tells the loop that their client has disconnected.
 func (c *clientConn) abandonAnswers() {
-	c.hasDisconnected.Store(true) // before the loop is told: an attempt that is about to be written sees it
+	// Before the loop hears of it: an attempt that is about to be written checks this flag.
+	c.hasDisconnected.Store(true)
 	c.mu.Lock()
-	open := c.pending
+	abandoned := c.pending
 	c.pending = nil
 	c.markUnwritable()
-	for _, sl := range open {
-		if sl.isReady {
-			c.clients.loop.answerBytes.release(len(sl.answerBytes))
+	for _, r := range abandoned {
+		if r.isReady {
+			c.clients.loop.answerBytes.release(len(r.answerBytes))
 		}
 	}
 	c.mu.Unlock()
-	for _, sl := range open {
-		c.clients.loop.post(func() { c.clients.loop.clientDisconnected(sl) })
+	for _, r := range abandoned {
+		c.clients.loop.post(func() { c.clients.loop.clientDisconnected(r) })
 	}
 }
 
-// markUnwritable tells that nothing can be written any more. The caller holds mu.
+// markUnwritable records that nothing can be written any more. The caller holds mu.
 func (c *clientConn) markUnwritable() {
 	if !c.isUnwritable {
 		c.isUnwritable = true
@@ -263,30 +161,44 @@
 	}
 }
 
-// closeAfterAnswers waits until all answers are out, or the client has left, and closes the connection. A close with input unread, or
-// before input that is on its way, would reset it, and might destroy answers on theirs: a client that was turned away, whose
-// next command has crossed the end, or that has just been answered sees the end of the answers first, and is read on for a
-// bounded time.
-func (c *clientConn) closeAfterAnswers(turnedAway bool) {
-	unwanted := 0
-	if turnedAway {
-		unwanted = lingerBytes
-	}
-	left := c.watchForDisconnect(func() bool { return c.unanswered() == 0 }, unwanted)
+// closeAfterAnswers waits until all answers are written, or the client has disconnected, and closes
+// the connection.
+//
+// Closing a socket while input is unread, or on its way, resets the connection, and a reset may
+// destroy answers that the client has not read yet. So a client that was rejected, whose next command
+// is there already, or that has just been answered sees the end of the answers first (a half-close),
+// and its input is discarded for a bounded time.
+func (c *clientConn) closeAfterAnswers(isRejected bool) {
+	discardBytes := 0
+	if isRejected {
+		discardBytes = lingerBytes
+	}
+	hasDisconnected := c.watchForDisconnect(func() bool { return c.unanswered() == 0 }, discardBytes)
 	c.mu.Lock()
-	broken, until := c.isUnwritable, c.lastAnswerAt.Add(restAfterAnswer)
+	isUnwritable := c.isUnwritable
+	lingerUntil := c.lastAnswerAt.Add(restAfterAnswer)
 	c.mu.Unlock()
-	if turnedAway || c.reader.Buffered() > 0 || hasInput(c.Conn) {
-		until = time.Now().Add(lingerTimeout)
+	if isRejected || c.reader.Buffered() > 0 || hasInput(c.Conn) {
+		lingerUntil = time.Now().Add(lingerTimeout)
 	}
-	if left || broken {
+	if hasDisconnected || isUnwritable {
 		c.abandonAnswers()
-	} else if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && time.Now().Before(until) && half.CloseWrite() == nil {
-		c.SetReadDeadline(until)
-		io.CopyBuffer(io.Discard, io.LimitReader(onlyReader{c.Conn}, lingerBytes), make([]byte, maxLineBytes)) //nolint:errcheck // it is unwanted
+	} else {
+		c.linger(lingerUntil)
 	}
 	c.Close()
 }
 
-// onlyReader hides the methods by which a copy would do without the buffer it is given.
+// linger ends the answers and discards input until the client closes, a time or lingerBytes.
+func (c *clientConn) linger(until time.Time) {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !ok || !time.Now().Before(until) || halfCloser.CloseWrite() != nil {
+		return
+	}
+	c.SetReadDeadline(until)
+	input := io.LimitReader(onlyReader{c.Conn}, lingerBytes)
+	io.CopyBuffer(io.Discard, input, make([]byte, maxLineBytes)) //nolint:errcheck // the input is unwanted
+}
+
+// onlyReader hides the methods by which io.CopyBuffer would bypass the buffer that it is given.
 type onlyReader struct{ io.Reader }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -1,6 +1,6 @@
 package router
 
-// The listener and all client connections: places, eviction, draining.
+// The listener and all client connections: accepting, eviction of idle ones, draining.
 
 import (
 	"bufio"
@@ -14,131 +14,163 @@
 	"time"
 )
 
-// Bounds on clients. What a client is owed an answer for is bounded by its own deadline.
+// Bounds on clients. How long a client waits for an answer is bounded by its own deadline.
 const (
-	maxPipelined        = 16                      // commands of a connection that wait for their answer
-	maxUnknownCommands  = 4                       // commands of a connection that the router does not know
-	firstCommandTimeout = 2700 * time.Millisecond // for the first command to come whole
-	commandTimeout      = 2700 * time.Millisecond // for a later one to come whole once it has begun
-	idleTimeout         = 3 * time.Second         // for the next one to begin
-	restAfterAnswer     = 100 * time.Millisecond  // a connection that has just been answered is kept for
-	answerWriteTimeout  = 5 * time.Second         // for a client to take its answers
-	lingerTimeout       = 500 * time.Millisecond  // for a client that was turned away to close
-	lingerBytes         = 256 << 10               // of its input that are read meanwhile
-	firstCommandGrace   = 200 * time.Millisecond  // a connection that has asked nothing after that
-	silentConnPenalty   = time.Second             // counts as idle for that much longer
+	// maxPipelined is how many unanswered commands a connection may have.
+	maxPipelined = 16
+	// maxUnknownCommands is how many unknown commands end a connection.
+	maxUnknownCommands = 4
+	// firstCommandTimeout is the time for a connection's first command to come whole.
+	firstCommandTimeout = 2700 * time.Millisecond
+	// commandTimeout is the time for a later command to come whole once it has begun, and for the
+	// next piece of a large value.
+	commandTimeout = 2700 * time.Millisecond
+	// idleTimeout is the time for the next command to begin.
+	idleTimeout = 3 * time.Second
+	// restAfterAnswer is how long a connection stays that has just been answered: the client's next
+	// command may be on its way.
+	restAfterAnswer = 100 * time.Millisecond
+	// answerWriteTimeout is the time for a client to take its answers.
+	answerWriteTimeout = 5 * time.Second
+	// lingerTimeout is the time for a client that was rejected to close.
+	lingerTimeout = 500 * time.Millisecond
+	// lingerBytes is how much of its input is discarded meanwhile.
+	lingerBytes = 256 << 10
+	// firstCommandGrace is how long a connection may be silent at first and count as any other.
+	firstCommandGrace = 200 * time.Millisecond
+	// silentConnPenalty is added to the idle time of a connection that stays silent for longer.
+	silentConnPenalty = time.Second
+	// queuedAcceptTimeout is how long the listener's queue is waited for once no new connection is
+	// expected.
+	queuedAcceptTimeout = 10 * time.Millisecond
+	// acceptRetryDelay keeps accept from a tight loop while, say, no descriptor is left.
+	acceptRetryDelay = 100 * time.Millisecond
+	// evictRetryDelay is when eviction is tried again: the connection that was to be evicted may have
+	// got a command just then.
+	evictRetryDelay = 10 * time.Millisecond
 )
 
-// response is the place of a command's answer among those of its connection.
-type response struct {
-	conn        *clientConn
-	request     *request      // the loop's
-	streamTurn  chan struct{} // closed when a value that is passed through may be written; nil = the answer is text
-	answerBytes []byte        // guarded by c.mu, as the others
-	isReady     bool
-}
-
-// clients serves the connections of clients.
+// clients serves the connections of clients. Its goroutines are accept, one reader for each
+// connection and their writers; all are counted in wg, and drain waits for them.
 type clients struct {
-	loop           *loop
-	listener       net.Listener
-	connections    descriptorQuota // one for each connection that may be open
-	readerPool     sync.Pool       // of *bufio.Reader: bad clients come and go by hundreds
-	isDraining     atomic.Bool
-	commandsClosed atomic.Bool   // no further command is taken
-	activeConns    atomic.Int64  // connections that have asked
-	acceptDone     chan struct{} // closed when no more are taken
-	wg             sync.WaitGroup
+	loop     *loop
+	listener net.Listener
+	// connections has one descriptor for each connection that may be open.
+	connections descriptorQuota
+	// readerPool holds *bufio.Reader: connections may come and go by the hundred.
+	readerPool sync.Pool
+	// isDraining is set when each connection is to end once nothing is unanswered on it.
+	isDraining atomic.Bool
+	// commandsClosed is set when no further command is taken.
+	commandsClosed atomic.Bool
+	// activeConns counts the connections that have sent a command.
+	activeConns atomic.Int64
+	// acceptDone is closed when accept has ended.
+	acceptDone chan struct{}
+	wg         sync.WaitGroup
 
+	// mu guards conns.
 	mu    sync.Mutex
 	conns map[*clientConn]struct{}
 }
 
-func newClients(l *loop, ln net.Listener, limit int) *clients {
-	return &clients{loop: l, listener: ln, acceptDone: make(chan struct{}), connections: descriptorQuota{limit: limit, routerLimit: limit, released: make(chan struct{}, 1)}, conns: map[*clientConn]struct{}{},
-		readerPool: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}}
+// newClients serves the clients of a listener, with at most so many connections.
+func newClients(l *loop, listener net.Listener, limit int) *clients {
+	s := &clients{
+		loop:        l,
+		listener:    listener,
+		connections: newDescriptorQuota(limit),
+		acceptDone:  make(chan struct{}),
+		conns:       map[*clientConn]struct{}{},
+	}
+	s.readerPool.New = func() any { return bufio.NewReaderSize(nil, maxLineBytes) }
+	return s
 }
 
-// accept takes connections until the listener is closed or its time is up.
+// deadlineSetter is a listener whose Accept can be bounded in time.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
+
+// accept takes connections until the listener is closed or its deadline has passed.
 func (s *clients) accept() {
 	defer close(s.acceptDone)
 	for {
-		c, err := s.listener.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) && hasQueuedConnection(s.listener) { // the end of the time comes before the queue, however full
-			s.listener.(deadliner).SetDeadline(time.Now().Add(queuedAcceptTimeout)) //nolint:errcheck // closed, and then Accept tells
-			continue
-		}
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
-				return
-			}
+		conn, err := s.listener.Accept()
+		switch {
+		case err == nil:
+			s.acquireConnection()
+			s.serve(conn)
+		case errors.Is(err, os.ErrDeadlineExceeded) && hasQueuedConnection(s.listener):
+			// Accept looks at its deadline before the queue: connections that stand there are taken all the same.
+			deadline := time.Now().Add(queuedAcceptTimeout)
+			s.listener.(deadlineSetter).SetDeadline(deadline) //nolint:errcheck // if it is closed, Accept reports it
+		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
+			return
+		default:
 			slog.Warn("accepting", "error", err)
-			time.Sleep(100 * time.Millisecond) // as with no descriptor left: not in a tight loop
-			continue
+			time.Sleep(acceptRetryDelay)
 		}
-		s.acquireConnection()
-		s.serve(c)
 	}
 }
 
-// queuedAcceptTimeout is how long connections that stand in the listener's queue are taken for once no new one is expected.
-const queuedAcceptTimeout = 10 * time.Millisecond
-
-// deadliner is what waits until a time at most.
-type deadliner interface{ SetDeadline(time.Time) error }
-
-// acceptQueued has accept end once the listener's queue is empty: closing the listener would reset what stands there.
+// acceptQueued lets accept take what stands in the listener's queue, and end: closing the listener
+// before would reset those connections.
 func (s *clients) acceptQueued() {
-	if ln, ok := s.listener.(deadliner); ok && ln.SetDeadline(time.Now().Add(queuedAcceptTimeout)) == nil {
-		select {
-		case <-s.acceptDone:
-		case <-time.After(acceptAfterStop): // each place is taken by a request
-		}
+	listener, ok := s.listener.(deadlineSetter)
+	if !ok || listener.SetDeadline(time.Now().Add(queuedAcceptTimeout)) != nil {
+		return
+	}
+	select {
+	case <-s.acceptDone:
+	case <-time.After(acceptAfterStop): // accept waits for a descriptor, and each has an unanswered command
 	}
 }
 
-// acquireConnection takes a place for a connection. When all are taken, the connection that has been idle for longest gives way;
-// where each has a request open, the next one waits.
+// acquireConnection takes a descriptor for a connection. When none is left, the connection that has
+// been idle for longest is evicted; where each has an unanswered command, the new one waits.
 func (s *clients) acquireConnection() {
 	for !s.connections.tryAcquire() {
 		s.evictIdle(false)
 		select {
 		case <-s.connections.released:
-		case <-time.After(10 * time.Millisecond): // it may have got a request just then
+		case <-time.After(evictRetryDelay):
 		}
 	}
 }
 
-// setProcessCount leaves this process an equal part of the places, while several processes are one router.
+// setProcessCount leaves this process its part of the descriptors, while several processes are one
+// router, and evicts idle connections beyond it.
 func (s *clients) setProcessCount(processes int) {
 	for range s.connections.setProcessCount(processes) {
 		s.evictIdle(false)
 	}
 }
 
-// evictIdle ends the connection that has been idle for longest. With asked set, only those that have asked and since rested
-// for a moment count.
-func (s *clients) evictIdle(asked bool) {
-	var oldest *clientConn
-	var since time.Time
+// evictIdle ends the connection that has been idle for longest. With onlyActive set, only connections
+// count that have sent a command and have then been idle for restAfterAnswer.
+func (s *clients) evictIdle(onlyActive bool) {
+	var longestIdle *clientConn
+	var idleSince time.Time
 	s.mu.Lock()
 	for c := range s.conns {
-		at, idle := c.idleSince()
-		if asked && (!c.isCountedAsActive.Load() || time.Since(at) < restAfterAnswer) {
+		since, isIdle := c.idleSince()
+		if onlyActive && (!c.isCountedAsActive.Load() || time.Since(since) < restAfterAnswer) {
 			continue
 		}
-		if idle && (oldest == nil || at.Before(since)) {
-			oldest, since = c, at
+		if isIdle && (longestIdle == nil || since.Before(idleSince)) {
+			longestIdle = c
+			idleSince = since
 		}
 	}
 	s.mu.Unlock()
-	if oldest != nil {
-		oldest.closeIfIdle()
+	if longestIdle != nil {
+		longestIdle.closeIfIdle()
 	}
 }
 
-// countActive counts a connection that has asked for the first time. Where many ask once and keep their connection, its end by
-// time comes too late: they would hold all that clients may have, and the next requests had none.
+// countActive counts a connection that has sent its first command, and evicts an idle one once these
+// hold more than half of the descriptors. Where many clients send one command and keep their
+// connection, idleTimeout comes too late: they would hold all descriptors, and the next clients
+// would get none.
 func (s *clients) countActive(c *clientConn) {
 	c.isCountedAsActive.Store(true)
 	if s.activeConns.Add(1) > s.connections.halfLimit() {
@@ -146,33 +178,45 @@
 	}
 }
 
-func (s *clients) serve(nc net.Conn) {
-	r := s.readerPool.Get().(*bufio.Reader)
-	c := &clientConn{Conn: nc, clients: s, reader: r, idleStart: time.Now(), unwritable: make(chan struct{})}
-	r.Reset(c)
+// serve starts the reader goroutine of a connection, which ends when the connection is closed.
+func (s *clients) serve(conn net.Conn) {
+	reader := s.readerPool.Get().(*bufio.Reader)
+	c := &clientConn{
+		Conn:       conn,
+		clients:    s,
+		reader:     reader,
+		idleStart:  time.Now(),
+		unwritable: make(chan struct{}),
+	}
+	reader.Reset(c)
 	c.commandDeadline = c.idleStart.Add(firstCommandTimeout)
-	nc.SetReadDeadline(c.commandDeadline)
+	conn.SetReadDeadline(c.commandDeadline)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
 	s.wg.Go(func() {
-		turnedAway := c.readCommands()
-		c.closeAfterAnswers(turnedAway)
-		if c.isCountedAsActive.Load() {
-			s.activeConns.Add(-1)
-		}
-		s.mu.Lock()
-		delete(s.conns, c)
-		s.mu.Unlock()
-		r.Reset(nil)
-		s.readerPool.Put(r)
-		s.connections.release()
+		isRejected := c.readCommands()
+		c.closeAfterAnswers(isRejected)
+		s.remove(c)
 	})
 	if s.isDraining.Load() {
 		c.drain()
 	}
 }
 
+// remove forgets a closed connection and gives back what it held.
+func (s *clients) remove(c *clientConn) {
+	if c.isCountedAsActive.Load() {
+		s.activeConns.Add(-1)
+	}
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.mu.Unlock()
+	c.reader.Reset(nil)
+	s.readerPool.Put(c.reader)
+	s.connections.release()
+}
+
 // readiness answers mn: the router is used from MN on, so it must be able to serve.
 func (s *clients) readiness() []byte {
 	if s.loop.hasEndpoints.Load() && !s.isDraining.Load() {
@@ -181,36 +225,47 @@
 	return []byte("SERVER_ERROR not ready\r\n")
 }
 
-// drain has every connection closed once it has nothing to answer, and returns when all are, or end is over. Some always
-// have something open, as their clients send on: no further command is taken once noMore is over.
-func (s *clients) drain(noMore, end context.Context) {
+// drain closes every connection once it has nothing unanswered, and returns when all are closed.
+// Connections whose clients keep sending are never idle: no further command is taken once
+// commandsEnd is done, and what is open when connectionsEnd is done is closed.
+func (s *clients) drain(commandsEnd, connectionsEnd context.Context) {
 	s.startDrain()
-	closed := make(chan struct{})
-	go func() {
+	allClosed := make(chan struct{})
+	go func() { // ends with the last connection, at connectionsEnd at the latest
 		s.wg.Wait()
-		close(closed)
+		close(allClosed)
 	}()
 	select {
-	case <-closed:
+	case <-allClosed:
 		return
-	case <-noMore.Done():
+	case <-commandsEnd.Done():
 		s.stopReadingCommands()
-	case <-end.Done():
+	case <-connectionsEnd.Done():
 	}
 	select {
-	case <-closed:
-	case <-end.Done():
+	case <-allClosed:
+	case <-connectionsEnd.Done():
 		s.mu.Lock()
 		for c := range s.conns {
 			c.Close()
 		}
 		s.mu.Unlock()
-		<-closed
+		<-allClosed
+	}
+}
+
+// startDrain has every connection closed once it has nothing unanswered.
+func (s *clients) startDrain() {
+	s.isDraining.Store(true)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		c.drain()
 	}
 }
 
-// stopReadingCommands ends the reading of every connection: a client sends what is not read elsewhere. What has come whole of a command
-// that has begun is still taken, and so is a large value that is coming.
+// stopReadingCommands ends the reading of every connection: a client sends elsewhere what is not
+// read. A command of which all has come is still taken, and so is a large value that is coming.
 func (s *clients) stopReadingCommands() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,13 +278,3 @@
 		c.mu.Unlock()
 	}
 }
-
-// startDrain has every connection closed once it has nothing to answer.
-func (s *clients) startDrain() {
-	s.isDraining.Store(true)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.drain()
-	}
-}
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -1,6 +1,8 @@
 package router
 
-// The methods of decide.Host beside Send and Cancel: what the Balancer asks of the network.
+// The methods of decide.Host beside Send and Cancel: what the Balancer asks of the network. They are
+// called on the loop, from within a call of the Balancer; what they would call it back with is
+// deferred to the end of that.
 
 import (
 	"context"
@@ -11,46 +13,59 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Reject answers that trying again is harmless.
-func (l *loop) Reject(id uint32, wait float64) {
+// Reject answers a request with a Retry-After in milliseconds. It has not run.
+func (l *loop) Reject(id uint32, retryAfterMillis float64) {
 	if r := l.requests[id]; r != nil {
-		l.finish(r, rejectedAnswer(wait), metrics.Overload)
+		l.finish(r, rejectedAnswer(retryAfterMillis), metrics.Overload)
 	}
 }
 
-// Fail answers with no promise.
+// Fail answers a request that has failed and may have run.
 func (l *loop) Fail(id uint32) {
 	if r := l.requests[id]; r != nil {
 		l.finish(r, failedAnswer(), metrics.Error)
 	}
 }
 
-// healthCheckTimeoutMillis is how long a probe is waited for, in milliseconds.
-const healthCheckTimeoutMillis = 500
+// healthCheckTimeout is the time for the answer to a health check, its connection included.
+const healthCheckTimeout = 500 * time.Millisecond
 
-// HealthCheck asks a server for its load.
+// HealthCheck asks a server for its load, unless another router of the fleet has just asked it.
 func (l *loop) HealthCheck(server uint32) {
 	t := l.targets[server]
 	if t == nil {
-		l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, decide.ConnectError, decide.NoLoadReport) })
+		l.deferHealthCheck(server, decide.ConnectError, decide.NoLoadReport)
 		return
 	}
 	if l.healthReports != nil {
-		if load, ok := l.healthReports.Lookup(l.now(), server); ok { // another router has asked it
+		if load, ok := l.healthReports.Lookup(l.now(), server); ok {
 			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.RequestsPerSecond, load.Utilization)
-			l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, decide.OK, load) })
+			l.deferHealthCheck(server, decide.OK, load)
 			return
 		}
 	}
-	l.background.Go(func() {
-		ctx, stop := context.WithTimeout(l.ctx, healthCheckTimeoutMillis*time.Millisecond)
-		defer stop()
-		st, load := l.upstreams.probe(ctx, t)
-		l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f", server, st, load.RequestsPerSecond, load.Utilization)
-		l.post(func() { l.balancer.HealthCheckEnded(l.now(), server, st, load) })
+	l.background.Go(func() { // ends within healthCheckTimeout
+		status, load := l.checkTarget(l.ctx, server, t)
+		l.post(func() { l.balancer.HealthCheckEnded(l.now(), server, status, load) })
 	})
 }
 
+// deferHealthCheck gives the Balancer the outcome of a health check after its present call.
+func (l *loop) deferHealthCheck(server uint32, status decide.AttemptStatus, load decide.LoadReport) {
+	l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, status, load) })
+}
+
+// checkTarget carries a health check out. Any goroutine may call it but the loop's, which it would
+// block.
+func (l *loop) checkTarget(ctx context.Context, server uint32, t *target) (decide.AttemptStatus, decide.LoadReport) {
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
+	defer cancel()
+	status, load := l.upstreams.probe(ctx, t)
+	l.trace.Event(l.now(), "probe", "s=%08x status=%d qps=%.1f util=%.3f",
+		server, status, load.RequestsPerSecond, load.Utilization)
+	return status, load
+}
+
 // CloseIdle closes the idle connections to a server.
 func (l *loop) CloseIdle(server uint32) {
 	if t := l.targets[server]; t != nil {
@@ -58,20 +73,20 @@
 	}
 }
 
-// SetTimer calls the Balancer's Timer after that many milliseconds.
-func (l *loop) SetTimer(after float64, token uint64) {
-	l.after(after, func() { l.balancer.TimerExpired(l.now(), token) })
+// SetTimer calls the Balancer's TimerExpired with the token after so many milliseconds.
+func (l *loop) SetTimer(afterMillis float64, token uint64) {
+	l.after(afterMillis, func() { l.balancer.TimerExpired(l.now(), token) })
 }
 
-// WatchEndpoints asks discovery for changes from now on.
+// WatchEndpoints polls discovery, which is then watched for changes.
 func (l *loop) WatchEndpoints() {
 	if l.discovery != nil {
 		l.discovery.requestWatch()
 	}
 }
 
-// Gossip sends nothing: the module has nothing to tell other routers.
+// Gossip sends nothing: the decision module has nothing to share with other routers.
 func (l *loop) Gossip([]byte) {}
 
-// Log writes a line of the module's.
+// Log logs a line of the decision module.
 func (l *loop) Log(text string) { slog.Info("module", "text", text) }
--- a/internal/router/descriptors.go
+++ b/internal/router/descriptors.go
@@ -2,44 +2,58 @@
 
 import "sync"
 
-// descriptorQuota bounds the connections that are open.
+// descriptorQuota bounds the connections of clients that may be open at once: the descriptors that
+// the router has for them, or this process's part while several processes are one router.
 type descriptorQuota struct {
-	mu                 sync.Mutex
-	used               int
-	limit, routerLimit int
-	released           chan struct{} // of capacity 1
+	// released has an element after a release, until a waiter has taken it. Its capacity is 1.
+	released chan struct{}
+	// routerLimit is the limit of all processes of this router together.
+	routerLimit int
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// used counts the descriptors in use; it is above limit for a while after limit was lowered.
+	used int
+	// limit is this process's.
+	limit int
+}
+
+func newDescriptorQuota(limit int) descriptorQuota {
+	return descriptorQuota{released: make(chan struct{}, 1), routerLimit: limit, limit: limit}
 }
 
-func (p *descriptorQuota) tryAcquire() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.used >= p.limit {
+// tryAcquire takes a descriptor if one is left.
+func (q *descriptorQuota) tryAcquire() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.used >= q.limit {
 		return false
 	}
-	p.used++
+	q.used++
 	return true
 }
 
-func (p *descriptorQuota) release() {
-	p.mu.Lock()
-	p.used--
-	p.mu.Unlock()
+// release gives a descriptor back and wakes one waiter.
+func (q *descriptorQuota) release() {
+	q.mu.Lock()
+	q.used--
+	q.mu.Unlock()
 	select {
-	case p.released <- struct{}{}:
+	case q.released <- struct{}{}:
 	default:
 	}
 }
 
-// setProcessCount sets the limit and returns how many are over it.
-func (p *descriptorQuota) setProcessCount(processes int) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.limit = p.routerLimit / processes
-	return max(0, p.used-p.limit)
+// setProcessCount sets the limit to this process's part, and returns how many are in use beyond it.
+func (q *descriptorQuota) setProcessCount(processes int) (excess int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.limit = q.routerLimit / processes
+	return max(0, q.used-q.limit)
 }
 
-func (p *descriptorQuota) halfLimit() int64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return int64(p.limit / 2)
+func (q *descriptorQuota) halfLimit() int64 {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return int64(q.limit / 2)
 }
--- /dev/null
+++ b/internal/router/endpoint_list.go
@@ -0,0 +1,106 @@
+package router
+
+// The endpoint list in discovery's form. This is where discovery's words are mapped.
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+
+	"dockhinge.example/dockhinge/decide"
+)
+
+// endpointList is the list of servers, or the changes to one, as discovery writes it.
+type endpointList struct {
+	Version int64 `json:"version"`
+	// IsComplete is set for the whole list, and not for changes.
+	IsComplete bool        `json:"full"`
+	Servers    []listEntry `json:"servers"`
+}
+
+// listEntry is one server on the list.
+type listEntry struct {
+	// ID is the server's name.
+	ID string `json:"id"`
+	// Addr is host:port.
+	Addr string `json:"addr"`
+	Zone string `json:"zone"`
+	// Kind tells cache servers and the origin apart, in the words of the settings.
+	Kind string `json:"kind"`
+	Cell int    `json:"cell"`
+	// State is stateReady, stateDraining or stateRemoved.
+	State string `json:"state"`
+	// Weight is the server's capacity against others.
+	Weight float64 `json:"weight"`
+	// StartedMillis is when its process started, in milliseconds since 1970; 0 = long ago.
+	StartedMillis float64 `json:"started_ms"`
+}
+
+// The states of a server in discovery's words.
+const (
+	stateReady    = "active"
+	stateDraining = "leaving"
+	stateRemoved  = "left"
+)
+
+var listStates = map[string]decide.State{
+	stateReady:    decide.Ready,
+	stateDraining: decide.Draining,
+	stateRemoved:  decide.Removed,
+}
+
+// updateKind is what the Balancer calls such an update.
+func (l endpointList) updateKind() decide.EndpointUpdateKind {
+	if l.IsComplete {
+		return decide.AllEndpoints
+	}
+	return decide.ChangedEndpoints
+}
+
+// endpoint is the entry as the Balancer takes it. An error says what is wrong with the entry.
+func (e listEntry) endpoint() (decide.Endpoint, error) {
+	state, ok := listStates[e.State]
+	if !ok {
+		return decide.Endpoint{}, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
+	}
+	if e.ID == "" {
+		return decide.Endpoint{}, fmt.Errorf("server at %q without an id", e.Addr)
+	}
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != decide.Removed {
+		return decide.Endpoint{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
+	}
+	return decide.Endpoint{
+		ID:        serverID(e.ID),
+		State:     state,
+		StartedAt: e.StartedMillis,
+		Size:      e.Weight,
+		Zone:      e.Zone,
+		Cell:      e.Cell,
+		Kind:      e.Kind,
+	}, nil
+}
+
+// parseList reads a list. JSON that lacks the version is an error, and so is a whole list that lacks
+// the servers: taken for a list, it would stand for one without changes, or without servers.
+func parseList(body []byte) (endpointList, error) {
+	var present struct {
+		Version *int64            `json:"version"`
+		Full    bool              `json:"full"`
+		Servers []json.RawMessage `json:"servers"`
+	}
+	if err := json.Unmarshal(body, &present); err != nil {
+		return endpointList{}, err
+	}
+	switch {
+	case present.Version == nil:
+		return endpointList{}, errors.New("a list without version")
+	case present.Full && present.Servers == nil:
+		return endpointList{}, errors.New("a complete list without servers")
+	}
+	var list endpointList
+	if err := json.Unmarshal(body, &list); err != nil {
+		return endpointList{}, err
+	}
+	return list, nil
+}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -17,7 +17,8 @@
 	"dockhinge.example/dockhinge/internal/handover"
 )
 
-// While an old and a new process live, they are one router: what one is told, the other is told.
+// The hand-over. While an old and a new process live, they are one router: they split its limits, and
+// what discovery or operators tell one, the other is told.
 
 // handoverState is what a process gets from the one before it. The tags are the bytes of the wire
 // between two versions of the program and stay as they are.
@@ -50,146 +51,182 @@
 	ByFleet bool `json:"agreed,omitempty"`
 }
 
+// The kinds of messages between the processes of a router. They are bytes of the hand-over.
 const (
+	// disableKind is a call with a disableCall; its answer comes once it holds in the receiver.
 	disableKind = "ban"
-	listKind    = "list"
+	// listKind is an endpointList that discovery has sent; it has no answer.
+	listKind = "list"
 )
 
-// peers are the links to the processes that are this router too.
+// disableTimeout is how long another process may take for a disableCall: the operator's client waits
+// for less than a second.
+const disableTimeout = 700 * time.Millisecond
+
+// peers are the links to the other processes of this router. Any goroutine may use it.
 type peers struct {
-	onProcessCount func(processes int) // may be nil
+	// onProcessCount is set before the first peer joins; it may be nil.
+	onProcessCount func(processes int)
 
-	mu    sync.Mutex
-	links map[*handover.Link]bool // true = it counts
+	// mu guards links.
+	mu sync.Mutex
+	// links holds each link, and whether its process has joined: from then on it takes its part of the
+	// limits. Before that it is only told what this process is told.
+	links map[*handover.Link]bool
 }
 
-func (p *peers) add(k *handover.Link, counts bool) {
+// add records a link.
+func (p *peers) add(link *handover.Link, hasJoined bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.links == nil {
 		p.links = map[*handover.Link]bool{}
 	}
-	p.links[k] = counts
+	p.links[link] = hasJoined
 }
 
-func (p *peers) remove(k *handover.Link) {
+func (p *peers) remove(link *handover.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, k)
+	delete(p.links, link)
 }
 
-// all lists the links that live.
-func (p *peers) all() (ks []*handover.Link) {
+// open lists the links that are open, and forgets the others.
+func (p *peers) open() (links []*handover.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for k := range p.links {
-		if k.IsClosed() {
-			delete(p.links, k)
+	for link := range p.links {
+		if link.IsClosed() {
+			delete(p.links, link)
 		} else {
-			ks = append(ks, k)
+			links = append(links, link)
 		}
 	}
-	return ks
+	return links
 }
 
-// count is the number of other processes that are this router.
+// count is the number of other processes that have joined.
 func (p *peers) count() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, counts := range p.links {
-		if counts {
+	for _, hasJoined := range p.links {
+		if hasJoined {
 			n++
 		}
 	}
 	return n
 }
 
-// OnProcessCount has f called with the number of processes that are this router, whenever it changes. It must be set before
-// the first peer joins.
+// OnProcessCount has f called with the number of processes that are this router, whenever it changes.
+// It must be called before the first peer joins.
 func (r *Router) OnProcessCount(f func(processes int)) { r.peers.onProcessCount = f }
 
-// splitLimits splits the limits among the processes that are this router now.
+// splitLimits splits the router's limits among the processes that are this router now.
 func (r *Router) splitLimits() {
-	n := 1 + r.peers.count()
+	processes := 1 + r.peers.count()
 	if r.peers.onProcessCount != nil {
-		r.peers.onProcessCount(n)
+		r.peers.onProcessCount(processes)
 	}
-	r.loop.setProcessCount(n)
-	r.upstreams.setProcessCount(n)
-	r.upstreams.unsizedValues.limit.Store(r.cfg.Limits.MemoryMB << 20 / 16 / int64(n))
-	r.clients.setProcessCount(n)
+	r.loop.setProcessCount(processes)
+	r.upstreams.setProcessCount(processes)
+	r.upstreams.unsizedValues.limit.Store(r.cfg.Limits.MemoryMB << 20 / unsizedMemoryPart / int64(processes))
+	r.clients.setProcessCount(processes)
 	r.loop.post(func() {
-		r.loop.balancer.SetProcessCount(r.loop.now(), n)
-		if ad := r.loop.admission; ad != nil {
-			ad.admission.ScaleLimit(r.loop.now(), float64(max(1, ad.processes))/float64(n))
-			ad.processes = n
-			ad.arm()
+		r.loop.balancer.SetProcessCount(r.loop.now(), processes)
+		if control := r.loop.admission; control != nil {
+			scale := float64(max(1, control.processes)) / float64(processes)
+			control.admission.ScaleLimit(r.loop.now(), scale)
+			control.processes = processes
+			control.arm()
 		}
 	})
-	slog.Info("processes are this router", "name", r.cfg.Name, "processes", n)
+	slog.Info("processes are this router", "name", r.cfg.Name, "processes", processes)
 }
 
-// State is what a successor is to know. From then on it is told what this process is told.
-func (r *Router) State(ctx context.Context, k *handover.Link) (any, error) {
-	var h handoverState
+// State is the state for a successor, as JSON will be written of it. From then on the successor is told
+// what this process is told. errLoopBusy is the error when ctx ends first.
+func (r *Router) State(ctx context.Context, link *handover.Link) (any, error) {
+	var state handoverState
 	err := r.loop.call(ctx, func() error {
-		r.peers.add(k, false)
-		h = handoverState{Decisions: r.loop.balancer.HandOver(r.loop.now()), List: r.loop.currentList(), ServerIDs: r.loop.serverIDs.clone(),
-			DisabledByOperator: slices.Collect(maps.Keys(r.loop.disabledByOperator)), DisabledByFleet: slices.Collect(maps.Keys(r.loop.disabledByFleet))}
-		if r.loop.admission != nil {
-			door := r.loop.admission.admission.Snapshot(r.loop.now())
-			h.Admission = &door
-		}
+		r.peers.add(link, false)
+		state = r.loop.handoverState()
 		return nil
 	})
-	return h, err
+	return state, err
+}
+
+// handoverState is the loop's part of the state for a successor, which is all of it.
+func (l *loop) handoverState() handoverState {
+	state := handoverState{
+		Decisions:          l.balancer.HandOver(l.now()),
+		List:               l.currentList(),
+		ServerIDs:          l.serverIDs.clone(),
+		DisabledByOperator: slices.Collect(maps.Keys(l.disabledByOperator)),
+		DisabledByFleet:    slices.Collect(maps.Keys(l.disabledByFleet)),
+	}
+	if l.admission != nil {
+		snapshot := l.admission.admission.Snapshot(l.now())
+		state.Admission = &snapshot
+	}
+	return state
 }
 
 // Inherit takes the state of the process before this one, and the link to it. It is called before Run.
-func (r *Router) Inherit(text []byte, k *handover.Link) error {
-	r.link = k
-	h := new(handoverState)
-	if err := json.Unmarshal(text, h); err != nil {
+// An error means that the state can't be read, and nothing of it is used.
+func (r *Router) Inherit(text []byte, link *handover.Link) error {
+	r.link = link
+	state := new(handoverState)
+	if err := json.Unmarshal(text, state); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if h.ServerIDs.IDs == nil || h.ServerIDs.LastListed == nil || len(h.ServerIDs.IDs) > maxServerIDs {
-		return errors.New("handover: a state without names")
+	ids := state.ServerIDs
+	if ids.IDs == nil || ids.LastListed == nil || len(ids.IDs) > maxServerIDs {
+		return errors.New("handover: a state without server ids")
 	}
-	r.inherited = h
+	r.inherited = state
 	return nil
 }
 
-// restoreState gives the loop the list that the router starts with, on the loop.
+// restoreState gives the loop the list that the router starts with, and what it has inherited. It runs
+// on the loop, before its first event.
 func (r *Router) restoreState() {
-	l, known := r.loop, r.cfg.Known
-	if h := r.inherited; h != nil {
+	list := r.heldList()
+	if r.inherited != nil {
+		r.loop.inherit(r.inherited)
 		r.inherited = nil
-		if err := l.balancer.TakeOver(l.now(), h.Decisions); err != nil {
-			slog.Warn("what the process before has learnt is of no use", "error", err)
-		}
-		if l.admission != nil && h.Admission != nil {
-			if err := l.admission.admission.Restore(l.now(), *h.Admission); err != nil {
-				slog.Warn("what the process before has learnt of tenants is of no use", "error", err)
-			}
-		}
-		l.serverIDs, known = h.ServerIDs, h.List
-		for _, name := range h.DisabledByOperator[:min(len(h.DisabledByOperator), maxServerIDs)] {
-			l.disabledByOperator[name] = true
-		}
-		for _, name := range h.DisabledByFleet[:min(len(h.DisabledByFleet), maxServerIDs)] {
-			l.disabledByFleet[name] = true
+	}
+	r.loop.updateEndpoints(decide.RestoredEndpoints, list)
+}
+
+// inherit takes the state of the process before this one, but for the list.
+func (l *loop) inherit(state *handoverState) {
+	if err := l.balancer.TakeOver(l.now(), state.Decisions); err != nil {
+		slog.Warn("handover: the decisions' state can't be used", "error", err)
+	}
+	if l.admission != nil && state.Admission != nil {
+		if err := l.admission.admission.Restore(l.now(), *state.Admission); err != nil {
+			slog.Warn("handover: the admission's state can't be used", "error", err)
 		}
-		l.staleGuard.raise(known.Version)
 	}
-	l.updateEndpoints(decide.RestoredEndpoints, known)
+	l.serverIDs = state.ServerIDs
+	setNames(l.disabledByOperator, state.DisabledByOperator)
+	setNames(l.disabledByFleet, state.DisabledByFleet)
+	l.staleGuard.raise(state.List.Version)
+}
+
+// setNames adds names to a set, up to maxServerIDs of them.
+func setNames(set map[string]bool, names []string) {
+	for _, name := range names[:min(len(names), maxServerIDs)] {
+		set[name] = true
+	}
 }
 
 // Joined keeps a link to another process of this router until it ends.
-func (r *Router) Joined(ctx context.Context, k *handover.Link) {
-	r.peers.add(k, true)
+func (r *Router) Joined(ctx context.Context, link *handover.Link) {
+	r.peers.add(link, true)
 	r.splitLimits()
-	k.Run(ctx, func(m handover.Message) error { return r.handleMessage(ctx, k, m) })
-	r.peers.remove(k)
+	link.Run(ctx, func(m handover.Message) error { return r.handleMessage(ctx, link, m) })
+	r.peers.remove(link)
 	r.splitLimits()
 }
 
@@ -197,38 +234,36 @@
 func (r *Router) handleMessage(ctx context.Context, from *handover.Link, m handover.Message) error {
 	switch m.Kind {
 	case disableKind:
-		var o disableCall
-		if err := json.Unmarshal(m.Body, &o); err != nil {
+		var call disableCall
+		if err := json.Unmarshal(m.Body, &call); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
 		ctx, cancel := context.WithTimeout(ctx, disableTimeout)
 		defer cancel()
-		return r.disable(ctx, o, from)
+		return r.disable(ctx, call, from)
 	case listKind:
-		var got endpointList
-		if err := json.Unmarshal(m.Body, &got); err != nil {
+		var list endpointList
+		if err := json.Unmarshal(m.Body, &list); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		r.loop.post(func() {
-			if got.Version <= r.loop.listVersion {
-				return
-			}
-			kind := decide.ChangedEndpoints
-			if got.IsComplete {
-				kind = decide.AllEndpoints
-			}
-			r.loop.updateEndpoints(kind, got)
-			r.loop.staleGuard.raise(got.Version)
-		})
+		r.loop.post(func() { r.loop.takePeerList(list) })
 	}
 	return nil
 }
 
-// disableTimeout is how long another process takes at most for a ban: the caller has less than a second.
-const disableTimeout = 700 * time.Millisecond
+// takePeerList takes a list that another process of this router got from discovery. An answer of this
+// process's own discovery with an earlier version is then dropped for a while.
+func (l *loop) takePeerList(list endpointList) {
+	if list.Version <= l.listVersion {
+		return
+	}
+	l.updateEndpoints(list.updateKind(), list)
+	l.staleGuard.raise(list.Version)
+}
 
-// disable carries out a call of the operators here and in all other processes of this router but the one it came from.
-// The answer is yes only if it holds in all of them.
+// disable carries a call out here and in all other processes of this router but the one it came from.
+// It returns nil only if the call holds in all of them that are still there. admin.ErrUnknownServer is
+// the error when the list of none of them has had the server.
 func (r *Router) disable(ctx context.Context, o disableCall, from *handover.Link) error {
 	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
 	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
@@ -236,7 +271,7 @@
 	}
 	o.IsListed = o.IsListed || here == nil
 	found := here == nil
-	for _, k := range r.peers.all() {
+	for _, k := range r.peers.open() {
 		if k == from {
 			continue
 		}
@@ -258,63 +293,21 @@
 	return nil
 }
 
-// broadcastList tells the other processes what discovery has told this one.
-func (r *Router) broadcastList(got endpointList) {
-	if len(got.Servers) == 0 && !got.IsComplete {
+// broadcastList sends a list with changes from discovery to the other processes of this router.
+func (r *Router) broadcastList(list endpointList) {
+	if len(list.Servers) == 0 && !list.IsComplete {
 		return
 	}
-	ks := r.peers.all()
-	if len(ks) == 0 {
+	links := r.peers.open()
+	if len(links) == 0 {
 		return
 	}
-	body, err := json.Marshal(got)
+	body, err := json.Marshal(list)
 	if err != nil {
+		slog.Warn("handover: a list can't be sent", "error", err)
 		return
 	}
-	for _, k := range ks {
-		k.Send(handover.Message{Kind: listKind, Body: body}) //nolint:errcheck // a peer that is gone needs no list
-	}
-}
-
-// recordList holds on to a list for a successor.
-func (l *loop) recordList(kind decide.EndpointUpdateKind, got endpointList) {
-	if kind == decide.WatchFailed {
-		return
-	}
-	if kind != decide.ChangedEndpoints || l.entries == nil {
-		l.entries = make(map[string]listEntry, len(got.Servers))
+	for _, link := range links {
+		link.Send(handover.Message{Kind: listKind, Body: body}) //nolint:errcheck // a process that has ended needs no list
 	}
-	l.listVersion = got.Version
-	for _, e := range got.Servers {
-		if e.State == "left" {
-			delete(l.entries, e.ID)
-		} else {
-			l.entries[e.ID] = e
-		}
-	}
-}
-
-// currentList is the list as it is held.
-func (l *loop) currentList() endpointList {
-	got := endpointList{Version: l.listVersion, IsComplete: true}
-	for _, e := range l.entries {
-		got.Servers = append(got.Servers, e)
-	}
-	return got
-}
-
-// staleGuard is a version that another process has told of: for a while discovery may still answer with what was before.
-type staleGuard struct {
-	version   int64
-	expiresAt time.Time
-}
-
-const staleGuardTime = 10 * time.Second // after that a lower version is no old answer, but another count
-
-func (f *staleGuard) raise(version int64) {
-	f.version, f.expiresAt = version, time.Now().Add(staleGuardTime)
-}
-
-func (f *staleGuard) isStale(version int64) bool {
-	return version < f.version && time.Now().Before(f.expiresAt)
 }
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -1,8 +1,11 @@
 package router
 
+// The origin's HTTP/1.1.
+
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,20 +16,32 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// The origin's HTTP/1.1.
-
 const (
-	maxHeadBytes   = 16 << 10 // bytes of a status line and headers
-	maxProvisional = 8        // 1xx answers ahead of the answer
+	// maxHeadBytes bounds a status line with its headers.
+	maxHeadBytes = 16 << 10
+	// maxProvisional bounds the answers with a 1xx status ahead of the answer.
+	maxProvisional = 8
 )
 
-// originRequest writes c in the origin's HTTP.
+// originRequest is a command as the origin gets it. An error means that it can't be said in HTTP.
 func originRequest(addr string, c *command, hint timeoutHint) ([]byte, error) {
-	r := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: addr, Path: "/" + c.key},
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Host: addr,
-		Header: http.Header{"X-Correlation-Id": {c.id}, "X-Facts": {c.metadataWithHint(hint)}, "User-Agent": {""}}}
+	r := &http.Request{
+		Method:     http.MethodGet,
+		URL:        &url.URL{Scheme: "http", Host: addr, Path: "/" + c.key},
+		Proto:      "HTTP/1.1",
+		ProtoMajor: 1,
+		ProtoMinor: 1,
+		Host:       addr,
+		Header: http.Header{
+			"X-Correlation-Id": {c.id},
+			"X-Facts":          {c.metadataWithHint(hint)},
+			"User-Agent":       {""},
+		},
+	}
 	if c.verb == "ms" {
-		r.Method, r.ContentLength, r.Body = http.MethodPut, int64(len(c.value)), io.NopCloser(bytes.NewReader(c.value))
+		r.Method = http.MethodPut
+		r.ContentLength = int64(len(c.value))
+		r.Body = io.NopCloser(bytes.NewReader(c.value))
 	}
 	var b bytes.Buffer
 	if err := r.Write(&b); err != nil {
@@ -35,12 +50,12 @@
 	return b.Bytes(), nil
 }
 
-// readHead reads a status line and headers, up to a bound, which the library sets nowhere.
+// readHead reads a status line and headers, up to maxHeadBytes: the library has no bound of its own.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	var head []byte
 	for {
 		line, err := r.ReadSlice('\n')
-		if err == bufio.ErrBufferFull || len(head)+len(line) > maxHeadBytes {
+		if errors.Is(err, bufio.ErrBufferFull) || len(head)+len(line) > maxHeadBytes {
 			return nil, malformed("origin head too long")
 		}
 		if err != nil {
@@ -49,91 +64,116 @@
 		if len(head) == 0 && !bytes.HasPrefix(line, []byte("HTTP/1.")) {
 			return nil, malformed("origin answer %.40q", line)
 		}
-		// A load report that can't be read spoils no answer: the library would reject all of it for one byte.
-		for i, b := range line[:len(line)-1] {
-			if (b < ' ' || b == 0x7f) && b != '\t' && b != '\r' {
-				line[i] = '?'
-			}
-		}
-		if head = append(head, line...); len(bytes.TrimRight(line, "\r\n")) == 0 {
+		replaceControls(line[:len(line)-1])
+		head = append(head, line...)
+		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return head, nil
 		}
 	}
 }
 
-// readResponse reads an answer of the origin with its body. The body is read here, as the library's Close would read
-// an unwanted one to its end, however long that is.
-func readResponse(r *bufio.Reader, method string, through bool, room *byteBudget) (*http.Response, []byte, error) {
+// replaceControls replaces control characters of a header line. For one such byte in a load report the
+// library would reject the whole answer; with it replaced, only the report can't be read.
+func replaceControls(line []byte) {
+	const deleteCharacter = 0x7f
+	for i, b := range line {
+		if (b < ' ' || b == deleteCharacter) && b != '\t' && b != '\r' {
+			line[i] = '?'
+		}
+	}
+}
+
+// originReader reads answers of the origin from a connection. Bodies are read here and not by the
+// library, whose Close would read an unwanted one to its end, however long that is.
+type originReader struct {
+	*bufio.Reader
+	method string
+	// mayStream is set where a long body may be left to be streamed.
+	mayStream bool
+	// unsizedValues is for bodies of unknown length.
+	unsizedValues *byteBudget
+}
+
+// readResponse reads an answer with its body, which is nil where it is to be streamed.
+func (r originReader) readResponse() (*http.Response, []byte, error) {
 	for range maxProvisional {
-		head, err := readHead(r)
+		head, err := readHead(r.Reader)
 		if err != nil {
 			return nil, nil, err
 		}
-		resp, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(head), len(head)), &http.Request{Method: method})
+		request := &http.Request{Method: r.method}
+		resp, err := http.ReadResponse(bufio.NewReaderSize(bytes.NewReader(head), len(head)), request)
 		switch {
 		case err != nil:
 			return nil, nil, malformed("origin answer: %v", err)
-		case resp.StatusCode >= 200:
-			if through && resp.StatusCode == http.StatusOK && resp.ContentLength > maxBufferedValue && resp.ContentLength <= maxValueBytes {
-				_, err := r.Peek(1)
-				return resp, nil, err // the body is passed through
-			}
-			body, err := readBody(r, resp, bytes.Contains(bytes.ToLower(head), []byte("\nconnection: close\r\n")), room)
-			return resp, body, err
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, nil, malformed("origin answer: status %d", resp.StatusCode)
+		case resp.StatusCode >= http.StatusOK && r.isStreamed(resp):
+			_, err := r.Peek(1) // a body that does not begin is no answer
+			return resp, nil, err
+		case resp.StatusCode >= http.StatusOK:
+			endsWithConnection := bytes.Contains(bytes.ToLower(head), []byte("\nconnection: close\r\n"))
+			body, err := r.readBody(resp, endsWithConnection)
+			return resp, body, err
 		}
 	}
 	return nil, nil, malformed("over %d provisional answers", maxProvisional)
 }
 
-// readBody reads the body that an answer announces. One that ends with the connection is whole only where the answer
-// said that it would: else it can't be told from a broken one.
-func readBody(r *bufio.Reader, resp *http.Response, ends bool, room *byteBudget) ([]byte, error) {
+// isStreamed reports whether an answer's body is to be streamed.
+func (r originReader) isStreamed(resp *http.Response) bool {
+	return r.mayStream && resp.StatusCode == http.StatusOK &&
+		resp.ContentLength > maxBufferedValue && resp.ContentLength <= maxValueBytes
+}
+
+// readBody reads the body that an answer announces. One that ends with the connection is complete only
+// where the answer has said that it would: else it can't be told from one that broke off.
+func (r originReader) readBody(resp *http.Response, endsWithConnection bool) ([]byte, error) {
 	n := resp.ContentLength
-	chunked := slices.Contains(resp.TransferEncoding, "chunked")
+	isChunked := slices.Contains(resp.TransferEncoding, "chunked")
 	switch {
-	case n > maxBufferedValue || n < 0 && !chunked && !ends:
+	case n > maxBufferedValue || n < 0 && !isChunked && !endsWithConnection:
 		return nil, malformed("origin value of %d bytes", n)
-	case n < 0 && !chunked:
-		return readUnsized(r, room)
+	case n < 0 && !isChunked:
+		return readUnsized(r.Reader, r.unsizedValues)
 	case n >= 0:
 		body := make([]byte, n)
-		if _, err := io.ReadFull(r, body); err != nil {
+		if _, err := io.ReadFull(r.Reader, body); err != nil {
 			return nil, fmt.Errorf("origin answer: %w", err)
 		}
 		return body, nil
 	}
-	body, err := readUnsized(httputil.NewChunkedReader(r), room)
+	body, err := readUnsized(httputil.NewChunkedReader(r.Reader), r.unsizedValues)
 	if err != nil {
 		return nil, err
 	}
 	for { // trailers
-		line, err := readLine(r)
+		line, err := readLine(r.Reader)
 		if err != nil || len(line) == 0 {
 			return body, err
 		}
 	}
 }
 
-// readUnsized reads a body whose length shows only at its end. As an answer to a client begins with the length, such a
-// body must be read whole, however long: beyond the usual, as far as there is room.
-func readUnsized(r io.Reader, room *byteBudget) ([]byte, error) {
+// readUnsized reads a body whose length shows only at its end. As an answer to a client begins with the
+// length, it must be read whole, however long: beyond maxBufferedValue as far as budget has capacity.
+func readUnsized(r io.Reader, budget *byteBudget) ([]byte, error) {
 	var body []byte
-	taken := 0
-	defer func() { room.release(taken) }()
-	buf := chunkPool.Get().(*[chunkBytes]byte)
-	defer chunkPool.Put(buf)
+	reserved := 0
+	defer func() { budget.release(reserved) }()
+	chunk := chunkPool.Get().(*[chunkBytes]byte)
+	defer chunkPool.Put(chunk)
 	for {
-		n, err := r.Read(buf[:])
-		if body = append(body, buf[:n]...); len(body) > maxValueBytes {
+		n, err := r.Read(chunk[:])
+		body = append(body, chunk[:n]...)
+		if len(body) > maxValueBytes {
 			return nil, malformed("origin value of over %d bytes", maxValueBytes)
 		}
-		if more := len(body) - maxBufferedValue - taken; more > 0 {
-			if !room.tryReserve(more) {
-				return nil, malformed("origin value of unknown length: no room for more than %d bytes", len(body))
+		if more := len(body) - maxBufferedValue - reserved; more > 0 {
+			if !budget.tryReserve(more) {
+				return nil, malformed("origin value of unknown length: no capacity for more than %d bytes", len(body))
 			}
-			taken += more
+			reserved += more
 		}
 		if err == io.EOF {
 			return body, nil
@@ -144,47 +184,63 @@
 	}
 }
 
-// readOrigin reads the origin's answer to c, within the bound on values of unknown length.
+// readOrigin reads the origin's answer to a command, within the budget for values of unknown length.
 func (u *upstreams) readOrigin(r *bufio.Reader, c *command) (reply, error) {
 	return readOriginReply(r, c, &u.unsizedValues)
 }
 
-// readOriginReply reads the origin's answer to c.
-func readOriginReply(r *bufio.Reader, c *command, room *byteBudget) (reply, error) {
-	a := reply{load: decide.NoLoadReport}
-	method := http.MethodGet
+// readOriginReply reads the origin's answer to a command.
+func readOriginReply(r *bufio.Reader, c *command, unsizedValues *byteBudget) (reply, error) {
+	got := reply{load: decide.NoLoadReport}
+	reader := originReader{Reader: r, method: http.MethodGet, mayStream: true, unsizedValues: unsizedValues}
 	if c.verb == "ms" {
-		method = http.MethodPut
+		reader.method = http.MethodPut
+		reader.mayStream = false
 	}
-	resp, body, err := readResponse(r, method, method == http.MethodGet, room)
+	resp, body, err := reader.readResponse()
 	if err != nil {
-		return a, err
+		return got, err
 	}
-	a.body, a.load, a.closesConnection = body, readLoad(resp.Header.Get("X-Backend-Load")), resp.Close
-	switch code := resp.StatusCode; {
-	case code == http.StatusOK:
-		if a.status = decide.OK; body == nil && resp.ContentLength > maxBufferedValue {
-			a.streamedBytes = int(resp.ContentLength)
-		}
-		if c.verb == "ms" && !isReceipt(a.body) {
-			return a, malformed("receipt %.40q", a.body)
+	got.body = body
+	got.load = readLoad(resp.Header.Get("X-Backend-Load"))
+	got.closesConnection = resp.Close
+	got.status = originStatus(resp)
+	if got.status != decide.OK {
+		return got, nil
+	}
+	if body == nil && resp.ContentLength > maxBufferedValue {
+		got.streamedBytes = int(resp.ContentLength)
+	}
+	if c.verb == "ms" && !isReceipt(got.body) {
+		return got, malformed("receipt %.40q", got.body)
+	}
+	return got, nil
+}
+
+// originStatus is what an answer's status says of the attempt. Only X-Unprocessed proves that it has not
+// run: after a bare 503 it may have.
+func originStatus(resp *http.Response) decide.AttemptStatus {
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return decide.OK
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if resp.Header.Get("X-Unprocessed") == "1" {
+			return decide.QueueFull
 		}
-	case (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Unprocessed") == "1":
-		a.status = decide.QueueFull
-	default: // a bare 503 too: without the header it may have run
-		a.status = decide.Failed
 	}
-	return a, nil
+	return decide.Failed
 }
 
-// isReceipt says whether a receipt can stand in an answer's line.
+// isReceipt reports whether a receipt can stand in an answer's line.
 func isReceipt(b []byte) bool {
-	return len(b) > 0 && len(b) < maxLineBytes/2 && !bytes.ContainsFunc(b, func(r rune) bool { return r <= ' ' || r > '~' })
+	isUnprintable := func(r rune) bool { return r == ' ' || !isPrintable(r) }
+	return len(b) > 0 && len(b) < maxLineBytes/2 && !bytes.ContainsFunc(b, isUnprintable)
 }
 
+// readOriginLoad reads the origin's answer to a health check.
 func readOriginLoad(r *bufio.Reader) (decide.LoadReport, error) {
-	resp, _, err := readResponse(r, http.MethodGet, false, new(byteBudget))
+	reader := originReader{Reader: r, method: http.MethodGet, unsizedValues: new(byteBudget)}
+	resp, _, err := reader.readResponse()
 	if err != nil {
 		return decide.NoLoadReport, err
 	}
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -1,6 +1,6 @@
 package router
 
-// Connection pools: idle connections by server under one limit on sockets.
+// Connection pools: idle connections by server, all under one limit on descriptors.
 
 import (
 	"bufio"
@@ -19,58 +19,82 @@
 
 // target is a cache server or the origin, at one address.
 type target struct {
-	addr      string
-	isOrigin  bool
-	startedAt float64         // of its process; the loop's
-	idle      []*upstreamConn // longest idle first; guarded by upstreams.mu
-	isRemoved bool            // no connection to it is kept any more
+	addr     string
+	isOrigin bool
+	// startedAt is when the server's process started, in milliseconds on the loop's clock. It belongs
+	// to the loop.
+	startedAt float64
+	// idle are the idle connections, longest idle first; guarded by upstreams.mu.
+	idle []*upstreamConn
+	// isRemoved is set once the server has left the list: no connection is kept any more. It is guarded
+	// by upstreams.mu.
+	isRemoved bool
 }
 
-// upstreams keeps the connections to cache servers and origin.
+// upstreams keeps the connections to cache servers and the origin. An idle connection belongs to it, an
+// acquired one to who has acquired it. Any goroutine may use it.
 type upstreams struct {
-	dialer  net.Dialer
-	maxIdle time.Duration
-
-	mu            sync.Mutex
-	unsizedValues byteBudget // bytes of values whose length shows at their end, beyond the usual
-	limit         int        // of this process's part
-	routerLimit   int        // of the router
-	openConns     int        // connections open or being opened
-	targets       map[*target]struct{}
+	// trace takes the making of connections.
+	trace *trace.Trace
+	// unsizedValues is for values of unknown length, beyond maxBufferedValue of each.
+	unsizedValues byteBudget
+	// uploads counts the large writes on their way that are no attempt yet.
+	uploads atomic.Int64
+	// routerLimit is the limit of all processes of this router together.
+	routerLimit int
 
-	trace   *trace.Trace // of connections made
-	uploads atomic.Int64 // large writes on their way
+	// mu guards the fields below, and idle and isRemoved of each target.
+	mu     sync.Mutex
+	dialer net.Dialer
+	// maxIdle is how long a connection may be idle and be used again.
+	maxIdle time.Duration
+	// limit is this process's limit on connections.
+	limit int
+	// openConns counts the connections that are open or being opened.
+	openConns int
+	targets   map[*target]struct{}
 }
 
-// uploadLimit bounds the large writes on their way, which slow clients may hold for long: the rest is for attempts.
-func (u *upstreams) uploadLimit() int64 {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return int64(max(1, u.limit/4))
-}
+const (
+	// sweepInterval is the time between two looks at all idle connections.
+	sweepInterval = 500 * time.Millisecond
+	// originIdleMinimum is how long a connection to the origin rests after an answer. Answers in HTTP
+	// carry no id: a second copy of the last one that comes a moment later must be there, and end the
+	// connection, before the next request is written; else it would be taken for its answer.
+	originIdleMinimum = 20 * time.Millisecond
+	// maxIdleMargin bounds how much earlier than the server a connection is given up.
+	maxIdleMargin = time.Second
+	// uploadPart is the part of the connections, one in so many, that large writes may hold for as long
+	// as slow clients take: the rest is for attempts.
+	uploadPart = 4
+)
 
-// errNoDescriptor tells that the limit on sockets is reached.
-var errNoDescriptor = errors.New("no socket left")
+// errNoDescriptor is the error of a connection that can't be opened within the limit.
+var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-func newUpstreams(connIdle, connectTimeout time.Duration, limit int) *upstreams {
+// newUpstreams keeps at most limit connections. For the times see setTimeouts.
+func newUpstreams(serverIdleTimeout, connectTimeout time.Duration, limit int) *upstreams {
 	u := &upstreams{limit: limit, routerLimit: limit, targets: map[*target]struct{}{}}
 	u.dialer.KeepAlive = -1
-	u.setTimeouts(connIdle, connectTimeout)
+	u.setTimeouts(serverIdleTimeout, connectTimeout)
 	return u
 }
 
-// setTimeouts sets how long connections may stand idle at a server, and how long one may take to come up.
-func (u *upstreams) setTimeouts(connIdle, connectTimeout time.Duration) {
+// setTimeouts sets how long a server keeps an idle connection, where 0 means that the settings don't say
+// and it is kept until the server closes it, and how long a connection may take to come up.
+func (u *upstreams) setTimeouts(serverIdleTimeout, connectTimeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dialer.Timeout = connectTimeout
 	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
-	if u.maxIdle = connIdle - min(connIdle/4, time.Second); connIdle <= 0 { // not told: they are kept until the server closes them
+	u.maxIdle = serverIdleTimeout - min(serverIdleTimeout/4, maxIdleMargin)
+	if serverIdleTimeout <= 0 {
 		u.maxIdle = math.MaxInt64
 	}
 }
 
-// setProcessCount leaves this process an equal part of the sockets, while several processes are one router.
+// setProcessCount leaves this process its part of the connections, while several processes are one
+// router, and closes idle ones beyond it.
 func (u *upstreams) setProcessCount(processes int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -79,15 +103,23 @@
 	}
 }
 
-func (u *upstreams) add(addr string, origin bool) *target {
-	t := &target{addr: addr, isOrigin: origin}
+// uploadLimit bounds uploads.
+func (u *upstreams) uploadLimit() int64 {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return int64(max(1, u.limit/uploadPart))
+}
+
+// add keeps connections to a server from now on.
+func (u *upstreams) add(addr string, isOrigin bool) *target {
+	t := &target{addr: addr, isOrigin: isOrigin}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.targets[t] = struct{}{}
 	return t
 }
 
-// remove lets a target go once its attempts are back.
+// remove keeps no connections to a server any more. Acquired ones are closed when they are released.
 func (u *upstreams) remove(t *target) {
 	u.mu.Lock()
 	t.isRemoved = true
@@ -96,94 +128,119 @@
 	u.closeIdle(t)
 }
 
-// closeIdle closes the idle connections to a target.
+// closeIdle closes the idle connections to a server.
 func (u *upstreams) closeIdle(t *target) {
 	u.mu.Lock()
-	old := t.idle
+	idle := t.idle
 	t.idle = nil
-	u.openConns -= len(old)
+	u.openConns -= len(idle)
 	u.mu.Unlock()
-	closeAll(old)
+	closeAll(idle)
 }
 
-func closeAll(cs []*upstreamConn) {
-	for _, c := range cs {
+func closeAll(conns []*upstreamConn) {
+	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// sweep closes connections that have stood idle for long or that the other side has closed, until ctx ends.
+// sweep closes connections that have been idle for maxIdle or that the other side has closed, until ctx
+// ends; then it closes all idle ones.
 func (u *upstreams) sweep(ctx context.Context) {
-	tick := time.NewTicker(500 * time.Millisecond)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			u.mu.Lock()
-			defer u.mu.Unlock()
-			for t := range u.targets {
-				closeAll(t.idle)
-				t.idle = nil
-			}
+			u.closeAllIdle()
 			return
 		case <-tick.C:
+			closeAll(u.takeExpired())
 		}
-		var old []*upstreamConn
-		u.mu.Lock()
-		for t := range u.targets {
-			t.idle = slices.DeleteFunc(t.idle, func(c *upstreamConn) bool {
-				dead := time.Since(c.idleSince) >= u.maxIdle || !c.isQuiet()
-				if dead {
-					old = append(old, c)
-				}
-				return dead
-			})
-		}
-		u.openConns -= len(old)
-		u.mu.Unlock()
-		closeAll(old)
 	}
 }
 
-// originIdleMinimum is how long a connection to the origin rests after an answer. Answers in HTTP carry no id: a second copy
-// of the last one that comes a moment later must be there before the next request is, and not be taken for its answer.
-const originIdleMinimum = 20 * time.Millisecond
+func (u *upstreams) closeAllIdle() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for t := range u.targets {
+		closeAll(t.idle)
+		t.idle = nil
+	}
+}
+
+// takeExpired takes the idle connections out that are not to be used any more.
+func (u *upstreams) takeExpired() (expired []*upstreamConn) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for t := range u.targets {
+		t.idle = slices.DeleteFunc(t.idle, func(c *upstreamConn) bool {
+			if u.isUsable(c) {
+				return false
+			}
+			expired = append(expired, c)
+			return true
+		})
+	}
+	u.openConns -= len(expired)
+	return expired
+}
+
+// isUsable reports whether an idle connection may carry a request. The caller holds mu.
+func (u *upstreams) isUsable(c *upstreamConn) bool {
+	return time.Since(c.idleSince) < u.maxIdle && c.isQuiet()
+}
 
-// acquire returns a connection to t, a kept one where there is one. For what can't be repeated it is the one that was used
-// last: a server may close sooner than it is meant to, and what is written just then is lost.
-func (u *upstreams) acquire(ctx context.Context, t *target, once bool) (*upstreamConn, error) {
+// acquire returns a connection to a server: an idle one where there is one, else one that it opens.
+// errNoDescriptor is the error where the limit does not allow that.
+func (u *upstreams) acquire(ctx context.Context, t *target, isNotRepeatable bool) (*upstreamConn, error) {
 	u.mu.Lock()
+	if c := u.takeIdle(t, isNotRepeatable); c != nil {
+		u.mu.Unlock()
+		return c, nil
+	}
+	if u.openConns >= u.limit && !u.evictIdle() {
+		u.mu.Unlock()
+		return nil, errNoDescriptor
+	}
+	u.openConns++
+	dialer := u.dialer
+	u.mu.Unlock()
+	return u.dial(ctx, dialer, t)
+}
+
+// takeIdle takes an idle connection that may be used, or returns nil. The caller holds mu.
+//
+// It is the one that has been idle for longest, so that all connections of a peak stay in use: else the
+// others would expire, and the next peak would cost the server as many handshakes. For a request that
+// may not be sent twice at will it is the one that was used last: a server may close a connection early,
+// and a request that is written just then is lost.
+func (u *upstreams) takeIdle(t *target, isNotRepeatable bool) *upstreamConn {
 	for {
 		rested := len(t.idle)
 		for rested > 0 && t.isOrigin && time.Since(t.idle[rested-1].idleSince) < originIdleMinimum {
 			rested--
 		}
 		if rested == 0 {
-			break
+			return nil
 		}
-		// Else the one that has been idle for longest, so that a peak's connections stay in use: taking the latest let the
-		// others run out, and twice as many handshakes, each work for the server, had to be made.
 		i := 0
-		if once {
+		if isNotRepeatable {
 			i = rested - 1
 		}
 		c := t.idle[i]
 		t.idle = slices.Delete(t.idle, i, i+1)
-		if time.Since(c.idleSince) < u.maxIdle && c.isQuiet() {
-			u.mu.Unlock()
-			return c, nil
+		if u.isUsable(c) {
+			return c
 		}
 		u.openConns--
 		c.Close()
 	}
-	if u.openConns >= u.limit && !u.evictIdle() {
-		u.mu.Unlock()
-		return nil, errNoDescriptor
-	}
-	u.openConns++
-	dialer := u.dialer
-	u.mu.Unlock()
-	c, err := dialer.DialContext(ctx, "tcp", t.addr)
+}
+
+// dial opens a connection, which counts as open already.
+func (u *upstreams) dial(ctx context.Context, dialer net.Dialer, t *target) (*upstreamConn, error) {
+	conn, err := dialer.DialContext(ctx, "tcp", t.addr)
 	if u.trace.Enabled() {
 		u.trace.Event(float64(time.Now().UnixMicro())/1000, "dial", "to=%s ok=%t", t.addr, err == nil)
 	}
@@ -193,12 +250,13 @@
 		u.mu.Unlock()
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
-	uc := &upstreamConn{Conn: c, idleSince: time.Now()}
-	uc.reader = bufio.NewReaderSize(uc, maxLineBytes)
-	return uc, nil
+	c := &upstreamConn{Conn: conn, idleSince: time.Now()}
+	c.reader = bufio.NewReaderSize(c, maxLineBytes)
+	return c, nil
 }
 
-// evictIdle closes the connection that has been idle for longest. The caller holds mu.
+// evictIdle closes the connection that has been idle for longest, and reports whether there was any.
+// The caller holds mu.
 func (u *upstreams) evictIdle() bool {
 	var from *target
 	for t := range u.targets {
@@ -215,20 +273,21 @@
 	return true
 }
 
-// release keeps a connection for the next attempt, or closes it.
-func (u *upstreams) release(t *target, c *upstreamConn, reuse bool) {
+// release keeps an acquired connection for the next attempt, or closes it.
+func (u *upstreams) release(t *target, c *upstreamConn, isReusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if reuse = reuse && !t.isRemoved; reuse {
-		c.idleSince = time.Now()
-		t.idle = append(t.idle, c)
+	if !isReusable || t.isRemoved {
+		u.openConns--
+		c.Close()
 		return
 	}
-	u.openConns--
-	c.Close()
+	c.idleSince = time.Now()
+	t.idle = append(t.idle, c)
 }
 
-// releaseUnused returns a connection that was taken and not used. Its server counts it as idle since it was: so does this.
+// releaseUnused returns a connection that was acquired and not written to. Its server counts it as idle
+// since its last use, and so does the pool.
 func (u *upstreams) releaseUnused(t *target, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/router/probe.go
+++ b/internal/router/probe.go
@@ -1,6 +1,6 @@
 package router
 
-// Load probes.
+// Health checks: a server is asked for its load.
 
 import (
 	"bufio"
@@ -12,38 +12,49 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// probe asks a target for its load.
+// maxStatistics bounds the lines of an answer with statistics.
+const maxStatistics = 64
+
+// probe asks a server for its load, until ctx ends.
 func (u *upstreams) probe(ctx context.Context, t *target) (decide.AttemptStatus, decide.LoadReport) {
-	l := decide.NoLoadReport
 	conn, err := u.acquire(ctx, t, false)
 	if err != nil {
-		return decide.ConnectError, l
+		return decide.ConnectError, decide.NoLoadReport
 	}
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	ask, read := "stats load\r\n", readStatsLoad
-	if t.isOrigin {
-		ask, read = "GET /load HTTP/1.1\r\nHost: "+t.addr+"\r\n\r\n", readOriginLoad
+	stopWatch := context.AfterFunc(ctx, func() { conn.Close() })
+	load, err := conn.askLoad(t)
+	isOpen := stopWatch()
+	u.release(t, conn, isOpen && err == nil && conn.isReusable())
+	switch {
+	case err == nil:
+		return decide.OK, load
+	case !isOpen:
+		return decide.Timeout, load
 	}
-	if _, err = io.WriteString(conn, ask); err == nil {
-		err = conn.awaitFirstByte()
+	return decide.Reset, load
+}
+
+// askLoad asks the server of a connection for its load, in its protocol.
+func (c *upstreamConn) askLoad(t *target) (decide.LoadReport, error) {
+	command := "stats load\r\n"
+	read := readStatsLoad
+	if t.isOrigin {
+		command = "GET /load HTTP/1.1\r\nHost: " + t.addr + "\r\n\r\n"
+		read = readOriginLoad
 	}
-	if err == nil {
-		l, err = read(conn.reader)
+	if _, err := io.WriteString(c, command); err != nil {
+		return decide.NoLoadReport, err
 	}
-	reuse := stop()
-	u.release(t, conn, reuse && err == nil && conn.isReusable())
-	switch {
-	case err == nil:
-		return decide.OK, l
-	case !reuse:
-		return decide.Timeout, l
+	if err := c.awaitFirstByte(); err != nil {
+		return decide.NoLoadReport, err
 	}
-	return decide.Reset, l
+	return read(c.reader)
 }
 
+// readStatsLoad reads a cache server's statistics.
 func readStatsLoad(r *bufio.Reader) (decide.LoadReport, error) {
 	var fields []string
-	for range 64 {
+	for range maxStatistics {
 		line, err := readLine(r)
 		if err != nil {
 			return decide.NoLoadReport, err
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -1,59 +1,54 @@
 package router
 
-// What the settings say of requests, replaced as a whole at a reload.
-
 import (
 	"dockhinge.example/dockhinge/decide"
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// rules are what the settings say of requests. They are replaced as a whole.
+// rules are what the settings say of requests. A reload replaces them as a whole; they are never
+// changed.
 type rules struct {
-	classes          map[string]*rule
-	maxAttempts      int
-	allowsHedges     bool
-	tellsRetryAfter  bool    // clients are told how long to stay away
-	retryAfterMillis float64 // how long one stays away that there is no room for
+	classes map[string]*rule
+	// maxAttempts bounds the attempts of a request, all together.
+	maxAttempts int
+	// allowsHedges is set where two attempts of a request may be out at once.
+	allowsHedges bool
+	// tellsRetryAfter is set where clients get a Retry-After.
+	tellsRetryAfter bool
+	// retryAfterMillis is the Retry-After of a request that there is no capacity for.
+	retryAfterMillis float64
 }
 
-// rule is what the settings say of a class, and its counts.
+// rule is what the settings say of a class, and its metrics.
 type rule struct {
 	decide.Class
 	count *metrics.Class
 }
 
 func newRules(s decide.Config, m *metrics.Router) *rules {
-	r := &rules{classes: map[string]*rule{}, maxAttempts: s.MaxAttempts, allowsHedges: s.HedgingAllowed, tellsRetryAfter: s.SendRetryAfter, retryAfterMillis: s.MinRetryAfterMillis()}
-	for _, c := range s.Classes {
-		r.classes[c.Name] = &rule{c, m.Class(c.Name)}
+	r := &rules{
+		classes:          map[string]*rule{},
+		maxAttempts:      s.MaxAttempts,
+		allowsHedges:     s.HedgingAllowed,
+		tellsRetryAfter:  s.SendRetryAfter,
+		retryAfterMillis: s.MinRetryAfterMillis(),
 	}
-	return r
-}
-
-// reconfigure takes the settings of a new configuration, or tells why not.
-func (l *loop) reconfigure(cfg *Config) error {
-	if err := l.admission.check(cfg); err != nil {
-		return err
+	for _, class := range s.Classes {
+		r.classes[class.Name] = &rule{class, m.Class(class.Name)}
 	}
-	if err := l.balancer.Reconfigure(l.now(), cfg.settings.Config); err != nil {
-		return err
-	}
-	l.admission.reconfigure(cfg)
-	l.rules.Store(newRules(cfg.settings.Config, l.metrics))
-	l.upstreams.setTimeouts(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeoutMillis))
-	return nil
+	return r
 }
 
-// checkCommand tells what is wrong with a command for this deployment. It may be called from any goroutine.
+// checkCommand returns what is wrong with a command for this deployment. Any goroutine may call it.
 func (l *loop) checkCommand(cmd *command) error {
-	if cmd.verb != "mg" && cmd.verb != "ms" {
+	if !cmd.isRequest() {
 		return nil
 	}
-	c := l.rules.Load().classes[cmd.class]
+	rule := l.rules.Load().classes[cmd.class]
 	switch {
-	case c == nil:
+	case rule == nil:
 		return malformed("class %.40q", cmd.class)
-	case c.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "":
+	case rule.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "":
 		return malformed("class %s takes k", cmd.class)
 	}
 	return nil
--- a/internal/router/server_ids.go
+++ b/internal/router/server_ids.go
@@ -1,38 +1,74 @@
 package router
 
-import "maps"
+import (
+	"hash/fnv"
+	"io"
+	"maps"
+	"strconv"
+	"strings"
+)
 
-// maxServerIDs bounds the ids that are remembered. In service servers are replaced by new ones for months.
+// maxServerIDs bounds the server names that are remembered: over months servers are replaced by new
+// ones.
 const maxServerIDs = 4096
 
-// serverIDs are the ids that discovery has listed so far, with what the module calls them. When there are too many, the one
-// listed for the last time longest ago is forgotten.
+// serverIDs are the names of servers that discovery has listed so far, with the Balancer's ids for
+// them. Beyond maxServerIDs the name is forgotten that was last listed longest ago. The tags are bytes
+// of the hand-over.
 type serverIDs struct {
-	IDs        map[string]uint32 `json:"IDs"`
-	LastListed map[string]int64  `json:"Seen"` // when it was last listed, by count
-	ListCount  int64             `json:"Tick"`
+	// IDs has the Balancer's id of each name.
+	IDs map[string]uint32 `json:"IDs"`
+	// LastListed is the value of ListCount when a name was last listed.
+	LastListed map[string]int64 `json:"Seen"`
+	// ListCount counts the listings of names.
+	ListCount int64 `json:"Tick"`
 }
 
-func (n *serverIDs) add(name string, id uint32) {
-	if n.IDs == nil {
-		n.IDs, n.LastListed = map[string]uint32{}, map[string]int64{}
+// add records that a name was listed.
+func (s *serverIDs) add(name string, id uint32) {
+	if s.IDs == nil {
+		s.IDs = map[string]uint32{}
+		s.LastListed = map[string]int64{}
 	}
-	n.ListCount++
-	n.IDs[name], n.LastListed[name] = id, n.ListCount
-	if len(n.IDs) <= maxServerIDs {
+	s.ListCount++
+	s.IDs[name] = id
+	s.LastListed[name] = s.ListCount
+	if len(s.IDs) <= maxServerIDs {
 		return
 	}
 	oldest := name
-	for k, at := range n.LastListed {
-		if at < n.LastListed[oldest] {
-			oldest = k
+	for other, listed := range s.LastListed {
+		if listed < s.LastListed[oldest] {
+			oldest = other
 		}
 	}
-	delete(n.IDs, oldest)
-	delete(n.LastListed, oldest)
+	delete(s.IDs, oldest)
+	delete(s.LastListed, oldest)
 }
 
 // clone is a copy that another goroutine may read.
-func (n *serverIDs) clone() serverIDs {
-	return serverIDs{maps.Clone(n.IDs), maps.Clone(n.LastListed), n.ListCount}
+func (s *serverIDs) clone() serverIDs {
+	return serverIDs{IDs: maps.Clone(s.IDs), LastListed: maps.Clone(s.LastListed), ListCount: s.ListCount}
+}
+
+// serverID maps a server's name to the Balancer's id. All routers must map alike, as the Balancer
+// hashes it: hexadecimal digits at the end of the name are the number that the simulator's wire gives.
+func serverID(name string) uint32 {
+	if id, err := strconv.ParseUint(name[strings.LastIndexByte(name, '-')+1:], 16, 32); err == nil {
+		return uint32(id)
+	}
+	h := fnv.New32a()
+	io.WriteString(h, name)
+	return h.Sum32()
+}
+
+// keyID maps a key to the Balancer's number for it, likewise.
+func keyID(key string) uint64 {
+	const digits = 16
+	if id, err := strconv.ParseUint(key, 16, 64); err == nil && len(key) == digits {
+		return id
+	}
+	h := fnv.New64a()
+	io.WriteString(h, key)
+	return h.Sum64()
 }
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -16,6 +16,9 @@
 // held is how long each test holds what it holds: a hint that does not shrink is off by as much.
 const held = 40 * time.Millisecond
 
+// isSet reports whether the instant was set.
+func (i *instant) isSet() bool { return i.bits.Load() != 0 }
+
 // hintOf reads the timeout hint that an upstream was sent, in milliseconds.
 func hintOf(t testing.TB, line string) float64 {
 	t.Helper()
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -1,5 +1,8 @@
 package router
 
+// Large writes: all but the last chunk is forwarded while it comes, and the last one waits for the
+// Balancer's decision. A server runs a write only once it has all of it.
+
 import (
 	"context"
 	"errors"
@@ -11,63 +14,57 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Large writes. All but the last piece is passed on while it comes; the last one waits for the module's decision.
-
 const (
+	// lastChunkBytes is what is held back of a large write.
 	lastChunkBytes = 4 << 10
-	uploadTimeout  = time.Minute // for all of a large value to come: some bytes now and then are no progress
+	// uploadTimeout is the time for all of a large value to come: a few bytes now and then keep
+	// commandTimeout from ending it.
+	uploadTimeout = time.Minute
 )
 
-// upload is a large write on its way.
+// upload is a large write on its way. The reader goroutine of its client owns it until the request
+// is submitted, then the request does; isSettled decides which of an attempt and the request's end
+// gets the connection.
 type upload struct {
+	upstreams *upstreams
 	server    uint32
-	conn      *upstreamConn // nil = the server does not take it
 	target    *target
+	// conn is nil where the server does not take the write.
+	conn *upstreamConn
+	// lastChunk is held back for the attempt.
 	lastChunk []byte
-	isSettled atomic.Bool // its connection is an attempt's, or closed
-	upstreams *upstreams
+	// isSettled is set once, by the attempt or by abandon: the connection is its from then on.
+	isSettled atomic.Bool
 }
 
-// errNoUploadCapacity tells that a large write can't be taken on now.
-var errNoUploadCapacity = errors.New("no place for a large write")
+// errNoUploadCapacity is the error of a large write that can't be taken now.
+var errNoUploadCapacity = errors.New("no capacity for a large write")
 
-// abandon gives up a write that is not to be: its last piece was never sent, so it has not run.
+// abandon ends a write of which no attempt was made. Its last chunk was never sent, so it has not run.
 func (p *upload) abandon() {
 	if p != nil && p.isSettled.CompareAndSwap(false, true) {
-		p.release(false)
+		p.release()
 	}
 }
 
-// release gives the connection back.
-func (p *upload) release(reuse bool) {
+// release closes the connection and ends the upload.
+func (p *upload) release() {
 	if p.conn != nil {
-		p.upstreams.release(p.target, p.conn, reuse)
+		p.upstreams.release(p.target, p.conn, false)
 	}
 	p.upstreams.uploads.Add(-1)
 }
 
-// startUpload opens a connection for a large write to where the module says that writes go.
+// startUpload opens a connection for a large write to the server to which the Balancer has writes go.
+// Where that fails, the upload is without a connection: its attempt will end as never run, which is
+// the Balancer's to judge.
 func (l *loop) startUpload(cmd *command) (*upload, error) {
 	if l.upstreams.uploads.Add(1) > l.upstreams.uploadLimit() {
 		l.upstreams.uploads.Add(-1)
 		return nil, errNoUploadCapacity
 	}
 	p := &upload{upstreams: l.upstreams}
-	found := make(chan bool, 1)
-	l.post(func() {
-		var open bool
-		if p.server, open = l.balancer.WriteServer(l.now()); open {
-			p.target = l.targets[p.server]
-		}
-		found <- p.target != nil && p.target.isOrigin
-	})
-	select {
-	case ok := <-found:
-		if !ok {
-			l.upstreams.uploads.Add(-1)
-			return nil, errNoUploadCapacity
-		}
-	case <-l.done:
+	if !l.chooseUploadTarget(p) {
 		l.upstreams.uploads.Add(-1)
 		return nil, errNoUploadCapacity
 	}
@@ -75,18 +72,38 @@
 	defer cancel()
 	conn, err := l.upstreams.acquire(ctx, p.target, true)
 	if err != nil {
-		return p, nil // it has not run, which the module is told once the request is there
+		return p, nil
 	}
 	hint := l.uploadHint(cmd)
 	if hint == 0 {
 		l.upstreams.releaseUnused(p.target, conn)
-		return p, nil // likewise
+		return p, nil
 	}
 	p.conn = conn
 	p.write(uploadHead(p.target.addr, cmd, hint))
 	return p, nil
 }
 
+// chooseUploadTarget asks the loop where writes go, and reports whether that is the origin: only its
+// protocol can be forwarded in parts.
+func (l *loop) chooseUploadTarget(p *upload) bool {
+	isOrigin := make(chan bool, 1)
+	l.post(func() {
+		server, isOpen := l.balancer.WriteServer(l.now())
+		p.server = server
+		if isOpen {
+			p.target = l.targets[server]
+		}
+		isOrigin <- p.target != nil && p.target.isOrigin
+	})
+	select {
+	case found := <-isOrigin:
+		return found
+	case <-l.done:
+		return false
+	}
+}
+
 // uploadHead is the head of a write in the origin's HTTP.
 func uploadHead(addr string, c *command, hint timeoutHint) []byte {
 	path := (&url.URL{Path: "/" + c.key}).RequestURI()
@@ -94,13 +111,14 @@
 		path, addr, c.valueBytes, c.id, c.metadataWithHint(hint))
 }
 
-// write passes a part on. A server that does not take it is left; the client is still read to the end of its value.
-func (p *upload) write(b []byte) {
+// write forwards a part. Where the server does not take it the connection is closed; the client is
+// still read to the end of its value.
+func (p *upload) write(part []byte) {
 	if p.conn == nil {
 		return
 	}
 	p.conn.SetWriteDeadline(time.Now().Add(serverProgressTimeout))
-	if _, err := p.conn.Write(b); err != nil {
+	if _, err := p.conn.Write(part); err != nil {
 		p.upstreams.release(p.target, p.conn, false)
 		p.conn = nil
 		return
@@ -108,71 +126,87 @@
 	p.conn.SetWriteDeadline(time.Time{})
 }
 
-// readLargeValue reads a large value and the line end behind it, handing pieces on as they come; p may be nil, and the value
-// is then passed over.
-func (c *clientConn) readLargeValue(n int, p *upload) error {
+// readLargeValue reads a large value and the line end behind it, forwarding chunks as they come. p
+// may be nil: the value is then discarded.
+func (c *clientConn) readLargeValue(valueBytes int, p *upload) error {
 	c.isReceivingLargeValue.Store(true)
 	defer c.isReceivingLargeValue.Store(false)
-	end := time.Now().Add(uploadTimeout)
-	move := func() {
-		at := time.Now().Add(commandTimeout)
-		if end.Before(at) {
-			at = end
-		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.SetReadDeadline(at)
-	}
-	buf := chunkPool.Get().(*[chunkBytes]byte)
-	defer chunkPool.Put(buf)
-	for left := n - lastChunkBytes; left > 0; {
-		move()
-		m, err := c.reader.Read(buf[:min(left, chunkBytes)])
-		if left -= m; m > 0 && p != nil {
-			p.write(buf[:m])
+	uploadDeadline := time.Now().Add(uploadTimeout)
+	chunk := chunkPool.Get().(*[chunkBytes]byte)
+	defer chunkPool.Put(chunk)
+	for remaining := valueBytes - lastChunkBytes; remaining > 0; {
+		c.extendReadDeadline(uploadDeadline)
+		n, err := c.reader.Read(chunk[:min(remaining, chunkBytes)])
+		remaining -= n
+		if n > 0 && p != nil {
+			p.write(chunk[:n])
 		}
 		if err != nil {
 			return err
 		}
 	}
-	last := make([]byte, 0, lastChunkBytes+2)
+	lastChunk, err := c.readLastChunk(uploadDeadline)
+	if err != nil {
+		return err
+	}
+	if p != nil {
+		p.lastChunk = lastChunk
+	}
+	return nil
+}
+
+// readLastChunk reads the last chunk of a large value and the line end behind it.
+func (c *clientConn) readLastChunk(uploadDeadline time.Time) ([]byte, error) {
+	const lineEnd = "\r\n"
+	last := make([]byte, 0, lastChunkBytes+len(lineEnd))
 	for len(last) < cap(last) {
-		move()
-		m, err := c.reader.Read(last[len(last):cap(last)])
-		last = last[:len(last)+m]
-		if over := len(last) - lastChunkBytes; over > 0 && string(last[lastChunkBytes:]) != "\r\n"[:over] {
-			return malformed("value without its end")
+		c.extendReadDeadline(uploadDeadline)
+		n, err := c.reader.Read(last[len(last):cap(last)])
+		last = last[:len(last)+n]
+		behind := len(last) - lastChunkBytes
+		if behind > 0 && string(last[lastChunkBytes:]) != lineEnd[:behind] {
+			return nil, malformed("value without its end")
 		}
 		if err != nil && len(last) < cap(last) {
-			return err
+			return nil, err
 		}
 	}
-	if p != nil {
-		p.lastChunk = last[:lastChunkBytes]
-	}
-	return nil
+	return last[:lastChunkBytes], nil
+}
+
+// extendReadDeadline gives the client commandTimeout for the next part of its value, up to the
+// value's own deadline.
+func (c *clientConn) extendReadDeadline(limit time.Time) {
+	deadline := time.Now().Add(commandTimeout)
+	if limit.Before(deadline) {
+		deadline = limit
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.SetReadDeadline(deadline)
 }
 
-// finishUpload sends the last piece of a large write, which makes it an attempt, and reads the answer.
-func (u *upstreams) finishUpload(ctx context.Context, server uint32, c *command, on attemptHooks) reply {
+// finishUpload sends the last chunk of a large write, which makes it an attempt, and reads the answer.
+func (u *upstreams) finishUpload(ctx context.Context, server uint32, c *command, hooks attemptHooks) reply {
 	p := c.upload
-	if p.server != server || !p.isSettled.CompareAndSwap(false, true) { // the value is gone, and can't be sent again
-		return replyWithoutAnswer(decide.ConnectError)
+	if p.server != server || !p.isSettled.CompareAndSwap(false, true) {
+		return replyWithoutAnswer(decide.ConnectError) // the value is not kept, and can't be sent again
 	}
-	if p.conn == nil || !p.conn.isQuiet() { // it has closed, or answered what it has not got whole
-		p.release(false)
+	// A server that has closed, or has answered a write that it has not got whole, does not run it.
+	if p.conn == nil || !p.conn.isQuiet() {
+		p.release()
 		return replyWithoutAnswer(decide.ConnectError)
 	}
-	if on.beforeWrite() == 0 {
-		p.release(false)
-		return replyWithoutAnswer(decide.Unprocessed) // nothing of its last piece was written
+	if hooks.beforeWrite() == 0 {
+		p.release()
+		return replyWithoutAnswer(decide.Unprocessed)
 	}
 	u.uploads.Add(-1) // from here on it is an attempt like any other
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+	stopWatch := context.AfterFunc(ctx, func() { p.conn.Close() })
 	if _, err := p.conn.Write(p.lastChunk); err != nil {
-		stop()
+		stopWatch()
 		u.release(p.target, p.conn, false)
 		return replyWithoutAnswer(decide.ConnectError)
 	}
-	return u.readAnswer(p.target, p.conn, c, stop, u.readOrigin, on)
+	return u.readAnswer(upstreamExchange{p.target, p.conn, c, u.readOrigin, stopWatch}, hooks)
 }
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -12,22 +12,31 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// upstreamConn is a connection to a target. It carries one attempt at a time: answers come in order and giving up
-// closes it, so others behind it would wait for the first, or go down with it.
+// upstreamConn is a connection to a target. It carries one attempt at a time: answers come in the
+// order of the commands and a cancelled attempt closes its connection, so others on it would wait for
+// the first, or be reset with it.
+//
+// It belongs to the pool while it is idle, and to who has acquired it until it is released.
 type upstreamConn struct {
 	net.Conn
-	reader         *bufio.Reader
-	remainingBytes int       // bytes that may still come for what is being read
-	idleSince      time.Time // idle since
+	reader *bufio.Reader
+	// remainingBytes is what may still come of the answer that is being read.
+	remainingBytes int
+	// idleSince is when it was opened or released.
+	idleSince time.Time
 }
 
 // An answer is bounded in bytes and in time, whatever it says of itself.
 const (
-	maxAnswerBytes = 2*maxHeadBytes + maxBufferedValue + maxValueBytes // with room for chunks and provisional answers
-	answerTimeout  = 250 * time.Millisecond                            // for the rest to come once it has begun; aims are longer, so a read is tried again in time
+	// maxAnswerBytes has capacity for chunk headers and provisional answers.
+	maxAnswerBytes = 2*maxHeadBytes + maxBufferedValue + maxValueBytes
+	// answerTimeout is the time for the rest of an answer to come once it has begun. It is below the
+	// usual latency objective, so a read is retried in time.
+	answerTimeout = 250 * time.Millisecond
 )
 
-// Read reads from the connection, up to the bound.
+// Read reads from the connection, up to remainingBytes. A read deadline that passes is an answer that
+// stopped short.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if c.remainingBytes <= 0 {
 		return 0, malformed("answer over %d bytes", maxAnswerBytes)
@@ -49,13 +58,14 @@
 	return c.SetReadDeadline(time.Now().Add(answerTimeout))
 }
 
-// isReusable tells whether nothing has come beside the answer that was read. What else is there belongs to no request.
+// isReusable reports whether nothing has come beside the answer that was read: other input belongs to
+// no request.
 func (c *upstreamConn) isReusable() bool {
 	return c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil && c.isQuiet()
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read: an end, a reset or a stray answer makes
-// it useless, and a request written to it would end as a reset.
+// isQuiet reports whether an idle connection is open and has nothing to read: an end, a reset or a
+// stray answer makes it useless, and a request written to it would end as a reset.
 func (c *upstreamConn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -64,73 +74,98 @@
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 }
 
-// attemptHooks are what the owner of an attempt has a say in.
+// attemptHooks are what the owner of an attempt decides. They are called on the attempt's goroutine.
 type attemptHooks struct {
-	isNotRepeatable bool                         // what is sent can't be sent again
-	beforeWrite     func() timeoutHint           // asked once, before the first byte, what to tell the server: 0 calls the attempt off
-	afterWrite      func()                       // told of the last one
-	openStream      func(got reply) *valueStream // asked for the client of a value that is to be passed through; nil = there is none
+	// isNotRepeatable is set where the request may not be sent twice at will.
+	isNotRepeatable bool
+	// beforeWrite is called once, before the first byte, and returns the timeout hint for the server.
+	// 0 means that nothing may be written.
+	beforeWrite func() timeoutHint
+	// afterWrite is called after the last byte.
+	afterWrite func()
+	// openStream is asked for the client of a value that is to be streamed; nil where there is none.
+	openStream func(got reply) *valueStream
 }
 
-// errStreamUnwanted ends a connection with a value that nobody waits for any more.
+// errStreamUnwanted ends the connection of a value that nobody waits for any more.
 var errStreamUnwanted = errors.New("value unwanted")
 
-// roundTrip writes c to t once, never twice, and says how that ended. The end of ctx gives the attempt up by closing
-// its connection.
-func (u *upstreams) roundTrip(ctx context.Context, t *target, c *command, on attemptHooks) reply {
-	conn, err := u.acquire(ctx, t, on.isNotRepeatable)
+// answerReader reads a target's answer to a command.
+type answerReader func(*bufio.Reader, *command) (reply, error)
+
+// upstreamExchange is a command that is written whole, and how its answer is read.
+type upstreamExchange struct {
+	target  *target
+	conn    *upstreamConn
+	command *command
+	read    answerReader
+	// stopWatch ends the watch that closes the connection when the attempt's context ends. It returns
+	// false if that has happened.
+	stopWatch func() bool
+}
+
+// roundTrip writes a command to a target once, never twice, and returns how that ended. When ctx ends
+// the connection is closed, which cancels the attempt.
+func (u *upstreams) roundTrip(ctx context.Context, t *target, c *command, hooks attemptHooks) reply {
+	conn, err := u.acquire(ctx, t, hooks.isNotRepeatable)
 	switch {
 	case errors.Is(err, errNoDescriptor):
 		return replyWithoutAnswer(decide.Unprocessed)
 	case err != nil:
 		return replyWithoutAnswer(decide.ConnectError)
 	}
-	hint := on.beforeWrite()
+	hint := hooks.beforeWrite()
 	if hint == 0 {
 		u.releaseUnused(t, conn)
-		return replyWithoutAnswer(decide.Unprocessed) // nothing of it was written
+		return replyWithoutAnswer(decide.Unprocessed)
 	}
-	wire, read := c.append(nil, hint), readReply
-	if t.isOrigin {
-		if wire, err = originRequest(t.addr, c, hint); err != nil { // it can't be said in HTTP
-			u.releaseUnused(t, conn)
-			return replyWithoutAnswer(decide.Unprocessed)
-		}
-		read = u.readOrigin
+	wire, read, err := u.encode(t, c, hint)
+	if err != nil { // it can't be said in HTTP
+		u.releaseUnused(t, conn)
+		return replyWithoutAnswer(decide.Unprocessed)
 	}
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	stopWatch := context.AfterFunc(ctx, func() { conn.Close() })
 	if _, err := conn.Write(wire); err != nil { // the last byte is not out, so nothing can have run
-		stop()
+		stopWatch()
 		u.release(t, conn, false)
 		return replyWithoutAnswer(decide.ConnectError)
 	}
-	return u.readAnswer(t, conn, c, stop, read, on)
+	return u.readAnswer(upstreamExchange{t, conn, c, read, stopWatch}, hooks)
 }
 
-// readAnswer reads the answer to c, which is written whole, and gives the connection back. stop ends the watch for the end
-// of the attempt and tells whether that has not come.
-func (u *upstreams) readAnswer(t *target, conn *upstreamConn, c *command, stop func() bool,
-	read func(*bufio.Reader, *command) (reply, error), on attemptHooks) reply {
-	on.afterWrite()
-	a := reply{load: decide.NoLoadReport}
-	err := conn.awaitFirstByte()
-	answered := err == nil
-	if answered {
-		a, err = read(conn.reader, c)
+// encode returns a command as a target gets it, and the reader of its answers.
+func (u *upstreams) encode(t *target, c *command, hint timeoutHint) ([]byte, answerReader, error) {
+	if !t.isOrigin {
+		return c.append(nil, hint), readReply, nil
 	}
-	if err == nil && a.streamedBytes > 0 {
-		if sink := on.openStream(a); sink != nil {
-			err = sink.copyValue(conn, a)
-		} else {
-			err = errStreamUnwanted // by now
+	wire, err := originRequest(t.addr, c, hint)
+	return wire, u.readOrigin, err
+}
+
+// readAnswer reads the answer to a command that is written whole, and releases the connection. An
+// answer that can't be understood, or that broke off, shows that the request has run and the server
+// was at work; a connection that ends before the answer leaves open whether it has run.
+func (u *upstreams) readAnswer(x upstreamExchange, hooks attemptHooks) reply {
+	hooks.afterWrite()
+	got := reply{load: decide.NoLoadReport}
+	err := x.conn.awaitFirstByte()
+	hasBegun := err == nil
+	if hasBegun {
+		got, err = x.read(x.conn.reader, x.command)
+	}
+	if err == nil && got.streamedBytes > 0 {
+		err = errStreamUnwanted
+		if stream := hooks.openStream(got); stream != nil {
+			err = stream.copyValue(x.conn, got)
 		}
 	}
-	u.release(t, conn, stop() && err == nil && !a.closesConnection && conn.isReusable())
+	isOpen := x.stopWatch()
+	u.release(x.target, x.conn, isOpen && err == nil && !got.closesConnection && x.conn.isReusable())
 	switch {
-	case answered && err != nil: // not understood, or it broke off: it has run, and the server was at work
-		a.status = decide.MalformedResponse
-	case err != nil: // ended after the last byte: it may have run
-		a.status = decide.Reset
+	case hasBegun && err != nil:
+		got.status = decide.MalformedResponse
+	case err != nil:
+		got.status = decide.Reset
 	}
-	return a
+	return got
 }
