--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -17,17 +17,17 @@
 
 // attempt is one attempt of a request.
 //
-//	            startWriting                answer, reset, or the close of the
-//	            (first byte)                connection after a cancel or time-out
-//	 ┌─────────┐ ─────────▶ ┌─────────┐ ─────────────────────────────────────▶ ┌──────┐
-//	 │ opening │            │ writing │                                        │ done │
-//	 └─────────┘            └─────────┘                                        └──────┘
-//	      │                                                                        ▲
-//	      │ cancelUnsent: cancel, time-out, client disconnected, server draining   │
-//	      ▼                                                                        │
-//	 ┌───────────┐   deferred to the end of the loop's present event               │
-//	 │ abandoned │ ────────────────────────────────────────────────────────────────┘
-//	 └───────────┘
+//	           startWriting                answer, reset, or the close of the
+//	           (first byte)                connection after a cancel or time-out
+//	┌─────────┐ ─────────▶ ┌─────────┐ ─────────────────────────────────────▶ ┌──────┐
+//	│ opening │            │ writing │                                        │ done │
+//	└─────────┘            └─────────┘                                        └──────┘
+//	     │                                                                        ▲
+//	     │ cancelUnsent: cancel, time-out, client disconnected, server draining   │
+//	     ▼                                                                        │
+//	┌───────────┐   deferred to the end of the loop's present event               │
+//	│ abandoned │ ────────────────────────────────────────────────────────────────┘
+//	└───────────┘
 //
 // Opening, writing and abandoned are its phase. An attempt in opening may wait for a connection; it
 // leaves that phase once, either by its own goroutine (startWriting) or by the loop (cancelUnsent),
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -113,7 +113,8 @@
 		return false
 	}
 	l.metrics.ReloadSuccesses.Add(1)
-	slog.Info("SIGHUP: the configuration is taken", "discovery", cfg.Discovery, "classes", cfg.settings.Config.ClassNames())
+	slog.Info("SIGHUP: the configuration is taken", "discovery", cfg.Discovery,
+		"classes", cfg.settings.Config.ClassNames())
 	return true
 }
 
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -39,7 +39,8 @@
 	}
 	if l.healthReports != nil {
 		if load, ok := l.healthReports.Lookup(l.now(), server); ok {
-			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f", server, load.RequestsPerSecond, load.Utilization)
+			l.trace.Event(l.now(), "probe-told", "s=%08x qps=%.1f util=%.3f",
+				server, load.RequestsPerSecond, load.Utilization)
 			l.deferHealthCheck(server, decide.OK, load)
 			return
 		}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -308,6 +308,7 @@
 		return
 	}
 	for _, link := range links {
-		link.Send(handover.Message{Kind: listKind, Body: body}) //nolint:errcheck // a process that has ended needs no list
+		//nolint:errcheck // a process that has ended needs no list
+		link.Send(handover.Message{Kind: listKind, Body: body})
 	}
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -82,7 +82,8 @@
 	}
 	rules := l.rules.Load()
 	rule := rules.classes[cmd.class]
-	if rule == nil || rule.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "" { // the settings have just changed
+	// The command has passed checkCommand, but the settings may have changed since.
+	if rule == nil || rule.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "" {
 		l.rejectCommand(&cmd, client, "the class has changed")
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -65,7 +65,8 @@
 	upstreamLimit := min(descriptors*upstreamDescriptorParts/descriptorParts,
 		int(memoryBytes/attemptMemoryPart/maxBufferedValue))
 	r := &Router{cfg: cfg, metrics: m}
-	r.upstreams = newUpstreams(ms(cfg.settings.Config.IdleTimeoutMillis), ms(cfg.settings.ConnectTimeoutMillis), upstreamLimit)
+	serverIdleTimeout := ms(cfg.settings.Config.IdleTimeoutMillis)
+	r.upstreams = newUpstreams(serverIdleTimeout, ms(cfg.settings.ConnectTimeoutMillis), upstreamLimit)
 	r.upstreams.trace = cfg.Trace
 	r.upstreams.unsizedValues.limit.Store(memoryBytes / unsizedMemoryPart)
 	var err error
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -107,8 +107,8 @@
 // uploadHead is the head of a write in the origin's HTTP.
 func uploadHead(addr string, c *command, hint timeoutHint) []byte {
 	path := (&url.URL{Path: "/" + c.key}).RequestURI()
-	return fmt.Appendf(nil, "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\nX-Correlation-Id: %s\r\nX-Facts: %s\r\n\r\n",
-		path, addr, c.valueBytes, c.id, c.metadataWithHint(hint))
+	const head = "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\nX-Correlation-Id: %s\r\nX-Facts: %s\r\n\r\n"
+	return fmt.Appendf(nil, head, path, addr, c.valueBytes, c.id, c.metadataWithHint(hint))
 }
 
 // write forwards a part. Where the server does not take it the connection is closed; the client is
