--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -195,7 +195,7 @@
 	r.attemptMillis += latencyMillis
 	if l.trace.Enabled() {
 		l.trace.Event(now, "got", "r=%d n=%d s=%08x status=%d note=%d ms=%.1f",
-			r.id, a.index, a.server, got.status, got.cacheNote, latencyMillis)
+			r.id, a.index, a.server, got.status, got.cacheResult, latencyMillis)
 	}
 	switch {
 	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // a bad version, for the laboratory
@@ -214,7 +214,7 @@
 		Status:        got.status,
 		LatencyMillis: latencyMillis,
 		IsFinal:       r.isDone,
-		Note:          got.cacheNote,
+		CacheResult:   got.cacheResult,
 		Load:          got.load,
 	})
 }
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -15,13 +15,6 @@
 	"dockhinge.example/dockhinge/internal/settings"
 )
 
-// What a cache server says of a read beside its value, in the numbers of decide.Outcome.Note.
-const (
-	noteHit        = 1
-	noteMiss       = 2
-	noteFetchIsOut = 3 // a miss while another router's fetch of the key is out
-)
-
 // reply is what came back for an attempt.
 type reply struct {
 	status decide.AttemptStatus
@@ -31,8 +24,8 @@
 	streamedBytes int
 	// hasLineEnd is set where a line end comes behind a value that is streamed.
 	hasLineEnd bool
-	// cacheNote is noteHit, noteMiss, noteFetchIsOut, or 0 where the answer says none of it.
-	cacheNote int
+	// cacheResult is what the server said of the key.
+	cacheResult decide.CacheResult
 	// load is the report that came with the answer.
 	load decide.LoadReport
 	// closesConnection is set where the connection carries no further request.
@@ -177,9 +170,9 @@
 	for _, flag := range flags {
 		switch flag[0] {
 		case 'h':
-			got.cacheNote = map[string]int{"h1": noteHit, "h0": noteMiss}[flag]
+			got.cacheResult = map[string]decide.CacheResult{"h1": decide.CacheHit, "h0": decide.CacheMiss}[flag]
 		case 'Z':
-			got.cacheNote = noteFetchIsOut
+			got.cacheResult = decide.CacheMissDuringFetch
 		}
 	}
 	return nil
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -244,7 +244,7 @@
 		Status:        decide.OK,
 		LatencyMillis: latencyMillis,
 		IsFinal:       true,
-		Note:          got.cacheNote,
+		CacheResult:   got.cacheResult,
 		Load:          got.load,
 	})
 	return client
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -128,8 +128,8 @@
 				cmd = putCommand()
 			}
 			got := u.roundTrip(t.Context(), target, cmd, always)
-			if got.status != c.want || got.cacheNote != c.note {
-				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheNote, c.want, c.note)
+			if got.status != c.want || got.cacheResult != c.note {
+				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.note)
 			}
 			next(t, f.seen, "request")
 			if len(f.seen) > 0 {
