--- /dev/null
+++ b/cmd/dockhinge/config.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"log/slog"
+	"os"
+
+	"dockhinge.example/dockhinge/internal/metrics"
+	"dockhinge.example/dockhinge/internal/operator"
+	"dockhinge.example/dockhinge/internal/router"
+)
+
+// configFiles are the files that a router is configured by.
+type configFiles struct {
+	// router is the path of the platform's configuration.
+	router string
+	// operator is the path of the operator file; "" = there is none.
+	operator string
+}
+
+// loadOperator reads the operator file, or returns the defaults where there is none.
+func (f configFiles) loadOperator() (operator.File, error) {
+	if f.operator == "" {
+		return operator.Default(), nil
+	}
+	return operator.Load(f.operator)
+}
+
+// loadRouter reads the platform's configuration, and adds what the operator file sets.
+func (f configFiles) loadRouter(file operator.File) (*router.Config, error) {
+	cfg, err := router.LoadConfig(f.router, os.Getenv)
+	if err != nil {
+		return cfg, err
+	}
+	if a := file.Agreement; len(a.Coordinators) > 0 {
+		cfg.Agreement = &router.Agreement{
+			Coordinators: a.CoordinatorAddrs(),
+			TTL:          operator.Duration(a.TTL),
+			Probes:       a.Probes,
+			ProbeEvery:   operator.Duration(a.ProbeEvery),
+			ProbeStale:   operator.Duration(a.ProbeStale),
+			Drains:       a.Drains,
+			Label:        cmp.Or(a.Label, revision()),
+		}
+	}
+	if !file.Admission.Enabled {
+		return cfg, nil
+	}
+	rules, tenants, err := file.Admission.Config()
+	cfg.Admission = &router.AdmissionConfig{Rules: rules, Tenants: tenants}
+	return cfg, err
+}
+
+// load reads both files.
+func (f configFiles) load() (*router.Config, error) {
+	file, err := f.loadOperator()
+	if err != nil {
+		return nil, err
+	}
+	return f.loadRouter(file)
+}
+
+// reload reads the files at each SIGHUP and sends the configuration to updates, until ctx ends. Where
+// one of the files has a mistake, neither is taken: the router goes on with the configuration that it
+// has, and the mistake is logged and counted.
+func (f configFiles) reload(
+	ctx context.Context, hup <-chan os.Signal, updates chan<- *router.Config, m *metrics.Router,
+) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-hup:
+		}
+		cfg, err := f.load()
+		if err != nil {
+			m.ReloadFailures.Add(1)
+			slog.Warn("SIGHUP: the configuration is kept", "error", err)
+			continue
+		}
+		select {
+		case updates <- cfg:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/cmd/dockhinge/descriptors_test.go
+++ b/cmd/dockhinge/descriptors_test.go
@@ -32,12 +32,12 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second // for what must come; a test that passes does not wait for it
+const testTimeout = 20 * time.Second // for what must come; a test that passes does not wait for it
 
 // await asks again until it holds.
 func await(t *testing.T, what string, holds func() error) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for {
 		err := holds()
 		if err == nil {
@@ -100,11 +100,21 @@
 
 // endpoint is a line of discovery's list.
 func endpoint(id, addr, kind string) map[string]any {
-	return map[string]any{"id": id, "addr": addr, "zone": "a", "kind": kind, "cell": 0, "state": "active", "weight": 1.0, "started_ms": 0}
+	return map[string]any{
+		"id":         id,
+		"addr":       addr,
+		"zone":       "a",
+		"kind":       kind,
+		"cell":       0,
+		"state":      "active",
+		"weight":     1.0,
+		"started_ms": 0,
+	}
 }
 
-// crowd has that many clients connect, say nothing, and come again when their connection is closed, until the test ends.
-func crowd(t *testing.T, address string, clients int) {
+// connectIdleClients has that many clients connect, say nothing, and come again when their connection is closed,
+// until the test ends.
+func connectIdleClients(t *testing.T, address string, clients int) {
 	ctx, stop := context.WithCancel(context.Background())
 	var idle, connected sync.WaitGroup
 	t.Cleanup(func() { stop(); idle.Wait() })
@@ -133,8 +143,10 @@
 	connected.Wait()
 }
 
-// Idle clients take as many descriptors as a router gives to clients, and no more: discovery that returns, health checks and
-// cache servers have theirs, at the limit that the platform sets on the process.
+// More idle clients connect than the process may have descriptors, and connect again when they are
+// closed. They take as many as a router leaves to clients, and no more: discovery that returns, health
+// checks and cache servers have theirs, at the limit that the platform sets on the process. A program
+// without that bound would run out of descriptors and never see the endpoint list.
 func TestIdleClientsLeaveDescriptorsToDiscovery(t *testing.T) {
 	const sockets = 256
 	server := cacheServer(t)
@@ -152,9 +164,11 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		t.Fatal(err)
 	}
-	config["discovery"], config["admin_addr"] = discovery.Addr().String(), admin
+	config["discovery"] = discovery.Addr().String()
+	config["admin_addr"] = admin
 	config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": sockets}
-	if text, err = json.Marshal(config); err != nil {
+	text, err = json.Marshal(config)
+	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -169,7 +183,8 @@
 	defer out.Close()
 	router := exec.Command(os.Args[0])
 	router.Env = append(os.Environ(), serveVariable+"=1", "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
-	router.Stdout, router.Stderr = out, out
+	router.Stdout = out
+	router.Stderr = out
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -196,10 +211,11 @@
 		}
 		return errors.Join(errors.New("no line of the log says so"), err)
 	})
-	crowd(t, address, sockets+sockets/4)
+	connectIdleClients(t, address, sockets+sockets/4)
 
 	returned := listen(t, discovery.Addr().String())
-	list := map[string]any{"version": 2, "full": true, "servers": []any{endpoint("s-0000000c", server, "box"), endpoint("s-00000063", server, "origin")}}
+	servers := []any{endpoint("s-0000000c", server, "box"), endpoint("s-00000063", server, "origin")}
+	list := map[string]any{"version": 2, "full": true, "servers": servers}
 	answer, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +231,7 @@
 	go func() { defer close(done); service.Serve(returned) }()
 	t.Cleanup(func() { service.Close(); <-done })
 
-	await(t, "the second address answers", func() error {
+	await(t, "the admin address answers", func() error {
 		resp, err := http.Get("http://" + admin + "/-/ready")
 		if err != nil {
 			return err
--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -15,53 +15,80 @@
 	"dockhinge.example/dockhinge/internal/router"
 )
 
-// SIGHUP reads the file again; a bad one changes nothing, and the program goes on.
+// configPair is a configuration and an operator file that a test rewrites.
+type configPair struct {
+	t     *testing.T
+	files configFiles
+}
+
+func newConfigPair(t *testing.T) configPair {
+	dir := t.TempDir()
+	return configPair{t, configFiles{
+		router:   filepath.Join(dir, "config.json"),
+		operator: filepath.Join(dir, "operator.toml"),
+	}}
+}
+
+func (p configPair) writeRouter(text string)   { p.write(p.files.router, text) }
+func (p configPair) writeOperator(text string) { p.write(p.files.operator, text) }
+
+func (p configPair) write(path, text string) {
+	p.t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// SIGHUP has the files read again. While either has a mistake, both signals are counted as failures
+// and nothing changes; once both are good, the next signal brings their configuration. A program that
+// took one file alone would run with rules that nobody has checked together.
 func TestReload(t *testing.T) {
 	good, err := os.ReadFile("../../.ci/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	hup, updates := make(chan os.Signal), make(chan *router.Config)
-	more := filepath.Join(t.TempDir(), "operator.toml")
-	rules := func(text string) {
-		if err := os.WriteFile(more, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+	hup := make(chan os.Signal)
+	updates := make(chan *router.Config)
+	pair := newConfigPair(t)
+	m := metrics.New()
+	go pair.files.reload(t.Context(), hup, updates, m)
+	awaitFailures := func(count int64, what string) {
+		t.Helper()
+		for end := time.Now().Add(testTimeout); m.ReloadFailures.Load() < count; {
+			if time.Now().After(end) {
+				t.Fatalf("%s was not rejected", what)
+			}
 		}
 	}
-	m := metrics.New()
-	go reload(t.Context(), path, more, hup, updates, m)
-	write("{")
-	rules("version = 1")
+
+	pair.writeRouter("{")
+	pair.writeOperator("version = 1")
 	hup <- syscall.SIGHUP
 	hup <- syscall.SIGHUP // this one is taken once the first has been carried out
-	for end := time.Now().Add(10 * time.Second); m.ReloadFailures.Load() < 2; {
-		if time.Now().After(end) {
-			t.Fatal("a bad configuration was not refused")
-		}
-	}
-	write(string(good))
-	rules("version = 1\n[admission]\nothers_weight = -1")
+	awaitFailures(2, "a bad configuration")
+
+	pair.writeRouter(string(good))
+	pair.writeOperator("version = 1\n[admission]\nothers_weight = -1")
 	hup <- syscall.SIGHUP
-	for end := time.Now().Add(10 * time.Second); m.ReloadFailures.Load() < 3; {
-		if time.Now().After(end) {
-			t.Fatal("a bad operator file was not refused")
-		}
-	}
-	rules("version = 1\n[admission]\nenabled = true\n[[admission.tenant]]\nname = \"a\"\nweight = 2\nrate = 5\nburst = 3")
-	for end := time.After(10 * time.Second); ; {
+	awaitFailures(3, "a bad operator file")
+
+	pair.writeOperator(`version = 1
+[admission]
+enabled = true
+[[admission.tenant]]
+name = "a"
+weight = 2
+rate = 5
+burst = 3`)
+	for end := time.After(testTimeout); ; {
 		select {
 		case hup <- syscall.SIGHUP:
 		case cfg := <-updates:
 			if cfg == nil || cfg.Discovery != "127.0.0.1:9" {
 				t.Errorf("got %+v", cfg)
 			}
-			if a := cfg.Admission; a == nil || len(a.Rules.Tenants) != 1 || a.Rules.Tenants[0].GuaranteedPerSecond != 5 {
+			a := cfg.Admission
+			if a == nil || len(a.Rules.Tenants) != 1 || a.Rules.Tenants[0].GuaranteedPerSecond != 5 {
 				t.Errorf("got %+v", a)
 			}
 			return
@@ -71,27 +98,35 @@
 	}
 }
 
-// The table names who has most first, and a router without admission says so.
+const admissionAnswer = `{"limit": 40, "refused": 0.02, "tenants": [
+	{"tenant": "small", "asked": 5, "work_ms": 10, "weight": 1},
+	{"tenant": "big\u001b", "asked": 90, "refused": 70, "told_ms": 250, "work_ms": 90, "weight": 1}]}`
+
+// The table names the tenant with the most work first, with its name escaped, as tenants are named by
+// clients. A router without admission, and one that does not answer, are named.
 func TestTenants(t *testing.T) {
-	body := `{"limit":40,"refused":0.02,"tenants":[{"tenant":"small","asked":5,"work_ms":10,"weight":1},{"tenant":"big\u001b","asked":90,"refused":70,"told_ms":250,"work_ms":90,"weight":1}]}`
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if body == "" {
+	answer := admissionAnswer
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		if answer == "" {
 			http.NotFound(w, q)
 			return
 		}
-		io.WriteString(w, body)
+		io.WriteString(w, answer)
 	}))
-	defer s.Close()
-	addr := strings.TrimPrefix(s.URL, "http://")
+	defer server.Close()
+	addr := strings.TrimPrefix(server.URL, "http://")
 	var out strings.Builder
 	if err := tenants([]string{addr}, &out); err != nil {
 		t.Fatal(err)
 	}
 	rows := strings.Split(out.String(), "\n")
-	if len(rows) < 4 || !strings.Contains(rows[2], `"big\x1b"`) || !strings.Contains(rows[2], "90.0") || !strings.Contains(rows[3], "small") {
+	if len(rows) < 4 || !strings.Contains(rows[3], "small") {
+		t.Fatalf("%s", out.String())
+	}
+	if !strings.Contains(rows[2], `"big\x1b"`) || !strings.Contains(rows[2], "90.0") {
 		t.Errorf("%s", out.String())
 	}
-	body = ""
+	answer = ""
 	for _, bad := range []string{addr, "nowhere"} {
 		if err := tenants([]string{bad}, &out); err == nil || !strings.Contains(err.Error(), bad) {
 			t.Errorf("%s: %v", bad, err)
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -12,13 +12,11 @@
 	"runtime"
 	"runtime/debug"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 
 	"dockhinge.example/dockhinge/internal/admin"
 	"dockhinge.example/dockhinge/internal/handover"
-	"dockhinge.example/dockhinge/internal/healthcheck"
 	"dockhinge.example/dockhinge/internal/logging"
 	"dockhinge.example/dockhinge/internal/metrics"
 	"dockhinge.example/dockhinge/internal/operator"
@@ -26,176 +24,138 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// options are the flags of serve.
-type options struct{ config, operator string }
+// configVariable names the platform's configuration in the environment.
+const configVariable = "GW_CONFIG"
+
+// Share of a router's memory that the Go heap may take, in tenths. The rest is for stacks, socket
+// buffers and what the kernel counts.
+const (
+	heapTenths  = 6
+	wholeTenths = 10
+)
+
+// megabyteShift turns megabytes into bytes.
+const megabyteShift = 20
 
 // serve is the router's life, until a signal ends it.
-func serve(hup <-chan os.Signal, o options) error {
-	extra := operator.Default()
-	if o.operator != "" {
-		var err error
-		if extra, err = operator.Load(o.operator); err != nil {
-			return err
-		}
+//
+// On SIGTERM the router's Run answers the requests that it has and returns. Then the admin address,
+// the hand-over socket and the reloads end, and serve returns once they have.
+func serve(hup <-chan os.Signal, files configFiles) error {
+	operatorFile, err := files.loadOperator()
+	if err != nil {
+		return err
 	}
-	slog.SetDefault(logging.New(os.Stderr, logging.Options{Level: extra.Log.Level, JSON: extra.Log.Format == "json",
-		RepeatInterval: extra.Log.RepeatInterval(), RepeatBurst: extra.Log.RepeatBurst}))
-	path := cmp.Or(o.config, os.Getenv("GW_CONFIG"))
-	if path == "" {
-		return fmt.Errorf("GW_CONFIG: not set")
+	slog.SetDefault(newLogger(operatorFile.Log))
+	files.router = cmp.Or(files.router, os.Getenv(configVariable))
+	if files.router == "" {
+		return fmt.Errorf("%s: not set", configVariable)
 	}
-	cfg, err := load(path, extra)
+	cfg, err := files.loadRouter(operatorFile)
 	if err != nil {
 		return err
 	}
-	if extra.Log.Trace {
+	if operatorFile.Log.Trace {
 		cfg.Trace = trace.New(os.Stderr)
 	}
 	runtime.GOMAXPROCS(1) // the router has one core, which it may share
-	share := func(processes int) { debug.SetMemoryLimit(cfg.Limits.MemoryMB << 20 * 6 / 10 / int64(processes)) }
-	share(1)
+	setMemoryLimit(cfg, 1)
+
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	alive, end := context.WithCancel(context.Background()) // the second address answers as long as the router works
+	var background sync.WaitGroup
+	defer background.Wait()
+	// The admin address and the hand-over socket outlive the signal: they answer while the router
+	// drains.
+	alive, end := context.WithCancel(context.Background())
 	defer end()
-	m := metrics.New()
-	front := &front{metrics: m}
+
+	figures := metrics.New()
+	adminRouter := &adminRouter{metrics: figures}
 	if cfg.AdminAddr != "" {
-		second, err := net.Listen("tcp", cfg.AdminAddr)
+		ln, err := net.Listen("tcp", cfg.AdminAddr)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		wg.Go(func() { admin.Serve(alive, second, front) })
+		background.Go(func() { admin.Serve(alive, ln, adminRouter) })
 	}
-
-	// The process that serves already hands its socket over; where there is none, or it does not, the address is bound.
-	dir := os.TempDir()
-	share(2) // until it is known that there is no other process
-	link, ln, state, err := handover.Join(ctx, dir, cfg.Listen)
-	if err != nil {
-		slog.Info("starting alone", "error", err)
-		if ln, err = bind(ctx, cfg.Listen); err != nil {
-			return fmt.Errorf("listen: %w", err)
-		}
-	}
-	share(1)
-	r, err := router.New(cfg, ln, m)
+	r, ln, err := start(ctx, cfg, figures)
 	if err != nil {
 		return err
 	}
-	r.OnShare(share)
-	if link != nil {
-		if err := r.Inherit(state, link); err != nil {
-			slog.Warn("handover", "error", err)
-		}
-	}
-	front.router.Store(r)
-	wg.Go(func() {
-		if err := handover.Serve(alive, dir, cfg.Listen, ln.(*net.TCPListener), r); err != nil {
+	adminRouter.router.Store(r)
+	background.Go(func() {
+		if err := handover.Serve(alive, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
 			slog.Warn("no process can take over from this one", "error", err)
 		}
 	})
 	updates := make(chan *router.Config)
-	wg.Go(func() { reload(alive, path, o.operator, hup, updates, m) })
+	background.Go(func() { files.reload(alive, hup, updates, figures) })
 	return r.Run(ctx, updates)
 }
 
-// bindTime is how long an address may be held by a process that shares it with nobody, as one of an older version
-// does until it has ended.
-const bindTime = 20 * time.Second
-
-// bind listens at addr, waiting for a process that holds it.
-func bind(ctx context.Context, addr string) (ln net.Listener, err error) {
-	for began := time.Now(); ; {
-		if ln, err = handover.Listen(ctx, addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) > bindTime {
-			return ln, err
-		}
-		select {
-		case <-ctx.Done():
-			return nil, err
-		case <-time.After(50 * time.Millisecond):
-		}
-	}
-}
-
-// front answers the second address from the start on: until the router is there, it is not ready.
-type front struct {
-	metrics *metrics.Router
-	router  atomic.Pointer[router.Router]
-}
-
-func (f *front) Ready() bool {
-	r := f.router.Load()
-	return r != nil && r.Ready()
-}
-
-func (f *front) Metrics() ([]byte, error) {
-	if r := f.router.Load(); r != nil {
-		return r.Metrics()
-	}
-	return f.metrics.JSON(nil)
-}
-
-func (f *front) SetDisabled(ctx context.Context, id string, disabled bool) error {
-	if r := f.router.Load(); r != nil {
-		return r.SetDisabled(ctx, id, disabled)
-	}
-	return errors.New("not ready")
+// newLogger is the logger that the operator file asks for.
+func newLogger(l operator.Log) *slog.Logger {
+	return logging.New(os.Stderr, logging.Options{
+		Level:          l.Level,
+		JSON:           l.Format == "json",
+		RepeatInterval: l.RepeatInterval(),
+		RepeatBurst:    l.RepeatBurst,
+	})
 }
 
-func (f *front) AdmissionState(ctx context.Context) ([]byte, error) {
-	if r := f.router.Load(); r != nil {
-		return r.AdmissionState(ctx)
-	}
-	return nil, errors.New("not ready")
+// setMemoryLimit leaves this process its part of the router's memory, while so many processes are the
+// router.
+func setMemoryLimit(cfg *router.Config, processes int) {
+	debug.SetMemoryLimit(cfg.Limits.MemoryMB << megabyteShift * heapTenths / wholeTenths / int64(processes))
 }
 
-// load reads the configuration at path, with what an operator file adds.
-func load(path string, extra operator.File) (*router.Config, error) {
-	cfg, err := router.LoadConfig(path, os.Getenv)
+// start builds the router on a listening socket. The process that serves the address already hands
+// over its socket and its state; where there is none, or it does not, the address is bound.
+func start(ctx context.Context, cfg *router.Config, figures *metrics.Router) (*router.Router, net.Listener, error) {
+	setMemoryLimit(cfg, 2) // until it is known that there is no other process
+	link, ln, state, err := handover.Join(ctx, os.TempDir(), cfg.Listen)
 	if err != nil {
-		return cfg, err
+		slog.Info("starting alone", "error", err)
+		ln, err = bind(ctx, cfg.Listen)
+		if err != nil {
+			return nil, nil, fmt.Errorf("listen: %w", err)
+		}
 	}
-	if a := extra.Agreement; len(a.Coordinators) > 0 {
-		cfg.Agreement = &router.Agreement{Coordinators: healthcheck.Coordinators(a.Coordinators), TTL: operator.Duration(a.TTL), Probes: a.Probes,
-			ProbeEvery: operator.Duration(a.ProbeEvery), ProbeStale: operator.Duration(a.ProbeStale), Drains: a.Drains, Label: cmp.Or(a.Label, revision())}
+	setMemoryLimit(cfg, 1)
+	r, err := router.New(cfg, ln, figures)
+	if err != nil {
+		return nil, nil, err
 	}
-	if !extra.Admission.Enabled {
-		return cfg, nil
+	r.OnShare(func(processes int) { setMemoryLimit(cfg, processes) })
+	if link != nil {
+		if err := r.Inherit(state, link); err != nil {
+			slog.Warn("handover", "error", err)
+		}
 	}
-	rules, who, err := extra.Admission.Config()
-	cfg.Admission = &router.AdmissionConfig{Rules: rules, Tenants: who}
-	return cfg, err
+	return r, ln, nil
 }
 
-// reload hands on the configuration at path, and what the operator file adds, as they are at each SIGHUP, until ctx ends.
-// A bad one is logged and changes nothing; nor does the other then.
-func reload(ctx context.Context, path, more string, hup <-chan os.Signal, updates chan<- *router.Config, m *metrics.Router) {
+const (
+	// bindTimeout is how long an address may be held by a process that shares it with no other, as
+	// one of an older version does until it has ended.
+	bindTimeout = 20 * time.Second
+	// bindInterval is the time between two attempts to bind it.
+	bindInterval = 50 * time.Millisecond
+)
+
+// bind listens at addr, and waits for a process that holds it.
+func bind(ctx context.Context, addr string) (net.Listener, error) {
+	startedAt := time.Now()
 	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-hup:
-		}
-		extra, err := operator.Default(), error(nil)
-		if more != "" {
-			extra, err = operator.Load(more)
-		}
-		var cfg *router.Config
-		if err == nil {
-			cfg, err = load(path, extra)
-		}
-		if err != nil {
-			m.ReloadFailures.Add(1)
-			slog.Warn("SIGHUP: the configuration is kept", "error", err)
-			continue
+		ln, err := handover.Listen(ctx, addr)
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) > bindTimeout {
+			return ln, err
 		}
 		select {
-		case updates <- cfg:
 		case <-ctx.Done():
-			return
+			return nil, err
+		case <-time.After(bindInterval):
 		}
 	}
 }
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -16,56 +16,84 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// tenants prints how fair admission stands at each router, by its second address: who asks, and what each was told.
+// errAdmissionOff tells that a router has no fair admission.
+var errAdmissionOff = errors.New("fair admission is not switched on there")
+
+// tenants prints how fair admission stands at each router, by its admin address.
 func tenants(addrs []string, stdout io.Writer) error {
-	var bad []error
+	var failed []error
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			bad = append(bad, fmt.Errorf("tenants: %q is no host:port of a second address", addr))
+			failed = append(failed, fmt.Errorf("tenants: %q is no host:port of a second address", addr))
 			continue
 		}
-		s, err := askDoor(addr)
+		state, err := fetchAdmissionState(context.Background(), addr)
 		if err != nil {
-			bad = append(bad, fmt.Errorf("tenants: %s: %w", addr, err))
+			failed = append(failed, fmt.Errorf("tenants: %s: %w", addr, err))
 			continue
 		}
-		if err := printDoor(stdout, addr, s); err != nil {
+		if err := printAdmissionState(stdout, addr, state); err != nil {
 			return err
 		}
 	}
-	return errors.Join(bad...)
+	return errors.Join(failed...)
 }
 
-func askDoor(addr string) (s admission.State, err error) {
-	text, err := admin.Call(context.Background(), addr, http.MethodGet, "/-/admission")
-	var no *admin.StatusError
+// fetchAdmissionState asks a router at its admin address. The error is errAdmissionOff where the
+// router has no fair admission.
+func fetchAdmissionState(ctx context.Context, addr string) (state admission.State, err error) {
+	text, err := admin.Call(ctx, addr, http.MethodGet, admin.AdmissionPath)
+	var statusError *admin.StatusError
 	switch {
-	case errors.As(err, &no) && no.Code == http.StatusNotFound:
-		return s, errors.New("fair admission is not switched on there")
+	case errors.As(err, &statusError) && statusError.Code == http.StatusNotFound:
+		return state, errAdmissionOff
 	case err != nil:
-		return s, err
+		return state, err
 	}
-	return s, json.Unmarshal(text, &s)
+	return state, json.Unmarshal(text, &state)
 }
 
-// printDoor prints a table, who has taken most work first.
-func printDoor(out io.Writer, addr string, s admission.State) error {
-	fmt.Fprintf(out, "%s: limit %.0f, in use %.0f, waiting %d; a request takes %.0f ms; the fleet refuses %.1f%% of what is let in; tables of %.1f MB\n",
-		addr, s.Limit, s.InUse, s.Waiting, s.LatencyMillis, 100*s.RejectShare, float64(s.TableBytes)/1e6)
-	all := 0.0
-	for _, t := range s.Tenants {
-		all += t.WorkMillis
+// printAdmissionState prints a table of the tenants, the one with the most work first. Its words are
+// those of docs/admission.md.
+func printAdmissionState(out io.Writer, addr string, s admission.State) error {
+	const bytesPerMB = 1e6
+	fmt.Fprintf(out, "%s: limit %.0f, in use %.0f, waiting %d; ", addr, s.Limit, s.InUse, s.Waiting)
+	fmt.Fprintf(out, "a request takes %.0f ms; the fleet refuses %.1f%% of what is let in; tables of %.1f MB\n",
+		s.LatencyMillis, 100*s.RejectShare, float64(s.TableBytes)/bytesPerMB)
+	totalWork := 0.0
+	for _, tenant := range s.Tenants {
+		totalWork += tenant.WorkMillis
 	}
-	slices.SortStableFunc(s.Tenants, func(x, y admission.TenantStats) int { return cmp.Compare(y.WorkMillis, x.WorkMillis) })
+	slices.SortStableFunc(s.Tenants, func(x, y admission.TenantStats) int {
+		return cmp.Compare(y.WorkMillis, x.WorkMillis)
+	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "tenant\tweight\twork %\tshare now %\tasked\tlet in\tserved\tturned\trefused\tretries\tearly\twaiting\ttold ms\t")
-	for _, t := range s.Tenants {
-		name := fmt.Sprintf("%q", t.Tenant)
-		if t.Tenant == "" {
-			name = "(others)"
-		}
-		fmt.Fprintf(w, "%s\t%g\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n", name, t.Weight, 100*t.WorkMillis/max(all, 1), 100*t.Share,
-			t.Requests, t.Admitted, t.Served, t.RejectedDownstream, t.Rejected, t.RejectedRetries, t.RejectedEarly, t.Waiting, t.RetryAfterMillis)
+	fmt.Fprintln(w, "tenant\tweight\twork %\tshare now %\t"+
+		"asked\tlet in\tserved\tturned\trefused\tretries\tearly\twaiting\ttold ms\t")
+	for _, tenant := range s.Tenants {
+		printTenant(w, tenant, totalWork)
 	}
 	return w.Flush()
 }
+
+// printTenant prints a row of the table.
+func printTenant(w io.Writer, tenant admission.TenantStats, totalWork float64) {
+	name := fmt.Sprintf("%q", tenant.Tenant)
+	if tenant.Tenant == "" {
+		name = "(others)"
+	}
+	fmt.Fprintf(w, "%s\t%g\t%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t\n",
+		name,
+		tenant.Weight,
+		100*tenant.WorkMillis/max(totalWork, 1),
+		100*tenant.Share,
+		tenant.Requests,
+		tenant.Admitted,
+		tenant.Served,
+		tenant.RejectedDownstream,
+		tenant.Rejected,
+		tenant.RejectedRetries,
+		tenant.RejectedEarly,
+		tenant.Waiting,
+		tenant.RetryAfterMillis)
+}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -13,10 +12,11 @@
 	"testing"
 )
 
+// fakeRouter answers as a test has it.
 type fakeRouter struct {
 	mu       sync.Mutex
 	unready  bool
-	disabled map[string]bool
+	disabled map[string]bool // by the id of a known cache server
 	err      error
 }
 
@@ -49,7 +49,8 @@
 	return []byte(`{"waiting":3}`), f.err
 }
 
-func start(t *testing.T, r Router) (addr string) {
+// serve serves a router's admin address for the test.
+func serve(t *testing.T, r Router) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,28 +63,39 @@
 	return ln.Addr().String()
 }
 
-func call(t *testing.T, addr, text string) (code int, body string) {
+// exchange sends the text of a call over a connection of its own, and returns the answer.
+func exchange(t *testing.T, addr, text string) (code int, body string) {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if _, err := io.WriteString(c, text); err != nil {
+	defer conn.Close()
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
 	}
-	defer resp.Body.Close()
-	b, _ := io.ReadAll(resp.Body) // where the call was not read whole, the close may cross it
-	return resp.StatusCode, strings.TrimSpace(string(b))
+	defer response.Body.Close()
+	b, _ := io.ReadAll(response.Body) // where the call was not read completely, the close may cross it
+	return response.StatusCode, strings.TrimSpace(string(b))
+}
+
+// head is the header of a call, with more lines for it.
+func head(method, path string, lines ...string) string {
+	text := method + " " + path + " HTTP/1.1\r\nHost: x\r\n"
+	for _, line := range lines {
+		text += line + "\r\n"
+	}
+	return text + "\r\n"
 }
 
+// Each call of the pages has its status and its body; what is no call has a status that says so.
 func TestCalls(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
-	addr := start(t, f)
+	addr := serve(t, f)
 	for _, c := range []struct {
 		method, path string
 		code         int
@@ -91,11 +103,12 @@
 	}{
 		{"GET", "/-/ready", 200, "ready"},
 		{"GET", "/-/metrics", 200, `{"concurrent":3}`},
+		{"GET", "/-/admission", 200, `{"waiting":3}`},
 		{"PUT", "/-/cache-servers/s-0b/disable", 204, ""},
 		{"PUT", "/-/cache-servers/s-0b/disable", 204, ""},
 		{"PUT", "/-/cache-servers/s-0b/enable", 204, ""},
-		{"PUT", "/-/cache-servers/s-0c/disable", 404, ErrUnknownServer.Error()},
-		{"PUT", "/-/cache-servers/s-0c/enable", 404, ErrUnknownServer.Error()},
+		{"PUT", "/-/cache-servers/s-0c/disable", 404, "no such cache server"},
+		{"PUT", "/-/cache-servers/s-0c/enable", 404, "no such cache server"},
 		{"POST", "/-/cache-servers/s-0b/disable", 405, "Method Not Allowed"},
 		{"PUT", "/-/ready", 405, "Method Not Allowed"},
 		{"DELETE", "/-/metrics", 405, "Method Not Allowed"},
@@ -105,52 +118,62 @@
 		{"GET", "/-/x/../ready", 404, "404 page not found"},
 		{"PUT", "/-/cache-servers//disable", 404, "404 page not found"},
 	} {
-		code, body := call(t, addr, fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\n\r\n", c.method, c.path))
+		code, body := exchange(t, addr, head(c.method, c.path))
 		if code != c.code || body != c.body {
 			t.Errorf("%s %s: got %d %q, want %d %q", c.method, c.path, code, body, c.code, c.body)
 		}
 	}
 	f.mu.Lock()
-	f.unready, f.err = true, errors.New("too busy")
+	f.unready = true
+	f.err = errors.New("too busy")
 	f.mu.Unlock()
-	if code, _ := call(t, addr, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); code != 503 {
+	if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 503 {
 		t.Errorf("not ready: got %d", code)
 	}
-	if code, body := call(t, addr, "PUT /-/cache-servers/s-0b/disable HTTP/1.1\r\nHost: x\r\n\r\n"); code != 503 || body != "too busy" {
+	code, body := exchange(t, addr, head("PUT", "/-/cache-servers/s-0b/disable"))
+	if code != 503 || body != "too busy" {
 		t.Errorf("not done: got %d %q", code, body)
 	}
+	if code, body := exchange(t, addr, head("GET", "/-/admission")); code != 404 || body != "not switched on" {
+		t.Errorf("without admission: got %d %q", code, body)
+	}
 }
 
+// Calls that are malformed or too large have an answer that says so, and none of them is carried out.
 func TestMalformedAndOversizedCallsGetANo(t *testing.T) {
-	addr := start(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
+	const disable = "/-/cache-servers/s-0b/disable"
+	addr := serve(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
 	for name, c := range map[string]struct {
 		text string
 		code int
 	}{
 		"noise":       {"what is this\r\n\r\n", 400},
 		"no host":     {"GET /-/ready HTTP/1.1\r\n\r\n", 400},
-		"bad escape":  {"GET /-/%zz HTTP/1.1\r\nHost: x\r\n\r\n", 400},
-		"long head":   {"GET /-/ready HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("a", 64<<10) + "\r\n\r\n", 431},
-		"long body":   {"PUT /-/cache-servers/s-0b/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n" + strings.Repeat("a", 5000), 413},
-		"bad chunk":   {"PUT /-/cache-servers/s-0b/disable HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n", 400},
-		"small body":  {"PUT /-/cache-servers/s-0b/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}", 204},
+		"bad escape":  {head("GET", "/-/%zz"), 400},
+		"long head":   {head("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
+		"long body":   {head("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
+		"bad chunk":   {head("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
+		"small body":  {head("PUT", disable, "Content-Length: 2") + "{}", 204},
 		"bad version": {"GET /-/ready HTTP/3.9\r\nHost: x\r\n\r\n", 505},
 	} {
-		if code, _ := call(t, addr, c.text); code != c.code {
-			t.Errorf("%s: got %d, want %d", name, code, c.code)
-		}
+		t.Run(name, func(t *testing.T) {
+			if code, _ := exchange(t, addr, c.text); code != c.code {
+				t.Errorf("got %d, want %d", code, c.code)
+			}
+		})
 	}
 }
 
-// A call whose body has not come whole asks for nothing.
+// A caller disconnects in the middle of a call's body. Nothing is carried out: it may have meant
+// another call.
 func TestHalfACallDoesNothing(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
-	addr := start(t, f)
+	addr := serve(t, f)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, "PUT /-/cache-servers/s-0b/disable HTTP/1.1\r\nHost: x\r\nContent-Length: 20\r\n\r\nhalf")
+	io.WriteString(c, head("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
 	c.(*net.TCPConn).CloseWrite()
 	io.ReadAll(c) //nolint:errcheck // until it is closed
 	c.Close()
@@ -161,9 +184,10 @@
 	}
 }
 
-// Callers that say nothing, or keep dribbling, by more than the address takes: a usual call is answered beside them.
+// Three times as many callers as the address takes connect and send nothing, or half a call. A usual
+// call is answered beside them; a program that kept the first connections would keep operators out.
 func TestSilentCallersGiveWay(t *testing.T) {
-	addr := start(t, &fakeRouter{})
+	addr := serve(t, &fakeRouter{})
 	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -175,7 +199,7 @@
 		}
 	}
 	for range 5 {
-		if code, _ := call(t, addr, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"); code != 200 {
+		if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 200 {
 			t.Fatalf("got %d", code)
 		}
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,11 @@
-// Package admission decides which requests are admitted before the Balancer sees them: weighted fair shares of work among
-// tenants, within fixed memory, with an honest retry-after for those that are rejected. It does no I/O and has no clock:
-// each call brings the time in milliseconds, and the same seed and calls lead to the same decisions.
+// Package admission decides which requests are admitted before the Balancer sees them: weighted
+// fair shares of work among tenants, within fixed memory, with an honest retry-after for those that
+// are rejected. It does no I/O and has no clock: each call brings the time in milliseconds, and the
+// same seed and calls lead to the same decisions.
 //
-// Fairness is start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels: named tenants and, as one, all others;
-// and the others among themselves. The limit on concurrency follows what the fleet can take (docs/admission-design.md).
+// Fairness is start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels: named tenants
+// and, as one, all others; and the others among themselves. The limit on concurrency follows what
+// the fleet can take (docs/admission-design.md).
 package admission
 
 import (
@@ -12,66 +14,89 @@
 	"unsafe"
 )
 
-// Request is a request at the door.
+// Request is a request that has arrived.
 type Request struct {
-	ID              uint32
-	Tenant          string
-	Class           int
-	Key             uint64
-	SizeBytes       int     // bytes that come with it
-	RemainingMillis float64 // ms that remain until its deadline
-	IsRetry         bool    // marked as a retry
+	// ID names the request to the Host. It is unique among those that wait or are in work.
+	ID     uint32
+	Tenant string
+	// Class is an index into Config.Classes.
+	Class int
+	// Key is a hash of the request's key.
+	Key uint64
+	// SizeBytes is the size of its body.
+	SizeBytes int
+	// RemainingMillis is the time until its deadline.
+	RemainingMillis float64
+	// IsRetry tells that the client marks it as a retry.
+	IsRetry bool
 }
 
 // Outcome is what became of a request that was admitted.
 type Outcome struct {
-	ID            uint32
-	Served        bool
-	Rejected      bool    // rejected by the Balancer, for want of capacity
-	LatencyMillis float64 // ms since it was admitted
-	Attempts      int
-	WorkMillis    float64 // ms that its attempts took, together
-	ResponseBytes int     // bytes of the answer
+	ID uint32
+	// Served tells that the client has the answer that it asked for.
+	Served bool
+	// Rejected tells that the Balancer rejected it for want of capacity.
+	Rejected bool
+	// LatencyMillis is the time since its admission.
+	LatencyMillis float64
+	// Attempts is how many it had.
+	Attempts int
+	// WorkMillis is what its attempts took together.
+	WorkMillis float64
+	// ResponseBytes is the size of the answer.
+	ResponseBytes int
 }
 
-// Host carries out what is decided, within the call that led to it. Each request gets one of the two, once.
+// Host carries out decisions. Its methods are called within the call of Admission that led to the
+// decision, and must not call Admission. Each request gets one of the two, once.
 type Host interface {
-	// Admit lets a request in.
+	// Admit forwards a request to the Balancer.
 	Admit(id uint32)
-	// Reject rejects a request; its client may come back after so many milliseconds.
-	Reject(id uint32, afterMS float64)
+	// Reject answers a request at once; its client may return after retryAfterMillis.
+	Reject(id uint32, retryAfterMillis float64)
 }
 
-// notStarted stands for the time of the first call before there was one.
-const notStarted = -1
-
-// Admission decides for one router.
+// Admission decides for one router. It is not safe for concurrent use.
 type Admission struct {
-	cfg       Config
-	host      Host
-	rng       *rand.Rand
-	now       float64
-	startedAt float64
-
-	// Flows: maxNamedTenants of them for the named, then exact ones, buckets, and last the unnamed flow.
-	flows          []flow
-	named          map[string]int32
-	exact          map[uint64]int32 // by the hash of the tenant's name
+	cfg        Config
+	host       Host
+	rng        *rand.Rand
+	now        float64 // ms
+	hasStarted bool    // a call has brought the time
+
+	// flows holds maxNamedTenants flows for named tenants, then exact ones, buckets, and last the
+	// unnamed flow.
+	flows []flow
+	// named finds the flow of a named tenant.
+	named map[string]int32
+	// exact finds the flow of another tenant by the hash of its name.
+	exact map[uint64]int32
+	// oldest and newest are the ends of the list of exact flows by last use.
 	oldest, newest int32
-	freeFlows      []int32 // exact flows that hold no tenant
-	salt           uint64  // of the hash that picks a bucket
-	saltedAt       float64
-
+	// freeFlows are the exact flows that hold no tenant.
+	freeFlows []int32
+	// salt is of the hash that picks a tenant's bucket.
+	salt uint64
+	// saltedAt is when the salt was drawn.
+	saltedAt float64
+
+	// top schedules the named tenants and, as one flow, all others; unnamed schedules these.
 	top, unnamed fairQueue
 
-	// Requests that wait or are in work.
-	records           []record
-	freeRecords       []int32
-	byID              map[uint32]int32
-	waiting           int
-	expiry            heap    // waiting records, by when they are rejected at the latest
-	guaranteed        heap    // flows with requests within their guaranteed rate, by when the first of these came
-	guaranteedBacklog float64 // their cost
+	// records are the requests that wait or are in work.
+	records     []record
+	freeRecords []int32
+	byID        map[uint32]int32
+	// waiting is how many of the records are queued.
+	waiting int
+	// expiry orders the queued records by when they are rejected at the latest.
+	expiry heap
+	// guaranteed holds the flows with queued requests within their guaranteed rate, by when the first
+	// of these arrived.
+	guaranteed heap
+	// guaranteedBacklog is the cost of these requests, in ms.
+	guaranteedBacklog float64
 
 	limiter          limiter
 	costs            costModel
@@ -80,20 +105,23 @@
 	recentRejections rejectionMemory
 }
 
-// New returns an Admission, or an error that names the setting that is impossible. All memory is taken here.
+// rngStream keeps the random numbers apart from those of other users of the same seed.
+const rngStream = 11
+
+// New returns an Admission, or a *SettingError. All memory is allocated here.
 func New(cfg Config, seed uint64, host Host) (*Admission, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	// A request in work needs a record too: as many as the limit on concurrency allows, beside those that wait. What
-	// costs less than the mean may stand there in greater number; beyond the records a request is rejected.
+	// A request in work needs a record too: as many as the limit on concurrency allows, beside those
+	// that wait. Requests that cost less than the mean may be more than that; without a free record
+	// a request is rejected.
 	recordCount := cfg.QueueLimit + 2*int(cfg.MaxLimit)
 	flowCount := maxNamedTenants + cfg.Flows + cfg.Buckets + 1
 	a := &Admission{
 		cfg:          cfg,
 		host:         host,
-		rng:          rand.New(rand.NewPCG(seed, 11)),
-		startedAt:    notStarted,
+		rng:          rand.New(rand.NewPCG(seed, rngStream)),
 		flows:        make([]flow, flowCount),
 		named:        map[string]int32{},
 		exact:        make(map[uint64]int32, cfg.Flows),
@@ -116,7 +144,7 @@
 	return a, nil
 }
 
-// initFlows gives each flow its part.
+// initFlows assigns each flow: to a named tenant, to the unnamed ones together, or to one of these.
 func (a *Admission) initFlows() {
 	firstBucket := maxNamedTenants + a.cfg.Flows
 	for i := range a.flows {
@@ -138,7 +166,7 @@
 	}
 }
 
-// descending is a stack of the numbers below n, the least on top.
+// descending returns a stack of the numbers below n, the least on top.
 func descending(n int) []int32 {
 	all := make([]int32, 0, n)
 	for i := range n {
@@ -149,13 +177,13 @@
 
 // advance brings the time up to now and carries out what is due by it.
 func (a *Admission) advance(now float64) {
-	if a.startedAt < 0 {
-		a.startedAt = now
+	if !a.hasStarted {
+		a.hasStarted = true
 		a.saltedAt = now
 		a.limiter.adjustAt = now + windowMillis
 	}
 	a.now = max(now, a.now)
-	if a.now-a.saltedAt >= a.cfg.RehashMillis { // so that nobody stays in one bucket with the same heavy tenant
+	if a.now-a.saltedAt >= a.cfg.RehashMillis { // so that no tenant shares a bucket with the same heavy one for long
 		a.saltedAt = a.now
 		a.salt = a.rng.Uint64()
 	}
@@ -164,10 +192,10 @@
 	if a.now >= a.limiter.adjustAt {
 		a.limiter.adjust(a.now, a.contenders())
 	}
-	a.admitWaiting() // a higher limit, or a smaller request at the head, may let some in
+	a.admitWaiting() // a higher limit, or a smaller request at the head, may allow some
 }
 
-// NextDeadline is when Tick wants to be called; +Inf where nothing waits.
+// NextDeadline is when Tick has to be called, in ms; +Inf where no request waits.
 func (a *Admission) NextDeadline() float64 {
 	if a.expiry.len() == 0 {
 		return math.Inf(1)
@@ -175,17 +203,25 @@
 	return a.expiry.firstKey()
 }
 
-// Tick carries out what is due at now: a request that has waited for as long as it may is rejected.
-func (a *Admission) Tick(now float64) { a.advance(now) }
+// Tick rejects the requests whose allowed wait is over.
+func (a *Admission) Tick(nowMillis float64) { a.advance(nowMillis) }
 
-// TableBytes is what the tables take, in bytes, whatever comes.
+// TableBytes is the size of all tables. It does not change with the load.
 func (a *Admission) TableBytes() int {
 	const (
-		indexBytes    = 4  // of a place in a list of free records
+		indexBytes    = 4  // in a list of free records
 		heapItemBytes = 16 // an index, a position and a key
-		mapItemBytes  = 30 // some 20 at the size a map was made for, and up to twice that where it has had to grow
+		mapItemBytes  = 30 // some 20 at the size a map was made for, up to twice that once it has grown
 	)
-	heaps := []*heap{&a.top.ready, &a.unnamed.ready, &a.top.longest, &a.unnamed.longest, &a.guaranteed, &a.expiry, &a.reservations.expiry}
+	heaps := []*heap{
+		&a.top.ready,
+		&a.unnamed.ready,
+		&a.top.longest,
+		&a.unnamed.longest,
+		&a.guaranteed,
+		&a.expiry,
+		&a.reservations.expiry,
+	}
 	total := int(unsafe.Sizeof(*a))
 	total += len(a.flows) * int(unsafe.Sizeof(flow{}))
 	total += len(a.records) * int(unsafe.Sizeof(record{})+indexBytes)
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -1,22 +1,29 @@
 package admission
 
-// arrival is a request at the door, with what is known of it.
+// arrival is a request that has just arrived, with what is known of it.
 type arrival struct {
-	request      Request
-	flow         int32
-	cost         float64 // thought, ms
-	identity     uint64  // of tenant, key and class
-	isRetry      bool    // marked as one, or its like was rejected lately
-	isGuaranteed bool    // within its tenant's guaranteed rate
-	hasFreeShare bool    // it is due, and its tenant's share is free
+	request Request
+	flow    int32
+	// cost is the estimated work, in ms.
+	cost float64
+	// identity is a hash of tenant, key and class.
+	identity uint64
+	// isRetry tells that it is marked as a retry, or its like was rejected lately.
+	isRetry bool
+	// isGuaranteed tells that it is within its tenant's guaranteed rate.
+	isGuaranteed bool
+	// hasFreeShare tells that its reservation is due and its tenant's share is free.
+	hasFreeShare bool
 	claim
 }
 
-// Arrive takes a request at the door. It is admitted, rejected or has to wait; the Host is told.
-func (a *Admission) Arrive(now float64, q Request) {
-	a.advance(now)
+// Arrive decides on a new request: it is admitted, rejected or queued. The Host is notified of an
+// admission or a rejection before Arrive returns.
+func (a *Admission) Arrive(nowMillis float64, q Request) {
+	a.advance(nowMillis)
 	in := a.newArrival(q)
-	if a.waiting == 0 && a.hasCapacity(in.cost) && len(a.freeRecords) > 0 { // nobody is held back
+	hasContention := a.waiting > 0 || !a.hasCapacity(in.cost)
+	if !hasContention && len(a.freeRecords) > 0 {
 		if in.earlyMillis > 0 {
 			a.releaseReservation(a.reservations.byIdentity[in.identity])
 		}
@@ -39,7 +46,8 @@
 	a.admitWaiting()
 }
 
-// newArrival tells whose request it is, what it costs and what its client was told before, and books that it came.
+// newArrival finds out whose request it is, what it costs and whether it has a reservation, and counts
+// it.
 func (a *Admission) newArrival(q Request) arrival {
 	flowIndex, hash := a.find(q.Tenant)
 	f := &a.flows[flowIndex]
@@ -64,18 +72,19 @@
 	return in
 }
 
-// rejectOnArrival rejects a request that may not wait, whatever the wait would be, and tells whether it did. A retry that
-// may wait is taken from its tenant's retry budget.
+// rejectOnArrival rejects a request that may not wait, however short the wait would be, and reports
+// whether it did. A retry that may wait is taken from its tenant's retry budget.
 func (a *Admission) rejectOnArrival(in *arrival) bool {
 	f := &a.flows[in.flow]
 	needsToken := in.isRetry && !in.isDue()
-	if in.earlyMillis > 0 { // it gains nothing by coming early, and what it was told holds
+	if in.earlyMillis > 0 { // it gains nothing by coming early, and its retry-after stays
 		f.stats.Rejected++
 		f.stats.RejectedEarly++
 		a.host.Reject(in.request.ID, in.earlyMillis)
 		return true
 	}
-	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 { // within its share a tenant may retry as it likes
+	// Within its share, while none of its requests wait, a tenant may retry as it likes.
+	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 {
 		f.stats.RejectedRetries++
 		a.reject(in.request.ID, in.flow, in.cost, in.identity)
 		return true
@@ -91,17 +100,31 @@
 	return false
 }
 
-// allowedWait is how long a request may wait, so that what remains of its deadline suffices for an answer. One that came
-// when it was told may wait for longer: while there is a fair chance it is given one.
+// Parts of a request's remaining time that it may wait.
+const (
+	// waitShareOfRemaining leaves a new request at least as much time for its attempts as for its
+	// wait.
+	waitShareOfRemaining = 1. / 2
+	// reservedWaitShareOfRemaining is for a request that is due and whose tenant's share is free: it
+	// goes next, so that a short wait suffices.
+	reservedWaitShareOfRemaining = 1. / 4
+	// latencyReserve is how many of its class's latencies a new request must have left after its
+	// wait.
+	latencyReserve = 1.5
+)
+
+// allowedWait is how long a request may wait, in ms, so that what remains of its deadline suffices
+// for an answer. One that has returned when its retry-after was over may wait for longer, as long as
+// an answer in time is likely.
 func (a *Admission) allowedWait(in *arrival) float64 {
 	remaining := in.request.RemainingMillis
 	latency := a.costs.latencyByClass[in.request.Class]
 	if !in.isDue() {
-		return min(a.cfg.MaxWaitMillis, remaining/2, remaining-1.5*latency)
+		return min(a.cfg.MaxWaitMillis, remaining*waitShareOfRemaining, remaining-latencyReserve*latency)
 	}
 	allowed := min(a.cfg.MaxWaitMillis, remaining-latency)
-	if in.hasFreeShare { // it goes next, so that a moment will do
-		allowed = max(allowed, min(a.cfg.MaxWaitMillis, remaining/4))
+	if in.hasFreeShare {
+		allowed = max(allowed, min(a.cfg.MaxWaitMillis, remaining*reservedWaitShareOfRemaining))
 	}
 	return allowed
 }
--- a/internal/admission/costs.go
+++ b/internal/admission/costs.go
@@ -5,9 +5,10 @@
 const (
 	// sizeUnitBytes is how many bytes cost as much as a request of their class.
 	sizeUnitBytes = 64 << 10
-	// rateTimeConstantMillis is the memory of the work that a flow gets.
+	// rateTimeConstantMillis is the time constant of the average of the work that a flow is given.
 	rateTimeConstantMillis = 1000
-	// minShareOfRate is the part of its share that a flow is thought to get at least.
+	// minShareOfRate is the part of its share that a flow is assumed to get at least: an estimate near
+	// zero would give it an endless retry-after.
 	minShareOfRate = 0.1
 )
 
@@ -18,17 +19,22 @@
 	workGain     = 0.01
 )
 
-// sizeFactor is how much dearer a request is for the bytes that come with it.
-func sizeFactor(size int) float64 { return 1 + float64(size)/sizeUnitBytes }
+// sizeFactor is the factor on a request's cost for the bytes that come with it.
+func sizeFactor(sizeBytes int) float64 { return 1 + float64(sizeBytes)/sizeUnitBytes }
 
 // costModel learns what requests cost, in ms of servers' time, and how long they take.
 type costModel struct {
-	classes        []Class
-	workByClass    []float64 // time of attempts, lately, ms; 0 = not known
-	latencyByClass []float64 // lately, ms; 0 = not known
-	scale          float64   // work of all classes over what they were said to cost; 0 = not known
-	mean           float64   // cost of what is admitted
-	latency        float64   // of what is served, lately; 0 = not known
+	classes []Class
+	// workByClass is the recent time of a request's attempts together, in ms; 0 = not measured yet.
+	workByClass []float64
+	// latencyByClass is the recent latency of a request, in ms; 0 = not measured yet.
+	latencyByClass []float64
+	// scale is the measured work of all classes over their configured costs; 0 = not measured yet.
+	scale float64
+	// mean is the mean cost of the requests that are admitted, in ms.
+	mean float64
+	// latency is the recent latency of the requests that are served, in ms; 0 = not measured yet.
+	latency float64
 }
 
 func newCostModel(classes []Class) costModel {
@@ -40,8 +46,8 @@
 	}
 }
 
-// estimate is what a request of a class is thought to cost: what such requests have taken lately, or what the settings
-// say, in the proportion in which that holds for others.
+// estimate is the expected cost of a request of a class: the recent work of such requests or, without
+// any, the configured cost on the scale that holds for the other classes.
 func (m *costModel) estimate(class int) float64 {
 	if work := m.workByClass[class]; work > 0 {
 		return work
@@ -71,8 +77,9 @@
 	m.scale = follow(m.scale, scale, workGain)
 }
 
-// pace is the work that the limit does in a millisecond, by Little's law: what is in use over how long it takes. It is
-// asked for where there is contention, when the limit is in use. Before anything has ended, work takes as long as it says.
+// pace is the work that the limit does in a millisecond, by Little's law: what is in use over how long
+// it takes. It is asked for under contention, when the limit is in use. Before anything has ended, work
+// is taken to last as long as its cost.
 func (a *Admission) pace() float64 {
 	if a.costs.latency == 0 {
 		return a.limiter.limit
@@ -80,8 +87,9 @@
 	return a.limiter.limit * a.costs.mean / a.costs.latency
 }
 
-// waitFor is how long a request of a flow would have to wait until its start tag: what the flow was given beyond its
-// share, what it has waiting, and those that were told to come meanwhile and do, who go ahead, all at the flow's rate.
+// waitFor is how long a request of a flow would have to wait until its start tag, in ms: at the flow's
+// rate, what the flow was given beyond its share, what it has waiting, and the reservations that fall due
+// meanwhile and go ahead, as far as their clients return.
 func (a *Admission) waitFor(i int32, within float64) float64 {
 	f := &a.flows[i]
 	rate := a.rateOf(i)
@@ -91,8 +99,9 @@
 	return (debt + f.backlog + a.returnStats.rate*returning) / rate
 }
 
-// rateOf is the work that a flow is given in a millisecond while it wants more: its share, and once it has wanted more
-// for a while what it did get. That differs, as those within their shares take theirs without ever standing in line.
+// rateOf is the work that a flow is given in a millisecond while it wants more: its share, and once it
+// has wanted more for a while what it did get. The two differ, as flows within their shares take theirs
+// without ever being queued.
 func (a *Admission) rateOf(i int32) float64 {
 	f := &a.flows[i]
 	share := a.share(i) * a.pace()
--- a/internal/admission/fairqueue.go
+++ b/internal/admission/fair_queue.go
@@ -1,22 +1,25 @@
 package admission
 
-// weightEpsilon is a sum of weights below which nothing is active: what is left of sums and differences by rounding.
+// weightEpsilon is a sum of weights that counts as none: what rounding leaves of sums and differences.
 const weightEpsilon = 1e-9
 
-// fairQueue is one server of start-time fair queueing. There are two: at the top stand the named tenants and, as one flow,
-// all others; below it the others among themselves.
+// fairQueue is one server of start-time fair queueing. There are two: at the top stand the named
+// tenants and, as one flow, all others; below it the others among themselves.
 type fairQueue struct {
-	virtualTime  float64
-	ready        heap    // flows with something to send, by start tag
-	longest      heap    // and by how much they have waiting for their weight, the most first
-	activeWeight float64 // of the flows that have something to send or have been promised something
+	virtualTime float64
+	// ready holds the flows with queued requests, by start tag.
+	ready heap
+	// longest holds the same flows by backlog over weight, the greatest first.
+	longest heap
+	// activeWeight is the sum of the weights of the flows with queued requests or reservations.
+	activeWeight float64
 }
 
 func newFairQueue(flows int) fairQueue {
 	return fairQueue{ready: newHeap(flows), longest: newHeap(flows)}
 }
 
-// queueOf is the fair queue in which a flow stands.
+// queueOf is the fair queue that schedules a flow.
 func (a *Admission) queueOf(f *flow) *fairQueue {
 	if f.isUnnamed {
 		return &a.unnamed
@@ -24,8 +27,8 @@
 	return &a.top
 }
 
-// next is the waiting request whose turn it is: of what is guaranteed the one that came first, which goes ahead of all
-// shares and counts in them; else by start tags.
+// next is the queued request whose turn it is: the first to arrive of those within a guaranteed rate,
+// which go ahead of all shares and count in them; else the one with the least start tag.
 func (a *Admission) next() int32 {
 	if a.guaranteed.len() > 0 {
 		return a.flows[a.guaranteed.first()].head[guaranteedList]
@@ -41,7 +44,7 @@
 	return f.head[ordinaryList]
 }
 
-// charge moves a flow's tag on by what it was given, and the virtual time to where that began.
+// charge moves a flow's tag on by the work it is given, and the virtual time to where that begins.
 func (a *Admission) charge(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -55,7 +58,7 @@
 	}
 }
 
-// correct charges a flow for what a request cost beyond what was thought, or gives back.
+// correct charges a flow for a request's cost beyond its estimate, or refunds it.
 func (a *Admission) correct(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -68,7 +71,7 @@
 	}
 }
 
-// markReady puts a flow among those that have something to send, at its start tag.
+// markReady adds a flow to those with queued requests, at its start tag.
 func (a *Admission) markReady(i int32) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -79,7 +82,7 @@
 	}
 }
 
-// unmarkReady takes a flow out that has nothing to send any more.
+// unmarkReady removes a flow that has no queued request any more.
 func (a *Admission) unmarkReady(i int32) {
 	if !a.flows[i].isUnnamed {
 		a.top.ready.remove(i)
@@ -91,7 +94,7 @@
 	}
 }
 
-// updateWeights books that a flow has become active or has ceased to be.
+// updateWeights adjusts the sums of weights where a flow has become active or has ceased to be.
 func (a *Admission) updateWeights(i int32, wasActive bool) {
 	f := &a.flows[i]
 	if f.isActive() == wasActive {
@@ -111,7 +114,7 @@
 	}
 }
 
-// setUnnamedActive books that the tenants that are not named, which stand at the top as one, want something or nothing.
+// setUnnamedActive adjusts the sum at the top, where the unnamed tenants count as one.
 func (a *Admission) setUnnamedActive(isActive bool) {
 	if isActive {
 		a.top.activeWeight += a.cfg.OthersWeight
@@ -121,7 +124,7 @@
 	a.top.activeWeight = max(0, a.top.activeWeight-a.cfg.OthersWeight)
 }
 
-// share is a flow's part of all work while it wants some, beside the others that do.
+// share is a flow's part of all work while it is active, beside the others that are.
 func (a *Admission) share(i int32) float64 {
 	f := &a.flows[i]
 	if !f.isUnnamed {
@@ -132,7 +135,8 @@
 	return outer * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
 }
 
-// missingWeight is what a flow's weight would add to a sum in which it counts only while it is active.
+// missingWeight is what a flow's weight would add to a sum in which it counts only while it is
+// active.
 func missingWeight(isActive bool, weight float64) float64 {
 	if isActive {
 		return 0
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -7,54 +7,74 @@
 )
 
 const (
-	// newTenantRetryTokens is how many retries a tenant begins with that is not named and was not known.
+	// newTenantRetryTokens is how many retries a new unnamed tenant may make at once: enough for a
+	// client's usual retries, too few for invented names to get around the retry budget.
 	newTenantRetryTokens = 3
 	// maxEvictionTries bounds the flows that are looked at to find one that can be evicted.
 	maxEvictionTries = 4
-	// noIndex stands where an index of a flow or a record would.
+	// noIndex is no flow or record.
 	noIndex = int32(-1)
 )
 
-// The lists in which a flow's requests wait, in the order in which they go.
+// The lists in which a flow's requests wait, in the order in which they are served.
 const (
-	guaranteedList = iota // within the tenant's guaranteed rate
-	priorityList          // of a class that goes first
+	// guaranteedList is for requests within the tenant's guaranteed rate.
+	guaranteedList = iota
+	// priorityList is for requests of a class with priority.
+	priorityList
 	ordinaryList
 	listCount
 )
 
-// flow is one tenant's state, or that of a bucket of them, or of all tenants together that are not named.
+// flow is the state of one tenant, of a bucket of tenants, or of all unnamed tenants together.
 type flow struct {
-	hash      uint64
-	name      [maxNameBytes]byte
-	nameLen   uint8
-	used      bool // an exact flow holds a tenant
-	isUnnamed bool // it is scheduled among the tenants that are not named, not at the top
+	hash    uint64 // of the tenant's name
+	name    [maxNameBytes]byte
+	nameLen uint8
+	// used tells that the flow belongs to a tenant.
+	used bool
+	// isUnnamed tells that it is scheduled among the unnamed tenants, not at the top.
+	isUnnamed bool
 	weight    float64
-	finishTag float64 // of start-time fair queueing: the tag at which what it was given ends
-
-	head, tail [listCount]int32 // waiting requests
-	waiting    int              // requests
-	open       int              // requests that wait or are in work
-	backlog    float64          // cost that waits
-
-	recentWork   float64 // given lately, which fades with rateTimeConstantMillis,
-	recentWorkAt float64 // as it stood at this time
-	activeSince  float64
-
-	guaranteedRate   float64 // requests a millisecond
-	guaranteedBurst  float64
-	guaranteedTokens float64 // requests in hand,
-	guaranteedAt     float64 // as they stood at this time
-
-	reservedWork        float64 // cost that was rejected with a retry-after and is expected back
-	reservationsDueFrom float64 // when the first of it is due, about
-	retryTokens         float64 // retries in hand
-	older, newer        int32   // exact flows, by when they were last used
-	stats               TenantStats
+	// finishTag is that of start-time fair queueing: where in virtual time the flow's work ends.
+	finishTag float64
+
+	// head and tail are the ends of the lists of queued requests.
+	head, tail [listCount]int32
+	// waiting is how many requests are queued.
+	waiting int
+	// open is how many requests are queued or in work.
+	open int
+	// backlog is the cost of the queued requests, in ms.
+	backlog float64
+
+	// recentWork is the work given lately, in ms; it decays with rateTimeConstantMillis.
+	recentWork float64
+	// recentWorkAt is the time at which recentWork was brought up to date.
+	recentWorkAt float64
+	// activeSince is when the flow last became active.
+	activeSince float64
+
+	// guaranteedRate is in requests a millisecond.
+	guaranteedRate  float64
+	guaranteedBurst float64
+	// guaranteedTokens is how many guaranteed requests are available.
+	guaranteedTokens float64
+	// guaranteedAt is the time at which guaranteedTokens was brought up to date.
+	guaranteedAt float64
+
+	// reservedWork is the cost that was rejected with a retry-after and is expected back, in ms.
+	reservedWork float64
+	// reservationsDueFrom is about when the first of it is due.
+	reservationsDueFrom float64
+	// retryTokens is how many retries are available.
+	retryTokens float64
+	// older and newer are the neighbours in the list of exact flows by last use.
+	older, newer int32
+	stats        TenantStats
 }
 
-// newFlow is a flow without a tenant.
+// newFlow returns a flow without a tenant.
 func newFlow() flow {
 	f := flow{weight: 1, older: noIndex, newer: noIndex}
 	for list := range listCount {
@@ -68,15 +88,17 @@
 
 func (f *flow) setTenant(name string) { f.nameLen = uint8(copy(f.name[:], name)) }
 
-// isActive tells that a flow counts among those that share the work.
+// isActive reports whether a flow counts among those that share the work.
 func (f *flow) isActive() bool { return f.waiting > 0 || f.reservedWork > 0 }
 
-// isIdle tells that a flow has nothing open and nothing promised.
+// isIdle reports whether a flow has no open request and no reservation.
 func (f *flow) isIdle() bool { return f.open == 0 && f.reservedWork <= 0 }
 
+const millisPerSecond = 1000
+
 // setGuarantee sets the rate that goes ahead of all shares.
 func (f *flow) setGuarantee(tenant Tenant) {
-	f.guaranteedRate = tenant.GuaranteedPerSecond / 1000
+	f.guaranteedRate = tenant.GuaranteedPerSecond / millisPerSecond
 	f.guaranteedBurst = tenant.GuaranteedBurst
 	if tenant.GuaranteedPerSecond == 0 {
 		f.guaranteedBurst = 0
@@ -84,7 +106,7 @@
 	f.guaranteedTokens = min(f.guaranteedTokens, f.guaranteedBurst)
 }
 
-// refillGuarantee brings the guaranteed requests in hand up to now.
+// refillGuarantee brings the tokens of the guaranteed rate up to now.
 func (f *flow) refillGuarantee(now float64) {
 	earned := f.guaranteedRate * max(0, now-f.guaranteedAt)
 	f.guaranteedTokens = min(f.guaranteedBurst, f.guaranteedTokens+earned)
@@ -107,8 +129,8 @@
 	a.named[tenant.Name] = i
 }
 
-// find gives the flow of a tenant, and the hash of its name: its own flow where it is named, is known or there is room to
-// know it, else a bucket's.
+// find returns the flow of a tenant and the hash of its name: the flow of its own where it is named, is
+// tracked or can be tracked from now on, else a bucket's.
 func (a *Admission) find(tenant string) (flowIndex int32, hash uint64) {
 	hash = xxhash.Sum64String(tenant)
 	if i, ok := a.named[tenant]; ok {
@@ -136,8 +158,9 @@
 	return i, hash
 }
 
-// takeExactFlow gives an exact flow that is free or can be evicted, or noIndex. The tenant that was used longest ago is
-// evicted, unless it has something waiting, was told to come back, or is in debt: nobody sheds a debt by being forgotten.
+// takeExactFlow returns an exact flow that is free or can be evicted, or noIndex. The tenant that was
+// used longest ago is evicted, unless it has queued requests, reservations or debt: a tenant must not
+// lose its debt by being evicted.
 func (a *Admission) takeExactFlow() int32 {
 	if last := len(a.freeFlows) - 1; last >= 0 {
 		i := a.freeFlows[last]
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,8 +1,8 @@
 package admission
 
-// heap is a binary heap of small numbers that name records elsewhere, the one with the least key first. It knows where
-// each stands, so that one can be moved or taken out, and allocates nothing once it has its size: container/heap would
-// put each number into an interface.
+// heap is a binary heap of small numbers that name records elsewhere, the one with the least key
+// first. It knows where each stands, so that one can be moved or taken out, and allocates nothing
+// once it has its size: container/heap would put each number into an interface.
 type heap struct {
 	items     []int32 // records, in heap order
 	positions []int32 // by record: its index in items + 1; 0 = not there
@@ -46,8 +46,8 @@
 	}
 }
 
-// less orders two records by their keys, and by their numbers where the keys are equal, so that the order is the same
-// everywhere.
+// less orders two records by their keys, and by their numbers where the keys are equal, so that the
+// order is the same everywhere.
 func (h *heap) less(a, b int32) bool {
 	if h.keys[a] != h.keys[b] {
 		return h.keys[a] < h.keys[b]
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -6,86 +6,106 @@
 	"testing"
 )
 
-// exact is start-time fair queueing as its authors write it, for named tenants and requests of one cost: each request
-// has a start tag max(v, the finish tag before it), and v is the start tag of the request that went last.
-type exact struct {
-	weights []float64
-	finish  []float64
-	v       float64
-	waits   []tagged
-	places  int
-	went    []uint32
+// exactModel is start-time fair queueing as its authors write it, for named tenants and requests of
+// one cost: each request has a start tag max(virtual time, the finish tag before it), and virtual
+// time is the start tag of the request that was admitted last.
+type exactModel struct {
+	weights     []float64
+	finishTags  []float64
+	virtualTime float64
+	queue       []taggedRequest // in the order of arrival
+	freeSlots   int
+	admitted    []uint32
 }
 
-type tagged struct {
-	id     uint32
-	flow   int
-	start  float64
-	cost   float64
-	before int // its place in the order of coming
+type taggedRequest struct {
+	id       uint32
+	flow     int
+	startTag float64
 }
 
-func (m *exact) arrive(id uint32, flow int, cost float64) {
-	t := tagged{id, flow, max(m.v, m.finish[flow]), cost, len(m.waits)}
-	m.finish[flow] = t.start + cost/m.weights[flow]
-	m.waits = append(m.waits, t)
-	m.pump()
+func (m *exactModel) arrive(id uint32, flow int, cost float64) {
+	request := taggedRequest{id: id, flow: flow, startTag: max(m.virtualTime, m.finishTags[flow])}
+	m.finishTags[flow] = request.startTag + cost/m.weights[flow]
+	m.queue = append(m.queue, request)
+	m.admitWaiting()
 }
 
-func (m *exact) ended() {
-	m.places++
-	m.pump()
+func (m *exactModel) ended() {
+	m.freeSlots++
+	m.admitWaiting()
 }
 
-func (m *exact) pump() {
-	for m.places > 0 && len(m.waits) > 0 {
-		best := 0
-		for i, t := range m.waits {
-			if b := m.waits[best]; t.start < b.start || t.start == b.start && t.flow < b.flow {
-				best = i
+func (m *exactModel) admitWaiting() {
+	for m.freeSlots > 0 && len(m.queue) > 0 {
+		next := 0
+		for i, request := range m.queue {
+			best := m.queue[next]
+			isTie := request.startTag == best.startTag
+			if request.startTag < best.startTag || isTie && request.flow < best.flow {
+				next = i
 			}
 		}
-		m.v = max(m.v, m.waits[best].start)
-		m.went = append(m.went, m.waits[best].id)
-		m.waits = slices.Delete(m.waits, best, best+1)
-		m.places--
+		m.virtualTime = max(m.virtualTime, m.queue[next].startTag)
+		m.admitted = append(m.admitted, m.queue[next].id)
+		m.queue = slices.Delete(m.queue, next, next+1)
+		m.freeSlots--
 	}
 }
 
-// Any stream of arrivals and ends is let in in the order of the exact model.
+// Any stream of arrivals and ends is admitted in the order of the exact model.
 func FuzzAgainstExactModel(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 0x80, 0, 0, 0, 0x81, 0x80, 1, 2, 0x80, 0x80, 0x80})
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 0x80, 0x80, 0x80, 0x80, 1, 1, 1, 0x80, 0x80, 0x80, 0x80, 0x80})
 	f.Add([]byte{2, 2, 2, 2, 1, 1, 1, 0x80, 0x81, 0x82, 0x80, 0, 0, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80})
 	f.Fuzz(func(t *testing.T, events []byte) {
-		c := config()
+		const (
+			slots      = 3
+			costMillis = 8 // a power of two, so that sums are exact
+		)
+		c := testConfig()
 		weights := []float64{1, 2, 4}
-		for i, w := range weights {
-			c.Tenants = append(c.Tenants, Tenant{Name: string(rune('a' + i)), Weight: w})
+		for i, weight := range weights {
+			c.Tenants = append(c.Tenants, Tenant{Name: string(rune('a' + i)), Weight: weight})
 		}
-		const places = 3
-		c.Classes = []Class{{Name: "read", CostMillis: 8}} // in eighths, so that sums are exact
-		c.InitialLimit, c.MinLimit, c.MaxLimit, c.QueueLimit, c.MaxWaitMillis = places, places, places, 1<<12, 1e9
-		a, d := begin(t, c)
-		m := &exact{weights: weights, finish: make([]float64, 3), places: places}
+		c.Classes = []Class{{Name: "read", CostMillis: costMillis}}
+		c.setLimit(slots)
+		c.QueueLimit = 1 << 12
+		c.MaxWaitMillis = 1e9
+		a, host := newAdmission(t, c)
+		model := &exactModel{weights: weights, finishTags: make([]float64, 3), freeSlots: slots}
 		ended := map[uint32]bool{}
 		for n, e := range events[:min(len(events), 1<<11)] {
-			if e < 0x80 {
-				id, flow := uint32(n), int(e)%3
-				a.Arrive(0, Request{ID: id, Tenant: c.Tenants[flow].Name, Key: uint64(n), RemainingMillis: math.MaxFloat32})
-				m.arrive(id, flow, 8)
-			} else if open := slices.DeleteFunc(slices.Clone(d.admitted), func(id uint32) bool { return ended[id] }); len(open) > 0 {
-				id := open[int(e&0x7f)%len(open)]
+			inWork := slices.DeleteFunc(slices.Clone(host.admitted), func(id uint32) bool { return ended[id] })
+			switch {
+			case e < 0x80:
+				id := uint32(n)
+				flow := int(e) % 3
+				a.Arrive(0, Request{
+					ID:              id,
+					Tenant:          c.Tenants[flow].Name,
+					Key:             uint64(n),
+					RemainingMillis: math.MaxFloat32,
+				})
+				model.arrive(id, flow, costMillis)
+			case len(inWork) > 0:
+				id := inWork[int(e&0x7f)%len(inWork)]
 				ended[id] = true
-				a.Ended(0, Outcome{ID: id, Served: true, LatencyMillis: 8, WorkMillis: 8, Attempts: 1})
-				m.ended()
+				a.Ended(0, Outcome{
+					ID:            id,
+					Served:        true,
+					LatencyMillis: costMillis,
+					WorkMillis:    costMillis,
+					Attempts:      1,
+				})
+				model.ended()
 			}
-			if !slices.Equal(d.admitted, m.went) {
-				t.Fatalf("after event %d: let in %v, the model %v", n, d.admitted, m.went)
+			if !slices.Equal(host.admitted, model.admitted) {
+				t.Fatalf("after event %d: admitted %v, the model %v", n, host.admitted, model.admitted)
 			}
 		}
-		if len(d.refused) > 0 {
-			t.Fatalf("refused: %v", d.refused)
+		if len(host.retryAfterByID) > 0 {
+			t.Fatalf("rejected: %v", host.retryAfterByID)
 		}
 	})
 }
--- /dev/null
+++ b/internal/admission/outcome.go
@@ -0,0 +1,86 @@
+package admission
+
+// maxChargeFactor bounds what a request is charged, in multiples of its estimated cost.
+const maxChargeFactor = 8
+
+// Ended takes the outcome of a request that was admitted.
+func (a *Admission) Ended(nowMillis float64, outcome Outcome) {
+	a.advance(nowMillis)
+	i, ok := a.byID[outcome.ID]
+	if !ok || a.records[i].isQueued {
+		return
+	}
+	r := a.records[i]
+	a.release(i)
+	a.limiter.release(r.slots)
+	if len(a.byID) == a.waiting { // nothing is in work: no rounding is left over
+		a.limiter.inUse = 0
+	}
+	if !r.isRetry {
+		a.limiter.ended++
+	}
+	if outcome.Served {
+		a.flows[r.flow].stats.Served++
+	}
+	if outcome.Rejected {
+		a.countDownstreamRejection(&r, outcome)
+	}
+	if outcome.Served && outcome.LatencyMillis > 0 && outcome.WorkMillis > 0 {
+		a.observe(&r, outcome)
+	}
+	a.settleCharge(&r, outcome)
+	a.admitWaiting()
+}
+
+// countDownstreamRejection counts an admitted request that the Balancer rejected for want of capacity.
+// A retry has little time left: its rejection says nothing of capacity.
+func (a *Admission) countDownstreamRejection(r *record, outcome Outcome) {
+	count := &a.flows[r.flow].stats
+	hadAttempt := outcome.Attempts > 0
+	count.RejectedDownstream++
+	if hadAttempt {
+		count.RejectedAfterAttempt++
+	}
+	switch {
+	case r.isRetry:
+	case hadAttempt:
+		a.limiter.originRejects++
+	default:
+		a.limiter.overloadRejects++
+	}
+	a.recentRejections.add(r.identity, a.now)
+}
+
+// observe learns from the latency and the work of a request that was served. A large answer takes long
+// without overload and is left out of what overload is judged by.
+func (a *Admission) observe(r *record, outcome Outcome) {
+	a.costs.observeLatency(r.class, outcome.LatencyMillis)
+	if r.sizeBytes+outcome.ResponseBytes > sizeUnitBytes {
+		return
+	}
+	a.limiter.observeStretch(outcome.LatencyMillis / a.cfg.Classes[r.class].CostMillis)
+	a.costs.observeWork(r.class, outcome.WorkMillis)
+}
+
+// settleCharge charges a flow what a request has cost in place of the estimate: its time with servers,
+// and the bytes that went through.
+func (a *Admission) settleCharge(r *record, outcome Outcome) {
+	cost := r.cost / sizeFactor(r.sizeBytes)
+	transferred := float64(r.sizeBytes + outcome.ResponseBytes)
+	actual := min(outcome.WorkMillis+cost*transferred/sizeUnitBytes, maxChargeFactor*r.cost)
+	if outcome.Attempts == 0 {
+		actual = 0
+	}
+	a.correct(r.flow, actual-r.cost)
+	a.flows[r.flow].stats.WorkMillis += actual - r.cost
+}
+
+// Disconnected drops the queued request of a client that has disconnected.
+func (a *Admission) Disconnected(nowMillis float64, id uint32) {
+	a.advance(nowMillis)
+	if i, ok := a.byID[id]; ok && a.records[i].isQueued {
+		a.flows[a.records[i].flow].stats.Disconnected++
+		a.dropQueued(i)
+	}
+	a.admitWaiting()
+}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -7,21 +7,27 @@
 	id         uint32
 	flow       int32
 	class      int32
-	next, prev int32
+	next, prev int32 // in its flow's list
 	cost       float64
-	size       int
-	identity   uint64  // of tenant, key and class
-	slots      float64 // in work: what it takes of the limit
-	list       uint8
-	isQueued   bool
-	isRetry    bool // its client has tried before
+	sizeBytes  int
+	// identity is a hash of tenant, key and class.
+	identity uint64
+	// slots is what it takes of the limit while it is in work.
+	slots    float64
+	list     uint8
+	isQueued bool
+	// isRetry tells that its client has tried before.
+	isRetry bool
 
-	hadFreeShare bool    // its tenant's share was free when it came
-	retryAfter   float64 // it has come back as it was told, after so many ms; 0 = it was told nothing
-	rejectedAt   float64 // when it was told
+	// hadFreeShare tells that its tenant's share was free when it arrived.
+	hadFreeShare bool
+	// retryAfterMillis is the retry-after that it has waited for; 0 = it had none.
+	retryAfterMillis float64
+	// rejectedAt is when it was rejected with that.
+	rejectedAt float64
 }
 
-// newRecord takes a record for a request.
+// newRecord takes a free record for a request.
 func (a *Admission) newRecord(in *arrival) int32 {
 	last := len(a.freeRecords) - 1
 	i := a.freeRecords[last]
@@ -35,26 +41,26 @@
 		list = priorityList
 	}
 	a.records[i] = record{
-		id:           in.request.ID,
-		flow:         in.flow,
-		class:        int32(in.request.Class),
-		next:         noIndex,
-		prev:         noIndex,
-		cost:         in.cost,
-		size:         in.request.SizeBytes,
-		identity:     in.identity,
-		list:         list,
-		isRetry:      in.isRetry || in.isDue(),
-		hadFreeShare: in.hasFreeShare,
-		retryAfter:   in.retryAfter,
-		rejectedAt:   in.rejectedAt,
+		id:               in.request.ID,
+		flow:             in.flow,
+		class:            int32(in.request.Class),
+		next:             noIndex,
+		prev:             noIndex,
+		cost:             in.cost,
+		sizeBytes:        in.request.SizeBytes,
+		identity:         in.identity,
+		list:             list,
+		isRetry:          in.isRetry || in.isDue(),
+		hadFreeShare:     in.hasFreeShare,
+		retryAfterMillis: in.retryAfterMillis,
+		rejectedAt:       in.rejectedAt,
 	}
 	a.byID[in.request.ID] = i
 	a.flows[in.flow].open++
 	return i
 }
 
-// release gives a record back.
+// release frees a record.
 func (a *Admission) release(i int32) {
 	r := &a.records[i]
 	delete(a.byID, r.id)
@@ -63,8 +69,8 @@
 	a.retire(r.flow)
 }
 
-// enqueue has a request wait, until a time at the latest. One that was told to come at this time goes ahead of the others
-// of its tenant.
+// enqueue has a request wait, until expiresAt at the latest. One whose reservation is due goes ahead of
+// the others of its tenant.
 func (a *Admission) enqueue(i int32, expiresAt float64, isAhead bool) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -150,7 +156,7 @@
 	r.isQueued = false
 }
 
-// releaseGuaranteed books that a request within its tenant's guaranteed rate waits no longer.
+// releaseGuaranteed counts off a waiting request within its tenant's guaranteed rate.
 func (a *Admission) releaseGuaranteed(r *record) {
 	a.guaranteedBacklog -= r.cost
 	if a.flows[r.flow].head[guaranteedList] == noIndex {
@@ -161,28 +167,29 @@
 	}
 }
 
-// dropQueued ends a waiting request that is not admitted.
+// dropQueued ends a waiting request without an answer.
 func (a *Admission) dropQueued(i int32) {
 	a.dequeue(i)
 	a.release(i)
 }
 
-// rejectQueued ends a waiting request and tells its client when to come back.
+// rejectQueued ends a waiting request with a rejection.
 func (a *Admission) rejectQueued(i int32) {
 	r := a.records[i]
 	a.dropQueued(i)
 	a.reject(r.id, r.flow, r.cost, r.identity)
 }
 
-// expireWaiting rejects the requests that have waited for as long as they may.
+// expireWaiting rejects the requests whose allowed wait is over.
 func (a *Admission) expireWaiting() {
 	for a.expiry.len() > 0 && a.expiry.firstKey() <= a.now {
 		a.rejectQueued(a.expiry.first())
 	}
 }
 
-// evictFor rejects the newest request of the flow with the longest wait for its share, to make room in a full queue. It
-// tells whether there was one: a flow can't evict itself, and what is guaranteed is never evicted.
+// evictFor rejects the newest request of the flow with the longest wait for its share, to free a place
+// in a full queue. It reports whether there was one: a flow can't evict its own requests, and
+// guaranteed ones are never evicted.
 func (a *Admission) evictFor(flowIndex int32) bool {
 	longest := a.longestWaiting()
 	if longest == noIndex || longest == flowIndex {
@@ -217,7 +224,7 @@
 	return longest
 }
 
-// admitWaiting lets waiting requests in while there is capacity.
+// admitWaiting admits waiting requests while there is capacity.
 func (a *Admission) admitWaiting() {
 	for a.waiting > 0 {
 		i := a.next()
@@ -229,12 +236,12 @@
 	}
 }
 
-// hasCapacity tells whether the limit on concurrency has room for a request.
+// hasCapacity reports whether the limit on concurrency allows a request of this cost.
 func (a *Admission) hasCapacity(cost float64) bool {
 	return a.limiter.inUse+a.limiter.slots(cost, a.costs.mean) <= a.limiter.limit
 }
 
-// admit lets a request in and charges its flow.
+// admit admits a request and charges its flow.
 func (a *Admission) admit(i int32) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -246,8 +253,8 @@
 	f.recentWorkAt = a.now
 	f.stats.Admitted++
 	f.stats.WorkMillis += r.cost
-	if r.retryAfter > 0 {
-		a.returnStats.recordAdmitted(a.now-r.rejectedAt, r.retryAfter, r.hadFreeShare)
+	if r.retryAfterMillis > 0 {
+		a.returnStats.recordAdmitted(a.now-r.rejectedAt, r.retryAfterMillis, r.hadFreeShare)
 	}
 	a.host.Admit(r.id)
 }
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -6,16 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Check tells which setting of cfg can't hold from now on: sizes are those that were taken at the start.
+// Check returns a *SettingError for the first setting of cfg that can't take effect while the process
+// runs: the tables keep the sizes that they have had from the start.
 func (a *Admission) Check(cfg Config) error {
-	cfg.Classes = a.cfg.Classes // the platform's; what a reload brings counts as others
+	cfg.Classes = a.cfg.Classes // the platform's; a class that a reload adds counts as one of the others
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	if err := a.checkSizes(cfg); err != nil {
 		return err
 	}
-	return a.checkRoomForTenants(cfg)
+	return a.checkTenantCapacity(cfg)
 }
 
 // checkSizes names the first setting that differs and can't change while the process runs.
@@ -32,15 +33,16 @@
 		{"start", cfg.InitialLimit, a.cfg.InitialLimit},
 	} {
 		if size.after != size.before {
-			return &SettingError{size.name, fmt.Sprintf("%v, was %v: this takes a new process", size.after, size.before)}
+			reason := fmt.Sprintf("%v, was %v: this takes a new process", size.after, size.before)
+			return &SettingError{Setting: size.name, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// checkRoomForTenants tells whether the table of named flows has room for the new names. A tenant that is named no longer
-// keeps its flow until nothing of it is waiting or in work.
-func (a *Admission) checkRoomForTenants(cfg Config) error {
+// checkTenantCapacity checks that the table of named flows holds the new names. A tenant that is named
+// no longer keeps its flow until it has no open request and no reservation.
+func (a *Admission) checkTenantCapacity(cfg Config) error {
 	needed, free := 0, 0
 	stillNamed := map[string]bool{}
 	for _, tenant := range cfg.Tenants {
@@ -56,18 +58,20 @@
 		}
 	}
 	if needed > free {
-		return &SettingError{"tenant", fmt.Sprintf("%d new ones, and %d places while requests of old ones are open", needed, free)}
+		reason := fmt.Sprintf("%d new ones, and %d places while requests of old ones are open", needed, free)
+		return &SettingError{Setting: "tenant", Reason: reason}
 	}
 	return nil
 }
 
-// Reconfigure has new rules hold for requests that come from now on. What waits keeps its place and its time; a tenant's
-// new weight counts for its next turn. The error is Check's, and nothing has changed then.
-func (a *Admission) Reconfigure(now float64, cfg Config) error {
+// Reconfigure applies new rules to requests that arrive from now on. Queued requests keep their order
+// and their time; a tenant's new weight counts from its next request on. On an error, which is Check's,
+// nothing has changed.
+func (a *Admission) Reconfigure(nowMillis float64, cfg Config) error {
 	if err := a.Check(cfg); err != nil {
 		return err
 	}
-	a.advance(now)
+	a.advance(nowMillis)
 	cfg.Classes = a.cfg.Classes
 	a.updateNamed(cfg.Tenants)
 	a.addNamed(cfg.Tenants)
@@ -78,7 +82,7 @@
 	return nil
 }
 
-// updateNamed brings the rules of the tenants that have a named flow, and retires those that are named no longer.
+// updateNamed updates the flows of named tenants, and retires those of tenants that are named no longer.
 func (a *Admission) updateNamed(tenants []Tenant) {
 	rules := map[string]Tenant{}
 	for _, tenant := range tenants {
@@ -103,7 +107,8 @@
 	}
 }
 
-// addNamed gives free flows to the tenants that are new. The counts of one that was known as one of the others move along.
+// addNamed assigns free flows to the tenants that are new. The counts of one that was tracked as
+// unnamed move along.
 func (a *Admission) addNamed(tenants []Tenant) {
 	next := int32(0)
 	for _, tenant := range tenants {
@@ -125,7 +130,7 @@
 	}
 }
 
-// retire frees the flow of a tenant that is named no longer, once nothing of it is left.
+// retire frees the flow of a tenant that is named no longer, once it is idle.
 func (a *Admission) retire(i int32) {
 	f := &a.flows[i]
 	if i >= maxNamedTenants || !f.used || !f.isIdle() {
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -5,67 +5,98 @@
 	"slices"
 )
 
-// TenantStats is what became of a tenant's requests since it was known last, and how it stands.
+// TenantStats counts what became of a tenant's requests since it has been tracked, and tells how the
+// tenant stands.
 type TenantStats struct {
-	Tenant               string  `json:"tenant"`   // "" = all that are not known by name
-	Requests             uint64  `json:"asked"`    // requests at the door
-	Admitted             uint64  `json:"admitted"` // let in
-	Rejected             uint64  `json:"refused"`  // at the door, with a retry-after
-	RejectedRetries      uint64  `json:"retries"`  // of these, retries beyond the retry budget
-	RejectedEarly        uint64  `json:"early"`    // of these, clients that came before the time they were told
-	Disconnected         uint64  `json:"left"`     // clients that disconnected while they waited
-	Served               uint64  `json:"served"`
-	RejectedDownstream   uint64  `json:"turned"`       // admitted, and rejected by the Balancer
-	RejectedAfterAttempt uint64  `json:"turned_after"` // of these, after an attempt: a miss that the origin had no capacity for
-	WorkMillis           float64 `json:"work_ms"`      // that was admitted, modelled, ms
-	Waiting              int     `json:"waiting"`
-	ReservedMillis       float64 `json:"promised_ms"` // work that was told to come back, ms
-	Weight               float64 `json:"weight"`
-	RetryAfterMillis     float64 `json:"told_ms"` // retry-after of those rejected lately, ms
-	Share                float64 `json:"share"`   // of all work, were it to want more now
+	// Tenant is its name; "" stands for all that are not tracked by name.
+	Tenant string `json:"tenant"`
+	// Requests counts those that have arrived.
+	Requests uint64 `json:"asked"`
+	Admitted uint64 `json:"admitted"`
+	// Rejected counts those rejected by admission, with a retry-after.
+	Rejected uint64 `json:"refused"`
+	// RejectedRetries counts those of them that were retries beyond the retry budget.
+	RejectedRetries uint64 `json:"retries"`
+	// RejectedEarly counts those of them whose clients returned before their retry-after was over.
+	RejectedEarly uint64 `json:"early"`
+	// Disconnected counts clients that disconnected while their request was queued.
+	Disconnected uint64 `json:"left"`
+	Served       uint64 `json:"served"`
+	// RejectedDownstream counts requests that were admitted and then rejected by the Balancer.
+	RejectedDownstream uint64 `json:"turned"`
+	// RejectedAfterAttempt counts those of them that had an attempt: a miss that the origin had no
+	// capacity for.
+	RejectedAfterAttempt uint64 `json:"turned_after"`
+	// WorkMillis is the modelled work that was admitted.
+	WorkMillis float64 `json:"work_ms"`
+	// Waiting is how many requests are queued.
+	Waiting int `json:"waiting"`
+	// ReservedMillis is the work that was rejected with a retry-after and is expected back.
+	ReservedMillis float64 `json:"promised_ms"`
+	Weight         float64 `json:"weight"`
+	// RetryAfterMillis is the mean retry-after of the requests rejected lately.
+	RetryAfterMillis float64 `json:"told_ms"`
+	// Share is the tenant's share of all work, were it to want more now.
+	Share float64 `json:"share"`
 }
 
-// add takes another tenant's counts in, for a line that stands for several.
-func (c *TenantStats) add(other TenantStats) {
-	c.Requests += other.Requests
-	c.Admitted += other.Admitted
-	c.Rejected += other.Rejected
-	c.RejectedRetries += other.RejectedRetries
-	c.RejectedEarly += other.RejectedEarly
-	c.Disconnected += other.Disconnected
-	c.Served += other.Served
-	c.RejectedDownstream += other.RejectedDownstream
-	c.RejectedAfterAttempt += other.RejectedAfterAttempt
-	c.WorkMillis += other.WorkMillis
-	c.Waiting += other.Waiting
-	c.ReservedMillis += other.ReservedMillis
+// add adds another tenant's counts, for a line that stands for several.
+func (s *TenantStats) add(other TenantStats) {
+	s.Requests += other.Requests
+	s.Admitted += other.Admitted
+	s.Rejected += other.Rejected
+	s.RejectedRetries += other.RejectedRetries
+	s.RejectedEarly += other.RejectedEarly
+	s.Disconnected += other.Disconnected
+	s.Served += other.Served
+	s.RejectedDownstream += other.RejectedDownstream
+	s.RejectedAfterAttempt += other.RejectedAfterAttempt
+	s.WorkMillis += other.WorkMillis
+	s.Waiting += other.Waiting
+	s.ReservedMillis += other.ReservedMillis
 }
 
 // State is how admission stands.
 type State struct {
-	Limit             float64 `json:"limit"`    // on concurrency, in requests of mean cost
-	InUse             float64 `json:"in_use"`   // of it
-	Waiting           int     `json:"waiting"`  // requests
-	MeanCostMillis    float64 `json:"mean_ms"`  // cost of a request
-	LatencyMillis     float64 `json:"takes_ms"` // until a request that is admitted is answered, lately
-	BaseStretch       float64 `json:"calm"`     // the same with little in work, as a share of the class's aim; 0 = all is well then
-	RejectShare       float64 `json:"refused"`  // share of what is admitted that the Balancer rejects, lately
-	ToleratedPressure float64 `json:"vain"`     // of that, what a lower limit doesn't help against
-	// Clients that came back when they were told, of these those admitted, and how far the real time was from the told, as a
-	// share of it.
-	Returned            uint64        `json:"returned"`
-	ReturnedAdmitted    uint64        `json:"kept"`
-	ReturnedWithinShare uint64        `json:"returned_free"` // of those that came back, those whose tenant's share was free,
-	AdmittedWithinShare uint64        `json:"kept_free"`     // and of these those admitted
-	RetryAfterErrorP50  float64       `json:"off_p50"`
-	RetryAfterErrorP90  float64       `json:"off_p90"`
-	TableBytes          int           `json:"table_bytes"` // that all tables take, whatever comes
-	ReturnRate          float64       `json:"heed"`        // share of those told to come back that do, when they were told
-	Tenants             []TenantStats `json:"tenants"`
+	// Limit is the limit on concurrency, in requests of mean cost.
+	Limit float64 `json:"limit"`
+	// InUse is how much of the limit is in use.
+	InUse float64 `json:"in_use"`
+	// Waiting is how many requests are queued.
+	Waiting int `json:"waiting"`
+	// MeanCostMillis is the mean cost of a request.
+	MeanCostMillis float64 `json:"mean_ms"`
+	// LatencyMillis is the recent time from a request's admission to its answer.
+	LatencyMillis float64 `json:"takes_ms"`
+	// BaseStretch is the latency at a low limit, as a share of the class's latency objective; 0 where
+	// a low limit keeps to the objective.
+	BaseStretch float64 `json:"calm"`
+	// RejectShare is the recent share of admitted requests that the Balancer rejects.
+	RejectShare float64 `json:"refused"`
+	// ToleratedPressure is how much of that a lower limit does not help against.
+	ToleratedPressure float64 `json:"vain"`
+	// Returned counts clients that returned when their retry-after was over.
+	Returned uint64 `json:"returned"`
+	// ReturnedAdmitted counts those of them that were admitted.
+	ReturnedAdmitted uint64 `json:"kept"`
+	// ReturnedWithinShare counts those of Returned whose tenant's share was free.
+	ReturnedWithinShare uint64 `json:"returned_free"`
+	// AdmittedWithinShare counts those of ReturnedWithinShare that were admitted.
+	AdmittedWithinShare uint64 `json:"kept_free"`
+	// RetryAfterErrorP50 is how far the real time was from the retry-after, as a share of it: the
+	// median.
+	RetryAfterErrorP50 float64 `json:"off_p50"`
+	// RetryAfterErrorP90 is its 90th percentile.
+	RetryAfterErrorP90 float64 `json:"off_p90"`
+	// TableBytes is what all tables take, whatever comes.
+	TableBytes int `json:"table_bytes"`
+	// ReturnRate is the share of clients rejected with a retry-after that return when it is over.
+	ReturnRate float64       `json:"heed"`
+	Tenants    []TenantStats `json:"tenants"`
 }
 
-// State tells how admission stands, with at most so many tenants by name.
-func (a *Admission) State(tenants int) State {
+// State tells how admission stands, with at most maxTenants tenants by name.
+func (a *Admission) State(maxTenants int) State {
 	return State{
 		Limit:               a.limiter.limit,
 		InUse:               a.limiter.inUse,
@@ -83,53 +114,55 @@
 		RetryAfterErrorP90:  a.returnStats.errorQuantile(0.9),
 		TableBytes:          a.TableBytes(),
 		ReturnRate:          a.returnStats.rate,
-		Tenants:             a.Tenants(tenants),
+		Tenants:             a.Tenants(maxTenants),
 	}
 }
 
-// Tenants lists those that are known by name and have asked, the named ones first and then by what they have asked, at
-// most so many; what the rest has asked and got stands under "".
+// Tenants lists the tenants that are tracked by name and have sent requests: the named ones first and
+// then by the number of requests, at most limit of them. The sums of all others stand under "".
 func (a *Admission) Tenants(limit int) []TenantStats {
-	known, rest := a.statsByTenant()
-	firstUnnamed := slices.IndexFunc(known, func(c TenantStats) bool {
-		_, isNamed := a.named[c.Tenant]
+	tracked, others := a.statsByTenant()
+	firstUnnamed := slices.IndexFunc(tracked, func(stats TenantStats) bool {
+		_, isNamed := a.named[stats.Tenant]
 		return !isNamed
 	})
 	if firstUnnamed >= 0 {
-		slices.SortStableFunc(known[firstUnnamed:], func(x, y TenantStats) int { return cmp.Compare(y.Requests, x.Requests) })
+		slices.SortStableFunc(tracked[firstUnnamed:], func(x, y TenantStats) int {
+			return cmp.Compare(y.Requests, x.Requests)
+		})
 	}
-	if len(known) > limit {
-		for _, count := range known[limit:] {
-			rest.add(count)
+	if len(tracked) > limit {
+		for _, stats := range tracked[limit:] {
+			others.add(stats)
 		}
-		known = known[:limit]
+		tracked = tracked[:limit]
 	}
-	if rest.Requests > 0 {
-		known = append(known, rest)
+	if others.Requests > 0 {
+		tracked = append(tracked, others)
 	}
-	return known
+	return tracked
 }
 
-// statsByTenant lists the tenants that are known by name and have asked, in the order of their flows, and what all
-// others have asked and got together.
-func (a *Admission) statsByTenant() (known []TenantStats, rest TenantStats) {
-	rest.Weight = a.cfg.OthersWeight
+// statsByTenant lists the tenants that are tracked by name and have sent requests, in the order of
+// their flows, and the sums of all others.
+func (a *Admission) statsByTenant() (tracked []TenantStats, others TenantStats) {
+	others.Weight = a.cfg.OthersWeight
 	for i := range a.unnamedFlow() {
 		f := &a.flows[i]
 		if f.stats.Requests == 0 {
 			continue
 		}
-		count := f.stats
-		count.Tenant = f.tenant()
-		count.Waiting = f.waiting
-		count.ReservedMillis = f.reservedWork
-		count.Weight = f.weight
-		count.Share = a.share(i)
-		if f.used && count.Tenant != "" {
-			known = append(known, count)
+		stats := f.stats
+		stats.Tenant = f.tenant()
+		stats.Waiting = f.waiting
+		stats.ReservedMillis = f.reservedWork
+		stats.Weight = f.weight
+		stats.Share = a.share(i)
+		if f.used && stats.Tenant != "" {
+			tracked = append(tracked, stats)
 		} else {
-			rest.add(count)
+			others.add(stats)
 		}
 	}
-	return known, rest
+	return tracked, others
 }
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -1,4 +1,5 @@
-// Package configerror says what is wrong in a file that an operator wrote: the file, the line, the setting and the reason.
+// Package configerror says what is wrong in a file that an operator wrote: the file, the line, the
+// setting and the reason.
 package configerror
 
 import (
@@ -32,8 +33,9 @@
 	return 1 + bytes.Count(text[:max(0, min(offset, int64(len(text))))], []byte("\n"))
 }
 
-// JSONLine is the line, from 1, in which a setting's value begins in a JSON text. Of a setting that is not there it is
-// the line of the innermost object around it that is; of a text that is not JSON, 0.
+// JSONLine is the line, from 1, in which a setting's value begins in a JSON text. Of a setting that
+// is not there it is the line of the innermost object around it that is; of a text that is not
+// JSON, 0.
 func JSONLine(text []byte, setting string) int {
 	lines := map[string]int{}
 	dec := json.NewDecoder(bytes.NewReader(text))
--- a/internal/configerror/toml.go
+++ b/internal/configerror/toml.go
@@ -8,8 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeTOML reads a TOML text into a struct. Keys that the struct does not know are mistakes: a key misspelt must not
-// pass for one that was left out. The error is a Problem, or joins one for each unknown key.
+// DecodeTOML reads a TOML text into a struct. Keys that the struct does not know are mistakes: a
+// key misspelt must not pass for one that was left out. The error is a Problem, or joins one for
+// each unknown key.
 func DecodeTOML(name string, text []byte, into any) error {
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,15 +1,17 @@
-// Package handover joins the process that serves with the one that is to take its place. The new one gets the listening
-// socket and a state; then the two keep a link for as long as both live. A peer that is absent, dead, silent or of
-// another version stops nobody: every step has its deadline, and who can't join goes on alone.
+// Package handover joins the process that serves with the one that is to take its place. The new one
+// gets the listening socket and a state; then the two keep a link for as long as both live. A peer
+// that is absent, dead, silent or of another version stops nobody: each step has its deadline, and a
+// process that can't join goes on alone.
+//
+// The messages of a link are in link.go, the Unix socket that processes meet at and the descriptor
+// that crosses it in socket.go.
 package handover
 
 import (
 	"context"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"net"
 	"os"
@@ -23,229 +25,74 @@
 const Version = 1
 
 const (
-	stepTimeout        = 500 * time.Millisecond // for each step of joining
-	sendTimeout        = 150 * time.Millisecond // for a message to be taken by the peer
-	maxFrameBytes      = 4 << 20                // bytes of a message
-	maxConcurrentJoins = 4                      // peers that are joining at once
+	// stepTimeout is for each step of joining: a dead or silent peer must not delay a start by much.
+	stepTimeout = 500 * time.Millisecond
+	// stateTimeout is for the state to arrive. It is longer than a step, as the loop of the process
+	// that serves has to finish what it is at first.
+	stateTimeout = 2 * stepTimeout
+	// maxConcurrentJoins bounds the peers that are joining or joined.
+	maxConcurrentJoins = 4
+	// acceptRetryInterval is the time between two attempts to accept while no descriptor is free.
+	acceptRetryInterval = 100 * time.Millisecond
+	// socketMode lets only this user's processes connect.
+	socketMode = 0o600
 )
 
-// Message is what one process tells the other.
-type Message struct {
-	Kind    string          `json:"kind"`
-	Version int             `json:"version,omitempty"` // with hello and state
-	Call    uint64          `json:"call,omitempty"`    // an answer with the same number is waited for
-	Body    json.RawMessage `json:"body,omitempty"`
-	Error   string          `json:"error,omitempty"` // of an answer
-}
-
-// The kinds of messages that this package itself uses.
-const (
-	helloKind  = "hello"
-	stateKind  = "state"
-	answerKind = "answer"
-)
-
-// Link joins two processes.
-type Link struct {
-	conn    *net.UnixConn
-	writeMu sync.Mutex
-
-	mu           sync.Mutex
-	pendingCalls map[uint64]chan string
-	lastCall     uint64
-	closed       chan struct{}
-	once         sync.Once
-}
-
-// ErrPeerClosed tells that the peer is gone.
-var ErrPeerClosed = errors.New("handover: the other process is gone")
-
-func newLink(c *net.UnixConn) *Link {
-	return &Link{conn: c, pendingCalls: map[uint64]chan string{}, closed: make(chan struct{})}
-}
-
-// Close ends the link.
-func (l *Link) Close() {
-	l.once.Do(func() {
-		close(l.closed)
-		l.conn.Close()
-	})
-}
-
-// IsClosed reports whether the peer is gone.
-func (l *Link) IsClosed() bool {
-	select {
-	case <-l.closed:
-		return true
-	default:
-		return false
-	}
-}
-
-// Send tells the peer something. It does not wait for longer than a moment; a peer that does not read is given up.
-func (l *Link) Send(m Message) error {
-	l.writeMu.Lock()
-	defer l.writeMu.Unlock()
-	return l.send(m, nil)
-}
-
-func (l *Link) send(m Message, rights []byte) error {
-	text, err := json.Marshal(m)
-	if err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	if len(text) > maxFrameBytes {
-		return fmt.Errorf("handover: message of %d bytes", len(text))
-	}
-	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
-	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
-	if rights != nil { // they travel with the first byte
-		if _, _, err = l.conn.WriteMsgUnix(frame[:1], rights, nil); err == nil {
-			frame = frame[1:]
-		}
-	}
-	if err == nil {
-		_, err = l.conn.Write(frame)
-	}
-	if err != nil { // part of a frame may be out: nothing can follow it
-		l.Close()
-		return fmt.Errorf("handover: %w", err)
-	}
-	return nil
-}
-
-// Call tells the peer something and waits until it has been done there. ErrEnded tells that there is no peer any more.
-func (l *Link) Call(ctx context.Context, kind string, body any) error {
-	text, err := json.Marshal(body)
-	if err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	got := make(chan string, 1)
-	l.mu.Lock()
-	l.lastCall++
-	n := l.lastCall
-	l.pendingCalls[n] = got
-	l.mu.Unlock()
-	defer func() {
-		l.mu.Lock()
-		delete(l.pendingCalls, n)
-		l.mu.Unlock()
-	}()
-	if err := l.Send(Message{Kind: kind, Call: n, Body: text}); err != nil {
-		return ErrPeerClosed
-	}
-	select {
-	case text := <-got:
-		if text != "" {
-			return errors.New(text)
-		}
-		return nil
-	case <-l.closed:
-		return ErrPeerClosed
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-// Run hears the peer until the link ends or ctx does, and closes it. Calls of the peer are answered with what handle
-// returns.
-func (l *Link) Run(ctx context.Context, handle func(Message) error) {
-	stop := context.AfterFunc(ctx, l.Close)
-	defer stop()
-	defer l.Close()
-	l.conn.SetReadDeadline(time.Time{})
-	for {
-		m, err := readMessage(l.conn)
-		if err != nil {
-			return
-		}
-		if m.Kind == answerKind {
-			l.mu.Lock()
-			if got := l.pendingCalls[m.Call]; got != nil {
-				got <- m.Error
-				delete(l.pendingCalls, m.Call)
-			}
-			l.mu.Unlock()
-			continue
-		}
-		err = handle(m)
-		if m.Call == 0 {
-			continue
-		}
-		back := Message{Kind: answerKind, Call: m.Call}
-		if err != nil {
-			back.Error = err.Error()
-		}
-		if l.Send(back) != nil {
-			return
-		}
-	}
+// Peer is the process that serves, as its successor sees it.
+type Peer interface {
+	// State returns what a successor is to know. From then on, changes are sent over the link: such a
+	// message waits until the state has been sent.
+	State(ctx context.Context, l *Link) (any, error)
+	// Joined runs the link to a successor until it ends.
+	Joined(ctx context.Context, l *Link)
 }
 
-// readMessage reads a frame, in bounded memory whatever its length says.
-func readMessage(r io.Reader) (m Message, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return m, fmt.Errorf("handover: %w", err)
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > maxFrameBytes {
-		return m, fmt.Errorf("handover: message of %d bytes", n)
-	}
-	text, err := io.ReadAll(io.LimitReader(r, int64(n)))
-	if err != nil {
-		return m, fmt.Errorf("handover: %w", err)
-	}
-	if len(text) < int(n) {
-		return m, fmt.Errorf("handover: %w", io.ErrUnexpectedEOF)
-	}
-	if err := json.Unmarshal(text, &m); err != nil {
-		return m, fmt.Errorf("handover: %w", err)
-	}
-	return m, nil
+// Listen listens at addr even where another process does: the two are one router, and one will end.
+func Listen(ctx context.Context, addr string) (net.Listener, error) {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
+		controlErr := raw.Control(func(fd uintptr) {
+			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
+		})
+		return errors.Join(controlErr, err)
+	}}
+	return config.Listen(ctx, "tcp", addr)
 }
 
-// socketPath is where the process that serves addr listens for the next one. The directory is opened first, as the length
-// of a Unix socket's path is bounded and that of $TMPDIR is not.
-func socketPath(dir, addr string) (path string, d *os.File, err error) {
-	if d, err = os.Open(dir); err != nil {
-		return "", nil, fmt.Errorf("handover: %w", err)
-	}
-	h := fnv.New64a()
-	io.WriteString(h, addr) //nolint:errcheck // it can't fail
-	return fmt.Sprintf("/proc/self/fd/%d/router-%016x.sock", d.Fd(), h.Sum64()), d, nil
-}
+// soReusePort is SO_REUSEPORT on Linux, which the syscall package does not name for every processor.
+const soReusePort = 15
 
-// Join gets the listening socket for addr, and a state, from the process that serves there.
+// Join gets the listening socket for addr, and a state, from the process that serves there. dir is
+// where the two meet. The caller closes the link and the listener.
 func Join(ctx context.Context, dir, addr string) (*Link, net.Listener, []byte, error) {
-	path, d, err := socketPath(dir, addr)
+	path, folder, err := socketPath(dir, addr)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	defer d.Close()
+	defer folder.Close()
 	dialer := net.Dialer{Timeout: stepTimeout}
-	c, err := dialer.DialContext(ctx, "unix", path)
-	if op := (*net.OpError)(nil); errors.As(err, &op) {
-		err = op.Err // without the path, which names a descriptor
+	conn, err := dialer.DialContext(ctx, "unix", path)
+	if opError := (*net.OpError)(nil); errors.As(err, &opError) {
+		err = opError.Err // without the path, which names a descriptor
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("handover: no process serves %s: %w", addr, err)
 	}
-	l := newLink(c.(*net.UnixConn))
-	ln, text, err := l.join()
+	l := newLink(conn.(*net.UnixConn))
+	ln, state, err := l.join()
 	if err != nil {
 		l.Close()
 		return nil, nil, nil, err
 	}
-	return l, ln, text, nil
+	return l, ln, state, nil
 }
 
+// join sends the hello, and reads the socket and the state that answer it.
 func (l *Link) join() (net.Listener, []byte, error) {
 	if err := l.send(Message{Kind: helloKind, Version: Version}, nil); err != nil {
 		return nil, nil, err
 	}
-	l.conn.SetReadDeadline(time.Now().Add(2 * stepTimeout)) // a loop at work has to bring the state
-	fd, first, err := readSocket(l.conn)
+	l.conn.SetReadDeadline(time.Now().Add(stateTimeout))
+	fd, first, err := readDescriptor(l.conn)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -256,7 +103,8 @@
 		return nil, nil, err
 	}
 	if m.Kind != stateKind || m.Version != Version {
-		return nil, nil, fmt.Errorf("handover: %q of version %d, want a state of version %d", m.Kind, m.Version, Version)
+		return nil, nil, fmt.Errorf("handover: %q of version %d, want a state of version %d",
+			m.Kind, m.Version, Version)
 	}
 	ln, err := net.FileListener(file)
 	if err != nil {
@@ -265,118 +113,79 @@
 	return ln, m.Body, nil
 }
 
-// readSocket reads the first byte of a frame with the descriptor that comes with it.
-func readSocket(c *net.UnixConn) (fd int, first io.Reader, err error) {
-	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4*4))
-	n, oobn, _, _, err := c.ReadMsgUnix(b, oob)
-	if err != nil {
-		return 0, nil, fmt.Errorf("handover: %w", err)
-	}
-	if n == 0 {
-		return 0, nil, fmt.Errorf("handover: %w", io.ErrUnexpectedEOF)
-	}
-	var fds []int
-	msgs, err := syscall.ParseSocketControlMessage(oob[:oobn])
-	for _, m := range msgs {
-		if got, e := syscall.ParseUnixRights(&m); e == nil {
-			fds = append(fds, got...)
-		}
-	}
-	if err != nil || len(fds) != 1 {
-		for _, fd := range fds {
-			syscall.Close(fd) //nolint:errcheck // it is unwanted
-		}
-		return 0, nil, errors.New("handover: a message without the socket")
-	}
-	syscall.CloseOnExec(fds[0])
-	return fds[0], &oneByte{b: b[0]}, nil
-}
-
-// oneByte reads the byte that came with the descriptor.
-type oneByte struct {
-	b    byte
-	read bool
-}
-
-func (o *oneByte) Read(p []byte) (int, error) {
-	if o.read {
-		return 0, io.EOF
-	}
-	if len(p) == 0 {
-		return 0, nil
-	}
-	p[0], o.read = o.b, true
-	return 1, nil
-}
-
-// Serve waits for processes that are to take this one's place, until ctx ends. Each that speaks this version gets ln and
-// what State returns, and then Joined has the link, which it runs until it ends. The path is this process's from then
-// on, whoever had it before: a dead one's file is in nobody's way.
+// Serve waits for processes that are to take this one's place, until ctx ends. Each that speaks this
+// version gets ln and what State returns, and then Joined has the link, which it runs until it ends.
+// The path is this process's from then on, whoever had it before: the file of a dead process is in
+// nobody's way. Serve returns once all of Joined have.
 func Serve(ctx context.Context, dir, addr string, ln syscall.Conn, peer Peer) error {
-	path, d, err := socketPath(dir, addr)
+	path, folder, err := socketPath(dir, addr)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh) //nolint:errcheck // of a dead process of the same number, if any
-	u, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	defer folder.Close()
+	listener, err := listenAt(path)
 	if err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	defer u.Close()
-	u.SetUnlinkOnClose(false) // by then the path may be another's
-	if err := os.Chmod(fresh, 0o600); err != nil {
-		return fmt.Errorf("handover: %w", err)
-	}
-	if err := os.Rename(fresh, path); err != nil {
-		return fmt.Errorf("handover: %s: %w", filepath.Base(path), err)
+		return err
 	}
-	stop := context.AfterFunc(ctx, func() { u.Close() })
+	defer listener.Close()
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	room := make(chan struct{}, maxConcurrentJoins)
+	var joined sync.WaitGroup
+	defer joined.Wait()
+	slots := make(chan struct{}, maxConcurrentJoins)
 	for {
-		c, err := u.AcceptUnix()
+		conn, err := listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil {
+		if err != nil { // no descriptor is free
 			select {
-			case <-time.After(100 * time.Millisecond): // no descriptor left
+			case <-time.After(acceptRetryInterval):
 				continue
 			case <-ctx.Done():
 				return nil
 			}
 		}
 		select {
-		case room <- struct{}{}:
-		default: // whoever joins by fives is no successor
-			c.Close()
+		case slots <- struct{}{}:
+		default: // no router has that many successors at once
+			conn.Close()
 			continue
 		}
-		wg.Go(func() {
-			defer func() { <-room }()
-			l := newLink(c)
+		joined.Go(func() {
+			defer func() { <-slots }()
+			l := newLink(conn)
 			defer l.Close()
 			if err := l.handOver(ctx, ln, peer); err != nil {
-				return
+				return // the other process goes on alone
 			}
 			peer.Joined(ctx, l)
 		})
 	}
 }
 
-// Peer is the process that serves, as its successor sees it.
-type Peer interface {
-	// State is what a successor is to know. From its making on, what changes is sent over the link: such a message
-	// waits until the state is out.
-	State(ctx context.Context, l *Link) (any, error)
-	// Joined runs the link to a successor until it ends.
-	Joined(ctx context.Context, l *Link)
+// listenAt listens at path in place of whoever did before. The socket is made beside the path and
+// renamed, so that a successor finds the old or the new one at any time.
+func listenAt(path string) (*net.UnixListener, error) {
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(temporary) //nolint:errcheck // of a dead process of the same number, if any
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	listener.SetUnlinkOnClose(false) // by then the path may be another process's
+	if err := os.Chmod(temporary, socketMode); err != nil {
+		listener.Close()
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	if err := os.Rename(temporary, path); err != nil {
+		listener.Close()
+		return nil, fmt.Errorf("handover: %s: %w", filepath.Base(path), err)
+	}
+	return listener, nil
 }
 
+// handOver reads the hello of a process that has connected, and sends it the socket and the state.
 func (l *Link) handOver(ctx context.Context, ln syscall.Conn, peer Peer) error {
 	l.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	m, err := readMessage(l.conn)
@@ -386,15 +195,15 @@
 	if m.Kind != helloKind || m.Version != Version {
 		return fmt.Errorf("handover: %q of version %d, want a hello of version %d", m.Kind, m.Version, Version)
 	}
-	l.writeMu.Lock()
+	l.writeMu.Lock() // what the peer sends from now on follows the state
 	defer l.writeMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	st, err := peer.State(ctx, l)
+	state, err := peer.State(ctx, l)
 	if err != nil {
 		return err
 	}
-	body, err := json.Marshal(st)
+	body, err := json.Marshal(state)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -402,21 +211,8 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	ctl := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		err = l.send(Message{Kind: stateKind, Version: Version, Body: body}, syscall.UnixRights(int(fd)))
 	})
-	return errors.Join(ctl, err)
+	return errors.Join(controlErr, err)
 }
-
-// Listen listens at addr even where another process does: the two are one router, and one will go.
-func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		ctl := raw.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
-		})
-		return errors.Join(ctl, err)
-	}}
-	return lc.Listen(ctx, "tcp", addr)
-}
-
-const soReusePort = 15 // SO_REUSEPORT on Linux, which the syscall package does not name for every processor
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,6 +16,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"dockhinge.example/dockhinge/internal/admin"
 )
 
 // process is one that serves and hands over.
@@ -80,6 +82,9 @@
 	}
 }
 
+// A new process starts beside the one that serves. It gets the same listening socket and the state,
+// a connection that waits while the old one closes is its own, and calls go both ways, each answered
+// with the other side's error.
 func TestSocketAndStateGoOver(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than a Unix socket's path may be
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -128,7 +133,9 @@
 	}
 }
 
-// Each process in its turn has the path, and what a dead one left there is in nobody's way.
+// A process dies and leaves its socket's file; then two start one after the other, and the first ends.
+// The newest has the path each time: a program that removed the file at its end would cut off the
+// other's successor.
 func TestNewestProcessHasThePath(t *testing.T) {
 	dir := t.TempDir()
 	path, d, err := socketPath(dir, "a:1")
@@ -153,7 +160,8 @@
 	join(t, dir, "a:1", "second")
 }
 
-// Whatever stands at the path, the start goes on, and soon.
+// At the path is a peer that says nothing, speaks another version, sends no socket, or is no router at
+// all. The new process goes on alone, and soon.
 func TestPeersThatCantHandOver(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
@@ -197,6 +205,8 @@
 	}
 }
 
+// Something else than a successor connects: it gets neither the socket nor the state, and neither does
+// a successor whose peer has no state to give.
 func TestStrangersGetNothing(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := serve(t, dir, "a:1", "first")
@@ -232,7 +242,7 @@
 	}
 }
 
-// A call ends with its context, whatever the peer does.
+// The peer reads a call and never answers it. The call ends with its context.
 func TestCallToASilentPeer(t *testing.T) {
 	a, b := pipe(t)
 	defer b.Close()
@@ -264,6 +274,7 @@
 	return c.(*net.UnixConn), d.(*net.UnixConn)
 }
 
+// An old process without hand-over still holds the address: the new one listens there all the same.
 func TestTwoListenersShareAnAddress(t *testing.T) {
 	a, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -293,8 +304,8 @@
 	})
 }
 
-// One of the two may die or fall silent at any byte of what it says. The other one goes on: a new process alone, and soon, an
-// old one with its place for the next.
+// One of the two may die or fall silent at any byte of what it says. The other one goes on: a new
+// process alone, and soon, an old one with its place for the next.
 func TestEitherMayEndAtAnyByte(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
@@ -411,3 +422,36 @@
 	}
 	return len(all)
 }
+
+// What crosses the link is the text of an error. The caller tells the errors that it knows apart all
+// the same, and sees the text of any other.
+func TestErrorsThatCrossTheLink(t *testing.T) {
+	if text := admin.ErrUnknownServer.Error(); text != "no such cache server" {
+		t.Errorf("an older version would not know %q", text)
+	}
+	for name, answered := range map[string]error{
+		"none":    nil,
+		"known":   admin.ErrUnknownServer,
+		"unknown": errors.New("not here"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			a, b := pipe(t)
+			caller := newLink(a)
+			peer := newLink(b)
+			var running sync.WaitGroup
+			defer running.Wait()
+			defer caller.Close()
+			running.Go(func() { caller.Run(t.Context(), func(Message) error { return nil }) })
+			running.Go(func() { peer.Run(t.Context(), func(Message) error { return answered }) })
+			err := caller.Call(t.Context(), "ban", "x")
+			switch {
+			case answered == nil && err != nil:
+				t.Errorf("got %v", err)
+			case answered != nil && (err == nil || err.Error() != answered.Error()):
+				t.Errorf("got %v, want %v", err, answered)
+			case errors.Is(answered, admin.ErrUnknownServer) != errors.Is(err, admin.ErrUnknownServer):
+				t.Errorf("got %v, which is another error", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/handover/link.go
@@ -0,0 +1,241 @@
+package handover
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"dockhinge.example/dockhinge/internal/admin"
+)
+
+const (
+	// sendTimeout is for a message to be read by the peer.
+	sendTimeout = 150 * time.Millisecond
+	// maxFrameBytes bounds a message.
+	maxFrameBytes = 4 << 20
+	// frameHeaderBytes is the size of a message's length, big-endian, before its text.
+	frameHeaderBytes = 4
+)
+
+// ErrPeerClosed tells that the other process has ended, or does not read any more.
+var ErrPeerClosed = errors.New("handover: the other process is gone")
+
+// remoteErrors are the errors that a caller tells apart though the other process has returned them:
+// what crosses the link is their text.
+var remoteErrors = []error{admin.ErrUnknownServer}
+
+// errorFromText returns the error whose text the peer has sent.
+func errorFromText(text string) error {
+	if text == "" {
+		return nil
+	}
+	for _, err := range remoteErrors {
+		if err.Error() == text {
+			return err
+		}
+	}
+	return errors.New(text)
+}
+
+// Message is what one process sends to the other, as JSON after its length.
+type Message struct {
+	Kind string `json:"kind"`
+	// Version is that of a hello and of a state.
+	Version int `json:"version,omitempty"`
+	// Call is the number of a call, which is answered under the same number; 0 = no answer is expected.
+	Call uint64          `json:"call,omitempty"`
+	Body json.RawMessage `json:"body,omitempty"`
+	// Error is the text of an answer's error; "" = there was none.
+	Error string `json:"error,omitempty"`
+}
+
+// The kinds of messages that this package itself uses.
+const (
+	helloKind  = "hello"
+	stateKind  = "state"
+	answerKind = "answer"
+)
+
+// Link joins two processes. Its methods may be called concurrently, but for Run, which one goroutine
+// calls once.
+type Link struct {
+	conn    *net.UnixConn
+	writeMu sync.Mutex
+
+	mu sync.Mutex
+	// pendingCalls receive the answers' errors, by the number of the call.
+	pendingCalls map[uint64]chan string
+	lastCall     uint64
+
+	// closed is closed with the link.
+	closed    chan struct{}
+	closeOnce sync.Once
+}
+
+func newLink(conn *net.UnixConn) *Link {
+	return &Link{conn: conn, pendingCalls: map[uint64]chan string{}, closed: make(chan struct{})}
+}
+
+// Close ends the link. It may be called more than once.
+func (l *Link) Close() {
+	l.closeOnce.Do(func() {
+		close(l.closed)
+		l.conn.Close()
+	})
+}
+
+// IsClosed reports whether the link has ended.
+func (l *Link) IsClosed() bool {
+	select {
+	case <-l.closed:
+		return true
+	default:
+		return false
+	}
+}
+
+// Send sends a message. A peer that does not read it within sendTimeout loses the link.
+func (l *Link) Send(m Message) error {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	return l.send(m, nil)
+}
+
+// send sends a message, with descriptors where rights is not nil. The caller holds writeMu, or the
+// link is not shared yet.
+func (l *Link) send(m Message, rights []byte) error {
+	text, err := json.Marshal(m)
+	if err != nil {
+		return fmt.Errorf("handover: %w", err)
+	}
+	if len(text) > maxFrameBytes {
+		return fmt.Errorf("handover: message of %d bytes", len(text))
+	}
+	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
+	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	if err := l.writeFrame(frame, rights); err != nil {
+		l.Close() // part of the frame may have been sent: nothing can follow it
+		return fmt.Errorf("handover: %w", err)
+	}
+	return nil
+}
+
+// writeFrame writes a frame. Descriptors travel with its first byte.
+func (l *Link) writeFrame(frame, rights []byte) error {
+	if rights != nil {
+		if _, _, err := l.conn.WriteMsgUnix(frame[:1], rights, nil); err != nil {
+			return err
+		}
+		frame = frame[1:]
+	}
+	_, err := l.conn.Write(frame)
+	return err
+}
+
+// Call sends a message and waits until the peer has handled it. The error is ErrPeerClosed where there
+// is no peer any more, ctx's where that ends first, and else the peer's: one of remoteErrors, or an
+// error with its text.
+func (l *Link) Call(ctx context.Context, kind string, body any) error {
+	text, err := json.Marshal(body)
+	if err != nil {
+		return fmt.Errorf("handover: %w", err)
+	}
+	number, answer := l.newCall()
+	defer l.forgetCall(number)
+	if err := l.Send(Message{Kind: kind, Call: number, Body: text}); err != nil {
+		return ErrPeerClosed
+	}
+	select {
+	case text := <-answer:
+		return errorFromText(text)
+	case <-l.closed:
+		return ErrPeerClosed
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// newCall numbers a call. The channel has room for the answer, so that Run never waits for the caller.
+func (l *Link) newCall() (number uint64, answer chan string) {
+	answer = make(chan string, 1)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastCall++
+	l.pendingCalls[l.lastCall] = answer
+	return l.lastCall, answer
+}
+
+func (l *Link) forgetCall(number uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.pendingCalls, number)
+}
+
+// Run reads messages until the link or ctx ends, and closes the link. Calls of the peer are answered
+// with what handle returns.
+func (l *Link) Run(ctx context.Context, handle func(Message) error) {
+	stop := context.AfterFunc(ctx, l.Close)
+	defer stop()
+	defer l.Close()
+	l.conn.SetReadDeadline(time.Time{})
+	for {
+		m, err := readMessage(l.conn)
+		if err != nil {
+			return
+		}
+		if m.Kind == answerKind {
+			l.deliver(m)
+			continue
+		}
+		err = handle(m)
+		if m.Call == 0 {
+			continue
+		}
+		answer := Message{Kind: answerKind, Call: m.Call}
+		if err != nil {
+			answer.Error = err.Error()
+		}
+		if l.Send(answer) != nil {
+			return
+		}
+	}
+}
+
+// deliver passes an answer to the call that waits for it, if it still does.
+func (l *Link) deliver(answer Message) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if pending := l.pendingCalls[answer.Call]; pending != nil {
+		pending <- answer.Error
+		delete(l.pendingCalls, answer.Call)
+	}
+}
+
+// readMessage reads a frame, in bounded memory whatever its length says.
+func readMessage(r io.Reader) (m Message, err error) {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return m, fmt.Errorf("handover: %w", err)
+	}
+	length := binary.BigEndian.Uint32(header[:])
+	if length > maxFrameBytes {
+		return m, fmt.Errorf("handover: message of %d bytes", length)
+	}
+	text, err := io.ReadAll(io.LimitReader(r, int64(length)))
+	if err != nil {
+		return m, fmt.Errorf("handover: %w", err)
+	}
+	if len(text) < int(length) {
+		return m, fmt.Errorf("handover: %w", io.ErrUnexpectedEOF)
+	}
+	if err := json.Unmarshal(text, &m); err != nil {
+		return m, fmt.Errorf("handover: %w", err)
+	}
+	return m, nil
+}
--- a/internal/healthcheck/board.go
+++ b/internal/healthcheck/board.go
@@ -1,9 +1,11 @@
-// Package healthcheck has routers probe cache servers for one another: of all routers one holds the lease of a share of the servers,
-// probes these and tells the others through the agreed state. What it tells carries its age; where it is stale or missing each
-// router probes by itself, as if there were nothing of all this. Only good answers are told: whether a server is bad each router
-// finds out for itself.
+// Package healthcheck has routers probe cache servers for one another: of all routers one holds the
+// lease of a share of the servers, probes these and tells the others through the agreed state. What
+// it tells carries its age; where it is stale or missing each router probes by itself, as if there
+// were nothing of all this. Only good answers are told: whether a server is bad each router finds
+// out for itself.
 //
-// Probing twice at once does no harm, so these leases are of the kind "harmless" (docs/agreement.md).
+// Probing twice at once does no harm, so these leases are of the kind "harmless"
+// (docs/agreement.md).
 package healthcheck
 
 import (
@@ -36,8 +38,8 @@
 	Load      decide.LoadReport `json:"l"`
 }
 
-// Encode writes reports as a lease's record of at most so many bytes. Those that don't fit are left out: each router probes
-// these by itself.
+// Encode writes reports as a lease's record of at most so many bytes. Those that don't fit are left
+// out: each router probes these by itself.
 func Encode(reports []Report, most int) []byte {
 	out := []byte{'['}
 	for _, r := range reports {
@@ -62,7 +64,8 @@
 	return reports, err
 }
 
-// ReportCache is what is known of servers by others' probes. It has no clock and does no I/O; it may be used from any goroutine.
+// ReportCache is what is known of servers by others' probes. It has no clock and does no I/O; it
+// may be used from any goroutine.
 type ReportCache struct {
 	staleMillis float64
 
@@ -82,7 +85,8 @@
 	return &ReportCache{staleMillis: staleMS, reports: map[uint32]cachedReport{}}
 }
 
-// Add books a report that was true ageMS before now at the earliest. An older one than is known changes nothing.
+// Add books a report that was true ageMS before now at the earliest. An older one than is known
+// changes nothing.
 func (b *ReportCache) Add(now, ageMS float64, r Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/healthcheck/board_test.go
+++ b/internal/healthcheck/board_test.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A report counts until it is stale by the oldest that it may be, an older one never takes the place of a newer one, and the board
-// is bounded.
+// A report counts until it is stale by the oldest that it may be, an older one never takes the
+// place of a newer one, and the board is bounded.
 func TestBoard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewReportCache(1000)
--- a/internal/healthcheck/run.go
+++ b/internal/healthcheck/run.go
@@ -5,7 +5,6 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	"strings"
 	"sync"
 	"time"
 
@@ -26,7 +25,8 @@
 	Probe     func(context.Context, uint32) (decide.AttemptStatus, decide.LoadReport)
 }
 
-// maxHeldLeases bounds the shares that one router holds, so that no one probes all while others are there.
+// maxHeldLeases bounds the shares that one router holds, so that no one probes all while others are
+// there.
 const maxHeldLeases = 4
 
 // maxConcurrentProbes bounds the probes of a share under way at once.
@@ -55,7 +55,8 @@
 			if err != nil {
 				continue // one that has told nothing yet
 			}
-			// Its age is that in the record, that of the record, and what has passed since it was asked for.
+			// Its age is that in the record, that of the record, and what has passed since it was
+			// asked for.
 			age := float64(r.Age.Milliseconds()) + now - asked
 			for _, x := range reports {
 				o.Reports.Add(now, age+x.AgeMillis, x)
@@ -147,13 +148,3 @@
 	wg.Wait()
 	return reports
 }
-
-// Coordinators reads NAME=HOST:PORT words, which have been checked.
-func Coordinators(words []string) map[string]string {
-	all := map[string]string{}
-	for _, w := range words {
-		name, addr, _ := strings.Cut(w, "=")
-		all[name] = addr
-	}
-	return all
-}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging is the router's log: log/slog, one event a line, with a bound on how often one event is repeated.
+// Package logging is the router's log: log/slog, one event a line, with a bound on how often one
+// event is repeated.
 package logging
 
 import (
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the figures that a router reports. Whoever sees a thing happen counts it here; readers take a
-// snapshot and wait for nobody.
+// Package metrics holds the figures that a router reports. Whoever sees a thing happen counts it
+// here; readers take a snapshot and wait for nobody.
 package metrics
 
 import (
@@ -42,8 +42,8 @@
 // New returns the figures of a process that has done nothing yet.
 func New() *Router { return &Router{classes: map[string]*Class{}} }
 
-// Class returns the counts of a class, which is reported from then on. Only configured classes may be named, as each
-// is kept for good.
+// Class returns the counts of a class, which is reported from then on. Only configured classes may
+// be named, as each is kept for good.
 func (m *Router) Class(name string) *Class {
 	m.mu.RLock()
 	c := m.classes[name]
--- /dev/null
+++ b/internal/operator/admission.go
@@ -0,0 +1,129 @@
+package operator
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"dockhinge.example/dockhinge/internal/admission"
+)
+
+// Admission enables fair admission and sets it. Its keys have the names that operators know; Config
+// maps them to the terms of internal/admission, which has their bounds.
+type Admission struct {
+	Enabled      bool    `toml:"enabled"`
+	OthersWeight float64 `toml:"others_weight"`
+	Flows        int     `toml:"flows"`
+	Buckets      int     `toml:"buckets"`
+	// TurnMS is admission.Config.RehashMillis.
+	TurnMS float64 `toml:"turn_ms"`
+	// Queue is admission.Config.QueueLimit.
+	Queue int `toml:"queue"`
+	// Promises is admission.Config.ReservationLimit.
+	Promises  int     `toml:"promises"`
+	MaxWaitMS float64 `toml:"max_wait_ms"`
+	// MaxAfterMS is admission.Config.MaxRetryAfterMillis.
+	MaxAfterMS float64 `toml:"max_after_ms"`
+	// Start is admission.Config.InitialLimit.
+	Start float64 `toml:"start"`
+	// Least is admission.Config.MinLimit.
+	Least float64 `toml:"least"`
+	// Most is admission.Config.MaxLimit.
+	Most       float64  `toml:"most"`
+	RetryShare float64  `toml:"retry_share"`
+	RetryBurst float64  `toml:"retry_burst"`
+	Tenants    []Tenant `toml:"tenant"`
+	Identify   []Match  `toml:"identify"`
+}
+
+// Tenant is a tenant with a share of its own.
+type Tenant struct {
+	Name   string  `toml:"name"`
+	Weight float64 `toml:"weight"`
+	// Rate is how many requests a second are guaranteed.
+	Rate float64 `toml:"rate"`
+	// Burst is how many of these may come at once.
+	Burst float64 `toml:"burst"`
+}
+
+// Match tells whose a request is, where it applies.
+type Match struct {
+	// By is fact (what the client declares), key (the key's prefix) or network (the client's address).
+	By      string `toml:"by"`
+	Prefix  string `toml:"prefix"`
+	Network string `toml:"network"`
+	Tenant  string `toml:"tenant"`
+}
+
+// Config is the section in the terms of internal/admission, but for the classes, which the platform's
+// settings name. The error is an *admission.SettingError.
+func (a Admission) Config() (admission.Config, admission.TenantRules, error) {
+	c := admission.Config{
+		OthersWeight:        a.OthersWeight,
+		Flows:               a.Flows,
+		Buckets:             a.Buckets,
+		RehashMillis:        a.TurnMS,
+		QueueLimit:          a.Queue,
+		ReservationLimit:    a.Promises,
+		MaxWaitMillis:       a.MaxWaitMS,
+		MaxRetryAfterMillis: a.MaxAfterMS,
+		InitialLimit:        a.Start,
+		MinLimit:            a.Least,
+		MaxLimit:            a.Most,
+		RetryBudgetShare:    a.RetryShare,
+		RetryBudgetBurst:    a.RetryBurst,
+	}
+	for _, t := range a.Tenants {
+		c.Tenants = append(c.Tenants, admission.Tenant{
+			Name:                t.Name,
+			Weight:              t.Weight,
+			GuaranteedPerSecond: t.Rate,
+			GuaranteedBurst:     t.Burst,
+		})
+	}
+	rules, err := a.tenantRules()
+	if err != nil {
+		return c, rules, err
+	}
+	withClass := c // a configuration without classes is not valid, and the file has none
+	withClass.Classes = []admission.Class{{Name: "any", CostMillis: 1}}
+	return c, rules, withClass.Validate()
+}
+
+// tenantRules maps the rules that tell a request's tenant.
+func (a Admission) tenantRules() (admission.TenantRules, error) {
+	var rules admission.TenantRules
+	for i, match := range a.Identify {
+		rule, err := match.rule()
+		if err != nil {
+			setting := fmt.Sprintf("identify[%d]", i)
+			return rules, &admission.SettingError{Setting: setting, Reason: err.Error()}
+		}
+		rules = append(rules, rule)
+	}
+	return rules, nil
+}
+
+// rule is the match in the terms of internal/admission.
+func (m Match) rule() (admission.TenantRule, error) {
+	rule := admission.TenantRule{Prefix: m.Prefix, Tenant: m.Tenant}
+	switch m.By {
+	case "fact":
+		rule.Source = admission.TenantFromClient
+	case "key":
+		if m.Prefix == "" || m.Tenant == "" {
+			return rule, errors.New("by key needs prefix and tenant")
+		}
+		rule.Source = admission.TenantFromKey
+	case "network":
+		network, err := netip.ParsePrefix(m.Network)
+		if err != nil {
+			return rule, fmt.Errorf("by network needs network: %w", err)
+		}
+		rule.Source = admission.TenantFromNetwork
+		rule.Network = network
+	default:
+		return rule, fmt.Errorf("by: %q is none of fact, key, network", m.By)
+	}
+	return rule, nil
+}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,34 +14,78 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
+// A mistake in the file is told with its line and key, so that the operator finds it. A misspelt key
+// that passed for one left out would leave a default in force.
 func TestMistakesNameLineAndSetting(t *testing.T) {
-	for text, want := range map[string]string{
-		"version = 1\n\n[log]\nlevle = \"info\"\n":             "f.toml:4: log.levle: unknown key",
-		"version = 1\n[log]\nlevel = \"loud\"\n":               `f.toml:3: log.level: "loud" is none of debug, info, warn, error`,
-		"version = 1\nlog.format = \"xml\"\n":                  `f.toml:2: log.format: "xml" is none of text, json`,
-		"version = 1\n[log]\n\nrepeat_every = \"7d\"\n":        `f.toml:4: log.repeat_every: "7d" is no duration from 1s to 1h`,
-		"version = 1\n[log]\nrepeat_burst = 0\n":               "f.toml:3: log.repeat_burst: 0 is not from 1 to 1000",
-		"[log]\nlevel = \"info\"\n":                            "f.toml: version: 0 is not 1, the version that this program reads",
-		"version = 2\n":                                        "f.toml:1: version: 2 is not 1, the version that this program reads",
-		"version = 1\nlog = {\n":                               "f.toml:2:",
-		"version = \"1\"\n":                                    "f.toml:1: version:",
-		"version = 1\n[log]\nlevel = 3\nfurther = 1\n":         "f.toml:3: log.level:",
-		"version = 1\n[log]\nlevel=\"x\"\nrepeat_burst=5000\n": "f.toml:4: log.repeat_burst: 5000 is not from 1 to 1000",
+	for _, c := range []struct{ name, text, want string }{
+		{
+			"misspelt key", "version = 1\n\n[log]\nlevle = \"info\"\n",
+			"f.toml:4: log.levle: unknown key",
+		},
+		{
+			"unknown word", "version = 1\n[log]\nlevel = \"loud\"\n",
+			`f.toml:3: log.level: "loud" is none of debug, info, warn, error`,
+		},
+		{
+			"dotted key", "version = 1\nlog.format = \"xml\"\n",
+			`f.toml:2: log.format: "xml" is none of text, json`,
+		},
+		{
+			"no duration", "version = 1\n[log]\n\nrepeat_every = \"7d\"\n",
+			`f.toml:4: log.repeat_every: "7d" is no duration from 1s to 1h`,
+		},
+		{
+			"below its bound", "version = 1\n[log]\nrepeat_burst = 0\n",
+			"f.toml:3: log.repeat_burst: 0 is not from 1 to 1000",
+		},
+		{
+			"no version", "[log]\nlevel = \"info\"\n",
+			"f.toml: version: 0 is not 1, the version that this program reads",
+		},
+		{
+			"later version", "version = 2\n",
+			"f.toml:1: version: 2 is not 1, the version that this program reads",
+		},
+		{"no TOML", "version = 1\nlog = {\n", "f.toml:2:"},
+		{"version of another type", "version = \"1\"\n", "f.toml:1: version:"},
+		{"level of another type", "version = 1\n[log]\nlevel = 3\nfurther = 1\n", "f.toml:3: log.level:"},
+		{
+			"above its bound", "version = 1\n[log]\nlevel=\"x\"\nrepeat_burst=5000\n",
+			"f.toml:4: log.repeat_burst: 5000 is not from 1 to 1000",
+		},
+		{
+			"unknown source of a tenant", identify(`by = "name"`),
+			`admission.identify[0]: by: "name" is none of fact, key, network`,
+		},
+		{"key without a tenant", identify(`by = "key"`, `prefix = "x"`), "identify[0]: by key needs prefix and tenant"},
+		{"key without a prefix", identify(`by = "key"`, `tenant = "x"`), "identify[0]: by key needs prefix and tenant"},
+		{
+			"impossible network", identify(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
+			"identify[0]: by network needs network: ",
+		},
 	} {
-		_, err := Parse("f.toml", []byte(text))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q:\n got %v\nwant %s", text, err, want)
-		}
-		var p configerror.Problem
-		if !errors.As(err, &p) {
-			t.Errorf("%q: no problem with a place: %v", text, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("f.toml", []byte(c.text))
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%q:\n got %v\nwant %s", c.text, err, c.want)
+			}
+			var problem configerror.Problem
+			if !errors.As(err, &problem) {
+				t.Errorf("%q: no problem with a place: %v", c.text, err)
+			}
+		})
 	}
 	if _, err := Parse("f.toml", make([]byte, maxFileBytes+1)); err == nil {
 		t.Error("a file over the bound passes")
 	}
 }
 
+// identify is an operator file with one rule that tells a request's tenant.
+func identify(lines ...string) string {
+	return "version = 1\n[[admission.identify]]\n" + strings.Join(lines, "\n") + "\n"
+}
+
+// Each operator file that is shipped as an example has to be one that the program takes.
 func TestShippedFilesPass(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
@@ -62,7 +106,8 @@
 	}
 }
 
-// Each key has a row in the page with its default, and each row is a key.
+// Each key has a row in the page with its default, and each row is a key: the page is what operators
+// write their files from.
 func TestPageAndStructAgree(t *testing.T) {
 	text, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
@@ -70,23 +115,26 @@
 	}
 	_, section, _ := strings.Cut(string(text), "## The operator file")
 	section, _, _ = strings.Cut(section, "\n## ")
+	row := regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\| [^|]+ \\| `([^`]+)` \\|") // key, values, default
 	rows := map[string]string{}
-	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\| [^|]+ \\| `([^`]+)` \\|").FindAllStringSubmatch(section, -1) {
-		rows[m[1]] = m[2]
+	for _, match := range row.FindAllStringSubmatch(section, -1) {
+		rows[match[1]] = match[2]
 	}
 	var keys func(prefix string, v reflect.Value)
 	keys = func(prefix string, v reflect.Value) {
 		for i := range v.NumField() {
 			name := prefix + v.Type().Field(i).Tag.Get("toml")
-			if f := v.Field(i); f.Kind() == reflect.Struct {
-				keys(name+".", f)
-			} else if f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct {
-				if !strings.Contains(section, "`[["+strings.TrimSuffix(name, ".")+"]]`") {
+			field := v.Field(i)
+			switch {
+			case field.Kind() == reflect.Struct:
+				keys(name+".", field)
+			case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
+				if !strings.Contains(section, "`[["+name+"]]`") {
 					t.Errorf("[[%s]]: not on the page", name)
 				}
-			} else {
-				if got, ok := rows[name]; !ok || got != strings.TrimSpace(reflectText(f)) {
-					t.Errorf("%s: the page says %q, the program %v", name, got, f)
+			default:
+				if got, ok := rows[name]; !ok || got != strings.TrimSpace(defaultText(field)) {
+					t.Errorf("%s: the page says %q, the program %v", name, got, field)
 				}
 				delete(rows, name)
 			}
@@ -98,7 +146,8 @@
 	}
 }
 
-func reflectText(v reflect.Value) string {
+// defaultText is a default as the page writes it.
+func defaultText(v reflect.Value) string {
 	if v.Kind() == reflect.String {
 		return strconv.Quote(v.String())
 	}
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -13,51 +13,74 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// admissionControl stands between a request's arrival and the Balancer, where the operator file has it. All of it is the loop's.
+// AdmissionConfig is what an operator file sets for fair admission.
+type AdmissionConfig struct {
+	// Rules lacks the classes, which are the platform's.
+	Rules admission.Config
+	// Tenants tell whose a request is.
+	Tenants admission.TenantRules
+}
+
+// admissionControl has requests pass admission before the Balancer, where the operator file enables
+// it. It is owned by the loop. A nil *admissionControl stands for admission that is not enabled.
 type admissionControl struct {
-	loop       *loop
-	admission  *admission.Admission
-	tenants    admission.TenantRules
+	loop      *loop
+	admission *admission.Admission
+	tenants   admission.TenantRules
+	// classIndex finds a class of the settings that the process has started with.
 	classIndex map[string]int
-	otherClass int    // the place of classes that a reload has brought
-	timer      *timer // for what waits
-	processes  int    // that are this router, and share the limit
+	// otherClass is the index of all classes that a reload has added since.
+	otherClass int
+	// timer fires when a queued request has to be looked at.
+	timer *timer
+	// processes is how many processes are this router now, and share its limit; 0 = not known yet.
+	processes int
 }
 
-// AdmissionConfig is what an operator file says of fair admission.
-type AdmissionConfig struct {
-	Rules   admission.Config // but for the classes, which are the platform's
-	Tenants admission.TenantRules
-}
+// admissionStage is where a request stands in admission.
+type admissionStage int
 
-// newAdmission places the door before the Balancer.
+const (
+	// admissionNone: the request has not reached admission, or admission has forgotten it.
+	admissionNone admissionStage = iota
+	admissionQueued
+	admissionAdmitted
+)
+
+// otherClassName is the class in admission's answers for all that a reload has added.
+const otherClassName = "(others)"
+
+// newAdmission builds admission from the operator's rules and the platform's classes.
 func newAdmission(l *loop, cfg *Config) (*admissionControl, error) {
 	ad := &admissionControl{loop: l, tenants: cfg.Admission.Tenants, classIndex: map[string]int{}}
 	rules := cfg.Admission.Rules
 	rules.Classes = nil
-	var longest float64
+	var longestMillis float64
 	for _, c := range cfg.settings.Config.Classes {
 		ad.classIndex[c.Name] = len(rules.Classes)
-		// The aim tells, class by class, how much work is meant, until it has been measured.
-		rules.Classes = append(rules.Classes, admission.Class{Name: c.Name, CostMillis: c.LatencyObjectiveMillis, HasPriority: c.Effect != decide.Idempotent})
-		longest = max(longest, c.LatencyObjectiveMillis)
+		rules.Classes = append(rules.Classes, admission.Class{
+			Name:        c.Name,
+			CostMillis:  c.LatencyObjectiveMillis, // of the classes' work, nothing else is known before it is measured
+			HasPriority: c.Effect != decide.Idempotent,
+		})
+		longestMillis = max(longestMillis, c.LatencyObjectiveMillis)
 	}
 	ad.otherClass = len(rules.Classes)
-	rules.Classes = append(rules.Classes, admission.Class{Name: "(others)", CostMillis: longest})
+	rules.Classes = append(rules.Classes, admission.Class{Name: otherClassName, CostMillis: longestMillis})
 	var err error
-	ad.admission, err = admission.New(withCaps(rules, cfg), cfg.seed, ad)
+	ad.admission, err = admission.New(withPlatformBounds(rules, cfg), cfg.seed, ad)
 	return ad, err
 }
 
-// withCaps has the platform's bound on times told go before the operator's.
-func withCaps(rules admission.Config, cfg *Config) admission.Config {
-	if m := cfg.settings.Config.MaxRetryAfterMillis; m > 0 {
-		rules.MaxRetryAfterMillis = m
+// withPlatformBounds puts the platform's bound on retry-after in place of the operator's.
+func withPlatformBounds(rules admission.Config, cfg *Config) admission.Config {
+	if bound := cfg.settings.Config.MaxRetryAfterMillis; bound > 0 {
+		rules.MaxRetryAfterMillis = bound
 	}
 	return rules
 }
 
-// check tells why the rules of a configuration can't hold from now on.
+// check returns a *admission.SettingError for a setting that can't take effect in this process.
 func (ad *admissionControl) check(cfg *Config) error {
 	switch {
 	case ad == nil && cfg.Admission == nil:
@@ -65,15 +88,16 @@
 	case ad == nil || cfg.Admission == nil:
 		return &admission.SettingError{Setting: "enabled", Reason: "changes, which takes a new process"}
 	}
-	return ad.admission.Check(withCaps(cfg.Admission.Rules, cfg))
+	return ad.admission.Check(withPlatformBounds(cfg.Admission.Rules, cfg))
 }
 
-// reconfigure has the rules of a configuration, which has been checked, hold from now on.
+// reconfigure applies the rules of a configuration, which check has accepted.
 func (ad *admissionControl) reconfigure(cfg *Config) {
 	if ad == nil {
 		return
 	}
-	if err := ad.admission.Reconfigure(ad.loop.now(), withCaps(cfg.Admission.Rules, cfg)); err != nil {
+	rules := withPlatformBounds(cfg.Admission.Rules, cfg)
+	if err := ad.admission.Reconfigure(ad.loop.now(), rules); err != nil {
 		slog.Warn("admission: the rules are kept", "error", err)
 		return
 	}
@@ -81,63 +105,82 @@
 	ad.arm()
 }
 
-// arrive takes a request that the loop has taken.
-func (ad *admissionControl) arrive(r *request, left float64) {
-	var from netip.Addr
+// arrive passes a new request to admission, which admits, queues or rejects it.
+func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
+	var client netip.Addr
 	if ad.tenants.ByNetwork() {
-		from = clientAddr(r.slot.c.Conn)
+		client = clientAddr(r.slot.c.Conn)
 	}
 	class, ok := ad.classIndex[r.cmd.class]
 	if !ok {
 		class = ad.otherClass
 	}
 	r.admissionStage = admissionQueued
-	ad.admission.Arrive(ad.loop.now(), admission.Request{ID: r.id, Tenant: ad.tenants.Tenant(r.cmd.tenant, r.cmd.key, from), Class: class,
-		Key: keyID(r.cmd.key), SizeBytes: r.cmd.length, RemainingMillis: left, IsRetry: r.cmd.retry})
+	ad.admission.Arrive(ad.loop.now(), admission.Request{
+		ID:              r.id,
+		Tenant:          ad.tenants.Tenant(r.cmd.tenant, r.cmd.key, client),
+		Class:           class,
+		Key:             keyID(r.cmd.key),
+		SizeBytes:       r.cmd.length,
+		RemainingMillis: remainingMillis,
+		IsRetry:         r.cmd.retry,
+	})
 	ad.arm()
 }
 
-// ended tells that a request has ended: served or not, refused by the Balancer or not, with an answer of so many bytes. One
-// that waited has lost its client, or was refused at its deadline.
-func (ad *admissionControl) ended(r *request, served, refused bool, size int) {
+// ended notifies admission of a request's end: whether it was served, whether the Balancer rejected
+// it, and the size of the answer. A request that ends while it is queued has lost its client, or was
+// rejected at its deadline.
+func (ad *admissionControl) ended(r *request, served, rejected bool, responseBytes int) {
 	if ad == nil {
 		return
 	}
-	was, now := r.admissionStage, ad.loop.now()
+	now := ad.loop.now()
+	stage := r.admissionStage
 	r.admissionStage = admissionNone
-	switch was {
+	switch stage {
 	case admissionQueued:
 		ad.admission.Disconnected(now, r.id)
 	case admissionAdmitted:
-		ad.admission.Ended(now, admission.Outcome{ID: r.id, Served: served, Rejected: refused, LatencyMillis: now - r.admittedAt, Attempts: len(r.attempts), WorkMillis: r.attemptMillis, ResponseBytes: size})
+		ad.admission.Ended(now, admission.Outcome{
+			ID:            r.id,
+			Served:        served,
+			Rejected:      rejected,
+			LatencyMillis: now - r.admittedAt,
+			Attempts:      len(r.attempts),
+			WorkMillis:    r.attemptMillis,
+			ResponseBytes: responseBytes,
+		})
 	default:
 		return
 	}
 	ad.arm()
 }
 
-// arm sees to it that what waits is looked at in time.
+// arm sets the timer to the next deadline of a queued request.
 func (ad *admissionControl) arm() {
 	next := ad.admission.NextDeadline()
 	if ad.timer != nil && ad.timer.i >= 0 && ad.timer.at <= next {
-		return // it is looked at sooner, and armed again then
+		return // the timer fires sooner, and is armed again then
 	}
 	ad.loop.timers.stop(ad.timer)
-	if !math.IsInf(next, 1) {
-		ad.timer = ad.loop.after(next-ad.loop.now(), func() {
-			ad.admission.Tick(ad.loop.now())
-			ad.arm()
-		})
+	if math.IsInf(next, 1) {
+		return
 	}
+	ad.timer = ad.loop.after(next-ad.loop.now(), func() {
+		ad.admission.Tick(ad.loop.now())
+		ad.arm()
+	})
 }
 
-// Admit lets a request through to the Balancer, after the call that led to it.
+// Admit forwards a request to the Balancer, once the call that led to it is over.
 func (ad *admissionControl) Admit(id uint32) {
 	r := ad.loop.reqs[id]
 	if r == nil {
 		return
 	}
-	r.admissionStage, r.admittedAt = admissionAdmitted, ad.loop.now()
+	r.admissionStage = admissionAdmitted
+	r.admittedAt = ad.loop.now()
 	ad.loop.deferred = append(ad.loop.deferred, func() {
 		if !r.isDone {
 			ad.loop.decide(ad.loop.now(), r)
@@ -145,40 +188,40 @@
 	})
 }
 
-// Reject ends a request at the door.
-func (ad *admissionControl) Reject(id uint32, after float64) {
-	if r := ad.loop.reqs[id]; r != nil {
-		r.admissionStage = admissionNone
-		if ad.loop.rules.Load().tellsRetryAfter {
-			ad.loop.Reject(id, math.Ceil(after))
-		} else {
-			ad.loop.Reject(id, 0)
-		}
+// Reject answers a request that admission rejects. The answer has a retry-after where the platform
+// wants one.
+func (ad *admissionControl) Reject(id uint32, retryAfterMillis float64) {
+	r := ad.loop.reqs[id]
+	if r == nil {
+		return
 	}
+	r.admissionStage = admissionNone
+	if !ad.loop.rules.Load().tellsRetryAfter {
+		retryAfterMillis = 0
+	}
+	ad.loop.Reject(id, math.Ceil(retryAfterMillis))
 }
 
-// shownTenants is how many tenants are shown by name.
+// shownTenants is how many tenants AdmissionState shows by name.
 const shownTenants = 100
 
-// AdmissionState is how admission stands, in JSON; admin.ErrOff tells that there is none.
+// AdmissionState returns how admission stands, as the JSON of admission.State. The error is
+// admin.ErrNotEnabled where admission is not enabled.
 func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
 	if r.l.admission == nil {
 		return nil, admin.ErrNotEnabled
 	}
-	var s admission.State
-	if err := r.l.do(ctx, func() error { s = r.l.admission.admission.State(shownTenants); return nil }); err != nil {
+	var state admission.State
+	err := r.l.do(ctx, func() error {
+		state = r.l.admission.admission.State(shownTenants)
+		return nil
+	})
+	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(s)
+	return json.Marshal(state)
 }
 
-// The places of a request before the Balancer.
-const (
-	admissionNone     = iota // is no matter of the door's, or not any more
-	admissionQueued          // waits there
-	admissionAdmitted        // was let in
-)
-
 // clientAddr is the address of a client, without the port.
 func clientAddr(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -11,18 +11,42 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// One place behind the door: the second request waits there, one whose client leaves gives its place up, and one for which
-// there is no room in time is refused at once, or as soon as its wait is over, and counted once.
+// admissionRules allow one request at a time, with small tables.
+func admissionRules() admission.Config {
+	return admission.Config{
+		OthersWeight:        1,
+		Flows:               8,
+		Buckets:             2,
+		RehashMillis:        10000,
+		QueueLimit:          2,
+		ReservationLimit:    8,
+		MaxWaitMillis:       100,
+		MaxRetryAfterMillis: 1500,
+		InitialLimit:        1,
+		MinLimit:            1,
+		MaxLimit:            1,
+		RetryBudgetShare:    1,
+		RetryBudgetBurst:    10,
+	}
+}
+
+// byClient tells a request's tenant by what its client declares.
+var byClient = admission.TenantRules{{Source: admission.TenantFromClient}}
+
+// Admission allows one request at a time. The first is in work, the second queued; its client
+// disconnects, and its place is free. The third is queued and served once the first has its answer. The
+// fourth, for which there is no capacity in time, is rejected at once or as soon as its wait is over.
+// Each is counted once.
 func TestAdmissionStandsBeforeTheBalancer(t *testing.T) {
 	release := make(chan struct{}, 10)
 	cache := startFake(t, func(line string) string {
-		if !strings.HasPrefix(line, "mg") { // a probe
+		if !strings.HasPrefix(line, "mg") { // a health check
 			return "STAT qps 3\r\nSTAT util 0.1\r\nEND\r\n"
 		}
 		<-release
 		return "VA 5 O{id} h1\r\nhello\r\n"
 	})
-	attempt := func(what string) {
+	awaitAttempt := func(what string) {
 		for !strings.HasPrefix(next(t, cache.seen, what), "mg") {
 		}
 	}
@@ -32,9 +56,9 @@
 	cfg := testConfig(t, d.Listener.Addr().String(), list{})
 	ln := listenLocal(t)
 	m := metrics.New()
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
-		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
-	cfg.Admission = &AdmissionConfig{rules, admission.TenantRules{{By: "fact"}}}
+	rules := admissionRules()
+	rules.MaxWaitMillis = 1e6
+	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: byClient}
 	r, err := New(cfg, ln, m)
 	if err != nil {
 		t.Fatal(err)
@@ -43,37 +67,40 @@
 	c := dial(t, ln.Addr().String())
 	for c.ask("mn") != "MN" {
 	}
-	// waiting tells how many wait at the door, once the loop has done all that was sent before.
-	waiting := func() int {
-		n := make(chan int)
-		r.l.post(func() { n <- r.l.admission.admission.State(0).Waiting })
-		return next(t, n, "count")
+	// queued is how many requests wait, once the loop has done all that was sent before.
+	queued := func() int {
+		count := make(chan int)
+		r.l.post(func() { count <- r.l.admission.admission.State(0).Waiting })
+		return next(t, count, "count")
 	}
-	until := func(n int) {
-		for end := time.Now().Add(wait); waiting() != n; {
+	awaitQueued := func(want int) {
+		t.Helper()
+		for end := time.Now().Add(wait); queued() != want; {
 			if time.Now().After(end) {
-				t.Fatalf("%d wait at the door, not %d", waiting(), n)
+				t.Fatalf("%d wait, not %d", queued(), want)
 			}
 		}
 	}
 	get := func(c *client, id int, tenant string) {
 		c.send(fmt.Sprintf("mg %016x v O%016x Pc=read,d=1900,t=%s\r\n", id, id, tenant))
 	}
-	first, second, third := dial(t, ln.Addr().String()), dial(t, ln.Addr().String()), dial(t, ln.Addr().String())
+	first := dial(t, ln.Addr().String())
+	second := dial(t, ln.Addr().String())
+	third := dial(t, ln.Addr().String())
 	get(first, 1, "a")
-	attempt("attempt")
+	awaitAttempt("attempt")
 	get(second, 2, "b")
-	until(1)
+	awaitQueued(1)
 	second.Close()
-	until(0)
+	awaitQueued(0)
 	get(third, 3, "b")
-	until(1)
+	awaitQueued(1)
 	release <- struct{}{}
 	if got := first.line(); !strings.HasPrefix(got, "VA 5") {
 		t.Errorf("the first: %q", got)
 	}
-	attempt("second attempt, once there is room")
-	get(first, 4, "a") // the one place is taken: it waits, for half of its time at most
+	awaitAttempt("second attempt, once there is capacity")
+	get(first, 4, "a") // the limit is in use: it waits, for half of its time at most
 	if got := first.line(); got != "SERVER_ERROR busy" && !strings.HasPrefix(got, "SERVER_ERROR busy ") {
 		t.Errorf("the fourth: %q", got)
 	}
@@ -89,41 +116,48 @@
 	}
 }
 
-// Rules of admission are taken with the rest of a configuration, or nothing is and the setting is named.
+// A reload brings a new tenant, which is taken. Another brings a table size that takes a new process, or
+// disables admission: nothing of that configuration is taken, and the setting is named. A program that
+// took the rest would run with half of a configuration.
 func TestAdmissionRulesAtReload(t *testing.T) {
-	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 100, MaxRetryAfterMillis: 1500,
-		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
-	with := func(r *admission.Config) *Config {
+	with := func(rules admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", list{})
-		if r != nil {
-			cfg.Admission = &AdmissionConfig{*r, nil}
-		}
+		cfg.Admission = &AdmissionConfig{Rules: rules}
 		return cfg
 	}
-	on := with(&rules)
-	l, err := newLoop(on, newUpstreams(time.Second, time.Second, 1), metrics.New())
+	l, err := newLoop(with(admissionRules()), newUpstreams(time.Second, time.Second, 1), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	named, larger := rules, rules
-	named.Tenants = []admission.Tenant{{Name: "a", Weight: 2}}
-	larger.Flows = 9
-	if err := l.reconfigure(with(&named)); err != nil || len(l.admission.admission.Snapshot(l.now()).Tenants) != 1 {
+	withTenant := admissionRules()
+	withTenant.Tenants = []admission.Tenant{{Name: "a", Weight: 2}}
+	if err := l.reconfigure(with(withTenant)); err != nil || len(l.admission.admission.Snapshot(l.now()).Tenants) != 1 {
 		t.Errorf("a new tenant: %v", err)
 	}
-	for setting, cfg := range map[string]*Config{"admission.flows": with(&larger), "admission.enabled": with(nil)} {
-		before := l.rules.Load()
-		if err := l.reconfigure(cfg); err == nil || !strings.Contains(err.Error(), setting) || l.rules.Load() != before {
-			t.Errorf("%s: %v", setting, err)
-		}
+	withMoreFlows := admissionRules()
+	withMoreFlows.Flows = 9
+	for setting, cfg := range map[string]*Config{
+		"admission.flows":   with(withMoreFlows),
+		"admission.enabled": testConfig(t, "127.0.0.1:9", list{}),
+	} {
+		t.Run(setting, func(t *testing.T) {
+			before := l.rules.Load()
+			err := l.reconfigure(cfg)
+			if err == nil || !strings.Contains(err.Error(), setting) || l.rules.Load() != before {
+				t.Errorf("got %v", err)
+			}
+		})
 	}
 }
 
-// A process takes over what the one before it has told clients.
+// A process hands over to its successor while its limit differs from the initial one: the successor
+// begins with that limit, not with the initial one, which the fleet may have no capacity for.
 func TestAdmissionIsHandedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", list{})
-	cfg.Admission = &AdmissionConfig{admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 100,
-		MaxRetryAfterMillis: 1500, InitialLimit: 7, MinLimit: 1, MaxLimit: 9, RetryBudgetShare: 1, RetryBudgetBurst: 10}, admission.TenantRules{{By: "fact"}}}
+	rules := admissionRules()
+	rules.InitialLimit = 7
+	rules.MaxLimit = 9
+	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: byClient}
 	start := func() *Router {
 		r, err := New(cfg, listenLocal(t), metrics.New())
 		if err != nil {
@@ -132,11 +166,17 @@
 		t.Cleanup(func() { r.s.ln.Close() })
 		return r
 	}
-	before, after := start(), start()
+	before := start()
+	after := start()
 	before.l.names.add("s-0000000b", 11) // a state without names is none
 	before.l.admission.admission.ScaleLimit(before.l.now(), 0.5)
-	door := before.l.admission.admission.Snapshot(before.l.now())
-	text, err := json.Marshal(handed{Module: before.l.b.HandOver(before.l.now()), Names: before.l.names.copied(), Door: &door})
+	snapshot := before.l.admission.admission.Snapshot(before.l.now())
+	state := handed{
+		Module: before.l.b.HandOver(before.l.now()),
+		Names:  before.l.names.copied(),
+		Door:   &snapshot,
+	}
+	text, err := json.Marshal(state)
 	if err == nil {
 		err = after.Inherit(text, nil)
 	}
@@ -145,6 +185,6 @@
 	}
 	after.begin()
 	if limit := after.l.admission.admission.State(0).Limit; limit != 3.5 {
-		t.Errorf("limit %v after the upgrade, 3.5 before", limit)
+		t.Errorf("limit %v after the hand-over, 3.5 before", limit)
 	}
 }
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -748,7 +748,7 @@
 	cfg := longLived(testConfig(t, d.Listener.Addr().String(), list{}))
 	rules := admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
 		InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10}
-	cfg.Admission = &AdmissionConfig{rules, admission.TenantRules{{By: "fact"}}}
+	cfg.Admission = &AdmissionConfig{rules, admission.TenantRules{{Source: admission.TenantFromClient}}}
 	cfg.settings.Config.HealthChecks = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // the door expects a request to take so long
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -230,7 +230,7 @@
 		switch err := k.Call(ctx, banKind, o); {
 		case err == nil:
 			found = true
-		case errors.Is(err, handover.ErrPeerClosed) || err.Error() == admin.ErrUnknownServer.Error():
+		case errors.Is(err, handover.ErrPeerClosed), errors.Is(err, admin.ErrUnknownServer):
 		default:
 			return errNotDone
 		}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -20,10 +20,10 @@
 	deadlineTimer  *timer // the last moment for an answer
 	isDone         bool   // has its final answer, or its client has disconnected
 	attempts       []*attempt
-	rule           *rule   // the rule, maxAttempts and allowsHedge are as the settings were on arrival
-	maxAttempts    int     // all together
-	allowsHedge    bool    // two may be out at once
-	admissionStage int     // its place in admission
+	rule           *rule // the rule, maxAttempts and allowsHedge are as the settings were on arrival
+	maxAttempts    int   // all together
+	allowsHedge    bool  // two may be out at once
+	admissionStage admissionStage
 	arrivedAt      float64 // on the loop's clock, as the other times
 	admittedAt     float64
 	attemptMillis  float64 // that its attempts have taken
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,7 +9,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Every settings object holds these keys. Where one is missing, a zero would stand in for it and might pass for a value.
+// Every settings object holds these keys. Where one is missing, a zero would stand in for it and
+// might pass for a value.
 var (
 	requiredKeys      = []string{"balancers", "myNumber", "categories", "caps", "rules"}
 	requiredCapsKeys  = []string{"maxAttempts"}
@@ -33,7 +34,8 @@
 	"OriginKind": "familyInfo.originKind", "Name": "name", "Aim": "target", "Deadline": "hardLimit", "Worth": "gain",
 	"Stretch": "aimStretch", "Effect": "effect", "Window": "window", "Scope": "keyScope", "Quota": "quotaPerS", "Tenants": "projects"}
 
-// Problems lists what is wrong with a settings object: every key that it lacks, or else the first impossible value.
+// Problems lists what is wrong with a settings object: every key that it lacks, or else the first
+// impossible value.
 func Problems(text []byte) []error {
 	if lacking := checkKeys(text); lacking != nil {
 		return lacking
@@ -90,9 +92,9 @@
 	return all
 }
 
-// MissingKey names the first key that one JSON object holds and a later form of it lacks, as "limits.memory_mb", or returns
-// "" where there is none. Of a list of objects, the later ones must each have what all of the earlier ones had. Inside the
-// keys named as data, anything may differ.
+// MissingKey names the first key that one JSON object holds and a later form of it lacks, as
+// "limits.memory_mb", or returns "" where there is none. Of a list of objects, the later ones must
+// each have what all of the earlier ones had. Inside the keys named as data, anything may differ.
 func MissingKey(was, is []byte, data ...string) (string, error) {
 	var a, b any
 	if err := json.Unmarshal(was, &a); err != nil {
@@ -150,7 +152,8 @@
 	return ""
 }
 
-// commonKeys holds the keys that all objects of a list have; nil where it holds anything else, or nothing.
+// commonKeys holds the keys that all objects of a list have; nil where it holds anything else, or
+// nothing.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for i, v := range list {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what an instance is told at its start: the same object on the simulator's wire and in a real
-// router's configuration.
+// Package settings reads what an instance is told at its start: the same object on the simulator's
+// wire and in a real router's configuration.
 package settings
 
 import (
@@ -111,8 +111,8 @@
 	return Settings{Config: c, LoadColumns: s.LoadInfo.Columns, ConnectTimeoutMillis: s.Caps.ConnectTimeout}, nil
 }
 
-// SetLoadField puts one figure of a load report in its place. Sockets and the simulator's wire have a name each for the
-// same figure; other figures have no use and are passed over.
+// SetLoadField puts one figure of a load report in its place. Sockets and the simulator's wire have
+// a name each for the same figure; other figures have no use and are passed over.
 func SetLoadField(l *decide.LoadReport, name string, v float64) {
 	switch name {
 	case "rps", "qps":
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace is a router's record of single events, for a look at a whole fleet afterwards (dockhinge-lab tally).
-// It is off by default. A nil *Trace takes events and does nothing.
+// Package trace is a router's record of single events, for a look at a whole fleet afterwards
+// (dockhinge-lab tally). It is off by default. A nil *Trace takes events and does nothing.
 package trace
 
 import (
@@ -31,7 +31,8 @@
 // Enabled tells whether events are kept: what is dear to put together need not be.
 func (t *Trace) Enabled() bool { return t != nil }
 
-// Event keeps one event: at is Unix time in milliseconds, form and v give its fields as name=value, set apart by spaces.
+// Event keeps one event: at is Unix time in milliseconds, form and v give its fields as name=value,
+// set apart by spaces.
 func (t *Trace) Event(at float64, name, form string, v ...any) {
 	if t == nil {
 		return
