--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r.OnShare(func(processes int) { setMemoryLimit(cfg, processes) })
+	r.OnProcessCount(func(processes int) { setMemoryLimit(cfg, processes) })
 	if link != nil {
 		if err := r.Inherit(state, link); err != nil {
 			slog.Warn("handover", "error", err)
--- a/internal/healthcheck/fixture_test.go
+++ b/internal/healthcheck/fixture_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("report %d: got %+v, want %+v", i, got[i], want[i])
 		}
 	}
-	if written := Encode(want, coord.MaxRecord); !bytes.Equal(written, text) {
+	if written := Encode(want, coord.MaxRecordBytes); !bytes.Equal(written, text) {
 		t.Errorf("wrote %s\nwant  %s", written, text)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -36,7 +36,7 @@
 	RepeatEvery string `toml:"repeat_every"`
 	// RepeatBurst is how many lines of one event are logged in that time, 1 to 1000.
 	RepeatBurst int `toml:"repeat_burst"`
-	// Trace logs single events too, for dockhinge-lab tally.
+	// Trace logs single events too, for dockhinge-lab trace-summary.
 	Trace bool `toml:"trace"`
 }
 
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -109,21 +109,21 @@
 func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
 	var client netip.Addr
 	if ad.tenants.ByNetwork() {
-		client = clientAddr(r.slot.c.Conn)
+		client = clientAddr(r.response.conn.Conn)
 	}
-	class, ok := ad.classIndex[r.cmd.class]
+	class, ok := ad.classIndex[r.command.class]
 	if !ok {
 		class = ad.otherClass
 	}
 	r.admissionStage = admissionQueued
 	ad.admission.Arrive(ad.loop.now(), admission.Request{
 		ID:              r.id,
-		Tenant:          ad.tenants.Tenant(r.cmd.tenant, r.cmd.key, client),
+		Tenant:          ad.tenants.Tenant(r.command.tenant, r.command.key, client),
 		Class:           class,
-		Key:             keyID(r.cmd.key),
-		SizeBytes:       r.cmd.length,
+		Key:             keyID(r.command.key),
+		SizeBytes:       r.command.valueBytes,
 		RemainingMillis: remainingMillis,
-		IsRetry:         r.cmd.retry,
+		IsRetry:         r.command.isRetry,
 	})
 	ad.arm()
 }
@@ -160,7 +160,7 @@
 // arm sets the timer to the next deadline of a queued request.
 func (ad *admissionControl) arm() {
 	next := ad.admission.NextDeadline()
-	if ad.timer != nil && ad.timer.i >= 0 && ad.timer.at <= next {
+	if ad.timer != nil && ad.timer.heapIndex >= 0 && ad.timer.at <= next {
 		return // the timer fires sooner, and is armed again then
 	}
 	ad.loop.timers.stop(ad.timer)
@@ -175,7 +175,7 @@
 
 // Admit forwards a request to the Balancer, once the call that led to it is over.
 func (ad *admissionControl) Admit(id uint32) {
-	r := ad.loop.reqs[id]
+	r := ad.loop.requests[id]
 	if r == nil {
 		return
 	}
@@ -191,7 +191,7 @@
 // Reject answers a request that admission rejects. The answer has a retry-after where the platform
 // wants one.
 func (ad *admissionControl) Reject(id uint32, retryAfterMillis float64) {
-	r := ad.loop.reqs[id]
+	r := ad.loop.requests[id]
 	if r == nil {
 		return
 	}
@@ -208,12 +208,12 @@
 // AdmissionState returns how admission stands, as the JSON of admission.State. The error is
 // admin.ErrNotEnabled where admission is not enabled.
 func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
-	if r.l.admission == nil {
+	if r.loop.admission == nil {
 		return nil, admin.ErrNotEnabled
 	}
 	var state admission.State
-	err := r.l.do(ctx, func() error {
-		state = r.l.admission.admission.State(shownTenants)
+	err := r.loop.call(ctx, func() error {
+		state = r.loop.admission.admission.State(shownTenants)
 		return nil
 	})
 	if err != nil {
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -53,7 +53,7 @@
 	t.Cleanup(func() { close(release) })
 	origin := startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", cache.addr), originAt(origin.addr)))
-	cfg := testConfig(t, d.Listener.Addr().String(), list{})
+	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	ln := listenLocal(t)
 	m := metrics.New()
 	rules := admissionRules()
@@ -70,7 +70,7 @@
 	// queued is how many requests wait, once the loop has done all that was sent before.
 	queued := func() int {
 		count := make(chan int)
-		r.l.post(func() { count <- r.l.admission.admission.State(0).Waiting })
+		r.loop.post(func() { count <- r.loop.admission.admission.State(0).Waiting })
 		return next(t, count, "count")
 	}
 	awaitQueued := func(want int) {
@@ -121,7 +121,7 @@
 // took the rest would run with half of a configuration.
 func TestAdmissionRulesAtReload(t *testing.T) {
 	with := func(rules admission.Config) *Config {
-		cfg := testConfig(t, "127.0.0.1:9", list{})
+		cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 		cfg.Admission = &AdmissionConfig{Rules: rules}
 		return cfg
 	}
@@ -138,7 +138,7 @@
 	withMoreFlows.Flows = 9
 	for setting, cfg := range map[string]*Config{
 		"admission.flows":   with(withMoreFlows),
-		"admission.enabled": testConfig(t, "127.0.0.1:9", list{}),
+		"admission.enabled": testConfig(t, "127.0.0.1:9", endpointList{}),
 	} {
 		t.Run(setting, func(t *testing.T) {
 			before := l.rules.Load()
@@ -153,7 +153,7 @@
 // A process hands over to its successor while its limit differs from the initial one: the successor
 // begins with that limit, not with the initial one, which the fleet may have no capacity for.
 func TestAdmissionIsHandedOver(t *testing.T) {
-	cfg := testConfig(t, "127.0.0.1:9", list{})
+	cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 	rules := admissionRules()
 	rules.InitialLimit = 7
 	rules.MaxLimit = 9
@@ -163,18 +163,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { r.s.ln.Close() })
+		t.Cleanup(func() { r.clients.listener.Close() })
 		return r
 	}
 	before := start()
 	after := start()
-	before.l.names.add("s-0000000b", 11) // a state without names is none
-	before.l.admission.admission.ScaleLimit(before.l.now(), 0.5)
-	snapshot := before.l.admission.admission.Snapshot(before.l.now())
-	state := handed{
-		Module: before.l.b.HandOver(before.l.now()),
-		Names:  before.l.names.copied(),
-		Door:   &snapshot,
+	before.loop.serverIDs.add("s-0000000b", 11) // a state without names is none
+	before.loop.admission.admission.ScaleLimit(before.loop.now(), 0.5)
+	snapshot := before.loop.admission.admission.Snapshot(before.loop.now())
+	state := handoverState{
+		Decisions: before.loop.balancer.HandOver(before.loop.now()),
+		ServerIDs: before.loop.serverIDs.clone(),
+		Admission: &snapshot,
 	}
 	text, err := json.Marshal(state)
 	if err == nil {
@@ -183,8 +183,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.begin()
-	if limit := after.l.admission.admission.State(0).Limit; limit != 3.5 {
+	after.restoreState()
+	if limit := after.loop.admission.admission.State(0).Limit; limit != 3.5 {
 		t.Errorf("limit %v after the hand-over, 3.5 before", limit)
 	}
 }
