--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -169,7 +169,7 @@
 	l.admission.ended(r, true, false, got.streamedBytes)
 	l.forget(r)
 	l.balancer.AttemptEnded(now, decide.Outcome{RequestID: r.id, Attempt: a.index, ServerID: a.server, Status: decide.OK, LatencyMillis: now - a.startedAt,
-		IsFinal: true, Note: got.cacheNote, Load: got.load})
+		IsFinal: true, CacheResult: decide.CacheResult(got.cacheNote), Load: got.load})
 	return sl
 }
 
