--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -11,12 +11,15 @@
 
 // Problem is one mistake in a file. It is an error whose text is FILE:LINE: SETTING: REASON.
 type Problem struct {
-	File    string
-	Line    int    // from 1; 0 = the file as a whole
-	Setting string // with dots, as "settings.caps.maxAttempts"; "" = none
+	File string
+	// Line counts from 1; 0 = the file as a whole.
+	Line int
+	// Setting is written with dots, as "settings.caps.maxAttempts"; "" = none.
+	Setting string
 	Reason  string
 }
 
+// Error is FILE:LINE: SETTING: REASON, without the parts that are not known.
 func (p Problem) Error() string {
 	at := p.File
 	if p.Line > 0 {
@@ -39,7 +42,7 @@
 func JSONLine(text []byte, setting string) int {
 	lines := map[string]int{}
 	dec := json.NewDecoder(bytes.NewReader(text))
-	if walk(dec, text, "", lines) != nil {
+	if recordLines(dec, text, "", lines) != nil {
 		return 0
 	}
 	for {
@@ -54,26 +57,28 @@
 	}
 }
 
-func walk(dec *json.Decoder, text []byte, at string, lines map[string]int) error {
-	tok, err := dec.Token()
+// recordLines records in lines where the decoder's next value, whose setting is at, and all values
+// inside it begin.
+func recordLines(dec *json.Decoder, text []byte, at string, lines map[string]int) error {
+	token, err := dec.Token()
 	if err != nil {
 		return fmt.Errorf("JSON: %w", err)
 	}
 	lines[at] = LineAt(text, dec.InputOffset()-1)
-	open, ok := tok.(json.Delim)
-	if !ok {
+	opening, isList := token.(json.Delim)
+	if !isList {
 		return nil
 	}
 	for i := 0; dec.More(); i++ {
 		inner := fmt.Sprintf("%s[%d]", at, i)
-		if open == '{' {
+		if opening == '{' {
 			key, err := dec.Token()
 			if err != nil {
 				return fmt.Errorf("JSON: %w", err)
 			}
 			inner = strings.TrimPrefix(at+"."+fmt.Sprint(key), ".")
 		}
-		if err := walk(dec, text, inner, lines); err != nil {
+		if err := recordLines(dec, text, inner, lines); err != nil {
 			return err
 		}
 	}
--- a/internal/configerror/toml.go
+++ b/internal/configerror/toml.go
@@ -15,21 +15,25 @@
 	dec := toml.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	err := dec.Decode(into)
-	var strict *toml.StrictMissingError
-	var one *toml.DecodeError
+	var unknownKeys *toml.StrictMissingError
+	var mistake *toml.DecodeError
 	switch {
-	case errors.As(err, &strict):
-		var all []error
-		for _, e := range strict.Errors {
-			line, _ := e.Position()
-			all = append(all, Problem{File: name, Line: line, Setting: strings.Join(e.Key(), "."), Reason: "unknown key"})
+	case err == nil:
+		return nil
+	case errors.As(err, &unknownKeys):
+		var problems []error
+		for _, e := range unknownKeys.Errors {
+			problems = append(problems, problemAt(name, &e, "unknown key"))
 		}
-		return errors.Join(all...)
-	case errors.As(err, &one):
-		line, _ := one.Position()
-		return Problem{File: name, Line: line, Setting: strings.Join(one.Key(), "."), Reason: strings.TrimPrefix(one.Error(), "toml: ")}
-	case err != nil:
-		return Problem{File: name, Reason: err.Error()}
+		return errors.Join(problems...)
+	case errors.As(err, &mistake):
+		return problemAt(name, mistake, strings.TrimPrefix(mistake.Error(), "toml: "))
 	}
-	return nil
+	return Problem{File: name, Reason: err.Error()}
+}
+
+// problemAt is the problem of a decoder's mistake, with its line and key.
+func problemAt(file string, mistake *toml.DecodeError, reason string) Problem {
+	line, _ := mistake.Position()
+	return Problem{File: file, Line: line, Setting: strings.Join(mistake.Key(), "."), Reason: reason}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -12,80 +12,109 @@
 
 // Options say how to log.
 type Options struct {
-	Level          string        // debug, info, warn or error
-	JSON           bool          // else text
-	RepeatInterval time.Duration // in this time, of one event,
-	RepeatBurst    int           // so many lines; 0 = no bound
+	// Level is debug, info, warn or error.
+	Level string
+	// JSON writes JSON in place of text.
+	JSON bool
+	// RepeatInterval is the time in which the lines of one event are bounded.
+	RepeatInterval time.Duration
+	// RepeatBurst is how many lines of one event are written in that time; 0 = no bound.
+	RepeatBurst int
 }
 
-// maxEvents bounds the events that are told apart for the limit; those beyond share one limit.
+// maxEvents bounds the events that are limited each on its own; those beyond share one limit.
 const maxEvents = 256
 
 // New returns a logger that writes to w.
 func New(w io.Writer, o Options) *slog.Logger {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(o.Level)) // unknown: info; the operator file is checked where it is read
-	ho := &slog.HandlerOptions{Level: level}
-	var h slog.Handler = slog.NewTextHandler(w, ho)
+	options := &slog.HandlerOptions{Level: level}
+	var handler slog.Handler = slog.NewTextHandler(w, options)
 	if o.JSON {
-		h = slog.NewJSONHandler(w, ho)
+		handler = slog.NewJSONHandler(w, options)
 	}
 	if o.RepeatBurst > 0 {
-		h = &limiter{next: h, events: &eventLimits{every: o.RepeatInterval, burst: o.RepeatBurst, windows: map[event]*window{}}}
+		handler = &limiter{next: handler, events: newEventLimits(o.RepeatInterval, o.RepeatBurst)}
 	}
-	return slog.New(h)
+	return slog.New(handler)
 }
 
 // event is what counts as the same line again: its level and message, whatever its attributes.
 type event struct {
-	level slog.Level
-	msg   string
+	level   slog.Level
+	message string
 }
 
+// window counts the lines of an event in one interval.
 type window struct {
-	startedAt         time.Time
-	lines, suppressed int
+	startedAt time.Time
+	lines     int
+	// suppressed is how many lines were not written since the last that was.
+	suppressed int
 }
 
 // eventLimits counts lines by event. It has no clock: the records bring their time.
 type eventLimits struct {
-	mu       sync.Mutex
-	every    time.Duration
+	interval time.Duration
 	burst    int
-	windows  map[event]*window
+
+	mu      sync.Mutex
+	windows map[event]*window
+	// overflow counts the events for which there is no window.
 	overflow window
 }
 
-// allow reports whether an event may be logged at now, and how many were not since the last that was.
-func (e *eventLimits) allow(of event, now time.Time) (ok bool, unsaid int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	w := e.windows[of]
-	if w == nil {
-		if len(e.windows) >= maxEvents {
-			for k, old := range e.windows { // those that are over and owe no count
-				if now.Sub(old.startedAt) >= e.every && old.suppressed == 0 {
-					delete(e.windows, k)
-				}
-			}
-		}
-		if w = &e.overflow; len(e.windows) < maxEvents {
-			w = &window{startedAt: now}
-			e.windows[of] = w
-		}
-	}
-	if now.Sub(w.startedAt) >= e.every {
-		w.startedAt, w.lines = now, 0
+func newEventLimits(interval time.Duration, burst int) *eventLimits {
+	return &eventLimits{interval: interval, burst: burst, windows: map[event]*window{}}
+}
+
+// allow reports whether a line of an event may be written at now, and how many were suppressed since
+// the last that was.
+func (l *eventLimits) allow(e event, now time.Time) (isAllowed bool, suppressed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	w := l.window(e, now)
+	if now.Sub(w.startedAt) >= l.interval {
+		w.startedAt = now
+		w.lines = 0
 	}
-	if w.lines++; w.lines > e.burst {
+	w.lines++
+	if w.lines > l.burst {
 		w.suppressed++
 		return false, 0
 	}
-	unsaid, w.suppressed = w.suppressed, 0
-	return true, unsaid
+	suppressed = w.suppressed
+	w.suppressed = 0
+	return true, suppressed
+}
+
+// window returns the window of an event, or overflow where there are too many.
+func (l *eventLimits) window(e event, now time.Time) *window {
+	if w := l.windows[e]; w != nil {
+		return w
+	}
+	if len(l.windows) >= maxEvents {
+		l.evictOver(now)
+	}
+	if len(l.windows) >= maxEvents {
+		return &l.overflow
+	}
+	w := &window{startedAt: now}
+	l.windows[e] = w
+	return w
+}
+
+// evictOver drops the windows that are over and have no suppressed lines to tell of.
+func (l *eventLimits) evictOver(now time.Time) {
+	for e, w := range l.windows {
+		if now.Sub(w.startedAt) >= l.interval && w.suppressed == 0 {
+			delete(l.windows, e)
+		}
+	}
 }
 
-// limiter passes on a bounded number of lines of each event.
+// limiter is a slog.Handler that passes on a bounded number of lines of each event.
 type limiter struct {
 	next   slog.Handler
 	events *eventLimits
@@ -96,19 +125,19 @@
 }
 
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
-	ok, unsaid := l.events.allow(event{r.Level, r.Message}, r.Time)
-	if !ok {
+	isAllowed, suppressed := l.events.allow(event{r.Level, r.Message}, r.Time)
+	if !isAllowed {
 		return nil
 	}
-	if unsaid > 0 {
+	if suppressed > 0 {
 		r = r.Clone()
-		r.AddAttrs(slog.Int("suppressed", unsaid))
+		r.AddAttrs(slog.Int("suppressed", suppressed))
 	}
 	return l.next.Handle(ctx, r)
 }
 
-func (l *limiter) WithAttrs(as []slog.Attr) slog.Handler {
-	return &limiter{next: l.next.WithAttrs(as), events: l.events}
+func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limiter{next: l.next.WithAttrs(attrs), events: l.events}
 }
 
 func (l *limiter) WithGroup(name string) slog.Handler {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,6 +10,8 @@
 	"time"
 )
 
+// One event is logged seven times within its interval, and once after it. Two lines are written at once
+// and one later, which tells how many were not.
 func TestRepeatedEventsAreCountedNotWritten(t *testing.T) {
 	var b bytes.Buffer
 	log := New(&b, Options{Level: "info", RepeatInterval: 10 * time.Second, RepeatBurst: 2})
@@ -34,16 +36,18 @@
 	}
 }
 
+// More different events are logged than are limited each on its own. The rest share one limit, and the
+// windows of those that are over make way for a new event.
 func TestEventsHaveABound(t *testing.T) {
-	e := &eventLimits{every: time.Second, burst: 1, windows: map[event]*window{}}
+	e := newEventLimits(time.Second, 1)
 	now := time.Unix(1000, 0)
 	for i := range 10 * maxEvents {
-		e.allow(event{msg: fmt.Sprint(i)}, now)
+		e.allow(event{message: fmt.Sprint(i)}, now)
 	}
 	if len(e.windows) != maxEvents || e.overflow.suppressed != 9*maxEvents-1 {
 		t.Errorf("%d events, %d beyond unsaid", len(e.windows), e.overflow.suppressed)
 	}
-	e.allow(event{msg: "new"}, now.Add(time.Second)) // all are over by now
+	e.allow(event{message: "new"}, now.Add(time.Second)) // all are over by now
 	if len(e.windows) != 1 {
 		t.Errorf("%d events once the old ones are over", len(e.windows))
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the figures that a router reports. Whoever sees a thing happen counts it
-// here; readers take a snapshot and wait for nobody.
+// Package metrics holds the figures that a router reports. Each is counted where the event happens;
+// readers take a snapshot and wait for nobody.
 package metrics
 
 import (
@@ -13,9 +13,12 @@
 
 // The ways a request can end.
 const (
-	Success  Outcome = iota // served
-	Overload                // refused
-	Error                   // failed
+	// Success is a request that was served.
+	Success Outcome = iota
+	// Overload is a request that was rejected for want of capacity.
+	Overload
+	// Error is a request that failed.
+	Error
 	outcomeCount
 )
 
@@ -25,25 +28,34 @@
 }
 
 // Ended counts the end of a request.
-func (c *Class) Ended(how Outcome) { c.counts[how].Add(1) }
+func (c *Class) Ended(outcome Outcome) { c.counts[outcome].Add(1) }
 
-// Router holds the figures of one process. Every count starts at 0 with it.
+// Router holds the figures of one process. Every count starts at 0 with it. All may be used
+// concurrently.
 type Router struct {
-	mu      sync.RWMutex
-	classes map[string]*Class // also those that a reload has dropped: what they counted is not undone
+	mu sync.RWMutex
+	// classes also has those that a reload has dropped: what they counted stays.
+	classes map[string]*Class
 
-	Dispatches                      atomic.Int64 // attempts written whole
-	Concurrent                      atomic.Int64 // requests taken and not ended
-	Targets                         atomic.Int64 // cache servers in the list
-	TargetsDisabled                 atomic.Int64 // and those of them that are avoided
-	ReloadSuccesses, ReloadFailures atomic.Int64 // files taken and turned down at SIGHUP
+	// Dispatches counts attempts that were written completely.
+	Dispatches atomic.Int64
+	// Concurrent is how many requests are in flight.
+	Concurrent atomic.Int64
+	// Targets is how many cache servers the endpoint list has.
+	Targets atomic.Int64
+	// TargetsDisabled is how many of them get no requests.
+	TargetsDisabled atomic.Int64
+	// ReloadSuccesses counts configurations that were taken at SIGHUP.
+	ReloadSuccesses atomic.Int64
+	// ReloadFailures counts configurations that were rejected at SIGHUP.
+	ReloadFailures atomic.Int64
 }
 
 // New returns the figures of a process that has done nothing yet.
 func New() *Router { return &Router{classes: map[string]*Class{}} }
 
-// Class returns the counts of a class, which is reported from then on. Only configured classes may
-// be named, as each is kept for good.
+// Class returns the counts of a class, which is reported from then on. Only configured classes may be
+// named, as each is kept for good.
 func (m *Router) Class(name string) *Class {
 	m.mu.RLock()
 	c := m.classes[name]
@@ -53,7 +65,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if c = m.classes[name]; c == nil {
+	c = m.classes[name]
+	if c == nil {
 		c = new(Class)
 		m.classes[name] = c
 	}
@@ -71,30 +84,43 @@
 	TargetsDisabled int64            `json:"targets_disabled"`
 	ReloadSuccess   int64            `json:"reload_success"`
 	ReloadFailure   int64            `json:"reload_failure"`
-	ProbeReports    *ProbeReports    `json:"probe_reports,omitempty"` // only where routers probe for one another
+	// ProbeReports is nil where routers do not health-check for one another.
+	ProbeReports *ProbeReports `json:"probe_reports,omitempty"`
 }
 
-// ProbeReports counts what other routers' probes were worth.
+// ProbeReports counts the use of other routers' health checks.
 type ProbeReports struct {
-	Hits   int `json:"used"`   // times that a report took the place of a probe
-	Misses int `json:"missed"` // times that there was none, or a stale one
+	// Hits counts reports that took the place of a health check.
+	Hits int `json:"used"`
+	// Misses counts health checks for which there was no report that counts.
+	Misses int `json:"missed"`
 }
 
 // Snapshot reads all figures.
 func (m *Router) Snapshot() Snapshot {
-	s := Snapshot{Success: map[string]int64{}, Overload: map[string]int64{}, Error: map[string]int64{},
-		Dispatches: m.Dispatches.Load(), Concurrent: m.Concurrent.Load(), Targets: m.Targets.Load(),
-		TargetsDisabled: m.TargetsDisabled.Load(), ReloadSuccess: m.ReloadSuccesses.Load(), ReloadFailure: m.ReloadFailures.Load()}
+	s := Snapshot{
+		Success:         map[string]int64{},
+		Overload:        map[string]int64{},
+		Error:           map[string]int64{},
+		Dispatches:      m.Dispatches.Load(),
+		Concurrent:      m.Concurrent.Load(),
+		Targets:         m.Targets.Load(),
+		TargetsDisabled: m.TargetsDisabled.Load(),
+		ReloadSuccess:   m.ReloadSuccesses.Load(),
+		ReloadFailure:   m.ReloadFailures.Load(),
+	}
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	for name, c := range m.classes {
-		s.Success[name], s.Overload[name] = c.counts[Success].Load(), c.counts[Overload].Load()
-		s.Error[name] = c.counts[Error].Load()
+	for name, class := range m.classes {
+		s.Success[name] = class.counts[Success].Load()
+		s.Overload[name] = class.counts[Overload].Load()
+		s.Error[name] = class.counts[Error].Load()
 	}
 	return s
 }
 
-// JSON is the report as text, with what of probe reports was counted elsewhere; nil = nothing.
+// JSON is the report as text, with the counts of health check reports, which are kept elsewhere; nil =
+// there are none.
 func (m *Router) JSON(reports *ProbeReports) ([]byte, error) {
 	s := m.Snapshot()
 	s.ProbeReports = reports
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Operators and their tools read the report by its names.
 func TestReportHasTheOperatorsNames(t *testing.T) {
 	m := New()
 	c := m.Class("fetch")
@@ -39,6 +40,7 @@
 	}
 }
 
+// Requests end in many goroutines while the report is read: no end is lost.
 func TestCountsFromManyGoroutinesAddUp(t *testing.T) {
 	m := New()
 	var wg sync.WaitGroup
--- a/internal/settings/fixture_test.go
+++ b/internal/settings/fixture_test.go
@@ -33,7 +33,8 @@
 					PriorityWeight: 1, LateWeight: 0.25,
 				},
 				{
-					Name: "put", Effect: decide.IdempotentByKey, IdempotencyScope: "zone", IdempotencyWindowMillis: 2500,
+					Name: "put", Effect: decide.IdempotentByKey,
+					IdempotencyScope: "zone", IdempotencyWindowMillis: 2500,
 					LatencyObjectiveMillis: 120, ObjectivePerWork: 2, DeadlineMillis: 3000,
 					PriorityWeight: 4, LateWeight: 0.5,
 				},
@@ -43,7 +44,10 @@
 					PriorityWeight: 0.5, LateWeight: 0.125, IsStream: true,
 				},
 			},
-			Tenants:               []decide.Tenant{{Name: "tax", QuotaPerSecond: 40}, {Name: "health", QuotaPerSecond: 15.5}},
+			Tenants: []decide.Tenant{
+				{Name: "tax", QuotaPerSecond: 40},
+				{Name: "health", QuotaPerSecond: 15.5},
+			},
 			OverQuotaWeight:       0.2,
 			WeightByWork:          true,
 			CacheAside:            true,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads what an instance is told at its start: the same object on the simulator's
-// wire and in a real router's configuration.
+// Package settings reads the platform's settings of an instance: the same object on the simulator's
+// wire and in a real router's configuration. It is the one place that knows the platform's words
+// (balancers, categories, hardLimit, gain, ...); nothing behind it does.
 package settings
 
 import (
@@ -11,119 +12,134 @@
 
 // Settings is the settings object in the terms of the decide package, with what only its host needs.
 type Settings struct {
-	Config               decide.Config
-	LoadColumns          []string // of the load reports on the simulator's wire
-	ConnectTimeoutMillis float64  // a connection not established within these milliseconds has failed; 0 = not told
+	Config decide.Config
+	// LoadColumns names the values of a load report on the simulator's wire, in their order.
+	LoadColumns []string
+	// ConnectTimeoutMillis is the time after which connecting has failed; 0 = the platform sets none.
+	ConnectTimeoutMillis float64
 }
 
-// object mirrors the settings object; unknown keys are ignored.
-type object struct {
-	Balancers  int `json:"balancers"`
-	MyNumber   int `json:"myNumber"`
-	Zone       string
-	Categories []struct {
-		Name       string
-		Effect     string
-		KeyScope   string
-		Window     float64
-		Target     float64
-		AimStretch float64
-		HardLimit  float64
-		Gain       float64
-		LateWorth  float64
-		Stream     bool
-	}
-	Projects []struct {
-		Name      string
-		QuotaPerS float64
-	}
-	OverShareWorth float64
-	CountedBy      string
-	Kinds          []string
-	FamilyInfo     struct {
-		Mode       string
-		OriginKind *int
-	}
-	Discovery string
-	Weights   string
-	LoadInfo  struct {
-		Columns []string
-		How     string
-	}
-	Caps struct {
-		Cancel, MayProbe, Peers, RetryAfter, SecondCopies bool
-		MaxAttempts                                       int
-		MaxRetryAfter, CPUUsPerS, ConnIdle                float64
-		ConnectTimeout                                    float64
-	}
-	Rules struct {
-		Cold, ColdFrom, OverloadFactor, OverloadFor, MustAskIn float64
-	}
+// effects maps the platform's words for what may be repeated.
+var effects = map[string]decide.Effect{
+	"repeatable": decide.Idempotent,
+	"by_key":     decide.IdempotentByKey,
+	"once":       decide.NotIdempotent,
 }
 
-var effects = map[string]decide.Effect{"repeatable": decide.Idempotent, "by_key": decide.IdempotentByKey, "once": decide.NotIdempotent}
+// Words of the platform that switch a part of the configuration.
+const (
+	countedByWork   = "work"
+	modeCacheAside  = "aside"
+	weightsAreLive  = "live"
+	loadByProbe     = "probe"
+	discoveryByPoll = "ask"
+)
 
-// Parse reads the settings of one instance.
+// Parse reads the settings of one instance. The error is an *Error where it names a key.
 func Parse(text []byte) (Settings, error) {
-	if lacking := checkKeys(text); lacking != nil {
-		return Settings{}, lacking[0]
+	if missing := checkKeys(text); missing != nil {
+		return Settings{}, missing[0]
 	}
-	var s object
-	if err := json.Unmarshal(text, &s); err != nil {
+	var o object
+	if err := json.Unmarshal(text, &o); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	c := decide.Config{
-		Routers: s.Balancers, RouterIndex: s.MyNumber, Zone: s.Zone, OverQuotaWeight: s.OverShareWorth,
-		WeightByWork: s.CountedBy == "work", CacheAside: s.FamilyInfo.Mode == "aside",
-		SizesAreLoads: s.Weights == "live", LoadByHealthCheck: s.LoadInfo.How == "probe",
-		PollEndpoints: s.Discovery == "ask", PollWithinMillis: s.Rules.MustAskIn,
-		HealthChecks: s.Caps.MayProbe, GossipAllowed: s.Caps.Peers, CancelAllowed: s.Caps.Cancel, HedgingAllowed: s.Caps.SecondCopies,
-		SendRetryAfter: s.Caps.RetryAfter, MaxRetryAfterMillis: s.Caps.MaxRetryAfter,
-		MaxAttempts: s.Caps.MaxAttempts, IdleTimeoutMillis: s.Caps.ConnIdle, CPUMicrosPerSecond: s.Caps.CPUUsPerS,
-		SlowStartMillis: s.Rules.Cold, SlowStartInitialShare: s.Rules.ColdFrom, OverloadFactor: s.Rules.OverloadFactor, OverloadMillis: s.Rules.OverloadFor,
-	}
+	c := o.config()
 	if c.CacheAside {
-		k := s.FamilyInfo.OriginKind
-		if k == nil || *k < 0 || *k >= len(s.Kinds) {
-			return Settings{}, &Error{"familyInfo.originKind", "names no entry of kinds"}
+		kind := o.FamilyInfo.OriginKind
+		if kind == nil || *kind < 0 || *kind >= len(o.Kinds) {
+			return Settings{}, &Error{Key: "familyInfo.originKind", Reason: "names no entry of kinds"}
 		}
-		c.OriginKind = s.Kinds[*k]
+		c.OriginKind = o.Kinds[*kind]
+	}
+	classes, err := o.classes()
+	if err != nil {
+		return Settings{}, err
 	}
+	c.Classes = classes
+	for _, project := range o.Projects {
+		c.Tenants = append(c.Tenants, decide.Tenant{Name: project.Name, QuotaPerSecond: project.QuotaPerS})
+	}
+	timeout := o.Caps.ConnectTimeout
+	if !(timeout >= 0) {
+		return Settings{}, &Error{Key: "caps.connectTimeout", Reason: fmt.Sprintf("impossible value %v", timeout)}
+	}
+	return Settings{Config: c, LoadColumns: o.LoadInfo.Columns, ConnectTimeoutMillis: timeout}, nil
+}
+
+// config maps the settings that are single values.
+func (o *object) config() decide.Config {
+	return decide.Config{
+		Routers:               o.Balancers,
+		RouterIndex:           o.MyNumber,
+		Zone:                  o.Zone,
+		OverQuotaWeight:       o.OverShareWorth,
+		WeightByWork:          o.CountedBy == countedByWork,
+		CacheAside:            o.FamilyInfo.Mode == modeCacheAside,
+		SizesAreLoads:         o.Weights == weightsAreLive,
+		LoadByHealthCheck:     o.LoadInfo.How == loadByProbe,
+		PollEndpoints:         o.Discovery == discoveryByPoll,
+		PollWithinMillis:      o.Rules.MustAskIn,
+		HealthChecks:          o.Caps.MayProbe,
+		GossipAllowed:         o.Caps.Peers,
+		CancelAllowed:         o.Caps.Cancel,
+		HedgingAllowed:        o.Caps.SecondCopies,
+		SendRetryAfter:        o.Caps.RetryAfter,
+		MaxRetryAfterMillis:   o.Caps.MaxRetryAfter,
+		MaxAttempts:           o.Caps.MaxAttempts,
+		IdleTimeoutMillis:     o.Caps.ConnIdle,
+		CPUMicrosPerSecond:    o.Caps.CPUUsPerS,
+		SlowStartMillis:       o.Rules.Cold,
+		SlowStartInitialShare: o.Rules.ColdFrom,
+		OverloadFactor:        o.Rules.OverloadFactor,
+		OverloadMillis:        o.Rules.OverloadFor,
+	}
+}
+
+// classes maps the categories.
+func (o *object) classes() ([]decide.Class, error) {
+	var classes []decide.Class
 	seen := map[string]bool{}
-	for i, k := range s.Categories {
-		if seen[k.Name] {
-			return Settings{}, &Error{fmt.Sprintf("categories[%d].name", i), fmt.Sprintf("%q is named twice", k.Name)}
+	for i, c := range o.Categories {
+		if seen[c.Name] {
+			key := fmt.Sprintf("categories[%d].name", i)
+			return nil, &Error{Key: key, Reason: fmt.Sprintf("%q is named twice", c.Name)}
 		}
-		seen[k.Name] = true
-		e, ok := effects[k.Effect]
-		if !ok {
-			return Settings{}, &Error{fmt.Sprintf("categories[%d].effect", i), fmt.Sprintf("unknown value %q", k.Effect)}
+		seen[c.Name] = true
+		effect, isKnown := effects[c.Effect]
+		if !isKnown {
+			key := fmt.Sprintf("categories[%d].effect", i)
+			return nil, &Error{Key: key, Reason: fmt.Sprintf("unknown value %q", c.Effect)}
 		}
-		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: e, IdempotencyScope: k.KeyScope, IdempotencyWindowMillis: k.Window,
-			LatencyObjectiveMillis: k.Target, ObjectivePerWork: k.AimStretch, DeadlineMillis: k.HardLimit, PriorityWeight: k.Gain, LateWeight: k.LateWorth, IsStream: k.Stream})
-	}
-	for _, t := range s.Projects {
-		c.Tenants = append(c.Tenants, decide.Tenant{Name: t.Name, QuotaPerSecond: t.QuotaPerS})
-	}
-	if !(s.Caps.ConnectTimeout >= 0) {
-		return Settings{}, &Error{"caps.connectTimeout", fmt.Sprintf("impossible value %v", s.Caps.ConnectTimeout)}
+		classes = append(classes, decide.Class{
+			Name:                    c.Name,
+			Effect:                  effect,
+			IdempotencyScope:        c.KeyScope,
+			IdempotencyWindowMillis: c.Window,
+			LatencyObjectiveMillis:  c.Target,
+			ObjectivePerWork:        c.AimStretch,
+			DeadlineMillis:          c.HardLimit,
+			PriorityWeight:          c.Gain,
+			LateWeight:              c.LateWorth,
+			IsStream:                c.Stream,
+		})
 	}
-	return Settings{Config: c, LoadColumns: s.LoadInfo.Columns, ConnectTimeoutMillis: s.Caps.ConnectTimeout}, nil
+	return classes, nil
 }
 
-// SetLoadField puts one figure of a load report in its place. Sockets and the simulator's wire have
-// a name each for the same figure; other figures have no use and are passed over.
-func SetLoadField(l *decide.LoadReport, name string, v float64) {
+// SetLoadField sets the field of a load report that the platform has under a name. Sockets and the
+// simulator's wire have a name each for the same field; other names have no use and are ignored.
+func SetLoadField(l *decide.LoadReport, name string, value float64) {
 	switch name {
 	case "rps", "qps":
-		l.RequestsPerSecond = v
+		l.RequestsPerSecond = value
 	case "err_rps", "eps":
-		l.ErrorsPerSecond = v
+		l.ErrorsPerSecond = value
 	case "cpu", "util":
-		l.Utilization = v
+		l.Utilization = value
 	case "active", "inflight":
-		l.Inflight = v
+		l.Inflight = value
 	case "avg_ms", "latency_ms":
-		l.LatencyMillis = v
+		l.LatencyMillis = value
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,25 +6,30 @@
 	"testing"
 )
 
-const whole = `{"balancers":2,"myNumber":1,"zone":"a","kinds":["box","origin"],"familyInfo":{"mode":"aside","originKind":1},
+const completeSettings = `{
+ "balancers":2,"myNumber":1,"zone":"a","kinds":["box","origin"],"familyInfo":{"mode":"aside","originKind":1},
  "categories":[{"name":"read","effect":"repeatable","target":500,"hardLimit":2000,"gain":1},
   {"name":"put","effect":"by_key","keyScope":"all","window":2000,"target":500,"hardLimit":2000,"gain":1}],
- "caps":{"maxAttempts":3,"connectTimeout":250},"rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
+ "caps":{"maxAttempts":3,"connectTimeout":250},
+ "rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
-func TestWholeSettings(t *testing.T) {
-	s, err := Parse([]byte(whole))
+// A settings object with the required keys alone is taken.
+func TestCompleteSettings(t *testing.T) {
+	s, err := Parse([]byte(completeSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Config.Validate(); err != nil {
 		t.Error(err)
 	}
-	if got := s.Config; len(got.Classes) != 2 || got.MaxAttempts != 3 || got.OriginKind != "origin" || s.ConnectTimeoutMillis != 250 {
+	c := s.Config
+	if len(c.Classes) != 2 || c.MaxAttempts != 3 || c.OriginKind != "origin" || s.ConnectTimeoutMillis != 250 {
 		t.Errorf("got %+v", s)
 	}
 }
 
-// Each of these must be found before anything of the file is used, and the error names the setting.
+// A settings object lacks a key, or has an impossible value. That is found before anything of it is used,
+// and the error names the setting: a zero that stood in for it would pass for a value.
 func TestBadSettingsAreNamed(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"maxAttempts":3,`, ``, "caps.maxAttempts"},
@@ -45,29 +50,32 @@
 		{`"cold":8000,`, ``, "rules.cold"},
 		{`"categories"`, `"classes"`, "categories"},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
-		if text == whole {
-			t.Fatalf("%s: not there", c.from)
-		}
-		s, err := Parse([]byte(text))
-		if err == nil {
-			err = s.Config.Validate()
-		}
-		if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(c.names)) {
-			t.Errorf("%s for %s: got %v", c.to, c.from, err)
-		}
+		t.Run(c.to+" for "+c.from, func(t *testing.T) {
+			text := strings.Replace(completeSettings, c.from, c.to, 1)
+			if text == completeSettings {
+				t.Fatalf("%s: not there", c.from)
+			}
+			s, err := Parse([]byte(text))
+			if err == nil {
+				err = s.Config.Validate()
+			}
+			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(c.names)) {
+				t.Errorf("got %v", err)
+			}
+		})
 	}
-	for cut := range len(whole) {
-		if _, err := Parse([]byte(whole[:cut])); err == nil {
+	for cut := range len(completeSettings) {
+		if _, err := Parse([]byte(completeSettings[:cut])); err == nil {
 			t.Errorf("cut at %d: no error", cut)
 		}
 	}
 }
 
+// A later form of an object has to have every key of the earlier one, but inside what is named as data.
 func TestLostKeys(t *testing.T) {
-	was := `{"a":{"b":1,"c":[{"x":1,"y":2},{"x":1}]},"d":{"e":1},"f":[1,2]}`
-	for is, want := range map[string]string{
-		was: "",
+	earlier := `{"a":{"b":1,"c":[{"x":1,"y":2},{"x":1}]},"d":{"e":1},"f":[1,2]}`
+	for later, want := range map[string]string{
+		earlier: "",
 		`{"a":{"b":2,"c":[]},"d":{"e":1},"f":[]}`:           "",
 		`{"a":{"b":2,"c":[{"x":1}],"new":1},"d":{},"f":[]}`: "", // inside d anything may differ
 		`{"a":{"c":[]},"d":{},"f":[]}`:                      "a.b",
@@ -75,14 +83,14 @@
 		`{"a":1,"d":{},"f":[]}`:                             "a",
 		`{"a":{"b":1,"c":[]},"f":[]}`:                       "d",
 	} {
-		if got, err := MissingKey([]byte(was), []byte(is), "d"); err != nil || got != want {
-			t.Errorf("%s: got %q, %v, want %q", is, got, err, want)
+		if got, err := MissingKey([]byte(earlier), []byte(later), "d"); err != nil || got != want {
+			t.Errorf("%s: got %q, %v, want %q", later, got, err, want)
 		}
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(completeSettings))
 	f.Add([]byte(`{"categories":[{}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
@@ -94,3 +102,33 @@
 		}
 	})
 }
+
+// Each impossible value of a configuration is told with the platform's key: an operator who reads a Go
+// field's name can't find it in the file.
+func TestImpossibleValuesHaveThePlatformsKeys(t *testing.T) {
+	for _, c := range []struct{ from, to, key string }{
+		{`"balancers":2`, `"balancers":0`, "balancers"},
+		{`"myNumber":1`, `"myNumber":2`, "myNumber"},
+		{`"maxAttempts":3`, `"maxAttempts":0`, "caps.maxAttempts"},
+		{`"cold":8000`, `"cold":-1`, "rules.cold"},
+		{`"coldFrom":0.3`, `"coldFrom":2`, "rules.coldFrom"},
+		{`"overloadFactor":3`, `"overloadFactor":0`, "rules.overloadFactor"},
+		{`"overloadFor":2000`, `"overloadFor":-1`, "rules.overloadFor"},
+		{`"target":500,"hardLimit":2000,"gain":1},`, `"target":0,"hardLimit":2000,"gain":1},`, "categories[0].target"},
+		{`"hardLimit":2000`, `"hardLimit":0`, "categories[0].hardLimit"},
+		{`"gain":1}]`, `"gain":-1}]`, "categories[1].gain"},
+		{`"window":2000`, `"window":-1`, "categories[1].window"},
+		{`"caps":{`, `"caps":{"connIdle":-1,`, "caps.connIdle"},
+		{`"caps":{`, `"caps":{"cpuUsPerS":-1,`, "caps.cpuUsPerS"},
+		{`"zone":"a"`, `"zone":"a","overShareWorth":-1`, "overShareWorth"},
+		{`"zone":"a"`, `"zone":"a","projects":[{"name":"tax","quotaPerS":-1}]`, "projects[0].quotaPerS"},
+	} {
+		t.Run(c.key, func(t *testing.T) {
+			text := strings.Replace(completeSettings, c.from, c.to, 1)
+			problems := Problems([]byte(text))
+			if len(problems) != 1 || !strings.HasPrefix(problems[0].Error(), "settings: "+c.key+": impossible value ") {
+				t.Errorf("got %v", problems)
+			}
+		})
+	}
+}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// More events come between two flushes than are kept. The rest are counted, and after the flush events
+// are kept again.
 func TestEventsBeyondTheBoundAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(&out)
@@ -14,8 +16,12 @@
 	}
 	tr.Flush(1200)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != MaxPerFlush+1 || lines[0] != "trace 1000.00 dial to=a ok=true" || lines[MaxPerFlush] != "trace 1200.00 dropped n=7" {
-		t.Errorf("%d lines from %q to %q", len(lines), lines[0], lines[len(lines)-1])
+	first := lines[0]
+	last := lines[len(lines)-1]
+	isFirst := first == "trace 1000.00 dial to=a ok=true"
+	isLast := last == "trace 1200.00 dropped n=7"
+	if len(lines) != MaxPerFlush+1 || !isFirst || !isLast {
+		t.Errorf("%d lines from %q to %q", len(lines), first, last)
 	}
 	out.Reset()
 	tr.Event(1300, "dial", "to=b ok=true")
@@ -26,6 +32,7 @@
 	}
 }
 
+// A router without a trace calls the same methods, which do nothing.
 func TestNoTraceTakesEvents(t *testing.T) {
 	var tr *Trace
 	tr.Event(1, "dial", "to=a ok=true")
