--- a/cmd/dockhinge/main.go
+++ b/cmd/dockhinge/main.go
@@ -96,7 +96,7 @@
 	return []subcommand{
 		{
 			name:  "serve",
-			short: "serve until SIGTERM, then answer what was taken and end",
+			short: "serve until SIGTERM, then answer the requests in flight and end",
 			long:  serveHelp,
 			flags: serveFlags,
 			exec:  func([]string) error { return serve(hup, files) },
@@ -112,7 +112,7 @@
 		{
 			name:  "tenants",
 			args:  "ADDRESS...",
-			short: "show who asks and what each was told",
+			short: "show how fair admission stands, by tenant",
 			long:  tenantsHelp,
 			flags: newFlagSet(),
 			exec:  func(addrs []string) error { return tenants(addrs, stdout) },
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -99,7 +99,7 @@
 	a.host.Reject(id, retryAfter)
 }
 
-// reserve remembers a retry-after, while the table has room.
+// reserve remembers a retry-after, unless the table is full.
 func (a *Admission) reserve(identity uint64, flowIndex int32, retryAfter, cost float64) {
 	r := reservation{
 		identity:         identity,
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -49,7 +49,7 @@
 
 // The operator changes weights in the middle of a burst. They hold from then on, and what is queued
 // stays queued. A tenant that is named no longer frees its flow; a new table size, which takes a new
-// process, is refused by name.
+// process, is rejected, and the error names it.
 func TestRulesChangeInABurst(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
@@ -101,8 +101,7 @@
 	}
 }
 
-// One tenant's requests are all 4 MiB writes, which cost 65 times a read, and more than the whole
-// limit. The others go on as if it were not there, and it gets its share of work too. A program that
+// One tenant's requests are all 4 MiB writes, which cost 65 times a read, and more than the limit. The others go on as if it were not there, and it gets its share of work too. A program that
 // let it take as many slots as it costs would have all others wait until the fleet is empty.
 func TestLargeWritesCrowdOutNobody(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
@@ -151,7 +150,7 @@
 	}
 }
 
-// The fleet's capacity falls to a quarter while queues are full, and comes back. The limit follows
+// The fleet's capacity falls to a quarter while queues are full, and recovers. The limit follows
 // both ways, and each request has one decision.
 func TestCapacityHalves(t *testing.T) {
 	c := testConfig()
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// restoreTenants takes the tenants' debts and counts, as far as the tables have room for them.
+// restoreTenants takes the tenants' debts and counts, as far as the tables have capacity for them.
 func (a *Admission) restoreTenants(tenants []TenantSnapshot) {
 	unnamedCount := 0
 	for _, tenant := range slices.Backward(tenants) { // the one used last becomes the newest here too
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A snapshot that is damaged, or of a process gone wrong, changes nothing.
+// A snapshot has values that no correct process writes. It is rejected, and changes nothing.
 func TestImpossibleSnapshotsAreRejected(t *testing.T) {
 	const tooMany = maxSnapshotEntries + 1
 	for name, snapshot := range map[string]Snapshot{
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -12,7 +12,7 @@
 // Problem is one mistake in a file. It is an error whose text is FILE:LINE: SETTING: REASON.
 type Problem struct {
 	File string
-	// Line counts from 1; 0 = the file as a whole.
+	// Line counts from 1; 0 = the mistake is not in one line.
 	Line int
 	// Setting is written with dots, as "settings.caps.maxAttempts"; "" = none.
 	Setting string
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -129,7 +129,7 @@
 	}
 	oldLink.Close()
 	if err := link.Call(t.Context(), "ban", "z"); !errors.Is(err, ErrPeerClosed) {
-		t.Errorf("with the peer gone: got %v", err)
+		t.Errorf("after the peer has ended: got %v", err)
 	}
 }
 
@@ -320,9 +320,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole := frame(`{"kind":"state","version":1,"body":"first"}`)
+		complete := frame(`{"kind":"state","version":1,"body":"first"}`)
 		before := descriptors(t)
-		for n := range whole {
+		for n := range complete {
 			dir := t.TempDir()
 			path, d, err := socketPath(dir, "a:1")
 			if err != nil {
@@ -346,8 +346,8 @@
 				if _, err := readMessage(c); err != nil {
 					t.Error(err)
 				}
-				raw.Control(func(fd uintptr) { c.WriteMsgUnix(whole[:1], syscall.UnixRights(int(fd)), nil) })
-				c.Write(whole[1:n])
+				raw.Control(func(fd uintptr) { c.WriteMsgUnix(complete[:1], syscall.UnixRights(int(fd)), nil) })
+				c.Write(complete[1:n])
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
 				t.Errorf("joined after %d bytes", n)
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// newCall numbers a call. The channel has room for the answer, so that Run never waits for the caller.
+// newCall numbers a call. The channel holds the answer, so that Run never waits for the caller.
 func (l *Link) newCall() (number uint64, answer chan string) {
 	answer = make(chan string, 1)
 	l.mu.Lock()
--- a/internal/healthcheck/prober.go
+++ b/internal/healthcheck/prober.go
@@ -158,7 +158,7 @@
 		}
 		err := lease.WriteRecord(held, Encode(reports, coord.MaxRecordBytes))
 		if err != nil && held.Err() == nil {
-			slog.Debug("what was probed could not be told", "lease", lease.Name, "error", err)
+			slog.Debug("load reports not shared", "lease", lease.Name, "error", err)
 		}
 		if !clock.Sleep(held, p.Interval) {
 			break
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// file checks a whole file.
+// file checks all sections.
 func (c *checker) file(f File) {
 	if f.Version != Version {
 		c.add("version", "%d is not %d, the version that this program reads", f.Version, Version)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,7 +14,7 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// A mistake in the file is told with its line and key, so that the operator finds it. A misspelt key
+// A mistake in the file is reported with its line and key, so that the operator finds it. A misspelt key
 // that passed for one left out would leave a default in force.
 func TestMistakesNameLineAndSetting(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// Each impossible value of a configuration is told with the platform's key: an operator who reads a Go
+// Each impossible value of a configuration is reported with the platform's key: an operator who reads a Go
 // field's name can't find it in the file.
 func TestImpossibleValuesHaveThePlatformsKeys(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace is a router's record of single events, for a look at a whole fleet afterwards
+// Package trace is a router's record of single events, for an analysis of a fleet afterwards
 // (dockhinge-lab trace-summary). It is off by default. A nil *Trace takes events and does nothing.
 package trace
 
