--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
  "rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
 // A settings object with the required keys alone is taken.
-func TestCompleteSettings(t *testing.T) {
+func TestWholeSettings(t *testing.T) {
 	s, err := Parse([]byte(completeSettings))
 	if err != nil {
 		t.Fatal(err)
