--- /dev/null
+++ b/internal/healthcheck/report_cache_test.go
@@ -0,0 +1,54 @@
+package healthcheck
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"dockhinge.example/dockhinge/decide"
+)
+
+// Reports of any age arrive in any order. One counts until it is stale by the oldest that it may be,
+// and an older one never replaces a newer one: a program that mixed them up would send requests by
+// the load of a minute ago.
+func TestReportsCountUntilStale(t *testing.T) {
+	const staleMillis = 1000
+	rapid.Check(t, func(t *rapid.T) {
+		cache := NewReportCache(staleMillis)
+		now := 0.0
+		newest := map[uint32]float64{} // when the newest report was true
+		for range rapid.IntRange(1, 60).Draw(t, "events") {
+			now += float64(rapid.IntRange(0, 400).Draw(t, "passes"))
+			server := rapid.Uint32Range(0, 3).Draw(t, "server")
+			if rapid.Bool().Draw(t, "add") {
+				age := float64(rapid.IntRange(0, 1500).Draw(t, "age"))
+				trueAt := now - age
+				cache.Add(now, age, Report{ServerID: server, Load: decide.LoadReport{RequestsPerSecond: trueAt}})
+				if old, ok := newest[server]; age <= staleMillis && (!ok || trueAt > old) {
+					newest[server] = trueAt
+				}
+			}
+			at, isKnown := newest[server]
+			load, ok := cache.Lookup(now, server)
+			if want := isKnown && now-at <= staleMillis; ok != want || ok && load.RequestsPerSecond != at {
+				t.Fatalf("at %v: %v %v, want %v from %v", now, load.RequestsPerSecond, ok, want, at)
+			}
+		}
+	})
+}
+
+// Twice as many servers as the cache holds are reported. It fills up to its bound; once all reports
+// are stale they give way to a new one.
+func TestCacheIsBounded(t *testing.T) {
+	cache := NewReportCache(1000)
+	for i := range uint32(2 * maxReports) {
+		cache.Add(0, 0, Report{ServerID: i})
+	}
+	if len(cache.reports) != maxReports {
+		t.Errorf("%d cached", len(cache.reports))
+	}
+	cache.Add(5000, 0, Report{ServerID: 9 * maxReports})
+	if len(cache.reports) != 1 {
+		t.Errorf("%d cached after all were stale", len(cache.reports))
+	}
+}
--- a/internal/router/crossing_test.go
+++ b/internal/router/crossing_test.go
@@ -742,7 +742,7 @@
 	return &AdmissionConfig{
 		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2, ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
 			InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10},
-		Tenants: admission.TenantRules{{By: "fact"}},
+		Tenants: admission.TenantRules{{Source: admission.TenantFromClient}},
 	}
 }
 
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -278,7 +278,7 @@
 		switch err := k.Call(ctx, disableKind, o); {
 		case err == nil:
 			found = true
-		case errors.Is(err, handover.ErrPeerClosed) || err.Error() == admin.ErrUnknownServer.Error():
+		case errors.Is(err, handover.ErrPeerClosed), errors.Is(err, admin.ErrUnknownServer):
 		default:
 			return errLoopBusy
 		}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -43,7 +43,7 @@
 	isDone bool
 
 	// admissionStage is how far admission has taken it.
-	admissionStage int
+	admissionStage admissionStage
 	// admittedAt is when admission let it through.
 	admittedAt float64
 }
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -50,19 +50,19 @@
 func TestOutcomeTable(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
-		answer string
-		write  bool
-		origin bool
-		want   decide.AttemptStatus
-		note   int
-		reused bool
+		answer      string
+		write       bool
+		origin      bool
+		want        decide.AttemptStatus
+		cacheResult decide.CacheResult
+		reused      bool
 	}{
-		"value":               {answer: "VA 5 O{id} h1\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
+		"value":               {answer: "VA 5 O{id} h1\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
 		"value without flag":  {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
 		"receipt":             {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
 		"miss":                {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
-		"miss, told":          {answer: "EN O{id} h0\r\n", want: decide.Miss, note: 2, reused: true},
-		"miss, fetch is out":  {answer: "EN O{id} h0 Z\r\n", want: decide.Miss, note: 3, reused: true},
+		"miss, told":          {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss, reused: true},
+		"miss, fetch is out":  {answer: "EN O{id} h0 Z\r\n", want: decide.Miss, cacheResult: decide.CacheMissDuringFetch, reused: true},
 		"error":               {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
 		"turned away":         {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":              {answer: "close", want: decide.Reset},
@@ -83,10 +83,10 @@
 		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
 		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
 		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
-		"value and a copy":    {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK, note: 1},
-		"miss and noise":      {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, note: 2},
-		"bad report":          {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
-		"id in the report":    {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK, note: 1, reused: true},
+		"value and a copy":    {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit},
+		"miss and noise":      {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, cacheResult: decide.CacheMiss},
+		"bad report":          {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
+		"id in the report":    {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
 		"origin 1xx ahead":    {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
 		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
 		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
@@ -128,8 +128,8 @@
 				cmd = putCommand()
 			}
 			got := u.roundTrip(t.Context(), target, cmd, always)
-			if got.status != c.want || got.cacheResult != c.note {
-				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.note)
+			if got.status != c.want || got.cacheResult != c.cacheResult {
+				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
 			}
 			next(t, f.seen, "request")
 			if len(f.seen) > 0 {
