--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -34,9 +34,9 @@
 var byClient = admission.TenantRules{{Source: admission.TenantFromClient}}
 
 // Admission allows one request at a time. The first is in work, the second queued; its client
-// disconnects, and its place is free. The third is queued and served once the first has its answer. The
-// fourth, for which there is no capacity in time, is rejected at once or as soon as its wait is over.
-// Each is counted once.
+// disconnects, and its place is free. The third is queued and served once the first has its answer.
+// The fourth, for which there is no capacity in time, is rejected at once or as soon as its wait is
+// over. Each is counted once.
 func TestAdmissionStandsBeforeTheBalancer(t *testing.T) {
 	release := make(chan struct{}, 10)
 	cache := startFake(t, func(line string) string {
@@ -47,7 +47,7 @@
 		return "VA 5 O{id} h1\r\nhello\r\n"
 	})
 	awaitAttempt := func(what string) {
-		for !strings.HasPrefix(next(t, cache.seen, what), "mg") {
+		for !strings.HasPrefix(receive(t, cache.seen, what), "mg") {
 		}
 	}
 	t.Cleanup(func() { close(release) })
@@ -71,7 +71,7 @@
 	queued := func() int {
 		count := make(chan int)
 		r.loop.post(func() { count <- r.loop.admission.admission.State(0).Waiting })
-		return next(t, count, "count")
+		return receive(t, count, "count")
 	}
 	awaitQueued := func(want int) {
 		t.Helper()
@@ -116,9 +116,9 @@
 	}
 }
 
-// A reload brings a new tenant, which is taken. Another brings a table size that takes a new process, or
-// disables admission: nothing of that configuration is taken, and the setting is named. A program that
-// took the rest would run with half of a configuration.
+// A reload brings a new tenant, which is taken. Another brings a table size that takes a new
+// process, or disables admission: nothing of that configuration is taken, and the setting is named.
+// A program that took the rest would run with half of a configuration.
 func TestAdmissionRulesAtReload(t *testing.T) {
 	with := func(rules admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", endpointList{})
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -7,7 +7,8 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// What others found bad is avoided, is never told on as this router's own evidence, and ends by this router's clock.
+// What others found bad is avoided, is never told on as this router's own evidence, and ends by
+// this router's clock.
 func TestHearsayIsNotToldOn(t *testing.T) {
 	_, entries := startFlaky(t, 6, func(int, int) bool { return false })
 	run, _ := serving(t, append(entries, originAt(startFake(t, originOK).addr))...)
@@ -32,7 +33,9 @@
 	if err != nil || len(all) != 6 {
 		t.Fatalf("%v, %v", all, err)
 	}
-	if err := r.loop.setPeerEjections(t.Context(), []rollout.EjectedServer{{Name: all[0].Name, Remaining: 300 * time.Millisecond}, {Name: "nobody", Remaining: time.Hour}}); err != nil {
+	if err := r.loop.setPeerEjections(t.Context(),
+		[]rollout.EjectedServer{{Name: all[0].Name, Remaining: 300 * time.Millisecond},
+			{Name: "nobody", Remaining: time.Hour}}); err != nil {
 		t.Fatal(err)
 	}
 	if bad, avoided := look(); len(bad) > 0 || avoided != 1 {
@@ -62,7 +65,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := r.loop.call(t.Context(), func() error { r.loop.ejectedOnlyByPeers[12345] = true; return nil }); err != nil { // of a server that has left
+	// of a server that has left
+	if err := r.loop.call(t.Context(), func() error {
+		r.loop.ejectedOnlyByPeers[12345] = true
+		return nil
+	}); err != nil {
 		t.Fatal(err)
 	}
 	look()
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -12,17 +12,18 @@
 // clientConn is a client's connection.
 //
 //	         first byte            whole command
-//	┌──────┐ ─────────▶ ┌─────────┐ ─────────▶ ┌───────────┐
-//	│ idle │            │ reading │            │ answering │ (up to maxPipelined commands)
-//	└──────┘ ◀───────── └─────────┘ ◀───────── └───────────┘
-//	   │     (answered)      │      first byte       │
-//	   │                     │                       │
-//	   │ idleTimeout,        │ malformed, quit,      │ draining and
-//	   │ evicted, draining   │ commandTimeout        │ nothing more to read
-//	   ▼                     ▼                       ▼
-//	┌──────────────────────────────────────────────────┐
-//	│ finishing: no command is read, answers go out    │ ─────────▶ closed
-//	└──────────────────────────────────────────────────┘
+//	┌──────┐ ─────────▶ ┌─────────┐ ─────────────▶ ┌───────────┐
+//	│ idle │            │ reading │                │ answering │ (up to maxPipelined commands)
+//	└──────┘            └─────────┘ ◀───────────── └───────────┘
+//	  │  ▲                 │          first byte      │     │
+//	  │  └─────────────────│──────────────────────────┘     │
+//	  │                    │     last answer written        │
+//	  │ idleTimeout,       │ malformed, quit,               │ draining and
+//	  │ evicted, draining  │ commandTimeout                 │ nothing more to read
+//	  ▼                    ▼                                ▼
+//	┌────────────────────────────────────────────────────────┐
+//	│ finishing: no command is read, answers are written     │ ─────────▶ closed
+//	└────────────────────────────────────────────────────────┘
 //
 // In each state a disconnect of the client or a failed write makes the connection unwritable: its
 // pending answers are abandoned, its requests are cancelled, and it is closed.
--- /dev/null
+++ b/internal/router/command_test.go
@@ -0,0 +1,131 @@
+package router
+
+import (
+	"bufio"
+	"bytes"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+func TestMalformedClientInput(t *testing.T) {
+	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
+	for _, in := range []string{
+		"\r\n",
+		"mg\r\n",
+		"mg k v\r\n",
+		"mg k v Oa1 Pc=read,d=x\r\n",
+		"mg k v Oa1 Pc=read,d=-1\r\n",
+		"mg k v Oa1 Pc=read,d=NaN\r\n",
+		"mg k v Oa1\r\n",
+		"ms k\r\n",
+		"ms k -3 Oa1 Pc=put,d=9\r\n",
+		"ms k 70000 Oa1 Pc=put,d=9\r\n",
+		"ms k 2 Oa1 Pc=put,d=9\r\nabcdef\r\n",
+		"mg k v Oa1 Pc=unheard,d=9\r\n",
+		"mg k v Oa1 Pc=read,d=0x10\r\n",
+		"mg k v Oa1 Pc=read,d=1e3\r\n",
+		"mg k v Oa1 Pc=read,d=+9\r\n",
+		"mg k v Oa1 Pc=read,d=9,d=8\r\n",
+		"mg k v Oa1 Ob2 Pc=read,d=9\r\n",
+		"mg k Oa1 Pc=read,d=9\r\n",
+		"mg k v Pc=read,d=9\r\n",
+		"mg k v Oa1 Pc=read,d=9 Q\r\n",
+		"mg k v Oa1 Pc=read,d=9\n",
+		"mg k v Oa1 Pc=read,d=9,r=yes\r\n",
+		"mg k v O Pc=read,d=9\r\n",
+		"ms k 62914560 Oa1 Pc=put,d=9,k=1\r\n",
+		"ms k 2 Oa1 Pc=put,d=9\r\nab\r\n",
+		"ms k 0x2 Oa1 Pc=put,d=9,k=1\r\nab\r\n",
+		"mg " + strings.Repeat("k", 300) + " v Oa1 Pc=read,d=9\r\n",
+		"mg k\x00 v Oa1 Pc=read,d=9\r\n",
+		strings.Repeat("x", 5000),
+	} {
+		c := dial(t, r.addr)
+		c.send(readCommandOf("ok", 2000) + "\r\n" + in)
+		if got := c.line(); got != "VA 5 Ook hello" {
+			t.Errorf("before %.20q: got %q", in, got)
+		}
+		if got := c.line(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
+			t.Errorf("%.20q: got %q", in, got)
+		}
+		if got := c.line(); got != "EOF" {
+			t.Errorf("%.20q: then %q", in, got)
+		}
+	}
+}
+
+func TestIdsMapAsOnTheSimulatorsWire(t *testing.T) {
+	if got := serverID("s-5be2a07c"); got != 0x5be2a07c {
+		t.Errorf("server %#x", got)
+	}
+	if got := keyID("7f3a9c21e0b4d655"); got != 0x7f3a9c21e0b4d655 {
+		t.Errorf("key %#x", got)
+	}
+	if serverID("cache-east") == serverID("cache-west") || keyID("a") == keyID("b") {
+		t.Error("other forms clash")
+	}
+}
+
+func TestCommandIsRead(t *testing.T) {
+	in := "ms 7f3a9c21e0b4d655 3 Oa1 Pc=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1\r\nabc\r\n"
+	r := bufio.NewReaderSize(strings.NewReader(in), maxLineBytes)
+	got, err := readCommand(r)
+	if err == nil {
+		got.value, err = readValue(r, got.valueBytes, false)
+	}
+	want := command{verb: "ms", valueBytes: 3, idempotencyKey: "7", key: "7f3a9c21e0b4d655", id: "a1",
+		metadata: "c=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1",
+		value:    []byte("abc"), class: "put", tenant: "acme", remainingMillis: 480.5,
+		workHintMillis: 52, // h is in microseconds
+		sizeBytes:      3, isRetry: true}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, %v", got, err)
+	}
+}
+
+func FuzzReadCommand(f *testing.F) {
+	f.Add([]byte(readCommandOf("a1", 480) + "\r\n"))
+	f.Add([]byte(billCommandOf("a1", 480) + "\r\n"))
+	f.Add([]byte("ms k 99999999999999999999 O P\r\n"))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		read := func(in []byte) (command, error) {
+			r := bufio.NewReaderSize(bytes.NewReader(in), 2*maxLineBytes)
+			c, err := readCommand(r)
+			if err == nil && c.verb == "ms" {
+				c.value, err = readValue(r, c.valueBytes, false)
+			}
+			return c, err
+		}
+		c, err := read(in)
+		if err != nil || c.verb != "mg" && c.verb != "ms" {
+			return
+		}
+		again, err := read(c.append(nil, hintFor(c.remainingMillis)))
+		if err != nil || again.key != c.key || again.id != c.id || !bytes.Equal(again.value, c.value) {
+			t.Errorf("%q came back as %+v, %v", in, again, err)
+		}
+	})
+}
+
+func FuzzReadReply(f *testing.F) {
+	for _, s := range []string{"VA 5 Oa1 h1 Lqps=1,util=x\r\nhello\r\n", "EN Oa1 h0 Z\r\n", "SERVER_ERROR busy\r\n",
+		"HD Oa1 c7\r\n",
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"} {
+		f.Add([]byte(s), true)
+		f.Add([]byte(s), false)
+	}
+	f.Fuzz(func(t *testing.T, in []byte, write bool) {
+		c := &command{verb: "mg", id: "a1"}
+		if write {
+			c.verb = "ms"
+		}
+		for _, parse := range []func(*bufio.Reader, *command) (reply, error){readReply,
+			func(r *bufio.Reader, c *command) (reply, error) { return readOriginReply(r, c, new(byteBudget)) }} {
+			if a, err := parse(bufio.NewReaderSize(bytes.NewReader(in), maxLineBytes), c); err == nil &&
+				len(a.body) > maxBufferedValue {
+				t.Errorf("%d bytes of %q", len(a.body), in)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/router/fakes_test.go
@@ -0,0 +1,268 @@
+package router
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// gate is something that waits until it is let go.
+type gate struct {
+	opened chan struct{}
+	open   func()
+}
+
+func newGate(t testing.TB) gate {
+	ch := make(chan struct{})
+	g := gate{ch, sync.OnceFunc(func() { close(ch) })}
+	t.Cleanup(g.open)
+	return g
+}
+
+// holdDials has each dial tell and wait.
+func (u *upstreams) holdDials(dialing chan<- struct{}, up gate) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.dialer.Timeout = wait
+	u.dialer.Control = func(string, string, syscall.RawConn) error {
+		dialing <- struct{}{}
+		<-up.opened
+		return nil
+	}
+}
+
+// slowClose is a connection whose close tells and waits.
+type slowClose struct {
+	*net.TCPConn
+	closing chan<- struct{}
+	let     gate
+}
+
+func (c slowClose) Close() error {
+	c.closing <- struct{}{}
+	<-c.let.opened
+	return c.TCPConn.Close()
+}
+
+// once answers the first request with the given text and later ones with then.
+func once(first string, then func(string) string) func(string) string {
+	var mu sync.Mutex
+	asked := false
+	return func(line string) string {
+		mu.Lock()
+		defer mu.Unlock()
+		if asked {
+			return then(line)
+		}
+		asked = true
+		return first
+	}
+}
+
+// fake is a server on a loopback socket. Each connection is handed to serve, which sees the lines
+// and bodies sent.
+type fake struct {
+	addr  string
+	seen  chan string // first lines of the requests
+	conns atomic.Int32
+	ended chan struct{} // one for each connection that the other side has closed
+
+	connected, closed chan struct{} // one for each connection, and for each that this side has closed
+}
+
+// startFake answers each request with the text of answer: "" says nothing, "close" closes, and
+// "{cut}" ends the connection behind what stands before it.
+func startFake(t testing.TB, answer func(line string) string) *fake {
+	t.Helper()
+	ln := listenLocal(t)
+	f := &fake{addr: ln.Addr().String(), seen: make(chan string, 10000), ended: make(chan struct{}, 10000),
+		connected: make(chan struct{}, 10000), closed: make(chan struct{}, 10000)}
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	var open []net.Conn
+	t.Cleanup(func() {
+		ln.Close()
+		mu.Lock()
+		for _, c := range open {
+			c.Close()
+		}
+		mu.Unlock()
+		wg.Wait()
+	})
+	wg.Go(func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			f.conns.Add(1)
+			f.connected <- struct{}{}
+			mu.Lock()
+			open = append(open, c)
+			mu.Unlock()
+			wg.Go(func() {
+				defer func() { c.Close(); f.closed <- struct{}{} }()
+				f.serve(c, answer)
+			})
+		}
+	})
+	return f
+}
+
+func (f *fake) serve(c net.Conn, answer func(string) string) {
+	r := bufio.NewReader(c)
+	for {
+		line, err := r.ReadString('\n')
+		if err != nil {
+			f.ended <- struct{}{}
+			return
+		}
+		line = strings.TrimSpace(line)
+		for strings.HasSuffix(line, "HTTP/1.1") { // its headers, of which the id and the facts count
+			h, err := r.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if h = strings.TrimSpace(h); h == "" {
+				line = strings.Replace(line, "HTTP/1.1", "HTTP", 1)
+			} else if strings.HasPrefix(h, "X-") || strings.HasPrefix(h, "Content-Length") {
+				line = strings.Replace(line, "HTTP/1.1", h+" HTTP/1.1", 1)
+			}
+		}
+		var n int
+		if i := strings.Index(line, "Content-Length: "); i >= 0 {
+			fmt.Sscanf(line[i:], "Content-Length: %d", &n)
+		} else if strings.HasPrefix(line, "ms ") {
+			fmt.Sscanf(line, "ms %s %d", new(string), &n)
+			n += 2
+		}
+		body := make([]byte, n)
+		if _, err := io.ReadFull(r, body); err != nil {
+			return
+		}
+		f.seen <- line + " " + strings.TrimSpace(string(body))
+		switch a := answer(line); a {
+		case "":
+		case "close":
+			return
+		default:
+			text := strings.TrimSuffix(strings.ReplaceAll(a, "{id}", idOf(line)), "{cut}")
+			if _, err := io.WriteString(c, text); err != nil {
+				return
+			}
+			if strings.HasSuffix(a, "{cut}") || strings.Contains(a, "Connection: close") {
+				return
+			}
+		}
+	}
+}
+
+// idOf finds the request's id in either protocol.
+func idOf(line string) string {
+	for f := range strings.FieldsSeq(line) {
+		if f[0] == 'O' && len(f) > 1 {
+			return f[1:]
+		}
+	}
+	_, rest, _ := strings.Cut(line, "X-Correlation-Id: ")
+	id, _, _ := strings.Cut(rest, " ")
+	return id
+}
+
+func httpAnswer(status, body string, headers ...string) string {
+	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body),
+		strings.Join(append(headers, ""), "\r\n"), body)
+}
+
+func hit(string) string { return "VA 5 O{id} h1 Lqps=3,util=0.1\r\nhello\r\n" }
+
+func miss(string) string { return "EN O{id} h0\r\n" }
+
+func originOK(line string) string {
+	if strings.HasPrefix(line, "PUT") {
+		return httpAnswer("200 OK", "5c0f")
+	}
+	return httpAnswer("200 OK", "fresh")
+}
+
+// directory is a discovery service.
+type directory struct {
+	*httptest.Server
+	mu      sync.Mutex
+	lists   []endpointList // the whole list first, then changes
+	changed chan struct{}
+	calls   chan string
+}
+
+func startDirectory(t testing.TB, first endpointList) *directory {
+	t.Helper()
+	d := &directory{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
+	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.calls <- r.URL.RawQuery
+		after := r.URL.Query().Get("after")
+		for {
+			d.mu.Lock()
+			changed := d.changed
+			for i, l := range d.lists {
+				if after == "" && i == 0 || after != "" && fmt.Sprint(l.Version-1) == after {
+					d.mu.Unlock()
+					json.NewEncoder(w).Encode(l)
+					return
+				}
+			}
+			d.mu.Unlock()
+			ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+			select {
+			case <-changed:
+			case <-time.After(time.Duration(ms) * time.Millisecond):
+				json.NewEncoder(w).Encode(endpointList{Version: watchedVersion(after)})
+				return
+			case <-r.Context().Done():
+				return
+			}
+		}
+	}))
+	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
+	return d
+}
+
+// watchedVersion is the version that a watch has seen.
+func watchedVersion(after string) int64 {
+	v, _ := strconv.ParseInt(after, 10, 64)
+	return v
+}
+
+// change tells of a change.
+func (d *directory) change(entries ...listEntry) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	last := d.lists[len(d.lists)-1]
+	d.lists = append(d.lists, endpointList{Version: last.Version + 1, Servers: entries})
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+func box(id, addr string) listEntry {
+	return listEntry{ID: id, Addr: addr, Zone: "a", Kind: "box", State: "active", Weight: 1}
+}
+
+func originAt(addr string) listEntry {
+	e := box("s-00000063", addr)
+	e.Kind = "origin"
+	return e
+}
+
+func full(entries ...listEntry) endpointList {
+	return endpointList{Version: 1, IsComplete: true, Servers: entries}
+}
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	run(t, young, listener)
-	until(t, young.loop, "the inherited list", func() bool { return len(young.loop.targets) == 7 })
-	look(young.loop, func() {
+	eventually(t, young.loop, "the inherited list", func() bool { return len(young.loop.targets) == 7 })
+	onLoop(young.loop, func() {
 		if got := slices.Sorted(maps.Keys(young.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
 			t.Errorf("disabled by operator: %q", got)
 		}
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -19,7 +19,8 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		if err := handover.Serve(ctx, dir, "x", old.router.clients.listener.(*net.TCPListener), old.router); err != nil {
+		if err := handover.Serve(ctx, dir, "x", old.router.clients.listener.(*net.TCPListener),
+			old.router); err != nil {
 			t.Error(err)
 		}
 	})
@@ -59,7 +60,7 @@
 	disabled := func(r *running) int64 {
 		done := make(chan int64)
 		r.router.loop.post(func() { _, n := r.router.loop.balancer.CountEndpoints(); done <- int64(n) })
-		return next(t, done, "count")
+		return receive(t, done, "count")
 	}
 	if got := disabled(young); got != 1 {
 		t.Errorf("a ban before the upgrade: %d disabled", got)
@@ -92,7 +93,7 @@
 	for disabledBy := 0; disabledBy == 0; {
 		done := make(chan int)
 		young.router.loop.post(func() { done <- len(young.router.loop.entries) })
-		if next(t, done, "list") == 4 {
+		if receive(t, done, "list") == 4 {
 			disabledBy = 1
 		}
 	}
@@ -104,7 +105,7 @@
 		t.Errorf("memory of the old one: %d", got)
 	}
 	old.stop()
-	if err := next(t, old.done, "end of the old one"); err != nil {
+	if err := receive(t, old.done, "end of the old one"); err != nil {
 		t.Error(err)
 	}
 	end()
@@ -117,3 +118,35 @@
 		}
 	}
 }
+
+// A list that discovery has told the old process, and that its loop has not come to when the state
+// is handed over, reaches the new one all the same.
+func TestListThatCrossesTheHandOverReachesTheNewProcess(t *testing.T) {
+	s, o := startFake(t, hit), startFake(t, originOK)
+	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
+	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	for c := dial(t, old.addr); c.ask("mn") != "MN"; {
+	}
+	l, held := old.router.loop, newGate(t)
+	running := make(chan struct{})
+	l.post(func() { close(running); <-held.opened })
+	receive(t, running, "the loop")
+	news := box("s-0000000b", s.addr)
+	news.State = "leaving"
+	d.change(news)
+	for len(l.events) == 0 { // the list, behind what the loop is at
+	}
+	asked := make(chan struct{})
+	go func() {
+		defer close(asked)
+		for len(l.priorityEvents) == 0 { // the state, which goes first
+		}
+		held.open()
+	}()
+	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	defer end()
+	receive(t, asked, "the call for the state")
+	eventually(t, young.router.loop, "the list", func() bool {
+		return young.router.loop.entries["s-0000000b"].State == "leaving"
+	})
+}
--- /dev/null
+++ b/internal/router/harness_test.go
@@ -0,0 +1,336 @@
+package router
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"dockhinge.example/dockhinge/internal/admission"
+	"dockhinge.example/dockhinge/internal/metrics"
+)
+
+// startLoop is a router whose loop the test can look at.
+func startLoop(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, string) {
+	t.Helper()
+	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
+	cfg.Limits.MemoryMB = memoryMB
+	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln := listenLocal(t)
+	s := newClients(l, ln, places)
+	s.wg.Go(func() { l.run(t.Context()) })
+	s.wg.Go(s.accept)
+	l.post(func() { l.updateEndpoints(0, full(entries...)) })
+	return l, ln.Addr().String()
+}
+
+// onLoop runs do on the loop, once what was posted before has been carried out.
+func onLoop(l *loop, do func()) {
+	done := make(chan struct{})
+	l.post(func() { do(); close(done) })
+	<-done
+}
+
+// eventually awaits a state that only the loop can see.
+func eventually(t testing.TB, l *loop, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
+		var yes bool
+		onLoop(l, func() { yes = holds() })
+		if yes {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("not within %v: %s", wait, what)
+		}
+	}
+}
+
+// disconnect leaves as a client does that closes, or whose process dies.
+func (c *client) disconnect(how string) {
+	if how == "reset" {
+		c.Conn.(*net.TCPConn).SetLinger(0)
+	}
+	c.Close()
+}
+
+// readOf is a read of a key of its own, as read is of the same one always.
+func readOf(key int, id string, d int) string {
+	return fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=%d", key, id, d)
+}
+
+func receivedSoFar(ch chan string) (all []string) {
+	for len(ch) > 0 {
+		all = append(all, <-ch)
+	}
+	return all
+}
+
+// startLoopAndClients is parts with the clients too.
+func startLoopAndClients(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, *clients, string) {
+	t.Helper()
+	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
+	cfg.Limits.MemoryMB = memoryMB
+	return startLoopWith(t, cfg, places, entries...)
+}
+
+// startLoopWith is the same with settings of its own.
+func startLoopWith(t *testing.T, cfg *Config, places int, entries ...listEntry) (*loop, *clients, string) {
+	t.Helper()
+	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln := listenLocal(t)
+	s := newClients(l, ln, places)
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() { defer close(ended); l.run(ctx) }()
+	t.Cleanup(func() { stop(); <-ended })
+	s.wg.Go(s.accept)
+	l.post(func() { l.updateEndpoints(0, full(entries...)) })
+	return l, s, ln.Addr().String()
+}
+
+// onePlaceAdmission admits one request at a time.
+func onePlaceAdmission() *AdmissionConfig {
+	return &AdmissionConfig{
+		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2,
+			ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
+			InitialLimit: 1, MinLimit: 1, MaxLimit: 1, RetryBudgetShare: 1, RetryBudgetBurst: 10},
+		Tenants: admission.TenantRules{{Source: admission.TenantFromClient}},
+	}
+}
+
+// awaitEnd has all that a client's connection has started end.
+func (s *clients) awaitEnd(t *testing.T) {
+	t.Helper()
+	s.listener.Close()
+	done := make(chan struct{})
+	go func() { defer close(done); s.drain(context.Background(), context.Background()) }()
+	receive(t, done, "end of all connections")
+}
+
+// longLived has nothing end by time.
+func longLived(cfg *Config) *Config {
+	for i := range cfg.settings.Config.Classes {
+		c := &cfg.settings.Config.Classes[i]
+		c.LatencyObjectiveMillis, c.DeadlineMillis, c.IdempotencyWindowMillis = 30000, 60000, 60000
+	}
+	return cfg
+}
+
+// withSettings is the test configuration with a part of its text replaced.
+func withSettings(t *testing.T, cfg *Config, from, to string) *Config {
+	t.Helper()
+	text := strings.Replace(string(cfg.text), from, to, 1)
+	if text == string(cfg.text) {
+		t.Fatalf("%s: not in the configuration", from)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := LoadConfig(path, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return got
+}
+
+// Where the module may cancel, it gives up a read that takes some 15 ms at first: a slow machine
+// would change verdicts.
+const testSettings = `{"balancers":1,"myNumber":0,"zone":"a","categories":[` +
+	`{"name":"read","effect":"repeatable","keyScope":"all","target":500,"hardLimit":2000,"gain":1},` +
+	`{"name":"put","effect":"by_key","keyScope":"all","window":2000,"target":500,"hardLimit":2000,"gain":1},` +
+	`{"name":"bill","effect":"once","keyScope":"all","target":500,"hardLimit":2000,"gain":2}],` +
+	`"projects":[{"name":"t","quotaPerS":1000}],"kinds":["box","origin"],` +
+	`"familyInfo":{"mode":"aside","originKind":1},` +
+	`"discovery":"push","weights":"nominal","loadInfo":{"columns":["rps","cpu"],"how":"answers"},` +
+	`"caps":{"cancel":false,"mayProbe":true,"maxAttempts":4,"connIdle":10000,"connectTimeout":250},` +
+	`"rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
+
+const wait = 10 * time.Second // for what must come; a test that passes does not wait for it
+
+func listenLocal(t testing.TB) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// receive waits for one thing on a channel.
+func receive[T any](t testing.TB, ch <-chan T, what string) T {
+	t.Helper()
+	select {
+	case v := <-ch:
+		return v
+	case <-time.After(wait):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// running is a router under test.
+type running struct {
+	router  *Router
+	addr    string
+	stop    context.CancelFunc
+	done    chan error
+	updates chan *Config
+}
+
+func testConfig(t testing.TB, discovery string, known endpointList) *Config {
+	t.Helper()
+	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery,
+		"seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192,
+			"sockets": 256}, "known": known, "settings": json.RawMessage(testSettings)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cfg, err := LoadConfig(path, func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// newRouter is a router that serves on a listener once it runs.
+func newRouter(t testing.TB, cfg *Config, listener net.Listener) *Router {
+	t.Helper()
+	r, err := New(cfg, listener, metrics.New())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+func start(t testing.TB, cfg *Config) *running {
+	t.Helper()
+	listener := listenLocal(t)
+	return run(t, newRouter(t, cfg, listener), listener)
+}
+
+func run(t testing.TB, router *Router, ln net.Listener) *running {
+	t.Helper()
+	ctx, stop := context.WithCancel(t.Context())
+	r := &running{router: router, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1),
+		updates: make(chan *Config)}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		r.done <- router.Run(ctx, r.updates)
+	}()
+	t.Cleanup(func() { stop(); <-ended })
+	return r
+}
+
+// serving starts a router over a list that discovery gives, and waits until it is ready.
+func serving(t testing.TB, entries ...listEntry) (*running, *directory) {
+	t.Helper()
+	d := startDirectory(t, full(entries...))
+	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	receive(t, d.calls, "call for the list")
+	receive(t, d.calls, "watch")
+	c := dial(t, r.addr)
+	for c.ask("mn") != "MN" {
+	}
+	return r, d
+}
+
+// client is a client's connection.
+type client struct {
+	net.Conn
+	t testing.TB
+	r *bufio.Reader
+}
+
+func dial(t testing.TB, addr string) *client {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(wait))
+	return &client{c, t, bufio.NewReader(c)}
+}
+
+func (c *client) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// line returns the next answer, with its value behind it, or "EOF".
+func (c *client) line() string {
+	c.t.Helper()
+	l, err := c.r.ReadString('\n')
+	if err != nil {
+		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
+			c.t.Fatal("no answer")
+		}
+		return "EOF"
+	}
+	l = strings.TrimSpace(l)
+	if strings.HasPrefix(l, "VA ") {
+		v, _ := c.r.ReadString('\n')
+		l += " " + strings.TrimSpace(v)
+	}
+	return l
+}
+
+func (c *client) ask(command string) string {
+	c.t.Helper()
+	c.send(command + "\r\n")
+	return c.line()
+}
+
+func readCommandOf(id string, d int) string {
+	return fmt.Sprintf("mg 7f3a9c21e0b4d655 v O%s Pc=read,t=t,d=%d,h=52000,size=5", id, d)
+}
+
+func billCommandOf(id string, d int) string {
+	return fmt.Sprintf("ms 7f3a9c21e0b4d655 3 O%s Pc=bill,t=t,d=%d\r\nabc", id, d)
+}
+
+// nothingMore asserts that nothing more comes on a connection within a moment.
+func (c *client) nothingMore() {
+	c.t.Helper()
+	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if b, err := c.r.ReadByte(); err == nil {
+		c.t.Errorf("a second answer, from %q on", b)
+	}
+}
+
+// originTarget is where the loop has the origin.
+func originTarget(l *loop) (at *target) {
+	onLoop(l, func() {
+		for _, t := range l.targets {
+			if t.isOrigin {
+				at = t
+			}
+		}
+	})
+	return at
+}
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// flaky is a fleet whose connections end under requests, and the first and last servers that each request came to.
+// flaky is a fleet whose connections end under requests, and the first and last servers that each
+// request came to.
 type flaky struct {
 	mu    sync.Mutex
 	first map[string]int // by request id
@@ -50,8 +51,9 @@
 	return -1, -1
 }
 
-// Connections end under one request in six to eight at every server alike, also two in a row: the keys stay where they are kept,
-// and reads are answered. Then one server dies, and its keys go elsewhere soon.
+// Connections end under one request in six to eight at every server alike, also two in a row: the
+// keys stay where they are kept, and reads are answered. Then one server dies, and its keys go
+// elsewhere soon.
 func TestConnectionsThatEndEverywhereMoveNoKeys(t *testing.T) {
 	dead := -1
 	f, entries := startFlaky(t, 3, func(server, n int) bool {
@@ -72,7 +74,8 @@
 		return key, first, last
 	}
 	for i := range 400 {
-		// From the first solve on, 250 ms after the start at the soonest, keys move by what each server accepted (docs/open.md).
+		// From the first solve on, 250 ms after the start at the soonest, keys move by what each
+		// server accepted (docs/open.md).
 		if time.Since(began) > 200*time.Millisecond {
 			break
 		}
@@ -81,10 +84,12 @@
 			home[key] = at
 		}
 		if at >= 0 && at != home[key] {
-			t.Fatalf("%v after the start, request %d of key %d went to server %d first, not to %d", time.Since(began), i, key, at, home[key])
+			t.Fatalf("%v after the start, request %d of key %d went to server %d first, not to %d",
+				time.Since(began), i, key, at, home[key])
 		}
 		if i >= 200 && last != at {
-			t.Fatalf("request %d of key %d was cut off at server %d and sent to %d, where the value is not kept", i, key, at, last)
+			t.Fatalf("request %d of key %d was cut off at server %d and sent to %d, where the value is not kept", i,
+				key, at, last)
 		}
 	}
 	f.mu.Lock()
@@ -104,23 +109,8 @@
 	}
 }
 
-// once answers the first request with the given text and later ones with then.
-func once(first string, then func(string) string) func(string) string {
-	var mu sync.Mutex
-	asked := false
-	return func(line string) string {
-		mu.Lock()
-		defer mu.Unlock()
-		if asked {
-			return then(line)
-		}
-		asked = true
-		return first
-	}
-}
-
-// Where an answer breaks off, the value is still kept where it was: there it is asked for again, and no other server
-// misses it and fetches it.
+// Where an answer breaks off, the value is still kept where it was: there it is asked for again,
+// and no other server misses it and fetches it.
 func TestReadThatWasCutOffIsAskedForWhereItIsKept(t *testing.T) {
 	for name, cut := range map[string]string{"value": "VA 50 O{id} h1\r\nhel{cut}", "line": "VA 5{cut}"} {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +118,7 @@
 			answer, o := once(cut, hit), startFake(t, originOK) // whichever server is the key's home is cut off
 			s1, s2 := startFake(t, answer), startFake(t, answer)
 			r, _ := serving(t, box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr))
-			if got := dial(t, r.addr).ask(read("a1", 2000)); got != "VA 5 Oa1 hello" {
+			if got := dial(t, r.addr).ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 				t.Errorf("got %q", got)
 			}
 			if n := [3]int{len(s1.seen), len(s2.seen), len(o.seen)}; n != [3]int{2, 0, 0} && n != [3]int{0, 2, 0} {
@@ -143,7 +133,7 @@
 	s, o := startFake(t, miss), startFake(t, once("close", originOK))
 	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
 	c := dial(t, r.addr)
-	if got := c.ask(read("a1", 2000)); got != "VA 5 Oa1 fresh" {
+	if got := c.ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 fresh" {
 		t.Errorf("got %q", got)
 	}
 	if len(s.seen) != 1 || len(o.seen) != 2 {
@@ -151,13 +141,13 @@
 	}
 	o = startFake(t, once("close", originOK))
 	r, _ = serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	if got := dial(t, r.addr).ask(bill("a2", 2000)); got != "SERVER_ERROR failed" || len(o.seen) != 1 {
+	if got := dial(t, r.addr).ask(billCommandOf("a2", 2000)); got != "SERVER_ERROR failed" || len(o.seen) != 1 {
 		t.Errorf("a write: got %q after %d attempts", got, len(o.seen))
 	}
 }
 
-// An answer may get lost though the server is well and answers what comes after: the read is asked for again there, and a
-// lost fetch is made again, long before the client's time is up.
+// An answer may get lost though the server is well and answers what comes after: the read is asked
+// for again there, and a lost fetch is made again, long before the client's time is up.
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
 	lose := func(answer func(string) string) func(string) string {
 		var lost sync.Once
@@ -185,7 +175,8 @@
 			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = true
 			for i := range cfg.settings.Config.Classes {
-				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900 // by the load they tell, the servers do 30 a second
+				// by the load they tell, the servers do 30 a second
+				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900
 			}
 			r := start(t, cfg)
 			others, one := dial(t, r.addr), dial(t, r.addr)
@@ -198,7 +189,7 @@
 			for i := range 20 { // what is usual
 				other(i)
 			}
-			one.send(read("lost", 2000) + "\r\n")
+			one.send(readCommandOf("lost", 2000) + "\r\n")
 			go func() {
 				l, _ := one.r.ReadString('\n')
 				if strings.HasPrefix(l, "VA ") {
@@ -225,8 +216,8 @@
 	}
 }
 
-// The first answer of a server may take long, over a new connection to another zone: the server is waited for, and is
-// neither asked twice nor taken out of use.
+// The first answer of a server may take long, over a new connection to another zone: the server is
+// waited for, and is neither asked twice nor taken out of use.
 func TestFirstAnswersAreWaitedFor(t *testing.T) {
 	far := func(string) string {
 		time.Sleep(80 * time.Millisecond) // the way
--- /dev/null
+++ b/internal/router/membership_test.go
@@ -0,0 +1,68 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestForgottenIDsAreTheOldest(t *testing.T) {
+	var n serverIDs
+	n.add("first", 1)
+	for i := range maxServerIDs - 1 {
+		n.add(fmt.Sprint("s-", i), uint32(i))
+	}
+	n.add("first", 1) // listed again
+	n.add("one more", 2)
+	if len(n.IDs) != maxServerIDs || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
+		t.Errorf("%d ids", len(n.IDs))
+	}
+	if _, kept := n.IDs["s-0"]; kept {
+		t.Error("the one that was listed longest ago is kept")
+	}
+}
+
+func TestDrainingServerGetsNothingNew(t *testing.T) {
+	for _, state := range []string{"leaving", "left"} {
+		t.Run(state, func(t *testing.T) {
+			t.Parallel()
+			s, o := startFake(t, hit), startFake(t, originOK)
+			e := box("s-0000000b", s.addr)
+			r, d := serving(t, e, originAt(o.addr))
+			c := dial(t, r.addr)
+			c.ask(readCommandOf("a1", 2000))
+			receive(t, s.seen, "request")
+			e.State = state
+			began := time.Now()
+			d.change(e)
+			receive(t, d.calls, "watch after the change")
+			if state == "left" {
+				receive(t, s.ended, "end of the kept connection")
+				if took := time.Since(began); took > 5*time.Second { // else it only ran out
+					t.Errorf("closed after %v", took)
+				}
+			}
+			for i := range 5 {
+				c.ask(readCommandOf(fmt.Sprint("b", i), 2000))
+			}
+			if len(s.seen) > 0 {
+				t.Error("sent to a server that drains")
+			}
+		})
+	}
+}
+
+// A server that has started anew: connections to the process before it are closed.
+func TestRestartedServerGetsNewConnections(t *testing.T) {
+	s, o := startFake(t, hit), startFake(t, originOK)
+	e := box("s-0000000b", s.addr)
+	r, d := serving(t, e, originAt(o.addr))
+	dial(t, r.addr).ask(readCommandOf("a1", 2000))
+	e.StartedMillis = float64(time.Now().UnixMilli())
+	began := time.Now()
+	d.change(e)
+	receive(t, s.ended, "end of the old connection")
+	if took := time.Since(began); took > 5*time.Second { // else it only ran out
+		t.Errorf("closed after %v", took)
+	}
+}
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -30,15 +30,15 @@
 	r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 	c := dial(t, r.addr)
 	for i := range 3 {
-		c.ask(read(fmt.Sprint("a", i), 5000))
+		c.ask(readCommandOf(fmt.Sprint("a", i), 5000))
 	}
-	if got := c.ask(bill("w", 5000)); got != "SERVER_ERROR failed" {
+	if got := c.ask(billCommandOf("w", 5000)); got != "SERVER_ERROR failed" {
 		t.Fatalf("got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := c.ask(read("a9", 5000)); got != "SERVER_ERROR busy" {
+	if got := c.ask(readCommandOf("a9", 5000)); got != "SERVER_ERROR busy" {
 		t.Fatalf("with its only server out: got %q", got)
 	}
 	s := r.figures(t)
@@ -61,16 +61,16 @@
 		t.Fatal(err)
 	}
 	d.change(box("s-0000000b", a.addr))
-	next(t, d.calls, "watch")
+	receive(t, d.calls, "watch")
 	c := dial(t, r.addr)
-	if got := c.ask(read("a1", 5000)); got != "SERVER_ERROR busy" {
+	if got := c.ask(readCommandOf("a1", 5000)); got != "SERVER_ERROR busy" {
 		t.Errorf("got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", false); err != nil {
 		t.Fatal(err)
 	}
 	for i := 2; ; i++ { // at first its cold budget may have no room
-		if got := c.ask(read(fmt.Sprint("a", i), 5000)); got == fmt.Sprintf("VA 5 Oa%d hello", i) {
+		if got := c.ask(readCommandOf(fmt.Sprint("a", i), 5000)); got == fmt.Sprintf("VA 5 Oa%d hello", i) {
 			break
 		} else if got != "SERVER_ERROR busy" {
 			t.Fatalf("after the call back: got %q", got)
@@ -90,19 +90,3 @@
 		t.Errorf("got %v", err)
 	}
 }
-
-func TestForgottenIDsAreTheOldest(t *testing.T) {
-	var n serverIDs
-	n.add("first", 1)
-	for i := range maxServerIDs - 1 {
-		n.add(fmt.Sprint("s-", i), uint32(i))
-	}
-	n.add("first", 1) // listed again
-	n.add("one more", 2)
-	if len(n.IDs) != maxServerIDs || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
-		t.Errorf("%d ids", len(n.IDs))
-	}
-	if _, kept := n.IDs["s-0"]; kept {
-		t.Error("the one that was listed longest ago is kept")
-	}
-}
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -13,8 +11,8 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// A configuration that names another discovery: the list that is held serves until the new one tells the whole, the
-// old watch ends, and what the old one says from then on counts for nothing.
+// A configuration that names another discovery: the list that is held serves until the new one
+// tells the whole, the old watch ends, and what the old one says from then on counts for nothing.
 func TestNewDiscoveryTakesOver(t *testing.T) {
 	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
 	r, old := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
@@ -32,25 +30,25 @@
 	}))
 	t.Cleanup(func() { slow.CloseClientConnections(); slow.Close() })
 	r.updates <- testConfig(t, slow.Listener.Addr().String(), endpointList{})
-	next(t, ended, "end of a first call, which was not answered") // so the new one is asked again and again
-	if got := c.ask(read("a1", 5000)); got != "VA 5 Oa1 hello" {
+	receive(t, ended, "end of a first call, which was not answered") // so the new one is asked again and again
+	if got := c.ask(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("while the new one is silent: got %q", got)
 	}
-	next(t, a.seen, "request at the server of the list that is held")
+	receive(t, a.seen, "request at the server of the list that is held")
 	gone := originAt(o.addr)
 	gone.State = "left"
 	old.change(gone) // the watch is over: nobody hears it
 	close(tell)
-	next(t, second.calls, "call for the whole list")
-	next(t, second.calls, "watch")
-	next(t, a.ended, "end of the connection to the server that the new list lacks")
+	receive(t, second.calls, "call for the whole list")
+	receive(t, second.calls, "watch")
+	receive(t, a.ended, "end of the connection to the server that the new list lacks")
 	for i := range 3 {
-		if got := c.ask(read(fmt.Sprint("b", i), 5000)); !strings.HasSuffix(got, "hello") {
+		if got := c.ask(readCommandOf(fmt.Sprint("b", i), 5000)); !strings.HasSuffix(got, "hello") {
 			t.Errorf("after the change: got %q", got)
 		}
-		next(t, b.seen, "request at the server of the new list")
+		receive(t, b.seen, "request at the server of the new list")
 	}
-	if got := c.ask(bill("w", 5000)); got != "HD Ow c5c0f" {
+	if got := c.ask(billCommandOf("w", 5000)); got != "HD Ow c5c0f" {
 		t.Errorf("the origin that the old discovery took away: got %q", got)
 	}
 }
@@ -67,10 +65,10 @@
 	told := func(d *discovery, between func()) {
 		done := make(chan struct{})
 		go func() { defer close(done); d.onList(full(box("s-0000000b", "127.0.0.1:1"))) }()
-		event := next(t, l.events, "the list")
+		event := receive(t, l.events, "the list")
 		between()
 		event()
-		next(t, done, "the end of telling it")
+		receive(t, done, "the end of telling it")
 	}
 	l.setDiscovery(old)
 	told(old, func() { l.setDiscovery(fresh) })
@@ -83,24 +81,6 @@
 	}
 }
 
-// retuned is the test configuration with a part of its text replaced.
-func retuned(t *testing.T, cfg *Config, from, to string) *Config {
-	t.Helper()
-	text := strings.Replace(string(cfg.text), from, to, 1)
-	if text == string(cfg.text) {
-		t.Fatalf("%s: not in the configuration", from)
-	}
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	got, err := LoadConfig(path, func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	return got
-}
-
 func (r *running) reloads(t *testing.T) [2]int64 {
 	s := r.figures(t)
 	return [2]int64{s.ReloadSuccess, s.ReloadFailure}
@@ -114,12 +94,12 @@
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
 	}
-	other := strings.Replace(read("a1", 5000), "c=read", "c=fetch", 1)
-	bad := retuned(t, cfg, `"name":"n0"`, `"name":"n1"`)
-	good := retuned(t, cfg, `"name":"read"`, `"name":"fetch"`)
+	other := strings.Replace(readCommandOf("a1", 5000), "c=read", "c=fetch", 1)
+	bad := withSettings(t, cfg, `"name":"n0"`, `"name":"n1"`)
+	good := withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`)
 	r.updates <- bad
-	r.updates <- retuned(t, cfg, `"hardLimit":2000,"gain":1}`, `"hardLimit":2000,"gain":1}`+" ") // nothing new
-	if got := c.ask(read("a0", 5000)); got != "VA 5 Oa0 hello" {
+	r.updates <- withSettings(t, cfg, `"hardLimit":2000,"gain":1}`, `"hardLimit":2000,"gain":1}`+" ") // nothing new
+	if got := c.ask(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
 		t.Errorf("before: got %q", got)
 	}
 	r.updates <- good
@@ -127,7 +107,7 @@
 	if got := c.ask(other); got != "VA 5 Oa1 hello" {
 		t.Errorf("a new class: got %q", got)
 	}
-	if got := c.ask(read("a2", 5000)); !strings.HasPrefix(got, "CLIENT_ERROR") {
+	if got := c.ask(readCommandOf("a2", 5000)); !strings.HasPrefix(got, "CLIENT_ERROR") {
 		t.Errorf("a class that was dropped: got %q", got)
 	}
 	r.updates <- bad
@@ -138,9 +118,10 @@
 
 func TestFileThatLacksAKeyReplacesNothing(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
-	for text, key := range map[string]string{`"connIdle":10000,`: "settings.caps.connIdle", `"cancel":false,`: "settings.caps.cancel",
+	for text, key := range map[string]string{`"connIdle":10000,`: "settings.caps.connIdle",
+		`"cancel":false,`:      "settings.caps.cancel",
 		`"weights":"nominal",`: "settings.weights", `"cores":1,`: "limits.cores"} {
-		got := retuned(t, cfg, text, "")
+		got := withSettings(t, cfg, text, "")
 		if err := got.replaces(cfg); err == nil || err.Error() != key+": missing" {
 			t.Errorf("without %s: got %v", key, err)
 		}
@@ -150,7 +131,8 @@
 	}
 }
 
-// Where a list is held, one call from its version does for the whole list and the watch, also after a failure.
+// Where a list is held, one call from its version does for the whole list and the watch, also after
+// a failure.
 func TestHeldListIsWatchedFromItsVersion(t *testing.T) {
 	queries := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -178,3 +160,21 @@
 		t.Errorf("asked for what came after %v", got)
 	}
 }
+
+// A request that waits at the door keeps the rules that it came under, though its class is dropped
+// meanwhile.
+func TestRequestAtTheDoorOutlivesItsClass(t *testing.T) {
+	r, _, answer, first, second, cfg := startWithQueuedRequest(t)
+	l := r.router.loop
+	dropped := longLived(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
+	dropped.Admission = cfg.Admission
+	dropped.settings.Config.HealthChecks = false
+	r.updates <- dropped
+	eventually(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
+	answer.open()
+	for i, c := range []*client{first, second} {
+		if got, want := c.line(), "VA 5 O"+string("ab"[i])+" hello"; got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+}
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -8,19 +8,22 @@
 	"testing"
 )
 
-// largeFleet is a list of so many cache servers and the origin, with ids and addresses of the usual length.
+// largeFleet is a list of so many cache servers and the origin, with ids and addresses of the usual
+// length.
 func largeFleet(servers int) endpointList {
 	entries := []listEntry{originAt("127.0.0.1:1")}
 	for i := range servers {
-		e := box(fmt.Sprintf("s-%08x", 0x5be20000+i), fmt.Sprintf("10.%d.%d.%d:11211", 100+i>>16, 100+i>>8&0x7f, 100+i&0x7f))
-		e.Zone, e.Kind, e.Cell, e.Weight, e.StartedMillis = fmt.Sprintf("region-%02d-zone-%02d", i%13, i%47), "box", i%64, 1.25, 1796188180127
+		e := box(fmt.Sprintf("s-%08x", 0x5be20000+i),
+			fmt.Sprintf("10.%d.%d.%d:11211", 100+i>>16, 100+i>>8&0x7f, 100+i&0x7f))
+		e.Zone, e.Kind, e.Cell, e.Weight, e.StartedMillis = fmt.Sprintf("region-%02d-zone-%02d", i%13,
+			i%47), "box", i%64, 1.25, 1796188180127
 		entries = append(entries, e)
 	}
 	return full(entries...)
 }
 
-// Nothing that a router is told or hands over is bounded below 2,500 servers: an indented list of them is read, and a
-// successor gets all of it.
+// Nothing that a router is told or hands over is bounded below 2,500 servers: an indented list of
+// them is read, and a successor gets all of it.
 func TestListsOfALargeFleetFit(t *testing.T) {
 	const servers = 2500
 	want := largeFleet(servers)
@@ -35,26 +38,29 @@
 	hold := newGate(t)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("wait_ms") != "" {
-			<-hold.ch
+			<-hold.opened
 			return
 		}
 		w.Write(indented)
 	}))
 	t.Cleanup(d.Close)
-	t.Cleanup(hold.let)
+	t.Cleanup(hold.open)
 	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
-	until(t, old.router.loop, "the list", func() bool { return len(old.router.loop.targets) == servers+1 })
+	eventually(t, old.router.loop, "the list", func() bool { return len(old.router.loop.targets) == servers+1 })
 	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
-	until(t, young.router.loop, "the successor's list", func() bool { return len(young.router.loop.targets) == servers+1 })
+	eventually(t, young.router.loop, "the successor's list",
+		func() bool { return len(young.router.loop.targets) == servers+1 })
 	var state handoverState
-	look(old.router.loop, func() {
+	onLoop(old.router.loop, func() {
 		l := old.router.loop
-		state = handoverState{Decisions: l.balancer.HandOver(l.now()), List: l.currentList(), ServerIDs: l.serverIDs.clone()}
+		state = handoverState{Decisions: l.balancer.HandOver(l.now()), List: l.currentList(),
+			ServerIDs: l.serverIDs.clone()}
 	})
 	text, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d servers: a list of %d bytes, indented %d of %d, a handed-over state of %d", servers, len(compact), len(indented), maxListBytes, len(text))
+	t.Logf("%d servers: a list of %d bytes, indented %d of %d, a handed-over state of %d", servers, len(compact),
+		len(indented), maxListBytes, len(text))
 }
--- a/internal/router/streaming_test.go
+++ b/internal/router/streaming_test.go
@@ -19,8 +19,8 @@
 	return b.String()[:n]
 }
 
-// whole reads a value that is passed through, and says whether its end came.
-func (c *client) whole(t *testing.T, id string, n int) (value string, end bool) {
+// readStreamed reads a value that is passed through, and says whether its end came.
+func (c *client) readStreamed(t *testing.T, id string, n int) (value string, end bool) {
 	t.Helper()
 	want := fmt.Sprintf("VA %d O%s\r\n", n, id)
 	head := make([]byte, len(want))
@@ -43,16 +43,17 @@
 	}), startFake(t, func(string) string { return httpAnswer("200 OK", value) })
 	r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 	c := dial(t, r.addr)
-	// One behind the other on one connection, from a cache server and from the origin, with a short answer between.
-	c.send(read("a1", 5000) + "\r\nmn\r\n")
-	if got, end := c.whole(t, "a1", n); got != value || !end {
+	// One behind the other on one connection, from a cache server and from the origin, with a short
+	// answer between.
+	c.send(readCommandOf("a1", 5000) + "\r\nmn\r\n")
+	if got, end := c.readStreamed(t, "a1", n); got != value || !end {
 		t.Errorf("from a cache server: %d bytes, end %t", len(got), end)
 	}
 	if got := c.line(); got != "MN" {
 		t.Errorf("behind it: got %q", got)
 	}
-	c.send(read("o1", 5000) + "\r\n")
-	if got, end := c.whole(t, "o1", n); got != value || !end {
+	c.send(readCommandOf("o1", 5000) + "\r\n")
+	if got, end := c.readStreamed(t, "o1", n); got != value || !end {
 		t.Errorf("from the origin: %d bytes, end %t", len(got), end)
 	}
 	for r.figures(t).Success["read"] != 2 {
@@ -73,8 +74,8 @@
 			a, o := startFake(t, func(string) string { return answer }), startFake(t, originOK)
 			r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 			c := dial(t, r.addr)
-			c.send(read("a1", 5000) + "\r\n")
-			if got, end := c.whole(t, "a1", n); end {
+			c.send(readCommandOf("a1", 5000) + "\r\n")
+			if got, end := c.readStreamed(t, "a1", n); end {
 				t.Errorf("%d bytes passed for a whole value", len(got))
 			}
 			if got := c.line(); got != "EOF" {
@@ -98,7 +99,8 @@
 	from.reader = bufio.NewReaderSize(from, maxLineBytes)
 	turn := make(chan struct{})
 	close(turn)
-	s := &valueStream{ctx: t.Context(), response: &response{conn: &clientConn{Conn: down, unwritable: make(chan struct{})}, streamTurn: turn}}
+	s := &valueStream{ctx: t.Context(), response: &response{conn: &clientConn{Conn: down,
+		unwritable: make(chan struct{})}, streamTurn: turn}}
 	var given atomic.Int64
 	go func() {
 		for range n / step {
@@ -125,7 +127,7 @@
 	if got, err := io.ReadAll(io.LimitReader(reader, 2)); err != nil || string(got) != "\r\n" {
 		t.Errorf("the end: got %q, %v", got, err)
 	}
-	if err := next(t, done, "end"); err != nil {
+	if err := receive(t, done, "end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -150,11 +152,12 @@
 		if got := c.line(); got != "HD O"+id+" c5c0f" {
 			t.Fatalf("got %q", got)
 		}
-		if got := next(t, o.seen, "write"); !strings.HasSuffix(got, " "+value) || idOf(got) != id {
+		if got := receive(t, o.seen, "write"); !strings.HasSuffix(got, " "+value) || idOf(got) != id {
 			t.Errorf("the origin got %.100q and %d bytes", got, len(got))
 		}
 	}
-	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 || r.router.loop.valueBytes.used.Load() != 0 {
+	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 ||
+		r.router.loop.valueBytes.used.Load() != 0 {
 		t.Errorf("got %+v, %d bytes held", got, r.router.loop.valueBytes.used.Load())
 	}
 	if n := r.router.upstreams.uploads.Load(); n != 0 {
@@ -162,7 +165,8 @@
 	}
 }
 
-// A large write whose last piece was not sent on has not run, whatever became of the rest: it is refused, not failed.
+// A large write whose last piece was not sent on has not run, whatever became of the rest: it is
+// refused, not failed.
 func TestLargeWriteThatCantBePassedOn(t *testing.T) {
 	value := bigValue(1 << 20)
 	ln := listenLocal(t) // an origin that ends each connection in the middle
@@ -182,7 +186,7 @@
 	c := dial(t, r.addr)
 	text := largeWrite("w1", value)
 	c.send(text[:len(text)/2])
-	next(t, closed, "end at the origin")
+	receive(t, closed, "end at the origin")
 	c.send(text[len(text)/2:])
 	if got := c.line(); got != "SERVER_ERROR busy" {
 		t.Errorf("an origin that closes: got %q", got)
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// The timeout hint of an attempt is at most what is left to the client when its first byte is written. These tests know a
-// moment before which an attempt can't have been written, as its server or its connection was held until then; so what is
-// left at most follows from two readings of the clock, and no test depends on how fast the machine is.
+// The timeout hint of an attempt is at most what is left to the client when its first byte is
+// written. These tests know a moment before which an attempt can't have been written, as its server
+// or its connection was held until then; so what is left at most follows from two readings of the
+// clock, and no test depends on how fast the machine is.
 
 // held is how long each test holds what it holds: a hint that does not shrink is off by as much.
 const held = 40 * time.Millisecond
@@ -37,8 +38,8 @@
 	return hint
 }
 
-// atMost checks the hint of an attempt that can't have been written before a moment, for a request that the router had at
-// another and that allowed so many milliseconds from then on at most.
+// atMost checks the hint of an attempt that can't have been written before a moment, for a request
+// that the router had at another and that allowed so many milliseconds from then on at most.
 func atMost(t testing.TB, line string, allowed float64, had, notBefore time.Time) {
 	t.Helper()
 	hint := hintOf(t, line)
@@ -52,20 +53,20 @@
 
 func TestHintOfAFetchAfterAMiss(t *testing.T) {
 	answer := newGate(t)
-	s := startFake(t, func(line string) string { <-answer.ch; return miss(line) })
+	s := startFake(t, func(line string) string { <-answer.opened; return miss(line) })
 	o := startFake(t, originOK)
-	_, _, addr := partsOf(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
+	_, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
 	c := dial(t, addr)
-	c.send(key(1, "w0", longWait) + "\r\n")
-	first := next(t, s.seen, "the read that misses")
+	c.send(readOf(1, "w0", longWait) + "\r\n")
+	first := receive(t, s.seen, "the read that misses")
 	had := time.Now()
 	if hint := hintOf(t, first); hint > longWait {
 		t.Errorf("first attempt told %v of %d ms", hint, longWait)
 	}
 	time.Sleep(held)
 	missed := time.Now()
-	answer.let()
-	atMost(t, next(t, o.seen, "its fetch"), longWait, had, missed)
+	answer.open()
+	atMost(t, receive(t, o.seen, "its fetch"), longWait, had, missed)
 	if got := c.line(); got != "VA 5 Ow0 fresh" {
 		t.Errorf("got %q", got)
 	}
@@ -77,11 +78,12 @@
 			t.Parallel()
 			cut := newGate(t)
 			answer := once("close", hit)
-			serve := func(line string) string { <-cut.ch; return answer(line) }
+			serve := func(line string) string { <-cut.opened; return answer(line) }
 			a, b := startFake(t, serve), startFake(t, serve)
-			l, _, addr := partsOf(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr), originAt("127.0.0.1:1"))
+			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
+				originAt("127.0.0.1:1"))
 			c := dial(t, addr)
-			c.send(key(1, "w0", longWait) + "\r\n")
+			c.send(readOf(1, "w0", longWait) + "\r\n")
 			seen := func() string {
 				select {
 				case line := <-a.seen:
@@ -98,9 +100,9 @@
 			time.Sleep(held)
 			ended := time.Now()
 			if how == "time-out" {
-				look(l, func() { l.timeOut(l.unanswered["w0"].attempts[0]) })
+				onLoop(l, func() { l.timeOut(l.unanswered["w0"].attempts[0]) })
 			}
-			cut.let()
+			cut.open()
 			atMost(t, seen(), longWait, had, ended)
 		})
 	}
@@ -109,61 +111,62 @@
 // A connection that comes up late leaves the attempt less than it had when it was decided on.
 func TestHintOverAConnectionThatComesUpLate(t *testing.T) {
 	for name, command := range map[string]string{
-		"read at a cache server": key(1, "w0", longWait) + "\r\n",
+		"read at a cache server": readOf(1, "w0", longWait) + "\r\n",
 		"write at the origin":    fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=%d,k=7\r\nabc\r\n", longWait),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s, o, up := startFake(t, hit), startFake(t, originOK), newGate(t)
 			dialing := make(chan struct{}, 10)
-			l, _, addr := partsOf(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
+			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
 			l.upstreams.holdDials(dialing, up)
 			c := dial(t, addr)
 			c.send(command)
-			next(t, dialing, "a dial")
+			receive(t, dialing, "a dial")
 			had := time.Now()
 			time.Sleep(held)
 			connected := time.Now()
-			up.let()
+			up.open()
 			if got := c.line(); strings.HasPrefix(got, "SERVER_ERROR") {
 				t.Errorf("got %q", got)
 			}
-			for _, line := range append(drained(s.seen), drained(o.seen)...) {
+			for _, line := range append(receivedSoFar(s.seen), receivedSoFar(o.seen)...) {
 				atMost(t, line, longWait, had, connected)
 			}
 		})
 	}
 }
 
-// Nothing is written when less than the least hint is left, though the loop is too busy to end the attempt.
+// Nothing is written when less than the least hint is left, though the loop is too busy to end the
+// attempt.
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
 	s, up := startFake(t, hit), newGate(t)
 	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.settings.Config.HealthChecks = false // whose dials are not the request's
-	l, _, addr := partsUnder(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
+	l, _, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
 	dialing := make(chan struct{}, 10)
 	l.upstreams.holdDials(dialing, up)
 	c := dial(t, addr)
 	const short = 400
-	c.send(key(1, "w0", short) + "\r\n")
-	next(t, dialing, "a dial")
+	c.send(readOf(1, "w0", short) + "\r\n")
+	receive(t, dialing, "a dial")
 	busy := newGate(t)
-	l.post(func() { <-busy.ch })
+	l.post(func() { <-busy.opened })
 	time.Sleep(short * time.Millisecond) // the request came before
-	up.let()
-	next(t, s.connected, "the connection")
-	busy.let()
+	up.open()
+	receive(t, s.connected, "the connection")
+	busy.open()
 	if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR") {
 		t.Errorf("got %q", got)
 	}
-	until(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
+	eventually(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
 	if len(s.seen) > 0 {
-		t.Errorf("sent: %q", drained(s.seen))
+		t.Errorf("sent: %q", receivedSoFar(s.seen))
 	}
 }
 
-// The head of a large write goes out before its value has come whole, which is when the client's time begins. It tells no
-// more than the class allows, as the other attempts do.
+// The head of a large write goes out before its value has come whole, which is when the client's
+// time begins. It tells no more than the class allows, as the other attempts do.
 func TestHintOfALargeWrite(t *testing.T) {
 	const allowed = 2000 // by the class
 	for _, ending := range []bool{false, true} {
@@ -176,38 +179,39 @@
 			if ending { // the process is told to end
 				most = 1500
 				l := r.router.loop
-				look(l, func() { l.answerAllBy(l.now() + most) })
+				onLoop(l, func() { l.answerAllBy(l.now() + most) })
 			}
 			had := time.Now()
 			c.send(strings.Replace(largeWrite("w1", bigValue(1<<20)), "d=2000", "d=60000", 1))
 			if got := c.line(); got != "HD Ow1 c5c0f" {
 				t.Fatalf("got %q", got)
 			}
-			atMost(t, strings.TrimSuffix(next(t, o.seen, "the write"), bigValue(1<<20)), most, had, had)
+			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), most, had, had)
 		})
 	}
 }
 
 // What waits for admission has less left when it is let in.
 func TestHintAfterAdmission(t *testing.T) {
-	_, s, answer, _, second, _ := atTheDoor(t)
+	_, s, answer, _, second, _ := startWithQueuedRequest(t)
 	had := time.Now()
 	time.Sleep(held)
 	admitted := time.Now()
-	answer.let()
-	atMost(t, next(t, s.seen, "the second"), 60000, had, admitted)
+	answer.open()
+	atMost(t, receive(t, s.seen, "the second"), 60000, had, admitted)
 	if got := second.line(); got != "VA 5 Ob hello" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A process that is told to end tells no more than the time until all has to be answered; in an upgrade the old one does.
+// A process that is told to end tells no more than the time until all has to be answered; in an
+// upgrade the old one does.
 func TestHintBeforeTheEndOfTheProcess(t *testing.T) {
 	for _, upgrade := range []bool{false, true} {
 		t.Run(fmt.Sprint("upgrade ", upgrade), func(t *testing.T) {
 			t.Parallel()
 			answer := newGate(t)
-			s := startFake(t, func(line string) string { <-answer.ch; return miss(line) })
+			s := startFake(t, func(line string) string { <-answer.opened; return miss(line) })
 			o := startFake(t, originOK)
 			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
 			r := start(t, longLived(testConfig(t, d.Listener.Addr().String(), endpointList{})))
@@ -215,8 +219,8 @@
 			c := dial(t, r.addr)
 			for c.ask("mn") != "MN" {
 			}
-			c.send(key(1, "w0", longWait) + "\r\n")
-			next(t, s.seen, "the read")
+			c.send(readOf(1, "w0", longWait) + "\r\n")
+			receive(t, s.seen, "the read")
 			if upgrade {
 				young, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
 				defer end()
@@ -224,12 +228,13 @@
 				}
 			}
 			r.stop()
-			until(t, l, "the end of the process's time", func() bool { return l.answerBy.isSet() })
+			eventually(t, l, "the end of the process's time", func() bool { return l.answerBy.isSet() })
 			told := time.Now()
 			time.Sleep(held)
 			missed := time.Now()
-			answer.let()
-			atMost(t, next(t, o.seen, "its fetch"), min(l.longestDeadline(), minStopMillis)+answerMarginMillis, told, missed)
+			answer.open()
+			atMost(t, receive(t, o.seen, "its fetch"), min(l.longestDeadline(), minStopMillis)+answerMarginMillis,
+				told, missed)
 			if got := c.line(); got != "VA 5 Ow0 fresh" {
 				t.Errorf("got %q", got)
 			}
@@ -246,7 +251,8 @@
 			t.Errorf("%v ms remain: told %d, want %d", c.remaining, got, c.want)
 		}
 	}
-	for facts, want := range map[string]string{"c=read,d=480,t=t": "c=read,d=7,t=t", "d=480,c=read": "d=7,c=read", "c=read": "c=read", "c=read,dd=480": "c=read,dd=480"} {
+	for facts, want := range map[string]string{"c=read,d=480,t=t": "c=read,d=7,t=t", "d=480,c=read": "d=7,c=read",
+		"c=read": "c=read", "c=read,dd=480": "c=read,dd=480"} {
 		if got := (&command{metadata: facts}).metadataWithHint(7); got != want {
 			t.Errorf("%q became %q, want %q", facts, got, want)
 		}
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net/http"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -15,36 +13,19 @@
 )
 
 func getCommand() *command {
-	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=read,t=t,d=480", class: "read", remainingMillis: 480}
+	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=read,t=t,d=480", class: "read",
+		remainingMillis: 480}
 }
 
 func putCommand() *command {
-	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=t,d=480,k=7", class: "put", remainingMillis: 480, value: []byte("abc")}
+	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=t,d=480,k=7", class: "put",
+		remainingMillis: 480, value: []byte("abc")}
 }
 
-func nothing()                   {}
-func nowhere(reply) *valueStream { return nil }
+func noHook()                     {}
+func noStream(reply) *valueStream { return nil }
 
-var always = attemptHooks{false, func() timeoutHint { return 400 }, nothing, nowhere}
-
-func testUpstreams(t *testing.T, idle time.Duration, limit int) *upstreams {
-	t.Helper()
-	u := newUpstreams(idle, 250*time.Millisecond, limit)
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		u.sweep(ctx)
-	}()
-	t.Cleanup(func() { stop(); <-ended })
-	return u
-}
-
-func idle(u *upstreams, t *target) []*upstreamConn {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return slices.Clone(t.idle)
-}
+var writeAlways = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
 
 // Each row of the outcome table, for both protocols.
 func TestOutcomeTable(t *testing.T) {
@@ -57,67 +38,102 @@
 		cacheResult decide.CacheResult
 		reused      bool
 	}{
-		"value":               {answer: "VA 5 O{id} h1\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
-		"value without flag":  {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
-		"receipt":             {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
-		"miss":                {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
-		"miss, told":          {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss, reused: true},
-		"miss, fetch is out":  {answer: "EN O{id} h0 Z\r\n", want: decide.Miss, cacheResult: decide.CacheMissDuringFetch, reused: true},
-		"error":               {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
-		"turned away":         {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
-		"closed":              {answer: "close", want: decide.Reset},
-		"value cut":           {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.MalformedResponse},
-		"value without end":   {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
-		"value too long":      {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
-		"bad length":          {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
-		"another's answer":    {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.MalformedResponse},
-		"another's miss":      {answer: "EN Ozz\r\n", want: decide.MalformedResponse},
-		"value for a write":   {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.MalformedResponse},
-		"no receipt":          {answer: "HD O{id}\r\n", write: true, want: decide.MalformedResponse},
-		"unknown error":       {answer: "SERVER_ERROR on fire\r\n", want: decide.MalformedResponse},
-		"client error":        {answer: "CLIENT_ERROR bad\r\n", want: decide.MalformedResponse},
-		"no protocol":         {answer: "\x00\x01\r\n", want: decide.MalformedResponse},
-		"endless line":        {answer: long, want: decide.MalformedResponse},
-		"noise without end":   {answer: "\x07\x01\x02", want: decide.MalformedResponse},
-		"value stops short":   {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
-		"line stops short":    {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
-		"value of 3 GB":       {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
-		"two ids":             {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
-		"value and a copy":    {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit},
-		"miss and noise":      {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, cacheResult: decide.CacheMiss},
-		"bad report":          {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
-		"id in the report":    {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit, reused: true},
-		"origin 1xx ahead":    {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
-		"origin endless 1xx":  {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
-		"origin 101":          {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
-		"origin and a copy":   {answer: httpAnswer("200 OK", "fresh") + httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK},
-		"origin bad report":   {answer: httpAnswer("200 OK", "fresh", "X-Backend-Load: qps=\x00\x01"), origin: true, want: decide.OK, reused: true},
-		"origin long header":  {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true, want: decide.MalformedResponse},
-		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)), origin: true, want: decide.MalformedResponse},
-		"origin of 3 GB":      {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
-		"origin 500 of 3 GB":  {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
-		"origin stops short":  {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true, want: decide.MalformedResponse},
-		"origin head stops":   {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
-		"origin in chunks":    {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n", origin: true, want: decide.OK, reused: true},
-		"origin big chunks":   {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), origin: true, want: decide.MalformedResponse},
-		"origin to the end":   {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfresh{cut}", origin: true, want: decide.OK},
-		"origin write to end": {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n77{cut}", origin: true, write: true, want: decide.OK},
-		"origin no length":    {answer: "HTTP/1.1 200 OK\r\n\r\nfresh{cut}", origin: true, want: decide.MalformedResponse},
-		"origin value":        {answer: httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
-		"origin receipt":      {answer: httpAnswer("200 OK", "77"), origin: true, write: true, want: decide.OK, reused: true},
-		"origin, last":        {answer: httpAnswer("200 OK", "fresh", "Connection: close"), origin: true, want: decide.OK},
-		"origin no receipt":   {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true, want: decide.MalformedResponse},
-		"origin error":        {answer: httpAnswer("500 Internal Server Error", ""), origin: true, want: decide.Failed, reused: true},
-		"origin bare 503":     {answer: httpAnswer("503 Service Unavailable", ""), origin: true, want: decide.Failed, reused: true},
-		"origin bare 504":     {answer: httpAnswer("504 Gateway Timeout", ""), origin: true, want: decide.Failed, reused: true},
-		"origin 503 not run":  {answer: httpAnswer("503 Service Unavailable", "", "X-Unprocessed: 1"), origin: true, want: decide.QueueFull, reused: true},
-		"origin 504 not run":  {answer: httpAnswer("504 Gateway Timeout", "", "X-Unprocessed: 1"), origin: true, want: decide.QueueFull, reused: true},
-		"origin 500, header":  {answer: httpAnswer("500 Oh", "", "X-Unprocessed: 1"), origin: true, want: decide.Failed, reused: true},
-		"origin closed":       {answer: "close", origin: true, want: decide.Reset},
-		"origin cut":          {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true, want: decide.MalformedResponse},
-		"origin too long":     {answer: httpAnswer("200 OK", strings.Repeat("x", maxValueBytes+1)), origin: true, want: decide.MalformedResponse},
-		"origin no protocol":  {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.MalformedResponse},
-		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true, want: decide.MalformedResponse},
+		"value": {answer: "VA 5 O{id} h1\r\nhello\r\n", want: decide.OK, cacheResult: decide.CacheHit,
+			reused: true},
+		"value without flag": {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
+		"receipt":            {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
+		"miss":               {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
+		"miss, told": {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss,
+			reused: true},
+		"miss, fetch is out": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss,
+			cacheResult: decide.CacheMissDuringFetch, reused: true},
+		"error":             {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
+		"turned away":       {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
+		"closed":            {answer: "close", want: decide.Reset},
+		"value cut":         {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.MalformedResponse},
+		"value without end": {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"value too long":    {answer: "VA 99999999 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"bad length":        {answer: "VA -5 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"another's answer":  {answer: "VA 5 Ozz\r\nhello\r\n", want: decide.MalformedResponse},
+		"another's miss":    {answer: "EN Ozz\r\n", want: decide.MalformedResponse},
+		"value for a write": {answer: "VA 5 O{id}\r\nhello\r\n", write: true, want: decide.MalformedResponse},
+		"no receipt":        {answer: "HD O{id}\r\n", write: true, want: decide.MalformedResponse},
+		"unknown error":     {answer: "SERVER_ERROR on fire\r\n", want: decide.MalformedResponse},
+		"client error":      {answer: "CLIENT_ERROR bad\r\n", want: decide.MalformedResponse},
+		"no protocol":       {answer: "\x00\x01\r\n", want: decide.MalformedResponse},
+		"endless line":      {answer: long, want: decide.MalformedResponse},
+		"noise without end": {answer: "\x07\x01\x02", want: decide.MalformedResponse},
+		"value stops short": {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
+		"line stops short":  {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
+		"value of 3 GB":     {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
+		"two ids":           {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
+		"value and a copy": {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK,
+			cacheResult: decide.CacheHit},
+		"miss and noise": {answer: "EN O{id} h0\r\n\x00\x01", want: decide.Miss, cacheResult: decide.CacheMiss},
+		"bad report": {answer: "VA 5 O{id} h1 Lqps=\x00\xff,util=?\r\nhello\r\n", want: decide.OK,
+			cacheResult: decide.CacheHit, reused: true},
+		"id in the report": {answer: "VA 5 O{id} h1 Lqps=1 Ozz\r\nhello\r\n", want: decide.OK,
+			cacheResult: decide.CacheHit, reused: true},
+		"origin 1xx ahead": {answer: "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n" +
+			httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
+		"origin endless 1xx": {answer: strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20) +
+			httpAnswer("200 OK", "fresh"), origin: true, want: decide.MalformedResponse},
+		"origin 101": {answer: "HTTP/1.1 101 Switching Protocols\r\n\r\n" + httpAnswer("200 OK", "fresh"),
+			origin: true, want: decide.MalformedResponse},
+		"origin and a copy": {answer: httpAnswer("200 OK", "fresh") + httpAnswer("200 OK", "fresh"), origin: true,
+			want: decide.OK},
+		"origin bad report": {answer: httpAnswer("200 OK", "fresh", "X-Backend-Load: qps=\x00\x01"), origin: true,
+			want: decide.OK, reused: true},
+		"origin long header": {answer: httpAnswer("200 OK", "fresh", "X-Long: "+long), origin: true,
+			want: decide.MalformedResponse},
+		"origin many headers": {answer: httpAnswer("200 OK", "fresh", strings.Repeat("X-Many: y\r\n", 5000)),
+			origin: true, want: decide.MalformedResponse},
+		"origin of 3 GB": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true,
+			want: decide.MalformedResponse},
+		"origin 500 of 3 GB": {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true,
+			want: decide.MalformedResponse},
+		"origin stops short": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true,
+			want: decide.MalformedResponse},
+		"origin head stops": {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
+		"origin in chunks": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n",
+			origin: true, want: decide.OK, reused: true},
+		"origin big chunks": {answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n",
+				3), origin: true, want: decide.MalformedResponse},
+		"origin to the end": {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nfresh{cut}", origin: true,
+			want: decide.OK},
+		"origin write to end": {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n77{cut}", origin: true,
+			write: true, want: decide.OK},
+		"origin no length": {answer: "HTTP/1.1 200 OK\r\n\r\nfresh{cut}", origin: true,
+			want: decide.MalformedResponse},
+		"origin value": {answer: httpAnswer("200 OK", "fresh"), origin: true, want: decide.OK, reused: true},
+		"origin receipt": {answer: httpAnswer("200 OK", "77"), origin: true, write: true, want: decide.OK,
+			reused: true},
+		"origin, last": {answer: httpAnswer("200 OK", "fresh", "Connection: close"), origin: true,
+			want: decide.OK},
+		"origin no receipt": {answer: httpAnswer("200 OK", "a\r\nb"), origin: true, write: true,
+			want: decide.MalformedResponse},
+		"origin error": {answer: httpAnswer("500 Internal Server Error", ""), origin: true,
+			want: decide.Failed, reused: true},
+		"origin bare 503": {answer: httpAnswer("503 Service Unavailable", ""), origin: true,
+			want: decide.Failed, reused: true},
+		"origin bare 504": {answer: httpAnswer("504 Gateway Timeout", ""), origin: true, want: decide.Failed,
+			reused: true},
+		"origin 503 not run": {answer: httpAnswer("503 Service Unavailable", "", "X-Unprocessed: 1"), origin: true,
+			want: decide.QueueFull, reused: true},
+		"origin 504 not run": {answer: httpAnswer("504 Gateway Timeout", "", "X-Unprocessed: 1"), origin: true,
+			want: decide.QueueFull, reused: true},
+		"origin 500, header": {answer: httpAnswer("500 Oh", "", "X-Unprocessed: 1"), origin: true,
+			want: decide.Failed, reused: true},
+		"origin closed": {answer: "close", origin: true, want: decide.Reset},
+		"origin cut": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre{cut}", origin: true,
+			want: decide.MalformedResponse},
+		"origin too long": {answer: httpAnswer("200 OK", strings.Repeat("x", maxValueBytes+1)), origin: true,
+			want: decide.MalformedResponse},
+		"origin no protocol": {answer: "VA 5 O{id}\r\nhello\r\n", origin: true, want: decide.MalformedResponse},
+		"origin wrong length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", origin: true,
+			want: decide.MalformedResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -127,15 +143,15 @@
 			if c.write {
 				cmd = putCommand()
 			}
-			got := u.roundTrip(t.Context(), target, cmd, always)
+			got := u.roundTrip(t.Context(), target, cmd, writeAlways)
 			if got.status != c.want || got.cacheResult != c.cacheResult {
 				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
 			}
-			next(t, f.seen, "request")
+			receive(t, f.seen, "request")
 			if len(f.seen) > 0 {
 				t.Error("sent twice")
 			}
-			if kept := len(idle(u, target)) == 1; kept != c.reused {
+			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
 				t.Errorf("connection kept: %v", kept)
 			}
 		})
@@ -147,82 +163,22 @@
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), false)
 	ln.Close()
-	if got := u.roundTrip(t.Context(), refusing, getCommand(), always); got.status != decide.ConnectError {
+	if got := u.roundTrip(t.Context(), refusing, getCommand(), writeAlways); got.status != decide.ConnectError {
 		t.Errorf("refused: got %v", got.status)
 	}
 }
 
-// A kept connection that the server has closed must not carry a request: written to it, it would end as a reset,
-// which may have run.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
-	f := startFake(t, func(line string) string {
-		if strings.HasPrefix(line, "PUT") { // answers as if to keep the connection, and closes it
-			return httpAnswer("200 OK", "77") + "{cut}"
-		}
-		return httpAnswer("200 OK", "fresh")
-	})
-	target := u.add(f.addr, true)
-	for n := range 3 {
-		if got := u.roundTrip(t.Context(), target, putCommand(), always); got.status != decide.OK {
-			t.Fatalf("request %d: got %v", n, got.status)
-		}
-		for kept := idle(u, target); len(kept) > 0 && kept[0].isQuiet(); {
-			time.Sleep(time.Millisecond) // until the end has come over the socket
-		}
-	}
-	if n := f.conns.Load(); n != 3 {
-		t.Errorf("%d connections, want one for each request", n)
-	}
-}
-
-func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 400*time.Millisecond, 10)
-	target, began := u.add(f.addr, false), time.Now()
-	u.roundTrip(t.Context(), target, getCommand(), always)
-	next(t, f.ended, "end of the idle connection")
-	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
-		t.Errorf("closed after %v", took)
-	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.openConns != 0 {
-		t.Errorf("%d connections are still counted", u.openConns)
-	}
-}
-
-func TestSocketLimit(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 1)
-	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
-	a, b := u.add(f.addr, false), u.add(silent.addr, false)
-	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.OK {
-		t.Fatalf("got %v", got.status)
-	}
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan reply, 1)
-	go func() { done <- u.roundTrip(ctx, b, getCommand(), always) }() // takes the place of the idle one
-	next(t, silent.seen, "request")
-	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.Unprocessed {
-		t.Errorf("beyond the limit: got %v", got.status)
-	}
-	stop()
-	next(t, done, "end of the attempt that was given up")
-	if got := u.roundTrip(t.Context(), a, getCommand(), always); got.status != decide.OK {
-		t.Errorf("once there is room: got %v", got.status)
-	}
-}
-
 // An attempt that is called off before its first byte leaves none.
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	u.roundTrip(t.Context(), target, getCommand(), attemptHooks{false, func() timeoutHint { return 0 }, nothing, nowhere})
-	if got := u.roundTrip(t.Context(), target, getCommand(), always); got.status != decide.OK {
+	u.roundTrip(t.Context(), target, getCommand(),
+		attemptHooks{false, func() timeoutHint { return 0 }, noHook, noStream})
+	if got := u.roundTrip(t.Context(), target, getCommand(), writeAlways); got.status != decide.OK {
 		t.Errorf("got %v", got.status)
 	}
-	next(t, f.seen, "request")
+	receive(t, f.seen, "request")
 	if len(f.seen) > 0 || f.conns.Load() != 1 {
 		t.Error("the attempt that was called off was written")
 	}
@@ -237,41 +193,16 @@
 			t.Errorf("origin %v: got %v, %+v", target.isOrigin, st, l)
 		}
 	}
-	if st, _ := u.probe(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr, false)); st == decide.OK {
+	if st, _ := u.probe(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr,
+		false)); st == decide.OK {
 		t.Error("an error passed for a report")
 	}
 }
 
-// Connections that a peak has opened take turns, or all but one would run out and be opened anew at the next peak.
-func TestKeptConnectionsTakeTurns(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 10*time.Second, 10)
-	target := u.add(f.addr, false)
-	first, err := u.acquire(t.Context(), target, false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	second, err := u.acquire(t.Context(), target, false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	u.release(target, first, true)
-	u.release(target, second, true)
-	for n, want := range []*upstreamConn{first, second, first} {
-		got, err := u.acquire(t.Context(), target, false)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got != want {
-			t.Errorf("turn %d went to another connection", n)
-		}
-		u.release(target, got, true)
-	}
-}
-
 // A report with a figure that can't be read, or that no load can have, is absent.
 func TestUnreadableReportIsAbsent(t *testing.T) {
-	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1", "qps=0x1p3,util=1", "qps=1_0"} {
+	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1",
+		"qps=0x1p3,util=1", "qps=1_0"} {
 		if got := readLoad(text); got != decide.NoLoadReport {
 			t.Errorf("%q: got %+v", text, got)
 		}
@@ -281,8 +212,8 @@
 	}
 }
 
-// A second copy of an origin's answer that comes a moment later carries no id: the connection rests until it would be
-// there, and is then found not to be quiet.
+// A second copy of an origin's answer that comes a moment later carries no id: the connection rests
+// until it would be there, and is then found not to be quiet.
 func TestLateCopyIsNotTheNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
@@ -310,11 +241,12 @@
 	for n := range 5 {
 		cmd := getCommand()
 		cmd.id = fmt.Sprint("a", n)
-		if got := u.roundTrip(t.Context(), target, cmd, always); string(got.body) != cmd.id {
+		if got := u.roundTrip(t.Context(), target, cmd, writeAlways); string(got.body) != cmd.id {
 			t.Errorf("request %s: got status %v, %q", cmd.id, got.status, got.body)
 		}
 		if n == 2 { // the copies are there now
-			for kept := idle(u, target); len(kept) > 0 && (kept[0].isQuiet() || time.Since(kept[0].idleSince) < originIdleMinimum); kept = idle(u, target) {
+			for kept := idleConns(u, target); len(kept) > 0 &&
+				(kept[0].isQuiet() || time.Since(kept[0].idleSince) < originIdleMinimum); kept = idleConns(u, target) {
 				time.Sleep(time.Millisecond)
 			}
 		}
