--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -29,7 +29,7 @@
 	ProbeEvery time.Duration
 	// ProbeStale is how old the report of a health check may be that counts.
 	ProbeStale time.Duration
-	// Drains is set where the router takes part in drains and releases of the whole fleet.
+	// Drains is set where the router takes part in drains and releases of the fleet.
 	Drains bool
 	// Label is what the program's version is called there.
 	Label string
@@ -91,8 +91,8 @@
 	})
 }
 
-// observeServers are all cache servers of the list, as this router sees them. It may be called from any
-// goroutine but the loop's, as may all functions below.
+// observeServers are all cache servers of the list, as this router sees them. It may be called from
+// any goroutine but the loop's, as may all functions below.
 func (l *loop) observeServers(ctx context.Context) (observations []rollout.ServerObservation, err error) {
 	err = l.call(ctx, func() error {
 		for name, e := range l.entries {
@@ -106,8 +106,8 @@
 	return observations, err
 }
 
-// observeServer is a server as this router sees it. What other routers have told of it is no evidence
-// of this one.
+// observeServer is a server as this router sees it. What other routers have reported of it is no
+// evidence of this one.
 func (l *loop) observeServer(name string, e listEntry) rollout.ServerObservation {
 	observation := rollout.ServerObservation{
 		Name:        name,
@@ -131,8 +131,9 @@
 	return observation
 }
 
-// requestCounts are the requests served so far and those rejected or failed, and how many of the former
-// took how much of their latency objective, by rollout.LatencyBucket. Any goroutine may call it.
+// requestCounts are the requests served so far and those rejected or failed, and how many of the
+// former took how much of their latency objective, by rollout.LatencyBucket. Any goroutine may call
+// it.
 func (r *Router) requestCounts() (served, unserved int64, latencies []int64) {
 	s := r.metrics.Snapshot()
 	for name := range s.Success {
@@ -156,7 +157,8 @@
 	return names
 }
 
-// openAttempts counts the attempts that are out at servers, and the values that are streamed from them.
+// openAttempts counts the attempts that are out at servers, and the values that are streamed from
+// them.
 func (l *loop) openAttempts(ctx context.Context, servers []string) (n int, err error) {
 	err = l.call(ctx, func() error {
 		n = l.countOpenAttempts(l.knownServerIDs(servers))
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -160,7 +160,7 @@
 // and returns the timeout hint for it. It returns 0 where nothing may be written any more: the client
 // has disconnected, the time is up, or the attempt was cancelled.
 func (l *loop) startWriting(a *attempt, client *response, limits sendLimits) timeoutHint {
-	if client.conn.disconnected() { // the loop may not have heard of it yet
+	if client.conn.disconnected() { // the loop may not know of it yet
 		l.post(func() { l.clientDisconnected(client) })
 		return 0
 	}
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -11,7 +11,7 @@
 
 // clientConn is a client's connection.
 //
-//	         first byte            whole command
+//	         first byte            complete command
 //	┌──────┐ ─────────▶ ┌─────────┐ ─────────────▶ ┌───────────┐
 //	│ idle │            │ reading │                │ answering │ (up to maxPipelined commands)
 //	└──────┘            └─────────┘ ◀───────────── └───────────┘
@@ -55,11 +55,11 @@
 	isUnwritable bool
 	// unwritable is closed when isUnwritable is set.
 	unwritable chan struct{}
-	// hasSentCommand is set once a whole command has come.
+	// hasSentCommand is set once a complete command has come.
 	hasSentCommand bool
 	// isReadingCommand is set while part of a command has come.
 	isReadingCommand bool
-	// commandDeadline is when the command that is being read has to be whole.
+	// commandDeadline is when the command that is being read has to be complete.
 	commandDeadline time.Time
 	// isWatchingForDisconnect is set while the reader waits in watchForDisconnect; an expired read
 	// deadline wakes it.
@@ -137,7 +137,7 @@
 
 // abandonAnswers drops the pending answers and tells the loop that their client has disconnected.
 func (c *clientConn) abandonAnswers() {
-	// Before the loop hears of it: an attempt that is about to be written checks this flag.
+	// Before the loop knows of it: an attempt that is about to be written checks this flag.
 	c.hasDisconnected.Store(true)
 	c.mu.Lock()
 	abandoned := c.pending
--- a/internal/router/client_read.go
+++ b/internal/router/client_read.go
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// receivedCommand is a command that has come whole.
+// receivedCommand is a command that is complete.
 type receivedCommand struct {
 	command
-	// receivedAt is when it was whole, in milliseconds on the loop's clock.
+	// receivedAt is when it was complete, in milliseconds on the loop's clock.
 	receivedAt float64
 	// isRejected is set where there is no capacity for its value or its answer.
 	isRejected bool
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -20,9 +20,9 @@
 	maxPipelined = 16
 	// maxUnknownCommands is how many unknown commands end a connection.
 	maxUnknownCommands = 4
-	// firstCommandTimeout is the time for a connection's first command to come whole.
+	// firstCommandTimeout is the time for a connection's first command to be complete.
 	firstCommandTimeout = 2700 * time.Millisecond
-	// commandTimeout is the time for a later command to come whole once it has begun, and for the
+	// commandTimeout is the time for a later command to be complete once it has begun, and for the
 	// next piece of a large value.
 	commandTimeout = 2700 * time.Millisecond
 	// idleTimeout is the time for the next command to begin.
@@ -100,7 +100,8 @@
 			s.acquireConnection()
 			s.serve(conn)
 		case errors.Is(err, os.ErrDeadlineExceeded) && hasQueuedConnection(s.listener):
-			// Accept looks at its deadline before the queue: connections that stand there are taken all the same.
+			// Accept looks at its deadline before the queue: connections that stand there are taken
+			// all the same.
 			deadline := time.Now().Add(queuedAcceptTimeout)
 			s.listener.(deadlineSetter).SetDeadline(deadline) //nolint:errcheck // if it is closed, Accept reports it
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/router/command.go
+++ b/internal/router/command.go
@@ -20,8 +20,8 @@
 	maxLineBytes = 4096
 	// maxKeyBytes is memcache's own limit on a key.
 	maxKeyBytes = 250
-	// maxBufferedValue is the longest value, in bytes, that is read whole before anything is done
-	// with it.
+	// maxBufferedValue is the longest value, in bytes, that is read completely before anything is
+	// done with it.
 	maxBufferedValue = 64 << 10
 	// maxValueBytes is the protocol's limit on a value; one above maxBufferedValue is streamed.
 	maxValueBytes = 4 << 20
@@ -33,7 +33,7 @@
 	maxNumberBytes = 20
 )
 
-// errMalformed is the root of all errors about what a peer has sent. A client is told the text of
+// errMalformed is the root of all errors about what a peer has sent. A client gets the text of
 // those about its commands.
 var errMalformed = errors.New("malformed")
 
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -1,5 +1,5 @@
-// Package router is a router in front of cache servers on real sockets. It hosts one decide.Balancer and decides
-// nothing itself.
+// Package router is a router in front of cache servers on real sockets. It hosts one decide.Balancer
+// and decides nothing itself.
 package router
 
 import (
@@ -17,7 +17,7 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// Config is what a router is told at its start: the file that GW_CONFIG names, with what it leaves out
+// Config is what a router gets at its start: the file that GW_CONFIG names, with what it leaves out
 // from the environment, and what an operator file adds.
 type Config struct {
 	// Name is the router's name in the fleet.
@@ -69,8 +69,8 @@
 	minSockets = 2 * fdReserve
 )
 
-// LoadConfig reads the configuration at path; getenv fills in what the file leaves out. An error is one line that
-// names the setting.
+// LoadConfig reads the configuration at path; getenv fills in what the file leaves out. An error is
+// one line that names the setting.
 func LoadConfig(path string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -140,7 +140,8 @@
 	return p
 }
 
-// fill takes what the file leaves out from the environment, and lists what is wrong beside the settings.
+// fill takes what the file leaves out from the environment, and lists what is wrong beside the
+// settings.
 func (c *Config) fill(getenv func(string) string) (problems []configerror.Problem) {
 	add := func(setting, form string, v ...any) {
 		problems = append(problems, configerror.Problem{Setting: setting, Reason: fmt.Sprintf(form, v...)})
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -10,8 +10,9 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// runDiscovery follows the discovery that the configuration names, and takes new configurations, until
-// ctx ends. held is the list that the router starts with. onList takes each list besides the loop.
+// runDiscovery follows the discovery that the configuration names, and takes new configurations,
+// until ctx ends. held is the list that the router starts with. onList takes each list besides the
+// loop.
 func (l *loop) runDiscovery(ctx context.Context, cfg *Config, held endpointList, updates <-chan *Config,
 	onList func(endpointList)) {
 	var wg sync.WaitGroup
@@ -21,7 +22,7 @@
 		d := l.newWatch(cfg, onList)
 		d.holdsList = d.isPolled && len(held.Servers) > 0
 		d.heldVersion = held.Version
-		held = endpointList{}                // another discovery is asked for the whole list
+		held = endpointList{}                // another discovery is asked for the complete list
 		l.post(func() { l.setDiscovery(d) }) // before anything that it sends
 		wg.Go(func() { d.run(watchContext) })
 		cfg = l.awaitOtherDiscovery(ctx, cfg, updates)
@@ -29,8 +30,8 @@
 	}
 }
 
-// awaitOtherDiscovery takes new configurations until one names another discovery, and returns that; nil
-// when ctx ends.
+// awaitOtherDiscovery takes new configurations until one names another discovery, and returns that;
+// nil when ctx ends.
 func (l *loop) awaitOtherDiscovery(ctx context.Context, cfg *Config, updates <-chan *Config) *Config {
 	followed := cfg.Discovery
 	for cfg.Discovery == followed {
@@ -47,7 +48,7 @@
 }
 
 // setDiscovery follows d from now on, and no discovery before it. The list that is held stays until d
-// gives a whole one.
+// gives a complete one.
 func (l *loop) setDiscovery(d *discovery) {
 	if l.discovery != nil {
 		d.requestWatch() // the Balancer's request has gone to the one before
@@ -81,8 +82,9 @@
 				l.updateEndpoints(list.updateKind(), list)
 			}
 		})
-		// After the loop: a state that is handed over from here on has the list, and a process that has
-		// taken an earlier state gets it by onList. The other way round it might get it by neither.
+		// After the loop: a state that is handed over from here on has the list, and a process that
+		// has taken an earlier state gets it by onList. The other way round it might get it by
+		// neither.
 		onList(list)
 	}
 	takeFailure := func() {
@@ -94,7 +96,7 @@
 	return d
 }
 
-// applyConfig takes a new configuration whole or rejects it whole, counts which, and reports whether it
+// applyConfig takes all of a new configuration or rejects it, counts which, and reports whether it
 // was taken.
 func (l *loop) applyConfig(ctx context.Context, old, cfg *Config) bool {
 	err := cfg.replaces(old)
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// expiringListener is a listener whose connections' second read comes to the end of its time once it is let go.
+// expiringListener is a listener whose connections' second read comes to the end of its time once
+// it is let go.
 type expiringListener struct {
 	net.Listener
 	at  chan<- *expiringConn
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// startWithQueuedRequest starts a router with admission and one place behind it. The first client's request has
-// that place and gets its answer once that is let go; the second one's, b, waits at the door.
-// settings are those of the router, to be changed.
+// startWithQueuedRequest starts a router with admission and one place behind it. The first client's
+// request has that place and gets its answer once that is let go; the second one's, b, waits at the
+// door. settings are those of the router, to be changed.
 func startWithQueuedRequest(t *testing.T) (r *running, s *fake, answer gate, first, second *client, settings *Config) {
 	t.Helper()
 	answer = newGate(t)
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// discovery gets the endpoint list from a discovery service and then watches it: a call that waits for
-// changes is answered when there are some, or with none at the end of its wait. Its goroutine is run;
-// the fields below onFailure belong to it.
+// discovery gets the endpoint list from a discovery service and then watches it: a call that waits
+// for changes is answered when there are some, or with none at the end of its wait. Its goroutine
+// is run; the fields below onFailure belong to it.
 type discovery struct {
-	// url is that of the whole list.
+	// url is that of the complete list.
 	url    string
 	client *http.Client
 	// isPolled is set where discovery is one service for all routers: it is watched only once the
-	// Balancer asks for it, and failures are reported to the Balancer, which asks again. Else it is an
-	// agent on the router's own machine, which is watched all the time.
+	// Balancer asks for it, and failures are reported to the Balancer, which asks again. Else it is
+	// an agent on the router's own machine, which is watched all the time.
 	isPolled bool
 	timing   discoveryTiming
 	// watchRequested has an element once the Balancer has asked for the watch. Its capacity is 1.
@@ -32,7 +32,8 @@
 	// onFailure is called after a failure, once the watch is open to requests again.
 	onFailure func()
 
-	// holdsList is set where a list is held of which changes can be asked for; else the whole is.
+	// holdsList is set where a list is held of which changes can be asked for; else the complete
+	// one is.
 	holdsList bool
 	// heldVersion is the version of that list.
 	heldVersion int64
@@ -44,12 +45,12 @@
 // alike until the wait is over: only then is a watch found to be dead, with all the changes that it
 // has lost.
 type discoveryTiming struct {
-	// listTimeout is for a call for the whole list.
+	// listTimeout is for a call for the complete list.
 	listTimeout time.Duration
 	// watchWait is how long one call of a watch waits for changes.
 	watchWait time.Duration
-	// watchWaitAfterFailure is that of the first call after a failure, which may meet a discovery that
-	// is still silent.
+	// watchWaitAfterFailure is that of the first call after a failure, which may meet a discovery
+	// that is still silent.
 	watchWaitAfterFailure time.Duration
 	// watchSlack is how long the answer to a watch may take beyond its wait.
 	watchSlack time.Duration
@@ -61,9 +62,9 @@
 }
 
 var (
-	// agentTiming is for the agent on the router's own machine, which answers at once and at no cost.
-	// What it has sent, even into a connection that ends, must be acted on within 500 ms; what it gets
-	// when it is back counts as sent at once, so it is called often.
+	// agentTiming is for the agent on the router's own machine, which answers at once and at no
+	// cost. What it has sent, even into a connection that ends, must be acted on within 500 ms;
+	// what it gets when it is back counts as sent at once, so it is called often.
 	agentTiming = discoveryTiming{
 		listTimeout:           250 * time.Millisecond,
 		watchWait:             2 * time.Second,
@@ -91,8 +92,8 @@
 	maxWatchWait = time.Minute
 )
 
-// forRouters is the timing where so many routers call one discovery: the wait grows with them, as each
-// end of a wait costs discovery a call from each router.
+// forRouters is the timing where so many routers call one discovery: the wait grows with them, as
+// each end of a wait costs discovery a call from each router.
 func (t discoveryTiming) forRouters(routers int) discoveryTiming {
 	t.watchWait = min(t.watchWait*time.Duration(max(sharedRouters, routers))/sharedRouters, maxWatchWait)
 	return t
@@ -147,12 +148,12 @@
 // called again:
 //
 //   - A watch ends with the first call that fails, or is not answered within its wait and watchSlack.
-//     The next one begins with the whole list, or with all changes since the list that is held, so
+//     The next one begins with the complete list, or with all changes since the list that is held, so
 //     that what was lost comes with its first answer.
 //   - A watch that was silent to the end of its wait is replaced at once: changes that it has lost
 //     count as known soon after, and it makes no more calls than watches that end well.
 //   - After any other failure the next watch begins after backoff; where discovery is polled, the
-//     Balancer is told and the watch waits for its next request too.
+//     Balancer is notified and the watch waits for its next request too.
 func (d *discovery) run(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
 	isFailing := false // the failure is logged, and the next ones need not be
@@ -186,7 +187,8 @@
 	}
 }
 
-// dropRequest drops a request for a watch from before a failure that the Balancer does not know of yet.
+// dropRequest drops a request for a watch from before a failure that the Balancer does not know of
+// yet.
 func (d *discovery) dropRequest() {
 	select {
 	case <-d.watchRequested:
@@ -199,8 +201,8 @@
 	return strings.TrimSuffix(strings.TrimPrefix(d.url, "http://"), listPath)
 }
 
-// backoff is the time between a failure and the next call, where a call before the failure was answered
-// or not.
+// backoff is the time between a failure and the next call, where a call before the failure was
+// answered or not.
 func (d *discovery) backoff(isAnswered bool) time.Duration {
 	half := d.timing.maxBackoff / 2
 	backoff := half + rand.N(half)
@@ -213,8 +215,8 @@
 // errSilentWatch is the error of a watch that was not answered by the end of its wait.
 var errSilentWatch = errors.New("a silent watch")
 
-// followList gets the whole list, or what has changed since the one that is held, and the changes after
-// it, until a call fails. It reports whether any was answered.
+// followList gets the complete list, or what has changed since the one that is held, and the
+// changes after it, until a call fails. It reports whether any was answered.
 func (d *discovery) followList(ctx context.Context) (isAnswered bool, err error) {
 	calledAt := time.Now()
 	list, err := d.firstCall(ctx)
@@ -240,7 +242,7 @@
 	return isAnswered, err
 }
 
-// firstCall gets the whole list, or the changes to the one that is held: one call, not two.
+// firstCall gets the complete list, or the changes to the one that is held: one call, not two.
 func (d *discovery) firstCall(ctx context.Context) (endpointList, error) {
 	if !d.holdsList {
 		return d.get(ctx, d.url, d.timing.listTimeout)
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -14,7 +14,7 @@
 // endpointList is the list of servers, or the changes to one, as discovery writes it.
 type endpointList struct {
 	Version int64 `json:"version"`
-	// IsComplete is set for the whole list, and not for changes.
+	// IsComplete is set for the complete list, and not for changes.
 	IsComplete bool        `json:"full"`
 	Servers    []listEntry `json:"servers"`
 }
@@ -81,8 +81,8 @@
 	}, nil
 }
 
-// parseList reads a list. JSON that lacks the version is an error, and so is a whole list that lacks
-// the servers: taken for a list, it would stand for one without changes, or without servers.
+// parseList reads a list. JSON that lacks the version is an error, and so is a complete list that
+// lacks the servers: taken for a list, it would stand for one without changes, or without servers.
 func parseList(body []byte) (endpointList, error) {
 	var present struct {
 		Version *int64            `json:"version"`
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -18,7 +18,7 @@
 )
 
 // The hand-over. While an old and a new process live, they are one router: they split its limits, and
-// what discovery or operators tell one, the other is told.
+// what discovery or operators tell one, the other is notified of.
 
 // handoverState is what a process gets from the one before it. The tags are the bytes of the wire
 // between two versions of the program and stay as they are.
@@ -70,8 +70,8 @@
 
 	// mu guards links.
 	mu sync.Mutex
-	// links holds each link, and whether its process has joined: from then on it takes its part of the
-	// limits. Before that it is only told what this process is told.
+	// links holds each link, and whether its process has joined: from then on it takes its part of
+	// the limits. Before that it only gets the lists and calls that come here.
 	links map[*handover.Link]bool
 }
 
@@ -143,8 +143,8 @@
 	slog.Info("processes are this router", "name", r.cfg.Name, "processes", processes)
 }
 
-// State is the state for a successor, as JSON will be written of it. From then on the successor is told
-// what this process is told. errLoopBusy is the error when ctx ends first.
+// State is the state for a successor, as JSON will be written of it. From then on the successor
+// gets the lists and calls that come here. errLoopBusy is the error when ctx ends first.
 func (r *Router) State(ctx context.Context, link *handover.Link) (any, error) {
 	var state handoverState
 	err := r.loop.call(ctx, func() error {
@@ -171,8 +171,8 @@
 	return state
 }
 
-// Inherit takes the state of the process before this one, and the link to it. It is called before Run.
-// An error means that the state can't be read, and nothing of it is used.
+// Inherit takes the state of the process before this one, and the link to it. It is called before
+// Run. An error means that the state can't be read, and nothing of it is used.
 func (r *Router) Inherit(text []byte, link *handover.Link) error {
 	r.link = link
 	state := new(handoverState)
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// restoreState gives the loop the list that the router starts with, and what it has inherited. It runs
-// on the loop, before its first event.
+// restoreState gives the loop the list that the router starts with, and what it has inherited. It
+// runs on the loop, before its first event.
 func (r *Router) restoreState() {
 	list := r.heldList()
 	if r.inherited != nil {
@@ -261,9 +261,9 @@
 	l.staleGuard.raise(list.Version)
 }
 
-// disable carries a call out here and in all other processes of this router but the one it came from.
-// It returns nil only if the call holds in all of them that are still there. admin.ErrUnknownServer is
-// the error when the list of none of them has had the server.
+// disable carries a call out here and in all other processes of this router but the one it came
+// from. It returns nil only if the call holds in all of them that are still there.
+// admin.ErrUnknownServer is the error when the list of none of them has had the server.
 func (r *Router) disable(ctx context.Context, o disableCall, from *handover.Link) error {
 	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(o) })
 	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -24,8 +24,8 @@
 	return float64(c.start.UnixMicro())/1000 + float64(time.Since(c.start).Microseconds())/1000
 }
 
-// loop owns the Balancer, the requests, the timers and the endpoint list. All of its methods run on its
-// one goroutine (run) unless they say otherwise, and none blocks. It is the Balancer's Host.
+// loop owns the Balancer, the requests, the timers and the endpoint list. All of its methods run on
+// its one goroutine (run) unless they say otherwise, and none blocks. It is the Balancer's Host.
 //
 // What other goroutines do for it they post as events. What it has others do, attempts and health
 // checks, runs on goroutines counted in background, which end soon after ctx.
@@ -50,7 +50,8 @@
 	ctx        context.Context
 	background sync.WaitGroup
 	timers     timerHeap
-	// deferred is what Host methods have caused: the Balancer must not be called from within its call.
+	// deferred is what Host methods have caused: the Balancer must not be called from within its
+	// call.
 	deferred []func()
 
 	// requests holds each request until it is answered and its attempts have ended.
@@ -94,8 +95,8 @@
 	maxPriorityEvents = 32
 )
 
-// Parts of the memory that a router may use. A value is in memory up to three times, as it came and as
-// it goes out.
+// Parts of the memory that a router may use. A value is in memory up to three times, as it came and
+// as it goes out.
 const (
 	valueMemoryPart   = 16 // one in so many bytes is for values
 	answerMemoryPart  = 8  // for answers
@@ -139,8 +140,8 @@
 	l.answerBytes.limit.Store(part / answerMemoryPart)
 }
 
-// post hands an event to the loop, or drops it where the loop has ended. Any goroutine may call it but
-// the loop's own, which might wait for itself.
+// post hands an event to the loop, or drops it where the loop has ended. Any goroutine may call it
+// but the loop's own, which might wait for itself.
 func (l *loop) post(event func()) {
 	select {
 	case l.events <- event:
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -1,7 +1,7 @@
 package router
 
-// The endpoint list as the router holds it: what discovery sends goes to the Balancer, and connections
-// follow it.
+// The endpoint list as the router holds it: what discovery sends goes to the Balancer, and
+// connections follow it.
 
 import (
 	"log/slog"
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// membership is the endpoint list and what has been decided of its servers from outside. It belongs to
-// the loop.
+// membership is the endpoint list and what has been decided of its servers from outside. It belongs
+// to the loop.
 type membership struct {
 	// originKind is the kind of the endpoint that is the origin.
 	originKind string
@@ -99,7 +99,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that a whole list does not name.
+// removeUnlisted removes the servers that a complete list does not name.
 func (l *loop) removeUnlisted(listed map[uint32]bool) {
 	for id := range l.targets {
 		if !listed[id] {
@@ -165,7 +165,7 @@
 	l.metrics.TargetsDisabled.Store(int64(avoided))
 }
 
-// staleGuard drops lists below a version that another process has told of: for a while discovery may
+// staleGuard drops lists below a version that another process has sent: for a while discovery may
 // still answer with what was before.
 type staleGuard struct {
 	version   int64
--- a/internal/router/operations.go
+++ b/internal/router/operations.go
@@ -1,7 +1,7 @@
 package router
 
-// The calls of operators, as the second address offers them. They may come from any goroutine until Run
-// returns.
+// The calls of operators, as the second address offers them. They may come from any goroutine until
+// Run returns.
 
 import (
 	"context"
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// replaceControls replaces control characters of a header line. For one such byte in a load report the
-// library would reject the whole answer; with it replaced, only the report can't be read.
+// replaceControls replaces control characters of a header line. For one such byte in a load report
+// the library would reject the complete answer; with it replaced, only the report can't be read.
 func replaceControls(line []byte) {
 	const deleteCharacter = 0x7f
 	for i, b := range line {
@@ -126,8 +126,9 @@
 		resp.ContentLength > maxBufferedValue && resp.ContentLength <= maxValueBytes
 }
 
-// readBody reads the body that an answer announces. One that ends with the connection is complete only
-// where the answer has said that it would: else it can't be told from one that broke off.
+// readBody reads the body that an answer announces. One that ends with the connection is complete
+// only where the answer has said that it would: else it can't be distinguished from one that broke
+// off.
 func (r originReader) readBody(resp *http.Response, endsWithConnection bool) ([]byte, error) {
 	n := resp.ContentLength
 	isChunked := slices.Contains(resp.TransferEncoding, "chunked")
@@ -155,8 +156,9 @@
 	}
 }
 
-// readUnsized reads a body whose length shows only at its end. As an answer to a client begins with the
-// length, it must be read whole, however long: beyond maxBufferedValue as far as budget has capacity.
+// readUnsized reads a body whose length shows only at its end. As an answer to a client begins with
+// the length, it must be read completely, however long: beyond maxBufferedValue as far as budget
+// has capacity.
 func readUnsized(r io.Reader, budget *byteBudget) ([]byte, error) {
 	var body []byte
 	reserved := 0
@@ -217,8 +219,8 @@
 	return got, nil
 }
 
-// originStatus is what an answer's status says of the attempt. Only X-Unprocessed proves that it has not
-// run: after a bare 503 it may have.
+// originStatus is what an answer's status says of the attempt. Only X-Unprocessed proves that it
+// has not run: after a bare 503 it may have.
 func originStatus(resp *http.Response) decide.AttemptStatus {
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/router/peer_ejections.go
+++ b/internal/router/peer_ejections.go
@@ -24,19 +24,19 @@
 }
 
 const (
-	// peerEjectionRefreshMillis is how often the Balancer is told of ejectedByPeers again: well below
-	// its shortest time until the trial of an ejected server.
+	// peerEjectionRefreshMillis is how often ejectedByPeers is reported to the Balancer again: well
+	// below its shortest time until the trial of an ejected server.
 	peerEjectionRefreshMillis = 100
 	// maxPeerEjectionMillis bounds how long one report of others keeps a server ejected.
 	maxPeerEjectionMillis = 30000
-	// maxFailedChecks is how many failed health checks have the Balancer eject a server, unless it has
-	// ejected half of them already.
+	// maxFailedChecks is how many failed health checks have the Balancer eject a server, unless it
+	// has ejected half of them already.
 	maxFailedChecks = 3
 )
 
-// setPeerEjections takes the servers that others have ejected, in place of those before. Each ends by
-// its time on this router's clock, whatever becomes of the agreement. Any goroutine may call it but the
-// loop's.
+// setPeerEjections takes the servers that others have ejected, in place of those before. Each ends
+// by its time on this router's clock, whatever becomes of the agreement. Any goroutine may call it
+// but the loop's.
 func (l *loop) setPeerEjections(ctx context.Context, ejected []rollout.EjectedServer) error {
 	return l.call(ctx, func() error {
 		ends := map[uint32]float64{}
@@ -78,14 +78,14 @@
 	}
 }
 
-// failHealthCheck reports a failed health check to the Balancer, which is its only way to be told that
+// failHealthCheck reports a failed health check to the Balancer, which is its only way to learn that
 // a server is to be avoided.
 func (l *loop) failHealthCheck(id uint32) {
 	l.balancer.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport)
 }
 
-// recordOwnEvidence records that an attempt of this router has failed at a server that it knew of only
-// by others, once these no longer have it ejected.
+// recordOwnEvidence records that an attempt of this router has failed at a server that it knew of
+// only by others, once these no longer have it ejected.
 func (l *loop) recordOwnEvidence(server uint32, status decide.AttemptStatus) {
 	_, isEjectedByPeers := l.ejectedByPeers[server]
 	if !l.ejectedOnlyByPeers[server] || isEjectedByPeers {
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -26,13 +26,13 @@
 	startedAt float64
 	// idle are the idle connections, longest idle first; guarded by upstreams.mu.
 	idle []*upstreamConn
-	// isRemoved is set once the server has left the list: no connection is kept any more. It is guarded
-	// by upstreams.mu.
+	// isRemoved is set once the server has left the list: no connection is kept any more. It is
+	// guarded by upstreams.mu.
 	isRemoved bool
 }
 
-// upstreams keeps the connections to cache servers and the origin. An idle connection belongs to it, an
-// acquired one to who has acquired it. Any goroutine may use it.
+// upstreams keeps the connections to cache servers and the origin. An idle connection belongs to
+// it, an acquired one to who has acquired it. Any goroutine may use it.
 type upstreams struct {
 	// trace takes the making of connections.
 	trace *trace.Trace
@@ -64,8 +64,8 @@
 	originIdleMinimum = 20 * time.Millisecond
 	// maxIdleMargin bounds how much earlier than the server a connection is given up.
 	maxIdleMargin = time.Second
-	// uploadPart is the part of the connections, one in so many, that large writes may hold for as long
-	// as slow clients take: the rest is for attempts.
+	// uploadPart is the part of the connections, one in so many, that large writes may hold for as
+	// long as slow clients take: the rest is for attempts.
 	uploadPart = 4
 )
 
@@ -80,13 +80,15 @@
 	return u
 }
 
-// setTimeouts sets how long a server keeps an idle connection, where 0 means that the settings don't say
-// and it is kept until the server closes it, and how long a connection may take to come up.
+// setTimeouts sets how long a server keeps an idle connection, where 0 means that the settings
+// don't say and it is kept until the server closes it, and how long a connection may take to come
+// up.
 func (u *upstreams) setTimeouts(serverIdleTimeout, connectTimeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dialer.Timeout = connectTimeout
-	// A request written to a connection that the server has just closed ends as a reset: be well ahead of it.
+	// A request written to a connection that the server has just closed ends as a reset: be well
+	// ahead of it.
 	u.maxIdle = serverIdleTimeout - min(serverIdleTimeout/4, maxIdleMargin)
 	if serverIdleTimeout <= 0 {
 		u.maxIdle = math.MaxInt64
@@ -144,8 +146,8 @@
 	}
 }
 
-// sweep closes connections that have been idle for maxIdle or that the other side has closed, until ctx
-// ends; then it closes all idle ones.
+// sweep closes connections that have been idle for maxIdle or that the other side has closed, until
+// ctx ends; then it closes all idle ones.
 func (u *upstreams) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -211,10 +213,10 @@
 
 // takeIdle takes an idle connection that may be used, or returns nil. The caller holds mu.
 //
-// It is the one that has been idle for longest, so that all connections of a peak stay in use: else the
-// others would expire, and the next peak would cost the server as many handshakes. For a request that
-// may not be sent twice at will it is the one that was used last: a server may close a connection early,
-// and a request that is written just then is lost.
+// It is the one that has been idle for longest, so that all connections of a peak stay in use: else
+// the others would expire, and the next peak would cost the server as many handshakes. For a
+// request that may not be sent twice at will it is the one that was used last: a server may close a
+// connection early, and a request that is written just then is lost.
 func (u *upstreams) takeIdle(t *target, isNotRepeatable bool) *upstreamConn {
 	for {
 		rested := len(t.idle)
@@ -286,8 +288,8 @@
 	t.idle = append(t.idle, c)
 }
 
-// releaseUnused returns a connection that was acquired and not written to. Its server counts it as idle
-// since its last use, and so does the pool.
+// releaseUnused returns a connection that was acquired and not written to. Its server counts it as
+// idle since its last use, and so does the pool.
 func (u *upstreams) releaseUnused(t *target, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -202,7 +202,8 @@
 	return id, nil
 }
 
-// readLoad reads a load report. One with a figure that can't be read is absent: the rest is no better.
+// readLoad reads a load report. One with a figure that can't be read is absent: the rest is no
+// better.
 func readLoad(text string) decide.LoadReport {
 	load := decide.NoLoadReport
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -166,9 +166,9 @@
 	})
 }
 
-// clientDisconnected ends a request whose client has closed or reset its connection. An attempt that is
-// not written never is; one that is written is cancelled where the settings allow it, which the
-// Balancer knows.
+// clientDisconnected ends a request whose client has closed or reset its connection. An attempt
+// that is not written never is; one that is written is cancelled where the settings allow it, which
+// the Balancer knows.
 func (l *loop) clientDisconnected(client *response) {
 	r := client.request
 	if r == nil || r.isDone {
@@ -217,9 +217,9 @@
 	r.response = nil
 }
 
-// startStream ends the decisions on a request whose value is streamed from now on: the server has done
-// its work, and no deadline applies any more. It returns where the value goes, or nil where nobody
-// waits for it.
+// startStream ends the decisions on a request whose value is streamed from now on: the server has
+// done its work, and no deadline applies any more. It returns where the value goes, or nil where
+// nobody waits for it.
 func (l *loop) startStream(a *attempt, got reply) *response {
 	r := a.request
 	if a.isDone || a.isCancelled || r.isDone {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -13,8 +13,8 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Times after SIGTERM. SIGKILL comes no earlier than the longest deadline and 0.7 s after it, where the
-// pages can be read to count the deadline for 3 s at least, or for 3 s at most.
+// Times after SIGTERM. SIGKILL comes no earlier than the longest deadline and 0.7 s after it, where
+// the pages can be read to count the deadline for 3 s at least, or for 3 s at most.
 const (
 	// acceptAfterStop is how long new connections are accepted: clients still open them for 0.4 s.
 	acceptAfterStop = 500 * time.Millisecond
@@ -25,8 +25,8 @@
 	answerMarginMillis = 500.0
 )
 
-// Router is one router: the listener, the clients, the loop, the connections to servers, and the links
-// to the other processes of the same router.
+// Router is one router: the listener, the clients, the loop, the connections to servers, and the
+// links to the other processes of the same router.
 type Router struct {
 	cfg       *Config
 	metrics   *metrics.Router
@@ -54,11 +54,11 @@
 )
 
 // attemptMemoryPart is the part of the memory, one in so many bytes, that attempts may hold: each may
-// hold a value that is read whole.
+// hold a value that is read completely.
 const attemptMemoryPart = 4
 
-// New returns a router that serves the clients of a listener, once it runs. An error names the setting
-// that is wrong.
+// New returns a router that serves the clients of a listener, once it runs. An error names the
+// setting that is wrong.
 func New(cfg *Config, listener net.Listener, m *metrics.Router) (*Router, error) {
 	descriptors := cfg.Limits.Sockets - fdReserve
 	memoryBytes := cfg.Limits.MemoryMB << 20
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// heldList is the list that the router starts with. Whichever it is, it has come from the discovery of
-// the configuration.
+// heldList is the list that the router starts with. Whichever it is, it has come from the discovery
+// of the configuration.
 func (r *Router) heldList() endpointList {
 	if r.inherited != nil {
 		return r.inherited.List
@@ -127,9 +127,9 @@
 	return r.cfg.Known
 }
 
-// awaitDrains waits until the servers that the fleet has drained are known, so that they get no request
-// at the start. Without an answer in time discovery's list alone counts: no router waits for the
-// coordinators.
+// awaitDrains waits until the servers that the fleet has drained are known, so that they get no
+// request at the start. Without an answer in time discovery's list alone counts: no router waits
+// for the coordinators.
 func (r *Router) awaitDrains(ctx context.Context, drainsKnown <-chan struct{}) {
 	if !r.cfg.followsDrains() {
 		return
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -5,7 +5,7 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// rules are what the settings say of requests. A reload replaces them as a whole; they are never
+// rules are what the settings say of requests. A reload replaces them all at once; they are never
 // changed.
 type rules struct {
 	classes map[string]*rule
--- a/internal/router/server_ids.go
+++ b/internal/router/server_ids.go
@@ -13,8 +13,8 @@
 const maxServerIDs = 4096
 
 // serverIDs are the names of servers that discovery has listed so far, with the Balancer's ids for
-// them. Beyond maxServerIDs the name is forgotten that was last listed longest ago. The tags are bytes
-// of the hand-over.
+// them. Beyond maxServerIDs the name is forgotten that was last listed longest ago. The tags are
+// bytes of the hand-over.
 type serverIDs struct {
 	// IDs has the Balancer's id of each name.
 	IDs map[string]uint32 `json:"IDs"`
@@ -52,7 +52,8 @@
 }
 
 // serverID maps a server's name to the Balancer's id. All routers must map alike, as the Balancer
-// hashes it: hexadecimal digits at the end of the name are the number that the simulator's wire gives.
+// hashes it: hexadecimal digits at the end of the name are the number that the simulator's wire
+// gives.
 func serverID(name string) uint32 {
 	if id, err := strconv.ParseUint(name[strings.LastIndexByte(name, '-')+1:], 16, 32); err == nil {
 		return uint32(id)
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -1,6 +1,7 @@
 package router
 
-// Values that are streamed from a server to a client in chunks, without ever being in memory whole.
+// Values that are streamed from a server to a client in chunks, without ever being in memory
+// completely.
 
 import (
 	"context"
@@ -23,7 +24,8 @@
 // chunkPool holds *[chunkBytes]byte.
 var chunkPool = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
 
-// valueStream is the client's side of a value that is streamed. It belongs to the attempt's goroutine.
+// valueStream is the client's side of a value that is streamed. It belongs to the attempt's
+// goroutine.
 type valueStream struct {
 	// ctx is the attempt's.
 	ctx      context.Context
@@ -65,7 +67,8 @@
 }
 
 // copyValue copies a value from a server's connection to the client as fast as both allow. After an
-// error the value is cut short: the line end is missing by which the client would take it for whole.
+// error the value is cut short: the line end is missing by which the client would take it for
+// complete.
 func (s *valueStream) copyValue(from *upstreamConn, got reply) error {
 	if err := s.awaitTurn(); err != nil {
 		return err
--- a/internal/router/timeout_hint.go
+++ b/internal/router/timeout_hint.go
@@ -21,8 +21,9 @@
 	return timeoutHint(min(remainingMillis, math.MaxInt32))
 }
 
-// metadataWithHint is the metadata that an upstream gets with a command, a cache server and the origin
-// alike: as the client sent it, but for the timeout hint. Without one from the client there is none.
+// metadataWithHint is the metadata that an upstream gets with a command, a cache server and the
+// origin alike: as the client sent it, but for the timeout hint. Without one from the client there
+// is none.
 func (c *command) metadataWithHint(hint timeoutHint) string {
 	fields := strings.Split(c.metadata, ",")
 	for i, field := range fields {
@@ -33,8 +34,9 @@
 	return strings.Join(fields, ",")
 }
 
-// uploadHint is the hint in the head of a large write, which goes out while the value is still coming.
-// A request's time begins with its last byte, so all that the client and the class allow remains then.
+// uploadHint is the hint in the head of a large write, which goes out while the value is still
+// coming. A request's time begins with its last byte, so all that the client and the class allow
+// remains then.
 func (l *loop) uploadHint(c *command) timeoutHint {
 	allowedMillis := c.remainingMillis
 	if rule := l.rules.Load().classes[c.class]; rule != nil {
@@ -43,8 +45,8 @@
 	return hintFor(min(allowedMillis, l.answerBy.load()-l.now()))
 }
 
-// instant is a time in milliseconds on the loop's clock that any goroutine may read. Until it is set it
-// is infinitely far away.
+// instant is a time in milliseconds on the loop's clock that any goroutine may read. Until it is
+// set it is infinitely far away.
 type instant struct{ bits atomic.Uint64 }
 
 // set sets the time. No time is 0, which stands for an instant that is not set.
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -40,7 +40,8 @@
 // errNoUploadCapacity is the error of a large write that can't be taken now.
 var errNoUploadCapacity = errors.New("no capacity for a large write")
 
-// abandon ends a write of which no attempt was made. Its last chunk was never sent, so it has not run.
+// abandon ends a write of which no attempt was made. Its last chunk was never sent, so it has not
+// run.
 func (p *upload) abandon() {
 	if p != nil && p.isSettled.CompareAndSwap(false, true) {
 		p.release()
@@ -186,13 +187,15 @@
 	c.SetReadDeadline(deadline)
 }
 
-// finishUpload sends the last chunk of a large write, which makes it an attempt, and reads the answer.
+// finishUpload sends the last chunk of a large write, which makes it an attempt, and reads the
+// answer.
 func (u *upstreams) finishUpload(ctx context.Context, server uint32, c *command, hooks attemptHooks) reply {
 	p := c.upload
 	if p.server != server || !p.isSettled.CompareAndSwap(false, true) {
 		return replyWithoutAnswer(decide.ConnectError) // the value is not kept, and can't be sent again
 	}
-	// A server that has closed, or has answered a write that it has not got whole, does not run it.
+	// A server that has closed, or has answered a write that it has not got completely, does not
+	// run it.
 	if p.conn == nil || !p.conn.isQuiet() {
 		p.release()
 		return replyWithoutAnswer(decide.ConnectError)
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -93,7 +93,7 @@
 // answerReader reads a target's answer to a command.
 type answerReader func(*bufio.Reader, *command) (reply, error)
 
-// upstreamExchange is a command that is written whole, and how its answer is read.
+// upstreamExchange is a command that is written completely, and how its answer is read.
 type upstreamExchange struct {
 	target  *target
 	conn    *upstreamConn
@@ -142,9 +142,9 @@
 	return wire, u.readOrigin, err
 }
 
-// readAnswer reads the answer to a command that is written whole, and releases the connection. An
-// answer that can't be understood, or that broke off, shows that the request has run and the server
-// was at work; a connection that ends before the answer leaves open whether it has run.
+// readAnswer reads the answer to a command that is written completely, and releases the connection.
+// An answer that can't be understood, or that broke off, shows that the request has run and the
+// server was at work; a connection that ends before the answer leaves open whether it has run.
 func (u *upstreams) readAnswer(x upstreamExchange, hooks attemptHooks) reply {
 	hooks.afterWrite()
 	got := reply{load: decide.NoLoadReport}
