--- /dev/null
+++ b/internal/healthcheck/report_cache.go
@@ -0,0 +1,86 @@
+package healthcheck
+
+import (
+	"sync"
+
+	"dockhinge.example/dockhinge/decide"
+)
+
+// maxReports bounds the reports that are cached; the list of servers is bounded well below it.
+const maxReports = 4096
+
+// ReportCache holds the load reports of servers that other routers have probed. It has no clock and
+// does no I/O. Its methods may be called concurrently.
+type ReportCache struct {
+	staleMillis float64
+
+	mu      sync.Mutex
+	reports map[uint32]cachedReport // by server
+	hits    int
+	misses  int
+}
+
+type cachedReport struct {
+	load decide.LoadReport
+	// trueAtMillis is the earliest time at which the report may have been true.
+	trueAtMillis float64
+}
+
+// isStale reports whether the cached report is too old at a time.
+func (c *ReportCache) isStale(report cachedReport, nowMillis float64) bool {
+	return report.trueAtMillis+c.staleMillis < nowMillis
+}
+
+// NewReportCache returns a cache in which a report counts up to the age staleMillis.
+func NewReportCache(staleMillis float64) *ReportCache {
+	return &ReportCache{staleMillis: staleMillis, reports: map[uint32]cachedReport{}}
+}
+
+// Add stores a report that was true ageMillis before now at the earliest. A report that is stale, or
+// older than the one that is cached, changes nothing.
+func (c *ReportCache) Add(nowMillis, ageMillis float64, r Report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	report := cachedReport{load: r.Load, trueAtMillis: nowMillis - ageMillis}
+	cached, isCached := c.reports[r.ServerID]
+	if isCached && cached.trueAtMillis >= report.trueAtMillis || c.isStale(report, nowMillis) {
+		return
+	}
+	if !isCached && len(c.reports) >= maxReports {
+		c.evictStale(nowMillis)
+		if len(c.reports) >= maxReports {
+			return
+		}
+	}
+	c.reports[r.ServerID] = report
+}
+
+// evictStale drops the stale reports.
+func (c *ReportCache) evictStale(nowMillis float64) {
+	for server, report := range c.reports {
+		if c.isStale(report, nowMillis) {
+			delete(c.reports, server)
+		}
+	}
+}
+
+// Lookup returns a server's load, and false where there is no report that counts.
+func (c *ReportCache) Lookup(nowMillis float64, server uint32) (decide.LoadReport, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	report, isCached := c.reports[server]
+	if !isCached || c.isStale(report, nowMillis) {
+		c.misses++
+		return decide.NoLoadReport, false
+	}
+	c.hits++
+	return report.load, true
+}
+
+// Counts returns how often a report took the place of a probe, and how often there was none that
+// counts.
+func (c *ReportCache) Counts() (hits, misses int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hits, c.misses
+}
