--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -14,41 +14,46 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// calls is a coordinator that counts how often it is asked what is drained.
-type calls struct {
-	mu    sync.Mutex
-	first int // asked for at once
-	waits int // asked for once it changes
+// countingCoordinator counts how often it is polled, and how often it is watched, for the drain set.
+type countingCoordinator struct {
+	mu      sync.Mutex
+	polls   int
+	watches int
 }
 
-func (c *calls) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *countingCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/drains" {
 		_ = json.NewEncoder(w).Encode(coord.Response{Code: coord.CodeOK})
 		return
 	}
 	c.mu.Lock()
 	if r.URL.Query().Get("wait") == "true" {
-		c.waits++
+		c.watches++
 	} else {
-		c.first++
+		c.polls++
 	}
 	c.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as a coordinator of an older program does at version 0
+	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as a coordinator of an earlier program does at version 0
 }
 
-// While nothing was ever drained a router waits for news instead of asking again and again, also before a coordinator that
-// answers at once.
+// Nothing was ever drained, and the coordinator runs an earlier program: it answers a watch at once, without
+// a change. The router polls once and then watches, with pauses that grow. A wrong program would watch again
+// without a pause, some 200 times in the two seconds, and so would each router of the fleet.
 func TestWaitsForTheFirstDrain(t *testing.T) {
-	var c calls
+	var c countingCoordinator
 	s := httptest.NewServer(&c)
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	one := client.New(client.Options{Coordinators: map[string]string{"c1": s.Listener.Addr().String()}, ClientName: "router/r", TTL: 10 * time.Second})
+	session := client.New(client.Options{
+		Coordinators: map[string]string{"c1": s.Listener.Addr().String()},
+		ClientName:   "router/r",
+		TTL:          10 * time.Second,
+	})
 	var wg sync.WaitGroup
-	wg.Go(func() { one.Run(ctx) })
+	wg.Go(func() { session.Run(ctx) })
 	Run(ctx, Options{
-		Client:          one,
+		Client:          session,
 		IsReady:         func() bool { return true },
 		RequestCounts:   func() (int64, int64, []int64) { return 0, 0, nil },
 		ObserveServers:  func(context.Context) ([]rollout.ServerObservation, error) { return nil, nil },
@@ -58,11 +63,11 @@
 		SetEjected:      func(context.Context, []rollout.EjectedServer) error { return nil },
 	})
 	wg.Wait()
-	if c.first != 1 || c.waits == 0 {
-		t.Errorf("asked at once %d times, and for news %d times", c.first, c.waits)
+	if c.polls != 1 || c.watches == 0 {
+		t.Errorf("polled %d times, watched %d times", c.polls, c.watches)
 	}
-	// Pauses between 0 and 20 ms, doubled up to 1 s: without that they would be some 200.
-	if c.waits > 40 {
-		t.Errorf("asked for news %d times in 2 s", c.waits)
+	// Pauses are random below 20 ms at first, doubled up to 1 s.
+	if c.watches > 40 {
+		t.Errorf("watched %d times in 2 s", c.watches)
 	}
 }
