--- a/cmd/dockhinge-coord/main.go
+++ b/cmd/dockhinge-coord/main.go
@@ -111,7 +111,7 @@
 
 func options(f config.File, log *slog.Logger) node.Options {
 	return node.Options{Name: f.Name, Directory: f.Dir, ListenAddress: f.Listen, ClientAddress: f.API, PeerAddresses: f.Peers, ClockRateBound: f.ClockRate,
-		SnapshotEntries: f.SnapshotEvery, HeartbeatTimeout: f.BeatTime(), Log: log, OnFatal: func(err error) {
+		SnapshotEntries: f.SnapshotEvery, HeartbeatTimeout: f.HeartbeatTimeout(), Log: log, OnFatal: func(err error) {
 			fmt.Fprintln(os.Stderr, "dockhinge-coord: it can't go on:", err)
 			os.Exit(4)
 		}}
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -266,7 +266,7 @@
 
 // haltByComparison halts the release where its new version does worse. It returns false if the coordinators did not take the halt.
 func (d *driver) haltByComparison(ctx context.Context, x *rollout.ReleaseProgress) bool {
-	limits := rollout.ComparisonLimits{FalseHaltShare: d.f.Alpha, MinServedShare: d.f.Floor}
+	limits := rollout.ComparisonLimits{FalseHaltShare: d.f.FalseHaltShare, MinServedShare: d.f.MinServedShare}
 	for _, reason := range x.ComparisonHalts(limits) {
 		if _, err := d.c.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: reason}); err != nil {
 			return false
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -1,98 +1,122 @@
 package config
 
 import (
-	"errors"
 	"fmt"
-	"os"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Budgets is a file of budgets. docs/rollout.md describes each key.
-type Budgets struct {
-	Version int      `toml:"version"`
-	Grace   string   `toml:"grace"`   // longer than routers' sessions last, 1s to 1h
-	Routers int      `toml:"routers"` // so many must take part before a server is drained; 0: nobody says
-	Quorum  int      `toml:"quorum"`  // so many routers must find a server bad for all to leave it out; 0: each finds out by itself
-	Busy    float64  `toml:"busy"`    // where the fleet refuses or fails more than this share of requests nothing new goes out; 0: whatever it does
-	Budget  []Budget `toml:"budget"`
+// budgetsFile is a file of budgets. docs/rollout.md describes each key.
+type budgetsFile struct {
+	// Version is that of the file's form: 1.
+	Version int `toml:"version"`
+	// Grace is longer than routers' sessions last, 1s to 1h.
+	Grace string `toml:"grace"`
+	// ExpectedRouters must take part before a server is drained; 0 sets no such condition.
+	ExpectedRouters int `toml:"routers"`
+	// EjectionQuorum is how many routers must find a server failing before all eject it; 0 turns
+	// shared ejection off.
+	EjectionQuorum int `toml:"quorum"`
+	// OverloadShare is the share of rejected or failed requests above which nothing new goes out; 0
+	// turns the check off.
+	OverloadShare float64 `toml:"busy"`
+	// Budgets are the budgets.
+	Budgets []budgetEntry `toml:"budget"`
 }
 
-// Budget is one of them; see rollout.Budget.
-type Budget struct {
-	Name  string  `toml:"name"`
-	Kind  string  `toml:"kind"`
-	Match string  `toml:"match"`
-	Per   string  `toml:"per"`
-	Most  int     `toml:"most"`
-	Share float64 `toml:"share"`
-	Warm  string  `toml:"warm"`
+// budgetEntry is one budget of the file: see rollout.Budget for the fields.
+type budgetEntry struct {
+	Name        string  `toml:"name"`
+	Kind        string  `toml:"kind"`
+	Match       string  `toml:"match"`
+	Per         string  `toml:"per"`
+	MaxOut      int     `toml:"most"`
+	MaxOutShare float64 `toml:"share"`
+	SlowStart   string  `toml:"warm"`
 }
 
-// LoadBudgets reads the file at path. The error joins a configerror.Problem for each mistake.
-func LoadBudgets(path string) (cmd rollout.Command, err error) {
-	text, err := os.ReadFile(path)
+// LoadBudgets reads the file of budgets at path, and returns the command that puts them in force.
+func LoadBudgets(path string) (rollout.Command, error) {
+	text, err := readFile("budgets", path)
 	if err != nil {
-		return cmd, fmt.Errorf("budgets: %w", err)
+		return rollout.Command{}, err
 	}
 	return ParseBudgets(path, text)
 }
 
-// ParseBudgets reads a file that was read from path.
-func ParseBudgets(path string, text []byte) (cmd rollout.Command, err error) {
-	cmd.Op = rollout.OpSetBudgets
-	if len(text) > maxFile {
-		return cmd, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+// ParseBudgets reads the text of the file of budgets at path.
+func ParseBudgets(path string, text []byte) (rollout.Command, error) {
+	file := budgetsFile{Grace: rollout.DefaultGrace.String()}
+	if err := decode(path, text, &file); err != nil {
+		return rollout.Command{Op: rollout.OpSetBudgets}, err
 	}
-	f := Budgets{Grace: rollout.DefaultGrace.String()}
-	if err := configerror.DecodeTOML(path, text, &f); err != nil {
-		return cmd, err
+	c := &checker{path: path}
+	c.version(file.Version)
+	command := rollout.Command{
+		Op:              rollout.OpSetBudgets,
+		Grace:           c.durationWithin("grace", file.Grace, rollout.MinGrace, rollout.MaxDuration),
+		ExpectedRouters: file.ExpectedRouters,
+		EjectionQuorum:  file.EjectionQuorum,
+		OverloadShare:   file.OverloadShare,
 	}
-	var errs []error
-	bad := func(setting, form string, v ...any) {
-		errs = append(errs, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+	if file.ExpectedRouters < 0 || file.ExpectedRouters > rollout.MaxRouters {
+		c.add("routers", "%d is not from 0 to %d", file.ExpectedRouters, rollout.MaxRouters)
 	}
-	if f.Version != Version {
-		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
+	if !rollout.IsEjectionQuorum(file.EjectionQuorum) {
+		c.add("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed",
+			file.EjectionQuorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
 	}
-	if cmd.Grace, err = time.ParseDuration(f.Grace); err != nil || cmd.Grace < rollout.MinGrace || cmd.Grace > rollout.MaxDuration {
-		bad("grace", "%q is no duration from %v to %v", f.Grace, rollout.MinGrace, rollout.MaxDuration)
+	if !(file.OverloadShare >= 0 && file.OverloadShare < 1) {
+		c.add("busy", "%v is not between 0 and 1", file.OverloadShare)
 	}
-	if cmd.ExpectedRouters = f.Routers; f.Routers < 0 || f.Routers > rollout.MaxRouters {
-		bad("routers", "%d is not from 0 to %d", f.Routers, rollout.MaxRouters)
-	}
-	if cmd.EjectionQuorum = f.Quorum; f.Quorum != 0 && (f.Quorum < rollout.MinEjectionQuorum || f.Quorum > rollout.MaxEjectionQuorum) {
-		bad("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed", f.Quorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
-	}
-	if cmd.OverloadShare = f.Busy; !(f.Busy >= 0 && f.Busy < 1) {
-		bad("busy", "%v is not between 0 and 1", f.Busy)
-	}
-	if len(f.Budget) == 0 {
-		bad("budget", "none: nothing would ever be let out")
+	command.Budgets = file.checkBudgets(c)
+	return command, c.err()
+}
+
+// checkBudgets checks the budgets and returns them.
+func (f *budgetsFile) checkBudgets(c *checker) (budgets []rollout.Budget) {
+	if len(f.Budgets) == 0 {
+		c.add("budget", "none: nothing would ever be let out")
 	}
-	if len(f.Budget) > rollout.MaxBudgets {
-		bad("budget", "%d, %d at most", len(f.Budget), rollout.MaxBudgets)
+	if len(f.Budgets) > rollout.MaxBudgets {
+		c.add("budget", "%d, %d at most", len(f.Budgets), rollout.MaxBudgets)
 	}
 	names := map[string]bool{}
-	for i, x := range f.Budget {
-		b := rollout.Budget{Name: x.Name, Kind: rollout.Kind(x.Kind), Match: x.Match, Per: x.Per, MaxOut: x.Most, MaxOutShare: x.Share}
+	for i, entry := range f.Budgets {
 		setting := fmt.Sprintf("budget[%d]", i+1)
-		if x.Warm != "" {
-			if b.SlowStart, err = time.ParseDuration(x.Warm); err != nil {
-				bad(setting+".warm", "%q is no duration", x.Warm)
-				continue
-			}
+		budget, isValid := entry.budget(c, setting)
+		if !isValid {
+			continue
 		}
-		if err := b.Check(); err != nil {
-			bad(setting, "%v", err)
+		if err := budget.Check(); err != nil {
+			c.add(setting, "%v", err)
 		}
-		if names[x.Name] {
-			bad(setting+".name", "%q is there twice", x.Name)
+		if names[entry.Name] {
+			c.add(setting+".name", "%q is there twice", entry.Name)
+		}
+		names[entry.Name] = true
+		budgets = append(budgets, budget)
+	}
+	return budgets
+}
+
+// budget makes a budget of the entry; false once a mistake in its duration is recorded.
+func (e *budgetEntry) budget(c *checker, setting string) (b rollout.Budget, isValid bool) {
+	slowStart := time.Duration(0)
+	if e.SlowStart != "" {
+		slowStart, isValid = c.duration(setting+".warm", e.SlowStart)
+		if !isValid {
+			return b, false
 		}
-		names[x.Name] = true
-		cmd.Budgets = append(cmd.Budgets, b)
 	}
-	return cmd, errors.Join(errs...)
+	return rollout.Budget{
+		Name:        e.Name,
+		Kind:        rollout.Kind(e.Kind),
+		Match:       e.Match,
+		Per:         e.Per,
+		MaxOut:      e.MaxOut,
+		MaxOutShare: e.MaxOutShare,
+		SlowStart:   slowStart,
+	}, true
 }
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -1,119 +1,114 @@
-// Package config reads a coordinator's file. docs/agreement.md describes each key.
+// Package config reads the files that operators write for coordinators and observers, for budgets
+// and for releases. All are TOML; a mistake is a configerror.Problem that names file and setting,
+// and one error joins all mistakes of a file.
 package config
 
 import (
-	"errors"
-	"fmt"
-	"net"
-	"os"
-	"strings"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Version is that of the file's form.
-const Version = 1
+// Limits and defaults of a coordinator's file.
+const (
+	minSnapshotEvery     = 16
+	maxSnapshotEvery     = 1_000_000
+	defaultSnapshotEvery = 8192
 
-const maxFile = 64 << 10
+	minHeartbeat     = 100 * time.Millisecond
+	maxHeartbeat     = 10 * time.Second
+	defaultHeartbeat = "250ms"
 
-// File is a coordinator's file.
+	defaultLogLevel = "info"
+)
+
+// File is a coordinator's file. docs/agreement.md describes each key.
 type File struct {
-	Version       int               `toml:"version"`
-	Name          string            `toml:"name"`           // unique among the coordinators
-	Dir           string            `toml:"dir"`            // of its log, snapshots and identity
-	Listen        string            `toml:"listen"`         // host:port for the other coordinators
-	API           string            `toml:"api"`            // host:port for clients
-	Figures       string            `toml:"figures"`        // host:port that tells figures and takes no commands; "" = none
-	ClockRate     float64           `toml:"clock_rate"`     // bound on the rate of all clocks, 0 to 0.1
-	SnapshotEvery uint64            `toml:"snapshot_every"` // entries of the log between two snapshots, 16 to 1,000,000
-	Beat          string            `toml:"beat"`           // how long a leader may be silent, 100ms to 10s
-	LogLevel      string            `toml:"log_level"`      // debug, info, warn or error
-	LogJSON       bool              `toml:"log_json"`
-	Peers         map[string]string `toml:"peers"` // other coordinators' addresses where they are reached by another than their own, by name
+	// Version is that of the file's form: 1.
+	Version int `toml:"version"`
+	// Name is unique among the coordinators.
+	Name string `toml:"name"`
+	// Dir is the directory of the coordinator's log, snapshots and identity.
+	Dir string `toml:"dir"`
+	// Listen is the host:port for the other coordinators.
+	Listen string `toml:"listen"`
+	// API is the host:port for clients.
+	API string `toml:"api"`
+	// Figures is a host:port that serves metrics and takes no commands; "" for none.
+	Figures string `toml:"figures"`
+	// ClockRate bounds how much faster or slower than true time any clock runs, 0 to 0.1; 0.01 by
+	// default.
+	ClockRate float64 `toml:"clock_rate"`
+	// SnapshotEvery is the number of log entries between two snapshots, 16 to 1,000,000; 8192 by
+	// default.
+	SnapshotEvery uint64 `toml:"snapshot_every"`
+	// Beat is how long a leader may be silent, 100ms to 10s; 250ms by default.
+	Beat string `toml:"beat"`
+	// LogLevel is debug, info, warn or error; info by default.
+	LogLevel string `toml:"log_level"`
+	// LogJSON selects JSON for log lines.
+	LogJSON bool `toml:"log_json"`
+	// Peers are the addresses of other coordinators by name, where they are reached by another
+	// address than their own.
+	Peers map[string]string `toml:"peers"`
 }
 
-// BeatTime is Beat as a duration; the file has been checked.
-func (f File) BeatTime() time.Duration {
+// HeartbeatTimeout is Beat as a duration; the file has been checked.
+func (f File) HeartbeatTimeout() time.Duration {
 	d, _ := time.ParseDuration(f.Beat)
 	return d
 }
 
-// Load reads the file at path. The error joins a configerror.Problem for each mistake.
+// Load reads the coordinator's file at path.
 func Load(path string) (File, error) {
-	text, err := os.ReadFile(path)
+	text, err := readFile("coordinator's file", path)
 	if err != nil {
-		return File{}, fmt.Errorf("coordinator's file: %w", err)
+		return File{}, err
 	}
 	return Parse(path, text)
 }
 
-// Parse reads a file that was read from path.
+// Parse reads the text of the coordinator's file at path.
 func Parse(path string, text []byte) (File, error) {
-	if len(text) > maxFile {
-		return File{}, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
+	f := File{
+		ClockRate:     coord.DefaultClockRateBound,
+		SnapshotEvery: defaultSnapshotEvery,
+		Beat:          defaultHeartbeat,
+		LogLevel:      defaultLogLevel,
 	}
-	f := File{ClockRate: coord.DefaultClockRateBound, SnapshotEvery: 8192, Beat: "250ms", LogLevel: "info"}
-	if err := configerror.DecodeTOML(path, text, &f); err != nil {
+	if err := decode(path, text, &f); err != nil {
 		return File{}, err
 	}
-	var all []error
-	bad := func(setting, form string, v ...any) {
-		all = append(all, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
-	}
-	if f.Version != Version {
-		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
-	}
-	if err := CheckName(f.Name); err != nil {
-		bad("name", "%v", err)
-	}
+	c := &checker{path: path}
+	c.version(f.Version)
+	c.name("name", f.Name)
 	if f.Dir == "" {
-		bad("dir", "empty")
-	}
-	for _, a := range []struct{ setting, v string }{{"listen", f.Listen}, {"api", f.API}} {
-		if _, _, err := net.SplitHostPort(a.v); err != nil {
-			bad(a.setting, "%q is no host:port", a.v)
-		}
-	}
-	if _, _, err := net.SplitHostPort(f.Figures); f.Figures != "" && (err != nil || f.Figures == f.API || f.Figures == f.Listen) {
-		bad("figures", "%q is no host:port of its own", f.Figures)
-	}
-	if f.Listen != "" && f.Listen == f.API {
-		bad("api", "%q is the address for the other coordinators too", f.API)
+		c.add("dir", "empty")
 	}
+	f.checkAddresses(c)
 	if !(f.ClockRate >= 0 && f.ClockRate <= coord.MaxClockRateBound) {
-		bad("clock_rate", "%v is not from 0 to %v", f.ClockRate, coord.MaxClockRateBound)
-	}
-	if f.SnapshotEvery < 16 || f.SnapshotEvery > 1_000_000 {
-		bad("snapshot_every", "%d is not from 16 to 1,000,000", f.SnapshotEvery)
-	}
-	if d, err := time.ParseDuration(f.Beat); err != nil || d < 100*time.Millisecond || d > 10*time.Second {
-		bad("beat", "%q is no duration from 100ms to 10s", f.Beat)
+		c.add("clock_rate", "%v is not from 0 to %v", f.ClockRate, coord.MaxClockRateBound)
 	}
-	switch f.LogLevel {
-	case "debug", "info", "warn", "error":
-	default:
-		bad("log_level", "%q is none of debug, info, warn, error", f.LogLevel)
+	if f.SnapshotEvery < minSnapshotEvery || f.SnapshotEvery > maxSnapshotEvery {
+		c.add("snapshot_every", "%d is not from 16 to 1,000,000", f.SnapshotEvery)
 	}
-	for name, addr := range f.Peers {
-		if err := CheckName(name); err != nil {
-			bad("peers."+name, "%v", err)
-		}
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			bad("peers."+name, "%q is no host:port", addr)
-		}
-	}
-	if err := errors.Join(all...); err != nil {
+	c.durationWithin("beat", f.Beat, minHeartbeat, maxHeartbeat)
+	c.logLevel(f.LogLevel)
+	c.addresses("peers", f.Peers)
+	if err := c.err(); err != nil {
 		return File{}, err
 	}
 	return f, nil
 }
 
-// CheckName checks a coordinator's name: letters, digits, dots, dashes and underscores, 64 at most.
-func CheckName(name string) error {
-	if name == "" || len(name) > 64 || strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_") != "" {
-		return fmt.Errorf("%q is no name of 1 to 64 letters, digits, dots, dashes and underscores", name)
+func (f *File) checkAddresses(c *checker) {
+	c.address("listen", f.Listen)
+	c.address("api", f.API)
+	isOwn := f.Figures != f.API && f.Figures != f.Listen
+	if f.Figures != "" && !(isAddress(f.Figures) && isOwn) {
+		c.add("figures", "%q is no host:port of its own", f.Figures)
+	}
+	if f.Listen != "" && f.Listen == f.API {
+		c.add("api", "%q is the address for the other coordinators too", f.API)
 	}
-	return nil
 }
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// expectStored compares a value with what an earlier program made of the same file, field by field of its stored form.
+// expectStored compares a value with what an earlier program made of the same file, field by field
+// of its stored form.
 func expectStored(t *testing.T, value any, name string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -26,8 +27,8 @@
 	}
 }
 
-// Operators keep their files when the program is replaced. A budgets file that has every key gives the command that the earlier
-// program sent to the coordinators.
+// Operators keep their files when the program is replaced. A budgets file that has every key gives
+// the command that the earlier program sent to the coordinators.
 func TestBudgetsFileOfEarlierProgram(t *testing.T) {
 	command, err := LoadBudgets("testdata/budgets.toml")
 	if err != nil {
@@ -36,7 +37,8 @@
 	expectStored(t, command, "budgets.command.json")
 }
 
-// A release file that has every key gives the plan that the earlier program sent, and the same settings for the driver.
+// A release file that has every key gives the plan that the earlier program sent, and the same
+// settings for the driver.
 func TestReleaseFileOfEarlierProgram(t *testing.T) {
 	file, plan, err := LoadRelease("testdata/release.toml")
 	if err != nil {
@@ -44,9 +46,10 @@
 	}
 	expectStored(t, plan, "release.plan.json")
 	want := Release{
-		Version: 1, Name: "7.2", Match: "r*", From: "a", To: "b", First: 2, Grow: 1.5,
-		Bake: "3m", Least: 250, Step: "90s", Learn: "15s",
-		Alpha: 0.002, Floor: 0.75, Kind: "harmless", Tries: 3, Command: []string{"deploy", "{name}", "{to}", "{from}"},
+		Version: 1, Name: "7.2", Match: "r*", FromVersion: "a", ToVersion: "b", FirstWave: 2, GrowthFactor: 1.5,
+		BakeTime: "3m", MinRequests: 250, StepTimeout: "90s", LearnTime: "15s",
+		FalseHaltShare: 0.002, MinServedShare: 0.75, RerunKind: "harmless", Tries: 3,
+		Command: []string{"deploy", "{name}", "{to}", "{from}"},
 	}
 	if !reflect.DeepEqual(file, want) {
 		t.Errorf("%+v, want %+v", file, want)
@@ -60,15 +63,16 @@
 		t.Fatal(err)
 	}
 	want := File{
-		Version: 1, Name: "c1", Dir: "data/c1", Listen: "127.0.0.1:7001", API: "127.0.0.1:7002", Figures: "127.0.0.1:7003",
+		Version: 1, Name: "c1", Dir: "data/c1",
+		Listen: "127.0.0.1:7001", API: "127.0.0.1:7002", Figures: "127.0.0.1:7003",
 		ClockRate: 0.02, SnapshotEvery: 1024, Beat: "300ms", LogLevel: "warn", LogJSON: true,
 		Peers: map[string]string{"c2": "127.0.0.1:7011", "c3": "127.0.0.1:7021"},
 	}
 	if !reflect.DeepEqual(file, want) {
 		t.Errorf("%+v, want %+v", file, want)
 	}
-	if file.BeatTime() != 300*time.Millisecond {
-		t.Errorf("beat %v", file.BeatTime())
+	if file.HeartbeatTimeout() != 300*time.Millisecond {
+		t.Errorf("beat %v", file.HeartbeatTimeout())
 	}
 }
 
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -1,87 +1,145 @@
 package config
 
 import (
-	"errors"
-	"fmt"
-	"os"
+	"slices"
 	"time"
 
-	"dockhinge.example/dockhinge/internal/configerror"
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Release is a file of a release. docs/rollout.md describes each key.
+// RerunKinds are why a command may run twice at once: whatever it acts on rejects a token lower
+// than one it has seen, or it does no harm twice. A command that is neither must not run under a
+// lease or permit.
+var RerunKinds = []string{"checked", "harmless"}
+
+// Limits of a release's file.
+const (
+	minFalseHaltShare = 1e-9
+	maxFalseHaltShare = 0.1
+	maxTries          = 10
+)
+
+// Release is a release's file. docs/rollout.md describes each key.
 type Release struct {
-	Version int      `toml:"version"`
-	Name    string   `toml:"name"`
-	Match   string   `toml:"match"`
-	From    string   `toml:"from"`
-	To      string   `toml:"to"`
-	First   int      `toml:"first"`
-	Grow    float64  `toml:"grow"`
-	Bake    string   `toml:"bake"`
-	Least   int64    `toml:"least"`
-	Step    string   `toml:"step"`
-	Learn   string   `toml:"learn"`
-	Alpha   float64  `toml:"alpha"`   // false halts of releases in which both versions are alike
-	Floor   float64  `toml:"floor"`   // a halt where less than this share of requests is served, whatever the version, for 10 s
-	Kind    string   `toml:"kind"`    // checked or harmless: why the command may run twice
-	Tries   int      `toml:"tries"`   // of the command for one router
-	Command []string `toml:"command"` // {name}, {to} and {from} are replaced; {to} is the version wanted, also on the way back
+	// Version is that of the file's form: 1.
+	Version int `toml:"version"`
+
+	// The fields of the plan: see rollout.ReleasePlan.
+
+	// Name names the release.
+	Name string `toml:"name"`
+	// Match is a pattern for the names of the routers; "" matches all.
+	Match string `toml:"match"`
+	// FromVersion is the version that the routers have.
+	FromVersion string `toml:"from"`
+	// ToVersion is the version to bring them to.
+	ToVersion string `toml:"to"`
+	// FirstWave is how many routers the first wave has; 1 by default.
+	FirstWave int `toml:"first"`
+	// GrowthFactor is how many times the routers of all waves before it a wave has; 2 by default.
+	GrowthFactor float64 `toml:"grow"`
+	// BakeTime is how long a complete wave is watched; 2m by default.
+	BakeTime string `toml:"bake"`
+	// MinRequests is how many requests the new version must have answered in a wave; 100 by
+	// default.
+	MinRequests int64 `toml:"least"`
+	// StepTimeout is within which a router must be back; 2m by default.
+	StepTimeout string `toml:"step"`
+	// LearnTime is how long the requests of a router that has started don't count; 20s by default.
+	LearnTime string `toml:"learn"`
+
+	// The fields of whoever drives the release.
+
+	// FalseHaltShare is the share of releases that may be halted though both versions are alike,
+	// 1e-9 to 0.1; 0.001 by default.
+	FalseHaltShare float64 `toml:"alpha"`
+	// MinServedShare halts the release where a smaller share of requests is served for 10 s,
+	// whatever the version, 0 to 1; 0.8 by default.
+	MinServedShare float64 `toml:"floor"`
+	// RerunKind is one of RerunKinds: why Command may run twice.
+	RerunKind string `toml:"kind"`
+	// Tries is how often Command is run for one router before it has failed, 1 to 10; 2 by default.
+	Tries int `toml:"tries"`
+	// Command brings one router to a version. {name}, {to} and {from} are replaced; {to} is the
+	// version wanted, also in a rollback.
+	Command []string `toml:"command"`
 }
 
-// LoadRelease reads the file at path. The error joins a configerror.Problem for each mistake.
-func LoadRelease(path string) (f Release, p rollout.ReleasePlan, err error) {
-	text, err := os.ReadFile(path)
+// LoadRelease reads the release's file at path, and returns it with the plan in it.
+func LoadRelease(path string) (Release, rollout.ReleasePlan, error) {
+	text, err := readFile("release", path)
 	if err != nil {
-		return f, p, fmt.Errorf("release: %w", err)
+		return Release{}, rollout.ReleasePlan{}, err
 	}
 	return ParseRelease(path, text)
 }
 
-// ParseRelease reads a file that was read from path.
-func ParseRelease(path string, text []byte) (f Release, p rollout.ReleasePlan, err error) {
-	if len(text) > maxFile {
-		return f, p, configerror.Problem{File: path, Reason: fmt.Sprintf("%d bytes, %d at most", len(text), maxFile)}
-	}
-	f = Release{First: 1, Grow: 2, Bake: "2m", Least: 100, Step: "2m", Learn: "20s", Alpha: 0.001, Floor: 0.8, Tries: 2}
-	if err := configerror.DecodeTOML(path, text, &f); err != nil {
-		return f, p, err
+// ParseRelease reads the text of the release's file at path.
+func ParseRelease(path string, text []byte) (Release, rollout.ReleasePlan, error) {
+	f := Release{
+		FirstWave:      1,
+		GrowthFactor:   2,
+		BakeTime:       "2m",
+		MinRequests:    100,
+		StepTimeout:    "2m",
+		LearnTime:      "20s",
+		FalseHaltShare: 0.001,
+		MinServedShare: 0.8,
+		Tries:          2,
 	}
-	var errs []error
-	bad := func(setting, form string, v ...any) {
-		errs = append(errs, configerror.Problem{File: path, Setting: setting, Reason: fmt.Sprintf(form, v...)})
+	if err := decode(path, text, &f); err != nil {
+		return f, rollout.ReleasePlan{}, err
 	}
-	if f.Version != Version {
-		bad("version", "%d is not %d, the version that this program reads", f.Version, Version)
+	c := &checker{path: path}
+	c.version(f.Version)
+	plan := f.plan(c)
+	if err := plan.Check(); err != nil {
+		c.add("release", "%v", err)
 	}
-	p = rollout.ReleasePlan{Name: f.Name, Match: f.Match, FromVersion: f.From, ToVersion: f.To, FirstWave: f.First, GrowthFactor: f.Grow, MinRequests: f.Least}
-	for _, d := range []struct {
-		setting, v string
-		to         *time.Duration
-	}{{"bake", f.Bake, &p.BakeTime}, {"step", f.Step, &p.StepTimeout}, {"learn", f.Learn, &p.LearnTime}} {
-		if *d.to, err = time.ParseDuration(d.v); err != nil {
-			bad(d.setting, "%q is no duration", d.v)
-			*d.to = time.Minute // told already
+	f.checkDriver(c)
+	return f, plan, c.err()
+}
+
+// plan makes the plan of the file's fields.
+func (f *Release) plan(c *checker) rollout.ReleasePlan {
+	duration := func(setting, text string) time.Duration {
+		d, isValid := c.duration(setting, text)
+		if !isValid {
+			return time.Minute // a valid one: the mistake is recorded already
 		}
+		return d
 	}
-	if err := p.Check(); err != nil {
-		bad("release", "%v", err)
+	return rollout.ReleasePlan{
+		Name:         f.Name,
+		Match:        f.Match,
+		FromVersion:  f.FromVersion,
+		ToVersion:    f.ToVersion,
+		FirstWave:    f.FirstWave,
+		GrowthFactor: f.GrowthFactor,
+		BakeTime:     duration("bake", f.BakeTime),
+		MinRequests:  f.MinRequests,
+		StepTimeout:  duration("step", f.StepTimeout),
+		LearnTime:    duration("learn", f.LearnTime),
 	}
-	if !(f.Alpha >= 1e-9 && f.Alpha <= 0.1) {
-		bad("alpha", "%v is not from 1e-9 to 0.1", f.Alpha)
+}
+
+// checkDriver checks the fields of whoever drives the release.
+func (f *Release) checkDriver(c *checker) {
+	if !(f.FalseHaltShare >= minFalseHaltShare && f.FalseHaltShare <= maxFalseHaltShare) {
+		c.add("alpha", "%v is not from 1e-9 to 0.1", f.FalseHaltShare)
 	}
-	if !(f.Floor >= 0 && f.Floor <= 1) {
-		bad("floor", "%v is not from 0 to 1", f.Floor)
+	if !(f.MinServedShare >= 0 && f.MinServedShare <= 1) {
+		c.add("floor", "%v is not from 0 to 1", f.MinServedShare)
 	}
-	if f.Kind != "checked" && f.Kind != "harmless" {
-		bad("kind", "%q is none of checked, harmless: the command may run twice for one router, where who ran it has died", f.Kind)
+	if !slices.Contains(RerunKinds, f.RerunKind) {
+		c.add("kind",
+			"%q is none of checked, harmless: the command may run twice for one router, where who ran it has died",
+			f.RerunKind)
 	}
-	if f.Tries < 1 || f.Tries > 10 {
-		bad("tries", "%d is not from 1 to 10", f.Tries)
+	if f.Tries < 1 || f.Tries > maxTries {
+		c.add("tries", "%d is not from 1 to %d", f.Tries, maxTries)
 	}
 	if len(f.Command) == 0 {
-		bad("command", "empty")
+		c.add("command", "empty")
 	}
-	return f, p, errors.Join(errs...)
 }
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -14,7 +14,8 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// countingCoordinator counts how often it is polled, and how often it is watched, for the drain set.
+// countingCoordinator counts how often it is polled, and how often it is watched, for the drain
+// set.
 type countingCoordinator struct {
 	mu      sync.Mutex
 	polls   int
@@ -33,12 +34,13 @@
 		c.polls++
 	}
 	c.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as a coordinator of an earlier program does at version 0
+	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as an earlier program does at version 0
 }
 
-// Nothing was ever drained, and the coordinator runs an earlier program: it answers a watch at once, without
-// a change. The router polls once and then watches, with pauses that grow. A wrong program would watch again
-// without a pause, some 200 times in the two seconds, and so would each router of the fleet.
+// Nothing was ever drained, and the coordinator runs an earlier program: it answers a watch at
+// once, without a change. The router polls once and then watches, with pauses that grow. A wrong
+// program would watch again without a pause, some 200 times in the two seconds, and so would each
+// router of the fleet.
 func TestWaitsForTheFirstDrain(t *testing.T) {
 	var c countingCoordinator
 	s := httptest.NewServer(&c)
