--- a/cmd/dockhinge-coord/configuration_test.go
+++ b/cmd/dockhinge-coord/documents_test.go
@@ -43,14 +43,19 @@
 	}
 }
 
-// Watchers of an observer that is behind, and of one that doesn't answer, aren't counted as having the newest revision.
+// Watchers of an observer that is behind, and of one that doesn't answer, aren't counted as having
+// the newest revision.
 func TestConfigStatus(t *testing.T) {
 	observers := map[string]observerStatus{
-		"o1": {Status: protocol.Status{Revision: 7, Watchers: 10, Acknowledged: 9, Lagging: []protocol.LaggingWatcher{{Watcher: "r1", Revision: 6, SinceMillis: 2500}}}},
+		"o1": {Status: protocol.Status{
+			Revision: 7, Watchers: 10, Acknowledged: 9,
+			Lagging: []protocol.LaggingWatcher{{Watcher: "r1", Revision: 6, SinceMillis: 2500}},
+		}},
 		"o2": {Status: protocol.Status{Revision: 6, Watchers: 5, Acknowledged: 5, AgeMillis: -1}},
 		"o3": {Error: "refused"},
 	}
-	if got, want := addUp(observers), (configTotals{Revision: 7, Watchers: 15, Acknowledged: 9, Silent: 1}); got != want {
+	want := configTotals{Revision: 7, Watchers: 15, Acknowledged: 9, Silent: 1}
+	if got := sumStatuses(observers); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	var out bytes.Buffer
--- /dev/null
+++ b/cmd/dockhinge-coord/group.go
@@ -0,0 +1,237 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"dockhinge.example/dockhinge/internal/coord"
+	"dockhinge.example/dockhinge/internal/coord/client"
+	"dockhinge.example/dockhinge/internal/coord/node"
+)
+
+// initTimeout is the time limit of making a group.
+const initTimeout = 10 * time.Second
+
+func newStatusCommand() *cobra.Command {
+	var isJSON bool
+	return toolCommand{
+		use:   "status",
+		short: "How the coordinators stand",
+		args:  cobra.NoArgs,
+		flags: func(cmd *cobra.Command) {
+			cmd.Flags().BoolVar(&isJSON, "json", false, "all figures as JSON")
+		},
+		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
+			addresses, err := c.addresses()
+			if err != nil {
+				return err
+			}
+			ctx, cancel := context.WithTimeout(cmd.Context(), statusTimeout)
+			defer cancel()
+			answers, failures := statuses(ctx, addresses)
+			if isJSON {
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(answers)
+			}
+			return printStatuses(cmd, slices.Sorted(maps.Keys(addresses)), answers, failures)
+		},
+	}.build()
+}
+
+// printStatuses prints one line for each coordinator. It returns errNoLeader where none leads.
+func printStatuses(
+	cmd *cobra.Command, names []string, answers map[string]node.Status, failures map[string]error,
+) error {
+	w := newTable(cmd)
+	fmt.Fprintln(w, "name\tstate\tleader\tterm\tlast\tapplied\tlag\tsessions\tleases\trefused\t"+
+		"fsync p50/p99 ms\tcommit p50/p99 ms")
+	hasLeader := false
+	for _, name := range names {
+		if err := failures[name]; err != nil {
+			fmt.Fprintf(w, "%s\tno answer: %v\n", name, err)
+			continue
+		}
+		s := answers[name]
+		hasLeader = hasLeader || s.State == stateLeader
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f / %.1f\t%.1f / %.1f\n",
+			name, s.State, s.Leader, s.Term, s.LastLogIndex, s.AppliedIndex, s.Lag, s.Sessions, s.Leases, s.Rejected,
+			s.FsyncP50Millis, s.FsyncP99Millis, s.CommitP50Millis, s.CommitP99Millis)
+	}
+	_ = w.Flush() // a closed output also loses the verdict below
+	if !hasLeader {
+		return errNoLeader
+	}
+	return nil
+}
+
+func newInitCommand() *cobra.Command {
+	return toolCommand{
+		use:   "init",
+		short: "Make one group of coordinators whose directories are empty",
+		long: "Asks each of the coordinators who it is and has them form a group. " +
+			"Only coordinators that belong to none are taken.",
+		args: cobra.NoArgs,
+		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
+			addresses, err := c.addresses()
+			if err != nil {
+				return err
+			}
+			ctx, cancel := context.WithTimeout(cmd.Context(), initTimeout)
+			defer cancel()
+			if err := initGroup(ctx, addresses); err != nil {
+				return err
+			}
+			_, err = c.upgrade(ctx) // a new group has no earlier program in it
+			return err
+		},
+	}.build()
+}
+
+// initGroup has coordinators form a group.
+func initGroup(ctx context.Context, addresses map[string]string) error {
+	answers, failures := statuses(ctx, addresses)
+	var group []node.Member
+	for name := range addresses {
+		if err := failures[name]; err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		s := answers[name]
+		if s.Name != name {
+			return fmt.Errorf("%s: the coordinator there is %s", name, s.Name)
+		}
+		if s.State != stateWaiting {
+			return fmt.Errorf("%s: belongs to a group already", name)
+		}
+		group = append(group, node.Member{Name: name, Identity: s.Identity, Address: s.ListenAddress})
+	}
+	slices.SortFunc(group, func(a, b node.Member) int { return strings.Compare(a.Name, b.Name) })
+	// The first becomes the leader, and the others get the group from it.
+	return client.Call(ctx, http.MethodPost, addresses[group[0].Name], "/v1/init", group, nil)
+}
+
+// upgrade puts the newest version of commands in force that all coordinators support, and returns
+// it.
+func (c *coordinators) upgrade(ctx context.Context) (version int, err error) {
+	addresses, err := c.addresses()
+	if err != nil {
+		return 0, err
+	}
+	answers, failures := statuses(ctx, addresses)
+	for name, s := range answers {
+		if version == 0 || s.SupportedVersion < version {
+			version = s.SupportedVersion
+		}
+		for _, member := range s.Members {
+			if addresses[member.Name] == "" {
+				return 0, fmt.Errorf("--coordinators: %s is a member too (says %s)", member.Name, name)
+			}
+		}
+	}
+	for name, err := range failures {
+		return 0, fmt.Errorf("%s: %w (each must answer: one that runs an older program could not go on)", name, err)
+	}
+	return version, c.withLeader(ctx, func(leader string) error {
+		var answer coord.Response
+		command := coord.Command{TargetVersion: version}
+		if err := client.Call(ctx, http.MethodPost, leader, "/v1/upgrade", command, &answer); err != nil {
+			return err
+		}
+		if answer.Code != coord.CodeOK {
+			return errors.New(answer.Text)
+		}
+		return nil
+	})
+}
+
+func newMembersCommand() *cobra.Command {
+	cmd := toolCommand{
+		use:   "members",
+		short: "Who the coordinators are",
+		args:  cobra.NoArgs,
+		run:   listMembers,
+	}.build()
+	add := toolCommand{
+		use:   "add NAME=HOST:PORT",
+		short: "Take in a coordinator that runs with an empty directory, by its clients' address",
+		args:  cobra.ExactArgs(1),
+		run:   addMember,
+	}
+	remove := toolCommand{
+		use:   "remove NAME",
+		short: "Take a coordinator out, dead or alive",
+		args:  cobra.ExactArgs(1),
+		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
+			return c.withLeader(cmd.Context(), func(leader string) error {
+				return client.Call(cmd.Context(), http.MethodDelete, leader, "/v1/members/"+args[0], nil, nil)
+			})
+		},
+	}
+	upgrade := toolCommand{
+		use:   "upgrade",
+		short: "Let the coordinators use what all of them understand, once each runs the new program",
+		args:  cobra.NoArgs,
+		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
+			version, err := c.upgrade(cmd.Context())
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "version %d is in force\n", version)
+			return nil
+		},
+	}
+	cmd.AddCommand(add.build(), remove.build(), upgrade.build())
+	return cmd
+}
+
+func listMembers(cmd *cobra.Command, _ []string, c *coordinators) error {
+	return c.withLeader(cmd.Context(), func(leader string) error {
+		var members []node.Member
+		if err := client.Call(cmd.Context(), http.MethodGet, leader, "/v1/members", nil, &members); err != nil {
+			return err
+		}
+		w := newTable(cmd)
+		fmt.Fprintln(w, "name\tidentity\taddress\tvotes\tleads\tanswers")
+		for _, m := range members {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%t\t%t\n",
+				m.Name, m.Identity, m.Address, m.IsVoter, m.IsLeader, m.IsReachable)
+		}
+		return w.Flush()
+	})
+}
+
+// addMember adds the coordinator whose name and address is the one argument.
+func addMember(cmd *cobra.Command, args []string, c *coordinators) error {
+	ctx := cmd.Context()
+	added, err := parseAddresses(args)
+	if err != nil {
+		return err
+	}
+	for name, address := range added {
+		var s node.Status
+		if err := client.Call(ctx, http.MethodGet, address, "/v1/status", nil, &s); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		if s.Name != name || s.State != stateWaiting {
+			return fmt.Errorf("%s: the coordinator there is %s and %s; one that belongs to no group is wanted",
+				name, s.Name, s.State)
+		}
+		member := node.Member{
+			Name:             name,
+			Identity:         s.Identity,
+			Address:          s.ListenAddress,
+			SupportedVersion: s.SupportedVersion,
+		}
+		err = c.withLeader(ctx, func(leader string) error {
+			return client.Call(ctx, http.MethodPost, leader, "/v1/members", member, nil)
+		})
+	}
+	return err
+}
--- /dev/null
+++ b/cmd/dockhinge-coord/release_driver.go
@@ -0,0 +1,304 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"dockhinge.example/dockhinge/internal/coord/client"
+	"dockhinge.example/dockhinge/internal/coord/clock"
+	"dockhinge.example/dockhinge/internal/coord/config"
+	"dockhinge.example/dockhinge/internal/rollout"
+)
+
+// The lease of whoever drives a release. It only spares work: the coordinators' state decides all
+// that matters, so that two drivers at once do no harm.
+const (
+	controllerLease  = "release/controller"
+	controllerTTL    = 10 * time.Second
+	controllerMargin = 3 * time.Second
+	// controllerName is the client name of all drivers: one takes over the permits of one that
+	// died.
+	controllerName = "release"
+)
+
+const (
+	// maxUpdates is how many routers are updated at once.
+	maxUpdates = 16
+	// updateRetryInterval is between two runs of the command for one router.
+	updateRetryInterval = time.Second
+	// updatePollInterval is between two looks at whether a router is up with the goal version.
+	updatePollInterval = 100 * time.Millisecond
+)
+
+// releaseDriver runs the operator's command for the routers that the release is to change.
+type releaseDriver struct {
+	session *client.Client
+	file    config.Release
+	// out is where progress is written.
+	out io.Writer
+}
+
+// driveWithLease drives the release whenever this process has the controller's lease, until the
+// release is over or ctx ends.
+func (d *releaseDriver) driveWithLease(ctx context.Context) error {
+	for {
+		isOver := false
+		err := d.session.RunWithLease(ctx, controllerLease, "drives release "+d.file.Name,
+			controllerTTL, controllerMargin,
+			func(ctx context.Context, _ *client.Lease) error {
+				var err error
+				isOver, err = d.drive(ctx)
+				return err
+			})
+		if isOver || ctx.Err() != nil {
+			return err
+		}
+	}
+}
+
+// drive works until the release is over, or ctx ends.
+func (d *releaseDriver) drive(ctx context.Context) (isOver bool, err error) {
+	updates := newRouterUpdates(ctx, d)
+	defer updates.stop()
+	var version uint64
+	var lastStatus string
+	for ctx.Err() == nil {
+		report, err := d.session.RolloutReport(ctx, version)
+		if err != nil {
+			if !clock.Sleep(ctx, reportRetryInterval) {
+				return false, ctx.Err()
+			}
+			continue
+		}
+		version = report.Version
+		isOver, err := d.outcome(report)
+		if isOver {
+			return true, err
+		}
+		updates.setGoal(ctx, report.Release.GoalVersion)
+		if report.Halt == nil && !d.haltByComparison(ctx, report.Release) {
+			continue
+		}
+		if status := releaseStatus(report); status != lastStatus {
+			fmt.Fprintf(d.out, "release %s: %s\n", report.Release.Name, status)
+			lastStatus = status
+		}
+		for _, name := range report.Pending {
+			updates.begin(name, report.Release)
+		}
+	}
+	return false, ctx.Err()
+}
+
+// outcome tells whether the release is over, with an error unless all routers have the new version.
+func (d *releaseDriver) outcome(report rollout.Report) (isOver bool, err error) {
+	r := report.Release
+	switch {
+	case r == nil || r.Name != d.file.Name:
+		return true, fmt.Errorf("release %s is not the one that is under way", d.file.Name)
+	case r.State == rollout.ReleaseDone && r.GoalVersion == r.ToVersion:
+		fmt.Fprintf(d.out, "release %s: done, %d routers have %s\n", r.Name, len(report.Updated), r.GoalVersion)
+		return true, nil
+	case r.State != rollout.ReleaseRunning:
+		return true, fmt.Errorf("release %s: %s towards %s; %d routers were left",
+			r.Name, r.State, r.GoalVersion, len(r.NotRolledBack))
+	}
+	return false, nil
+}
+
+// haltByComparison halts the release where its new version does worse. It returns false if the
+// coordinators did not take the halt.
+func (d *releaseDriver) haltByComparison(ctx context.Context, r *rollout.ReleaseProgress) bool {
+	limits := rollout.ComparisonLimits{FalseHaltShare: d.file.FalseHaltShare, MinServedShare: d.file.MinServedShare}
+	for _, reason := range r.ComparisonHalts(limits) {
+		if _, err := d.session.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpHalt, Reason: reason}); err != nil {
+			return false
+		}
+	}
+	return true
+}
+
+// releaseStatus is how far the release is, in one line.
+func releaseStatus(report rollout.Report) string {
+	if report.Halt != nil {
+		return fmt.Sprintf("halted by %s: %s", report.Halt.By, report.Halt.Reason)
+	}
+	r := report.Release
+	return fmt.Sprintf("towards %s: %d of %d routers there, wave of %d",
+		r.GoalVersion, len(report.Updated), len(r.Routers), r.WaveSize)
+}
+
+// routerUpdates are the updates of routers under way towards one goal version. It owns their
+// goroutines: stop and setGoal end and await them.
+type routerUpdates struct {
+	driver *releaseDriver
+	wg     sync.WaitGroup
+	// goal is the version that the updates bring routers to; "" before the first.
+	goal string
+	// ctx ends the updates.
+	ctx    context.Context
+	cancel context.CancelFunc
+
+	mu sync.Mutex
+	// running are the routers under way; guarded by mu.
+	running map[string]bool
+}
+
+func newRouterUpdates(ctx context.Context, driver *releaseDriver) *routerUpdates {
+	u := &routerUpdates{driver: driver, running: map[string]bool{}}
+	u.ctx, u.cancel = context.WithCancel(ctx)
+	return u
+}
+
+// stop ends all updates.
+func (u *routerUpdates) stop() {
+	u.cancel()
+	u.wg.Wait()
+}
+
+// setGoal ends the updates towards another version than the goal.
+func (u *routerUpdates) setGoal(ctx context.Context, goal string) {
+	if goal == u.goal {
+		return
+	}
+	u.stop()
+	u.goal = goal
+	u.ctx, u.cancel = context.WithCancel(ctx)
+}
+
+// begin begins the update of a router, unless it is under way or too many are.
+func (u *routerUpdates) begin(name string, release *rollout.ReleaseProgress) {
+	if !u.reserve(name) {
+		return
+	}
+	ctx := u.ctx
+	u.wg.Go(func() {
+		defer u.release(name)
+		if err := u.driver.updateRouter(ctx, name, release); err != nil && ctx.Err() == nil {
+			fmt.Fprintf(u.driver.out, "router/%s: %v\n", name, err)
+		}
+	})
+}
+
+func (u *routerUpdates) reserve(name string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.running[name] || len(u.running) >= maxUpdates {
+		return false
+	}
+	u.running[name] = true
+	return true
+}
+
+func (u *routerUpdates) release(name string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	delete(u.running, name)
+}
+
+// updateRouter brings one router to the goal: it acquires the permit, runs the command, waits until
+// the router is up with the goal version, and gives the permit back.
+func (d *releaseDriver) updateRouter(ctx context.Context, name string, release *rollout.ReleaseProgress) error {
+	request := permitRequest{
+		priority: "release",
+		purpose:  "release " + release.Name + " towards " + release.GoalVersion,
+	}
+	if release.GoalVersion == release.FromVersion {
+		// A new version that fails may have taken out more routers than the budgets allow: what is
+		// down may always come back.
+		request.priority = "emergency"
+	}
+	token, err := request.acquire(ctx, d.session, rollout.KindRouter, name, d.out)
+	if err != nil {
+		return err
+	}
+	step("step-begun")
+	// A driver that died may have run the command already.
+	if isUpdated, err := d.isUpdated(ctx, name); err != nil || !isUpdated {
+		if err := d.runWithRetries(ctx, name, release, token); err != nil {
+			return err
+		}
+	}
+	step("step-ran")
+	if err := d.awaitUpdated(ctx, name); err != nil {
+		return err
+	}
+	step("step-seen")
+	_, err = d.session.ExecuteRollout(ctx, rollout.Command{
+		Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: name, Token: token,
+	})
+	step("step-back")
+	return err
+}
+
+// isUpdated tells whether a router is up with the goal version.
+func (d *releaseDriver) isUpdated(ctx context.Context, name string) (bool, error) {
+	report, err := d.session.RolloutReport(ctx, 0)
+	return err == nil && slices.Contains(report.Updated, name), err
+}
+
+// awaitUpdated waits until a router is up with the goal version, or ctx ends. The coordinators halt
+// the release where that takes longer than the step timeout.
+func (d *releaseDriver) awaitUpdated(ctx context.Context, name string) error {
+	for {
+		isUpdated, err := d.isUpdated(ctx, name)
+		if err == nil && isUpdated {
+			return nil
+		}
+		if !clock.Sleep(ctx, updatePollInterval) {
+			return ctx.Err()
+		}
+	}
+}
+
+// runWithRetries runs the command for a router until it succeeds. After the last try it tells the
+// coordinators that the router has failed. It returns nil where ctx ends: the caller's next step
+// then ends by it.
+func (d *releaseDriver) runWithRetries(
+	ctx context.Context, name string, release *rollout.ReleaseProgress, token uint64,
+) error {
+	for try := 1; ; try++ {
+		err := d.runCommand(ctx, name, release, token)
+		if err == nil || ctx.Err() != nil {
+			return nil
+		}
+		if try >= d.file.Tries {
+			reason := fmt.Sprintf("its command failed %d times: %v", try, err)
+			_, reportErr := d.session.ExecuteRollout(ctx, rollout.Command{
+				Op: rollout.OpRouterFailed, Name: name, Reason: truncateReason(reason),
+			})
+			return errors.Join(err, reportErr)
+		}
+		if !clock.Sleep(ctx, updateRetryInterval) {
+			return nil
+		}
+	}
+}
+
+// truncateReason cuts a reason to what the coordinators take.
+func truncateReason(text string) string { return text[:min(len(text), rollout.MaxText)] }
+
+// runCommand runs the operator's command for one router. Its output goes where the driver's own
+// does.
+func (d *releaseDriver) runCommand(
+	ctx context.Context, name string, release *rollout.ReleaseProgress, token uint64,
+) error {
+	earlierVersion := release.FromVersion
+	if release.GoalVersion == release.FromVersion {
+		earlierVersion = release.ToVersion
+	}
+	replacer := strings.NewReplacer("{name}", name, "{to}", release.GoalVersion, "{from}", earlierVersion)
+	var words []string
+	for _, word := range d.file.Command {
+		words = append(words, replacer.Replace(word))
+	}
+	return runCommand(ctx, os.Stderr, words,
+		"DOCKHINGE_PERMIT=router/"+name, tokenVariable(token), "DOCKHINGE_VERSION="+release.GoalVersion)
+}
--- a/cmd/dockhinge-coord/step_faults.go
+++ b/cmd/dockhinge-coord/step_faults.go
@@ -8,19 +8,35 @@
 	"time"
 )
 
-// step kills the program, as SIGKILL from outside does, where this is the step to die at; or waits once, where it is the step at which
-// others are killed, until the laboratory has done so.
+// pausePollInterval is between two looks at whether a paused program may go on.
+const pausePollInterval = 5 * time.Millisecond
+
+// step is a named point of this program at which the laboratory injects a crash or a pause. At the
+// step in DOCKHINGE_KILL_AT the program is killed as by SIGKILL from outside. At the one in
+// DOCKHINGE_PAUSE_AT it waits, once, until the laboratory has made the file
+// DOCKHINGE_PAUSE_FILE.go.
 func step(name string) {
 	if file := os.Getenv("DOCKHINGE_PAUSE_FILE"); file != "" && os.Getenv("DOCKHINGE_PAUSE_AT") == name {
-		if at, err := os.OpenFile(file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600); err == nil { // else it was there before
-			at.Close()
-			for _, err := os.Stat(file + ".go"); err != nil; _, err = os.Stat(file + ".go") {
-				time.Sleep(5 * time.Millisecond)
-			}
-		}
+		pauseOnce(file)
 	}
 	if os.Getenv("DOCKHINGE_KILL_AT") == name {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // until it has come
+		select {} // until the signal has come
+	}
+}
+
+// pauseOnce makes the file, and waits for the one that lets the program go on. Where the file was
+// there, it has waited before.
+func pauseOnce(path string) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	if err != nil {
+		return
+	}
+	_ = file.Close()
+	for {
+		if _, err := os.Stat(path + ".go"); err == nil {
+			return
+		}
+		time.Sleep(pausePollInterval)
 	}
 }
--- /dev/null
+++ b/cmd/dockhinge-coord/step_off.go
@@ -0,0 +1,6 @@
+//go:build !faults
+
+package main
+
+// step does nothing: crashes and pauses are injected only in a build with the tag faults.
+func step(string) {}
