--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -5,48 +5,52 @@
 	"testing"
 )
 
-// benchRouters and benchServers are those of three regions.
+// The routers and servers of three regions.
 const (
 	benchRouters       = 1000
 	benchRegionRouters = 392
 	benchServers       = 192
 )
 
-// BenchmarkJoin is what a fleet of 1,000 routers that join costs the agreed state: each reports the
-// 192 servers of its region.
+// BenchmarkJoin is what a fleet of 1,000 routers that join costs the state: each reports the 192
+// servers of its region.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
-		joined(benchRouters)
+		newJoinedFleet(benchRouters)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
 
-// joined is a fleet of so many routers, all servers up.
-func joined(routers int) *world {
-	w := newWorld(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
+// newJoinedFleet is a fleet of so many routers, all servers serving.
+func newJoinedFleet(routers int) *testFleet {
+	f := newTestFleet(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
 		client := RouterClientPrefix + fmt.Sprint("r", r)
 		for from := 0; from < benchServers; from += EarlierMaxReportedServers {
-			v := &RouterReport{Zone: "z", IsReady: true}
+			report := &RouterReport{Zone: "z", IsReady: true}
 			for i := from; i < min(from+EarlierMaxReportedServers, benchServers); i++ {
-				v.Servers = append(v.Servers, ServerObservation{Name: fmt.Sprint("s", r/benchRegionRouters, "-", i), Zone: "z", Incarnation: "1", Status: StatusServing})
+				report.Servers = append(report.Servers, ServerObservation{
+					Name:        fmt.Sprint("s", r/benchRegionRouters, "-", i),
+					Zone:        "z",
+					Incarnation: "1",
+					Status:      StatusServing,
+				})
 			}
-			w.must(Command{Op: OpReport, Report: v}, client)
+			f.mustApply(Command{Op: OpReport, Report: report}, client)
 		}
 	}
-	return w
+	return f
 }
 
-// BenchmarkDrain is what a drain and its acknowledgements by 1,000 routers cost the agreed state.
+// BenchmarkDrain is what a drain and its acknowledgements by 1,000 routers cost the state.
 func BenchmarkDrain(b *testing.B) {
-	w := joined(benchRouters)
+	f := newJoinedFleet(benchRouters)
 	for b.Loop() {
-		a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s0-0"}, "ann")
-		w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "s0-0", Token: a.Token}, "ann")
+		token := f.beginServer("s0-0", "ann")
 		for r := range benchRouters {
-			w.must(Command{Op: OpAcknowledgeDrains, DrainVersion: w.s.DrainVersion}, RouterClientPrefix+fmt.Sprint("r", r))
+			f.acknowledge(fmt.Sprint("r", r), f.state.DrainVersion)
 		}
-		w.must(Command{Op: OpEndOutage, Kind: KindServer, Name: "s0-0", Token: a.Token}, "ann")
+		f.endServer("s0-0", "ann", token)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
--- a/internal/rollout/ejection_test.go
+++ b/internal/rollout/ejection_test.go
@@ -10,174 +10,237 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever routers tell, in whatever order: a server is left out by the word of others only where
-// so many that are to be believed found it bad within the last ten seconds, after the last time;
-// never more than a fifth; never longer than it may last, nor after a restart; and a state that was
-// read back from its text goes on alike. The book of who told what is the test's own.
+// ejectionRun is one run of TestSuspicion, with the test's own record of who reported what.
+type ejectionRun struct {
+	*testFleet
+	t       *rapid.T
+	quorum  int
+	routers []string
+	servers []string
+	// incarnations count the restarts of each server.
+	incarnations map[string]int
+	// observed is how each router observes each server.
+	observed map[string]map[string]ServerStatus
+	// failingSince is since when each server is found failing by each router.
+	failingSince map[string]map[string]time.Duration
+	// ejectedAt is when the ejections in force began, by server.
+	ejectedAt map[string]time.Duration
+	// endedAt is when the last ejection of each server ended.
+	endedAt map[string]time.Duration
+}
+
+// Routers report servers as failing and as serving in any order; some are cut off and find all
+// servers failing, sessions end, and servers restart. Whatever the order, a server is ejected only
+// where a quorum of credible routers found it failing within the last ten seconds and after its
+// last ejection; never more than a fifth of the servers; never for longer than the longest
+// ejection, nor after a restart; and a state read back from a snapshot goes on alike. A wrong
+// program would let one broken router eject the fleet.
 func TestSuspicion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		quorum := rapid.IntRange(2, 4).Draw(t, "quorum")
-		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 2})
-		w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, EjectionQuorum: quorum}, "operator")
-		routers, servers := []string{"r1", "r2", "r3", "r4", "r5", "r6"}, make([]string, 10)
-		run, sees := map[string]int{}, map[string]map[string]ServerStatus{}
-		began, over, told := map[string]time.Duration{}, map[string]time.Duration{}, map[string]map[string]time.Duration{}
-		for i := range servers {
-			servers[i] = fmt.Sprintf("s%d", i)
-			told[servers[i]] = map[string]time.Duration{}
-			over[servers[i]] = -time.Hour
+		run := newEjectionRun(t)
+		for range rapid.IntRange(5, 100).Draw(t, "events") {
+			run.event()
+			run.checkEjections()
+			run.checkSnapshot()
 		}
-		for _, r := range routers {
-			sees[r] = map[string]ServerStatus{}
-			for _, s := range servers {
-				sees[r][s] = StatusServing
-				w.router(r, "z", s+":up/0")
-			}
+	})
+}
+
+func newEjectionRun(t *rapid.T) *ejectionRun {
+	run := &ejectionRun{
+		testFleet:    newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 2}),
+		t:            t,
+		quorum:       rapid.IntRange(2, 4).Draw(t, "quorum"),
+		routers:      []string{"r1", "r2", "r3", "r4", "r5", "r6"},
+		incarnations: map[string]int{},
+		observed:     map[string]map[string]ServerStatus{},
+		failingSince: map[string]map[string]time.Duration{},
+		ejectedAt:    map[string]time.Duration{},
+		endedAt:      map[string]time.Duration{},
+	}
+	if result := run.set(Command{EjectionQuorum: run.quorum}); result.Code != CodeOK {
+		t.Fatalf("%+v", result)
+	}
+	for i := range 10 {
+		server := fmt.Sprintf("s%d", i)
+		run.servers = append(run.servers, server)
+		run.failingSince[server] = map[string]time.Duration{}
+		run.endedAt[server] = -time.Hour
+	}
+	for _, router := range run.routers {
+		run.observed[router] = map[string]ServerStatus{}
+		for _, server := range run.servers {
+			run.observed[router][server] = StatusServing
+			run.report(router, "z", server+":up/0")
 		}
-		w.pass(time.Minute)
-		tell := func(r string, is ServerStatus, all ...string) { // at once
-			var sights []string
-			for _, s := range all {
-				if is == StatusFailing && sees[r][s] != StatusFailing {
-					told[s][r] = w.clock
-				}
-				if is != StatusFailing {
-					delete(told[s], r)
-				}
-				sees[r][s] = is
-				sights = append(sights, fmt.Sprintf("%s:%s/%d", s, is, run[s]))
-			}
-			w.router(r, "z", sights...)
+	}
+	run.advance(time.Minute)
+	return run
+}
+
+// event plays one random event.
+func (run *ejectionRun) event() {
+	t := run.t
+	router := rapid.SampledFrom(run.routers).Draw(t, "router")
+	server := rapid.SampledFrom(run.servers).Draw(t, "server")
+	switch rapid.IntRange(0, 9).Draw(t, "event") {
+	case 0, 1, 2, 3, 4:
+		run.reportAll(router, StatusFailing, server)
+	case 5:
+		run.reportAll(router, StatusServing, server)
+	case 6: // the router is cut off
+		run.reportAll(router, StatusFailing, run.servers...)
+	case 7:
+		run.incarnations[server]++
+		run.reportAll(router, StatusServing, server)
+	case 8:
+		run.endSession(RouterClientPrefix + router)
+		for _, server := range run.servers {
+			delete(run.failingSince[server], router)
+			delete(run.observed[router], server)
 		}
-		for range rapid.IntRange(5, 100).Draw(t, "events") {
-			r, s := rapid.SampledFrom(routers).Draw(t, "router"), rapid.SampledFrom(servers).Draw(t, "server")
-			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0, 1, 2, 3, 4:
-				tell(r, StatusFailing, s)
-			case 5:
-				tell(r, StatusServing, s)
-			case 6: // it is cut off
-				tell(r, StatusFailing, servers...)
-			case 7:
-				run[s]++
-				tell(r, StatusServing, s)
-			case 8:
-				w.end(RouterClientPrefix + r)
-				for _, s := range servers {
-					delete(told[s], r)
-					delete(sees[r], s)
-				}
-			default:
-				w.pass(time.Duration(rapid.IntRange(10, 12000).Draw(t, "ms")) * time.Millisecond)
-			}
-			now := map[string]bool{}
-			for _, x := range w.s.EjectedServers(w.clock) {
-				now[x.Name] = true
-				if x.Remaining > maxEjectionDuration {
-					t.Fatalf("%s is left out for %v", x.Name, x.Remaining)
-				}
-			}
-			if n := len(now); n > 2 {
-				t.Fatalf("%d servers are left out by the word of others", n)
-			}
-			for _, s := range servers {
-				at, was := began[s]
-				switch {
-				case now[s] && !was:
-					n := 0
-					for r, at := range told[s] {
-						bad := 0
-						for _, is := range sees[r] {
-							if is == StatusFailing {
-								bad++
-							}
-						}
-						if at > w.clock-failingReportMaxAge && at >= over[s] && bad <= 2 {
-							n++
-						}
-					}
-					if n < quorum {
-						t.Fatalf("%s is left out at %v by %d of %d routers: %v", s, w.clock, n, quorum, told[s])
-					}
-					began[s] = w.clock
-				case now[s] && w.clock >= at+maxEjectionDuration:
-					t.Fatalf("%s has been left out since %v", s, at)
-				case !now[s] && was:
-					delete(began, s)
-					over[s] = w.s.Servers[s].Ejection.EndsAt
-				}
-			}
-			text, err := json.Marshal(w.s)
-			if err != nil {
-				t.Fatal(err)
-			}
-			back := New()
-			if err := json.Unmarshal(text, back); err != nil {
-				t.Fatal(err)
+	default:
+		run.advance(time.Duration(rapid.IntRange(10, 12000).Draw(t, "ms")) * time.Millisecond)
+	}
+}
+
+// reportAll has a router report servers in one report, and records it.
+func (run *ejectionRun) reportAll(router string, status ServerStatus, servers ...string) {
+	var reported []string
+	for _, server := range servers {
+		if status != StatusFailing {
+			delete(run.failingSince[server], router)
+		} else if run.observed[router][server] != StatusFailing {
+			run.failingSince[server][router] = run.now
+		}
+		run.observed[router][server] = status
+		reported = append(reported, fmt.Sprintf("%s:%s/%d", server, status, run.incarnations[server]))
+	}
+	run.report(router, "z", reported...)
+}
+
+// checkEjections checks the ejections in force against the test's record.
+func (run *ejectionRun) checkEjections() {
+	t := run.t
+	isEjected := map[string]bool{}
+	for _, ejected := range run.state.EjectedServers(run.now) {
+		isEjected[ejected.Name] = true
+		if ejected.Remaining > maxEjectionDuration {
+			t.Fatalf("%s is ejected for %v", ejected.Name, ejected.Remaining)
+		}
+	}
+	if len(isEjected) > 2 {
+		t.Fatalf("%d servers are ejected", len(isEjected))
+	}
+	for _, server := range run.servers {
+		since, wasEjected := run.ejectedAt[server]
+		switch {
+		case isEjected[server] && !wasEjected:
+			if n := run.credibleReporters(server); n < run.quorum {
+				t.Fatalf("%s is ejected at %v by %d of %d routers: %v",
+					server, run.now, n, run.quorum, run.failingSince[server])
 			}
-			back.RebuildDerived()
-			back.Advance(w.clock, w.next)
-			if !slices.Equal(back.EjectedServers(w.clock), w.s.EjectedServers(w.clock)) {
-				t.Fatalf("read back: %v, not %v", back.EjectedServers(w.clock), w.s.EjectedServers(w.clock))
+			run.ejectedAt[server] = run.now
+		case isEjected[server] && run.now >= since+maxEjectionDuration:
+			t.Fatalf("%s has been ejected since %v", server, since)
+		case !isEjected[server] && wasEjected:
+			delete(run.ejectedAt, server)
+			run.endedAt[server] = run.state.Servers[server].Ejection.EndsAt
+		}
+	}
+}
+
+// credibleReporters counts the routers whose report of a server counts now.
+func (run *ejectionRun) credibleReporters(server string) (count int) {
+	for router, since := range run.failingSince[server] {
+		failing := 0
+		for _, status := range run.observed[router] {
+			if status == StatusFailing {
+				failing++
 			}
 		}
-	})
+		isRecent := since > run.now-failingReportMaxAge && since >= run.endedAt[server]
+		if isRecent && failing <= 2 {
+			count++
+		}
+	}
+	return count
+}
+
+// checkSnapshot checks that the state read back from its encoding ejects the same servers.
+func (run *ejectionRun) checkSnapshot() {
+	t := run.t
+	text, err := json.Marshal(run.state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := New()
+	if err := json.Unmarshal(text, restored); err != nil {
+		t.Fatal(err)
+	}
+	restored.RebuildDerived()
+	restored.Advance(run.now, run.nextToken)
+	got, want := restored.EjectedServers(run.now), run.state.EjectedServers(run.now)
+	if !slices.Equal(got, want) {
+		t.Fatalf("read back: %v, not %v", got, want)
+	}
 }
 
-// A quorum has all leave a server out, and it counts as out; one router and one that finds all
-// servers bad are not believed; it ends by its time, lasts longer the next time, and ends at once
-// where the server is started anew.
+// A quorum of routers finds a server failing. All leave it out, and it counts as out. One router
+// alone, and one that finds all servers failing, are not believed. The ejection ends by its time,
+// lasts longer the next time, and ends at once where the server is restarted. A wrong program would
+// keep a recovered server out, or eject by what it has ejected for before.
 func TestSuspected(t *testing.T) {
-	w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	if a := w.do(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, EjectionQuorum: 1}, "operator"); a.Code != CodeInvalid {
-		t.Errorf("a quorum of one: %+v", a)
+	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	if result := f.set(Command{EjectionQuorum: 1}); result.Code != CodeInvalid {
+		t.Errorf("a quorum of one: %+v", result)
 	}
-	w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, EjectionQuorum: 2}, "operator")
-	for _, r := range []string{"r1", "r2", "r3", "r4", "r5"} {
-		w.router(r, "z", "s1:up/1", "s2:up/1", "s3:up/1", "s4:up/1", "s5:up/1")
+	if result := f.set(Command{EjectionQuorum: 2}); result.Code != CodeOK {
+		t.Fatalf("%+v", result)
 	}
-	left := func() (d time.Duration) {
+	for _, router := range []string{"r1", "r2", "r3", "r4", "r5"} {
+		f.report(router, "z", "s1:up/1", "s2:up/1", "s3:up/1", "s4:up/1", "s5:up/1")
+	}
+	expectEjection := func(what string, want time.Duration) {
 		t.Helper()
-		all := w.s.EjectedServers(w.clock)
-		if len(all) > 1 {
-			t.Fatalf("%v", all)
+		remaining := time.Duration(0)
+		ejected := f.state.EjectedServers(f.now)
+		if len(ejected) > 1 {
+			t.Fatalf("%s: %v", what, ejected)
 		}
-		for _, x := range all {
-			d = x.Remaining
+		if len(ejected) == 1 {
+			remaining = ejected[0].Remaining
 		}
-		return d
-	}
-	expect := func(what string, want time.Duration) {
-		t.Helper()
-		if got := left(); got != want {
-			t.Errorf("%s: left out for %v, not %v", what, got, want)
+		if remaining != want {
+			t.Errorf("%s: ejected for %v, not %v", what, remaining, want)
 		}
 	}
-	drains := w.s.DrainVersion
-	w.router("r1", "z", "s1:bad/1")
-	w.router("r1", "z", "s1:bad/1")
-	expect("one router", 0)
-	w.router("r2", "z", "s1:bad/1", "s2:bad/1", "s3:bad/1", "s4:bad/1", "s5:bad/1")
-	expect("one router, and one that finds all bad", 0)
-	w.router("r3", "z", "s1:bad/1")
-	expect("two routers", firstEjectionDuration)
-	if w.s.DrainVersion == drains || w.s.Servers["s1"].IsUp {
-		t.Errorf("nobody is told, or it counts as in: %+v", w.s.Servers["s1"])
-	}
-	if r := w.s.Report(w.clock); len(r.Unavailable) == 0 || fmt.Sprint(r.Unavailable[len(r.Unavailable)-1].ReportedBy) != "[r1 r3]" {
-		t.Errorf("%+v", r.Unavailable)
-	}
-	w.router("r4", "z", "s2:bad/1")
-	w.router("r5", "z", "s2:bad/1")
-	expect("a second server, of which one in five may be", firstEjectionDuration)
-	w.router("r4", "z", "s2:up/1")
-	w.router("r5", "z", "s2:up/1")
-	w.pass(firstEjectionDuration)
-	expect("its time is over", 0)
-	w.router("r4", "z", "s1:bad/1")
-	expect("what was found before counts no more", 0)
-	w.router("r5", "z", "s1:bad/1")
-	expect("again", 2*firstEjectionDuration)
-	w.router("r5", "z", "s1:up/2")
-	expect("it is started anew", 0)
+	drainVersion := f.state.DrainVersion
+	f.report("r1", "z", "s1:bad/1")
+	f.report("r1", "z", "s1:bad/1")
+	expectEjection("one router", 0)
+	f.report("r2", "z", "s1:bad/1", "s2:bad/1", "s3:bad/1", "s4:bad/1", "s5:bad/1")
+	expectEjection("one router, and one that finds all failing", 0)
+	f.report("r3", "z", "s1:bad/1")
+	expectEjection("two routers", firstEjectionDuration)
+	if f.state.DrainVersion == drainVersion || f.state.Servers["s1"].IsUp {
+		t.Errorf("no router is told, or it counts as in service: %+v", f.state.Servers["s1"])
+	}
+	unavailable := f.state.Report(f.now).Unavailable
+	if len(unavailable) == 0 || fmt.Sprint(unavailable[len(unavailable)-1].ReportedBy) != "[r1 r3]" {
+		t.Errorf("%+v", unavailable)
+	}
+	f.report("r4", "z", "s2:bad/1")
+	f.report("r5", "z", "s2:bad/1")
+	expectEjection("a second server, where one in five may be ejected", firstEjectionDuration)
+	f.report("r4", "z", "s2:up/1")
+	f.report("r5", "z", "s2:up/1")
+	f.advance(firstEjectionDuration)
+	expectEjection("its time is over", 0)
+	f.report("r4", "z", "s1:bad/1")
+	expectEjection("what was found before counts no more", 0)
+	f.report("r5", "z", "s1:bad/1")
+	expectEjection("again", 2*firstEjectionDuration)
+	f.report("r5", "z", "s1:up/2")
+	expectEjection("it is restarted", 0)
 }
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -98,7 +98,11 @@
 			}
 			expectBytes(t, "the command encoded again", encoded(t, command), event.Roll)
 			answer := state.Apply(command, Sender{
-				Time: event.Clock, Session: event.Session, Client: event.Client, SessionOrder: event.Opened, NextToken: nextToken,
+				Time:         event.Clock,
+				Session:      event.Session,
+				Client:       event.Client,
+				SessionOrder: event.Opened,
+				NextToken:    nextToken,
 			})
 			got := storedAnswer{answer.Code, answer.Text, answer.Stage, answer.Token, answer.IsDrained}
 			if got != *event.Answer {
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -6,78 +6,108 @@
 	"time"
 )
 
-// The fleet is over its limit after two counts in a row beyond the bound, and no more after three
-// under half of it; meanwhile nothing new goes out but in an emergency, and a permit that was
-// granted is taken back. Few requests say nothing, and lost figures end it.
+// newLoadedFleet is a fleet of one router that observes three servers, and reports an overload
+// above 10% of its requests.
+func newLoadedFleet(t *testing.T) *testFleet {
+	t.Helper()
+	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	if result := f.set(Command{OverloadShare: 0.1}); result.Code != CodeOK {
+		t.Fatalf("%+v", result)
+	}
+	f.report("r2", "z", "s1:up", "s2:up", "s3:up")
+	return f
+}
+
+// The fleet rejects requests while an operator has the permit of a server. Overload begins after
+// two counts in a row above the bound and ends after three below half of it; meanwhile the permit
+// is revoked. Counts of few requests say nothing. A wrong program would flap with each count, or
+// take a server out of a fleet that can't do without it.
 func TestLoad(t *testing.T) {
+	const fewRequests = -1
 	for _, x := range []struct {
-		shares string // refused in each count, in per cent; - = few requests
-		over   string
+		name     string
+		percents []int64 // rejected in each count, or fewRequests
+		overload string  // after each count: o if overloaded
 	}{
-		{"0 20 0 20 0 20 0", "......."},
-		{"20 20 20", "..o"},
-		{"20 20 6 6 6 6 6 6", "..oooooo"},
-		{"20 20 4 4 4 4", "..ooo."},
-		{"20 20 4 4 6 4 4 4 4", "..oooooo."},
-		{"20 20 20 4 4 20 4 4 4 4", "..ooooooo."},
-		{"20 - 20 20", "...o"},
+		{"single counts", []int64{0, 20, 0, 20, 0, 20, 0}, "......."},
+		{"two in a row", []int64{20, 20, 20}, "..o"},
+		{"between both bounds", []int64{20, 20, 6, 6, 6, 6, 6, 6}, "..oooooo"},
+		{"recovered", []int64{20, 20, 4, 4, 4, 4}, "..ooo."},
+		{"recovery interrupted below the bound", []int64{20, 20, 4, 4, 6, 4, 4, 4, 4}, "..oooooo."},
+		{"recovery interrupted above the bound", []int64{20, 20, 20, 4, 4, 20, 4, 4, 4, 4}, "..ooooooo."},
+		{"few requests", []int64{20, fewRequests, 20, 20}, "...o"},
 	} {
-		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-		w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: 0.1}, "operator")
-		w.router("r2", "z", "s1:up", "s2:up", "s3:up")
-		good, wrong := int64(1), int64(0)
-		tell := func() {
-			w.must(Command{Op: OpReport, Report: &RouterReport{IsReady: true, Served: good, Failed: wrong}}, RouterClientPrefix+"r1")
-		}
-		tell()
-		w.pass(time.Minute)
-		a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s1", Priority: PriorityNormal}, "ann")
-		if a.Stage != StageGranted {
-			t.Fatalf("%+v", a)
-		}
-		for i, f := range strings.Fields(x.shares) {
-			n := int64(1000)
-			share := int64(0)
-			if f == "-" {
-				n = loadMinRequests - 1
-			} else {
-				for _, c := range f {
-					share = 10*share + int64(c-'0')
-				}
-			}
-			w.pass(loadCountInterval)
-			good, wrong = good+n*(100-share)/100, wrong+n*share/100
-			tell() // it ends the count before, and begins one with these
-			want := x.over[i] == 'o'
-			p := w.permit(KindServer, "s1")
-			if w.s.Load.IsOverloaded != want || (p.Stage == StageGranted) == want || want && !strings.Contains(p.WaitReason, "over 10% of requests") {
-				t.Errorf("%s, count %d: %+v, permit %+v", x.shares, i, w.s.Load, p)
+		t.Run(x.name, func(t *testing.T) {
+			f := newLoadedFleet(t)
+			served, failed := int64(1), int64(0)
+			f.reportCounts("r1", served, failed)
+			f.advance(time.Minute)
+			granted := f.request("s1", "ann", PriorityNormal)
+			if granted.Stage != StageGranted {
+				t.Fatalf("%+v", granted)
 			}
-			if want && w.do(Command{Op: OpBeginOutage, Kind: KindServer, Name: "s1", Token: a.Token}, "ann").Code == CodeOK {
-				t.Errorf("%s, count %d: the step begins", x.shares, i)
+			for i, percent := range x.percents {
+				requests := int64(1000)
+				if percent == fewRequests {
+					requests = loadMinRequests - 1
+					percent = 0
+				}
+				f.advance(loadCountInterval)
+				served += requests * (100 - percent) / 100
+				failed += requests * percent / 100
+				f.reportCounts("r1", served, failed) // it ends the count before, and begins one with these
+				f.checkOverload(t, i, x.overload[i] == 'o', granted.Token)
 			}
-		}
+		})
 	}
-	w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	w.must(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: 0.1}, "operator")
-	w.router("r2", "z", "s1:up", "s2:up", "s3:up")
+}
+
+// checkOverload checks that the fleet is overloaded or not, and that the permit of s1 is revoked or
+// granted with it.
+func (f *testFleet) checkOverload(t *testing.T, count int, isOverloaded bool, token uint64) {
+	t.Helper()
+	permit := f.permit(KindServer, "s1")
+	isGranted := permit.Stage == StageGranted
+	if f.state.Load.IsOverloaded != isOverloaded || isGranted == isOverloaded {
+		t.Errorf("count %d: %+v, permit %+v", count, f.state.Load, permit)
+	}
+	if !isOverloaded {
+		return
+	}
+	if !strings.Contains(permit.WaitReason, "over 10% of requests") {
+		t.Errorf("count %d: the permit waits as %q", count, permit.WaitReason)
+	}
+	if f.applyToServer(OpBeginOutage, "s1", token, "ann").Code == CodeOK {
+		t.Errorf("count %d: the outage begins", count)
+	}
+}
+
+// A fleet is overloaded, and then no router reports counts any more. An emergency passes the
+// overload. The overload ends without counts: a wrong program would let nothing out for ever.
+func TestLoadWithoutCounts(t *testing.T) {
+	f := newLoadedFleet(t)
 	for i := range int64(5) {
-		w.must(Command{Op: OpReport, Report: &RouterReport{IsReady: true, Served: 100*i + 1, Failed: 100 * i}}, RouterClientPrefix+"r1")
-		w.pass(loadCountInterval)
+		f.reportCounts("r1", 100*i+1, 100*i)
+		f.advance(loadCountInterval)
 	}
-	if !w.s.Load.IsOverloaded {
-		t.Errorf("%+v", w.s.Load)
+	if !f.state.Load.IsOverloaded {
+		t.Errorf("%+v", f.state.Load)
 	}
-	if a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "s1", Priority: PriorityEmergency}, "ann"); a.Stage != StageGranted {
-		t.Errorf("an emergency: %+v", a)
+	if result := f.request("s1", "ann", PriorityEmergency); result.Stage != StageGranted {
+		t.Errorf("an emergency: %+v", result)
 	}
-	w.pass(loadMaxAge)
-	if w.s.Load.IsOverloaded {
-		t.Errorf("without figures: %+v", w.s.Load)
+	f.advance(loadMaxAge)
+	if f.state.Load.IsOverloaded {
+		t.Errorf("without counts: %+v", f.state.Load)
 	}
-	for _, busy := range []float64{-0.1, 1} {
-		if a := w.do(Command{Op: OpSetBudgets, Budgets: w.s.Budgets, Grace: 5 * time.Second, OverloadShare: busy}, "operator"); a.Code != CodeInvalid {
-			t.Errorf("busy %v: %+v", busy, a)
+}
+
+// A bound that is no share is rejected.
+func TestOverloadShare(t *testing.T) {
+	f := newLoadedFleet(t)
+	for _, share := range []float64{-0.1, 1} {
+		if result := f.set(Command{OverloadShare: share}); result.Code != CodeInvalid {
+			t.Errorf("share %v: %+v", share, result)
 		}
 	}
 }
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// Sightings have a bound of their own, which all routers that see all servers would pass; one that
-// goes makes room.
+// Observations have a limit of their own, which all routers that observe all servers would pass;
+// one whose session ends frees its own.
 func TestSightingsBound(t *testing.T) {
-	w := newWorld()
+	f := newTestFleet()
 	const routers = MaxObservations / MaxServers
 	report := func(router string, from, n int) Result {
 		v := &RouterReport{IsReady: true}
 		for i := range n {
 			v.Servers = append(v.Servers, ServerObservation{Name: fmt.Sprint("s", from+i), Status: StatusServing})
 		}
-		return w.do(Command{Op: OpReport, Report: v}, RouterClientPrefix+router)
+		return f.apply(Command{Op: OpReport, Report: v}, RouterClientPrefix+router)
 	}
 	for r := range routers {
 		for from := 0; from < MaxServers; from += MaxReportedServers {
@@ -35,40 +35,43 @@
 	if a := report("r0", 0, 1); a.Code != CodeOK {
 		t.Errorf("one that is known already: %+v", a)
 	}
-	w.end(RouterClientPrefix + "r1")
+	f.endSession(RouterClientPrefix + "r1")
 	if a := report("more", 0, 1); a.Code != CodeOK {
 		t.Errorf("after a router has gone: %+v", a)
 	}
 }
 
-// The counts that are kept are those that a look at all sightings gives, whatever is told, ends, or
-// is forgotten.
+// The counts that are kept are those that a look at all observations gives, whatever is reported,
+// ends, or is removed.
 func TestSightCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+		f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 		names := []string{"a1", "b2", "c3"}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			router := rapid.SampledFrom([]string{"r1", "r2", "r3"}).Draw(t, "router")
 			if rapid.IntRange(0, 5).Draw(t, "end") == 0 {
-				w.end(RouterClientPrefix + router)
+				f.endSession(RouterClientPrefix + router)
 			} else {
-				is := rapid.SampledFrom([]ServerStatus{StatusServing, StatusFailing, StatusDraining, StatusRemoved}).Draw(t, "is")
-				w.router(router, "z", rapid.SampledFrom(names).Draw(t, "server")+":"+string(is))
+				statuses := []ServerStatus{StatusServing, StatusFailing, StatusDraining, StatusRemoved}
+				status := rapid.SampledFrom(statuses).Draw(t, "is")
+				f.report(router, "z", rapid.SampledFrom(names).Draw(t, "server")+":"+string(status))
 			}
-			w.pass(DefaultGrace)
-			again := w.s.Clone()
+			f.advance(DefaultGrace)
+			again := f.state.Clone()
 			again.recountObservations()
-			if again.observationCount != w.s.observationCount || len(again.observationsByRouter) != len(w.s.observationsByRouter) {
-				t.Fatalf("%d sightings by %d routers are counted, there are %d by %d", w.s.observationCount, len(w.s.observationsByRouter), again.observationCount, len(again.observationsByRouter))
+			total, routers := f.state.observationCount, len(f.state.observationsByRouter)
+			if again.observationCount != total || len(again.observationsByRouter) != routers {
+				t.Fatalf("%d observations by %d routers are counted, there are %d by %d",
+					total, routers, again.observationCount, len(again.observationsByRouter))
 			}
 			for router, n := range again.observationsByRouter {
-				if *w.s.observationsByRouter[router] != *n {
-					t.Fatalf("router %s: %+v is counted, there are %+v", router, *w.s.observationsByRouter[router], *n)
+				if counted := *f.state.observationsByRouter[router]; counted != *n {
+					t.Fatalf("router %s: %+v is counted, there are %+v", router, counted, *n)
 				}
 			}
 			for _, name := range names {
-				if s := again.Servers[name]; s != nil && s.counts != w.s.Servers[name].counts {
-					t.Fatalf("server %s: %+v is counted, there are %+v", name, w.s.Servers[name].counts, s.counts)
+				if s := again.Servers[name]; s != nil && s.counts != f.state.Servers[name].counts {
+					t.Fatalf("server %s: %+v is counted, there are %+v", name, f.state.Servers[name].counts, s.counts)
 				}
 			}
 		}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,476 +12,539 @@
 	"pgregory.net/rapid"
 )
 
-// world is a fleet that talks to a State, and keeps its own book of what must hold.
-type world struct {
-	s       *State
-	clock   time.Duration
-	token   uint64
-	opened  uint64
-	routers map[string]Sender // their sessions
-	acked   map[string]uint64
-	holders map[string]Sender
-	given   map[string]uint64 // the highest token that a thing was begun with
-	said    map[uint64]bool   // permits that were said to be drained
+// isOut tells whether a target counts as out, from the test's own record and without any counts
+// that the state keeps.
+func (f *testFleet) isOut(ref targetRef, t *Target) bool {
+	for _, p := range f.state.Permits {
+		if p.target() == ref && p.Stage == StageBegun {
+			return true
+		}
+	}
+	if ref.kind == KindRouter {
+		sender, isOpen := f.sessions[RouterClientPrefix+ref.name]
+		if !isOpen || sender.Session != t.Session || !t.IsReady {
+			return true
+		}
+	} else {
+		serving := 0
+		for _, status := range t.Observations {
+			if status == StatusServing {
+				serving++
+			}
+		}
+		if len(t.Observations) == 0 || len(t.Observations)-serving > serving {
+			return true
+		}
+	}
+	slowStart := time.Duration(0)
+	for _, b := range f.state.Budgets {
+		if b.covers(ref) {
+			slowStart = max(slowStart, b.SlowStart)
+		}
+	}
+	return f.now < t.ChangedAt+slowStart
 }
 
-func newWorld(budgets ...Budget) *world {
-	w := &world{s: New(), routers: map[string]Sender{}, acked: map[string]uint64{}, holders: map[string]Sender{}, given: map[string]uint64{}, said: map[uint64]bool{}}
-	w.must(Command{Op: OpSetBudgets, Budgets: budgets, Grace: 5 * time.Second}, "operator")
-	return w
+// budgetsRun is one run of TestBudgetsHold.
+type budgetsRun struct {
+	*testFleet
+	t       *rapid.T
+	routers []string
+	servers []string
 }
 
-func (w *world) next() uint64 { w.token++; return w.token }
-
-func (w *world) from(client string) Sender {
-	f, ok := w.holders[client]
-	if !ok {
-		w.opened++
-		f = Sender{Session: fmt.Sprint(client, "#", w.opened), Client: client, SessionOrder: w.opened, NextToken: w.next}
-		w.holders[client] = f
-	}
-	f.Time = w.clock
-	return f
+// Operators, a release and failures all take targets out at once, in any order: requests,
+// beginnings and ends of outages, lost sessions, reports of failing and removed servers, late
+// acknowledgements, halts. Whatever the order, an outage begins only within every budget; a target
+// has one outage at a time; tokens of a target grow; a server counts as drained only after all
+// routers that could send to it have acknowledged; and a state that was read back from a snapshot
+// goes on alike. A wrong program would, for example, begin a second outage of a zone after a server
+// there has failed.
+func TestBudgetsHold(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		maxOut := rapid.IntRange(1, 3).Draw(t, "servers")
+		slowStart := time.Duration(rapid.IntRange(0, 20).Draw(t, "warm")) * time.Second
+		run := &budgetsRun{
+			testFleet: newTestFleet(
+				Budget{Name: "servers", Kind: KindServer, MaxOut: maxOut, SlowStart: slowStart},
+				Budget{Name: "zones", Kind: KindServer, Per: "zone", MaxOut: 1},
+				Budget{Name: "routers", Kind: KindRouter, MaxOutShare: 0.34, SlowStart: 3 * time.Second}),
+			t:       t,
+			routers: []string{"r1", "r2", "r3", "r4", "r5", "r6"},
+			servers: []string{"sa1", "sa2", "sb1", "sb2", "sc1", "sc2", "sd1"},
+		}
+		run.reportAllServing("1")
+		run.advance(time.Minute)
+		for range rapid.IntRange(10, 120).Draw(t, "events") {
+			run.event()
+			run.checkInvariants()
+		}
+		run.expectAllPermitsInTheEnd()
+	})
 }
 
-func (w *world) do(c Command, client string) Result { return w.s.Apply(c, w.from(client)) }
-
-func (w *world) must(c Command, client string) Result {
-	a := w.do(c, client)
-	if a.Code != CodeOK {
-		panic(fmt.Sprintf("%+v: %+v", c, a))
+// reportAllServing has all routers report all servers as serving in one incarnation.
+func (run *budgetsRun) reportAllServing(incarnation string) {
+	for _, router := range run.routers {
+		for _, server := range run.servers {
+			run.report(router, "z"+router[1:], server+":up/"+incarnation)
+		}
 	}
-	return a
-}
-
-func (w *world) pass(d time.Duration) {
-	w.clock += d
-	w.s.Advance(w.clock, w.next)
 }
 
-func (w *world) end(client string) {
-	if f, ok := w.holders[client]; ok {
-		delete(w.holders, client)
-		delete(w.acked, client)
-		w.s.SessionEnded(f.Session, client, w.clock, w.next)
+// event plays one random event.
+func (run *budgetsRun) event() {
+	t := run.t
+	ref := targetRef{KindServer, rapid.SampledFrom(run.servers).Draw(t, "server")}
+	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
+		ref = targetRef{KindRouter, rapid.SampledFrom(run.routers).Draw(t, "router")}
+	}
+	client := rapid.SampledFrom([]string{"ann", "bob", "cid"}).Draw(t, "who")
+	router := rapid.SampledFrom(run.routers).Draw(t, "of")
+	permit := run.permit(ref.kind, ref.name)
+	switch rapid.IntRange(0, 13).Draw(t, "what") {
+	case 0, 1, 2:
+		run.requestPermit(ref, client)
+	case 3, 4, 5, 6:
+		if permit != nil {
+			run.beginOutage(ref, permit)
+		}
+	case 7:
+		if permit != nil {
+			run.apply(Command{Op: OpEndOutage, Kind: ref.kind, Name: ref.name, Token: permit.Token}, permit.Client)
+		}
+	case 8:
+		op := rapid.SampledFrom([]Op{OpClearPermit, OpCancelPermit, OpForgetTarget}).Draw(t, "op")
+		run.apply(Command{Op: op, Kind: ref.kind, Name: ref.name}, client)
+	case 9:
+		run.endSession(rapid.SampledFrom([]string{client, RouterClientPrefix + router}).Draw(t, "ends"))
+	case 10:
+		run.reportOneServer(router)
+	case 11:
+		run.acknowledgeSome(router)
+	case 12:
+		run.advance(time.Duration(rapid.IntRange(0, 12000).Draw(t, "ms")) * time.Millisecond)
+	case 13:
+		op := rapid.SampledFrom([]Op{OpHalt, OpResume}).Draw(t, "op")
+		run.apply(Command{Op: op, Reason: "a test"}, client)
 	}
 }
 
-// router has a router tell of itself and of servers as "s1:up" and "s2:bad/run".
-func (w *world) router(name, zone string, sights ...string) {
-	v := &RouterReport{Zone: zone, IsReady: true}
-	for _, x := range sights {
-		server, is, _ := strings.Cut(x, ":")
-		is, run, _ := strings.Cut(is, "/")
-		v.Servers = append(v.Servers, ServerObservation{Name: server, Zone: "z" + server[len(server)-1:], Incarnation: run, Status: ServerStatus(is)})
-	}
-	w.must(Command{Op: OpReport, Report: v}, RouterClientPrefix+name)
+func (run *budgetsRun) requestPermit(ref targetRef, client string) {
+	priorities := []int{PriorityRelease, PriorityNormal, PriorityEmergency}
+	run.apply(Command{
+		Op:       OpRequestPermit,
+		Kind:     ref.kind,
+		Name:     ref.name,
+		Priority: rapid.SampledFrom(priorities).Draw(run.t, "priority"),
+		ValidFor: time.Duration(rapid.IntRange(0, 30).Draw(run.t, "within")) * time.Second,
+	}, client)
 }
 
-func (w *world) permit(k Kind, name string) *Permit {
-	for _, p := range w.s.Permits {
-		if p.Kind == k && p.Name == name {
-			return p
+// beginOutage begins the outage of a permit, and checks the token and all budgets if it has begun.
+func (run *budgetsRun) beginOutage(ref targetRef, permit *Permit) {
+	target := run.state.target(ref)
+	wasDown := !target.IsUp
+	hadBegun := permit.Stage == StageBegun
+	begin := Command{Op: OpBeginOutage, Kind: ref.kind, Name: ref.name, Token: permit.Token}
+	result := run.apply(begin, permit.Client)
+	if result.Code != CodeOK || hadBegun {
+		return
+	}
+	if permit.Token <= run.begunTokens[ref] {
+		run.t.Fatalf("%s: token %d after %d", ref, permit.Token, run.begunTokens[ref])
+	}
+	run.begunTokens[ref] = permit.Token
+	if wasDown && permit.Priority == PriorityEmergency {
+		return // it counted as out before
+	}
+	for _, b := range run.state.Budgets {
+		if b.covers(ref) {
+			run.checkBudget(b, target.Zone, ref)
 		}
 	}
-	return nil
 }
 
-// isOut is what counts as out, found out the slow way.
-func (w *world) isOut(k Kind, name string, t *Target) bool {
-	for _, p := range w.s.Permits {
-		if p.Kind == k && p.Name == name && p.Stage == StageBegun {
-			return true
-		}
-	}
-	if k == KindRouter {
-		if f, ok := w.holders[RouterClientPrefix+name]; !ok || f.Session != t.Session || !t.IsReady {
-			return true
-		}
-	} else {
-		up := 0
-		for _, is := range t.Observations {
-			if is == StatusServing {
-				up++
-			}
+// checkBudget checks that no more targets of a budget are out than it allows, after the outage of a
+// target has begun.
+func (run *budgetsRun) checkBudget(b Budget, zone string, begun targetRef) {
+	out, total := 0, 0
+	for name, target := range run.state.targets(b.Kind) {
+		ref := targetRef{b.Kind, name}
+		if !b.covers(ref) || b.Per != "" && target.Zone != zone {
+			continue
 		}
-		if len(t.Observations) == 0 || len(t.Observations)-up > up {
-			return true
+		total++
+		if run.isOut(ref, target) {
+			out++
 		}
 	}
-	warm := time.Duration(0)
-	for _, b := range w.s.Budgets {
-		if b.covers(targetRef{k, name}) {
-			warm = max(warm, b.SlowStart)
-		}
+	if out > b.allowed(total) {
+		run.t.Fatalf("budget %s: %d out of %d allowed, after %s began", b.Name, out, b.allowed(total), begun)
 	}
-	return w.clock < t.ChangedAt+warm
 }
 
-// Whatever happens, in whatever order: a step begins only within every budget, one thing has one
-// step, tokens of a thing grow, drained is said only after all routers that could send have said
-// so, and a state read back from its text goes on alike.
-func TestBudgetsHold(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(
-			Budget{Name: "servers", Kind: KindServer, MaxOut: rapid.IntRange(1, 3).Draw(t, "servers"), SlowStart: time.Duration(rapid.IntRange(0, 20).Draw(t, "warm")) * time.Second},
-			Budget{Name: "zones", Kind: KindServer, Per: "zone", MaxOut: 1},
-			Budget{Name: "routers", Kind: KindRouter, MaxOutShare: 0.34, SlowStart: 3 * time.Second})
-		routers, servers := []string{"r1", "r2", "r3", "r4", "r5", "r6"}, []string{"sa1", "sa2", "sb1", "sb2", "sc1", "sc2", "sd1"}
-		sights := []ServerStatus{StatusServing, StatusServing, StatusServing, StatusFailing, StatusDraining, StatusRemoved}
-		for _, r := range routers {
-			for _, s := range servers {
-				w.router(r, "z"+r[1:], s+":up/1")
+func (run *budgetsRun) reportOneServer(router string) {
+	statuses := []ServerStatus{
+		StatusServing, StatusServing, StatusServing, StatusFailing, StatusDraining, StatusRemoved,
+	}
+	server := rapid.SampledFrom(run.servers).Draw(run.t, "seen")
+	status := rapid.SampledFrom(statuses).Draw(run.t, "sight")
+	incarnation := rapid.IntRange(1, 3).Draw(run.t, "run")
+	run.report(router, "z"+router[1:], fmt.Sprintf("%s:%s/%d", server, status, incarnation))
+}
+
+// acknowledgeSome has a router with a session acknowledge some version of the drain set.
+func (run *budgetsRun) acknowledgeSome(router string) {
+	client := RouterClientPrefix + router
+	if _, isOpen := run.sessions[client]; !isOpen || run.state.Routers[router] == nil {
+		return
+	}
+	version := uint64(rapid.IntRange(0, int(run.state.DrainVersion)).Draw(run.t, "acked"))
+	if run.acknowledge(router, version).Code == CodeOK {
+		run.acknowledged[client] = max(run.acknowledged[client], version)
+	}
+}
+
+// checkInvariants checks what holds at any time.
+func (run *budgetsRun) checkInvariants() {
+	begun := map[targetRef]bool{}
+	for _, p := range run.state.Permits {
+		if p.Stage == StageBegun {
+			if begun[p.target()] {
+				run.t.Fatalf("two outages of %s at once", p.target())
 			}
+			begun[p.target()] = true
 		}
-		w.pass(time.Minute)
-		for i := range rapid.IntRange(10, 120).Draw(t, "events") {
-			k, name := KindServer, rapid.SampledFrom(servers).Draw(t, "server")
-			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-				k, name = KindRouter, rapid.SampledFrom(routers).Draw(t, "router")
-			}
-			who := rapid.SampledFrom([]string{"ann", "bob", "cid"}).Draw(t, "who")
-			r := rapid.SampledFrom(routers).Draw(t, "of")
-			p := w.permit(k, name)
-			switch rapid.IntRange(0, 13).Draw(t, "what") {
-			case 0, 1, 2:
-				w.do(Command{Op: OpRequestPermit, Kind: k, Name: name, Priority: rapid.SampledFrom([]int{PriorityRelease, PriorityNormal, PriorityEmergency}).Draw(t, "priority"),
-					ValidFor: time.Duration(rapid.IntRange(0, 30).Draw(t, "within")) * time.Second}, who)
-			case 3, 4, 5, 6:
-				if p == nil {
-					continue
-				}
-				// Before it, what would be out with it, and whether it was out without it.
-				thing := w.s.targets(k)[name]
-				down := !thing.IsUp
-				began := p.Stage == StageBegun
-				a := w.do(Command{Op: OpBeginOutage, Kind: k, Name: name, Token: p.Token}, p.Client)
-				if a.Code != CodeOK || began {
-					continue
-				}
-				if p.Token <= w.given[targetRef{k, name}.String()] {
-					t.Fatalf("event %d: token %d after %d", i, p.Token, w.given[targetRef{k, name}.String()])
-				}
-				w.given[targetRef{k, name}.String()] = p.Token
-				if down && p.Priority == PriorityEmergency {
-					continue
-				}
-				for _, b := range w.s.Budgets {
-					out, n := 0, 0
-					for other, x := range w.s.targets(k) {
-						if b.covers(targetRef{k, other}) && (b.Per == "" || x.Zone == thing.Zone) {
-							n++
-							if w.isOut(k, other, x) {
-								out++
-							}
-						}
-					}
-					if b.covers(targetRef{k, name}) && out > b.allowed(n) {
-						t.Fatalf("event %d: budget %s: %d out of %d allowed, after %s/%s began", i, b.Name, out, b.allowed(n), k, name)
-					}
-				}
-			case 7:
-				if p != nil {
-					w.do(Command{Op: OpEndOutage, Kind: k, Name: name, Token: p.Token}, p.Client)
-				}
-			case 8:
-				w.do(Command{Op: rapid.SampledFrom([]Op{OpClearPermit, OpCancelPermit, OpForgetTarget}).Draw(t, "op"), Kind: k, Name: name}, who)
-			case 9:
-				w.end(rapid.SampledFrom([]string{who, RouterClientPrefix + r}).Draw(t, "ends"))
-			case 10:
-				w.router(r, "z"+r[1:], fmt.Sprintf("%s:%s/%d", rapid.SampledFrom(servers).Draw(t, "seen"), rapid.SampledFrom(sights).Draw(t, "sight"), rapid.IntRange(1, 3).Draw(t, "run")))
-			case 11:
-				if _, ok := w.holders[RouterClientPrefix+r]; ok && w.s.Routers[r] != nil {
-					v := uint64(rapid.IntRange(0, int(w.s.DrainVersion)).Draw(t, "acked"))
-					if w.do(Command{Op: OpAcknowledgeDrains, DrainVersion: v}, RouterClientPrefix+r).Code == CodeOK {
-						w.acked[RouterClientPrefix+r] = max(w.acked[RouterClientPrefix+r], v)
-					}
-				}
-			case 12:
-				w.pass(time.Duration(rapid.IntRange(0, 12000).Draw(t, "ms")) * time.Millisecond)
-			case 13:
-				w.do(Command{Op: rapid.SampledFrom([]Op{OpHalt, OpResume}).Draw(t, "op"), Reason: "a test"}, who)
-			}
-			w.check(t)
+		// A router whose session begins later knows of the drain before its first request.
+		if p.IsDrained && !run.drainedPermits[p.ID] {
+			run.drainedPermits[p.ID] = true
+			run.checkAcknowledged(p)
 		}
-		w.all(t, servers, routers)
-	})
+	}
+	run.checkSnapshot()
 }
 
-// check is what holds at any time.
-func (w *world) check(t *rapid.T) {
-	begun := map[string]bool{}
-	for _, p := range w.s.Permits {
-		id := p.target().String()
-		if p.Stage == StageBegun && begun[id] {
-			t.Fatalf("two steps of %s at once", id)
+// checkAcknowledged checks that all routers with a session have acknowledged the drain of a permit.
+func (run *budgetsRun) checkAcknowledged(p *Permit) {
+	for name, router := range run.state.Routers {
+		client := RouterClientPrefix + name
+		sender, isOpen := run.sessions[client]
+		if !isOpen || router.Session != sender.Session {
+			continue
 		}
-		begun[id] = begun[id] || p.Stage == StageBegun
-		if p.IsDrained && !w.said[p.ID] { // one that comes later knows it before its first request
-			w.said[p.ID] = true
-			for name, r := range w.s.Routers {
-				if f, there := w.holders[RouterClientPrefix+name]; there && r.Session == f.Session && w.acked[RouterClientPrefix+name] < p.DrainVersion {
-					t.Fatalf("%s is said to be drained, and %s has acknowledged %d, not %d", id, name, w.acked[RouterClientPrefix+name], p.DrainVersion)
-				}
-			}
+		if run.acknowledged[client] < p.DrainVersion {
+			run.t.Fatalf("%s counts as drained, and %s has acknowledged %d, not %d",
+				p.target(), name, run.acknowledged[client], p.DrainVersion)
 		}
 	}
-	text, err := json.Marshal(w.s)
+}
+
+// checkSnapshot checks that the state read back from its encoding is the same, and does nothing
+// else.
+func (run *budgetsRun) checkSnapshot() {
+	t := run.t
+	text, err := json.Marshal(run.state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := New()
-	if err := json.Unmarshal(text, back); err != nil {
+	restored := New()
+	if err := json.Unmarshal(text, restored); err != nil {
 		t.Fatal(err)
 	}
-	back.RebuildDerived()
-	back.Advance(w.clock, func() uint64 { t.Fatal("read back, it gives a permit"); return 0 })
-	if again, err := json.Marshal(back); err != nil || !bytes.Equal(text, again) {
-		t.Fatalf("read back:\n%s\n%s", text, again)
+	restored.RebuildDerived()
+	restored.Advance(run.now, func() uint64 {
+		t.Fatal("read back, it grants a permit")
+		return 0
+	})
+	again, err := json.Marshal(restored)
+	if err != nil || !bytes.Equal(text, again) {
+		t.Fatalf("read back (%v):\n%s\n%s", err, text, again)
 	}
 }
 
-// all has the fleet be well again: then each that waits gets its permit in the end.
-func (w *world) all(t *rapid.T, servers, routers []string) {
-	w.must(Command{Op: OpResume}, "operator")
-	for _, p := range slices.Clone(w.s.Permits) {
+// expectAllPermitsInTheEnd has the fleet recover: then each request gets its permit in the end.
+func (run *budgetsRun) expectAllPermitsInTheEnd() {
+	run.mustApply(Command{Op: OpResume}, "operator")
+	for _, p := range slices.Clone(run.state.Permits) {
 		if p.Stage == StageBegun {
-			w.must(Command{Op: OpClearPermit, Kind: p.Kind, Name: p.Name}, "operator")
-		}
-	}
-	for _, r := range routers {
-		for _, s := range servers {
-			w.router(r, "z"+r[1:], s+":up/9")
+			run.mustApply(Command{Op: OpClearPermit, Kind: p.Kind, Name: p.Name}, "operator")
 		}
 	}
+	run.reportAllServing("9")
 	for range 3 * MaxPermits {
-		w.pass(time.Minute)
-		i := slices.IndexFunc(w.s.Permits, func(p *Permit) bool { return p.Stage == StageGranted })
+		run.advance(time.Minute)
+		i := slices.IndexFunc(run.state.Permits, func(p *Permit) bool { return p.Stage == StageGranted })
 		if i < 0 {
 			break
 		}
-		p := w.s.Permits[i]
-		w.must(Command{Op: OpBeginOutage, Kind: p.Kind, Name: p.Name, Token: p.Token}, p.Client)
-		w.must(Command{Op: OpEndOutage, Kind: p.Kind, Name: p.Name, Token: p.Token}, p.Client)
+		p := run.state.Permits[i]
+		run.mustApply(Command{Op: OpBeginOutage, Kind: p.Kind, Name: p.Name, Token: p.Token}, p.Client)
+		run.mustApply(Command{Op: OpEndOutage, Kind: p.Kind, Name: p.Name, Token: p.Token}, p.Client)
 	}
-	if len(w.s.Permits) > 0 {
-		t.Fatalf("all is well, and %s/%s waits still: %s", w.s.Permits[0].Kind, w.s.Permits[0].Name, w.s.Permits[0].WaitReason)
+	if len(run.state.Permits) > 0 {
+		p := run.state.Permits[0]
+		run.t.Fatalf("all targets serve, and %s waits still: %s", p.target(), p.WaitReason)
 	}
 }
 
-// fleet is a world of three routers and servers sa1, sa2, sb1, sb2 that is warm.
-func fleet(budgets ...Budget) *world {
-	w := newWorld(budgets...)
-	for _, r := range []string{"r1", "r2", "r3"} {
-		w.router(r, "z1", "sa1:up/1", "sa2:up/1", "sb1:up/1", "sb2:up/1")
-	}
-	w.pass(time.Hour)
-	return w
-}
-
-func two(t *testing.T, a Result, stage Stage, words string) {
+// expectPermit expects a permit's stage and what its reason to wait contains; "" expects none.
+func expectPermit(t *testing.T, result Result, stage Stage, reason string) {
 	t.Helper()
-	if a.Code != CodeOK || a.Stage != stage || !strings.Contains(a.Text, words) || (words == "") != (a.Text == "") {
-		t.Errorf("%+v, want %s and %q", a, stage, words)
+	hasReason := strings.Contains(result.Text, reason) && (reason == "") == (result.Text == "")
+	if result.Code != CodeOK || result.Stage != stage || !hasReason {
+		t.Errorf("%+v, want %s and %q", result, stage, reason)
 	}
 }
 
-// Each reason to wait is told in words, and ends when its cause does.
+// Several operators want servers out while one may be. Each reason to wait is told in words and
+// ends when its cause does. A wrong program would begin by a revoked permit, or leave an operator
+// without the reason.
 func TestWhyItWaits(t *testing.T) {
 	servers := Budget{Name: "s", Kind: KindServer, MaxOut: 1, SlowStart: 30 * time.Second}
-	w := fleet(servers)
-	ask := func(name, who string, priority int) Result {
-		return w.do(Command{Op: OpRequestPermit, Kind: KindServer, Name: name, Priority: priority}, who)
-	}
-	two(t, ask("sa1", "ann", PriorityNormal), StageGranted, "")
-	two(t, ask("sa2", "bob", PriorityNormal), StageWaiting, "1 of at most 1 out: sa1 (permit before this one)")
-	if v := w.s.Version; ask("sa2", "bob", PriorityNormal).Code != CodeOK || w.s.Version != v {
+	f := newWarmFleet(servers)
+	expectPermit(t, f.request("sa1", "ann", PriorityNormal), StageGranted, "")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting,
+		"1 of at most 1 out: sa1 (permit before this one)")
+	version := f.state.Version
+	if f.request("sa2", "bob", PriorityNormal).Code != CodeOK || f.state.Version != version {
 		t.Error("asking again wakes all others")
 	}
-	two(t, ask("sa1", "cid", PriorityEmergency), StageGranted, "") // takes back what hasn't begun
-	if a := w.do(Command{Op: OpBeginOutage, Kind: KindServer, Name: "sa1", Token: 1}, "ann"); a.Code != CodeNotHeld {
-		t.Errorf("begun with a permit that was taken back: %+v", a)
-	}
-	p := w.permit(KindServer, "sa1")
-	for _, q := range w.s.Permits {
-		if q.Client == "cid" {
-			p = q
-		}
-	}
-	two(t, w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "sa1", Token: p.Token}, "cid"), StageBegun, "r1, r2, r3")
-	two(t, w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa2", Priority: PriorityNormal}, "bob"), StageWaiting, "1 of at most 1 out: sa1 (by plan)")
-	w.must(Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: p.Token}, "cid")
-	two(t, ask("sa2", "bob", PriorityNormal), StageWaiting, "sa1 (cold)")
-	w.pass(30 * time.Second) // ann waits still for sa1, and came first
-	w.must(Command{Op: OpCancelPermit, Kind: KindServer, Name: "sa1"}, "ann")
-	two(t, ask("sa2", "bob", PriorityNormal), StageGranted, "")
-	w.must(Command{Op: OpHalt, Reason: "I don't like it"}, "ann")
-	two(t, ask("sa2", "bob", PriorityNormal), StageWaiting, "halted by ann: I don't like it")
-	w.must(Command{Op: OpResume}, "ann")
-	two(t, ask("sa2", "bob", PriorityNormal), StageGranted, "")
-	w.router("r1", "z1", "sb1:bad/1")
-	two(t, ask("sa2", "bob", PriorityNormal), StageGranted, "") // one router is no evidence
-	w.router("r2", "z1", "sb1:bad/1")
-	two(t, ask("sa2", "bob", PriorityNormal), StageWaiting, "sb1 (down)")
-	two(t, ask("sb1", "eve", PriorityNormal), StageWaiting, "permit before this one") // bob's is weighed first
-	two(t, ask("sb1", "eve", PriorityEmergency), StageGranted, "")                    // it is out already
-	if a := ask("nobody", "eve", PriorityNormal); a.Code != CodeInvalid || !strings.Contains(a.Text, "it has sa1, sa2, sb1, sb2") {
-		t.Errorf("%+v", a)
-	}
-	two(t, w.do(Command{Op: OpRequestPermit, Kind: KindRouter, Name: "r1"}, "eve"), StageWaiting, "no budget covers router/r1")
-	w.must(Command{Op: OpSetBudgets, Budgets: []Budget{servers, {Name: "r", Kind: KindRouter, MaxOutShare: 0.2}}, Grace: time.Second}, "ann")
-	two(t, w.do(Command{Op: OpRequestPermit, Kind: KindRouter, Name: "r1"}, "eve"), StageWaiting, "a share of 0.2 of 3 is none")
-	w.must(Command{Op: OpSetBudgets, Budgets: []Budget{servers}, Grace: time.Second, ExpectedRouters: 4}, "ann")
-	two(t, ask("sa2", "bob", PriorityNormal), StageWaiting, "4 routers are expected, and 3 take part") // one runs a program that knows nothing of it
+	emergency := f.request("sa1", "cid", PriorityEmergency)
+	expectPermit(t, emergency, StageGranted, "") // it revokes the permit that has not begun
+	if result := f.applyToServer(OpBeginOutage, "sa1", 1, "ann"); result.Code != CodeNotHeld {
+		t.Errorf("begun with a revoked permit: %+v", result)
+	}
+	expectPermit(t, f.applyToServer(OpBeginOutage, "sa1", emergency.Token, "cid"), StageBegun, "r1, r2, r3")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "1 of at most 1 out: sa1 (by plan)")
+	f.endServer("sa1", "cid", emergency.Token)
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "sa1 (cold)")
+	f.advance(30 * time.Second) // ann waits still for sa1, and came first
+	f.mustApply(Command{Op: OpCancelPermit, Kind: KindServer, Name: "sa1"}, "ann")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "")
+
+	f.mustApply(Command{Op: OpHalt, Reason: "I don't like it"}, "ann")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "halted by ann: I don't like it")
+	f.mustApply(Command{Op: OpResume}, "ann")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "")
+
+	f.report("r1", "z1", "sb1:bad/1")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "") // one router is no evidence
+	f.report("r2", "z1", "sb1:bad/1")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "sb1 (down)")
+	expectPermit(t, f.request("sb1", "eve", PriorityNormal), StageWaiting, "permit before this one") // bob's
+	// It is out already.
+	expectPermit(t, f.request("sb1", "eve", PriorityEmergency), StageGranted, "")
+
+	unknown := f.request("nobody", "eve", PriorityNormal)
+	if unknown.Code != CodeInvalid || !strings.Contains(unknown.Text, "it has sa1, sa2, sb1, sb2") {
+		t.Errorf("%+v", unknown)
+	}
+	requestRouter := Command{Op: OpRequestPermit, Kind: KindRouter, Name: "r1"}
+	expectPermit(t, f.apply(requestRouter, "eve"), StageWaiting, "no budget covers router/r1")
+	routers := Budget{Name: "r", Kind: KindRouter, MaxOutShare: 0.2}
+	f.mustApply(Command{Op: OpSetBudgets, Budgets: []Budget{servers, routers}, Grace: time.Second}, "ann")
+	expectPermit(t, f.apply(requestRouter, "eve"), StageWaiting, "a share of 0.2 of 3 is none")
+	// A router runs a program that does not take part.
+	f.mustApply(Command{
+		Op: OpSetBudgets, Budgets: []Budget{servers}, Grace: time.Second, ExpectedRouters: 4,
+	}, "ann")
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "4 routers are expected, and 3 take part")
 }
 
-// The last of a kind, and the last of a zone that has several, stay whatever the budgets say.
+// A budget is set far too high, and all servers are taken out one after the other. The last of the
+// kind, and the last of a zone that has several, stay. A wrong program would let a zone or the
+// whole fleet go.
 func TestLastStays(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 100})
-	for _, name := range []string{"sa1", "sb1", "sa2", "sb2"} {
-		a := w.do(Command{Op: OpRequestPermit, Kind: KindServer, Name: name}, "ann")
-		switch name {
-		case "sa1", "sa2": // the zones are z1 and z2
-			two(t, a, StageGranted, "")
-			w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: name, Token: a.Token}, "ann")
-		case "sb1":
-			two(t, a, StageWaiting, "the last server of zone z1")
-		case "sb2":
-			two(t, a, StageWaiting, "the last server")
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 100})
+	for _, step := range []struct{ server, reason string }{ // sa1 and sb1 are in zone z1
+		{"sa1", ""},
+		{"sb1", "the last server of zone z1"},
+		{"sa2", ""},
+		{"sb2", "the last server"},
+	} {
+		result := f.request(step.server, "ann", PriorityRelease)
+		if step.reason != "" {
+			expectPermit(t, result, StageWaiting, step.reason)
+			continue
+		}
+		expectPermit(t, result, StageGranted, "")
+		begin := f.applyToServer(OpBeginOutage, step.server, result.Token, "ann")
+		if begin.Code != CodeOK {
+			t.Errorf("%s: %+v", step.server, begin)
 		}
 	}
 }
 
-// A permit whose holder has died stays used until the thing runs anew, or an operator clears it.
+// The holder of a permit dies after the outage has begun: nobody tells what became of it. The
+// permit stays used until the target is observed in a new incarnation, later than the grace, or an
+// operator clears it. A wrong program would free the permit when the session ends, or believe an
+// observation from before the outage, and let others out beside a target that is down.
 func TestOrphans(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1}, Budget{Name: "r", Kind: KindRouter, MaxOut: 1})
-	for _, x := range []struct {
-		k    Kind
-		name string
-		back func()
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1}, Budget{Name: "r", Kind: KindRouter, MaxOut: 1})
+	for _, orphan := range []struct {
+		name    string
+		target  targetRef
+		recover func()
 	}{
-		{KindServer, "sa1", func() { w.router("r1", "z1", "sa1:up/2") }},
-		{KindRouter, "r2", func() {
-			w.end(RouterClientPrefix + "r2")
-			w.pass(time.Hour)
-			w.router("r2", "z1")
+		{"restarted server", targetRef{KindServer, "sa1"}, func() { f.report("r1", "z1", "sa1:up/2") }},
+		{"restarted router", targetRef{KindRouter, "r2"}, func() {
+			f.endSession(RouterClientPrefix + "r2")
+			f.advance(time.Hour)
+			f.report("r2", "z1")
+		}},
+		{"cleared server", targetRef{KindServer, "sb1"}, func() {
+			f.mustApply(Command{Op: OpClearPermit, Kind: KindServer, Name: "sb1"}, "operator")
 		}},
-		{KindServer, "sb1", func() { w.must(Command{Op: OpClearPermit, Kind: KindServer, Name: "sb1"}, "operator") }},
 	} {
-		a := w.must(Command{Op: OpRequestPermit, Kind: x.k, Name: x.name}, "ann")
-		w.must(Command{Op: OpBeginOutage, Kind: x.k, Name: x.name, Token: a.Token}, "ann")
-		w.pass(4 * time.Second)
-		w.end("ann")
-		if x.k == KindServer && x.name == "sa1" { // news from before the step
-			w.router("r1", "z1", "sa1:up/1b")
-		}
-		w.pass(time.Hour)
-		if p := w.permit(x.k, x.name); p == nil || !strings.Contains(p.WaitReason, "its holder ann is gone") || x.k == KindServer && !slices.Equal(w.s.DrainedServers(), []string{x.name}) {
-			t.Errorf("%s: %+v, drained %v", x.name, p, w.s.DrainedServers())
-		}
-		if x.back(); w.permit(x.k, x.name) != nil || len(w.s.DrainedServers()) > 0 {
-			t.Errorf("%s: %+v after it was back", x.name, w.permit(x.k, x.name))
-		}
-		w.pass(time.Hour)
+		t.Run(orphan.name, func(t *testing.T) {
+			kind, name := orphan.target.kind, orphan.target.name
+			request := f.mustApply(Command{Op: OpRequestPermit, Kind: kind, Name: name}, "ann")
+			f.mustApply(Command{Op: OpBeginOutage, Kind: kind, Name: name, Token: request.Token}, "ann")
+			f.advance(4 * time.Second)
+			f.endSession("ann")
+			if name == "sa1" { // within the grace: it may be from before the outage
+				f.report("r1", "z1", "sa1:up/1b")
+			}
+			f.advance(time.Hour)
+			p := f.permit(kind, name)
+			if p == nil || !strings.Contains(p.WaitReason, "its holder ann is gone") {
+				t.Errorf("%+v", p)
+			}
+			if kind == KindServer && !slices.Equal(f.state.DrainedServers(), []string{name}) {
+				t.Errorf("drained %v", f.state.DrainedServers())
+			}
+			orphan.recover()
+			if f.permit(kind, name) != nil || len(f.state.DrainedServers()) > 0 {
+				t.Errorf("%+v after it was back, drained %v", f.permit(kind, name), f.state.DrainedServers())
+			}
+			f.advance(time.Hour)
+		})
 	}
 }
 
-// One of the same name takes over from a holder that died in the step, with a higher token; one of
-// another name waits.
+// A tool dies in an outage and is started again under the same name, before its old session has
+// ended. It takes the permit over once that has, with a higher token; a tool of another name waits.
+// A wrong program would let the old process, if it only was slow, give the permit back under the
+// new one.
 func TestTakeOver(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	ask := func(who string) Result {
-		return w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, who)
-	}
-	a := ask("ann")
-	w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann")
-	old := w.holders["ann"]
-	delete(w.holders, "ann") // a new process, before the session of the old one has ended
-	two(t, ask("ann"), StageWaiting, "another permit of it is given")
-	w.s.SessionEnded(old.Session, "ann", w.clock, w.next)
-	two(t, ask("bob"), StageWaiting, "another permit of it is given")
-	if b := ask("ann"); b.Stage != StageBegun || b.Token <= a.Token || len(w.s.Permits) != 2 {
-		t.Errorf("%+v, %d permits", b, len(w.s.Permits))
-	}
-	old.Time = w.clock
-	if b := w.s.Apply(Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, old); b.Code != CodeNotHeld {
-		t.Errorf("the one that had died gives it back: %+v", b)
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	token := f.beginServer("sa1", "ann")
+	old := f.sessions["ann"]
+	delete(f.sessions, "ann") // a new process, before the session of the old one has ended
+	expectPermit(t, f.request("sa1", "ann", PriorityRelease), StageWaiting, "another permit of it is given")
+	f.state.SessionEnded(old.Session, "ann", f.now, f.nextToken)
+	expectPermit(t, f.request("sa1", "bob", PriorityRelease), StageWaiting, "another permit of it is given")
+	takenOver := f.request("sa1", "ann", PriorityRelease)
+	if takenOver.Stage != StageBegun || takenOver.Token <= token || len(f.state.Permits) != 2 {
+		t.Errorf("%+v, %d permits", takenOver, len(f.state.Permits))
+	}
+	old.Time = f.now
+	endOutage := Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: token}
+	if result := f.state.Apply(endOutage, old); result.Code != CodeNotHeld {
+		t.Errorf("the process that had died gives it back: %+v", result)
 	}
 }
 
-// A server is drained when all routers have said so that could send to it, a cut-off one by
-// discovery's list and time.
+// A server is drained while one router is cut off from the coordinators. The routers with a session
+// acknowledge; the one without hears of the drain by the endpoint list only, within the grace after
+// the list says it. A wrong program would call the server drained while the cut-off router still
+// sends to it.
 func TestDrained(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "ann")
-	w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann")
-	state := func() Result { return w.do(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "ann") }
-	two(t, state(), StageBegun, "until nothing more is sent to it by r1, r2, r3")
-	w.must(Command{Op: OpAcknowledgeDrains, DrainVersion: w.s.DrainVersion}, RouterClientPrefix+"r1")
-	w.must(Command{Op: OpAcknowledgeDrains, DrainVersion: w.s.DrainVersion + 5}, RouterClientPrefix+"r2")
-	w.end(RouterClientPrefix + "r3")
-	two(t, state(), StageBegun, "r3 (no session, and discovery's list doesn't say that the server leaves)")
-	w.router("r1", "z1", "sa1:leaving/1")
-	w.pass(4 * time.Second)
-	two(t, state(), StageBegun, "r3 (no session)")
-	w.pass(time.Second) // the grace
-	if a := state(); !a.IsDrained || a.Text != "" {
-		t.Errorf("%+v", a)
-	}
-	w.must(Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann")
-	if len(w.s.DrainedServers()) > 0 {
-		t.Error(w.s.DrainedServers())
-	}
-	if a := w.do(Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann"); a.Code != CodeNotHeld {
-		t.Errorf("given back twice: %+v", a)
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	token := f.beginServer("sa1", "ann")
+	status := func() Result { return f.request("sa1", "ann", PriorityRelease) }
+	expectPermit(t, status(), StageBegun, "until nothing more is sent to it by r1, r2, r3")
+	f.acknowledge("r1", f.state.DrainVersion)
+	f.acknowledge("r2", f.state.DrainVersion+5)
+	f.endSession(RouterClientPrefix + "r3")
+	expectPermit(t, status(), StageBegun, "r3 (no session, and discovery's list doesn't say that the server leaves)")
+	f.report("r1", "z1", "sa1:leaving/1")
+	f.advance(testGrace - time.Second)
+	expectPermit(t, status(), StageBegun, "r3 (no session)")
+	f.advance(time.Second)
+	if result := status(); !result.IsDrained || result.Text != "" {
+		t.Errorf("%+v", result)
+	}
+	f.endServer("sa1", "ann", token)
+	if len(f.state.DrainedServers()) > 0 {
+		t.Error(f.state.DrainedServers())
+	}
+	if result := f.applyToServer(OpEndOutage, "sa1", token, "ann"); result.Code != CodeNotHeld {
+		t.Errorf("given back twice: %+v", result)
 	}
 }
 
-// A server that all lists have dropped counts as out for a while, also when it was changed just
-// then, and is forgotten after it.
+// All endpoint lists drop a server that was just in an outage. It may have crashed, or be back with
+// the lists late: it counts as out for some graces, and is removed after them. A wrong program
+// would remove it at once, and let another out in its place.
 func TestGone(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	a := w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "ann")
-	w.must(Command{Op: OpBeginOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann")
-	for _, r := range []string{"r1", "r2", "r3"} {
-		w.router(r, "z1", "sa1:gone")
-	}
-	w.must(Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: a.Token}, "ann")
-	two(t, w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa2"}, "ann"), StageWaiting, "sa1 (down)")
-	w.pass(ForgetAfterGraces*5*time.Second - 1)
-	two(t, w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa2"}, "ann"), StageWaiting, "sa1 (down)")
-	w.pass(1)
-	if two(t, w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa2"}, "ann"), StageGranted, ""); w.s.Servers["sa1"] != nil {
-		t.Error("not forgotten")
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	token := f.beginServer("sa1", "ann")
+	for _, router := range []string{"r1", "r2", "r3"} {
+		f.report(router, "z1", "sa1:gone")
+	}
+	f.endServer("sa1", "ann", token)
+	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageWaiting, "sa1 (down)")
+	f.advance(ForgetAfterGraces*testGrace - 1)
+	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageWaiting, "sa1 (down)")
+	f.advance(1)
+	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageGranted, "")
+	if f.state.Servers["sa1"] != nil {
+		t.Error("not removed")
 	}
 }
 
-// Every table has its bound, and says so.
+// Each table has its limit, and a command over it is rejected with the table's name.
 func TestBounds(t *testing.T) {
-	w := fleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	full := func(what string, a Result) {
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	expectFull := func(table string, result Result) {
 		t.Helper()
-		if a.Code != CodeLimitReached || !strings.Contains(a.Text, "at most") {
-			t.Errorf("%s: %+v", what, a)
+		if result.Code != CodeLimitReached || !strings.Contains(result.Text, "at most") {
+			t.Errorf("%s: %+v", table, result)
 		}
 	}
 	for i := range MaxRouters - 3 {
-		w.router(fmt.Sprint("x", i), "z")
+		f.report(fmt.Sprint("x", i), "z")
 	}
-	full("routers", w.do(Command{Op: OpReport, Report: &RouterReport{}}, RouterClientPrefix+"y"))
+	expectFull("routers", f.apply(Command{Op: OpReport, Report: &RouterReport{}}, RouterClientPrefix+"y"))
 	for i := range MaxServers - 4 {
-		w.router("r1", "z", fmt.Sprintf("s%d:up", i))
+		f.report("r1", "z", fmt.Sprintf("s%d:up", i))
 	}
-	full("servers", w.do(Command{Op: OpReport, Report: &RouterReport{Servers: []ServerObservation{{Name: "y", Status: StatusServing}}}}, RouterClientPrefix+"r1"))
+	oneMore := &RouterReport{Servers: []ServerObservation{{Name: "y", Status: StatusServing}}}
+	expectFull("servers", f.apply(Command{Op: OpReport, Report: oneMore}, RouterClientPrefix+"r1"))
 	for i := range MaxPermits {
-		w.must(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, fmt.Sprint("c", i))
-	}
-	full("permits", w.do(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, "late"))
-	full("budgets", w.do(Command{Op: OpSetBudgets, Budgets: make([]Budget, MaxBudgets+1), Grace: time.Second}, "ann"))
-	for _, c := range []Command{{Op: "x"}, {Op: OpRequestPermit}, {Op: OpRequestPermit, Kind: KindServer}, {Op: OpHalt}, {Op: OpReport}, {Op: OpSetBudgets}, {Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{{}}},
-		{Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{{Name: "a", Kind: KindServer}}}, {Op: OpReport, Report: &RouterReport{Servers: make([]ServerObservation, MaxReportedServers+1)}}} {
-		if a := w.do(c, "ann"); a.Code != CodeInvalid || a.Text == "" {
-			t.Errorf("%+v: %+v", c, a)
-		}
+		f.mustApply(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, fmt.Sprint("c", i))
+	}
+	expectFull("permits", f.request("sa1", "late", PriorityRelease))
+	tooMany := make([]Budget, MaxBudgets+1)
+	expectFull("budgets", f.apply(Command{Op: OpSetBudgets, Budgets: tooMany, Grace: time.Second}, "ann"))
+}
+
+// A command that misses a field, or has one out of its bounds, is rejected with the reason.
+func TestInvalidCommands(t *testing.T) {
+	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	noLimit := Budget{Name: "a", Kind: KindServer}
+	tooLong := &RouterReport{Servers: make([]ServerObservation, MaxReportedServers+1)}
+	for name, c := range map[string]Command{
+		"unknown operation":    {Op: "x"},
+		"no kind":              {Op: OpRequestPermit},
+		"no name":              {Op: OpRequestPermit, Kind: KindServer},
+		"no reason":            {Op: OpHalt},
+		"no report":            {Op: OpReport},
+		"no grace":             {Op: OpSetBudgets},
+		"empty budget":         {Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{{}}},
+		"budget without limit": {Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{noLimit}},
+		"report too long":      {Op: OpReport, Report: tooLong},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := "ann"
+			if c.Report != nil {
+				client = RouterClientPrefix + "r1"
+			}
+			if result := f.apply(c, client); result.Code != CodeInvalid || result.Text == "" {
+				t.Errorf("%+v", result)
+			}
+		})
 	}
 }
