--- a/cmd/dockhinge-coord/lease.go
+++ b/cmd/dockhinge-coord/lease.go
@@ -58,7 +58,7 @@
 	}.build()
 }
 
-// leaseRequest is what lease take was asked for.
+// leaseRequest is the lease that lease take requests.
 type leaseRequest struct {
 	ttl       time.Duration
 	margin    time.Duration
--- a/cmd/dockhinge-coord/release_driver.go
+++ b/cmd/dockhinge-coord/release_driver.go
@@ -258,19 +258,19 @@
 	}
 }
 
-// runWithRetries runs the command for a router until it succeeds. After the last try it tells the
-// coordinators that the router has failed. It returns nil where ctx ends: the caller's next step
-// then ends by it.
+// runWithRetries runs the command for a router until it succeeds. After the last attempt it tells
+// the coordinators that the router has failed. It returns nil where ctx ends: the caller's next
+// step then ends by it.
 func (d *releaseDriver) runWithRetries(
 	ctx context.Context, name string, release *rollout.ReleaseProgress, token uint64,
 ) error {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		err := d.runCommand(ctx, name, release, token)
 		if err == nil || ctx.Err() != nil {
 			return nil
 		}
-		if try >= d.file.Tries {
-			reason := fmt.Sprintf("its command failed %d times: %v", try, err)
+		if attempt >= d.file.MaxAttempts {
+			reason := fmt.Sprintf("its command failed %d times: %v", attempt, err)
 			_, reportErr := d.session.ExecuteRollout(ctx, rollout.Command{
 				Op: rollout.OpRouterFailed, Name: name, Reason: truncateReason(reason),
 			})
--- a/cmd/dockhinge-coord/run_command.go
+++ b/cmd/dockhinge-coord/run_command.go
@@ -13,7 +13,7 @@
 	"dockhinge.example/dockhinge/internal/coord/client"
 )
 
-// killDelay is how long a command that was told to end has before it is killed.
+// killDelay is how long a command that got TERM has before it gets KILL.
 const killDelay = 2 * time.Second
 
 // newCommand makes an operator's command that runs in a process group of its own, so that none of
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -48,7 +48,7 @@
 	want := Release{
 		Version: 1, Name: "7.2", Match: "r*", FromVersion: "a", ToVersion: "b", FirstWave: 2, GrowthFactor: 1.5,
 		BakeTime: "3m", MinRequests: 250, StepTimeout: "90s", LearnTime: "15s",
-		FalseHaltShare: 0.002, MinServedShare: 0.75, RerunKind: "harmless", Tries: 3,
+		FalseHaltShare: 0.002, MinServedShare: 0.75, RerunKind: "harmless", MaxAttempts: 3,
 		Command: []string{"deploy", "{name}", "{to}", "{from}"},
 	}
 	if !reflect.DeepEqual(file, want) {
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -16,7 +16,7 @@
 const (
 	minFalseHaltShare = 1e-9
 	maxFalseHaltShare = 0.1
-	maxTries          = 10
+	maxAttemptsLimit  = 10
 )
 
 // Release is a release's file. docs/rollout.md describes each key.
@@ -58,8 +58,9 @@
 	MinServedShare float64 `toml:"floor"`
 	// RerunKind is one of RerunKinds: why Command may run twice.
 	RerunKind string `toml:"kind"`
-	// Tries is how often Command is run for one router before it has failed, 1 to 10; 2 by default.
-	Tries int `toml:"tries"`
+	// MaxAttempts is how often Command is run for one router before it has failed, 1 to 10; 2 by
+	// default.
+	MaxAttempts int `toml:"tries"`
 	// Command brings one router to a version. {name}, {to} and {from} are replaced; {to} is the
 	// version wanted, also in a rollback.
 	Command []string `toml:"command"`
@@ -85,7 +86,7 @@
 		LearnTime:      "20s",
 		FalseHaltShare: 0.001,
 		MinServedShare: 0.8,
-		Tries:          2,
+		MaxAttempts:    2,
 	}
 	if err := decode(path, text, &f); err != nil {
 		return f, rollout.ReleasePlan{}, err
@@ -136,8 +137,8 @@
 			"%q is none of checked, harmless: the command may run twice for one router, where who ran it has died",
 			f.RerunKind)
 	}
-	if f.Tries < 1 || f.Tries > maxTries {
-		c.add("tries", "%d is not from 1 to %d", f.Tries, maxTries)
+	if f.MaxAttempts < 1 || f.MaxAttempts > maxAttemptsLimit {
+		c.add("tries", "%d is not from 1 to %d", f.MaxAttempts, maxAttemptsLimit)
 	}
 	if len(f.Command) == 0 {
 		c.add("command", "empty")
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -53,7 +53,7 @@
 	IsOver bool `json:"over,omitempty"`
 }
 
-// EjectedServer is an ejection as routers are told of it.
+// EjectedServer is an ejection as it is sent to routers.
 type EjectedServer struct {
 	// Name is the server's.
 	Name string `json:"name"`
--- a/internal/rollout/follow/drain.go
+++ b/internal/rollout/follow/drain.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// setApplied has the reporter acknowledge a drain set that is in force, and report what it asks
+// setApplied has the reporter acknowledge a drain set that is in force, and report what it requests
 // for.
 func (f *follower) setApplied(drains rollout.DrainSet) {
 	f.mu.Lock()
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -73,17 +73,17 @@
 	drained map[string]string
 	// appliedVersion is the version of the drain set that is in force here, its attempts ended.
 	appliedVersion uint64
-	// requests is what the coordinators ask routers to report.
+	// requests is what the coordinators want routers to report.
 	requests reportRequests
 }
 
-// reportRequests is what the coordinators ask routers to report.
+// reportRequests is what the coordinators want routers to report.
 type reportRequests struct {
-	// wantsCounts asks for the counts of requests.
+	// wantsCounts requests the counts of requests.
 	wantsCounts bool
-	// wantsLatency asks for the latencies too.
+	// wantsLatency requests the latencies too.
 	wantsLatency bool
-	// isPrompt asks for observations at once.
+	// isPrompt requests observations at once.
 	isPrompt bool
 	// maxServers bounds the servers of one report.
 	maxServers int
@@ -107,7 +107,7 @@
 	f.follow(ctx)
 }
 
-// reportRequests returns what the coordinators ask for.
+// reportRequests returns what the coordinators want.
 func (f *follower) reportRequests() reportRequests {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -93,7 +93,7 @@
 }
 
 // updateOverload ends an overload that no counts have confirmed for loadMaxAge, or that is not
-// asked for any more. Without it a fleet whose routers stop reporting would stay overloaded for
+// enabled any more. Without it a fleet whose routers stop reporting would stay overloaded for
 // ever.
 func (s *State) updateOverload(now time.Duration) {
 	if !s.Load.IsOverloaded {
--- a/internal/rollout/permit_commands.go
+++ b/internal/rollout/permit_commands.go
@@ -6,7 +6,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// requestPermit is the command that requests a permit, or asks again how the request stands.
+// requestPermit is the command that requests a permit, or polls how the request stands.
 type requestPermit struct {
 	target   targetRef
 	priority int
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -115,7 +115,7 @@
 }
 
 // removeFinishedPermits is the pass that removes the permits which nobody wants any more, and those
-// whose holder is gone and whose target is back.
+// whose holder's session has ended and whose target is back.
 func (s *State) removeFinishedPermits(now time.Duration) {
 	count := len(s.Permits)
 	s.removePermits(func(p *Permit) bool {
@@ -139,7 +139,7 @@
 	return p.Session == "" || s.target(p.target()) == nil || isExpired
 }
 
-// endOrphanedOutage ends an outage whose holder is gone once its target serves in a new
+// endOrphanedOutage ends an outage whose holder's session has ended once its target serves in a new
 // incarnation, and tells whether it has.
 //
 // The holder is not there to tell what became of the outage, so only a restart after its beginning
@@ -181,7 +181,7 @@
 }
 
 // possibleSenders are the routers that may still send to the server of a begun permit. A router
-// with a session acknowledges the drain. One without a session can't hear of it: it stops by the
+// with a session acknowledges the drain. One without a session can't receive it: it stops by the
 // endpoint list, which must say that the server is draining, and which it has read within the
 // grace.
 func (s *State) possibleSenders(p *Permit, now time.Duration) (senders firstNames) {
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -115,7 +115,7 @@
 		GoalSetAt:      sender.Time,
 		BucketOpenedAt: sender.Time,
 	}
-	s.DrainVersion++ // the DrainSet asks routers to report their counts
+	s.DrainVersion++ // the DrainSet requests counts from routers
 	return Result{Code: CodeOK}
 }
 
@@ -172,7 +172,7 @@
 		return noRelease
 	}
 	s.Release.State = ReleaseEnded
-	s.DrainVersion++ // the DrainSet does not ask for counts any more
+	s.DrainVersion++ // the DrainSet does not request counts any more
 	return Result{Code: CodeOK}
 }
 
@@ -251,7 +251,7 @@
 			return true
 		}
 		r.State = ReleaseDone
-		s.DrainVersion++ // the DrainSet does not ask for counts any more
+		s.DrainVersion++ // the DrainSet does not request counts any more
 		s.Version++
 	}
 	return false
--- a/internal/rollout/release_plan.go
+++ b/internal/rollout/release_plan.go
@@ -15,7 +15,7 @@
 // maxGrowthFactor bounds ReleasePlan.GrowthFactor.
 const maxGrowthFactor = 100
 
-// ReleasePlan is a release as an operator asked for it: all routers whose names match are brought
+// ReleasePlan is a release as an operator requested it: all routers whose names match are brought
 // to ToVersion, wave by wave.
 type ReleasePlan struct {
 	// Name names the release for operators.
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -101,9 +101,9 @@
 	Version uint64 `json:"version"`
 	// Servers are those to which nothing new is sent, sorted.
 	Servers []string `json:"servers"`
-	// WantsCounts asks routers to report how many requests they served and failed.
+	// WantsCounts requests routers to report how many requests they served and failed.
 	WantsCounts bool `json:"figures,omitempty"`
-	// WantsLatency asks routers to report their latencies too.
+	// WantsLatency requests routers to report their latencies too.
 	WantsLatency bool `json:"speed,omitempty"`
 	// EjectionQuorum is State.EjectionQuorum. Unless it is 0, routers report failing servers at
 	// once.
