--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -101,8 +101,9 @@
 	}
 }
 
-// One tenant's requests are all 4 MiB writes, which cost 65 times a read, and more than the limit. The others go on as if it were not there, and it gets its share of work too. A program that
-// let it take as many slots as it costs would have all others wait until the fleet is empty.
+// One tenant's requests are all 4 MiB writes, which cost 65 times a read, and more than the limit.
+// The others go on as if it were not there, and it gets its share of work too. A program that let
+// it take as many slots as it costs would have all others wait until the fleet is empty.
 func TestLargeWritesCrowdOutNobody(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	fleet.host.onAdmit = func(id uint32) {
