--- a/lab/scenario/fixture_test.go
+++ b/lab/scenario/fixture_test.go
@@ -9,9 +9,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Operators keep scenario files for years. The files in testdata hold every key of three shipped scenarios, as an earlier
-// version wrote them. A version that renamed a key would refuse such a file, and one that read a key into another field
-// would write it back under another name or with another value.
+// Operators keep scenario files for years. The files in testdata hold every key of three shipped
+// scenarios, as an earlier version wrote them. A version that renamed a key would reject such a
+// file, and one that read a key into another field would write it back with another value.
 func TestScenarioFilesOfAnEarlierVersionMeanTheSame(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) != 3 {
