--- a/decide/disable.go
+++ b/decide/disable.go
@@ -39,7 +39,7 @@
 }
 
 // resetServer gives a server the record of a new process that started at the given time. Its budget
-// begins with a random part of a request: so each of many routers may seldom send a whole one, and
+// begins with a random part of a request: so each of many routers may rarely send a whole one, and
 // all together send as evenly as a few do.
 func (b *Balancer) resetServer(s *server, startedAt float64) {
 	s.slowStart.startedAt = startedAt
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// hashTableBits gives the memento-hash table 8192 buckets, so that claims seldom collide.
+	// hashTableBits gives the memento-hash table 8192 buckets, so that claims rarely collide.
 	hashTableBits = 13
 	// bucketClaims is the number of buckets that a server claims.
 	bucketClaims = 64
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -131,10 +131,10 @@
 func (b *Balancer) overtakenAnswered() { b.lostShare -= lostWeight * b.lostShare }
 
 // observeStall takes that a server has let an attempt's patience end without a reply to any: a
-// fault is known a second before the timeout. Where servers are seldom asked, the key that meets a
+// fault is known a second before the timeout. Where servers are rarely asked, the key that meets a
 // long queue most likely makes it, and counts as hotter than it was seen.
 func (b *Balancer) observeStall(r *request, s *server) {
-	r.key.arrivals.add(b.now, b.keyTimeConstantMillis(), b.seldomAskedShare())
+	r.key.arrivals.add(b.now, b.keyTimeConstantMillis(), b.rarelyAskedShare())
 	b.recordWait(s, r.class.LatencyObjectiveMillis)
 	s.health.unanswered++
 	s.health.acceptedShare *= stalledAcceptedFactor
--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A key that overloads its home is seen seldom by each router. Where servers are seldom asked, an
+// A key that overloads its home is seen rarely by each router. Where servers are rarely asked, an
 // attempt past its patience must make the key count as hot; where they are asked often it must not.
 func TestStallTellsOfAHotKeyWhereServersAreSeldomAsked(t *testing.T) {
 	for _, c := range []struct {
--- a/decide/waiting_time.go
+++ b/decide/waiting_time.go
@@ -42,7 +42,7 @@
 }
 
 // observedWaitMillis is the mean of the waits that a server has shown lately. Where each server is
-// seldom asked, what all show is the best guess of a queue, and the only one. The divisor keeps the
+// rarely asked, what all show is the best guess of a queue, and the only one. The divisor keeps the
 // prior for a cold server too, which draws its wait towards 0.
 func (b *Balancer) observedWaitMillis(s *server) float64 {
 	prior := float64(priorWaits)
@@ -54,7 +54,7 @@
 	if s.health.isEjected {
 		return wait // one that is tried as the last resort has no better guess
 	}
-	return wait * b.seldomAskedShare()
+	return wait * b.rarelyAskedShare()
 }
 
 // recordWait books a wait that a server has shown.
@@ -83,9 +83,9 @@
 	return b.commonWait.millis
 }
 
-// seldomAskedShare is near 1 where seconds pass between two own attempts at a server, near 0 where
+// rarelyAskedShare is near 1 where seconds pass between two own attempts at a server, near 0 where
 // there are many.
-func (b *Balancer) seldomAskedShare() float64 {
+func (b *Balancer) rarelyAskedShare() float64 {
 	perSecond := b.perSecond(&b.arrivals, trafficTimeConstantMillis)
 	return 1 - math.Exp(-float64(len(b.membership.caches))/(2*perSecond+minArrivalsDivisor))
 }
--- a/decide/waiting_time_test.go
+++ b/decide/waiting_time_test.go
@@ -45,7 +45,7 @@
 		return b.expectedWaitMillis(s)
 	}
 	if few, many := wait(8), wait(400); few < 50 || many > 20 {
-		t.Errorf("wait %v where each server is seldom asked, %v where often: want a long and a short one", few, many)
+		t.Errorf("wait %v where each server is rarely asked, %v where often: want a long and a short one", few, many)
 	}
 }
 
