--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -13,44 +13,44 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// AdmissionConfig is what an operator file sets for fair admission.
+// AdmissionConfig is the configuration of fair admission from an operator file.
 type AdmissionConfig struct {
-	// Rules lacks the classes, which are the platform's.
+	// Rules are the admission rules. Classes is empty here; it comes from the platform's settings.
 	Rules admission.Config
-	// Tenants tell whose a request is.
+	// Tenants are the rules that assign a request to a tenant.
 	Tenants admission.TenantRules
 }
 
-// admissionControl has requests pass admission before the Balancer, where the operator file enables
-// it. It is owned by the loop. A nil *admissionControl stands for admission that is not enabled.
+// admissionControl passes requests through admission before the Balancer, if the operator file
+// enables it. It belongs to the loop. A nil *admissionControl means that admission is disabled.
 type admissionControl struct {
 	loop      *loop
 	admission *admission.Admission
 	tenants   admission.TenantRules
-	// classIndex finds a class of the settings that the process has started with.
+	// classIndex maps the class names of the initial settings to admission's indices.
 	classIndex map[string]int
-	// otherClass is the index of all classes that a reload has added since.
+	// otherClass is the common index of all classes added by a reload.
 	otherClass int
-	// timer fires when a queued request has to be looked at.
+	// timer fires at the next deadline of a queued request.
 	timer *timer
-	// processes is how many processes are this router now, and share its limit; 0 = not known yet.
+	// processes is the number of processes that share the router's limit; 0 = not known yet.
 	processes int
 }
 
-// admissionStage is where a request stands in admission.
+// admissionStage is the state of a request in admission.
 type admissionStage int
 
 const (
-	// admissionNone: the request has not reached admission, or admission has forgotten it.
+	// admissionNone: the request has not reached admission or has left it.
 	admissionNone admissionStage = iota
 	admissionQueued
 	admissionAdmitted
 )
 
-// otherClassName is the class in admission's answers for all that a reload has added.
+// otherClassName is the name that admission reports for all classes added by a reload.
 const otherClassName = "(others)"
 
-// newAdmission builds admission from the operator's rules and the platform's classes.
+// newAdmission creates admission from the operator's rules and the platform's classes.
 func newAdmission(l *loop, cfg *Config) (*admissionControl, error) {
 	ad := &admissionControl{loop: l, tenants: cfg.Admission.Tenants, classIndex: map[string]int{}}
 	rules := cfg.Admission.Rules
@@ -60,7 +60,7 @@
 		ad.classIndex[c.Name] = len(rules.Classes)
 		rules.Classes = append(rules.Classes, admission.Class{
 			Name:        c.Name,
-			CostMillis:  c.LatencyObjectiveMillis, // of the classes' work, nothing else is known before it is measured
+			CostMillis:  c.LatencyObjectiveMillis, // the only known estimate of the cost before any measurement
 			HasPriority: c.Effect != decide.Idempotent,
 		})
 		longestMillis = max(longestMillis, c.LatencyObjectiveMillis)
@@ -72,7 +72,7 @@
 	return ad, err
 }
 
-// withPlatformBounds puts the platform's bound on retry-after in place of the operator's.
+// withPlatformBounds replaces the operator's limit on Retry-After by the platform's, if it has one.
 func withPlatformBounds(rules admission.Config, cfg *Config) admission.Config {
 	if bound := cfg.settings.Config.MaxRetryAfterMillis; bound > 0 {
 		rules.MaxRetryAfterMillis = bound
@@ -80,7 +80,7 @@
 	return rules
 }
 
-// check returns a *admission.SettingError for a setting that can't take effect in this process.
+// check returns a *admission.SettingError for a setting that can't be changed in this process.
 func (ad *admissionControl) check(cfg *Config) error {
 	switch {
 	case ad == nil && cfg.Admission == nil:
@@ -91,14 +91,14 @@
 	return ad.admission.Check(withPlatformBounds(cfg.Admission.Rules, cfg))
 }
 
-// reconfigure applies the rules of a configuration, which check has accepted.
+// reconfigure applies the rules of a configuration that check has accepted.
 func (ad *admissionControl) reconfigure(cfg *Config) {
 	if ad == nil {
 		return
 	}
 	rules := withPlatformBounds(cfg.Admission.Rules, cfg)
 	if err := ad.admission.Reconfigure(ad.loop.now(), rules); err != nil {
-		slog.Warn("admission: the rules are kept", "error", err)
+		slog.Warn("admission: the new rules were rejected, the previous ones stay in force", "error", err)
 		return
 	}
 	ad.tenants = cfg.Admission.Tenants
@@ -129,8 +129,8 @@
 }
 
 // ended notifies admission of a request's end: whether it was served, whether the Balancer rejected
-// it, and the size of the answer. A request that ends while it is queued has lost its client, or was
-// rejected at its deadline.
+// it, and the size of the answer. If a request ends while it is queued, its client has disconnected
+// or it was rejected at its deadline.
 func (ad *admissionControl) ended(r *request, served, rejected bool, responseBytes int) {
 	if ad == nil {
 		return
@@ -157,11 +157,11 @@
 	ad.arm()
 }
 
-// arm sets the timer to the next deadline of a queued request.
+// arm sets the timer for the next deadline of a queued request.
 func (ad *admissionControl) arm() {
 	next := ad.admission.NextDeadline()
 	if ad.timer != nil && ad.timer.heapIndex >= 0 && ad.timer.at <= next {
-		return // the timer fires sooner, and is armed again then
+		return // the timer fires earlier and is then set again
 	}
 	ad.loop.timers.stop(ad.timer)
 	if math.IsInf(next, 1) {
@@ -173,7 +173,7 @@
 	})
 }
 
-// Admit forwards a request to the Balancer, once the call that led to it is over.
+// Admit passes an admitted request to the Balancer, deferred until the current call has returned.
 func (ad *admissionControl) Admit(id uint32) {
 	r := ad.loop.requests[id]
 	if r == nil {
@@ -188,8 +188,8 @@
 	})
 }
 
-// Reject answers a request that admission rejects. The answer has a retry-after where the platform
-// wants one.
+// Reject answers a request that admission has rejected, with a Retry-After if the platform's
+// settings ask for it.
 func (ad *admissionControl) Reject(id uint32, retryAfterMillis float64) {
 	r := ad.loop.requests[id]
 	if r == nil {
@@ -202,11 +202,11 @@
 	ad.loop.Reject(id, math.Ceil(retryAfterMillis))
 }
 
-// shownTenants is how many tenants AdmissionState shows by name.
+// shownTenants limits how many tenants AdmissionState lists by name.
 const shownTenants = 100
 
-// AdmissionState returns how admission stands, as the JSON of admission.State. The error is
-// admin.ErrNotEnabled where admission is not enabled.
+// AdmissionState returns the state of admission as JSON of admission.State, or admin.ErrNotEnabled
+// if admission is not enabled.
 func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
 	if r.loop.admission == nil {
 		return nil, admin.ErrNotEnabled
@@ -222,7 +222,7 @@
 	return json.Marshal(state)
 }
 
-// clientAddr is the address of a client, without the port.
+// clientAddr returns a client's IP address.
 func clientAddr(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr().Unmap()
--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -11,7 +11,7 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// admissionRules allow one request at a time, with small tables.
+// admissionRules returns rules that admit one request at a time and use small tables.
 func admissionRules() admission.Config {
 	return admission.Config{
 		OthersWeight:        1,
@@ -30,13 +30,13 @@
 	}
 }
 
-// byClient tells a request's tenant by what its client declares.
+// byClient assigns requests to the tenant that the client declares.
 var byClient = admission.TenantRules{{Source: admission.TenantFromClient}}
 
-// Admission allows one request at a time. The first is in work, the second queued; its client
-// disconnects, and its place is free. The third is queued and served once the first has its answer.
-// The fourth, for which there is no capacity in time, is rejected at once or as soon as its wait is
-// over. Each is counted once.
+// Admission admits one request at a time. The first request is running; the second is queued until
+// its client disconnects, which frees its place. The third is queued and served once the first is
+// answered. The fourth can't get capacity in time and is rejected, at once or when its wait is
+// over. Each outcome is counted once.
 func TestAdmissionStandsBeforeTheBalancer(t *testing.T) {
 	release := make(chan struct{}, 10)
 	cache := startFake(t, func(line string) string {
@@ -67,7 +67,7 @@
 	c := dial(t, ln.Addr().String())
 	for c.ask("mn") != "MN" {
 	}
-	// queued is how many requests wait, once the loop has done all that was sent before.
+	// queued returns the number of queued requests, once the loop has processed earlier events.
 	queued := func() int {
 		count := make(chan int)
 		r.loop.post(func() { count <- r.loop.admission.admission.State(0).Waiting })
@@ -77,7 +77,7 @@
 		t.Helper()
 		for end := time.Now().Add(wait); queued() != want; {
 			if time.Now().After(end) {
-				t.Fatalf("%d wait, not %d", queued(), want)
+				t.Fatalf("%d requests are queued, want %d", queued(), want)
 			}
 		}
 	}
@@ -97,28 +97,28 @@
 	awaitQueued(1)
 	release <- struct{}{}
 	if got := first.line(); !strings.HasPrefix(got, "VA 5") {
-		t.Errorf("the first: %q", got)
+		t.Errorf("first request: got %q", got)
 	}
 	awaitAttempt("second attempt, once there is capacity")
-	get(first, 4, "a") // the limit is in use: it waits, for half of its time at most
+	get(first, 4, "a") // the limit is in use, so it waits for at most half of its time
 	if got := first.line(); got != "SERVER_ERROR busy" && !strings.HasPrefix(got, "SERVER_ERROR busy ") {
-		t.Errorf("the fourth: %q", got)
+		t.Errorf("fourth request: got %q", got)
 	}
 	release <- struct{}{}
 	if got := third.line(); !strings.HasPrefix(got, "VA 5") {
-		t.Errorf("the third: %q", got)
+		t.Errorf("third request: got %q", got)
 	}
 	for end := time.Now().Add(wait); m.Concurrent.Load() != 0 && time.Now().Before(end); {
 	}
 	s := m.Snapshot()
 	if n := s.Success["read"] + s.Overload["read"] + s.Error["read"]; n != 3 || s.Overload["read"] < 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("metrics: %+v", s)
 	}
 }
 
-// A reload brings a new tenant, which is taken. Another brings a table size that takes a new
-// process, or disables admission: nothing of that configuration is taken, and the setting is named.
-// A program that took the rest would run with half of a configuration.
+// Guards against a reload that is applied in part. New rules with another tenant are applied. Rules
+// that need a new process (another table size, or admission disabled) are rejected with the name of
+// the setting, and nothing of that configuration is applied.
 func TestAdmissionRulesAtReload(t *testing.T) {
 	with := func(rules admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", endpointList{})
@@ -132,7 +132,7 @@
 	withTenant := admissionRules()
 	withTenant.Tenants = []admission.Tenant{{Name: "a", Weight: 2}}
 	if err := l.reconfigure(with(withTenant)); err != nil || len(l.admission.admission.Snapshot(l.now()).Tenants) != 1 {
-		t.Errorf("a new tenant: %v", err)
+		t.Errorf("new tenant: %v", err)
 	}
 	withMoreFlows := admissionRules()
 	withMoreFlows.Flows = 9
@@ -150,8 +150,8 @@
 	}
 }
 
-// A process hands over to its successor while its limit differs from the initial one: the successor
-// begins with that limit, not with the initial one, which the fleet may have no capacity for.
+// Guards against a successor that starts with the initial limit, which the fleet may have no
+// capacity for, instead of the limit that the old process had reached.
 func TestAdmissionIsHandedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 	rules := admissionRules()
@@ -166,25 +166,25 @@
 		t.Cleanup(func() { r.clients.listener.Close() })
 		return r
 	}
-	before := start()
-	after := start()
-	before.loop.serverIDs.add("s-0000000b", 11) // a state without names is none
-	before.loop.admission.admission.ScaleLimit(before.loop.now(), 0.5)
-	snapshot := before.loop.admission.admission.Snapshot(before.loop.now())
+	old := start()
+	successor := start()
+	old.loop.serverIDs.add("s-0000000b", 11) // a state without names is rejected
+	old.loop.admission.admission.ScaleLimit(old.loop.now(), 0.5)
+	snapshot := old.loop.admission.admission.Snapshot(old.loop.now())
 	state := handoverState{
-		Decisions: before.loop.balancer.HandOver(before.loop.now()),
-		ServerIDs: before.loop.serverIDs.clone(),
+		Decisions: old.loop.balancer.HandOver(old.loop.now()),
+		ServerIDs: old.loop.serverIDs.clone(),
 		Admission: &snapshot,
 	}
 	text, err := json.Marshal(state)
 	if err == nil {
-		err = after.Inherit(text, nil)
+		err = successor.Inherit(text, nil)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	after.restoreState()
-	if limit := after.loop.admission.admission.State(0).Limit; limit != 3.5 {
-		t.Errorf("limit %v after the hand-over, 3.5 before", limit)
+	successor.restoreState()
+	if limit := successor.loop.admission.admission.State(0).Limit; limit != 3.5 {
+		t.Errorf("limit %v after the hand-over, want 3.5", limit)
 	}
 }
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -17,32 +17,32 @@
 	"dockhinge.example/dockhinge/internal/rollout/follow"
 )
 
-// Agreement makes a router a client of the coordinators. No request ever waits for them.
+// Agreement configures the router as a client of the coordinators. Requests never wait for them.
 type Agreement struct {
 	// Coordinators are the coordinators' addresses by name.
 	Coordinators map[string]string
-	// TTL is that of the router's session and leases.
+	// TTL is the time to live of the router's session and leases.
 	TTL time.Duration
-	// Probes is set where one router health-checks a server for all.
+	// Probes is set if routers share health checks: one router checks a server for all.
 	Probes bool
-	// ProbeEvery is the time between two health checks of a server.
+	// ProbeEvery is the interval between two health checks of a server.
 	ProbeEvery time.Duration
-	// ProbeStale is how old the report of a health check may be that counts.
+	// ProbeStale is the maximum age of a health check's report that is still used.
 	ProbeStale time.Duration
-	// Drains is set where the router takes part in drains and releases of the fleet.
+	// Drains is set if the router takes part in the fleet's drains and releases.
 	Drains bool
-	// Label is what the program's version is called there.
+	// Label is the label of the program's version in releases.
 	Label string
 }
 
 // followsDrains reports whether the router takes part in the fleet's drains.
 func (c *Config) followsDrains() bool { return c.Agreement != nil && c.Agreement.Drains }
 
-// drainsKnownTimeout is how long a router waits at its start to learn which servers are drained.
+// drainsKnownTimeout is how long a starting router waits for the list of drained servers.
 const drainsKnownTimeout = 2 * time.Second
 
-// runAgreement takes part in what the fleet agrees on until ctx ends. It takes on health checks until
-// stop ends. onDrainsKnown is called once the drains of the start are in force.
+// runAgreement runs the client of the coordinators until ctx ends. Shared health checks end when
+// stop ends. onDrainsKnown is called once the drains known at the start are in effect.
 func (r *Router) runAgreement(ctx, stop context.Context, a *Agreement, onDrainsKnown func()) {
 	client := leases.New(leases.Options{
 		Coordinators: a.Coordinators,
@@ -73,12 +73,12 @@
 	}
 }
 
-// setDrained disables a server that the fleet drains, or enables it again.
+// setDrained disables a server that the fleet drains, or enables it again after the drain.
 func (r *Router) setDrained(ctx context.Context, server string, isDrained bool) error {
 	return r.disable(ctx, disableCall{ServerID: server, Disabled: isDrained, IsListed: true, ByFleet: true}, nil)
 }
 
-// runHealthChecks takes part in the fleet's shared health checks until ctx ends.
+// runHealthChecks runs this router's part of the fleet's shared health checks until ctx ends.
 func (r *Router) runHealthChecks(ctx context.Context, a *Agreement, client *leases.Client) {
 	healthcheck.Run(ctx, healthcheck.Options{
 		Client:    client,
@@ -91,8 +91,8 @@
 	})
 }
 
-// observeServers are all cache servers of the list, as this router sees them. It may be called from
-// any goroutine but the loop's, as may all functions below.
+// observeServers returns this router's observations of all listed cache servers. Like all functions
+// below, it may be called from any goroutine except the loop's, unless stated otherwise.
 func (l *loop) observeServers(ctx context.Context) (observations []rollout.ServerObservation, err error) {
 	err = l.call(ctx, func() error {
 		for name, e := range l.entries {
@@ -106,8 +106,8 @@
 	return observations, err
 }
 
-// observeServer is a server as this router sees it. What other routers have reported of it is no
-// evidence of this one.
+// observeServer returns this router's observation of a server. Ejections that only other routers
+// have reported are not evidence of this router. It runs on the loop.
 func (l *loop) observeServer(name string, e listEntry) rollout.ServerObservation {
 	observation := rollout.ServerObservation{
 		Name:        name,
@@ -117,7 +117,7 @@
 	}
 	id, isKnown := l.serverIDs.IDs[name]
 	switch {
-	case failpoint.Is("lies-all") || failpoint.Is("lies-some") && isKnown && id%5 == 0: // for the laboratory
+	case failpoint.Is("lies-all") || failpoint.Is("lies-some") && isKnown && id%5 == 0: // for lab tests
 		observation.Status = rollout.StatusFailing
 	case e.State != stateReady:
 		observation.Status = rollout.StatusDraining
@@ -131,9 +131,9 @@
 	return observation
 }
 
-// requestCounts are the requests served so far and those rejected or failed, and how many of the
-// former took how much of their latency objective, by rollout.LatencyBucket. Any goroutine may call
-// it.
+// requestCounts returns how many requests were served, and how many were rejected or failed.
+// latencies counts the served requests by rollout.LatencyBucket of latency divided by objective.
+// Any goroutine may call it.
 func (r *Router) requestCounts() (served, unserved int64, latencies []int64) {
 	s := r.metrics.Snapshot()
 	for name := range s.Success {
@@ -148,7 +148,8 @@
 	return served, unserved, latencies
 }
 
-// disabledServers names the servers that the fleet has disabled; none where the loop has ended.
+// disabledServers returns the names of the servers disabled by the fleet; none once the loop has
+// ended.
 func (l *loop) disabledServers(ctx context.Context) (names []string) {
 	_ = l.call(ctx, func() error {
 		names = slices.Collect(maps.Keys(l.disabledByFleet))
@@ -157,8 +158,7 @@
 	return names
 }
 
-// openAttempts counts the attempts that are out at servers, and the values that are streamed from
-// them.
+// openAttempts counts the attempts in flight at servers and the values being streamed from them.
 func (l *loop) openAttempts(ctx context.Context, servers []string) (n int, err error) {
 	err = l.call(ctx, func() error {
 		n = l.countOpenAttempts(l.knownServerIDs(servers))
@@ -167,7 +167,8 @@
 	return n, err
 }
 
-// knownServerIDs is the set of the ids of servers, without those that no list has had.
+// knownServerIDs returns the ids of the named servers, without those that were never listed. It
+// runs on the loop.
 func (l *loop) knownServerIDs(names []string) map[uint32]bool {
 	ids := map[uint32]bool{}
 	for _, name := range names {
@@ -195,7 +196,7 @@
 	return n
 }
 
-// cacheServerIDs are the ids of all servers on the list but the origin.
+// cacheServerIDs returns the ids of all listed servers except the origin.
 func (l *loop) cacheServerIDs(ctx context.Context) (ids []uint32, err error) {
 	err = l.call(ctx, func() error {
 		for id, t := range l.targets {
@@ -208,7 +209,7 @@
 	return ids, err
 }
 
-// healthCheck makes a health check of a server for all routers.
+// healthCheck checks a server's health on behalf of all routers.
 func (l *loop) healthCheck(ctx context.Context, server uint32) (decide.AttemptStatus, decide.LoadReport) {
 	var t *target
 	err := l.call(ctx, func() error {
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -7,13 +7,14 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// What others found bad is avoided, is never told on as this router's own evidence, and ends by
-// this router's clock.
+// Guards against routers that repeat each other's reports of failing servers. A server ejected by
+// other routers is avoided, is not reported as this router's own evidence, and is used again when
+// the ejection expires by this router's clock.
 func TestGossipIsNotForwarded(t *testing.T) {
 	_, entries := startFlaky(t, 6, func(int, int) bool { return false })
 	run, _ := serving(t, append(entries, originAt(startFake(t, originOK).addr))...)
 	r := run.router
-	look := func() (bad []string, avoided int64) {
+	observe := func() (failing []string, avoided int64) {
 		t.Helper()
 		all, err := r.loop.observeServers(t.Context())
 		if err != nil {
@@ -21,13 +22,13 @@
 		}
 		for _, s := range all {
 			if s.Status != rollout.StatusServing {
-				bad = append(bad, s.Name)
+				failing = append(failing, s.Name)
 			}
 		}
 		if err := r.loop.call(t.Context(), func() error { r.loop.publishEndpointCounts(); return nil }); err != nil {
 			t.Fatal(err)
 		}
-		return bad, r.metrics.TargetsDisabled.Load()
+		return failing, r.metrics.TargetsDisabled.Load()
 	}
 	all, err := r.loop.observeServers(t.Context())
 	if err != nil || len(all) != 6 {
@@ -38,8 +39,8 @@
 			{Name: "nobody", Remaining: time.Hour}}); err != nil {
 		t.Fatal(err)
 	}
-	if bad, avoided := look(); len(bad) > 0 || avoided != 1 {
-		t.Errorf("%d servers avoided, told as found bad: %v", avoided, bad)
+	if failing, avoided := observe(); len(failing) > 0 || avoided != 1 {
+		t.Errorf("%d servers avoided, reported as failing: %v", avoided, failing)
 	}
 	timers := func() (n int) {
 		t.Helper()
@@ -49,33 +50,33 @@
 		return n
 	}
 	before := timers()
-	for range 40 { // the word comes and goes: it is passed on by one timer all the same
-		for _, word := range [][]rollout.EjectedServer{nil, {{Name: all[0].Name, Remaining: 300 * time.Millisecond}}} {
-			if err := r.loop.setPeerEjections(t.Context(), word); err != nil {
+	for range 40 { // repeated reports start only one timer
+		for _, ejected := range [][]rollout.EjectedServer{nil, {{Name: all[0].Name, Remaining: 300 * time.Millisecond}}} {
+			if err := r.loop.setPeerEjections(t.Context(), ejected); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	if n := timers(); n > before+10 {
-		t.Errorf("%d timers after the word came 40 times, %d before", n, before)
+		t.Errorf("%d timers after 40 reports, %d before", n, before)
 	}
-	for told := 1; told > 0; { // its time is over by itself
-		if err := r.loop.call(t.Context(), func() error { told = len(r.loop.ejectedByPeers); return nil }); err != nil {
+	for remaining := 1; remaining > 0; { // it expires without a further report
+		if err := r.loop.call(t.Context(), func() error { remaining = len(r.loop.ejectedByPeers); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	// of a server that has left
+	// An ejection of a server that is no longer listed is forgotten.
 	if err := r.loop.call(t.Context(), func() error {
 		r.loop.ejectedOnlyByPeers[12345] = true
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	look()
+	observe()
 	if err := r.loop.call(t.Context(), func() error {
 		if r.loop.ejectedOnlyByPeers[12345] {
-			t.Error("what was heard of a server that has left the list is kept")
+			t.Error("the ejection of an unlisted server is kept")
 		}
 		return nil
 	}); err != nil {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -1,8 +1,8 @@
 package router
 
-// Attempts: a request is sent to one server at a time, or to two where the settings allow a hedge. The
-// Balancer decides on each by Send and Cancel; here it is written, timed out and cancelled, and its
-// outcome goes back to the Balancer once.
+// Attempts: each sends a request to one server. A request has one attempt in flight, or two if the
+// settings allow a hedge. The Balancer starts and cancels attempts with Send and Cancel; this file
+// writes them, enforces their timeouts, and reports each outcome to the Balancer exactly once.
 
 import (
 	"context"
@@ -18,36 +18,37 @@
 // attempt is one attempt of a request.
 //
 //	           startWriting                answer, reset, or the close of the
-//	           (first byte)                connection after a cancel or time-out
+//	           (first byte)                connection after a cancel or timeout
 //	┌─────────┐ ─────────▶ ┌─────────┐ ─────────────────────────────────────▶ ┌──────┐
 //	│ opening │            │ writing │                                        │ done │
 //	└─────────┘            └─────────┘                                        └──────┘
 //	     │                                                                        ▲
-//	     │ cancelUnsent: cancel, time-out, client disconnected, server draining   │
+//	     │ cancelUnsent: cancel, timeout, client disconnected, server draining    │
 //	     ▼                                                                        │
-//	┌───────────┐   deferred to the end of the loop's present event               │
+//	┌───────────┐   deferred to the end of the loop's current event               │
 //	│ abandoned │ ────────────────────────────────────────────────────────────────┘
 //	└───────────┘
 //
-// Opening, writing and abandoned are its phase. An attempt in opening may wait for a connection; it
-// leaves that phase once, either by its own goroutine (startWriting) or by the loop (cancelUnsent),
-// which is why phase is atomic. An attempt that may be written has a goroutine (perform), which ends
-// with its outcome. All other fields belong to the loop; those set by Send are not changed later.
+// Opening, writing and abandoned are the values of phase. An attempt in opening may be waiting for
+// a connection. It leaves that phase once, either on its own goroutine (startWriting) or on the
+// loop (cancelUnsent), so phase is atomic. Unless Send rejects it at once, an attempt runs on a
+// goroutine (perform) that ends with its outcome. All other fields belong to the loop; those that
+// Send sets don't change afterwards.
 type attempt struct {
 	request *request
-	// index counts the attempts of the request from 0.
+	// index is the number of this attempt within the request, from 0.
 	index int
 	// server is the server's id for the Balancer.
 	server uint32
 	// startedAt is the time of Send, in milliseconds on the loop's clock.
 	startedAt float64
-	// isDone is set once the attempt has its outcome. What comes later is dropped.
+	// isDone is set once the attempt has its outcome. Later results are dropped.
 	isDone bool
-	// mayHaveRun is set until the outcome proves that the attempt has not run.
+	// mayHaveRun is set until the outcome proves that the server has not run the request.
 	mayHaveRun bool
-	// isCancelled is set when a written attempt is cancelled or times out.
+	// isCancelled is set when a written attempt is canceled or times out.
 	isCancelled bool
-	// cancelStatus is then its outcome, unless it was served just then.
+	// cancelStatus is the outcome if isCancelled is set, unless the attempt succeeded just before.
 	cancelStatus decide.AttemptStatus
 	// cancelContext closes the attempt's connection.
 	cancelContext context.CancelFunc
@@ -58,27 +59,28 @@
 
 // The phases of an attempt.
 const (
-	// phaseOpening: nothing is written.
+	// phaseOpening: nothing has been written yet.
 	phaseOpening = iota
-	// phaseWriting: it may have run from here on.
+	// phaseWriting: writing has started, so the server may have run the request.
 	phaseWriting
-	// phaseAbandoned: nothing is written, and never will be.
+	// phaseAbandoned: nothing has been written and nothing will be.
 	phaseAbandoned
 )
 
-// sendLimits are the times after which nothing of an attempt may be written, in milliseconds on the
-// loop's clock.
+// sendLimits are the times, in milliseconds on the loop's clock, after which no byte of an attempt
+// may be written.
 type sendLimits struct {
-	// deadline is the first of the attempt's own, the client's and the process's.
+	// deadline is the earliest of the attempt's, the client's and the process's deadlines.
 	deadline float64
-	// idempotencyWindowEnd is when the servers may have forgotten the request's idempotency key.
+	// idempotencyWindowEnd is when servers may discard the request's idempotency key.
 	idempotencyWindowEnd float64
 }
 
-// Send starts an attempt. A time-out of 0, and any later than the client's deadline, means until that.
+// Send starts an attempt. A timeout of 0, or one past the client's deadline, means the client's
+// deadline.
 func (l *loop) Send(id, server uint32, timeoutMillis float64) {
 	r := l.requests[id]
-	if r == nil { // it is done and has no attempt out: the Balancer has no record of it either
+	if r == nil { // done and without attempts in flight; the Balancer has no record of it either
 		return
 	}
 	now := l.now()
@@ -110,9 +112,9 @@
 	})
 }
 
-// idempotencyWindowEnd is when no further attempt of a request may be written. The servers' memory of
-// its idempotency key runs from the send of the first attempt that may have run, and the connection
-// of a later attempt may take long to come up.
+// idempotencyWindowEnd returns the time after which no further attempt of a request may be written.
+// Servers remember its idempotency key from the send of the first attempt that may have run. The
+// limit is checked just before writing, as a later attempt may wait long for its connection.
 func (r *request) idempotencyWindowEnd() float64 {
 	if r.rule.Effect != decide.IdempotentByKey {
 		return math.Inf(1)
@@ -125,7 +127,7 @@
 	return math.Inf(1)
 }
 
-// perform carries an attempt out, on its own goroutine, and tells the loop how it ended.
+// perform carries out an attempt on its own goroutine and posts the outcome to the loop.
 func (l *loop) perform(ctx context.Context, a *attempt, t *target, client *response, limits sendLimits) {
 	var stream *valueStream
 	hooks := attemptHooks{
@@ -144,7 +146,7 @@
 	} else {
 		got = l.upstreams.roundTrip(ctx, t, cmd, hooks)
 	}
-	if failpoint.Is("slower") { // a slow version of the program, for the laboratory
+	if failpoint.Is("slower") { // slow, for lab tests
 		time.Sleep(ms((l.now() - a.startedAt) / 10))
 	}
 	if stream == nil {
@@ -156,11 +158,11 @@
 	stream.finish(isComplete)
 }
 
-// startWriting moves an attempt from opening to writing, on its own goroutine before its first byte,
-// and returns the timeout hint for it. It returns 0 where nothing may be written any more: the client
-// has disconnected, the time is up, or the attempt was cancelled.
+// startWriting moves an attempt from opening to writing, on the attempt's goroutine just before the
+// first byte, and returns the timeout hint for the server. It returns 0 if nothing may be written:
+// the client has disconnected, the time is up, or the attempt was canceled.
 func (l *loop) startWriting(a *attempt, client *response, limits sendLimits) timeoutHint {
-	if client.conn.disconnected() { // the loop may not know of it yet
+	if client.conn.disconnected() { // the loop may not have been notified yet
 		l.post(func() { l.clientDisconnected(client) })
 		return 0
 	}
@@ -175,8 +177,8 @@
 	return hint
 }
 
-// endAttempt takes an attempt's outcome, once. What comes after that reaches neither the client nor
-// the Balancer.
+// endAttempt records an attempt's outcome, once. Later results reach neither the client nor the
+// Balancer.
 func (l *loop) endAttempt(a *attempt, got reply) {
 	if a.isDone {
 		return
@@ -198,7 +200,7 @@
 			r.id, a.index, a.server, got.status, got.cacheResult, latencyMillis)
 	}
 	switch {
-	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // a bad version, for the laboratory
+	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // faulty, for lab tests
 		l.finish(r, failedAnswer(), metrics.Error)
 	case got.status == decide.OK:
 		l.finish(r, servedAnswer(&r.command, got.body), metrics.Success)
@@ -219,13 +221,13 @@
 	})
 }
 
-// deferOutcome ends an attempt that is not written, after the call that has caused it: the Balancer
-// must not be called from within its own call.
+// deferOutcome ends an attempt that is not written. The outcome is reported after the Balancer's
+// current call, because the Balancer is not reentrant.
 func (l *loop) deferOutcome(a *attempt, status decide.AttemptStatus) {
 	l.deferred = append(l.deferred, func() { l.endAttempt(a, replyWithoutAnswer(status)) })
 }
 
-// timeOut ends an attempt at its deadline. One whose connection has not come up has never run.
+// timeOut ends an attempt at its deadline. If its connection was not established, it never ran.
 func (l *loop) timeOut(a *attempt) {
 	if a.cancelUnsent() {
 		l.endAttempt(a, replyWithoutAnswer(decide.ConnectError))
@@ -234,14 +236,14 @@
 	}
 }
 
-// Cancel cancels an attempt.
+// Cancel cancels attempt n of a request.
 func (l *loop) Cancel(id uint32, n int) {
 	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
 		l.cancel(r.attempts[n])
 	}
 }
 
-// cancel cancels an attempt, by closing its connection if it has one.
+// cancel cancels an attempt; if it has a connection, that is closed.
 func (l *loop) cancel(a *attempt) {
 	if a.cancelUnsent() {
 		l.deferOutcome(a, decide.Cancelled)
@@ -250,9 +252,9 @@
 	}
 }
 
-// cancelUnsentTo ends the attempts at a server that are not written yet, as nothing new may be sent to
-// it; the Balancer may send them elsewhere. Without this an attempt whose connection takes as long to
-// come up as a drain's grace would be written after the grace.
+// cancelUnsentTo ends the attempts to a server that are not written yet, as nothing new may be sent
+// to it; the Balancer may choose another server for them. Otherwise an attempt that waits for its
+// connection for longer than a drain's grace period would be written after the drain.
 func (l *loop) cancelUnsentTo(server uint32) {
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
@@ -263,8 +265,8 @@
 	}
 }
 
-// cancelUnsent makes sure that nothing of an attempt will be written, and reports whether it could:
-// false means that it is written or done.
+// cancelUnsent abandons an attempt that is not written yet, and reports whether it did: false means
+// that the attempt is already written or done.
 func (a *attempt) cancelUnsent() bool {
 	if a.isDone || !a.phase.CompareAndSwap(phaseOpening, phaseAbandoned) {
 		return false
@@ -273,8 +275,8 @@
 	return true
 }
 
-// cancelSent cancels an attempt that is written. Its outcome comes only once its connection is closed:
-// a retry that is written before would run beside it.
+// cancelSent cancels a written attempt. The outcome is reported only after its connection is
+// closed: a retry written earlier could run concurrently with it.
 func (a *attempt) cancelSent(status decide.AttemptStatus) {
 	if a.isDone || a.isCancelled || a.phase.Load() != phaseWriting {
 		return
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -11,67 +11,68 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// A server that begins to drain, is gone, moves, or is left out by hand while a connection to it
-// comes up gets nothing over it: the drain's grace may be over by then. The request goes elsewhere.
+// Guards against a request that is written after a drain's grace period. If a server starts to
+// drain, is removed, changes its address or is disabled while a connection to it is being opened,
+// nothing is written to it and the request goes elsewhere.
 func TestNothingIsSentOverAConnectionThatCameUpAfterADrain(t *testing.T) {
 	moved := func(e listEntry) listEntry { e.Addr = "127.0.0.1:1"; return e }
 	in := func(e listEntry, state string) listEntry { e.State = state; return e }
-	for name, news := range map[string]func(l *loop, e, other listEntry){
+	for name, event := range map[string]func(l *loop, e, other listEntry){
 		"leaving": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{in(e, "leaving")}})
 		},
 		"left": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{in(e, "left")}})
 		},
-		"left out of all": func(l *loop, _, o listEntry) { l.updateEndpoints(decide.AllEndpoints, full(o)) },
+		"not in complete list": func(l *loop, _, o listEntry) { l.updateEndpoints(decide.AllEndpoints, full(o)) },
 		"moved": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{moved(e)}})
 		},
-		"by hand": func(l *loop, e, _ listEntry) { l.setDisabled(disableCall{ServerID: e.ID, Disabled: true}) },
+		"disabled by operator": func(l *loop, e, _ listEntry) { l.setDisabled(disableCall{ServerID: e.ID, Disabled: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o, up := startFake(t, hit), startFake(t, originOK), newGate(t)
+			s, o, allowDial := startFake(t, hit), startFake(t, originOK), newGate(t)
 			dialing := make(chan struct{}, 10)
 			e := box("s-0000000b", s.addr)
 			l, _, addr := startLoopAndClients(t, 192, 40, e, originAt(o.addr))
-			l.upstreams.holdDials(dialing, up)
+			l.upstreams.holdDials(dialing, allowDial)
 			c := dial(t, addr)
 			c.send(readOf(1, "w0", 60000) + "\r\n")
 			receive(t, dialing, "a dial")
-			onLoop(l, func() { news(l, e, originAt(o.addr)) })
-			eventually(t, l, "the attempt called off", func() bool {
+			onLoop(l, func() { event(l, e, originAt(o.addr)) })
+			eventually(t, l, "the end of the attempt", func() bool {
 				r := l.unanswered["w0"]
 				return r == nil ||
 					r.attempts[0].isDone
 			})
-			up.open()
-			c.line() // whatever the module makes of it
-			eventually(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
+			allowDial.open()
+			c.line() // any answer will do
+			eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
 			if len(s.seen) > 0 {
-				t.Errorf("sent to it: %q", receivedSoFar(s.seen))
+				t.Errorf("sent to the server: %q", receivedSoFar(s.seen))
 			}
 		})
 	}
 }
 
-// An attempt that is given up is out until its connection is closed: the next one is not written
-// before that, as two at once are one too many.
+// Guards against two attempts in flight at once. After a cancel or a timeout, the next attempt is
+// not written before the connection of the previous one is closed.
 func TestNextAttemptWaitsForTheCloseOfTheOneBefore(t *testing.T) {
 	for _, how := range []string{"cancel", "time-out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			answer := once("", hit) // whichever is asked first says nothing
+			answer := once("", hit) // the first server that is asked does not answer
 			a, b := startFake(t, answer), startFake(t, answer)
 			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
 				originAt("127.0.0.1:1"))
-			closing, let := make(chan struct{}, 10), newGate(t)
-			keep := func(t *target) {
+			closing, allowClose := make(chan struct{}, 10), newGate(t)
+			addIdleConn := func(t *target) {
 				nc, err := net.Dial("tcp", t.addr)
 				if err != nil {
 					panic(err)
 				}
-				c := &upstreamConn{Conn: slowClose{nc.(*net.TCPConn), closing, let}, idleSince: time.Now()}
+				c := &upstreamConn{Conn: slowClose{nc.(*net.TCPConn), closing, allowClose}, idleSince: time.Now()}
 				c.reader = bufio.NewReaderSize(c, maxLineBytes)
 				l.upstreams.mu.Lock()
 				l.upstreams.openConns++
@@ -81,7 +82,7 @@
 			onLoop(l, func() {
 				for _, t := range l.targets {
 					if !t.isOrigin {
-						keep(t)
+						addIdleConn(t)
 					}
 				}
 			})
@@ -100,13 +101,13 @@
 					l.timeOut(r.attempts[0])
 				}
 			})
-			receive(t, closing, "the close of the first one's connection")
+			receive(t, closing, "the close of the first attempt's connection")
 			onLoop(l, func() {
 				if r := l.unanswered["w0"]; r == nil || len(r.attempts) != 1 || r.attemptsOut != 1 {
-					t.Errorf("went on before it was closed: %+v", r)
+					t.Errorf("continued before the connection was closed: %+v", r)
 				}
 			})
-			let.open()
+			allowClose.open()
 			if got := c.line(); got != "VA 5 Ow0 hello" {
 				t.Errorf("got %q", got)
 			}
@@ -114,16 +115,16 @@
 	}
 }
 
-// A repeat that the module makes within its effect's window is not written after it, though its
-// connection takes so long.
+// Guards against a retry after the idempotency window. The Balancer decides on the retry within the
+// window, but its connection is opened only after the window has ended.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
-			cut, up := newGate(t), newGate(t)
+			closeConns, allowDial := newGate(t), newGate(t)
 			dialing := make(chan struct{}, 10)
-			ends := once("close", hit)
-			answer := func(line string) string { <-cut.opened; return ends(line) }
+			closeOnce := once("close", hit)
+			answer := func(line string) string { <-closeConns.opened; return closeOnce(line) }
 			a, b := startFake(t, answer), startFake(t, answer)
 			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
 			for i := range cfg.settings.Config.Classes {
@@ -141,27 +142,27 @@
 			case <-time.After(wait):
 				t.Fatal("no attempt")
 			}
-			l.upstreams.holdDials(dialing, up)
-			var began float64
-			onLoop(l, func() { began = l.unanswered["w0"].attempts[0].startedAt })
-			cut.open() // it may have run
-			receive(t, dialing, "the dial of a repeat")
+			l.upstreams.holdDials(dialing, allowDial)
+			var firstAttemptAt float64
+			onLoop(l, func() { firstAttemptAt = l.unanswered["w0"].attempts[0].startedAt })
+			closeConns.open() // the request may have run
+			receive(t, dialing, "the dial of a retry")
 			if late {
-				eventually(t, l, "the end of the window", func() bool { return l.now() > began+2000 })
+				eventually(t, l, "the end of the window", func() bool { return l.now() > firstAttemptAt+2000 })
 			}
-			up.open()
+			allowDial.open()
 			got := c.line()
-			eventually(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
+			eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
 			if n := len(a.seen) + len(b.seen); late && (n > 0 || !strings.HasPrefix(got, "SERVER_ERROR")) ||
 				!late && got != "VA 5 Ow0 hello" {
-				t.Errorf("got %q, written again %d times", got, n)
+				t.Errorf("got %q, retried %d times", got, n)
 			}
 		})
 	}
 }
 
-// An attempt that the module cancels ends at once, with its connection, and the client has one
-// answer.
+// An attempt that the Balancer cancels ends at once and its connection is closed. The client gets
+// exactly one answer.
 func TestCanceledAttemptIsGivenUp(t *testing.T) {
 	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
@@ -171,13 +172,13 @@
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if got := c.ask(readCommandOf("a1", 8000)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("got %q", got)
 	}
 	receive(t, s.ended, "end of the attempt's connection")
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("given up after %v", took)
+	if took := time.Since(startedAt); took > 5*time.Second {
+		t.Errorf("canceled after %v", took)
 	}
 	c.nothingMore()
 }
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// byteBudget bounds the bytes that are kept for one purpose. Any goroutine may use it.
+// byteBudget limits the bytes kept in memory for one purpose. Any goroutine may use it.
 type byteBudget struct {
 	used  atomic.Int64
 	limit atomic.Int64
@@ -17,11 +17,11 @@
 	return false
 }
 
-// reserve reserves n bytes, beyond the limit too: they are there already.
+// reserve reserves n bytes even beyond the limit, for bytes that are already in memory.
 func (b *byteBudget) reserve(n int) { b.used.Add(int64(n)) }
 
-// release gives n reserved bytes back.
+// release releases n reserved bytes.
 func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
 
-// isExhausted reports whether all bytes are in use.
+// isExhausted reports whether all bytes are reserved.
 func (b *byteBudget) isExhausted() bool { return b.used.Load() >= b.limit.Load() }
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -25,64 +25,64 @@
 //	│ finishing: no command is read, answers are written     │ ─────────▶ closed
 //	└────────────────────────────────────────────────────────┘
 //
-// In each state a disconnect of the client or a failed write makes the connection unwritable: its
-// pending answers are abandoned, its requests are cancelled, and it is closed.
+// In each state, a disconnect of the client or a failed write makes the connection unwritable: its
+// pending answers are abandoned, its requests are canceled, and it is closed.
 //
-// The reader goroutine, which clients.serve starts, owns reader and the connection: it runs
-// readCommands and then closeAfterAnswers, and ends when the connection is closed. While answers are
-// ready, one writer goroutine or one valueStream writes them; which of them it is, startWriter and
-// nextBatch decide under mu. Both end before clients.drain returns.
+// The reader goroutine, started by clients.serve, owns reader and the connection: it runs
+// readCommands, then closeAfterAnswers, and ends when the connection is closed. Ready answers are
+// written by one writer at a time, which is a goroutine or a valueStream; startWriter and nextBatch
+// choose it under mu. Both end before clients.drain returns.
 type clientConn struct {
 	net.Conn
 	clients *clients
-	// quota is where its descriptor is from.
+	// quota is the quota that the connection's descriptor was acquired from.
 	quota *descriptorQuota
-	// isOverflow is set where the connection is beyond the limit: its command is rejected.
+	// isOverflow is set if the connection is beyond the limit, so that its command is rejected.
 	isOverflow bool
 	// reader buffers the input. It belongs to the reader goroutine.
 	reader *bufio.Reader
-	// isReceivingLargeValue is set while a value is forwarded as it comes.
+	// isReceivingLargeValue is set while a large value is being received and forwarded.
 	isReceivingLargeValue atomic.Bool
-	// isCountedAsActive is set once the connection counts in clients.activeConns.
+	// isCountedAsActive is set once clients.activeConns counts the connection.
 	isCountedAsActive atomic.Bool
-	// hasDisconnected is set once the client has closed or reset the connection: no attempt of its
-	// requests may be written any more.
+	// hasDisconnected is set once the client has closed or reset the connection. From then on no
+	// attempt of its requests may be written.
 	hasDisconnected atomic.Bool
 
-	// mu guards all fields below, and the order of changes to the read deadline.
+	// mu guards all fields below and serializes changes of the read deadline.
 	mu sync.Mutex
-	// pending holds the answers that no writer has taken yet, in the order of the commands.
+	// pending holds the answers not yet taken by a writer, in the order of the commands.
 	pending []*response
-	// answersInWrite counts the answers that the writer has taken and not written.
+	// answersInWrite counts the answers that the writer has taken but not written yet.
 	answersInWrite int
 	// isUnwritable is set once nothing can be written any more.
 	isUnwritable bool
 	// unwritable is closed when isUnwritable is set.
 	unwritable chan struct{}
-	// hasSentCommand is set once a complete command has come.
+	// hasSentCommand is set once a complete command has been received.
 	hasSentCommand bool
-	// isReadingCommand is set while part of a command has come.
+	// isReadingCommand is set while a command has been received in part.
 	isReadingCommand bool
-	// commandDeadline is when the command that is being read has to be complete.
+	// commandDeadline is when the command being read must be complete.
 	commandDeadline time.Time
-	// isWatchingForDisconnect is set while the reader waits in watchForDisconnect; an expired read
-	// deadline wakes it.
+	// isWatchingForDisconnect is set while the reader waits in watchForDisconnect. Expiring the
+	// read deadline wakes it.
 	isWatchingForDisconnect bool
-	// isDraining is set when the connection is to end as soon as nothing is unanswered.
+	// isDraining is set when the connection is to be closed once nothing is unanswered.
 	isDraining bool
-	// idleStart is when the connection was accepted or had its last answer written.
+	// idleStart is when the connection was accepted or its last answer was written.
 	idleStart time.Time
 	// lastAnswerAt is when an answer was last written.
 	lastAnswerAt time.Time
 }
 
-// expiredDeadline is a read deadline in the past: it ends a read that waits.
+// expiredDeadline is a read deadline in the past. It ends a blocked read.
 var expiredDeadline = time.Unix(1, 0)
 
-// unanswered counts the commands that have no answer written. The caller holds mu.
+// unanswered counts the commands whose answers are not written yet. The caller holds mu.
 func (c *clientConn) unanswered() int { return len(c.pending) + c.answersInWrite }
 
-// firstCommandTimeout is the time for the connection's first command to be complete.
+// firstCommandTimeout is how long after its start the connection's first command must be complete.
 func (c *clientConn) firstCommandTimeout() time.Duration {
 	if c.isOverflow {
 		return overflowCommandTimeout
@@ -91,8 +91,8 @@
 }
 
 // idleSince reports whether the connection has no unanswered command, and since when. A connection
-// that has sent no command within firstCommandGrace counts as idle for longer than it is: else
-// silent connections, which are always young, would outlive connections that send requests.
+// without a command after firstCommandGrace gets silentConnPenalty added to its idle time.
+// Otherwise silent connections, which are always young, would outlive those that send requests.
 func (c *clientConn) idleSince() (since time.Time, isIdle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 	return since, c.unanswered() == 0 && !c.isDraining && !c.isReceivingLargeValue.Load()
 }
 
-// drain ends the connection once nothing is unanswered and no command is coming. Until then it is
-// read on: a client may send while its connection is open, and its disconnect has to be seen.
+// drain closes the connection once nothing is unanswered and no command is being received. Until
+// then reading continues, as the client may still send commands and its disconnect must be noticed.
 func (c *clientConn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// closeIfIdle ends the connection at once if nothing is unanswered; part of a command is dropped.
+// closeIfIdle closes the connection if nothing is unanswered. A partly received command is dropped.
 func (c *clientConn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,12 +124,13 @@
 	}
 }
 
-// disconnected reports whether the client has disconnected, as far as that can be known by now.
+// disconnected reports whether the client is known to have disconnected.
 func (c *clientConn) disconnected() bool { return c.hasDisconnected.Load() || hasEnded(c.Conn) }
 
-// watchForDisconnect waits until isDone holds or nothing can be written any more, and reports whether
-// the client has disconnected instead. Up to discardBytes of input are thrown away meanwhile and the
-// rest is left unread; the end of the input is seen behind it. isDone is called with mu held.
+// watchForDisconnect waits until isDone returns true or nothing can be written any more. It reports
+// whether the client has disconnected before that. Up to discardBytes of input are discarded in the
+// meantime and the rest is left unread; the end of the input is noticed behind unread input too.
+// isDone is called with mu held.
 func (c *clientConn) watchForDisconnect(isDone func() bool, discardBytes int) (hasDisconnected bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,9 +148,10 @@
 	return false
 }
 
-// abandonAnswers drops the pending answers and tells the loop that their client has disconnected.
+// abandonAnswers drops the pending answers and notifies the loop that their client has
+// disconnected.
 func (c *clientConn) abandonAnswers() {
-	// Before the loop knows of it: an attempt that is about to be written checks this flag.
+	// Set before the loop is notified: an attempt that is about to be written checks this flag.
 	c.hasDisconnected.Store(true)
 	c.mu.Lock()
 	abandoned := c.pending
@@ -174,13 +176,12 @@
 	}
 }
 
-// closeAfterAnswers waits until all answers are written, or the client has disconnected, and closes
+// closeAfterAnswers waits until all answers are written or the client has disconnected, and closes
 // the connection.
 //
-// Closing a socket while input is unread, or on its way, resets the connection, and a reset may
-// destroy answers that the client has not read yet. So a client that was rejected, whose next command
-// is there already, or that has just been answered sees the end of the answers first (a half-close),
-// and its input is discarded for a bounded time.
+// Closing a socket with unread or late input resets the connection, and a reset can destroy answers
+// that the client has not read yet. A half-close therefore comes first, and input is discarded for
+// a limited time, if the client was rejected, has sent more input, or has just been answered.
 func (c *clientConn) closeAfterAnswers(isRejected bool) {
 	discardBytes := 0
 	if isRejected {
@@ -191,7 +192,7 @@
 	isUnwritable := c.isUnwritable
 	lingerUntil := c.lastAnswerAt.Add(restAfterAnswer)
 	c.mu.Unlock()
-	if c.isOverflow { // the next one waits for its descriptor
+	if c.isOverflow { // other connections wait for its descriptor
 		lingerUntil = time.Time{}
 	}
 	if isRejected || c.reader.Buffered() > 0 || hasInput(c.Conn) {
@@ -205,7 +206,8 @@
 	c.Close()
 }
 
-// linger ends the answers and discards input until the client closes, a time or lingerBytes.
+// linger half-closes the connection, then discards input until the client closes its side, the time
+// is up, or lingerBytes were discarded.
 func (c *clientConn) linger(until time.Time) {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || !time.Now().Before(until) || halfCloser.CloseWrite() != nil {
@@ -216,5 +218,5 @@
 	io.CopyBuffer(io.Discard, input, make([]byte, maxLineBytes)) //nolint:errcheck // the input is unwanted
 }
 
-// onlyReader hides the methods by which io.CopyBuffer would bypass the buffer that it is given.
+// onlyReader hides the methods that io.CopyBuffer would use to bypass the buffer passed to it.
 type onlyReader struct{ io.Reader }
--- a/internal/router/client_read.go
+++ b/internal/router/client_read.go
@@ -12,9 +12,9 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Read reads input for the connection's buffer. An expired read deadline that ends an idle connection
-// does not end a command of which the rest has come already: its client could not tell that it was
-// not taken.
+// Read reads input for the connection's buffer. If an idle connection is ended by an expired read
+// deadline while the rest of a command has already been received, the command is still read: its
+// client could not tell that it was dropped.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendForLateInput() {
@@ -23,8 +23,8 @@
 	return n, err
 }
 
-// extendForLateInput reports whether the connection was ended while input of a command stands there,
-// and gives the command its time again.
+// extendForLateInput reports whether the draining connection has unread input of a command, and
+// restores the command's deadline.
 func (c *clientConn) extendForLateInput() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,8 +35,8 @@
 	return true
 }
 
-// beginCommand sets the time for a command whose first byte has come. The first command's time has
-// run since the connection was accepted.
+// beginCommand sets the deadline of a command whose first byte was received. The deadline of the
+// first command was set when the connection was accepted.
 func (c *clientConn) beginCommand(isFirst bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,8 +48,8 @@
 }
 
 // awaitNextCommand waits until the pipeline has capacity for the next command and sets the read
-// deadline for its first byte. There is none while commands are unanswered, as the read then serves
-// to see the client disconnect.
+// deadline for its first byte. There is no deadline while commands are unanswered; the read then
+// only serves to notice a disconnect.
 func (c *clientConn) awaitNextCommand() error {
 	c.mu.Lock()
 	c.isReadingCommand = false
@@ -67,7 +67,7 @@
 		return os.ErrDeadlineExceeded
 	case c.unanswered() > 0:
 		c.SetReadDeadline(time.Time{})
-	case c.isDraining: // commands that have come already are still answered
+	case c.isDraining: // commands already received are still answered
 		c.SetReadDeadline(expiredDeadline)
 	default:
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
@@ -75,17 +75,17 @@
 	return nil
 }
 
-// receivedCommand is a command that is complete.
+// receivedCommand is a completely received command.
 type receivedCommand struct {
 	command
-	// receivedAt is when it was complete, in milliseconds on the loop's clock.
+	// receivedAt is when its last byte was received, in milliseconds on the loop's clock.
 	receivedAt float64
-	// isRejected is set where there is no capacity for its value or its answer.
+	// isRejected is set if there is no capacity for its value or its answer.
 	isRejected bool
 }
 
-// readCommands reads commands until the client disconnects, is rejected for what it sent, or the
-// connection's time is up. It reports whether the client was rejected.
+// readCommands reads commands until the client disconnects, sends invalid input or quit, or the
+// connection's time is up. It reports whether the client was rejected, which includes quit.
 func (c *clientConn) readCommands() (isRejected bool) {
 	unknownCommands := 0
 	for isFirst := true; ; isFirst = false {
@@ -131,8 +131,8 @@
 	}
 }
 
-// awaitFirstByte waits for a command's first byte. A command that crosses the end of the connection's
-// idle time is still taken: its client can't know.
+// awaitFirstByte waits for a command's first byte. A command that arrives just as the idle time
+// ends is still accepted, because its client can't know that the time is over.
 func (c *clientConn) awaitFirstByte() error {
 	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !c.clients.commandsClosed.Load() && hasInput(c.Conn) {
@@ -142,8 +142,8 @@
 	return err
 }
 
-// receiveCommand reads a command with its value. The value is read only if the rest makes sense and
-// there is capacity for it; else it is discarded.
+// receiveCommand reads a command with its value. The value is discarded if there is no capacity for
+// it, and not read if the command is malformed.
 func (c *clientConn) receiveCommand() (receivedCommand, error) {
 	l := c.clients.loop
 	cmd, err := readCommand(c.reader)
@@ -160,8 +160,8 @@
 	return receivedCommand{command: cmd, receivedAt: l.now(), isRejected: isRejected}, err
 }
 
-// submit gives a request to the loop. One that there is no capacity for is rejected here: many large
-// writes at once must not exhaust the router's memory.
+// submit passes a request to the loop. If there is no capacity for it, it is rejected here, so that
+// many concurrent large writes can't exhaust the router's memory.
 func (c *clientConn) submit(received receivedCommand, r *response) {
 	l := c.clients.loop
 	if received.isRejected {
@@ -172,9 +172,9 @@
 	l.post(func() { l.arrive(received.command, received.receivedAt, r) })
 }
 
-// readWriteValue reads the value of a write, or forwards a large one while it comes. It reports
-// whether the write is to be rejected. What was reserved for the value is then released, as after an
-// error.
+// readWriteValue reads the value of a write, or forwards a large value while receiving it. It
+// reports whether the write is to be rejected. After a rejection or an error, the memory reserved
+// for the value is released.
 func (c *clientConn) readWriteValue(cmd *command, hasNoCapacity bool) (isRejected bool, err error) {
 	l := c.clients.loop
 	if cmd.valueBytes <= maxBufferedValue {
@@ -197,8 +197,8 @@
 	return isRejected, err
 }
 
-// endReading ends the reading of a connection after an error. Commands that were taken are still
-// answered where the connection's time was up, and abandoned where the client has disconnected.
+// endReading handles the error that ended the reading of a connection. If the connection's time was
+// up, accepted commands are still answered; if the client has disconnected, they are abandoned.
 func (c *clientConn) endReading(err error) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.abandonAnswers()
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// Connections that ask nothing end in time; half a command does not help. One with a request open
-// stays.
+// Guards against clients that hold connections without sending requests. A connection without a
+// complete command is closed in time, even if part of a command was sent. A connection with an open
+// request stays.
 func TestSilentClientsAreClosed(t *testing.T) {
 	release := make(chan struct{})
 	o := startFake(t, func(line string) string { <-release; return originOK(line) })
 	r, _ := serving(t, box("s-0000000b", startFake(t, miss).addr), originAt(o.addr))
-	began := time.Now()
+	startedAt := time.Now()
 	busy := dial(t, r.addr)
 	busy.send(billCommandOf("slow", 8000) + "\r\n")
 	receive(t, o.seen, "write")
@@ -26,7 +27,7 @@
 		if got := c.line(); got != "EOF" {
 			t.Errorf("%s: got %q", name, got)
 		}
-		if took := time.Since(began); took > firstCommandTimeout*3+time.Second {
+		if took := time.Since(startedAt); took > firstCommandTimeout*3+time.Second {
 			t.Errorf("%s: closed after %v", name, took)
 		}
 	}
@@ -35,8 +36,8 @@
 	}
 }
 
-// Silent clients by the hundred take all places: the usual ones get theirs, and none with a request
-// open is closed.
+// Guards against silent clients that use up all descriptors: idle connections are evicted, other
+// clients get theirs, and no connection with an open request is closed.
 func TestPlacesAreTakenFromTheIdle(t *testing.T) {
 	release := make(chan struct{})
 	s := startFake(t, func(line string) string {
@@ -53,17 +54,17 @@
 		dial(t, addr).send("mg half")
 		if i%10 == 0 {
 			if got := dial(t, addr).ask(readCommandOf(fmt.Sprint(i), 2000)); !strings.HasPrefix(got, "VA ") {
-				t.Errorf("a client among silent ones got %q", got)
+				t.Errorf("a client among silent clients got %q", got)
 			}
 		}
 	}
 	close(release)
 	if got := busy.line(); got != "VA 5 Oslow hello" {
-		t.Errorf("the client with a request open got %q", got)
+		t.Errorf("the client with an open request got %q", got)
 	}
 }
 
-// Unknown commands are told so a few times, and then end the connection.
+// A few unknown commands are answered with an error, then the connection is closed.
 func TestUnknownCommandsAreBounded(t *testing.T) {
 	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
 	c := dial(t, r.addr)
@@ -74,31 +75,32 @@
 		}
 	}
 	if got := c.line(); got != "EOF" {
-		t.Errorf("then %q", got)
+		t.Errorf("after the errors: got %q", got)
 	}
 }
 
-// Clients that ask once and keep their connections don't hold more than half of the places, long
-// before time ends them: the one that has been idle for longest goes when another has asked.
+// Guards against clients that send one request and then keep their connections. Such connections
+// hold at most half of the descriptors: when another client sends a request, the one idle for
+// longest is evicted, long before its idle timeout.
 func TestClientsThatAskOnceGiveWay(t *testing.T) {
 	s := startFake(t, hit)
 	_, addr := startLoop(t, 192, 8, box("s-0000000b", s.addr), originAt(s.addr))
-	began := time.Now()
+	startedAt := time.Now()
 	var kept []*client
 	for i := range 5 {
 		c := dial(t, addr)
 		c.ask(readCommandOf(fmt.Sprint("a", i), 2000))
 		kept = append(kept, c)
-		time.Sleep(restAfterAnswer + 20*time.Millisecond) // time itself is what counts
+		time.Sleep(restAfterAnswer + 20*time.Millisecond) // idle times must differ
 	}
 	if got := kept[0].line(); got != "EOF" {
 		t.Errorf("got %q", got)
 	}
-	if took := time.Since(began); took > idleTimeout {
-		t.Errorf("only after %v, by time", took)
+	if took := time.Since(startedAt); took > idleTimeout {
+		t.Errorf("closed by timeout after %v", took)
 	}
 	if got := kept[4].ask(readCommandOf("b", 2000)); got != "VA 5 Ob hello" {
-		t.Errorf("the last one got %q", got)
+		t.Errorf("the last connection got %q", got)
 	}
 }
 
@@ -110,14 +112,14 @@
 		}
 		return hit(line)
 	})
-	let := sync.OnceFunc(func() { close(first) })
-	t.Cleanup(let)
+	releaseFirst := sync.OnceFunc(func() { close(first) })
+	t.Cleanup(releaseFirst)
 	r, _ := serving(t, box("s-0000000b", s.addr), originAt(startFake(t, originOK).addr))
 	c := dial(t, r.addr)
 	c.send(readCommandOf("a1", 5000) + "\r\n" + readCommandOf("a2", 5000) + "\r\nversion\r\n")
 	receive(t, s.seen, "request")
-	receive(t, s.seen, "request behind it, on a connection of its own")
-	let()
+	receive(t, s.seen, "second request, on another connection")
+	releaseFirst()
 	for _, want := range []string{"VA 5 Oa1 hello", "VA 5 Oa2 hello", "ERROR"} {
 		if got := c.line(); got != want {
 			t.Errorf("got %q, want %q", got, want)
@@ -128,7 +130,7 @@
 	}
 }
 
-// More clients than there are sockets for: idle connections make room, and all are served.
+// With more clients than descriptors, idle connections are evicted and all clients are served.
 func TestIdleClientsMakeRoom(t *testing.T) {
 	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
 	for i := range 300 {
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -1,6 +1,6 @@
 package router
 
-// The listener and all client connections: accepting, eviction of idle ones, draining.
+// The listener and all client connections: accepting, evicting idle connections, draining.
 
 import (
 	"bufio"
@@ -14,63 +14,64 @@
 	"time"
 )
 
-// Bounds on clients. How long a client waits for an answer is bounded by its own deadline.
+// Limits on clients. How long a client waits for an answer is limited by its own deadline.
 const (
-	// maxPipelined is how many unanswered commands a connection may have.
+	// maxPipelined is the maximum number of unanswered commands of a connection.
 	maxPipelined = 16
-	// maxUnknownCommands is how many unknown commands end a connection.
+	// maxUnknownCommands is the number of unknown commands after which a connection is closed.
 	maxUnknownCommands = 4
-	// firstCommandTimeout is the time for a connection's first command to be complete.
+	// firstCommandTimeout is how long after the accept a connection's first command must be
+	// complete.
 	firstCommandTimeout = 2700 * time.Millisecond
-	// commandTimeout is the time for a later command to be complete once it has begun, and for the
-	// next piece of a large value.
+	// commandTimeout is how long a later command may take from its first byte until it is complete,
+	// and how long the next part of a large value may take.
 	commandTimeout = 2700 * time.Millisecond
-	// idleTimeout is the time for the next command to begin.
+	// idleTimeout is how long a connection may be idle before its next command begins.
 	idleTimeout = 3 * time.Second
-	// restAfterAnswer is how long a connection stays that has just been answered: the client's next
-	// command may be on its way.
+	// restAfterAnswer is how long a connection is kept open after an answer: the client's next
+	// command may be in transit.
 	restAfterAnswer = 100 * time.Millisecond
-	// answerWriteTimeout is the time for a client to take its answers.
+	// answerWriteTimeout is how long a client may take to receive its answers.
 	answerWriteTimeout = 5 * time.Second
-	// lingerTimeout is the time for a client that was rejected to close.
+	// lingerTimeout is how long a rejected client has to close its connection.
 	lingerTimeout = 500 * time.Millisecond
-	// lingerBytes is how much of its input is discarded meanwhile.
+	// lingerBytes is how much of its input is discarded in that time.
 	lingerBytes = 256 << 10
-	// firstCommandGrace is how long a connection may be silent at first and count as any other.
+	// firstCommandGrace is how long a new connection may be silent without a penalty.
 	firstCommandGrace = 200 * time.Millisecond
 	// silentConnPenalty is added to the idle time of a connection that stays silent for longer.
 	silentConnPenalty = time.Second
-	// queuedAcceptTimeout is how long the listener's queue is waited for once no new connection is
-	// expected.
+	// queuedAcceptTimeout is how long accept waits for a further connection in the listener's queue
+	// once no new connections are expected.
 	queuedAcceptTimeout = 10 * time.Millisecond
-	// acceptRetryDelay keeps accept from a tight loop while, say, no descriptor is left.
+	// acceptRetryDelay prevents a busy loop in accept, for example while no descriptor is left.
 	acceptRetryDelay = 100 * time.Millisecond
-	// evictRetryDelay is when eviction is tried again: the connection that was to be evicted may have
-	// got a command just then.
+	// evictRetryDelay is the time until eviction is tried again: the chosen connection may have
+	// received a command at that moment.
 	evictRetryDelay = 10 * time.Millisecond
-	// maxOverflowConns is how many connections beyond the limit may be open at once, to reject their
-	// command. They are part of fdReserve.
+	// maxOverflowConns is the maximum number of open connections beyond the limit, which only have
+	// their command rejected. Their descriptors are part of fdReserve.
 	maxOverflowConns = 8
-	// overflowCommandTimeout is the time for the command of such a connection to be complete.
+	// overflowCommandTimeout is how long the command of such a connection may take to be complete.
 	overflowCommandTimeout = 300 * time.Millisecond
 )
 
-// clients serves the connections of clients. Its goroutines are accept, one reader for each
-// connection and their writers; all are counted in wg, and drain waits for them.
+// clients serves the client connections. Its goroutines are accept, one reader for each connection,
+// and the writers. All are counted in wg, and drain waits for them.
 type clients struct {
 	loop     *loop
 	listener net.Listener
-	// connections has one descriptor for each connection that may be open.
+	// connections limits the client connections that are served.
 	connections descriptorQuota
-	// overflow has one descriptor for each connection that is beyond that.
+	// overflow limits the connections beyond that, which are only rejected.
 	overflow descriptorQuota
-	// readerPool holds *bufio.Reader: connections may come and go by the hundred.
+	// readerPool holds *bufio.Reader: hundreds of connections may be opened and closed at once.
 	readerPool sync.Pool
-	// isDraining is set when each connection is to end once nothing is unanswered on it.
+	// isDraining is set when each connection is to be closed once nothing is unanswered on it.
 	isDraining atomic.Bool
-	// commandsClosed is set when no further command is taken.
+	// commandsClosed is set when no further command is accepted.
 	commandsClosed atomic.Bool
-	// activeConns counts the connections that have sent a command.
+	// activeConns counts the open connections that have sent a command.
 	activeConns atomic.Int64
 	// acceptDone is closed when accept has ended.
 	acceptDone chan struct{}
@@ -81,7 +82,7 @@
 	conns map[*clientConn]struct{}
 }
 
-// newClients serves the clients of a listener, with at most so many connections.
+// newClients returns a server for the clients of a listener, with at most limit connections.
 func newClients(l *loop, listener net.Listener, limit int) *clients {
 	s := &clients{
 		loop:        l,
@@ -95,10 +96,10 @@
 	return s
 }
 
-// deadlineSetter is a listener whose Accept can be bounded in time.
+// deadlineSetter is a listener that supports a deadline for Accept.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// accept takes connections until the listener is closed or its deadline has passed.
+// accept accepts connections until the listener is closed or its deadline has passed.
 func (s *clients) accept() {
 	defer close(s.acceptDone)
 	for {
@@ -107,8 +108,8 @@
 		case err == nil:
 			s.serve(conn, s.acquireConnection())
 		case errors.Is(err, os.ErrDeadlineExceeded) && hasQueuedConnection(s.listener):
-			// Accept looks at its deadline before the queue: connections that stand there are taken
-			// all the same.
+			// Accept checks its deadline before the queue. Connections that are already queued are
+			// still accepted.
 			deadline := time.Now().Add(queuedAcceptTimeout)
 			s.listener.(deadlineSetter).SetDeadline(deadline) //nolint:errcheck // if it is closed, Accept reports it
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
@@ -120,8 +121,8 @@
 	}
 }
 
-// acceptQueued lets accept take what stands in the listener's queue, and end: closing the listener
-// before would reset those connections.
+// acceptQueued lets accept take the connections in the listener's queue, then stops it. Closing the
+// listener first would reset those connections.
 func (s *clients) acceptQueued() {
 	listener, ok := s.listener.(deadlineSetter)
 	if !ok || listener.SetDeadline(time.Now().Add(queuedAcceptTimeout)) != nil {
@@ -129,14 +130,14 @@
 	}
 	select {
 	case <-s.acceptDone:
-	case <-time.After(acceptAfterStop): // accept waits for a descriptor, and each has an unanswered command
+	case <-time.After(acceptAfterStop): // accept waits for a descriptor, and every connection has an unanswered command
 	}
 }
 
-// acquireConnection takes a descriptor for a connection and returns the quota that it is of. When none
-// is left, the connection that has been idle for longest is evicted. Where each has an unanswered
-// command, a new one may wait past its client's deadline, so it gets a descriptor of overflow, and
-// its command is rejected.
+// acquireConnection acquires a descriptor for a connection and returns its quota. If none is left,
+// it evicts the connection that has been idle for longest. If every connection has an unanswered
+// command, a new one could wait past its client's deadline. It then gets a descriptor from
+// overflow, and its command is rejected.
 func (s *clients) acquireConnection() *descriptorQuota {
 	for !s.connections.tryAcquire() {
 		if !s.evictIdle(false) && s.overflow.tryAcquire() {
@@ -151,17 +152,17 @@
 	return &s.connections
 }
 
-// setProcessCount leaves this process its part of the descriptors, while several processes are one
-// router, and evicts idle connections beyond it.
+// setProcessCount sets the limit to this process's share while several processes form one router,
+// and evicts idle connections beyond it.
 func (s *clients) setProcessCount(processes int) {
 	for range s.connections.setProcessCount(processes) {
 		s.evictIdle(false)
 	}
 }
 
-// evictIdle ends the connection that has been idle for longest, and reports whether there is one. With
-// onlyActive set, only connections count that have sent a command and have then been idle for
-// restAfterAnswer.
+// evictIdle closes the connection that has been idle for longest, and reports whether there was
+// one. If onlyActive is set, it considers only connections that have sent a command and then have
+// been idle for restAfterAnswer.
 func (s *clients) evictIdle(onlyActive bool) bool {
 	var longestIdle *clientConn
 	var idleSince time.Time
@@ -187,9 +188,9 @@
 	return true
 }
 
-// countActive counts a connection that has sent its first command, and evicts an idle one once these
-// hold more than half of the descriptors. Where many clients send one command and keep their
-// connection, idleTimeout comes too late: they would hold all descriptors, and the next clients
+// countActive counts a connection that has sent its first command. Once such connections hold more
+// than half of the descriptors, it evicts an idle one. Otherwise, if many clients sent one command
+// and kept their connections, they could hold all descriptors until idleTimeout, and new clients
 // would get none.
 func (s *clients) countActive(c *clientConn) {
 	c.isCountedAsActive.Store(true)
@@ -198,8 +199,8 @@
 	}
 }
 
-// serve starts the reader goroutine of a connection, which ends when the connection is closed. quota is
-// where its descriptor is from.
+// serve starts the reader goroutine of a connection, which ends when the connection is closed.
+// quota is the quota that the connection's descriptor was acquired from.
 func (s *clients) serve(conn net.Conn, quota *descriptorQuota) {
 	reader := s.readerPool.Get().(*bufio.Reader)
 	c := &clientConn{
@@ -227,7 +228,7 @@
 	}
 }
 
-// remove forgets a closed connection and gives back what it held.
+// remove unregisters a closed connection and releases its resources.
 func (s *clients) remove(c *clientConn) {
 	if c.isCountedAsActive.Load() {
 		s.activeConns.Add(-1)
@@ -240,7 +241,8 @@
 	c.quota.release()
 }
 
-// readiness answers mn: the router is used from MN on, so it must be able to serve.
+// readiness returns the answer to mn. Clients use the router once they get MN, so it must be able
+// to serve by then.
 func (s *clients) readiness() []byte {
 	if s.loop.hasEndpoints.Load() && !s.isDraining.Load() {
 		return []byte("MN\r\n")
@@ -248,9 +250,9 @@
 	return []byte("SERVER_ERROR not ready\r\n")
 }
 
-// drain closes every connection once it has nothing unanswered, and returns when all are closed.
-// Connections whose clients keep sending are never idle: no further command is taken once
-// commandsEnd is done, and what is open when connectionsEnd is done is closed.
+// drain closes every connection once nothing is unanswered on it, and returns when all are closed.
+// Connections whose clients keep sending are never idle. Therefore no further command is accepted
+// once commandsEnd is done, and connections still open when connectionsEnd is done are closed.
 func (s *clients) drain(commandsEnd, connectionsEnd context.Context) {
 	s.startDrain()
 	allClosed := make(chan struct{})
@@ -277,7 +279,7 @@
 	}
 }
 
-// startDrain has every connection closed once it has nothing unanswered.
+// startDrain makes every connection close once nothing is unanswered on it.
 func (s *clients) startDrain() {
 	s.isDraining.Store(true)
 	s.mu.Lock()
@@ -287,8 +289,9 @@
 	}
 }
 
-// stopReadingCommands ends the reading of every connection: a client sends elsewhere what is not
-// read. A command of which all has come is still taken, and so is a large value that is coming.
+// stopReadingCommands stops the reading of every connection; clients send unread commands to
+// another router. A completely received command and a large value being received are still
+// accepted.
 func (s *clients) stopReadingCommands() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/command.go
+++ b/internal/router/command.go
@@ -1,7 +1,7 @@
 package router
 
-// The commands of the memcache meta text protocol, as clients send them to routers and routers to
-// cache servers.
+// The commands of the memcache meta text protocol, which clients send to routers and routers send
+// to cache servers.
 
 import (
 	"bufio"
@@ -16,25 +16,25 @@
 )
 
 const (
-	// maxLineBytes bounds the line of a command or an answer.
+	// maxLineBytes limits the line of a command or an answer.
 	maxLineBytes = 4096
-	// maxKeyBytes is memcache's own limit on a key.
+	// maxKeyBytes is memcache's limit on a key.
 	maxKeyBytes = 250
-	// maxBufferedValue is the longest value, in bytes, that is read completely before anything is
-	// done with it.
+	// maxBufferedValue is the length, in bytes, up to which a value is read completely before it is
+	// processed.
 	maxBufferedValue = 64 << 10
-	// maxValueBytes is the protocol's limit on a value; one above maxBufferedValue is streamed.
+	// maxValueBytes is the protocol's limit on a value. Values above maxBufferedValue are streamed.
 	maxValueBytes = 4 << 20
-	// maxIDBytes bounds a request's id.
+	// maxIDBytes limits a request's id.
 	maxIDBytes = 64
-	// maxMetadataFields bounds the fields of a command's metadata.
+	// maxMetadataFields limits the number of fields in a command's metadata.
 	maxMetadataFields = 32
-	// maxNumberBytes bounds the text of a number.
+	// maxNumberBytes limits the text of a number.
 	maxNumberBytes = 20
 )
 
-// errMalformed is the root of all errors about what a peer has sent. A client gets the text of
-// those about its commands.
+// errMalformed is wrapped by all errors about invalid data from a peer. A client receives the text
+// of the errors about its commands.
 var errMalformed = errors.New("malformed")
 
 func malformed(format string, args ...any) error {
@@ -49,22 +49,22 @@
 	verbQuit        = "quit"
 )
 
-// command is a command of a client.
+// command is a client's command.
 type command struct {
-	// verb is one of the verbs below, or another word.
+	// verb is one of the verbs above, or an unknown word.
 	verb string
 	key  string
-	// id is the client's name for the request (flag O). It is opaque.
+	// id is the client's opaque id for the request (flag O).
 	id string
-	// metadata is the list of names and values as it came (flag P; X-Facts at the origin).
+	// metadata is the list of names and values as received (flag P; X-Facts at the origin).
 	metadata string
 	// valueBytes is the length of a write's value.
 	valueBytes int
-	// value is a write's value, which is read after the rest; nil where upload has it.
+	// value is a write's value, read after the rest of the command; nil for an upload.
 	value []byte
-	// upload is a large write that is forwarded while it comes.
+	// upload is a large write that is forwarded while it is received.
 	upload *upload
-	// reservedBytes is what is reserved of loop.valueBytes for the value.
+	// reservedBytes is how much of loop.valueBytes is reserved for the value.
 	reservedBytes int
 
 	// The fields below are from the metadata.
@@ -72,13 +72,13 @@
 	class          string
 	tenant         string
 	idempotencyKey string
-	// remainingMillis is how long the client waits for the answer.
+	// remainingMillis is how long the client will wait for the answer.
 	remainingMillis float64
-	// workHintMillis is how much work the client expects; 0 = unknown.
+	// workHintMillis is the client's estimate of the work; 0 = unknown.
 	workHintMillis float64
-	// sizeBytes is how long the client expects the value to be; 0 = unknown.
+	// sizeBytes is the client's estimate of the value's length; 0 = unknown.
 	sizeBytes float64
-	// isRetry is set where the client has sent the request before.
+	// isRetry is set if the client has sent the request before.
 	isRetry bool
 }
 
@@ -88,7 +88,8 @@
 // isRequest reports whether the command is a request, which the loop answers.
 func (c *command) isRequest() bool { return c.verb == verbRead || c.isWrite() }
 
-// readLine returns a line without its end, valid until the next read. The reader's buffer bounds it.
+// readLine returns a line without its line end. The line is limited by the reader's buffer and
+// valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -102,7 +103,7 @@
 	}
 	line = line[:len(line)-2]
 	for _, b := range line {
-		if !isPrintable(rune(b)) { // a line's parts go into HTTP headers, where a line end would forge others
+		if !isPrintable(rune(b)) { // parts of the line go into HTTP headers, where a line end would inject others
 			return nil, malformed("byte %#x in a line", b)
 		}
 	}
@@ -121,7 +122,7 @@
 	return int(n), nil
 }
 
-// readValue reads a value of n bytes and the line end behind it; an unwanted one is discarded.
+// readValue reads a value of n bytes and the line end after it. An unwanted value is discarded.
 func readValue(r *bufio.Reader, n int, isUnwanted bool) ([]byte, error) {
 	var value []byte
 	var err error
@@ -145,9 +146,9 @@
 	return value, nil
 }
 
-// readCommand reads one command but for its value. It takes the one form that routers forward and
-// nothing else: a cache server closes a connection with a command that it can't read, and with it
-// all that waits there.
+// readCommand reads one command without its value. It accepts only the exact form that routers
+// forward: a cache server closes the connection on a command that it can't parse, which would fail
+// the other requests on it too.
 func readCommand(r *bufio.Reader) (command, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -178,7 +179,7 @@
 	return c, c.parseMetadata()
 }
 
-// parseForm reads what stands behind the key: the value's length for a write, v for a read.
+// parseForm parses the word after the key: the value's length for a write, v for a read.
 func (c *command) parseForm(text string) (err error) {
 	if c.isWrite() {
 		c.valueBytes, err = readLength(text)
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// parseFlags reads the id and takes the metadata, in either order.
+// parseFlags parses the flags for id and metadata, in either order.
 func (c *command) parseFlags(flags []string) error {
 	for _, flag := range flags {
 		switch {
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// parseMetadata reads the list of names and values; unknown names are skipped.
+// parseMetadata parses the list of names and values. Unknown names are ignored.
 func (c *command) parseMetadata() error {
 	c.remainingMillis = -1
 	var names []string
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// setMetadata takes one field of the metadata. This is where the wire's letters are mapped.
+// setMetadata sets one field of the metadata. It maps the names on the wire to fields.
 func (c *command) setMetadata(name, value string) (err error) {
 	switch name {
 	case "c":
@@ -253,8 +254,8 @@
 	return err
 }
 
-// parseDecimal reads a number in plain digits, with or without a fraction: what the library takes
-// besides (signs, exponents, hexadecimal, words) is no form of the protocol.
+// parseDecimal parses a number of plain digits with an optional fraction. Other forms that the
+// library accepts (signs, exponents, hexadecimal, words) are not part of the protocol.
 func parseDecimal(text string) (float64, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || n > math.MaxUint32 || strings.Trim(text, "0123456789.") != "" || len(text) > maxNumberBytes {
@@ -263,7 +264,8 @@
 	return n, nil
 }
 
-// append writes the command as a cache server gets it: as it came, but for the timeout hint.
+// append appends the command as it is sent to a cache server: as received, except for the timeout
+// hint.
 func (c *command) append(b []byte, hint timeoutHint) []byte {
 	b = append(b, c.verb...)
 	b = append(b, ' ')
@@ -286,12 +288,12 @@
 	return b
 }
 
-// The answers that a client gets.
+// The answers sent to clients.
 
-// streamedAnswerHead is the answer with a streamed value of n bytes, up to the value.
+// streamedAnswerHead returns the part of an answer before a streamed value of n bytes.
 func streamedAnswerHead(c *command, n int) []byte { return fmt.Appendf(nil, "VA %d O%s\r\n", n, c.id) }
 
-// servedAnswer is the answer with a read's value or a write's receipt.
+// servedAnswer returns the answer with a read's value or a write's receipt.
 func servedAnswer(c *command, body []byte) []byte {
 	if c.isWrite() {
 		return fmt.Appendf(nil, "HD O%s c%s\r\n", c.id, body)
@@ -302,8 +304,8 @@
 	return append(b, "\r\n"...)
 }
 
-// rejectedAnswer is the answer to a request that is rejected, with its Retry-After where that is a
-// millisecond at least. The wire's word for it is busy.
+// rejectedAnswer returns the answer to a rejected request, with its Retry-After if that is at least
+// a millisecond. The protocol's word for it is busy.
 func rejectedAnswer(retryAfterMillis float64) []byte {
 	if retryAfterMillis < 1 {
 		return []byte("SERVER_ERROR busy\r\n")
@@ -311,5 +313,5 @@
 	return fmt.Appendf(nil, "SERVER_ERROR busy %d\r\n", int64(retryAfterMillis))
 }
 
-// failedAnswer is the answer to a request that has failed and may have run.
+// failedAnswer returns the answer to a request that has failed and may have run.
 func failedAnswer() []byte { return []byte("SERVER_ERROR failed\r\n") }
--- a/internal/router/command_test.go
+++ b/internal/router/command_test.go
@@ -50,7 +50,7 @@
 			t.Errorf("%.20q: got %q", in, got)
 		}
 		if got := c.line(); got != "EOF" {
-			t.Errorf("%.20q: then %q", in, got)
+			t.Errorf("%.20q: after the error: got %q", in, got)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		t.Errorf("key %#x", got)
 	}
 	if serverID("cache-east") == serverID("cache-west") || keyID("a") == keyID("b") {
-		t.Error("other forms clash")
+		t.Error("different names have the same id")
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 		again, err := read(c.append(nil, hintFor(c.remainingMillis)))
 		if err != nil || again.key != c.key || again.id != c.id || !bytes.Equal(again.value, c.value) {
-			t.Errorf("%q came back as %+v, %v", in, again, err)
+			t.Errorf("%q was encoded and parsed as %+v, %v", in, again, err)
 		}
 	})
 }
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -1,5 +1,5 @@
-// Package router is a router in front of cache servers on real sockets. It hosts one decide.Balancer
-// and decides nothing itself.
+// Package router implements a router in front of cache servers on real sockets. It leaves all
+// decisions to a decide.Balancer, whose host it is.
 package router
 
 import (
@@ -17,60 +17,60 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// Config is what a router gets at its start: the file that GW_CONFIG names, with what it leaves out
-// from the environment, and what an operator file adds.
+// Config is a router's initial configuration. It comes from the file named by GW_CONFIG, from
+// environment variables for what the file leaves out, and from an operator file.
 type Config struct {
-	// Name is the router's name in the fleet.
+	// Name is the router's name, unique in the fleet.
 	Name string `json:"name"`
 	// Listen is the host:port for clients.
 	Listen string `json:"listen"`
 	// Discovery is the host:port of discovery.
 	Discovery string `json:"discovery"`
-	// AdminAddr is the second address, for operators; "" = there is none.
+	// AdminAddr is the host:port of the operators' interface; "" = none.
 	AdminAddr string `json:"admin_addr"`
-	// Seed is the seed of random choices, in up to 16 hexadecimal digits.
+	// Seed is the seed of random choices, with up to 16 hexadecimal digits.
 	Seed   string `json:"seed"`
 	Limits Limits `json:"limits"`
-	// Known is the endpoint list as the router last held it.
+	// Known is the endpoint list that the router last held.
 	Known endpointList `json:"known"`
 	// Settings are the platform's settings.
 	Settings json.RawMessage `json:"settings"`
 
-	// Admission is what an operator file says of fair admission; nil = it is off.
+	// Admission is the operator file's section on fair admission; nil = disabled.
 	Admission *AdmissionConfig `json:"-"`
-	// Agreement is what an operator file says of the coordinators; nil = there are none.
+	// Agreement is the operator file's section on the coordinators; nil = none.
 	Agreement *Agreement `json:"-"`
-	// Trace takes single events; nil = none are kept.
+	// Trace records events; nil = none.
 	Trace *trace.Trace `json:"-"`
 
-	// text is the file.
+	// text is the text of the configuration file.
 	text []byte
-	// seed is Seed, parsed.
+	// seed is the parsed Seed.
 	seed uint64
-	// settings are Settings, parsed.
+	// settings are the parsed Settings.
 	settings settings.Settings
 }
 
-// Limits are the limits of a router, all its processes together.
+// Limits are the resource limits of a router, shared by all its processes.
 type Limits struct {
-	// MemoryMB is the memory in MiB.
+	// MemoryMB is the memory limit in MiB.
 	MemoryMB int64 `json:"memory_mb"`
-	// Sockets is the number of descriptors.
+	// Sockets is the limit on descriptors.
 	Sockets int `json:"sockets"`
 }
 
 const (
-	// fdReserve is how many descriptors the process has beside connections of clients and cache
-	// servers: standard streams, the listeners, the poller, discovery, the second address.
+	// fdReserve is the number of descriptors used for other purposes than client and upstream
+	// connections: standard streams, listeners, the poller, discovery, the operators' interface.
 	fdReserve = 24 + admin.MaxConns
-	// minMemoryMB is the least limit on memory.
+	// minMemoryMB is the minimum memory limit.
 	minMemoryMB = 16
-	// minSockets is the least limit on descriptors.
+	// minSockets is the minimum limit on descriptors.
 	minSockets = 2 * fdReserve
 )
 
-// LoadConfig reads the configuration at path; getenv fills in what the file leaves out. An error is
-// one line that names the setting.
+// LoadConfig reads the configuration at path; getenv provides what the file leaves out. An error is
+// a single line that names the setting.
 func LoadConfig(path string, getenv func(string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return c, nil
 }
 
-// Check returns all that is wrong with the configuration at path, as joined configerror.Problems; nil
-// where nothing is.
+// Check returns all problems of the configuration at path as joined configerror.Problems, or nil if
+// there are none.
 func Check(path string, getenv func(string) string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return errors.Join(all...)
 }
 
-// jsonProblem is an error of reading JSON, with its line and field where it tells them.
+// jsonProblem converts a JSON error, with its line and field if it has them.
 func jsonProblem(path string, text []byte, err error) configerror.Problem {
 	p := configerror.Problem{File: path, Line: configerror.LineAt(text, int64(len(text))), Reason: err.Error()}
 	var syntaxErr *json.SyntaxError
@@ -140,8 +140,8 @@
 	return p
 }
 
-// fill takes what the file leaves out from the environment, and lists what is wrong beside the
-// settings.
+// fill completes the configuration from the environment, and returns the problems outside of the
+// platform's settings.
 func (c *Config) fill(getenv func(string) string) (problems []configerror.Problem) {
 	add := func(setting, form string, v ...any) {
 		problems = append(problems, configerror.Problem{Setting: setting, Reason: fmt.Sprintf(form, v...)})
@@ -184,9 +184,9 @@
 	return problems
 }
 
-// replaces returns why a configuration can't replace another while the router runs.
+// replaces returns an error if the configuration can't replace old while the router runs.
 func (c *Config) replaces(old *Config) error {
-	missing, err := settings.MissingKey(old.text, c.text, "known") // the list may be any
+	missing, err := settings.MissingKey(old.text, c.text, "known") // the list may change freely
 	switch {
 	case err != nil:
 		return fmt.Errorf("GW_CONFIG: %w", err)
@@ -198,7 +198,7 @@
 		{"listen", old.Listen, c.Listen},
 	} {
 		if field.was != field.is {
-			return fmt.Errorf("%s: changes from %q to %q, which takes a restart", field.name, field.was, field.is)
+			return fmt.Errorf("%s: changing it from %q to %q requires a restart", field.name, field.was, field.is)
 		}
 	}
 	return nil
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -1,6 +1,6 @@
 package router
 
-// New configurations while the router runs: settings, and the discovery that is followed.
+// Configuration changes while the router runs: new settings and another discovery.
 
 import (
 	"context"
@@ -11,11 +11,14 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// runDiscovery follows the discovery that the configuration names, and takes new configurations,
-// until ctx ends. held is the list that the router starts with, and isHandover says that another
-// process of this router watches already. onList takes each list besides the loop. Another discovery
-// is asked for the changes to the list that its configuration brings: those take it a fraction of the
-// time of a complete list for each router.
+// runDiscovery follows the discovery named in the configuration, and applies new configurations,
+// until ctx ends. held is the list that the router starts with. isHandover is set if another
+// process of this router is already watching. onList is called with each list in addition to the
+// loop.
+//
+// When a configuration names another discovery, its own list (Config.Known) is used to ask that
+// discovery for changes only, which takes a fraction of the time of a complete list for each
+// router.
 func (l *loop) runDiscovery(ctx context.Context, cfg *Config, held endpointList, isHandover bool,
 	updates <-chan *Config, onList func(endpointList)) {
 	var wg sync.WaitGroup
@@ -27,7 +30,7 @@
 	}
 	for {
 		watchContext, stopWatch := context.WithCancel(ctx)
-		l.post(func() { l.setDiscovery(d) }) // before anything that it sends
+		l.post(func() { l.setDiscovery(d) }) // before any event of d
 		wg.Go(func() { d.run(watchContext) })
 		cfg = l.awaitOtherDiscovery(ctx, cfg, updates)
 		stopWatch()
@@ -39,8 +42,8 @@
 	}
 }
 
-// awaitOtherDiscovery takes new configurations until one names another discovery, and returns that;
-// nil when ctx ends.
+// awaitOtherDiscovery applies new configurations until one names another discovery, and returns
+// that one, or nil when ctx ends.
 func (l *loop) awaitOtherDiscovery(ctx context.Context, cfg *Config, updates <-chan *Config) *Config {
 	followed := cfg.Discovery
 	for cfg.Discovery == followed {
@@ -56,22 +59,22 @@
 	return cfg
 }
 
-// setDiscovery follows d from now on, and no discovery before it. The list that is held stays until d
-// gives a complete one.
+// setDiscovery makes d the current discovery. The held list stays in use until d provides a
+// complete one.
 func (l *loop) setDiscovery(d *discovery) {
 	l.discovery = d
 	if d.isPolled && !d.replacedAt.IsZero() {
 		l.balancer.DiscoveryMoved(l.now())
 	}
-	l.staleGuard = staleGuard{} // its versions may be counted otherwise
+	l.staleGuard = staleGuard{} // versions of different discoveries can't be compared
 }
 
-// newWatch is the discovery of a configuration. Its answers count while the loop follows it: one that
-// comes later is older than what the next discovery has sent.
+// newWatch returns the discovery client of a configuration. Its answers are ignored once the loop
+// follows another discovery, whose lists are newer.
 func (l *loop) newWatch(cfg *Config, onList func(endpointList)) *discovery {
 	var d *discovery
 	isPolled := cfg.settings.Config.PollEndpoints
-	// ifFollowed carries out an event on the loop if d is followed then, and waits for it.
+	// ifFollowed runs an event on the loop if d is the current discovery then, and waits for it.
 	ifFollowed := func(event func()) {
 		done := make(chan struct{})
 		l.post(func() {
@@ -91,9 +94,9 @@
 				l.updateEndpoints(list.updateKind(), list)
 			}
 		})
-		// After the loop: a state that is handed over from here on has the list, and a process that
-		// has taken an earlier state gets it by onList. The other way round it might get it by
-		// neither.
+		// onList must come after the loop: a hand-over state taken from now on includes the list,
+		// and a process that got an earlier state receives the list from onList. In the opposite
+		// order a process could miss the list.
 		onList(list)
 	}
 	takeFailure := func() {
@@ -105,8 +108,8 @@
 	return d
 }
 
-// applyConfig takes all of a new configuration or rejects it, counts which, and reports whether it
-// was taken.
+// applyConfig applies a new configuration completely or not at all, counts the result, and reports
+// whether it was applied.
 func (l *loop) applyConfig(ctx context.Context, old, cfg *Config) bool {
 	err := cfg.replaces(old)
 	if err == nil {
@@ -129,7 +132,7 @@
 	return true
 }
 
-// reconfigure takes the settings of a new configuration, or returns why it can't.
+// reconfigure applies the settings of a new configuration, or returns why it can't.
 func (l *loop) reconfigure(cfg *Config) error {
 	if err := l.admission.check(cfg); err != nil {
 		return err
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -15,8 +15,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// The answers before an error reach the client, however much it goes on sending: the connection
-// isn't reset at once.
+// Guards against a connection reset that destroys answers: the answers before an error reach the
+// client, however much input it continues to send.
 func TestAnswersSurviveRejectedInput(t *testing.T) {
 	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
 	for range 20 {
@@ -24,7 +24,7 @@
 		input := readCommandOf("a1", 2000) + "\r\nms k 62914560 Oa2 Pc=put,d=900,k=1\r\n" +
 			strings.Repeat("x", 100<<10)
 		go io.WriteString(c, input)
-		time.Sleep(20 * time.Millisecond) // so that an early reset would be there before the answers are read
+		time.Sleep(20 * time.Millisecond) // an early reset would arrive before the answers are read
 		if got := c.line(); got != "VA 5 Oa1 hello" {
 			t.Fatalf("got %q", got)
 		}
@@ -37,7 +37,7 @@
 	}
 }
 
-// A client that sends for ever is read for a bounded time and number of bytes.
+// Guards against clients that send input forever: reading is limited in time and bytes.
 func TestEndlessInputIsCutOff(t *testing.T) {
 	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
 	c := dial(t, r.addr)
@@ -50,15 +50,15 @@
 		}
 	}
 	if sent >= 60<<20 {
-		t.Error("all of a value of 60 MB was taken")
+		t.Error("a value of 60 MB was read completely")
 	}
 	if got := dial(t, r.addr).ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A command that comes just as the connection's time is up shows, though a read says only that the
-// time is up.
+// Guards against losing a command that arrives just as the connection's read deadline passes:
+// hasInput reports it even though a read only returns the deadline error.
 func TestInputIsSeenWhenTheTimeIsUp(t *testing.T) {
 	ln := listenLocal(t)
 	c := dial(t, ln.Addr().String())
@@ -69,12 +69,12 @@
 	defer s.Close()
 	s.SetReadDeadline(time.Unix(1, 0))
 	if hasInput(s) {
-		t.Error("input before any was sent")
+		t.Error("input reported before any was sent")
 	}
 	c.send("mn\r\n")
 	for end := time.Now().Add(wait); !hasInput(s); {
 		if time.Now().After(end) {
-			t.Fatal("the input does not show")
+			t.Fatal("the input is not reported")
 		}
 	}
 	if _, err := s.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -82,8 +82,8 @@
 	}
 }
 
-// expiringListener is a listener whose connections' second read comes to the end of its time once
-// it is let go.
+// expiringListener is a listener whose connections block in their second read until let is opened;
+// that read then returns a deadline error.
 type expiringListener struct {
 	net.Listener
 	at  chan<- *expiringConn
@@ -113,19 +113,19 @@
 	return c.TCPConn.Read(b)
 }
 
-// A command of which the last part has come when its connection has to give way is taken.
+// Guards against dropping a command whose last part arrives while its connection is being evicted.
 func TestCommandThatCrossesItsConnectionsEndIsTaken(t *testing.T) {
 	s := startFake(t, hit)
 	l, _, _ := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(s.addr))
-	at, let := make(chan *expiringConn, 10), newGate(t)
-	clients := newClients(l, expiringListener{listenLocal(t), at, let}, 10)
+	secondReads, expire := make(chan *expiringConn, 10), newGate(t)
+	clients := newClients(l, expiringListener{listenLocal(t), secondReads, expire}, 10)
 	clients.wg.Go(clients.accept)
 	c := dial(t, clients.listener.Addr().String())
 	c.send(readOf(1, "a", 60000)[:9])
-	nc := receive(t, at, "a read behind the first part")
+	nc := receive(t, secondReads, "a read after the first part")
 	clients.mu.Lock()
 	for conn := range clients.conns {
-		conn.mu.Lock() // as drop does, with the rest coming meanwhile
+		conn.mu.Lock() // as in clientConn.drain, with the rest arriving in the meantime
 		conn.isDraining, conn.commandDeadline = true, time.Now().Add(time.Hour)
 		conn.mu.Unlock()
 	}
@@ -133,19 +133,19 @@
 	c.send(readOf(1, "a", 60000)[9:] + "\r\n")
 	for !hasInput(nc) {
 	}
-	let.open()
+	expire.open()
 	if got := c.line(); got != "VA 5 Oa hello" {
 		t.Errorf("got %q", got)
 	}
 	if got := c.line(); got != "EOF" {
-		t.Errorf("then %q", got)
+		t.Errorf("after the answer: got %q", got)
 	}
 	c.Close()
 	clients.awaitEnd(t)
 }
 
-// Where an answer can't be written, what stands behind it ends too: requests that are open, and
-// answers that are counted.
+// Guards against requests and reserved answer bytes that remain after a failed write: if an answer
+// can't be written, the requests and answers queued after it end too.
 func TestWhatStandsBehindABrokenAnswerEnds(t *testing.T) {
 	first, second := newGate(t), newGate(t)
 	s := startFake(t, miss)
@@ -164,7 +164,7 @@
 		receive(t, o.seen, "a fetch")
 	}
 	c.send(strings.Repeat("mn\r\n", maxPipelined-2))
-	eventually(t, l, "answers behind both", func() bool {
+	eventually(t, l, "answers queued after both", func() bool {
 		return l.answerBytes.used.Load() >= int64(len("MN\r\n"))*(maxPipelined-2)
 	})
 	var conn *clientConn
@@ -172,17 +172,17 @@
 	for conn = range clients.conns {
 	}
 	clients.mu.Unlock()
-	// no write succeeds from now on, and the reader, which waits for room, isn't told
+	// From now on no write succeeds, and the reader, which waits for capacity, is not notified.
 	conn.Conn.(*net.TCPConn).CloseWrite()
 	first.open()
-	eventually(t, l, "the end of both, and no bytes counted",
+	eventually(t, l, "the end of both requests, and no reserved bytes",
 		func() bool { return l.answerBytes.used.Load() == 0 && len(l.unanswered) == 0 })
 	second.open()
 	clients.awaitEnd(t)
 }
 
-// A command that comes when its connection is about to be closed destroys no answer: the close
-// would be a reset.
+// Guards against a command that arrives just before its connection is closed: closing would reset
+// the connection and destroy the answer before it.
 func TestCommandThatCrossesTheCloseDestroysNoAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	client := dial(t, ln.Addr().String())
@@ -201,20 +201,20 @@
 		t.Errorf("got %q", got)
 	}
 	if _, err := client.r.ReadByte(); err != io.EOF {
-		t.Errorf("then %v", err)
+		t.Errorf("after the answer: got %v", err)
 	}
 	client.Close()
 	receive(t, ended, "end")
 }
 
-// A server may close a kept connection just when a request is written to it. That request may have
-// run: what must not be repeated fails, once.
+// Guards against repeating a request that may have run: a server may close an idle connection just
+// as a request is written to it. The outcome is a reset, and the request is sent once.
 func TestCloseThatCrossesAWriteIsAReset(t *testing.T) {
-	shut := newGate(t)
+	closeConn := newGate(t)
 	var armed atomic.Bool
 	o := startFake(t, func(line string) string {
 		if armed.Load() {
-			<-shut.opened
+			<-closeConn.opened
 			return "close"
 		}
 		return originOK(line)
@@ -225,10 +225,10 @@
 		t.Fatalf("got %v", got.status)
 	}
 	armed.Store(true)
-	time.Sleep(originIdleMinimum) // which the kept one rests
-	on := writeAlways
-	on.afterWrite = shut.open // it is written whole, and the server, which has it, says nothing
-	if got := u.roundTrip(t.Context(), target, putCommand(), on); got.status != decide.Reset {
+	time.Sleep(originIdleMinimum) // until then the connection is not used again
+	hooks := writeAlways
+	hooks.afterWrite = closeConn.open // the request is written completely; the server closes without an answer
+	if got := u.roundTrip(t.Context(), target, putCommand(), hooks); got.status != decide.Reset {
 		t.Errorf("got %v, want a reset", got.status)
 	}
 	if o.conns.Load() != 1 || len(o.seen) != 2 {
@@ -236,7 +236,7 @@
 	}
 }
 
-// shutdownRecorder is a connection that tells how it is shut.
+// shutdownRecorder is a connection that reports how it is shut down.
 type shutdownRecorder struct {
 	*net.TCPConn
 	how chan<- string
@@ -249,10 +249,11 @@
 
 func (c shutdownRecorder) Close() error { c.how <- "close"; return c.TCPConn.Close() }
 
-// A close that a command is on its way to would be a reset too, and might overtake the answer
-// before it.
+// Guards against a close just after an answer, while the client's next command may be in transit:
+// the connection would be reset, and the reset could destroy the answer. The answers are ended
+// first.
 func TestAnswerThatHasJustGoneOutArrivesBeforeTheClose(t *testing.T) {
-	for name, at := range map[string]time.Duration{"just answered": time.Hour, "answered long ago": -time.Hour} {
+	for name, sinceAnswer := range map[string]time.Duration{"just answered": time.Hour, "answered long ago": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ln := listenLocal(t)
@@ -261,26 +262,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			how := make(chan string, 10)
-			c := &clientConn{Conn: shutdownRecorder{nc.(*net.TCPConn), how}, reader: bufio.NewReader(nc),
-				unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(at)}
+			shutdowns := make(chan string, 10)
+			c := &clientConn{Conn: shutdownRecorder{nc.(*net.TCPConn), shutdowns}, reader: bufio.NewReader(nc),
+				unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(sinceAnswer)}
 			ended := make(chan struct{})
 			go func() { defer close(ended); c.closeAfterAnswers(false) }()
 			if got := client.line(); got != "EOF" {
 				t.Errorf("got %q", got)
 			}
-			if at > 0 {
-				if got := receive(t, how, "shutdown"); got != "end of the answers" {
+			if sinceAnswer > 0 {
+				if got := receive(t, shutdowns, "shutdown"); got != "end of the answers" {
 					t.Errorf("first %q", got)
 				}
 				client.send(readOf(1, "late", 60000) + "\r\n")
-				for range 2 { // it is not read as a command, and does not reset
+				for range 2 { // the input is not read as commands and causes no reset
 					client.send("mn\r\n")
 				}
 				client.Close()
 			}
-			if got := receive(t, how, "shutdown"); got != "close" {
-				t.Errorf("then %q", got)
+			if got := receive(t, shutdowns, "shutdown"); got != "close" {
+				t.Errorf("last shutdown: got %q", got)
 			}
 			receive(t, ended, "end")
 		})
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -1,8 +1,7 @@
 package router
 
-// The methods of decide.Host beside Send and Cancel: what the Balancer asks of the network. They are
-// called on the loop, from within a call of the Balancer; what they would call it back with is
-// deferred to the end of that.
+// The methods of decide.Host other than Send and Cancel. The Balancer calls them on the loop. They
+// defer calls back into the Balancer until its current call has returned.
 
 import (
 	"context"
@@ -13,7 +12,7 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Reject answers a request with a Retry-After in milliseconds. It has not run.
+// Reject answers a request that has not run, with a Retry-After in milliseconds.
 func (l *loop) Reject(id uint32, retryAfterMillis float64) {
 	if r := l.requests[id]; r != nil {
 		l.finish(r, rejectedAnswer(retryAfterMillis), metrics.Overload)
@@ -27,10 +26,10 @@
 	}
 }
 
-// healthCheckTimeout is the time for the answer to a health check, its connection included.
+// healthCheckTimeout is the timeout of a health check, including the connection.
 const healthCheckTimeout = 500 * time.Millisecond
 
-// HealthCheck asks a server for its load, unless another router of the fleet has just asked it.
+// HealthCheck requests a server's load, unless a recent report of another router is available.
 func (l *loop) HealthCheck(server uint32) {
 	t := l.targets[server]
 	if t == nil {
@@ -51,13 +50,13 @@
 	})
 }
 
-// deferHealthCheck gives the Balancer the outcome of a health check after its present call.
+// deferHealthCheck reports a health check's outcome to the Balancer after its current call.
 func (l *loop) deferHealthCheck(server uint32, status decide.AttemptStatus, load decide.LoadReport) {
 	l.deferred = append(l.deferred, func() { l.balancer.HealthCheckEnded(l.now(), server, status, load) })
 }
 
-// checkTarget carries a health check out. Any goroutine may call it but the loop's, which it would
-// block.
+// checkTarget performs a health check. It blocks, so the loop must not call it; any other goroutine
+// may.
 func (l *loop) checkTarget(ctx context.Context, server uint32, t *target) (decide.AttemptStatus, decide.LoadReport) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -74,20 +73,20 @@
 	}
 }
 
-// SetTimer calls the Balancer's TimerExpired with the token after so many milliseconds.
+// SetTimer calls the Balancer's TimerExpired with token after afterMillis.
 func (l *loop) SetTimer(afterMillis float64, token uint64) {
 	l.after(afterMillis, func() { l.balancer.TimerExpired(l.now(), token) })
 }
 
-// WatchEndpoints polls discovery, which is then watched for changes.
+// WatchEndpoints requests a watch of discovery.
 func (l *loop) WatchEndpoints() {
 	if l.discovery != nil {
 		l.discovery.requestWatch()
 	}
 }
 
-// Gossip sends nothing: the decision module has nothing to share with other routers.
+// Gossip does nothing: the decision module shares no data with other routers.
 func (l *loop) Gossip([]byte) {}
 
-// Log logs a line of the decision module.
+// Log logs a message of the decision module.
 func (l *loop) Log(text string) { slog.Info("module", "text", text) }
--- a/internal/router/descriptors.go
+++ b/internal/router/descriptors.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// descriptorQuota bounds the connections of clients that may be open at once: the descriptors that
-// the router has for them, or this process's part while several processes are one router.
+// descriptorQuota limits the number of open client connections to the router's descriptors for
+// them, or to this process's share while several processes form one router.
 type descriptorQuota struct {
-	// released has an element after a release, until a waiter has taken it. Its capacity is 1.
+	// released has an element after a release until a waiter takes it. Its capacity is 1.
 	released chan struct{}
-	// routerLimit is the limit of all processes of this router together.
+	// routerLimit is the common limit of all processes of this router.
 	routerLimit int
-	// processReserve is how many each further process needs for other things.
+	// processReserve is how many descriptors each additional process needs for other purposes.
 	processReserve int
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// used counts the descriptors in use; it is above limit for a while after limit was lowered.
+	// used counts the descriptors in use. It may exceed limit for a while after limit was lowered.
 	used int
-	// limit is this process's.
+	// limit is this process's limit.
 	limit int
 }
 
@@ -24,7 +24,7 @@
 	return descriptorQuota{released: make(chan struct{}, 1), routerLimit: limit, limit: limit}
 }
 
-// tryAcquire takes a descriptor if one is left.
+// tryAcquire acquires a descriptor if one is left.
 func (q *descriptorQuota) tryAcquire() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -35,7 +35,7 @@
 	return true
 }
 
-// release gives a descriptor back and wakes one waiter.
+// release releases a descriptor and wakes one waiter.
 func (q *descriptorQuota) release() {
 	q.mu.Lock()
 	q.used--
@@ -46,7 +46,8 @@
 	}
 }
 
-// setProcessCount sets the limit to this process's part, and returns how many are in use beyond it.
+// setProcessCount sets the limit to this process's share, and returns how many descriptors in use
+// exceed it.
 func (q *descriptorQuota) setProcessCount(processes int) (excess int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,8 +61,8 @@
 	return int64(q.limit / 2)
 }
 
-// processLimit is the part of a router's limit that each of its processes has, where each further
-// process takes a reserve from the whole.
+// processLimit returns each process's share of a router's limit, after subtracting processReserve
+// for each additional process.
 func processLimit(routerLimit, processReserve, processes int) int {
 	return max(1, (routerLimit-(processes-1)*processReserve)/processes)
 }
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -15,66 +15,67 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// discovery gets the endpoint list from a discovery service and then watches it: a call that waits
-// for changes is answered when there are some, or with none at the end of its wait. Its goroutine
-// is run; the fields below onFailure belong to it.
+// discovery is a client of a discovery service. It gets the endpoint list and then watches it with
+// calls that are answered when there are changes, or without changes at the end of their wait. Its
+// goroutine is run; the fields below onFailure belong to it.
 type discovery struct {
-	// url is that of the complete list.
+	// url is the URL of the complete list.
 	url    string
 	client *http.Client
-	// isPolled is set where discovery is one service for all routers: it is watched only once the
-	// Balancer asks for it, and failures are reported to the Balancer, which asks again. Else it is
-	// an agent on the router's own machine, which is watched all the time.
+	// isPolled is set if one discovery service serves all routers. It is then watched only when the
+	// Balancer requests it; failures are reported to the Balancer, which requests the next watch.
+	// Otherwise discovery is an agent on the router's own machine, which is watched all the time.
 	isPolled bool
 	timing   discoveryTiming
-	// watchRequested has an element once the Balancer has asked for the watch. Its capacity is 1.
+	// watchRequested has an element while the Balancer has requested a watch. Its capacity is 1.
 	watchRequested chan struct{}
-	// onList takes a list.
+	// onList receives each list.
 	onList func(endpointList)
-	// onFailure is called after a failure, once the watch is open to requests again.
+	// onFailure is called after a failure, when the next watch can be requested.
 	onFailure func()
 
-	// holdsList is set where a list is held of which changes can be asked for; else the complete
-	// one is.
+	// holdsList is set if a list is held whose changes can be requested; otherwise the complete
+	// list is requested.
 	holdsList bool
-	// heldVersion is the version of that list.
+	// heldVersion is the version of the held list.
 	heldVersion int64
-	// base is that list while it is not the one that the router holds, which is in the versions of
-	// another discovery. Without servers they are the same.
+	// base is the held list if it differs from the router's list, whose versions are those of
+	// another discovery. It has no servers if the two are the same.
 	base endpointList
-	// replacedAt is when this watch replaced that of another discovery or process; zero: neither.
+	// replacedAt is when this client replaced that of another discovery or process; zero = it did
+	// not.
 	replacedAt time.Time
 }
 
-// discoveryTiming is how long discovery is waited for. A watch without changes and a dead one look
-// alike until the wait is over: only then is a watch found to be dead, with all the changes that it
-// has lost.
+// discoveryTiming holds the timing of discovery calls. An unanswered watch can't be distinguished
+// from one without changes until its wait is over. Only then is a lost watch detected, with all the
+// changes lost on it.
 type discoveryTiming struct {
-	// turnTimeout is for a call that discovery answers in its turn, without a wait for changes.
+	// turnTimeout is the timeout of a call that discovery answers without waiting for changes.
 	turnTimeout time.Duration
 	// watchWait is how long one call of a watch waits for changes.
 	watchWait time.Duration
-	// firstWatchWait is that of the first call, whose answer says that the list is current.
+	// firstWatchWait is the wait of the first call, whose answer confirms that the list is current.
 	firstWatchWait time.Duration
-	// newWatchWait is how long one call of a watch waits in the first newWatchDuration after it
-	// replaced that of another discovery or process: what discovery has by then counts as notified
-	// then, also where the watch has fallen silent before. 0 = as long as usual.
+	// newWatchWait is how long a watch call waits during the first newWatchDuration after the watch
+	// replaced that of another discovery or process. Changes made by the end of that time count as
+	// received then, even if the watch has stopped answering before. 0 = watchWait.
 	newWatchWait     time.Duration
 	newWatchDuration time.Duration
-	// watchSlack is how long the answer to a watch may take beyond its wait.
+	// watchSlack is how long a watch's answer may take beyond its wait.
 	watchSlack time.Duration
-	// maxBackoff bounds the time between a failure of an agent and the next call. It is half of that
-	// at least, and random: else all routers would call at once when agents are back. Where
-	// discovery is polled, the Balancer alone decides on the next call.
+	// maxBackoff limits the backoff after a failed call to an agent. The backoff is random and at
+	// least half of maxBackoff; otherwise all routers would call at once when agents are back. If
+	// discovery is polled, the Balancer alone decides when to call again.
 	maxBackoff time.Duration
-	// maxBackoffAfterAnswer bounds that time where a call before the failure was answered.
+	// maxBackoffAfterAnswer limits the backoff if a call before the failure was answered.
 	maxBackoffAfterAnswer time.Duration
 }
 
 var (
 	// agentTiming is for the agent on the router's own machine, which answers at once and at no
-	// cost. What it has sent, even into a connection that ends, must be acted on within 500 ms;
-	// after an outage its changes count as notified at once, so it is called often.
+	// cost. Changes that it has sent, even into a broken connection, must take effect within 500
+	// ms. After an outage its changes count as received at once, so it is called often.
 	agentTiming = discoveryTiming{
 		turnTimeout:           250 * time.Millisecond,
 		watchWait:             2 * time.Second,
@@ -82,8 +83,8 @@
 		maxBackoff:            100 * time.Millisecond,
 		maxBackoffAfterAnswer: 50 * time.Millisecond,
 	}
-	// sharedTiming is for one discovery for all routers. It works through calls one by one, so they
-	// are few and wait long.
+	// sharedTiming is for one discovery service for all routers. It processes calls one at a time,
+	// so calls are rare and wait long.
 	sharedTiming = discoveryTiming{
 		turnTimeout:      decide.MaxPollCallMillis * time.Millisecond,
 		watchWait:        10 * time.Second,
@@ -95,31 +96,31 @@
 )
 
 const (
-	// sharedRouters is how many routers sharedTiming is for.
+	// sharedRouters is the number of routers that sharedTiming is meant for.
 	sharedRouters = 8
-	// maxWatchWait bounds the wait of a watch, however many routers there are.
+	// maxWatchWait limits the wait of a watch for any number of routers.
 	maxWatchWait = time.Minute
 )
 
-// forRouters is the timing where so many routers call one discovery: the wait grows with them, as
-// each end of a wait costs discovery a call from each router.
+// forRouters returns the timing for the given number of routers. The wait grows with them, as every
+// end of a wait causes one call from each router.
 func (t discoveryTiming) forRouters(routers int) discoveryTiming {
 	t.watchWait = min(t.watchWait*time.Duration(max(sharedRouters, routers))/sharedRouters, maxWatchWait)
 	return t
 }
 
 const (
-	// dialTimeout is for connecting to discovery.
+	// dialTimeout is the timeout for connecting to discovery.
 	dialTimeout = time.Second
-	// minWatchInterval is the least time between the calls of a watch that is answered at once and
-	// without changes: an agent that does not wait would else be called without end. A watch may
-	// pause for 200 ms.
+	// minWatchInterval is the minimum time between watch calls that are answered without changes,
+	// so that an agent that does not wait isn't called in a tight loop. A watch may be interrupted
+	// for 200 ms.
 	minWatchInterval = 50 * time.Millisecond
-	// maxListBytes bounds an answer: an indented list of 2,500 servers takes 0.7 MB.
+	// maxListBytes limits an answer. An indented list of 2,500 servers takes 0.7 MB.
 	maxListBytes = 2 << 20
-	// maxHeaderBytes bounds its headers.
+	// maxHeaderBytes limits the headers of an answer.
 	maxHeaderBytes = 64 << 10
-	// maxDiscoveryConns bounds the connections to discovery.
+	// maxDiscoveryConns limits the connections to discovery.
 	maxDiscoveryConns = 2
 	// listPath is the path of the list.
 	listPath = "/v1/servers"
@@ -145,7 +146,7 @@
 	}
 }
 
-// requestWatch asks for the watch. Any goroutine may call it.
+// requestWatch requests a watch. Any goroutine may call it.
 func (d *discovery) requestWatch() {
 	select {
 	case d.watchRequested <- struct{}{}:
@@ -153,21 +154,21 @@
 	}
 }
 
-// run follows the endpoint list until ctx ends. It decides when a watch is given up and discovery is
-// called again:
+// run follows the endpoint list until ctx ends. It decides when a watch has failed and when
+// discovery is called again:
 //
-//   - A watch ends with the first call that fails, or is not answered within its wait and watchSlack.
-//     The next one begins with the complete list, or with all changes since the list that is held, so
-//     that what was lost comes with its first answer. That call waits for its turn for turnTimeout.
-//   - A watch that was silent to the end of its wait is replaced at once, as changes that it has lost
-//     count as known soon after. While discovery stays silent that is one call every turnTimeout,
-//     without a backoff and without a word to the Balancer.
-//   - After any other failure the Balancer is notified where discovery is polled, and the next watch
-//     begins at its next request; an agent is called again after backoff.
+//   - A watch ends with the first call that fails or isn't answered within its wait and watchSlack.
+//     The next watch begins with the complete list, or with all changes since the held list, so its
+//     first answer contains the changes that were lost. The timeout of that call is turnTimeout.
+//   - A polled watch that was not answered by the end of its wait is replaced at once, because the
+//     changes lost on it count as received soon after. While discovery does not answer, that means
+//     one call per turnTimeout, without backoff and without a report to the Balancer.
+//   - After any other failure, the Balancer is notified if discovery is polled, and the next watch
+//     begins when it requests one. An agent is called again after the backoff.
 func (d *discovery) run(ctx context.Context) {
 	defer d.client.CloseIdleConnections()
-	isFailing := false // the failure is logged, and the next ones need not be
-	isSilent := false  // the last watch was
+	isFailing := false // a failure was logged; later ones in a row are not
+	isSilent := false  // the last watch was not answered by the end of its wait
 	for ctx.Err() == nil {
 		if d.isPolled && !isSilent {
 			select {
@@ -181,7 +182,7 @@
 			return
 		}
 		if isAnswered || !isFailing {
-			slog.Warn("discovery", "address", d.addr(), "error", err)
+			slog.Warn("discovery call failed", "address", d.addr(), "error", err)
 		}
 		isFailing = true
 		isSilent = d.isPolled && errors.Is(err, errSilentWatch)
@@ -194,7 +195,7 @@
 	}
 }
 
-// pause lets the backoff of an agent pass, or ctx end.
+// pause waits for the backoff of an agent or the end of ctx.
 func (d *discovery) pause(ctx context.Context, isAnswered bool) {
 	if d.isPolled {
 		return
@@ -205,8 +206,8 @@
 	}
 }
 
-// dropRequest drops a request for a watch from before a failure that the Balancer does not know of
-// yet.
+// dropRequest drops a watch request that was made before a failure that the Balancer has not been
+// notified of yet.
 func (d *discovery) dropRequest() {
 	select {
 	case <-d.watchRequested:
@@ -214,13 +215,13 @@
 	}
 }
 
-// addr is discovery's host:port.
+// addr returns discovery's host:port.
 func (d *discovery) addr() string {
 	return strings.TrimSuffix(strings.TrimPrefix(d.url, "http://"), listPath)
 }
 
-// backoff is the time between a failure of an agent and the next call, where a call before the
-// failure was answered or not.
+// backoff returns the time between a failed call to an agent and the next call. isAnswered reports
+// whether a call before the failure was answered.
 func (d *discovery) backoff(isAnswered bool) time.Duration {
 	half := d.timing.maxBackoff / 2
 	backoff := half + rand.N(half)
@@ -230,15 +231,15 @@
 	return backoff
 }
 
-// errSilentWatch is the error of a watch that was not answered by the end of its wait.
-var errSilentWatch = errors.New("a silent watch")
+// errSilentWatch is returned for a watch call that was not answered by the end of its wait.
+var errSilentWatch = errors.New("watch call not answered in time")
 
-// followList gets the complete list, or what has changed since the one that is held, and the
-// changes after it, until a call fails. It reports whether any was answered.
+// followList gets the complete list, or the changes since the held list, and then watches for
+// changes until a call fails. It reports whether any call was answered.
 func (d *discovery) followList(ctx context.Context) (isAnswered bool, err error) {
 	calledAt := time.Now()
 	list, err := d.firstCall(ctx)
-	for err == nil && ctx.Err() == nil { // once ctx has ended another discovery is followed
+	for err == nil && ctx.Err() == nil { // after the end of ctx another discovery is followed
 		isAnswered = true
 		list = d.withBase(list)
 		if d.isPolled {
@@ -259,15 +260,16 @@
 	return isAnswered, err
 }
 
-// hold has a watch that is polled begin with the changes to the list that the router holds. The list
-// is in this discovery's versions.
+// hold makes a polled watch begin with the changes since the router's list, whose version must be
+// one of this discovery.
 func (d *discovery) hold(list endpointList) {
 	d.holdsList = d.isPolled && len(list.Servers) > 0
 	d.heldVersion = list.Version
 }
 
-// replace has this discovery replace another. list is hold's, but one that the router does not hold:
-// the first answer, completed by it, replaces the one that is held.
+// replace makes this client replace that of another discovery. list is in this discovery's
+// versions, as for hold, but is not the router's list; completed by the first answer, it replaces
+// that.
 func (d *discovery) replace(list endpointList) {
 	d.replacedAt = time.Now()
 	d.hold(list)
@@ -276,7 +278,8 @@
 	}
 }
 
-// withBase is an answer, or the complete list that it and the base make together.
+// withBase returns the complete list made of the base and an answer, or the answer if there is no
+// base.
 func (d *discovery) withBase(answer endpointList) endpointList {
 	base := d.base
 	d.base = endpointList{}
@@ -286,8 +289,8 @@
 	return base.with(answer)
 }
 
-// firstCall gets the complete list, or the changes to the one that is held: one call, not two. It
-// waits for its turn, but not for changes: a silent discovery is found out soon.
+// firstCall gets the complete list, or the changes since the held list, with a single call. That
+// call does not wait for changes, so that a discovery that does not answer is detected soon.
 func (d *discovery) firstCall(ctx context.Context) (endpointList, error) {
 	if !d.holdsList {
 		return d.get(ctx, d.url, d.timing.turnTimeout)
@@ -295,7 +298,7 @@
 	return d.callWatch(ctx, d.heldVersion, d.timing.firstWatchWait, d.timing.turnTimeout)
 }
 
-// watchWait is how long the next call of a watch waits for changes.
+// watchWait returns how long the next watch call waits for changes.
 func (d *discovery) watchWait() time.Duration {
 	if d.timing.newWatchWait > 0 && time.Since(d.replacedAt) < d.timing.newWatchDuration {
 		return d.timing.newWatchWait
@@ -303,8 +306,8 @@
 	return d.timing.watchWait
 }
 
-// callWatch waits so long for the changes since a version. The error of a call that is not answered
-// within that and slack is an errSilentWatch.
+// callWatch waits for changes since a version, for at most wait. If the call is not answered within
+// wait and slack, the error wraps errSilentWatch.
 func (d *discovery) callWatch(ctx context.Context, version int64, wait, slack time.Duration) (endpointList, error) {
 	list, err := d.get(ctx, d.watchURL(version, wait), wait+slack)
 	if ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) {
@@ -313,12 +316,12 @@
 	return list, err
 }
 
-// watchURL is the URL of a watch's call.
+// watchURL returns the URL of a watch call.
 func (d *discovery) watchURL(version int64, wait time.Duration) string {
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", d.url, version, wait.Milliseconds())
 }
 
-// get makes a call and reads its answer.
+// get makes a call with a timeout and returns the list in the answer.
 func (d *discovery) get(ctx context.Context, url string, timeout time.Duration) (endpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -332,7 +335,7 @@
 	return list, nil
 }
 
-// getList makes a call without a time limit of its own.
+// getList makes a call without a timeout of its own.
 func (d *discovery) getList(ctx context.Context, url string) (endpointList, error) {
 	body, err := d.getBody(ctx, url)
 	if err != nil {
@@ -341,7 +344,7 @@
 	return parseList(body)
 }
 
-// getBody makes a call and returns the body of its answer, which maxListBytes bounds.
+// getBody makes a call and returns the body of the answer, which maxListBytes limits.
 func (d *discovery) getBody(ctx context.Context, url string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -18,17 +18,17 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// A watch of a discovery that is asked may fall silent at any point. Once its wait is over it is
-// opened anew, over another connection and without being asked to, however long the module would
-// have waited after a failure.
+// Guards against a polled watch that stops answering, at any point of its answer, and is not
+// replaced soon. Once its wait is over, it is replaced over another connection at once, without a
+// request from the Balancer and without its backoff.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	for name, says := range map[string]string{"from the start": "", "in the headers": "HTTP/1.1 200 OK\r\nContent-",
+	for name, sent := range map[string]string{"from the start": "", "in the headers": "HTTP/1.1 200 OK\r\nContent-",
 		"before the body": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
 		"in the body":     "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":2,",
 		"in a chunk":      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"version\":2,"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var from sync.Map
+			var watchAddr sync.Map
 			var calls atomic.Int32
 			hold := newGate(t)
 			d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,16 +36,16 @@
 				case 1:
 					io.WriteString(w, `{"version":1,"full":true,"servers":[]}`)
 				case 2:
-					from.Store(r.RemoteAddr, true)
+					watchAddr.Store(r.RemoteAddr, true)
 					c, _, err := http.NewResponseController(w).Hijack()
 					if err != nil {
 						t.Error(err)
 						return
 					}
 					t.Cleanup(func() { c.Close() })
-					io.WriteString(c, says)
+					io.WriteString(c, sent)
 				case 3:
-					if _, same := from.Load(r.RemoteAddr); same || r.URL.Query().Get("after") != "1" {
+					if _, same := watchAddr.Load(r.RemoteAddr); same || r.URL.Query().Get("after") != "1" {
 						t.Errorf("call %s from %s", r.URL, r.RemoteAddr)
 					}
 					io.WriteString(w, "{\n  \"version\": 2,\n  \"full\": false,\n  \"servers\": []\n}\n")
@@ -55,16 +55,16 @@
 			}))
 			t.Cleanup(d.Close)
 			t.Cleanup(hold.open)
-			told := make(chan int64, 10)
-			disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(l endpointList) { told <- l.Version },
-				func() { t.Error("a failure was told of") })
+			versions := make(chan int64, 10)
+			disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(l endpointList) { versions <- l.Version },
+				func() { t.Error("a failure was reported") })
 			disc.timing.watchWait, disc.timing.watchSlack = 50*time.Millisecond, 50*time.Millisecond
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { defer close(ended); disc.run(ctx) }()
 			disc.requestWatch()
 			for _, want := range []int64{1, 2} {
-				if got := receive(t, told, "list"); got != want {
+				if got := receive(t, versions, "list"); got != want {
 					t.Errorf("version %d, want %d", got, want)
 				}
 			}
@@ -74,9 +74,9 @@
 	}
 }
 
-// What is no list counts for nothing and is named.
+// An invalid list is ignored, and the error names the reason.
 func TestWhatIsNoListIsTurnedDown(t *testing.T) {
-	for says, want := range map[string]string{
+	for answer, want := range map[string]string{
 		`{}`:                        "without version",
 		`null`:                      "without version",
 		`[]`:                        "cannot unmarshal",
@@ -87,13 +87,13 @@
 	} {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter,
 			_ *http.Request) {
-			io.WriteString(w, says)
+			io.WriteString(w, answer)
 		}))
 		ctx, stop := context.WithCancel(t.Context())
 		disc := newDiscovery(d.Listener.Addr().String(), false, 1,
-			func(l endpointList) { t.Errorf("%.60s was taken for %+v", says, l); stop() }, noHook)
+			func(l endpointList) { t.Errorf("%.60s was accepted as %+v", answer, l); stop() }, noHook)
 		if _, err := disc.followList(ctx); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60s: got %v", says, err)
+			t.Errorf("%.60s: got %v", answer, err)
 		}
 		stop()
 		disc.client.CloseIdleConnections()
@@ -101,23 +101,23 @@
 	}
 }
 
-// The first call after a failure waits for changes for a short time only, so that a discovery that
-// still says nothing is found out. Back-off, wait and slack together stay under the time after
-// which a change counts as told.
+// Guards against a watch that stops answering after a failure and is detected too late. The first
+// call after a failure waits only briefly for changes. Backoff, wait and slack together stay below
+// the time after which a change counts as received.
 func TestFirstWatchAfterAFailureIsShort(t *testing.T) {
-	const toldWithin = 6 * time.Second
+	const receivedWithin = 6 * time.Second
 	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.firstWatchWait +
-		sharedTiming.watchSlack; sum > toldWithin {
-		t.Errorf("asked: news comes %v after a failure at most", sum)
+		sharedTiming.watchSlack; sum > receivedWithin {
+		t.Errorf("polled: changes arrive at most %v after a failure", sum)
 	}
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > toldWithin {
-		t.Errorf("asked: a call that waits its turn is given up %v after a failure at most", sum)
+	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > receivedWithin {
+		t.Errorf("polled: a queued call times out at most %v after a failure", sum)
 	}
 	if sharedTiming.maxBackoff > decide.MaxBackOffMillis*time.Millisecond {
-		t.Errorf("asked: the pause of %v is longer than the back-off that it runs beside", sharedTiming.maxBackoff)
+		t.Errorf("polled: maxBackoff of %v exceeds the Balancer's backoff", sharedTiming.maxBackoff)
 	}
-	if sum := agentTiming.maxBackoff + agentTiming.watchWait + agentTiming.watchSlack; sum > toldWithin {
-		t.Errorf("pushed: news comes %v after a failure at most", sum)
+	if sum := agentTiming.maxBackoff + agentTiming.watchWait + agentTiming.watchSlack; sum > receivedWithin {
+		t.Errorf("agent: changes arrive at most %v after a failure", sum)
 	}
 	waits := make(chan string, 10)
 	var calls atomic.Int32
@@ -144,9 +144,9 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); disc.run(ctx) }()
 	disc.requestWatch()
-	long := fmt.Sprint(disc.timing.watchWait.Milliseconds())
-	short := fmt.Sprint(disc.timing.firstWatchWait.Milliseconds())
-	for i, want := range []string{"", long, short, long} {
+	longWait := fmt.Sprint(disc.timing.watchWait.Milliseconds())
+	shortWait := fmt.Sprint(disc.timing.firstWatchWait.Milliseconds())
+	for i, want := range []string{"", longWait, shortWait, longWait} {
 		if got := receive(t, waits, "call"); got != want {
 			t.Errorf("call %d waits %q ms, want %q", i, got, want)
 		}
@@ -155,8 +155,8 @@
 	<-ended
 }
 
-// A call that was asked for before a failure is not made up for after it: the module asks again,
-// spread, when it knows.
+// Guards against a burst of calls after a failure: a watch requested before a failure is not made
+// up for after it. The Balancer requests the next one after a random backoff.
 func TestCallAskedForBeforeAFailureIsNotMade(t *testing.T) {
 	var calls atomic.Int32
 	arrived, fail := make(chan struct{}, 10), newGate(t)
@@ -168,33 +168,33 @@
 	}))
 	t.Cleanup(d.Close)
 	t.Cleanup(fail.open)
-	broke := make(chan struct{}, 10)
-	disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(endpointList) {}, func() { broke <- struct{}{} })
+	failures := make(chan struct{}, 10)
+	disc := newDiscovery(d.Listener.Addr().String(), true, 1, func(endpointList) {}, func() { failures <- struct{}{} })
 	disc.timing.maxBackoff = 2
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); disc.run(ctx) }()
 	disc.requestWatch()
 	receive(t, arrived, "call")
-	disc.requestWatch() // the module has waited long for an answer
+	disc.requestWatch() // the Balancer has waited long for an answer
 	fail.open()
-	receive(t, broke, "failure")
+	receive(t, failures, "failure")
 	disc.requestWatch()
-	receive(t, broke, "failure of the call after it")
+	receive(t, failures, "failure of the next call")
 	stop()
 	<-ended
 	if n := calls.Load(); n != 2 {
-		t.Errorf("%d calls for one before the failure and one after it", n)
+		t.Errorf("%d calls, want one before the failure and one after it", n)
 	}
 }
 
-// An agent that is back has news that counts as told at once: it is called again within a fraction
-// of a drain's grace.
+// When an agent is back, its changes count as received at once. It is therefore called again within
+// a fraction of a drain's grace period.
 func TestAgentIsCalledAgainSoon(t *testing.T) {
 	d := newDiscovery("127.0.0.1:1", false, 300, nil, nil)
 	for range 100 {
 		if p := d.backoff(false); p > 100*time.Millisecond {
-			t.Fatalf("pause of %v", p)
+			t.Fatalf("backoff of %v", p)
 		}
 	}
 	if _, err := d.get(t.Context(), d.url, time.Second); err == nil || errors.Is(err, errSilentWatch) {
@@ -202,11 +202,11 @@
 	}
 }
 
-// A router that starts anew while discovery is down serves from the list that it last had.
+// A router that restarts while discovery is unavailable serves from the list that it last held.
 func TestRestartServesFromTheKnownList(t *testing.T) {
 	s, o := startFake(t, hit), startFake(t, originOK)
 	ln := listenLocal(t)
-	ln.Close() // refuses
+	ln.Close() // connections are refused
 	for range 2 {
 		r := start(t, testConfig(t, ln.Addr().String(), full(box("s-0000000b", s.addr), originAt(o.addr))))
 		c := dial(t, r.addr)
@@ -231,9 +231,8 @@
 	}
 }
 
-// The next call of a watch follows within 200 ms, also where the agent answers at once with
-// nothing; an answer that is no list, a failure, and an entry that makes no sense end neither the
-// watch nor the router.
+// The next call of a watch follows within 200 ms, even if the agent answers at once without
+// changes. An invalid list, a failure and an invalid entry end neither the watch nor the router.
 func TestDiscoveryIsFollowed(t *testing.T) {
 	answers := []string{`{"version":1,"full":true,"servers":[]}`, `{"version":1,"servers":[]}`,
 		`{"version":2,"servers":[{"id":"s-1"`, "503",
@@ -262,24 +261,24 @@
 	defer d.Close()
 	defer d.CloseClientConnections()
 	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
-	var before call
+	var previous call
 	for i, after := range []string{"", "after=1&", "after=1&", "", "", "after=3&", "after=3&", "after=4&"} {
 		c := receive(t, calls, fmt.Sprintf("call %d", i))
 		if !strings.HasPrefix(c.query, after) || after == "" && c.query != "" {
-			t.Errorf("call %d asks %q, want %q", i, c.query, after)
+			t.Errorf("call %d has query %q, want %q", i, c.query, after)
 		}
-		if gap := c.at.Sub(before.at); after != "" && gap > 200*time.Millisecond {
+		if gap := c.at.Sub(previous.at); after != "" && gap > 200*time.Millisecond {
 			t.Errorf("call %d came after %v", i, gap)
 		}
-		before = c
+		previous = c
 	}
 	c := dial(t, r.addr)
 	for c.ask("mn") != "MN" {
 	}
 }
 
-// A watch may go silent without an end, and what discovery tells into it is lost: it is found out
-// soon, also the next time, and the news of a drain comes with the whole list.
+// Guards against a watch that stops answering, so that changes sent on it are lost. It is replaced
+// soon, repeatedly if necessary, and a drain arrives with the complete list.
 func TestSilentWatchIsGivenUp(t *testing.T) {
 	s1, s2, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
 	servers := full(box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr))
@@ -292,7 +291,7 @@
 		calls <- r.URL.RawQuery
 		switch {
 		case r.URL.RawQuery != "":
-			<-r.Context().Done() // every watch is dead
+			<-r.Context().Done() // no watch is answered
 		case lists.Add(1) == 1:
 			json.NewEncoder(w).Encode(servers)
 		default:
@@ -304,11 +303,11 @@
 	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	receive(t, calls, "call for the list")
 	receive(t, calls, "watch")
-	began := time.Now()
-	receive(t, calls, "call for the list after the dead watch")
+	watchedAt := time.Now()
+	receive(t, calls, "call for the list after the unanswered watch")
 	receive(t, calls, "watch")
-	if took := time.Since(began); took > 8*time.Second { // of the 10 s within which a wait of 10 s ends
-		t.Errorf("found dead after %v", took)
+	if took := time.Since(watchedAt); took > 8*time.Second { // below the 10 s of the shared timing's wait
+		t.Errorf("replaced after %v", took)
 	}
 	c := dial(t, r.addr)
 	for i := range 20 {
@@ -319,22 +318,22 @@
 	}
 }
 
-// queueLimit is the longest time for which a crowded discovery has a call wait for its turn.
+// queueLimit is the longest time that an overloaded discovery keeps a call in its queue.
 const queueLimit = 2 * time.Second
 
-// Guards against a call that waits in a crowded discovery's queue and is given up just before its
-// turn: the place in the queue is lost, and the next call waits as long again.
+// Guards against a call that times out in an overloaded discovery's queue just before its turn: its
+// place in the queue is lost, and the next call waits as long again.
 func TestCallThatWaitsItsTurnIsNotGivenUp(t *testing.T) {
 	for name, isFirst := range map[string]bool{"complete list": true, "changes after a failure": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var calls, cutOff atomic.Int32
+			var calls, abortedCalls atomic.Int32
 			d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
 				select {
 				case <-time.After(queueLimit + 200*time.Millisecond):
 				case <-r.Context().Done():
-					cutOff.Add(1)
+					abortedCalls.Add(1)
 					return
 				}
 				io.WriteString(w, `{"version":2,"full":true,"servers":[]}`)
@@ -346,9 +345,9 @@
 				disc.holdsList, disc.heldVersion = true, 1
 			}
 			list, err := disc.firstCall(t.Context())
-			if err != nil || list.Version != 2 || calls.Load() != 1 || cutOff.Load() != 0 {
-				t.Errorf("got version %d, %v after %d calls, %d given up",
-					list.Version, err, calls.Load(), cutOff.Load())
+			if err != nil || list.Version != 2 || calls.Load() != 1 || abortedCalls.Load() != 0 {
+				t.Errorf("got version %d, %v after %d calls, %d aborted",
+					list.Version, err, calls.Load(), abortedCalls.Load())
 			}
 		})
 	}
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -1,6 +1,6 @@
 package router
 
-// The endpoint list in discovery's form. This is where discovery's words are mapped.
+// The endpoint list in discovery's format, and its conversion to the Balancer's terms.
 
 import (
 	"encoding/json"
@@ -11,33 +11,33 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// endpointList is the list of servers, or the changes to one, as discovery writes it.
+// endpointList is a list of servers, or changes to one, in discovery's format.
 type endpointList struct {
 	Version int64 `json:"version"`
-	// IsComplete is set for the complete list, and not for changes.
+	// IsComplete is set for a complete list and not for changes.
 	IsComplete bool        `json:"full"`
 	Servers    []listEntry `json:"servers"`
 }
 
 // listEntry is one server on the list.
 type listEntry struct {
-	// ID is the server's name.
+	// ID is the server's id in discovery, its name here.
 	ID string `json:"id"`
 	// Addr is host:port.
 	Addr string `json:"addr"`
 	Zone string `json:"zone"`
-	// Kind tells cache servers and the origin apart, in the words of the settings.
+	// Kind is the server's kind in the terms of the settings. It identifies the origin.
 	Kind string `json:"kind"`
 	Cell int    `json:"cell"`
 	// State is stateReady, stateDraining or stateRemoved.
 	State string `json:"state"`
-	// Weight is the server's capacity against others.
+	// Weight is the server's capacity relative to others.
 	Weight float64 `json:"weight"`
 	// StartedMillis is when its process started, in milliseconds since 1970; 0 = long ago.
 	StartedMillis float64 `json:"started_ms"`
 }
 
-// The states of a server in discovery's words.
+// The states of a server in discovery's format.
 const (
 	stateReady    = "active"
 	stateDraining = "leaving"
@@ -50,7 +50,7 @@
 	stateRemoved:  decide.Removed,
 }
 
-// updateKind is what the Balancer calls such an update.
+// updateKind returns the Balancer's kind for the update.
 func (l endpointList) updateKind() decide.EndpointUpdateKind {
 	if l.IsComplete {
 		return decide.AllEndpoints
@@ -58,7 +58,7 @@
 	return decide.ChangedEndpoints
 }
 
-// with is the complete list after changes.
+// with returns the complete list after the changes.
 func (l endpointList) with(changes endpointList) endpointList {
 	changed := make(map[string]bool, len(changes.Servers))
 	for _, e := range changes.Servers {
@@ -78,7 +78,7 @@
 	return complete
 }
 
-// endpoint is the entry as the Balancer takes it. An error says what is wrong with the entry.
+// endpoint converts the entry for the Balancer. The error describes an invalid entry.
 func (e listEntry) endpoint() (decide.Endpoint, error) {
 	state, ok := listStates[e.State]
 	if !ok {
@@ -101,8 +101,8 @@
 	}, nil
 }
 
-// parseList reads a list. JSON that lacks the version is an error, and so is a complete list that
-// lacks the servers: taken for a list, it would stand for one without changes, or without servers.
+// parseList parses a list. It rejects JSON without a version, and a complete list without servers:
+// accepted as lists, they would mean "no changes" and "no servers".
 func parseList(body []byte) (endpointList, error) {
 	var present struct {
 		Version *int64            `json:"version"`
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// gate is something that waits until it is let go.
+// gate blocks goroutines until it is opened.
 type gate struct {
 	opened chan struct{}
 	open   func()
@@ -30,7 +30,7 @@
 	return g
 }
 
-// holdDials has each dial tell and wait.
+// holdDials makes each dial report its start on dialing and block until the gate up is opened.
 func (u *upstreams) holdDials(dialing chan<- struct{}, up gate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -42,7 +42,8 @@
 	}
 }
 
-// slowClose is a connection whose close tells and waits.
+// slowClose is a connection whose Close reports its start on closing and blocks until let is
+// opened.
 type slowClose struct {
 	*net.TCPConn
 	closing chan<- struct{}
@@ -55,7 +56,8 @@
 	return c.TCPConn.Close()
 }
 
-// once answers the first request with the given text and later ones with then.
+// once returns an answer function that answers the first request with first and later ones with
+// then.
 func once(first string, then func(string) string) func(string) string {
 	var mu sync.Mutex
 	asked := false
@@ -70,19 +72,20 @@
 	}
 }
 
-// fake is a server on a loopback socket. Each connection is handed to serve, which sees the lines
-// and bodies sent.
+// fake is a server on a loopback socket. serve handles each connection and records the lines and
+// bodies received.
 type fake struct {
 	addr  string
-	seen  chan string // first lines of the requests
+	seen  chan string // the first line and body of each request
 	conns atomic.Int32
-	ended chan struct{} // one for each connection that the other side has closed
+	ended chan struct{} // an element for each connection closed by the other side
 
-	connected, closed chan struct{} // one for each connection, and for each that this side has closed
+	// connected has an element for each accepted connection, closed for each closed by this side.
+	connected, closed chan struct{}
 }
 
-// startFake answers each request with the text of answer: "" says nothing, "close" closes, and
-// "{cut}" ends the connection behind what stands before it.
+// startFake starts a server that answers each request with the text returned by answer: "" means no
+// answer, "close" closes the connection, and the suffix "{cut}" closes it after the text.
 func startFake(t testing.TB, answer func(line string) string) *fake {
 	t.Helper()
 	ln := listenLocal(t)
@@ -129,7 +132,7 @@
 			return
 		}
 		line = strings.TrimSpace(line)
-		for strings.HasSuffix(line, "HTTP/1.1") { // its headers, of which the id and the facts count
+		for strings.HasSuffix(line, "HTTP/1.1") { // headers; the id, the metadata and the length are kept
 			h, err := r.ReadString('\n')
 			if err != nil {
 				return
@@ -168,7 +171,7 @@
 	}
 }
 
-// idOf finds the request's id in either protocol.
+// idOf returns the request's id in either protocol.
 func idOf(line string) string {
 	for f := range strings.FieldsSeq(line) {
 		if f[0] == 'O' && len(f) > 1 {
@@ -196,11 +199,11 @@
 	return httpAnswer("200 OK", "fresh")
 }
 
-// directory is a discovery service.
+// directory is a fake discovery service.
 type directory struct {
 	*httptest.Server
 	mu      sync.Mutex
-	lists   []endpointList // the whole list first, then changes
+	lists   []endpointList // the complete list first, then changes
 	changed chan struct{}
 	calls   chan string
 }
@@ -237,13 +240,13 @@
 	return d
 }
 
-// watchedVersion is the version that a watch has seen.
+// watchedVersion parses the version in a watch call.
 func watchedVersion(after string) int64 {
 	v, _ := strconv.ParseInt(after, 10, 64)
 	return v
 }
 
-// change tells of a change.
+// change publishes changes to the list.
 func (d *directory) change(entries ...listEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -17,61 +17,61 @@
 	"dockhinge.example/dockhinge/internal/handover"
 )
 
-// The hand-over. While an old and a new process live, they are one router: they split its limits, and
-// what discovery or operators tell one, the other is notified of.
+// The hand-over from an old process to a new one. While both run, they form one router: they share
+// its limits and forward lists from discovery and calls of operators to each other.
 
-// handoverState is what a process gets from the one before it. The tags are the bytes of the wire
-// between two versions of the program and stay as they are.
+// handoverState is the state that an old process sends to its successor. Its JSON format is shared
+// by different versions of the program, so the tags must not change.
 type handoverState struct {
-	// Decisions is what the decision module has learnt.
+	// Decisions is the state of the decision module.
 	Decisions decide.Snapshot `json:"Module"`
-	// List is the endpoint list as the old process holds it.
+	// List is the old process's endpoint list.
 	List endpointList `json:"List"`
-	// ServerIDs are the server names that discovery has listed so far.
+	// ServerIDs holds the server names that discovery has listed so far.
 	ServerIDs serverIDs `json:"Names"`
-	// Admission is the state of fair admission; nil while it is off.
+	// Admission is the state of fair admission; nil if that is disabled.
 	Admission *admission.Snapshot `json:"Door"`
-	// DisabledByOperator names the servers that an operator has disabled.
+	// DisabledByOperator holds the names of the servers disabled by an operator.
 	DisabledByOperator []string `json:"ByHand,omitempty"`
-	// DisabledByFleet names the servers that the fleet has agreed to disable.
+	// DisabledByFleet holds the names of the servers disabled by the fleet.
 	DisabledByFleet []string `json:"Agreed,omitempty"`
 }
 
-// disableCall disables or enables one cache server. It is an operator's call or the fleet's
-// agreement, and goes from one process of this router to the other as it stands here.
+// disableCall disables or enables one cache server, on behalf of an operator or of the fleet. In
+// this JSON format it is sent to the other processes of the router.
 type disableCall struct {
 	// ServerID is the server's name on the endpoint list.
 	ServerID string `json:"id"`
 	// Disabled is true to disable the server, false to enable it.
 	Disabled bool `json:"disabled"`
-	// IsListed is set where the sender's list has had the server, so that a receiver whose list
-	// has not takes the call all the same.
+	// IsListed is set if the server has been on the sender's list. A receiver without the server on
+	// its list then accepts the call too.
 	IsListed bool `json:"known"`
-	// ByFleet is set for the fleet's agreement, and not for an operator's call.
+	// ByFleet is set for a decision of the fleet and not for an operator's call.
 	ByFleet bool `json:"agreed,omitempty"`
 }
 
-// The kinds of messages between the processes of a router. They are bytes of the hand-over.
+// The message kinds of the hand-over protocol, as sent.
 const (
-	// disableKind is a call with a disableCall; its answer comes once it holds in the receiver.
+	// disableKind is a call with a disableCall, answered once it is in effect in the receiver.
 	disableKind = "ban"
-	// listKind is an endpointList that discovery has sent; it has no answer.
+	// listKind is an endpointList received from discovery. It is not answered.
 	listKind = "list"
 )
 
-// disableTimeout is how long another process may take for a disableCall: the operator's client waits
-// for less than a second.
+// disableTimeout is how long another process may take for a disableCall. The operator's client
+// waits for less than a second.
 const disableTimeout = 700 * time.Millisecond
 
-// peers are the links to the other processes of this router. Any goroutine may use it.
+// peers holds the links to the other processes of this router. Any goroutine may use it.
 type peers struct {
-	// onProcessCount is set before the first peer joins; it may be nil.
+	// onProcessCount is set before the first peer joins, if at all.
 	onProcessCount func(processes int)
 
 	// mu guards links.
 	mu sync.Mutex
-	// links holds each link, and whether its process has joined: from then on it takes its part of
-	// the limits. Before that it only gets the lists and calls that come here.
+	// links holds, for each link, whether its process has joined. Once joined it has its share of
+	// the limits; before that it only receives lists and calls.
 	links map[*handover.Link]bool
 }
 
@@ -91,7 +91,7 @@
 	delete(p.links, link)
 }
 
-// open lists the links that are open, and forgets the others.
+// open returns the open links, and removes the closed ones.
 func (p *peers) open() (links []*handover.Link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +105,7 @@
 	return links
 }
 
-// count is the number of other processes that have joined.
+// count returns the number of other processes that have joined.
 func (p *peers) count() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,11 +117,11 @@
 	return n
 }
 
-// OnProcessCount has f called with the number of processes that are this router, whenever it changes.
-// It must be called before the first peer joins.
+// OnProcessCount sets a function that is called with the number of processes that form this router,
+// whenever that changes. It must be called before the first peer joins.
 func (r *Router) OnProcessCount(f func(processes int)) { r.peers.onProcessCount = f }
 
-// splitLimits splits the router's limits among the processes that are this router now.
+// splitLimits divides the router's limits among its current processes.
 func (r *Router) splitLimits() {
 	processes := 1 + r.peers.count()
 	if r.peers.onProcessCount != nil {
@@ -140,11 +140,12 @@
 			control.arm()
 		}
 	})
-	slog.Info("processes are this router", "name", r.cfg.Name, "processes", processes)
+	slog.Info("number of processes of this router", "name", r.cfg.Name, "processes", processes)
 }
 
-// State is the state for a successor, as JSON will be written of it. From then on the successor
-// gets the lists and calls that come here. errLoopBusy is the error when ctx ends first.
+// State returns the state for a successor, to be encoded as JSON. From then on the successor also
+// receives the lists and calls that this process receives. The error is errLoopBusy if ctx ends
+// first.
 func (r *Router) State(ctx context.Context, link *handover.Link) (any, error) {
 	var state handoverState
 	err := r.loop.call(ctx, func() error {
@@ -155,7 +156,7 @@
 	return state, err
 }
 
-// handoverState is the loop's part of the state for a successor, which is all of it.
+// handoverState returns the state for a successor, all of which belongs to the loop.
 func (l *loop) handoverState() handoverState {
 	state := handoverState{
 		Decisions:          l.balancer.HandOver(l.now()),
@@ -171,8 +172,9 @@
 	return state
 }
 
-// Inherit takes the state of the process before this one, and the link to it. It is called before
-// Run. An error means that the state can't be read, and nothing of it is used.
+// Inherit sets the state received from the previous process and the link to that process. It must
+// be called before Run. If the state is invalid, it returns an error and nothing of the state is
+// used.
 func (r *Router) Inherit(text []byte, link *handover.Link) error {
 	r.link = link
 	state := new(handoverState)
@@ -181,14 +183,14 @@
 	}
 	ids := state.ServerIDs
 	if ids.IDs == nil || ids.LastListed == nil || len(ids.IDs) > maxServerIDs {
-		return errors.New("handover: a state without server ids")
+		return errors.New("handover: state without server ids")
 	}
 	r.inherited = state
 	return nil
 }
 
-// restoreState gives the loop the list that the router starts with, and what it has inherited. It
-// runs on the loop, before its first event.
+// restoreState applies the inherited state, if any, and the initial list to the loop. It runs on
+// the loop before the first event.
 func (r *Router) restoreState() {
 	list := r.heldList()
 	if r.inherited != nil {
@@ -198,14 +200,14 @@
 	r.loop.updateEndpoints(decide.RestoredEndpoints, list)
 }
 
-// inherit takes the state of the process before this one, but for the list.
+// inherit applies the state of the previous process, except for the list.
 func (l *loop) inherit(state *handoverState) {
 	if err := l.balancer.TakeOver(l.now(), state.Decisions); err != nil {
-		slog.Warn("handover: the decisions' state can't be used", "error", err)
+		slog.Warn("handover: the state of the decision module could not be restored", "error", err)
 	}
 	if l.admission != nil && state.Admission != nil {
 		if err := l.admission.admission.Restore(l.now(), *state.Admission); err != nil {
-			slog.Warn("handover: the admission's state can't be used", "error", err)
+			slog.Warn("handover: the state of admission could not be restored", "error", err)
 		}
 	}
 	l.serverIDs = state.ServerIDs
@@ -214,14 +216,14 @@
 	l.staleGuard.raise(state.List.Version)
 }
 
-// setNames adds names to a set, up to maxServerIDs of them.
+// setNames adds at most maxServerIDs names to a set.
 func setNames(set map[string]bool, names []string) {
 	for _, name := range names[:min(len(names), maxServerIDs)] {
 		set[name] = true
 	}
 }
 
-// Joined keeps a link to another process of this router until it ends.
+// Joined runs the link to another process of this router until it closes.
 func (r *Router) Joined(ctx context.Context, link *handover.Link) {
 	r.peers.add(link, true)
 	r.splitLimits()
@@ -230,7 +232,7 @@
 	r.splitLimits()
 }
 
-// handleMessage takes a message of another process.
+// handleMessage handles a message from another process.
 func (r *Router) handleMessage(ctx context.Context, from *handover.Link, m handover.Message) error {
 	switch m.Kind {
 	case disableKind:
@@ -251,8 +253,8 @@
 	return nil
 }
 
-// takePeerList takes a list that another process of this router got from discovery. An answer of this
-// process's own discovery with an earlier version is then dropped for a while.
+// takePeerList applies a list that another process of this router received from discovery. Older
+// answers of this process's own discovery are then ignored for a while.
 func (l *loop) takePeerList(list endpointList) {
 	if list.Version <= l.listVersion {
 		return
@@ -261,9 +263,9 @@
 	l.staleGuard.raise(list.Version)
 }
 
-// disable carries a call out here and in all other processes of this router but the one it came
-// from. It returns nil only if the call holds in all of them that are still there.
-// admin.ErrUnknownServer is the error when the list of none of them has had the server.
+// disable applies a call in this process and all other processes of this router except the one that
+// sent it. It returns nil only if the call is in effect in all that are still running, and
+// admin.ErrUnknownServer if none of them has had the server on its list.
 func (r *Router) disable(ctx context.Context, call disableCall, from *handover.Link) error {
 	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(call) })
 	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
@@ -286,14 +288,15 @@
 	switch {
 	case !found:
 		return admin.ErrUnknownServer
-	case here != nil: // only another process's list has had it so far
+	case here != nil: // the server has only been on another process's list so far
 		call.IsListed = true
 		return r.loop.call(ctx, func() error { return r.loop.setDisabled(call) })
 	}
 	return nil
 }
 
-// broadcastList sends a list with changes from discovery to the other processes of this router.
+// broadcastList sends a complete list or changes from discovery to the other processes of this
+// router.
 func (r *Router) broadcastList(list endpointList) {
 	if len(list.Servers) == 0 && !list.IsComplete {
 		return
@@ -304,7 +307,7 @@
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		slog.Warn("handover: a list can't be sent", "error", err)
+		slog.Warn("handover: the list could not be encoded", "error", err)
 		return
 	}
 	for _, link := range links {
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -15,13 +15,12 @@
 	"dockhinge.example/dockhinge/internal/handover"
 )
 
-// The files in testdata were written by the program as it was before its fields were renamed. A
-// release hands over to the next one and back again, so both the keys and what they stand for are
-// part of the interface between two versions: a renamed key would be read as absent, and the new
-// process would start with no list, with a disabled server enabled, or as if it had learnt nothing.
+// The files in testdata were written by an earlier version of the program, before its fields were
+// renamed. A release hands over to the next version and back, so the JSON keys and their meaning
+// are an interface between versions. A renamed key would be read as absent: the new process would
+// start without a list, with a disabled server enabled, or without the learned state.
 
-// jsonPaths lists the paths of all keys of a JSON text. Elements of a list share a path, as do the
-// values of objects that are maps by id.
+// jsonPaths returns the paths of all keys of a JSON text. The elements of an array share a path.
 func jsonPaths(t *testing.T, text []byte) []string {
 	t.Helper()
 	var value any
@@ -111,7 +110,7 @@
 	})
 }
 
-// A router that inherits the fixture and is asked for its own state writes the same keys.
+// A router that inherits the fixture and is asked for its own state must write the same keys.
 func TestInheritedStateIsHandedOnWithTheSameKeys(t *testing.T) {
 	text, err := os.ReadFile("testdata/handover_state.json")
 	if err != nil {
@@ -120,24 +119,24 @@
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	cfg.Admission = onePlaceAdmission()
 	listener := listenLocal(t)
-	young := newRouter(t, cfg, listener)
-	if err := young.Inherit(text, nil); err != nil {
+	successor := newRouter(t, cfg, listener)
+	if err := successor.Inherit(text, nil); err != nil {
 		t.Fatal(err)
 	}
-	run(t, young, listener)
-	eventually(t, young.loop, "the inherited list", func() bool { return len(young.loop.targets) == 7 })
-	onLoop(young.loop, func() {
-		if got := slices.Sorted(maps.Keys(young.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
+	run(t, successor, listener)
+	eventually(t, successor.loop, "the inherited list", func() bool { return len(successor.loop.targets) == 7 })
+	onLoop(successor.loop, func() {
+		if got := slices.Sorted(maps.Keys(successor.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
 			t.Errorf("disabled by operator: %q", got)
 		}
-		if got := slices.Sorted(maps.Keys(young.loop.disabledByFleet)); !slices.Equal(got, []string{"s-0000000f"}) {
+		if got := slices.Sorted(maps.Keys(successor.loop.disabledByFleet)); !slices.Equal(got, []string{"s-0000000f"}) {
 			t.Errorf("disabled by fleet: %q", got)
 		}
-		if _, avoided := young.loop.balancer.CountEndpoints(); avoided < 2 {
+		if _, avoided := successor.loop.balancer.CountEndpoints(); avoided < 2 {
 			t.Errorf("%d servers avoided, want the disabled ones at least", avoided)
 		}
 	})
-	state, err := young.State(t.Context(), nil)
+	state, err := successor.State(t.Context(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,13 +144,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The keys of the fixture have had no request for long, so they are cold and not handed on. That
-	// their state is written with the same keys is seen by the test above.
+	// The cached keys in the fixture had no recent request, so they are cold and not handed over.
+	// The test above checks the JSON keys of their state.
 	isOfKey := func(path string) bool { return strings.HasPrefix(path, ".Module.Keys[]") }
 	want := slices.DeleteFunc(jsonPaths(t, text), isOfKey)
 	got := slices.DeleteFunc(jsonPaths(t, written), isOfKey)
 	if !slices.Equal(want, got) {
-		t.Errorf("the untouched program writes\n%q\nthis one\n%q", want, got)
+		t.Errorf("the fixture has the keys\n%q\nthis program writes\n%q", want, got)
 	}
 }
 
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -12,7 +12,8 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// succeeded starts a router that takes over from another one.
+// succeeded starts a router that takes over from old, and returns it with a function that ends the
+// old router's hand-over service.
 func succeeded(t *testing.T, old *running, cfg *Config) (young *running, end context.CancelFunc) {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,7 +29,7 @@
 	for {
 		link, ln, state, err := handover.Join(t.Context(), dir, "x")
 		if err != nil {
-			continue // nobody listens yet
+			continue // the service is not listening yet
 		}
 		r, err := New(cfg, ln, metrics.New())
 		if err != nil {
@@ -52,101 +53,102 @@
 	if err := old.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
 	}
-	// The new one's configuration and discovery tell it nothing: all it knows is from the old one.
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
-	c2 := dial(t, young.addr)
-	for !young.router.Ready() {
+	// The successor's own configuration and discovery have no list: its list is from the old
+	// process.
+	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	c2 := dial(t, successor.addr)
+	for !successor.router.Ready() {
 	}
 	disabled := func(r *running) int64 {
 		done := make(chan int64)
 		r.router.loop.post(func() { _, n := r.router.loop.balancer.CountEndpoints(); done <- int64(n) })
 		return receive(t, done, "count")
 	}
-	if got := disabled(young); got != 1 {
-		t.Errorf("a ban before the upgrade: %d disabled", got)
+	if got := disabled(successor); got != 1 {
+		t.Errorf("server disabled before the upgrade: %d disabled", got)
 	}
-	// A call to either holds for both.
-	if err := young.router.SetDisabled(t.Context(), "s-0000000c", true); err != nil {
+	// A call to either process is in effect in both.
+	if err := successor.router.SetDisabled(t.Context(), "s-0000000c", true); err != nil {
 		t.Fatal(err)
 	}
 	if got := disabled(old); got != 2 {
-		t.Errorf("a ban at the new one: %d disabled at the old one", got)
+		t.Errorf("server disabled in the successor: %d disabled in the old process", got)
 	}
 	for _, id := range []string{"s-0000000b", "s-0000000c"} {
 		if err := old.router.SetDisabled(t.Context(), id, false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := disabled(young); got != 0 {
-		t.Errorf("calls back at the old one: %d disabled at the new one", got)
+	if got := disabled(successor); got != 0 {
+		t.Errorf("servers enabled in the old process: %d disabled in the successor", got)
 	}
-	for _, r := range []*running{old, young} {
+	for _, r := range []*running{old, successor} {
 		if err := r.router.SetDisabled(t.Context(), "s-000000ff", true); !errors.Is(err, admin.ErrUnknownServer) {
-			t.Errorf("an id never listed: got %v", err)
+			t.Errorf("unlisted server: got %v", err)
 		}
 	}
-	// What discovery tells the old one, the new one is told.
-	before := young.router.Ready()
-	gone := box("s-0000000b", a.addr)
-	gone.State = "leaving"
-	d.change(gone, box("s-0000000d", b.addr))
-	for disabledBy := 0; disabledBy == 0; {
+	// A list that the old process receives from discovery reaches the successor.
+	wasReady := successor.router.Ready()
+	leaving := box("s-0000000b", a.addr)
+	leaving.State = "leaving"
+	d.change(leaving, box("s-0000000d", b.addr))
+	for listed := 0; listed == 0; {
 		done := make(chan int)
-		young.router.loop.post(func() { done <- len(young.router.loop.entries) })
+		successor.router.loop.post(func() { done <- len(successor.router.loop.entries) })
 		if receive(t, done, "list") == 4 {
-			disabledBy = 1
+			listed = 1
 		}
 	}
-	if err := young.router.SetDisabled(t.Context(), "s-0000000d", true); err != nil || !before {
-		t.Errorf("an id that the old one's discovery listed: %v", err)
+	if err := successor.router.SetDisabled(t.Context(), "s-0000000d", true); err != nil || !wasReady {
+		t.Errorf("server listed by the old process's discovery: %v", err)
 	}
-	// Limits are split while both live, and whole again once one is gone.
+	// The limits are divided while both processes run, and undivided again once one has exited.
 	if got := old.router.loop.valueBytes.limit.Load(); got != 192<<20/16/2 {
-		t.Errorf("memory of the old one: %d", got)
+		t.Errorf("value memory of the old process: %d", got)
 	}
 	old.stop()
-	if err := receive(t, old.done, "end of the old one"); err != nil {
+	if err := receive(t, old.done, "end of the old process"); err != nil {
 		t.Error(err)
 	}
 	end()
-	for young.router.peers.count() > 0 || young.router.loop.valueBytes.limit.Load() != 192<<20/16 {
+	for successor.router.peers.count() > 0 || successor.router.loop.valueBytes.limit.Load() != 192<<20/16 {
 	}
-	c3 := dial(t, young.addr)
-	for _, c := range []*client{c2, c3} { // one of them may have been the old one's
+	c3 := dial(t, successor.addr)
+	for _, c := range []*client{c2, c3} { // one of them may have been accepted by the old process
 		if got := c.ask("mn"); got != "MN" && got != "EOF" {
 			t.Errorf("got %q", got)
 		}
 	}
 }
 
-// A list that discovery has told the old process, and that its loop has not come to when the state
-// is handed over, reaches the new one all the same.
+// Guards against losing a list that the old process has received from discovery, but not yet
+// processed when its state is handed over.
 func TestListThatCrossesTheHandOverReachesTheNewProcess(t *testing.T) {
 	s, o := startFake(t, hit), startFake(t, originOK)
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
 	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	for c := dial(t, old.addr); c.ask("mn") != "MN"; {
 	}
-	l, held := old.router.loop, newGate(t)
+	l, blockLoop := old.router.loop, newGate(t)
 	running := make(chan struct{})
-	l.post(func() { close(running); <-held.opened })
+	l.post(func() { close(running); <-blockLoop.opened })
 	receive(t, running, "the loop")
-	news := box("s-0000000b", s.addr)
-	news.State = "leaving"
-	d.change(news)
-	for len(l.events) == 0 { // the list, behind what the loop is at
+	leaving := box("s-0000000b", s.addr)
+	leaving.State = "leaving"
+	d.change(leaving)
+	for len(l.events) == 0 { // the list is queued behind the running event
 	}
-	asked := make(chan struct{})
+	stateRequested := make(chan struct{})
 	go func() {
-		defer close(asked)
-		for len(l.priorityEvents) == 0 { // the state, which goes first
+		defer close(stateRequested)
+		for len(l.priorityEvents) == 0 { // the request for the state, which is processed first
 		}
-		held.open()
+		blockLoop.open()
 	}()
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
-	receive(t, asked, "the call for the state")
-	eventually(t, young.router.loop, "the list", func() bool {
-		return young.router.loop.entries["s-0000000b"].State == "leaving"
+	receive(t, stateRequested, "the call for the state")
+	eventually(t, successor.router.loop, "the list", func() bool {
+		return successor.router.loop.entries["s-0000000b"].State == "leaving"
 	})
 }
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -18,7 +18,7 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// startLoop is a router whose loop the test can look at.
+// startLoop starts a loop and its clients, and returns the loop and the clients' address.
 func startLoop(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, string) {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
@@ -35,20 +35,20 @@
 	return l, ln.Addr().String()
 }
 
-// onLoop runs do on the loop, once what was posted before has been carried out.
+// onLoop runs do on the loop, after the events posted earlier.
 func onLoop(l *loop, do func()) {
 	done := make(chan struct{})
 	l.post(func() { do(); close(done) })
 	<-done
 }
 
-// eventually awaits a state that only the loop can see.
+// eventually waits until holds, which runs on the loop, returns true.
 func eventually(t testing.TB, l *loop, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
-		var yes bool
-		onLoop(l, func() { yes = holds() })
-		if yes {
+		var isTrue bool
+		onLoop(l, func() { isTrue = holds() })
+		if isTrue {
 			return
 		}
 		if time.Now().After(end) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// disconnect leaves as a client does that closes, or whose process dies.
+// disconnect closes the connection, or resets it like a client whose process is killed.
 func (c *client) disconnect(how string) {
 	if how == "reset" {
 		c.Conn.(*net.TCPConn).SetLinger(0)
@@ -65,11 +65,12 @@
 	c.Close()
 }
 
-// readOf is a read of a key of its own, as read is of the same one always.
+// readOf returns a read of the given key, with a deadline of d milliseconds.
 func readOf(key int, id string, d int) string {
 	return fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=%d", key, id, d)
 }
 
+// receivedSoFar returns the elements that are in a channel now.
 func receivedSoFar(ch chan string) (all []string) {
 	for len(ch) > 0 {
 		all = append(all, <-ch)
@@ -77,7 +78,7 @@
 	return all
 }
 
-// startLoopAndClients is parts with the clients too.
+// startLoopAndClients is startLoop with long deadlines; it also returns the clients.
 func startLoopAndClients(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
 	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
@@ -85,7 +86,7 @@
 	return startLoopWith(t, cfg, places, entries...)
 }
 
-// startLoopWith is the same with settings of its own.
+// startLoopWith is startLoopAndClients with a given configuration.
 func startLoopWith(t *testing.T, cfg *Config, places int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
 	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
@@ -103,7 +104,7 @@
 	return l, s, ln.Addr().String()
 }
 
-// onePlaceAdmission admits one request at a time.
+// onePlaceAdmission returns a configuration that admits one request at a time.
 func onePlaceAdmission() *AdmissionConfig {
 	return &AdmissionConfig{
 		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2,
@@ -113,7 +114,7 @@
 	}
 }
 
-// awaitEnd has all that a client's connection has started end.
+// awaitEnd closes the listener and waits until all connections and their goroutines have ended.
 func (s *clients) awaitEnd(t *testing.T) {
 	t.Helper()
 	s.listener.Close()
@@ -122,7 +123,7 @@
 	receive(t, done, "end of all connections")
 }
 
-// longLived has nothing end by time.
+// longLived sets all deadlines so high that none expires during a test.
 func longLived(cfg *Config) *Config {
 	for i := range cfg.settings.Config.Classes {
 		c := &cfg.settings.Config.Classes[i]
@@ -131,7 +132,7 @@
 	return cfg
 }
 
-// withSettings is the test configuration with a part of its text replaced.
+// withSettings returns the test configuration with a part of its text replaced.
 func withSettings(t *testing.T, cfg *Config, from, to string) *Config {
 	t.Helper()
 	text := strings.Replace(string(cfg.text), from, to, 1)
@@ -149,8 +150,8 @@
 	return got
 }
 
-// Where the module may cancel, it gives up a read that takes some 15 ms at first: a slow machine
-// would change verdicts.
+// testSettings disallows cancel: otherwise the Balancer would initially cancel reads after some 15
+// ms, and results would depend on the speed of the machine.
 const testSettings = `{"balancers":1,"myNumber":0,"zone":"a","categories":[` +
 	`{"name":"read","effect":"repeatable","keyScope":"all","target":500,"hardLimit":2000,"gain":1},` +
 	`{"name":"put","effect":"by_key","keyScope":"all","window":2000,"target":500,"hardLimit":2000,"gain":1},` +
@@ -161,7 +162,8 @@
 	`"caps":{"cancel":false,"mayProbe":true,"maxAttempts":4,"connIdle":10000,"connectTimeout":250},` +
 	`"rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
-const wait = 10 * time.Second // for what must come; a test that passes does not wait for it
+// wait is the timeout for expected events. A passing test does not use it up.
+const wait = 10 * time.Second
 
 func listenLocal(t testing.TB) net.Listener {
 	t.Helper()
@@ -173,19 +175,19 @@
 	return ln
 }
 
-// receive waits for one thing on a channel.
+// receive returns the next element of a channel, or fails the test after wait.
 func receive[T any](t testing.TB, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
 	case <-time.After(wait):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timeout waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// running is a router under test.
+// running is a running router under test.
 type running struct {
 	router  *Router
 	addr    string
@@ -214,7 +216,7 @@
 	return cfg
 }
 
-// newRouter is a router that serves on a listener once it runs.
+// newRouter returns a router for a listener.
 func newRouter(t testing.TB, cfg *Config, listener net.Listener) *Router {
 	t.Helper()
 	r, err := New(cfg, listener, metrics.New())
@@ -224,12 +226,14 @@
 	return r
 }
 
+// start starts a router on a loopback listener.
 func start(t testing.TB, cfg *Config) *running {
 	t.Helper()
 	listener := listenLocal(t)
 	return run(t, newRouter(t, cfg, listener), listener)
 }
 
+// run runs a router until the test ends or stop is called.
 func run(t testing.TB, router *Router, ln net.Listener) *running {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -244,7 +248,8 @@
 	return r
 }
 
-// serving starts a router over a list that discovery gives, and waits until it is ready.
+// serving starts a router with a fake discovery that lists the entries, and waits until it is
+// ready.
 func serving(t testing.TB, entries ...listEntry) (*running, *directory) {
 	t.Helper()
 	d := startDirectory(t, full(entries...))
@@ -257,7 +262,7 @@
 	return r, d
 }
 
-// client is a client's connection.
+// client is a client connection for tests.
 type client struct {
 	net.Conn
 	t testing.TB
@@ -282,7 +287,7 @@
 	}
 }
 
-// line returns the next answer, with its value behind it, or "EOF".
+// line returns the next answer and, if it has one, its value, or "EOF".
 func (c *client) line() string {
 	c.t.Helper()
 	l, err := c.r.ReadString('\n')
@@ -300,30 +305,33 @@
 	return l
 }
 
+// ask sends a command and returns its answer.
 func (c *client) ask(command string) string {
 	c.t.Helper()
 	c.send(command + "\r\n")
 	return c.line()
 }
 
+// readCommandOf returns a read of a fixed key, with a deadline of d milliseconds.
 func readCommandOf(id string, d int) string {
 	return fmt.Sprintf("mg 7f3a9c21e0b4d655 v O%s Pc=read,t=t,d=%d,h=52000,size=5", id, d)
 }
 
+// billCommandOf returns a write that must not run twice, with a deadline of d milliseconds.
 func billCommandOf(id string, d int) string {
 	return fmt.Sprintf("ms 7f3a9c21e0b4d655 3 O%s Pc=bill,t=t,d=%d\r\nabc", id, d)
 }
 
-// nothingMore asserts that nothing more comes on a connection within a moment.
+// nothingMore fails the test if more input arrives within 100 ms.
 func (c *client) nothingMore() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if b, err := c.r.ReadByte(); err == nil {
-		c.t.Errorf("a second answer, from %q on", b)
+		c.t.Errorf("unexpected input, first byte %q", b)
 	}
 }
 
-// originTarget is where the loop has the origin.
+// originTarget returns the loop's target for the origin.
 func originTarget(l *loop) (at *target) {
 	onLoop(l, func() {
 		for _, t := range l.targets {
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -1,6 +1,6 @@
 package router
 
-// Health checks: a server is asked for its load.
+// Health checks, which request a server's load.
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxStatistics bounds the lines of an answer with statistics.
+// maxStatistics limits the lines of an answer with statistics.
 const maxStatistics = 64
 
-// checkHealth asks a server for its load, until ctx ends.
+// checkHealth requests a server's load until ctx ends.
 func (u *upstreams) checkHealth(ctx context.Context, t *target) (decide.AttemptStatus, decide.LoadReport) {
 	conn, err := u.acquire(ctx, t, false)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return decide.Reset, load
 }
 
-// askLoad asks the server of a connection for its load, in its protocol.
+// askLoad requests the load over a connection, in the target's protocol.
 func (c *upstreamConn) askLoad(t *target) (decide.LoadReport, error) {
 	command := "stats load\r\n"
 	read := readStatsLoad
