--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// flaky is a fleet whose connections end under requests, and the first and last servers that each
-// request came to.
+// flaky is a fleet of cache servers whose connections end under some requests. It records the first
+// and the last server that received each request.
 type flaky struct {
 	mu    sync.Mutex
 	first map[string]int // by request id
 	last  map[string]int
-	count []int // requests that came to each server
+	count []int // number of requests that each server received
 	fails func(server, n int) bool
 }
 
@@ -34,14 +34,14 @@
 			if f.count[i]++; f.fails(i, f.count[i]) {
 				return "close"
 			}
-			return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n" // far from full
+			return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n" // far below capacity
 		})
 		entries = append(entries, box(fmt.Sprintf("s-%08x", 11+i), s.addr))
 	}
 	return f, entries
 }
 
-// cameTo tells to which servers a request came first and last; -1 = to none.
+// cameTo returns the servers that received a request first and last, or -1 if none did.
 func (f *flaky) cameTo(id string) (first, last int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,30 +51,30 @@
 	return -1, -1
 }
 
-// firstSolve is when keys are placed anew for the first time, at the soonest.
+// firstSolve is the earliest time, after the start, at which the placement of keys is solved.
 const firstSolve = 200 * time.Millisecond
 
-// Guards against keys that move by connections that end at every server alike, before the placement
-// is solved for the first time.
+// Guards against keys that move to another server because connections fail at every server alike,
+// before the placement is solved for the first time.
 func TestConnectionsThatEndEverywhereMoveNoKeysAtFirst(t *testing.T) {
 	checkKeysStay(t, firstSolve)
 }
 
-// Guards against the same at any time: failures that are usual everywhere must move no keys.
+// Guards against the same at any time: failures that are as frequent everywhere must move no keys.
 func TestConnectionsThatEndEverywhereMoveNoKeys(t *testing.T) {
 	checkKeysStay(t, wait)
 }
 
-// checkKeysStay has connections end under one request in six to eight at every server alike, also two
-// in a row: for so long the keys stay where they are kept, and reads are answered. Then one server
-// dies, and its keys go elsewhere soon.
+// checkKeysStay makes connections end under one request in six to eight at every server alike,
+// including two in a row. During the given time, keys must stay at their homes and reads must be
+// answered. Then one server fails, and its keys must move to other servers soon.
 func checkKeysStay(t *testing.T, during time.Duration) {
 	t.Helper()
-	dead := -1
+	failed := -1
 	f, entries := startFlaky(t, 3, func(server, n int) bool {
-		return server == dead || n < 60 && n%6 == 0 || n >= 60 && n%16 < 2
+		return server == failed || n < 60 && n%6 == 0 || n >= 60 && n%16 < 2
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	r, _ := serving(t, append(entries, originAt(startFake(t, originOK).addr))...)
 	c := dial(t, r.addr)
 	home := map[int]int{}
@@ -82,66 +82,66 @@
 		key = i % 30
 		id := fmt.Sprintf("%x", 1000+i)
 		got := c.ask(fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=2000,h=52000,size=5", 7919*(key+1), id))
-		if !strings.HasPrefix(got, "VA 5 O"+id) && got != "SERVER_ERROR busy" { // three ends for one request happen
+		if !strings.HasPrefix(got, "VA 5 O"+id) && got != "SERVER_ERROR busy" { // all attempts may fail
 			t.Fatalf("request %d: got %q", i, got)
 		}
 		first, last = f.cameTo(id)
 		return key, first, last
 	}
 	for i := range 400 {
-		if time.Since(began) > during {
+		if time.Since(startedAt) > during {
 			break
 		}
-		key, at, last := ask(i)
-		if _, known := home[key]; !known && at >= 0 {
-			home[key] = at
+		key, firstServer, last := ask(i)
+		if _, known := home[key]; !known && firstServer >= 0 {
+			home[key] = firstServer
 		}
-		if at >= 0 && at != home[key] {
+		if firstServer >= 0 && firstServer != home[key] {
 			t.Fatalf("%v after the start, request %d of key %d went to server %d first, not to %d",
-				time.Since(began), i, key, at, home[key])
+				time.Since(startedAt), i, key, firstServer, home[key])
 		}
-		if i >= 200 && last != at {
-			t.Fatalf("request %d of key %d was cut off at server %d and sent to %d, where the value is not kept", i,
-				key, at, last)
+		if i >= 200 && last != firstServer {
+			t.Fatalf("request %d of key %d failed at server %d and was sent to %d, which is not its home", i,
+				key, firstServer, last)
 		}
 	}
 	f.mu.Lock()
-	dead = home[0]
+	failed = home[0]
 	f.mu.Unlock()
 	for i, asked := 400, 0; ; i++ {
-		key, at, _ := ask(i)
-		if home[key] != dead {
+		key, firstServer, _ := ask(i)
+		if home[key] != failed {
 			continue
 		}
-		if at >= 0 && at != dead {
+		if firstServer >= 0 && firstServer != failed {
 			return
 		}
 		if asked++; asked == 20 {
-			t.Fatal("a dead server is still asked")
+			t.Fatal("the failed server still receives requests")
 		}
 	}
 }
 
-// Where an answer breaks off, the value is still kept where it was: there it is asked for again,
-// and no other server misses it and fetches it.
+// Guards against a retry at another server after an incomplete answer: the value is still cached at
+// the key's home, so the read is retried there. Another server would miss and fetch it.
 func TestReadThatWasCutOffIsAskedForWhereItIsKept(t *testing.T) {
 	for name, cut := range map[string]string{"value": "VA 50 O{id} h1\r\nhel{cut}", "line": "VA 5{cut}"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			answer, o := once(cut, hit), startFake(t, originOK) // whichever server is the key's home is cut off
+			answer, o := once(cut, hit), startFake(t, originOK) // the first answer is incomplete
 			s1, s2 := startFake(t, answer), startFake(t, answer)
 			r, _ := serving(t, box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr))
 			if got := dial(t, r.addr).ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 				t.Errorf("got %q", got)
 			}
 			if n := [3]int{len(s1.seen), len(s2.seen), len(o.seen)}; n != [3]int{2, 0, 0} && n != [3]int{0, 2, 0} {
-				t.Errorf("asked %v times: want one server twice", n)
+				t.Errorf("%v requests, want two at one server", n)
 			}
 		})
 	}
 }
 
-// A fetch whose connection ends is made again for a read; a write, which may have run, is not.
+// A fetch whose connection ends is retried for a read, but not for a write, which may have run.
 func TestFetchThatWasCutOffIsMadeAgain(t *testing.T) {
 	s, o := startFake(t, miss), startFake(t, once("close", originOK))
 	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
@@ -150,17 +150,18 @@
 		t.Errorf("got %q", got)
 	}
 	if len(s.seen) != 1 || len(o.seen) != 2 {
-		t.Errorf("the server was asked %d times, the origin %d: want 1 and 2", len(s.seen), len(o.seen))
+		t.Errorf("%d requests at the server and %d at the origin, want 1 and 2", len(s.seen), len(o.seen))
 	}
 	o = startFake(t, once("close", originOK))
 	r, _ = serving(t, box("s-0000000b", s.addr), originAt(o.addr))
 	if got := dial(t, r.addr).ask(billCommandOf("a2", 2000)); got != "SERVER_ERROR failed" || len(o.seen) != 1 {
-		t.Errorf("a write: got %q after %d attempts", got, len(o.seen))
+		t.Errorf("write: got %q after %d attempts", got, len(o.seen))
 	}
 }
 
-// An answer may get lost though the server is well and answers what comes after: the read is asked
-// for again there, and a lost fetch is made again, long before the client's time is up.
+// Guards against a read that waits until its deadline for a lost answer, although the server works
+// and answers later requests. It is retried at the same server, and a lost fetch is retried, well
+// before the deadline.
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
 	lose := func(answer func(string) string) func(string) string {
 		var lost sync.Once
@@ -188,25 +189,25 @@
 			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = true
 			for i := range cfg.settings.Config.Classes {
-				// by the load they tell, the servers do 30 a second
+				// by their load reports, the servers serve 30 requests a second
 				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900
 			}
 			r := start(t, cfg)
-			others, one := dial(t, r.addr), dial(t, r.addr)
+			others, lostClient := dial(t, r.addr), dial(t, r.addr)
 			for others.ask("mn") != "MN" {
 			}
 			answer := make(chan string, 1)
 			other := func(i int) {
 				others.ask(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
 			}
-			for i := range 20 { // what is usual
+			for i := range 20 { // establishes the usual latency
 				other(i)
 			}
-			one.send(readCommandOf("lost", 2000) + "\r\n")
+			lostClient.send(readCommandOf("lost", 2000) + "\r\n")
 			go func() {
-				l, _ := one.r.ReadString('\n')
+				l, _ := lostClient.r.ReadString('\n')
 				if strings.HasPrefix(l, "VA ") {
-					v, _ := one.r.ReadString('\n')
+					v, _ := lostClient.r.ReadString('\n')
 					l = strings.TrimSpace(l) + " " + v
 				}
 				answer <- strings.TrimSpace(l)
@@ -229,11 +230,11 @@
 	}
 }
 
-// The first answer of a server may take long, over a new connection to another zone: the server is
-// waited for, and is neither asked twice nor taken out of use.
+// The first answer of a server may take long, over a new connection to another zone. The server
+// must not get the request twice or be ejected.
 func TestFirstAnswersAreWaitedFor(t *testing.T) {
 	far := func(string) string {
-		time.Sleep(80 * time.Millisecond) // the way
+		time.Sleep(80 * time.Millisecond) // network latency
 		return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n"
 	}
 	s1, s2, o := startFake(t, far), startFake(t, far), startFake(t, originOK)
@@ -252,6 +253,6 @@
 		}
 	}
 	if n1, n2 := len(s1.seen), len(s2.seen); n1+n2 != asked || n1 == 0 || n2 == 0 {
-		t.Errorf("%d requests were asked %d times at the one server, %d times at the other", asked, n1, n2)
+		t.Errorf("%d requests arrived %d times at one server and %d times at the other", asked, n1, n2)
 	}
 }
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -15,96 +15,99 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// clock is a monotonic clock in milliseconds since 1970, which is not stepped with the system's. The
-// starts of servers are on it too; as it counts from 1970, no real start is 0, which stands for long
-// ago.
+// clock is a monotonic clock in milliseconds since 1970. Steps of the system clock don't affect it.
+// The start times of servers are on the same scale. Because it counts from 1970, no real start time
+// is 0; 0 stands for "long ago".
 type clock struct{ start time.Time }
 
 func (c clock) now() float64 {
 	return float64(c.start.UnixMicro())/1000 + float64(time.Since(c.start).Microseconds())/1000
 }
 
-// loop owns the Balancer, the requests, the timers and the endpoint list. All of its methods run on
-// its one goroutine (run) unless they say otherwise, and none blocks. It is the Balancer's Host.
+// loop owns the Balancer, the requests, the timers and the endpoint list, and implements
+// decide.Host. Unless stated otherwise, its methods run only on the goroutine of run and never
+// block.
 //
-// What other goroutines do for it they post as events. What it has others do, attempts and health
-// checks, runs on goroutines counted in background, which end soon after ctx.
+// Other goroutines post events to the loop. Attempts and health checks run on goroutines of their
+// own, which background counts and which end soon after ctx.
 type loop struct {
 	clock
 	balancer  *decide.Balancer
 	upstreams *upstreams
 	metrics   *metrics.Router
 	trace     *trace.Trace
-	// rules is what requests that arrive now come under. Any goroutine may read it.
+	// rules are the rules for requests that arrive from now on. Any goroutine may read it.
 	rules atomic.Pointer[rules]
 
 	// onStart, if set, is called by run before anything else.
 	onStart func()
-	// events are carried out in order.
+	// events run in the order in which they were posted.
 	events chan func()
-	// priorityEvents are carried out before events: the calls of operators and of other processes.
+	// priorityEvents run before events. They are calls of operators and of other processes.
 	priorityEvents chan func()
-	// done is closed when the loop has ended and events are dropped.
+	// done is closed when the loop has ended; later events are dropped.
 	done chan struct{}
-	// ctx is that of run.
+	// ctx is the context that run was called with.
 	ctx        context.Context
 	background sync.WaitGroup
 	timers     timerHeap
-	// deferred is what Host methods have caused: the Balancer must not be called from within its
-	// call.
+	// deferred holds actions that Host methods have scheduled. They run after the Balancer's
+	// current call has returned, because the Balancer is not reentrant.
 	deferred []func()
 
-	// requests holds each request until it is answered and its attempts have ended.
+	// requests holds each request, by id, until it is answered and its attempts have ended.
 	requests map[uint32]*request
 	lastID   uint32
-	// unanswered holds the requests without an answer, and those whose value is being streamed, by
-	// their client's id.
+	// unanswered holds, by client-assigned id, the requests that have no answer yet and those whose
+	// value is being streamed.
 	unanswered map[string]*request
-	// memoryBytes is the memory that the router may use, all its processes together.
+	// memoryBytes is the memory limit of the router, shared by all its processes.
 	memoryBytes int64
-	// valueBytes is for the values of requests. Any goroutine may use it.
+	// valueBytes is the memory budget for the values of requests. Any goroutine may use it.
 	valueBytes byteBudget
-	// answerBytes is for answers that no client has taken yet. Any goroutine may use it.
+	// answerBytes is the memory budget for answers not yet written to their clients. Any goroutine
+	// may use it.
 	answerBytes byteBudget
-	// answerBy is when all requests must be answered, once the process is to end. Any goroutine may
-	// read it.
+	// answerBy is the time by which all requests must be answered before the process exits. Any
+	// goroutine may read it.
 	answerBy instant
 
-	// discovery is the one that is followed; answers of any before it are dropped.
+	// discovery is the current discovery client; answers of its predecessors are dropped.
 	discovery *discovery
 	membership
-	// hasEndpoints is set once there is an endpoint. Any goroutine may read it.
+	// hasEndpoints is set once the list has an endpoint. Any goroutine may read it.
 	hasEndpoints atomic.Bool
 
-	// admission is nil where every request goes straight to the Balancer.
+	// admission is nil if requests go straight to the Balancer.
 	admission *admissionControl
-	// healthReports are the outcomes of other routers' health checks; nil where each makes its own.
+	// healthReports caches results of other routers' health checks; nil if health checks are not
+	// shared.
 	healthReports *healthcheck.ReportCache
 	peerEjections
-	// latencies is nil where no release asks for it.
+	// latencies is nil if the router takes no part in releases, which read it.
 	latencies *latencyHistogram
 }
 
-// latencyHistogram counts the requests served by how much of their latency objective they took.
+// latencyHistogram counts served requests by the ratio of latency to latency objective.
 type latencyHistogram [rollout.LatencyBuckets]atomic.Int64
 
-// Bounds of what waits for the loop. Who posts an event beyond them waits; an operator's call fails
-// with errLoopBusy.
+// Limits of the event queues. When events is full, post blocks. When priorityEvents is full, an
+// operator's call waits and fails with errLoopBusy when its context ends.
 const (
 	maxEvents         = 1024
 	maxPriorityEvents = 32
 )
 
-// Parts of the memory that a router may use. A value is in memory up to three times, as it came and
-// as it goes out.
+// Divisors of the router's memory limit: each budget is the limit divided by its constant. A value
+// can be in memory up to three times, counting the copies received and sent.
 const (
-	valueMemoryPart   = 16 // one in so many bytes is for values
-	answerMemoryPart  = 8  // for answers
-	unsizedMemoryPart = 16 // for values of unknown length from the origin
+	valueMemoryPart   = 16 // values of requests
+	answerMemoryPart  = 8  // answers not yet written
+	unsizedMemoryPart = 16 // values of unknown length from the origin
 )
 
-// errLoopBusy is the error of a call that the loop had no time for.
-var errLoopBusy = errors.New("the router was too busy to do it in time")
+// errLoopBusy is returned if the loop did not run a call in time.
+var errLoopBusy = errors.New("the router was too busy to run the call in time")
 
 func newLoop(cfg *Config, up *upstreams, m *metrics.Router) (*loop, error) {
 	s := cfg.settings.Config
@@ -132,16 +135,16 @@
 	return l, err
 }
 
-// setProcessCount leaves this process its part of the memory, while several processes are one router.
-// Any goroutine may call it.
+// setProcessCount sets the memory budgets to this process's share while several processes form one
+// router. Any goroutine may call it.
 func (l *loop) setProcessCount(processes int) {
 	part := l.memoryBytes / int64(processes)
 	l.valueBytes.limit.Store(part / valueMemoryPart)
 	l.answerBytes.limit.Store(part / answerMemoryPart)
 }
 
-// post hands an event to the loop, or drops it where the loop has ended. Any goroutine may call it
-// but the loop's own, which might wait for itself.
+// post queues an event for the loop, or drops it if the loop has ended. Any goroutine may call it
+// except the loop's own, which could block itself.
 func (l *loop) post(event func()) {
 	select {
 	case l.events <- event:
@@ -149,8 +152,8 @@
 	}
 }
 
-// call has the loop carry out an event that can't wait behind others, and returns its error, or
-// errLoopBusy when ctx ends first. Any goroutine may call it but the loop's own.
+// call runs an event ahead of the queued ones and returns its error, or errLoopBusy if ctx ends
+// first. Any goroutine may call it except the loop's own.
 func (l *loop) call(ctx context.Context, event func() error) error {
 	result := make(chan error, 1)
 	select {
@@ -166,7 +169,7 @@
 	}
 }
 
-// run carries out events and timers until ctx ends.
+// run processes events and timers until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
 	l.ctx = ctx
@@ -203,7 +206,7 @@
 	}
 }
 
-// runDeferred carries out what Host methods have caused.
+// runDeferred runs the actions that Host methods have scheduled.
 func (l *loop) runDeferred() {
 	for len(l.deferred) > 0 {
 		do := l.deferred[0]
--- a/internal/router/membership.go
+++ b/internal/router/membership.go
@@ -1,7 +1,7 @@
 package router
 
-// The endpoint list as the router holds it: what discovery sends goes to the Balancer, and
-// connections follow it.
+// The router's endpoint list. Updates from discovery go to the connection pools and to the
+// Balancer.
 
 import (
 	"log/slog"
@@ -10,20 +10,20 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// membership is the endpoint list and what has been decided of its servers from outside. It belongs
+// membership holds the endpoint list and the servers disabled by operators or the fleet. It belongs
 // to the loop.
 type membership struct {
-	// originKind is the kind of the endpoint that is the origin.
+	// originKind is the kind of endpoint that is the origin.
 	originKind string
-	// targets are the servers on the list, by the Balancer's id.
+	// targets holds the listed servers by the Balancer's id.
 	targets map[uint32]*target
-	// entries is the list itself, by name, for a successor; nil before the first list.
+	// entries is the list by server name, kept for a successor process; nil before the first list.
 	entries map[string]listEntry
 	// listVersion is the version of entries.
 	listVersion int64
 	staleGuard  staleGuard
 	serverIDs   serverIDs
-	// disabledByOperator holds the names of servers that operators have disabled, up to maxServerIDs.
+	// disabledByOperator holds the names of servers disabled by operators, at most maxServerIDs.
 	disabledByOperator map[string]bool
 	// disabledByFleet holds the names of servers that the fleet has agreed to disable, up to
 	// maxServerIDs.
@@ -39,7 +39,7 @@
 	}
 }
 
-// updateEndpoints takes an update of the endpoint list: connections first, then the Balancer.
+// updateEndpoints applies an update of the endpoint list to the connections, then to the Balancer.
 func (l *loop) updateEndpoints(kind decide.EndpointUpdateKind, update endpointList) {
 	l.recordList(kind, update)
 	endpoints := make([]decide.Endpoint, 0, len(update.Servers))
@@ -47,7 +47,7 @@
 	for _, e := range update.Servers {
 		endpoint, err := e.endpoint()
 		if err != nil {
-			slog.Warn("discovery: entry passed over", "error", err)
+			slog.Warn("discovery: invalid entry ignored", "error", err)
 			continue
 		}
 		endpoints = append(endpoints, endpoint)
@@ -69,7 +69,7 @@
 	}
 }
 
-// updateTarget has the connections to a server follow its entry on the list.
+// updateTarget applies a server's list entry to its connections.
 func (l *loop) updateTarget(endpoint decide.Endpoint, e listEntry) {
 	id := endpoint.ID
 	t := l.targets[id]
@@ -81,7 +81,7 @@
 		t = l.upstreams.add(e.Addr, e.Kind == l.originKind)
 		t.startedAt = endpoint.StartedAt
 		l.targets[id] = t
-	case t.startedAt != endpoint.StartedAt: // connections to the process before are dead, and may not show it
+	case t.startedAt != endpoint.StartedAt: // connections to the previous process may be dead without showing it
 		t.startedAt = endpoint.StartedAt
 		l.upstreams.closeIdle(t)
 	}
@@ -90,7 +90,8 @@
 	}
 }
 
-// removeTarget ends what is sent to a server. Attempts that are written still end by themselves.
+// removeTarget removes a server, so that nothing more is sent to it. Written attempts still
+// complete.
 func (l *loop) removeTarget(id uint32) {
 	l.cancelUnsentTo(id)
 	if t := l.targets[id]; t != nil {
@@ -99,7 +100,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that a complete list does not name.
+// removeUnlisted removes the servers that are not on a complete list.
 func (l *loop) removeUnlisted(listed map[uint32]bool) {
 	for id := range l.targets {
 		if !listed[id] {
@@ -108,9 +109,9 @@
 	}
 }
 
-// removeReplaced removes the servers that were at the address of a new one and returns their removal
-// for the Balancer. The new one has replaced them, though discovery may say so later: what is meant
-// for them would reach the new one, which is cold.
+// removeReplaced removes servers whose address a newer server now has, and returns their removals
+// for the Balancer. Discovery may report the removals later; until then their requests would be
+// sent to the new server, whose cache is cold.
 func (l *loop) removeReplaced(by decide.Endpoint, addr string) (removed []decide.Endpoint) {
 	for id, t := range l.targets {
 		if t.addr == addr && by.StartedAt > t.startedAt {
@@ -121,7 +122,7 @@
 	return removed
 }
 
-// recordList keeps the list for a successor.
+// recordList records an update in the list kept for a successor process.
 func (l *loop) recordList(kind decide.EndpointUpdateKind, update endpointList) {
 	if kind == decide.WatchFailed {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// currentList is the list as it is held.
+// currentList returns the list currently held.
 func (l *loop) currentList() endpointList {
 	list := endpointList{Version: l.listVersion, IsComplete: true}
 	for _, e := range l.entries {
@@ -148,7 +149,7 @@
 	return list
 }
 
-// reportIntervalMillis is how old the metrics of the endpoint list may be.
+// reportIntervalMillis is the interval of reportPeriodically.
 const reportIntervalMillis = 200
 
 // reportPeriodically publishes the metrics of the endpoint list and flushes the trace.
@@ -158,31 +159,32 @@
 	l.after(reportIntervalMillis, l.reportPeriodically)
 }
 
-// publishEndpointCounts publishes how many servers are listed and how many of them are avoided.
+// publishEndpointCounts publishes how many servers are listed and how many of them the Balancer
+// avoids.
 func (l *loop) publishEndpointCounts() {
 	listed, avoided := l.balancer.CountEndpoints()
 	l.metrics.Targets.Store(int64(listed))
 	l.metrics.TargetsDisabled.Store(int64(avoided))
 }
 
-// staleGuard drops lists below a version that another process has sent: for a while discovery may
-// still answer with what was before.
+// staleGuard rejects lists older than the version that another process of this router has sent, as
+// discovery may still answer with an older list for a while.
 type staleGuard struct {
 	version   int64
 	expiresAt time.Time
 }
 
-// staleGuardTime is how long a guard holds. A lower version after that is not an old answer, but
-// discovery counting anew.
+// staleGuardTime is how long a guard is in force. A lower version after that means that discovery
+// has restarted its version count.
 const staleGuardTime = 10 * time.Second
 
-// raise drops lists below a version from now on.
+// raise sets the minimum version and starts the guard.
 func (g *staleGuard) raise(version int64) {
 	g.version = version
 	g.expiresAt = time.Now().Add(staleGuardTime)
 }
 
-// isStale reports whether a list of this version is to be dropped.
+// isStale reports whether a list of this version must be dropped.
 func (g *staleGuard) isStale(version int64) bool {
 	return version < g.version && time.Now().Before(g.expiresAt)
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -12,7 +12,7 @@
 	for i := range maxServerIDs - 1 {
 		n.add(fmt.Sprint("s-", i), uint32(i))
 	}
-	n.add("first", 1) // listed again
+	n.add("first", 1) // listed again, so it is not the oldest
 	n.add("one more", 2)
 	if len(n.IDs) != maxServerIDs || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
 		t.Errorf("%d ids", len(n.IDs))
@@ -33,12 +33,12 @@
 			c.ask(readCommandOf("a1", 2000))
 			receive(t, s.seen, "request")
 			e.State = state
-			began := time.Now()
+			changedAt := time.Now()
 			d.change(e)
 			receive(t, d.calls, "watch after the change")
 			if state == "left" {
-				receive(t, s.ended, "end of the kept connection")
-				if took := time.Since(began); took > 5*time.Second { // else it only ran out
+				receive(t, s.ended, "end of the idle connection")
+				if took := time.Since(changedAt); took > 5*time.Second { // else its idle time has expired
 					t.Errorf("closed after %v", took)
 				}
 			}
@@ -46,23 +46,24 @@
 				c.ask(readCommandOf(fmt.Sprint("b", i), 2000))
 			}
 			if len(s.seen) > 0 {
-				t.Error("sent to a server that drains")
+				t.Error("a request was sent to a draining server")
 			}
 		})
 	}
 }
 
-// A server that has started anew: connections to the process before it are closed.
+// Guards against requests on connections to a server's previous process: they are closed when the
+// list has a new start time.
 func TestRestartedServerGetsNewConnections(t *testing.T) {
 	s, o := startFake(t, hit), startFake(t, originOK)
 	e := box("s-0000000b", s.addr)
 	r, d := serving(t, e, originAt(o.addr))
 	dial(t, r.addr).ask(readCommandOf("a1", 2000))
 	e.StartedMillis = float64(time.Now().UnixMilli())
-	began := time.Now()
+	changedAt := time.Now()
 	d.change(e)
 	receive(t, s.ended, "end of the old connection")
-	if took := time.Since(began); took > 5*time.Second { // else it only ran out
+	if took := time.Since(changedAt); took > 5*time.Second { // else its idle time has expired
 		t.Errorf("closed after %v", took)
 	}
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -39,12 +39,12 @@
 		t.Fatal(err)
 	}
 	if got := c.ask(readCommandOf("a9", 5000)); got != "SERVER_ERROR busy" {
-		t.Fatalf("with its only server out: got %q", got)
+		t.Fatalf("with the only server disabled: got %q", got)
 	}
 	s := r.figures(t)
 	if s.Success["read"] != 3 || s.Overload["read"] != 1 || s.Error["read"] != 0 || s.Error["bill"] != 1 ||
 		s.Dispatches != 4 || s.Concurrent != 0 || s.Targets != 2 || s.TargetsDisabled != 1 {
-		t.Errorf("got %+v", s)
+		t.Errorf("metrics: %+v", s)
 	}
 }
 
@@ -52,10 +52,10 @@
 	a, o := startFake(t, hit), startFake(t, originOK)
 	r, d := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 	if err := r.router.SetDisabled(t.Context(), "s-000000bb", true); !errors.Is(err, admin.ErrUnknownServer) {
-		t.Errorf("an id that was never listed: got %v", err)
+		t.Errorf("unlisted server: got %v", err)
 	}
 	if err := r.router.SetDisabled(t.Context(), "x-0000000b", true); !errors.Is(err, admin.ErrUnknownServer) {
-		t.Errorf("an id that only ends like a listed one: got %v", err)
+		t.Errorf("unlisted server whose name ends like a listed one: got %v", err)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
@@ -69,16 +69,16 @@
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", false); err != nil {
 		t.Fatal(err)
 	}
-	for i := 2; ; i++ { // at first its cold budget may have no room
+	for i := 2; ; i++ { // at first there may be no capacity for a cold server
 		if got := c.ask(readCommandOf(fmt.Sprint("a", i), 5000)); got == fmt.Sprintf("VA 5 Oa%d hello", i) {
 			break
 		} else if got != "SERVER_ERROR busy" {
-			t.Fatalf("after the call back: got %q", got)
+			t.Fatalf("after enabling the server: got %q", got)
 		}
 	}
 }
 
-// A call that the loop has no time for is answered all the same.
+// A call that the loop can't run in time returns an error.
 func TestCallToABusyLoop(t *testing.T) {
 	r, err := New(testConfig(t, "127.0.0.1:1", endpointList{}), listenLocal(t), metrics.New())
 	if err != nil {
--- a/internal/router/operations.go
+++ b/internal/router/operations.go
@@ -1,7 +1,7 @@
 package router
 
-// The calls of operators, as the second address offers them. They may come from any goroutine until
-// Run returns.
+// The operations for operators, served on the operators' interface. Any goroutine may call them
+// until Run returns.
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Ready reports whether the router can serve.
+// Ready reports whether the router can serve requests.
 func (r *Router) Ready() bool {
 	return r.isServing.Load() && r.loop.hasEndpoints.Load() && !r.clients.isDraining.Load()
 }
 
-// Metrics is the report of the metrics, in JSON.
+// Metrics returns the metrics as JSON.
 func (r *Router) Metrics() ([]byte, error) {
 	if r.loop.healthReports == nil {
 		return r.metrics.JSON(nil)
@@ -25,15 +25,15 @@
 	return r.metrics.JSON(&metrics.ProbeReports{Hits: hits, Misses: misses})
 }
 
-// SetDisabled disables a cache server, or enables it again, in all processes of this router.
-// admin.ErrUnknownServer is the error for a name that no list has had; any other error leaves open
-// whether the call holds.
+// SetDisabled disables or enables a cache server in all processes of this router. It returns
+// admin.ErrUnknownServer for a name that was never listed. After any other error it is unknown
+// whether the call is in effect.
 func (r *Router) SetDisabled(ctx context.Context, name string, disabled bool) error {
 	return r.disable(ctx, disableCall{ServerID: name, Disabled: disabled}, nil)
 }
 
-// setDisabled carries a call out in this process. A server that both operators and the fleet have
-// disabled is enabled once both have enabled it.
+// setDisabled applies a call in this process. A server disabled by both operators and the fleet is
+// enabled only once both have enabled it.
 func (l *loop) setDisabled(call disableCall) error {
 	id, isKnown := l.serverIDs.IDs[call.ServerID]
 	if !isKnown && !call.IsListed {
--- a/internal/router/origin.go
+++ b/internal/router/origin.go
@@ -1,6 +1,6 @@
 package router
 
-// The origin's HTTP/1.1.
+// The origin's protocol, HTTP/1.1.
 
 import (
 	"bufio"
@@ -17,13 +17,14 @@
 )
 
 const (
-	// maxHeadBytes bounds a status line with its headers.
+	// maxHeadBytes limits a status line with its headers.
 	maxHeadBytes = 16 << 10
-	// maxProvisional bounds the answers with a 1xx status ahead of the answer.
+	// maxProvisional limits the number of 1xx answers before the answer.
 	maxProvisional = 8
 )
 
-// originRequest is a command as the origin gets it. An error means that it can't be said in HTTP.
+// originRequest returns a command as it is sent to the origin, or an error if it has no valid HTTP
+// form.
 func originRequest(addr string, c *command, hint timeoutHint) ([]byte, error) {
 	r := &http.Request{
 		Method:     http.MethodGet,
@@ -50,7 +51,8 @@
 	return b.Bytes(), nil
 }
 
-// readHead reads a status line and headers, up to maxHeadBytes: the library has no bound of its own.
+// readHead reads a status line and headers, up to maxHeadBytes. The library has no limit of its
+// own.
 func readHead(r *bufio.Reader) ([]byte, error) {
 	var head []byte
 	for {
@@ -72,8 +74,8 @@
 	}
 }
 
-// replaceControls replaces control characters of a header line. For one such byte in a load report
-// the library would reject the complete answer; with it replaced, only the report can't be read.
+// replaceControls replaces control characters in a header line. The library would reject the
+// complete answer because of one such byte in a load report; now only the report is invalid.
 func replaceControls(line []byte) {
 	const deleteCharacter = 0x7f
 	for i, b := range line {
@@ -83,18 +85,18 @@
 	}
 }
 
-// originReader reads answers of the origin from a connection. Bodies are read here and not by the
-// library, whose Close would read an unwanted one to its end, however long that is.
+// originReader reads the origin's answers from a connection. It reads bodies itself, because Close
+// in the library would read an unwanted body to its end, whatever its length.
 type originReader struct {
 	*bufio.Reader
 	method string
-	// mayStream is set where a long body may be left to be streamed.
+	// mayStream is set if a long body may be left unread for streaming.
 	mayStream bool
-	// unsizedValues is for bodies of unknown length.
+	// unsizedValues is the memory budget for bodies of unknown length.
 	unsizedValues *byteBudget
 }
 
-// readResponse reads an answer with its body, which is nil where it is to be streamed.
+// readResponse reads an answer with its body. The body is nil if it is to be streamed.
 func (r originReader) readResponse() (*http.Response, []byte, error) {
 	for range maxProvisional {
 		head, err := readHead(r.Reader)
@@ -109,7 +111,7 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, nil, malformed("origin answer: status %d", resp.StatusCode)
 		case resp.StatusCode >= http.StatusOK && r.isStreamed(resp):
-			_, err := r.Peek(1) // a body that does not begin is no answer
+			_, err := r.Peek(1) // an answer counts only once its body has begun
 			return resp, nil, err
 		case resp.StatusCode >= http.StatusOK:
 			endsWithConnection := bytes.Contains(bytes.ToLower(head), []byte("\nconnection: close\r\n"))
@@ -126,9 +128,9 @@
 		resp.ContentLength > maxBufferedValue && resp.ContentLength <= maxValueBytes
 }
 
-// readBody reads the body that an answer announces. One that ends with the connection is complete
-// only where the answer has said that it would: else it can't be distinguished from one that broke
-// off.
+// readBody reads an answer's body. A body that ends with the connection is accepted only if the
+// answer announced that with "Connection: close"; otherwise it can't be distinguished from an
+// incomplete one.
 func (r originReader) readBody(resp *http.Response, endsWithConnection bool) ([]byte, error) {
 	n := resp.ContentLength
 	isChunked := slices.Contains(resp.TransferEncoding, "chunked")
@@ -156,9 +158,8 @@
 	}
 }
 
-// readUnsized reads a body whose length shows only at its end. As an answer to a client begins with
-// the length, it must be read completely, however long: beyond maxBufferedValue as far as budget
-// has capacity.
+// readUnsized reads a body whose length is known only at its end. It is read completely, as the
+// answer to a client begins with the length. What exceeds maxBufferedValue is reserved from budget.
 func readUnsized(r io.Reader, budget *byteBudget) ([]byte, error) {
 	var body []byte
 	reserved := 0
@@ -186,7 +187,8 @@
 	}
 }
 
-// readOrigin reads the origin's answer to a command, within the budget for values of unknown length.
+// readOrigin reads the origin's answer to a command, with the pool's budget for values of unknown
+// length.
 func (u *upstreams) readOrigin(r *bufio.Reader, c *command) (reply, error) {
 	return readOriginReply(r, c, &u.unsizedValues)
 }
@@ -219,8 +221,8 @@
 	return got, nil
 }
 
-// originStatus is what an answer's status says of the attempt. Only X-Unprocessed proves that it
-// has not run: after a bare 503 it may have.
+// originStatus maps an answer's status to the outcome of the attempt. Only X-Unprocessed proves
+// that the request has not run; after a bare 503 it may have.
 func originStatus(resp *http.Response) decide.AttemptStatus {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -233,7 +235,7 @@
 	return decide.Failed
 }
 
-// isReceipt reports whether a receipt can stand in an answer's line.
+// isReceipt reports whether a receipt can be part of an answer line.
 func isReceipt(b []byte) bool {
 	isUnprintable := func(r rune) bool { return r == ' ' || !isPrintable(r) }
 	return len(b) > 0 && len(b) < maxLineBytes/2 && !bytes.ContainsFunc(b, isUnprintable)
--- a/internal/router/overflow_test.go
+++ b/internal/router/overflow_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Guards against requests that stand unread until after their deadline, where each connection that the
-// router may have waits for an answer: those beyond are rejected at once.
+// Guards against requests that stay unread until after their deadline while every allowed
+// connection waits for an answer: requests on further connections are rejected at once.
 func TestRequestBeyondAllBusyConnectionsIsRejected(t *testing.T) {
-	const places = 3
+	const maxConns = 3
 	silent := startFake(t, func(string) string { return "" })
-	l, _, addr := startLoopAndClients(t, 192, places, box("s-0000000b", silent.addr), originAt(silent.addr))
-	for i := range places {
+	l, _, addr := startLoopAndClients(t, 192, maxConns, box("s-0000000b", silent.addr), originAt(silent.addr))
+	for i := range maxConns {
 		busy := dial(t, addr)
 		busy.send(readOf(i+1, fmt.Sprint("busy", i), 20000) + "\r\n")
 		receive(t, silent.seen, "request at the silent server")
 	}
 	for i := range 5 * maxOverflowConns {
-		began := time.Now()
+		sentAt := time.Now()
 		got := dial(t, addr).ask(readOf(i+10, fmt.Sprint("more", i), 20000))
 		if !strings.HasPrefix(got, "SERVER_ERROR busy") {
 			t.Fatalf("request %d beyond the limit: got %q", i, got)
 		}
-		if took := time.Since(began); took > time.Second {
+		if took := time.Since(sentAt); took > time.Second {
 			t.Errorf("request %d was rejected after %v", i, took)
 		}
 	}
 	onLoop(l, func() {
-		if len(l.requests) != places {
-			t.Errorf("%d requests, want %d: what was rejected was taken", len(l.requests), places)
+		if len(l.requests) != maxConns {
+			t.Errorf("%d requests in the loop, want %d: a rejected one was accepted", len(l.requests), maxConns)
 		}
 	})
 }
 
-// Guards against overflow connections whose clients send nothing, and keep all others out.
+// Guards against silent clients whose overflow connections keep all other clients out.
 func TestSilentOverflowConnectionsEndSoon(t *testing.T) {
 	silent := startFake(t, func(string) string { return "" })
 	_, _, addr := startLoopAndClients(t, 192, 1, box("s-0000000b", silent.addr), originAt(silent.addr))
@@ -46,6 +46,6 @@
 		dial(t, addr)
 	}
 	if got := dial(t, addr).ask(readOf(2, "more", 20000)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
-		t.Errorf("behind silent connections: got %q", got)
+		t.Errorf("after silent connections: got %q", got)
 	}
 }
--- a/internal/router/peer_ejections.go
+++ b/internal/router/peer_ejections.go
@@ -1,6 +1,6 @@
 package router
 
-// Servers that other routers have ejected: gossip by way of the agreement.
+// Servers ejected by other routers, as shared through the coordinators.
 
 import (
 	"context"
@@ -10,33 +10,33 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// peerEjections are the servers that other routers have ejected. It belongs to the loop.
+// peerEjections holds the servers ejected by other routers. It belongs to the loop.
 type peerEjections struct {
-	// ejectedByPeers holds these servers, and until when that counts, in milliseconds on the loop's
-	// clock.
+	// ejectedByPeers holds, for each such server, when its ejection expires, in milliseconds on the
+	// loop's clock.
 	ejectedByPeers map[uint32]float64
-	// ejectedOnlyByPeers holds the servers that the Balancer avoids for no other reason: this router
-	// has no evidence of its own, and must not report them as failing. Else a server that one router
-	// once ejected would stay ejected by routers that repeat each other.
+	// ejectedOnlyByPeers holds the servers that the Balancer avoids only because of other routers'
+	// ejections. This router has no evidence of its own and must not report them as failing.
+	// Otherwise routers repeating each other's reports would keep a server ejected forever.
 	ejectedOnlyByPeers map[uint32]bool
-	// isRefreshingPeerEjections is set while a timer for applyPeerEjections is set.
+	// isRefreshingPeerEjections is set while a timer for applyPeerEjections is running.
 	isRefreshingPeerEjections bool
 }
 
 const (
-	// peerEjectionRefreshMillis is how often ejectedByPeers is reported to the Balancer again: well
-	// below its shortest time until the trial of an ejected server.
+	// peerEjectionRefreshMillis is how often ejectedByPeers is reported to the Balancer again. It
+	// is well below the Balancer's shortest time until it probes an ejected server.
 	peerEjectionRefreshMillis = 100
-	// maxPeerEjectionMillis bounds how long one report of others keeps a server ejected.
+	// maxPeerEjectionMillis limits how long one report of other routers keeps a server ejected.
 	maxPeerEjectionMillis = 30000
-	// maxFailedChecks is how many failed health checks have the Balancer eject a server, unless it
-	// has ejected half of them already.
+	// maxFailedChecks is the number of failed health checks after which the Balancer ejects a
+	// server, unless it has already ejected half of the servers.
 	maxFailedChecks = 3
 )
 
-// setPeerEjections takes the servers that others have ejected, in place of those before. Each ends
-// by its time on this router's clock, whatever becomes of the agreement. Any goroutine may call it
-// but the loop's.
+// setPeerEjections replaces the servers ejected by other routers. Each ejection expires by this
+// router's clock, even if the coordinators become unreachable. Any goroutine except the loop's may
+// call it.
 func (l *loop) setPeerEjections(ctx context.Context, ejected []rollout.EjectedServer) error {
 	return l.call(ctx, func() error {
 		ends := map[uint32]float64{}
@@ -53,8 +53,9 @@
 	})
 }
 
-// applyPeerEjections has the Balancer eject the servers that others have ejected, by failed health
-// checks, and puts off their trial; it does so again until the last one's time is over.
+// applyPeerEjections makes the Balancer eject the servers that other routers have ejected, by
+// reporting failed health checks, and postpones their probes. It repeats this until the last
+// ejection has expired.
 func (l *loop) applyPeerEjections() {
 	for id, end := range l.ejectedByPeers {
 		switch {
@@ -64,7 +65,7 @@
 			l.failHealthCheck(id)
 		default:
 			l.ejectedOnlyByPeers[id] = true
-			for range maxFailedChecks { // fewer do where it has had some of its own
+			for range maxFailedChecks { // fewer suffice if some of its own have failed
 				l.failHealthCheck(id)
 				if l.balancer.IsEjected(id) {
 					break
@@ -78,14 +79,14 @@
 	}
 }
 
-// failHealthCheck reports a failed health check to the Balancer, which is its only way to learn that
-// a server is to be avoided.
+// failHealthCheck reports a failed health check to the Balancer, which has no other input for
+// ejecting a server.
 func (l *loop) failHealthCheck(id uint32) {
 	l.balancer.HealthCheckEnded(l.now(), id, decide.ConnectError, decide.NoLoadReport)
 }
 
-// recordOwnEvidence records that an attempt of this router has failed at a server that it knew of
-// only by others, once these no longer have it ejected.
+// recordOwnEvidence records that an attempt of this router has failed at a server ejected only by
+// others, if their ejection has expired.
 func (l *loop) recordOwnEvidence(server uint32, status decide.AttemptStatus) {
 	_, isEjectedByPeers := l.ejectedByPeers[server]
 	if !l.ejectedOnlyByPeers[server] || isEjectedByPeers {
@@ -97,7 +98,7 @@
 	}
 }
 
-// forgetUnlistedEjections forgets servers that have left the list.
+// forgetUnlistedEjections deletes the entries of servers that are no longer listed.
 func (l *loop) forgetUnlistedEjections() {
 	maps.DeleteFunc(l.ejectedOnlyByPeers, func(id uint32, _ bool) bool { return l.targets[id] == nil })
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -1,6 +1,6 @@
 package router
 
-// Connection pools: idle connections by server, all under one limit on descriptors.
+// Connection pools: idle connections by server, under one common limit on descriptors.
 
 import (
 	"bufio"
@@ -17,38 +17,39 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// target is a cache server or the origin, at one address.
+// target is a cache server or the origin at one address.
 type target struct {
 	addr     string
 	isOrigin bool
-	// startedAt is when the server's process started, in milliseconds on the loop's clock. It belongs
-	// to the loop.
+	// startedAt is when the server's process started, in milliseconds on the loop's clock. It
+	// belongs to the loop.
 	startedAt float64
-	// idle are the idle connections, longest idle first; guarded by upstreams.mu.
+	// idle holds the idle connections, the one idle for longest first; guarded by upstreams.mu.
 	idle []*upstreamConn
-	// isRemoved is set once the server has left the list: no connection is kept any more. It is
-	// guarded by upstreams.mu.
+	// isRemoved is set once the server was removed from the list: its connections are closed
+	// instead of kept. It is guarded by upstreams.mu.
 	isRemoved bool
 }
 
-// upstreams keeps the connections to cache servers and the origin. An idle connection belongs to
-// it, an acquired one to who has acquired it. Any goroutine may use it.
+// upstreams is the pool of connections to cache servers and the origin. An idle connection belongs
+// to the pool, an acquired one to the goroutine that acquired it. Any goroutine may use the pool.
 type upstreams struct {
-	// trace takes the making of connections.
+	// trace records the opening of connections.
 	trace *trace.Trace
-	// unsizedValues is for values of unknown length, beyond maxBufferedValue of each.
+	// unsizedValues is the memory budget for values of unknown length, for the part of each beyond
+	// maxBufferedValue.
 	unsizedValues byteBudget
-	// uploads counts the large writes on their way that are no attempt yet.
+	// uploads counts the large writes being received that are not attempts yet.
 	uploads atomic.Int64
-	// routerLimit is the limit of all processes of this router together.
+	// routerLimit is the limit on connections of all processes of this router together.
 	routerLimit int
-	// processReserve is how many descriptors each further process needs for other things.
+	// processReserve is how many descriptors each additional process needs for other purposes.
 	processReserve int
 
 	// mu guards the fields below, and idle and isRemoved of each target.
 	mu     sync.Mutex
 	dialer net.Dialer
-	// maxIdle is how long a connection may be idle and be used again.
+	// maxIdle is how long a connection may be idle before it is no longer used.
 	maxIdle time.Duration
 	// limit is this process's limit on connections.
 	limit int
@@ -58,23 +59,23 @@
 }
 
 const (
-	// sweepInterval is the time between two looks at all idle connections.
+	// sweepInterval is how often all idle connections are checked.
 	sweepInterval = 500 * time.Millisecond
-	// originIdleMinimum is how long a connection to the origin rests after an answer. Answers in HTTP
-	// carry no id: a second copy of the last one that comes a moment later must be there, and end the
-	// connection, before the next request is written; else it would be taken for its answer.
+	// originIdleMinimum is how long a connection to the origin stays unused after an answer. HTTP
+	// answers carry no request id, so a late duplicate of the last answer would be taken for the
+	// answer to the next request. If it arrives within this time, the connection is closed.
 	originIdleMinimum = 20 * time.Millisecond
-	// maxIdleMargin bounds how much earlier than the server a connection is given up.
+	// maxIdleMargin limits how much earlier than the server the pool closes an idle connection.
 	maxIdleMargin = time.Second
-	// uploadPart is the part of the connections, one in so many, that large writes may hold for as
-	// long as slow clients take: the rest is for attempts.
+	// uploadPart is a divisor: large writes, which last as long as slow clients take, may hold at
+	// most one in uploadPart connections. The rest is for attempts.
 	uploadPart = 4
 )
 
-// errNoDescriptor is the error of a connection that can't be opened within the limit.
+// errNoDescriptor is returned if another connection would exceed the limit.
 var errNoDescriptor = errors.New("no descriptor left for a connection")
 
-// newUpstreams keeps at most limit connections. For the times see setTimeouts.
+// newUpstreams returns a pool of at most limit connections. For the durations see setTimeouts.
 func newUpstreams(serverIdleTimeout, connectTimeout time.Duration, limit int) *upstreams {
 	u := &upstreams{limit: limit, routerLimit: limit, targets: map[*target]struct{}{}}
 	u.dialer.KeepAlive = -1
@@ -82,23 +83,23 @@
 	return u
 }
 
-// setTimeouts sets how long a server keeps an idle connection, where 0 means that the settings
-// don't say and it is kept until the server closes it, and how long a connection may take to come
-// up.
+// setTimeouts sets how long a server keeps an idle connection open, and the timeout for opening a
+// connection. A serverIdleTimeout of 0 means that the settings don't specify it; connections are
+// then kept until the server closes them.
 func (u *upstreams) setTimeouts(serverIdleTimeout, connectTimeout time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dialer.Timeout = connectTimeout
-	// A request written to a connection that the server has just closed ends as a reset: be well
-	// ahead of it.
+	// A request written to a connection that the server has just closed ends with a reset, so
+	// connections are closed well before that.
 	u.maxIdle = serverIdleTimeout - min(serverIdleTimeout/4, maxIdleMargin)
 	if serverIdleTimeout <= 0 {
 		u.maxIdle = math.MaxInt64
 	}
 }
 
-// setProcessCount leaves this process its part of the connections, while several processes are one
-// router, and closes idle ones beyond it.
+// setProcessCount sets the limit to this process's share while several processes form one router,
+// and closes idle connections beyond it.
 func (u *upstreams) setProcessCount(processes int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,14 +108,14 @@
 	}
 }
 
-// uploadLimit bounds uploads.
+// uploadLimit returns the limit on concurrent uploads.
 func (u *upstreams) uploadLimit() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return int64(max(1, u.limit/uploadPart))
 }
 
-// add keeps connections to a server from now on.
+// add registers a server, whose idle connections are kept from now on.
 func (u *upstreams) add(addr string, isOrigin bool) *target {
 	t := &target{addr: addr, isOrigin: isOrigin}
 	u.mu.Lock()
@@ -123,7 +124,8 @@
 	return t
 }
 
-// remove keeps no connections to a server any more. Acquired ones are closed when they are released.
+// remove unregisters a server and closes its idle connections. Acquired connections are closed when
+// they are released.
 func (u *upstreams) remove(t *target) {
 	u.mu.Lock()
 	t.isRemoved = true
@@ -148,8 +150,8 @@
 	}
 }
 
-// sweep closes connections that have been idle for maxIdle or that the other side has closed, until
-// ctx ends; then it closes all idle ones.
+// sweep closes connections that have been idle for maxIdle or were closed by the other side. When
+// ctx ends, it closes all idle connections and returns.
 func (u *upstreams) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -173,7 +175,7 @@
 	}
 }
 
-// takeExpired takes the idle connections out that are not to be used any more.
+// takeExpired removes and returns the idle connections that may not be used any more.
 func (u *upstreams) takeExpired() (expired []*upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -195,8 +197,8 @@
 	return time.Since(c.idleSince) < u.maxIdle && c.isQuiet()
 }
 
-// acquire returns a connection to a server: an idle one where there is one, else one that it opens.
-// errNoDescriptor is the error where the limit does not allow that.
+// acquire returns an idle connection to a server, or opens one if there is none. It returns
+// errNoDescriptor if the limit does not allow that.
 func (u *upstreams) acquire(ctx context.Context, t *target, isNotRepeatable bool) (*upstreamConn, error) {
 	u.mu.Lock()
 	if c := u.takeIdle(t, isNotRepeatable); c != nil {
@@ -213,12 +215,12 @@
 	return u.dial(ctx, dialer, t)
 }
 
-// takeIdle takes an idle connection that may be used, or returns nil. The caller holds mu.
+// takeIdle returns a usable idle connection, or nil. The caller holds mu.
 //
-// It is the one that has been idle for longest, so that all connections of a peak stay in use: else
-// the others would expire, and the next peak would cost the server as many handshakes. For a
-// request that may not be sent twice at will it is the one that was used last: a server may close a
-// connection early, and a request that is written just then is lost.
+// It prefers the connection that has been idle for longest, so that all connections opened during a
+// load peak stay in use. Otherwise the others would expire, and the next peak would cost the server
+// as many handshakes again. For a request that is not repeatable it prefers the one used last: a
+// server may close an idle connection early, and a request written at that moment is lost.
 func (u *upstreams) takeIdle(t *target, isNotRepeatable bool) *upstreamConn {
 	for {
 		rested := len(t.idle)
@@ -242,7 +244,7 @@
 	}
 }
 
-// dial opens a connection, which counts as open already.
+// dial opens a connection that openConns already counts.
 func (u *upstreams) dial(ctx context.Context, dialer net.Dialer, t *target) (*upstreamConn, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", t.addr)
 	if u.trace.Enabled() {
@@ -259,8 +261,8 @@
 	return c, nil
 }
 
-// evictIdle closes the connection that has been idle for longest, and reports whether there was any.
-// The caller holds mu.
+// evictIdle closes the connection that has been idle for longest, and reports whether there was
+// one. The caller holds mu.
 func (u *upstreams) evictIdle() bool {
 	var from *target
 	for t := range u.targets {
@@ -277,7 +279,7 @@
 	return true
 }
 
-// release keeps an acquired connection for the next attempt, or closes it.
+// release returns an acquired connection to the pool, or closes it.
 func (u *upstreams) release(t *target, c *upstreamConn, isReusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -290,8 +292,8 @@
 	t.idle = append(t.idle, c)
 }
 
-// releaseUnused returns a connection that was acquired and not written to. Its server counts it as
-// idle since its last use, and so does the pool.
+// releaseUnused returns an acquired connection that nothing was written to. As for its server, its
+// idle time continues from its last use.
 func (u *upstreams) releaseUnused(t *target, c *upstreamConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/router/pool_test.go
+++ b/internal/router/pool_test.go
@@ -10,7 +10,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// A connection that was taken and not used is as old as it was: its server goes by its own count.
+// Guards against use of a connection that its server is about to close: a connection that was
+// acquired and not written to keeps its idle time.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
@@ -19,23 +20,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh, err := u.acquire(t.Context(), target, false)
+	recent, err := u.acquire(t.Context(), target, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.release(target, old, true)
-	u.release(target, fresh, true)
-	was := time.Now().Add(-5 * time.Second)
+	u.release(target, recent, true)
+	originalIdleSince := time.Now().Add(-5 * time.Second)
 	u.mu.Lock()
-	old.idleSince = was
+	old.idleSince = originalIdleSince
 	u.mu.Unlock()
 	u.roundTrip(t.Context(), target, getCommand(),
 		attemptHooks{false, func() timeoutHint { return 0 }, noHook, noStream})
-	if kept := idleConns(u, target); len(kept) != 2 || kept[0] != old || !kept[0].idleSince.Equal(was) {
-		t.Errorf("it counts as new: %v", kept)
+	if kept := idleConns(u, target); len(kept) != 2 || kept[0] != old || !kept[0].idleSince.Equal(originalIdleSince) {
+		t.Errorf("the idle time was reset: %v", kept)
 	}
-	// What can't be repeated goes over the one that was used last.
-	if got, err := u.acquire(t.Context(), target, true); err != nil || got != fresh {
+	// A request that is not repeatable uses the connection that was used last.
+	if got, err := u.acquire(t.Context(), target, true); err != nil || got != recent {
 		t.Errorf("got %v, %v", got, err)
 	} else {
 		u.releaseUnused(target, got)
@@ -61,12 +62,12 @@
 	return slices.Clone(t.idle)
 }
 
-// A kept connection that the server has closed must not carry a request: written to it, it would
-// end as a reset, which may have run.
+// Guards against a request on an idle connection that the server has closed: it would end with a
+// reset and might have run.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
 	u := testUpstreams(t, 10*time.Second, 10)
 	f := startFake(t, func(line string) string {
-		if strings.HasPrefix(line, "PUT") { // answers as if to keep the connection, and closes it
+		if strings.HasPrefix(line, "PUT") { // answers without announcing a close, and closes the connection
 			return httpAnswer("200 OK", "77") + "{cut}"
 		}
 		return httpAnswer("200 OK", "fresh")
@@ -77,7 +78,7 @@
 			t.Fatalf("request %d: got %v", n, got.status)
 		}
 		for kept := idleConns(u, target); len(kept) > 0 && kept[0].isQuiet(); {
-			time.Sleep(time.Millisecond) // until the end has come over the socket
+			time.Sleep(time.Millisecond) // until the end of the connection was received
 		}
 	}
 	if n := f.conns.Load(); n != 3 {
@@ -88,16 +89,16 @@
 func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
 	f := startFake(t, hit)
 	u := testUpstreams(t, 400*time.Millisecond, 10)
-	target, began := u.add(f.addr, false), time.Now()
+	target, startedAt := u.add(f.addr, false), time.Now()
 	u.roundTrip(t.Context(), target, getCommand(), writeAlways)
 	receive(t, f.ended, "end of the idle connection")
-	if took := time.Since(began); took < 200*time.Millisecond || took > 3*time.Second {
+	if took := time.Since(startedAt); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.openConns != 0 {
-		t.Errorf("%d connections are still counted", u.openConns)
+		t.Errorf("openConns is %d", u.openConns)
 	}
 }
 
@@ -110,20 +111,20 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan reply, 1)
-	go func() { done <- u.roundTrip(ctx, b, getCommand(), writeAlways) }() // takes the place of the idle one
+	go func() { done <- u.roundTrip(ctx, b, getCommand(), writeAlways) }() // replaces the idle connection
 	receive(t, silent.seen, "request")
 	if got := u.roundTrip(t.Context(), a, getCommand(), writeAlways); got.status != decide.Unprocessed {
 		t.Errorf("beyond the limit: got %v", got.status)
 	}
 	stop()
-	receive(t, done, "end of the attempt that was given up")
+	receive(t, done, "end of the canceled attempt")
 	if got := u.roundTrip(t.Context(), a, getCommand(), writeAlways); got.status != decide.OK {
-		t.Errorf("once there is room: got %v", got.status)
+		t.Errorf("once there is capacity: got %v", got.status)
 	}
 }
 
-// Connections that a peak has opened take turns, or all but one would run out and be opened anew at
-// the next peak.
+// Guards against repeated handshakes: connections opened during a peak are used in turn. Otherwise
+// all but one would expire and be opened again at the next peak.
 func TestKeptConnectionsTakeTurns(t *testing.T) {
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
@@ -144,7 +145,7 @@
 			t.Fatal(err)
 		}
 		if got != want {
-			t.Errorf("turn %d went to another connection", n)
+			t.Errorf("use %d got the wrong connection", n)
 		}
 		u.release(target, got, true)
 	}
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -12,35 +12,35 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// A configuration that names another discovery: the list that is held serves until the new one
-// tells the whole, the old watch ends, and what the old one says from then on counts for nothing.
+// When a configuration names another discovery, the held list stays in use until the new discovery
+// provides a complete one, the old watch ends, and later changes of the old discovery are ignored.
 func TestNewDiscoveryTakesOver(t *testing.T) {
 	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
 	r, old := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 	c := dial(t, r.addr)
 
-	tell, ended := make(chan struct{}), make(chan struct{}, 10)
+	allowAnswers, callEnded := make(chan struct{}), make(chan struct{}, 10)
 	second := startDirectory(t, full(box("s-0000000c", b.addr), originAt(o.addr)))
 	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-tell:
+		case <-allowAnswers:
 			second.Config.Handler.ServeHTTP(w, r)
 		case <-r.Context().Done():
-			ended <- struct{}{}
+			callEnded <- struct{}{}
 		}
 	}))
 	t.Cleanup(func() { slow.CloseClientConnections(); slow.Close() })
 	r.updates <- testConfig(t, slow.Listener.Addr().String(), endpointList{})
-	receive(t, ended, "end of a first call, which was not answered") // so the new one is asked again and again
+	receive(t, callEnded, "end of a first call, which was not answered") // the new discovery is called repeatedly
 	if got := c.ask(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
-		t.Errorf("while the new one is silent: got %q", got)
+		t.Errorf("while the new discovery does not answer: got %q", got)
 	}
-	receive(t, a.seen, "request at the server of the list that is held")
-	gone := originAt(o.addr)
-	gone.State = "left"
-	old.change(gone) // the watch is over: nobody hears it
-	close(tell)
-	receive(t, second.calls, "call for the whole list")
+	receive(t, a.seen, "request at the server of the held list")
+	removed := originAt(o.addr)
+	removed.State = "left"
+	old.change(removed) // the watch has ended, so this must have no effect
+	close(allowAnswers)
+	receive(t, second.calls, "call for the complete list")
 	receive(t, second.calls, "watch")
 	receive(t, a.ended, "end of the connection to the server that the new list lacks")
 	for i := range 3 {
@@ -50,35 +50,36 @@
 		receive(t, b.seen, "request at the server of the new list")
 	}
 	if got := c.ask(billCommandOf("w", 5000)); got != "HD Ow c5c0f" {
-		t.Errorf("the origin that the old discovery took away: got %q", got)
+		t.Errorf("the origin removed by the old discovery: got %q", got)
 	}
 }
 
-// An answer of the old discovery that is on its way when the new one is named is not heard.
+// Guards against applying an answer of the old discovery that arrives after the change to a new
+// one.
 func TestLateAnswerOfTheOldDiscoveryIsPassedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	l, err := newLoop(cfg, newUpstreams(time.Second, time.Second, 10), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, fresh := l.newWatch(cfg, func(endpointList) {}), l.newWatch(cfg, func(endpointList) {})
-	// told has a discovery tell a list, and the loop take it after what comes between the two.
-	told := func(d *discovery, between func()) {
+	old, current := l.newWatch(cfg, func(endpointList) {}), l.newWatch(cfg, func(endpointList) {})
+	// deliver delivers a list from a discovery; the loop processes it after calling between.
+	deliver := func(d *discovery, between func()) {
 		done := make(chan struct{})
 		go func() { defer close(done); d.onList(full(box("s-0000000b", "127.0.0.1:1"))) }()
 		event := receive(t, l.events, "the list")
 		between()
 		event()
-		receive(t, done, "the end of telling it")
+		receive(t, done, "the end of the delivery")
 	}
 	l.setDiscovery(old)
-	told(old, func() { l.setDiscovery(fresh) })
+	deliver(old, func() { l.setDiscovery(current) })
 	if len(l.targets) != 0 {
-		t.Error("the old discovery is still heard")
+		t.Error("a list of the old discovery was applied")
 	}
-	told(fresh, func() {})
+	deliver(current, func() {})
 	if len(l.targets) != 1 {
-		t.Error("the new discovery is not heard")
+		t.Error("the list of the new discovery was not applied")
 	}
 }
 
@@ -99,17 +100,17 @@
 	bad := withSettings(t, cfg, `"name":"n0"`, `"name":"n1"`)
 	good := withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`)
 	r.updates <- bad
-	r.updates <- withSettings(t, cfg, `"hardLimit":2000,"gain":1}`, `"hardLimit":2000,"gain":1}`+" ") // nothing new
+	r.updates <- withSettings(t, cfg, `"hardLimit":2000,"gain":1}`, `"hardLimit":2000,"gain":1}`+" ") // unchanged
 	if got := c.ask(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
 		t.Errorf("before: got %q", got)
 	}
 	r.updates <- good
-	r.updates <- good // the one before has been carried out
+	r.updates <- good // accepted once the previous one has been applied
 	if got := c.ask(other); got != "VA 5 Oa1 hello" {
-		t.Errorf("a new class: got %q", got)
+		t.Errorf("new class: got %q", got)
 	}
 	if got := c.ask(readCommandOf("a2", 5000)); !strings.HasPrefix(got, "CLIENT_ERROR") {
-		t.Errorf("a class that was dropped: got %q", got)
+		t.Errorf("removed class: got %q", got)
 	}
 	r.updates <- bad
 	if got := r.reloads(t); got[0] < 2 || got[1] < 1 {
@@ -132,8 +133,8 @@
 	}
 }
 
-// Where a list is held, one call from its version does for the whole list and the watch, also after
-// a failure.
+// With a held list, one call for the changes since its version replaces the calls for the complete
+// list and the first watch, also after a failure.
 func TestHeldListIsWatchedFromItsVersion(t *testing.T) {
 	queries := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -149,7 +150,7 @@
 	d.holdsList, d.heldVersion = true, 41
 	for range 2 {
 		if _, err := d.followList(t.Context()); err == nil {
-			t.Fatal("no end of a refused watch")
+			t.Fatal("the rejected watch did not end")
 		}
 	}
 	close(queries)
@@ -158,19 +159,19 @@
 		got = append(got, q)
 	}
 	if fmt.Sprint(got) != "[41 41 42]" {
-		t.Errorf("asked for what came after %v", got)
+		t.Errorf("versions in the calls: %v", got)
 	}
 }
 
-// A request that waits in admission keeps the rules that it came under, though its class is dropped
-// meanwhile.
+// Guards against a request that loses its rules when its class is removed while it is queued in
+// admission.
 func TestQueuedRequestKeepsItsClassOverReload(t *testing.T) {
 	r, _, answer, first, second, cfg := startWithQueuedRequest(t)
 	l := r.router.loop
-	dropped := longLived(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
-	dropped.Admission = cfg.Admission
-	dropped.settings.Config.HealthChecks = false
-	r.updates <- dropped
+	updated := longLived(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
+	updated.Admission = cfg.Admission
+	updated.settings.Config.HealthChecks = false
+	r.updates <- updated
 	eventually(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
 	answer.open()
 	for i, c := range []*client{first, second} {
@@ -180,15 +181,15 @@
 	}
 }
 
-// polled is a configuration of one of 300 routers that poll one discovery.
+// polled returns the configuration of one of 300 routers that poll one discovery.
 func polled(t *testing.T, cfg *Config) *Config {
 	t.Helper()
 	cfg = withSettings(t, cfg, `"discovery":"push"`, `"discovery":"ask"`)
 	return withSettings(t, cfg, `"balancers":1`, `"balancers":300`)
 }
 
-// servingPolled starts a router that polls discovery, over a list that it holds and that discovery
-// gives, and waits until it watches.
+// servingPolled starts a router that polls discovery and already holds its list, and waits until it
+// is watching.
 func servingPolled(t *testing.T, entries ...listEntry) *running {
 	t.Helper()
 	d := startDirectory(t, full(entries...))
@@ -200,9 +201,9 @@
 	return r
 }
 
-// Guards against a fleet that asks another discovery for complete lists, which it takes many times as
-// long to give as changes: it is asked for the changes to the list that its configuration brings, and
-// they make the new list together, whatever versions the old discovery had.
+// Guards against a fleet that requests complete lists from another discovery, which take many times
+// as long as changes. The new discovery is asked for the changes to the list in the configuration;
+// the two together replace the held list, whose versions are unrelated.
 func TestAnotherDiscoveryIsAskedForChangesToItsConfigurationsList(t *testing.T) {
 	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
 	r := servingPolled(t, box("s-0000000b", a.addr), originAt(o.addr))
@@ -227,7 +228,7 @@
 	r.updates <- polled(t, testConfig(t, second.Listener.Addr().String(), known))
 	receive(t, a.ended, "end of the connection to the server that the new list lacks")
 	if got := receive(t, queries, "call"); got != "8" {
-		t.Errorf("asked for the changes after %q, want 8", got)
+		t.Errorf("call for the changes after %q, want 8", got)
 	}
 	if got := c.ask(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
@@ -235,8 +236,9 @@
 	receive(t, b.seen, "request at the server of the new list")
 }
 
-// Guards against a watch of another discovery that falls silent just after the move and is found dead
-// only at the end of its long wait: what discovery has 4 s after a move counts as notified then.
+// Guards against a watch that stops answering just after the change to another discovery and is
+// replaced only after its usual long wait. What discovery has 4 s after the change counts as
+// received then.
 func TestSilentWatchAfterAMoveIsGivenUpSoon(t *testing.T) {
 	a, o := startFake(t, hit), startFake(t, originOK)
 	entries := []listEntry{box("s-0000000b", a.addr), originAt(o.addr)}
@@ -246,7 +248,7 @@
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.Query().Get("wait_ms")
 		if answered.Add(1) == 2 {
-			<-r.Context().Done() // silent
+			<-r.Context().Done() // this watch is not answered
 			return
 		}
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
@@ -254,17 +256,16 @@
 	t.Cleanup(func() { second.CloseClientConnections(); second.Close() })
 	r.updates <- polled(t, testConfig(t, second.Listener.Addr().String(), full(entries...)))
 	movedAt := time.Now()
-	for _, what := range []string{"call", "watch that falls silent", "call after it"} {
+	for _, what := range []string{"call", "unanswered watch", "next call"} {
 		receive(t, calls, what)
 	}
 	if took := time.Since(movedAt); took > 4*time.Second {
-		t.Errorf("the silent watch was replaced %v after the move", took)
+		t.Errorf("the unanswered watch was replaced %v after the change", took)
 	}
 }
 
-// Guards against a router that waits long before it calls a crowded discovery again that a new
-// configuration names: a server that drains is notified of within the budget though the first calls
-// are turned away.
+// Guards against a router that waits long before it calls a newly configured discovery again. If
+// that is overloaded and rejects the first calls, a drain must still be applied in time.
 func TestDrainIsLearntFromACrowdedDiscovery(t *testing.T) {
 	const rejectedCalls = 3
 	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
@@ -286,7 +287,7 @@
 	t.Cleanup(func() { crowded.CloseClientConnections(); crowded.Close() })
 	movedAt := time.Now()
 	r.updates <- polled(t, testConfig(t, crowded.Listener.Addr().String(), full(entries...)))
-	receive(t, second.calls, "call that is accepted")
+	receive(t, second.calls, "accepted call")
 	receive(t, second.calls, "watch")
 	if took := time.Since(movedAt); took > 4*time.Second {
 		t.Errorf("the list was current again %v after the new configuration", took)
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -15,42 +15,42 @@
 	"dockhinge.example/dockhinge/internal/settings"
 )
 
-// reply is what came back for an attempt.
+// reply is the result of an attempt.
 type reply struct {
 	status decide.AttemptStatus
-	// body is a read's value or a write's receipt; nil where the value is streamed.
+	// body is a read's value or a write's receipt; nil if the value is streamed.
 	body []byte
-	// streamedBytes is the length of a value that is still to be streamed; 0 = none is.
+	// streamedBytes is the length of a value that is still to be streamed; 0 = none.
 	streamedBytes int
-	// hasLineEnd is set where a line end comes behind a value that is streamed.
+	// hasLineEnd is set if a line end follows the streamed value.
 	hasLineEnd bool
-	// cacheResult is what the server said of the key.
+	// cacheResult is whether the server had the key cached.
 	cacheResult decide.CacheResult
-	// load is the report that came with the answer.
+	// load is the load report in the answer.
 	load decide.LoadReport
-	// closesConnection is set where the connection carries no further request.
+	// closesConnection is set if the connection can't carry another request.
 	closesConnection bool
 }
 
-// replyWithoutAnswer is the end of an attempt to which no answer came.
+// replyWithoutAnswer returns the result of an attempt that received no answer.
 func replyWithoutAnswer(status decide.AttemptStatus) reply {
 	return reply{status: status, load: decide.NoLoadReport}
 }
 
-// answerKinds are the beginnings of a cache server's answers.
+// answerKinds are the possible beginnings of a cache server's answers.
 var answerKinds = [][]byte{[]byte("VA "), []byte("HD "), []byte("EN"), []byte("SERVER_ERROR ")}
 
-// canBeAnswer reports whether an answer may begin with these bytes.
+// canBeAnswer reports whether an answer can begin with these bytes.
 func canBeAnswer(b []byte) bool {
 	return slices.ContainsFunc(answerKinds, func(kind []byte) bool {
 		return bytes.HasPrefix(b, kind) || len(b) < len(kind) && bytes.HasPrefix(kind, b)
 	})
 }
 
-// readAnswerLine returns an answer's first line without its end and without the load report that may
-// end it, and the report. Both are valid until the next read. What can't become an answer is an error
-// as soon as it shows: noise may never have a line end. A report may hold any byte, as it is no part
-// of the answer.
+// readAnswerLine returns an answer's first line, without line end and load report, and the load
+// report. Both are valid until the next read. Input that can't become an answer is an error at
+// once, because it may never contain a line end. A load report may contain any byte, as it is not
+// part of the answer.
 func readAnswerLine(r *bufio.Reader) (line, report []byte, err error) {
 	line, err = readRawAnswerLine(r)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return line, report, nil
 }
 
-// readRawAnswerLine returns a line that begins as an answer does, without its end.
+// readRawAnswerLine returns a line that begins like an answer, without its line end.
 func readRawAnswerLine(r *bufio.Reader) ([]byte, error) {
 	for wanted := 1; ; wanted = r.Buffered() + 1 {
 		b, err := r.Peek(wanted)
@@ -88,7 +88,7 @@
 }
 
 // readReply reads a cache server's answer to a command. After an error the connection can't be used
-// any more.
+// again.
 func readReply(r *bufio.Reader, c *command) (reply, error) {
 	got := reply{load: decide.NoLoadReport}
 	line, report, err := readAnswerLine(r)
@@ -99,7 +99,7 @@
 	if len(parts) < 2 {
 		return got, malformed("answer %q", parts)
 	}
-	got.load = readLoad(string(report)) // before the buffer that holds the line is used again
+	got.load = readLoad(string(report)) // before the line's buffer is overwritten
 	kind := parts[0]
 	flags := parts[1:]
 	switch {
@@ -111,7 +111,7 @@
 	case kind == "EN":
 		got.status = decide.Miss
 		err = got.setFlags(c, flags)
-	case kind == "SERVER_ERROR" && flags[0] == "busy": // an error line carries no id
+	case kind == "SERVER_ERROR" && flags[0] == "busy": // an error line has no id
 		got.status = decide.QueueFull
 	case kind == "SERVER_ERROR" && flags[0] == "failed":
 		got.status = decide.Failed
@@ -121,10 +121,10 @@
 	return got, err
 }
 
-// readValueAnswer reads the rest of the answer with a value. flags begin with the value's length.
+// readValueAnswer reads the rest of an answer with a value. The first flag is the value's length.
 func (got *reply) readValueAnswer(r *bufio.Reader, c *command, flags []string) error {
 	if err := checkAnswerID(c, flags[1:]); err != nil {
-		return err // the value is another request's, and is not read
+		return err // the value belongs to another request and is not read
 	}
 	n, err := readLength(flags[0])
 	if err != nil {
@@ -133,7 +133,7 @@
 	if n > maxBufferedValue {
 		got.streamedBytes = n
 		got.hasLineEnd = true
-		_, err = r.Peek(1) // a value that does not begin is no answer
+		_, err = r.Peek(1) // an answer counts only once its value has begun
 	} else {
 		got.body, err = readValue(r, n, false)
 	}
@@ -144,7 +144,7 @@
 	return got.setFlags(c, flags[1:])
 }
 
-// setReceipt takes the flags of the answer to a write.
+// setReceipt sets the receipt and the flags of the answer to a write.
 func (got *reply) setReceipt(c *command, flags []string) error {
 	if err := got.setFlags(c, flags); err != nil {
 		return err
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// setFlags takes what an answer's flags say of the read.
+// setFlags sets the results of a read that an answer's flags contain.
 func (got *reply) setFlags(c *command, flags []string) error {
 	if err := checkAnswerID(c, flags); err != nil {
 		return err
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// checkAnswerID returns an error for an answer with another request's id: it was left over on the
-// connection and must not reach this client.
+// checkAnswerID returns an error for an answer with another request's id. Such an answer was left
+// over on the connection and must not reach this client.
 func checkAnswerID(c *command, flags []string) error {
 	id, err := answerID(flags)
 	if err == nil && id != c.id {
@@ -188,7 +188,7 @@
 	return err
 }
 
-// answerID finds the id among an answer's flags. An answer with two belongs to no request.
+// answerID returns the id among an answer's flags. An answer with two ids is malformed.
 func answerID(flags []string) (id string, err error) {
 	for _, flag := range flags {
 		if flag[0] != 'O' {
@@ -202,14 +202,13 @@
 	return id, nil
 }
 
-// readLoad reads a load report. One with a figure that can't be read is absent: the rest is no
-// better.
+// readLoad parses a load report. A report with an invalid number is ignored completely.
 func readLoad(text string) decide.LoadReport {
 	load := decide.NoLoadReport
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		n, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(value, "xXpP_") { // or hexadecimal
+		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(value, "xXpP_") { // hexadecimal is invalid too
 			return decide.NoLoadReport
 		}
 		settings.SetLoadField(&load, name, n)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -1,6 +1,6 @@
 package router
 
-// Requests: from their arrival to the one final answer, which finish or startStream alone gives.
+// Requests, from arrival to the single final answer, which only finish or startStream gives.
 
 import (
 	"log/slog"
@@ -11,49 +11,49 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// request is a request from its arrival until it is answered and its attempts have ended. It belongs
-// to the loop; an attempt's goroutine reads command and rule, which don't change.
+// request is a request from its arrival until it is answered and its attempts have ended. It
+// belongs to the loop; an attempt's goroutine only reads command and rule, which don't change.
 type request struct {
-	// id is the request's number for the Balancer.
+	// id identifies the request to the Balancer.
 	id      uint32
 	command command
-	// response is where the answer goes; nil once it is answered.
+	// response receives the answer; nil once the request is answered.
 	response *response
 
-	// arrivedAt is in milliseconds on the loop's clock, as are the other times.
+	// arrivedAt is in milliseconds on the loop's clock, as are the other times below.
 	arrivedAt float64
-	// deadline is when the client stops waiting.
+	// deadline is when the client stops waiting for the answer.
 	deadline float64
 	// deadlineTimer calls overdue.
 	deadlineTimer *timer
 
-	// rule, maxAttempts and allowsHedge are what the settings said at its arrival.
+	// rule, maxAttempts and allowsHedge are from the settings in force when the request arrived.
 	rule *rule
-	// maxAttempts bounds its attempts, all together.
+	// maxAttempts limits the total number of attempts, hedges included.
 	maxAttempts int
-	// allowsHedge is set where two attempts may be out at once.
+	// allowsHedge is set if two attempts may be in flight at once.
 	allowsHedge bool
 
 	attempts []*attempt
-	// attemptsOut counts the attempts without an outcome.
+	// attemptsOut counts the attempts that have no outcome yet.
 	attemptsOut int
-	// attemptMillis is how long its attempts took, all together.
+	// attemptMillis is the total duration of all attempts.
 	attemptMillis float64
-	// isDone is set once it has its final answer, or its client has disconnected.
+	// isDone is set once the request has its final answer or its client has disconnected.
 	isDone bool
 
-	// admissionStage is how far admission has taken it.
+	// admissionStage is the request's state in admission.
 	admissionStage admissionStage
-	// admittedAt is when admission let it through.
+	// admittedAt is when admission admitted the request.
 	admittedAt float64
 }
 
-// answerGraceMillis is the time after a client's deadline within which the answer to an attempt that
-// timed out at the deadline still comes.
+// answerGraceMillis is how long after a client's deadline the answer may still be sent for an
+// attempt that timed out at the deadline.
 const answerGraceMillis = 15
 
-// reserveValue reserves the bytes that a request's value needs, and reports whether there is capacity
-// for them and for an answer. Any goroutine may call it.
+// reserveValue reserves memory for a request's value. It reports false if there is no capacity for
+// the value or for an answer. Any goroutine may call it.
 func (l *loop) reserveValue(cmd *command) bool {
 	cmd.reservedBytes = cmd.valueBytes
 	if cmd.valueBytes > maxBufferedValue {
@@ -62,33 +62,34 @@
 	return !l.answerBytes.isExhausted() && l.valueBytes.tryReserve(cmd.reservedBytes)
 }
 
-// releaseValue releases what is reserved for a request's value. Any goroutine may call it.
+// releaseValue releases the memory reserved for a request's value. Any goroutine may call it.
 func (l *loop) releaseValue(cmd *command) {
 	l.valueBytes.release(cmd.reservedBytes)
 	cmd.upload.abandon()
 }
 
-// rejectCommand answers a request that can't be taken.
+// rejectCommand answers an invalid request with CLIENT_ERROR.
 func (l *loop) rejectCommand(cmd *command, r *response, reason string) {
 	l.releaseValue(cmd)
 	r.answer([]byte("CLIENT_ERROR " + reason + "\r\n"))
 }
 
-// arrive takes a request that was read at the given time, in milliseconds on the loop's clock.
+// arrive accepts a request that was read at readAt, in milliseconds on the loop's clock.
 func (l *loop) arrive(cmd command, readAt float64, client *response) {
-	if l.unanswered[cmd.id] != nil { // cache servers would take the one for the other
+	if l.unanswered[cmd.id] != nil { // cache servers could not distinguish the two
 		l.rejectCommand(&cmd, client, "the id of an open request")
 		return
 	}
 	rules := l.rules.Load()
 	rule := rules.classes[cmd.class]
-	// The command has passed checkCommand, but the settings may have changed since.
+	// checkCommand has accepted the command, but the settings may have changed since.
 	if rule == nil || rule.Effect == decide.IdempotentByKey && cmd.idempotencyKey == "" {
 		l.rejectCommand(&cmd, client, "the class has changed")
 		return
 	}
 	now := l.now()
-	// No client waits longer than its class allows, so nor does the record of one that says so.
+	// A client's time is limited to the deadline of its class, so that its record is not kept
+	// longer.
 	remaining := max(0, min(cmd.remainingMillis, rule.DeadlineMillis)-(now-readAt))
 	remaining = max(0, min(remaining, l.answerBy.load()-answerGraceMillis-now))
 	r := &request{
@@ -117,7 +118,7 @@
 	l.decide(now, r)
 }
 
-// nextRequestID returns a number that no request has. Numbers are used again after 2^32 requests.
+// nextRequestID returns an id that no current request has. Ids are reused after 2^32 requests.
 func (l *loop) nextRequestID() uint32 {
 	l.lastID++
 	for l.requests[l.lastID] != nil {
@@ -126,16 +127,16 @@
 	return l.lastID
 }
 
-// overdue answers a request that has no answer at its deadline. The Balancer answers each in time, so
-// this shows a fault of it; the client is answered all the same.
+// overdue answers a request that has no answer at its deadline. The Balancer should have answered
+// it in time, so this means that the Balancer has a bug.
 func (l *loop) overdue(r *request) {
 	slog.Warn("no answer by its deadline", "request", r.command.id)
 	l.Fail(r.id)
 	l.balancer.ClientDisconnected(l.now(), r.id)
 }
 
-// answerAllBy has all requests, open ones and later ones, answered by a time in milliseconds on the
-// loop's clock: the process ends then, and what it has not answered is lost.
+// answerAllBy makes sure that all open and future requests are answered by the given time, in
+// milliseconds on the loop's clock. The process exits then and drops what is still unanswered.
 func (l *loop) answerAllBy(at float64) {
 	l.answerBy.set(at)
 	for _, r := range l.requests {
@@ -146,8 +147,8 @@
 	}
 }
 
-// decide hands a request to the Balancer, with the settings of its arrival: it may have waited for
-// admission for longer than these have held.
+// decide passes a request to the Balancer with the settings of its arrival: they may have been
+// reloaded while the request waited for admission.
 func (l *loop) decide(now float64, r *request) {
 	cmd := &r.command
 	l.balancer.Request(now, decide.Request{
@@ -166,9 +167,8 @@
 	})
 }
 
-// clientDisconnected ends a request whose client has closed or reset its connection. An attempt
-// that is not written never is; one that is written is cancelled where the settings allow it, which
-// the Balancer knows.
+// clientDisconnected ends a request whose client has closed or reset its connection. Attempts not
+// written yet are abandoned; the Balancer decides whether the settings allow canceling the others.
 func (l *loop) clientDisconnected(client *response) {
 	r := client.request
 	if r == nil || r.isDone {
@@ -183,11 +183,11 @@
 	}
 }
 
-// endDisconnected is the end of a request whose client has disconnected: it counts as none.
+// endDisconnected is the outcome of a request whose client has disconnected. It is not counted.
 const endDisconnected metrics.Outcome = -1
 
-// finish ends a request and gives it its answer. This is the only place where a request is answered,
-// but for a value that is streamed (startStream); isDone keeps it from being answered twice.
+// finish ends a request and sends its answer. Only startStream, for streamed values, answers
+// requests elsewhere. isDone prevents a second answer.
 func (l *loop) finish(r *request, answer []byte, end metrics.Outcome) {
 	if r.isDone {
 		return
@@ -211,15 +211,15 @@
 	l.forget(r)
 }
 
-// detachResponse parts a request from its client, as it has its answer.
+// detachResponse separates an answered request from its response.
 func (r *request) detachResponse() {
 	r.response.request = nil
 	r.response = nil
 }
 
-// startStream ends the decisions on a request whose value is streamed from now on: the server has
-// done its work, and no deadline applies any more. It returns where the value goes, or nil where
-// nobody waits for it.
+// startStream marks a request as done whose value is about to be streamed: the server has completed
+// its work, so no deadline applies any more. It returns the response to stream to, or nil if the
+// request has ended in the meantime.
 func (l *loop) startStream(a *attempt, got reply) *response {
 	r := a.request
 	if a.isDone || a.isCancelled || r.isDone {
@@ -250,7 +250,7 @@
 	return client
 }
 
-// endStream counts the end of a request whose value was streamed.
+// endStream records the end of a request whose value was streamed.
 func (l *loop) endStream(a *attempt, isComplete bool) {
 	l.metrics.Concurrent.Add(-1)
 	delete(l.unanswered, a.request.command.id)
@@ -261,7 +261,7 @@
 	}
 }
 
-// forget drops the record of a request that is done and has no attempt out.
+// forget deletes a request that is done and has no attempt in flight.
 func (l *loop) forget(r *request) {
 	if r.isDone && r.attemptsOut == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
@@ -269,7 +269,7 @@
 	}
 }
 
-// traceEnd traces how a request ended.
+// traceEnd writes the end of a request to the trace.
 func (l *loop) traceEnd(r *request, end metrics.Outcome) {
 	cause := "-"
 	if end == metrics.Overload || end == metrics.Error {
--- a/internal/router/requests_test.go
+++ b/internal/router/requests_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// What is kept for a request ends with it, also on a connection that stays, and for deadlines far
-// away.
+// Guards against records, timers and reserved memory that outlive an answered request, on a
+// connection that stays open and with deadlines far in the future.
 func TestNothingIsKeptOfAnsweredRequests(t *testing.T) {
 	s, o := startFake(t, hit), startFake(t, originOK)
 	l, addr := startLoop(t, 192, 10, box("s-0000000b", s.addr), originAt(o.addr))
@@ -20,26 +20,26 @@
 		}
 		c.ask(fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow%d Pc=put,t=t,d=4000000000,k=7\r\nabc", i))
 	}
-	if got := c.ask("quit"); got != "EOF" { // comes once the router has booked all that it has written
+	if got := c.ask("quit"); got != "EOF" { // sent once the router has accounted for all answers
 		t.Errorf("got %q", got)
 	}
-	own := 0
+	farTimers := 0
 	onLoop(l, func() {
 		for _, tm := range l.timers {
 			if tm.at > l.now()+2500 {
-				own++
+				farTimers++
 			}
 		}
-		if len(l.requests)+len(l.unanswered) > 0 || own > 0 || len(l.timers) > 150 ||
+		if len(l.requests)+len(l.unanswered) > 0 || farTimers > 0 || len(l.timers) > 150 ||
 			l.valueBytes.used.Load() != 0 || l.answerBytes.used.Load() != 0 {
 			t.Errorf("%d requests, %d ids, %d timers (%d far away), %d and %d bytes", len(l.requests),
-				len(l.unanswered), len(l.timers), own,
+				len(l.unanswered), len(l.timers), farTimers,
 				l.valueBytes.used.Load(), l.answerBytes.used.Load())
 		}
 	})
 }
 
-// A client may not name the id of a request that is open.
+// Guards against two open requests with the same id, which cache servers could not distinguish.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	release := make(chan struct{})
 	s := startFake(t, func(line string) string { <-release; return hit(line) })
@@ -55,17 +55,17 @@
 		t.Errorf("got %q", got)
 	}
 	if got := two.ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
-		t.Errorf("once it is answered: got %q", got)
+		t.Errorf("after the answer: got %q", got)
 	}
 	onLoop(l, func() {
 		if len(s.seen) != 1 {
-			t.Errorf("%d more requests were passed on", len(s.seen))
+			t.Errorf("%d further requests were sent", len(s.seen))
 		}
 	})
 }
 
-// Values in hand are bounded by the memory that the configuration tells: a write beyond that is
-// refused, and has not run.
+// Guards against running out of memory: values being held are limited by the configured memory. A
+// write beyond that is rejected and has not run.
 func TestHeldValuesAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	o := startFake(t, func(line string) string { <-release; return originOK(line) })
@@ -81,13 +81,13 @@
 		write(c, i)
 		first = append(first, c)
 	}
-	for full := false; !full; {
-		onLoop(l, func() { full = l.valueBytes.used.Load() == l.valueBytes.limit.Load() })
+	for isFull := false; !isFull; {
+		onLoop(l, func() { isFull = l.valueBytes.used.Load() == l.valueBytes.limit.Load() })
 	}
 	c := dial(t, addr)
 	write(c, 99)
 	if got := c.line(); got != "SERVER_ERROR busy" {
-		t.Errorf("beyond the bound: got %q", got)
+		t.Errorf("beyond the limit: got %q", got)
 	}
 	close(release)
 	for _, c := range first {
@@ -95,12 +95,12 @@
 	}
 	write(c, 100)
 	if got := c.line(); got != "HD Ow100 c5c0f" {
-		t.Errorf("once there is room: got %q", got)
+		t.Errorf("once there is capacity: got %q", got)
 	}
 }
 
-// Answers that a client does not take are bounded too: what comes beyond is refused before it is
-// asked for.
+// Answers that clients have not received are limited too: a request beyond that is rejected before
+// it reaches the Balancer.
 func TestUntakenAnswersAreBounded(t *testing.T) {
 	l, addr := startLoop(t, 16, 10, originAt("127.0.0.1:1"))
 	l.answerBytes.reserve(int(l.answerBytes.limit.Load()))
@@ -110,7 +110,7 @@
 	}
 	onLoop(l, func() {
 		if l.lastID != 0 {
-			t.Error("the request reached the module")
+			t.Error("the request reached the Balancer")
 		}
 	})
 }
@@ -126,10 +126,10 @@
 	got := receive(t, s.seen, "request")
 	if n, err := fmt.Sscanf(got, "mg 7f3a9c21e0b4d655 v Oa1 Pc=read,t=t,zz=9,d=%d,k=7,h=52000", &d); n != 1 ||
 		err != nil || d < 1 || d > 480 {
-		t.Errorf("the cache server got %q", got)
+		t.Errorf("the cache server received %q", got)
 	}
 	if len(o.seen) > 0 {
-		t.Error("a hit went to the origin too")
+		t.Error("a hit was also sent to the origin")
 	}
 }
 
@@ -140,13 +140,13 @@
 		t.Errorf("got %q", got)
 	}
 	got := receive(t, o.seen, "fetch")
-	var hint int // what is left, all else as the client sent it
+	var hint int // the remaining time; everything else is as the client sent it
 	_, facts, _ := strings.Cut(got, "X-Facts: ")
 	if n, err := fmt.Sscanf(facts, "c=read,t=t,d=%d,h=52000,size=5 ", &hint); n != 1 || err != nil || hint < 1 ||
 		hint > 480 ||
 		!strings.HasPrefix(got, "GET /7f3a9c21e0b4d655 ") ||
 		!strings.HasPrefix(facts, fmt.Sprintf("c=read,t=t,d=%d,h=52000,size=5 ", hint)) {
-		t.Errorf("the origin got %q", got)
+		t.Errorf("the origin received %q", got)
 	}
 }
 
@@ -158,14 +158,15 @@
 	}
 	if got := receive(t, o.seen, "write"); !strings.HasPrefix(got, "PUT /7f3a9c21e0b4d655 ") ||
 		!strings.HasSuffix(got, " abc") {
-		t.Errorf("the origin got %q", got)
+		t.Errorf("the origin received %q", got)
 	}
 	if len(s.seen)+len(o.seen) > 0 {
 		t.Error("the write was sent twice")
 	}
 }
 
-// A write that may have run is failed, never refused or sent again; one that never ran is refused.
+// A write that may have run fails, and is neither rejected nor repeated. One that has not run is
+// rejected.
 func TestUnsafeWriteIsNeverRepeated(t *testing.T) {
 	for name, c := range map[string]struct{ answer, want string }{
 		"broken":      {"close", "SERVER_ERROR failed"},
@@ -179,24 +180,25 @@
 			t.Parallel()
 			s, o := startFake(t, miss), startFake(t, func(string) string { return c.answer })
 			r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-			cl, began := dial(t, r.addr), time.Now()
+			cl, sentAt := dial(t, r.addr), time.Now()
 			if got := cl.ask(billCommandOf("a1", 300)); !strings.HasPrefix(got, c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
-			if took := time.Since(began); took > 300*time.Millisecond+time.Second {
+			if took := time.Since(sentAt); took > 300*time.Millisecond+time.Second {
 				t.Errorf("answered after %v", took)
 			}
 			receive(t, o.seen, "write")
 			cl.nothingMore()
 			if len(o.seen)+len(s.seen) > 0 {
-				t.Error("sent again")
+				t.Error("the request was sent again")
 			}
 		})
 	}
 }
 
-// Guards against a rejection that has a keyed write run twice: a client that sends it again when it is
-// rejected, and only then, has its effect once, also where the servers' window for repeats is over.
+// Guards against a rejection that lets a keyed write run twice. A client that repeats the write
+// only when it is rejected must get its effect once, even if the servers' idempotency window has
+// ended.
 func TestRejectedKeyedWriteRunsOnce(t *testing.T) {
 	const window = 100 * time.Millisecond
 	var mu sync.Mutex
@@ -228,30 +230,31 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(ranAt) != 1 || answer != "SERVER_ERROR failed" {
-		t.Errorf("ran %d times, the last answer is %q", len(ranAt), answer)
+		t.Errorf("ran %d times, last answer %q", len(ranAt), answer)
 	}
 }
 
-// A cache server that says nothing: the client has one answer by its deadline, and the attempt is
-// given up.
+// If a cache server does not answer, the client gets one answer by its deadline, and the attempt is
+// canceled.
 func TestSilentServerIsGivenUpAtTheDeadline(t *testing.T) {
 	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
 	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	c, began := dial(t, r.addr), time.Now()
+	c, sentAt := dial(t, r.addr), time.Now()
 	if got := c.ask(readCommandOf("a1", 200)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("got %q", got)
 	}
-	if took := time.Since(began); took < 190*time.Millisecond || took > 1200*time.Millisecond {
+	if took := time.Since(sentAt); took < 190*time.Millisecond || took > 1200*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
 	receive(t, s.ended, "end of the attempt's connection")
 	c.nothingMore()
 }
 
-// Starts of servers lie on the router's clock, and no real start is 0 there.
+// Start times of servers are compared with the router's clock, which counts from 1970, so that no
+// start time is 0.
 func TestStartsLieOnTheClock(t *testing.T) {
 	c := clock{time.Now()}
 	if d := c.now() - float64(time.Now().UnixMilli()); d < -1000 || d > 1000 {
-		t.Errorf("the clock is %v ms off Unix time", d)
+		t.Errorf("the clock differs from Unix time by %v ms", d)
 	}
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -1,28 +1,29 @@
 package router
 
-// Answers are written in the order of a connection's commands.
+// The answers to a connection's commands, which are written in the order of the commands.
 
 import (
 	"net"
 	"time"
 )
 
-// response is the answer to one command, in its place among those of its connection.
+// response is the answer to one command. It keeps its place in the order of the connection's
+// answers.
 type response struct {
 	conn *clientConn
-	// request is what the answer is waited for; nil once it is answered, and for other commands. It
-	// belongs to the loop.
+	// request is the request that the answer belongs to; nil once it is answered, and for other
+	// commands. It belongs to the loop.
 	request *request
-	// streamTurn is closed when a value that is streamed may be written, and belongs to the value's
-	// stream then; nil where the answer is answerBytes. It is guarded by conn.mu, as all below.
+	// streamTurn is closed when a streamed value may be written; from then on its valueStream owns
+	// it. It is nil for other answers. conn.mu guards it and the fields below.
 	streamTurn chan struct{}
-	// answerBytes is the answer.
+	// answerBytes is the text of the answer.
 	answerBytes []byte
-	// isReady is set once there is an answer, or a stream for it.
+	// isReady is set once there is an answer or a stream for it.
 	isReady bool
 }
 
-// appendResponse appends the pending answer of a command that has come.
+// appendResponse appends a pending answer for a received command.
 func (c *clientConn) appendResponse() *response {
 	r := &response{conn: c}
 	c.mu.Lock()
@@ -31,7 +32,7 @@
 	return r
 }
 
-// answer gives the answer to a command. It does not block.
+// answer sets the answer to a command. It does not block.
 func (r *response) answer(text []byte) {
 	c := r.conn
 	c.clients.loop.answerBytes.reserve(len(text))
@@ -46,8 +47,8 @@
 	c.startWriter()
 }
 
-// startWriter starts the writer goroutine if the next answer is ready and none is being written. The
-// writer ends when no answer is ready. The caller holds mu.
+// startWriter starts the writer goroutine if the next answer is ready and none is being written.
+// The writer ends when no further answer is ready. The caller holds mu.
 func (c *clientConn) startWriter() {
 	if c.answersInWrite > 0 || !c.pending[0].isReady {
 		return
@@ -58,9 +59,9 @@
 	}
 }
 
-// nextBatch takes the answers that are ready, in the order of the commands, and returns them with
-// their size in bytes. Where a value that is streamed comes next, it returns none and gives the
-// value's stream its turn: the stream is the writer until its finish. The caller holds mu.
+// nextBatch removes the ready answers from pending, in the order of the commands, and returns them
+// with their size in bytes. If a streamed value is next, it returns none and closes the value's
+// streamTurn: the stream is the writer until its finish. The caller holds mu.
 func (c *clientConn) nextBatch() (batch net.Buffers, size int) {
 	c.answersInWrite = 0
 	for len(c.pending) > 0 && c.pending[0].isReady {
@@ -91,9 +92,9 @@
 	}
 }
 
-// afterWrite records the end of a write, sets the read deadline that now applies, and returns the
-// next batch. After a failed write the connection is closed, which ends the reader; the reader tells
-// the loop.
+// afterWrite handles the end of a write, sets the read deadline that applies now, and returns the
+// next batch. After a failed write it closes the connection, which ends the reader; the reader
+// notifies the loop.
 func (c *clientConn) afterWrite(err error) (batch net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,13 +109,13 @@
 	c.lastAnswerAt = time.Now()
 	batch, size = c.nextBatch()
 	if c.unanswered() == 0 {
-		c.pending = nil // its array still refers to the answers
+		c.pending = nil // its array still references the answers
 		c.idleStart = c.lastAnswerAt
 	}
 	switch {
-	case c.isWatchingForDisconnect: // the reader may wait for just this
+	case c.isWatchingForDisconnect: // the reader may be waiting for this write
 		c.SetReadDeadline(expiredDeadline)
-	case c.unanswered() > 0 || c.isReadingCommand && c.isDraining: // a command that has begun has its own deadline
+	case c.unanswered() > 0 || c.isReadingCommand && c.isDraining: // a command being read has its own deadline
 	case c.isDraining:
 		c.SetReadDeadline(expiredDeadline)
 	default:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -13,52 +13,52 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// Times after SIGTERM. The platform's SIGKILL comes no earlier than 0.7 s after the longest deadline.
-// Whether that deadline counts as at least 3 s or as at most 3 s is not specified, so all answers are
-// due at min(deadline, 3 s) + 0.5 s, which both allow.
+// Times after SIGTERM. The platform sends SIGKILL no earlier than 0.7 s after the longest deadline.
+// It is not specified whether that deadline counts as at least 3 s or at most 3 s. All answers are
+// due at min(deadline, 3 s) + 0.5 s, which satisfies both.
 const (
-	// acceptAfterStop is how long new connections are accepted: clients still open them for 0.4 s.
+	// acceptAfterStop is how long new connections are accepted; clients still open them for 0.4 s.
 	acceptAfterStop = 500 * time.Millisecond
-	// minStopMillis is the 3 s above.
+	// minStopMillis is the 3 s in the formula above.
 	minStopMillis = 3000.0
-	// answerMarginMillis is the 0.5 s above.
+	// answerMarginMillis is the 0.5 s in the formula above.
 	answerMarginMillis = 500.0
 )
 
-// Router is one router: the listener, the clients, the loop, the connections to servers, and the
-// links to the other processes of the same router.
+// Router is a router with its listener, clients, loop, connections to servers, and links to the
+// other processes of the same router.
 type Router struct {
 	cfg       *Config
 	metrics   *metrics.Router
 	upstreams *upstreams
 	loop      *loop
 	clients   *clients
-	// inherited is the state of the process before this one; nil once it is restored, or without one.
-	// From Run on it belongs to the loop.
+	// inherited is the state of the previous process; nil without one or once it is restored. From
+	// Run on it belongs to the loop.
 	inherited *handoverState
-	// link is to the process before this one; nil without one.
+	// link is the link to the previous process; nil without one.
 	link  *handover.Link
 	peers peers
-	// isServing is set once clients are accepted.
+	// isServing is set once client connections are accepted.
 	isServing atomic.Bool
 }
 
-// ms is a span that is given in milliseconds.
+// ms converts milliseconds to a Duration.
 func ms(millis float64) time.Duration { return time.Duration(millis * float64(time.Millisecond)) }
 
-// Parts of the descriptors that a router may use, in twentieths.
+// The division of the router's descriptors, in twentieths.
 const (
 	upstreamDescriptorParts = 9
 	clientDescriptorParts   = 11
 	descriptorParts         = 20
 )
 
-// attemptMemoryPart is the part of the memory, one in so many bytes, that attempts may hold: each may
-// hold a value that is read completely.
+// attemptMemoryPart is a divisor: attempts may use the memory limit divided by it, as each may hold
+// a completely read value.
 const attemptMemoryPart = 4
 
-// New returns a router that serves the clients of a listener, once it runs. An error names the
-// setting that is wrong.
+// New returns a router for the clients of a listener. Run starts it. An error names the invalid
+// setting.
 func New(cfg *Config, listener net.Listener, m *metrics.Router) (*Router, error) {
 	descriptors := cfg.Limits.Sockets - fdReserve
 	memoryBytes := cfg.Limits.MemoryMB << 20
@@ -86,13 +86,13 @@
 	return r, nil
 }
 
-// Run serves until ctx ends, then shuts down gracefully and returns nil. It closes the listener, and
-// returns once all goroutines that it has started have ended. From a configuration that comes in
-// updates it takes the settings and the address of discovery.
+// Run serves until ctx ends, then shuts down gracefully and returns nil. It closes the listener and
+// returns once all goroutines that it has started have ended. A configuration received from updates
+// changes the settings and the address of discovery.
 func (r *Router) Run(ctx context.Context, updates <-chan *Config) error {
 	defer r.clients.listener.Close()
-	work, stopWork := context.WithCancel(context.Background()) // outlives ctx: what was taken is still served
-	defer r.loop.background.Wait()                             // after the loop, which starts what is counted there
+	work, stopWork := context.WithCancel(context.Background()) // outlives ctx: accepted requests are still served
+	defer r.loop.background.Wait()                             // after the loop, which starts these goroutines
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stopWork()
@@ -113,7 +113,7 @@
 	wg.Go(func() { r.loop.runDiscovery(work, r.cfg, held, isHandover, updates, r.broadcastList) })
 	r.awaitDrains(ctx, drainsKnown)
 	r.isServing.Store(true)
-	r.clients.wg.Go(r.clients.accept) // counted there, so that drain waits for a connection that is just being accepted
+	r.clients.wg.Go(r.clients.accept) // in wg, so that drain waits for a connection being accepted
 	slog.Info("listening", "name", r.cfg.Name, "address", r.clients.listener.Addr().String())
 
 	<-ctx.Done()
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// heldList is the list that the router starts with. Whichever it is, it has come from the discovery
-// of the configuration.
+// heldList returns the list that the router starts with, which comes from the configuration's
+// discovery in either case.
 func (r *Router) heldList() endpointList {
 	if r.inherited != nil {
 		return r.inherited.List
@@ -130,9 +130,9 @@
 	return r.cfg.Known
 }
 
-// awaitDrains waits until the servers that the fleet has drained are known, so that they get no
-// request at the start. Without an answer in time discovery's list alone counts: no router waits
-// for the coordinators.
+// awaitDrains waits for the list of servers drained by the fleet, so that they get no requests at
+// the start. After drainsKnownTimeout only discovery's list applies, as a router never depends on
+// the coordinators.
 func (r *Router) awaitDrains(ctx context.Context, drainsKnown <-chan struct{}) {
 	if !r.cfg.followsDrains() {
 		return
@@ -141,22 +141,23 @@
 	case <-drainsKnown:
 	case <-ctx.Done():
 	case <-time.After(drainsKnownTimeout):
-		slog.Warn("what the fleet has drained isn't known: discovery's list alone counts until it is")
+		slog.Warn("the servers drained by the fleet are not known yet: using discovery's list alone")
 	}
 }
 
-// shutDown is what happens on SIGTERM, in this order:
+// shutDown performs the shutdown after SIGTERM:
 //
-//  1. All requests, those open and those still to come, get an answer by lastAnswerMillis from now.
-//  2. New connections are accepted for acceptAfterStop, and then what stands in the listener's queue.
-//     With another process of this router that is left out: it accepts from the same queue.
+//  1. All open and future requests are answered by lastAnswerMillis from now.
+//  2. New connections are accepted for acceptAfterStop, then those left in the listener's queue.
+//     This is skipped if another process of this router is running: it accepts from the same queue.
 //  3. The listener is closed.
-//  4. Each connection is closed once nothing is unanswered on it. From lastAnswerMillis after SIGTERM
-//     on no further command is read; at the end of the grace period, which begins when the listener
-//     is closed, what is still open is closed. From step 4 on the router is not ready.
+//  4. Each connection is closed once nothing is unanswered on it. From lastAnswerMillis after
+//     SIGTERM no further command is read. At the end of the grace period, which begins when the
+//     listener is closed, the remaining connections are closed. The router is not ready from step 4
+//     on.
 //
-// Run then ends the loop, discovery, the agreement and the links to other processes, and the process
-// exits.
+// Run then ends the loop, discovery, the client of the coordinators and the links to other
+// processes, and the process exits.
 func (r *Router) shutDown() {
 	l := r.loop
 	stoppedAt := l.now()
@@ -175,7 +176,8 @@
 	r.clients.drain(commandsEnd, connectionsEnd)
 }
 
-// longestDeadline is the longest deadline of a class, in milliseconds. Any goroutine may call it.
+// longestDeadline returns the longest deadline of all classes, in milliseconds. Any goroutine may
+// call it.
 func (l *loop) longestDeadline() (longest float64) {
 	for _, rule := range l.rules.Load().classes {
 		longest = max(longest, rule.DeadlineMillis)
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -5,21 +5,21 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// rules are what the settings say of requests. A reload replaces them all at once; they are never
-// changed.
+// rules are the settings that apply to requests. They are immutable; a reload replaces them
+// atomically.
 type rules struct {
 	classes map[string]*rule
-	// maxAttempts bounds the attempts of a request, all together.
+	// maxAttempts limits the total number of attempts of a request.
 	maxAttempts int
-	// allowsHedges is set where two attempts of a request may be out at once.
+	// allowsHedges is set if two attempts of a request may be in flight at once.
 	allowsHedges bool
-	// tellsRetryAfter is set where clients get a Retry-After.
+	// tellsRetryAfter is set if clients receive a Retry-After.
 	tellsRetryAfter bool
-	// retryAfterMillis is the Retry-After of a request that there is no capacity for.
+	// retryAfterMillis is the Retry-After of a request rejected for lack of capacity.
 	retryAfterMillis float64
 }
 
-// rule is what the settings say of a class, and its metrics.
+// rule holds the settings of a class and its metrics.
 type rule struct {
 	decide.Class
 	count *metrics.Class
@@ -39,7 +39,7 @@
 	return r
 }
 
-// checkCommand returns what is wrong with a command for this deployment. Any goroutine may call it.
+// checkCommand returns an error if a command does not fit the settings. Any goroutine may call it.
 func (l *loop) checkCommand(cmd *command) error {
 	if !cmd.isRequest() {
 		return nil
--- a/internal/router/server_ids.go
+++ b/internal/router/server_ids.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// maxServerIDs bounds the server names that are remembered: over months servers are replaced by new
-// ones.
+// maxServerIDs limits the number of remembered server names, as servers are replaced by new ones
+// over time.
 const maxServerIDs = 4096
 
-// serverIDs are the names of servers that discovery has listed so far, with the Balancer's ids for
-// them. Beyond maxServerIDs the name is forgotten that was last listed longest ago. The tags are
-// bytes of the hand-over.
+// serverIDs holds the names of servers that discovery has listed so far and the Balancer's ids for
+// them. Beyond maxServerIDs it drops the name that was listed least recently. The JSON tags are
+// part of the hand-over format.
 type serverIDs struct {
-	// IDs has the Balancer's id of each name.
+	// IDs holds the Balancer's id of each name.
 	IDs map[string]uint32 `json:"IDs"`
-	// LastListed is the value of ListCount when a name was last listed.
+	// LastListed holds the value of ListCount when each name was last listed.
 	LastListed map[string]int64 `json:"Seen"`
-	// ListCount counts the listings of names.
+	// ListCount counts all listings of names.
 	ListCount int64 `json:"Tick"`
 }
 
-// add records that a name was listed.
+// add records that a name is listed.
 func (s *serverIDs) add(name string, id uint32) {
 	if s.IDs == nil {
 		s.IDs = map[string]uint32{}
@@ -46,14 +46,14 @@
 	delete(s.LastListed, oldest)
 }
 
-// clone is a copy that another goroutine may read.
+// clone returns a copy that another goroutine may read.
 func (s *serverIDs) clone() serverIDs {
 	return serverIDs{IDs: maps.Clone(s.IDs), LastListed: maps.Clone(s.LastListed), ListCount: s.ListCount}
 }
 
-// serverID maps a server's name to the Balancer's id. All routers must map alike, as the Balancer
-// hashes it: hexadecimal digits at the end of the name are the number that the simulator's wire
-// gives.
+// serverID maps a server's name to the Balancer's id. The mapping must be the same in all routers,
+// because the Balancer hashes the id. Hexadecimal digits at the end of the name are the id, as in
+// the simulator's protocol.
 func serverID(name string) uint32 {
 	if id, err := strconv.ParseUint(name[strings.LastIndexByte(name, '-')+1:], 16, 32); err == nil {
 		return uint32(id)
@@ -63,7 +63,7 @@
 	return h.Sum32()
 }
 
-// keyID maps a key to the Balancer's number for it, likewise.
+// keyID maps a key to the Balancer's number for it, in the same way.
 func keyID(key string) uint64 {
 	const digits = 16
 	if id, err := strconv.ParseUint(key, 16, 64); err == nil && len(key) == digits {
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// largeFleet is a list of so many cache servers and the origin, with ids and addresses of the usual
+// largeFleet returns a list of cache servers and the origin, with ids and addresses of typical
 // length.
 func largeFleet(servers int) endpointList {
 	entries := []listEntry{originAt("127.0.0.1:1")}
@@ -22,8 +22,8 @@
 	return full(entries...)
 }
 
-// Nothing that a router is told or hands over is bounded below 2,500 servers: an indented list of
-// them is read, and a successor gets all of it.
+// Guards against limits on list or hand-over sizes that are below a fleet of 2,500 servers: an
+// indented list of them is read, and a successor receives all of it.
 func TestListsOfALargeFleetFit(t *testing.T) {
 	const servers = 2500
 	want := largeFleet(servers)
@@ -47,10 +47,10 @@
 	t.Cleanup(hold.open)
 	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	eventually(t, old.router.loop, "the list", func() bool { return len(old.router.loop.targets) == servers+1 })
-	young, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
-	eventually(t, young.router.loop, "the successor's list",
-		func() bool { return len(young.router.loop.targets) == servers+1 })
+	eventually(t, successor.router.loop, "the successor's list",
+		func() bool { return len(successor.router.loop.targets) == servers+1 })
 	var state handoverState
 	onLoop(old.router.loop, func() {
 		l := old.router.loop
@@ -61,6 +61,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d servers: a list of %d bytes, indented %d of %d, a handed-over state of %d", servers, len(compact),
+	t.Logf("%d servers: list of %d bytes, indented %d of at most %d, hand-over state of %d", servers, len(compact),
 		len(indented), maxListBytes, len(text))
 }
--- a/internal/router/socket.go
+++ b/internal/router/socket.go
@@ -1,6 +1,6 @@
 package router
 
-// What the system knows of a socket, without reading from it.
+// The state of a socket, queried without reading from it.
 
 import (
 	"errors"
@@ -12,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasInput reports whether there is something to read on a connection.
+// hasInput reports whether a connection has unread input.
 func hasInput(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
 
-// peek looks for input on a connection without taking it or waiting for it.
+// peek looks at a connection's input without consuming it or blocking.
 func peek(c net.Conn) (int, error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -30,7 +30,7 @@
 	}
 	var n int
 	var recvErr error
-	// Control, as Read fails once the read deadline has passed.
+	// Control and not Read, which fails once the read deadline has passed.
 	controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -41,8 +41,8 @@
 	return n, recvErr
 }
 
-// hasEnded reports whether the other side of a connection has closed or reset it, also where unread
-// input stands before the end. A connection that this side has closed has ended too.
+// hasEnded reports whether the other side has closed or reset a connection, even if unread input
+// precedes the end. It also reports true for a connection closed by this side.
 func hasEnded(c net.Conn) (isEnded bool) {
 	withSocket(c, func(raw syscall.RawConn) {
 		err := raw.Control(func(fd uintptr) { isEnded = socketHasEnded(int(fd)) })
@@ -53,9 +53,9 @@
 	return isEnded
 }
 
-// awaitDisconnect waits until hasEnded holds, which it reports, or the read deadline passes. Up to
-// discardBytes of input, which it counts down, are thrown away meanwhile: a client that keeps sending
-// can't show its end while its input fills the socket's buffer.
+// awaitDisconnect waits until hasEnded is true or the read deadline passes, and reports the former.
+// It discards up to *discardBytes of input, which it decrements: the end of a client's input can't
+// be detected while further input fills the socket's buffer.
 func awaitDisconnect(c net.Conn, discardBytes *int) (hasDisconnected bool) {
 	withSocket(c, func(raw syscall.RawConn) {
 		err := raw.Read(func(fd uintptr) bool {
@@ -64,13 +64,13 @@
 			return hasDisconnected
 		})
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			hasDisconnected = true // this side has closed it
+			hasDisconnected = true // closed by this side
 		}
 	})
 	return hasDisconnected
 }
 
-// discardInput throws away input that has come, as long as discardBytes allows.
+// discardInput discards available input, up to *discardBytes.
 func discardInput(fd int, discardBytes *int) {
 	var b [maxLineBytes]byte
 	for *discardBytes > 0 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// socketHasEnded is hasEnded for a socket. Unread input hides the end from a look at the input, but
-// not from a poll.
+// socketHasEnded is hasEnded for a file descriptor. With unread input, peeking can't detect the
+// end, but polling can.
 func socketHasEnded(fd int) bool {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -96,16 +96,16 @@
 	return pollSocket(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// hasQueuedConnection reports whether a connection stands in a listener's queue.
+// hasQueuedConnection reports whether a listener's queue has a connection.
 func hasQueuedConnection(listener net.Listener) (isQueued bool) {
 	withSocket(listener, func(raw syscall.RawConn) {
-		//nolint:errcheck // where the listener is closed, nothing stands there
+		//nolint:errcheck // a closed listener has no queue
 		raw.Control(func(fd uintptr) { isQueued = pollSocket(int(fd), unix.POLLIN)&unix.POLLIN != 0 })
 	})
 	return isQueued
 }
 
-// pollSocket asks a socket for events without waiting for them.
+// pollSocket polls a socket for events without blocking.
 func pollSocket(fd int, events int16) int16 {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if n, err := unix.Poll(polled, 0); err != nil || n == 0 {
@@ -114,7 +114,7 @@
 	return polled[0].Revents
 }
 
-// withSocket calls do with the socket of a connection or a listener, if it has one.
+// withSocket calls do with the socket of a connection or listener, if it has one.
 func withSocket(c any, do func(raw syscall.RawConn)) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -1,7 +1,6 @@
 package router
 
-// Values that are streamed from a server to a client in chunks, without ever being in memory
-// completely.
+// Values that are streamed from a server to a client in chunks and are never in memory completely.
 
 import (
 	"context"
@@ -12,32 +11,32 @@
 )
 
 const (
-	// chunkBytes is the memory for each value that is streamed.
+	// chunkBytes is the memory used for each streamed value.
 	chunkBytes = 16 << 10
-	// serverProgressTimeout is the time within which a server must send something of a value that it
-	// has begun, and take a part of a large write.
+	// serverProgressTimeout is how long a server may take to send the next part of a value, or to
+	// accept a part of a large write.
 	serverProgressTimeout = 4 * time.Second
-	// clientProgressTimeout is the time within which a client must take a chunk.
+	// clientProgressTimeout is how long a client may take to accept a chunk.
 	clientProgressTimeout = 10 * time.Second
 )
 
 // chunkPool holds *[chunkBytes]byte.
 var chunkPool = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
 
-// valueStream is the client's side of a value that is streamed. It belongs to the attempt's
-// goroutine.
+// valueStream is the client's side of a streamed value. It belongs to the attempt's goroutine.
 type valueStream struct {
-	// ctx is the attempt's.
+	// ctx is the attempt's context.
 	ctx      context.Context
 	response *response
-	// head is the answer up to the value.
+	// head is the part of the answer before the value.
 	head []byte
-	// ownsConnection is set once the answers before are written: this stream is the connection's
-	// writer until finish.
+	// ownsConnection is set once the previous answers are written. The stream is then the
+	// connection's writer until finish.
 	ownsConnection bool
 }
 
-// openValueStream asks the loop for the client of a value; nil where nobody waits for it any more.
+// openValueStream gets the response for a streamed value from the loop. It returns nil if the
+// request has ended.
 func (l *loop) openValueStream(ctx context.Context, a *attempt, got reply) *valueStream {
 	found := make(chan *response, 1)
 	l.post(func() { found <- l.startStream(a, got) })
@@ -54,7 +53,7 @@
 	}
 }
 
-// startStream gives a value that is streamed its place among the answers.
+// startStream queues a streamed value among the connection's answers.
 func (r *response) startStream() {
 	c := r.conn
 	c.mu.Lock()
@@ -66,9 +65,8 @@
 	}
 }
 
-// copyValue copies a value from a server's connection to the client as fast as both allow. After an
-// error the value is cut short: the line end is missing by which the client would take it for
-// complete.
+// copyValue copies a value from a server's connection to the client, as fast as both allow. After
+// an error the line end is missing, so the client sees that the value is incomplete.
 func (s *valueStream) copyValue(from *upstreamConn, got reply) error {
 	if err := s.awaitTurn(); err != nil {
 		return err
@@ -102,7 +100,7 @@
 	return s.write([]byte("\r\n"))
 }
 
-// awaitTurn waits until the answers before the value are written.
+// awaitTurn waits until the previous answers are written.
 func (s *valueStream) awaitTurn() error {
 	select {
 	case <-s.response.streamTurn:
@@ -125,15 +123,14 @@
 	return nil
 }
 
-// finish gives the connection back to the answers behind the value, or closes it where the value is
-// incomplete.
+// finish hands the connection over to the next answers, or closes it if the value is incomplete.
 func (s *valueStream) finish(isComplete bool) {
 	c := s.response.conn
-	if !s.ownsConnection { // nothing of the value is written, so the answers behind it can't be either
+	if !s.ownsConnection { // no byte of the value is written, so the next answers can't be either
 		c.mu.Lock()
 		c.markUnwritable()
 		c.mu.Unlock()
-		c.Close() // which wakes the reader
+		c.Close() // this wakes the reader
 		return
 	}
 	var err error
--- a/internal/router/streaming_test.go
+++ b/internal/router/streaming_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// bigValue is a value of n bytes in which every part differs.
+// bigValue returns a value of n bytes in which every part differs.
 func bigValue(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
@@ -19,8 +19,8 @@
 	return b.String()[:n]
 }
 
-// readStreamed reads a value that is passed through, and says whether its end came.
-func (c *client) readStreamed(t *testing.T, id string, n int) (value string, end bool) {
+// readStreamed reads a streamed answer and reports whether the value's line end followed.
+func (c *client) readStreamed(t *testing.T, id string, n int) (value string, hasEnd bool) {
 	t.Helper()
 	want := fmt.Sprintf("VA %d O%s\r\n", n, id)
 	head := make([]byte, len(want))
@@ -43,27 +43,28 @@
 	}), startFake(t, func(string) string { return httpAnswer("200 OK", value) })
 	r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 	c := dial(t, r.addr)
-	// One behind the other on one connection, from a cache server and from the origin, with a short
-	// answer between.
+	// Two values on one connection, from a cache server and from the origin, with a short answer in
+	// between.
 	c.send(readCommandOf("a1", 5000) + "\r\nmn\r\n")
-	if got, end := c.readStreamed(t, "a1", n); got != value || !end {
-		t.Errorf("from a cache server: %d bytes, end %t", len(got), end)
+	if got, hasEnd := c.readStreamed(t, "a1", n); got != value || !hasEnd {
+		t.Errorf("from a cache server: %d bytes, line end %t", len(got), hasEnd)
 	}
 	if got := c.line(); got != "MN" {
-		t.Errorf("behind it: got %q", got)
+		t.Errorf("after the value: got %q", got)
 	}
 	c.send(readCommandOf("o1", 5000) + "\r\n")
-	if got, end := c.readStreamed(t, "o1", n); got != value || !end {
-		t.Errorf("from the origin: %d bytes, end %t", len(got), end)
+	if got, hasEnd := c.readStreamed(t, "o1", n); got != value || !hasEnd {
+		t.Errorf("from the origin: %d bytes, line end %t", len(got), hasEnd)
 	}
 	for r.figures(t).Success["read"] != 2 {
 	}
 	if got := r.figures(t); got.Concurrent != 0 || got.Error["read"] != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("metrics: %+v", got)
 	}
 }
 
-// A value that breaks off, or whose end is not where it was said to be, is never whole to the client.
+// Guards against a client that takes an incomplete value for complete: the value ends early, or its
+// line end is not where its length says.
 func TestLargeValueThatIsNotWhole(t *testing.T) {
 	const n = 300 << 10
 	for name, answer := range map[string]string{
@@ -75,11 +76,11 @@
 			r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
 			c := dial(t, r.addr)
 			c.send(readCommandOf("a1", 5000) + "\r\n")
-			if got, end := c.readStreamed(t, "a1", n); end {
-				t.Errorf("%d bytes passed for a whole value", len(got))
+			if got, hasEnd := c.readStreamed(t, "a1", n); hasEnd {
+				t.Errorf("%d bytes appear as a complete value", len(got))
 			}
 			if got := c.line(); got != "EOF" {
-				t.Errorf("behind it: got %q", got)
+				t.Errorf("after the value: got %q", got)
 			}
 			for r.figures(t).Error["read"] != 1 {
 			}
@@ -87,10 +88,11 @@
 	}
 }
 
-// Where the client does not read, the cache server is not read either: what lies between is bounded.
+// Guards against buffering a value for a client that does not read: the server is not read either,
+// and the bytes in between are limited.
 func TestClientThatDoesNotReadHoldsBackTheServer(t *testing.T) {
 	const n, step = 1 << 20, 1 << 10
-	server, up := net.Pipe() // without buffers of their own
+	server, up := net.Pipe() // pipes have no buffers of their own
 	down, reader := net.Pipe()
 	for _, c := range []net.Conn{server, up, down, reader} {
 		t.Cleanup(func() { c.Close() })
@@ -101,13 +103,13 @@
 	close(turn)
 	s := &valueStream{ctx: t.Context(), response: &response{conn: &clientConn{Conn: down,
 		unwritable: make(chan struct{})}, streamTurn: turn}}
-	var given atomic.Int64
+	var sent atomic.Int64
 	go func() {
 		for range n / step {
 			if _, err := server.Write(make([]byte, step)); err != nil {
 				return
 			}
-			given.Add(step)
+			sent.Add(step)
 		}
 		io.WriteString(server, "\r\n")
 	}()
@@ -120,19 +122,19 @@
 			t.Fatal(err)
 		}
 		taken += int64(m)
-		if ahead := given.Load() - taken; ahead > chunkBytes+2*maxLineBytes {
-			t.Fatalf("%d bytes lie between", ahead)
+		if buffered := sent.Load() - taken; buffered > chunkBytes+2*maxLineBytes {
+			t.Fatalf("%d bytes are buffered", buffered)
 		}
 	}
 	if got, err := io.ReadAll(io.LimitReader(reader, 2)); err != nil || string(got) != "\r\n" {
-		t.Errorf("the end: got %q, %v", got, err)
+		t.Errorf("line end: got %q, %v", got, err)
 	}
 	if err := receive(t, done, "end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// largeWrite is a write of a class that must never run twice.
+// largeWrite returns a write of a class that must never run twice.
 func largeWrite(id, value string) string {
 	return fmt.Sprintf("ms 7f3a9c21e0b4d655 %d O%s Pc=bill,t=t,d=2000\r\n%s\r\n", len(value), id, value)
 }
@@ -142,9 +144,9 @@
 	o := startFake(t, originOK)
 	r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
 	c := dial(t, r.addr)
-	for _, id := range []string{"w1", "w2"} { // the second one on the same connections
+	for _, id := range []string{"w1", "w2"} { // the second write uses the same connections
 		text := largeWrite(id, value)
-		for len(text) > 0 { // in pieces cut anywhere
+		for len(text) > 0 { // pieces of any size
 			n := min(len(text), 70_001)
 			c.send(text[:n])
 			text = text[n:]
@@ -153,23 +155,23 @@
 			t.Fatalf("got %q", got)
 		}
 		if got := receive(t, o.seen, "write"); !strings.HasSuffix(got, " "+value) || idOf(got) != id {
-			t.Errorf("the origin got %.100q and %d bytes", got, len(got))
+			t.Errorf("the origin received %.100q and %d bytes", got, len(got))
 		}
 	}
 	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 ||
 		r.router.loop.valueBytes.used.Load() != 0 {
-		t.Errorf("got %+v, %d bytes held", got, r.router.loop.valueBytes.used.Load())
+		t.Errorf("metrics: %+v, %d bytes reserved", got, r.router.loop.valueBytes.used.Load())
 	}
 	if n := r.router.upstreams.uploads.Load(); n != 0 {
-		t.Errorf("%d writes on their way", n)
+		t.Errorf("%d uploads are counted", n)
 	}
 }
 
-// A large write whose last piece was not sent on has not run, whatever became of the rest: it is
-// refused, not failed.
+// A large write whose last chunk was not sent has not run, even if the rest was sent: it is
+// rejected and not failed.
 func TestLargeWriteThatCantBePassedOn(t *testing.T) {
 	value := bigValue(1 << 20)
-	ln := listenLocal(t) // an origin that ends each connection in the middle
+	ln := listenLocal(t) // an origin that closes each connection in the middle of a value
 	closed := make(chan struct{}, 10)
 	go func() {
 		for {
@@ -186,28 +188,29 @@
 	c := dial(t, r.addr)
 	text := largeWrite("w1", value)
 	c.send(text[:len(text)/2])
-	receive(t, closed, "end at the origin")
+	receive(t, closed, "close at the origin")
 	c.send(text[len(text)/2:])
 	if got := c.line(); got != "SERVER_ERROR busy" {
-		t.Errorf("an origin that closes: got %q", got)
+		t.Errorf("origin that closes: got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-00000063", true); err != nil {
 		t.Fatal(err)
 	}
-	c.send(largeWrite("w2", value)) // the connection is as good as before
+	c.send(largeWrite("w2", value)) // the client's connection is still usable
 	if got := c.line(); got != "SERVER_ERROR busy" {
-		t.Errorf("an origin that is out: got %q", got)
+		t.Errorf("disabled origin: got %q", got)
 	}
 	if got := r.figures(t); got.Overload["bill"] != 2 || got.Dispatches != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("metrics: %+v", got)
 	}
 }
 
-// A client that leaves in the middle leaves nothing behind, and its write never runs.
+// Guards against a partial write that runs, and against resources left behind by a client that
+// disconnects in the middle of a value.
 func TestLargeWriteThatBreaksOff(t *testing.T) {
 	o := startFake(t, originOK)
 	r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
-	for _, cut := range []int{100 << 10, 1<<20 + 30} { // in the middle, and within the last piece
+	for _, cut := range []int{100 << 10, 1<<20 + 30} { // in the middle, and within the last chunk
 		c := dial(t, r.addr)
 		c.send(largeWrite("w1", bigValue(1<<20))[:cut])
 		for o.conns.Load() == 0 {
@@ -217,11 +220,11 @@
 	for r.router.upstreams.uploads.Load() != 0 || r.router.loop.valueBytes.used.Load() != 0 {
 	}
 	if len(o.seen) != 0 || r.figures(t).Dispatches != 0 {
-		t.Error("a write that broke off has run")
+		t.Error("an incomplete write has run")
 	}
 	bad := dial(t, r.addr)
 	bad.send(strings.TrimSuffix(largeWrite("w2", bigValue(1<<20)), "\r\n") + "xx")
 	if got := bad.line(); !strings.HasPrefix(got, "CLIENT_ERROR") {
-		t.Errorf("a value without its end: got %q", got)
+		t.Errorf("value without its line end: got %q", got)
 	}
 }
--- a/internal/router/timeout_hint.go
+++ b/internal/router/timeout_hint.go
@@ -7,23 +7,22 @@
 	"sync/atomic"
 )
 
-// timeoutHint is the time that an attempt tells its server, in whole milliseconds (d in a command's
-// metadata): how long the answer is waited for. It is computed when the first byte is about to be
-// written, as a request may have waited for admission, for an earlier attempt or for a connection
-// since it came. 0 means that no time remains and nothing may be written.
+// timeoutHint tells a server how long its answer is awaited, in whole milliseconds (d in a
+// command's metadata). It is computed just before the first byte is written, as a request may have
+// waited for admission, an earlier attempt or a connection. 0 means that no time remains and
+// nothing may be written.
 type timeoutHint int64
 
-// hintFor is the hint for so many milliseconds that remain, never more than these.
+// hintFor returns the hint for the remaining time, rounded down.
 func hintFor(remainingMillis float64) timeoutHint {
-	if !(remainingMillis >= 1) { // also where it is no number
+	if !(remainingMillis >= 1) { // also for NaN
 		return 0
 	}
 	return timeoutHint(min(remainingMillis, math.MaxInt32))
 }
 
-// metadataWithHint is the metadata that an upstream gets with a command, a cache server and the
-// origin alike: as the client sent it, but for the timeout hint. Without one from the client there
-// is none.
+// metadataWithHint returns the metadata sent to a cache server or the origin: the client's metadata
+// with the timeout hint in place of the client's. Without one from the client, none is added.
 func (c *command) metadataWithHint(hint timeoutHint) string {
 	fields := strings.Split(c.metadata, ",")
 	for i, field := range fields {
@@ -34,9 +33,9 @@
 	return strings.Join(fields, ",")
 }
 
-// uploadHint is the hint in the head of a large write, which goes out while the value is still
-// coming. A request's time begins with its last byte, so all that the client and the class allow
-// remains then.
+// uploadHint returns the hint in the head of a large write, which is sent while the value is still
+// being received. A request's time begins with its last byte, so the complete time allowed by
+// client and class remains.
 func (l *loop) uploadHint(c *command) timeoutHint {
 	allowedMillis := c.remainingMillis
 	if rule := l.rules.Load().classes[c.class]; rule != nil {
@@ -46,10 +45,10 @@
 }
 
 // instant is a time in milliseconds on the loop's clock that any goroutine may read. Until it is
-// set it is infinitely far away.
+// set, it is infinitely far in the future.
 type instant struct{ bits atomic.Uint64 }
 
-// set sets the time. No time is 0, which stands for an instant that is not set.
+// set sets the time, which is never 0: 0 means not set.
 func (i *instant) set(at float64) { i.bits.Store(math.Float64bits(at)) }
 
 func (i *instant) load() float64 {
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// The timeout hint of an attempt is at most what is left to the client when its first byte is
-// written. These tests know a moment before which an attempt can't have been written, as its server
-// or its connection was held until then; so what is left at most follows from two readings of the
-// clock, and no test depends on how fast the machine is.
+// The timeout hint of an attempt must not exceed the client's remaining time when the attempt's
+// first byte is written. In each test, the server or its connection is blocked until a known time,
+// before which the attempt can't have been written. The limit for the hint follows from two
+// readings of the clock, so no test depends on the speed of the machine.
 
-// held is how long each test holds what it holds: a hint that does not shrink is off by as much.
+// held is how long each test blocks the server or connection. A hint that does not account for it
+// is too long by that time.
 const held = 40 * time.Millisecond
 
 // isSet reports whether the instant was set.
 func (i *instant) isSet() bool { return i.bits.Load() != 0 }
 
-// hintOf reads the timeout hint that an upstream was sent, in milliseconds.
+// hintOf returns the timeout hint in a request that an upstream received, in milliseconds.
 func hintOf(t testing.TB, line string) float64 {
 	t.Helper()
 	_, facts, found := strings.Cut(line, ",d=")
@@ -38,18 +39,19 @@
 	return hint
 }
 
-// atMost checks the hint of an attempt that can't have been written before a moment, for a request
-// that the router had at another and that allowed so many milliseconds from then on at most.
-func atMost(t testing.TB, line string, allowed float64, had, notBefore time.Time) {
+// atMost checks the hint of an attempt that can't have been written before notBefore. Its request
+// was received by the router at the time receivedAt or earlier, and allowed at most allowed
+// milliseconds.
+func atMost(t testing.TB, line string, allowed float64, receivedAt, notBefore time.Time) {
 	t.Helper()
 	hint := hintOf(t, line)
-	left := allowed - float64(notBefore.Sub(had))/float64(time.Millisecond)
-	if hint > left || hint < 1 {
-		t.Errorf("told %v ms with at most %.1f left: %q", hint, left, line)
+	remaining := allowed - float64(notBefore.Sub(receivedAt))/float64(time.Millisecond)
+	if hint > remaining || hint < 1 {
+		t.Errorf("hint of %v ms with at most %.1f ms remaining: %q", hint, remaining, line)
 	}
 }
 
-const longWait = 50000 // ms that the clients of these tests allow
+const longWait = 50000 // milliseconds that the clients of these tests wait
 
 func TestHintOfAFetchAfterAMiss(t *testing.T) {
 	answer := newGate(t)
@@ -59,14 +61,14 @@
 	c := dial(t, addr)
 	c.send(readOf(1, "w0", longWait) + "\r\n")
 	first := receive(t, s.seen, "the read that misses")
-	had := time.Now()
+	receivedAt := time.Now()
 	if hint := hintOf(t, first); hint > longWait {
-		t.Errorf("first attempt told %v of %d ms", hint, longWait)
+		t.Errorf("hint of the first attempt is %v of %d ms", hint, longWait)
 	}
 	time.Sleep(held)
-	missed := time.Now()
+	answeredAt := time.Now()
 	answer.open()
-	atMost(t, receive(t, o.seen, "its fetch"), longWait, had, missed)
+	atMost(t, receive(t, o.seen, "its fetch"), longWait, receivedAt, answeredAt)
 	if got := c.line(); got != "VA 5 Ow0 fresh" {
 		t.Errorf("got %q", got)
 	}
@@ -76,9 +78,9 @@
 	for _, how := range []string{"reset", "time-out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			cut := newGate(t)
+			closeConns := newGate(t)
 			answer := once("close", hit)
-			serve := func(line string) string { <-cut.opened; return answer(line) }
+			serve := func(line string) string { <-closeConns.opened; return answer(line) }
 			a, b := startFake(t, serve), startFake(t, serve)
 			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
 				originAt("127.0.0.1:1"))
@@ -96,19 +98,20 @@
 				}
 			}
 			seen()
-			had := time.Now()
+			receivedAt := time.Now()
 			time.Sleep(held)
-			ended := time.Now()
+			endedAt := time.Now()
 			if how == "time-out" {
 				onLoop(l, func() { l.timeOut(l.unanswered["w0"].attempts[0]) })
 			}
-			cut.open()
-			atMost(t, seen(), longWait, had, ended)
+			closeConns.open()
+			atMost(t, seen(), longWait, receivedAt, endedAt)
 		})
 	}
 }
 
-// A connection that comes up late leaves the attempt less than it had when it was decided on.
+// Guards against a hint computed before the connection is opened: the time spent connecting must be
+// subtracted.
 func TestHintOverAConnectionThatComesUpLate(t *testing.T) {
 	for name, command := range map[string]string{
 		"read at a cache server": readOf(1, "w0", longWait) + "\r\n",
@@ -116,96 +119,96 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o, up := startFake(t, hit), startFake(t, originOK), newGate(t)
+			s, o, allowDial := startFake(t, hit), startFake(t, originOK), newGate(t)
 			dialing := make(chan struct{}, 10)
 			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-			l.upstreams.holdDials(dialing, up)
+			l.upstreams.holdDials(dialing, allowDial)
 			c := dial(t, addr)
 			c.send(command)
 			receive(t, dialing, "a dial")
-			had := time.Now()
+			receivedAt := time.Now()
 			time.Sleep(held)
-			connected := time.Now()
-			up.open()
+			connectedAt := time.Now()
+			allowDial.open()
 			if got := c.line(); strings.HasPrefix(got, "SERVER_ERROR") {
 				t.Errorf("got %q", got)
 			}
 			for _, line := range append(receivedSoFar(s.seen), receivedSoFar(o.seen)...) {
-				atMost(t, line, longWait, had, connected)
+				atMost(t, line, longWait, receivedAt, connectedAt)
 			}
 		})
 	}
 }
 
-// Nothing is written when less than the least hint is left, though the loop is too busy to end the
-// attempt.
+// Guards against writing a request when less than a millisecond remains, even if the loop is too
+// busy to end the attempt.
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
-	s, up := startFake(t, hit), newGate(t)
+	s, allowDial := startFake(t, hit), newGate(t)
 	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
-	cfg.settings.Config.HealthChecks = false // whose dials are not the request's
+	cfg.settings.Config.HealthChecks = false // their dials would be blocked too
 	l, _, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
 	dialing := make(chan struct{}, 10)
-	l.upstreams.holdDials(dialing, up)
+	l.upstreams.holdDials(dialing, allowDial)
 	c := dial(t, addr)
-	const short = 400
-	c.send(readOf(1, "w0", short) + "\r\n")
+	const remainingMillis = 400
+	c.send(readOf(1, "w0", remainingMillis) + "\r\n")
 	receive(t, dialing, "a dial")
 	busy := newGate(t)
 	l.post(func() { <-busy.opened })
-	time.Sleep(short * time.Millisecond) // the request came before
-	up.open()
+	time.Sleep(remainingMillis * time.Millisecond) // the request was received before that
+	allowDial.open()
 	receive(t, s.connected, "the connection")
 	busy.open()
 	if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR") {
 		t.Errorf("got %q", got)
 	}
-	eventually(t, l, "the end of all", func() bool { return len(l.requests) == 0 })
+	eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
 	if len(s.seen) > 0 {
 		t.Errorf("sent: %q", receivedSoFar(s.seen))
 	}
 }
 
-// The head of a large write goes out before its value has come whole, which is when the client's
-// time begins. It tells no more than the class allows, as the other attempts do.
+// The head of a large write is sent before its value is complete, which is when the client's time
+// begins. Like that of other attempts, its hint is limited by the class and by the shutdown.
 func TestHintOfALargeWrite(t *testing.T) {
-	const allowed = 2000 // by the class
-	for _, ending := range []bool{false, true} {
-		t.Run(fmt.Sprint("ending ", ending), func(t *testing.T) {
+	const allowed = 2000 // milliseconds, by the class
+	for _, isShuttingDown := range []bool{false, true} {
+		t.Run(fmt.Sprint("shutdown ", isShuttingDown), func(t *testing.T) {
 			t.Parallel()
 			o := startFake(t, originOK)
 			r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
 			c := dial(t, r.addr)
-			most := float64(allowed)
-			if ending { // the process is told to end
-				most = 1500
+			limit := float64(allowed)
+			if isShuttingDown { // the process is shutting down
+				limit = 1500
 				l := r.router.loop
-				onLoop(l, func() { l.answerAllBy(l.now() + most) })
+				onLoop(l, func() { l.answerAllBy(l.now() + limit) })
 			}
-			had := time.Now()
+			receivedAt := time.Now()
 			c.send(strings.Replace(largeWrite("w1", bigValue(1<<20)), "d=2000", "d=60000", 1))
 			if got := c.line(); got != "HD Ow1 c5c0f" {
 				t.Fatalf("got %q", got)
 			}
-			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), most, had, had)
+			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), limit, receivedAt, receivedAt)
 		})
 	}
 }
 
-// What waits for admission has less left when it is let in.
+// Guards against a hint that ignores the time spent in admission's queue.
 func TestHintAfterAdmission(t *testing.T) {
 	_, s, answer, _, second, _ := startWithQueuedRequest(t)
-	had := time.Now()
+	receivedAt := time.Now()
 	time.Sleep(held)
-	admitted := time.Now()
+	admittedAt := time.Now()
 	answer.open()
-	atMost(t, receive(t, s.seen, "the second"), 60000, had, admitted)
+	atMost(t, receive(t, s.seen, "the second request"), 60000, receivedAt, admittedAt)
 	if got := second.line(); got != "VA 5 Ob hello" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A process that is told to end tells no more than the time until all has to be answered; in an
-// upgrade the old one does.
+// Guards against a hint beyond the time by which a process that is shutting down must have answered
+// all requests, as for the old process of an upgrade.
 func TestHintBeforeTheEndOfTheProcess(t *testing.T) {
 	for _, upgrade := range []bool{false, true} {
 		t.Run(fmt.Sprint("upgrade ", upgrade), func(t *testing.T) {
@@ -222,19 +225,19 @@
 			c.send(readOf(1, "w0", longWait) + "\r\n")
 			receive(t, s.seen, "the read")
 			if upgrade {
-				young, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
+				successor, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
 				defer end()
-				for !young.router.Ready() || r.router.peers.count() == 0 {
+				for !successor.router.Ready() || r.router.peers.count() == 0 {
 				}
 			}
 			r.stop()
-			eventually(t, l, "the end of the process's time", func() bool { return l.answerBy.isSet() })
-			told := time.Now()
+			eventually(t, l, "the time limit of the process", func() bool { return l.answerBy.isSet() })
+			stoppedAt := time.Now()
 			time.Sleep(held)
-			missed := time.Now()
+			answeredAt := time.Now()
 			answer.open()
 			atMost(t, receive(t, o.seen, "its fetch"), min(l.longestDeadline(), minStopMillis)+answerMarginMillis,
-				told, missed)
+				stoppedAt, answeredAt)
 			if got := c.line(); got != "VA 5 Ow0 fresh" {
 				t.Errorf("got %q", got)
 			}
@@ -248,13 +251,13 @@
 		want      timeoutHint
 	}{{-5, 0}, {0, 0}, {0.9, 0}, {1, 1}, {1.9, 1}, {480.7, 480}, {math.Inf(1), math.MaxInt32}, {math.NaN(), 0}} {
 		if got := hintFor(c.remaining); got != c.want {
-			t.Errorf("%v ms remain: told %d, want %d", c.remaining, got, c.want)
+			t.Errorf("%v ms remain: hint %d, want %d", c.remaining, got, c.want)
 		}
 	}
-	for facts, want := range map[string]string{"c=read,d=480,t=t": "c=read,d=7,t=t", "d=480,c=read": "d=7,c=read",
+	for sent, want := range map[string]string{"c=read,d=480,t=t": "c=read,d=7,t=t", "d=480,c=read": "d=7,c=read",
 		"c=read": "c=read", "c=read,dd=480": "c=read,dd=480"} {
-		if got := (&command{metadata: facts}).metadataWithHint(7); got != want {
-			t.Errorf("%q became %q, want %q", facts, got, want)
+		if got := (&command{metadata: sent}).metadataWithHint(7); got != want {
+			t.Errorf("%q became %q, want %q", sent, got, want)
 		}
 	}
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -7,21 +7,21 @@
 	"math"
 )
 
-// timer is something to do at a time. It belongs to the loop.
+// timer is a function to be called at a given time. It belongs to the loop.
 type timer struct {
-	// at is in milliseconds on the loop's clock.
+	// at is the time in milliseconds on the loop's clock.
 	at float64
 	do func()
-	// heapIndex is its place in the heap; notInHeap once it has fired or was stopped.
+	// heapIndex is the position in the heap; notInHeap once the timer has fired or was stopped.
 	heapIndex int
 }
 
 // notInHeap is the heapIndex of a timer that is not set.
 const notInHeap = -1
 
-// after has do called after so many milliseconds, at once where that is not positive.
+// after calls do after the given time, or as soon as possible if that is not positive.
 func (l *loop) after(millis float64, do func()) *timer {
-	if !(millis > 0) { // also where it is no number
+	if !(millis > 0) { // also for NaN
 		millis = 0
 	}
 	t := &timer{at: l.now() + min(millis, math.MaxInt32), do: do}
@@ -29,11 +29,11 @@
 	return t
 }
 
-// timerHeap holds timers, the next one first.
+// timerHeap holds timers; the first one is due next.
 type timerHeap []*timer
 
-// stop takes a timer out, with all that it refers to: left in until it is due, it would keep each
-// request in memory for seconds. It does nothing for nil or a timer that is not set.
+// stop removes a timer and releases what it references: a timer left in the heap would keep its
+// request in memory for seconds. It does nothing for nil or for a timer that is not set.
 func (h *timerHeap) stop(t *timer) {
 	if t != nil && t.heapIndex >= 0 {
 		heap.Remove(h, t.heapIndex)
--- a/internal/router/upload.go
+++ b/internal/router/upload.go
@@ -1,7 +1,7 @@
 package router
 
-// Large writes: all but the last chunk is forwarded while it comes, and the last one waits for the
-// Balancer's decision. A server runs a write only once it has all of it.
+// Large writes: all but the last chunk is forwarded to the server while it is received. The last
+// chunk waits for the Balancer's decision, because a server runs a write only once it is complete.
 
 import (
 	"context"
@@ -15,40 +15,39 @@
 )
 
 const (
-	// lastChunkBytes is what is held back of a large write.
+	// lastChunkBytes is the size of the last chunk, which is held back.
 	lastChunkBytes = 4 << 10
-	// uploadTimeout is the time for all of a large value to come: a few bytes now and then keep
-	// commandTimeout from ending it.
+	// uploadTimeout limits the time for a complete large value, as a client that sends a few bytes
+	// at a time never exceeds commandTimeout.
 	uploadTimeout = time.Minute
 )
 
-// upload is a large write on its way. The reader goroutine of its client owns it until the request
-// is submitted, then the request does; isSettled decides which of an attempt and the request's end
-// gets the connection.
+// upload is a large write that is being forwarded. The client's reader goroutine owns it until the
+// request is submitted, then the request does. isSettled decides whether the attempt or the end of
+// the request gets the connection.
 type upload struct {
 	upstreams *upstreams
 	server    uint32
 	target    *target
-	// conn is nil where the server does not take the write.
+	// conn is nil if the server does not accept the write.
 	conn *upstreamConn
-	// lastChunk is held back for the attempt.
+	// lastChunk is held back until the attempt.
 	lastChunk []byte
-	// isSettled is set once, by the attempt or by abandon: the connection is its from then on.
+	// isSettled is set once, by the attempt or by abandon, which owns the connection from then on.
 	isSettled atomic.Bool
 }
 
-// errNoUploadCapacity is the error of a large write that can't be taken now.
+// errNoUploadCapacity is returned for a large write that can't be accepted now.
 var errNoUploadCapacity = errors.New("no capacity for a large write")
 
-// abandon ends a write of which no attempt was made. Its last chunk was never sent, so it has not
-// run.
+// abandon ends an upload without an attempt. Its last chunk was not sent, so the write has not run.
 func (p *upload) abandon() {
 	if p != nil && p.isSettled.CompareAndSwap(false, true) {
 		p.release()
 	}
 }
 
-// release closes the connection and ends the upload.
+// release closes the connection and stops counting the upload.
 func (p *upload) release() {
 	if p.conn != nil {
 		p.upstreams.release(p.target, p.conn, false)
@@ -56,9 +55,9 @@
 	p.upstreams.uploads.Add(-1)
 }
 
-// startUpload opens a connection for a large write to the server to which the Balancer has writes go.
-// Where that fails, the upload is without a connection: its attempt will end as never run, which is
-// the Balancer's to judge.
+// startUpload opens a connection for a large write to the server that the Balancer currently
+// selects for writes. If that fails, the upload has no connection. Its attempt then ends as never
+// run, and the Balancer decides how to proceed.
 func (l *loop) startUpload(cmd *command) (*upload, error) {
 	if l.upstreams.uploads.Add(1) > l.upstreams.uploadLimit() {
 		l.upstreams.uploads.Add(-1)
@@ -85,8 +84,8 @@
 	return p, nil
 }
 
-// chooseUploadTarget asks the loop where writes go, and reports whether that is the origin: only its
-// protocol can be forwarded in parts.
+// chooseUploadTarget sets the server that writes currently go to, and reports whether that is the
+// origin: only the origin's protocol allows forwarding a value in parts.
 func (l *loop) chooseUploadTarget(p *upload) bool {
 	isOrigin := make(chan bool, 1)
 	l.post(func() {
@@ -105,15 +104,15 @@
 	}
 }
 
-// uploadHead is the head of a write in the origin's HTTP.
+// uploadHead returns the head of a write in the origin's HTTP.
 func uploadHead(addr string, c *command, hint timeoutHint) []byte {
 	path := (&url.URL{Path: "/" + c.key}).RequestURI()
 	const head = "PUT %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\nX-Correlation-Id: %s\r\nX-Facts: %s\r\n\r\n"
 	return fmt.Appendf(nil, head, path, addr, c.valueBytes, c.id, c.metadataWithHint(hint))
 }
 
-// write forwards a part. Where the server does not take it the connection is closed; the client is
-// still read to the end of its value.
+// write forwards a part of the value. If the server does not accept it, the connection is closed;
+// the client's value is still read to its end.
 func (p *upload) write(part []byte) {
 	if p.conn == nil {
 		return
@@ -127,8 +126,8 @@
 	p.conn.SetWriteDeadline(time.Time{})
 }
 
-// readLargeValue reads a large value and the line end behind it, forwarding chunks as they come. p
-// may be nil: the value is then discarded.
+// readLargeValue reads a large value and the line end after it, forwarding chunks as they are
+// received. If p is nil, the value is discarded.
 func (c *clientConn) readLargeValue(valueBytes int, p *upload) error {
 	c.isReceivingLargeValue.Store(true)
 	defer c.isReceivingLargeValue.Store(false)
@@ -156,7 +155,7 @@
 	return nil
 }
 
-// readLastChunk reads the last chunk of a large value and the line end behind it.
+// readLastChunk reads the last chunk of a large value and the line end after it.
 func (c *clientConn) readLastChunk(uploadDeadline time.Time) ([]byte, error) {
 	const lineEnd = "\r\n"
 	last := make([]byte, 0, lastChunkBytes+len(lineEnd))
@@ -175,8 +174,8 @@
 	return last[:lastChunkBytes], nil
 }
 
-// extendReadDeadline gives the client commandTimeout for the next part of its value, up to the
-// value's own deadline.
+// extendReadDeadline gives the client commandTimeout for the next part of its value, limited by the
+// deadline for the complete value.
 func (c *clientConn) extendReadDeadline(limit time.Time) {
 	deadline := time.Now().Add(commandTimeout)
 	if limit.Before(deadline) {
@@ -192,10 +191,10 @@
 func (u *upstreams) finishUpload(ctx context.Context, server uint32, c *command, hooks attemptHooks) reply {
 	p := c.upload
 	if p.server != server || !p.isSettled.CompareAndSwap(false, true) {
-		return replyWithoutAnswer(decide.ConnectError) // the value is not kept, and can't be sent again
+		return replyWithoutAnswer(decide.ConnectError) // the value was not stored, so it can't be sent again
 	}
-	// A server that has closed, or has answered a write that it has not got completely, does not
-	// run it.
+	// A server that has closed the connection, or has answered before it received the complete
+	// write, does not run it.
 	if p.conn == nil || !p.conn.isQuiet() {
 		p.release()
 		return replyWithoutAnswer(decide.ConnectError)
@@ -204,7 +203,7 @@
 		p.release()
 		return replyWithoutAnswer(decide.Unprocessed)
 	}
-	u.uploads.Add(-1) // from here on it is an attempt like any other
+	u.uploads.Add(-1) // from here on it counts as an attempt
 	stopWatch := context.AfterFunc(ctx, func() { p.conn.Close() })
 	if _, err := p.conn.Write(p.lastChunk); err != nil {
 		stopWatch()
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -13,30 +13,30 @@
 )
 
 // upstreamConn is a connection to a target. It carries one attempt at a time: answers come in the
-// order of the commands and a cancelled attempt closes its connection, so others on it would wait for
-// the first, or be reset with it.
+// order of the commands, so a second attempt would wait for the first, and canceling the first
+// closes the connection under the second.
 //
-// It belongs to the pool while it is idle, and to who has acquired it until it is released.
+// While idle it belongs to the pool, otherwise to the goroutine that has acquired it.
 type upstreamConn struct {
 	net.Conn
 	reader *bufio.Reader
-	// remainingBytes is what may still come of the answer that is being read.
+	// remainingBytes is how many bytes the current answer may still have.
 	remainingBytes int
-	// idleSince is when it was opened or released.
+	// idleSince is when the connection was opened or last released.
 	idleSince time.Time
 }
 
-// An answer is bounded in bytes and in time, whatever it says of itself.
+// Limits on the size and duration of an answer, whatever length it announces.
 const (
-	// maxAnswerBytes has capacity for chunk headers and provisional answers.
+	// maxAnswerBytes leaves capacity for chunk headers and provisional answers.
 	maxAnswerBytes = 2*maxHeadBytes + maxBufferedValue + maxValueBytes
-	// answerTimeout is the time for the rest of an answer to come once it has begun. It is below the
-	// usual latency objective, so a read is retried in time.
+	// answerTimeout is how long the rest of an answer may take after its first byte. It is below
+	// the usual latency objective, so that a read can still be retried in time.
 	answerTimeout = 250 * time.Millisecond
 )
 
-// Read reads from the connection, up to remainingBytes. A read deadline that passes is an answer that
-// stopped short.
+// Read reads at most remainingBytes from the connection. If the read deadline passes, the answer is
+// incomplete and counts as malformed.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if c.remainingBytes <= 0 {
 		return 0, malformed("answer over %d bytes", maxAnswerBytes)
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// awaitFirstByte waits for an answer's first byte and bounds the rest.
+// awaitFirstByte waits for an answer's first byte and limits the size and time of the rest.
 func (c *upstreamConn) awaitFirstByte() error {
 	c.remainingBytes = maxAnswerBytes
 	if _, err := c.reader.Peek(1); err != nil {
@@ -58,14 +58,14 @@
 	return c.SetReadDeadline(time.Now().Add(answerTimeout))
 }
 
-// isReusable reports whether nothing has come beside the answer that was read: other input belongs to
-// no request.
+// isReusable reports whether the connection is free of input after the answer that was read. Any
+// other input belongs to no request.
 func (c *upstreamConn) isReusable() bool {
 	return c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil && c.isQuiet()
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read: an end, a reset or a
-// stray answer makes it useless, and a request written to it would end as a reset.
+// isQuiet reports whether an idle connection is open and has nothing to read. A closed or reset
+// connection, or one with a stray answer, can't be used: the request would end with a reset.
 func (c *upstreamConn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -74,38 +74,39 @@
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 }
 
-// attemptHooks are what the owner of an attempt decides. They are called on the attempt's goroutine.
+// attemptHooks are the callbacks of an attempt's owner. They run on the attempt's goroutine.
 type attemptHooks struct {
-	// isNotRepeatable is set where the request may not be sent twice at will.
+	// isNotRepeatable is set if sending the request twice may have a further effect.
 	isNotRepeatable bool
-	// beforeWrite is called once, before the first byte, and returns the timeout hint for the server.
-	// 0 means that nothing may be written.
+	// beforeWrite is called once, before the first byte, and returns the timeout hint for the
+	// server. 0 means that nothing may be written.
 	beforeWrite func() timeoutHint
-	// afterWrite is called after the last byte.
+	// afterWrite is called after the last byte was written.
 	afterWrite func()
-	// openStream is asked for the client of a value that is to be streamed; nil where there is none.
+	// openStream returns the stream to the client for a large value, or nil if the request has
+	// ended.
 	openStream func(got reply) *valueStream
 }
 
-// errStreamUnwanted ends the connection of a value that nobody waits for any more.
-var errStreamUnwanted = errors.New("value unwanted")
+// errStreamUnwanted closes the connection of a streamed value that is no longer forwarded.
+var errStreamUnwanted = errors.New("streamed value aborted")
 
 // answerReader reads a target's answer to a command.
 type answerReader func(*bufio.Reader, *command) (reply, error)
 
-// upstreamExchange is a command that is written completely, and how its answer is read.
+// upstreamExchange is a completely written command whose answer is to be read.
 type upstreamExchange struct {
 	target  *target
 	conn    *upstreamConn
 	command *command
 	read    answerReader
-	// stopWatch ends the watch that closes the connection when the attempt's context ends. It returns
-	// false if that has happened.
+	// stopWatch stops closing the connection when the attempt's context ends. It returns false if
+	// the connection has been closed already.
 	stopWatch func() bool
 }
 
-// roundTrip writes a command to a target once, never twice, and returns how that ended. When ctx ends
-// the connection is closed, which cancels the attempt.
+// roundTrip writes a command to a target, never more than once, and returns the outcome. When ctx
+// ends, the connection is closed, which cancels the attempt.
 func (u *upstreams) roundTrip(ctx context.Context, t *target, c *command, hooks attemptHooks) reply {
 	conn, err := u.acquire(ctx, t, hooks.isNotRepeatable)
 	switch {
@@ -120,12 +121,12 @@
 		return replyWithoutAnswer(decide.Unprocessed)
 	}
 	wire, read, err := u.encode(t, c, hint)
-	if err != nil { // it can't be said in HTTP
+	if err != nil { // the command has no valid HTTP form
 		u.releaseUnused(t, conn)
 		return replyWithoutAnswer(decide.Unprocessed)
 	}
 	stopWatch := context.AfterFunc(ctx, func() { conn.Close() })
-	if _, err := conn.Write(wire); err != nil { // the last byte is not out, so nothing can have run
+	if _, err := conn.Write(wire); err != nil { // the last byte was not sent, so the command can't have run
 		stopWatch()
 		u.release(t, conn, false)
 		return replyWithoutAnswer(decide.ConnectError)
@@ -133,7 +134,7 @@
 	return u.readAnswer(upstreamExchange{t, conn, c, read, stopWatch}, hooks)
 }
 
-// encode returns a command as a target gets it, and the reader of its answers.
+// encode returns a command in the target's protocol and the reader for its answer.
 func (u *upstreams) encode(t *target, c *command, hint timeoutHint) ([]byte, answerReader, error) {
 	if !t.isOrigin {
 		return c.append(nil, hint), readReply, nil
@@ -142,9 +143,9 @@
 	return wire, u.readOrigin, err
 }
 
-// readAnswer reads the answer to a command that is written completely, and releases the connection.
-// An answer that can't be understood, or that broke off, shows that the request has run and the
-// server was at work; a connection that ends before the answer leaves open whether it has run.
+// readAnswer reads the answer to a completely written command and releases the connection. A
+// malformed or incomplete answer shows that the server has run the request; if the
+// connection ends before any answer, it is unknown whether the request has run.
 func (u *upstreams) readAnswer(x upstreamExchange, hooks attemptHooks) reply {
 	hooks.afterWrite()
 	got := reply{load: decide.NoLoadReport}
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -27,7 +27,8 @@
 
 var writeAlways = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
 
-// Each row of the outcome table, for both protocols.
+// Checks the outcome of an attempt, and whether its connection is reused, for each kind of answer
+// in both protocols.
 func TestOutcomeTable(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
@@ -43,12 +44,12 @@
 		"value without flag": {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
 		"receipt":            {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
 		"miss":               {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
-		"miss, told": {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss,
+		"miss with flag": {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss,
 			reused: true},
-		"miss, fetch is out": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss,
+		"miss during fetch": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss,
 			cacheResult: decide.CacheMissDuringFetch, reused: true},
 		"error":             {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
-		"turned away":       {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
+		"rejected":          {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":            {answer: "close", want: decide.Reset},
 		"value cut":         {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.MalformedResponse},
 		"value without end": {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
@@ -63,8 +64,8 @@
 		"no protocol":       {answer: "\x00\x01\r\n", want: decide.MalformedResponse},
 		"endless line":      {answer: long, want: decide.MalformedResponse},
 		"noise without end": {answer: "\x07\x01\x02", want: decide.MalformedResponse},
-		"value stops short": {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
-		"line stops short":  {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
+		"value incomplete":  {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
+		"line incomplete":   {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
 		"value of 3 GB":     {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
 		"two ids":           {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
 		"value and a copy": {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK,
@@ -92,9 +93,9 @@
 			want: decide.MalformedResponse},
 		"origin 500 of 3 GB": {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true,
 			want: decide.MalformedResponse},
-		"origin stops short": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true,
+		"origin incomplete": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true,
 			want: decide.MalformedResponse},
-		"origin head stops": {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
+		"origin head incomplete": {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
 		"origin in chunks": {
 			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n",
 			origin: true, want: decide.OK, reused: true},
@@ -145,14 +146,14 @@
 			}
 			got := u.roundTrip(t.Context(), target, cmd, writeAlways)
 			if got.status != c.want || got.cacheResult != c.cacheResult {
-				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
+				t.Errorf("got status %v, cache result %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
 			}
 			receive(t, f.seen, "request")
 			if len(f.seen) > 0 {
-				t.Error("sent twice")
+				t.Error("the request was sent twice")
 			}
 			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
-				t.Errorf("connection kept: %v", kept)
+				t.Errorf("connection kept: %v, want %v", kept, c.reused)
 			}
 		})
 	}
@@ -164,11 +165,11 @@
 	refusing := u.add(ln.Addr().String(), false)
 	ln.Close()
 	if got := u.roundTrip(t.Context(), refusing, getCommand(), writeAlways); got.status != decide.ConnectError {
-		t.Errorf("refused: got %v", got.status)
+		t.Errorf("refused connection: got %v", got.status)
 	}
 }
 
-// An attempt that is called off before its first byte leaves none.
+// An attempt abandoned before its first byte leaves nothing on the connection, which is reused.
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
 	f := startFake(t, hit)
 	u := testUpstreams(t, 10*time.Second, 10)
@@ -180,7 +181,7 @@
 	}
 	receive(t, f.seen, "request")
 	if len(f.seen) > 0 || f.conns.Load() != 1 {
-		t.Error("the attempt that was called off was written")
+		t.Error("the abandoned attempt was written")
 	}
 }
 
@@ -196,11 +197,11 @@
 	}
 	if st, _ := u.checkHealth(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr,
 		false)); st == decide.OK {
-		t.Error("an error passed for a report")
+		t.Error("an error was accepted as a load report")
 	}
 }
 
-// A report with a figure that can't be read, or that no load can have, is absent.
+// A load report with an invalid number is ignored completely.
 func TestUnreadableReportIsAbsent(t *testing.T) {
 	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1",
 		"qps=0x1p3,util=1", "qps=1_0"} {
@@ -213,8 +214,9 @@
 	}
 }
 
-// A second copy of an origin's answer that comes a moment later carries no id: the connection rests
-// until it would be there, and is then found not to be quiet.
+// Guards against taking a late duplicate of the origin's answer for the answer to the next request,
+// as HTTP answers carry no request id. The connection is not used until the duplicate would have
+// arrived, and is then closed because it has input.
 func TestLateCopyIsNotTheNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
@@ -245,7 +247,7 @@
 		if got := u.roundTrip(t.Context(), target, cmd, writeAlways); string(got.body) != cmd.id {
 			t.Errorf("request %s: got status %v, %q", cmd.id, got.status, got.body)
 		}
-		if n == 2 { // the copies are there now
+		if n == 2 { // wait until the duplicates have arrived
 			for kept := idleConns(u, target); len(kept) > 0 &&
 				(kept[0].isQuiet() || time.Since(kept[0].idleSince) < originIdleMinimum); kept = idleConns(u, target) {
 				time.Sleep(time.Millisecond)
