--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -31,8 +31,8 @@
 	// Seed is the seed of random choices, with up to 16 hexadecimal digits.
 	Seed   string `json:"seed"`
 	Limits Limits `json:"limits"`
-	// Known is the endpoint list that the router last held.
-	Known endpointList `json:"known"`
+	// KnownEndpoints is the endpoint list that the router last held.
+	KnownEndpoints endpointList `json:"known"`
 	// Settings are the platform's settings.
 	Settings json.RawMessage `json:"settings"`
 
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -38,7 +38,7 @@
 			return
 		}
 		d = l.newWatch(cfg, onList)
-		d.replace(cfg.Known)
+		d.replace(cfg.KnownEndpoints)
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -127,7 +127,7 @@
 	if r.inherited != nil {
 		return r.inherited.List
 	}
-	return r.cfg.Known
+	return r.cfg.KnownEndpoints
 }
 
 // awaitDrains waits for the list of servers drained by the fleet, so that they get no requests at
