--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -17,8 +17,8 @@
 	"dockhinge.example/dockhinge/internal/rollout/follow"
 )
 
-// Agreement configures the router as a client of the coordinators. Requests never wait for them.
-type Agreement struct {
+// CoordinationConfig configures the router as a client of the coordinators. Requests never wait for them.
+type CoordinationConfig struct {
 	// Coordinators are the coordinators' addresses by name.
 	Coordinators map[string]string
 	// TTL is the time to live of the router's session and leases.
@@ -43,7 +43,7 @@
 
 // runAgreement runs the client of the coordinators until ctx ends. Shared health checks end when
 // stop ends. onDrainsKnown is called once the drains known at the start are in effect.
-func (r *Router) runAgreement(ctx, stop context.Context, a *Agreement, onDrainsKnown func()) {
+func (r *Router) runAgreement(ctx, stop context.Context, a *CoordinationConfig, onDrainsKnown func()) {
 	client := leases.New(leases.Options{
 		Coordinators: a.Coordinators,
 		ClientName:   "router/" + r.cfg.Name,
@@ -79,7 +79,7 @@
 }
 
 // runHealthChecks runs this router's part of the fleet's shared health checks until ctx ends.
-func (r *Router) runHealthChecks(ctx context.Context, a *Agreement, client *leases.Client) {
+func (r *Router) runHealthChecks(ctx context.Context, a *CoordinationConfig, client *leases.Client) {
 	healthcheck.Run(ctx, healthcheck.Options{
 		Client:    client,
 		LeaseTTL:  a.TTL,
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -39,7 +39,7 @@
 	// Admission is the operator file's section on fair admission; nil = disabled.
 	Admission *AdmissionConfig `json:"-"`
 	// Agreement is the operator file's section on the coordinators; nil = none.
-	Agreement *Agreement `json:"-"`
+	Agreement *CoordinationConfig `json:"-"`
 	// Trace records events; nil = none.
 	Trace *trace.Trace `json:"-"`
 
