--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -34,7 +34,7 @@
 		return cfg, err
 	}
 	if a := file.Agreement; len(a.Coordinators) > 0 {
-		cfg.Agreement = &router.CoordinationConfig{
+		cfg.Coordination = &router.CoordinationConfig{
 			Coordinators: a.CoordinatorAddrs(),
 			TTL:          operator.Duration(a.TTL),
 			Probes:       a.Probes,
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -36,7 +36,7 @@
 }
 
 // followsDrains reports whether the router takes part in the fleet's drains.
-func (c *Config) followsDrains() bool { return c.Agreement != nil && c.Agreement.Drains }
+func (c *Config) followsDrains() bool { return c.Coordination != nil && c.Coordination.Drains }
 
 // drainsKnownTimeout is how long a starting router waits for the list of drained servers.
 const drainsKnownTimeout = 2 * time.Second
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -38,8 +38,8 @@
 
 	// Admission is the operator file's section on fair admission; nil = disabled.
 	Admission *AdmissionConfig `json:"-"`
-	// Agreement is the operator file's section on the coordinators; nil = none.
-	Agreement *CoordinationConfig `json:"-"`
+	// Coordination is the operator file's section on the coordinators; nil = none.
+	Coordination *CoordinationConfig `json:"-"`
 	// Trace records events; nil = none.
 	Trace *trace.Trace `json:"-"`
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,8 +74,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Agreement != nil && cfg.Agreement.Probes {
-		r.loop.healthReports = healthcheck.NewReportCache(float64(cfg.Agreement.ProbeStale.Milliseconds()))
+	if cfg.Coordination != nil && cfg.Coordination.Probes {
+		r.loop.healthReports = healthcheck.NewReportCache(float64(cfg.Coordination.ProbeStale.Milliseconds()))
 	}
 	if cfg.followsDrains() {
 		r.loop.latencies = new(latencyHistogram)
@@ -106,9 +106,9 @@
 		wg.Go(func() { r.Joined(work, r.link) })
 	}
 	drainsKnown := make(chan struct{})
-	if r.cfg.Agreement != nil {
+	if r.cfg.Coordination != nil {
 		onDrainsKnown := func() { close(drainsKnown) }
-		wg.Go(func() { r.runAgreement(work, ctx, r.cfg.Agreement, onDrainsKnown) })
+		wg.Go(func() { r.runAgreement(work, ctx, r.cfg.Coordination, onDrainsKnown) })
 	}
 	wg.Go(func() { r.loop.runDiscovery(work, r.cfg, held, isHandover, updates, r.broadcastList) })
 	r.awaitDrains(ctx, drainsKnown)
