--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -36,7 +36,7 @@
 	if a := file.Agreement; len(a.Coordinators) > 0 {
 		cfg.Coordination = &router.CoordinationConfig{
 			Coordinators: a.CoordinatorAddrs(),
-			TTL:          operator.Duration(a.TTL),
+			SessionTTL:   operator.Duration(a.TTL),
 			Probes:       a.Probes,
 			ProbeEvery:   operator.Duration(a.ProbeEvery),
 			ProbeStale:   operator.Duration(a.ProbeStale),
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -21,8 +21,8 @@
 type CoordinationConfig struct {
 	// Coordinators are the coordinators' addresses by name.
 	Coordinators map[string]string
-	// TTL is the time to live of the router's session and leases.
-	TTL time.Duration
+	// SessionTTL is the time to live of the router's session and leases.
+	SessionTTL time.Duration
 	// Probes is set if routers share health checks: one router checks a server for all.
 	Probes bool
 	// ProbeEvery is the interval between two health checks of a server.
@@ -47,7 +47,7 @@
 	client := leases.New(leases.Options{
 		Coordinators: a.Coordinators,
 		ClientName:   "router/" + r.cfg.Name,
-		TTL:          a.TTL,
+		TTL:          a.SessionTTL,
 		Log:          slog.Default(),
 	})
 	var wg sync.WaitGroup
@@ -82,7 +82,7 @@
 func (r *Router) runHealthChecks(ctx context.Context, a *CoordinationConfig, client *leases.Client) {
 	healthcheck.Run(ctx, healthcheck.Options{
 		Client:    client,
-		LeaseTTL:  a.TTL,
+		LeaseTTL:  a.SessionTTL,
 		Interval:  a.ProbeEvery,
 		Reports:   r.loop.healthReports,
 		NowMillis: r.loop.now,
