--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -23,8 +23,8 @@
 	Coordinators map[string]string
 	// SessionTTL is the time to live of the router's session and leases.
 	SessionTTL time.Duration
-	// Probes is set if routers share health checks: one router checks a server for all.
-	Probes bool
+	// SharesHealthChecks is set if routers share health checks: one router checks a server for all.
+	SharesHealthChecks bool
 	// ProbeEvery is the interval between two health checks of a server.
 	ProbeEvery time.Duration
 	// ProbeStale is the maximum age of a health check's report that is still used.
@@ -53,7 +53,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { client.Run(ctx) })
-	if a.Probes {
+	if a.SharesHealthChecks {
 		wg.Go(func() { r.runHealthChecks(stop, a, client) })
 	}
 	if a.Drains {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.Coordination != nil && cfg.Coordination.Probes {
+	if cfg.Coordination != nil && cfg.Coordination.SharesHealthChecks {
 		r.loop.healthReports = healthcheck.NewReportCache(float64(cfg.Coordination.ProbeStale.Milliseconds()))
 	}
 	if cfg.followsDrains() {
