--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -35,13 +35,13 @@
 	}
 	if a := file.Agreement; len(a.Coordinators) > 0 {
 		cfg.Coordination = &router.CoordinationConfig{
-			Coordinators:       a.CoordinatorAddrs(),
-			SessionTTL:         operator.Duration(a.TTL),
-			SharesHealthChecks: a.Probes,
-			ProbeEvery:         operator.Duration(a.ProbeEvery),
-			ProbeStale:         operator.Duration(a.ProbeStale),
-			Drains:             a.Drains,
-			Label:              cmp.Or(a.Label, revision()),
+			Coordinators:        a.CoordinatorAddrs(),
+			SessionTTL:          operator.Duration(a.TTL),
+			SharesHealthChecks:  a.Probes,
+			HealthCheckInterval: operator.Duration(a.ProbeEvery),
+			ProbeStale:          operator.Duration(a.ProbeStale),
+			Drains:              a.Drains,
+			Label:               cmp.Or(a.Label, revision()),
 		}
 	}
 	if !file.Admission.Enabled {
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -25,8 +25,8 @@
 	SessionTTL time.Duration
 	// SharesHealthChecks is set if routers share health checks: one router checks a server for all.
 	SharesHealthChecks bool
-	// ProbeEvery is the interval between two health checks of a server.
-	ProbeEvery time.Duration
+	// HealthCheckInterval is the interval between two health checks of a server.
+	HealthCheckInterval time.Duration
 	// ProbeStale is the maximum age of a health check's report that is still used.
 	ProbeStale time.Duration
 	// Drains is set if the router takes part in the fleet's drains and releases.
@@ -83,7 +83,7 @@
 	healthcheck.Run(ctx, healthcheck.Options{
 		Client:    client,
 		LeaseTTL:  a.SessionTTL,
-		Interval:  a.ProbeEvery,
+		Interval:  a.HealthCheckInterval,
 		Reports:   r.loop.healthReports,
 		NowMillis: r.loop.now,
 		Servers:   r.loop.cacheServerIDs,
