--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -39,7 +39,7 @@
 			SessionTTL:          operator.Duration(a.TTL),
 			SharesHealthChecks:  a.Probes,
 			HealthCheckInterval: operator.Duration(a.ProbeEvery),
-			ProbeStale:          operator.Duration(a.ProbeStale),
+			MaxHealthReportAge:  operator.Duration(a.ProbeStale),
 			Drains:              a.Drains,
 			Label:               cmp.Or(a.Label, revision()),
 		}
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -27,8 +27,8 @@
 	SharesHealthChecks bool
 	// HealthCheckInterval is the interval between two health checks of a server.
 	HealthCheckInterval time.Duration
-	// ProbeStale is the maximum age of a health check's report that is still used.
-	ProbeStale time.Duration
+	// MaxHealthReportAge is the maximum age of a health check's report that is still used.
+	MaxHealthReportAge time.Duration
 	// Drains is set if the router takes part in the fleet's drains and releases.
 	Drains bool
 	// Label is the label of the program's version in releases.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	if cfg.Coordination != nil && cfg.Coordination.SharesHealthChecks {
-		r.loop.healthReports = healthcheck.NewReportCache(float64(cfg.Coordination.ProbeStale.Milliseconds()))
+		r.loop.healthReports = healthcheck.NewReportCache(float64(cfg.Coordination.MaxHealthReportAge.Milliseconds()))
 	}
 	if cfg.followsDrains() {
 		r.loop.latencies = new(latencyHistogram)
