--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -40,7 +40,7 @@
 			SharesHealthChecks:  a.Probes,
 			HealthCheckInterval: operator.Duration(a.ProbeEvery),
 			MaxHealthReportAge:  operator.Duration(a.ProbeStale),
-			Drains:              a.Drains,
+			FollowsDrains:       a.Drains,
 			Label:               cmp.Or(a.Label, revision()),
 		}
 	}
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -29,14 +29,14 @@
 	HealthCheckInterval time.Duration
 	// MaxHealthReportAge is the maximum age of a health check's report that is still used.
 	MaxHealthReportAge time.Duration
-	// Drains is set if the router takes part in the fleet's drains and releases.
-	Drains bool
+	// FollowsDrains is set if the router takes part in the fleet's drains and releases.
+	FollowsDrains bool
 	// Label is the label of the program's version in releases.
 	Label string
 }
 
 // followsDrains reports whether the router takes part in the fleet's drains.
-func (c *Config) followsDrains() bool { return c.Coordination != nil && c.Coordination.Drains }
+func (c *Config) followsDrains() bool { return c.Coordination != nil && c.Coordination.FollowsDrains }
 
 // drainsKnownTimeout is how long a starting router waits for the list of drained servers.
 const drainsKnownTimeout = 2 * time.Second
@@ -56,7 +56,7 @@
 	if a.SharesHealthChecks {
 		wg.Go(func() { r.runHealthChecks(stop, a, client) })
 	}
-	if a.Drains {
+	if a.FollowsDrains {
 		follow.Run(ctx, follow.Options{
 			Client:          client,
 			Zone:            r.cfg.settings.Config.Zone,
