--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -41,7 +41,7 @@
 			HealthCheckInterval: operator.Duration(a.ProbeEvery),
 			MaxHealthReportAge:  operator.Duration(a.ProbeStale),
 			FollowsDrains:       a.Drains,
-			Label:               cmp.Or(a.Label, revision()),
+			VersionLabel:        cmp.Or(a.Label, revision()),
 		}
 	}
 	if !file.Admission.Enabled {
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -31,8 +31,8 @@
 	MaxHealthReportAge time.Duration
 	// FollowsDrains is set if the router takes part in the fleet's drains and releases.
 	FollowsDrains bool
-	// Label is the label of the program's version in releases.
-	Label string
+	// VersionLabel is the label of the program's version in releases.
+	VersionLabel string
 }
 
 // followsDrains reports whether the router takes part in the fleet's drains.
@@ -60,7 +60,7 @@
 		follow.Run(ctx, follow.Options{
 			Client:          client,
 			Zone:            r.cfg.settings.Config.Zone,
-			Version:         a.Label,
+			Version:         a.VersionLabel,
 			IsReady:         r.Ready,
 			ObserveServers:  r.loop.observeServers,
 			OpenAttempts:    r.loop.openAttempts,
