--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -29,8 +29,8 @@
 	tenants   admission.TenantRules
 	// classIndex maps the class names of the initial settings to admission's indices.
 	classIndex map[string]int
-	// otherClass is the common index of all classes added by a reload.
-	otherClass int
+	// otherClassIndex is the common index of all classes added by a reload.
+	otherClassIndex int
 	// timer fires at the next deadline of a queued request.
 	timer *timer
 	// processes is the number of processes that share the router's limit; 0 = not known yet.
@@ -65,7 +65,7 @@
 		})
 		longestMillis = max(longestMillis, c.LatencyObjectiveMillis)
 	}
-	ad.otherClass = len(rules.Classes)
+	ad.otherClassIndex = len(rules.Classes)
 	rules.Classes = append(rules.Classes, admission.Class{Name: otherClassName, CostMillis: longestMillis})
 	var err error
 	ad.admission, err = admission.New(withPlatformBounds(rules, cfg), cfg.seed, ad)
@@ -102,18 +102,18 @@
 		return
 	}
 	ad.tenants = cfg.Admission.Tenants
-	ad.arm()
+	ad.setTimer()
 }
 
-// arrive passes a new request to admission, which admits, queues or rejects it.
-func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
+// handleArrival passes a new request to admission, which admits, queues or rejects it.
+func (ad *admissionControl) handleArrival(r *request, remainingMillis float64) {
 	var client netip.Addr
 	if ad.tenants.ByNetwork() {
 		client = clientAddr(r.response.conn.Conn)
 	}
 	class, ok := ad.classIndex[r.command.class]
 	if !ok {
-		class = ad.otherClass
+		class = ad.otherClassIndex
 	}
 	r.admissionStage = admissionQueued
 	ad.admission.Arrive(ad.loop.now(), admission.Request{
@@ -125,13 +125,13 @@
 		RemainingMillis: remainingMillis,
 		IsRetry:         r.command.isRetry,
 	})
-	ad.arm()
+	ad.setTimer()
 }
 
-// ended notifies admission of a request's end: whether it was served, whether the Balancer rejected
-// it, and the size of the answer. If a request ends while it is queued, its client has disconnected
-// or it was rejected at its deadline.
-func (ad *admissionControl) ended(r *request, served, rejected bool, responseBytes int) {
+// handleEnd notifies admission of a request's end: whether it was served, whether the Balancer
+// rejected it, and the size of the answer. If a request ends while it is queued, its client has
+// disconnected or it was rejected at its deadline.
+func (ad *admissionControl) handleEnd(r *request, served, rejected bool, responseBytes int) {
 	if ad == nil {
 		return
 	}
@@ -154,11 +154,11 @@
 	default:
 		return
 	}
-	ad.arm()
+	ad.setTimer()
 }
 
-// arm sets the timer for the next deadline of a queued request.
-func (ad *admissionControl) arm() {
+// setTimer sets the timer for the next deadline of a queued request.
+func (ad *admissionControl) setTimer() {
 	next := ad.admission.NextDeadline()
 	if ad.timer != nil && ad.timer.heapIndex >= 0 && ad.timer.at <= next {
 		return // the timer fires earlier and is then set again
@@ -169,7 +169,7 @@
 	}
 	ad.timer = ad.loop.after(next-ad.loop.now(), func() {
 		ad.admission.Tick(ad.loop.now())
-		ad.arm()
+		ad.setTimer()
 	})
 }
 
@@ -183,7 +183,7 @@
 	r.admittedAt = ad.loop.now()
 	ad.loop.deferred = append(ad.loop.deferred, func() {
 		if !r.isDone {
-			ad.loop.decide(ad.loop.now(), r)
+			ad.loop.passToBalancer(ad.loop.now(), r)
 		}
 	})
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	r.admissionStage = admissionNone
-	if !ad.loop.rules.Load().tellsRetryAfter {
+	if !ad.loop.rules.Load().sendsRetryAfter {
 		retryAfterMillis = 0
 	}
 	ad.loop.Reject(id, math.Ceil(retryAfterMillis))
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -17,7 +17,8 @@
 	"dockhinge.example/dockhinge/internal/rollout/follow"
 )
 
-// CoordinationConfig configures the router as a client of the coordinators. Requests never wait for them.
+// CoordinationConfig configures the router as a client of the coordinators. Requests never wait for
+// them.
 type CoordinationConfig struct {
 	// Coordinators are the coordinators' addresses by name.
 	Coordinators map[string]string
@@ -38,12 +39,12 @@
 // followsDrains reports whether the router takes part in the fleet's drains.
 func (c *Config) followsDrains() bool { return c.Coordination != nil && c.Coordination.FollowsDrains }
 
-// drainsKnownTimeout is how long a starting router waits for the list of drained servers.
-const drainsKnownTimeout = 2 * time.Second
+// initialDrainsTimeout is how long a starting router waits for the list of drained servers.
+const initialDrainsTimeout = 2 * time.Second
 
-// runAgreement runs the client of the coordinators until ctx ends. Shared health checks end when
+// runCoordination runs the client of the coordinators until ctx ends. Shared health checks end when
 // stop ends. onDrainsKnown is called once the drains known at the start are in effect.
-func (r *Router) runAgreement(ctx, stop context.Context, a *CoordinationConfig, onDrainsKnown func()) {
+func (r *Router) runCoordination(ctx, stop context.Context, a *CoordinationConfig, onDrainsKnown func()) {
 	client := leases.New(leases.Options{
 		Coordinators: a.Coordinators,
 		ClientName:   "router/" + r.cfg.Name,
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -51,7 +51,8 @@
 	}
 	before := timers()
 	for range 40 { // repeated reports start only one timer
-		for _, ejected := range [][]rollout.EjectedServer{nil, {{Name: all[0].Name, Remaining: 300 * time.Millisecond}}} {
+		for _, ejected := range [][]rollout.EjectedServer{nil, {{Name: all[0].Name,
+			Remaining: 300 * time.Millisecond}}} {
 			if err := r.loop.setPeerEjections(t.Context(), ejected); err != nil {
 				t.Fatal(err)
 			}
@@ -60,8 +61,8 @@
 	if n := timers(); n > before+10 {
 		t.Errorf("%d timers after 40 reports, %d before", n, before)
 	}
-	for remaining := 1; remaining > 0; { // it expires without a further report
-		if err := r.loop.call(t.Context(), func() error { remaining = len(r.loop.ejectedByPeers); return nil }); err != nil {
+	for left := 1; left > 0; { // it expires without a further report
+		if err := r.loop.call(t.Context(), func() error { left = len(r.loop.ejectedByPeers); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -84,7 +84,7 @@
 		return
 	}
 	now := l.now()
-	remaining := min(r.deadline, l.answerBy.load()) - now
+	remaining := min(r.deadline, l.answerDeadline.load()) - now
 	if timeoutMillis != 0 {
 		remaining = min(remaining, timeoutMillis)
 	}
@@ -163,14 +163,14 @@
 // the client has disconnected, the time is up, or the attempt was canceled.
 func (l *loop) startWriting(a *attempt, client *response, limits sendLimits) timeoutHint {
 	if client.conn.disconnected() { // the loop may not have been notified yet
-		l.post(func() { l.clientDisconnected(client) })
+		l.post(func() { l.handleDisconnect(client) })
 		return 0
 	}
 	now := l.now()
 	if now >= limits.idempotencyWindowEnd {
 		return 0
 	}
-	hint := hintFor(min(limits.deadline, l.answerBy.load()) - now)
+	hint := hintFor(min(limits.deadline, l.answerDeadline.load()) - now)
 	if hint == 0 || !a.phase.CompareAndSwap(phaseOpening, phaseWriting) {
 		return 0
 	}
@@ -205,7 +205,7 @@
 	case got.status == decide.OK:
 		l.finish(r, servedAnswer(&r.command, got.body), metrics.Success)
 	}
-	l.forget(r)
+	l.deleteIfFinished(r)
 	if len(l.ejectedOnlyByPeers) > 0 {
 		l.recordOwnEvidence(a.server, got.status)
 	}
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -28,7 +28,7 @@
 		"moved": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{moved(e)}})
 		},
-		"disabled by operator": func(l *loop, e, _ listEntry) { l.setDisabled(disableCall{ServerID: e.ID, Disabled: true}) },
+		"disabled": func(l *loop, e, _ listEntry) { l.setDisabled(disableCall{ServerID: e.ID, Disabled: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/client.go
+++ b/internal/router/client.go
@@ -164,7 +164,7 @@
 	}
 	c.mu.Unlock()
 	for _, r := range abandoned {
-		c.clients.loop.post(func() { c.clients.loop.clientDisconnected(r) })
+		c.clients.loop.post(func() { c.clients.loop.handleDisconnect(r) })
 	}
 }
 
@@ -190,7 +190,7 @@
 	hasDisconnected := c.watchForDisconnect(func() bool { return c.unanswered() == 0 }, discardBytes)
 	c.mu.Lock()
 	isUnwritable := c.isUnwritable
-	lingerUntil := c.lastAnswerAt.Add(restAfterAnswer)
+	lingerUntil := c.lastAnswerAt.Add(lingerAfterAnswer)
 	c.mu.Unlock()
 	if c.isOverflow { // other connections wait for its descriptor
 		lingerUntil = time.Time{}
--- a/internal/router/client_read.go
+++ b/internal/router/client_read.go
@@ -169,7 +169,7 @@
 		r.answer(rejectedAnswer(l.rules.Load().retryAfterMillis))
 		return
 	}
-	l.post(func() { l.arrive(received.command, received.receivedAt, r) })
+	l.post(func() { l.handleArrival(received.command, received.receivedAt, r) })
 }
 
 // readWriteValue reads the value of a write, or forwards a large value while receiving it. It
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -91,7 +91,7 @@
 		c := dial(t, addr)
 		c.ask(readCommandOf(fmt.Sprint("a", i), 2000))
 		kept = append(kept, c)
-		time.Sleep(restAfterAnswer + 20*time.Millisecond) // idle times must differ
+		time.Sleep(lingerAfterAnswer + 20*time.Millisecond) // idle times must differ
 	}
 	if got := kept[0].line(); got != "EOF" {
 		t.Errorf("got %q", got)
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -28,9 +28,9 @@
 	commandTimeout = 2700 * time.Millisecond
 	// idleTimeout is how long a connection may be idle before its next command begins.
 	idleTimeout = 3 * time.Second
-	// restAfterAnswer is how long a connection is kept open after an answer: the client's next
+	// lingerAfterAnswer is how long a connection is kept open after an answer: the client's next
 	// command may be in transit.
-	restAfterAnswer = 100 * time.Millisecond
+	lingerAfterAnswer = 100 * time.Millisecond
 	// answerWriteTimeout is how long a client may take to receive its answers.
 	answerWriteTimeout = 5 * time.Second
 	// lingerTimeout is how long a rejected client has to close its connection.
@@ -162,7 +162,7 @@
 
 // evictIdle closes the connection that has been idle for longest, and reports whether there was
 // one. If onlyActive is set, it considers only connections that have sent a command and then have
-// been idle for restAfterAnswer.
+// been idle for lingerAfterAnswer.
 func (s *clients) evictIdle(onlyActive bool) bool {
 	var longestIdle *clientConn
 	var idleSince time.Time
@@ -172,7 +172,7 @@
 		if c.isOverflow {
 			continue
 		}
-		if onlyActive && (!c.isCountedAsActive.Load() || time.Since(since) < restAfterAnswer) {
+		if onlyActive && (!c.isCountedAsActive.Load() || time.Since(since) < lingerAfterAnswer) {
 			continue
 		}
 		if isIdle && (longestIdle == nil || since.Before(idleSince)) {
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -12,19 +12,19 @@
 )
 
 // runDiscovery follows the discovery named in the configuration, and applies new configurations,
-// until ctx ends. held is the list that the router starts with. isHandover is set if another
+// until ctx ends. initialList is the list that the router starts with. isHandover is set if another
 // process of this router is already watching. onList is called with each list in addition to the
 // loop.
 //
-// When a configuration names another discovery, its own list (Config.Known) is used to ask that
-// discovery for changes only, which takes a fraction of the time of a complete list for each
+// When a configuration names another discovery, its own list (Config.KnownEndpoints) is used to ask
+// that discovery for changes only, which takes a fraction of the time of a complete list for each
 // router.
-func (l *loop) runDiscovery(ctx context.Context, cfg *Config, held endpointList, isHandover bool,
+func (l *loop) runDiscovery(ctx context.Context, cfg *Config, initialList endpointList, isHandover bool,
 	updates <-chan *Config, onList func(endpointList)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	d := l.newWatch(cfg, onList)
-	d.hold(held)
+	d.setHeldList(initialList)
 	if isHandover {
 		d.replacedAt = time.Now()
 	}
@@ -38,7 +38,7 @@
 			return
 		}
 		d = l.newWatch(cfg, onList)
-		d.replace(cfg.KnownEndpoints)
+		d.startAsReplacement(cfg.KnownEndpoints)
 	}
 }
 
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -253,7 +253,7 @@
 // the connection would be reset, and the reset could destroy the answer. The answers are ended
 // first.
 func TestAnswerThatHasJustGoneOutArrivesBeforeTheClose(t *testing.T) {
-	for name, sinceAnswer := range map[string]time.Duration{"just answered": time.Hour, "answered long ago": -time.Hour} {
+	for name, offset := range map[string]time.Duration{"just answered": time.Hour, "answered long ago": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ln := listenLocal(t)
@@ -264,15 +264,15 @@
 			}
 			shutdowns := make(chan string, 10)
 			c := &clientConn{Conn: shutdownRecorder{nc.(*net.TCPConn), shutdowns}, reader: bufio.NewReader(nc),
-				unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(sinceAnswer)}
+				unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(offset)}
 			ended := make(chan struct{})
 			go func() { defer close(ended); c.closeAfterAnswers(false) }()
 			if got := client.line(); got != "EOF" {
 				t.Errorf("got %q", got)
 			}
-			if sinceAnswer > 0 {
+			if offset > 0 {
 				if got := receive(t, shutdowns, "shutdown"); got != "end of the answers" {
-					t.Errorf("first %q", got)
+					t.Errorf("first shutdown: got %q", got)
 				}
 				client.send(readOf(1, "late", 60000) + "\r\n")
 				for range 2 { // the input is not read as commands and causes no reset
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -185,7 +185,7 @@
 			slog.Warn("discovery call failed", "address", d.addr(), "error", err)
 		}
 		isFailing = true
-		isSilent = d.isPolled && errors.Is(err, errSilentWatch)
+		isSilent = d.isPolled && errors.Is(err, errWatchTimeout)
 		if isSilent {
 			continue
 		}
@@ -231,8 +231,8 @@
 	return backoff
 }
 
-// errSilentWatch is returned for a watch call that was not answered by the end of its wait.
-var errSilentWatch = errors.New("watch call not answered in time")
+// errWatchTimeout is returned for a watch call that was not answered by the end of its wait.
+var errWatchTimeout = errors.New("watch call not answered in time")
 
 // followList gets the complete list, or the changes since the held list, and then watches for
 // changes until a call fails. It reports whether any call was answered.
@@ -241,7 +241,7 @@
 	list, err := d.firstCall(ctx)
 	for err == nil && ctx.Err() == nil { // after the end of ctx another discovery is followed
 		isAnswered = true
-		list = d.withBase(list)
+		list = d.mergeWithBase(list)
 		if d.isPolled {
 			d.holdsList = true
 			d.heldVersion = list.Version
@@ -260,33 +260,33 @@
 	return isAnswered, err
 }
 
-// hold makes a polled watch begin with the changes since the router's list, whose version must be
-// one of this discovery.
-func (d *discovery) hold(list endpointList) {
+// setHeldList makes a polled watch begin with the changes since the router's list, whose version
+// must be one of this discovery.
+func (d *discovery) setHeldList(list endpointList) {
 	d.holdsList = d.isPolled && len(list.Servers) > 0
 	d.heldVersion = list.Version
 }
 
-// replace makes this client replace that of another discovery. list is in this discovery's
-// versions, as for hold, but is not the router's list; completed by the first answer, it replaces
-// that.
-func (d *discovery) replace(list endpointList) {
+// startAsReplacement makes this client startAsReplacement that of another discovery. list is in
+// this discovery's versions, as for setHeldList, but is not the router's list; completed by the
+// first answer, it replaces that.
+func (d *discovery) startAsReplacement(list endpointList) {
 	d.replacedAt = time.Now()
-	d.hold(list)
+	d.setHeldList(list)
 	if d.holdsList {
 		d.base = list
 	}
 }
 
-// withBase returns the complete list made of the base and an answer, or the answer if there is no
-// base.
-func (d *discovery) withBase(answer endpointList) endpointList {
+// mergeWithBase returns the complete list made of the base and an answer, or the answer if there is
+// no base.
+func (d *discovery) mergeWithBase(answer endpointList) endpointList {
 	base := d.base
 	d.base = endpointList{}
 	if len(base.Servers) == 0 || answer.IsComplete {
 		return answer
 	}
-	return base.with(answer)
+	return base.applyChanges(answer)
 }
 
 // firstCall gets the complete list, or the changes since the held list, with a single call. That
@@ -307,11 +307,11 @@
 }
 
 // callWatch waits for changes since a version, for at most wait. If the call is not answered within
-// wait and slack, the error wraps errSilentWatch.
+// wait and slack, the error wraps errWatchTimeout.
 func (d *discovery) callWatch(ctx context.Context, version int64, wait, slack time.Duration) (endpointList, error) {
 	list, err := d.get(ctx, d.watchURL(version, wait), wait+slack)
 	if ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) {
-		err = errors.Join(errSilentWatch, err)
+		err = errors.Join(errWatchTimeout, err)
 	}
 	return list, err
 }
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -197,7 +197,7 @@
 			t.Fatalf("backoff of %v", p)
 		}
 	}
-	if _, err := d.get(t.Context(), d.url, time.Second); err == nil || errors.Is(err, errSilentWatch) {
+	if _, err := d.get(t.Context(), d.url, time.Second); err == nil || errors.Is(err, errWatchTimeout) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -58,8 +58,8 @@
 	return decide.ChangedEndpoints
 }
 
-// with returns the complete list after the changes.
-func (l endpointList) with(changes endpointList) endpointList {
+// applyChanges returns the complete list after the changes.
+func (l endpointList) applyChanges(changes endpointList) endpointList {
 	changed := make(map[string]bool, len(changes.Servers))
 	for _, e := range changes.Servers {
 		changed[e.ID] = true
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -129,7 +129,7 @@
 	}
 	r.loop.setProcessCount(processes)
 	r.upstreams.setProcessCount(processes)
-	r.upstreams.unsizedValues.limit.Store(r.cfg.Limits.MemoryMB << 20 / unsizedMemoryPart / int64(processes))
+	r.upstreams.unsizedValues.limit.Store(r.cfg.Limits.MemoryMB << 20 / unsizedMemoryDivisor / int64(processes))
 	r.clients.setProcessCount(processes)
 	r.loop.post(func() {
 		r.loop.balancer.SetProcessCount(r.loop.now(), processes)
@@ -137,7 +137,7 @@
 			scale := float64(max(1, control.processes)) / float64(processes)
 			control.admission.ScaleLimit(r.loop.now(), scale)
 			control.processes = processes
-			control.arm()
+			control.setTimer()
 		}
 	})
 	slog.Info("number of processes of this router", "name", r.cfg.Name, "processes", processes)
@@ -192,7 +192,7 @@
 // restoreState applies the inherited state, if any, and the initial list to the loop. It runs on
 // the loop before the first event.
 func (r *Router) restoreState() {
-	list := r.heldList()
+	list := r.initialList()
 	if r.inherited != nil {
 		r.loop.inherit(r.inherited)
 		r.inherited = nil
@@ -211,13 +211,13 @@
 		}
 	}
 	l.serverIDs = state.ServerIDs
-	setNames(l.disabledByOperator, state.DisabledByOperator)
-	setNames(l.disabledByFleet, state.DisabledByFleet)
+	addNames(l.disabledByOperator, state.DisabledByOperator)
+	addNames(l.disabledByFleet, state.DisabledByFleet)
 	l.staleGuard.raise(state.List.Version)
 }
 
-// setNames adds at most maxServerIDs names to a set.
-func setNames(set map[string]bool, names []string) {
+// addNames adds at most maxServerIDs names to a set.
+func addNames(set map[string]bool, names []string) {
 	for _, name := range names[:min(len(names), maxServerIDs)] {
 		set[name] = true
 	}
@@ -248,14 +248,14 @@
 		if err := json.Unmarshal(m.Body, &list); err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		r.loop.post(func() { r.loop.takePeerList(list) })
+		r.loop.post(func() { r.loop.applyPeerList(list) })
 	}
 	return nil
 }
 
-// takePeerList applies a list that another process of this router received from discovery. Older
+// applyPeerList applies a list that another process of this router received from discovery. Older
 // answers of this process's own discovery are then ignored for a while.
-func (l *loop) takePeerList(list endpointList) {
+func (l *loop) applyPeerList(list endpointList) {
 	if list.Version <= l.listVersion {
 		return
 	}
@@ -267,12 +267,12 @@
 // sent it. It returns nil only if the call is in effect in all that are still running, and
 // admin.ErrUnknownServer if none of them has had the server on its list.
 func (r *Router) disable(ctx context.Context, call disableCall, from *handover.Link) error {
-	here := r.loop.call(ctx, func() error { return r.loop.setDisabled(call) })
-	if here != nil && !errors.Is(here, admin.ErrUnknownServer) {
-		return here
+	localErr := r.loop.call(ctx, func() error { return r.loop.setDisabled(call) })
+	if localErr != nil && !errors.Is(localErr, admin.ErrUnknownServer) {
+		return localErr
 	}
-	call.IsListed = call.IsListed || here == nil
-	found := here == nil
+	call.IsListed = call.IsListed || localErr == nil
+	found := localErr == nil
 	for _, link := range r.peers.open() {
 		if link == from {
 			continue
@@ -288,7 +288,7 @@
 	switch {
 	case !found:
 		return admin.ErrUnknownServer
-	case here != nil: // the server has only been on another process's list so far
+	case localErr != nil: // the server has only been on another process's list so far
 		call.IsListed = true
 		return r.loop.call(ctx, func() error { return r.loop.setDisabled(call) })
 	}
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -119,24 +119,24 @@
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	cfg.Admission = onePlaceAdmission()
 	listener := listenLocal(t)
-	successor := newRouter(t, cfg, listener)
-	if err := successor.Inherit(text, nil); err != nil {
+	next := newRouter(t, cfg, listener)
+	if err := next.Inherit(text, nil); err != nil {
 		t.Fatal(err)
 	}
-	run(t, successor, listener)
-	eventually(t, successor.loop, "the inherited list", func() bool { return len(successor.loop.targets) == 7 })
-	onLoop(successor.loop, func() {
-		if got := slices.Sorted(maps.Keys(successor.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
+	run(t, next, listener)
+	eventually(t, next.loop, "the inherited list", func() bool { return len(next.loop.targets) == 7 })
+	onLoop(next.loop, func() {
+		if got := slices.Sorted(maps.Keys(next.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
 			t.Errorf("disabled by operator: %q", got)
 		}
-		if got := slices.Sorted(maps.Keys(successor.loop.disabledByFleet)); !slices.Equal(got, []string{"s-0000000f"}) {
+		if got := slices.Sorted(maps.Keys(next.loop.disabledByFleet)); !slices.Equal(got, []string{"s-0000000f"}) {
 			t.Errorf("disabled by fleet: %q", got)
 		}
-		if _, avoided := successor.loop.balancer.CountEndpoints(); avoided < 2 {
+		if _, avoided := next.loop.balancer.CountEndpoints(); avoided < 2 {
 			t.Errorf("%d servers avoided, want the disabled ones at least", avoided)
 		}
 	})
-	state, err := successor.State(t.Context(), nil)
+	state, err := next.State(t.Context(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/health_check.go
+++ b/internal/router/health_check.go
@@ -12,8 +12,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxStatistics limits the lines of an answer with statistics.
-const maxStatistics = 64
+// maxStatisticsLines limits the lines of an answer with statistics.
+const maxStatisticsLines = 64
 
 // checkHealth requests a server's load until ctx ends.
 func (u *upstreams) checkHealth(ctx context.Context, t *target) (decide.AttemptStatus, decide.LoadReport) {
@@ -22,7 +22,7 @@
 		return decide.ConnectError, decide.NoLoadReport
 	}
 	stopWatch := context.AfterFunc(ctx, func() { conn.Close() })
-	load, err := conn.askLoad(t)
+	load, err := conn.requestLoad(t)
 	isOpen := stopWatch()
 	u.release(t, conn, isOpen && err == nil && conn.isReusable())
 	switch {
@@ -34,8 +34,8 @@
 	return decide.Reset, load
 }
 
-// askLoad requests the load over a connection, in the target's protocol.
-func (c *upstreamConn) askLoad(t *target) (decide.LoadReport, error) {
+// requestLoad requests the load over a connection, in the target's protocol.
+func (c *upstreamConn) requestLoad(t *target) (decide.LoadReport, error) {
 	command := "stats load\r\n"
 	read := readStatsLoad
 	if t.isOrigin {
@@ -54,7 +54,7 @@
 // readStatsLoad reads a cache server's statistics.
 func readStatsLoad(r *bufio.Reader) (decide.LoadReport, error) {
 	var fields []string
-	for range maxStatistics {
+	for range maxStatisticsLines {
 		line, err := readLine(r)
 		if err != nil {
 			return decide.NoLoadReport, err
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -68,9 +68,9 @@
 	// answerBytes is the memory budget for answers not yet written to their clients. Any goroutine
 	// may use it.
 	answerBytes byteBudget
-	// answerBy is the time by which all requests must be answered before the process exits. Any
-	// goroutine may read it.
-	answerBy instant
+	// answerDeadline is the time by which all requests must be answered before the process exits.
+	// Any goroutine may read it.
+	answerDeadline instant
 
 	// discovery is the current discovery client; answers of its predecessors are dropped.
 	discovery *discovery
@@ -101,9 +101,9 @@
 // Divisors of the router's memory limit: each budget is the limit divided by its constant. A value
 // can be in memory up to three times, counting the copies received and sent.
 const (
-	valueMemoryPart   = 16 // values of requests
-	answerMemoryPart  = 8  // answers not yet written
-	unsizedMemoryPart = 16 // values of unknown length from the origin
+	valueMemoryDivisor   = 16 // values of requests
+	answerMemoryDivisor  = 8  // answers not yet written
+	unsizedMemoryDivisor = 16 // values of unknown length from the origin
 )
 
 // errLoopBusy is returned if the loop did not run a call in time.
@@ -139,8 +139,8 @@
 // router. Any goroutine may call it.
 func (l *loop) setProcessCount(processes int) {
 	part := l.memoryBytes / int64(processes)
-	l.valueBytes.limit.Store(part / valueMemoryPart)
-	l.answerBytes.limit.Store(part / answerMemoryPart)
+	l.valueBytes.limit.Store(part / valueMemoryDivisor)
+	l.answerBytes.limit.Store(part / answerMemoryDivisor)
 }
 
 // post queues an event for the loop, or drops it if the loop has ended. Any goroutine may call it
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -67,9 +67,9 @@
 	originIdleMinimum = 20 * time.Millisecond
 	// maxIdleMargin limits how much earlier than the server the pool closes an idle connection.
 	maxIdleMargin = time.Second
-	// uploadPart is a divisor: large writes, which last as long as slow clients take, may hold at
-	// most one in uploadPart connections. The rest is for attempts.
-	uploadPart = 4
+	// uploadConnDivisor is a divisor: large writes, which last as long as slow clients take, may
+	// hold at most one in uploadConnDivisor connections. The rest is for attempts.
+	uploadConnDivisor = 4
 )
 
 // errNoDescriptor is returned if another connection would exceed the limit.
@@ -112,7 +112,7 @@
 func (u *upstreams) uploadLimit() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return int64(max(1, u.limit/uploadPart))
+	return int64(max(1, u.limit/uploadConnDivisor))
 }
 
 // add registers a server, whose idle connections are kept from now on.
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -208,7 +208,7 @@
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		n, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(value, "xXpP_") { // hexadecimal is invalid too
+		if err != nil || !(n >= 0) || math.IsInf(n, 0) || strings.ContainsAny(value, "xXpP_") { // or hexadecimal
 			return decide.NoLoadReport
 		}
 		settings.SetLoadField(&load, name, n)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -24,7 +24,7 @@
 	arrivedAt float64
 	// deadline is when the client stops waiting for the answer.
 	deadline float64
-	// deadlineTimer calls overdue.
+	// deadlineTimer calls failOverdue.
 	deadlineTimer *timer
 
 	// rule, maxAttempts and allowsHedge are from the settings in force when the request arrived.
@@ -74,8 +74,8 @@
 	r.answer([]byte("CLIENT_ERROR " + reason + "\r\n"))
 }
 
-// arrive accepts a request that was read at readAt, in milliseconds on the loop's clock.
-func (l *loop) arrive(cmd command, readAt float64, client *response) {
+// handleArrival accepts a request that was read at readAt, in milliseconds on the loop's clock.
+func (l *loop) handleArrival(cmd command, readAt float64, client *response) {
 	if l.unanswered[cmd.id] != nil { // cache servers could not distinguish the two
 		l.rejectCommand(&cmd, client, "the id of an open request")
 		return
@@ -91,7 +91,7 @@
 	// A client's time is limited to the deadline of its class, so that its record is not kept
 	// longer.
 	remaining := max(0, min(cmd.remainingMillis, rule.DeadlineMillis)-(now-readAt))
-	remaining = max(0, min(remaining, l.answerBy.load()-answerGraceMillis-now))
+	remaining = max(0, min(remaining, l.answerDeadline.load()-answerGraceMillis-now))
 	r := &request{
 		id:          l.nextRequestID(),
 		command:     cmd,
@@ -110,12 +110,12 @@
 		l.trace.Event(now, "ask", "r=%d class=%s key=%x retry=%t left=%.0f",
 			r.id, cmd.class, keyID(cmd.key), cmd.isRetry, remaining)
 	}
-	r.deadlineTimer = l.after(remaining+answerGraceMillis, func() { l.overdue(r) })
+	r.deadlineTimer = l.after(remaining+answerGraceMillis, func() { l.failOverdue(r) })
 	if l.admission != nil {
-		l.admission.arrive(r, remaining)
+		l.admission.handleArrival(r, remaining)
 		return
 	}
-	l.decide(now, r)
+	l.passToBalancer(now, r)
 }
 
 // nextRequestID returns an id that no current request has. Ids are reused after 2^32 requests.
@@ -127,9 +127,9 @@
 	return l.lastID
 }
 
-// overdue answers a request that has no answer at its deadline. The Balancer should have answered
-// it in time, so this means that the Balancer has a bug.
-func (l *loop) overdue(r *request) {
+// failOverdue answers a request that has no answer at its deadline. The Balancer should have
+// answered it in time, so this means that the Balancer has a bug.
+func (l *loop) failOverdue(r *request) {
 	slog.Warn("no answer by its deadline", "request", r.command.id)
 	l.Fail(r.id)
 	l.balancer.ClientDisconnected(l.now(), r.id)
@@ -138,18 +138,18 @@
 // answerAllBy makes sure that all open and future requests are answered by the given time, in
 // milliseconds on the loop's clock. The process exits then and drops what is still unanswered.
 func (l *loop) answerAllBy(at float64) {
-	l.answerBy.set(at)
+	l.answerDeadline.set(at)
 	for _, r := range l.requests {
 		if !r.isDone && r.deadlineTimer.at > at {
 			l.timers.stop(r.deadlineTimer)
-			r.deadlineTimer = l.after(at-l.now(), func() { l.overdue(r) })
+			r.deadlineTimer = l.after(at-l.now(), func() { l.failOverdue(r) })
 		}
 	}
 }
 
-// decide passes a request to the Balancer with the settings of its arrival: they may have been
-// reloaded while the request waited for admission.
-func (l *loop) decide(now float64, r *request) {
+// passToBalancer passes a request to the Balancer with the settings of its arrival: they may have
+// been reloaded while the request waited for admission.
+func (l *loop) passToBalancer(now float64, r *request) {
 	cmd := &r.command
 	l.balancer.Request(now, decide.Request{
 		ID:                   r.id,
@@ -167,14 +167,14 @@
 	})
 }
 
-// clientDisconnected ends a request whose client has closed or reset its connection. Attempts not
+// handleDisconnect ends a request whose client has closed or reset its connection. Attempts not
 // written yet are abandoned; the Balancer decides whether the settings allow canceling the others.
-func (l *loop) clientDisconnected(client *response) {
+func (l *loop) handleDisconnect(client *response) {
 	r := client.request
 	if r == nil || r.isDone {
 		return
 	}
-	l.finish(r, nil, endDisconnected)
+	l.finish(r, nil, outcomeDisconnected)
 	l.balancer.ClientDisconnected(l.now(), r.id)
 	for _, a := range r.attempts {
 		if a.cancelUnsent() {
@@ -183,8 +183,8 @@
 	}
 }
 
-// endDisconnected is the outcome of a request whose client has disconnected. It is not counted.
-const endDisconnected metrics.Outcome = -1
+// outcomeDisconnected is the outcome of a request whose client has disconnected. It is not counted.
+const outcomeDisconnected metrics.Outcome = -1
 
 // finish ends a request and sends its answer. Only startStream, for streamed values, answers
 // requests elsewhere. isDone prevents a second answer.
@@ -194,7 +194,7 @@
 	}
 	r.isDone = true
 	l.metrics.Concurrent.Add(-1)
-	if end != endDisconnected {
+	if end != outcomeDisconnected {
 		r.rule.count.Ended(end)
 	}
 	if end == metrics.Success && l.latencies != nil {
@@ -203,12 +203,12 @@
 	if l.trace.Enabled() {
 		l.traceEnd(r, end)
 	}
-	l.admission.ended(r, end == metrics.Success, end == metrics.Overload, len(answer))
+	l.admission.handleEnd(r, end == metrics.Success, end == metrics.Overload, len(answer))
 	r.response.answer(answer)
 	r.detachResponse()
 	l.timers.stop(r.deadlineTimer)
 	delete(l.unanswered, r.command.id)
-	l.forget(r)
+	l.deleteIfFinished(r)
 }
 
 // detachResponse separates an answered request from its response.
@@ -235,8 +235,8 @@
 	now := l.now()
 	latencyMillis := now - a.startedAt
 	r.attemptMillis += latencyMillis
-	l.admission.ended(r, true, false, got.streamedBytes)
-	l.forget(r)
+	l.admission.handleEnd(r, true, false, got.streamedBytes)
+	l.deleteIfFinished(r)
 	l.balancer.AttemptEnded(now, decide.Outcome{
 		RequestID:     r.id,
 		Attempt:       a.index,
@@ -261,8 +261,8 @@
 	}
 }
 
-// forget deletes a request that is done and has no attempt in flight.
-func (l *loop) forget(r *request) {
+// deleteIfFinished deletes a request that is done and has no attempt in flight.
+func (l *loop) deleteIfFinished(r *request) {
 	if r.isDone && r.attemptsOut == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.releaseValue(&r.command)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -53,9 +53,9 @@
 	descriptorParts         = 20
 )
 
-// attemptMemoryPart is a divisor: attempts may use the memory limit divided by it, as each may hold
-// a completely read value.
-const attemptMemoryPart = 4
+// attemptMemoryDivisor is a divisor: attempts may use the memory limit divided by it, as each may
+// hold a completely read value.
+const attemptMemoryDivisor = 4
 
 // New returns a router for the clients of a listener. Run starts it. An error names the invalid
 // setting.
@@ -63,12 +63,12 @@
 	descriptors := cfg.Limits.Sockets - fdReserve
 	memoryBytes := cfg.Limits.MemoryMB << 20
 	upstreamLimit := min(descriptors*upstreamDescriptorParts/descriptorParts,
-		int(memoryBytes/attemptMemoryPart/maxBufferedValue))
+		int(memoryBytes/attemptMemoryDivisor/maxBufferedValue))
 	r := &Router{cfg: cfg, metrics: m}
 	serverIdleTimeout := ms(cfg.settings.Config.IdleTimeoutMillis)
 	r.upstreams = newUpstreams(serverIdleTimeout, ms(cfg.settings.ConnectTimeoutMillis), upstreamLimit)
 	r.upstreams.trace = cfg.Trace
-	r.upstreams.unsizedValues.limit.Store(memoryBytes / unsizedMemoryPart)
+	r.upstreams.unsizedValues.limit.Store(memoryBytes / unsizedMemoryDivisor)
 	var err error
 	r.loop, err = newLoop(cfg, r.upstreams, m)
 	if err != nil {
@@ -98,7 +98,7 @@
 	defer stopWork()
 
 	r.loop.onStart = r.restoreState
-	held := r.heldList()
+	startList := r.initialList()
 	isHandover := r.inherited != nil
 	wg.Go(func() { r.loop.run(work) })
 	wg.Go(func() { r.upstreams.sweep(work) })
@@ -108,9 +108,9 @@
 	drainsKnown := make(chan struct{})
 	if r.cfg.Coordination != nil {
 		onDrainsKnown := func() { close(drainsKnown) }
-		wg.Go(func() { r.runAgreement(work, ctx, r.cfg.Coordination, onDrainsKnown) })
+		wg.Go(func() { r.runCoordination(work, ctx, r.cfg.Coordination, onDrainsKnown) })
 	}
-	wg.Go(func() { r.loop.runDiscovery(work, r.cfg, held, isHandover, updates, r.broadcastList) })
+	wg.Go(func() { r.loop.runDiscovery(work, r.cfg, startList, isHandover, updates, r.broadcastList) })
 	r.awaitDrains(ctx, drainsKnown)
 	r.isServing.Store(true)
 	r.clients.wg.Go(r.clients.accept) // in wg, so that drain waits for a connection being accepted
@@ -121,9 +121,9 @@
 	return nil
 }
 
-// heldList returns the list that the router starts with, which comes from the configuration's
+// initialList returns the list that the router starts with, which comes from the configuration's
 // discovery in either case.
-func (r *Router) heldList() endpointList {
+func (r *Router) initialList() endpointList {
 	if r.inherited != nil {
 		return r.inherited.List
 	}
@@ -131,7 +131,7 @@
 }
 
 // awaitDrains waits for the list of servers drained by the fleet, so that they get no requests at
-// the start. After drainsKnownTimeout only discovery's list applies, as a router never depends on
+// the start. After initialDrainsTimeout only discovery's list applies, as a router never depends on
 // the coordinators.
 func (r *Router) awaitDrains(ctx context.Context, drainsKnown <-chan struct{}) {
 	if !r.cfg.followsDrains() {
@@ -140,7 +140,7 @@
 	select {
 	case <-drainsKnown:
 	case <-ctx.Done():
-	case <-time.After(drainsKnownTimeout):
+	case <-time.After(initialDrainsTimeout):
 		slog.Warn("the servers drained by the fleet are not known yet: using discovery's list alone")
 	}
 }
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -13,8 +13,8 @@
 	maxAttempts int
 	// allowsHedges is set if two attempts of a request may be in flight at once.
 	allowsHedges bool
-	// tellsRetryAfter is set if clients receive a Retry-After.
-	tellsRetryAfter bool
+	// sendsRetryAfter is set if clients receive a Retry-After.
+	sendsRetryAfter bool
 	// retryAfterMillis is the Retry-After of a request rejected for lack of capacity.
 	retryAfterMillis float64
 }
@@ -30,7 +30,7 @@
 		classes:          map[string]*rule{},
 		maxAttempts:      s.MaxAttempts,
 		allowsHedges:     s.HedgingAllowed,
-		tellsRetryAfter:  s.SendRetryAfter,
+		sendsRetryAfter:  s.SendRetryAfter,
 		retryAfterMillis: s.MinRetryAfterMillis(),
 	}
 	for _, class := range s.Classes {
--- a/internal/router/streaming.go
+++ b/internal/router/streaming.go
@@ -107,7 +107,7 @@
 		s.ownsConnection = true
 		return nil
 	case <-s.response.conn.unwritable:
-		return errStreamUnwanted
+		return errStreamAborted
 	case <-s.ctx.Done():
 		return s.ctx.Err()
 	}
@@ -135,7 +135,7 @@
 	}
 	var err error
 	if !isComplete {
-		err = errStreamUnwanted
+		err = errStreamAborted
 	}
 	batch, size := c.afterWrite(err)
 	c.writeAnswers(batch, size)
--- a/internal/router/timeout_hint.go
+++ b/internal/router/timeout_hint.go
@@ -41,7 +41,7 @@
 	if rule := l.rules.Load().classes[c.class]; rule != nil {
 		allowedMillis = min(allowedMillis, rule.DeadlineMillis)
 	}
-	return hintFor(min(allowedMillis, l.answerBy.load()-l.now()))
+	return hintFor(min(allowedMillis, l.answerDeadline.load()-l.now()))
 }
 
 // instant is a time in milliseconds on the loop's clock that any goroutine may read. Until it is
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -189,7 +189,8 @@
 			if got := c.line(); got != "HD Ow1 c5c0f" {
 				t.Fatalf("got %q", got)
 			}
-			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), limit, receivedAt, receivedAt)
+			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), limit,
+				receivedAt, receivedAt)
 		})
 	}
 }
@@ -231,7 +232,7 @@
 				}
 			}
 			r.stop()
-			eventually(t, l, "the time limit of the process", func() bool { return l.answerBy.isSet() })
+			eventually(t, l, "the time limit of the process", func() bool { return l.answerDeadline.isSet() })
 			stoppedAt := time.Now()
 			time.Sleep(held)
 			answeredAt := time.Now()
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -88,8 +88,8 @@
 	openStream func(got reply) *valueStream
 }
 
-// errStreamUnwanted closes the connection of a streamed value that is no longer forwarded.
-var errStreamUnwanted = errors.New("streamed value aborted")
+// errStreamAborted closes the connection of a streamed value that is no longer forwarded.
+var errStreamAborted = errors.New("streamed value aborted")
 
 // answerReader reads a target's answer to a command.
 type answerReader func(*bufio.Reader, *command) (reply, error)
@@ -155,7 +155,7 @@
 		got, err = x.read(x.conn.reader, x.command)
 	}
 	if err == nil && got.streamedBytes > 0 {
-		err = errStreamUnwanted
+		err = errStreamAborted
 		if stream := hooks.openStream(got); stream != nil {
 			err = stream.copyValue(x.conn, got)
 		}
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -146,7 +146,8 @@
 			}
 			got := u.roundTrip(t.Context(), target, cmd, writeAlways)
 			if got.status != c.want || got.cacheResult != c.cacheResult {
-				t.Errorf("got status %v, cache result %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
+				t.Errorf("got status %v, cache result %d; want %v, %d",
+					got.status, got.cacheResult, c.want, c.cacheResult)
 			}
 			receive(t, f.seen, "request")
 			if len(f.seen) > 0 {
