--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -5,37 +5,37 @@
 	"math/rand/v2"
 )
 
-// Balancer decides for one router. Its methods must not be called concurrently.
+// Balancer makes the decisions of one router. Its methods must not be called concurrently.
 type Balancer struct {
 	// cfg holds the settings.
 	cfg Config
 	// host carries out the decisions.
 	host Host
-	// rng draws the random numbers; equal seeds and events lead to equal decisions.
+	// rng draws all random numbers, so that equal seeds and events lead to equal decisions.
 	rng *rand.Rand
-	// now is the time of the event in hand, ms.
+	// now is the time of the current event, ms.
 	now float64
-	// startedAt is the time of the first event, ms; below 0 = there was none.
+	// startedAt is the time of the first event, ms; negative before it.
 	startedAt float64
-	// classes are the settings' classes by name.
+	// classes are the classes of the settings by name.
 	classes map[string]*Class
-	// maxPriority is the largest priority weight of a class.
+	// maxPriority is the largest PriorityWeight of all classes.
 	maxPriority float64
-	// firstTryMillis is the time that a client's first try had, by class.
+	// firstTryMillis is the remaining time that the latest first try of a client had, by class.
 	firstTryMillis map[string]float64
-	// quotas are the tenants' (tenant_quota.go).
+	// quotas are the tenants' quotas and usage (tenant_quota.go).
 	quotas tenantQuotas
-	// membership are the servers (endpoints.go).
+	// membership holds the known servers (endpoints.go).
 	membership membership
-	// discovery is when to poll for the list (discovery_backoff.go).
+	// discovery schedules the polls for the endpoint list (discovery_backoff.go).
 	discovery discoveryPolling
-	// capacities are modelled from load reports (load_report.go).
+	// capacities are derived from load reports (load_report.go).
 	capacities capacityModel
 	// placement is the state of the solver (placement.go).
 	placement placementState
-	// keys are the keys' traffic (key_traffic.go).
+	// keys holds the traffic of each key (key_traffic.go).
 	keys keyTable
-	// requests are those without a final answer or with attempts in flight, by id.
+	// requests are those without a final answer or with attempts in flight, by ID.
 	requests map[uint32]*request
 	// arrivals counts requests over trafficTimeConstantMillis.
 	arrivals decayingSum
@@ -45,43 +45,45 @@
 	serviceTime moments
 	// latencyPerWork follows the latency of a unit of work over all servers, ms.
 	latencyPerWork trend
-	// commonWait is the wait that is common to the servers (waiting_time.go).
+	// commonWait is the cached mean wait over all servers (waiting_time.go).
 	commonWait cachedWait
-	// toleratedWaitShare is the least share of the time left that a queue may take (rejection.go).
+	// toleratedWaitShare is the share of the remaining time that a queue may take for a request of
+	// the lowest priority (rejection.go).
 	toleratedWaitShare float64
-	// usualFailureShare is the share of attempts that fail at the median server (outlier.go).
+	// usualFailureShare is the share of failed attempts at the median server (outlier.go).
 	usualFailureShare float64
-	// lostShare is the share of overtaken attempts whose answers are lost (hedge.go).
+	// lostShare is the share of overtaken attempts that are never answered (hedge.go).
 	lostShare float64
-	// retryBudget is the number of further attempts in hand (retry.go).
+	// retryBudget is the number of further attempts that may be sent now (retry.go).
 	retryBudget float64
-	// healthChecks is whose turn it is (health_check.go).
+	// healthChecks selects the server to check next (health_check.go).
 	healthChecks healthChecks
 	// originFetches limits the fetches from the origin (origin_fetch.go).
 	originFetches originFetches
-	// idleTimeoutMillis is how long idle connections are kept (idle_connections.go).
+	// idleTimeoutMillis is how long idle connections are kept open (idle_connections.go).
 	idleTimeoutMillis float64
 	// cause is the cause of the last rejection or failure.
 	cause rejectionCause
-	// processes is the number of processes that work as this router; 0 = this one only.
+	// processes is the number of processes that run as this router; 0 = this one only.
 	processes int
 }
 
 const (
-	// initialRetryBudget lets a new router retry before it has seen arrivals, in attempts.
+	// initialRetryBudget is the number of retries that a new router may make before arrivals add to
+	// it.
 	initialRetryBudget = 10
-	// initialToleratedWaitShare is the tolerated share of a new router.
+	// initialToleratedWaitShare is the initial toleratedWaitShare.
 	initialToleratedWaitShare = 0.2
-	// initialFetchesOfFleet is the number of fetches that all routers together start with.
+	// initialFetchesOfFleet is the initial fetch limit of all routers together.
 	initialFetchesOfFleet = 32
-	// maxInitialFetches bounds those of one router.
+	// maxInitialFetches bounds the initial fetch limit of one router.
 	maxInitialFetches = 8
-	// healthCheckStarts spreads the server that routers check first.
+	// healthCheckStarts is the number of positions at which routers start their round of checks.
 	healthCheckStarts = 4096
 )
 
-// New returns a Balancer for the settings, or a *SettingError that names the setting that is
-// missing or impossible.
+// New returns a Balancer for the settings. Equal seeds and events lead to equal decisions. The
+// error is a *SettingError for the first setting that is missing or invalid.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -109,13 +111,13 @@
 	return b, nil
 }
 
-// initialFetchLimit is a router's share of the fetches that the fleet starts with, but one at least:
-// one at a time follows the origin's pace by itself.
+// initialFetchLimit is a router's share of initialFetchesOfFleet, but at least one: a router with
+// one fetch at a time cannot outpace the origin.
 func initialFetchLimit(routers int) float64 {
 	return min(maxInitialFetches, max(1, initialFetchesOfFleet/float64(routers)))
 }
 
-// useSettings has requests that arrive from now on come under the settings.
+// useSettings applies settings to all requests that arrive from now on.
 func (b *Balancer) useSettings(cfg Config) {
 	b.cfg = cfg
 	b.maxPriority = 0
@@ -129,8 +131,8 @@
 	b.quotas.useTenants(cfg.Tenants)
 }
 
-// begin sets the clock to the time of an event; each method that takes one calls it first. At the
-// first event it starts the housekeeping timer.
+// begin sets the current time to that of an event. Each event method calls it first. The first
+// event starts the housekeeping timer.
 func (b *Balancer) begin(now float64) {
 	b.now = now
 	if b.startedAt < 0 {
@@ -140,11 +142,11 @@
 	}
 }
 
-// Cause is the cause of the rejection or failure that the Host is carrying out: a word or two for
-// the log.
+// Cause is the reason, in one or two words, for the rejection or failure that the Host is carrying
+// out.
 func (b *Balancer) Cause() string { return string(b.cause) }
 
-// Request takes a request of a client. A request of an unknown class fails.
+// Request handles a new request of a client. A request of an unknown class fails.
 func (b *Balancer) Request(now float64, q Request) {
 	b.begin(now)
 	class := b.classes[q.Class]
@@ -171,7 +173,7 @@
 	b.arrive(r)
 }
 
-// arrive counts a new request and decides where it goes first.
+// arrive counts a new request and forwards it or lets it wait for the origin.
 func (b *Balancer) arrive(r *request) {
 	b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
 	b.earnRetries()
@@ -188,7 +190,7 @@
 	b.forward(r)
 }
 
-// forward sends a request to a server, or answers it where no attempt would help.
+// forward sends a request to a server, or answers it if no attempt would help.
 func (b *Balancer) forward(r *request) {
 	s := b.pick(r)
 	if s == nil {
@@ -198,7 +200,7 @@
 	b.send(r, s)
 }
 
-// send starts an attempt and the timer of its patience.
+// send starts an attempt and its soft timeout.
 func (b *Balancer) send(r *request, s *server) {
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, mayHaveRun: true})
 	r.inFlight++
@@ -217,7 +219,8 @@
 	b.host.Send(r.ID, s.ID, 0)
 }
 
-// AttemptEnded takes the end of an attempt. One that is not in flight only leaves its load report.
+// AttemptEnded handles the end of an attempt. Of one that is not in flight it uses only the load
+// report.
 func (b *Balancer) AttemptEnded(now float64, o Outcome) {
 	b.begin(now)
 	if s := b.membership.servers[o.ServerID]; s != nil {
@@ -229,7 +232,7 @@
 	}
 }
 
-// ClientDisconnected takes that the client closed or reset its connection: it needs no answer.
+// ClientDisconnected handles a client that closed or reset its connection: it needs no answer.
 func (b *Balancer) ClientDisconnected(now float64, requestID uint32) {
 	b.begin(now)
 	r := b.requests[requestID]
@@ -240,8 +243,8 @@
 	b.serveWaiting()
 }
 
-// StreamStarted takes that a stream has begun: the attempt belongs to the client, and nothing is
-// left to decide.
+// StreamStarted handles the start of a streamed answer: the client receives the attempt's data, so
+// the request is no longer retried, hedged or canceled.
 func (b *Balancer) StreamStarted(now float64, requestID uint32) {
 	b.begin(now)
 	if r := b.requests[requestID]; r != nil {
@@ -250,12 +253,12 @@
 	}
 }
 
-// GossipReceived takes a message of another router. Routers send each other nothing yet.
+// GossipReceived handles a message of another router. Routers do not send messages yet.
 func (b *Balancer) GossipReceived(now float64, _ int, _ []byte) { b.begin(now) }
 
-// Reconfigure takes new settings, or returns an error and changes nothing: a *SettingError, or
-// ErrFixedSetting. Requests that have arrived keep the class and the number of attempts that they
-// arrived under.
+// Reconfigure applies new settings, or returns an error and changes nothing: a *SettingError or
+// ErrFixedSetting. Requests that have already arrived keep their class and their maximum number of
+// attempts.
 func (b *Balancer) Reconfigure(now float64, cfg Config) error {
 	b.begin(now)
 	if err := cfg.Validate(); err != nil {
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkRouter is what a request with its outcome, and its part of housekeeping, costs the
-// module: docs/fleet.md.
+// BenchmarkRouter measures the CPU time of the decisions for one request, with its outcome and its
+// share of housekeeping. The figures are in docs/fleet.md.
 func BenchmarkRouter(b *testing.B) {
 	for _, servers := range []int{12, 30, 60} {
 		for _, routers := range []int{4, 20, 80} {
@@ -16,17 +16,17 @@
 				cfg.Routers = routers
 				cfg.CacheAside = true
 				cfg.OriginKind = "origin"
-				m, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
+				balancer, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					now := 100010 + 50*float64(i) // 20 a second
-					ask(m, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
+					now := 100010 + 50*float64(i) // 20 per second
+					ask(balancer, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
 					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
-						m.AttemptEnded(now+40, withResult(CacheHit, served(uint32(i+1), h.sends[n-1].server, 40)))
+						balancer.AttemptEnded(now+40, withResult(CacheHit, served(uint32(i+1), h.sends[n-1].server, 40)))
 					}
 					if i%2 == 0 {
-						m.TimerExpired(now+45, housekeepingToken)
+						balancer.TimerExpired(now+45, housekeepingToken)
 					}
 					h.sends = h.sends[:0]
 					h.timers = h.timers[:0]
@@ -36,8 +36,8 @@
 	}
 }
 
-// Outcomes come twice, late, and for requests, attempts and servers that are not known. Nothing may
-// follow from them, and nothing may be left behind.
+// Guards against duplicate or late events, and events with unknown IDs of requests, attempts and
+// servers: they must have no effect and leave no records behind.
 func TestLateDuplicateAndUnknownIDs(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
@@ -58,8 +58,9 @@
 	}
 }
 
-// Attempts end in every way at random times, timers expire and clients give up. Each request must
-// get exactly one final answer, nothing may be sent after it, and nothing may be left behind.
+// Guards against missing, second or late answers: attempts end in every way at random times, soft
+// timeouts expire and clients disconnect. Each request must get exactly one final answer, no
+// attempt may be sent after it, and no records may be left behind.
 func TestEveryRequestIsAnsweredOnce(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -68,11 +69,11 @@
 		cfg.CancelAllowed = seed%3 != 0
 		cfg.CacheAside = seed%4 > 1
 		cfg.OriginKind = "origin"
-		es := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
-		b, h := start(t, cfg, es)
-		type leg struct {
-			due float64
-			o   Outcome
+		endpoints := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
+		b, h := start(t, cfg, endpoints)
+		type pendingAttempt struct {
+			dueAt   float64
+			outcome Outcome
 		}
 		statuses := []AttemptStatus{OK, OK, Failed, QueueFull, Timeout, ConnectError, Reset, Miss, MalformedResponse}
 		answered := map[uint32]int{}
@@ -83,53 +84,53 @@
 				t.Fatalf("seed %d: request %d sent after its answer", seed, id)
 			}
 		}
-		var legs []leg
-		seen := 0
+		var pending []pendingAttempt
+		sendsSeen := 0
 		timers := []timer{}
-		next := uint32(0)
+		lastID := uint32(0)
 		for now := 100000.0; now < 104000; now += 5 {
 			if now < 103000 {
 				for range rng.IntN(4) {
-					next++
+					lastID++
 					class := cfg.Classes[rng.IntN(5)].Name
 					remaining := 50 + 500*rng.Float64()
-					deadlines[next] = now + remaining
-					b.Request(now, Request{ID: next, Class: class, Key: uint64(rng.IntN(20)), HasKey: rng.IntN(9) > 0,
+					deadlines[lastID] = now + remaining
+					b.Request(now, Request{ID: lastID, Class: class, Key: uint64(rng.IntN(20)), HasKey: rng.IntN(9) > 0,
 						RemainingMillis: remaining, IsWrite: class == "once"})
 				}
 			}
-			rest := timers[:0]
+			unexpired := timers[:0]
 			for _, tm := range timers {
 				if tm.after <= now {
 					b.TimerExpired(now, tm.token)
 				} else {
-					rest = append(rest, tm)
+					unexpired = append(unexpired, tm)
 				}
 			}
-			timers = rest
-			kept := legs[:0]
-			for _, l := range legs {
-				if l.due > now && deadlines[l.o.RequestID] > now {
-					kept = append(kept, l)
+			timers = unexpired
+			unfinished := pending[:0]
+			for _, p := range pending {
+				if p.dueAt > now && deadlines[p.outcome.RequestID] > now {
+					unfinished = append(unfinished, p)
 					continue
 				}
-				if l.due > now {
-					l.o.Status = Timeout
+				if p.dueAt > now {
+					p.outcome.Status = Timeout
 				}
-				if answered[l.o.RequestID]+h.answers(l.o.RequestID) > 0 {
-					l.o.IsFinal = true
-				} else if l.o.Status == OK {
-					l.o.IsFinal = true
-					answered[l.o.RequestID]++
+				if answered[p.outcome.RequestID]+h.answers(p.outcome.RequestID) > 0 {
+					p.outcome.IsFinal = true
+				} else if p.outcome.Status == OK {
+					p.outcome.IsFinal = true
+					answered[p.outcome.RequestID]++
 				}
-				b.AttemptEnded(now, l.o)
+				b.AttemptEnded(now, p.outcome)
 			}
-			legs = kept
-			for ; seen < len(h.sends); seen++ {
-				s := h.sends[seen]
-				st := statuses[rng.IntN(len(statuses))]
-				legs = append(legs, leg{now + 300*rng.Float64(),
-					ofAttempt(attempts[s.id], ended(s.id, s.server, st, 20))})
+			pending = unfinished
+			for ; sendsSeen < len(h.sends); sendsSeen++ {
+				s := h.sends[sendsSeen]
+				status := statuses[rng.IntN(len(statuses))]
+				pending = append(pending, pendingAttempt{now + 300*rng.Float64(),
+					ofAttempt(attempts[s.id], ended(s.id, s.server, status, 20))})
 				attempts[s.id]++
 			}
 			for _, tm := range h.timers {
@@ -137,20 +138,20 @@
 			}
 			h.timers = nil
 		}
-		for id := uint32(1); id <= next; id++ {
+		for id := uint32(1); id <= lastID; id++ {
 			if n := answered[id] + h.answers(id); n != 1 {
 				t.Fatalf("seed %d: request %d has %d answers", seed, id, n)
 			}
 		}
 		if len(b.requests) != 0 || len(b.originFetches.waiting) != 0 {
-			t.Errorf("seed %d: %d requests and %d that wait are not forgotten", seed, len(b.requests),
+			t.Errorf("seed %d: %d requests and %d waiting requests are left over", seed, len(b.requests),
 				len(b.originFetches.waiting))
 		}
 	}
 }
 
-// The settings change while a request is in flight. It must keep its rules; what arrives later
-// comes under the new ones.
+// Guards against new settings that apply to requests in flight: those keep their class and their
+// maximum number of attempts, and only later requests get the new ones.
 func TestReconfigure(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxAttempts = 3
@@ -167,20 +168,20 @@
 		t.Fatal(err)
 	}
 	ask(b, 100020, 2, "read", 78)
-	for id, more := range map[uint32]int{1: 1, 2: 0} {
+	for id, wantSends := range map[uint32]int{1: 1, 2: 0} {
 		n := len(h.sends)
 		server := h.sends[id-1].server
 		b.AttemptEnded(100030, ended(id, server, Failed, 10))
-		if got := len(h.sends) - n; got != more {
-			t.Errorf("request %d: %d more attempts, want %d", id, got, more)
+		if got := len(h.sends) - n; got != wantSends {
+			t.Errorf("request %d: %d further attempts, want %d", id, got, wantSends)
 		}
 	}
 	if h.failed[2] != 1 || h.rejected[2] != 0 {
-		t.Errorf("a write that may have run: failed %d, rejected %d", h.failed[2], h.rejected[2])
+		t.Errorf("a request that may have run and is not idempotent: failed %d, rejected %d", h.failed[2], h.rejected[2])
 	}
-	ask(b, 100040, 3, "important", 79) // dropped
+	ask(b, 100040, 3, "important", 79) // a class that was removed
 	if h.failed[3] != 1 {
-		t.Error("a class that was dropped was served")
+		t.Error("a removed class was served")
 	}
 	ask(b, 100050, 4, "new", 80)
 	if h.answers(4) != 0 {
@@ -188,10 +189,10 @@
 	}
 }
 
-// New settings are impossible, or change what can't change. None of them may be taken.
+// Guards against invalid settings, or changes of immutable ones, of which a part is applied.
 func TestBadReconfigurationChangesNothing(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for _, damage := range []func(*Config){
+	for _, invalidate := range []func(*Config){
 		func(c *Config) { c.MaxAttempts = 0 },
 		func(c *Config) { c.Classes = nil },
 		func(c *Config) { c.Classes = []Class{{Name: "read", LatencyObjectiveMillis: 300, PriorityWeight: 1}} },
@@ -200,14 +201,14 @@
 		cfg := testConfig()
 		added := Class{Name: "new", LatencyObjectiveMillis: 300, DeadlineMillis: 600, PriorityWeight: 1}
 		cfg.Classes = append(cfg.Classes, added)
-		damage(&cfg)
+		invalidate(&cfg)
 		if b.Reconfigure(100000, cfg) == nil {
-			t.Errorf("taken: %+v", cfg)
+			t.Errorf("accepted: %+v", cfg)
 		}
 	}
 	ask(b, 100001, 1, "new", 5)
 	ask(b, 100001, 2, "important", 5)
 	if h.failed[1] != 1 || h.answers(2) != 0 {
-		t.Error("something of a bad configuration was taken")
+		t.Error("a part of a rejected configuration was applied")
 	}
 }
--- a/decide/config.go
+++ b/decide/config.go
@@ -12,13 +12,14 @@
 const (
 	// Idempotent requests are safe to repeat.
 	Idempotent Effect = iota
-	// IdempotentByKey requests carry a key by which a group of servers drops repeats for a while.
+	// IdempotentByKey requests carry a key by which a group of servers drops repeats for a limited
+	// time.
 	IdempotentByKey
 	// NotIdempotent requests must never run twice.
 	NotIdempotent
 )
 
-// The scopes in which servers drop repeats of an IdempotentByKey request together.
+// The groups of servers that drop repeats of an IdempotentByKey request together.
 const (
 	scopeAll  = "all"
 	scopeZone = "zone"
@@ -31,31 +32,32 @@
 	Name string
 	// Effect says whether its requests may run more than once.
 	Effect Effect
-	// IdempotencyScope names the servers that drop repeats together: "all", "zone" or "cell". It
-	// is used by IdempotentByKey only.
+	// IdempotencyScope is the group of servers that drop repeats together: "all", "zone" or "cell".
+	// It is used by IdempotentByKey only.
 	IdempotencyScope string
-	// IdempotencyWindowMillis is how long servers drop repeats, from the send of the first attempt
-	// that may have run. It is used by IdempotentByKey only.
+	// IdempotencyWindowMillis is how long servers drop repeats, counted from the send of the first
+	// attempt that may have run. It is used by IdempotentByKey only.
 	IdempotencyWindowMillis float64
 	// LatencyObjectiveMillis is the time within which an answer has its full weight.
 	LatencyObjectiveMillis float64
-	// ObjectivePerWork extends the objective by this multiple of the request's work hint.
+	// ObjectivePerWork is multiplied by the request's work hint and added to the objective.
 	ObjectivePerWork float64
-	// DeadlineMillis is how long a client waits over all its tries.
+	// DeadlineMillis is how long a client waits for an answer, over all its tries.
 	DeadlineMillis float64
-	// PriorityWeight is what an answer within the objective counts for.
+	// PriorityWeight is the value of an answer within the objective.
 	PriorityWeight float64
-	// LateWeight is the share of PriorityWeight that is left after the objective; 0 = none.
+	// LateWeight is the share of PriorityWeight that an answer after the objective keeps; 0 = none.
 	LateWeight float64
 	// IsStream says that answers are streamed.
 	IsStream bool
 }
 
-// Tenant is one of the parties that share the service.
+// Tenant is one of the parties that share the service and have a quota.
 type Tenant struct {
 	// Name identifies the tenant in Request.Tenant.
 	Name string
-	// QuotaPerSecond is the number of requests a second, over all routers, that have full priority.
+	// QuotaPerSecond is the number of requests per second, over all routers, that get full
+	// priority.
 	QuotaPerSecond float64
 }
 
@@ -63,7 +65,7 @@
 type Config struct {
 	// Routers is the number of routers of the fleet.
 	Routers int
-	// RouterIndex is this router's number, from 0.
+	// RouterIndex is the index of this router in the fleet, from 0.
 	RouterIndex int
 	// Zone is the zone that this router is in.
 	Zone string
@@ -71,57 +73,59 @@
 	Classes []Class
 	// Tenants lists the tenants that have a quota.
 	Tenants []Tenant
-	// OverQuotaWeight is the share of its priority that a request beyond its tenant's quota keeps.
+	// OverQuotaWeight is the share of its priority that a request over its tenant's quota keeps.
 	OverQuotaWeight float64
-	// WeightByWork says that priority is counted for each unit of work, else for each request.
+	// WeightByWork says that priority is counted per unit of work instead of per request.
 	WeightByWork bool
 
-	// CacheAside says that a miss comes back and the router asks the origin; else servers fetch by
-	// themselves.
+	// CacheAside says that servers return misses and the router fetches from the origin; otherwise
+	// servers fetch by themselves.
 	CacheAside bool
-	// OriginKind is the kind of the listed server that is the origin, with CacheAside.
+	// OriginKind is the Endpoint.Kind of the origin. It is used with CacheAside.
 	OriginKind string
 
-	// SizesAreLoads says that listed sizes are load figures, which change from list to list.
+	// SizesAreLoads says that listed sizes are load figures, which change with each list.
 	SizesAreLoads bool
-	// LoadByHealthCheck says that loads are reported in the results of health checks only.
+	// LoadByHealthCheck says that loads are reported only in the results of health checks.
 	LoadByHealthCheck bool
-	// PollEndpoints says that the endpoint list is sent only to routers that ask for it.
+	// PollEndpoints says that routers have to ask discovery for the endpoint list.
 	PollEndpoints bool
-	// PollWithinMillis is the time after a change within which routers are to have asked; 0 = any.
+	// PollWithinMillis is the time after a change within which all routers should have asked; 0 =
+	// no limit.
 	PollWithinMillis float64
 	// HealthChecks says that health checks are allowed.
 	HealthChecks bool
 	// GossipAllowed says that routers may send messages to each other.
 	GossipAllowed bool
-	// CancelAllowed says that attempts may be cancelled.
+	// CancelAllowed says that attempts may be canceled.
 	CancelAllowed bool
-	// HedgingAllowed says that a second attempt may run beside the first.
+	// HedgingAllowed says that a request may have two attempts in flight at once.
 	HedgingAllowed bool
-	// SendRetryAfter says that rejected clients get a Retry-After.
+	// SendRetryAfter says that rejections carry a Retry-After.
 	SendRetryAfter bool
 	// MaxRetryAfterMillis is the longest Retry-After.
 	MaxRetryAfterMillis float64
-	// MaxAttempts is the number of attempts that a request may have.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int
-	// IdleTimeoutMillis is the time after which idle connections close by themselves; 0 = not
-	// known, and none is closed sooner.
+	// IdleTimeoutMillis is the time after which idle connections close by themselves; 0 = unknown,
+	// and no connection is closed earlier.
 	IdleTimeoutMillis float64
 	// CPUMicrosPerSecond is the CPU time that a router may use; 0 = no limit.
 	CPUMicrosPerSecond float64
 
-	// SlowStartMillis is the time after its start at which a server is warm at the latest.
+	// SlowStartMillis is the time after its start at which a server has its full capacity at the
+	// latest.
 	SlowStartMillis float64
-	// SlowStartInitialShare is the share of its capacity that a server has at its start.
+	// SlowStartInitialShare is the share of its capacity that a server has when it starts.
 	SlowStartInitialShare float64
-	// OverloadFactor is the multiple of its capacity which a cold server does not survive when it
-	// is sent that much for OverloadMillis.
+	// OverloadFactor is the multiple of its capacity that makes a cold server fail if it is sent
+	// that much for OverloadMillis.
 	OverloadFactor float64
-	// OverloadMillis is the time meant by OverloadFactor.
+	// OverloadMillis is the duration that OverloadFactor refers to.
 	OverloadMillis float64
 }
 
-// ClassNames lists the names of the classes.
+// ClassNames returns the names of the classes, in the order of Classes.
 func (c *Config) ClassNames() (names []string) {
 	for _, k := range c.Classes {
 		names = append(names, k.Name)
@@ -129,30 +133,30 @@
 	return names
 }
 
-// The lists of Config that a SettingError can name.
+// The names of the Config lists that a SettingError can refer to.
 const (
 	classList  = "Classes"
 	tenantList = "Tenants"
 )
 
-// noValue stands for the value of a setting that is missing.
+// noValue is reported as the value of a setting that is missing.
 const noValue = "(none)"
 
-// SettingError names a setting that is missing or impossible.
+// SettingError reports a setting that is missing or invalid.
 type SettingError struct {
-	// Field is the name of the field of Config, or of Class or Tenant.
+	// Field is the name of the field of Config, Class or Tenant.
 	Field string
-	// List is "Classes", "Tenants" or "".
+	// List is "Classes" or "Tenants" if Field is in an entry of that list, else "".
 	List string
-	// At is the entry's place in the list.
+	// At is the index of the entry in the list.
 	At int
-	// Entry is the entry's name.
+	// Entry is the name of the entry.
 	Entry string
-	// Value is the value that is impossible.
+	// Value is the invalid value.
 	Value any
 }
 
-// Error names the setting and its value.
+// Error returns a text with the setting and its value.
 func (e *SettingError) Error() string {
 	name := e.Field
 	if e.List != "" {
@@ -161,7 +165,7 @@
 	return fmt.Sprintf("decide: setting %s: impossible value %v", name, e.Value)
 }
 
-// Validate reports the first setting that is missing or impossible, as a *SettingError.
+// Validate returns a *SettingError for the first setting that is missing or invalid, else nil.
 func (c *Config) Validate() error {
 	if err := c.validateRouter(); err != nil {
 		return err
@@ -185,7 +189,7 @@
 	return nil
 }
 
-// setting returns the error for a field of Config itself.
+// setting returns a SettingError for a field of Config itself.
 func setting(name string, value any) error { return &SettingError{Field: name, Value: value} }
 
 func isPositive(v float64) bool    { return v > 0 && !math.IsInf(v, 1) }
@@ -233,7 +237,8 @@
 	return nil
 }
 
-// validate reports the first impossible value of the class at a place of Config.Classes.
+// validate returns a *SettingError for the first invalid field of the class at an index of
+// Config.Classes.
 func (c *Class) validate(at int) error {
 	invalid := func(field string, value any) error {
 		return &SettingError{field, classList, at, c.Name, value}
--- a/decide/config_test.go
+++ b/decide/config_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// A setting is impossible. The error must name it, and in which entry of which list it is.
+// Guards against an error that does not name the invalid setting and its entry in a list.
 func TestNewNamesTheBadSetting(t *testing.T) {
 	negative := []Tenant{{Name: "x", QuotaPerSecond: -1}}
-	for want, damage := range map[string]func(*Config){
+	for want, invalidate := range map[string]func(*Config){
 		"Routers":                              func(c *Config) { c.Routers = 0 },
 		"RouterIndex":                          func(c *Config) { c.RouterIndex = 5 },
 		"Classes":                              func(c *Config) { c.Classes = nil },
@@ -21,7 +21,7 @@
 		"Tenants[x].QuotaPerSecond":            func(c *Config) { c.Tenants = negative },
 	} {
 		cfg := testConfig()
-		damage(&cfg)
+		invalidate(&cfg)
 		if _, err := New(cfg, 1, newHost()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error that names %s, got %v", want, err)
 		}
--- a/decide/disable.go
+++ b/decide/disable.go
@@ -1,7 +1,7 @@
 package decide
 
-// Disable leaves a server out from now on, as though it were draining, until Enable, whatever the
-// endpoint list says. A repeated call changes nothing.
+// Disable stops sending requests to a server, as if it were draining, until Enable is called,
+// whatever the endpoint list says. A repeated call has no effect.
 func (b *Balancer) Disable(now float64, serverID uint32) {
 	b.begin(now)
 	if _, isDisabled := b.membership.disabledAt[serverID]; isDisabled {
@@ -17,9 +17,9 @@
 	b.serveWaiting()
 }
 
-// Enable puts a server back, however often it was disabled. Meanwhile it was most likely restarted,
-// though the list may not say so yet: unless the list has shown a start since, it counts as just
-// started, and so as cold.
+// Enable ends all earlier Disable calls of a server. The server was most likely restarted
+// meanwhile, even if the endpoint list does not show it yet: unless the list has shown a start
+// since the server was disabled, it is treated as just started and therefore cold.
 func (b *Balancer) Enable(now float64, serverID uint32) {
 	b.begin(now)
 	since, isDisabled := b.membership.disabledAt[serverID]
@@ -38,9 +38,9 @@
 	b.serveWaiting()
 }
 
-// resetServer gives a server the record of a new process that started at the given time. Its budget
-// begins with a random part of a request: so each of many routers may rarely send a whole one, and
-// all together send as evenly as a few do.
+// resetServer gives a server the record of a process that started at the given time. The slow-start
+// budget begins with a random fraction of a request, so that each of many routers rarely sends a
+// whole request at once and all together send as evenly as a few do.
 func (b *Balancer) resetServer(s *server, startedAt float64) {
 	s.slowStart.startedAt = startedAt
 	s.slowStart.budget = slowStartBudget{requests: b.rng.Float64(), updatedAt: b.now}
--- a/decide/disable_test.go
+++ b/decide/disable_test.go
@@ -4,29 +4,29 @@
 	"testing"
 )
 
-// An operator disables a server. It must get nothing while the list says that it is there, gone, or
-// back under its id; one call to enable it ends two to disable it.
+// Guards against requests to a disabled server when the endpoint list contains it, removes it, or
+// adds it again under its ID. One Enable must end two Disable calls.
 func TestDisabledServerGetsNothingWhateverTheListSays(t *testing.T) {
-	es := fleet(6)
-	b, h := start(t, testConfig(), es)
-	out := homeOf(t, b, h, 100000, 1, 77)
-	b.Disable(100100, out)
-	b.Disable(100100, out) // repeated calls are harmless
+	endpoints := fleet(6)
+	b, h := start(t, testConfig(), endpoints)
+	disabledID := homeOf(t, b, h, 100000, 1, 77)
+	b.Disable(100100, disabledID)
+	b.Disable(100100, disabledID) // a repeated call has no effect
 	id := uint32(2)
 	now := 100100.0
 	for _, update := range []func(){
 		func() {},
-		func() { b.UpdateEndpoints(now, AllEndpoints, es) },
-		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, State: Removed}}) },
-		func() { // back under its id
-			b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: out, Size: 1, StartedAt: now}})
+		func() { b.UpdateEndpoints(now, AllEndpoints, endpoints) },
+		func() { b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: disabledID, State: Removed}}) },
+		func() { // added again under its ID
+			b.UpdateEndpoints(now, ChangedEndpoints, []Endpoint{{ID: disabledID, Size: 1, StartedAt: now}})
 		},
 	} {
 		now += 1000
 		update()
 		for range 20 {
 			id++
-			if got := homeOf(t, b, h, now, id, 77); got == out {
+			if got := homeOf(t, b, h, now, id, 77); got == disabledID {
 				t.Fatal("sent to a disabled server")
 			}
 		}
@@ -34,21 +34,21 @@
 	if listed, avoided := b.CountEndpoints(); listed != 6 || avoided != 1 {
 		t.Errorf("listed %d, %d avoided", listed, avoided)
 	}
-	b.Enable(now, out) // one call ends two
+	b.Enable(now, disabledID) // one call ends two Disable calls
 	if _, avoided := b.CountEndpoints(); avoided != 0 {
 		t.Errorf("after it was enabled: %d avoided", avoided)
 	}
-	if got := homeOf(t, b, h, now+1000, id+1, 77); got != out {
-		t.Errorf("after it was enabled: sent to %d, want %d", got, out)
+	if got := homeOf(t, b, h, now+1000, id+1, 77); got != disabledID {
+		t.Errorf("after it was enabled: sent to %d, want %d", got, disabledID)
 	}
 }
 
-// All servers are disabled. A request must be rejected at once: none may go to a disabled server as
-// a last resort.
+// Guards against disabled servers that are tried as a last resort: if all are disabled, a request
+// must be rejected at once.
 func TestAllDisabledRejects(t *testing.T) {
-	es := fleet(3)
-	b, h := start(t, testConfig(), es)
-	for _, e := range es {
+	endpoints := fleet(3)
+	b, h := start(t, testConfig(), endpoints)
+	for _, e := range endpoints {
 		b.Disable(100000, e.ID)
 	}
 	ask(b, 100001, 1, "read", 5)
@@ -57,41 +57,42 @@
 	}
 }
 
-// A disabled server was restarted and is enabled. It must be cold even if the list has not said so
-// yet; if the list has told of a start long ago, it must be warm.
+// Guards against too many requests to a server that was restarted while it was disabled: after
+// Enable it must be cold even if the endpoint list does not show the start yet. If the list showed
+// a start long ago, the server must be warm.
 func TestEnabledServerIsCold(t *testing.T) {
 	cfg := testConfig()
 	for _, isListed := range []bool{false, true} {
-		es := fleet(6)
-		b, h := start(t, cfg, es)
-		out := homeOf(t, b, h, 100000, 1, 77)
+		endpoints := fleet(6)
+		b, h := start(t, cfg, endpoints)
+		disabledID := homeOf(t, b, h, 100000, 1, 77)
 		id := uint32(10)
-		b.Disable(101000, out)
+		b.Disable(101000, disabledID)
 		now := 101000 + 2*cfg.SlowStartMillis
-		if isListed { // it restarted as soon as it was disabled, and is warm by now
-			e := *b.membership.servers[out]
-			e.StartedAt = 101001
-			b.UpdateEndpoints(102000, ChangedEndpoints, []Endpoint{e.Endpoint})
+		if isListed { // it restarted when it was disabled, and is warm by now
+			entry := *b.membership.servers[disabledID]
+			entry.StartedAt = 101001
+			b.UpdateEndpoints(102000, ChangedEndpoints, []Endpoint{entry.Endpoint})
 		}
-		b.Enable(now, out)
-		got := sentAtOnce(b, h, now+1000, &id, 77, out)
-		if cold := now < b.membership.servers[out].slowStart.startedAt+cfg.SlowStartMillis; cold == isListed {
-			t.Errorf("start listed %t: cold %t", isListed, cold)
+		b.Enable(now, disabledID)
+		got := sentAtOnce(b, h, now+1000, &id, 77, disabledID)
+		if isCold := now < b.membership.servers[disabledID].slowStart.startedAt+cfg.SlowStartMillis; isCold == isListed {
+			t.Errorf("start listed %t: is cold %t", isListed, isCold)
 		}
 		if !isListed && (got < 1 || got > 20) {
-			t.Errorf("%d of 200 requests at once at a server that may be cold", got)
+			t.Errorf("%d of 200 requests at once to a server that may be cold", got)
 		}
 	}
 }
 
-// A disabled server must get no health checks; the others do.
+// Guards against health checks of a disabled server: only the others are checked.
 func TestDisabledServerGetsNoHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
 	cfg.HealthChecks = true
-	es := fleet(2)
-	b, h := start(t, cfg, es)
-	b.Disable(100000, es[0].ID)
+	endpoints := fleet(2)
+	b, h := start(t, cfg, endpoints)
+	b.Disable(100000, endpoints[0].ID)
 	b.healthChecks.budget = 4
 	for i := range 20 {
 		b.TimerExpired(100000+float64(i)*500, housekeepingToken)
@@ -99,8 +100,8 @@
 	if len(h.healthChecks) == 0 {
 		t.Error("the other server was not checked")
 	}
-	for _, p := range h.healthChecks {
-		if p == es[0].ID {
+	for _, id := range h.healthChecks {
+		if id == endpoints[0].ID {
 			t.Fatal("a disabled server was checked")
 		}
 	}
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The call for the endpoint list fails. The router must keep its list and poll again after a while,
-// once, and not at all while its watch stands.
+// Guards against a router that loses its list, polls in a loop or stops polling after a failed
+// call: it must keep the list, poll once more after a while, and not poll at all while its watch is
+// active.
 func TestListIsAskedForAgainAfterARefusal(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints = true
@@ -32,24 +33,24 @@
 	b.UpdateEndpoints(102050, ChangedEndpoints, nil)
 	tickTo(102100, 120000)
 	if h.watches != 2 {
-		t.Errorf("%d calls while subscribed, want 2", h.watches)
+		t.Errorf("%d calls while the watch is active, want 2", h.watches)
 	}
 }
 
-// All routers of a fleet start at once and every call to discovery fails. Their calls must be
-// spread over the time that discovery needs, each router must call again in time for a change to
-// arrive, and none faster than that.
+// Guards against bursts of polls from a fleet whose routers start at the same time and whose calls
+// all fail: the calls must be spread over the time that discovery needs for them, and each router
+// must call again before a change counts as announced, but no faster than discovery can answer.
 func TestPollsOfAFleetAreSpread(t *testing.T) {
 	for _, routers := range []int{4, 36, 80, 350, 5100} {
-		var calls []float64 // of all routers, in the first 20 s, each of which fails
-		for me := range routers {
+		var calls []float64 // times of all routers' calls in the first 20 s, each of which fails
+		for index := range routers {
 			cfg := testConfig()
 			cfg.Routers = routers
-			cfg.RouterIndex = me
+			cfg.RouterIndex = index
 			cfg.PollEndpoints = true
 			cfg.PollWithinMillis = pollWithinMillis
 			h := newHost()
-			b, err := New(cfg, uint64(me)*977+5, h)
+			b, err := New(cfg, uint64(index)*977+5, h)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,9 +58,9 @@
 			first := math.Inf(1)
 			last := 0.0
 			for now := 100000.0; now < 120000; now += 100 {
-				n := h.watches
-				if b.TimerExpired(now, housekeepingToken); h.watches > n {
-					if first = min(first, now); last > 0 && now-last > MaxBackOffMillis+100 { // and a tick
+				watchesBefore := h.watches
+				if b.TimerExpired(now, housekeepingToken); h.watches > watchesBefore {
+					if first = min(first, now); last > 0 && now-last > MaxBackOffMillis+100 { // plus one tick
 						t.Errorf("%d routers: %v ms between two calls of one", routers, now-last)
 					}
 					last = now + 10
@@ -72,9 +73,9 @@
 			}
 		}
 		perSecond := float64(len(calls)) / 20
-		share := float64(routers) / (MaxBackOffMillis * 2 / 3) // calls a ms when all wait as long as they may, spread
-		if perSecond < 2 || perSecond > max(6, 1.2*share*1000) {
-			t.Errorf("%d routers: %.1f calls a second", routers, perSecond)
+		callsPerMilli := float64(routers) / (MaxBackOffMillis * 2 / 3) // mean calls per ms at the longest backoff
+		if perSecond < 2 || perSecond > max(6, 1.2*callsPerMilli*1000) {
+			t.Errorf("%d routers: %.1f calls per second", routers, perSecond)
 		}
 		slices.Sort(calls)
 		burst := 0
@@ -84,20 +85,20 @@
 			}
 			burst = max(burst, to-from+1)
 		}
-		// The second calls of those who were late with their first meet the third ones of others;
-		// beyond that it is chance.
-		if most := float64(routers) / 4; float64(burst) > max(10, most+3*math.Sqrt(most)) {
+		// The second calls of routers whose first one was late coincide with the third calls of
+		// others. Anything beyond that is chance.
+		if mean := float64(routers) / 4; float64(burst) > max(10, mean+3*math.Sqrt(mean)) {
 			t.Errorf("%d routers: %d calls in half a second", routers, burst)
 		}
 	}
 }
 
-// pollWithinMillis is the time after a change within which routers are to have asked.
+// pollWithinMillis is the value of Config.PollWithinMillis.
 const pollWithinMillis = 10000
 
-// Guards against calls and pauses that add up: after a configuration that names another discovery,
-// a router whose calls are turned away, or are lost after their full time, has made so many calls by
-// the time at which a change counts as notified that one of them is likely to be accepted.
+// Guards against calls and pauses that add up to more than the time budget after a configuration
+// that names another discovery: a router whose calls are rejected, or time out, must have made so
+// many calls by the end of the budget that one of them is likely to be accepted.
 func TestCallsAfterAMoveShareItsBudget(t *testing.T) {
 	const movedAt = 100000.0
 	for _, routers := range []int{4, 300, 5100} {
@@ -116,40 +117,40 @@
 			before := h.watches
 			b.DiscoveryMoved(movedAt)
 			if h.watches != before+1 {
-				t.Fatalf("%d routers: no call at once after a move", routers)
+				t.Fatalf("%d routers: no immediate call after a change of the discovery", routers)
 			}
 			b.UpdateEndpoints(movedAt+20, WatchFailed, nil)
 			calls := 0
 			for now := movedAt; now < movedAt+MovedNotifiedMillis; now += 50 {
-				n := h.watches
+				watchesBefore := h.watches
 				b.TimerExpired(now, housekeepingToken)
-				if h.watches > n {
+				if h.watches > watchesBefore {
 					calls++
 					b.UpdateEndpoints(now+20, WatchFailed, nil)
 				}
 			}
-			least, most := 4, int(MovedNotifiedMillis/(minMovedRetryMillis/3))
-			if routers == 5100 { // the herd has to stay spread
-				least, most = 1, 3
+			minCalls, maxCalls := 4, int(MovedNotifiedMillis/(minMovedRetryMillis/3))
+			if routers == 5100 { // the calls of a large fleet must stay spread
+				minCalls, maxCalls = 1, 3
 			}
-			if calls < least || calls > most {
+			if calls < minCalls || calls > maxCalls {
 				t.Errorf("%d routers, seed %d: %d further calls within %v ms, want %d to %d",
-					routers, seed, calls, MovedNotifiedMillis, least, most)
+					routers, seed, calls, MovedNotifiedMillis, minCalls, maxCalls)
 			}
 		}
 	}
 	if MaxBackOffMillis+MaxPollCallMillis > notifiedMillis {
-		t.Errorf("a pause of %v ms and a call of %v ms are over the %v ms after which a change counts as notified",
+		t.Errorf("a pause of %v ms and a call of %v ms exceed the budget of %v ms",
 			MaxBackOffMillis, MaxPollCallMillis, notifiedMillis)
 	}
 }
 
 // Guards against pauses of the usual length after a failure that follows an answer of the new
-// discovery: what it has by the end of the budget counts as notified all the same. After that end the
-// usual backoff holds again.
+// discovery: until the end of the budget, its pauses still apply. After that, the usual backoff
+// must apply again.
 func TestMoveEndsWithItsBudget(t *testing.T) {
 	const movedAt = 100000.0
-	for _, c := range []struct{ failedAt, mostPauseMillis, leastPauseMillis float64 }{
+	for _, c := range []struct{ failedAt, maxPauseMillis, minPauseMillis float64 }{
 		{movedAt + 1000, MovedNotifiedMillis / 3, 100},
 		{movedAt + MovedNotifiedMillis + 10, MaxBackOffMillis, MaxBackOffMillis/3 - 100},
 	} {
@@ -160,14 +161,14 @@
 		b.DiscoveryMoved(movedAt)
 		b.UpdateEndpoints(movedAt+500, ChangedEndpoints, nil)
 		b.UpdateEndpoints(c.failedAt, WatchFailed, nil)
-		n := h.watches
+		watchesBefore := h.watches
 		now := c.failedAt
-		for h.watches == n && now < c.failedAt+2*MaxBackOffMillis {
+		for h.watches == watchesBefore && now < c.failedAt+2*MaxBackOffMillis {
 			now += 50
 			b.TimerExpired(now, housekeepingToken)
 		}
-		if pause := now - c.failedAt; pause > c.mostPauseMillis+50 || pause < c.leastPauseMillis {
-			t.Errorf("failed %v ms after the move: called again after %v ms", c.failedAt-movedAt, pause)
+		if pause := now - c.failedAt; pause > c.maxPauseMillis+50 || pause < c.minPauseMillis {
+			t.Errorf("failure %v ms after the change: called again after %v ms", c.failedAt-movedAt, pause)
 		}
 	}
 }
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// hashTableBits gives the memento-hash table 8192 buckets, so that claims rarely collide.
+	// hashTableBits gives the memento-hash table 8192 buckets, so that few servers claim the same.
 	hashTableBits = 13
 	// bucketClaims is the number of buckets that a server claims.
 	bucketClaims = 64
-	// candidateLimit is the length of a key's list: the hottest key is more than six servers of a
-	// large fleet can serve.
+	// candidateLimit is the length of a key's list. The hottest key needs more than the six largest
+	// servers of a large fleet.
 	candidateLimit = 20
-	// maxDraws bounds the draws over the table for one list, where servers are few.
+	// maxDraws bounds the draws over the table for one list if there are few servers.
 	maxDraws = 4 << hashTableBits
 )
 
-// membership is the servers that a router knows.
+// membership holds the servers that a router knows.
 type membership struct {
-	// servers are those listed, and those with attempts in flight, by id.
+	// servers are those listed and those with attempts in flight, by ID.
 	servers map[uint32]*server
-	// disabledAt is since when operators have left servers out, ms; they may be listed or not.
+	// disabledAt is when operators disabled servers, ms, by ID, whether or not they are listed.
 	disabledAt map[uint32]float64
-	// caches are the listed cache servers, by ascending id.
+	// caches are the listed cache servers, by ascending ID.
 	caches []*server
 	// origin is the listed origin, with CacheAside. It is never a candidate.
 	origin *server
-	// hashTable is the memento-hash table: the server of each bucket; nil = removed.
+	// hashTable is the memento-hash table: the server of each bucket; nil = removed bucket.
 	hashTable []*server
-	// hashEpoch is the number of the table; lists made from an earlier one are made anew.
+	// hashEpoch is the version of the table; lists made from an earlier version are recomputed.
 	hashEpoch int
 }
 
-// UpdateEndpoints takes an update of the endpoint list, or that a watch for one failed.
+// UpdateEndpoints handles an update of the endpoint list, or a failed watch.
 func (b *Balancer) UpdateEndpoints(now float64, kind EndpointUpdateKind, entries []Endpoint) {
 	b.begin(now)
 	if kind == WatchFailed {
@@ -56,7 +56,7 @@
 	b.placement.isStale = true
 }
 
-// applyEndpoints brings an update into the records and returns the servers that started anew.
+// applyEndpoints applies an update to the records and returns the servers that were restarted.
 func (b *Balancer) applyEndpoints(kind EndpointUpdateKind, entries []Endpoint) (started []*server) {
 	m := &b.membership
 	for _, s := range m.servers {
@@ -75,15 +75,15 @@
 		s.Endpoint = e
 		s.isListed = e.State != Removed
 		if b.cfg.SizesAreLoads {
-			s.Size = 0 // a load figure says nothing of the machine
+			s.Size = 0 // a load figure says nothing about the machine
 		}
 	}
 	m.sortOut(b.cfg)
 	return started
 }
 
-// sortOut finds the origin and the cache servers, and forgets servers that are neither listed nor
-// working for this router.
+// sortOut sets the origin and the cache servers, and removes servers that are neither listed nor
+// have attempts of this router in flight.
 func (m *membership) sortOut(cfg Config) {
 	m.caches = m.caches[:0]
 	m.origin = nil
@@ -102,9 +102,9 @@
 	slices.SortFunc(m.caches, func(p, q *server) int { return cmp.Compare(p.ID, q.ID) })
 }
 
-// rebuildHashTable fills the buckets of the memento-hash. A bucket that no listed server claims
-// counts as removed: the table follows from ids alone, not from an order of changes, so that
-// routers agree, and few keys move with a change.
+// rebuildHashTable fills the buckets of the memento-hash table. A bucket that no listed server
+// claims counts as removed. The table depends only on the IDs, not on the order of changes, so all
+// routers have the same one, and few keys move with a change.
 func (m *membership) rebuildHashTable() {
 	m.hashEpoch++
 	m.hashTable = make([]*server, 1<<hashTableBits)
@@ -122,8 +122,8 @@
 // claimRank orders the servers that claim the same bucket; the lowest gets it.
 func claimRank(bucket uint64, id uint32) uint64 { return splitMix64(bucket ^ uint64(id)<<16) }
 
-// hashList gives the first distinct servers of a key. Keys of a removed bucket are drawn again over
-// the table.
+// hashList returns the first distinct servers of a key. A draw of a removed bucket is repeated over
+// the whole table.
 func (m *membership) hashList(k *keyTraffic) []*server {
 	if k.hashEpoch == m.hashEpoch {
 		return k.hashList
@@ -143,7 +143,7 @@
 	return k.hashList
 }
 
-// idempotencyGroup names those that drop repeats together with the server.
+// idempotencyGroup returns the name of the group of servers that drop repeats together with s.
 func (s *server) idempotencyGroup(scope string) string {
 	switch scope {
 	case scopeZone:
@@ -154,8 +154,9 @@
 	return ""
 }
 
-// CountEndpoints counts the servers on the list, and those of them that are left out, by operators
-// or by outlier detection. A draining server that is ejected counts as draining only.
+// CountEndpoints returns the number of listed servers, and how many of those get no requests
+// because they are disabled or ejected. An ejected server that is draining is not counted as
+// avoided.
 func (b *Balancer) CountEndpoints() (listed, avoided int) {
 	for _, s := range b.membership.servers {
 		if !s.isListed {
@@ -169,8 +170,8 @@
 	return listed, avoided
 }
 
-// WriteServer names the server that a write goes to, if there is one. Large values are on their way
-// there while they come.
+// WriteServer returns the server that a write will go to, if there is one. The router streams large
+// values to it while they are still arriving.
 func (b *Balancer) WriteServer(now float64) (serverID uint32, isAvailable bool) {
 	b.begin(now)
 	origin := b.membership.origin
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -4,58 +4,60 @@
 	"testing"
 )
 
-// One router follows changes of the list, another starts with the list that results. Both must have
-// the same candidates for each key, in the same order, or a key would be cached twice as often.
+// Guards against different candidates for a key at a router that has followed the changes of the
+// list and at one that started with the resulting list: the key would be cached on twice as many
+// servers.
 func TestListsAgreeAfterRestart(t *testing.T) {
-	es := fleet(10)
-	b1, _ := start(t, testConfig(), es[:8])
-	b1.UpdateEndpoints(100100, ChangedEndpoints, es[8:])
-	b1.UpdateEndpoints(100200, ChangedEndpoints, []Endpoint{{ID: es[2].ID, State: Removed}})
-	rest := append(append([]Endpoint{}, es[3:]...), es[:2]...)
-	b2, _ := start(t, testConfig(), rest)
+	endpoints := fleet(10)
+	b1, _ := start(t, testConfig(), endpoints[:8])
+	b1.UpdateEndpoints(100100, ChangedEndpoints, endpoints[8:])
+	b1.UpdateEndpoints(100200, ChangedEndpoints, []Endpoint{{ID: endpoints[2].ID, State: Removed}})
+	resulting := append(append([]Endpoint{}, endpoints[3:]...), endpoints[:2]...)
+	b2, _ := start(t, testConfig(), resulting)
 	for key := range uint64(500) {
-		l1 := b1.membership.hashList(&keyTraffic{id: key})
-		l2 := b2.membership.hashList(&keyTraffic{id: key})
-		if want := min(candidateLimit, len(rest)); len(l1) != want || len(l2) != want {
-			t.Fatalf("key %d: lists of %d and %d", key, len(l1), len(l2))
+		list1 := b1.membership.hashList(&keyTraffic{id: key})
+		list2 := b2.membership.hashList(&keyTraffic{id: key})
+		if want := min(candidateLimit, len(resulting)); len(list1) != want || len(list2) != want {
+			t.Fatalf("key %d: lists of %d and %d", key, len(list1), len(list2))
 		}
-		for i := range l1 {
-			if l1[i].ID != l2[i].ID {
-				t.Fatalf("key %d: place %d differs", key, i)
+		for i := range list1 {
+			if list1[i].ID != list2[i].ID {
+				t.Fatalf("key %d: server %d of the list differs", key, i)
 			}
-			for _, o := range l1[:i] {
-				if o == l1[i] {
-					t.Fatalf("key %d: server twice", key)
+			for _, earlier := range list1[:i] {
+				if earlier == list1[i] {
+					t.Fatalf("key %d: a server is listed twice", key)
 				}
 			}
 		}
 	}
 }
 
-// A server joins or leaves. Only its own keys may move, and each server stays home to a fair share.
+// Guards against keys that move between unchanged servers when one joins or leaves, and against
+// servers that are home to far too many or too few keys.
 func TestChangeMovesFewKeys(t *testing.T) {
-	es := fleet(11)
-	homes := func(es []Endpoint) map[uint64]uint32 {
-		b, _ := start(t, testConfig(), es)
-		m := map[uint64]uint32{}
+	endpoints := fleet(11)
+	homes := func(endpoints []Endpoint) map[uint64]uint32 {
+		b, _ := start(t, testConfig(), endpoints)
+		homeOfKey := map[uint64]uint32{}
 		for key := range uint64(4000) {
-			m[key] = b.membership.hashList(&keyTraffic{id: key})[0].ID
+			homeOfKey[key] = b.membership.hashList(&keyTraffic{id: key})[0].ID
 		}
-		return m
+		return homeOfKey
 	}
-	before := homes(es[:10])
-	without := homes(es[1:10])
-	with := homes(es)
+	before := homes(endpoints[:10])
+	without := homes(endpoints[1:10])
+	with := homes(endpoints)
 	moved := 0
-	share := map[uint32]int{}
-	for key, h := range before {
-		share[h]++
-		if h != es[0].ID && without[key] != h {
+	keysOf := map[uint32]int{}
+	for key, home := range before {
+		keysOf[home]++
+		if home != endpoints[0].ID && without[key] != home {
 			t.Fatalf("key %d left a server that stayed", key)
 		}
-		if with[key] != h {
+		if with[key] != home {
 			moved++
-			if with[key] != es[10].ID {
+			if with[key] != endpoints[10].ID {
 				t.Fatalf("key %d moved between servers that stayed", key)
 			}
 		}
@@ -63,15 +65,15 @@
 	if moved > 4000*2/11 {
 		t.Errorf("%d of 4000 keys moved to one new server of 11", moved)
 	}
-	for id, n := range share {
+	for id, n := range keysOf {
 		if n < 150 || n > 800 {
 			t.Errorf("server %d is home to %d of 4000 keys", id, n)
 		}
 	}
 }
 
-// A server is ejected. It keeps its place in the lists of keys, and the next of the list stands in
-// for it, so that its keys come back with it.
+// Guards against keys that move for good when a server is ejected: it keeps its position in the
+// keys' lists, and the next server of the list replaces it until it returns.
 func TestHealthDoesNotMoveTheHash(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(8))
 	k := &keyTraffic{id: 42}
@@ -79,29 +81,29 @@
 	home.health.isEjected = true
 	b.solve()
 	if b.membership.hashList(k)[0] != home {
-		t.Error("an ejected server lost its place")
+		t.Error("an ejected server lost its position in the list")
 	}
-	if c := b.candidates(k); c[0] != b.membership.hashList(k)[1] {
-		t.Error("the second does not stand in for an ejected first")
+	if inUse := b.candidates(k); inUse[0] != b.membership.hashList(k)[1] {
+		t.Error("the second server of the list does not replace the ejected first one")
 	}
 }
 
-// One server drains and another is removed. Of 300 requests none may go to either, and all must be
-// sent.
+// Guards against requests to a draining or a removed server, and against requests that are then not
+// sent at all.
 func TestNothingNewToDrainingOrRemoved(t *testing.T) {
-	es := fleet(4)
-	b, h := start(t, testConfig(), es)
-	es[0].State = Draining
-	es[1].State = Removed
-	b.UpdateEndpoints(100005, ChangedEndpoints, es[:2])
+	endpoints := fleet(4)
+	b, h := start(t, testConfig(), endpoints)
+	endpoints[0].State = Draining
+	endpoints[1].State = Removed
+	b.UpdateEndpoints(100005, ChangedEndpoints, endpoints[:2])
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
 		ask(b, now, i+1, "read", uint64(i))
 		b.AttemptEnded(now, served(i+1, h.last().server, 1))
 	}
 	for _, s := range h.sends {
-		if s.server == es[0].ID || s.server == es[1].ID {
-			t.Fatalf("request %d sent to a server that drains or is gone", s.id)
+		if s.server == endpoints[0].ID || s.server == endpoints[1].ID {
+			t.Fatalf("request %d sent to a server that is draining or removed", s.id)
 		}
 	}
 	if len(h.sends) != 300 {
--- a/decide/errors.go
+++ b/decide/errors.go
@@ -2,14 +2,15 @@
 
 import "errors"
 
-// The errors of a Balancer, besides *SettingError.
+// The errors that a Balancer returns, besides *SettingError.
 var (
-	// ErrFixedSetting is returned by Reconfigure for settings that can't change while a router runs,
-	// as what was learnt depends on them.
+	// ErrFixedSetting is returned by Reconfigure for a change of a setting that the state of a
+	// running router depends on.
 	ErrFixedSetting = errors.New(
-		"decide: settings CacheAside, OriginKind and PollEndpoints can't change while a router runs")
-	// ErrNotFirst is returned by TakeOver after another event.
+		"decide: settings CacheAside, OriginKind and PollEndpoints cannot be changed while a router runs")
+	// ErrNotFirst is returned by TakeOver if another event came before it.
 	ErrNotFirst = errors.New("decide: taking over a snapshot: it must come before all other events")
-	// ErrImpossibleSnapshot is returned by TakeOver for values that can't be true.
-	ErrImpossibleSnapshot = errors.New("decide: taking over a snapshot: it holds impossible values")
+	// ErrImpossibleSnapshot is returned by TakeOver if the snapshot holds a value out of its range.
+	ErrImpossibleSnapshot = errors.New(
+		"decide: taking over a snapshot: fetch limit, tolerated wait, idle timeout or start time out of range")
 )
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,7 +6,7 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// printer is a router's side of the interface; a real one sends requests and arms timers.
+// printer is a Host that prints its calls. A real Host sends requests and starts timers.
 type printer struct{}
 
 func (printer) Send(id, server uint32, _ float64) { fmt.Println("send", id, "to", server) }
--- a/decide/handover.go
+++ b/decide/handover.go
@@ -6,87 +6,89 @@
 	"slices"
 )
 
-// maxSnapshotKeys is the number of keys, the hottest ones, that a snapshot holds.
+// maxSnapshotKeys is the number of keys in a snapshot. It holds the hottest ones.
 const maxSnapshotKeys = 256
 
-// The bounds within which the values of a snapshot can be true.
+// The bounds of valid values in a snapshot.
 const (
 	maxClockDifferenceMillis     = 1000
 	maxSnapshotToleratedWait     = 1
 	maxSnapshotIdleTimeoutMillis = math.MaxFloat64
 )
 
-// Snapshot is what one process hands to the process that takes its place: the endpoint list, what
-// operators have disabled, and what it has learnt. Both read the same clock. Requests are not part
-// of it: each process answers its own.
+// Snapshot is the state that one process hands over to the process that takes its place: the
+// endpoint list, the servers that operators have disabled, and the Balancer's records. Both
+// processes read the same clock. Requests are not included: each process answers its own.
 //
-// It is stored as JSON, and an old process may be of an earlier release: the tags are the names
-// that were first used, and stay.
+// It is stored as JSON, and the old process may be of an earlier release. The JSON tags are the
+// names of the first release and must not change.
 type Snapshot struct {
-	// Servers are the servers, by ascending id.
+	// Servers are the servers, by ascending ID.
 	Servers []ServerSnapshot `json:"Servers"`
-	// DisabledAt is since when operators have left servers out, ms, by id.
+	// DisabledAt is when operators disabled servers, ms, by ID.
 	DisabledAt map[uint32]float64 `json:"Bans"`
 	// Keys are the hottest keys.
 	Keys []KeySnapshot `json:"Keys"`
-	// StartedAt is the time of the first event, ms.
+	// StartedAt is the time of the first event of the first process, ms.
 	StartedAt float64 `json:"Began"`
 	// Arrivals counts requests.
 	Arrivals SumSnapshot `json:"Arrivals"`
-	// ServiceTime is the mean (ms), the mean square (ms²) and the number of samples.
+	// ServiceTime holds the mean (ms), the mean square (ms²) and the number of samples.
 	ServiceTime [3]float64 `json:"Latency"`
-	// LatencyPerWork follows the latency of a unit of work over all servers, ms.
+	// LatencyPerWork is the trend of the latency per unit of work over all servers, ms.
 	LatencyPerWork TrendSnapshot `json:"Jam"`
-	// FetchLatency follows the latency of fetches, ms.
+	// FetchLatency is the trend of the latency of fetches, ms.
 	FetchLatency TrendSnapshot `json:"Origin"`
-	// FetchLimit bounds the fetches in flight.
+	// FetchLimit is the limit on the fetches in flight.
 	FetchLimit float64 `json:"Fetches"`
-	// ToleratedWaitShare is the least share of the time left that a queue may take.
+	// ToleratedWaitShare is the share of the remaining time that a queue may take for a request of
+	// the lowest priority.
 	ToleratedWaitShare float64 `json:"Bear"`
-	// IdleTimeoutMillis is how long idle connections are kept.
+	// IdleTimeoutMillis is how long idle connections are kept open.
 	IdleTimeoutMillis float64 `json:"Keep"`
 }
 
-// ServerSnapshot is what is known of a server. The fields are those of the server's record.
+// ServerSnapshot is the record of one server. Its fields correspond to those of the server type.
 type ServerSnapshot struct {
 	Endpoint
-	// IsListed says that the endpoint list names it.
+	// IsListed says that the endpoint list contains the server.
 	IsListed bool `json:"Listed"`
-	// IsEjected says that it is left out for its failures.
+	// IsEjected says that outlier detection has ejected the server.
 	IsEjected bool `json:"Ejected"`
-	// AcceptedShare is the share of attempts that it accepts.
+	// AcceptedShare is the EWMA of the share of attempts that succeed.
 	AcceptedShare float64 `json:"Accept"`
-	// Evidence is the evidence for a fault of its own.
+	// Evidence is the CUSUM statistic of a fault of this server.
 	Evidence float64 `json:"Doubt"`
-	// FailureShare is the share of attempts that fail.
+	// FailureShare is the EWMA of the share of attempts that fail.
 	FailureShare float64 `json:"Fails"`
-	// Unanswered counts the signs of silence since the last reply.
+	// Unanswered is the number of attempts and health checks without an answer since the last
+	// reply.
 	Unanswered int `json:"Strikes"`
-	// ProbeAt is when it may be probed, ms.
+	// ProbeAt is when the ejected server may get a probe, ms.
 	ProbeAt float64 `json:"Trial"`
-	// EjectionMillis is the pause before that.
+	// EjectionMillis is the time from ejection to ProbeAt, before jitter.
 	EjectionMillis float64 `json:"Pause"`
-	// ForcedProbeAt is when it must be probed, ms.
+	// ForcedProbeAt is when the ejected server must get a probe, ms.
 	ForcedProbeAt float64 `json:"Overdue"`
-	// StartedAt is when it started, ms; absent: long ago.
+	// StartedAt is when the server started, ms; absent = long ago.
 	StartedAt *float64 `json:"Fresh"`
-	// Budget is what is left of its slow-start budget, in requests.
+	// Budget is the rest of the server's slow-start budget, in requests.
 	Budget SumSnapshot `json:"Budget"`
-	// Work is the work sent by this router.
+	// Work is the decaying sum of the work that this router sent.
 	Work SumSnapshot `json:"Sent"`
-	// LastReport is the last load report that was used.
+	// LastReport is the last load report that was accepted.
 	LastReport LoadReport `json:"Last"`
-	// ReportedPerSecond is its rate of requests by that report.
+	// ReportedPerSecond is the server's rate of requests in that report.
 	ReportedPerSecond float64 `json:"QPS"`
-	// ReportedAt is the time of that report, ms; absent: never.
+	// ReportedAt is when that report arrived, ms; absent = never.
 	ReportedAt *float64 `json:"Heard"`
-	// CapacityPerSecond follows what it can serve.
+	// CapacityPerSecond is the trend of the server's capacity.
 	CapacityPerSecond TrendSnapshot `json:"Capacity"`
-	// LatencyPerWork follows its latency for a unit of work, ms.
+	// LatencyPerWork is the trend of the server's latency per unit of work, ms.
 	LatencyPerWork TrendSnapshot `json:"Latency"`
 	// LastReplyAt is the time of the last reply, ms.
 	LastReplyAt float64 `json:"Reply"`
-	// LatestAnsweredSentAt is when the latest of the answered attempts was sent, ms.
+	// LatestAnsweredSentAt is when the most recently sent of the answered attempts was sent, ms.
 	LatestAnsweredSentAt float64 `json:"Passed"`
 	// LastSentAt is when the last attempt was sent, ms.
 	LastSentAt float64 `json:"Used"`
@@ -96,13 +98,13 @@
 type KeySnapshot struct {
 	// ID is the key.
 	ID uint64 `json:"ID"`
-	// Arrivals counts its requests.
+	// Arrivals counts the key's requests.
 	Arrivals SumSnapshot `json:"Rate"`
 	// MeanWork is the mean work of a request.
 	MeanWork float64 `json:"Work"`
 }
 
-// SumSnapshot is a decaying sum, or a budget, as it stands.
+// SumSnapshot is a decaying sum, or a slow-start budget, at a time.
 type SumSnapshot struct {
 	// Value is the sum at UpdatedAt.
 	Value float64 `json:"V"`
@@ -110,11 +112,11 @@
 	UpdatedAt float64 `json:"At"`
 }
 
-// TrendSnapshot is a trend as it stands.
+// TrendSnapshot is a trend at a time.
 type TrendSnapshot struct {
 	// Value is the EWMA.
 	Value float64 `json:"V"`
-	// Floor is the value while nothing is wrong.
+	// Floor is the estimate of the value without faults.
 	Floor float64 `json:"Floor"`
 	// UpdatedAt is the time of the last sample, ms.
 	UpdatedAt float64 `json:"At"`
@@ -125,7 +127,7 @@
 func (t trend) snapshot() TrendSnapshot     { return TrendSnapshot{t.value, t.floor, t.updatedAt} }
 func (t TrendSnapshot) restore() trend      { return trend{t.Value, t.Floor, t.UpdatedAt} }
 
-// finiteOrAbsent leaves out an instant of -Inf, which JSON can't hold.
+// finiteOrAbsent returns nil for an instant of -Inf, which JSON can't represent.
 func finiteOrAbsent(at float64) *float64 {
 	if math.IsInf(at, 0) {
 		return nil
@@ -133,7 +135,7 @@
 	return &at
 }
 
-// orNever reads an instant that may be absent.
+// orNever returns the instant, or -Inf if it is absent.
 func orNever(at *float64) float64 {
 	if at == nil {
 		return math.Inf(-1)
@@ -141,11 +143,12 @@
 	return *at
 }
 
-// isWithin says whether a value is within bounds; NaN is not.
+// isWithin reports whether a value is within bounds; NaN is not.
 func isWithin(v, low, high float64) bool { return v >= low && v <= high }
 
-// HandOver returns the state for a process that is to work beside this one. It changes this Balancer
-// too: half of what is left of each slow-start budget goes to the other. Call it once a successor.
+// HandOver returns the state for a process that will run beside this one. It also changes this
+// Balancer: half of the rest of each slow-start budget goes to the other process. It must be called
+// once per successor.
 func (b *Balancer) HandOver(now float64) Snapshot {
 	b.begin(now)
 	state := Snapshot{
@@ -203,11 +206,11 @@
 	}
 }
 
-// TakeOver takes the state of the process before this one, before the first list and the first
-// request. What operators have disabled holds in any case; of what was learnt, nothing is taken if
-// the start time, the fetch limit, the tolerated wait or the idle timeout are out of bounds, as where
-// the clocks of the two disagree. The records of servers and keys are not checked. It returns ErrNotFirst after
-// another event, and ErrImpossibleSnapshot.
+// TakeOver restores the state of the previous process, before the first endpoint list and the first
+// request. Servers that operators have disabled are always restored. If the start time, the fetch
+// limit, the tolerated wait or the idle timeout is out of bounds, for example because the clocks of
+// the two processes disagree, nothing else is restored and the error is ErrImpossibleSnapshot. The
+// records of servers and keys are not checked. After another event the error is ErrNotFirst.
 func (b *Balancer) TakeOver(now float64, state Snapshot) error {
 	if b.startedAt >= 0 {
 		return ErrNotFirst
@@ -237,7 +240,7 @@
 	return nil
 }
 
-// isPossible says whether the values of a snapshot can be true.
+// isPossible reports whether the checked values of a snapshot are within their bounds.
 func (s *Snapshot) isPossible(now float64) bool {
 	return isWithin(s.FetchLimit, 0, maxFetchLimit) &&
 		isWithin(s.ToleratedWaitShare, 0, maxSnapshotToleratedWait) &&
@@ -245,7 +248,7 @@
 		isWithin(s.StartedAt, 0, now+maxClockDifferenceMillis)
 }
 
-// restoreServers takes the list of the process before this one, and what it knew of its servers.
+// restoreServers restores the endpoint list and the server records of the previous process.
 func (b *Balancer) restoreServers(now float64, servers []ServerSnapshot) {
 	entries := make([]Endpoint, 0, len(servers))
 	for _, s := range servers {
--- a/decide/handover_fixture_test.go
+++ b/decide/handover_fixture_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// The files in testdata were written by the program as it was before its names were changed:
-// handover.json is what it handed over at fixtureHandOverMillis with servers disabled, ejected,
-// cold, draining and removed, and handover_continued.json what a process of it did that took over:
-// where it sent the requests of playFixture, and what it handed on in turn.
+// The files in testdata were written by a release with other Go names. handover.json is a state
+// handed over at fixtureHandOverMillis, with servers that are disabled, ejected, cold, draining and
+// removed. handover_continued.json is what a process of that release did after it took over that
+// state: where it sent the requests of playFixture, and the state that it handed over in turn.
 const (
 	fixtureHandOverMillis  = 110000.0
 	fixtureContinuedMillis = 114000.0
@@ -28,7 +28,8 @@
 	return cfg
 }
 
-// playFixture sends a request every 20 ms and answers each attempt by rules that follow from ids only.
+// playFixture sends a request every 20 ms and answers each attempt by rules that depend only on
+// IDs.
 func playFixture(b *Balancer, h *fakeHost, from, to float64, firstID uint32) {
 	servers := fleet(8)
 	id := firstID
@@ -49,7 +50,7 @@
 				o.Status = Reset
 				o.IsFinal = false
 			case s.server == servers[2].ID && s.id%2 == 0:
-				continue // never comes back
+				continue // never answered
 			case s.id%11 == 0 && s.server != 77:
 				o.Status = Miss
 				o.IsFinal = false
@@ -78,9 +79,9 @@
 	}
 }
 
-// An upgrade starts a new process beside an old one, which hands it what it has learnt. The new one
-// must understand every field: it goes on to send each request to the server that the old program
-// would have chosen, and hands on the same state in the same words.
+// Guards against a field of a handed-over state that changes its meaning between releases: after an
+// upgrade, the new process must send each request to the server that the old release would have
+// chosen, and hand over the same state under the same JSON names.
 func TestStateOfTheEarlierProgramMeansTheSame(t *testing.T) {
 	var state Snapshot
 	readFixture(t, "handover.json", &state)
@@ -98,11 +99,11 @@
 	playFixture(b, h, fixtureHandOverMillis+10, fixtureContinuedMillis, 20000)
 
 	if len(h.sends) != len(want.Sends) {
-		t.Errorf("%d sends, the earlier program made %d", len(h.sends), len(want.Sends))
+		t.Errorf("%d sends, the earlier release made %d", len(h.sends), len(want.Sends))
 	}
 	for i, s := range h.sends[:min(len(h.sends), len(want.Sends))] {
 		if w := want.Sends[i]; s.id != w[0] || s.server != w[1] {
-			t.Fatalf("send %d: request %d to server %d, the earlier program sent %d to %d", i, s.id, s.server,
+			t.Fatalf("send %d: request %d to server %d, the earlier release sent %d to %d", i, s.id, s.server,
 				w[0], w[1])
 		}
 	}
@@ -111,11 +112,12 @@
 		t.Fatal(err)
 	}
 	if got, wanted := asMaps(t, text), asMaps(t, want.HandedOn); !reflect.DeepEqual(got, wanted) {
-		t.Errorf("handed on %v, the earlier program handed on %v", got, wanted)
+		t.Errorf("handed over %v, the earlier release handed over %v", got, wanted)
 	}
 }
 
-// A state that is read and written again keeps every field and its name, those that are absent among them.
+// Guards against a state that loses or renames fields, absent ones included, when it is read and
+// written.
 func TestStateOfTheEarlierProgramKeepsItsBytes(t *testing.T) {
 	var state Snapshot
 	readFixture(t, "handover.json", &state)
@@ -130,7 +132,7 @@
 	}
 }
 
-// asMaps reads JSON without the module's types.
+// asMaps decodes JSON without the types of this package.
 func asMaps(t *testing.T, text []byte) (v any) {
 	t.Helper()
 	if err := json.Unmarshal(text, &v); err != nil {
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -1,41 +1,43 @@
 package decide
 
 const (
-	// checksPerArrival is the number of health checks that each request pays for at most. With a
-	// bound on the age of reports instead, a router of a large fleet would send many for each.
+	// checksPerArrival is the largest number of health checks that each request adds to the budget.
+	// A bound on the age of reports instead would make a router of a large fleet send many per
+	// request.
 	checksPerArrival = 0.15
-	// maxHealthChecks is the number of checks that can be saved up.
+	// maxHealthChecks is the largest budget that can accumulate.
 	maxHealthChecks = 4
-	// healthCheckMillis is the least time between two checks of a server.
+	// healthCheckMillis is the shortest time between two checks of a server.
 	healthCheckMillis = 700
-	// enoughReporting is the number of servers that have to report until their kinds are known.
+	// enoughReporting is the number of servers whose reports suffice to know the capacities by
+	// kind.
 	enoughReporting = 24
 )
 
-// healthChecks is which server is checked next, and how many checks may be sent.
+// healthChecks holds the budget of health checks and the position of the next server.
 type healthChecks struct {
 	// budget is the number of checks that may be sent now.
 	budget float64
-	// next is the place of the next server.
+	// next is the index of the next server.
 	next int
 }
 
-// earnHealthChecks adds what an arrival pays for.
+// earnHealthChecks adds to the budget of health checks for an arrival.
 func (b *Balancer) earnHealthChecks() {
 	earned := checksPerArrival * b.usefulCheckShare()
 	b.healthChecks.budget = min(maxHealthChecks, b.healthChecks.budget+earned)
 }
 
-// usefulCheckShare is the share of the health checks paid for which are worth sending: all until
-// two dozen servers have reported, then as many as keep reports fresh. Where a server's
-// report is old long before its next, reports tell little and cost more.
+// usefulCheckShare returns the share of the possible health checks that are worth sending: all
+// until two dozen servers have reported, then as many as keep reports up to date. If a server's
+// report is outdated long before its next one, checks give little information for their cost.
 func (b *Balancer) usefulCheckShare() float64 {
-	perSecond := checksPerArrival * b.perSecond(&b.arrivals, trafficTimeConstantMillis)
-	perServer := perSecond * trafficTimeConstantMillis / millisPerSecond / max(1, float64(len(b.membership.caches)))
+	checksPerSecond := checksPerArrival * b.perSecond(&b.arrivals, trafficTimeConstantMillis)
+	perServer := checksPerSecond * trafficTimeConstantMillis / millisPerSecond / max(1, float64(len(b.membership.caches)))
 	return max(1-b.capacities.reporting/enoughReporting, min(1, perServer))
 }
 
-// checkIfDue sends a health check to a server if one may be sent, and reports whether it did.
+// checkIfDue sends a health check to a server if it is due and allowed, and reports whether it did.
 func (b *Balancer) checkIfDue(s *server) bool {
 	if !b.cfg.LoadByHealthCheck || !b.cfg.HealthChecks || s.isDisabled {
 		return false
@@ -49,7 +51,8 @@
 	return true
 }
 
-// HealthCheckEnded takes the result of a health check. One that got no answer is a sign of silence.
+// HealthCheckEnded handles the result of a health check. One without an answer counts as
+// unanswered.
 func (b *Balancer) HealthCheckEnded(now float64, serverID uint32, status AttemptStatus, l LoadReport) {
 	b.begin(now)
 	s := b.membership.servers[serverID]
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -4,41 +4,43 @@
 	"testing"
 )
 
-// A router of a large fleet sees few requests. It must send fewer health checks than requests, to
-// the servers in turn.
+// Guards against a router of a large fleet that sends more health checks than requests, or always
+// to the same servers.
 func TestHealthChecksAreAPartOfTheRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
 	cfg.HealthChecks = true
 	cfg.Routers = 600
 	b, h := start(t, cfg, fleet(100))
-	n := uint32(0)
+	requests := uint32(0)
 	for now := 100000.0; now < 160000; now += 100 {
 		b.TimerExpired(now, housekeepingToken)
-		if int(now)%400 == 0 { // 2.5 requests a second
-			n++
-			ask(b, now, n, "read", uint64(n))
-			b.AttemptEnded(now, served(n, h.last().server, 1))
+		if int(now)%400 == 0 { // 2.5 requests per second
+			requests++
+			ask(b, now, requests, "read", uint64(requests))
+			b.AttemptEnded(now, served(requests, h.last().server, 1))
 		}
 	}
-	if most := 0.2 * float64(n); float64(len(h.healthChecks)) > most || len(h.healthChecks) < int(n)/10 {
-		t.Errorf("%d health checks for %d requests, want 0.1 to 0.2 each", len(h.healthChecks), n)
+	if maxChecks := 0.2 * float64(requests); float64(len(h.healthChecks)) > maxChecks ||
+		len(h.healthChecks) < int(requests)/10 {
+		t.Errorf("%d health checks for %d requests, want 0.1 to 0.2 each", len(h.healthChecks), requests)
 	}
-	seen := map[uint32]bool{}
+	checked := map[uint32]bool{}
 	for _, id := range h.healthChecks {
-		seen[id] = true
+		checked[id] = true
 	}
-	if len(seen) != len(h.healthChecks) {
-		t.Errorf("%d health checks went to %d servers: want them in turn", len(h.healthChecks), len(seen))
+	if len(checked) != len(h.healthChecks) {
+		t.Errorf("%d health checks went to %d servers: want them in turn", len(h.healthChecks), len(checked))
 	}
 }
 
-// A router of a large fleet would meet each server's report once in a minute. It must nearly stop
-// its health checks once the kinds are known; a router of a small one must go on.
+// Guards against useless health checks: a router of a large fleet would get each server's report
+// only once per minute. It must nearly stop its checks once the capacities by kind are known, while
+// a router of a small fleet must continue.
 func TestHealthChecksStopWhereTheyTellLittle(t *testing.T) {
 	for _, c := range []struct {
-		servers, perSecond int
-		least, most        float64 // health checks for each arrival, late in the day
+		servers, perSecond   int
+		minChecks, maxChecks float64 // health checks per arrival after 15 s
 	}{{12, 100, 0.14, 0.16}, {150, 17, 0.005, 0.03}} {
 		cfg := testConfig()
 		cfg.Routers = 300
@@ -46,7 +48,7 @@
 		cfg.HealthChecks = true
 		b, h := start(t, cfg, fleet(c.servers))
 		id := uint32(0)
-		late := 0
+		checksLater := 0
 		for i := range 30 * c.perSecond {
 			now := 100010 + float64(i)*1000/float64(c.perSecond)
 			id++
@@ -59,15 +61,15 @@
 				b.HealthCheckEnded(now+3, s, OK, loadReport(20+float64(i%7), 0.4))
 			}
 			if i >= 15*c.perSecond {
-				late += len(h.healthChecks)
+				checksLater += len(h.healthChecks)
 			}
 			h.healthChecks = h.healthChecks[:0]
 		}
-		// At the least 700 ms pass between two checks of a server.
-		most := min(c.most, float64(c.servers)/0.7/float64(c.perSecond))
-		if got := float64(late) / float64(15*c.perSecond); got < min(c.least, 0.8*most) || got > most {
-			t.Errorf("%d servers at %d a second: %.3f health checks for each arrival, want %.3f to %.3f",
-				c.servers, c.perSecond, got, c.least, most)
+		// At least 700 ms pass between two checks of a server.
+		maxChecks := min(c.maxChecks, float64(c.servers)/0.7/float64(c.perSecond))
+		if got := float64(checksLater) / float64(15*c.perSecond); got < min(c.minChecks, 0.8*maxChecks) || got > maxChecks {
+			t.Errorf("%d servers at %d requests per second: %.3f health checks per arrival, want %.3f to %.3f",
+				c.servers, c.perSecond, got, c.minChecks, maxChecks)
 		}
 	}
 }
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -1,35 +1,36 @@
 package decide
 
 const (
-	// minServiceMillis is the least time that an attempt is thought to take for a unit of work.
+	// minServiceMillis is the shortest assumed service time of a unit of work.
 	minServiceMillis = 5
-	// minPatienceWork is the least work that an attempt is waited for: hints are rough, and what a
-	// server needs besides is not in them.
+	// minPatienceWork is the least work that a soft timeout allows for. Hints are inaccurate, and
+	// they omit the part of the service time that does not depend on the work.
 	minPatienceWork = 0.5
-	// patienceFactor is the multiple of the expected time that an attempt is waited for at least.
+	// patienceFactor is the smallest soft timeout, as a multiple of the expected time.
 	patienceFactor = 1.2
-	// maxPatienceFactor is the multiple that it is waited for at most, if another attempt can be in
-	// time after that, which needs nextAttemptFactor of the expected time.
+	// maxPatienceFactor is the largest soft timeout, as a multiple of the expected time. It is used
+	// if it leaves nextAttemptFactor times the expected time for another attempt.
 	maxPatienceFactor = 3
 	nextAttemptFactor = 1.5
-	// unknownServerShare is the share of the remaining time that a server gets that is probed or
-	// not known: it answers over a new connection, perhaps from another zone, and ended early it
-	// would stay out for good.
+	// unknownServerShare is the smallest soft timeout at a server that is probed or has no known
+	// latency, as a share of the remaining time. Such a server answers over a new connection,
+	// perhaps from another zone, and would stay ejected if its probes were ended early.
 	unknownServerShare = 0.75
-	// overtakenFactor is the part of the time waited by which an overtaken attempt is waited for
-	// again.
+	// overtakenFactor is the next soft timeout of an attempt that is overtaken, or is a fetch, as a
+	// multiple of the time since its send.
 	overtakenFactor = 0.5
 
-	// lostWeight is the weight of an overtaken attempt in the lost share: over five.
+	// lostWeight is the EWMA weight of an overtaken attempt in the lost share: about five attempts.
 	lostWeight = 0.2
-	// mostlyLost is the lost share from which an overtaken attempt is cancelled at once.
+	// mostlyLost is the lost share from which an overtaken attempt is canceled at once.
 	mostlyLost = 0.5
-	// lostDecay lowers the share with each one cancelled at once, as that shows nothing: soon the
-	// next one is waited for.
+	// lostDecay multiplies the lost share for each attempt canceled at once, as its answer is never
+	// seen. After a few of them, one is waited for again.
 	lostDecay = 0.97
 )
 
-// patienceMillis is how long an attempt at a cache server is waited for before something is done.
+// patienceMillis returns the soft timeout of an attempt at a cache server: when it is hedged or
+// canceled.
 func (b *Balancer) patienceMillis(r *request, s *server) float64 {
 	service := max(s.load.latencyPerWork.floor, b.serviceTime.mean/2, minServiceMillis)
 	expected := service*max(minPatienceWork, r.work) + b.expectedWaitMillis(s)
@@ -41,8 +42,8 @@
 	return patience
 }
 
-// patienceEnded acts on an attempt that takes longer than its patience: it is hedged, or cancelled
-// for another server. A server that has answered others since it was sent is not suspected.
+// patienceEnded handles an expired soft timeout: the attempt is hedged, or canceled for a retry. A
+// server that has answered other attempts since this one was sent is not suspected.
 func (b *Balancer) patienceEnded(r *request, number int) {
 	if number >= len(r.attempts) || r.attempts[number].hasEnded {
 		return
@@ -51,7 +52,7 @@
 	isFetch := a.server == b.membership.origin
 	if b.now >= r.objectiveAt && !isFetch {
 		if r.class.LateWeight == 0 && b.mayCancel(r) {
-			b.host.Cancel(r.ID, number) // its answer is worth nothing, and others' work goes first
+			b.host.Cancel(r.ID, number) // its answer would be worth nothing, and it delays other requests
 		}
 		return
 	}
@@ -72,12 +73,12 @@
 	}
 }
 
-// mayCancel says whether an attempt of a request may be cancelled and made again.
+// mayCancel reports whether an attempt of a request may be canceled and repeated.
 func (b *Balancer) mayCancel(r *request) bool {
 	return b.cfg.CancelAllowed && r.class.Effect == Idempotent
 }
 
-// hedge sends a second attempt beside the first, if a server has capacity for it.
+// hedge sends a second attempt beside the first, if there is a server for it.
 func (b *Balancer) hedge(r *request) {
 	if s := b.pick(r); s != nil {
 		b.retryBudget--
@@ -85,10 +86,10 @@
 	}
 }
 
-// cancelForAnother cancels an attempt if another server would take the request in time; else that
-// would cost a connection and gain nothing. Its end leads to a retry.
+// cancelForAnother cancels an attempt if another server can take the request in time. Otherwise a
+// cancellation would cost a connection and gain nothing. The end of the attempt leads to a retry.
 func (b *Balancer) cancelForAnother(r *request, number int) {
-	r.inFlight-- // pick is asked as if the attempt had ended
+	r.inFlight-- // pick must decide as if the attempt had ended
 	s := b.pick(r)
 	r.inFlight++
 	if s != nil && b.mayCancel(r) {
@@ -98,8 +99,9 @@
 	}
 }
 
-// overtakenPatienceEnded acts on a fetch, or on an attempt whose server has answered others since:
-// it is lost, or heavy, and waited for half as long again unless most such were lost.
+// overtakenPatienceEnded handles an expired soft timeout of a fetch, or of an attempt whose server
+// has answered other attempts since. The attempt is either lost or heavy. It gets half as much time
+// again, unless most overtaken attempts were lost recently.
 func (b *Balancer) overtakenPatienceEnded(r *request, number int) {
 	a := &r.attempts[number]
 	mayRetry := !b.cfg.HedgingAllowed && b.mayCancel(r) && b.retryBudget >= 1
@@ -113,8 +115,9 @@
 	b.host.SetTimer(overtakenFactor*(b.now-a.sentAt), attemptToken(r.ID, number))
 }
 
-// recordOvertaken records an attempt past its patience that later ones have overtaken, and says
-// whether it is taken for lost: the second time, or at once where most were.
+// recordOvertaken records the expired soft timeout of an attempt that later ones have overtaken. It
+// reports whether the attempt counts as lost: at the second expiry, or at the first if most were
+// lost.
 func (b *Balancer) recordOvertaken(a *attempt) bool {
 	isSecondTime := a.wasOvertaken
 	areMostLost := b.lostShare > mostlyLost
@@ -127,12 +130,13 @@
 	return isSecondTime || areMostLost
 }
 
-// overtakenAnswered takes that an overtaken attempt was answered after all.
+// overtakenAnswered records that an overtaken attempt was answered.
 func (b *Balancer) overtakenAnswered() { b.lostShare -= lostWeight * b.lostShare }
 
-// observeStall takes that a server has let an attempt's patience end without a reply to any: a
-// fault is known a second before the timeout. Where servers are rarely asked, the key that meets a
-// long queue most likely makes it, and counts as hotter than it was seen.
+// observeStall records the expired soft timeout of an attempt at a server that has not replied to
+// anything since the send. That detects a fault about a second before the timeout. If servers
+// rarely get requests from this router, the key of a stalled request has most likely caused the
+// long queue itself, and is counted as hotter than the arrivals show.
 func (b *Balancer) observeStall(r *request, s *server) {
 	r.key.arrivals.add(b.now, b.keyTimeConstantMillis(), b.rarelyAskedShare())
 	b.recordWait(s, r.class.LatencyObjectiveMillis)
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fakeHost records the actions of a Balancer.
+// fakeHost is a Host that records its calls.
 type fakeHost struct {
 	acts         []string
 	sends        []sent
@@ -61,7 +61,7 @@
 
 func (h *fakeHost) last() sent { return h.sends[len(h.sends)-1] }
 
-// answers is the number of final answers that a request got from the Balancer itself.
+// answers returns the number of final answers that a request got from the Balancer itself.
 func (h *fakeHost) answers(id uint32) int { return h.rejected[id] + h.failed[id] }
 
 func testConfig() Config {
@@ -81,7 +81,7 @@
 	}
 }
 
-// cacheAsideConfig is testConfig for servers that leave misses to the router.
+// cacheAsideConfig returns testConfig with servers that leave misses to the router.
 func cacheAsideConfig() Config {
 	cfg := testConfig()
 	cfg.CacheAside = true
@@ -89,28 +89,28 @@
 	return cfg
 }
 
-// fleet lists n ready servers with ids that are spread like real ones.
+// fleet returns n ready servers with IDs distributed like real ones.
 func fleet(n int) []Endpoint {
-	var es []Endpoint
+	var endpoints []Endpoint
 	for i := range n {
 		id := uint32(splitMix64(uint64(i + 1)))
-		es = append(es, Endpoint{ID: id, Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
+		endpoints = append(endpoints, Endpoint{ID: id, Size: 1, Zone: string(rune('a' + i%2)), Cell: i / 3})
 	}
-	return es
+	return endpoints
 }
 
-func start(t testing.TB, cfg Config, es []Endpoint) (*Balancer, *fakeHost) {
+func start(t testing.TB, cfg Config, endpoints []Endpoint) (*Balancer, *fakeHost) {
 	t.Helper()
 	h := newHost()
 	b, err := New(cfg, 7, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.UpdateEndpoints(100000, RestoredEndpoints, es)
+	b.UpdateEndpoints(100000, RestoredEndpoints, endpoints)
 	return b, h
 }
 
-// read is a request for a key that has time and worth to spare.
+// read returns a request for a key, with enough time and priority to be sent.
 func read(b *Balancer, k *keyTraffic) *request {
 	return &request{maxAttempts: b.cfg.MaxAttempts, class: &b.cfg.Classes[0], key: k, work: 1, priority: 1,
 		deadlineAt: b.now + 600, objectiveAt: b.now + 300}
@@ -120,14 +120,14 @@
 	b.Request(now, Request{ID: id, Class: class, Key: key, HasKey: true, RemainingMillis: 600})
 }
 
-// fill leaves a server with so much outstanding that a further request would be late.
+// fill gives a server so many requests that a further one would be late.
 func fill(b *Balancer, s *server) {
 	s.load.capacityPerSecond.update(b.now, 10, 1)
 	s.load.latencyPerWork.update(b.now, 100, 1)
 	s.attempts.inFlight = 30
 }
 
-// homeOf is where a request of the key goes when nothing is wrong.
+// homeOf sends and answers a request of the key and returns its server: the home, if it is in use.
 func homeOf(t *testing.T, b *Balancer, h *fakeHost, now float64, id uint32, key uint64) uint32 {
 	t.Helper()
 	n := len(h.sends)
@@ -139,7 +139,7 @@
 	return h.last().server
 }
 
-// sent counts the requests that a server gets at one moment, of many that have their home there.
+// sentAtOnce sends 200 requests of a key at one time and returns how many went to the given server.
 func sentAtOnce(b *Balancer, h *fakeHost, now float64, id *uint32, key uint64, to uint32) (n int) {
 	was := len(h.sends)
 	for range 200 {
@@ -154,31 +154,31 @@
 	return n
 }
 
-// served is the outcome of a first attempt that answered its request.
+// served returns the outcome of a first attempt that answered its request.
 func served(requestID, serverID uint32, millis float64) Outcome {
 	o := ended(requestID, serverID, OK, millis)
 	o.IsFinal = true
 	return o
 }
 
-// ended is the outcome of a first attempt whose request has no final answer yet.
+// ended returns the outcome of a first attempt whose request has no final answer yet.
 func ended(requestID, serverID uint32, status AttemptStatus, millis float64) Outcome {
 	return Outcome{RequestID: requestID, ServerID: serverID, Status: status, LatencyMillis: millis, Load: NoLoadReport}
 }
 
-// ofAttempt is an outcome as that of a later attempt.
+// ofAttempt returns the outcome for a later attempt.
 func ofAttempt(number int, o Outcome) Outcome {
 	o.Attempt = number
 	return o
 }
 
-// withResult is an outcome with what the server says of the key.
+// withResult returns the outcome with a cache result.
 func withResult(result CacheResult, o Outcome) Outcome {
 	o.CacheResult = result
 	return o
 }
 
-// loadReport is a report of a rate and a utilisation alone.
+// loadReport returns a report that has only a rate and a utilization.
 func loadReport(perSecond, utilization float64) LoadReport {
 	l := NoLoadReport
 	l.RequestsPerSecond = perSecond
--- a/decide/housekeeping.go
+++ b/decide/housekeeping.go
@@ -1,27 +1,27 @@
 package decide
 
 const (
-	// housekeepingMillis is the time between two rounds.
+	// housekeepingMillis is the time between two housekeeping runs.
 	housekeepingMillis = 100
-	// housekeepingToken is the token of the housekeeping timer; other tokens hold a request and one
-	// of its attempts.
+	// housekeepingToken is the token of the housekeeping timer. Other tokens contain a request ID
+	// and the number of an attempt.
 	housekeepingToken = 1 << 63
 
-	// attemptBits is the number of low bits of a token that hold an attempt's number plus one; 0
-	// there stands for the request itself.
+	// attemptBits is the number of low bits of a token that contain an attempt's number plus one; 0
+	// there means the request itself.
 	attemptBits = 8
 	attemptMask = 1<<attemptBits - 1
 )
 
-// waitToken is the token of the timer that ends a request's wait for the origin.
+// waitToken returns the token of the timer that ends a request's wait for the origin.
 func waitToken(requestID uint32) uint64 { return uint64(requestID) << attemptBits }
 
-// attemptToken is the token of the timer of an attempt's patience.
+// attemptToken returns the token of an attempt's soft timeout.
 func attemptToken(requestID uint32, number int) uint64 {
 	return waitToken(requestID) | uint64(number+1)
 }
 
-// TimerExpired takes a timer that has expired.
+// TimerExpired handles an expired timer.
 func (b *Balancer) TimerExpired(now float64, token uint64) {
 	b.begin(now)
 	if token == housekeepingToken {
@@ -40,7 +40,7 @@
 	b.serveWaiting()
 }
 
-// housekeep does what is done at intervals: it renews the placement, polls discovery, closes idle
+// housekeep performs the periodic work: it recomputes the placement, polls discovery, closes idle
 // connections and sends health checks.
 func (b *Balancer) housekeep() {
 	b.host.SetTimer(housekeepingMillis, housekeepingToken)
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// idleTimeoutGrowth is the factor by which an answer lengthens the time that idle connections
-	// are kept.
+	// idleTimeoutGrowth is the factor by which an answer increases the idle timeout.
 	idleTimeoutGrowth = 1.01
-	// minIdleTimeoutMillis is the shortest time: closing sooner costs a handshake for each request.
+	// minIdleTimeoutMillis is the shortest idle timeout: a shorter one costs a handshake per
+	// request.
 	minIdleTimeoutMillis = 200
-	// fullTableMillis is how soon after a rejected connection an answer shows that the server is
-	// alive.
+	// fullTableMillis is the time after a refused connection within which an answer shows that the
+	// server is alive and at its connection limit.
 	fullTableMillis = 1000
 )
 
-// adaptIdleTimeout takes that a server has answered. If it has rejected a connection just before,
-// it lives, and its table is full of idle connections: all routers then keep theirs half as long.
+// adaptIdleTimeout adapts the idle timeout to an answer of a server. If the server has just refused
+// a connection, it is alive but at its connection limit because of idle connections. Every router
+// then halves its idle timeout.
 func (b *Balancer) adaptIdleTimeout(s *server) {
 	b.idleTimeoutMillis = min(b.cfg.IdleTimeoutMillis, idleTimeoutGrowth*b.idleTimeoutMillis)
 	if b.now-s.connection.rejectedAt < fullTableMillis {
@@ -23,8 +24,8 @@
 	}
 }
 
-// closeIfIdle closes the idle connections to a server that are kept for too long. Without need they
-// are left to close by themselves.
+// closeIfIdle closes the connections to a server that have exceeded the idle timeout. A timeout
+// that has not been shortened is left to the connections themselves.
 func (b *Balancer) closeIfIdle(s *server) {
 	if !s.connection.mayBeOpen || s.attempts.inFlight > 0 || b.idleTimeoutMillis >= b.cfg.IdleTimeoutMillis {
 		return
--- a/decide/key_traffic.go
+++ b/decide/key_traffic.go
@@ -3,60 +3,62 @@
 import "slices"
 
 const (
-	// trafficTimeConstantMillis is the memory of the rates of arrivals, tenants and fetches.
+	// trafficTimeConstantMillis is the time constant of the rates of arrivals, tenants and fetches.
 	trafficTimeConstantMillis = 5000
-	// maxKeyTimeConstantMillis bounds the memory of key rates at a router that sees little.
+	// maxKeyTimeConstantMillis is the longest time constant of key rates, at a router with few
+	// requests.
 	maxKeyTimeConstantMillis = 60000
-	// keyMemoryArrivals is the number of arrivals that the rates of keys remember, so that one
-	// router of many can tell a hot key at all.
+	// keyMemoryArrivals is the number of arrivals that the time constant of key rates covers, so
+	// that one of many routers sees enough requests to detect a hot key.
 	keyMemoryArrivals = 100
-	// fadedArrivals is the number of arrivals in memory below which a key is forgotten.
+	// fadedArrivals is the decayed number of arrivals below which a key is forgotten.
 	fadedArrivals = 0.02
-	// meanWorkWeight is the weight of a request in the mean work of its key: over five requests.
+	// meanWorkWeight is the EWMA weight of a request in the mean work of its key: about five
+	// requests.
 	meanWorkWeight = 0.2
-	// hintWeight is the weight of a hint in the mean hint: over a hundred requests.
+	// hintWeight is the EWMA weight of a hint in the mean hint: about a hundred requests.
 	hintWeight = 0.01
-	// minWork and maxWork bound a request's work in units of the mean, as hints are rough.
+	// minWork and maxWork bound a request's work in units of the mean, as hints are inaccurate.
 	minWork = 0.05
 	maxWork = 50
 )
 
-// keyTable is the traffic of all keys in memory.
+// keyTable holds the traffic of all remembered keys.
 type keyTable struct {
 	// byID finds a key's traffic.
 	byID map[uint64]*keyTraffic
-	// all lists the same in the order of arrival, which makes the solver deterministic.
+	// all lists the same in the order of first arrival, which makes the solver deterministic.
 	all []*keyTraffic
 }
 
-// keyTraffic is the traffic of a key and where its value is.
+// keyTraffic holds the traffic of a key and the location of its value.
 type keyTraffic struct {
 	// id is the key.
 	id uint64
-	// arrivals counts its requests over keyTimeConstantMillis.
+	// arrivals counts the key's requests over keyTimeConstantMillis.
 	arrivals decayingSum
 	// meanWork is the mean work of a request.
 	meanWork float64
-	// hashEpoch is the number of the hash table that hashList comes from.
+	// hashEpoch is the version of the hash table that hashList was made from.
 	hashEpoch int
-	// hashList is its memento-hash list of servers.
+	// hashList is the key's memento-hash list of servers.
 	hashList []*server
-	// copies are the servers that the solver has split it over; nil = not split.
+	// copies are the servers that the solver has split the key over; nil = not split.
 	copies []*server
-	// shares are the copies' shares of its requests, adding up to 1.
+	// shares are the copies' shares of the key's requests. They add up to 1.
 	shares []float64
-	// fetch is the request that asks the origin for its value; nil = none.
+	// fetch is the request that fetches the value from the origin; nil = none.
 	fetch *request
-	// storedAt is when a fetch last came back, or the value was last found, ms; 0 = not known.
+	// storedAt is when the value was last fetched or found on a server, ms; 0 = unknown.
 	storedAt float64
-	// storedOn is the server where the value was then.
+	// storedOn is the server that had the value then.
 	storedOn *server
 }
 
-// channelLoad orders keys by λ_i/μ_i, but for the time constant, which is the same for all keys.
+// channelLoad orders keys by λ_i/μ_i. It omits the time constant, which all keys have in common.
 func (k *keyTraffic) channelLoad() float64 { return k.arrivals.value * k.meanWork }
 
-// trafficOf finds the record of a request's key. A request without a key gets a random place.
+// trafficOf returns the record of a request's key. A request without a key gets a random one.
 func (b *Balancer) trafficOf(q Request) *keyTraffic {
 	if !q.HasKey {
 		return &keyTraffic{id: b.rng.Uint64(), meanWork: 1}
@@ -70,34 +72,34 @@
 	return k
 }
 
-// countArrival adds a request to its key's traffic.
+// countArrival adds a request to the traffic of its key.
 func (b *Balancer) countArrival(k *keyTraffic, work float64) {
 	k.meanWork += meanWorkWeight * (work - k.meanWork)
 	k.arrivals.add(b.now, b.keyTimeConstantMillis(), 1)
 }
 
-// keyTimeConstantMillis is the memory of key rates.
+// keyTimeConstantMillis returns the time constant of key rates.
 func (b *Balancer) keyTimeConstantMillis() float64 {
 	perSecond := b.perSecond(&b.arrivals, trafficTimeConstantMillis)
-	remembered := keyMemoryArrivals * millisPerSecond / max(1, perSecond)
-	return min(maxKeyTimeConstantMillis, max(trafficTimeConstantMillis, remembered))
+	memoryMillis := keyMemoryArrivals * millisPerSecond / max(1, perSecond)
+	return min(maxKeyTimeConstantMillis, max(trafficTimeConstantMillis, memoryMillis))
 }
 
-// currentKeys brings all rates up to now, forgets keys that have faded, and returns the others in a
-// slice of the caller's own.
+// currentKeys decays all rates to the current time, forgets keys with hardly any traffic, and
+// returns a copy of the list of the others.
 func (b *Balancer) currentKeys() []*keyTraffic {
 	timeConstant := b.keyTimeConstantMillis()
 	b.keys.all = slices.DeleteFunc(b.keys.all, func(k *keyTraffic) bool {
-		hasFaded := k.arrivals.decayTo(b.now, timeConstant) < fadedArrivals && k.fetch == nil
-		if hasFaded {
+		isForgotten := k.arrivals.decayTo(b.now, timeConstant) < fadedArrivals && k.fetch == nil
+		if isForgotten {
 			delete(b.keys.byID, k.id)
 		}
-		return hasFaded
+		return isForgotten
 	})
 	return slices.Clone(b.keys.all)
 }
 
-// workOf is a request's work by its hint, in units of the mean request.
+// workOf returns a request's work according to its hint, in units of the mean request.
 func (b *Balancer) workOf(hint float64) float64 {
 	if hint <= 0 || !isUsable(hint) {
 		return 1
--- a/decide/load_report.go
+++ b/decide/load_report.go
@@ -3,35 +3,35 @@
 import "slices"
 
 const (
-	// capacityWeight is the weight of a report in a server's capacity: over five reports, as they
-	// are noisy.
+	// capacityWeight is the EWMA weight of a report in a server's capacity: about five reports, as
+	// they are noisy.
 	capacityWeight = 0.2
-	// minReportedUtilization is the utilisation below which a report tells nothing of capacity.
+	// minReportedUtilization is the utilization up to which a report is not used for capacity.
 	minReportedUtilization = 0.03
-	// maxReportedUtilization bounds absurd reports.
+	// maxReportedUtilization bounds implausible reports.
 	maxReportedUtilization = 1.5
 	// kindPriorReports is the number of reports of the mean server that are added to those of a
 	// kind, so that one noisy report moves few keys.
 	kindPriorReports = 3
-	// defaultChannels is the number of channels of a server where nothing was reported; without it
-	// the first second of a router would overload all servers.
+	// defaultChannels is the number of channels of a server if nothing was reported. Without it, a
+	// new router would overload all servers in its first second.
 	defaultChannels = 4
-	// allKinds is the entry of all servers in typicalByKind.
+	// allKinds is the entry for all servers in typicalByKind.
 	allKinds = ""
 )
 
-// capacityModel is what load reports tell of capacities.
+// capacityModel holds the capacities that follow from load reports.
 type capacityModel struct {
-	// typicalByKind is the capacity (requests a second) for a unit of size by kind, and of all
+	// typicalByKind is the capacity (requests per second) per unit of size by kind, and of all
 	// servers under allKinds.
 	typicalByKind map[string]float64
 	// reporting is the number of servers that have reported.
 	reporting float64
-	// hasSizes says that the list gives the size of each server.
+	// hasSizes says that the endpoint list gives the size of each server.
 	hasSizes bool
 }
 
-// learnLoad takes a load report; absent and absurd figures, and a repeated report, are ignored.
+// learnLoad applies a load report. Absent or implausible figures and repeated reports are ignored.
 func (b *Balancer) learnLoad(s *server, l LoadReport) {
 	if !isUsable(l.RequestsPerSecond) || !isUsable(l.Utilization) || l == s.load.lastReport {
 		return
@@ -46,10 +46,10 @@
 	s.load.capacityPerSecond.update(b.now, capacity, capacityWeight)
 }
 
-// capacitySum adds up the reports of servers.
+// capacitySum adds up the reports of several servers.
 type capacitySum struct {
-	perSecond float64 // rates for a unit of size
-	busy      float64 // shares of capacity in use
+	perSecond float64 // sum of rates per unit of size
+	busy      float64 // sum of the shares of capacity in use
 	reports   float64 // number of servers
 }
 
@@ -57,9 +57,9 @@
 	return capacitySum{c.perSecond + perSecond, c.busy + busy, c.reports + 1}
 }
 
-// surveyCapacities brings the capacities for a unit of size by kind up to date, and returns the
-// mean rate of the servers that reported one, 0 where none did. Where sizes are missing all servers
-// count alike. A kind's capacity is all that its servers served over all that they were busy.
+// surveyCapacities updates the capacity per unit of size by kind, and returns the mean rate of the
+// servers that reported one, 0 if none did. If any size is missing, all servers count as equal. A
+// kind's capacity is the total rate of its servers divided by their total utilization.
 func (b *Balancer) surveyCapacities() (meanPerSecond float64) {
 	model := &b.capacities
 	hasNoSize := func(s *server) bool { return !isUsable(s.Size) || s.Size == 0 }
@@ -91,29 +91,29 @@
 	return meanPerSecond / all.reports
 }
 
-// typicalPerSecond is the capacity, in requests a second, that its kind gives a server of the size
-// of s; otherwise where nothing was reported.
-func (c *capacityModel) typicalPerSecond(s *server, otherwise float64) float64 {
+// typicalPerSecond returns the typical capacity, in requests per second, of a server of the kind
+// and size of s, or fallback if nothing was reported.
+func (c *capacityModel) typicalPerSecond(s *server, fallback float64) float64 {
 	typical := c.typicalByKind[s.Kind]
 	if typical == 0 {
 		typical = c.typicalByKind[allKinds]
 	}
 	if typical == 0 {
-		return otherwise
+		return fallback
 	}
 	return typical * s.sizeUnits(c.hasSizes)
 }
 
-// capacityPerSecond is the capacity of a warm server, in requests of mean work a second.
+// capacityPerSecond returns the capacity of a warm server, in requests of mean work per second.
 func (b *Balancer) capacityPerSecond(s *server) float64 {
 	if s.load.capacityPerSecond.value > 0 {
 		return s.load.capacityPerSecond.value
 	}
-	ofChannels := defaultChannels * millisPerSecond / max(1, b.serviceTime.mean)
-	return b.capacities.typicalPerSecond(s, ofChannels)
+	defaultPerSecond := defaultChannels * millisPerSecond / max(1, b.serviceTime.mean)
+	return b.capacities.typicalPerSecond(s, defaultPerSecond)
 }
 
-// sizeUnits is what a server's capacity is compared by.
+// sizeUnits returns the size that a server's capacity is divided by for comparison.
 func (s *server) sizeUnits(hasSizes bool) float64 {
 	if hasSizes && s.Size > 0 {
 		return s.Size
--- a/decide/load_report_test.go
+++ b/decide/load_report_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Servers report nothing, infinity, or utilisations beyond reason. The model must stay finite, and
-// all shares between 0 and 1.
+// Guards against a model with infinite values, or shares outside 0 to 1, after reports with absent,
+// infinite or implausible figures.
 func TestAbsurdReportsLeaveTheModelFinite(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(4))
 	inf := math.Inf(1)
@@ -37,7 +37,7 @@
 		for _, s := range b.membership.caches {
 			arrivals := s.model.arrivalsPerSecond
 			if s.model.channels < 1 || s.model.channels > 256 || !(arrivals >= 0 && arrivals <= 1e12) {
-				t.Errorf("report %v: n %d, load %v", l, s.model.channels, s.model.arrivalsPerSecond)
+				t.Errorf("report %v: %d channels, load %v", l, s.model.channels, s.model.arrivalsPerSecond)
 			}
 		}
 		for _, k := range b.keys.all {
@@ -50,8 +50,8 @@
 	}
 }
 
-// No server has reported its load yet, and 600 requests come at once. Each server must get a few
-// and not all, or the first second would overload them.
+// Guards against overloaded servers in the first second of a router, when no server has reported
+// its load: of 600 requests at once, each server must get a few and not all.
 func TestUnreportedServersAreNotFlooded(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
@@ -60,6 +60,6 @@
 		ask(b, 100001, i+1, "important", uint64(i))
 	}
 	if n := len(h.sends) / 6; n < 3 || n > 12 {
-		t.Errorf("%d requests out at each server that has not reported yet", n)
+		t.Errorf("%d requests in flight at each server that has not reported", n)
 	}
 }
--- a/decide/origin_fetch.go
+++ b/decide/origin_fetch.go
@@ -7,77 +7,84 @@
 )
 
 const (
-	// storedMillis is how long a server that fetches by itself is thought to keep a value.
+	// storedMillis is how long a server that fetches by itself is assumed to keep a value.
 	storedMillis = 10000
-	// leaveMillis is the time before the client's deadline at which a wait for the origin ends.
+	// leaveMillis is the time before the client's deadline at which a request stops waiting for the
+	// origin.
 	leaveMillis = 5
-	// minFetchLatencyMillis stands in for the latency of fetches while none is known.
+	// minFetchLatencyMillis is the assumed latency of fetches while it is unknown.
 	minFetchLatencyMillis = 5
-	// minFetchCycleMillis is the least time that a fetch is counted for where less than one is
-	// allowed at a time.
+	// minFetchCycleMillis is the shortest time that a fetch counts for while the limit is below
+	// one.
 	minFetchCycleMillis = 100
-	// fetchQueueMillis is the time constant by which a queue seen at the origin fades.
+	// fetchQueueMillis is the time constant with which an observed queue at the origin decays.
 	fetchQueueMillis = 2000
-	// fetchWeight is the weight of a fetch in the latency of fetches: over ten fetches.
+	// fetchWeight is the EWMA weight of a fetch in the latency of fetches: about ten fetches.
 	fetchWeight = 0.1
-	// fetchPatienceFactor is the multiple of the latency of fetches after which one is late: a
-	// fetch whose answer is lost holds up all requests that wait for the key.
+	// fetchPatienceFactor is the soft timeout of a fetch, as a multiple of the latency of fetches.
+	// A fetch whose answer is lost delays all requests that wait for the key.
 	fetchPatienceFactor = 2
-	// lateFactor is the multiple of the floor beyond which a timeout shows a slow origin; before,
-	// the fetch was sent too late.
+	// lateFactor is the multiple of the floor latency beyond which a timeout shows a slow origin.
+	// An earlier timeout shows only that the fetch was sent too late.
 	lateFactor = 2
 
-	// slowFactor is the multiple of the floor from which the origin counts as slow, at the latest.
+	// slowFactor is the multiple of the floor latency from which the origin always counts as slow.
 	slowFactor = 2.5
-	// slowFactorMin is the multiple below which it never does.
+	// slowFactorMin is the multiple of the floor latency below which slowObjectiveShare does not
+	// apply.
 	slowFactorMin = 1.3
-	// slowObjectiveShare is the share of the latency objective from which it does: beyond half of
-	// it a queue there serves nobody, as the cache came first.
+	// slowObjectiveShare is the share of the latency objective from which the origin counts as
+	// slow. A longer queue at the origin is of no use, as the time of the cache lookup comes on
+	// top.
 	slowObjectiveShare = 0.5
-	// maxObjectiveShare is the share from which it does even if the floor has risen in an overload.
+	// maxObjectiveShare is the share of the latency objective from which the origin counts as slow
+	// even if the floor latency has risen during an overload.
 	maxObjectiveShare = 0.8
 
-	// maxFetchLimit is the largest limit of a router.
+	// maxFetchLimit is the largest fetch limit of a router.
 	maxFetchLimit = 64
-	// fetchGrowthShare is the part of one by which a limit grows in the time of a fetch, at least.
+	// fetchGrowthShare is the smallest growth of a limit per fast fetch, if the limit is at least
+	// one.
 	fetchGrowthShare = 0.1
-	// fleetFetchGrowth is the number of fetches by which the limits of all routers together grow in
-	// the time of a fetch, at least.
+	// fleetFetchGrowth is the smallest growth of the limits of all routers together during the time
+	// of a fetch.
 	fleetFetchGrowth = 4
-	// fetchCutMillis is the least time between two cuts of the limit.
+	// fetchCutMillis is the shortest time between two cuts of the limit.
 	fetchCutMillis = 500
-	// fetchCut is what a cut leaves of the limit.
+	// fetchCut is the factor of a cut.
 	fetchCut = 0.8
-	// failedFetchCut is what it leaves after a failure: the origin is stopped, or works off a queue
-	// that nobody waits for any more, and needs time.
+	// failedFetchCut is the factor of a cut after a failure. The origin is down, or processes a
+	// queue of requests that have already timed out, and needs time to recover.
 	failedFetchCut = 0.4
-	// minFleetFetches is the number of fetches that all routers together may have after cuts.
+	// minFleetFetches is the smallest sum of the limits of all routers after cuts.
 	minFleetFetches = 8
-	// maxLeastFetches bounds the least limit of one router.
+	// maxLeastFetches bounds the smallest limit of one router after cuts.
 	maxLeastFetches = 2
-	// minFetchedShare is the share of the own requests that may be fetched after cuts: no origin is
-	// built for less.
+	// minFetchedShare is the share of this router's requests that the limit allows to fetch after
+	// cuts, as any origin has capacity for that.
 	minFetchedShare = 0.1
-	// failedLeastDivisor divides the least limit after a failure.
+	// failedLeastDivisor divides the smallest limit after a failure.
 	failedLeastDivisor = 40
 )
 
 // originFetches limits the fetches from the origin.
 type originFetches struct {
-	// limit bounds the fetches in flight; below 1, fetches pause between two.
+	// limit bounds the fetches in flight; below 1, there is a pause after each fetch.
 	limit float64
 	// limitCutAt is when the limit was last cut, ms.
 	limitCutAt float64
-	// waiting are the requests that wait for a place or for another's fetch of their key.
+	// waiting are the requests that wait for a fetch slot or for another request's fetch of their
+	// key.
 	waiting []*request
 	// sent counts fetches over trafficTimeConstantMillis.
 	sent decayingSum
-	// latency follows the latency of fetches, ms.
+	// latency is the trend of the latency of fetches, ms.
 	latency trend
 }
 
-// needsOrigin says whether a new request has to wait for a place at the origin, or for a fetch of
-// its key. Where servers fetch by themselves, writes and keys not seen for a while go there too.
+// needsOrigin reports whether a new request must wait for a fetch slot, or for a fetch of its key.
+// If servers fetch by themselves, that includes writes and keys that were not found on a server
+// recently.
 func (b *Balancer) needsOrigin(r *request) bool {
 	if r.IsWrite || r.key.fetch != nil {
 		return true
@@ -85,8 +92,8 @@
 	return !b.cfg.CacheAside && b.now > r.key.storedAt+storedMillis
 }
 
-// waitForOrigin has a request wait for the origin or for a fetch of its key while it can be in
-// time.
+// waitForOrigin queues a request for the origin or for a fetch of its key, as long as its answer
+// can be in time.
 func (b *Balancer) waitForOrigin(r *request) {
 	waitUntil := r.deadlineAt - leaveMillis
 	if r.class.LateWeight == 0 {
@@ -97,16 +104,16 @@
 	b.host.SetTimer(max(1, waitUntil-b.now), waitToken(r.ID))
 }
 
-// serveWaiting lets waiting requests go on, those of the highest priority first.
+// serveWaiting resumes all waiting requests that can proceed, in descending order of priority.
 func (b *Balancer) serveWaiting() {
 	waiting := b.originFetches.waiting
 	slices.SortStableFunc(waiting, func(p, q *request) int { return cmp.Compare(q.priority, p.priority) })
-	// No Host method leads back here before it returns, so the list does not change meanwhile.
+	// The Host does not call the Balancer from its methods, so the list does not change meanwhile.
 	b.originFetches.waiting = slices.DeleteFunc(waiting, func(r *request) bool { return b.resume(r) })
 }
 
-// resume lets a waiting request go on if it can, and reports whether it did: to where its key
-// is stored by now, to the origin, or to an answer where no fetch can be in time.
+// resume lets a waiting request proceed if it can, and reports whether it did: to the server that
+// now has its key, to the origin, or to a rejection if no fetch can be in time.
 func (b *Balancer) resume(r *request) bool {
 	switch {
 	case r.isAnswered:
@@ -126,7 +133,7 @@
 	return true
 }
 
-// canFetchInTime says whether the origin may be asked and is likely to answer in time.
+// canFetchInTime reports whether the origin may be asked and is likely to answer in time.
 func (b *Balancer) canFetchInTime(r *request) bool {
 	origin := b.membership.origin
 	if origin == nil || !origin.acceptsNewWork() || !b.mayAttempt(r, origin) {
@@ -135,9 +142,9 @@
 	return b.now+b.expectedFetchMillis() <= r.usefulUntil()
 }
 
-// hasFetchSlot says whether the limit lets a request ask the origin. Reads of a key share one
-// fetch. Below a limit of one, fetches pause: one at a time at each of hundreds of routers would
-// overload the origin.
+// hasFetchSlot reports whether the limit allows a request to ask the origin. Reads of a key share
+// one fetch. Below a limit of one, fetches are separated by pauses: one fetch in flight at each of
+// hundreds of routers would overload the origin.
 func (b *Balancer) hasFetchSlot(r *request) bool {
 	f := &b.originFetches
 	if !r.IsWrite && r.key.fetch != nil || b.fetchesInFlight() >= max(1, f.limit) {
@@ -150,8 +157,8 @@
 	return sent < f.limit*trafficTimeConstantMillis/max(f.latency.value, minFetchCycleMillis)
 }
 
-// fetch has a waiting request ask the origin, directly or by way of a server that fetches by
-// itself.
+// fetch sends a waiting request to the origin, either directly or by way of a server that fetches
+// by itself.
 func (b *Balancer) fetch(r *request) {
 	r.waitingSince = 0
 	if !r.IsWrite {
@@ -168,8 +175,8 @@
 	}
 }
 
-// fetchesInFlight counts the fetches in flight: at the origin, or of keys that servers are likely
-// to fetch by themselves.
+// fetchesInFlight returns the number of fetches in flight at the origin. If servers fetch by
+// themselves, it counts the requests that are expected to cause a fetch.
 func (b *Balancer) fetchesInFlight() float64 {
 	if b.membership.origin != nil {
 		return float64(b.membership.origin.attempts.inFlight)
@@ -183,23 +190,22 @@
 	return float64(n)
 }
 
-// expectedFetchMillis is how long a fetch is likely to take: a queue at the origin fades from
-// memory.
+// expectedFetchMillis returns the expected time of a fetch. An observed queue at the origin decays.
 func (b *Balancer) expectedFetchMillis() float64 {
 	l := b.originFetches.latency
 	return l.floor + (l.value-l.floor)*math.Exp((l.updatedAt-b.now)/fetchQueueMillis)
 }
 
-// fetchPatienceMillis is how long a fetch is waited for before its key's requests look elsewhere.
+// fetchPatienceMillis returns the soft timeout of a fetch.
 func (b *Balancer) fetchPatienceMillis() float64 {
 	return fetchPatienceFactor * max(b.originFetches.latency.value, minFetchLatencyMillis)
 }
 
-// fetchEnded takes the end of a fetch: the key is stored where it was missing, and the limit
-// follows how the origin does.
+// fetchEnded handles the end of a fetch. The key is then stored on the server that missed it, and
+// the limit is adapted to the latency and the failures of the origin.
 func (b *Balancer) fetchEnded(r *request, status AttemptStatus, latencyMillis float64) {
 	if status == MalformedResponse {
-		status = OK // the origin did its work, and its answer was stored
+		status = OK // the origin has processed the fetch, and its answer was stored
 	}
 	if r.key.fetch == r && status == OK {
 		r.key.storedAt = b.now
@@ -210,17 +216,18 @@
 	if status == OK || isLate {
 		f.latency.update(b.now, latencyMillis, fetchWeight)
 	}
-	slow := slowFetchMillis(f.latency.floor, r.class.LatencyObjectiveMillis)
+	slowMillis := slowFetchMillis(f.latency.floor, r.class.LatencyObjectiveMillis)
 	switch {
-	case (status == OK || isLate) && f.latency.value < slow:
+	case (status == OK || isLate) && f.latency.value < slowMillis:
 		f.limit = min(maxFetchLimit, f.limit+fetchLimitGrowth(f.limit, b.cfg.Routers))
 	case status.isOfServer() && (status != Timeout || isLate) && b.now-f.limitCutAt > fetchCutMillis:
-		b.cutFetchLimit(status == Failed, f.latency.value >= slow)
+		b.cutFetchLimit(status == Failed, f.latency.value >= slowMillis)
 	}
 }
 
-// slowFetchMillis is the latency of fetches from which the origin counts as slow. A floor that has
-// risen in an overload excuses no answer that comes too late.
+// slowFetchMillis returns the latency of fetches from which the origin counts as slow. It is
+// bounded by the objective, so that a floor latency that rose during an overload does not hide late
+// answers.
 func slowFetchMillis(floorMillis, objectiveMillis float64) float64 {
 	return min(
 		slowFactor*floorMillis,
@@ -229,30 +236,31 @@
 	)
 }
 
-// fetchLimitGrowth is by how much a quick fetch raises the limit. Each time that its fetches have
-// come back a router adds a tenth of one, and all together four at least; one each would be a step
-// of two thirds for eighty routers.
+// fetchLimitGrowth returns by how much a fast fetch raises the limit: by at least a tenth, or less
+// if the limit is below one, and by so much that during the time of a fetch the limits of all
+// routers together grow by at least four. If each router added one, the limits of eighty routers
+// would grow by two thirds.
 func fetchLimitGrowth(limit float64, routers int) float64 {
-	ofRouter := fetchGrowthShare * min(1, limit)
-	ofFleet := fleetFetchGrowth / float64(routers) / max(1, limit)
-	return min(1/max(1, limit), max(ofRouter, ofFleet))
+	routerGrowth := fetchGrowthShare * min(1, limit)
+	fleetGrowth := fleetFetchGrowth / float64(routers) / max(1, limit)
+	return min(1/max(1, limit), max(routerGrowth, fleetGrowth))
 }
 
-// cutFetchLimit lowers the limit after a fetch that failed or was slow. With a queue at the origin
-// it first comes down to the fetches in flight, as it may be far above them.
+// cutFetchLimit reduces the limit after a fetch that failed or was slow. If the origin is slow, the
+// limit is first reduced to the fetches in flight, as it may be far above them.
 func (b *Balancer) cutFetchLimit(hasFailed, isSlow bool) {
 	f := &b.originFetches
 	perSecond := b.perSecond(&b.arrivals, trafficTimeConstantMillis)
-	ofRequests := minFetchedShare * perSecond * f.latency.floor / millisPerSecond
-	least := min(maxLeastFetches, max(minFleetFetches/float64(b.cfg.Routers), ofRequests))
-	cut := fetchCut
+	requestsLimit := minFetchedShare * perSecond * f.latency.floor / millisPerSecond
+	minLimit := min(maxLeastFetches, max(minFleetFetches/float64(b.cfg.Routers), requestsLimit))
+	factor := fetchCut
 	if hasFailed {
-		cut = failedFetchCut
-		least /= failedLeastDivisor
+		factor = failedFetchCut
+		minLimit /= failedLeastDivisor
 	}
 	f.limitCutAt = b.now
 	if isSlow {
-		f.limit = min(f.limit, max(least, b.fetchesInFlight()+1))
+		f.limit = min(f.limit, max(minLimit, b.fetchesInFlight()+1))
 	}
-	f.limit = max(min(least, f.limit), cut*f.limit)
+	f.limit = max(min(minLimit, f.limit), factor*f.limit)
 }
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -5,50 +5,50 @@
 	"testing"
 )
 
-// Fetches that were sent too late time out while the origin answers others quickly. The limit on
-// fetches must not fall for that; when every fetch is slow it must.
+// Guards against a fetch limit that falls because of fetches that were sent too late and time out
+// while the origin answers others quickly. If every fetch is slow, the limit must fall.
 func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
-	was := b.originFetches.limit
+	before := b.originFetches.limit
 	for i := range 20 {
 		b.now += 1000
 		r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 		b.fetchEnded(r, OK, 100)
 		b.fetchEnded(r, Timeout, 40)
 		if i == 0 {
-			was = b.originFetches.limit
+			before = b.originFetches.limit
 		}
 	}
-	if b.originFetches.limit < was {
-		t.Errorf("limit fell from %v to %v", was, b.originFetches.limit)
+	if b.originFetches.limit < before {
+		t.Errorf("the limit fell from %v to %v", before, b.originFetches.limit)
 	}
 	for range 12 {
 		b.now += 1000
 		b.fetchEnded(&request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}, Timeout, 900)
 	}
-	if b.originFetches.limit > was/2 {
+	if b.originFetches.limit > before/2 {
 		t.Errorf("limit %v though every fetch is slow", b.originFetches.limit)
 	}
 }
 
-// In a long overload the floor of the latency rises to what is normal by then. Fetches that take
-// nearly the whole objective must still lower the limit.
+// Guards against a floor latency that rises in a long overload and so hides slow fetches: fetches
+// that take nearly the whole objective must still lower the limit.
 func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(2))
-	was := b.originFetches.limit
+	before := b.originFetches.limit
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 	for range 200 {
 		b.now += 100
 		b.fetchEnded(r, OK, 290)
 	}
-	if b.originFetches.limit > was/2 {
-		t.Errorf("limit %v: fetches of 290 ms for an objective of 300 were taken for quick", b.originFetches.limit)
+	if b.originFetches.limit > before/2 {
+		t.Errorf("limit %v: fetches of 290 ms at an objective of 300 ms counted as fast", b.originFetches.limit)
 	}
 }
 
-// Two requests miss the same key, and a third comes. One fetch is made for all, and the others then
-// go to where the key is stored.
+// Guards against several fetches of a key at once: two requests miss a key and a third arrives. One
+// fetch must be made, and the other requests must then go to the server that stores the key.
 func TestOwnMissesOfAKeyShareAFetch(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
@@ -59,27 +59,27 @@
 	b.AttemptEnded(100021, withResult(CacheMiss, ended(2, home, Miss, 9)))
 	ask(b, 100022, 3, "read", 5)
 	if len(h.sends) != 3 || h.last() != (sent{1, 77}) {
-		t.Fatalf("sends %v, want two at the home and one fetch", h.sends)
+		t.Fatalf("sends %v, want two to the home and one fetch", h.sends)
 	}
 	b.AttemptEnded(100060, ofAttempt(1, served(1, 77, 40)))
 	if len(h.sends) != 5 || h.sends[3].server != home || h.sends[4].server != home {
-		t.Errorf("sends %v, want the two that waited at the home", h.sends)
+		t.Errorf("sends %v, want the two waiting requests at the home", h.sends)
 	}
 }
 
-// Servers fetch by themselves, and the origin fails each fetch. No request may be tried elsewhere,
-// which would only ask the origin again; no server may be ejected; and the limit must fall, and
-// rise again once the origin answers.
+// Guards against ejected servers and useless retries if servers fetch by themselves and the origin
+// fails each fetch: no request may be retried elsewhere, which would only ask the origin again, no
+// server may be ejected, and the limit must fall, and rise again once the origin answers.
 func TestFailedFetchIsTheOriginsFault(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
-	for i := range uint32(40) { // 300 ms apart; the bound falls, and fetches come to pause
+	for i := range uint32(40) { // every 300 ms; the limit falls until there are pauses between fetches
 		now := 100010 + 300*float64(i)
-		was := len(h.sends)
+		sendsBefore := len(h.sends)
 		ask(b, now, i+1, "read", uint64(i))
-		if len(h.sends) > was {
+		if len(h.sends) > sendsBefore {
 			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Failed, 20)))
 		}
-		if len(h.sends) > was+1 {
+		if len(h.sends) > sendsBefore+1 {
 			t.Fatalf("request %d was sent again", i+1)
 		}
 	}
@@ -91,36 +91,36 @@
 	for i := range uint32(40) {
 		ask(b, 120000, 100+i, "once", uint64(100+i))
 	}
-	if out := len(h.sends) - n; out != 1 {
-		t.Errorf("%d out at a limit of %v", out, b.originFetches.limit)
+	if fetches := len(h.sends) - n; fetches != 1 {
+		t.Errorf("%d fetches in flight at a limit of %v", fetches, b.originFetches.limit)
 	}
-	for i := range uint32(60) { // answers bring the bound back
+	for i := range uint32(60) { // answers raise the limit again
 		if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
 			b.AttemptEnded(120020+20*float64(i), withResult(CacheMiss, served(r.ID, h.last().server, 20)))
 		}
 	}
 	if b.originFetches.limit < 2 {
-		t.Errorf("limit %v after the origin came back", b.originFetches.limit)
+		t.Errorf("limit %v after the origin recovered", b.originFetches.limit)
 	}
 }
 
-// A server's own fetch of a key failed. The key must not count as stored any more: its next request
-// waits for a place at the origin.
+// Guards against a key that counts as stored although the server's own fetch of it failed: its next
+// request must wait for a fetch slot.
 func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100001, 1, "read", 5)
 	b.AttemptEnded(100041, withResult(CacheMiss, served(1, h.last().server, 40)))
 	if ask(b, 101000, 2, "read", 5); b.requests[2].isServerFetch {
-		t.Error("a key stored a second ago was taken for a miss")
+		t.Error("a key stored a second ago counted as missing")
 	}
 	b.AttemptEnded(101200, withResult(CacheMiss, ended(2, h.last().server, Failed, 200)))
 	if ask(b, 102000, 3, "read", 5); !b.requests[3].isServerFetch {
-		t.Error("a key whose fetch failed was taken for stored")
+		t.Error("a key whose fetch failed counted as stored")
 	}
 }
 
-// The limit has risen far above the fetches in flight when a queue builds up at the origin: it must
-// fall below them at once. One lost answer must not cut it as far.
+// Guards against a limit that has risen far above the fetches in flight when a queue builds up at
+// the origin: it must fall below them at once. One lost answer must not cut it as far.
 func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
@@ -128,24 +128,25 @@
 	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
 	b.membership.origin.attempts.inFlight = 12
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
-	for range 20 { // 160 ms are less than 2.5 times the floor, but over half of the objective
+	for range 20 { // 160 ms is less than 2.5 times the floor, but more than half of the objective
 		b.now += 10
 		b.fetchEnded(r, OK, 160)
 	}
 	if b.originFetches.limit >= 12 {
-		t.Errorf("a limit of %v with 12 out, half of the objective late", b.originFetches.limit)
+		t.Errorf("limit %v with 12 in flight and fetches of over half the objective", b.originFetches.limit)
 	}
 	b.originFetches.limit = 40
 	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
 	b.membership.origin.attempts.inFlight = 2
 	b.now += 1000
 	if b.fetchEnded(r, Reset, 400); b.originFetches.limit < 30 { // a lost answer shows no queue
-		t.Errorf("a limit of %v after one reset", b.originFetches.limit)
+		t.Errorf("limit %v after one reset", b.originFetches.limit)
 	}
 }
 
-// Every fetch is late, at each of 300 routers. Their limits together must come down to a few
-// fetches at a time, which below one at each means pauses.
+// Guards against many routers that together overload a slow origin: if every fetch is late at each
+// of 300 routers, their limits together must fall to a few fetches, which means pauses at each
+// router.
 func TestFetchesOfManyRoutersAddUpToAFewPlaces(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := cacheAsideConfig()
@@ -157,8 +158,8 @@
 			b.now += 1000
 			b.fetchEnded(r, Timeout, 900)
 		}
-		if all := b.originFetches.limit * float64(routers); all > 10 {
-			t.Errorf("%d routers: a limit of %v in all though every fetch is late", routers, all)
+		if sum := b.originFetches.limit * float64(routers); sum > 10 {
+			t.Errorf("%d routers: limits of %v together though every fetch is late", routers, sum)
 		}
 		b.originFetches.limit = 0.1
 		b.originFetches.latency = trend{value: 100, floor: 100}
@@ -172,19 +173,19 @@
 				b.originFetches.limit = 0.1
 			}
 		}
-		// Of a few routers, an answer lifts the limit over one.
+		// With only a few routers, an answer raises the limit above one.
 		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) {
-			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms each, want about ten", routers, sent)
+			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms per fetch, want about ten", routers, sent)
 		}
 	}
 }
 
-// The origin's answer is damaged on its way to the router, and stored where the key was missing. It
-// must be asked for there, and the limit on fetches must not fall.
+// Guards against another fetch after the origin's answer was damaged on its way to the router: the
+// value is stored on the server that missed it and must be read there, and the limit must not fall.
 func TestMalformedFetchIsAskedForWhereItIsStored(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 99, Kind: "origin"}))
-	fetches := b.originFetches.limit
+	limitBefore := b.originFetches.limit
 	ask(b, 100010, 1, "read", 9)
 	home := h.last().server
 	b.AttemptEnded(100020, ended(1, home, Miss, 10))
@@ -192,13 +193,14 @@
 		t.Fatal("no fetch")
 	}
 	b.AttemptEnded(100060, ofAttempt(1, ended(1, 99, MalformedResponse, 40)))
-	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < fetches || b.keys.byID[9].fetch != nil {
-		t.Errorf("sends %v, bound on fetches %v", h.sends, b.originFetches.limit)
+	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < limitBefore || b.keys.byID[9].fetch != nil {
+		t.Errorf("sends %v, limit %v", h.sends, b.originFetches.limit)
 	}
 }
 
-// The origin is quick, and limits grow. In the time of a fetch those of all routers together must
-// grow by some fetches, whether there is one router or eighty.
+// Guards against a growth of the fetch limits that depends on the number of routers: during the
+// time of a fast fetch, the limits of all routers together must grow by some fetches, for one
+// router or eighty.
 func TestTheBoundOnFetchesGrowsAlikeOverTheFleet(t *testing.T) {
 	for _, routers := range []int{1, 4, 80} {
 		cfg := testConfig()
@@ -207,19 +209,20 @@
 		b.originFetches.latency = trend{value: 100, floor: 100, updatedAt: b.now}
 		b.originFetches.limit = 128 / float64(routers)
 		b.originFetches.limit = min(64, b.originFetches.limit)
-		was := b.originFetches.limit
-		for range int(math.Ceil(was)) { // a round of fetches
+		before := b.originFetches.limit
+		for range int(math.Ceil(before)) { // a round of fetches
 			b.fetchEnded(&request{class: b.classes["read"], key: &keyTraffic{}}, OK, 100)
 		}
-		grown := (b.originFetches.limit - was) * float64(routers)
+		grown := (b.originFetches.limit - before) * float64(routers)
 		if b.originFetches.limit < 64 && (grown < 0.5 || grown > 32) {
-			t.Errorf("%d routers: the bounds of all grew from 128 by %.1f in one round", routers, grown)
+			t.Errorf("%d routers: all limits together grew from 128 by %.1f in one round", routers, grown)
 		}
 	}
 }
 
-// A key is missing, and less of the objective is left than a fetch takes: it must not be sent. Once
-// the queue at the origin has faded from memory, the next one must.
+// Guards against fetches that can't be in time: a request that misses its key with less time left
+// than a fetch takes must not be sent to the origin. Once the observed queue at the origin has
+// decayed, the next one must be.
 func TestNoFetchThatCantBeInTime(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
@@ -227,18 +230,18 @@
 	ask(b, 100010, 1, "read", 9)
 	b.AttemptEnded(100050, withResult(CacheMiss, ended(1, h.last().server, Miss, 40)))
 	if h.last().server == 77 || h.answers(1) != 1 {
-		t.Errorf("sent %v with 260 ms left of an objective, and fetches that take 280", h.sends)
+		t.Errorf("sent %v with 260 ms left of the objective and fetches of 280 ms", h.sends)
 	}
-	b.TimerExpired(110000, housekeepingToken) // what was seen of a queue fades
+	b.TimerExpired(110000, housekeepingToken) // the observed queue decays
 	ask(b, 110010, 2, "read", 9)
 	b.AttemptEnded(110050, withResult(CacheMiss, ended(2, h.last().server, Miss, 40)))
 	if h.last().server != 77 {
-		t.Errorf("sent %v, want the origin once its queue has faded", h.sends)
+		t.Errorf("sent %v, want a fetch once the observed queue has decayed", h.sends)
 	}
 }
 
-// A router has just started, and keys are missing. Each must be fetched at once, however many
-// routers there are.
+// Guards against misses that wait for a fetch slot at a router that has just started: each must be
+// fetched at once, however many routers there are.
 func TestAMissAfterTheStartIsFetchedAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 4, 80, 300} {
 		cfg := cacheAsideConfig()
@@ -246,7 +249,7 @@
 		cfg.Classes[0].LatencyObjectiveMillis = 600
 		cfg.Classes[0].DeadlineMillis = 1200
 		b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
-		for i := range uint32(12) { // the last is on its way when the next one misses
+		for i := range uint32(12) { // the previous fetch is in flight when the next request misses
 			now := 100010 + 300*float64(i)
 			ask(b, now, i+1, "read", uint64(i))
 			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Miss, 20)))
@@ -258,15 +261,15 @@
 	}
 }
 
-// Every fetch is late, and the limit is cut again and again. It must still leave a tenth of the own
-// requests, as a limit below one grows with fetches only.
+// Guards against a limit that repeated cuts reduce to almost nothing: even if every fetch is late,
+// a tenth of this router's requests must be allowed, as a limit below one only grows with fetches.
 func TestABoundThatWasCutLeavesATenthOfTheRequests(t *testing.T) {
 	cfg := cacheAsideConfig()
 	cfg.Routers = 300
 	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 	b.fetchEnded(r, OK, 100)
-	for range 400 { // twenty a second
+	for range 400 { // twenty per second
 		b.now += 50
 		b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
 	}
@@ -275,8 +278,8 @@
 		b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
 		b.fetchEnded(r, Timeout, 900)
 	}
-	// Two a second of 100 ms each, though every fetch is late: a tenth of the requests.
+	// Two fetches per second of 100 ms each, a tenth of the requests.
 	if b.originFetches.limit < 0.15 || b.originFetches.limit > 0.8 {
-		t.Errorf("a limit of %.3f", b.originFetches.limit)
+		t.Errorf("limit %.3f", b.originFetches.limit)
 	}
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -6,55 +6,57 @@
 )
 
 const (
-	// minEjectionMillis is the first pause of an ejected server; it doubles with each ejection.
+	// minEjectionMillis is the time from the first ejection of a server to its probe. The time
+	// doubles with each ejection.
 	minEjectionMillis = 500
-	// maxEjectionMillis is the longest.
+	// maxEjectionMillis is the longest such time.
 	maxEjectionMillis = 8 * minEjectionMillis
-	// ejectionJitterFrom and ejectionJitterRange spread the probes of routers, which eject a server
-	// together: the pause is multiplied by a random factor from 0.75 to 1.25.
+	// ejectionJitterFrom and ejectionJitterRange multiply that time by a random factor from 0.75 to
+	// 1.25, as many routers eject a server at the same time and should not probe it together.
 	ejectionJitterFrom  = 0.75
 	ejectionJitterRange = 0.5
-	// silentProbeDelayMillis delays the forced probe of a server ejected for silence, as that costs
-	// a request its time.
+	// silentProbeDelayMillis delays the forced probe of a server that was ejected for not
+	// responding, as the probe costs a request all its time.
 	silentProbeDelayMillis = 8000
-	// ejectionDecay is the factor by which an answer shortens the next pause.
+	// ejectionDecay is the factor by which an answer shortens the next ejection.
 	ejectionDecay = 0.8
 
-	// maxUnanswered is the number of signs of silence that eject.
+	// maxUnanswered is the number of unanswered attempts that leads to an ejection.
 	maxUnanswered = 3
-	// maxEvidence is the evidence that ejects: two failures in a row where they are rare, six at
-	// one in eight.
+	// maxEvidence is the evidence that leads to an ejection: two consecutive failures if failures
+	// are rare, six if one attempt in eight fails.
 	maxEvidence = 7.5
-	// returnEvidence and returnAcceptedShare are what a server comes back with after a probe: half
-	// way to the next ejection, and about half of its channels.
+	// returnEvidence and returnAcceptedShare are the values of a server after a successful probe:
+	// half of the evidence for the next ejection, and about half of its channels. way to the next
+	// ejection, and about half of its channels.
 	returnEvidence      = maxEvidence / 2
 	returnAcceptedShare = 0.75
 
-	// outlierFailureShare is the share of failures that the evidence test looks for.
+	// outlierFailureShare is the failure share of the faulty server that the CUSUM test looks for.
 	outlierFailureShare = 0.5
-	// minUsualShare and maxUsualShare bound the usual share of failures that it is compared with.
+	// minUsualShare and maxUsualShare bound the usual failure share that it is compared with.
 	minUsualShare = 0.01
 	maxUsualShare = 0.3
-	// failureShareOutcomes is the number of outcomes that a failure share remembers.
+	// failureShareOutcomes is the number of outcomes that the EWMA of a failure share covers.
 	failureShareOutcomes = 30
 
-	// acceptedWeight is the weight of an outcome in the accepted share: over eight outcomes, as a
-	// server that fails fast must soon look expensive.
+	// acceptedWeight is the EWMA weight of an outcome in the accepted share: about eight outcomes,
+	// so that a server that fails fast soon gets fewer requests.
 	acceptedWeight = 0.12
-	// malformedRelief softens the weight of a malformed answer, which the network may have damaged.
+	// malformedRelief reduces the effect of a malformed answer, as the network may have damaged it.
 	malformedRelief = 1.07
-	// stalledAcceptedFactor is what an attempt past its patience leaves of the accepted share, so
-	// that the keys of an overloaded server move at once.
+	// stalledAcceptedFactor multiplies the accepted share when a soft timeout expires, so that the
+	// keys of an overloaded server move at once.
 	stalledAcceptedFactor = 0.5
-	// aliveMillis is how long after a reply a server that lets no connection come up is thought
-	// full rather than dead.
+	// aliveMillis is how long after a reply a server that refuses connections is assumed to be at
+	// its connection limit rather than dead.
 	aliveMillis = 1000
 )
 
-// observe draws from the end of an attempt what it tells of the server's health.
+// observe updates a server's health from the end of an attempt.
 //
-// Failures count as far as they stand out from the fleet's: what breaks connections, damages
-// answers or overloads servers everywhere is no server's own fault.
+// Failures count in relation to those of all servers. Broken connections, damaged answers or
+// overload at every server are not a fault of one server.
 func (b *Balancer) observe(s *server, status AttemptStatus, sentAt float64) {
 	if !b.recordSignOfLife(s, status, sentAt) {
 		return
@@ -73,9 +75,10 @@
 	b.observeAnswer(s)
 }
 
-// recordSignOfLife records whether the server showed a sign of life, and reports whether the outcome is
-// evidence of its health. A timeout while others are answered does not: the attempt waited in the queue or
-// for a fetch, and moving the server's keys would only add fetches.
+// recordSignOfLife updates the time of the last reply, and reports whether the outcome is evidence
+// of the server's health. A timeout is not, if the server has replied to anything since the attempt
+// was sent: the attempt waited in the queue or for a fetch, and moving the server's keys would only
+// add fetches.
 func (b *Balancer) recordSignOfLife(s *server, status AttemptStatus, sentAt float64) bool {
 	h := &s.health
 	switch status {
@@ -84,7 +87,7 @@
 		h.unanswered = 0
 		h.latestAnsweredSentAt = max(h.latestAnsweredSentAt, sentAt)
 	case ConnectError:
-		// Its table of connections is full, or, where it has not answered lately, it is dead.
+		// The server is at its connection limit, or dead if it has not replied recently.
 		s.connection.rejectedAt = b.now
 		if b.now-h.lastReplyAt > aliveMillis {
 			h.evidence = maxEvidence
@@ -99,7 +102,7 @@
 	return true
 }
 
-// observeFailure lowers what a server is sent, and ejects it if there is evidence enough.
+// observeFailure reduces a server's accepted share, and ejects the server if the evidence suffices.
 func (b *Balancer) observeFailure(s *server, status AttemptStatus) {
 	s.health.acceptedShare *= 1 - acceptedWeight
 	if status == MalformedResponse {
@@ -110,7 +113,7 @@
 	}
 }
 
-// observeAnswer raises what a server is sent. An ejected one comes back into use: its probe was
+// observeAnswer raises a server's accepted share. An ejected server returns, as its probe was
 // answered.
 func (b *Balancer) observeAnswer(s *server) {
 	b.adaptIdleTimeout(s)
@@ -125,9 +128,9 @@
 	}
 }
 
-// weigh adds an outcome to the evidence for a server that fails every second attempt, against one
-// that fails no more than is usual: Page's test (CUSUM), the quickest to find a change for its rate
-// of false alarms.
+// weigh adds an outcome to the evidence. The evidence is Page's test (CUSUM) of a server that fails
+// every second attempt against one that fails at the usual rate. No other test detects such a
+// change faster at the same rate of false alarms.
 func (h *serverHealth) weigh(hasFailed bool, usualShare float64) {
 	usualShare = min(maxUsualShare, max(minUsualShare, usualShare))
 	if hasFailed {
@@ -139,8 +142,8 @@
 	h.evidence = max(0, h.evidence+math.Log(outlierFailureShare/(1-usualShare)))
 }
 
-// medianFailureShare is the share of attempts that fail at the median server: a few outliers leave
-// it where it is.
+// medianFailureShare returns the share of failed attempts at the median server, which a few
+// outliers do not change.
 func medianFailureShare(servers []*server) float64 {
 	if len(servers) == 0 {
 		return 0
@@ -153,14 +156,14 @@
 	return shares[(len(shares)-1)/2]
 }
 
-// eject takes a server out of use, or puts off its next probe after one that failed.
+// eject ejects a server, or schedules the next probe after one that failed.
 func (b *Balancer) eject(s *server, isSilent bool) {
 	h := &s.health
 	if !h.isEjected && isSilent && (h.unanswered < maxUnanswered || b.isFleetSilent()) {
 		return
 	}
 	if h.isEjected && b.now < h.probeAt {
-		return // it was sent before the ejection: no probe has failed
+		return // the attempt was sent before the ejection: it was not a probe
 	}
 	h.ejectionMillis = min(maxEjectionMillis, max(minEjectionMillis, 2*h.ejectionMillis))
 	h.probeAt = b.now + h.ejectionMillis*(ejectionJitterFrom+ejectionJitterRange*b.rng.Float64())
@@ -174,13 +177,13 @@
 	h.isEjected = true
 }
 
-// isFleetSilent says whether another ejection would leave out half of the servers or more: their silence is
-// a fault of this router's network, or of the origin, and no server's.
+// isFleetSilent reports whether another ejection would remove half of the servers or more from use.
+// If so many servers do not respond, this router's network or the origin is at fault.
 func (b *Balancer) isFleetSilent() bool {
 	return 2*countEjected(b.membership.caches)+2 > len(b.membership.caches)
 }
 
-// countEjected counts the ejected servers.
+// countEjected returns the number of ejected servers.
 func countEjected(servers []*server) (n int) {
 	for _, s := range servers {
 		if s.health.isEjected {
@@ -190,12 +193,13 @@
 	return n
 }
 
-// isInUse says whether the solver may use a server.
+// isInUse reports whether the solver may use a server.
 func (s *server) isInUse() bool {
 	return s.isListed && s.acceptsNewWork() && !s.health.isEjected
 }
 
-// isUsableFor says whether a request may use a server: one in use, or an ejected one as its probe.
+// isUsableFor reports whether a request may be sent to a server: one in use, or an ejected one as
+// its probe. The server needs slow-start budget.
 func (b *Balancer) isUsableFor(s *server, r *request) bool {
 	if !s.isListed || !s.acceptsNewWork() {
 		return false
@@ -206,19 +210,19 @@
 	return b.hasSlowStartBudget(s, r.work)
 }
 
-// mayProbe says whether an ejected server is half-open for a request: after its pause it gets one
-// at a time, which must be safe to repeat.
+// mayProbe reports whether an ejected server is half-open for a request. After its ejection time it
+// gets one request at a time, which must be idempotent.
 func (b *Balancer) mayProbe(s *server, r *request) bool {
 	return b.now >= s.health.probeAt && s.attempts.inFlight == 0 && r.class.Effect == Idempotent
 }
 
-// mustProbe says whether a request whose home is ejected has to be its probe: where no queue makes
-// a request look further along its list, the server would never be probed.
+// mustProbe reports whether a request must be sent as a probe to its ejected home. Otherwise the
+// server would not be probed as long as short queues elsewhere keep requests from trying it.
 func (b *Balancer) mustProbe(home *server, r *request) bool {
 	return home.health.isEjected && b.now >= home.health.forcedProbeAt && len(r.attempts) == 0 && b.isUsableFor(home, r)
 }
 
-// IsEjected tells whether the router leaves out a server because of how it answered.
+// IsEjected reports whether outlier detection has ejected a server.
 func (b *Balancer) IsEjected(serverID uint32) bool {
 	s := b.membership.servers[serverID]
 	return s != nil && s.health.isEjected
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Requests that wait for a fetch time out while their server answers others: it must not be
-// ejected. If it answers nobody it must.
+// Guards against the ejection of a server whose requests time out while they wait for a fetch: it
+// still answers others. A server that answers no request must be ejected.
 func TestTimeOutWhileOthersAreAnsweredIsNoSign(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.membership.caches[0]
@@ -15,20 +15,21 @@
 		b.observe(s, Timeout, b.now-400)
 	}
 	if s.health.acceptedShare < 1 || s.health.isEjected {
-		t.Errorf("accepted share %.2f, ejected %v: a server that answers others was blamed", s.health.acceptedShare,
+		t.Errorf("accepted share %.2f, ejected %v: want no effect, as it answers others", s.health.acceptedShare,
 			s.health.isEjected)
 	}
 	for range 20 {
 		b.observe(s, Timeout, b.now+1)
 	}
 	if !s.health.isEjected {
-		t.Error("a silent server is still in use")
+		t.Error("a server that does not answer is still in use")
 	}
 }
 
-// A server gives no sign of life three times and is ejected; if half of the fleet is silent, that
-// is no server's fault. After its pause it is probed, comes back with half of its channels, and one
-// failure ejects it again.
+// Guards against a server that is not ejected after three attempts without an answer, against
+// ejections when half of the fleet does not answer, and against a server that returns with full
+// load: after its ejection time it is probed, returns with half of its channels, and one failure
+// ejects it again.
 func TestSilentServerIsEjectedAndTakenBackSlowly(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.membership.caches[0]
@@ -36,21 +37,21 @@
 		b.observe(s, Timeout, b.now+1)
 	}
 	if !s.health.isEjected || b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
-		t.Fatal("three signs of silence did not take it out")
+		t.Fatal("three unanswered attempts did not eject the server")
 	}
 	for _, o := range b.membership.caches[1:3] {
 		o.health.isEjected = true
 	}
-	o := b.membership.caches[3]
+	fourth := b.membership.caches[3]
 	for range 2 * maxUnanswered {
-		b.observe(o, Timeout, b.now+1)
+		b.observe(fourth, Timeout, b.now+1)
 	}
-	if o.health.isEjected {
-		t.Error("silence of half the fleet was not taken for a fault of the router's own")
+	if fourth.health.isEjected {
+		t.Error("a server was ejected though half of the fleet does not answer")
 	}
 	b.now = s.health.probeAt + 1
 	if !b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
-		t.Fatal("no probe after the pause")
+		t.Fatal("no probe after the ejection time")
 	}
 	for _, o := range b.membership.caches {
 		o.load.capacityPerSecond.update(b.now, 100, 1)
@@ -58,16 +59,16 @@
 	b.serviceTime.add(100)
 	b.observe(s, OK, b.now)
 	if b.prepareModels(); s.health.isEjected || s.model.channels > 6 || b.membership.caches[5].model.channels != 10 {
-		t.Errorf("ejected %v, %d channels where others have %d: want it back with about half", s.health.isEjected,
+		t.Errorf("ejected %v, %d channels where others have %d: want it in use with about half", s.health.isEjected,
 			s.model.channels, b.membership.caches[5].model.channels)
 	}
 	if b.observe(s, Failed, b.now); !s.health.isEjected {
-		t.Error("one failure after the return did not take it out again")
+		t.Error("one failure after the return did not eject the server again")
 	}
 }
 
-// Answers arrive damaged. One says little of its server: it is not ejected and connections are kept
-// as long as before. A server all of whose answers are damaged must be ejected.
+// Guards against a server that is ejected, or connections that are closed, because of one damaged
+// answer. A server all of whose answers are damaged must be ejected.
 func TestMalformedAnswersAreNoSignOfADeadServer(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	idleTimeout := b.idleTimeoutMillis
@@ -77,7 +78,7 @@
 		b.AttemptEnded(now+10, ended(id, h.last().server, MalformedResponse, 10))
 		health := b.membership.servers[h.sends[0].server].health
 		if id == 1 && (health.isEjected || health.unanswered > 0 || b.idleTimeoutMillis != idleTimeout) {
-			t.Fatalf("after %d: ejected %v, unanswered %d, connections kept for %v", id, health.isEjected,
+			t.Fatalf("after %d: ejected %v, unanswered %d, idle timeout %v", id, health.isEjected,
 				health.unanswered, b.idleTimeoutMillis)
 		}
 		for a := 1; h.answers(id) == 0; a++ {
@@ -89,59 +90,61 @@
 	}
 }
 
-// A server is ejected, and no queue makes a request look further along its list. A request of its
-// own keys must still be sent to it as a probe, after the pause, and bring it back.
+// Guards against an ejected server that is never probed because no queue makes a request try
+// further servers of its list: after the ejection time, a request of its own keys must be sent as a
+// probe.
 func TestProbeComesWithoutAQueue(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	ask(b, 100010, 1, "read", 9)
 	home := b.membership.servers[h.last().server]
 	b.AttemptEnded(100015, served(1, home.ID, 5))
 	b.observe(home, Reset, 100020)
-	if home.health.isEjected { // a reset is one connection's end
-		t.Fatal("out after a reset")
+	if home.health.isEjected { // one reset is not enough evidence
+		t.Fatal("ejected after one reset")
 	}
 	b.observe(home, Reset, 100020)
 	if !home.health.isEjected {
-		t.Fatal("two resets do not take a server out")
+		t.Fatal("two resets do not eject a server")
 	}
-	tried := false
+	isProbed := false
 	for i := range 40 {
 		id := uint32(100 + i)
 		now := 100100 + float64(i)*200
 		ask(b, now, id, "read", 9)
 		s := h.last()
-		if s.server == home.ID && !tried {
-			tried = true
+		if s.server == home.ID && !isProbed {
+			isProbed = true
 			if now < home.health.probeAt {
-				t.Errorf("tried before it was due")
+				t.Errorf("probed before it was due")
 			}
 		}
 		b.AttemptEnded(now+10, served(id, s.server, 10))
 	}
-	if !tried || home.health.isEjected {
-		t.Errorf("tried %v, out %v", tried, home.health.isEjected)
+	if !isProbed || home.health.isEjected {
+		t.Errorf("probed %v, ejected %v", isProbed, home.health.isEjected)
 	}
 }
 
-// Connections break everywhere, and a healthy server's do two and three times in a row by chance:
-// it must stay. One that fails every second attempt must be ejected soon, and a dead one sooner.
+// Guards against the ejection of healthy servers when connections break everywhere, two or three
+// times in a row by chance. A server that fails every second attempt must be ejected soon, and a
+// dead one sooner.
 func TestFailuresCountAgainstTheFleets(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(9))
 	rng := rand.New(rand.NewPCG(5, 5))
-	out := 0
+	ejectedOutcomes := 0
 	for range 3000 {
 		for _, s := range b.membership.caches {
-			st := OK
+			status := OK
 			if rng.Float64() < 0.12 {
-				st = Reset
+				status = Reset
 			}
-			if b.observe(s, st, b.now); s.health.isEjected {
-				out++
+			if b.observe(s, status, b.now); s.health.isEjected {
+				ejectedOutcomes++
 			}
 		}
 	}
-	if out > 15 { // of 27,000 outcomes
-		t.Errorf("healthy servers were out after %d outcomes", out)
+	if ejectedOutcomes > 15 { // of 27,000 outcomes
+		t.Errorf("healthy servers were ejected after %d outcomes", ejectedOutcomes)
 	}
 	for _, c := range []struct {
 		name    string
@@ -152,20 +155,20 @@
 		s := b.membership.caches[4]
 		n := 0
 		for s.health.evidence, s.health.isEjected = 0, false; !s.health.isEjected && n < 1000; n++ {
-			st := OK
+			status := OK
 			if c.fails(n) {
-				st = Reset
+				status = Reset
 			}
-			b.observe(s, st, b.now)
+			b.observe(s, status, b.now)
 		}
 		if n < c.atLeast || n > c.within {
-			t.Errorf("%s: out after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
+			t.Errorf("%s: ejected after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
 		}
 	}
 }
 
-// What was in flight when a server was ejected fails after that. No probe has failed, so the pause
-// must stay; when a probe fails it must double.
+// Guards against attempts that were in flight when their server was ejected and then count as
+// failed probes: the ejection time must not change. When a probe fails, it must double.
 func TestOldAttemptsAreNoFailedProbes(t *testing.T) {
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.membership.caches[2]
@@ -173,7 +176,7 @@
 		b.observe(s, Reset, b.now)
 	}
 	if !s.health.isEjected {
-		t.Fatal("two resets do not take a server out of a quiet fleet")
+		t.Fatal("two resets do not eject a server of a healthy fleet")
 	}
 	probeAt := s.health.probeAt
 	for range 10 {
@@ -181,17 +184,18 @@
 		b.eject(s, true)
 	}
 	if s.health.probeAt != probeAt || s.health.forcedProbeAt != probeAt {
-		t.Errorf("probe due at %.0f, at %.0f (forced at %.0f) after what was sent before", probeAt, s.health.probeAt,
+		t.Errorf("probe due at %.0f, later at %.0f (forced at %.0f)", probeAt, s.health.probeAt,
 			s.health.forcedProbeAt)
 	}
 	b.now = probeAt + 1
 	if b.observe(s, Reset, b.now); s.health.probeAt <= probeAt+minEjectionMillis {
-		t.Errorf("a failed probe is followed by another after %.0f ms", s.health.probeAt-probeAt)
+		t.Errorf("the next probe is due %.0f ms after the failed one", s.health.probeAt-probeAt)
 	}
 }
 
-// A server lets no connection come up and has not answered for long: it must be ejected at once,
-// and the retry is free. One that has just answered must stay.
+// Guards against further attempts at a dead server: one that refuses a connection and has not
+// answered for long must be ejected at once, and the retry must not use the budget. One that has
+// just answered must not be ejected.
 func TestAConnectErrorIsEnough(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	b.retryBudget = 0
@@ -205,6 +209,6 @@
 	b.AttemptEnded(105050, ofAttempt(1, served(1, other.ID, 49)))
 	b.observe(other, ConnectError, 105040)
 	if other.health.isEjected {
-		t.Error("a server that has just answered is ejected after one connection that did not come up")
+		t.Error("a server that has just answered was ejected after one refused connection")
 	}
 }
--- a/decide/queueing_test.go
+++ b/decide/queueing_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// With exponential service times M/G/m is M/M/m, whose waiting textbooks give by a sum; with fixed
-// ones half as many wait.
+// Guards against wrong waiting formulas: with exponential service times M/G/m is M/M/m, whose
+// waiting is known as a sum. With constant service times half as many requests wait.
 func TestDelayAgainstKnownValues(t *testing.T) {
-	erlangC := func(m int, a float64) float64 { // by the sum, as printed in textbooks
+	erlangC := func(m int, a float64) float64 { // the textbook sum
 		sum := 0.0
 		term := 1.0
 		for k := range m {
@@ -27,50 +27,52 @@
 	}{{1, 0.3}, {1, 0.9}, {2, 0.5}, {7, 0.8}, {20, 0.95}} {
 		mu := 10.0
 		a := c.rho * float64(c.m)
-		got, _, _ := mgmWaiting(a*mu, c.m, mu, 2) // exponential service: X² = 2·X̄²
+		got, _, _ := mgmWaiting(a*mu, c.m, mu, 2) // exponential service times: X² = 2·X̄²
 		want := erlangC(c.m, a) * c.rho / (1 - c.rho)
 		if math.Abs(got-want) > 1e-9*(1+want) {
 			t.Errorf("m=%d rho=%v: %v requests waiting, want %v", c.m, c.rho, got, want)
 		}
-		half, _, _ := mgmWaiting(a*mu, c.m, mu, 1) // fixed service waits half as long
+		half, _, _ := mgmWaiting(a*mu, c.m, mu, 1) // constant service times
 		if math.Abs(half-want/2) > 1e-9*(1+want) {
-			t.Errorf("m=%d rho=%v: fixed service %v, want %v", c.m, c.rho, half, want/2)
+			t.Errorf("m=%d rho=%v: constant service times %v, want %v", c.m, c.rho, half, want/2)
 		}
 	}
 }
 
-// The first and second derivative must be those of the waiting, also past the greatest utilisation
-// of the formulas.
+// Guards against derivatives that do not match the waiting, also beyond the utilization up to which
+// the formulas apply.
 func TestDelayDerivatives(t *testing.T) {
 	for _, m := range []int{1, 2, 5, 13} {
 		for _, rho := range []float64{0.05, 0.4, 0.8, 0.97, 1.2} {
 			mu := 8.0
-			c2 := 1.7
-			lam := rho * float64(m) * mu
-			e := 1e-4 * lam
-			_, d, h := mgmWaiting(lam, m, mu, c2)
-			f1, d1, _ := mgmWaiting(lam-e, m, mu, c2)
-			f2, d2, _ := mgmWaiting(lam+e, m, mu, c2)
-			if n := (f2 - f1) / (2 * e); math.Abs(n-d) > 1e-4*math.Abs(d)+1e-12 {
-				t.Errorf("m=%d rho=%v: FDL %v, numerically %v", m, rho, d, n)
+			momentRatio := 1.7
+			lambda := rho * float64(m) * mu
+			step := 1e-4 * lambda
+			_, slope, curvature := mgmWaiting(lambda, m, mu, momentRatio)
+			waiting1, slope1, _ := mgmWaiting(lambda-step, m, mu, momentRatio)
+			waiting2, slope2, _ := mgmWaiting(lambda+step, m, mu, momentRatio)
+			if n := (waiting2 - waiting1) / (2 * step); math.Abs(n-slope) > 1e-4*math.Abs(slope)+1e-12 {
+				t.Errorf("m=%d rho=%v: FDL %v, numerically %v", m, rho, slope, n)
 			}
-			if n := (d2 - d1) / (2 * e); math.Abs(n-h) > 1e-3*math.Abs(h)+1e-12 {
-				t.Errorf("m=%d rho=%v: second derivative %v, numerically %v", m, rho, h, n)
+			if n := (slope2 - slope1) / (2 * step); math.Abs(n-curvature) > 1e-3*math.Abs(curvature)+1e-12 {
+				t.Errorf("m=%d rho=%v: second derivative %v, numerically %v", m, rho, curvature, n)
 			}
 		}
 	}
 }
 
-// More load must never look cheaper, and no load may give a value that is no number.
+// Guards against waiting that decreases with the load, and against results that are not finite.
 func TestDelayIsFiniteAndRising(t *testing.T) {
 	for _, m := range []int{1, 3, 256} {
-		was := -1.0
-		for lam := 0.0; lam < 3*float64(m); lam += 0.01 * float64(m) {
-			f, d, h := mgmWaiting(lam, m, 1, 2)
-			if f < was || math.IsNaN(f+d+h) || math.IsInf(f+d+h, 0) || d < 0 {
-				t.Fatalf("m=%d lam=%v: f=%v d=%v h=%v after %v", m, lam, f, d, h, was)
+		previous := -1.0
+		for lambda := 0.0; lambda < 3*float64(m); lambda += 0.01 * float64(m) {
+			waiting, slope, curvature := mgmWaiting(lambda, m, 1, 2)
+			if waiting < previous || math.IsNaN(waiting+slope+curvature) ||
+				math.IsInf(waiting+slope+curvature, 0) || slope < 0 {
+				t.Fatalf("m=%d lambda=%v: waiting %v, slope %v, curvature %v after waiting %v",
+					m, lambda, waiting, slope, curvature, previous)
 			}
-			was = f
+			previous = waiting
 		}
 	}
 }
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -5,59 +5,62 @@
 	"slices"
 )
 
-// rejectionCause is why a request was answered without being served. The words stand in the logs.
+// rejectionCause is why a request was answered by the router itself. It appears in the logs.
 type rejectionCause string
 
 // The causes of rejections and failures.
 const (
-	causeLate     rejectionCause = "late"      // nothing can be in time any more
-	causeNoServer rejectionCause = "no server" // no server may be asked
+	causeLate     rejectionCause = "late"      // no answer can be in time
+	causeNoServer rejectionCause = "no server" // no server may be tried
 	causeQueue    rejectionCause = "queue"     // all queues are too long
-	causeWaited   rejectionCause = "held"      // it waited for the origin, and its time was over
-	causeOrigin   rejectionCause = "origin"    // the origin may not be asked, or a fetch would be late
-	causeAttempt  rejectionCause = "attempt"   // the last attempt ended it
-	causeNoRetry  rejectionCause = "no retry"  // the retry budget is used up
+	causeWaited   rejectionCause = "held"      // it waited for the origin until its time was over
+	causeOrigin   rejectionCause = "origin"    // the origin may not be asked, or its answer would be late
+	causeAttempt  rejectionCause = "attempt"   // its last attempt failed
+	causeNoRetry  rejectionCause = "no retry"  // the retry budget is empty
 )
 
 const (
-	// maxToleratedWaitShare bounds the least share of the remaining time that a queue may take.
+	// maxToleratedWaitShare bounds toleratedWaitShare.
 	maxToleratedWaitShare = 0.25
-	// inTimeGrowth and lateCut hold that share level where one answer in twenty is late: fixed, idle
-	// servers would reject, or overloaded ones answer late.
+	// inTimeGrowth and lateCut keep toleratedWaitShare where one answer in twenty is late. With a
+	// fixed share, idle servers would reject or overloaded ones would answer late.
 	inTimeGrowth = 0.0005
 	lateCut      = 0.01
-	// priorityWaitShare is the share by which the highest priority may wait longer.
+	// priorityWaitShare is the additional share of the remaining time that a queue may take for a
+	// request of the highest priority.
 	priorityWaitShare = 0.55
 	// minPriorityDivisor keeps a division finite.
 	minPriorityDivisor = 1e-9
-	// serviceShare is the share of a server's floor latency that counts as the request's own time.
+	// serviceShare is the share of a server's floor latency that counts as the request's service
+	// time.
 	serviceShare = 0.7
-	// floorSeenMillis is the time constant by which a floor fades that was seen in an overload.
+	// floorSeenMillis is the time constant with which a floor latency observed in an overload
+	// decays.
 	floorSeenMillis = 10000
 
-	// minRetryAfterMillis is the shortest Retry-After: less is no relief.
+	// minRetryAfterMillis is the shortest Retry-After: a shorter one would not reduce the load.
 	minRetryAfterMillis = 25
-	// retryAfterDivisor is the part of the latency objective that a Retry-After takes at most, as the
-	// answer has to be in time after that.
+	// retryAfterDivisor divides the latency objective to get the longest Retry-After, as the answer
+	// should still be in time after it.
 	retryAfterDivisor = 8
 )
 
-// toleratedWaitMillis is the longest queue that a request accepts. It falls with the priority: the
-// least is shed first, and early rather than late.
+// toleratedWaitMillis returns the longest wait that a request accepts. It increases with the
+// priority, so that the lowest priority is rejected first, and before its time is used up.
 func (b *Balancer) toleratedWaitMillis(r *request) float64 {
-	byPriority := priorityWaitShare * math.Sqrt(r.priority/max(b.maxPriority, minPriorityDivisor))
-	return (b.toleratedWaitShare + byPriority) * (r.objectiveAt - b.now)
+	priorityShare := priorityWaitShare * math.Sqrt(r.priority/max(b.maxPriority, minPriorityDivisor))
+	return (b.toleratedWaitShare + priorityShare) * (r.objectiveAt - b.now)
 }
 
-// fitsInQueue says whether a request that tolerates some wait fits in a server's queue: the wait
-// and the time for the request itself.
+// fitsInQueue reports whether a request that tolerates a certain wait can be sent to a server with
+// the given wait: the time must suffice for both the wait and the service.
 func (b *Balancer) fitsInQueue(r *request, s *server, waitMillis, toleratedMillis float64) bool {
 	latency := &s.load.latencyPerWork
-	faded := math.Exp((latency.updatedAt - b.now) / floorSeenMillis)
-	return waitMillis <= toleratedMillis-serviceShare*latency.floor*faded*r.work
+	decay := math.Exp((latency.updatedAt - b.now) / floorSeenMillis)
+	return waitMillis <= toleratedMillis-serviceShare*latency.floor*decay*r.work
 }
 
-// adaptToleratedWait takes whether an answer came in time.
+// adaptToleratedWait adapts toleratedWaitShare to whether an answer was late.
 func (b *Balancer) adaptToleratedWait(isLate bool) {
 	b.toleratedWaitShare = min(maxToleratedWaitShare, b.toleratedWaitShare+inTimeGrowth)
 	if isLate {
@@ -65,9 +68,9 @@
 	}
 }
 
-// mayReject says whether a request may be rejected rather than failed. A rejection invites the client
-// to send it again to any router, after the Retry-After, so no attempt of it may have run, unless a
-// repeat is harmless then.
+// mayReject reports whether a request may be rejected rather than failed. A rejection invites the
+// client to send the request again to any router, after the Retry-After. So no attempt of it may
+// have run, unless a repeat at that time is safe.
 func (b *Balancer) mayReject(r *request, retryAfterMillis float64) bool {
 	if r.class.Effect == Idempotent {
 		return true
@@ -77,15 +80,15 @@
 	})
 }
 
-// dropsResend says whether whichever server a client's resend reaches will drop it, where an attempt
-// may have run.
+// dropsResend reports whether any server that a client's repeat can reach will drop it, given an
+// attempt that may have run.
 func (b *Balancer) dropsResend(c *Class, a *attempt, retryAfterMillis float64) bool {
-	isByAnyServer := c.Effect == IdempotentByKey && c.IdempotencyScope == scopeAll
-	return isByAnyServer && a.server != b.membership.origin && a.isWithinWindow(c, b.now+retryAfterMillis)
+	isDroppedAnywhere := c.Effect == IdempotentByKey && c.IdempotencyScope == scopeAll
+	return isDroppedAnywhere && a.server != b.membership.origin && a.isWithinWindow(c, b.now+retryAfterMillis)
 }
 
-// answer gives the final answer to a request that was not served, unless an attempt is in flight
-// that may give a better one.
+// answer rejects or fails a request that was not served, unless an attempt is still in flight that
+// may be answered.
 func (b *Balancer) answer(r *request, cause rejectionCause) {
 	if r.isAnswered || r.inFlight > 0 && b.now < r.deadlineAt-minRemainingMillis {
 		return
@@ -100,8 +103,8 @@
 	b.close(r)
 }
 
-// close cancels what is in flight of a request that needs no answer any more, and forgets it once
-// nothing is.
+// close marks a request as answered, cancels its attempts in flight, and removes it once there are
+// none.
 func (b *Balancer) close(r *request) {
 	r.isAnswered = true
 	for i, a := range r.attempts {
@@ -117,8 +120,9 @@
 	}
 }
 
-// retryAfterMillis is the Retry-After of a rejected client: once the shortest queue among its
-// servers is gone, but early enough for the answer to be in time; 0 = none is sent.
+// retryAfterMillis returns the Retry-After of a rejected request: when the shortest queue of its
+// key's servers should be processed, but early enough for the answer to be in time; 0 = none is
+// sent.
 func (b *Balancer) retryAfterMillis(r *request) float64 {
 	if !b.cfg.SendRetryAfter {
 		return 0
@@ -129,15 +133,15 @@
 			wait = min(wait, b.expectedWaitMillis(s))
 		}
 	}
-	if math.IsInf(wait, 1) { // no server is in use: probes come after the shortest pause
+	if math.IsInf(wait, 1) { // no server is in use: the first probe follows the shortest ejection
 		wait = minEjectionMillis
 	}
-	longest := min(wait, r.class.LatencyObjectiveMillis/retryAfterDivisor, b.cfg.MaxRetryAfterMillis)
-	return max(b.cfg.MinRetryAfterMillis(), longest)
+	retryAfter := min(wait, r.class.LatencyObjectiveMillis/retryAfterDivisor, b.cfg.MaxRetryAfterMillis)
+	return max(b.cfg.MinRetryAfterMillis(), retryAfter)
 }
 
-// MinRetryAfterMillis is the Retry-After of a client that is rejected before its request gets here,
-// as where there is no capacity for its value; 0 = none is sent.
+// MinRetryAfterMillis returns the Retry-After of a request that is rejected before it reaches the
+// Balancer, for example if there is no capacity for its value; 0 = none is sent.
 func (c *Config) MinRetryAfterMillis() float64 {
 	if !c.SendRetryAfter {
 		return 0
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// All servers have a queue of 100 ms. A request of low priority is rejected at once, one of high
+// Guards against an overloaded fleet that rejects late or without regard to priority: if all
+// servers have a queue of 100 ms, a request of low priority is rejected at once and one of high
 // priority is sent.
 func TestFullFleetRejectsEarlyTheLowestPriorityFirst(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
@@ -15,17 +16,18 @@
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 100001, 2, "important", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 || len(h.sends) != 1 {
-		t.Errorf("rejected %v, sends %v: want the ordinary one rejected and the important one sent", h.rejected,
+		t.Errorf("rejected %v, sends %v: want the first rejected and the important one sent", h.rejected,
 			h.sends)
 	}
 }
 
-// Overloaded servers answer late although their queues look short. After many late answers a router
-// must tolerate shorter queues; quick answers leave it at the most.
+// Guards against overloaded servers that answer late although their queues look short: after many
+// late answers a router must tolerate shorter queues. Fast answers leave the tolerated wait at its
+// maximum.
 func TestLateAnswersLowerTheToleratedWait(t *testing.T) {
 	for _, c := range []struct {
-		took      float64
-		low, high float64
+		latencyMillis      float64
+		minShare, maxShare float64
 	}{{20, 0.24, 0.25}, {400, 0, 0.16}} {
 		b, h := start(t, testConfig(), fleet(6))
 		for i := range uint32(300) {
@@ -33,32 +35,33 @@
 			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
 				continue // rejected
 			}
-			o := withResult(CacheHit, served(i+1, h.last().server, c.took))
-			b.AttemptEnded(now+c.took, o)
+			o := withResult(CacheHit, served(i+1, h.last().server, c.latencyMillis))
+			b.AttemptEnded(now+c.latencyMillis, o)
 		}
-		if b.toleratedWaitShare < c.low || b.toleratedWaitShare > c.high {
-			t.Errorf("answers after %v ms: a wait of %v of the objective is tolerated, want %v to %v", c.took,
-				b.toleratedWaitShare, c.low, c.high)
+		if b.toleratedWaitShare < c.minShare || b.toleratedWaitShare > c.maxShare {
+			t.Errorf("answers after %v ms: tolerated wait share %v, want %v to %v", c.latencyMillis,
+				b.toleratedWaitShare, c.minShare, c.maxShare)
 		}
 	}
 }
 
-// No server can be used: none is listed, all drain, or only the origin is there. Each request, also
-// one of an unknown class, gets one final answer at once.
+// Guards against requests that get no answer because no server can be used: none is listed, all are
+// draining, or there is only the origin. Each request, even of an unknown class, must get one final
+// answer at once.
 func TestRequestWithoutCandidatesIsAnswered(t *testing.T) {
-	drain := fleet(2)
-	drain[0].State = Draining
-	drain[1].State = Draining
+	draining := fleet(2)
+	draining[0].State = Draining
+	draining[1].State = Draining
 	cfg := testConfig()
-	aside := cfg
-	aside.CacheAside = true
-	aside.OriginKind = "origin"
+	cacheAside := cfg
+	cacheAside.CacheAside = true
+	cacheAside.OriginKind = "origin"
 	for name, c := range map[string]struct {
-		cfg Config
-		es  []Endpoint
-	}{"empty": {cfg, nil}, "draining": {cfg, drain}, "origin only": {aside, []Endpoint{{ID: 9, Kind: "origin"}}}} {
+		cfg       Config
+		endpoints []Endpoint
+	}{"empty": {cfg, nil}, "draining": {cfg, draining}, "origin only": {cacheAside, []Endpoint{{ID: 9, Kind: "origin"}}}} {
 		for _, class := range []string{"read", "once", "unknown"} {
-			b, h := start(t, c.cfg, c.es)
+			b, h := start(t, c.cfg, c.endpoints)
 			ask(b, 100010, 1, class, 5)
 			if h.answers(1) != 1 || len(h.sends) != 0 {
 				t.Errorf("%s, %s: %d answers, sends %v", name, class, h.answers(1), h.sends)
@@ -67,9 +70,9 @@
 	}
 }
 
-// An overload has raised the floor of servers that are idle by now, and a request is rejected for
-// it. Twelve seconds later the next one must be sent, as no answer could correct the floor
-// otherwise.
+// Guards against rejections that never end because an overload has raised the floor latency of
+// servers that are idle now: without requests, no answer would correct it. It must decay within
+// twelve seconds.
 func TestFloorSeenFades(t *testing.T) {
 	b, h := start(t, testConfig(), fleet(6))
 	for _, s := range b.membership.caches {
@@ -79,12 +82,12 @@
 	ask(b, 100001, 1, "read", 5)
 	ask(b, 112001, 2, "read", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 {
-		t.Errorf("rejected %v: want the first only", h.rejected)
+		t.Errorf("rejected %v: want only the first", h.rejected)
 	}
 }
 
-// Every attempt at a large fleet begins to time out. The router must begin to shed load, though it
-// has asked each server only once or twice.
+// Guards against a router that does not reject while every attempt at a large fleet times out, as
+// it has sent each server only one or two requests.
 func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
@@ -102,19 +105,19 @@
 		}
 	}
 	if rejected < 20 {
-		t.Errorf("%d of 100 requests rejected early while every attempt timed out", rejected)
+		t.Errorf("%d of 100 requests rejected while every attempt timed out", rejected)
 	}
 }
 
-// A request is rejected. Where the settings allow it, the client must be told when to come again,
-// within bounds; else nothing.
+// Guards against a rejection with a Retry-After that is missing, out of bounds, or sent although
+// the settings do not allow it.
 func TestRejectionTellsRetryAfter(t *testing.T) {
 	for _, isSent := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.SendRetryAfter = isSent
 		cfg.MaxRetryAfterMillis = 1500
-		es := fleet(6)
-		b, h := start(t, cfg, es)
+		endpoints := fleet(6)
+		b, h := start(t, cfg, endpoints)
 		for _, s := range b.membership.caches {
 			fill(b, s)
 		}
@@ -123,7 +126,7 @@
 			t.Fatalf("rejected %d times", h.rejected[1])
 		}
 		if got := b.cfg.MinRetryAfterMillis(); isSent != (got == minRetryAfterMillis) {
-			t.Errorf("Retry-After sent %t: at least %v", isSent, got)
+			t.Errorf("Retry-After sent %t: minimum %v", isSent, got)
 		}
 		if got := h.waits[0]; isSent != (got >= minRetryAfterMillis && got <= 300.0/4) || !isSent && got != 0 {
 			t.Errorf("Retry-After sent %t: %v", isSent, got)
@@ -131,9 +134,9 @@
 	}
 }
 
-// Guards against a rejection that invites a client to run a keyed request twice: after the end of the
-// window, with a Retry-After beyond it, or where it may have run at the origin, nothing drops the
-// client's repeat.
+// Guards against a rejection that invites a client to run a keyed request twice. Servers do not
+// drop the client's repeat after the end of the window, with a Retry-After beyond it, or if the
+// request may have run at the origin.
 func TestKeyedRequestIsRejectedOnlyWhereItsRepeatIsDropped(t *testing.T) {
 	const window = 400
 	for name, c := range map[string]struct {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,31 +1,31 @@
 package decide
 
 const (
-	// retriesPerArrival is the number of further attempts that each request pays for: one in five,
-	// so that retries can't become a storm.
+	// retriesPerArrival is the number of retries that each request adds to the budget: one per five
+	// requests, which prevents retry storms.
 	retriesPerArrival = 0.2
-	// maxRetryBudget is the number that can be saved up.
+	// maxRetryBudget is the largest budget that can accumulate.
 	maxRetryBudget = 20
-	// idempotencyMarginMillis is the time before the end of a class's window at which a repeat is
-	// no longer safe, as it has a way to go.
+	// idempotencyMarginMillis is the time before the end of an idempotency window from which a
+	// repeat counts as unsafe, as it still has to reach the server.
 	idempotencyMarginMillis = 1
 
-	// latencyWeight is the weight of an answer of mean work in its server's latency: over five
-	// answers. A light one counts for less, maxLatencyWeight bounds a heavy one.
+	// latencyWeight is the EWMA weight of an answer of mean work in its server's latency: about
+	// five answers. It is scaled by the work, and maxLatencyWeight bounds it.
 	latencyWeight    = 0.2
 	maxLatencyWeight = 0.5
-	// fleetLatencyWeight is the weight in the latency of the fleet: over ten answers.
+	// fleetLatencyWeight is the EWMA weight in the latency over all servers: about ten answers.
 	fleetLatencyWeight = 0.1
 )
 
-// earnRetries adds what an arrival pays for.
+// earnRetries adds to the retry budget for an arrival.
 func (b *Balancer) earnRetries() {
 	b.retryBudget = min(maxRetryBudget, b.retryBudget+retriesPerArrival)
 }
 
-// mayAttempt says whether a further attempt of a request may run on a server: whether its effect
-// allows it, and the number of attempts. An attempt may have run from its send on, until its
-// outcome proves the contrary.
+// mayAttempt reports whether a further attempt of a request may run on a server: whether the effect
+// of its class allows the repeat, and whether attempts are left. An attempt may have run from its
+// send on, until its outcome proves the contrary.
 func (b *Balancer) mayAttempt(r *request, s *server) bool {
 	if r.class.Effect != Idempotent {
 		for i := range r.attempts {
@@ -37,7 +37,7 @@
 	return len(r.attempts) < r.maxAttempts && (r.inFlight == 0 || b.cfg.HedgingAllowed)
 }
 
-// dropsRepeat says whether a server will drop a repeat of an attempt that may have run.
+// dropsRepeat reports whether a server will drop a repeat of an attempt that may have run.
 func (b *Balancer) dropsRepeat(c *Class, a *attempt, s *server) bool {
 	origin := b.membership.origin
 	if c.Effect == NotIdempotent || a.server == origin || s == origin {
@@ -47,7 +47,7 @@
 	return isSameGroup && a.isWithinWindow(c, b.now)
 }
 
-// isWithinWindow says whether servers drop a repeat of an attempt at a time.
+// isWithinWindow reports whether servers drop a repeat of the attempt at a given time.
 func (a *attempt) isWithinWindow(c *Class, at float64) bool {
 	return at < a.sentAt+c.IdempotencyWindowMillis-idempotencyMarginMillis
 }
@@ -57,32 +57,32 @@
 
 // The kinds of ends.
 const (
-	// endServed: it was answered.
+	// endServed: the server answered.
 	endServed endKind = iota
 	// endMissing: the server has no value for the key.
 	endMissing
-	// endRejected: the server's queue is full.
+	// endRejected: the server's queue was full.
 	endRejected
-	// endTimeout: the client's time is over.
+	// endTimeout: no answer arrived in time.
 	endTimeout
-	// endDisconnected: the connection did not come up, or broke.
+	// endDisconnected: the connection could not be established, or broke.
 	endDisconnected
-	// endMalformed: the answer can't be used.
+	// endMalformed: the answer can't be parsed.
 	endMalformed
-	// endNotRun: this router cancelled it or never sent it.
+	// endNotRun: this router canceled the attempt or never sent it.
 	endNotRun
-	// endFailed: the server failed.
+	// endFailed: the server returned an error.
 	endFailed
-	// endOriginFailed: the server is well, but its own fetch from the origin failed.
+	// endOriginFailed: the server works, but its own fetch from the origin failed.
 	endOriginFailed
 )
 
-// attemptEnd is the end of an attempt as the decisions see it.
+// attemptEnd is the end of an attempt, with what the decisions need to know about it.
 type attemptEnd struct {
 	Outcome
-	// kind is how it ended.
+	// kind is the class of the outcome.
 	kind endKind
-	// server is where it ran.
+	// server is the server of the attempt.
 	server *server
 	// isFromOrigin says that the server is the origin.
 	isFromOrigin bool
@@ -90,7 +90,7 @@
 	wasServerFetch bool
 }
 
-// classify gives the kind of an attempt's end.
+// classify returns an attempt's outcome with its classification.
 func (b *Balancer) classify(r *request, a *attempt, o Outcome) attemptEnd {
 	return attemptEnd{
 		Outcome:        o,
@@ -124,7 +124,7 @@
 	return endFailed
 }
 
-// attemptEnded learns from the end of an attempt, and then does what follows for its request.
+// attemptEnded updates all records from the end of an attempt, and then acts on its request.
 func (b *Balancer) attemptEnded(r *request, a *attempt, o Outcome) {
 	end := b.classify(r, a, o)
 	r.isServerFetch = false
@@ -139,7 +139,7 @@
 		b.fetchEnded(r, end.Status, end.LatencyMillis)
 	}
 	if end.kind == endOriginFailed {
-		r.key.storedAt = 0 // the key's next request waits for a place too
+		r.key.storedAt = 0 // the key's next request must wait for a fetch slot
 	}
 	if end.kind == endServed && !end.isFromOrigin {
 		b.learnServed(r, &end)
@@ -148,8 +148,8 @@
 	b.serveWaiting()
 }
 
-// tellsOfServer says whether an end tells something of the server's health. What waited for the
-// origin, or failed there, does not.
+// tellsOfServer reports whether an end is evidence of the server's health. An attempt that waited
+// for the origin or failed there is not.
 func (e *attemptEnd) tellsOfServer() bool {
 	if e.kind == endOriginFailed || e.wasServerFetch && e.kind == endTimeout {
 		return false
@@ -157,13 +157,13 @@
 	return e.Status.isOfServer()
 }
 
-// wasFetch says whether the origin was asked. Where the server was expected to, it says by a hit
-// that the value was there after all.
+// wasFetch reports whether the origin was asked. A server that was expected to fetch reports a hit
+// if it had the value after all.
 func (e *attemptEnd) wasFetch() bool {
 	return e.isFromOrigin || e.wasServerFetch && e.CacheResult != CacheHit
 }
 
-// learnQueue takes from a timeout or a full queue that a server has a long one.
+// learnQueue records a long queue at a server after a timeout or a rejection by a full queue.
 func (b *Balancer) learnQueue(r *request, end *attemptEnd) {
 	isTimeout := end.kind == endTimeout && !end.wasServerFetch
 	if end.isFromOrigin || !isTimeout && end.kind != endRejected {
@@ -172,16 +172,16 @@
 	b.recordWait(end.server, r.class.LatencyObjectiveMillis)
 	latency := &end.server.load.latencyPerWork
 	perWork := end.LatencyMillis / r.work
-	if isTimeout && perWork > latency.value { // an overload, though some are answered
+	if isTimeout && perWork > latency.value { // the server is overloaded, even if it answers some attempts
 		latency.update(b.now, perWork, answerWeight(r.work))
 	}
 }
 
-// answerWeight is the weight of an answer in its server's latency.
+// answerWeight returns the EWMA weight of an answer in its server's latency.
 func answerWeight(work float64) float64 { return min(maxLatencyWeight, latencyWeight*work) }
 
-// learnServed takes an answer of a cache server: its latency, and that the key is stored there. An
-// answer that waited for a fetch says nothing of the server's latency.
+// learnServed records the latency of a cache server's answer, and that the key is stored there. The
+// latency of an answer that waited for a fetch is not used.
 func (b *Balancer) learnServed(r *request, end *attemptEnd) {
 	if end.CacheResult != CacheMiss {
 		b.adaptToleratedWait(b.now > r.objectiveAt)
@@ -191,7 +191,7 @@
 	r.key.storedOn = end.server
 }
 
-// learnLatency takes the latency of an answer.
+// learnLatency records the latency of an answer.
 func (b *Balancer) learnLatency(r *request, end *attemptEnd) {
 	latency := &end.server.load.latencyPerWork
 	perWork := end.LatencyMillis / r.work
@@ -199,35 +199,35 @@
 	b.latencyPerWork.update(b.now, perWork, fleetLatencyWeight)
 	b.recordWait(end.server, perWork-max(b.latencyPerWork.floor, latency.floor))
 	if latency.value == 0 {
-		// A light request tells little: the fleet's mean stands in for the rest.
+		// A light request gives little evidence: the mean over all servers supplies the rest.
 		mean := b.serviceTime.mean
 		latency.update(b.now, mean+min(1, r.work)*(perWork-mean), 1)
 	}
 	latency.update(b.now, perWork, answerWeight(r.work))
 }
 
-// step is what follows for a request after the end of an attempt.
+// step is what is done with a request after the end of an attempt.
 type step int
 
 // The steps.
 const (
-	// stepClose: it has its final answer.
+	// stepClose: the request has its final answer.
 	stepClose step = iota
-	// stepFetchAgain: it waits for the origin once more, for a further attempt.
+	// stepFetchAgain: the request waits for the origin again, for another attempt there.
 	stepFetchAgain
-	// stepFetch: it waits for the origin, as the key is missing.
+	// stepFetch: the request waits for the origin, as the key is missing.
 	stepFetch
-	// stepRetry: it is sent to a server once more.
+	// stepRetry: the request is sent to a server again.
 	stepRetry
-	// stepFreeRetry: the same, without a charge to the retry budget.
+	// stepFreeRetry: the same, without using the retry budget.
 	stepFreeRetry
-	// stepAnswer: nothing more can help it.
+	// stepAnswer: no further attempt would help.
 	stepAnswer
-	// stepAnswerWithoutRetry: a retry could help it, but is not allowed.
+	// stepAnswerWithoutRetry: a retry might help, but is not allowed.
 	stepAnswerWithoutRetry
 )
 
-// follow does what follows for a request.
+// follow carries out the next step of a request after the end of an attempt.
 func (b *Balancer) follow(r *request, end *attemptEnd) {
 	mayAskSame := b.mayAskSameAgain(r, end)
 	b.releaseFetch(r, end, mayAskSame)
@@ -252,24 +252,26 @@
 	}
 }
 
-// mayAskSameAgain says whether a read is best asked for again where its value is: its answer was
-// damaged, or its connection broke at a server that is not thought to be faulty. That takes no
-// fetch. A dead server costs a second attempt, which the retry budget bounds.
+// mayAskSameAgain reports whether a read should be repeated at the same server, which has the
+// value: its answer was malformed, or its connection broke and the server is not suspected of a
+// fault. That saves a fetch. If the server is dead, it costs a second attempt, which the retry
+// budget bounds.
 func (b *Balancer) mayAskSameAgain(r *request, end *attemptEnd) bool {
 	if r.IsWrite {
 		return false
 	}
-	isServerWell := !end.isFromOrigin && end.server.health.evidence < returnEvidence
-	return end.kind == endMalformed || end.kind == endDisconnected && isServerWell
+	isServerHealthy := !end.isFromOrigin && end.server.health.evidence < returnEvidence
+	return end.kind == endMalformed || end.kind == endDisconnected && isServerHealthy
 }
 
-// isLostFetch says whether the origin was asked without an answer, and is not thought to be faulty.
+// isLostFetch reports whether a fetch ended without an answer and without evidence that the origin
+// is faulty.
 func (e *attemptEnd) isLostFetch() bool {
 	return e.isFromOrigin && (e.kind == endDisconnected || e.Status == Cancelled)
 }
 
-// releaseFetch lets others fetch a key whose fetch was lost, or sends a read back to the server
-// that has the value.
+// releaseFetch lets other requests fetch a key whose fetch was lost, or makes a read prefer the
+// server that has the value.
 func (b *Balancer) releaseFetch(r *request, end *attemptEnd, mayAskSame bool) {
 	switch {
 	case mayAskSame && !end.isFromOrigin:
@@ -281,7 +283,7 @@
 
 // nextStep decides what follows for a request after the end of an attempt.
 func (b *Balancer) nextStep(r *request, end *attemptEnd, mayAskSame bool) step {
-	isFree := end.Status == ConnectError // it took nobody's time
+	isUncharged := end.Status == ConnectError // no server has spent time on it
 	switch {
 	case r.isAnswered || end.IsFinal:
 		return stepClose
@@ -297,7 +299,7 @@
 		return stepFetch
 	case r.inFlight > 0:
 		return stepAnswerWithoutRetry
-	case isFree:
+	case isUncharged:
 		return stepFreeRetry
 	case b.retryBudget < 1:
 		return stepAnswerWithoutRetry
