--- a/decide/handover.go
+++ b/decide/handover.go
@@ -213,7 +213,7 @@
 // records of servers and keys are not checked. After another event the error is ErrNotFirst.
 func (b *Balancer) TakeOver(now float64, state Snapshot) error {
 	if b.startedAt >= 0 {
-		return ErrNotFirst
+		return ErrTakeOverAfterEvent
 	}
 	b.begin(now)
 	for id, at := range state.DisabledAt {
