--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -266,7 +266,7 @@
 	}
 	hasSameOrigin := cfg.CacheAside == b.cfg.CacheAside && cfg.OriginKind == b.cfg.OriginKind
 	if !hasSameOrigin || cfg.PollEndpoints != b.cfg.PollEndpoints {
-		return ErrFixedSetting
+		return ErrImmutableSetting
 	}
 	b.useSettings(cfg)
 	b.idleTimeoutMillis = cfg.IdleTimeoutMillis
--- a/decide/errors.go
+++ b/decide/errors.go
@@ -4,9 +4,9 @@
 
 // The errors that a Balancer returns, besides *SettingError.
 var (
-	// ErrFixedSetting is returned by Reconfigure for a change of a setting that the state of a
+	// ErrImmutableSetting is returned by Reconfigure for a change of a setting that the state of a
 	// running router depends on.
-	ErrFixedSetting = errors.New(
+	ErrImmutableSetting = errors.New(
 		"decide: settings CacheAside, OriginKind and PollEndpoints cannot be changed while a router runs")
 	// ErrTakeOverAfterEvent is returned by TakeOver if another event came before it.
 	ErrTakeOverAfterEvent = errors.New("decide: taking over a snapshot: it must come before all other events")
