--- a/decide/handover.go
+++ b/decide/handover.go
@@ -220,7 +220,7 @@
 		b.membership.disabledAt[id] = min(at, now)
 	}
 	if !state.isPossible(now) {
-		return ErrImpossibleSnapshot
+		return ErrInvalidSnapshot
 	}
 	b.startedAt = min(now, state.StartedAt)
 	b.restoreServers(now, state.Servers)
