--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -16,8 +16,8 @@
 const (
 	// notifiedMillis is the time after which a change counts as announced, even if calls failed.
 	notifiedMillis = 6000
-	// MovedNotifiedMillis is the same time from a configuration that names another discovery.
-	MovedNotifiedMillis = 4000
+	// DiscoveryChangeBudgetMillis is the same time from a configuration that names another discovery.
+	DiscoveryChangeBudgetMillis = 4000
 	// MaxBackOffMillis is the longest time between two calls of a router whose calls fail.
 	MaxBackOffMillis = 3500
 	// MaxPollCallMillis is how long a router waits for the answer to a call that discovery has
@@ -73,7 +73,7 @@
 // answer.
 func (b *Balancer) DiscoveryMoved(now float64) {
 	b.begin(now)
-	b.discovery = discoveryPolling{pollAt: now, movedCallsEnd: now + MovedNotifiedMillis}
+	b.discovery = discoveryPolling{pollAt: now, movedCallsEnd: now + DiscoveryChangeBudgetMillis}
 	b.pollDiscovery()
 }
 
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -121,7 +121,7 @@
 			}
 			b.UpdateEndpoints(movedAt+20, WatchFailed, nil)
 			calls := 0
-			for now := movedAt; now < movedAt+MovedNotifiedMillis; now += 50 {
+			for now := movedAt; now < movedAt+DiscoveryChangeBudgetMillis; now += 50 {
 				watchesBefore := h.watches
 				b.TimerExpired(now, housekeepingToken)
 				if h.watches > watchesBefore {
@@ -129,13 +129,13 @@
 					b.UpdateEndpoints(now+20, WatchFailed, nil)
 				}
 			}
-			minCalls, maxCalls := 4, int(MovedNotifiedMillis/(minMovedRetryMillis/3))
+			minCalls, maxCalls := 4, int(DiscoveryChangeBudgetMillis/(minMovedRetryMillis/3))
 			if routers == 5100 { // the calls of a large fleet must stay spread
 				minCalls, maxCalls = 1, 3
 			}
 			if calls < minCalls || calls > maxCalls {
 				t.Errorf("%d routers, seed %d: %d further calls within %v ms, want %d to %d",
-					routers, seed, calls, MovedNotifiedMillis, minCalls, maxCalls)
+					routers, seed, calls, DiscoveryChangeBudgetMillis, minCalls, maxCalls)
 			}
 		}
 	}
@@ -151,8 +151,8 @@
 func TestMoveEndsWithItsBudget(t *testing.T) {
 	const movedAt = 100000.0
 	for _, c := range []struct{ failedAt, maxPauseMillis, minPauseMillis float64 }{
-		{movedAt + 1000, MovedNotifiedMillis / 3, 100},
-		{movedAt + MovedNotifiedMillis + 10, MaxBackOffMillis, MaxBackOffMillis/3 - 100},
+		{movedAt + 1000, DiscoveryChangeBudgetMillis / 3, 100},
+		{movedAt + DiscoveryChangeBudgetMillis + 10, MaxBackOffMillis, MaxBackOffMillis/3 - 100},
 	} {
 		cfg := testConfig()
 		cfg.Routers = 300
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -89,7 +89,7 @@
 		watchWait:        10 * time.Second,
 		firstWatchWait:   time.Millisecond,
 		newWatchWait:     time.Second,
-		newWatchDuration: decide.MovedNotifiedMillis * time.Millisecond,
+		newWatchDuration: decide.DiscoveryChangeBudgetMillis * time.Millisecond,
 		watchSlack:       time.Second,
 	}
 )
