--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -18,12 +18,12 @@
 	notifiedMillis = 6000
 	// DiscoveryChangeBudgetMillis is the same time from a configuration that names another discovery.
 	DiscoveryChangeBudgetMillis = 4000
-	// MaxBackOffMillis is the longest time between two calls of a router whose calls fail.
-	MaxBackOffMillis = 3500
+	// MaxPollBackoffMillis is the longest time between two calls of a router whose calls fail.
+	MaxPollBackoffMillis = 3500
 	// MaxPollCallMillis is how long a router waits for the answer to a call that discovery has
 	// queued. Discovery itself rejects calls that would have to wait for 2 s, so a later answer is
 	// lost.
-	MaxPollCallMillis = notifiedMillis - MaxBackOffMillis
+	MaxPollCallMillis = notifiedMillis - MaxPollBackoffMillis
 	// movedRetryShare is the longest pause after a change of the discovery, as a share of the
 	// remaining time.
 	movedRetryShare = 1.0 / 3
@@ -79,7 +79,7 @@
 
 // pollSpreadMillis returns the time over which the calls of all routers are spread.
 func (b *Balancer) pollSpreadMillis() float64 {
-	spread := min(pollSlotMillis*float64(b.cfg.Routers-1), MaxBackOffMillis)
+	spread := min(pollSlotMillis*float64(b.cfg.Routers-1), MaxPollBackoffMillis)
 	if b.cfg.PollWithinMillis > 0 {
 		spread = min(spread, pollWindowShare*b.cfg.PollWithinMillis)
 	}
@@ -105,7 +105,7 @@
 	}
 	growth := min(maxBackoffGrowth, 1+float64(b.discovery.failures)/backoffGrowthFailures)
 	mean := max(shortest, b.pollSpreadMillis()) * growth
-	return min(backoffSpread*mean, MaxBackOffMillis)
+	return min(backoffSpread*mean, MaxPollBackoffMillis)
 }
 
 // movedRetryMillis returns the longest pause while a call to another discovery can still be in
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -60,7 +60,7 @@
 			for now := 100000.0; now < 120000; now += 100 {
 				watchesBefore := h.watches
 				if b.TimerExpired(now, housekeepingToken); h.watches > watchesBefore {
-					if first = min(first, now); last > 0 && now-last > MaxBackOffMillis+100 { // plus one tick
+					if first = min(first, now); last > 0 && now-last > MaxPollBackoffMillis+100 { // plus one tick
 						t.Errorf("%d routers: %v ms between two calls of one", routers, now-last)
 					}
 					last = now + 10
@@ -73,7 +73,7 @@
 			}
 		}
 		perSecond := float64(len(calls)) / 20
-		callsPerMilli := float64(routers) / (MaxBackOffMillis * 2 / 3) // mean calls per ms at the longest backoff
+		callsPerMilli := float64(routers) / (MaxPollBackoffMillis * 2 / 3) // mean calls per ms at the longest backoff
 		if perSecond < 2 || perSecond > max(6, 1.2*callsPerMilli*1000) {
 			t.Errorf("%d routers: %.1f calls per second", routers, perSecond)
 		}
@@ -139,9 +139,9 @@
 			}
 		}
 	}
-	if MaxBackOffMillis+MaxPollCallMillis > notifiedMillis {
+	if MaxPollBackoffMillis+MaxPollCallMillis > notifiedMillis {
 		t.Errorf("a pause of %v ms and a call of %v ms exceed the budget of %v ms",
-			MaxBackOffMillis, MaxPollCallMillis, notifiedMillis)
+			MaxPollBackoffMillis, MaxPollCallMillis, notifiedMillis)
 	}
 }
 
@@ -152,7 +152,7 @@
 	const movedAt = 100000.0
 	for _, c := range []struct{ failedAt, maxPauseMillis, minPauseMillis float64 }{
 		{movedAt + 1000, DiscoveryChangeBudgetMillis / 3, 100},
-		{movedAt + DiscoveryChangeBudgetMillis + 10, MaxBackOffMillis, MaxBackOffMillis/3 - 100},
+		{movedAt + DiscoveryChangeBudgetMillis + 10, MaxPollBackoffMillis, MaxPollBackoffMillis/3 - 100},
 	} {
 		cfg := testConfig()
 		cfg.Routers = 300
@@ -163,7 +163,7 @@
 		b.UpdateEndpoints(c.failedAt, WatchFailed, nil)
 		watchesBefore := h.watches
 		now := c.failedAt
-		for h.watches == watchesBefore && now < c.failedAt+2*MaxBackOffMillis {
+		for h.watches == watchesBefore && now < c.failedAt+2*MaxPollBackoffMillis {
 			now += 50
 			b.TimerExpired(now, housekeepingToken)
 		}
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -106,14 +106,14 @@
 // which a change counts as told.
 func TestFirstWatchAfterAFailureIsShort(t *testing.T) {
 	const toldWithin = 6 * time.Second
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.firstWatchWait +
+	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.firstWatchWait +
 		sharedTiming.watchSlack; sum > toldWithin {
 		t.Errorf("asked: news comes %v after a failure at most", sum)
 	}
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > toldWithin {
+	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > toldWithin {
 		t.Errorf("asked: a call that waits its turn is given up %v after a failure at most", sum)
 	}
-	if sharedTiming.maxBackoff > decide.MaxBackOffMillis*time.Millisecond {
+	if sharedTiming.maxBackoff > decide.MaxPollBackoffMillis*time.Millisecond {
 		t.Errorf("asked: the pause of %v is longer than the back-off that it runs beside", sharedTiming.maxBackoff)
 	}
 	if sum := agentTiming.maxBackoff + agentTiming.watchWait + agentTiming.watchSlack; sum > toldWithin {
