--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,13 @@
-// Package admission decides which requests are admitted before the Balancer sees them: weighted
-// fair shares of work among tenants, within fixed memory, with an honest retry-after for those that
-// are rejected. It does no I/O and has no clock: each call brings the time in milliseconds, and the
-// same seed and calls lead to the same decisions.
+// Package admission decides which requests are passed on to the Balancer. It divides work among
+// tenants by weighted fair sharing, in memory of fixed size, and gives each rejected request a
+// retry-after at which its tenant's share is expected to be free. It does no I/O and reads no
+// clock: each call passes the time in milliseconds, and the same seed and calls lead to the same
+// decisions.
 //
-// Fairness is start-time fair queueing (Goyal, Vin and Cheng, 1996) in two levels: named tenants
-// and, as one, all others; and the others among themselves. The limit on concurrency follows what
-// the fleet can take (docs/admission-design.md).
+// Fairness is start-time fair queueing (Goyal, Vin and Cheng, 1996) on two levels: the top level
+// schedules the named tenants and one flow for all other tenants; the second level schedules these
+// other tenants among themselves. The concurrency limit follows the capacity of the fleet
+// (docs/admission-design.md).
 package admission
 
 import (
@@ -14,9 +16,9 @@
 	"unsafe"
 )
 
-// Request is a request that has arrived.
+// Request is a request that arrives from a client.
 type Request struct {
-	// ID names the request to the Host. It is unique among those that wait or are in work.
+	// ID identifies the request to the Host. It is unique among the queued and admitted requests.
 	ID     uint32
 	Tenant string
 	// Class is an index into Config.Classes.
@@ -27,75 +29,76 @@
 	SizeBytes int
 	// RemainingMillis is the time until its deadline.
 	RemainingMillis float64
-	// IsRetry tells that the client marks it as a retry.
+	// IsRetry reports whether the client marked the request as a retry.
 	IsRetry bool
 }
 
-// Outcome is what became of a request that was admitted.
+// Outcome is the result of an admitted request.
 type Outcome struct {
 	ID uint32
-	// Served tells that the client has the answer that it asked for.
+	// Served reports whether the client received the answer that it asked for.
 	Served bool
-	// Rejected tells that the Balancer rejected it for want of capacity.
+	// Rejected reports whether the Balancer rejected the request for lack of capacity.
 	Rejected bool
 	// LatencyMillis is the time since its admission.
 	LatencyMillis float64
-	// Attempts is how many it had.
+	// Attempts is the number of attempts made for the request.
 	Attempts int
-	// WorkMillis is what its attempts took together.
+	// WorkMillis is the total duration of its attempts.
 	WorkMillis float64
-	// ResponseBytes is the size of the answer.
+	// ResponseBytes is the size of the response.
 	ResponseBytes int
 }
 
-// Host carries out decisions. Its methods are called within the call of Admission that led to the
-// decision, and must not call Admission. Each request gets one of the two, once.
+// Host carries out decisions. Its methods are called during the call of Admission that led to the
+// decision, and must not call Admission. For each request, one of the two is called once, unless
+// its client disconnects first.
 type Host interface {
 	// Admit forwards a request to the Balancer.
 	Admit(id uint32)
-	// Reject answers a request at once; its client may return after retryAfterMillis.
+	// Reject answers a request immediately. The client should retry after retryAfterMillis.
 	Reject(id uint32, retryAfterMillis float64)
 }
 
-// Admission decides for one router. It is not safe for concurrent use.
+// Admission makes the admission decisions of one router. It is not safe for concurrent use.
 type Admission struct {
 	cfg        Config
 	host       Host
 	rng        *rand.Rand
 	now        float64 // ms
-	hasStarted bool    // a call has brought the time
+	hasStarted bool    // whether advance has been called
 
-	// flows holds maxNamedTenants flows for named tenants, then exact ones, buckets, and last the
-	// unnamed flow.
+	// flows holds, in this order: maxNamedTenants flows for named tenants, Config.Flows exact
+	// flows, Config.Buckets buckets, and the unnamed flow.
 	flows []flow
-	// named finds the flow of a named tenant.
+	// named maps the name of a named tenant to its flow.
 	named map[string]int32
-	// exact finds the flow of another tenant by the hash of its name.
+	// exact maps the hash of an unnamed tenant's name to its exact flow.
 	exact map[uint64]int32
-	// oldest and newest are the ends of the list of exact flows by last use.
+	// oldest and newest are the ends of the list of exact flows, ordered by last use.
 	oldest, newest int32
-	// freeFlows are the exact flows that hold no tenant.
+	// freeFlows are the exact flows that are assigned to no tenant.
 	freeFlows []int32
-	// salt is of the hash that picks a tenant's bucket.
+	// salt is part of the hash that selects a tenant's bucket.
 	salt uint64
-	// saltedAt is when the salt was drawn.
+	// saltedAt is the time at which the salt was generated.
 	saltedAt float64
 
-	// top schedules the named tenants and, as one flow, all others; unnamed schedules these.
+	// top schedules the named tenants and the unnamed flow; unnamed schedules the unnamed tenants.
 	top, unnamed fairQueue
 
-	// records are the requests that wait or are in work.
+	// records are the requests that are queued or admitted.
 	records     []record
 	freeRecords []int32
 	byID        map[uint32]int32
-	// waiting is how many of the records are queued.
+	// waiting is the number of records that are queued.
 	waiting int
-	// expiry orders the queued records by when they are rejected at the latest.
+	// expiry orders the queued records by the time at which they are rejected.
 	expiry heap
-	// guaranteed holds the flows with queued requests within their guaranteed rate, by when the first
-	// of these arrived.
+	// guaranteed holds the flows with queued requests within their guaranteed rate, ordered by the
+	// arrival of the first of these requests.
 	guaranteed heap
-	// guaranteedBacklog is the cost of these requests, in ms.
+	// guaranteedBacklog is the total cost of these requests, in ms.
 	guaranteedBacklog float64
 
 	limiter          limiter
@@ -105,17 +108,17 @@
 	recentRejections rejectionMemory
 }
 
-// rngStream keeps the random numbers apart from those of other users of the same seed.
+// rngStream separates the random numbers of this package from others derived from the same seed.
 const rngStream = 11
 
-// New returns an Admission, or a *SettingError. All memory is allocated here.
+// New returns an Admission with all its memory allocated. The error is a *SettingError.
 func New(cfg Config, seed uint64, host Host) (*Admission, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	// A request in work needs a record too: as many as the limit on concurrency allows, beside those
-	// that wait. Requests that cost less than the mean may be more than that; without a free record
-	// a request is rejected.
+	// An admitted request needs a record too: as many as the concurrency limit allows, in addition
+	// to the queued requests. The limit counts requests of mean cost, so cheaper ones can exceed
+	// that number; without a free record a request is rejected.
 	recordCount := cfg.QueueLimit + 2*int(cfg.MaxLimit)
 	flowCount := maxNamedTenants + cfg.Flows + cfg.Buckets + 1
 	a := &Admission{
@@ -144,7 +147,8 @@
 	return a, nil
 }
 
-// initFlows assigns each flow: to a named tenant, to the unnamed ones together, or to one of these.
+// initFlows assigns each flow: to a named tenant, to all unnamed tenants together, to one unnamed
+// tenant, or to a bucket of them.
 func (a *Admission) initFlows() {
 	firstBucket := maxNamedTenants + a.cfg.Flows
 	for i := range a.flows {
@@ -166,7 +170,7 @@
 	}
 }
 
-// descending returns a stack of the numbers below n, the least on top.
+// descending returns a stack of the numbers below n with 0 on top.
 func descending(n int) []int32 {
 	all := make([]int32, 0, n)
 	for i := range n {
@@ -175,7 +179,7 @@
 	return all
 }
 
-// advance brings the time up to now and carries out what is due by it.
+// advance moves the time forward to now and carries out everything that is due by then.
 func (a *Admission) advance(now float64) {
 	if !a.hasStarted {
 		a.hasStarted = true
@@ -183,7 +187,8 @@
 		a.limiter.adjustAt = now + windowMillis
 	}
 	a.now = max(now, a.now)
-	if a.now-a.saltedAt >= a.cfg.RehashMillis { // so that no tenant shares a bucket with the same heavy one for long
+	// A new salt keeps a tenant from sharing a bucket with the same heavy tenant for long.
+	if a.now-a.saltedAt >= a.cfg.RehashMillis {
 		a.saltedAt = a.now
 		a.salt = a.rng.Uint64()
 	}
@@ -192,10 +197,10 @@
 	if a.now >= a.limiter.adjustAt {
 		a.limiter.adjust(a.now, a.contenders())
 	}
-	a.admitWaiting() // a higher limit, or a smaller request at the head, may allow some
+	a.admitWaiting() // a raised limit or a cheaper request at the head may allow more
 }
 
-// NextDeadline is when Tick has to be called, in ms; +Inf where no request waits.
+// NextDeadline returns the time by which Tick must be called, in ms; +Inf if no request is queued.
 func (a *Admission) NextDeadline() float64 {
 	if a.expiry.len() == 0 {
 		return math.Inf(1)
@@ -203,15 +208,15 @@
 	return a.expiry.firstKey()
 }
 
-// Tick rejects the requests whose allowed wait is over.
+// Tick rejects the requests whose maximum wait is over.
 func (a *Admission) Tick(nowMillis float64) { a.advance(nowMillis) }
 
-// TableBytes is the size of all tables. It does not change with the load.
+// TableBytes returns the size of all tables in bytes. It does not depend on the load.
 func (a *Admission) TableBytes() int {
 	const (
-		indexBytes    = 4  // in a list of free records
+		indexBytes    = 4  // an index in a list of free records
 		heapItemBytes = 16 // an index, a position and a key
-		mapItemBytes  = 30 // some 20 at the size a map was made for, up to twice that once it has grown
+		mapItemBytes  = 30 // about 20 at a map's initial size, up to twice that after it has grown
 	)
 	heaps := []*heap{
 		&a.top.ready,
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fairnessIndex is Jain's index: 1 where all values are equal.
+// fairnessIndex returns Jain's fairness index, which is 1 if all values are equal.
 func fairnessIndex(values []float64) float64 {
 	sum := 0.0
 	squares := 0.0
@@ -18,9 +18,9 @@
 	return sum * sum / float64(len(values)) / squares
 }
 
-// A fleet of eight requests at a time, ten milliseconds each, serves 800 a second. One tenant sends
-// ten times its share, eight others nine tenths of theirs. Each of the eight is served as if it were
-// alone; with one queue for all they would be crowded out.
+// The fleet serves 800 requests a second: eight at a time, ten milliseconds each. One tenant sends
+// ten times its share, eight others nine tenths of theirs. Each of the eight must be served as if
+// it were alone; a single queue for all tenants would let the first one crowd them out.
 func TestOneTenantCrowdsOutNobody(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	due := map[string]float64{}
@@ -40,17 +40,17 @@
 	for i := 1; i < 9; i++ {
 		name := fmt.Sprint("t", i)
 		if got := fleet.servedShare(name); got < 0.95 {
-			t.Errorf("%s: served %.3f of its requests", name, got)
+			t.Errorf("%s: share of requests served = %.3f", name, got)
 		}
 	}
-	if total := fleet.totalServed(); total < 3880 { // of 4,000: no capacity stays unused
-		t.Errorf("%d served in all", total)
+	if total := fleet.totalServed(); total < 3880 { // of 4,000: no capacity is left unused
+		t.Errorf("%d requests served in total", total)
 	}
 }
 
-// Two tenants with weights 1 and 3 send more than there is capacity for, the second with requests of
-// twice the cost. Work is shared by the weights; a program that counted requests would give the
-// second twice its share.
+// Two tenants with weights 1 and 3 send more requests than there is capacity for, the second one
+// with twice the cost each. Work must be shared by weight; sharing the number of requests would
+// give the second tenant twice its share.
 func TestWeightsShareWorkNotCounts(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}
@@ -63,14 +63,14 @@
 	a := float64(fleet.served["a"])
 	b := 2 * float64(fleet.served["b"])
 	if got := fairnessIndex([]float64{a, b / 3}); got < 0.98 {
-		t.Errorf("work %.0f to %.0f by weights 1 to 3: Jain's index %.3f", a, b, got)
+		t.Errorf("work of %.0f and %.0f at weights 1 and 3: Jain's index is %.3f", a, b, got)
 	}
 }
 
-// A tenant sends 2,000 requests a second to a fleet of 800. Rejected clients return when their
-// retry-after is over, and are admitted then. Some return earlier: they are rejected with what
-// remains of the same retry-after. A program that forgot its retry-after times would reject the
-// first, or reward the second.
+// A tenant sends 2,000 requests a second to a fleet that serves 800. Clients that return when their
+// retry-after is over must be admitted. Clients that return earlier must be rejected with the rest
+// of the same retry-after. Without stored reservations, the first would be rejected again or the
+// second would gain by returning early.
 func TestRetryAfterTimesAreKept(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	type retry struct {
@@ -97,7 +97,7 @@
 				if _, isRejected := fleet.host.retryAfterByID[id]; !isRejected {
 					admitted++
 				}
-			case i%50 == 7 && r.at-fleet.now > 100: // an impatient client
+			case i%50 == 7 && r.at-fleet.now > 100: // a client that returns early
 				id := fleet.send("big", Request{Key: r.key, IsRetry: true})
 				after, isRejected := fleet.host.retryAfterByID[id]
 				if !isRejected || math.Abs(after-(r.at-fleet.now)) > 1 {
@@ -112,16 +112,16 @@
 		fleet.step()
 	}
 	if returned < 100 || float64(admitted) < 0.95*float64(returned) {
-		t.Errorf("%d of %d who returned after their retry-after were admitted", admitted, returned)
+		t.Errorf("%d of %d clients that returned when their retry-after was over were admitted", admitted, returned)
 	}
 	if gainedByReturningEarly > 0 {
-		t.Errorf("%d who returned early gained by it", gainedByReturningEarly)
+		t.Errorf("%d clients gained by returning early", gainedByReturningEarly)
 	}
 }
 
-// Clients invent a new tenant for each request, 3,000 a second. All of them share the weight of the
-// unnamed, so that the named tenant has its half of 800 a second. A program that gave each name a
-// share of its own would leave it nothing.
+// Clients invent a new tenant name for each of 3,000 requests a second. All of them together have
+// the weight of the unnamed tenants, so the named tenant gets its half of 800 a second. If each
+// name had a share of its own, almost nothing would be left for the named tenant.
 func TestInventedNamesStayAmongTheOthers(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "ministry", Weight: 1}}
@@ -136,12 +136,12 @@
 		fleet.step()
 	}
 	if got := fleet.servedShare("ministry"); got < 0.95 {
-		t.Errorf("served %.3f of its requests", got)
+		t.Errorf("share of requests served = %.3f", got)
 	}
 }
 
-// Far more tenants, requests and rejections arrive than the tables hold. Each table fills up to its
-// bound and not beyond.
+// Far more tenants, requests and rejections arrive than the tables hold. Each table must fill up to
+// its bound, and not exceed it.
 func TestBoundsAreReachedAndHeld(t *testing.T) {
 	t.Run("tables", testTableBounds)
 	t.Run("snapshot", testSnapshotBounds)
@@ -168,13 +168,13 @@
 		maxReserved = max(maxReserved, len(a.reservations.byIdentity))
 	}
 	if len(a.exact) != 16 || maxWaiting != 20 || maxReserved != 10 {
-		t.Errorf("%d flows, %d waiting, %d reservations", len(a.exact), maxWaiting, maxReserved)
+		t.Errorf("%d flows, %d queued requests, %d reservations", len(a.exact), maxWaiting, maxReserved)
 	}
 	if len(a.byID) > 20+16 || len(a.records) != 20+16 {
-		t.Errorf("%d records of %d", len(a.byID), len(a.records))
+		t.Errorf("%d of %d records in use", len(a.byID), len(a.records))
 	}
 	if len(host.retryAfterByID) < 290_000 {
-		t.Errorf("%d rejected", len(host.retryAfterByID))
+		t.Errorf("%d requests rejected", len(host.retryAfterByID))
 	}
 }
 
@@ -187,7 +187,7 @@
 		c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprint("n", i), Weight: 1})
 	}
 	if err := c.Validate(); err == nil || !strings.Contains(err.Error(), "admission.tenant") {
-		t.Errorf("a tenant too many: %v", err)
+		t.Errorf("with too many tenants: error %v", err)
 	}
 	c.Tenants = c.Tenants[:maxNamedTenants]
 	a, _ := newAdmission(t, c)
@@ -200,6 +200,6 @@
 		t.Errorf("%d tenants and %d reservations in the snapshot", len(got.Tenants), len(got.Reservations))
 	}
 	if got := a.State(3).Tenants; len(got) != 4 || got[3].Tenant != "" {
-		t.Errorf("%d tenants shown of 3, and the rest", len(got))
+		t.Errorf("%d entries, want 3 tenants and the sum of the others", len(got))
 	}
 }
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -1,6 +1,6 @@
 package admission
 
-// arrival is a request that has just arrived, with what is known of it.
+// arrival is a newly arrived request with the data that the decision on it needs.
 type arrival struct {
 	request Request
 	flow    int32
@@ -8,11 +8,12 @@
 	cost float64
 	// identity is a hash of tenant, key and class.
 	identity uint64
-	// isRetry tells that it is marked as a retry, or its like was rejected lately.
+	// isRetry reports whether the request is marked as a retry, or an identical one was recently
+	// rejected.
 	isRetry bool
-	// isGuaranteed tells that it is within its tenant's guaranteed rate.
+	// isGuaranteed reports whether the request is within its tenant's guaranteed rate.
 	isGuaranteed bool
-	// hasFreeShare tells that its reservation is due and its tenant's share is free.
+	// hasFreeShare reports whether its reservation is due and its tenant's share is free.
 	hasFreeShare bool
 	claim
 }
@@ -46,8 +47,7 @@
 	a.admitWaiting()
 }
 
-// newArrival finds out whose request it is, what it costs and whether it has a reservation, and counts
-// it.
+// newArrival looks up a request's tenant, cost and reservation, and updates the statistics.
 func (a *Admission) newArrival(q Request) arrival {
 	flowIndex, hash := a.find(q.Tenant)
 	f := &a.flows[flowIndex]
@@ -72,18 +72,18 @@
 	return in
 }
 
-// rejectOnArrival rejects a request that may not wait, however short the wait would be, and reports
-// whether it did. A retry that may wait is taken from its tenant's retry budget.
+// rejectOnArrival rejects a request that must not be queued however short its wait would be, and
+// reports whether it did. A retry that may be queued uses a token of its tenant's retry budget.
 func (a *Admission) rejectOnArrival(in *arrival) bool {
 	f := &a.flows[in.flow]
 	needsToken := in.isRetry && !in.isDue()
-	if in.earlyMillis > 0 { // it gains nothing by coming early, and its retry-after stays
+	if in.earlyMillis > 0 { // returning early gains nothing: the client gets the rest of its retry-after
 		f.stats.Rejected++
 		f.stats.RejectedEarly++
 		a.host.Reject(in.request.ID, in.earlyMillis)
 		return true
 	}
-	// Within its share, while none of its requests wait, a tenant may retry as it likes.
+	// A tenant that has no queued request is within its share, and may retry without a token.
 	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 {
 		f.stats.RejectedRetries++
 		a.reject(in.request.ID, in.flow, in.cost, in.identity)
@@ -100,22 +100,22 @@
 	return false
 }
 
-// Parts of a request's remaining time that it may wait.
+// Shares of a request's remaining time that it may spend in the queue.
 const (
 	// waitShareOfRemaining leaves a new request at least as much time for its attempts as for its
 	// wait.
 	waitShareOfRemaining = 1. / 2
-	// reservedWaitShareOfRemaining is for a request that is due and whose tenant's share is free: it
-	// goes next, so that a short wait suffices.
+	// reservedWaitShareOfRemaining applies to a request whose reservation is due and whose tenant's
+	// share is free: it is admitted next, so a short wait is enough.
 	reservedWaitShareOfRemaining = 1. / 4
-	// latencyReserve is how many of its class's latencies a new request must have left after its
-	// wait.
+	// latencyReserve is the remaining time that a new request must have after its wait, in
+	// multiples of the recent latency of its class.
 	latencyReserve = 1.5
 )
 
-// allowedWait is how long a request may wait, in ms, so that what remains of its deadline suffices
-// for an answer. One that has returned when its retry-after was over may wait for longer, as long as
-// an answer in time is likely.
+// allowedWait returns how long a request may be queued, in ms, so that the rest of its remaining
+// time is enough for an answer. A request that returns when its retry-after is over may wait
+// longer, as long as an answer in time is likely.
 func (a *Admission) allowedWait(in *arrival) float64 {
 	remaining := in.request.RemainingMillis
 	latency := a.costs.latencyByClass[in.request.Class]
--- a/internal/admission/benchmark_test.go
+++ b/internal/admission/benchmark_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// benchmark plays requests of so many tenants at so many a millisecond, of which 6.4 can be served.
+// benchmark measures admission with this number of tenants and of requests per millisecond, of
+// which 6.4 can be served.
 func benchmark(b *testing.B, tenants int, ratePerMilli float64) {
 	c := testConfig()
 	c.setLimit(64)
@@ -29,11 +30,12 @@
 	}
 }
 
-// BenchmarkRoom has capacity for all: the usual case.
+// BenchmarkRoom measures the usual case: there is capacity for all requests.
 func BenchmarkRoom(b *testing.B) { benchmark(b, 100, 5) }
 
-// BenchmarkContention has half of the requests rejected.
+// BenchmarkContention measures the case that half of the requests are rejected.
 func BenchmarkContention(b *testing.B) { benchmark(b, 100, 12) }
 
-// BenchmarkStrangers has more tenants than the tables, and the tables leave the processor's caches.
+// BenchmarkStrangers measures more tenants than fit into the tables, and tables that exceed the
+// processor's caches.
 func BenchmarkStrangers(b *testing.B) { benchmark(b, 100_000, 12) }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Greatest sizes of the tables that a configuration asks for. They bound the memory that an
-// operator file can make a router take at its start.
+// Upper bounds of the table sizes in a configuration. They limit the memory that an operator file
+// can make a router allocate at startup.
 const (
 	maxNamedTenants = 256
-	maxNameBytes    = 64 // of a tenant's name that are stored
+	maxNameBytes    = 64 // the stored part of a tenant's name
 	maxFlows        = 1 << 16
 	maxBuckets      = 1 << 14
 	maxQueueLimit   = 1 << 16
@@ -17,71 +17,75 @@
 type Class struct {
 	// Name is the class's name in the platform's settings.
 	Name string
-	// CostMillis is the work of one attempt, until it has been measured.
+	// CostMillis is the estimated work of one attempt, used until the work has been measured.
 	CostMillis float64
-	// HasPriority lets the class's requests go before others of the same tenant.
+	// HasPriority reports whether requests of this class are admitted before other requests of the
+	// same tenant.
 	HasPriority bool
 }
 
-// Tenant is a tenant that the operator names.
+// Tenant is a tenant that the operator has named in the configuration.
 type Tenant struct {
 	Name string
-	// Weight is its share against the weights of the others.
+	// Weight is the tenant's weight relative to those of the other tenants.
 	Weight float64
-	// GuaranteedPerSecond is the rate of requests that go ahead of all shares; 0 = none.
+	// GuaranteedPerSecond is the rate of requests that are admitted ahead of all shares; 0 = none.
 	GuaranteedPerSecond float64
-	// GuaranteedBurst is how many of these may come at once after a time without any.
+	// GuaranteedBurst is the number of guaranteed requests that may arrive at once after a period
+	// without any.
 	GuaranteedBurst float64
 }
 
-// Config is what the operator sets. Every table has a fixed size, allocated at the start.
+// Config is the operator's configuration of admission. Every table has a fixed size and is
+// allocated at startup.
 type Config struct {
-	// Classes are the platform's classes of requests; Request.Class is an index into them.
+	// Classes are the request classes of the platform's settings; Request.Class is an index into
+	// them.
 	Classes []Class
-	// Tenants are those with a share of their own.
+	// Tenants are the tenants with a share of their own.
 	Tenants []Tenant
 	// OthersWeight is the weight of all tenants that are not named, together.
 	OthersWeight float64
 
-	// Flows is how many unnamed tenants are tracked exactly at a time.
+	// Flows is the number of unnamed tenants that are tracked individually at a time.
 	Flows int
-	// Buckets is how many flows the remaining tenants are hashed into.
+	// Buckets is the number of flows that the remaining tenants are hashed into.
 	Buckets int
-	// RehashMillis is the time after which they are hashed anew.
+	// RehashMillis is the time between two changes of the hash that assigns tenants to buckets.
 	RehashMillis float64
 
-	// QueueLimit is how many requests may wait.
+	// QueueLimit is the maximum number of queued requests.
 	QueueLimit int
-	// MaxWaitMillis is how long a request may wait.
+	// MaxWaitMillis is the longest time for which a request may be queued.
 	MaxWaitMillis float64
-	// ReservationLimit is how many retry-after times are remembered.
+	// ReservationLimit is the maximum number of retry-after times that are stored.
 	ReservationLimit int
 	// MaxRetryAfterMillis is the longest retry-after that clients obey.
 	MaxRetryAfterMillis float64
 
-	// InitialLimit is the limit on concurrency at the start, in requests of mean cost.
+	// InitialLimit is the concurrency limit at startup, in requests of mean cost.
 	InitialLimit float64
-	// MinLimit and MaxLimit are its bounds.
+	// MinLimit and MaxLimit bound the concurrency limit.
 	MinLimit, MaxLimit float64
 
-	// RetryBudgetShare is how many retries are allowed for each first attempt under contention.
+	// RetryBudgetShare is the number of retries allowed for each first attempt under contention.
 	RetryBudgetShare float64
-	// RetryBudgetBurst is how many retries a tenant may save up.
+	// RetryBudgetBurst is the maximum number of unused retries that a tenant can accumulate.
 	RetryBudgetBurst float64
 }
 
-// SettingError tells that a setting is missing or impossible.
+// SettingError reports a missing or invalid setting.
 type SettingError struct {
-	// Setting is the key in the operator file, below admission.
+	// Setting is the key in the operator file, relative to the admission section.
 	Setting string
-	// Reason is what is wrong with its value.
+	// Reason describes what is wrong with the value.
 	Reason string
 }
 
-// Error names the setting as the operator writes it, and the reason.
+// Error returns the setting's key in the operator file and the reason.
 func (e *SettingError) Error() string { return "admission." + e.Setting + ": " + e.Reason }
 
-// Validate returns a *SettingError for the first setting that is impossible.
+// Validate returns a *SettingError for the first invalid setting, or nil.
 func (c Config) Validate() error {
 	if err := c.validateNumbers(); err != nil {
 		return err
@@ -97,12 +101,12 @@
 	return nil
 }
 
-// impossible is the error for a setting whose value is out of its bounds.
+// impossible returns the error for a setting whose value is out of range.
 func impossible(setting string, value any) error {
 	return &SettingError{Setting: setting, Reason: fmt.Sprintf("impossible value %v", value)}
 }
 
-// validateNumbers checks the settings that are single numbers.
+// validateNumbers checks the settings with a single value.
 func (c Config) validateNumbers() error {
 	for _, setting := range []struct {
 		name    string
@@ -138,13 +142,13 @@
 		hasGuarantee := tenant.GuaranteedPerSecond > 0
 		switch {
 		case i == maxNamedTenants:
-			reason := fmt.Sprintf("%d of them, %d at most", len(c.Tenants), maxNamedTenants)
+			reason := fmt.Sprintf("%d tenants, at most %d are allowed", len(c.Tenants), maxNamedTenants)
 			return &SettingError{Setting: "tenant", Reason: reason}
 		case !(tenant.GuaranteedPerSecond >= 0) || hasGuarantee && !(tenant.GuaranteedBurst >= 1):
-			reason := "needs a rate of at least 0, and with one a burst of at least 1"
+			reason := "needs a rate of at least 0, and a burst of at least 1 if the rate is above 0"
 			return &SettingError{Setting: setting, Reason: reason}
 		case tenant.Name == "" || len(tenant.Name) > maxNameBytes || seen[tenant.Name] || !(tenant.Weight > 0):
-			reason := fmt.Sprintf("needs a name of its own of up to %d bytes and a weight above 0", maxNameBytes)
+			reason := fmt.Sprintf("needs a unique name of 1 to %d bytes and a weight above 0", maxNameBytes)
 			return &SettingError{Setting: setting, Reason: reason}
 		}
 		seen[tenant.Name] = true
--- a/internal/admission/costs.go
+++ b/internal/admission/costs.go
@@ -3,37 +3,40 @@
 import "math"
 
 const (
-	// sizeUnitBytes is how many bytes cost as much as a request of their class.
+	// sizeUnitBytes is the number of transferred bytes that cost as much as the request itself.
 	sizeUnitBytes = 64 << 10
-	// rateTimeConstantMillis is the time constant of the average of the work that a flow is given.
+	// rateTimeConstantMillis is the time constant of the moving average of a flow's admitted work.
 	rateTimeConstantMillis = 1000
-	// minShareOfRate is the part of its share that a flow is assumed to get at least: an estimate near
-	// zero would give it an endless retry-after.
+	// minShareOfRate bounds the estimated rate of a flow from below, as a part of its share: an
+	// estimate near zero would lead to an almost infinite retry-after.
 	minShareOfRate = 0.1
 )
 
-// Shares by which averages follow their values, for each request.
+// Gains of the moving averages that are updated with each request.
 const (
 	meanCostGain = 0.005
 	latencyGain  = 0.02
 	workGain     = 0.01
 )
 
-// sizeFactor is the factor on a request's cost for the bytes that come with it.
+// sizeFactor returns the factor by which transferred bytes increase a request's cost.
 func sizeFactor(sizeBytes int) float64 { return 1 + float64(sizeBytes)/sizeUnitBytes }
 
-// costModel learns what requests cost, in ms of servers' time, and how long they take.
+// costModel estimates from measurements what requests cost, in ms of server time, and how long they
+// take.
 type costModel struct {
 	classes []Class
-	// workByClass is the recent time of a request's attempts together, in ms; 0 = not measured yet.
+	// workByClass is the recent total duration of a request's attempts, in ms; 0 = not measured
+	// yet.
 	workByClass []float64
 	// latencyByClass is the recent latency of a request, in ms; 0 = not measured yet.
 	latencyByClass []float64
-	// scale is the measured work of all classes over their configured costs; 0 = not measured yet.
+	// scale is the ratio of the measured work of all classes to their configured costs; 0 = not
+	// measured yet.
 	scale float64
-	// mean is the mean cost of the requests that are admitted, in ms.
+	// mean is the mean cost of the admitted requests, in ms.
 	mean float64
-	// latency is the recent latency of the requests that are served, in ms; 0 = not measured yet.
+	// latency is the recent latency of the served requests, in ms; 0 = not measured yet.
 	latency float64
 }
 
@@ -46,8 +49,8 @@
 	}
 }
 
-// estimate is the expected cost of a request of a class: the recent work of such requests or, without
-// any, the configured cost on the scale that holds for the other classes.
+// estimate returns the expected cost of a request of a class, in ms: the recent work of such
+// requests or, before any was measured, the configured cost multiplied by scale.
 func (m *costModel) estimate(class int) float64 {
 	if work := m.workByClass[class]; work > 0 {
 		return work
@@ -58,28 +61,28 @@
 	return m.classes[class].CostMillis
 }
 
-// admitted follows the mean cost.
+// admitted updates the mean cost with an admitted request.
 func (m *costModel) admitted(cost float64) { m.mean += meanCostGain * (cost - m.mean) }
 
-// observeLatency learns from the time that a request took.
+// observeLatency updates the averages with the latency of a served request.
 func (m *costModel) observeLatency(class int32, latency float64) {
 	m.latency = follow(m.latency, latency, latencyGain)
 	m.latencyByClass[class] = follow(m.latencyByClass[class], latency, latencyGain)
 }
 
-// observeWork learns from the work that a request took.
+// observeWork updates the averages with the work of a served request.
 func (m *costModel) observeWork(class int32, work float64) {
 	scale := work / m.classes[class].CostMillis
 	m.workByClass[class] = follow(m.workByClass[class], work, workGain)
-	if m.scale == 0 { // from here on costs are in measured terms
+	if m.scale == 0 { // from now on costs are measured ones
 		m.mean *= scale
 	}
 	m.scale = follow(m.scale, scale, workGain)
 }
 
-// pace is the work that the limit does in a millisecond, by Little's law: what is in use over how long
-// it takes. It is asked for under contention, when the limit is in use. Before anything has ended, work
-// is taken to last as long as its cost.
+// pace returns the work per millisecond that the concurrency limit allows, by Little's law: the
+// work in use divided by the latency. It is used only under contention, when the limit is in use.
+// Until a request has been served, the latency of a request is assumed to equal its cost.
 func (a *Admission) pace() float64 {
 	if a.costs.latency == 0 {
 		return a.limiter.limit
@@ -87,9 +90,9 @@
 	return a.limiter.limit * a.costs.mean / a.costs.latency
 }
 
-// waitFor is how long a request of a flow would have to wait until its start tag, in ms: at the flow's
-// rate, what the flow was given beyond its share, what it has waiting, and the reservations that fall due
-// meanwhile and go ahead, as far as their clients return.
+// waitFor returns how long a new request of a flow would have to wait until its start tag, in ms.
+// At the flow's rate, this work comes first: what the flow received beyond its share, its queued
+// requests, and, scaled by the return rate, its reservations that become due within the given time.
 func (a *Admission) waitFor(i int32, within float64) float64 {
 	f := &a.flows[i]
 	rate := a.rateOf(i)
@@ -99,9 +102,9 @@
 	return (debt + f.backlog + a.returnStats.rate*returning) / rate
 }
 
-// rateOf is the work that a flow is given in a millisecond while it wants more: its share, and once it
-// has wanted more for a while what it did get. The two differ, as flows within their shares take theirs
-// without ever being queued.
+// rateOf returns the work per millisecond that a flow receives while it has more queued: its share,
+// blended with the measured rate the longer the flow has been active. The two differ because flows
+// within their shares are admitted without being queued.
 func (a *Admission) rateOf(i int32) float64 {
 	f := &a.flows[i]
 	share := a.share(i) * a.pace()
--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// event is one call of Admission, drawn at random.
+// event is a randomly drawn call of Admission.
 type event struct {
 	GapMillis       float64
-	Kind            int // 0 to 5 arrive, of which 5 a retry; 6 served; 7 rejected downstream; 8 disconnected; 9 tick
+	Kind            int // 0 to 4 new request, 5 retry, 6 served, 7 rejected downstream, 8 disconnected, 9 tick
 	Tenant          int
 	Class           int
-	Which           int // of the requests that the event may be about
+	Which           int // selects one of the requests that the event can apply to
 	Key             uint64
 	RemainingMillis float64
 	SizeBytes       int
@@ -34,13 +34,13 @@
 	}
 }
 
-// eventPlayer plays events to an Admission with small tables.
+// eventPlayer applies events to an Admission with small tables.
 type eventPlayer struct {
 	admission    *Admission
 	host         *fakeHost
 	now          float64
 	lastID       uint32
-	disconnected map[uint32]bool // before a decision
+	disconnected map[uint32]bool // disconnected before a decision
 	ended        map[uint32]bool
 }
 
@@ -112,7 +112,7 @@
 	})
 }
 
-// finish ends all that is in work, and checks that each request has had one decision.
+// finish ends all admitted requests, and checks that each request has had exactly one decision.
 func (p *eventPlayer) finish(t *rapid.T) {
 	p.admission.Tick(p.now + 1e6)
 	for id := range p.ended {
@@ -127,26 +127,26 @@
 	checkTotals(t, p.admission)
 	for id := uint32(1); id <= p.lastID; id++ {
 		if n := p.host.decisions[id]; n != 1 && !(n == 0 && p.disconnected[id]) {
-			t.Fatalf("request %d: %d answers", id, n)
+			t.Fatalf("request %d: %d decisions", id, n)
 		}
 	}
 }
 
-// checkWorkConservation checks that the next queued request does not fit under the limit.
+// checkWorkConservation checks that no queued request could be admitted under the limit.
 func checkWorkConservation(t *rapid.T, a *Admission) {
 	if a.waiting == 0 {
 		return
 	}
 	cost := a.records[a.next()].cost
 	if a.hasCapacity(cost) || len(a.byID) == a.waiting {
-		t.Fatalf("%d wait, the next for %v, and %v of %v are in work",
+		t.Fatalf("%d requests queued, the next one needs %v slots, and %v of %v are in use",
 			a.waiting, cost/a.costs.mean, a.limiter.inUse, a.limiter.limit)
 	}
 }
 
-// Requests arrive, end, are rejected downstream and lose their clients in any order. Each has one
-// decision, none waits while there is capacity, the limits hold, all sums agree with a count from
-// scratch, and the same seed and events lead to the same decisions.
+// Requests arrive, end, are rejected downstream and lose their clients in any order. Each must have
+// one decision, none may be queued while there is capacity, the limits and the sums must be
+// correct, and the same seed and events must lead to the same decisions.
 func TestAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 1, 150).Draw(t, "events")
@@ -164,12 +164,12 @@
 		second := playAll()
 		if !reflect.DeepEqual(first.admitted, second.admitted) ||
 			!reflect.DeepEqual(first.retryAfterByID, second.retryAfterByID) {
-			t.Fatal("the same events led to other decisions")
+			t.Fatal("the same events led to different decisions")
 		}
 	})
 }
 
-// totals are an Admission's sums, counted from scratch.
+// totals are the sums that an Admission maintains, recomputed from its records.
 type totals struct {
 	waiting       int
 	inUse         float64
@@ -212,7 +212,7 @@
 
 func differs(x, y float64) bool { return math.Abs(x-y) > 1e-6 }
 
-// checkTotals checks the sums that an Admission keeps against a count from scratch.
+// checkTotals compares the sums that an Admission maintains with recomputed ones.
 func checkTotals(t *rapid.T, a *Admission) {
 	want := countTotals(a)
 	for i := range a.flows {
@@ -220,20 +220,20 @@
 		backlog := want.backlog[int32(i)]
 		reserved := want.reserved[int32(i)]
 		if differs(f.backlog, backlog) || differs(f.reservedWork, reserved) || f.backlog > 0 != (f.waiting > 0) {
-			t.Fatalf("flow %d: backlog %v of %v, reserved %v of %v", i, f.backlog, backlog, f.reservedWork, reserved)
+			t.Fatalf("flow %d: backlog %v, want %v; reserved %v, want %v", i, f.backlog, backlog, f.reservedWork, reserved)
 		}
 	}
 	if want.waiting != a.waiting || want.waiting > a.cfg.QueueLimit || differs(want.inUse, a.limiter.inUse) {
-		t.Fatalf("waiting %d of %d, in use %v of %v", a.waiting, want.waiting, a.limiter.inUse, want.inUse)
+		t.Fatalf("%d queued, want %d; %v in use, want %v", a.waiting, want.waiting, a.limiter.inUse, want.inUse)
 	}
 	if differs(want.topWeight, a.top.activeWeight) || differs(want.unnamedWeight, a.unnamed.activeWeight) {
-		t.Fatalf("weights %v of %v and %v of %v",
+		t.Fatalf("weight at the top %v, want %v; weight of the unnamed tenants %v, want %v",
 			a.top.activeWeight, want.topWeight, a.unnamed.activeWeight, want.unnamedWeight)
 	}
 	if len(a.freeRecords)+len(a.byID) != len(a.records) {
-		t.Fatal("a record is lost")
+		t.Fatal("a record was leaked")
 	}
 	if len(a.reservations.free)+len(a.reservations.byIdentity) != len(a.reservations.entries) {
-		t.Fatal("a reservation is lost")
+		t.Fatal("a reservation was leaked")
 	}
 }
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -1,17 +1,17 @@
 package admission
 
-// weightEpsilon is a sum of weights that counts as none: what rounding leaves of sums and differences.
+// weightEpsilon is the sum of weights below which it counts as 0, to absorb rounding errors.
 const weightEpsilon = 1e-9
 
-// fairQueue is one server of start-time fair queueing. There are two: at the top stand the named
-// tenants and, as one flow, all others; below it the others among themselves.
+// fairQueue is one server of start-time fair queueing. There are two: the top level schedules the
+// named tenants and, as one flow, all other tenants; the second level schedules these others.
 type fairQueue struct {
 	virtualTime float64
-	// ready holds the flows with queued requests, by start tag.
+	// ready holds the flows with queued requests, ordered by start tag.
 	ready heap
-	// longest holds the same flows by backlog over weight, the greatest first.
+	// longest holds the same flows ordered by backlog divided by weight, the greatest first.
 	longest heap
-	// activeWeight is the sum of the weights of the flows with queued requests or reservations.
+	// activeWeight is the total weight of the flows with queued requests or reservations.
 	activeWeight float64
 }
 
@@ -19,7 +19,7 @@
 	return fairQueue{ready: newHeap(flows), longest: newHeap(flows)}
 }
 
-// queueOf is the fair queue that schedules a flow.
+// queueOf returns the fair queue that schedules a flow.
 func (a *Admission) queueOf(f *flow) *fairQueue {
 	if f.isUnnamed {
 		return &a.unnamed
@@ -27,8 +27,9 @@
 	return &a.top
 }
 
-// next is the queued request whose turn it is: the first to arrive of those within a guaranteed rate,
-// which go ahead of all shares and count in them; else the one with the least start tag.
+// next returns the queued request to admit next: the first one of the flow that has waited longest
+// with guaranteed requests, as these precede all shares and count toward them; otherwise the
+// request with the lowest start tag.
 func (a *Admission) next() int32 {
 	if a.guaranteed.len() > 0 {
 		return a.flows[a.guaranteed.first()].head[guaranteedList]
@@ -44,7 +45,8 @@
 	return f.head[ordinaryList]
 }
 
-// charge moves a flow's tag on by the work it is given, and the virtual time to where that begins.
+// charge advances a flow's finish tag by the work of an admitted request, and the virtual time to
+// the request's start tag.
 func (a *Admission) charge(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -58,7 +60,8 @@
 	}
 }
 
-// correct charges a flow for a request's cost beyond its estimate, or refunds it.
+// correct charges a flow for the difference between a request's actual and estimated cost, which
+// may be negative.
 func (a *Admission) correct(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -71,7 +74,7 @@
 	}
 }
 
-// markReady adds a flow to those with queued requests, at its start tag.
+// markReady adds a flow to those with queued requests, with its start tag.
 func (a *Admission) markReady(i int32) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
@@ -82,7 +85,7 @@
 	}
 }
 
-// unmarkReady removes a flow that has no queued request any more.
+// unmarkReady removes a flow that no longer has a queued request.
 func (a *Admission) unmarkReady(i int32) {
 	if !a.flows[i].isUnnamed {
 		a.top.ready.remove(i)
@@ -94,7 +97,7 @@
 	}
 }
 
-// updateWeights adjusts the sums of weights where a flow has become active or has ceased to be.
+// updateWeights updates the sums of weights if a flow has become active or inactive.
 func (a *Admission) updateWeights(i int32, wasActive bool) {
 	f := &a.flows[i]
 	if f.isActive() == wasActive {
@@ -114,7 +117,8 @@
 	}
 }
 
-// setUnnamedActive adjusts the sum at the top, where the unnamed tenants count as one.
+// setUnnamedActive updates the sum of weights of the top level, where the unnamed tenants count as
+// one flow.
 func (a *Admission) setUnnamedActive(isActive bool) {
 	if isActive {
 		a.top.activeWeight += a.cfg.OthersWeight
@@ -124,7 +128,8 @@
 	a.top.activeWeight = max(0, a.top.activeWeight-a.cfg.OthersWeight)
 }
 
-// share is a flow's part of all work while it is active, beside the others that are.
+// share returns the part of all work that a flow receives while it and the other active flows are
+// active.
 func (a *Admission) share(i int32) float64 {
 	f := &a.flows[i]
 	if !f.isUnnamed {
@@ -135,7 +140,7 @@
 	return outer * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
 }
 
-// missingWeight is what a flow's weight would add to a sum in which it counts only while it is
+// missingWeight returns the weight to add for a flow to a sum that includes it only while it is
 // active.
 func missingWeight(isActive bool, weight float64) float64 {
 	if isActive {
@@ -144,7 +149,8 @@
 	return weight
 }
 
-// contenders counts the tenants that want more: named ones each as one, the others by their weights.
+// contenders returns the number of active tenants: each named one counts as 1, each of the others
+// by its weight.
 func (a *Admission) contenders() float64 {
 	count := a.unnamed.activeWeight
 	for i := range maxNamedTenants {
--- a/internal/admission/fake_fleet_test.go
+++ b/internal/admission/fake_fleet_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// fakeHost records what an Admission decides.
+// fakeHost records the decisions of an Admission.
 type fakeHost struct {
 	admitted       []uint32
-	retryAfterByID map[uint32]float64 // of those rejected
-	decisions      map[uint32]int     // how many each request has had
+	retryAfterByID map[uint32]float64 // of the rejected requests
+	decisions      map[uint32]int     // number of decisions by request
 	onAdmit        func(id uint32)
 }
 
@@ -31,13 +31,13 @@
 	h.decisions[id]++
 }
 
-// discardingHost ignores what is decided.
+// discardingHost ignores all decisions.
 type discardingHost struct{}
 
 func (discardingHost) Admit(uint32)           {}
 func (discardingHost) Reject(uint32, float64) {}
 
-// testConfig has a fixed limit of eight requests of mean cost.
+// testConfig returns a configuration with a fixed limit of eight requests of mean cost.
 func testConfig() Config {
 	return Config{
 		Classes: []Class{
@@ -60,7 +60,7 @@
 	}
 }
 
-// setLimit fixes the limit on concurrency.
+// setLimit sets a fixed concurrency limit.
 func (c *Config) setLimit(limit float64) {
 	c.InitialLimit = limit
 	c.MinLimit = limit
@@ -77,7 +77,7 @@
 	return a, host
 }
 
-// fakeFleet is a fleet that serves each admitted request in ten milliseconds.
+// fakeFleet serves each admitted request in ten milliseconds.
 type fakeFleet struct {
 	admission  *Admission
 	host       *fakeHost
@@ -85,7 +85,7 @@
 	lastID     uint32
 	tenantByID map[uint32]string
 	sent       map[string]int // requests by tenant
-	served     map[string]int // of them
+	served     map[string]int // of these requests
 	endsAt     map[uint32]float64
 }
 
@@ -103,7 +103,7 @@
 	return fleet
 }
 
-// send has a request of a tenant arrive, with a second left where q does not say.
+// send lets a request of a tenant arrive. Without RemainingMillis, it has one second left.
 func (f *fakeFleet) send(tenant string, q Request) uint32 {
 	f.lastID++
 	q.ID = f.lastID
@@ -117,15 +117,15 @@
 	return q.ID
 }
 
-// sendNew sends a request for a key of its own.
+// sendNew sends a request with a unique key.
 func (f *fakeFleet) sendNew(tenant string) uint32 {
 	return f.send(tenant, Request{Key: uint64(f.lastID)})
 }
 
-// step lets a millisecond pass.
+// step advances the time by one millisecond.
 func (f *fakeFleet) step() {
 	f.now++
-	for _, id := range slices.Sorted(maps.Keys(f.endsAt)) { // in the same order each time
+	for _, id := range slices.Sorted(maps.Keys(f.endsAt)) { // a deterministic order
 		if f.endsAt[id] <= f.now {
 			delete(f.endsAt, id)
 			f.served[f.tenantByID[id]]++
@@ -135,12 +135,12 @@
 	f.admission.Tick(f.now)
 }
 
-// servedShare is the share of a tenant's requests that were served.
+// servedShare returns the share of a tenant's requests that were served.
 func (f *fakeFleet) servedShare(tenant string) float64 {
 	return float64(f.served[tenant]) / float64(f.sent[tenant])
 }
 
-// totalServed is how many requests of all tenants were served.
+// totalServed returns the number of served requests of all tenants.
 func (f *fakeFleet) totalServed() int {
 	total := 0
 	for _, count := range f.served {
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// readFixture reads a file that the program wrote before its fields were renamed.
+// readFixture reads a file that an older version of the program wrote.
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + name)
@@ -17,9 +17,9 @@
 	return text
 }
 
-// An older version hands over to this one: its state arrives as JSON under the names that it knows.
-// Were a name lost, the field would be zero here, and the successor would begin without the limit,
-// the tenants' debts or the retry-after times that clients have.
+// A process of an older version hands over to this one, with its state as JSON under the field
+// names of that version. If a name were lost, the field would be zero here, and the successor would
+// start without the limit, the tenants' debts or the retry-after times given to clients.
 func TestHandoverOfOlderVersion(t *testing.T) {
 	text := readFixture(t, "handover.json")
 	var snapshot Snapshot
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 
-	t.Run("what is written is what was read", func(t *testing.T) {
+	t.Run("writing reproduces what was read", func(t *testing.T) {
 		written, err := json.MarshalIndent(snapshot, "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -37,7 +37,7 @@
 		}
 	})
 
-	t.Run("fields mean the same", func(t *testing.T) {
+	t.Run("fields keep their meaning", func(t *testing.T) {
 		if snapshot.Limit != 7.880451276173533 || snapshot.BaseStretch != 0.375 || snapshot.CostScale != 1 {
 			t.Errorf("limit %v, stretch %v, scale %v", snapshot.Limit, snapshot.BaseStretch, snapshot.CostScale)
 		}
@@ -70,9 +70,8 @@
 		}
 	})
 
-	// The older version's own successor, of its own version, stood like this after the same
-	// hand-over.
-	t.Run("the successor stands as one of the older version", func(t *testing.T) {
+	// The fixture is the state of a successor of the older version after the same hand-over.
+	t.Run("the successor has the same state as one of the older version", func(t *testing.T) {
 		cfg := testConfig()
 		cfg.Tenants = []Tenant{{Name: "ministry", Weight: 2, GuaranteedPerSecond: 20, GuaranteedBurst: 2}}
 		cfg.InitialLimit = 8
@@ -83,7 +82,7 @@
 			t.Fatal(err)
 		}
 		state := a.State(100)
-		state.TableBytes = 0 // it depends on the sizes of structs
+		state.TableBytes = 0 // depends on the sizes of structs
 		got, err := json.MarshalIndent(state, "", " ")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// newTenantRetryTokens is how many retries a new unnamed tenant may make at once: enough for a
-	// client's usual retries, too few for invented names to get around the retry budget.
+	// newTenantRetryTokens is the number of retries that a new unnamed tenant may make at once:
+	// enough for a client's usual retries, but too few to evade the retry budget with invented
+	// tenant names.
 	newTenantRetryTokens = 3
-	// maxEvictionTries bounds the flows that are looked at to find one that can be evicted.
+	// maxEvictionTries bounds the number of flows that are examined to find one that can be
+	// evicted.
 	maxEvictionTries = 4
-	// noIndex is no flow or record.
+	// noIndex stands for no flow or no record.
 	noIndex = int32(-1)
 )
 
-// The lists in which a flow's requests wait, in the order in which they are served.
+// The lists in which a flow's requests are queued, in the order in which they are admitted.
 const (
-	// guaranteedList is for requests within the tenant's guaranteed rate.
+	// guaranteedList holds requests within the tenant's guaranteed rate.
 	guaranteedList = iota
-	// priorityList is for requests of a class with priority.
+	// priorityList holds requests of a class with priority.
 	priorityList
 	ordinaryList
 	listCount
@@ -31,50 +33,51 @@
 	hash    uint64 // of the tenant's name
 	name    [maxNameBytes]byte
 	nameLen uint8
-	// used tells that the flow belongs to a tenant.
+	// used reports whether the flow is assigned to a tenant.
 	used bool
-	// isUnnamed tells that it is scheduled among the unnamed tenants, not at the top.
+	// isUnnamed reports whether the flow is scheduled among the unnamed tenants, not at the top
+	// level.
 	isUnnamed bool
 	weight    float64
-	// finishTag is that of start-time fair queueing: where in virtual time the flow's work ends.
+	// finishTag is the virtual time at which the flow's work ends (start-time fair queueing).
 	finishTag float64
 
 	// head and tail are the ends of the lists of queued requests.
 	head, tail [listCount]int32
-	// waiting is how many requests are queued.
+	// waiting is the number of queued requests.
 	waiting int
-	// open is how many requests are queued or in work.
+	// open is the number of queued and admitted requests.
 	open int
-	// backlog is the cost of the queued requests, in ms.
+	// backlog is the total cost of the queued requests, in ms.
 	backlog float64
 
-	// recentWork is the work given lately, in ms; it decays with rateTimeConstantMillis.
+	// recentWork is the recently admitted work, in ms; it decays with rateTimeConstantMillis.
 	recentWork float64
-	// recentWorkAt is the time at which recentWork was brought up to date.
+	// recentWorkAt is the time of the last update of recentWork.
 	recentWorkAt float64
 	// activeSince is when the flow last became active.
 	activeSince float64
 
-	// guaranteedRate is in requests a millisecond.
+	// guaranteedRate is in requests per millisecond.
 	guaranteedRate  float64
 	guaranteedBurst float64
-	// guaranteedTokens is how many guaranteed requests are available.
+	// guaranteedTokens is the number of guaranteed requests that are available.
 	guaranteedTokens float64
-	// guaranteedAt is the time at which guaranteedTokens was brought up to date.
+	// guaranteedAt is the time of the last update of guaranteedTokens.
 	guaranteedAt float64
 
-	// reservedWork is the cost that was rejected with a retry-after and is expected back, in ms.
+	// reservedWork is the cost of rejected requests that are expected to be retried, in ms.
 	reservedWork float64
-	// reservationsDueFrom is about when the first of it is due.
+	// reservationsDueFrom is approximately when the first reservation is due.
 	reservationsDueFrom float64
-	// retryTokens is how many retries are available.
+	// retryTokens is the number of retries that are available.
 	retryTokens float64
-	// older and newer are the neighbours in the list of exact flows by last use.
+	// older and newer are the neighbors in the list of exact flows, ordered by last use.
 	older, newer int32
 	stats        TenantStats
 }
 
-// newFlow returns a flow without a tenant.
+// newFlow returns a flow that is not assigned to a tenant.
 func newFlow() flow {
 	f := flow{weight: 1, older: noIndex, newer: noIndex}
 	for list := range listCount {
@@ -96,7 +99,7 @@
 
 const millisPerSecond = 1000
 
-// setGuarantee sets the rate that goes ahead of all shares.
+// setGuarantee sets the guaranteed rate, which precedes all shares.
 func (f *flow) setGuarantee(tenant Tenant) {
 	f.guaranteedRate = tenant.GuaranteedPerSecond / millisPerSecond
 	f.guaranteedBurst = tenant.GuaranteedBurst
@@ -106,17 +109,17 @@
 	f.guaranteedTokens = min(f.guaranteedTokens, f.guaranteedBurst)
 }
 
-// refillGuarantee brings the tokens of the guaranteed rate up to now.
+// refillGuarantee adds the guaranteed tokens that have accumulated since the last refill.
 func (f *flow) refillGuarantee(now float64) {
-	earned := f.guaranteedRate * max(0, now-f.guaranteedAt)
-	f.guaranteedTokens = min(f.guaranteedBurst, f.guaranteedTokens+earned)
+	accumulated := f.guaranteedRate * max(0, now-f.guaranteedAt)
+	f.guaranteedTokens = min(f.guaranteedBurst, f.guaranteedTokens+accumulated)
 	f.guaranteedAt = now
 }
 
-// unnamedFlow is the flow that stands at the top for all tenants that are not named.
+// unnamedFlow returns the index of the top-level flow that represents all unnamed tenants.
 func (a *Admission) unnamedFlow() int32 { return int32(len(a.flows) - 1) }
 
-// assign gives a flow to a tenant that the operator names.
+// assign assigns a flow to a named tenant.
 func (a *Admission) assign(i int32, tenant Tenant) {
 	f := &a.flows[i]
 	f.used = true
@@ -129,8 +132,8 @@
 	a.named[tenant.Name] = i
 }
 
-// find returns the flow of a tenant and the hash of its name: the flow of its own where it is named, is
-// tracked or can be tracked from now on, else a bucket's.
+// find returns the flow of a tenant and the hash of its name. A named or tracked tenant has its own
+// flow; any other tenant gets one if an exact flow is available, or else shares a bucket.
 func (a *Admission) find(tenant string) (flowIndex int32, hash uint64) {
 	hash = xxhash.Sum64String(tenant)
 	if i, ok := a.named[tenant]; ok {
@@ -158,9 +161,9 @@
 	return i, hash
 }
 
-// takeExactFlow returns an exact flow that is free or can be evicted, or noIndex. The tenant that was
-// used longest ago is evicted, unless it has queued requests, reservations or debt: a tenant must not
-// lose its debt by being evicted.
+// takeExactFlow returns an exact flow that is free or can be evicted, or noIndex. Of the flows used
+// longest ago, it evicts the first without open requests, reservations or debt: eviction must not
+// clear a tenant's debt.
 func (a *Admission) takeExactFlow() int32 {
 	if last := len(a.freeFlows) - 1; last >= 0 {
 		i := a.freeFlows[last]
@@ -183,13 +186,13 @@
 	return noIndex
 }
 
-// bucket is the flow that a tenant shares with others while it has none of its own.
+// bucket returns the flow that a tenant without an exact flow shares with others.
 func (a *Admission) bucket(hash uint64) int32 {
 	number := combinedHash(hash, a.salt, 0) % uint64(a.cfg.Buckets)
 	return int32(maxNamedTenants + a.cfg.Flows + int(number))
 }
 
-// combinedHash is one hash of three numbers.
+// combinedHash returns a hash of three numbers.
 func combinedHash(x, y, z uint64) uint64 {
 	var b [24]byte
 	binary.LittleEndian.PutUint64(b[:], x)
@@ -198,7 +201,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// touch makes an exact flow the one that was used last.
+// touch marks an exact flow as the most recently used.
 func (a *Admission) touch(i int32) {
 	if a.newest != i {
 		a.unlink(i)
@@ -206,7 +209,7 @@
 	}
 }
 
-// link puts an exact flow at the newest end of the list by last use.
+// link adds an exact flow to the list by last use, as the newest.
 func (a *Admission) link(i int32) {
 	f := &a.flows[i]
 	f.older = a.newest
@@ -219,7 +222,7 @@
 	a.newest = i
 }
 
-// unlink takes an exact flow off the list by last use.
+// unlink removes an exact flow from the list by last use.
 func (a *Admission) unlink(i int32) {
 	f := &a.flows[i]
 	if f.older != noIndex {
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,11 +1,11 @@
 package admission
 
-// heap is a binary heap of small numbers that name records elsewhere, the one with the least key
-// first. It knows where each stands, so that one can be moved or taken out, and allocates nothing
-// once it has its size: container/heap would put each number into an interface.
+// heap is a binary heap of record indices, ordered by key with the lowest first. It stores the
+// position of each record, so that a record can be moved or removed, and does not allocate after
+// newHeap: container/heap would allocate an interface value for each index.
 type heap struct {
-	items     []int32 // records, in heap order
-	positions []int32 // by record: its index in items + 1; 0 = not there
+	items     []int32 // record indices, in heap order
+	positions []int32 // by record: its index in items + 1; 0 = not in the heap
 	keys      []float64
 }
 
@@ -19,7 +19,7 @@
 
 func (h *heap) firstKey() float64 { return h.keys[h.items[0]] }
 
-// set puts a record in, or moves it.
+// set adds a record, or changes the key of one that is in the heap.
 func (h *heap) set(i int32, key float64) {
 	h.keys[i] = key
 	if h.positions[i] == 0 {
@@ -30,7 +30,7 @@
 	h.down(int(h.positions[i]) - 1)
 }
 
-// remove takes a record out, if it is there.
+// remove removes a record, if it is in the heap.
 func (h *heap) remove(i int32) {
 	position := int(h.positions[i]) - 1
 	if position < 0 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// less orders two records by their keys, and by their numbers where the keys are equal, so that the
-// order is the same everywhere.
+// less orders two records by key, and by index if the keys are equal, so that the order is
+// deterministic.
 func (h *heap) less(a, b int32) bool {
 	if h.keys[a] != h.keys[b] {
 		return h.keys[a] < h.keys[b]
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -2,48 +2,52 @@
 
 import "math"
 
-// Constants of the limit on concurrency.
+// Parameters of the concurrency limit.
 const (
-	// windowMillis is the time between two adjustments.
+	// windowMillis is the time between two adjustments of the limit.
 	windowMillis = 200
-	// minStretchSamples is how many answers a mean stretch needs: single latencies vary by far more
-	// than overload changes them.
+	// minStretchSamples is the number of answers needed for a mean stretch: single latencies vary
+	// far more than overload changes them.
 	minStretchSamples = 100
-	// maxShareOfLimit bounds the part of the limit that one request takes.
+	// maxShareOfLimit bounds the part of the limit that one request occupies.
 	maxShareOfLimit = 0.125
-	// inUseShare is the part of the limit that has to be in use for it to rise.
+	// inUseShare is the part of the limit that must be in use for the limit to rise.
 	inUseShare = 0.8
-	// originRejectTolerance is the share of requests that the Balancer may reject after a miss, as
-	// the origin has no capacity, before that counts as pressure.
+	// originRejectTolerance is the share of requests that the Balancer may reject after a miss,
+	// because the origin has no capacity, before this counts as pressure.
 	originRejectTolerance = 0.01
-	// easyStretch is a mean latency over the class's latency objective at which few answers are late.
+	// easyStretch is a mean stretch at which few answers are late. The stretch of an answer is its
+	// latency divided by the configured cost of its class, which routers set to the latency
+	// objective.
 	easyStretch = 0.33
-	// baseTolerance is the factor on baseStretch up to which stretch is acceptable, where that is more
-	// than easyStretch.
+	// baseTolerance is the multiple of baseStretch up to which stretch is acceptable, if that is
+	// above easyStretch.
 	baseTolerance = 1.25
-	// stretchPressure is the pressure for each unit of stretch beyond what is acceptable.
+	// stretchPressure is the pressure per unit of stretch above what is acceptable.
 	stretchPressure = 1.5
-	// risePerWindow is the rise in a window, in square roots of the limit times the tenants that
-	// want more.
+	// risePerWindow is the rise of the limit in one window, as a multiple of the square root of the
+	// limit times the number of contenders.
 	risePerWindow = 0.10
-	// maxContenders bounds the tenants that count for the rise: invented names would otherwise draw
-	// work to a router.
+	// maxContenders bounds the contenders that count for the rise. Without a bound, invented tenant
+	// names would raise a router's limit and attract work to it.
 	maxContenders = 16
-	// fallPerPressure and maxFall are the fall of the limit in a window, as a share of it.
+	// fallPerPressure is the fall of the limit in one window per unit of pressure, as a share of
+	// the limit; maxFall bounds that share.
 	fallPerPressure = 1.0
 	maxFall         = 0.05
-	// lowLimitFactor makes a limit low that is less than its recent high over this.
+	// lowLimitFactor defines a low limit: one below its recent maximum divided by this factor.
 	lowLimitFactor = 3
-	// residualPressure is a pressure that may stay at a low limit. A higher one is taken for one that
-	// a low limit does not help against.
+	// residualPressure is a pressure that is acceptable at a low limit. A higher one is assumed not
+	// to depend on the limit.
 	residualPressure = 0.03
-	// forgetPerMillis is the share by which toleratedPressure and baseStretch decay in a millisecond.
+	// forgetPerMillis is the share by which toleratedPressure and baseStretch decay per
+	// millisecond.
 	forgetPerMillis = 1e-6
 )
 
-// Shares by which averages follow their values, once a window.
+// Gains of the moving averages that are updated once a window.
 const (
-	recentHighGain = 0.02 // over ten seconds
+	recentHighGain = 0.02 // a time constant of ten seconds
 	rejectGain     = 0.25
 	baseGain       = 0.05
 	excessGain     = 0.5
@@ -51,15 +55,16 @@
 	toleratedGain  = 0.02
 )
 
-// limiter is the limit on concurrency, in requests of mean cost. It falls where the Balancer rejects
-// admitted requests, or answers take over a third of their class's latency objective, and rises while it
-// is in use.
+// limiter maintains the concurrency limit, in requests of mean cost. The limit falls when the
+// Balancer rejects admitted requests or when answers take more than a third of their class's
+// latency objective (easyStretch), and rises while it is in use.
 //
-// The effect of a fall is checked: where the limit is down to a third of what it was and the signal
-// stays, a lower limit does not help, and that much of the signal is tolerated from then on.
+// The limiter checks whether a fall has an effect: if the limit is down to a third of its recent
+// maximum and the pressure remains, a lower limit does not help, and from then on that much
+// pressure is tolerated.
 type limiter struct {
 	limit float64
-	// minLimit and maxLimit bound it.
+	// minLimit and maxLimit bound the limit.
 	minLimit, maxLimit float64
 	// recentHigh is the recent maximum of the limit.
 	recentHigh float64
@@ -69,7 +74,7 @@
 	// adjustAt is the time of the next adjustment, in ms.
 	adjustAt float64
 
-	// ended counts requests, but for retries, that have ended since the last adjustment.
+	// ended counts the requests that have ended since the last adjustment, without retries.
 	ended int
 	// overloadRejects counts those of them that the Balancer rejected without an attempt.
 	overloadRejects int
@@ -83,15 +88,15 @@
 	// toleratedPressure is the pressure that a lower limit did not help against.
 	toleratedPressure float64
 
-	// stretchCount counts answers since updateStretch last used them.
+	// stretchCount counts the answers since updateStretch last evaluated them.
 	stretchCount int
-	// stretchSum is the sum of their latencies over their classes' costs.
+	// stretchSum is the sum of their stretches: each latency divided by its class's cost.
 	stretchSum float64
-	// baseStretch is the mean stretch that a low limit did not help against.
+	// baseStretch is the mean stretch that remains at a low limit.
 	baseStretch float64
-	// excessStretch is the EWMA of the stretch beyond what is acceptable.
+	// excessStretch is the EWMA of the stretch above what is acceptable.
 	excessStretch float64
-	// contenders is the EWMA of how many tenants want more than they have.
+	// contenders is the EWMA of the number of active tenants.
 	contenders float64
 }
 
@@ -104,30 +109,30 @@
 	}
 }
 
-// set sets the limit, within its bounds.
+// set sets the limit, bounded by minLimit and maxLimit.
 func (l *limiter) set(limit float64) { l.limit = min(l.maxLimit, max(l.minLimit, limit)) }
 
-// setBounds sets the bounds of the limit, which may change it.
+// setBounds changes the bounds, and the limit if it is outside them.
 func (l *limiter) setBounds(minLimit, maxLimit float64) {
 	l.minLimit = minLimit
 	l.maxLimit = maxLimit
 	l.set(l.limit)
 }
 
-// rescale multiplies the limit when the processes that share it become more or fewer.
+// rescale multiplies the limit when the number of processes that share it changes.
 func (l *limiter) rescale(factor float64) {
 	l.set(l.limit * factor)
 	l.recentHigh = max(l.limit, l.recentHigh*factor)
 }
 
-// slots is what a request takes of the limit. An expensive one takes an eighth of it at most: its tenant
-// is charged the whole cost, but if the request needed more slots it would wait until nearly nothing is
-// in work, and all others behind it.
+// slots returns the part of the limit that a request occupies, at most an eighth of the limit: its
+// tenant is charged the full cost, but a request that needed more slots could start only when
+// almost no other request is in progress, and all others would wait behind it.
 func (l *limiter) slots(cost, meanCost float64) float64 {
 	return min(cost/meanCost, max(1, l.limit*maxShareOfLimit))
 }
 
-// acquire takes the slots of a request that begins.
+// acquire occupies the slots of an admitted request.
 func (l *limiter) acquire(slots float64) {
 	l.inUse += slots
 	l.peakInUse = max(l.peakInUse, l.inUse)
@@ -136,18 +141,18 @@
 // release frees the slots of a request that has ended.
 func (l *limiter) release(slots float64) { l.inUse = max(0, l.inUse-slots) }
 
-// observeStretch adds an answer's latency over its class's cost.
+// observeStretch adds the stretch of an answer: its latency divided by its class's cost.
 func (l *limiter) observeStretch(stretch float64) {
 	l.stretchSum += stretch
 	l.stretchCount++
 }
 
-// adjust moves the limit towards what the fleet has capacity for, once a window.
+// adjust adapts the limit to the capacity of the fleet, once a window.
 //
-// Rise and fall balance at a limit of contenders*(risePerWindow/fallPerPressure/pressure)^2.
-// Routers before one fleet see much the same pressure, and so their limits settle in proportion to the
-// tenants that want more at each, without any messages: a router at which one tenant sends too much
-// yields to one at which many tenants lack capacity.
+// Rise and fall balance at a limit of contenders*(risePerWindow/fallPerPressure/pressure)^2. All
+// routers of a fleet see about the same pressure, so without exchanging messages their limits
+// converge to proportions given by their contenders: a router at which a single tenant sends too
+// much yields to one at which many tenants lack capacity.
 func (l *limiter) adjust(now, contenders float64) {
 	l.adjustAt = now + windowMillis
 	l.recentHigh += recentHighGain * (l.limit - l.recentHigh)
@@ -171,7 +176,7 @@
 	l.startWindow()
 }
 
-// updateRejectShares follows the shares of requests that the Balancer rejects.
+// updateRejectShares updates the shares of requests that the Balancer rejects.
 func (l *limiter) updateRejectShares() {
 	if l.ended == 0 {
 		return
@@ -182,13 +187,13 @@
 	l.originRejectShare += rejectGain * (origin - l.originRejectShare)
 }
 
-// updateStretch follows the mean stretch, once there are enough answers.
+// updateStretch updates the stretch averages once there are enough answers.
 func (l *limiter) updateStretch(isLow bool) {
 	if l.stretchCount < minStretchSamples {
 		return
 	}
 	mean := l.stretchSum / float64(l.stretchCount)
-	if isLow { // answers are this slow with little in work too
+	if isLow { // answers are this slow even with few requests in progress
 		l.baseStretch += baseGain * max(0, mean-l.baseStretch)
 	}
 	l.excessStretch = follow(l.excessStretch, mean-max(easyStretch, baseTolerance*l.baseStretch), excessGain)
@@ -196,8 +201,8 @@
 	l.stretchSum = 0
 }
 
-// pressure is how much the limit should fall: what the Balancer rejects and how slow answers are,
-// beyond what is tolerated.
+// pressure returns how strongly the limit should fall: the share of requests that the Balancer
+// rejects plus the weighted excess stretch, minus the tolerated pressure.
 func (l *limiter) pressure() float64 {
 	pressure := l.overloadRejectShare + max(0, l.originRejectShare-originRejectTolerance)
 	pressure += stretchPressure * max(0, l.excessStretch)
@@ -205,7 +210,7 @@
 	return max(0, pressure)
 }
 
-// startWindow resets the counts of the last window.
+// startWindow resets the counters of the last window.
 func (l *limiter) startWindow() {
 	l.ended = 0
 	l.overloadRejects = 0
@@ -213,7 +218,7 @@
 	l.peakInUse = l.inUse
 }
 
-// follow returns an EWMA after one more value; 0 stands for one that has no value yet.
+// follow returns an EWMA after one more value. An average of 0 has no value yet.
 func follow(average, value, share float64) float64 {
 	if average == 0 {
 		return value
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// exactModel is start-time fair queueing as its authors write it, for named tenants and requests of
-// one cost: each request has a start tag max(virtual time, the finish tag before it), and virtual
-// time is the start tag of the request that was admitted last.
+// exactModel is start-time fair queueing as published, for named tenants and requests of equal
+// cost: each request has a start tag max(virtual time, previous finish tag of its flow), and the
+// virtual time is the start tag of the most recently admitted request.
 type exactModel struct {
 	weights     []float64
 	finishTags  []float64
 	virtualTime float64
-	queue       []taggedRequest // in the order of arrival
+	queue       []taggedRequest // in order of arrival
 	freeSlots   int
 	admitted    []uint32
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// Any stream of arrivals and ends is admitted in the order of the exact model.
+// Any sequence of arrivals and ends must lead to the same order of admission as the exact model.
 func FuzzAgainstExactModel(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 0x80, 0, 0, 0, 0x81, 0x80, 1, 2, 0x80, 0x80, 0x80})
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 0x80, 0x80, 0x80, 0x80, 1, 1, 1, 0x80, 0x80, 0x80, 0x80, 0x80})
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, events []byte) {
 		const (
 			slots      = 3
-			costMillis = 8 // a power of two, so that sums are exact
+			costMillis = 8 // a power of two, for exact sums
 		)
 		c := testConfig()
 		weights := []float64{1, 2, 4}
@@ -101,11 +101,11 @@
 				model.ended()
 			}
 			if !slices.Equal(host.admitted, model.admitted) {
-				t.Fatalf("after event %d: admitted %v, the model %v", n, host.admitted, model.admitted)
+				t.Fatalf("after event %d: admitted %v, the model admitted %v", n, host.admitted, model.admitted)
 			}
 		}
 		if len(host.retryAfterByID) > 0 {
-			t.Fatalf("rejected: %v", host.retryAfterByID)
+			t.Fatalf("rejected requests: %v", host.retryAfterByID)
 		}
 	})
 }
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -1,9 +1,9 @@
 package admission
 
-// maxChargeFactor bounds what a request is charged, in multiples of its estimated cost.
+// maxChargeFactor bounds what a request is charged, as a multiple of its estimated cost.
 const maxChargeFactor = 8
 
-// Ended takes the outcome of a request that was admitted.
+// Ended processes the outcome of an admitted request.
 func (a *Admission) Ended(nowMillis float64, outcome Outcome) {
 	a.advance(nowMillis)
 	i, ok := a.byID[outcome.ID]
@@ -13,7 +13,7 @@
 	r := a.records[i]
 	a.release(i)
 	a.limiter.release(r.slots)
-	if len(a.byID) == a.waiting { // nothing is in work: no rounding is left over
+	if len(a.byID) == a.waiting { // no request is in progress: clear the rounding error
 		a.limiter.inUse = 0
 	}
 	if !r.isRetry {
@@ -32,8 +32,9 @@
 	a.admitWaiting()
 }
 
-// countDownstreamRejection counts an admitted request that the Balancer rejected for want of capacity.
-// A retry has little time left: its rejection says nothing of capacity.
+// countDownstreamRejection counts an admitted request that the Balancer rejected for lack of
+// capacity. Retries do not count for the concurrency limit: they have little time left, so their
+// rejection is no evidence of a lack of capacity.
 func (a *Admission) countDownstreamRejection(r *record, outcome Outcome) {
 	count := &a.flows[r.flow].stats
 	hadAttempt := outcome.Attempts > 0
@@ -51,8 +52,8 @@
 	a.recentRejections.add(r.identity, a.now)
 }
 
-// observe learns from the latency and the work of a request that was served. A large answer takes long
-// without overload and is left out of what overload is judged by.
+// observe updates the cost model with a served request, and the limiter with its stretch. A large
+// answer takes long even without overload, so it only updates the latency averages.
 func (a *Admission) observe(r *record, outcome Outcome) {
 	a.costs.observeLatency(r.class, outcome.LatencyMillis)
 	if r.sizeBytes+outcome.ResponseBytes > sizeUnitBytes {
@@ -62,8 +63,8 @@
 	a.costs.observeWork(r.class, outcome.WorkMillis)
 }
 
-// settleCharge charges a flow what a request has cost in place of the estimate: its time with servers,
-// and the bytes that went through.
+// settleCharge replaces the estimated cost that a flow was charged for a request by the actual
+// cost: the duration of its attempts and the bytes transferred.
 func (a *Admission) settleCharge(r *record, outcome Outcome) {
 	cost := r.cost / sizeFactor(r.sizeBytes)
 	transferred := float64(r.sizeBytes + outcome.ResponseBytes)
@@ -75,7 +76,7 @@
 	a.flows[r.flow].stats.WorkMillis += actual - r.cost
 }
 
-// Disconnected drops the queued request of a client that has disconnected.
+// Disconnected removes a request from the queue after its client has disconnected.
 func (a *Admission) Disconnected(nowMillis float64, id uint32) {
 	a.advance(nowMillis)
 	if i, ok := a.byID[id]; ok && a.records[i].isQueued {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,32 +2,32 @@
 
 import "math"
 
-// record is a request that waits or is in work.
+// record is a queued or admitted request.
 type record struct {
 	id         uint32
 	flow       int32
 	class      int32
-	next, prev int32 // in its flow's list
+	next, prev int32 // in the list of its flow
 	cost       float64
 	sizeBytes  int
 	// identity is a hash of tenant, key and class.
 	identity uint64
-	// slots is what it takes of the limit while it is in work.
+	// slots is the part of the concurrency limit that it occupies while it is admitted.
 	slots    float64
 	list     uint8
 	isQueued bool
-	// isRetry tells that its client has tried before.
+	// isRetry reports whether the client has sent the request before.
 	isRetry bool
 
-	// hadFreeShare tells that its tenant's share was free when it arrived.
+	// hadFreeShare reports whether its tenant's share was free when it arrived.
 	hadFreeShare bool
-	// retryAfterMillis is the retry-after that it has waited for; 0 = it had none.
+	// retryAfterMillis is the retry-after of its earlier rejection; 0 = it has no reservation.
 	retryAfterMillis float64
-	// rejectedAt is when it was rejected with that.
+	// rejectedAt is the time of that rejection.
 	rejectedAt float64
 }
 
-// newRecord takes a free record for a request.
+// newRecord initializes a free record for a request and returns its index.
 func (a *Admission) newRecord(in *arrival) int32 {
 	last := len(a.freeRecords) - 1
 	i := a.freeRecords[last]
@@ -69,8 +69,8 @@
 	a.retire(r.flow)
 }
 
-// enqueue has a request wait, until expiresAt at the latest. One whose reservation is due goes ahead of
-// the others of its tenant.
+// enqueue adds a request to its flow's queue, until expiresAt at the latest. A request whose
+// reservation is due is placed before the others of its tenant.
 func (a *Admission) enqueue(i int32, expiresAt float64, isAhead bool) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -93,7 +93,7 @@
 	a.queueOf(f).longest.set(r.flow, -f.backlog/f.weight)
 }
 
-// linkRecord puts a record at an end of its flow's list.
+// linkRecord adds a record to its flow's list, at the head if isAhead is set.
 func (a *Admission) linkRecord(i int32, isAhead bool) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -114,7 +114,7 @@
 	}
 }
 
-// dequeue takes a waiting request off its flow's list.
+// dequeue removes a request from its flow's queue.
 func (a *Admission) dequeue(i int32) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -137,7 +137,7 @@
 	a.updateWeights(r.flow, wasActive)
 }
 
-// unlinkRecord takes a record off its flow's list.
+// unlinkRecord removes a record from its flow's list.
 func (a *Admission) unlinkRecord(i int32) {
 	r := &a.records[i]
 	f := &a.flows[r.flow]
@@ -156,40 +156,40 @@
 	r.isQueued = false
 }
 
-// releaseGuaranteed counts off a waiting request within its tenant's guaranteed rate.
+// releaseGuaranteed subtracts a dequeued request from the guaranteed backlog.
 func (a *Admission) releaseGuaranteed(r *record) {
 	a.guaranteedBacklog -= r.cost
 	if a.flows[r.flow].head[guaranteedList] == noIndex {
 		a.guaranteed.remove(r.flow)
 	}
-	if a.guaranteed.len() == 0 { // no rounding is left over
+	if a.guaranteed.len() == 0 { // clear the rounding error
 		a.guaranteedBacklog = 0
 	}
 }
 
-// dropQueued ends a waiting request without an answer.
+// dropQueued removes a queued request without a decision.
 func (a *Admission) dropQueued(i int32) {
 	a.dequeue(i)
 	a.release(i)
 }
 
-// rejectQueued ends a waiting request with a rejection.
+// rejectQueued removes a queued request and rejects it.
 func (a *Admission) rejectQueued(i int32) {
 	r := a.records[i]
 	a.dropQueued(i)
 	a.reject(r.id, r.flow, r.cost, r.identity)
 }
 
-// expireWaiting rejects the requests whose allowed wait is over.
+// expireWaiting rejects the queued requests whose maximum wait is over.
 func (a *Admission) expireWaiting() {
 	for a.expiry.len() > 0 && a.expiry.firstKey() <= a.now {
 		a.rejectQueued(a.expiry.first())
 	}
 }
 
-// evictFor rejects the newest request of the flow with the longest wait for its share, to free a place
-// in a full queue. It reports whether there was one: a flow can't evict its own requests, and
-// guaranteed ones are never evicted.
+// evictFor rejects the newest request of the flow with the longest wait for its share, to make room
+// in a full queue. It reports whether it did: a flow's own requests are not evicted for it, and
+// guaranteed requests are never evicted.
 func (a *Admission) evictFor(flowIndex int32) bool {
 	longest := a.longestWaiting()
 	if longest == noIndex || longest == flowIndex {
@@ -207,7 +207,7 @@
 	return true
 }
 
-// longestWaiting is the flow with the longest wait for its share, or noIndex.
+// longestWaiting returns the flow with the longest wait for its share, or noIndex.
 func (a *Admission) longestWaiting() int32 {
 	longest := noIndex
 	greatest := 0.0
@@ -224,7 +224,7 @@
 	return longest
 }
 
-// admitWaiting admits waiting requests while there is capacity.
+// admitWaiting admits queued requests while the concurrency limit allows it.
 func (a *Admission) admitWaiting() {
 	for a.waiting > 0 {
 		i := a.next()
@@ -236,7 +236,7 @@
 	}
 }
 
-// hasCapacity reports whether the limit on concurrency allows a request of this cost.
+// hasCapacity reports whether the concurrency limit allows another request of this cost.
 func (a *Admission) hasCapacity(cost float64) bool {
 	return a.limiter.inUse+a.limiter.slots(cost, a.costs.mean) <= a.limiter.limit
 }
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Check returns a *SettingError for the first setting of cfg that can't take effect while the process
-// runs: the tables keep the sizes that they have had from the start.
+// Check returns a *SettingError for the first setting of cfg that is invalid or can't change while
+// the process runs: the tables keep the sizes that they had at startup.
 func (a *Admission) Check(cfg Config) error {
-	cfg.Classes = a.cfg.Classes // the platform's; a class that a reload adds counts as one of the others
+	cfg.Classes = a.cfg.Classes // classes that a reload adds share the class "(others)"
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -19,7 +19,7 @@
 	return a.checkTenantCapacity(cfg)
 }
 
-// checkSizes names the first setting that differs and can't change while the process runs.
+// checkSizes returns an error for the first setting that differs but can't change at run time.
 func (a *Admission) checkSizes(cfg Config) error {
 	for _, size := range []struct {
 		name          string
@@ -33,15 +33,15 @@
 		{"start", cfg.InitialLimit, a.cfg.InitialLimit},
 	} {
 		if size.after != size.before {
-			reason := fmt.Sprintf("%v, was %v: this takes a new process", size.after, size.before)
+			reason := fmt.Sprintf("%v, was %v: a change requires a new process", size.after, size.before)
 			return &SettingError{Setting: size.name, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// checkTenantCapacity checks that the table of named flows holds the new names. A tenant that is named
-// no longer keeps its flow until it has no open request and no reservation.
+// checkTenantCapacity checks that there are enough flows for the newly named tenants. A tenant that
+// is no longer named keeps its flow until it has no open request and no reservation.
 func (a *Admission) checkTenantCapacity(cfg Config) error {
 	needed, free := 0, 0
 	stillNamed := map[string]bool{}
@@ -58,15 +58,15 @@
 		}
 	}
 	if needed > free {
-		reason := fmt.Sprintf("%d new ones, and %d places while requests of old ones are open", needed, free)
+		reason := fmt.Sprintf("%d new tenants, %d free entries while requests of removed ones are open", needed, free)
 		return &SettingError{Setting: "tenant", Reason: reason}
 	}
 	return nil
 }
 
-// Reconfigure applies new rules to requests that arrive from now on. Queued requests keep their order
-// and their time; a tenant's new weight counts from its next request on. On an error, which is Check's,
-// nothing has changed.
+// Reconfigure applies new rules to the requests that arrive from now on. Queued requests keep their
+// order and their maximum wait; a tenant's new weight applies from its next request on. Errors are
+// those of Check; on an error, nothing has changed.
 func (a *Admission) Reconfigure(nowMillis float64, cfg Config) error {
 	if err := a.Check(cfg); err != nil {
 		return err
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// updateNamed updates the flows of named tenants, and retires those of tenants that are named no longer.
+// updateNamed updates the flows of named tenants, and retires those of tenants no longer named.
 func (a *Admission) updateNamed(tenants []Tenant) {
 	rules := map[string]Tenant{}
 	for _, tenant := range tenants {
@@ -103,12 +103,12 @@
 		a.setWeight(i, tenant.Weight)
 		f.refillGuarantee(a.now)
 		f.setGuarantee(tenant)
-		a.named[tenant.Name] = i // it may be named again before all of it has ended
+		a.named[tenant.Name] = i // a tenant can be named again before its old flow is retired
 	}
 }
 
-// addNamed assigns free flows to the tenants that are new. The counts of one that was tracked as
-// unnamed move along.
+// addNamed assigns free flows to newly named tenants. A tenant that was tracked as unnamed keeps
+// its statistics.
 func (a *Admission) addNamed(tenants []Tenant) {
 	next := int32(0)
 	for _, tenant := range tenants {
@@ -130,7 +130,7 @@
 	}
 }
 
-// retire frees the flow of a tenant that is named no longer, once it is idle.
+// retire frees the flow of a tenant that is no longer named, once it is idle.
 func (a *Admission) retire(i int32) {
 	f := &a.flows[i]
 	if i >= maxNamedTenants || !f.used || !f.isIdle() {
@@ -141,7 +141,7 @@
 	}
 }
 
-// setWeight changes a top-level flow's weight, in the sums too.
+// setWeight changes the weight of a top-level flow and updates the structures that depend on it.
 func (a *Admission) setWeight(i int32, weight float64) {
 	f := &a.flows[i]
 	isActive := f.isActive()
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	// minAdmissionRetryAfterMillis is the shortest retry-after: a client that is sent back sooner costs more
-	// than it gains.
+	// minAdmissionRetryAfterMillis is the shortest retry-after: a client that returns sooner costs
+	// more than it gains.
 	minAdmissionRetryAfterMillis = 20
-	// retryAfterJitter is the greatest share by which a retry-after is lengthened at random, so that
-	// clients rejected together do not return together.
+	// retryAfterJitter is the greatest share by which a retry-after is randomly lengthened, so that
+	// clients rejected at the same time do not return at the same time.
 	retryAfterJitter = 0.05
-	// A reservation expires when it is overdue by reservationGraceMillis and by the part of its
-	// retry-after that reservationExpiryFactor is above 1.
+	// A reservation expires reservationGraceMillis after its retry-after multiplied by
+	// reservationExpiryFactor.
 	reservationGraceMillis  = 500
 	reservationExpiryFactor = 1.25
-	// earlyToleranceMillis is by how much a client may be early: clocks and the network differ.
+	// earlyToleranceMillis is how early a client may return: clocks and network delays differ.
 	earlyToleranceMillis = 15
-	// workEpsilon is reserved work that counts as none: what rounding leaves of sums and differences.
+	// workEpsilon is the reserved work below which it counts as 0, to absorb rounding errors.
 	workEpsilon = 1e-6
-	// retryAfterGain is the share by which the average of a tenant's retry-after times follows each.
+	// retryAfterGain is the gain of the moving average of a tenant's retry-after times.
 	retryAfterGain = 0.1
 )
 
-// reservation is work that was rejected with a retry-after and is expected back at that time.
+// reservation is rejected work that is expected to return when its retry-after is over.
 type reservation struct {
 	identity         uint64 // of tenant, key and class
 	flow             int32
@@ -30,12 +30,12 @@
 	cost             float64 // ms
 }
 
-// reservationTable holds the reservations that are not claimed yet, in fixed memory.
+// reservationTable holds the unclaimed reservations in fixed memory.
 type reservationTable struct {
 	entries    []reservation
 	free       []int32
 	byIdentity map[uint64]int32
-	expiry     heap // by when they are forgotten
+	expiry     heap // ordered by when they expire
 }
 
 func newReservationTable(size int) reservationTable {
@@ -47,8 +47,8 @@
 	}
 }
 
-// add stores a reservation, and reports whether it did: it does not where the table is full or the
-// same request has one already.
+// add stores a reservation and reports whether it did. It does not if the table is full or the same
+// request already has one.
 func (t *reservationTable) add(r reservation, expiresAt float64) bool {
 	if _, ok := t.byIdentity[r.identity]; ok || len(t.free) == 0 {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// remove takes a reservation out.
+// remove removes a reservation and returns it.
 func (t *reservationTable) remove(i int32) reservation {
 	r := t.entries[i]
 	delete(t.byIdentity, r.identity)
@@ -71,21 +71,21 @@
 	return r
 }
 
-// claim is what a request has of an earlier rejection.
+// claim is the relation of a request to its reservation from an earlier rejection.
 type claim struct {
-	// retryAfterMillis is the retry-after of that rejection, where it is due; 0 = it is not.
+	// retryAfterMillis is the retry-after of that rejection if the reservation is due; otherwise 0.
 	retryAfterMillis float64
-	// rejectedAt is when that was.
+	// rejectedAt is the time of that rejection.
 	rejectedAt float64
-	// earlyMillis is by how much the request comes before its time; 0 = it does not.
+	// earlyMillis is the time left until the reservation is due; 0 = it is due, or there is none.
 	earlyMillis float64
 }
 
 func (c claim) isDue() bool { return c.retryAfterMillis > 0 }
 
-// reject rejects a request. Its retry-after is when its tenant's share is free: behind all that it
-// has waiting, and behind all reservations of its own, so that those who are rejected together do
-// not return together.
+// reject rejects a request. Its retry-after ends when its tenant's share is expected to be free:
+// after all queued requests and all reservations of the tenant, so that clients rejected at the
+// same time do not return at the same time.
 func (a *Admission) reject(id uint32, flowIndex int32, cost float64, identity uint64) {
 	stats := &a.flows[flowIndex].stats
 	stats.Rejected++
@@ -99,7 +99,7 @@
 	a.host.Reject(id, retryAfter)
 }
 
-// reserve remembers a retry-after, unless the table is full.
+// reserve stores a reservation for a retry-after, unless the table is full.
 func (a *Admission) reserve(identity uint64, flowIndex int32, retryAfter, cost float64) {
 	r := reservation{
 		identity:         identity,
@@ -120,7 +120,7 @@
 	a.updateWeights(flowIndex, wasActive)
 }
 
-// claimReservation looks for a request's reservation, and ends it where it is due.
+// claimReservation looks up a request's reservation, and releases it if it is due.
 func (a *Admission) claimReservation(identity uint64) claim {
 	i, ok := a.reservations.byIdentity[identity]
 	if !ok {
@@ -135,13 +135,13 @@
 	return claim{retryAfterMillis: r.retryAfterMillis, rejectedAt: r.dueAt - r.retryAfterMillis}
 }
 
-// releaseReservation ends a reservation.
+// releaseReservation removes a reservation and updates its flow.
 func (a *Admission) releaseReservation(i int32) {
 	r := a.reservations.remove(i)
 	f := &a.flows[r.flow]
 	wasActive := f.isActive()
-	// Reservations fall due nearly in the order in which they were made: with this one out, the
-	// next is not due before it.
+	// Reservations become due approximately in the order in which they were made, so the next one
+	// is not due before this one.
 	f.reservationsDueFrom = max(f.reservationsDueFrom, r.dueAt)
 	f.reservedWork -= r.cost
 	if f.reservedWork < workEpsilon {
@@ -151,7 +151,7 @@
 	a.retire(r.flow)
 }
 
-// expireReservations forgets the reservations whose clients have not returned.
+// expireReservations releases the reservations whose clients have not returned.
 func (a *Admission) expireReservations() {
 	expiry := &a.reservations.expiry
 	for expiry.len() > 0 && expiry.firstKey() <= a.now {
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Two tenants send 2,000 requests a second to a fleet of 800. A third with a small weight sends its
-// guaranteed 200 a second: nearly all are served, as they go ahead of all shares.
+// Two tenants send 2,000 requests a second to a fleet that serves 800. A third one with a small
+// weight sends 200 a second, its guaranteed rate. Nearly all of these must be served, as they
+// precede all shares.
 func TestGuaranteedRateGoesAhead(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "vital", Weight: 0.01, GuaranteedPerSecond: 200, GuaranteedBurst: 4}}
@@ -29,11 +30,11 @@
 			fleet.step()
 		}
 		if got := fleet.servedShare("vital"); got < 0.97 {
-			t.Errorf("served %.3f of its requests", got)
+			t.Errorf("share of requests served = %.3f", got)
 		}
 	})
 
-	// Beyond its rate it has its share of the rest, a hundredth, and no more.
+	// Above its guaranteed rate, the tenant has only its share of the rest, a hundredth.
 	t.Run("beyond the rate", func(t *testing.T) {
 		fleet := newFakeFleet(t, c)
 		for fleet.now < 5000 {
@@ -42,19 +43,19 @@
 			fleet.step()
 		}
 		if got := float64(fleet.served["vital"]) / 5; got < 190 || got > 260 {
-			t.Errorf("%.0f a second with 200 guaranteed", got)
+			t.Errorf("%.0f requests served a second, with 200 guaranteed", got)
 		}
 	})
 }
 
-// The operator changes weights in the middle of a burst. They hold from then on, and what is queued
-// stays queued. A tenant that is named no longer frees its flow; a new table size, which takes a new
-// process, is rejected, and the error names it.
+// The operator changes weights during a burst. The new weights must apply from then on, and queued
+// requests must stay queued. A tenant that is no longer named frees its flow. A new table size,
+// which requires a new process, must be rejected with an error that names the setting.
 func TestRulesChangeInABurst(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
 	fleet := newFakeFleet(t, c)
-	playTo := func(end float64) (servedA, servedB int) {
+	runUntil := func(end float64) (servedA, servedB int) {
 		beforeA := fleet.served["a"]
 		beforeB := fleet.served["b"]
 		for fleet.now < end {
@@ -64,8 +65,8 @@
 		}
 		return fleet.served["a"] - beforeA, fleet.served["b"] - beforeB
 	}
-	if a, b := playTo(2000); math.Abs(float64(a-b)) > 0.03*float64(a+b) {
-		t.Errorf("%d and %d at equal weights", a, b)
+	if a, b := runUntil(2000); math.Abs(float64(a-b)) > 0.03*float64(a+b) {
+		t.Errorf("%d and %d requests served at equal weights", a, b)
 	}
 
 	before := fleet.admission.waiting
@@ -75,21 +76,21 @@
 		t.Fatal(err)
 	}
 	if after := fleet.admission.waiting; after != before || before == 0 {
-		t.Errorf("%d waited, and %d do", before, after)
+		t.Errorf("%d requests were queued before the change, %d after it", before, after)
 	}
-	if a, b := playTo(6000); float64(b) < 3.5*float64(a) || float64(b) > 4.5*float64(a) {
-		t.Errorf("%d and %d at weights 1 and 4", a, b)
+	if a, b := runUntil(6000); float64(b) < 3.5*float64(a) || float64(b) > 4.5*float64(a) {
+		t.Errorf("%d and %d requests served at weights 1 and 4", a, b)
 	}
 
 	without := c
-	without.Tenants = []Tenant{{Name: "a", Weight: 1}} // new requests of b are of the unnamed at once
+	without.Tenants = []Tenant{{Name: "a", Weight: 1}} // from now on b is an unnamed tenant
 	if err := fleet.admission.Reconfigure(fleet.now, without); err != nil {
 		t.Fatal(err)
 	}
-	playTo(6500)
+	runUntil(6500)
 	for i := range int32(maxNamedTenants) {
 		if f := &fleet.admission.flows[i]; f.tenant() == "b" && f.used && f.isIdle() {
-			t.Error("the flow of a tenant that is named no longer is kept")
+			t.Error("the flow of a tenant that is no longer named was not freed")
 		}
 	}
 
@@ -97,38 +98,39 @@
 	var settingError *SettingError
 	err := fleet.admission.Reconfigure(fleet.now, without)
 	if !errors.As(err, &settingError) || settingError.Setting != "queue" {
-		t.Errorf("a new size: %v", err)
+		t.Errorf("with a new table size: error %v", err)
 	}
 }
 
-// One tenant's requests are all 4 MiB writes, which cost 65 times a read, and more than the limit.
-// The others go on as if it were not there, and it gets its share of work too. A program that let
-// it take as many slots as it costs would have all others wait until the fleet is empty.
+// One tenant sends only 4 MiB writes, each of which costs 65 times a read and more than the limit.
+// The other tenants must be served as if it were not there, and it must get its share of work too.
+// If a request needed as many slots as it costs, all others would wait until nothing is in
+// progress.
 func TestLargeWritesCrowdOutNobody(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	fleet.host.onAdmit = func(id uint32) {
 		fleet.endsAt[id] = fleet.now + 10
 		if fleet.tenantByID[id] == "large" {
-			fleet.endsAt[id] = fleet.now + 80 // an eighth of the limit, for this long: its share of the rest
+			fleet.endsAt[id] = fleet.now + 80 // an eighth of the limit for 80 ms: its share of the remaining work
 		}
 	}
 	due := 0.0
 	for fleet.now < 20000 {
 		fleet.send("large", Request{Class: 1, Key: uint64(fleet.lastID), SizeBytes: 64 * sizeUnitBytes})
-		for due += 0.4; due >= 1; due-- { // half of the capacity
+		for due += 0.4; due >= 1; due-- { // half of the fleet's capacity
 			fleet.sendNew("small")
 		}
 		fleet.step()
 	}
 	if got := fleet.servedShare("small"); got < 0.95 {
-		t.Errorf("served %.3f of its requests", got)
+		t.Errorf("share of requests served = %.3f", got)
 	}
 	if fleet.served["large"] < 40 {
-		t.Errorf("%d large writes in 20 s", fleet.served["large"])
+		t.Errorf("%d large writes served in 20 s", fleet.served["large"])
 	}
 }
 
-// A tenant that sends one request a minute, beside two that send too much, is served each time.
+// A tenant that sends one request a minute, next to two overloading tenants, is served each time.
 func TestOnceAMinuteAmongHeavyTenants(t *testing.T) {
 	const minute = 60_000
 	fleet := newFakeFleet(t, testConfig())
@@ -137,7 +139,7 @@
 			fleet.sendNew("quiet")
 		}
 		isBusy := int(fleet.now)%minute > 3000 && int(fleet.now)%minute < 6000
-		if !isBusy { // nobody sends in the rest of the minute, so that the test is short
+		if !isBusy { // no requests are sent during the rest of each minute, to keep the test short
 			fleet.now += 99
 			fleet.step()
 			continue
@@ -147,12 +149,12 @@
 		fleet.step()
 	}
 	if fleet.sent["quiet"] != 4 || fleet.served["quiet"] != 4 {
-		t.Errorf("served %d of %d", fleet.served["quiet"], fleet.sent["quiet"])
+		t.Errorf("%d of %d requests served", fleet.served["quiet"], fleet.sent["quiet"])
 	}
 }
 
-// The fleet's capacity falls to a quarter while queues are full, and recovers. The limit follows
-// both ways, and each request has one decision.
+// The fleet's capacity falls to a quarter while queues are full, and recovers. The limit must
+// follow in both directions, and each request must have exactly one decision.
 func TestCapacityHalves(t *testing.T) {
 	c := testConfig()
 	c.MinLimit = 1
@@ -163,7 +165,7 @@
 	fleet.host.onAdmit = func(id uint32) { // processor sharing
 		fleet.endsAt[id] = fleet.now + max(serviceMillis, serviceMillis*float64(len(fleet.endsAt))/slots)
 	}
-	servedPerMilliTo := func(end float64) float64 {
+	servedPerMilliUntil := func(end float64) float64 {
 		startedAt := fleet.now
 		before := fleet.totalServed()
 		for fleet.now < end {
@@ -174,24 +176,24 @@
 		}
 		return float64(fleet.totalServed()-before) / (end - startedAt)
 	}
-	full := servedPerMilliTo(4000)
+	full := servedPerMilliUntil(4000)
 	serviceMillis = 20
 	slots = 4
-	reduced := servedPerMilliTo(8000)
+	reduced := servedPerMilliUntil(8000)
 	serviceMillis = 10
 	slots = 8
-	if again := servedPerMilliTo(14000); full < 0.6 || reduced < 0.15 || again < 0.9*full {
-		t.Errorf("%.2f served a millisecond of 0.8, %.2f of 0.2, %.2f of 0.8", full, reduced, again)
+	if recovered := servedPerMilliUntil(14000); full < 0.6 || reduced < 0.15 || recovered < 0.9*full {
+		t.Errorf("served per millisecond: %.2f of 0.8, then %.2f of 0.2, then %.2f of 0.8", full, reduced, recovered)
 	}
 	for id, n := range fleet.host.decisions {
 		if n != 1 {
-			t.Fatalf("request %d: %d answers", id, n)
+			t.Fatalf("request %d: %d decisions", id, n)
 		}
 	}
 }
 
-// The queue is full of requests whose clients then disconnect. They leave it at once, so that a new
-// request is the next to be admitted; a program that kept them would serve nobody.
+// All clients of a full queue disconnect. Their requests must leave the queue immediately, so that
+// a new request is admitted next; otherwise the fleet would only serve disconnected clients.
 func TestQueueOfDisconnectedClients(t *testing.T) {
 	c := testConfig()
 	c.QueueLimit = 50
@@ -206,20 +208,20 @@
 		a.Disconnected(1, i)
 	}
 	if a.waiting != 0 || waiting == 0 {
-		t.Fatalf("%d waited, and %d do", waiting, a.waiting)
+		t.Fatalf("%d requests were queued, %d are after the clients disconnected", waiting, a.waiting)
 	}
 	a.Arrive(2, Request{ID: 99, Tenant: "a", Key: 99, RemainingMillis: 1e6})
 	a.Ended(3, Outcome{ID: 0, Served: true, LatencyMillis: 3, WorkMillis: 3, Attempts: 1})
 	if n := len(host.admitted); n != 2 || host.admitted[1] != 99 {
-		t.Errorf("admitted: %v", host.admitted)
+		t.Errorf("admitted requests: %v", host.admitted)
 	}
 }
 
-// A million tenants arrive. The tables take no memory beyond what they were given at the start, and
-// that is what TableBytes says.
+// A million tenants arrive. The tables must not grow beyond the memory allocated at startup, and
+// TableBytes must report that memory.
 func TestAMillionTenantsTakeNoMemory(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a million requests")
+		t.Skip("sends a million requests")
 	}
 	heapBytes := func() int64 {
 		var m runtime.MemStats
@@ -249,16 +251,16 @@
 	}
 	grown := heapBytes() - initial
 	allocated := initial - empty
-	stated := a.TableBytes()
-	t.Logf("%d bytes allocated at the start, stated %d; %d more after a million names", allocated, stated, grown)
-	if grown > 200_000 || math.Abs(float64(allocated-int64(stated))) > 0.25*float64(allocated) {
-		t.Errorf("%d bytes allocated at the start, stated %d; %d more after a million names", allocated, stated, grown)
+	reported := a.TableBytes()
+	t.Logf("%d bytes allocated at startup, %d reported; %d more after a million names", allocated, reported, grown)
+	if grown > 200_000 || math.Abs(float64(allocated-int64(reported))) > 0.25*float64(allocated) {
+		t.Errorf("%d bytes allocated at startup, %d reported; %d more after a million names", allocated, reported, grown)
 	}
 	runtime.KeepAlive(a)
 }
 
-// Tenants of any weights and request sizes all send more than there is capacity for. Each is given at
-// least 85 % of its share of the work, however small its weight.
+// Tenants of any weights and request sizes all send more than there is capacity for. Each must
+// receive at least 85 % of its share of the work, however small its weight.
 func TestNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), 2, 6).Draw(t, "weights")
@@ -272,15 +274,15 @@
 		}
 		for i := range weights {
 			if work[i] < max(1, weights[i]/totalWeight*totalWork*0.85-10) {
-				t.Fatalf("tenant %d of weights %v: %v admitted", i, weights, work)
+				t.Fatalf("tenant %d of weights %v: work served %v", i, weights, work)
 			}
 		}
 	})
 }
 
-// playSaturated has a tenant of each weight send a request a millisecond, of sizes in turn, to a fleet
-// of two at a time. It returns the work of each that was served in the second half of four seconds,
-// when it is known that no rejected client returns.
+// playSaturated lets each tenant send a request per millisecond, with sizes in rotation, to a fleet
+// that serves two at a time. It returns each tenant's work that was served in the second half of
+// four seconds, by when admission has measured that no rejected client returns.
 func playSaturated(t *rapid.T, weights []float64, sizes []int) (work []float64) {
 	const (
 		endMillis     = 4000
@@ -300,7 +302,7 @@
 	lastID := uint32(0)
 	tenantByID := map[uint32]int{}
 	workByID := map[uint32]float64{}
-	ageByID := map[uint32]int{} // ms since admission
+	ageByID := map[uint32]int{} // ms since admission, of admitted requests
 	host.onAdmit = func(id uint32) { ageByID[id] = 0 }
 	work = make([]float64, len(weights))
 	for now := 0.0; now < endMillis; now++ {
@@ -332,9 +334,9 @@
 	return work
 }
 
-// A tenant is dropped from the operator file and named again while a request of it is still open. It
-// goes on with the flow that it had. A program that gave it another one would count the request twice,
-// or free the flow under it.
+// A tenant is removed from the operator file and named again while one of its requests is open. It
+// must keep its flow. With another flow, the request would be counted twice, or the old flow would
+// be freed while it is in use.
 func TestNamedAgainKeepsItsFlow(t *testing.T) {
 	for index, name := range []string{"a", "b"} {
 		t.Run(name, func(t *testing.T) {
@@ -352,7 +354,7 @@
 				}
 			}
 			if got, ok := a.named[name]; !ok || got != int32(index) {
-				t.Errorf("flow %d (%v), and had %d", got, ok, index)
+				t.Errorf("flow %d (found: %v), want %d", got, ok, index)
 			}
 		})
 	}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -8,40 +8,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxSnapshotEntries bounds the tenants, and the reservations, of a snapshot.
+// maxSnapshotEntries bounds the number of tenants, and the number of reservations, in a snapshot.
 const maxSnapshotEntries = 2048
 
-// Snapshot is what a process hands over to its successor: how much load the fleet takes, the tenants'
-// debts, and the retry-after times that clients have. Times are relative, so that clocks need not
-// agree. Requests that wait or are in work stay with the process that has them.
+// Snapshot is the state that a process hands over to its successor: the concurrency limit and cost
+// averages, the tenants' debts, and the retry-after times given to clients. Times are relative, as
+// the clocks of the two processes may differ. Queued and admitted requests stay with the old
+// process.
 type Snapshot struct {
-	Limit       float64 `json:"limit"`
+	// Limit is the concurrency limit, in requests of mean cost.
+	Limit float64 `json:"limit"`
+	// BaseStretch is the mean stretch that remains at a low limit.
 	BaseStretch float64 `json:"calm"`
 	// MeanCostMillis is the mean cost of a request.
 	MeanCostMillis float64 `json:"mean_ms"`
 	// LatencyMillis is the recent time from a request's admission to its answer.
 	LatencyMillis float64 `json:"takes_ms"`
-	// CostScale is the measured work of all classes over the work that the settings give.
-	CostScale  float64 `json:"scale"`
+	// CostScale is the ratio of the measured work of all classes to their configured costs.
+	CostScale float64 `json:"scale"`
+	// ReturnRate is the share of clients rejected with a retry-after that return when it is over.
 	ReturnRate float64 `json:"heed"`
-	// WorkMillisByClass is the recent work of a request, by the name of its class.
+	// WorkMillisByClass is the recent work of a request, by class name.
 	WorkMillisByClass map[string]float64 `json:"work_ms"`
-	// LatencyMillisByClass is the recent latency of a request, by the name of its class.
+	// LatencyMillisByClass is the recent latency of a request, by class name.
 	LatencyMillisByClass map[string]float64    `json:"usual_ms"`
 	Tenants              []TenantSnapshot      `json:"tenants"`
 	Reservations         []ReservationSnapshot `json:"promises"`
 }
 
-// TenantSnapshot is what a tenant has used.
+// TenantSnapshot is the debt and the statistics of a tenant.
 type TenantSnapshot struct {
 	Name string `json:"name"`
-	// Debt is how far the tenant's finish tag is ahead of the virtual time: what it was given beyond
-	// its share.
+	// Debt is how far the tenant's finish tag is ahead of the virtual time: the work that it
+	// received beyond its share.
 	Debt  float64     `json:"ahead"`
 	Stats TenantStats `json:"count"`
 }
 
-// ReservationSnapshot is a retry-after that a client has.
+// ReservationSnapshot is a retry-after that was given to a client.
 type ReservationSnapshot struct {
 	Tenant string `json:"tenant"`
 	// Identity is a hash of tenant, key and class.
@@ -50,8 +54,9 @@
 	CostMillis  float64 `json:"cost"`
 }
 
-// Snapshot returns what a successor is to know, in bounded size: the tenants used last, and the
-// reservations due first. Reservations of tenants that are not tracked exactly are left out.
+// Snapshot returns the state for a successor, in bounded size: it prefers the most recently used
+// tenants and the reservations due first, and omits reservations of tenants that are not tracked
+// individually.
 func (a *Admission) Snapshot(nowMillis float64) Snapshot {
 	a.advance(nowMillis)
 	snapshot := Snapshot{
@@ -73,7 +78,7 @@
 	return snapshot
 }
 
-// snapshotTenants lists the named tenants and those used last.
+// snapshotTenants returns the named tenants and then the most recently used of the others.
 func (a *Admission) snapshotTenants() (tenants []TenantSnapshot) {
 	add := func(i int32) {
 		f := &a.flows[i]
@@ -92,8 +97,8 @@
 	return tenants
 }
 
-// snapshotReservations lists the reservations of tenants that are tracked exactly, those due first
-// before the others.
+// snapshotReservations returns the reservations of individually tracked tenants, those that expire
+// first before the others.
 func (a *Admission) snapshotReservations() (reservations []ReservationSnapshot) {
 	byExpiry := slices.Clone(a.reservations.expiry.items)
 	slices.SortFunc(byExpiry, func(x, y int32) int {
@@ -118,7 +123,7 @@
 	return reservations
 }
 
-// validate returns an error for a snapshot that can't be restored.
+// validate returns an error if the snapshot can't be restored.
 func (s Snapshot) validate() error {
 	for _, value := range []float64{s.Limit, s.MeanCostMillis, s.ReturnRate} {
 		if !(value >= 0) || math.IsInf(value, 0) {
@@ -126,17 +131,18 @@
 		}
 	}
 	if !(s.Limit > 0) || !(s.MeanCostMillis > 0) {
-		return fmt.Errorf("admission: restoring a snapshot: limit %v, mean cost %v", s.Limit, s.MeanCostMillis)
+		return fmt.Errorf("admission: restoring a snapshot: limit %v and mean cost %v must be above 0",
+			s.Limit, s.MeanCostMillis)
 	}
 	if len(s.Tenants) > maxSnapshotEntries || len(s.Reservations) > maxSnapshotEntries {
-		return fmt.Errorf("admission: restoring a snapshot: %d tenants and %d reservations, %d of each at most",
+		return fmt.Errorf("admission: restoring a snapshot: %d tenants and %d reservations, at most %d of each are allowed",
 			len(s.Tenants), len(s.Reservations), maxSnapshotEntries)
 	}
 	return nil
 }
 
-// Restore takes over from the process that made the snapshot. It is called before the first request.
-// On an error nothing has changed.
+// Restore applies the snapshot of the predecessor process. It must be called before the first
+// request. On an error, nothing has changed.
 func (a *Admission) Restore(nowMillis float64, s Snapshot) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -158,10 +164,11 @@
 	return nil
 }
 
-// restoreTenants takes the tenants' debts and counts, as far as the tables have capacity for them.
+// restoreTenants restores the tenants' debts and statistics as far as the tables have room for
+// them.
 func (a *Admission) restoreTenants(tenants []TenantSnapshot) {
 	unnamedCount := 0
-	for _, tenant := range slices.Backward(tenants) { // the one used last becomes the newest here too
+	for _, tenant := range slices.Backward(tenants) { // the most recently used tenant is added last
 		if _, isNamed := a.named[tenant.Name]; !isNamed {
 			unnamedCount++
 			if unnamedCount > a.cfg.Flows {
@@ -177,8 +184,8 @@
 	}
 }
 
-// restoreReservations takes the reservations of tenants that are tracked here, as far as their
-// values are possible.
+// restoreReservations restores the reservations with plausible values of tenants that are tracked
+// here.
 func (a *Admission) restoreReservations(reservations []ReservationSnapshot) {
 	earliest := -a.cfg.MaxRetryAfterMillis - reservationGraceMillis
 	latest := 2 * a.cfg.MaxRetryAfterMillis
@@ -195,7 +202,8 @@
 	}
 }
 
-// ScaleLimit multiplies the limit by factor, when the processes that share it become more or fewer.
+// ScaleLimit multiplies the concurrency limit by factor, when the number of processes that share it
+// changes.
 func (a *Admission) ScaleLimit(nowMillis, factor float64) {
 	a.advance(nowMillis)
 	a.limiter.rescale(factor)
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A process under load hands over to its successor, whose clock differs. The successor goes on with
-// the limit, the debts and the reservations, each due at the same time from now. A program that lost
-// them would reject clients that return when they may.
+// A process under load hands over to a successor whose clock differs. The successor must continue
+// with the limit, the debts and the reservations, each due after the same remaining time. Without
+// the reservations, it would reject clients that return when their retry-after is over.
 func TestSuccessorKeepsReservations(t *testing.T) {
 	const successorNow = 5e6
 	c := testConfig()
@@ -39,43 +39,43 @@
 	got := len(successor.reservations.byIdentity)
 	want := len(predecessor.reservations.byIdentity)
 	if got != want || got == 0 {
-		t.Fatalf("%d reservations of %d", got, want)
+		t.Fatalf("%d of %d reservations restored", got, want)
 	}
 	if successor.limiter.limit != predecessor.limiter.limit || len(successor.State(100).Tenants) != 4 {
-		t.Fatalf("limit %v of %v, %+v", successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
+		t.Fatalf("limit %v, want %v; state %+v", successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
 	}
 	for identity, i := range predecessor.reservations.byIdentity {
-		was := predecessor.reservations.entries[i].dueAt - fleet.now
-		is := successor.reservations.entries[successor.reservations.byIdentity[identity]].dueAt - successorNow
-		if math.Abs(max(0, was)-is) > 1e-6 {
-			t.Fatalf("due in %v, was %v", is, was)
+		before := predecessor.reservations.entries[i].dueAt - fleet.now
+		after := successor.reservations.entries[successor.reservations.byIdentity[identity]].dueAt - successorNow
+		if math.Abs(max(0, before)-after) > 1e-6 {
+			t.Fatalf("due in %v, was %v", after, before)
 		}
 	}
 
-	// The old process still serves: each of the two has half of the limit.
+	// The old process still serves, so each of the two has half of the limit.
 	successor.ScaleLimit(successorNow, 0.5)
 	if successor.limiter.limit != max(c.MinLimit, predecessor.limiter.limit/2) {
-		t.Errorf("limit %v of %v for one of two processes", successor.limiter.limit, predecessor.limiter.limit)
+		t.Errorf("limit %v for one of two processes, was %v", successor.limiter.limit, predecessor.limiter.limit)
 	}
 }
 
-// A snapshot has values that no correct process writes. It is rejected, and changes nothing.
+// A snapshot with values that no correct process writes is rejected, and changes nothing.
 func TestImpossibleSnapshotsAreRejected(t *testing.T) {
 	const tooMany = maxSnapshotEntries + 1
 	for name, snapshot := range map[string]Snapshot{
 		"empty":                 {},
-		"no number":             {Limit: math.NaN(), MeanCostMillis: 1},
+		"limit is not a number": {Limit: math.NaN(), MeanCostMillis: 1},
 		"negative cost":         {Limit: 1, MeanCostMillis: -1},
 		"too many reservations": {Limit: 1, MeanCostMillis: 1, Reservations: make([]ReservationSnapshot, tooMany)},
 		"too many tenants":      {Limit: 1, MeanCostMillis: 1, Tenants: make([]TenantSnapshot, tooMany)},
-		"endless limit":         {Limit: math.Inf(1), MeanCostMillis: 1},
-		"negative returning":    {Limit: 1, MeanCostMillis: 1, ReturnRate: -1},
+		"infinite limit":        {Limit: math.Inf(1), MeanCostMillis: 1},
+		"negative return rate":  {Limit: 1, MeanCostMillis: 1, ReturnRate: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := testConfig()
 			a, _ := newAdmission(t, c)
 			if a.Restore(0, snapshot) == nil || a.limiter.limit != c.InitialLimit {
-				t.Errorf("taken: limit %v", a.limiter.limit)
+				t.Errorf("snapshot accepted, limit %v", a.limiter.limit)
 			}
 		})
 	}
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -5,42 +5,43 @@
 	"slices"
 )
 
-// TenantStats counts what became of a tenant's requests since it has been tracked, and tells how the
-// tenant stands.
+// TenantStats holds the request counts of a tenant since it has been tracked, and its current
+// state.
 type TenantStats struct {
-	// Tenant is its name; "" stands for all that are not tracked by name.
+	// Tenant is the tenant's name; "" stands for all tenants that are not tracked individually.
 	Tenant string `json:"tenant"`
-	// Requests counts those that have arrived.
+	// Requests counts the requests that have arrived.
 	Requests uint64 `json:"asked"`
 	Admitted uint64 `json:"admitted"`
-	// Rejected counts those rejected by admission, with a retry-after.
+	// Rejected counts the requests that admission rejected with a retry-after.
 	Rejected uint64 `json:"refused"`
-	// RejectedRetries counts those of them that were retries beyond the retry budget.
+	// RejectedRetries counts those of Rejected that were retries in excess of the retry budget.
 	RejectedRetries uint64 `json:"retries"`
-	// RejectedEarly counts those of them whose clients returned before their retry-after was over.
+	// RejectedEarly counts those of Rejected whose clients returned before their retry-after was
+	// over.
 	RejectedEarly uint64 `json:"early"`
-	// Disconnected counts clients that disconnected while their request was queued.
+	// Disconnected counts the clients that disconnected while their request was queued.
 	Disconnected uint64 `json:"left"`
 	Served       uint64 `json:"served"`
-	// RejectedDownstream counts requests that were admitted and then rejected by the Balancer.
+	// RejectedDownstream counts the requests that were admitted and then rejected by the Balancer.
 	RejectedDownstream uint64 `json:"turned"`
-	// RejectedAfterAttempt counts those of them that had an attempt: a miss that the origin had no
-	// capacity for.
+	// RejectedAfterAttempt counts those of RejectedDownstream that had an attempt: a miss for which
+	// the origin had no capacity.
 	RejectedAfterAttempt uint64 `json:"turned_after"`
-	// WorkMillis is the modelled work that was admitted.
+	// WorkMillis is the work that was admitted, corrected by the measured work of ended requests.
 	WorkMillis float64 `json:"work_ms"`
-	// Waiting is how many requests are queued.
+	// Waiting is the number of queued requests.
 	Waiting int `json:"waiting"`
-	// ReservedMillis is the work that was rejected with a retry-after and is expected back.
+	// ReservedMillis is the cost of rejected requests that are expected to be retried.
 	ReservedMillis float64 `json:"promised_ms"`
 	Weight         float64 `json:"weight"`
-	// RetryAfterMillis is the mean retry-after of the requests rejected lately.
+	// RetryAfterMillis is the mean retry-after of the recently rejected requests.
 	RetryAfterMillis float64 `json:"told_ms"`
-	// Share is the tenant's share of all work, were it to want more now.
+	// Share is the part of all work that the tenant would receive if it became active now.
 	Share float64 `json:"share"`
 }
 
-// add adds another tenant's counts, for a line that stands for several.
+// add adds the counts of another tenant, for an entry that represents several tenants.
 func (s *TenantStats) add(other TenantStats) {
 	s.Requests += other.Requests
 	s.Admitted += other.Admitted
@@ -56,46 +57,47 @@
 	s.ReservedMillis += other.ReservedMillis
 }
 
-// State is how admission stands.
+// State is the current state of admission.
 type State struct {
-	// Limit is the limit on concurrency, in requests of mean cost.
+	// Limit is the concurrency limit, in requests of mean cost.
 	Limit float64 `json:"limit"`
-	// InUse is how much of the limit is in use.
+	// InUse is the part of the limit that is in use.
 	InUse float64 `json:"in_use"`
-	// Waiting is how many requests are queued.
+	// Waiting is the number of queued requests.
 	Waiting int `json:"waiting"`
 	// MeanCostMillis is the mean cost of a request.
 	MeanCostMillis float64 `json:"mean_ms"`
 	// LatencyMillis is the recent time from a request's admission to its answer.
 	LatencyMillis float64 `json:"takes_ms"`
-	// BaseStretch is the latency at a low limit, as a share of the class's latency objective; 0 where
-	// a low limit keeps to the objective.
+	// BaseStretch is the mean latency that remains at a low limit, divided by the class's latency
+	// objective; 0 = the limit has not been low yet.
 	BaseStretch float64 `json:"calm"`
 	// RejectShare is the recent share of admitted requests that the Balancer rejects.
 	RejectShare float64 `json:"refused"`
-	// ToleratedPressure is how much of that a lower limit does not help against.
+	// ToleratedPressure is the part of the pressure that a lower limit does not reduce.
 	ToleratedPressure float64 `json:"vain"`
-	// Returned counts clients that returned when their retry-after was over.
+	// Returned counts the clients that returned when their retry-after was over.
 	Returned uint64 `json:"returned"`
-	// ReturnedAdmitted counts those of them that were admitted.
+	// ReturnedAdmitted counts those of Returned that were admitted.
 	ReturnedAdmitted uint64 `json:"kept"`
-	// ReturnedWithinShare counts those of Returned whose tenant's share was free.
+	// ReturnedWithinShare counts those of Returned whose tenant's share was free at the time.
 	ReturnedWithinShare uint64 `json:"returned_free"`
 	// AdmittedWithinShare counts those of ReturnedWithinShare that were admitted.
 	AdmittedWithinShare uint64 `json:"kept_free"`
-	// RetryAfterErrorP50 is how far the real time was from the retry-after, as a share of it: the
-	// median.
+	// RetryAfterErrorP50 is the median relative error of retry-after times: the difference between
+	// the actual time until admission and the retry-after, as a share of the retry-after.
 	RetryAfterErrorP50 float64 `json:"off_p50"`
-	// RetryAfterErrorP90 is its 90th percentile.
+	// RetryAfterErrorP90 is the 90th percentile of these errors.
 	RetryAfterErrorP90 float64 `json:"off_p90"`
-	// TableBytes is what all tables take, whatever comes.
+	// TableBytes is the size of all tables in bytes. It does not depend on the load.
 	TableBytes int `json:"table_bytes"`
 	// ReturnRate is the share of clients rejected with a retry-after that return when it is over.
 	ReturnRate float64       `json:"heed"`
 	Tenants    []TenantStats `json:"tenants"`
 }
 
-// State tells how admission stands, with at most maxTenants tenants by name.
+// State returns the current state of admission, with individual statistics of at most maxTenants
+// tenants.
 func (a *Admission) State(maxTenants int) State {
 	return State{
 		Limit:               a.limiter.limit,
@@ -118,8 +120,10 @@
 	}
 }
 
-// Tenants lists the tenants that are tracked by name and have sent requests: the named ones first and
-// then by the number of requests, at most limit of them. The sums of all others stand under "".
+// Tenants returns the statistics of the tenants that are tracked individually and have sent
+// requests, at most limit of them: the named ones first, the others in descending order of
+// requests. If other tenants have sent requests, the last entry, with the name "", is the sum over
+// them.
 func (a *Admission) Tenants(limit int) []TenantStats {
 	tracked, others := a.statsByTenant()
 	firstUnnamed := slices.IndexFunc(tracked, func(stats TenantStats) bool {
@@ -143,8 +147,8 @@
 	return tracked
 }
 
-// statsByTenant lists the tenants that are tracked by name and have sent requests, in the order of
-// their flows, and the sums of all others.
+// statsByTenant returns the statistics of the individually tracked tenants that have sent requests,
+// in the order of their flows, and the sum over all other tenants.
 func (a *Admission) statsByTenant() (tracked []TenantStats, others TenantStats) {
 	others.Weight = a.cfg.OthersWeight
 	for i := range a.unnamedFlow() {
--- a/internal/admission/tenant_rules.go
+++ b/internal/admission/tenant_rules.go
@@ -6,42 +6,42 @@
 	"strings"
 )
 
-// TenantSource is what a rule tells a request's tenant by.
+// TenantSource is the property of a request that a rule derives the tenant from.
 type TenantSource int
 
 // The sources of a request's tenant.
 const (
-	// TenantFromClient takes the tenant that the client declares.
+	// TenantFromClient uses the tenant that the client declares.
 	TenantFromClient TenantSource = iota
-	// TenantFromKey goes by a prefix of the key.
+	// TenantFromKey uses the prefix of the key.
 	TenantFromKey
-	// TenantFromNetwork goes by the client's address.
+	// TenantFromNetwork uses the client's address.
 	TenantFromNetwork
 )
 
-// TenantRule tells whose a request is, where it applies.
+// TenantRule assigns a tenant to the requests that it matches.
 type TenantRule struct {
 	Source TenantSource
-	// Prefix is what the key begins with, or the declared tenant that Tenant stands for.
+	// Prefix is the key's prefix, or the declared tenant that Tenant replaces.
 	Prefix string
-	// Network is what the client's address lies in.
+	// Network is the network that contains the client's address.
 	Network netip.Prefix
-	// Tenant is whose the request is. Where it is "", that is the declared tenant or, by network,
-	// the client's address.
+	// Tenant is the assigned tenant. If it is "", the declared tenant is used or, for
+	// TenantFromNetwork, the client's address.
 	Tenant string
 }
 
-// TenantRules tell a request's tenant by the first rule that applies. Without one, a request is of
-// the shared default tenant, "".
+// TenantRules assign a tenant to each request by the first rule that matches. A request that no
+// rule matches belongs to the shared default tenant, "".
 type TenantRules []TenantRule
 
-// ByNetwork reports whether the client's address counts.
+// ByNetwork reports whether any rule uses the client's address.
 func (rules TenantRules) ByNetwork() bool {
 	return slices.ContainsFunc(rules, func(rule TenantRule) bool { return rule.Source == TenantFromNetwork })
 }
 
-// Tenant tells whose a request is, from the tenant that its client declares ("" = none), its key
-// and the client's address.
+// Tenant returns the tenant of a request, given the tenant that its client declares ("" = none),
+// its key, and the client's address.
 func (rules TenantRules) Tenant(declared, key string, client netip.Addr) string {
 	for _, rule := range rules {
 		if tenant, applies := rule.tenant(declared, key, client); applies {
@@ -51,7 +51,7 @@
 	return ""
 }
 
-// tenant tells whose a request is, and whether the rule applies to it.
+// tenant returns the tenant that the rule assigns, and whether the rule matches the request.
 func (rule TenantRule) tenant(declared, key string, client netip.Addr) (tenant string, applies bool) {
 	switch rule.Source {
 	case TenantFromClient:
