--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,10 +1,10 @@
-// Package handover joins the process that serves with the one that is to take its place. The new one
-// gets the listening socket and a state; then the two keep a link for as long as both live. A peer
-// that is absent, dead, silent or of another version stops nobody: each step has its deadline, and a
-// process that can't join goes on alone.
+// Package handover connects a router process with its successor process. The successor receives the
+// listening socket and the state; after that, the two processes keep a link until one of them ends.
+// A peer that is absent, dead or silent, or has another version, blocks neither: each step has a
+// timeout, and a process that can't join a predecessor starts alone.
 //
-// The messages of a link are in link.go, the Unix socket that processes meet at and the descriptor
-// that crosses it in socket.go.
+// link.go has the messages of a link, and socket.go the Unix socket through which the processes
+// connect and the transfer of the listening socket's descriptor.
 package handover
 
 import (
@@ -21,33 +21,36 @@
 	"time"
 )
 
-// Version is that of the messages and of the state. Peers of different versions don't join.
+// Version is the version of the messages and of the state. Processes of different versions don't
+// join.
 const Version = 1
 
 const (
-	// stepTimeout is for each step of joining: a dead or silent peer must not delay a start by much.
+	// stepTimeout bounds each step of joining: a dead or silent peer must not delay startup by
+	// much.
 	stepTimeout = 500 * time.Millisecond
-	// stateTimeout is for the state to arrive. It is longer than a step, as the loop of the process
-	// that serves has to finish what it is at first.
+	// stateTimeout bounds the wait for the state. It is longer than stepTimeout because the event
+	// loop of the old process may have to finish other work first.
 	stateTimeout = 2 * stepTimeout
-	// maxConcurrentJoins bounds the peers that are joining or joined.
+	// maxConcurrentJoins bounds the number of peers that are joining or have joined.
 	maxConcurrentJoins = 4
-	// acceptRetryInterval is the time between two attempts to accept while no descriptor is free.
+	// acceptRetryInterval is the time between two attempts to accept when no descriptor is free.
 	acceptRetryInterval = 100 * time.Millisecond
-	// socketMode lets only this user's processes connect.
+	// socketMode permits connections only from processes of the same user.
 	socketMode = 0o600
 )
 
-// Peer is the process that serves, as its successor sees it.
+// Peer is a process that serves and can hand over to a successor.
 type Peer interface {
-	// State returns what a successor is to know. From then on, changes are sent over the link: such a
-	// message waits until the state has been sent.
+	// State returns the state for a successor. Changes after it are sent over the link: such
+	// messages wait until the state has been sent.
 	State(ctx context.Context, l *Link) (any, error)
-	// Joined runs the link to a successor until it ends.
+	// Joined runs the link to a successor until the link ends.
 	Joined(ctx context.Context, l *Link)
 }
 
-// Listen listens at addr even where another process does: the two are one router, and one will end.
+// Listen listens at addr with SO_REUSEPORT, so that it succeeds even while another process of the
+// same router listens there.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		controlErr := raw.Control(func(fd uintptr) {
@@ -58,11 +61,12 @@
 	return config.Listen(ctx, "tcp", addr)
 }
 
-// soReusePort is SO_REUSEPORT on Linux, which the syscall package does not name for every processor.
+// soReusePort is Linux's SO_REUSEPORT, which package syscall does not define for every
+// architecture.
 const soReusePort = 15
 
-// Join gets the listening socket for addr, and a state, from the process that serves there. dir is
-// where the two meet. The caller closes the link and the listener.
+// Join receives the listening socket for addr and the state from the process that serves there. dir
+// is the directory of the hand-over socket. The caller must close the link and the listener.
 func Join(ctx context.Context, dir, addr string) (*Link, net.Listener, []byte, error) {
 	path, folder, err := socketPath(dir, addr)
 	if err != nil {
@@ -72,7 +76,7 @@
 	dialer := net.Dialer{Timeout: stepTimeout}
 	conn, err := dialer.DialContext(ctx, "unix", path)
 	if opError := (*net.OpError)(nil); errors.As(err, &opError) {
-		err = opError.Err // without the path, which names a descriptor
+		err = opError.Err // without the path, which contains a descriptor number
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("handover: no process serves %s: %w", addr, err)
@@ -86,7 +90,7 @@
 	return l, ln, state, nil
 }
 
-// join sends the hello, and reads the socket and the state that answer it.
+// join sends the hello message, and receives the listening socket and the state.
 func (l *Link) join() (net.Listener, []byte, error) {
 	if err := l.send(Message{Kind: helloKind, Version: Version}, nil); err != nil {
 		return nil, nil, err
@@ -97,13 +101,13 @@
 		return nil, nil, err
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer file.Close() // the listener has a descriptor of its own
+	defer file.Close() // net.FileListener duplicates the descriptor
 	m, err := readMessage(io.MultiReader(first, l.conn))
 	if err != nil {
 		return nil, nil, err
 	}
 	if m.Kind != stateKind || m.Version != Version {
-		return nil, nil, fmt.Errorf("handover: %q of version %d, want a state of version %d",
+		return nil, nil, fmt.Errorf("handover: got a %q message of version %d, want a state message of version %d",
 			m.Kind, m.Version, Version)
 	}
 	ln, err := net.FileListener(file)
@@ -113,10 +117,10 @@
 	return ln, m.Body, nil
 }
 
-// Serve waits for processes that are to take this one's place, until ctx ends. Each that speaks this
-// version gets ln and what State returns, and then Joined has the link, which it runs until it ends.
-// The path is this process's from then on, whoever had it before: the file of a dead process is in
-// nobody's way. Serve returns once all of Joined have.
+// Serve waits for successor processes until ctx ends. Each one with the same version receives ln
+// and the result of State; then Joined runs the link to it. Serve replaces the socket at the path,
+// whichever process created it, so the file of a dead process does no harm. Serve returns after all
+// calls of Joined have returned.
 func Serve(ctx context.Context, dir, addr string, ln syscall.Conn, peer Peer) error {
 	path, folder, err := socketPath(dir, addr)
 	if err != nil {
@@ -138,7 +142,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // no descriptor is free
+		if err != nil { // no descriptor is free, for example
 			select {
 			case <-time.After(acceptRetryInterval):
 				continue
@@ -148,7 +152,7 @@
 		}
 		select {
 		case slots <- struct{}{}:
-		default: // no router has that many successors at once
+		default: // more successors at once than a router ever has
 			conn.Close()
 			continue
 		}
@@ -157,23 +161,24 @@
 			l := newLink(conn)
 			defer l.Close()
 			if err := l.handOver(ctx, ln, peer); err != nil {
-				return // the other process goes on alone
+				return // the other process continues alone
 			}
 			peer.Joined(ctx, l)
 		})
 	}
 }
 
-// listenAt listens at path in place of whoever did before. The socket is made beside the path and
-// renamed, so that a successor finds the old or the new one at any time.
+// listenAt listens at path and replaces the socket of another process there. The socket is created
+// next to the path and then renamed, so that a successor always finds either the old or the new
+// one.
 func listenAt(path string) (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(temporary) //nolint:errcheck // of a dead process of the same number, if any
+	os.Remove(temporary) //nolint:errcheck // left over by a dead process with the same process ID, if any
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be another process's
+	listener.SetUnlinkOnClose(false) // by then another process may have replaced the file
 	if err := os.Chmod(temporary, socketMode); err != nil {
 		listener.Close()
 		return nil, fmt.Errorf("handover: %w", err)
@@ -185,7 +190,8 @@
 	return listener, nil
 }
 
-// handOver reads the hello of a process that has connected, and sends it the socket and the state.
+// handOver reads the hello message of a connected process, and sends it the listening socket and
+// the state.
 func (l *Link) handOver(ctx context.Context, ln syscall.Conn, peer Peer) error {
 	l.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	m, err := readMessage(l.conn)
@@ -193,9 +199,10 @@
 		return err
 	}
 	if m.Kind != helloKind || m.Version != Version {
-		return fmt.Errorf("handover: %q of version %d, want a hello of version %d", m.Kind, m.Version, Version)
+		return fmt.Errorf("handover: got a %q message of version %d, want a hello message of version %d",
+			m.Kind, m.Version, Version)
 	}
-	l.writeMu.Lock() // what the peer sends from now on follows the state
+	l.writeMu.Lock() // messages that the peer sends from now on follow the state
 	defer l.writeMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -20,7 +20,7 @@
 	"dockhinge.example/dockhinge/internal/admin"
 )
 
-// process is one that serves and hands over.
+// process is a fake of the process that serves and hands over.
 type process struct {
 	ln     net.Listener
 	state  string
@@ -61,7 +61,7 @@
 	return p, stop
 }
 
-// join waits until somebody listens for a successor.
+// join joins the process whose state is want, and waits until that process accepts successors.
 func join(t *testing.T, dir, addr, want string) (*Link, net.Listener) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; {
@@ -72,7 +72,7 @@
 			}
 			continue
 		}
-		if string(text) != `"`+want+`"` { // the one before still has the path
+		if string(text) != `"`+want+`"` { // the previous process still owns the path
 			l.Close()
 			ln.Close()
 			continue
@@ -82,11 +82,12 @@
 	}
 }
 
-// A new process starts beside the one that serves. It gets the same listening socket and the state,
-// a connection that waits while the old one closes is its own, and calls go both ways, each answered
-// with the other side's error.
+// A new process starts next to the one that serves. It must receive the same listening socket and
+// the state, accept a connection that was queued when the old process closed the socket, and
+// exchange calls with the old process in both directions, each answered with the other side's
+// error.
 func TestSocketAndStateGoOver(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // longer than a Unix socket's path may be
+	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // exceeds the length limit of a Unix socket's path
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +96,7 @@
 	if ln.Addr().String() != old.ln.Addr().String() {
 		t.Fatalf("got %v, want %v", ln.Addr(), old.ln.Addr())
 	}
-	// A connection that waits in the queue while the old one closes is the new one's.
+	// A connection that is queued when the old process closes the socket goes to the new one.
 	c, err := net.Dial("tcp", old.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -108,34 +109,34 @@
 	}
 	defer got.Close()
 	if got.RemoteAddr().String() != c.LocalAddr().String() {
-		t.Errorf("accepted %v", got.RemoteAddr())
+		t.Errorf("accepted a connection from %v", got.RemoteAddr())
 	}
 
-	// Calls go both ways and are answered.
+	// Calls work in both directions.
 	oldLink := <-old.joined
 	old.answer = func(Message) error { return errors.New("not here") }
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	heard := make(chan Message, 1)
-	wg.Go(func() { link.Run(t.Context(), func(m Message) error { heard <- m; return nil }) })
+	received := make(chan Message, 1)
+	wg.Go(func() { link.Run(t.Context(), func(m Message) error { received <- m; return nil }) })
 	if err := oldLink.Call(t.Context(), "ban", "x"); err != nil {
 		t.Error(err)
 	}
-	if m := <-heard; m.Kind != "ban" || string(m.Body) != `"x"` {
+	if m := <-received; m.Kind != "ban" || string(m.Body) != `"x"` {
 		t.Errorf("got %+v", m)
 	}
 	if err := link.Call(t.Context(), "ban", "y"); err == nil || err.Error() != "not here" {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v", err)
 	}
 	oldLink.Close()
 	if err := link.Call(t.Context(), "ban", "z"); !errors.Is(err, ErrPeerClosed) {
-		t.Errorf("after the peer has ended: got %v", err)
+		t.Errorf("after the peer has closed the link: got error %v", err)
 	}
 }
 
-// A process dies and leaves its socket's file; then two start one after the other, and the first ends.
-// The newest has the path each time: a program that removed the file at its end would cut off the
-// other's successor.
+// A process dies and leaves its socket file behind. Then two processes start one after the other,
+// and the first one ends. A successor must always reach the newest process: if a process removed
+// the file when it ends, the other one's successor could not connect.
 func TestNewestProcessHasThePath(t *testing.T) {
 	dir := t.TempDir()
 	path, d, err := socketPath(dir, "a:1")
@@ -156,21 +157,21 @@
 	join(t, dir, "a:1", "first")
 	serve(t, dir, "a:1", "second")
 	join(t, dir, "a:1", "second")
-	stop() // the old one's end leaves the path to the new one
+	stop() // when the old process ends, the path must still lead to the new one
 	join(t, dir, "a:1", "second")
 }
 
-// At the path is a peer that says nothing, speaks another version, sends no socket, or is no router at
-// all. The new process goes on alone, and soon.
+// The peer at the path sends nothing, has another version, sends no socket, or is not a router.
+// Join must return an error within its timeouts, so that the new process can start alone.
 func TestPeersThatCantHandOver(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
-	for name, say := range map[string][]byte{
+	for name, sent := range map[string][]byte{
 		"silent":          nil,
 		"another version": frame(`{"kind":"state","version":99}`),
 		"no socket":       frame(`{"kind":"state","version":1,"body":{}}`),
-		"noise":           []byte("HTTP/1.1 400 Bad Request\r\n\r\n"),
+		"not a message":   []byte("HTTP/1.1 400 Bad Request\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -192,21 +193,22 @@
 					return
 				}
 				defer c.Close()
-				c.Write(say)
+				c.Write(sent)
 				io.Copy(io.Discard, c)
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
-				t.Error("joined")
+				t.Error("joined a peer that can't hand over")
 			}
 		})
 	}
 	if _, _, _, err := Join(t.Context(), filepath.Join(t.TempDir(), "none"), "a:1"); err == nil {
-		t.Error("joined where there is no folder")
+		t.Error("joined in a directory that does not exist")
 	}
 }
 
-// Something else than a successor connects: it gets neither the socket nor the state, and neither does
-// a successor whose peer has no state to give.
+// Only a successor of the same version may receive the socket and the state. A connection that
+// sends anything else must get no bytes, and neither must a successor if the state is not
+// available.
 func TestStrangersGetNothing(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := serve(t, dir, "a:1", "first")
@@ -217,17 +219,17 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	for _, say := range []string{"", "noise", `{"kind":"hello","version":99}`, `{"kind":"ban"}`} {
+	for _, sent := range []string{"", "noise", `{"kind":"hello","version":99}`, `{"kind":"ban"}`} {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if say != "" {
-			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(say))), say...))
+		if sent != "" {
+			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sent))), sent...))
 		}
 		c.(*net.UnixConn).CloseWrite()
 		if got, _ := io.ReadAll(c); len(got) > 0 {
-			t.Errorf("%q got %q", say, got)
+			t.Errorf("sent %q, received %q", sent, got)
 		}
 		c.Close()
 	}
@@ -237,12 +239,12 @@
 	}
 	select {
 	case <-p.joined:
-		t.Error("a stranger joined")
+		t.Error("a peer that is no successor has joined")
 	default:
 	}
 }
 
-// The peer reads a call and never answers it. The call ends with its context.
+// The peer reads a call and never answers it. The call must end with its context.
 func TestCallToASilentPeer(t *testing.T) {
 	a, b := pipe(t)
 	defer b.Close()
@@ -250,7 +252,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { readMessage(b); stop() }()
 	if err := l.Call(ctx, "ban", "x"); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v", err)
 	}
 }
 
@@ -274,7 +276,8 @@
 	return c.(*net.UnixConn), d.(*net.UnixConn)
 }
 
-// An old process without hand-over still holds the address: the new one listens there all the same.
+// An old process that can't hand over still listens at the address. The new process must be able to
+// listen there too.
 func TestTwoListenersShareAnAddress(t *testing.T) {
 	a, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -304,8 +307,8 @@
 	})
 }
 
-// One of the two may die or fall silent at any byte of what it says. The other one goes on: a new
-// process alone, and soon, an old one with its place for the next.
+// Either process may die after any byte that it sends. The other one must go on: a new process must
+// get an error from Join within its timeouts, and an old one must accept the next successor.
 func TestEitherMayEndAtAnyByte(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
@@ -339,7 +342,7 @@
 					t.Error(err)
 					return
 				}
-				defer c.Close() // it dies
+				defer c.Close() // the old process dies here
 				if n == 0 {
 					return
 				}
@@ -357,7 +360,7 @@
 			d.Close()
 		}
 		if after := descriptors(t); after > before {
-			t.Errorf("%d descriptors open, %d before", after, before)
+			t.Errorf("%d descriptors are open, %d were before", after, before)
 		}
 	})
 	t.Run("the new one", func(t *testing.T) {
@@ -370,7 +373,7 @@
 			case l := <-p.joined:
 				return l
 			case <-time.After(10 * time.Second):
-				t.Fatal("nobody joined")
+				t.Fatal("no process joined")
 				return nil
 			}
 		}
@@ -381,15 +384,15 @@
 			t.Fatal(err)
 		}
 		defer d.Close()
-		said := frame(`{"kind":"hello","version":1}`)
-		for n := range len(said) + 1 {
+		hello := frame(`{"kind":"hello","version":1}`)
+		for n := range len(hello) + 1 {
 			c, err := net.Dial("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Write(said[:n])
+			c.Write(hello[:n])
 			c.Close()
-			if n == len(said) { // it dies with the state on its way, and has joined or has not
+			if n == len(hello) { // it dies while the state is being sent, and may or may not have joined
 				for end := time.Now().Add(10 * time.Second); ; {
 					select {
 					case l := <-p.joined:
@@ -403,7 +406,7 @@
 						break
 					}
 					if time.Now().After(end) {
-						t.Fatal("nobody can join any more")
+						t.Fatal("no process can join any more")
 					}
 				}
 			}
@@ -413,7 +416,7 @@
 	})
 }
 
-// descriptors counts those that the process holds.
+// descriptors returns the number of open file descriptors of the process.
 func descriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -423,11 +426,11 @@
 	return len(all)
 }
 
-// What crosses the link is the text of an error. The caller tells the errors that it knows apart all
-// the same, and sees the text of any other.
+// Only the text of an error is sent over the link. The caller must still be able to distinguish the
+// errors in remoteErrors, and must receive the text of any other error.
 func TestErrorsThatCrossTheLink(t *testing.T) {
 	if text := admin.ErrUnknownServer.Error(); text != "no such cache server" {
-		t.Errorf("an older version would not know %q", text)
+		t.Errorf("an older version would not recognize the error %q", text)
 	}
 	for name, answered := range map[string]error{
 		"none":    nil,
@@ -446,11 +449,11 @@
 			err := caller.Call(t.Context(), "ban", "x")
 			switch {
 			case answered == nil && err != nil:
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v", err)
 			case answered != nil && (err == nil || err.Error() != answered.Error()):
-				t.Errorf("got %v, want %v", err, answered)
+				t.Errorf("got error %v, want %v", err, answered)
 			case errors.Is(answered, admin.ErrUnknownServer) != errors.Is(err, admin.ErrUnknownServer):
-				t.Errorf("got %v, which is another error", err)
+				t.Errorf("got error %v, which is a different error", err)
 			}
 		})
 	}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// sendTimeout is for a message to be read by the peer.
+	// sendTimeout bounds the time for the peer to read a message.
 	sendTimeout = 150 * time.Millisecond
-	// maxFrameBytes bounds a message.
+	// maxFrameBytes bounds the size of a message.
 	maxFrameBytes = 4 << 20
-	// frameHeaderBytes is the size of a message's length, big-endian, before its text.
+	// frameHeaderBytes is the size of the message length (big-endian) that precedes the text.
 	frameHeaderBytes = 4
 )
 
-// ErrPeerClosed tells that the other process has ended, or does not read any more.
-var ErrPeerClosed = errors.New("handover: the other process is gone")
+// ErrPeerClosed reports that the other process has ended, or no longer reads messages.
+var ErrPeerClosed = errors.New("handover: the other process has closed the link")
 
-// remoteErrors are the errors that a caller tells apart though the other process has returned them:
-// what crosses the link is their text.
+// remoteErrors are the errors that callers distinguish although the other process returned them:
+// only the text of an error is sent over the link.
 var remoteErrors = []error{admin.ErrUnknownServer}
 
-// errorFromText returns the error whose text the peer has sent.
+// errorFromText returns the error for the text that the peer has sent.
 func errorFromText(text string) error {
 	if text == "" {
 		return nil
@@ -43,37 +43,37 @@
 	return errors.New(text)
 }
 
-// Message is what one process sends to the other, as JSON after its length.
+// Message is a message between the two processes, sent as JSON after its length.
 type Message struct {
 	Kind string `json:"kind"`
-	// Version is that of a hello and of a state.
+	// Version is set in hello and state messages.
 	Version int `json:"version,omitempty"`
-	// Call is the number of a call, which is answered under the same number; 0 = no answer is expected.
+	// Call is the number of a call, which the answer repeats; 0 = no answer is expected.
 	Call uint64          `json:"call,omitempty"`
 	Body json.RawMessage `json:"body,omitempty"`
-	// Error is the text of an answer's error; "" = there was none.
+	// Error is the text of the error in an answer; "" = no error.
 	Error string `json:"error,omitempty"`
 }
 
-// The kinds of messages that this package itself uses.
+// The kinds of messages that this package uses itself.
 const (
 	helloKind  = "hello"
 	stateKind  = "state"
 	answerKind = "answer"
 )
 
-// Link joins two processes. Its methods may be called concurrently, but for Run, which one goroutine
-// calls once.
+// Link is the connection between two processes. Its methods may be called concurrently, except Run,
+// which must be called only once.
 type Link struct {
 	conn    *net.UnixConn
 	writeMu sync.Mutex
 
 	mu sync.Mutex
-	// pendingCalls receive the answers' errors, by the number of the call.
+	// pendingCalls are the channels for the error texts of the answers, by the number of the call.
 	pendingCalls map[uint64]chan string
 	lastCall     uint64
 
-	// closed is closed with the link.
+	// closed is closed when the link is closed.
 	closed    chan struct{}
 	closeOnce sync.Once
 }
@@ -82,7 +82,7 @@
 	return &Link{conn: conn, pendingCalls: map[uint64]chan string{}, closed: make(chan struct{})}
 }
 
-// Close ends the link. It may be called more than once.
+// Close closes the link. It may be called more than once.
 func (l *Link) Close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
@@ -90,7 +90,7 @@
 	})
 }
 
-// IsClosed reports whether the link has ended.
+// IsClosed reports whether the link is closed.
 func (l *Link) IsClosed() bool {
 	select {
 	case <-l.closed:
@@ -100,33 +100,34 @@
 	}
 }
 
-// Send sends a message. A peer that does not read it within sendTimeout loses the link.
+// Send sends a message. It closes the link if the peer does not read the message within
+// sendTimeout.
 func (l *Link) Send(m Message) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	return l.send(m, nil)
 }
 
-// send sends a message, with descriptors where rights is not nil. The caller holds writeMu, or the
-// link is not shared yet.
+// send sends a message, with descriptors if rights is not nil. The caller must hold writeMu, unless
+// no other goroutine uses the link yet.
 func (l *Link) send(m Message, rights []byte) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	if len(text) > maxFrameBytes {
-		return fmt.Errorf("handover: message of %d bytes", len(text))
+		return fmt.Errorf("handover: message of %d bytes, at most %d are allowed", len(text), maxFrameBytes)
 	}
 	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if err := l.writeFrame(frame, rights); err != nil {
-		l.Close() // part of the frame may have been sent: nothing can follow it
+		l.Close() // part of the frame may have been sent, so no further message can be sent
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
 
-// writeFrame writes a frame. Descriptors travel with its first byte.
+// writeFrame writes a frame. Descriptors are sent with its first byte.
 func (l *Link) writeFrame(frame, rights []byte) error {
 	if rights != nil {
 		if _, _, err := l.conn.WriteMsgUnix(frame[:1], rights, nil); err != nil {
@@ -138,9 +139,9 @@
 	return err
 }
 
-// Call sends a message and waits until the peer has handled it. The error is ErrPeerClosed where there
-// is no peer any more, ctx's where that ends first, and else the peer's: one of remoteErrors, or an
-// error with its text.
+// Call sends a message and waits until the peer has handled it. It returns ErrPeerClosed if the
+// link is closed, the error of ctx if that ends first, and otherwise the peer's error: one of
+// remoteErrors, or an error with the same text.
 func (l *Link) Call(ctx context.Context, kind string, body any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -161,7 +162,7 @@
 	}
 }
 
-// newCall numbers a call. The channel holds the answer, so that Run never waits for the caller.
+// newCall registers a call. The channel is buffered, so that Run never waits for the caller.
 func (l *Link) newCall() (number uint64, answer chan string) {
 	answer = make(chan string, 1)
 	l.mu.Lock()
@@ -177,8 +178,8 @@
 	delete(l.pendingCalls, number)
 }
 
-// Run reads messages until the link or ctx ends, and closes the link. Calls of the peer are answered
-// with what handle returns.
+// Run handles messages until the link is closed or ctx ends, and then closes the link. Each call of
+// the peer is answered with the error that handle returns.
 func (l *Link) Run(ctx context.Context, handle func(Message) error) {
 	stop := context.AfterFunc(ctx, l.Close)
 	defer stop()
@@ -207,7 +208,7 @@
 	}
 }
 
-// deliver passes an answer to the call that waits for it, if it still does.
+// deliver passes an answer to the call that waits for it, if it is still pending.
 func (l *Link) deliver(answer Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// readMessage reads a frame, in bounded memory whatever its length says.
+// readMessage reads a frame. Its memory is bounded, whatever length the frame claims.
 func readMessage(r io.Reader) (m Message, err error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -225,7 +226,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length > maxFrameBytes {
-		return m, fmt.Errorf("handover: message of %d bytes", length)
+		return m, fmt.Errorf("handover: message of %d bytes, at most %d are allowed", length, maxFrameBytes)
 	}
 	text, err := io.ReadAll(io.LimitReader(r, int64(length)))
 	if err != nil {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,26 +10,28 @@
 	"syscall"
 )
 
-// socketPath is where the process that serves addr listens for the next one. The directory is opened
-// first, as the length of a Unix socket's path is bounded and that of $TMPDIR is not; the path is good
-// for as long as it is open.
+// socketPath returns the path of the Unix socket at which the process that serves addr waits for
+// its successor. The path goes through the descriptor of the opened directory because the length of
+// a Unix socket's path is limited and that of $TMPDIR is not; it is valid until the caller closes
+// folder.
 func socketPath(dir, addr string) (path string, folder *os.File, err error) {
 	folder, err = os.Open(dir)
 	if err != nil {
 		return "", nil, fmt.Errorf("handover: %w", err)
 	}
 	hash := fnv.New64a()
-	io.WriteString(hash, addr) //nolint:errcheck // a hash takes every byte
+	io.WriteString(hash, addr) //nolint:errcheck // a hash never returns an error
 	return fmt.Sprintf("/proc/self/fd/%d/router-%016x.sock", folder.Fd(), hash.Sum64()), folder, nil
 }
 
-// descriptorBytes is the size of a descriptor in a control message.
+// descriptorBytes is the size of a file descriptor in a control message.
 const descriptorBytes = 4
 
-// maxDescriptors is how many are read, so that a peer that sends more is noticed.
+// maxDescriptors is the number of descriptors that fit into the buffer, so that a peer that sends
+// more than one is detected.
 const maxDescriptors = 4
 
-// readDescriptor reads the first byte of a frame with the descriptor that comes with it.
+// readDescriptor reads the first byte of a frame and the file descriptor that is sent with it.
 func readDescriptor(c *net.UnixConn) (fd int, first io.Reader, err error) {
 	b := make([]byte, 1)
 	control := make([]byte, syscall.CmsgSpace(maxDescriptors*descriptorBytes))
@@ -43,15 +45,15 @@
 	fds, err := parseDescriptors(control[:controlBytes])
 	if err != nil || len(fds) != 1 {
 		for _, fd := range fds {
-			syscall.Close(fd) //nolint:errcheck // it is not wanted
+			syscall.Close(fd) //nolint:errcheck // an unexpected descriptor, not used
 		}
-		return 0, nil, errors.New("handover: a message without the socket")
+		return 0, nil, errors.New("handover: want a message with one descriptor, the listening socket")
 	}
 	syscall.CloseOnExec(fds[0])
 	return fds[0], &oneByteReader{b: b[0]}, nil
 }
 
-// parseDescriptors returns the descriptors of a control message, also those before an error.
+// parseDescriptors returns the descriptors in a control message, including those before an error.
 func parseDescriptors(control []byte) (fds []int, err error) {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	for _, m := range messages {
@@ -62,7 +64,7 @@
 	return fds, err
 }
 
-// oneByteReader reads the byte that came with the descriptor.
+// oneByteReader reads the byte that was received with the descriptor.
 type oneByteReader struct {
 	b      byte
 	isRead bool
