--- a/internal/configerror/configerror_test.go
+++ b/internal/configerror/configerror_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A mistake in a JSON file is reported with the line of its setting, or of the object that lacks it.
+// A mistake in a JSON file must be reported with the line of its setting, or of the object that
+// lacks it.
 func TestJSONLine(t *testing.T) {
 	text := []byte("{\"a\": 1,\n \"b\": {\n  \"c\": [\n   {\"d\": 1},\n   {\"d\": 2}]},\n \"e\": null}\n")
 	for setting, want := range map[string]int{
@@ -13,6 +14,6 @@
 		}
 	}
 	if got := JSONLine([]byte("{"), "a"); got != 0 {
-		t.Errorf("a broken text: line %d", got)
+		t.Errorf("invalid JSON: line %d, want 0", got)
 	}
 }
--- a/internal/configerror/toml.go
+++ b/internal/configerror/toml.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeTOML reads a TOML text into a struct. Keys that the struct does not know are mistakes: a
-// key misspelt must not pass for one that was left out. The error is a Problem, or joins one for
+// DecodeTOML decodes a TOML text into a struct. Keys without a field are errors, so that a
+// misspelled key is not mistaken for an omitted one. The error is a Problem, or joins a Problem for
 // each unknown key.
 func DecodeTOML(name string, text []byte, into any) error {
 	dec := toml.NewDecoder(bytes.NewReader(text))
@@ -32,7 +32,7 @@
 	return Problem{File: name, Reason: err.Error()}
 }
 
-// problemAt is the problem of a decoder's mistake, with its line and key.
+// problemAt returns the Problem for a decoding error, with its line and key.
 func problemAt(file string, mistake *toml.DecodeError, reason string) Problem {
 	line, _ := mistake.Position()
 	return Problem{File: file, Line: line, Setting: strings.Join(mistake.Key(), "."), Reason: reason}
--- a/internal/operator/admission.go
+++ b/internal/operator/admission.go
@@ -8,27 +8,27 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// Admission enables fair admission and sets it. Its keys have the names that operators know; Config
-// maps them to the terms of internal/admission, which has their bounds.
+// Admission is the section that enables and configures fair admission. Its keys are the names that
+// operators use; Config maps them to the terms of package admission, which validates their values.
 type Admission struct {
 	Enabled      bool    `toml:"enabled"`
 	OthersWeight float64 `toml:"others_weight"`
 	Flows        int     `toml:"flows"`
 	Buckets      int     `toml:"buckets"`
-	// TurnMS is admission.Config.RehashMillis.
+	// TurnMS sets admission.Config.RehashMillis.
 	TurnMS float64 `toml:"turn_ms"`
-	// Queue is admission.Config.QueueLimit.
+	// Queue sets admission.Config.QueueLimit.
 	Queue int `toml:"queue"`
-	// Promises is admission.Config.ReservationLimit.
+	// Promises sets admission.Config.ReservationLimit.
 	Promises  int     `toml:"promises"`
 	MaxWaitMS float64 `toml:"max_wait_ms"`
-	// MaxAfterMS is admission.Config.MaxRetryAfterMillis.
+	// MaxAfterMS sets admission.Config.MaxRetryAfterMillis.
 	MaxAfterMS float64 `toml:"max_after_ms"`
-	// Start is admission.Config.InitialLimit.
+	// Start sets admission.Config.InitialLimit.
 	Start float64 `toml:"start"`
-	// Least is admission.Config.MinLimit.
+	// Least sets admission.Config.MinLimit.
 	Least float64 `toml:"least"`
-	// Most is admission.Config.MaxLimit.
+	// Most sets admission.Config.MaxLimit.
 	Most       float64  `toml:"most"`
 	RetryShare float64  `toml:"retry_share"`
 	RetryBurst float64  `toml:"retry_burst"`
@@ -40,23 +40,24 @@
 type Tenant struct {
 	Name   string  `toml:"name"`
 	Weight float64 `toml:"weight"`
-	// Rate is how many requests a second are guaranteed.
+	// Rate is the guaranteed number of requests per second.
 	Rate float64 `toml:"rate"`
-	// Burst is how many of these may come at once.
+	// Burst is the number of guaranteed requests that may arrive at once.
 	Burst float64 `toml:"burst"`
 }
 
-// Match tells whose a request is, where it applies.
+// Match is a rule that assigns a tenant to the requests that it matches.
 type Match struct {
-	// By is fact (what the client declares), key (the key's prefix) or network (the client's address).
+	// By is fact (the tenant that the client declares), key (a prefix of the key) or network (the
+	// client's address).
 	By      string `toml:"by"`
 	Prefix  string `toml:"prefix"`
 	Network string `toml:"network"`
 	Tenant  string `toml:"tenant"`
 }
 
-// Config is the section in the terms of internal/admission, but for the classes, which the platform's
-// settings name. The error is an *admission.SettingError.
+// Config returns the section in the terms of package admission, without the classes, which are
+// defined in the platform's settings. The error is an *admission.SettingError.
 func (a Admission) Config() (admission.Config, admission.TenantRules, error) {
 	c := admission.Config{
 		OthersWeight:        a.OthersWeight,
@@ -85,12 +86,12 @@
 	if err != nil {
 		return c, rules, err
 	}
-	withClass := c // a configuration without classes is not valid, and the file has none
+	withClass := c // Validate requires a class, and the operator file has none
 	withClass.Classes = []admission.Class{{Name: "any", CostMillis: 1}}
 	return c, rules, withClass.Validate()
 }
 
-// tenantRules maps the rules that tell a request's tenant.
+// tenantRules returns the rules that assign tenants to requests.
 func (a Admission) tenantRules() (admission.TenantRules, error) {
 	var rules admission.TenantRules
 	for i, match := range a.Identify {
@@ -104,7 +105,7 @@
 	return rules, nil
 }
 
-// rule is the match in the terms of internal/admission.
+// rule returns the match in the terms of package admission.
 func (m Match) rule() (admission.TenantRule, error) {
 	rule := admission.TenantRule{Prefix: m.Prefix, Tenant: m.Tenant}
 	switch m.By {
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -14,24 +14,24 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// Bounds of values that several processes have to agree on. docs/configuration.md has them all.
+// Upper bounds of values that several processes share. docs/configuration.md lists all bounds.
 const (
 	maxCoordinators = 9
 	maxLabelBytes   = 64
 	maxRepeatBurst  = 1000
 )
 
-// checker collects the mistakes of an operator file.
+// checker collects the problems of an operator file.
 type checker struct {
 	path     string
 	text     []byte
 	problems []error
 }
 
-// err joins the mistakes; nil where there are none.
+// err joins the problems; nil if there are none.
 func (c *checker) err() error { return errors.Join(c.problems...) }
 
-// add adds a mistake, with the line of the setting.
+// add adds a problem, with the line of the setting.
 func (c *checker) add(setting, format string, args ...any) {
 	c.problems = append(c.problems, configerror.Problem{
 		File:    c.path,
@@ -41,7 +41,7 @@
 	})
 }
 
-// file checks all sections.
+// file checks all sections of the file.
 func (c *checker) file(f File) {
 	if f.Version != Version {
 		c.add("version", "%d is not %d, the version that this program reads", f.Version, Version)
@@ -61,26 +61,26 @@
 	c.duration("agreement.probe_every", a.ProbeEvery, 200*time.Millisecond, 10*time.Second)
 	c.duration("agreement.probe_stale", a.ProbeStale, 500*time.Millisecond, 30*time.Second)
 	if Duration(a.ProbeStale) <= Duration(a.ProbeEvery) {
-		c.add("agreement.probe_stale", "%q is not more than probe_every, %q: no report would ever count",
+		c.add("agreement.probe_stale", "%q is not above probe_every, %q: every report would be stale",
 			a.ProbeStale, a.ProbeEvery)
 	}
 	if len(a.Coordinators) > maxCoordinators {
-		c.add("agreement.coordinators", "%d, %d at most", len(a.Coordinators), maxCoordinators)
+		c.add("agreement.coordinators", "%d coordinators, at most %d are allowed", len(a.Coordinators), maxCoordinators)
 	}
-	for _, word := range a.Coordinators {
-		name, addr, hasName := strings.Cut(word, "=")
+	for _, coordinator := range a.Coordinators {
+		name, addr, hasName := strings.Cut(coordinator, "=")
 		if _, _, err := net.SplitHostPort(addr); !hasName || name == "" || err != nil {
-			c.add("agreement.coordinators", "%q is not NAME=HOST:PORT", word)
+			c.add("agreement.coordinators", "%q is not NAME=HOST:PORT", coordinator)
 		}
 	}
 	if len(a.Label) > maxLabelBytes {
-		c.add("agreement.label", "%d bytes, %d at most", len(a.Label), maxLabelBytes)
+		c.add("agreement.label", "%d bytes, at most %d are allowed", len(a.Label), maxLabelBytes)
 	}
 	if a.Drains && len(a.Coordinators) == 0 {
-		c.add("agreement.drains", "true, and agreement.coordinators names none")
+		c.add("agreement.drains", "true, but agreement.coordinators is empty")
 	}
 	if a.Probes && len(a.Coordinators) == 0 {
-		c.add("agreement.probes", "true, and agreement.coordinators names none")
+		c.add("agreement.probes", "true, but agreement.coordinators is empty")
 	}
 }
 
@@ -96,21 +96,21 @@
 	}
 }
 
-// oneOf checks a setting that is one of a few words.
-func (c *checker) oneOf(setting, value string, words ...string) {
-	if !slices.Contains(words, value) {
-		c.add(setting, "%q is none of %s", value, strings.Join(words, ", "))
+// oneOf checks that a setting has one of the given values.
+func (c *checker) oneOf(setting, value string, allowed ...string) {
+	if !slices.Contains(allowed, value) {
+		c.add(setting, "%q is none of %s", value, strings.Join(allowed, ", "))
 	}
 }
 
-// duration checks a setting that is a duration within bounds.
+// duration checks that a setting is a duration within bounds.
 func (c *checker) duration(setting, value string, minimum, maximum time.Duration) {
 	if d, err := time.ParseDuration(value); err != nil || d < minimum || d > maximum {
 		c.add(setting, "%q is no duration from %v to %v", value, minimum, maximum)
 	}
 }
 
-// lineOf is the line that a key stands in, or 0 where it is not there.
+// lineOf returns the line of a key, or 0 if the file does not have it.
 func lineOf(text []byte, setting string) int {
 	var p unstable.Parser
 	p.Reset(text)
--- a/internal/operator/fixture_test.go
+++ b/internal/operator/fixture_test.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// An operator file with every key set is read as the version before the renaming read it. Were a key
-// lost, the operators' file would be rejected at the next start.
+// An operator file with every key set must be parsed into the same values as by an older version.
+// If a key were lost, operators' files would be rejected at the next start.
 func TestEveryKeyOfTheFile(t *testing.T) {
 	file, err := Load("testdata/operator.toml")
 	if err != nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator file: the one place where what goes beyond the platform's
-// settings is enabled. A router without one is what the platform knows. docs/configuration.md
-// describes each key.
+// Package operator reads the operator file, which enables and configures everything beyond the
+// platform's settings. Without an operator file, a router runs with the platform's settings only.
+// docs/configuration.md describes each key.
 package operator
 
 import (
@@ -12,13 +12,13 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// Version is the version of the file's form that this program reads.
+// Version is the version of the file format that this program reads.
 const Version = 1
 
-// maxFileBytes bounds an operator file.
+// maxFileBytes is the maximum size of an operator file.
 const maxFileBytes = 1 << 20
 
-// File is an operator file. The toml tags are checked against docs/configuration.md by a test.
+// File is an operator file. A test compares the toml tags with docs/configuration.md.
 type File struct {
 	Version   int       `toml:"version"`
 	Log       Log       `toml:"log"`
@@ -26,7 +26,7 @@
 	Agreement Agreement `toml:"agreement"`
 }
 
-// Log says how the router logs.
+// Log is the section that configures the router's log.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
@@ -34,51 +34,55 @@
 	Format string `toml:"format"`
 	// RepeatEvery is a duration, 1s to 1h.
 	RepeatEvery string `toml:"repeat_every"`
-	// RepeatBurst is how many lines of one event are logged in that time, 1 to 1000.
+	// RepeatBurst is the number of lines of one event that are logged in that time, 1 to 1000.
 	RepeatBurst int `toml:"repeat_burst"`
-	// Trace logs single events too, for dockhinge-lab trace-summary.
+	// Trace enables trace events in the log, for dockhinge-lab trace-summary.
 	Trace bool `toml:"trace"`
 }
 
-// Agreement makes the router a client of the coordinators (docs/agreement.md), for installations
-// that allow messages between processes.
+// Agreement is the section that makes the router a client of the coordinators (docs/agreement.md),
+// for installations that allow messages between processes.
 type Agreement struct {
-	// Coordinators are NAME=HOST:PORT of each. Without any the router does without them.
+	// Coordinators lists each coordinator as NAME=HOST:PORT. If it is empty, the router runs
+	// without coordinators.
 	Coordinators []string `toml:"coordinators"`
-	// TTL is the session's, a duration, 3s to 1m.
+	// TTL is the time to live of the session, a duration from 3s to 1m.
 	TTL string `toml:"ttl"`
-	// Probes has one router health-check a cache server for all.
+	// Probes enables shared health checks: one router checks a cache server for all routers.
 	Probes bool `toml:"probes"`
-	// ProbeEvery is a duration, 200ms to 10s.
+	// ProbeEvery is the time between two health checks, a duration from 200ms to 10s.
 	ProbeEvery string `toml:"probe_every"`
-	// ProbeStale is the age up to which a load report counts, 500ms to 30s and more than ProbeEvery.
+	// ProbeStale is the age up to which a load report is used, 500ms to 30s and more than
+	// ProbeEvery.
 	ProbeStale string `toml:"probe_stale"`
-	// Drains has the router take part in drains and releases that the fleet agrees on.
+	// Drains makes the router take part in the drains and releases that the coordinators decide on.
 	Drains bool `toml:"drains"`
-	// Label names the program's version there, in at most 64 bytes; "" = the program's own.
+	// Label is the version of the program that is reported for releases, at most 64 bytes; "" = the
+	// version that the program was built from.
 	Label string `toml:"label"`
 }
 
-// RepeatInterval is RepeatEvery as a duration. The file has been checked.
+// RepeatInterval returns RepeatEvery as a duration. The file must have been checked.
 func (l Log) RepeatInterval() time.Duration { return Duration(l.RepeatEvery) }
 
-// CoordinatorAddrs maps the coordinators' names to their addresses. The file has been checked.
+// CoordinatorAddrs maps the coordinators' names to their addresses. The file must have been
+// checked.
 func (a Agreement) CoordinatorAddrs() map[string]string {
 	addrs := map[string]string{}
-	for _, word := range a.Coordinators {
-		name, addr, _ := strings.Cut(word, "=")
+	for _, coordinator := range a.Coordinators {
+		name, addr, _ := strings.Cut(coordinator, "=")
 		addrs[name] = addr
 	}
 	return addrs
 }
 
-// Duration returns a duration of the file, which has been checked.
+// Duration parses a duration of a file that has been checked.
 func Duration(text string) time.Duration {
 	d, _ := time.ParseDuration(text)
 	return d
 }
 
-// Default is what holds where there is no operator file, or where it lacks a key.
+// Default returns the values that are used for missing keys, or without an operator file.
 func Default() File {
 	return File{
 		Version: Version,
@@ -120,11 +124,12 @@
 	return Parse(path, text)
 }
 
-// Parse reads an operator file that was read from path. Unknown keys are mistakes: a misspelt key
-// must not pass for one that was left out. The error joins a configerror.Problem for each mistake.
+// Parse parses the text of an operator file that was read from path. Unknown keys are errors, so
+// that a misspelled key is not mistaken for an omitted one. The error joins a configerror.Problem
+// for each mistake.
 func Parse(path string, text []byte) (File, error) {
 	if len(text) > maxFileBytes {
-		reason := fmt.Sprintf("%d bytes, %d at most", len(text), maxFileBytes)
+		reason := fmt.Sprintf("%d bytes, at most %d are allowed", len(text), maxFileBytes)
 		return File{}, configerror.Problem{File: path, Reason: reason}
 	}
 	f := Default()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,16 +14,16 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// A mistake in the file is reported with its line and key, so that the operator finds it. A misspelt key
-// that passed for one left out would leave a default in force.
+// A mistake in the file must be reported with its line and key, so that the operator finds it. If a
+// misspelled key passed for an omitted one, the default would silently be used.
 func TestMistakesNameLineAndSetting(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{
-			"misspelt key", "version = 1\n\n[log]\nlevle = \"info\"\n",
+			"misspelled key", "version = 1\n\n[log]\nlevle = \"info\"\n",
 			"f.toml:4: log.levle: unknown key",
 		},
 		{
-			"unknown word", "version = 1\n[log]\nlevel = \"loud\"\n",
+			"unknown value", "version = 1\n[log]\nlevel = \"loud\"\n",
 			`f.toml:3: log.level: "loud" is none of debug, info, warn, error`,
 		},
 		{
@@ -31,11 +31,11 @@
 			`f.toml:2: log.format: "xml" is none of text, json`,
 		},
 		{
-			"no duration", "version = 1\n[log]\n\nrepeat_every = \"7d\"\n",
+			"invalid duration", "version = 1\n[log]\n\nrepeat_every = \"7d\"\n",
 			`f.toml:4: log.repeat_every: "7d" is no duration from 1s to 1h`,
 		},
 		{
-			"below its bound", "version = 1\n[log]\nrepeat_burst = 0\n",
+			"below its lower bound", "version = 1\n[log]\nrepeat_burst = 0\n",
 			"f.toml:3: log.repeat_burst: 0 is not from 1 to 1000",
 		},
 		{
@@ -46,21 +46,21 @@
 			"later version", "version = 2\n",
 			"f.toml:1: version: 2 is not 1, the version that this program reads",
 		},
-		{"no TOML", "version = 1\nlog = {\n", "f.toml:2:"},
+		{"invalid TOML", "version = 1\nlog = {\n", "f.toml:2:"},
 		{"version of another type", "version = \"1\"\n", "f.toml:1: version:"},
 		{"level of another type", "version = 1\n[log]\nlevel = 3\nfurther = 1\n", "f.toml:3: log.level:"},
 		{
-			"above its bound", "version = 1\n[log]\nlevel=\"x\"\nrepeat_burst=5000\n",
+			"above its upper bound", "version = 1\n[log]\nlevel=\"x\"\nrepeat_burst=5000\n",
 			"f.toml:4: log.repeat_burst: 5000 is not from 1 to 1000",
 		},
 		{
-			"unknown source of a tenant", identify(`by = "name"`),
+			"unknown tenant source", identify(`by = "name"`),
 			`admission.identify[0]: by: "name" is none of fact, key, network`,
 		},
 		{"key without a tenant", identify(`by = "key"`, `prefix = "x"`), "identify[0]: by key needs prefix and tenant"},
 		{"key without a prefix", identify(`by = "key"`, `tenant = "x"`), "identify[0]: by key needs prefix and tenant"},
 		{
-			"impossible network", identify(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
+			"invalid network", identify(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
 			"identify[0]: by network needs network: ",
 		},
 	} {
@@ -71,21 +71,21 @@
 			}
 			var problem configerror.Problem
 			if !errors.As(err, &problem) {
-				t.Errorf("%q: no problem with a place: %v", c.text, err)
+				t.Errorf("%q: the error is no configerror.Problem: %v", c.text, err)
 			}
 		})
 	}
 	if _, err := Parse("f.toml", make([]byte, maxFileBytes+1)); err == nil {
-		t.Error("a file over the bound passes")
+		t.Error("a file above the maximum size was accepted")
 	}
 }
 
-// identify is an operator file with one rule that tells a request's tenant.
+// identify returns an operator file with one rule that assigns a tenant.
 func identify(lines ...string) string {
 	return "version = 1\n[[admission.identify]]\n" + strings.Join(lines, "\n") + "\n"
 }
 
-// Each operator file that is shipped as an example has to be one that the program takes.
+// The program must accept each operator file that is shipped as an example.
 func TestShippedFilesPass(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
@@ -102,12 +102,12 @@
 		}
 	}
 	if read == 0 {
-		t.Error("no operator file is shipped")
+		t.Error("found no shipped operator file")
 	}
 }
 
-// Each key has a row in the page with its default, and each row is a key: the page is what operators
-// write their files from.
+// Operators write their files from docs/configuration.md, so each key must have a row there with
+// its default, and each row must be a key.
 func TestPageAndStructAgree(t *testing.T) {
 	text, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
@@ -130,11 +130,11 @@
 				keys(name+".", field)
 			case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
 				if !strings.Contains(section, "`[["+name+"]]`") {
-					t.Errorf("[[%s]]: not on the page", name)
+					t.Errorf("[[%s]]: not in docs/configuration.md", name)
 				}
 			default:
 				if got, ok := rows[name]; !ok || got != strings.TrimSpace(defaultText(field)) {
-					t.Errorf("%s: the page says %q, the program %v", name, got, field)
+					t.Errorf("%s: default is %q in docs/configuration.md, %v in the program", name, got, field)
 				}
 				delete(rows, name)
 			}
@@ -142,11 +142,11 @@
 	}
 	keys("", reflect.ValueOf(Default()))
 	for name := range rows {
-		t.Errorf("%s: on the page, and no key", name)
+		t.Errorf("%s: in docs/configuration.md, but not a key", name)
 	}
 }
 
-// defaultText is a default as the page writes it.
+// defaultText returns a default in the form used in docs/configuration.md.
 func defaultText(v reflect.Value) string {
 	if v.Kind() == reflect.String {
 		return strconv.Quote(v.String())
--- a/internal/settings/fixture_test.go
+++ b/internal/settings/fixture_test.go
@@ -8,8 +8,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// A settings object with every key set is read as the version before the renaming read it. Were a
-// key lost, its zero would pass for a value of the platform.
+// A settings object with every key set must be parsed into the same values as by an older version.
+// If a key were lost, its zero value would be used as if the platform had set it.
 func TestEveryKeyOfTheSettings(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// The keys that every settings object has. Where one is missing, a zero would stand in for it and might
-// pass for a value.
+// The keys that every settings object must have. Without this check, a missing key would be read as
+// 0, which might be a valid value.
 var (
 	requiredKeys      = []string{"balancers", "myNumber", "categories", "caps", "rules"}
 	requiredCapsKeys  = []string{"maxAttempts"}
@@ -19,17 +19,17 @@
 	requiredByKeyKeys = []string{"window", "keyScope"}
 )
 
-// Error is a mistake in a settings object.
+// Error reports a missing key or an invalid value in a settings object.
 type Error struct {
-	// Key is written with dots, as "caps.maxAttempts" or "categories[0].target".
+	// Key is the path of the key, for example "caps.maxAttempts" or "categories[0].target".
 	Key    string
 	Reason string
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason.
 func (e *Error) Error() string { return "settings: " + e.Key + ": " + e.Reason }
 
-// settingKeys maps the fields of decide.Config, its lists and their entries to the platform's keys.
+// settingKeys maps the field names of decide.Config and of its list entries to the platform's keys.
 var settingKeys = map[string]string{
 	"Routers": "balancers", "RouterIndex": "myNumber", "Classes": "categories", "Tenants": "projects",
 	"MaxAttempts": "caps.maxAttempts", "IdleTimeoutMillis": "caps.connIdle", "CPUMicrosPerSecond": "caps.cpuUsPerS",
@@ -41,8 +41,8 @@
 	"PriorityWeight": "gain", "QuotaPerSecond": "quotaPerS",
 }
 
-// Problems lists what is wrong with a settings object: all keys that it lacks, or else the first
-// impossible value.
+// Problems returns all problems of a settings object that it can find: all missing keys or, if none
+// is missing, the first invalid value.
 func Problems(text []byte) []error {
 	if missing := checkKeys(text); missing != nil {
 		return missing
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// platformError names the setting as the platform writes it.
+// platformError returns the error for an invalid setting under the platform's key.
 func platformError(e *decide.SettingError) *Error {
 	key := settingKeys[e.Field]
 	if e.List != "" {
@@ -70,7 +70,7 @@
 	return &Error{Key: key, Reason: fmt.Sprintf("impossible value %v", e.Value)}
 }
 
-// checkKeys names the keys that a settings object lacks.
+// checkKeys returns an error for each missing key of a settings object.
 func checkKeys(text []byte) (missing []error) {
 	var o struct {
 		Categories []map[string]json.RawMessage `json:"categories"`
@@ -85,7 +85,7 @@
 	}
 	require := func(prefix string, object map[string]json.RawMessage, keys []string) {
 		for _, key := range keys {
-			if value, isThere := object[key]; !isThere || string(value) == "null" {
+			if value, isPresent := object[key]; !isPresent || string(value) == "null" {
 				missing = append(missing, &Error{Key: prefix + key, Reason: "missing"})
 			}
 		}
--- a/internal/settings/missing_key.go
+++ b/internal/settings/missing_key.go
@@ -7,9 +7,10 @@
 	"slices"
 )
 
-// MissingKey names the first key that one JSON object has and a later form of it lacks, as
-// "limits.memory_mb", or returns "" where there is none. Of a list of objects, the later ones must
-// each have what all of the earlier ones had. Inside the keys named as data, anything may differ.
+// MissingKey returns the path of the first key of the JSON object earlier that the object later
+// lacks, for example "limits.memory_mb", or "" if there is none. Each object in a list of later
+// must have the keys that all objects in the list of earlier have in common. The contents of the
+// keys listed in data may differ in any way.
 func MissingKey(earlier, later []byte, data ...string) (string, error) {
 	var earlierValue, laterValue any
 	if err := json.Unmarshal(earlier, &earlierValue); err != nil {
@@ -21,32 +22,32 @@
 	return missingKey("", earlierValue, laterValue, data), nil
 }
 
-// missingKey compares two values that stand at the key at.
-func missingKey(at string, earlier, later any, data []string) string {
-	if slices.Contains(data, at) {
+// missingKey compares the two values at path.
+func missingKey(path string, earlier, later any, data []string) string {
+	if slices.Contains(data, path) {
 		return ""
 	}
 	switch earlier := earlier.(type) {
 	case map[string]any:
-		return missingKeyOfObject(at, earlier, later, data)
+		return missingKeyOfObject(path, earlier, later, data)
 	case []any:
-		return missingKeyOfList(at, earlier, later, data)
+		return missingKeyOfList(path, earlier, later, data)
 	}
 	return ""
 }
 
-func missingKeyOfObject(at string, earlier map[string]any, later any, data []string) string {
+func missingKeyOfObject(path string, earlier map[string]any, later any, data []string) string {
 	laterObject, isObject := later.(map[string]any)
 	if !isObject {
-		return at
+		return path
 	}
-	for _, key := range slices.Sorted(maps.Keys(earlier)) { // the same answer every time
+	for _, key := range slices.Sorted(maps.Keys(earlier)) { // a deterministic order
 		name := key
-		if at != "" {
-			name = at + "." + key
+		if path != "" {
+			name = path + "." + key
 		}
-		value, isThere := laterObject[key]
-		if !isThere {
+		value, isPresent := laterObject[key]
+		if !isPresent {
 			return name
 		}
 		if missing := missingKey(name, earlier[key], value, data); missing != "" {
@@ -56,25 +57,25 @@
 	return ""
 }
 
-func missingKeyOfList(at string, earlier []any, later any, data []string) string {
+func missingKeyOfList(path string, earlier []any, later any, data []string) string {
 	laterList, isList := later.([]any)
 	if !isList {
-		return at
+		return path
 	}
 	common := commonKeys(earlier)
 	if common == nil {
 		return ""
 	}
 	for i, value := range laterList {
-		if missing := missingKey(fmt.Sprintf("%s[%d]", at, i), common, value, data); missing != "" {
+		if missing := missingKey(fmt.Sprintf("%s[%d]", path, i), common, value, data); missing != "" {
 			return missing
 		}
 	}
 	return ""
 }
 
-// commonKeys holds the keys that all objects of a list have, without what is inside them; nil where
-// the list has anything else, or nothing.
+// commonKeys returns the keys that all objects of a list have in common, without their contents. It
+// returns nil if the list is empty or has an element that is not an object.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for i, value := range list {
@@ -89,7 +90,7 @@
 			}
 		}
 		for key := range common {
-			if _, isThere := object[key]; !isThere {
+			if _, isPresent := object[key]; !isPresent {
 				delete(common, key)
 			}
 		}
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,7 +1,7 @@
 package settings
 
 // object mirrors the settings object. Its fields have the platform's names, which the JSON decoder
-// matches whatever their case; unknown keys are ignored.
+// matches regardless of case; unknown keys are ignored.
 type object struct {
 	Balancers      int        `json:"balancers"`
 	MyNumber       int        `json:"myNumber"`
@@ -19,7 +19,7 @@
 	Rules          rules      `json:"rules"`
 }
 
-// category is a class of requests. Times are in milliseconds.
+// category is a request class. Times are in milliseconds.
 type category struct {
 	Name       string  `json:"name"`
 	Effect     string  `json:"effect"`
@@ -33,7 +33,7 @@
 	Stream     bool    `json:"stream"`
 }
 
-// project is a tenant with its quota of requests a second.
+// project is a tenant with its quota of requests per second.
 type project struct {
 	Name      string  `json:"name"`
 	QuotaPerS float64 `json:"quotaPerS"`
@@ -41,7 +41,7 @@
 
 type familyInfo struct {
 	Mode string `json:"mode"`
-	// OriginKind is an index into kinds.
+	// OriginKind is an index into the kinds of the object.
 	OriginKind *int `json:"originKind"`
 }
 
@@ -50,7 +50,7 @@
 	How     string   `json:"how"`
 }
 
-// caps are what the deployment allows. Times are in milliseconds.
+// caps are the features and limits of the deployment. Times are in milliseconds.
 type caps struct {
 	Cancel         bool    `json:"cancel"`
 	MayProbe       bool    `json:"mayProbe"`
@@ -64,7 +64,7 @@
 	ConnectTimeout float64 `json:"connectTimeout"`
 }
 
-// rules are how servers behave. Times are in milliseconds.
+// rules describe the behavior of the servers. Times are in milliseconds.
 type rules struct {
 	Cold           float64 `json:"cold"`
 	ColdFrom       float64 `json:"coldFrom"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads the platform's settings of an instance: the same object on the simulator's
-// wire and in a real router's configuration. It is the one place that knows the platform's words
-// (balancers, categories, hardLimit, gain, ...); nothing behind it does.
+// Package settings reads the platform's settings object of a router instance, which is the same on
+// the simulator's wire and in a router's configuration file. It maps the platform's terms
+// (balancers, categories, hardLimit, gain, ...) to those of package decide; other packages do not
+// use them.
 package settings
 
 import (
@@ -10,23 +11,24 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Settings is the settings object in the terms of the decide package, with what only its host needs.
+// Settings is the settings object in the terms of package decide, plus the values that only its
+// host needs.
 type Settings struct {
 	Config decide.Config
-	// LoadColumns names the values of a load report on the simulator's wire, in their order.
+	// LoadColumns are the names of the values of a load report on the simulator's wire, in order.
 	LoadColumns []string
-	// ConnectTimeoutMillis is the time after which connecting has failed; 0 = the platform sets none.
+	// ConnectTimeoutMillis is the timeout for connecting; 0 = the platform sets none.
 	ConnectTimeoutMillis float64
 }
 
-// effects maps the platform's words for what may be repeated.
+// effects maps the platform's values of effect.
 var effects = map[string]decide.Effect{
 	"repeatable": decide.Idempotent,
 	"by_key":     decide.IdempotentByKey,
 	"once":       decide.NotIdempotent,
 }
 
-// Words of the platform that switch a part of the configuration.
+// Values of the platform's settings that enable a behavior.
 const (
 	countedByWork   = "work"
 	modeCacheAside  = "aside"
@@ -35,7 +37,7 @@
 	discoveryByPoll = "ask"
 )
 
-// Parse reads the settings of one instance. The error is an *Error where it names a key.
+// Parse reads the settings of one instance. The error is an *Error if it concerns a key.
 func Parse(text []byte) (Settings, error) {
 	if missing := checkKeys(text); missing != nil {
 		return Settings{}, missing[0]
@@ -48,7 +50,7 @@
 	if c.CacheAside {
 		kind := o.FamilyInfo.OriginKind
 		if kind == nil || *kind < 0 || *kind >= len(o.Kinds) {
-			return Settings{}, &Error{Key: "familyInfo.originKind", Reason: "names no entry of kinds"}
+			return Settings{}, &Error{Key: "familyInfo.originKind", Reason: "is not an index into kinds"}
 		}
 		c.OriginKind = o.Kinds[*kind]
 	}
@@ -67,7 +69,7 @@
 	return Settings{Config: c, LoadColumns: o.LoadInfo.Columns, ConnectTimeoutMillis: timeout}, nil
 }
 
-// config maps the settings that are single values.
+// config maps the settings with a single value.
 func (o *object) config() decide.Config {
 	return decide.Config{
 		Routers:               o.Balancers,
@@ -96,14 +98,14 @@
 	}
 }
 
-// classes maps the categories.
+// classes maps the categories to request classes.
 func (o *object) classes() ([]decide.Class, error) {
 	var classes []decide.Class
 	seen := map[string]bool{}
 	for i, c := range o.Categories {
 		if seen[c.Name] {
 			key := fmt.Sprintf("categories[%d].name", i)
-			return nil, &Error{Key: key, Reason: fmt.Sprintf("%q is named twice", c.Name)}
+			return nil, &Error{Key: key, Reason: fmt.Sprintf("%q is the name of another category too", c.Name)}
 		}
 		seen[c.Name] = true
 		effect, isKnown := effects[c.Effect]
@@ -127,8 +129,9 @@
 	return classes, nil
 }
 
-// SetLoadField sets the field of a load report that the platform has under a name. Sockets and the
-// simulator's wire have a name each for the same field; other names have no use and are ignored.
+// SetLoadField sets the field of a load report that the platform has under this name. The real
+// servers and the simulator's wire use different names for the same field; unknown names are
+// ignored.
 func SetLoadField(l *decide.LoadReport, name string, value float64) {
 	switch name {
 	case "rps", "qps":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
  "caps":{"maxAttempts":3,"connectTimeout":250},
  "rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
-// A settings object with the required keys alone is taken.
+// A settings object that has only the required keys is accepted.
 func TestWholeSettings(t *testing.T) {
 	s, err := Parse([]byte(completeSettings))
 	if err != nil {
@@ -28,8 +28,8 @@
 	}
 }
 
-// A settings object lacks a key, or has an impossible value. That is found before anything of it is used,
-// and the error names the setting: a zero that stood in for it would pass for a value.
+// A settings object lacks a key or has an invalid value. Parse or Validate must return an error
+// that names the setting, as a zero used in its place might be a valid value.
 func TestBadSettingsAreNamed(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"maxAttempts":3,`, ``, "caps.maxAttempts"},
@@ -53,31 +53,32 @@
 		t.Run(c.to+" for "+c.from, func(t *testing.T) {
 			text := strings.Replace(completeSettings, c.from, c.to, 1)
 			if text == completeSettings {
-				t.Fatalf("%s: not there", c.from)
+				t.Fatalf("%s: not found in the settings", c.from)
 			}
 			s, err := Parse([]byte(text))
 			if err == nil {
 				err = s.Config.Validate()
 			}
 			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(c.names)) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v", err)
 			}
 		})
 	}
 	for cut := range len(completeSettings) {
 		if _, err := Parse([]byte(completeSettings[:cut])); err == nil {
-			t.Errorf("cut at %d: no error", cut)
+			t.Errorf("settings cut off after %d bytes were accepted", cut)
 		}
 	}
 }
 
-// A later form of an object has to have every key of the earlier one, but inside what is named as data.
+// The later version of an object must have every key of the earlier one, except inside the keys
+// given as data.
 func TestLostKeys(t *testing.T) {
 	earlier := `{"a":{"b":1,"c":[{"x":1,"y":2},{"x":1}]},"d":{"e":1},"f":[1,2]}`
 	for later, want := range map[string]string{
 		earlier: "",
 		`{"a":{"b":2,"c":[]},"d":{"e":1},"f":[]}`:           "",
-		`{"a":{"b":2,"c":[{"x":1}],"new":1},"d":{},"f":[]}`: "", // inside d anything may differ
+		`{"a":{"b":2,"c":[{"x":1}],"new":1},"d":{},"f":[]}`: "", // the contents of d may differ
 		`{"a":{"c":[]},"d":{},"f":[]}`:                      "a.b",
 		`{"a":{"b":1,"c":[{"x":1},{"y":1}]},"d":{},"f":[]}`: "a.c[1].x",
 		`{"a":1,"d":{},"f":[]}`:                             "a",
@@ -95,7 +96,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
 		if err == nil && !json.Valid(text) {
-			t.Errorf("taken, and no JSON: %q", text)
+			t.Errorf("accepted, but is not valid JSON: %q", text)
 		}
 		if err == nil && s.Config.Validate() == nil && len(s.Config.Classes) == 0 {
 			t.Error("no classes")
@@ -103,8 +104,8 @@
 	})
 }
 
-// Each impossible value of a configuration is reported with the platform's key: an operator who reads a Go
-// field's name can't find it in the file.
+// Each invalid value must be reported with the platform's key: an operator can't find the name of a
+// Go field in the file.
 func TestImpossibleValuesHaveThePlatformsKeys(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{`"balancers":2`, `"balancers":0`, "balancers"},
