--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// fakeRouter answers as a test has it.
+// fakeRouter is a Router whose answers a test sets.
 type fakeRouter struct {
 	mu       sync.Mutex
 	unready  bool
@@ -49,7 +49,7 @@
 	return []byte(`{"waiting":3}`), f.err
 }
 
-// serve serves a router's admin address for the test.
+// serve serves r at an admin address until the test ends.
 func serve(t *testing.T, r Router) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return ln.Addr().String()
 }
 
-// exchange sends the text of a call over a connection of its own, and returns the answer.
+// exchange sends the text of a call over a new connection, and returns the response.
 func exchange(t *testing.T, addr, text string) (code int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -79,11 +79,11 @@
 		t.Fatalf("%.60q: %v", text, err)
 	}
 	defer response.Body.Close()
-	b, _ := io.ReadAll(response.Body) // where the call was not read completely, the close may cross it
+	b, _ := io.ReadAll(response.Body) // fails if the server closes before it has read the whole call
 	return response.StatusCode, strings.TrimSpace(string(b))
 }
 
-// head is the header of a call, with more lines for it.
+// head returns the header of a call, with additional lines.
 func head(method, path string, lines ...string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: x\r\n"
 	for _, line := range lines {
@@ -92,7 +92,8 @@
 	return text + "\r\n"
 }
 
-// Each call of the pages has its status and its body; what is no call has a status that says so.
+// Each documented call must have its status and body, and anything else a status for an unknown
+// call.
 func TestCalls(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
@@ -132,14 +133,14 @@
 	}
 	code, body := exchange(t, addr, head("PUT", "/-/cache-servers/s-0b/disable"))
 	if code != 503 || body != "too busy" {
-		t.Errorf("not done: got %d %q", code, body)
+		t.Errorf("call that fails: got %d %q", code, body)
 	}
 	if code, body := exchange(t, addr, head("GET", "/-/admission")); code != 404 || body != "not switched on" {
-		t.Errorf("without admission: got %d %q", code, body)
+		t.Errorf("admission not enabled: got %d %q", code, body)
 	}
 }
 
-// Calls that are malformed or too large have an answer that says so, and none of them is carried out.
+// Malformed and oversized calls must be rejected with a matching status, and must have no effect.
 func TestMalformedAndOversizedCallsGetANo(t *testing.T) {
 	const disable = "/-/cache-servers/s-0b/disable"
 	addr := serve(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
@@ -147,10 +148,10 @@
 		text string
 		code int
 	}{
-		"noise":       {"what is this\r\n\r\n", 400},
+		"not HTTP":    {"what is this\r\n\r\n", 400},
 		"no host":     {"GET /-/ready HTTP/1.1\r\n\r\n", 400},
 		"bad escape":  {head("GET", "/-/%zz"), 400},
-		"long head":   {head("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
+		"long header": {head("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
 		"long body":   {head("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
 		"bad chunk":   {head("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
 		"small body":  {head("PUT", disable, "Content-Length: 2") + "{}", 204},
@@ -164,8 +165,8 @@
 	}
 }
 
-// A caller disconnects in the middle of a call's body. Nothing is carried out: it may have meant
-// another call.
+// A caller disconnects in the middle of a call's body. The call must have no effect, as the caller
+// may not have intended it.
 func TestHalfACallDoesNothing(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
@@ -175,17 +176,18 @@
 	}
 	io.WriteString(c, head("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
 	c.(*net.TCPConn).CloseWrite()
-	io.ReadAll(c) //nolint:errcheck // until it is closed
+	io.ReadAll(c) //nolint:errcheck // until the server closes the connection
 	c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.disabled["s-0b"] {
-		t.Error("half a call was carried out")
+		t.Error("an incomplete call had an effect")
 	}
 }
 
-// Three times as many callers as the address takes connect and send nothing, or half a call. A usual
-// call is answered beside them; a program that kept the first connections would keep operators out.
+// Three times as many callers connect as the address accepts, and send nothing or half a call. An
+// ordinary call must still be answered; if the first connections were kept, operators would be
+// locked out.
 func TestSilentCallersGiveWay(t *testing.T) {
 	addr := serve(t, &fakeRouter{})
 	for i := range 3 * MaxConns {
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -7,25 +7,24 @@
 	"net/http"
 )
 
-// maxResponseBytes bounds what Call reads of an answer.
+// maxResponseBytes bounds the part of a response that Call reads.
 const maxResponseBytes = 1 << 20
 
-// statusClass is what a status code is divided by for its class.
+// statusClass is the divisor that maps a status code to its class.
 const statusClass = 100
 
-// StatusError is an answer whose status is not of the class 2xx.
+// StatusError reports a response with a status outside the class 2xx.
 type StatusError struct {
 	Code int
-	// Text is the body of the answer.
+	// Text is the body of the response.
 	Text string
 }
 
-// Error names the status and the beginning of the body.
+// Error returns the status and the beginning of the body.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %.200s", e.Code, e.Text) }
 
-// Call makes one call at the admin address of a router, over a connection of its own, and returns the
-// body of the answer. The error is a *StatusError where the router answers with another status than
-// 2xx.
+// Call makes one call at the admin address of a router, over a new connection, and returns the
+// response body. The error is a *StatusError if the status is not 2xx.
 func Call(ctx context.Context, addr, method, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -8,7 +8,7 @@
 	"path"
 )
 
-// Paths of the calls, as operators know them.
+// Paths of the operators' calls.
 const (
 	ReadyPath     = "/-/ready"
 	MetricsPath   = "/-/metrics"
@@ -18,7 +18,7 @@
 	enablePath  = "/-/cache-servers/{id}/enable"
 )
 
-// handler answers the calls that have arrived completely.
+// handler returns the handler for all calls.
 func handler(r Router) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+ReadyPath, handleReady(r))
@@ -35,7 +35,7 @@
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
-		io.WriteString(w, "ready\n") //nolint:errcheck // the caller has disconnected
+		io.WriteString(w, "ready\n") //nolint:errcheck // fails only if the caller has disconnected
 	}
 }
 
@@ -76,7 +76,7 @@
 			w.WriteHeader(http.StatusNoContent)
 		case errors.Is(err, ErrUnknownServer):
 			http.Error(w, err.Error(), http.StatusNotFound)
-		default: // it may have been done all the same, and may be asked for again
+		default: // the change may have been made; the caller can repeat the call
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	}
@@ -84,11 +84,11 @@
 
 func writeJSON(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(append(text, '\n')) //nolint:errcheck // the caller has disconnected
+	w.Write(append(text, '\n')) //nolint:errcheck // fails only if the caller has disconnected
 }
 
-// requireCompleteCall passes on only calls whose body has arrived completely: a caller that
-// disconnects in the middle of one has asked for nothing.
+// requireCompleteCall passes a call on only after its body has arrived completely, so that a call
+// whose caller disconnects early has no effect.
 func requireCompleteCall(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBodyBytes)); err != nil {
@@ -103,7 +103,7 @@
 		if c, ok := q.Context().Value(connContextKey{}).(*adminConn); ok {
 			c.markComplete()
 		}
-		// The library would redirect a path that is not clean, which tells a script neither yes nor no.
+		// net/http would redirect a path that is not clean, and a script could not tell the result.
 		if p := q.URL.Path; p == "" || p[0] != '/' || path.Clean(p) != p {
 			http.NotFound(w, q)
 			return
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// MaxConns is how many connections are open at once. One more closes the one that has been without a
-// complete call for longest: silent callers must not keep an operator out.
+// MaxConns is the maximum number of open connections. One more closes the connection that has been
+// open for longest without a complete call, so that silent callers do not lock out an operator.
 const MaxConns = 16
 
-// acceptRetryInterval is the time between two attempts to accept while no descriptor is free.
+// acceptRetryInterval is the time between two attempts to accept when no descriptor is free.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// boundedListener bounds the connections that are open at once.
+// boundedListener limits the number of open connections.
 type boundedListener struct {
 	net.Listener
 
 	mu sync.Mutex
-	// open holds connections without a complete call, and those whose call is being answered.
+	// open contains the connections without a complete call, and those whose call is being
+	// answered.
 	open map[*adminConn]struct{}
 }
 
@@ -32,16 +33,17 @@
 	net.Conn
 	listener   *boundedListener
 	acceptedAt time.Time
-	// isComplete tells that its call has arrived. It is guarded by listener.mu.
+	// isComplete reports whether its call has arrived completely. It is guarded by listener.mu.
 	isComplete bool
 	closeOnce  sync.Once
 }
 
-// connContextKey finds a call's *adminConn in its context.
+// connContextKey is the context key of a call's *adminConn.
 type connContextKey struct{}
 
-// Accept waits for the next connection that there is capacity for. An error other than that of a
-// closed listener, as when no descriptor is free, is temporary: the admin address must outlive it.
+// Accept waits for the next connection within the limit. All errors except that of a closed
+// listener, for example when no descriptor is free, are treated as temporary, so that the admin
+// address stays available.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -63,8 +65,8 @@
 	}
 }
 
-// register adds a connection and returns the one to be closed for it, if any: itself where all others
-// have a complete call.
+// register adds a connection, and returns the connection to close in exchange, if any: the new one
+// itself if all others have a complete call.
 func (l *boundedListener) register(c *adminConn) (evicted *adminConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,14 +85,14 @@
 	return evicted
 }
 
-// markComplete notes that the connection's call has arrived: it is not closed for another one any more.
+// markComplete records that the call has arrived. The connection is no longer closed for a new one.
 func (c *adminConn) markComplete() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.isComplete = true
 }
 
-// Close closes the connection, which no longer counts. It may be called more than once.
+// Close closes the connection and stops counting it. It may be called more than once.
 func (c *adminConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		c.listener.mu.Lock()
--- a/internal/healthcheck/fixture_test.go
+++ b/internal/healthcheck/fixture_test.go
@@ -9,8 +9,9 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Routers of an older version hold some of the leases and write their reports as before. This
-// version reads them with the same meaning, and writes bytes that the older version reads.
+// Routers of an older version hold some of the leases and write their reports in the older
+// encoding. This version must decode them with the same meaning, and encode bytes that the older
+// version can decode.
 func TestRecordOfOlderVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/record.json")
 	if err != nil {
--- a/internal/healthcheck/prober.go
+++ b/internal/healthcheck/prober.go
@@ -15,64 +15,65 @@
 )
 
 const (
-	// maxHeldLeases bounds the shards that one router probes, so that no router probes all servers
-	// while others are there.
+	// maxHeldLeases bounds the number of shards that one router probes, so that a single router
+	// does not probe all servers when there are others.
 	maxHeldLeases = 4
-	// maxConcurrentProbes bounds the probes of a shard at a time.
+	// maxConcurrentProbes bounds the number of concurrent probes in a shard.
 	maxConcurrentProbes = 16
-	// leaseMarginShare is the part of a lease's time by which probing ends before the lease does.
+	// leaseMarginShare is the part of a lease's TTL, as its reciprocal, by which probing stops
+	// before the lease expires.
 	leaseMarginShare = 10
-	// releaseTimeout is for a lease to be released at the end.
+	// releaseTimeout bounds the release of a lease.
 	releaseTimeout = time.Second
-	// leasePurpose tells operators what a lease is for.
+	// leasePurpose is the purpose of the lease that is shown to operators.
 	leasePurpose = "probes for all routers"
 )
 
-// Options are those of Run.
+// Options are the parameters of Run.
 type Options struct {
 	Client *client.Client
-	// LeaseTTL is the time of a shard's lease.
+	// LeaseTTL is the time to live of a shard's lease.
 	LeaseTTL time.Duration
-	// Interval is the time between two probes of a server, and about that between two readings of
-	// what other routers share.
+	// Interval is the time between two probes of a server, and the approximate time between two
+	// reads of the reports that other routers share.
 	Interval time.Duration
 	Reports  *ReportCache
-	// NowMillis is the router's clock.
+	// NowMillis reads the router's clock, in ms.
 	NowMillis func() float64
-	// Servers lists the cache servers.
+	// Servers returns the ids of the cache servers.
 	Servers func(context.Context) ([]uint32, error)
-	// Probe probes a server once. It is called concurrently.
+	// Probe probes a server once. It must be safe for concurrent calls.
 	Probe func(context.Context, uint32) (decide.AttemptStatus, decide.LoadReport)
 }
 
-// prober is a router's part in the shared health checks.
+// prober is one router's participant in the shared health checks.
 type prober struct {
 	Options
 
 	mu sync.Mutex
-	// held are the shards whose leases this router holds.
+	// held contains the shards whose leases this router holds.
 	held map[int]bool
 }
 
-// Run probes the shards that this router holds the leases of, and caches what other routers share,
-// until ctx ends. It returns once all leases are released.
+// Run probes the shards whose leases this router holds, and caches the reports that other routers
+// share, until ctx ends. It returns after all leases have been released.
 func Run(ctx context.Context, o Options) {
 	p := &prober{Options: o, held: map[int]bool{}}
 	var probing sync.WaitGroup
 	defer probing.Wait()
 	for ctx.Err() == nil {
 		taken, err := p.readShared(ctx)
-		if err == nil { // without an answer the cached reports become stale by themselves
+		if err == nil { // on an error the cached reports become stale without further action
 			p.acquireOne(ctx, &probing, taken)
 		}
-		// The random part spreads the routers, also when all return at once.
+		// The random part keeps routers apart, also after they all have reconnected at once.
 		if !clock.Sleep(ctx, p.Interval/2+rand.N(p.Interval)) {
 			return
 		}
 	}
 }
 
-// readShared caches the reports that other routers share, and returns the leases that are held.
+// readShared caches the reports that other routers share, and returns the names of the held leases.
 func (p *prober) readShared(ctx context.Context) (taken map[string]bool, err error) {
 	requestedAt := p.NowMillis()
 	leases, err := p.Client.ListLeasesWithPrefix(ctx, LeasePrefix)
@@ -87,8 +88,8 @@
 		if err != nil {
 			continue // its holder has not written a record yet
 		}
-		// A report is as old as it was when the record was written, plus the age of the record, plus
-		// at most the time since it was requested.
+		// The age of a report is at most its age when the record was written, plus the age of the
+		// record, plus the time since the request for it.
 		recordAge := float64(lease.RecordAge.Milliseconds()) + now - requestedAt
 		for _, report := range reports {
 			p.Reports.Add(now, recordAge+report.AgeMillis, report)
@@ -97,8 +98,8 @@
 	return taken, nil
 }
 
-// acquireOne tries to get the lease of one shard that no router holds, and probes the shard for as
-// long as it holds the lease.
+// acquireOne tries to acquire the lease of one free shard, and probes the shard in the background
+// for as long as it holds the lease.
 func (p *prober) acquireOne(ctx context.Context, probing *sync.WaitGroup, taken map[string]bool) {
 	free, hasCapacity := p.freeShards(taken)
 	if len(free) == 0 || !hasCapacity {
@@ -109,19 +110,20 @@
 	if err != nil {
 		var rejected *client.RejectedError
 		wasTaken := errors.As(err, &rejected) && rejected.Code == coord.CodeHeld
-		if !wasTaken { // that another router is faster is usual, and not logged
-			slog.Debug("no lease to probe", "lease", LeaseName(shard), "error", err)
+		if !wasTaken { // not logged if another router was faster, which is common
+			slog.Debug("acquiring a lease for health checks failed", "lease", LeaseName(shard), "error", err)
 		}
 		return
 	}
 	p.setHeld(shard, true)
-	probing.Go(func() { // ends with the lease or ctx; Run waits for it
+	probing.Go(func() { // ends when the lease or ctx ends; Run waits for it
 		defer p.setHeld(shard, false)
 		p.holdLease(ctx, shard, lease)
 	})
 }
 
-// freeShards lists the shards that no router probes, and tells whether this one may probe another.
+// freeShards returns the shards that no router probes, and whether this router may probe another
+// one.
 func (p *prober) freeShards(taken map[string]bool) (free []int, hasCapacity bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +145,7 @@
 	}
 }
 
-// holdLease probes a shard's servers and shares their reports for as long as its lease is held.
+// holdLease probes a shard's servers and shares their reports while the lease is held.
 func (p *prober) holdLease(ctx context.Context, shard int, lease *client.Lease) {
 	held, cancel := lease.Context(ctx, p.LeaseTTL/leaseMarginShare)
 	defer cancel()
@@ -151,14 +153,14 @@
 		startedAt := p.NowMillis()
 		reports := p.probeShard(held, shard)
 		for i := range reports {
-			reports[i].AgeMillis = p.NowMillis() - startedAt // at most
+			reports[i].AgeMillis = p.NowMillis() - startedAt // an upper bound
 		}
 		for _, report := range reports {
 			p.Reports.Add(p.NowMillis(), report.AgeMillis, report)
 		}
 		err := lease.WriteRecord(held, Encode(reports, coord.MaxRecordBytes))
 		if err != nil && held.Err() == nil {
-			slog.Debug("load reports not shared", "lease", lease.Name, "error", err)
+			slog.Debug("sharing load reports failed", "lease", lease.Name, "error", err)
 		}
 		if !clock.Sleep(held, p.Interval) {
 			break
@@ -166,7 +168,7 @@
 	}
 	release, cancelRelease := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancelRelease()
-	_ = lease.Release(release) // a lease that can't be released expires
+	_ = lease.Release(release) // a lease that can't be released expires later
 }
 
 // probeShard probes each server of a shard once.
--- a/internal/healthcheck/report_cache.go
+++ b/internal/healthcheck/report_cache.go
@@ -6,11 +6,11 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxReports bounds the reports that are cached; the list of servers is bounded well below it.
+// maxReports bounds the number of cached reports; the number of listed servers is well below it.
 const maxReports = 4096
 
-// ReportCache holds the load reports of servers that other routers have probed. It has no clock and
-// does no I/O. Its methods may be called concurrently.
+// ReportCache holds the load reports of servers that other routers have probed. It reads no clock
+// and does no I/O. Its methods may be called concurrently.
 type ReportCache struct {
 	staleMillis float64
 
@@ -22,22 +22,22 @@
 
 type cachedReport struct {
 	load decide.LoadReport
-	// trueAtMillis is the earliest time at which the report may have been true.
+	// trueAtMillis is the earliest time at which the server may have measured the report.
 	trueAtMillis float64
 }
 
-// isStale reports whether the cached report is too old at a time.
+// isStale reports whether a cached report is too old at the given time.
 func (c *ReportCache) isStale(report cachedReport, nowMillis float64) bool {
 	return report.trueAtMillis+c.staleMillis < nowMillis
 }
 
-// NewReportCache returns a cache in which a report counts up to the age staleMillis.
+// NewReportCache returns a cache in which reports are stale once they are older than staleMillis.
 func NewReportCache(staleMillis float64) *ReportCache {
 	return &ReportCache{staleMillis: staleMillis, reports: map[uint32]cachedReport{}}
 }
 
-// Add stores a report that was true ageMillis before now at the earliest. A report that is stale, or
-// older than the one that is cached, changes nothing.
+// Add stores a report that is at most ageMillis old. It ignores a stale report, and one that is not
+// newer than the cached report of the server.
 func (c *ReportCache) Add(nowMillis, ageMillis float64, r Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	c.reports[r.ServerID] = report
 }
 
-// evictStale drops the stale reports.
+// evictStale removes the stale reports.
 func (c *ReportCache) evictStale(nowMillis float64) {
 	for server, report := range c.reports {
 		if c.isStale(report, nowMillis) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Lookup returns a server's load, and false where there is no report that counts.
+// Lookup returns a server's load, or false if there is no report or it is stale.
 func (c *ReportCache) Lookup(nowMillis float64, server uint32) (decide.LoadReport, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,8 +77,7 @@
 	return report.load, true
 }
 
-// Counts returns how often a report took the place of a probe, and how often there was none that
-// counts.
+// Counts returns how often Lookup found a report that replaces a probe, and how often it did not.
 func (c *ReportCache) Counts() (hits, misses int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/healthcheck/report_cache_test.go
+++ b/internal/healthcheck/report_cache_test.go
@@ -8,15 +8,15 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Reports of any age arrive in any order. One counts until it is stale by the oldest that it may be,
-// and an older one never replaces a newer one: a program that mixed them up would send requests by
-// the load of a minute ago.
+// Reports of any age are added in any order. Lookup must return a report until it is stale,
+// assuming the greatest age that it may have, and an older report must never replace a newer one.
+// Otherwise requests would be distributed by outdated loads.
 func TestReportsCountUntilStale(t *testing.T) {
 	const staleMillis = 1000
 	rapid.Check(t, func(t *rapid.T) {
 		cache := NewReportCache(staleMillis)
 		now := 0.0
-		newest := map[uint32]float64{} // when the newest report was true
+		newest := map[uint32]float64{} // the time of the newest report by server
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += float64(rapid.IntRange(0, 400).Draw(t, "passes"))
 			server := rapid.Uint32Range(0, 3).Draw(t, "server")
@@ -37,18 +37,18 @@
 	})
 }
 
-// Twice as many servers as the cache holds are reported. It fills up to its bound; once all reports
-// are stale they give way to a new one.
+// Twice as many servers are reported as the cache holds. It must fill up to its bound, and a new
+// report must replace the reports once all of them are stale.
 func TestCacheIsBounded(t *testing.T) {
 	cache := NewReportCache(1000)
 	for i := range uint32(2 * maxReports) {
 		cache.Add(0, 0, Report{ServerID: i})
 	}
 	if len(cache.reports) != maxReports {
-		t.Errorf("%d cached", len(cache.reports))
+		t.Errorf("%d reports cached, want %d", len(cache.reports), maxReports)
 	}
 	cache.Add(5000, 0, Report{ServerID: 9 * maxReports})
 	if len(cache.reports) != 1 {
-		t.Errorf("%d cached after all were stale", len(cache.reports))
+		t.Errorf("%d reports cached after all others became stale, want 1", len(cache.reports))
 	}
 }
--- a/internal/healthcheck/report_test.go
+++ b/internal/healthcheck/report_test.go
@@ -8,8 +8,9 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A shard has more servers than a record holds, and one server answers with no number. The reports that
-// fit are read as they were written, that one is left out alone, and none is cut.
+// A shard has more servers than fit into a record, and one server reports NaN. The reports that fit
+// must be decoded unchanged, only the one with NaN may be omitted before them, and the record must
+// not be truncated.
 func TestRecord(t *testing.T) {
 	var all []Report
 	for i := range uint32(500) {
@@ -28,14 +29,15 @@
 		t.Fatalf("%d bytes, %d reports, %v", len(text), len(got), err)
 	}
 	if got[0] != all[0] || got[1] != all[2] {
-		t.Errorf("read %+v", got[:2])
+		t.Errorf("decoded reports %+v", got[:2])
 	}
 	if got, err := Decode(Encode(nil, 10)); err != nil || len(got) != 0 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("empty record: reports %v, error %v", got, err)
 	}
 }
 
-// The servers are divided about evenly: a router that held a crowded shard would probe most of them.
+// Servers must be spread evenly over the shards: a router with a crowded shard would probe most
+// servers.
 func TestShards(t *testing.T) {
 	var counts [Shards]int
 	for i := range uint32(16000) {
@@ -43,7 +45,7 @@
 	}
 	for shard, count := range counts {
 		if count < 500 || count > 2000 {
-			t.Errorf("shard %d has %d of 16,000", shard, count)
+			t.Errorf("shard %d has %d of 16,000 servers", shard, count)
 		}
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging is the router's log: log/slog, one event a line, with a bound on how often one
-// event is repeated.
+// Package logging sets up the router's log: log/slog with one line per event, and a limit on how
+// often the same event is logged.
 package logging
 
 import (
@@ -10,25 +10,26 @@
 	"time"
 )
 
-// Options say how to log.
+// Options configure the log.
 type Options struct {
 	// Level is debug, info, warn or error.
 	Level string
-	// JSON writes JSON in place of text.
+	// JSON selects JSON instead of text.
 	JSON bool
-	// RepeatInterval is the time in which the lines of one event are bounded.
+	// RepeatInterval is the interval in which the lines of one event are limited.
 	RepeatInterval time.Duration
-	// RepeatBurst is how many lines of one event are written in that time; 0 = no bound.
+	// RepeatBurst is the number of lines of one event that are written per interval; 0 = no limit.
 	RepeatBurst int
 }
 
-// maxEvents bounds the events that are limited each on its own; those beyond share one limit.
+// maxEvents bounds the number of events with a limit of their own; all further events share one
+// limit.
 const maxEvents = 256
 
 // New returns a logger that writes to w.
 func New(w io.Writer, o Options) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(o.Level)) // unknown: info; the operator file is checked where it is read
+	_ = level.UnmarshalText([]byte(o.Level)) // an unknown level means info; the operator file is validated when read
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewTextHandler(w, options)
 	if o.JSON {
@@ -40,28 +41,29 @@
 	return slog.New(handler)
 }
 
-// event is what counts as the same line again: its level and message, whatever its attributes.
+// event identifies repeated lines: they have the same level and message, but may have other
+// attributes.
 type event struct {
 	level   slog.Level
 	message string
 }
 
-// window counts the lines of an event in one interval.
+// window counts the lines of an event within one interval.
 type window struct {
 	startedAt time.Time
 	lines     int
-	// suppressed is how many lines were not written since the last that was.
+	// suppressed is the number of lines that were not written since the last one that was.
 	suppressed int
 }
 
-// eventLimits counts lines by event. It has no clock: the records bring their time.
+// eventLimits counts lines by event. It reads no clock: each record has a time.
 type eventLimits struct {
 	interval time.Duration
 	burst    int
 
 	mu      sync.Mutex
 	windows map[event]*window
-	// overflow counts the events for which there is no window.
+	// overflow counts the lines of all events that have no window of their own.
 	overflow window
 }
 
@@ -69,8 +71,8 @@
 	return &eventLimits{interval: interval, burst: burst, windows: map[event]*window{}}
 }
 
-// allow reports whether a line of an event may be written at now, and how many were suppressed since
-// the last that was.
+// allow reports whether a line of an event may be written at now, and how many lines were
+// suppressed since the last one that was written.
 func (l *eventLimits) allow(e event, now time.Time) (isAllowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +91,7 @@
 	return true, suppressed
 }
 
-// window returns the window of an event, or overflow where there are too many.
+// window returns the window of an event, or overflow if there are too many events.
 func (l *eventLimits) window(e event, now time.Time) *window {
 	if w := l.windows[e]; w != nil {
 		return w
@@ -105,7 +107,7 @@
 	return w
 }
 
-// evictOver drops the windows that are over and have no suppressed lines to tell of.
+// evictOver removes the windows that have ended and have no suppressed lines to report.
 func (l *eventLimits) evictOver(now time.Time) {
 	for e, w := range l.windows {
 		if now.Sub(w.startedAt) >= l.interval && w.suppressed == 0 {
@@ -114,7 +116,7 @@
 	}
 }
 
-// limiter is a slog.Handler that passes on a bounded number of lines of each event.
+// limiter is a slog.Handler that passes on a limited number of lines per event and interval.
 type limiter struct {
 	next   slog.Handler
 	events *eventLimits
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the figures that a router reports. Each is counted where the event happens;
-// readers take a snapshot and wait for nobody.
+// Package metrics holds the metrics of a router. Each is counted where the event happens; readers
+// take a snapshot without waiting for the router's event loop.
 package metrics
 
 import (
@@ -8,21 +8,22 @@
 	"sync/atomic"
 )
 
-// Outcome says how a request ended.
+// Outcome is how a request ended.
 type Outcome int
 
-// The ways a request can end.
+// The outcomes of a request.
 const (
-	// Success is a request that was served.
+	// Success means that the request was served.
 	Success Outcome = iota
-	// Overload is a request that was rejected for want of capacity.
+	// Overload means that the request was rejected for lack of capacity.
 	Overload
-	// Error is a request that failed.
+	// Error means that the request failed.
 	Error
 	outcomeCount
 )
 
-// Class holds the counts of one class. They only grow, as readers take differences.
+// Class holds the counters of one request class. They never decrease, as readers compute
+// differences.
 type Class struct {
 	counts [outcomeCount]atomic.Int64
 }
@@ -30,32 +31,32 @@
 // Ended counts the end of a request.
 func (c *Class) Ended(outcome Outcome) { c.counts[outcome].Add(1) }
 
-// Router holds the figures of one process. Every count starts at 0 with it. All may be used
+// Router holds the metrics of one process. All counters start at 0. Fields and methods may be used
 // concurrently.
 type Router struct {
 	mu sync.RWMutex
-	// classes also has those that a reload has dropped: what they counted stays.
+	// classes includes the classes that a reload has removed, so that their counts are kept.
 	classes map[string]*Class
 
-	// Dispatches counts attempts that were written completely.
+	// Dispatches counts the attempts that were completely written to a server.
 	Dispatches atomic.Int64
-	// Concurrent is how many requests are in flight.
+	// Concurrent is the number of requests in flight.
 	Concurrent atomic.Int64
-	// Targets is how many cache servers the endpoint list has.
+	// Targets is the number of cache servers in the endpoint list.
 	Targets atomic.Int64
-	// TargetsDisabled is how many of them get no requests.
+	// TargetsDisabled is the number of these that get no requests.
 	TargetsDisabled atomic.Int64
-	// ReloadSuccesses counts configurations that were taken at SIGHUP.
+	// ReloadSuccesses counts the configurations that were applied after SIGHUP.
 	ReloadSuccesses atomic.Int64
-	// ReloadFailures counts configurations that were rejected at SIGHUP.
+	// ReloadFailures counts the configurations that were rejected after SIGHUP.
 	ReloadFailures atomic.Int64
 }
 
-// New returns the figures of a process that has done nothing yet.
+// New returns metrics with all values at 0.
 func New() *Router { return &Router{classes: map[string]*Class{}} }
 
-// Class returns the counts of a class, which is reported from then on. Only configured classes may be
-// named, as each is kept for good.
+// Class returns the counters of a class, which is included in snapshots from then on. It must only
+// be called for configured classes, as the counters are never removed.
 func (m *Router) Class(name string) *Class {
 	m.mu.RLock()
 	c := m.classes[name]
@@ -73,7 +74,7 @@
 	return c
 }
 
-// Snapshot is the report, under the names that operators know.
+// Snapshot is a copy of all metrics under their published names.
 type Snapshot struct {
 	Success         map[string]int64 `json:"success"`
 	Overload        map[string]int64 `json:"overload"`
@@ -84,19 +85,19 @@
 	TargetsDisabled int64            `json:"targets_disabled"`
 	ReloadSuccess   int64            `json:"reload_success"`
 	ReloadFailure   int64            `json:"reload_failure"`
-	// ProbeReports is nil where routers do not health-check for one another.
+	// ProbeReports is nil if routers do not share health checks.
 	ProbeReports *ProbeReports `json:"probe_reports,omitempty"`
 }
 
-// ProbeReports counts the use of other routers' health checks.
+// ProbeReports counts the use of health checks that other routers have shared.
 type ProbeReports struct {
-	// Hits counts reports that took the place of a health check.
+	// Hits counts the shared reports that replaced a health check.
 	Hits int `json:"used"`
-	// Misses counts health checks for which there was no report that counts.
+	// Misses counts the health checks for which there was no current shared report.
 	Misses int `json:"missed"`
 }
 
-// Snapshot reads all figures.
+// Snapshot returns the current values of all metrics.
 func (m *Router) Snapshot() Snapshot {
 	s := Snapshot{
 		Success:         map[string]int64{},
@@ -119,8 +120,8 @@
 	return s
 }
 
-// JSON is the report as text, with the counts of health check reports, which are kept elsewhere; nil =
-// there are none.
+// JSON returns a snapshot in JSON. It includes reports, which are counted elsewhere, unless they
+// are nil.
 func (m *Router) JSON(reports *ProbeReports) ([]byte, error) {
 	s := m.Snapshot()
 	s.ProbeReports = reports
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Operators and their tools read the report by its names.
+// Operators and their tools depend on the names in the JSON metrics.
 func TestReportHasTheOperatorsNames(t *testing.T) {
 	m := New()
 	c := m.Class("fetch")
@@ -16,7 +16,7 @@
 	c.Ended(Overload)
 	c.Ended(Error)
 	m.Dispatches.Add(5)
-	m.Class("publish") // known, and nothing has happened yet
+	m.Class("publish") // registered, but without requests
 	m.Concurrent.Store(14)
 	m.Targets.Store(12)
 	m.TargetsDisabled.Store(1)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Requests end in many goroutines while the report is read: no end is lost.
+// Requests end in many goroutines while snapshots are taken. No request may be lost.
 func TestCountsFromManyGoroutinesAddUp(t *testing.T) {
 	m := New()
 	var wg sync.WaitGroup
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -9,15 +9,15 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxPreparedEntries bounds the entries that memory is set aside for before they were read: the
-// number that a line announces may be wrong.
+// maxPreparedEntries bounds the memory that is allocated for list entries before they are read, as
+// the announced number of entries may be wrong.
 const maxPreparedEntries = 4096
 
-// deliver hands an event that was read to a Balancer.
+// deliver passes an event to a Balancer.
 type deliver func(b *decide.Balancer)
 
-// event reads one event and hands it to its instance. An event for an instance that is not open is
-// checked as any other and then ignored.
+// event reads one event and passes it to its instance. An event for an instance that is not open is
+// validated like any other, and then ignored.
 func (s *session) event(now float64, text string) error {
 	f := newFields(text)
 	kind := f.word()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// readEvent reads the fields of an event.
+// readEvent reads the fields of an event and returns the function that passes it to a Balancer.
 func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (deliver, error) {
 	switch kind {
 	case eventEndpoints:
@@ -72,7 +72,7 @@
 	return nil, fmt.Errorf("unknown event %q", kind)
 }
 
-// readEndpoints reads an update of the endpoint list, with a line for each entry.
+// readEndpoints reads an update of the endpoint list, with one line per entry.
 func (s *session) readEndpoints(f *fields, now float64) (deliver, error) {
 	kind := oneOf(f, "kind", updateKinds)
 	f.numberOrAbsent("version")
@@ -91,7 +91,7 @@
 	return func(b *decide.Balancer) { b.UpdateEndpoints(now, kind, entries) }, nil
 }
 
-// readEntry reads one line of an endpoint list.
+// readEntry reads one entry of the endpoint list.
 func (s *session) readEntry() (decide.Endpoint, error) {
 	text, err := s.lines.next()
 	if errors.Is(err, io.EOF) {
@@ -157,8 +157,8 @@
 	return func(b *decide.Balancer) { b.HealthCheckEnded(now, server, status, load) }
 }
 
-// readLoad reads a load report. The columns are those of the instance's settings; without an
-// instance the report is passed over.
+// readLoad reads a load report. Its columns are given by the settings of the instance; without an
+// instance, the report is skipped.
 func readLoad(f *fields, in *instance) decide.LoadReport {
 	if in == nil {
 		f.word()
@@ -167,8 +167,8 @@
 	return f.load(in.loadColumns)
 }
 
-// readTimer reads the token of a timer. One that is no number was not set by a Balancer and is
-// ignored.
+// readTimer reads the token of a timer. A token that is not a number was not set by a Balancer, and
+// the event is ignored.
 func readTimer(f *fields, now float64) deliver {
 	token, err := strconv.ParseUint(f.word(), 10, 64)
 	return func(b *decide.Balancer) {
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -10,19 +10,19 @@
 	"dockhinge.example/dockhinge/internal/settings"
 )
 
-// instance is one router: its Balancer, and the decide.Host that writes its actions.
+// instance is one router instance. It implements decide.Host by writing actions to the reply.
 type instance struct {
-	// balancer decides.
+	// balancer makes the decisions.
 	balancer *decide.Balancer
-	// id is the simulator's number of the instance.
+	// id is the number that the simulator assigned to the instance.
 	id string
-	// reply takes the actions; all instances share it.
+	// reply receives the actions. All instances share it.
 	reply *bytes.Buffer
-	// loadColumns are the names of the figures of a load report, in order.
+	// loadColumns are the names of the values of a load report, in order.
 	loadColumns []string
 }
 
-// open starts an instance, in the place of one with the same number.
+// open starts an instance, and replaces an instance with the same number.
 func (s *session) open(f *fields, id string) error {
 	seed := f.seed()
 	text := f.remainder()
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// write adds an action to the reply.
+// write appends an action to the reply.
 func (in *instance) write(action string, values ...string) {
 	in.reply.WriteString(action)
 	in.reply.WriteByte(' ')
@@ -58,42 +58,42 @@
 
 func formatMillis(millis float64) string { return strconv.FormatFloat(millis, 'f', 3, 64) }
 
-// Send starts an attempt.
+// Send writes the action that starts an attempt.
 func (in *instance) Send(requestID, serverID uint32, timeoutMillis float64) {
 	in.write(actionSend, formatID(requestID), formatID(serverID), formatMillis(timeoutMillis))
 }
 
-// Cancel ends an attempt.
+// Cancel writes the action that cancels an attempt.
 func (in *instance) Cancel(requestID uint32, attempt int) {
 	in.write(actionCancel, formatID(requestID), strconv.Itoa(attempt))
 }
 
-// Reject answers that trying again is harmless.
+// Reject writes the action that rejects a request, which the client may safely retry.
 func (in *instance) Reject(requestID uint32, retryAfterMillis float64) {
 	in.write(actionReject, formatID(requestID), formatMillis(retryAfterMillis))
 }
 
-// Fail answers without a promise.
+// Fail writes the action that fails a request, which may have had an effect.
 func (in *instance) Fail(requestID uint32) { in.write(actionFail, formatID(requestID)) }
 
-// HealthCheck asks a server for its load.
+// HealthCheck writes the action that asks a server for its load.
 func (in *instance) HealthCheck(serverID uint32) { in.write(actionHealthCheck, formatID(serverID)) }
 
-// CloseIdle closes the idle connections to a server.
+// CloseIdle writes the action that closes the idle connections to a server.
 func (in *instance) CloseIdle(serverID uint32) { in.write(actionCloseIdle, formatID(serverID)) }
 
-// WatchEndpoints asks for changes of the endpoint list.
+// WatchEndpoints writes the action that subscribes to changes of the endpoint list.
 func (in *instance) WatchEndpoints() { in.write(actionWatch, "1") }
 
-// SetTimer asks for an event with the token.
+// SetTimer writes the action that sets a timer, whose event returns the token.
 func (in *instance) SetTimer(afterMillis float64, token uint64) {
 	in.write(actionSetTimer, formatMillis(afterMillis), strconv.FormatUint(token, 10))
 }
 
-// Gossip sends a message to every other instance.
+// Gossip writes the action that sends a message to all other instances.
 func (in *instance) Gossip(data []byte) {
 	in.write(actionGossip, allPeers, base64.StdEncoding.EncodeToString(data))
 }
 
-// Log writes a line of the simulator's report.
+// Log writes the action that adds a line to the simulator's report.
 func (in *instance) Log(text string) { in.write(actionLog, strings.ReplaceAll(text, "\n", " ")) }
--- a/internal/simulator/lines.go
+++ b/internal/simulator/lines.go
@@ -14,20 +14,21 @@
 	"dockhinge.example/dockhinge/internal/settings"
 )
 
-// readBufferBytes holds a batch of ordinary size.
+// readBufferBytes is large enough for a batch of ordinary size.
 const readBufferBytes = 1 << 20
 
 // lineReader reads lines of any length and counts them.
 type lineReader struct {
 	in     *bufio.Reader
-	number int // of the last line, from 1
+	number int // the number of the last line read, from 1
 }
 
 func newLineReader(in io.Reader) *lineReader {
 	return &lineReader{in: bufio.NewReaderSize(in, readBufferBytes)}
 }
 
-// next returns the next line without its end; io.EOF only at a clean end of the input.
+// next returns the next line without its line break. It returns io.EOF only if the input does not
+// end within a line.
 func (l *lineReader) next() (string, error) {
 	text, err := l.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text == "" {
@@ -43,16 +44,17 @@
 	return strings.TrimSuffix(text[:len(text)-1], "\r"), nil
 }
 
-// fields walks through the fields of a line, which one space divides; the first error is kept.
+// fields reads the fields of a line, which are separated by single spaces. It keeps the first
+// error.
 type fields struct {
-	rest    string // what was not read yet
-	hasMore bool   // the line goes on; the rest may be empty
+	rest    string // the part that has not been read yet
+	hasMore bool   // whether there is another field; rest may be empty
 	err     error
 }
 
 func newFields(line string) fields { return fields{rest: line, hasMore: true} }
 
-// word reads a field as it is.
+// word reads a field as text.
 func (f *fields) word() string {
 	if !f.hasMore {
 		if f.err == nil {
@@ -66,14 +68,14 @@
 	return word
 }
 
-// fail keeps that a field is not what it should be, if nothing was wrong before.
+// fail records an invalid field, unless an error has been recorded before.
 func (f *fields) fail(name, word string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s %q", name, word)
 	}
 }
 
-// remainder reads all that is left of the line.
+// remainder reads the rest of the line.
 func (f *fields) remainder() string {
 	if !f.hasMore {
 		return f.word()
@@ -85,7 +87,7 @@
 // number reads a finite number.
 func (f *fields) number(name string) float64 { return f.parseNumber(name, f.word()) }
 
-// numberOrAbsent reads a finite number; an absent one is 0.
+// numberOrAbsent reads a finite number, or returns 0 if it is absent.
 func (f *fields) numberOrAbsent(name string) float64 {
 	word := f.word()
 	if word == absent {
@@ -103,7 +105,7 @@
 	return v
 }
 
-// uint reads the number of a request, attempt or server.
+// uint reads the number of a request, an attempt or a server.
 func (f *fields) uint(name string) uint32 {
 	word := f.word()
 	v, err := strconv.ParseUint(word, 10, 32)
@@ -113,7 +115,7 @@
 	return uint32(v)
 }
 
-// bool reads a flag; an absent one is not set.
+// bool reads a flag, or returns false if it is absent.
 func (f *fields) bool(name string) bool {
 	word := f.word()
 	if word != "0" && word != "1" && word != absent {
@@ -122,7 +124,7 @@
 	return word == "1"
 }
 
-// instanceID reads the number of an instance, which is kept as it was written.
+// instanceID reads the number of an instance, and returns its text.
 func (f *fields) instanceID() string {
 	id := f.word()
 	if _, err := strconv.ParseUint(id, 10, 63); err != nil {
@@ -131,7 +133,7 @@
 	return id
 }
 
-// seed reads a seed of random numbers, which may be negative.
+// seed reads a random seed, which may be negative.
 func (f *fields) seed() uint64 {
 	word := f.word()
 	if seed, err := strconv.ParseUint(word, 10, 64); err == nil {
@@ -144,7 +146,7 @@
 	return uint64(seed)
 }
 
-// key reads the key of a request, if it has one.
+// key reads the key of a request, which may be absent.
 func (f *fields) key() (key uint64, hasKey bool) {
 	word := f.word()
 	if word == absent {
@@ -157,7 +159,7 @@
 	return key, true
 }
 
-// octets reads bytes in base64.
+// octets reads base64-encoded bytes.
 func (f *fields) octets() []byte {
 	word := f.word()
 	data, err := base64.StdEncoding.DecodeString(strings.TrimSuffix(word, absent))
@@ -167,23 +169,23 @@
 	return data
 }
 
-// load reads a load report with the given columns; its absent figures stay below 0.
+// load reads a load report with the given columns. Absent values stay negative.
 func (f *fields) load(columns []string) decide.LoadReport {
 	report := decide.NoLoadReport
 	word := f.word()
 	if word == absent || word == "" && f.err != nil {
 		return report
 	}
-	figures := strings.Split(word, ",")
-	if len(figures) != len(columns) {
+	values := strings.Split(word, ",")
+	if len(values) != len(columns) {
 		f.fail("load report", word)
 		return report
 	}
-	for i, figure := range figures {
-		if figure == absent || figure == "" {
+	for i, value := range values {
+		if value == absent || value == "" {
 			continue
 		}
-		v, err := strconv.ParseFloat(figure, 64)
+		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			f.fail("load report", word)
 			return report
@@ -193,7 +195,7 @@
 	return report
 }
 
-// end returns what is wrong with a line that should end here.
+// end returns the recorded error, or an error if the line has more fields.
 func (f *fields) end(what string) error {
 	if f.err == nil && f.hasMore {
 		f.err = fmt.Errorf("too many values at %q", f.rest)
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// oneOf reads one of some words, and returns what it means.
+// oneOf reads a keyword, and returns the value that it stands for.
 func oneOf[T any](f *fields, name string, words map[string]T) T {
 	word := f.word()
 	v, ok := words[word]
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,10 +1,10 @@
-// Package simulator translates between the simulator's line protocol and the decide package: one
-// Balancer for each router instance, sharing nothing. It decides nothing.
+// Package simulator translates between the simulator's line protocol and package decide. It hosts
+// one independent Balancer for each router instance, and makes no decisions itself.
 //
-// A batch begins with a line that holds the clock, goes on with a line for each event, and ends
-// with a commit; the reply is a line for each action and an OK. The protocol's words stand in
-// words.go and nowhere else: lines.go reads lines and their fields, events.go the events, and
-// instance.go writes the actions.
+// A batch consists of a line with the clock, a line for each event, and a commit line. The reply
+// consists of a line for each action, and an OK line. words.go defines the keywords of the
+// protocol, lines.go reads lines and their fields, events.go reads the events, and instance.go
+// writes the actions.
 package simulator
 
 import (
@@ -14,25 +14,26 @@
 	"io"
 )
 
-// The errors of an input that ends too early.
+// Errors for an input that ends prematurely.
 var (
 	errEndsInLine  = errors.New("input ends within a line")
 	errEndsInBatch = errors.New("input ends within a batch")
 	errEndsInList  = errors.New("input ends within a list")
 )
 
-// session hosts the instances of one adapter process.
+// session hosts the instances of one simulator process.
 type session struct {
 	// lines is the input.
 	lines *lineReader
-	// instances are the open ones, by the number that the simulator gave them.
+	// instances are the open instances, by the number that the simulator assigned.
 	instances map[string]*instance
-	// reply is the reply to the batch in hand. It is written once the batch has been understood.
+	// reply is the reply to the current batch. It is written after the whole batch has been
+	// processed.
 	reply *bytes.Buffer
 }
 
-// Run answers batches from in on out until in ends. A malformed batch ends it with an error that
-// names the line, and is not answered.
+// Run reads batches from in and writes the replies to out until in ends. A malformed batch gets no
+// reply and ends Run with an error that contains the line number.
 func Run(in io.Reader, out io.Writer) error {
 	s := &session{lines: newLineReader(in), instances: map[string]*instance{}, reply: new(bytes.Buffer)}
 	for {
@@ -50,7 +51,7 @@
 	}
 }
 
-// batch reads one batch and acts on its events; false at the end of the input.
+// batch reads one batch and handles its events. It returns false at the end of the input.
 func (s *session) batch() (bool, error) {
 	text, err := s.nextFilled()
 	if errors.Is(err, io.EOF) {
@@ -80,7 +81,8 @@
 	}
 }
 
-// nextFilled returns the next line that is not empty; io.EOF only at a clean end of the input.
+// nextFilled returns the next line that is not empty. It returns io.EOF only if the input does not
+// end within a line.
 func (s *session) nextFilled() (string, error) {
 	for {
 		text, err := s.lines.next()
@@ -90,7 +92,7 @@
 	}
 }
 
-// parseBatchStart reads the clock, ms, from the first line of a batch.
+// parseBatchStart parses the clock, in ms, from the first line of a batch.
 func parseBatchStart(text string) (now float64, err error) {
 	f := newFields(text)
 	if word := f.word(); word != batchStart {
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -27,8 +27,8 @@
 	return out.String(), err
 }
 
-// Each batch, also an empty one, gets one reply with its actions: a read goes to a cache server, a
-// write to the origin.
+// Each batch, including an empty one, must get one reply with its actions: a read goes to a cache
+// server, a write to the origin.
 func TestBatchesAreAnswered(t *testing.T) {
 	out, err := run(t, "SYNC 1\nCOMMIT\n\n"+opening+
 		"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nASK 3 8 lock - - 500 - - 0 1\nCOMMIT\n")
@@ -39,15 +39,15 @@
 		t.Errorf("%d replies, want 3:\n%s", n, out)
 	}
 	if !strings.HasPrefix(out, "OK\n") {
-		t.Errorf("an empty batch got actions:\n%s", out)
+		t.Errorf("the reply to an empty batch has actions:\n%s", out)
 	}
 	if !strings.Contains(out, "PLACE 3 7 1") || !strings.Contains(out, "PLACE 3 8 13 ") {
-		t.Errorf("want the read at a cache server and the write at the origin:\n%s", out)
+		t.Errorf("want the read sent to a cache server and the write to the origin:\n%s", out)
 	}
 }
 
-// Every kind of event comes, also late ones, ones for instances that are not open, and timers that no
-// Balancer has set. Each batch must be answered.
+// A batch has all kinds of events, including late ones, events for instances that are not open, and
+// timers that no Balancer has set. Each batch must get a reply.
 func TestEveryEventIsRead(t *testing.T) {
 	out, err := run(t, opening+"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 - - 0 0\nCOMMIT\n"+
 		"SYNC 1010\nRETURNED 3 7 0 11 Failed 5.0 0 - 140,7,0.62\nRETURNED 3 7 0 12 Miss 5.0 0 2 -\n"+
@@ -63,8 +63,8 @@
 	}
 }
 
-// The columns of load reports are named by the settings. Each figure must go to its field, an absent
-// one stays below 0, and one without a use is ignored.
+// The settings name the columns of load reports. Each value must be stored in its field, an absent
+// value must stay negative, and an unknown column must be ignored.
 func TestReportColumns(t *testing.T) {
 	f := newFields("140,7,0.62,5,9,-")
 	l := f.load([]string{"rps", "active", "cpu", "avg_ms", "x0", "err_rps"})
@@ -76,8 +76,8 @@
 	}
 }
 
-// A batch is cut short, or a value in it is wrong. The adapter must end with an error of one line that
-// names the line of the input and what is wrong there.
+// A batch is cut short, or has an invalid value. Run must return an error of one line that contains
+// the number of the input line and the problem.
 func TestMalformedInputIsRejected(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"no start":        {"COMMIT\n", "line 1: want SYNC"},
@@ -107,13 +107,13 @@
 	} {
 		_, err := run(t, c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v, want one line with %q", name, err, c.want)
+			t.Errorf("%s: got %v, want an error of one line with %q", name, err, c.want)
 		}
 	}
 }
 
-// A batch with a reply longer than a writer's buffer turns out to be malformed at its end. Nothing of
-// its reply may have been written by then.
+// A malformed line follows events whose reply exceeds a writer's buffer. No part of the reply to
+// this batch may have been written.
 func TestNothingOfAMalformedBatchIsAnswered(t *testing.T) {
 	var in strings.Builder
 	in.WriteString(opening + "SYNC 1005\n")
@@ -126,11 +126,11 @@
 	}
 	out, err := run(t, in.String()+"DANCE 3\nCOMMIT\n")
 	if err == nil || strings.Count(out, "\n") != strings.Count(out, "OK\n")+1 {
-		t.Errorf("%d bytes of reply, error %v: want the opening's reply alone", len(out), err)
+		t.Errorf("%d bytes of reply, error %v: want only the reply to the opening batch", len(out), err)
 	}
 }
 
-// Two instances share a process. Each must act as it would alone.
+// Two instances run in one process. Each must act as it does in a process of its own.
 func TestInstancesShareNothing(t *testing.T) {
 	script := func(ids ...int) string {
 		var in strings.Builder
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := func(out, i string) string {
+	actionsOf := func(out, i string) string {
 		var kept []string
 		for _, l := range strings.Split(out, "\n") {
 			if f := strings.SplitN(l, " ", 3); len(f) > 1 && f[1] == i {
@@ -170,8 +170,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if id := fmt.Sprint(i); of(both, id) != of(alone, id) || of(alone, id) == "" {
-			t.Errorf("instance %d acts otherwise in company", i)
+		if id := fmt.Sprint(i); actionsOf(both, id) != actionsOf(alone, id) || actionsOf(alone, id) == "" {
+			t.Errorf("instance %d acts differently when it shares a process", i)
 		}
 	}
 }
@@ -186,10 +186,10 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
 		if err := Run(strings.NewReader(in), &out); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("an error of several lines: %q", err)
+			t.Errorf("the error has several lines: %q", err)
 		}
 		if s := out.String(); strings.Contains(s, "NaN") || strings.Contains(s, "Inf") {
-			t.Errorf("a figure that is none: %q", s)
+			t.Errorf("the reply has a value that is not finite: %q", s)
 		}
 	})
 }
--- a/internal/simulator/words.go
+++ b/internal/simulator/words.go
@@ -2,10 +2,10 @@
 
 import "dockhinge.example/dockhinge/decide"
 
-// The words of the simulator's protocol, and what they mean in the terms of the decide package.
-// They are the simulator's own and must stay as they are.
+// The keywords of the simulator's protocol, and their meaning in the terms of package decide. The
+// simulator defines them, so they can't be changed here.
 
-// The lines around events and actions.
+// Keywords that delimit batches, replies and list entries.
 const (
 	batchStart = "SYNC"
 	batchEnd   = "COMMIT"
@@ -13,7 +13,7 @@
 	listEntry  = "M"
 )
 
-// The events.
+// Keywords of the events.
 const (
 	eventOpen               = "OPEN_INSTANCE"
 	eventClose              = "SHUTDOWN"
@@ -27,7 +27,7 @@
 	eventTimer              = "FIRED"
 )
 
-// The actions.
+// Keywords of the actions.
 const (
 	actionSend        = "PLACE"
 	actionCancel      = "WITHDRAW"
@@ -41,10 +41,10 @@
 	actionLog         = "RECORD"
 )
 
-// absent stands for a value that is not given.
+// absent is the placeholder for a missing value.
 const absent = "-"
 
-// allPeers stands for every other instance as the receiver of a message.
+// allPeers addresses a message to all other instances.
 const allPeers = "-1"
 
 var statuses = map[string]decide.AttemptStatus{
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace is a router's record of single events, for an analysis of a fleet afterwards
-// (dockhinge-lab trace-summary). It is off by default. A nil *Trace takes events and does nothing.
+// Package trace records single events of a router, for a later analysis of the whole fleet
+// (dockhinge-lab trace-summary). It is disabled by default. All methods of a nil *Trace do nothing.
 package trace
 
 import (
@@ -10,9 +10,10 @@
 )
 
 const (
-	// LinePrefix begins each line, wherever a collector's own prefix ends.
+	// LinePrefix is the prefix of each line. A log collector may put its own prefix before it.
 	LinePrefix = "trace "
-	// MaxPerFlush bounds the events kept between two flushes; those beyond are counted only.
+	// MaxPerFlush is the number of events that are kept between two flushes; further ones are only
+	// counted.
 	MaxPerFlush = 4096
 )
 
@@ -22,20 +23,20 @@
 
 	mu  sync.Mutex
 	buf bytes.Buffer
-	// count is how many events buf has.
+	// count is the number of events in buf.
 	count int
-	// dropped is how many events were beyond MaxPerFlush.
+	// dropped is the number of events in excess of MaxPerFlush.
 	dropped int
 }
 
-// New returns a trace that writes to out.
+// New returns a Trace that writes to out.
 func New(out io.Writer) *Trace { return &Trace{out: out} }
 
-// Enabled reports whether events are kept: otherwise a caller need not put their fields together.
+// Enabled reports whether events are recorded. If not, callers can skip computing their fields.
 func (t *Trace) Enabled() bool { return t != nil }
 
-// Event keeps one event. The format and its arguments give its fields as name=value, separated by
-// spaces.
+// Event records an event. The format and its arguments must produce its fields as name=value,
+// separated by spaces.
 func (t *Trace) Event(unixMillis float64, name, format string, args ...any) {
 	if t == nil {
 		return
@@ -52,7 +53,7 @@
 	t.buf.WriteByte('\n')
 }
 
-// Flush writes what is kept, in one write. What can't be written is lost.
+// Flush writes the recorded events, in one write. Events that can't be written are lost.
 func (t *Trace) Flush(unixMillis float64) {
 	if t == nil {
 		return
@@ -63,7 +64,7 @@
 		fmt.Fprintf(&t.buf, "%s%.2f dropped n=%d\n", LinePrefix, unixMillis, t.dropped)
 	}
 	if t.buf.Len() > 0 {
-		_, _ = t.out.Write(t.buf.Bytes()) // a log that can't be written stops no router
+		_, _ = t.out.Write(t.buf.Bytes()) // a failing log must not stop the router
 	}
 	t.buf.Reset()
 	t.count = 0
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// More events come between two flushes than are kept. The rest are counted, and after the flush events
-// are kept again.
+// More events are recorded between two flushes than are kept. The rest must be counted, and after
+// the flush events must be kept again.
 func TestEventsBeyondTheBoundAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(&out)
@@ -28,16 +28,16 @@
 	tr.Flush(1400)
 	tr.Flush(1500)
 	if out.String() != "trace 1300.00 dial to=b ok=true\n" {
-		t.Errorf("after a flush: %q", out.String())
+		t.Errorf("after the flush: %q", out.String())
 	}
 }
 
-// A router without a trace calls the same methods, which do nothing.
+// A router without a trace calls the same methods on a nil *Trace, which must do nothing.
 func TestNoTraceTakesEvents(t *testing.T) {
 	var tr *Trace
 	tr.Event(1, "dial", "to=a ok=true")
 	tr.Flush(2)
 	if tr.Enabled() {
-		t.Error("a trace that is none is on")
+		t.Error("a nil trace reports that it is enabled")
 	}
 }
