--- a/cmd/dockhinge-sim/main.go
+++ b/cmd/dockhinge-sim/main.go
@@ -1,5 +1,5 @@
-// Command dockhinge-sim runs Balancers on the simulator's line protocol: it reads batches on
-// standard input and writes replies on standard output.
+// Command dockhinge-sim runs Balancers with the simulator's line protocol: it reads batches from
+// standard input and writes the replies to standard output.
 package main
 
 import (
@@ -12,10 +12,10 @@
 )
 
 const (
-	// threads is one, as batches are handled one at a time: more only add to the CPU time that the
-	// simulator measures.
+	// threads is 1 because batches are handled one at a time: more threads only add to the CPU time
+	// that the simulator measures.
 	threads = 1
-	// gcPercent lets the heap grow to five times what is in use, which saves CPU time.
+	// gcPercent lets the heap grow to five times the memory in use, which saves CPU time.
 	gcPercent = 400
 )
 
--- a/cmd/dockhinge/admin_router.go
+++ b/cmd/dockhinge/admin_router.go
@@ -9,11 +9,11 @@
 	"dockhinge.example/dockhinge/internal/router"
 )
 
-// errNotReady tells that the router is not built yet.
+// errNotReady reports that the router has not been built yet.
 var errNotReady = errors.New("not ready")
 
-// adminRouter is the admin.Router of the process. It answers from the start on: until the router is
-// built, it is not ready.
+// adminRouter is the admin.Router of the process. It answers calls from startup on; before the
+// router has been built, it is not ready.
 type adminRouter struct {
 	metrics *metrics.Router
 	router  atomic.Pointer[router.Router]
--- a/cmd/dockhinge/cmd_test.go
+++ b/cmd/dockhinge/cmd_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The operator checks a file before a reload. Each mistake is named with its line and setting, and the
-// exit code tells whether there is any.
+// An operator checks files before a reload. Each mistake must be reported with its line and
+// setting, and the error must be set only if there is a mistake.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
 	good, err := os.ReadFile("../../.ci/config.json")
@@ -18,13 +18,13 @@
 	}
 	edited := func(old, with string) string {
 		if !strings.Contains(string(good), old) {
-			t.Fatalf("no %s to change", old)
+			t.Fatalf("%s: not found in the configuration", old)
 		}
 		return strings.Replace(string(good), old, with, 1)
 	}
 	for _, c := range []struct {
 		name, text string
-		want       []string // nil = no mistake
+		want       []string // nil = no mistakes
 	}{
 		{"good.json", string(good), nil},
 		{"good.toml", "version = 1\n", nil},
@@ -74,7 +74,7 @@
 	}
 }
 
-// What the command line accepts prints what it is asked for; what it does not, it names.
+// A valid command line must print its result; for an invalid one the error must name the problem.
 func TestCommandLine(t *testing.T) {
 	for args, want := range map[string]string{
 		"version":         "handover 1",
@@ -94,9 +94,9 @@
 		})
 	}
 	for args, want := range map[string]string{
-		"swerve":                         `"swerve" is no sub-command`,
+		"swerve":                         `unknown sub-command "swerve"`,
 		"check":                          "check: FILE...: missing",
-		"version 3":                      `"3" is one`,
+		"version 3":                      `takes no arguments, got "3"`,
 		"serve --oprator x":              "unknown flag",
 		"completion tcsh":                "none of bash, zsh, fish",
 		"serve --operator /nowhere.toml": "operator file:",
--- a/cmd/dockhinge/completion.go
+++ b/cmd/dockhinge/completion.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/pflag"
 )
 
-// bashTemplate takes the names of the sub-commands, and a case of each with its flags.
+// bashTemplate is formatted with the names of the sub-commands, and a case with the flags for each.
 const bashTemplate = `_dockhinge() {
   local words='%s' word=${COMP_WORDS[COMP_CWORD]}
   if [ "$COMP_CWORD" -gt 1 ]; then
@@ -21,8 +21,8 @@
 complete -o default -F _dockhinge dockhinge
 `
 
-// completion prints a script for a shell: it completes sub-commands first, and then the flags of the
-// one that is there, or files.
+// completion prints a script that completes the command line in a shell: first the sub-command,
+// then its flags, or files.
 func completion(stdout io.Writer, shell string, commands []subcommand) error {
 	var script string
 	switch shell {
--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -11,15 +11,15 @@
 	"dockhinge.example/dockhinge/internal/router"
 )
 
-// configFiles are the files that a router is configured by.
+// configFiles are the paths of the files that configure a router.
 type configFiles struct {
 	// router is the path of the platform's configuration.
 	router string
-	// operator is the path of the operator file; "" = there is none.
+	// operator is the path of the operator file; "" = none.
 	operator string
 }
 
-// loadOperator reads the operator file, or returns the defaults where there is none.
+// loadOperator reads the operator file, or returns the defaults if there is none.
 func (f configFiles) loadOperator() (operator.File, error) {
 	if f.operator == "" {
 		return operator.Default(), nil
@@ -27,7 +27,7 @@
 	return operator.Load(f.operator)
 }
 
-// loadRouter reads the platform's configuration, and adds what the operator file sets.
+// loadRouter reads the platform's configuration, and adds the settings of the operator file.
 func (f configFiles) loadRouter(file operator.File) (*router.Config, error) {
 	cfg, err := router.LoadConfig(f.router, os.Getenv)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return f.loadRouter(file)
 }
 
-// reload reads the files at each SIGHUP and sends the configuration to updates, until ctx ends. Where
-// one of the files has a mistake, neither is taken: the router goes on with the configuration that it
-// has, and the mistake is logged and counted.
+// reload reads the files at each SIGHUP and sends the configuration to updates, until ctx ends. If
+// either file has a mistake, neither is applied: the router keeps its configuration, and the
+// mistake is logged and counted.
 func (f configFiles) reload(
 	ctx context.Context, hup <-chan os.Signal, updates chan<- *router.Config, m *metrics.Router,
 ) {
--- a/cmd/dockhinge/descriptors_test.go
+++ b/cmd/dockhinge/descriptors_test.go
@@ -20,7 +20,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// serveVariable has the test program be the router itself.
+// serveVariable is the environment variable that makes the test program run as the router.
 const serveVariable = "DOCKHINGE_TEST_SERVE"
 
 func TestMain(m *testing.M) {
@@ -32,9 +32,9 @@
 	os.Exit(m.Run())
 }
 
-const testTimeout = 20 * time.Second // for what must come; a test that passes does not wait for it
+const testTimeout = 20 * time.Second // for expected events; a passing test does not wait for it
 
-// await asks again until it holds.
+// await calls holds until it returns nil, and fails the test after testTimeout.
 func await(t *testing.T, what string, holds func() error) {
 	t.Helper()
 	end := time.Now().Add(testTimeout)
@@ -60,7 +60,7 @@
 	return ln
 }
 
-// cacheServer answers each read with a hit.
+// cacheServer runs a cache server that answers each read with a hit.
 func cacheServer(t *testing.T) (addr string) {
 	ln := listen(t, "127.0.0.1:0")
 	var served sync.WaitGroup
@@ -98,7 +98,7 @@
 	return ln.Addr().String()
 }
 
-// endpoint is a line of discovery's list.
+// endpoint returns an entry of discovery's list.
 func endpoint(id, addr, kind string) map[string]any {
 	return map[string]any{
 		"id":         id,
@@ -112,8 +112,8 @@
 	}
 }
 
-// connectIdleClients has that many clients connect, say nothing, and come again when their connection is closed,
-// until the test ends.
+// connectIdleClients starts clients that connect, send nothing, and reconnect when their connection
+// is closed, until the test ends. It returns after each has connected once.
 func connectIdleClients(t *testing.T, address string, clients int) {
 	ctx, stop := context.WithCancel(context.Background())
 	var idle, connected sync.WaitGroup
@@ -134,7 +134,7 @@
 				closeAtEnd()
 				conn.Close()
 				select {
-				case <-time.After(100 * time.Millisecond): // else the machine is busy with nothing but this
+				case <-time.After(100 * time.Millisecond): // limits the load of the reconnects
 				case <-ctx.Done():
 				}
 			}
@@ -143,14 +143,15 @@
 	connected.Wait()
 }
 
-// More idle clients connect than the process may have descriptors, and connect again when they are
-// closed. They take as many as a router leaves to clients, and no more: discovery that returns, health
-// checks and cache servers have theirs, at the limit that the platform sets on the process. A program
-// without that bound would run out of descriptors and never see the endpoint list.
+// More idle clients connect than the process may have descriptors, and reconnect when they are
+// closed. They must only get the descriptors that the router reserves for clients, so that
+// discovery when it returns, health checks and cache servers have theirs under the limit that the
+// platform sets for the process. Without this bound, the router would run out of descriptors and
+// never receive the endpoint list.
 func TestIdleClientsLeaveDescriptorsToDiscovery(t *testing.T) {
 	const sockets = 256
 	server := cacheServer(t)
-	discovery := listen(t, "127.0.0.1:0") // its address, which is down at first
+	discovery := listen(t, "127.0.0.1:0") // reserves the address of discovery, which is down at first
 	discovery.Close()
 	reserved := listen(t, "127.0.0.1:0")
 	admin := reserved.Addr().String()
@@ -192,8 +193,8 @@
 		router.Process.Kill()
 		router.Wait()
 		if t.Failed() {
-			said, _ := os.ReadFile(log)
-			t.Logf("the router's log:\n%s", said)
+			logged, _ := os.ReadFile(log)
+			t.Logf("the router's log:\n%s", logged)
 		}
 	})
 	limit := unix.Rlimit{Cur: sockets, Max: sockets}
@@ -202,14 +203,14 @@
 	}
 	var address string
 	await(t, "the router listens", func() error {
-		said, err := os.ReadFile(log)
-		for line := range strings.Lines(string(said)) {
+		logged, err := os.ReadFile(log)
+		for line := range strings.Lines(string(logged)) {
 			if _, at, found := strings.Cut(line, " address="); found && strings.Contains(line, "msg=listening") {
 				address = strings.TrimSpace(at)
 				return nil
 			}
 		}
-		return errors.Join(errors.New("no line of the log says so"), err)
+		return errors.Join(errors.New("no line of the log has the address"), err)
 	})
 	connectIdleClients(t, address, sockets+sockets/4)
 
@@ -243,7 +244,7 @@
 		return nil
 	})
 	number := 0
-	await(t, "a request is served by the server that discovery has named", func() error {
+	await(t, "the server listed by discovery serves a request", func() error {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			return err
@@ -260,7 +261,7 @@
 		}
 		return nil
 	})
-	if said, err := os.ReadFile(log); err != nil || strings.Contains(string(said), unix.EMFILE.Error()) {
+	if logged, err := os.ReadFile(log); err != nil || strings.Contains(string(logged), unix.EMFILE.Error()) {
 		t.Errorf("the router ran out of descriptors (reading its log: %v)", err)
 	}
 }
--- a/cmd/dockhinge/main.go
+++ b/cmd/dockhinge/main.go
@@ -19,10 +19,10 @@
 	"dockhinge.example/dockhinge/internal/router"
 )
 
-// errMistakes tells that files which were checked have mistakes. They are printed already.
+// errMistakes reports that a checked file has mistakes, which have already been printed.
 var errMistakes = errors.New("mistakes found")
 
-// Exit codes. docs/configuration.md names them.
+// Exit codes. docs/configuration.md documents them.
 const (
 	exitFailed   = 1
 	exitMistakes = 2
@@ -30,7 +30,7 @@
 
 func main() {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first of all: unhandled, it ends the program
+	signal.Notify(hup, syscall.SIGHUP) // before anything else: by default SIGHUP ends the program
 	switch err := run(hup, os.Args[1:], os.Stdout, os.Stderr); {
 	case errors.Is(err, errMistakes):
 		os.Exit(exitMistakes)
@@ -40,12 +40,12 @@
 	}
 }
 
-// subcommand is one of the program's. The table of them is walked by hand: of the libraries for it,
-// each keeps a megabyte or more of the program in memory on a router that may have 32
-// (docs/laboratory-design.md has the figures).
+// subcommand is a sub-command of the program. Sub-commands are dispatched without a command-line
+// library because each such library keeps a megabyte or more of the program in memory, on a router
+// that may have 32 MB (docs/laboratory-design.md has the measurements).
 type subcommand struct {
 	name string
-	// args are its arguments as the help shows them; "" = it takes none.
+	// args are its arguments as shown in the help; "" = it takes none.
 	args  string
 	short string
 	long  string
@@ -54,35 +54,35 @@
 }
 
 const serveHelp = `
-Without a sub-command the program serves as well, by the configuration that GW_CONFIG names.
+Without a sub-command the program serves too, with the configuration that GW_CONFIG names.
 
-SIGTERM, SIGINT  accept nothing new, answer the requests in flight, end with 0
-SIGHUP           read the platform's configuration, and the operator file's [admission], again and take both or none
+SIGTERM, SIGINT  accept no new requests, answer the requests in flight, exit with 0
+SIGHUP           reload the platform's configuration and the operator file's [admission] section; apply both or neither
 
-Started beside a process that serves at the same address and has the same $TMPDIR, it takes over from that one without
-losing a request. It ends with 1 where it can't start; the message names the setting.`
+If another process already serves at the same address with the same $TMPDIR, it hands over to this one without losing a
+request. The exit code is 1 if the router can't start; the message names the setting.`
 
 const checkHelp = `
-Reads each file as the router would and prints each mistake as FILE:LINE: SETTING: REASON. What may stand in the
-environment (GW_NAME and others) is taken from there. It opens no socket and changes nothing.
+Reads each file as the router would and prints each mistake as FILE:LINE: SETTING: REASON. Settings that the environment
+can provide (GW_NAME and others) are read from there. It opens no sockets and changes nothing.
 
-It ends with 0 where all is well and with 2 where a file has a mistake.`
+The exit code is 0 if no file has a mistake, and 2 otherwise.`
 
 const tenantsHelp = `
-Asks routers at their admin addresses how fair admission stands, and prints a table of the tenants of each: the share
-of all work that each was given, the share that it would have were it to want more now, and what became of its
-requests: admitted (let in), served, rejected behind admission as the fleet had no capacity (turned), rejected by
-admission (refused; of these: retries beyond the retry budget, and clients that returned before their retry-after was
-over), and the mean retry-after (told ms).
+Requests the state of fair admission from routers at their admin addresses, and prints a table of tenants for each: the
+share of all work that each tenant received, the share that it would receive if it became active now, and the results
+of its requests: admitted (let in), served, rejected after admission because the fleet had no capacity (turned),
+rejected by admission (refused; of these: retries in excess of the retry budget, and clients that returned before their
+retry-after was over), and the mean retry-after (told ms).
 
-It ends with 0 where all routers answered, else with 1.`
+The exit code is 0 if all routers answered, and 1 otherwise.`
 
 const completionHelp = `
     source <(dockhinge completion bash)`
 
 func newFlagSet() *pflag.FlagSet {
 	flags := pflag.NewFlagSet("dockhinge", pflag.ContinueOnError)
-	flags.SetOutput(io.Discard) // errors are returned, and help is printed by run
+	flags.SetOutput(io.Discard) // errors are returned, and run prints the help
 	return flags
 }
 
@@ -90,13 +90,13 @@
 	var files configFiles
 	serveFlags := newFlagSet()
 	serveFlags.StringVar(&files.router, "config", "",
-		"the platform's configuration, JSON (default: what GW_CONFIG names)")
+		"path of the platform's configuration, JSON (default: the value of GW_CONFIG)")
 	serveFlags.StringVar(&files.operator, "operator", "",
-		"the operator file, TOML (default: none, and the platform's ways)")
+		"path of the operator file, TOML (default: none, only the platform's settings apply)")
 	return []subcommand{
 		{
 			name:  "serve",
-			short: "serve until SIGTERM, then answer the requests in flight and end",
+			short: "serve until SIGTERM, then answer the requests in flight and exit",
 			long:  serveHelp,
 			flags: serveFlags,
 			exec:  func([]string) error { return serve(hup, files) },
@@ -112,21 +112,21 @@
 		{
 			name:  "tenants",
 			args:  "ADDRESS...",
-			short: "show how fair admission stands, by tenant",
+			short: "show the state of fair admission by tenant",
 			long:  tenantsHelp,
 			flags: newFlagSet(),
 			exec:  func(addrs []string) error { return tenants(addrs, stdout) },
 		},
 		{
 			name:  "version",
-			short: "print the versions of the program and of its forms",
+			short: "print the versions of the program, the operator file and the hand-over",
 			flags: newFlagSet(),
 			exec:  func([]string) error { return version(stdout) },
 		},
 		{
 			name:  "completion",
 			args:  "bash|zsh|fish",
-			short: "print a script that completes this command line",
+			short: "print a shell completion script",
 			long:  completionHelp,
 			flags: newFlagSet(),
 			exec: func(shell []string) error {
@@ -136,7 +136,7 @@
 	}
 }
 
-// run carries out a command line. Without one the program serves.
+// run executes a command line. Without arguments, the program serves.
 func run(hup <-chan os.Signal, args []string, stdout, stderr io.Writer) error {
 	commands := subcommands(hup, stdout, stderr)
 	if len(args) == 0 {
@@ -145,7 +145,7 @@
 	if args[0] == "help" || args[0] == "--help" || args[0] == "-h" {
 		return printHelp(stdout, commands)
 	}
-	if strings.HasPrefix(args[0], "-") { // the flags of serve
+	if strings.HasPrefix(args[0], "-") { // flags without a sub-command belong to serve
 		args = append([]string{"serve"}, args...)
 	}
 	for _, c := range commands {
@@ -153,22 +153,22 @@
 			return c.run(args[1:], stdout)
 		}
 	}
-	return fmt.Errorf("%q is no sub-command; see dockhinge --help", args[0])
+	return fmt.Errorf("unknown sub-command %q; see dockhinge --help", args[0])
 }
 
-// printHelp prints a line for each sub-command.
+// printHelp prints one line for each sub-command.
 func printHelp(stdout io.Writer, commands []subcommand) error {
 	var b strings.Builder
 	b.WriteString("A router in front of memcached-speaking cache servers.\n\n")
 	for _, c := range commands {
 		fmt.Fprintf(&b, "  dockhinge %-24s %s\n", strings.TrimSpace(c.name+" "+c.args), c.short)
 	}
-	b.WriteString("\ndockhinge SUB-COMMAND --help tells more of each; docs/configuration.md tells of the files.\n")
+	b.WriteString("\nRun dockhinge SUB-COMMAND --help for details; docs/configuration.md describes the files.\n")
 	_, err := io.WriteString(stdout, b.String())
 	return err
 }
 
-// run reads a sub-command's flags and arguments and executes it.
+// run parses a sub-command's flags and arguments, and executes it.
 func (c subcommand) run(args []string, stdout io.Writer) error {
 	err := c.flags.Parse(args)
 	rest := c.flags.Args()
@@ -181,14 +181,14 @@
 	case err != nil:
 		return fmt.Errorf("%s: %w", c.name, err)
 	case c.args == "" && len(rest) > 0:
-		return fmt.Errorf("%s: takes no argument, and %q is one", c.name, rest[0])
+		return fmt.Errorf("%s: takes no arguments, got %q", c.name, rest[0])
 	case c.args != "" && len(rest) == 0:
 		return fmt.Errorf("%s: %s: missing", c.name, c.args)
 	}
 	return c.exec(rest)
 }
 
-// check prints the mistakes of each file. The error is errMistakes where there are any.
+// check prints the mistakes in each file. The error is errMistakes if there are any.
 func check(paths []string, stdout, stderr io.Writer) error {
 	var result error
 	for _, path := range paths {
@@ -202,7 +202,7 @@
 	return result
 }
 
-// checkFile checks an operator file (.toml) or a configuration.
+// checkFile checks an operator file (.toml) or a configuration (any other extension).
 func checkFile(path string) error {
 	if filepath.Ext(path) == ".toml" {
 		_, err := operator.Load(path)
@@ -221,7 +221,7 @@
 	return err
 }
 
-// revision is the version that the program was built from.
+// revision returns the version that the program was built from.
 func revision() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -15,7 +15,7 @@
 	"dockhinge.example/dockhinge/internal/router"
 )
 
-// configPair is a configuration and an operator file that a test rewrites.
+// configPair is the paths of a configuration and an operator file that a test rewrites.
 type configPair struct {
 	t     *testing.T
 	files configFiles
@@ -39,9 +39,10 @@
 	}
 }
 
-// SIGHUP has the files read again. While either has a mistake, both signals are counted as failures
-// and nothing changes; once both are good, the next signal brings their configuration. A program that
-// took one file alone would run with rules that nobody has checked together.
+// SIGHUP reloads both files. While either has a mistake, each signal must be counted as a failure
+// and change nothing; once both are valid, the next signal must deliver their configuration. If one
+// file were applied alone, the router would run with a combination of settings that was never
+// validated.
 func TestReload(t *testing.T) {
 	good, err := os.ReadFile("../../.ci/config.json")
 	if err != nil {
@@ -64,13 +65,13 @@
 	pair.writeRouter("{")
 	pair.writeOperator("version = 1")
 	hup <- syscall.SIGHUP
-	hup <- syscall.SIGHUP // this one is taken once the first has been carried out
-	awaitFailures(2, "a bad configuration")
+	hup <- syscall.SIGHUP // received only after the first reload has ended
+	awaitFailures(2, "an invalid configuration")
 
 	pair.writeRouter(string(good))
 	pair.writeOperator("version = 1\n[admission]\nothers_weight = -1")
 	hup <- syscall.SIGHUP
-	awaitFailures(3, "a bad operator file")
+	awaitFailures(3, "an invalid operator file")
 
 	pair.writeOperator(`version = 1
 [admission]
@@ -93,7 +94,7 @@
 			}
 			return
 		case <-end:
-			t.Fatal("no configuration")
+			t.Fatal("no configuration was delivered")
 		}
 	}
 }
@@ -102,8 +103,8 @@
 	{"tenant": "small", "asked": 5, "work_ms": 10, "weight": 1},
 	{"tenant": "big\u001b", "asked": 90, "refused": 70, "told_ms": 250, "work_ms": 90, "weight": 1}]}`
 
-// The table names the tenant with the most work first, with its name escaped, as tenants are named by
-// clients. A router without admission, and one that does not answer, are named.
+// The table must list the tenant with the most work first, and escape the names, as clients choose
+// them. The error must name a router without admission, and an address that is not valid.
 func TestTenants(t *testing.T) {
 	answer := admissionAnswer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -24,23 +24,23 @@
 	"dockhinge.example/dockhinge/internal/trace"
 )
 
-// configVariable names the platform's configuration in the environment.
+// configVariable is the environment variable with the path of the platform's configuration.
 const configVariable = "GW_CONFIG"
 
-// Share of a router's memory that the Go heap may take, in tenths. The rest is for stacks, socket
-// buffers and what the kernel counts.
+// Share of a router's memory that the Go heap may use, in tenths. The rest is for stacks, socket
+// buffers and memory that the kernel attributes to the process.
 const (
 	heapTenths  = 6
 	wholeTenths = 10
 )
 
-// megabyteShift turns megabytes into bytes.
+// megabyteShift converts megabytes to bytes.
 const megabyteShift = 20
 
-// serve is the router's life, until a signal ends it.
+// serve runs the router until a signal ends it.
 //
-// On SIGTERM the router's Run answers the requests that it has and returns. Then the admin address,
-// the hand-over socket and the reloads end, and serve returns once they have.
+// On SIGTERM the router's Run answers the requests in flight and returns. Then the admin address,
+// the hand-over socket and the reloads are stopped, and serve returns after they have ended.
 func serve(hup <-chan os.Signal, files configFiles) error {
 	operatorFile, err := files.loadOperator()
 	if err != nil {
@@ -58,20 +58,20 @@
 	if operatorFile.Log.Trace {
 		cfg.Trace = trace.New(os.Stderr)
 	}
-	runtime.GOMAXPROCS(1) // the router has one core, which it may share
+	runtime.GOMAXPROCS(1) // the router has one core, which it may have to share
 	setMemoryLimit(cfg, 1)
 
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	var background sync.WaitGroup
 	defer background.Wait()
-	// The admin address and the hand-over socket outlive the signal: they answer while the router
+	// The admin address and the hand-over socket stay available after the signal, while the router
 	// drains.
 	alive, end := context.WithCancel(context.Background())
 	defer end()
 
-	figures := metrics.New()
-	adminRouter := &adminRouter{metrics: figures}
+	routerMetrics := metrics.New()
+	adminRouter := &adminRouter{metrics: routerMetrics}
 	if cfg.AdminAddr != "" {
 		ln, err := net.Listen("tcp", cfg.AdminAddr)
 		if err != nil {
@@ -79,22 +79,22 @@
 		}
 		background.Go(func() { admin.Serve(alive, ln, adminRouter) })
 	}
-	r, ln, err := start(ctx, cfg, figures)
+	r, ln, err := start(ctx, cfg, routerMetrics)
 	if err != nil {
 		return err
 	}
 	adminRouter.router.Store(r)
 	background.Go(func() {
 		if err := handover.Serve(alive, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
-			slog.Warn("no process can take over from this one", "error", err)
+			slog.Warn("serving the hand-over socket failed; no process can take over from this one", "error", err)
 		}
 	})
 	updates := make(chan *router.Config)
-	background.Go(func() { files.reload(alive, hup, updates, figures) })
+	background.Go(func() { files.reload(alive, hup, updates, routerMetrics) })
 	return r.Run(ctx, updates)
 }
 
-// newLogger is the logger that the operator file asks for.
+// newLogger returns the logger that the operator file configures.
 func newLogger(l operator.Log) *slog.Logger {
 	return logging.New(os.Stderr, logging.Options{
 		Level:          l.Level,
@@ -104,47 +104,50 @@
 	})
 }
 
-// setMemoryLimit leaves this process its part of the router's memory, while so many processes are the
-// router.
+// setMemoryLimit sets the memory limit of this process to its part of the router's memory, given
+// the number of processes that the router consists of.
 func setMemoryLimit(cfg *router.Config, processes int) {
 	debug.SetMemoryLimit(cfg.Limits.MemoryMB << megabyteShift * heapTenths / wholeTenths / int64(processes))
 }
 
-// start builds the router on a listening socket. The process that serves the address already hands
-// over its socket and its state; where there is none, or it does not, the address is bound.
-func start(ctx context.Context, cfg *router.Config, figures *metrics.Router) (*router.Router, net.Listener, error) {
-	setMemoryLimit(cfg, 2) // until it is known that there is no other process
+// start creates the router with a listening socket. A process that already serves the address hands
+// over its socket and its state; without such a process, or if the hand-over fails, start binds the
+// address.
+func start(
+	ctx context.Context, cfg *router.Config, routerMetrics *metrics.Router,
+) (*router.Router, net.Listener, error) {
+	setMemoryLimit(cfg, 2) // until it is known whether there is another process
 	link, ln, state, err := handover.Join(ctx, os.TempDir(), cfg.Listen)
 	if err != nil {
-		slog.Info("starting alone", "error", err)
+		slog.Info("starting without a hand-over", "error", err)
 		ln, err = bind(ctx, cfg.Listen)
 		if err != nil {
 			return nil, nil, fmt.Errorf("listen: %w", err)
 		}
 	}
 	setMemoryLimit(cfg, 1)
-	r, err := router.New(cfg, ln, figures)
+	r, err := router.New(cfg, ln, routerMetrics)
 	if err != nil {
 		return nil, nil, err
 	}
 	r.OnProcessCount(func(processes int) { setMemoryLimit(cfg, processes) })
 	if link != nil {
 		if err := r.Inherit(state, link); err != nil {
-			slog.Warn("handover", "error", err)
+			slog.Warn("restoring the state of the other process failed", "error", err)
 		}
 	}
 	return r, ln, nil
 }
 
 const (
-	// bindTimeout is how long an address may be held by a process that shares it with no other, as
-	// one of an older version does until it has ended.
+	// bindTimeout bounds the wait for an address held by a process that does not share it, such as
+	// one of an older version, which keeps it until it ends.
 	bindTimeout = 20 * time.Second
 	// bindInterval is the time between two attempts to bind it.
 	bindInterval = 50 * time.Millisecond
 )
 
-// bind listens at addr, and waits for a process that holds it.
+// bind listens at addr. While another process holds the address, it retries.
 func bind(ctx context.Context, addr string) (net.Listener, error) {
 	startedAt := time.Now()
 	for {
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -16,15 +16,15 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// errAdmissionOff tells that a router has no fair admission.
-var errAdmissionOff = errors.New("fair admission is not switched on there")
+// errAdmissionOff reports that a router does not have fair admission enabled.
+var errAdmissionOff = errors.New("fair admission is not enabled at this router")
 
-// tenants prints how fair admission stands at each router, by its admin address.
+// tenants prints the state of fair admission at each of the routers, given their admin addresses.
 func tenants(addrs []string, stdout io.Writer) error {
 	var failed []error
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			failed = append(failed, fmt.Errorf("tenants: %q is no host:port of a second address", addr))
+			failed = append(failed, fmt.Errorf("tenants: %q is no host:port of an admin address", addr))
 			continue
 		}
 		state, err := fetchAdmissionState(context.Background(), addr)
@@ -39,8 +39,8 @@
 	return errors.Join(failed...)
 }
 
-// fetchAdmissionState asks a router at its admin address. The error is errAdmissionOff where the
-// router has no fair admission.
+// fetchAdmissionState requests the state of admission at an admin address. The error is
+// errAdmissionOff if the router does not have fair admission enabled.
 func fetchAdmissionState(ctx context.Context, addr string) (state admission.State, err error) {
 	text, err := admin.Call(ctx, addr, http.MethodGet, admin.AdmissionPath)
 	var statusError *admin.StatusError
@@ -53,8 +53,8 @@
 	return state, json.Unmarshal(text, &state)
 }
 
-// printAdmissionState prints a table of the tenants, the one with the most work first. Its words are
-// those of docs/admission.md.
+// printAdmissionState prints a table of the tenants, in descending order of their work.
+// docs/admission.md describes its columns.
 func printAdmissionState(out io.Writer, addr string, s admission.State) error {
 	const bytesPerMB = 1e6
 	fmt.Fprintf(out, "%s: limit %.0f, in use %.0f, waiting %d; ", addr, s.Limit, s.InUse, s.Waiting)
@@ -76,7 +76,7 @@
 	return w.Flush()
 }
 
-// printTenant prints a row of the table.
+// printTenant prints one row of the table.
 func printTenant(w io.Writer, tenant admission.TenantStats, totalWork float64) {
 	name := fmt.Sprintf("%q", tenant.Tenant)
 	if tenant.Tenant == "" {
