--- a/internal/admission/benchmark_test.go
+++ b/internal/admission/benchmark_test.go
@@ -25,7 +25,7 @@
 		now := float64(i) / ratePerMilli
 		a.Arrive(now, Request{ID: i, Tenant: names[int(i)%tenants], Key: uint64(i), RemainingMillis: 1000})
 		if i >= lag {
-			a.Ended(now, Outcome{ID: i - lag, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
+			a.RequestEnded(now, Outcome{ID: i - lag, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 		}
 	}
 }
--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -76,7 +76,7 @@
 			return
 		}
 		p.ended[id] = true
-		p.admission.Ended(p.now, Outcome{
+		p.admission.RequestEnded(p.now, Outcome{
 			ID:            id,
 			Served:        e.Kind == 6,
 			Rejected:      e.Kind == 7,
@@ -121,7 +121,7 @@
 	for _, id := range p.host.admitted {
 		if !p.ended[id] {
 			outcome := Outcome{ID: id, Served: true, LatencyMillis: 1, Attempts: 1, WorkMillis: 10}
-			p.admission.Ended(p.now+1e6, outcome)
+			p.admission.RequestEnded(p.now+1e6, outcome)
 		}
 	}
 	checkTotals(t, p.admission)
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -91,7 +91,7 @@
 			case len(inWork) > 0:
 				id := inWork[int(e&0x7f)%len(inWork)]
 				ended[id] = true
-				a.Ended(0, Outcome{
+				a.RequestEnded(0, Outcome{
 					ID:            id,
 					Served:        true,
 					LatencyMillis: costMillis,
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -3,8 +3,8 @@
 // maxChargeFactor bounds what a request is charged, as a multiple of its estimated cost.
 const maxChargeFactor = 8
 
-// Ended processes the outcome of an admitted request.
-func (a *Admission) Ended(nowMillis float64, outcome Outcome) {
+// RequestEnded processes the outcome of an admitted request.
+func (a *Admission) RequestEnded(nowMillis float64, outcome Outcome) {
 	a.advance(nowMillis)
 	i, ok := a.byID[outcome.ID]
 	if !ok || a.records[i].isQueued {
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -211,7 +211,7 @@
 		t.Fatalf("%d requests were queued, %d are after the clients disconnected", waiting, a.waiting)
 	}
 	a.Arrive(2, Request{ID: 99, Tenant: "a", Key: 99, RemainingMillis: 1e6})
-	a.Ended(3, Outcome{ID: 0, Served: true, LatencyMillis: 3, WorkMillis: 3, Attempts: 1})
+	a.RequestEnded(3, Outcome{ID: 0, Served: true, LatencyMillis: 3, WorkMillis: 3, Attempts: 1})
 	if n := len(host.admitted); n != 2 || host.admitted[1] != 99 {
 		t.Errorf("admitted requests: %v", host.admitted)
 	}
@@ -246,7 +246,7 @@
 		now := float64(i) / 10
 		a.Arrive(now, Request{ID: i, Tenant: string(name), Key: uint64(i), RemainingMillis: 1000})
 		if i%3 == 0 {
-			a.Ended(now, Outcome{ID: i, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
+			a.RequestEnded(now, Outcome{ID: i, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 		}
 	}
 	grown := heapBytes() - initial
@@ -327,7 +327,7 @@
 			if now >= countedFrom {
 				work[tenantByID[id]] += workByID[id]
 			}
-			a.Ended(now, Outcome{ID: id, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
+			a.RequestEnded(now, Outcome{ID: id, Served: true, LatencyMillis: 10, WorkMillis: 10, Attempts: 1})
 		}
 		host.admitted = slices.DeleteFunc(host.admitted, func(id uint32) bool { return ageByID[id] >= serviceMillis })
 	}
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -142,7 +142,7 @@
 	case admissionQueued:
 		ad.admission.Disconnected(now, r.id)
 	case admissionAdmitted:
-		ad.admission.Ended(now, admission.Outcome{
+		ad.admission.RequestEnded(now, admission.Outcome{
 			ID:            r.id,
 			Served:        served,
 			Rejected:      rejected,
