--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -89,7 +89,7 @@
 		if p.host.decisions[id] == 0 {
 			p.disconnected[id] = true
 		}
-		p.admission.Disconnected(p.now, id)
+		p.admission.ClientDisconnected(p.now, id)
 	default:
 		p.admission.Tick(p.now)
 	}
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -76,8 +76,8 @@
 	a.flows[r.flow].stats.WorkMillis += actual - r.cost
 }
 
-// Disconnected removes a request from the queue after its client has disconnected.
-func (a *Admission) Disconnected(nowMillis float64, id uint32) {
+// ClientDisconnected removes a request from the queue after its client has disconnected.
+func (a *Admission) ClientDisconnected(nowMillis float64, id uint32) {
 	a.advance(nowMillis)
 	if i, ok := a.byID[id]; ok && a.records[i].isQueued {
 		a.flows[a.records[i].flow].stats.Disconnected++
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -205,7 +205,7 @@
 	}
 	waiting := a.waiting
 	for i := range uint32(51) {
-		a.Disconnected(1, i)
+		a.ClientDisconnected(1, i)
 	}
 	if a.waiting != 0 || waiting == 0 {
 		t.Fatalf("%d requests were queued, %d are after the clients disconnected", waiting, a.waiting)
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -140,7 +140,7 @@
 	r.admissionStage = admissionNone
 	switch stage {
 	case admissionQueued:
-		ad.admission.Disconnected(now, r.id)
+		ad.admission.ClientDisconnected(now, r.id)
 	case admissionAdmitted:
 		ad.admission.RequestEnded(now, admission.Outcome{
 			ID:            r.id,
