--- a/internal/admission/tenant_rules.go
+++ b/internal/admission/tenant_rules.go
@@ -35,8 +35,8 @@
 // rule matches belongs to the shared default tenant, "".
 type TenantRules []TenantRule
 
-// ByNetwork reports whether any rule uses the client's address.
-func (rules TenantRules) ByNetwork() bool {
+// UsesNetwork reports whether any rule uses the client's address.
+func (rules TenantRules) UsesNetwork() bool {
 	return slices.ContainsFunc(rules, func(rule TenantRule) bool { return rule.Source == TenantFromNetwork })
 }
 
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -108,7 +108,7 @@
 // arrive passes a new request to admission, which admits, queues or rejects it.
 func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
 	var client netip.Addr
-	if ad.tenants.ByNetwork() {
+	if ad.tenants.UsesNetwork() {
 		client = clientAddr(r.response.conn.Conn)
 	}
 	class, ok := ad.classIndex[r.command.class]
