--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -45,8 +45,8 @@
 	// State returns the state for a successor. Changes after it are sent over the link: such
 	// messages wait until the state has been sent.
 	State(ctx context.Context, l *Link) (any, error)
-	// Joined runs the link to a successor until the link ends.
-	Joined(ctx context.Context, l *Link)
+	// RunLink runs the link to a successor until the link ends.
+	RunLink(ctx context.Context, l *Link)
 }
 
 // Listen listens at addr with SO_REUSEPORT, so that it succeeds even while another process of the
@@ -163,7 +163,7 @@
 			if err := l.handOver(ctx, ln, peer); err != nil {
 				return // the other process continues alone
 			}
-			peer.Joined(ctx, l)
+			peer.RunLink(ctx, l)
 		})
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -32,7 +32,7 @@
 
 func (p *process) State(context.Context, *Link) (any, error) { return p.state, p.err }
 
-func (p *process) Joined(ctx context.Context, l *Link) {
+func (p *process) RunLink(ctx context.Context, l *Link) {
 	p.joined <- l
 	l.Run(ctx, func(m Message) error {
 		p.heard <- m
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Joined keeps a link to another process of this router until it ends.
-func (r *Router) Joined(ctx context.Context, link *handover.Link) {
+// RunLink keeps a link to another process of this router until it ends.
+func (r *Router) RunLink(ctx context.Context, link *handover.Link) {
 	r.peers.add(link, true)
 	r.splitLimits()
 	link.Run(ctx, func(m handover.Message) error { return r.handleMessage(ctx, link, m) })
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -103,7 +103,7 @@
 	wg.Go(func() { r.loop.run(work) })
 	wg.Go(func() { r.upstreams.sweep(work) })
 	if r.link != nil {
-		wg.Go(func() { r.Joined(work, r.link) })
+		wg.Go(func() { r.RunLink(work, r.link) })
 	}
 	drainsKnown := make(chan struct{})
 	if r.cfg.Agreement != nil {
