--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 	counts [outcomeCount]atomic.Int64
 }
 
-// Ended counts the end of a request.
-func (c *Class) Ended(outcome Outcome) { c.counts[outcome].Add(1) }
+// CountOutcome counts the end of a request.
+func (c *Class) CountOutcome(outcome Outcome) { c.counts[outcome].Add(1) }
 
 // Router holds the metrics of one process. All counters start at 0. Fields and methods may be used
 // concurrently.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,10 +11,10 @@
 func TestReportHasTheOperatorsNames(t *testing.T) {
 	m := New()
 	c := m.Class("fetch")
-	c.Ended(Success)
-	c.Ended(Success)
-	c.Ended(Overload)
-	c.Ended(Error)
+	c.CountOutcome(Success)
+	c.CountOutcome(Success)
+	c.CountOutcome(Overload)
+	c.CountOutcome(Error)
 	m.Dispatches.Add(5)
 	m.Class("publish") // registered, but without requests
 	m.Concurrent.Store(14)
@@ -47,7 +47,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				m.Class("fetch").Ended(Success)
+				m.Class("fetch").CountOutcome(Success)
 				m.Snapshot()
 			}
 		})
--- a/internal/router/client_read.go
+++ b/internal/router/client_read.go
@@ -165,7 +165,7 @@
 func (c *clientConn) submit(received receivedCommand, r *response) {
 	l := c.clients.loop
 	if received.isRejected {
-		l.metrics.Class(received.class).Ended(metrics.Overload)
+		l.metrics.Class(received.class).CountOutcome(metrics.Overload)
 		r.answer(rejectedAnswer(l.rules.Load().retryAfterMillis))
 		return
 	}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -195,7 +195,7 @@
 	r.isDone = true
 	l.metrics.Concurrent.Add(-1)
 	if end != endDisconnected {
-		r.rule.count.Ended(end)
+		r.rule.count.CountOutcome(end)
 	}
 	if end == metrics.Success && l.latencies != nil {
 		l.latencies[rollout.LatencyBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
@@ -255,9 +255,9 @@
 	l.metrics.Concurrent.Add(-1)
 	delete(l.unanswered, a.request.command.id)
 	if isComplete {
-		a.request.rule.count.Ended(metrics.Success)
+		a.request.rule.count.CountOutcome(metrics.Success)
 	} else {
-		a.request.rule.count.Ended(metrics.Error)
+		a.request.rule.count.CountOutcome(metrics.Error)
 	}
 }
 
