--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -22,21 +22,21 @@
 	outcomeCount
 )
 
-// Class holds the counters of one request class. They never decrease, as readers compute
+// ClassCounters holds the counters of one request class. They never decrease, as readers compute
 // differences.
-type Class struct {
+type ClassCounters struct {
 	counts [outcomeCount]atomic.Int64
 }
 
 // CountOutcome counts the end of a request.
-func (c *Class) CountOutcome(outcome Outcome) { c.counts[outcome].Add(1) }
+func (c *ClassCounters) CountOutcome(outcome Outcome) { c.counts[outcome].Add(1) }
 
 // Router holds the metrics of one process. All counters start at 0. Fields and methods may be used
 // concurrently.
 type Router struct {
 	mu sync.RWMutex
 	// classes includes the classes that a reload has removed, so that their counts are kept.
-	classes map[string]*Class
+	classes map[string]*ClassCounters
 
 	// Dispatches counts the attempts that were completely written to a server.
 	Dispatches atomic.Int64
@@ -53,11 +53,11 @@
 }
 
 // New returns metrics with all values at 0.
-func New() *Router { return &Router{classes: map[string]*Class{}} }
+func New() *Router { return &Router{classes: map[string]*ClassCounters{}} }
 
 // Class returns the counters of a class, which is included in snapshots from then on. It must only
 // be called for configured classes, as the counters are never removed.
-func (m *Router) Class(name string) *Class {
+func (m *Router) Class(name string) *ClassCounters {
 	m.mu.RLock()
 	c := m.classes[name]
 	m.mu.RUnlock()
@@ -68,7 +68,7 @@
 	defer m.mu.Unlock()
 	c = m.classes[name]
 	if c == nil {
-		c = new(Class)
+		c = new(ClassCounters)
 		m.classes[name] = c
 	}
 	return c
--- a/internal/router/rules.go
+++ b/internal/router/rules.go
@@ -22,7 +22,7 @@
 // rule is what the settings say of a class, and its metrics.
 type rule struct {
 	decide.Class
-	count *metrics.Class
+	count *metrics.ClassCounters
 }
 
 func newRules(s decide.Config, m *metrics.Router) *rules {
