--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -1,6 +1,6 @@
-// Package client holds a session and leases with the coordinators, for routers and tools. Whether a
-// lease may be acted on is answered by Lease.Remaining alone, from LeaseTable, at the moment of
-// asking. Nothing here ever waits in a request's path.
+// Package client maintains a session and leases with the coordinators, for routers and tools. Whether a
+// holder may act under a lease is decided by Lease.Remaining, which uses the local LeaseTable at the
+// time of the call. No function here is meant to be waited for while serving a request.
 package client
 
 import (
@@ -15,26 +15,26 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// Options are those of a client.
+// Options configure a client.
 type Options struct {
-	Coordinators map[string]string // addresses for clients (host:port), by name
-	ClientName   string            // by which leases are transferred to this client
+	Coordinators map[string]string // addresses for clients (host:port), by coordinator name
+	ClientName   string            // by which other clients transfer leases to this one
 	TTL          time.Duration     // of the session
 
-	// RequestTimeoutMillis is how long one coordinator is given to respond; 0: a sixth of TTL, 1 s at
-	// most.
+	// RequestTimeoutMillis is how long one coordinator is given to respond. The default for 0 is a
+	// sixth of TTL, but at most 1 s.
 	RequestTimeoutMillis int
 
 	Clock func() time.Duration // nil: clock.Now
 	Log   *slog.Logger         // nil: nothing is logged
 
-	// Dial opens a connection; nil: a net.Dialer with dialTimeout. Tools that count bytes wrap it.
+	// Dial opens a connection; nil: a net.Dialer with dialTimeout. Tools that count bytes set it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 const (
-	// maxCommandsInFlight of a session leave half of the coordinators' window to commands whose
-	// responses are late.
+	// maxCommandsInFlight is half of the coordinators' window per session: the other half is left for
+	// commands whose responses are late.
 	maxCommandsInFlight = coord.MaxCachedResponses / 2
 
 	dialTimeout               = time.Second
@@ -42,35 +42,35 @@
 	maxIdleConnectionsPerHost = 4
 )
 
-// Client is a session with what it holds. Its methods may be called concurrently.
+// Client maintains a session and its leases. Its methods may be called concurrently.
 type Client struct {
 	options      Options
 	http         *http.Client
 	commandSlots chan struct{}  // one for each command in flight
-	wg           sync.WaitGroup // of the goroutines of commands; Run waits for it
+	wg           sync.WaitGroup // goroutines of commands; Run waits for them
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	leases LeaseTable
-	// sessionID is set before the session is known to be there, and stays after it was lost.
+	// sessionID is set before the session is open, and kept after it is lost.
 	sessionID string
-	// sessionReady is closed once the session is there, and replaced after each loss.
+	// sessionReady is closed when the session is open, and replaced after each loss.
 	sessionReady chan struct{}
 	// sessionContext ends with the session.
 	sessionContext context.Context
 	lastSequence   uint64
-	// pending are the sequence numbers whose responses have not come.
+	// pending has the sequence numbers of commands without a response yet.
 	pending map[uint64]bool
-	// windowMoved is closed, and replaced, once a pending command is answered or the session changes.
+	// windowMoved is closed and replaced when a pending command gets a response or a session starts.
 	windowMoved chan struct{}
-	// leader is the coordinator that responded last, "" where it failed.
+	// leader is the coordinator that responded last, or "" if none did.
 	leader string
-	// sessionError is why there is no session, as the coordinators said it.
+	// sessionError is why the coordinators have not opened a session.
 	sessionError error
-	// transferredBytes counts the bodies that were sent and received.
+	// transferredBytes counts the bytes of request and response bodies.
 	transferredBytes int64
 }
 
-// New prepares a client; Run opens its session.
+// New returns a client. Run opens its session.
 func New(options Options) *Client {
 	if options.Clock == nil {
 		options.Clock = clock.Now
@@ -101,8 +101,8 @@
 	}
 }
 
-// Run opens a session, keeps it alive, and opens another one where it was lost, until ctx ends; then
-// it closes the session and waits for the commands in flight.
+// Run opens a session and keeps it alive, and opens another one when it is lost, until ctx ends. It then
+// closes the session and waits for the commands in flight.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	defer c.wg.Wait()
@@ -119,7 +119,7 @@
 	}
 }
 
-// TransferredBytes is how much was sent and received so far, bodies only.
+// TransferredBytes returns how many bytes of request and response bodies were transferred so far.
 func (c *Client) TransferredBytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coord/client/command.go
+++ b/internal/coord/client/command.go
@@ -8,19 +8,19 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// outcome is what became of a numbered command.
+// outcome is the outcome of a numbered command.
 type outcome struct {
 	response    coord.Response
 	firstSentAt time.Duration // on the client's clock
-	sessionID   string        // in which it was sent
+	sessionID   string        // of the session in which it was sent
 	err         error
 }
 
-// execute has a numbered command carried out once, however often it must be sent, and waits for its
-// response until ctx ends. Where the caller no longer waits, the command is repeated all the same
-// until its outcome is known, and onLateOutcome, if any, gets it.
+// execute numbers a command, sends it until it is answered, and waits for its response until ctx ends.
+// The coordinators execute it once, however often it is sent. If the caller stops waiting, the command
+// is still repeated until its outcome is known, and onLateOutcome, if not nil, is called with it.
 //
-// A command that names a session is carried out in that session or not at all (ErrLeaseLost).
+// A command that names a session is executed in that session or not at all (ErrLeaseLost).
 func (c *Client) execute(ctx context.Context, command coord.Command, onLateOutcome func(outcome)) outcome {
 	c.mu.Lock()
 	sessionReady := c.sessionReady
@@ -63,7 +63,7 @@
 	}
 }
 
-// enterWindow numbers a command in the session that is there and counts it in wg.
+// enterWindow numbers a command in the current session and counts it in wg.
 func (c *Client) enterWindow(ctx context.Context, command coord.Command) (coord.Command, context.Context, error) {
 	if err := c.lockWindow(ctx); err != nil {
 		return command, nil, err
@@ -83,10 +83,10 @@
 	return command, c.sessionContext, nil
 }
 
-// lockWindow locks mu once the next sequence number lies within what the coordinators remember
-// beyond the oldest command whose response hasn't come: others may have been answered by the dozen
-// while that one is repeated, and a command beyond the window is rejected. After an error mu isn't
-// locked.
+// lockWindow locks mu once the next sequence number is within the coordinators' window of remembered
+// responses. The window begins at the oldest command without a response: while that one is repeated,
+// many others may be answered, and the coordinators reject a command beyond the window. If it returns
+// an error, mu isn't locked.
 func (c *Client) lockWindow(ctx context.Context) error {
 	for {
 		c.mu.Lock()
@@ -103,8 +103,8 @@
 	}
 }
 
-// acknowledgedThrough is the sequence number through which all responses have come. The caller holds
-// mu.
+// acknowledgedThrough returns the sequence number up to which all responses have been received. The
+// caller must hold mu.
 func (c *Client) acknowledgedThrough() uint64 {
 	through := c.lastSequence
 	for sequence := range c.pending {
@@ -113,14 +113,14 @@
 	return through
 }
 
-// wakeWindow has those look again who wait in lockWindow. The caller holds mu.
+// wakeWindow wakes the callers that wait in lockWindow. The caller must hold mu.
 func (c *Client) wakeWindow() {
 	close(c.windowMoved)
 	c.windowMoved = make(chan struct{})
 }
 
-// repeatUntilAnswered sends a command until it is answered or the session is over. The coordinators
-// carry it out once, by its sequence number.
+// repeatUntilAnswered sends a command until it is answered or the session ends. The coordinators execute
+// it once, by its sequence number.
 func (c *Client) repeatUntilAnswered(sessionContext context.Context, command coord.Command) outcome {
 	o := outcome{firstSentAt: c.options.Clock(), sessionID: command.SessionID}
 	timeout := c.newRequestTimeout()
--- a/internal/coord/client/errors.go
+++ b/internal/coord/client/errors.go
@@ -7,23 +7,23 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNoSession says that there is no session with the coordinators now; another is being opened.
+	// ErrNoSession means that the client currently has no session; it is opening another one.
 	ErrNoSession = errors.New("no session with the coordinators")
-	// ErrLeaseLost says that the lease's time is over or its session has ended: stop acting.
-	ErrLeaseLost = errors.New("the lease's time is out")
-	// ErrNotLeader says that another coordinator must be asked (Call).
+	// ErrLeaseLost means that the lease has expired or its session has ended: the holder must stop.
+	ErrLeaseLost = errors.New("the lease has expired or was lost")
+	// ErrNotLeader means that another coordinator must be asked. Call returns it.
 	ErrNotLeader = errors.New("not the leader")
 )
 
-// RejectedError is a response of the coordinators that isn't CodeOK. With CodeNoSession it isn't
-// known whether the command was carried out: an earlier sending of it may have been, and the
-// responses of a session are forgotten when it ends.
+// RejectedError is a response of the coordinators other than CodeOK. With CodeNoSession it is unknown
+// whether the command was executed: an earlier attempt may have been, and the responses of a session are
+// discarded when it ends.
 type RejectedError struct{ coord.Response }
 
-// RetryLaterError says that a coordinator has reached a limit of its own, as of connections or
-// watchers, and when to come back.
+// RetryLaterError means that a coordinator has reached a limit, such as of connections or watchers.
+// RetryAfter is how long to wait before a retry.
 type RetryLaterError struct {
 	Text       string
 	RetryAfter time.Duration
@@ -33,7 +33,7 @@
 	return e.Text + ", retry after " + e.RetryAfter.Round(time.Millisecond).String()
 }
 
-// redirectError says that the coordinator doesn't lead.
+// redirectError means that the coordinator doesn't lead.
 type redirectError struct{ text string }
 
 func (e *redirectError) Error() string { return e.text }
--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -9,25 +9,24 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// leaseCheckInterval is how often Lease.Context checks that the lease wasn't lost before its time.
+// leaseCheckInterval is how often Lease.Context checks whether the lease was lost before its expiry.
 const leaseCheckInterval = 100 * time.Millisecond
 
-// Lease is one that was acquired.
+// Lease is an acquired lease.
 type Lease struct {
 	client    *Client
-	sessionID string // in which it was acquired: in another session it isn't held
+	sessionID string // in which it was acquired; it isn't held in any other session
 	Name      string
-	Token     uint64 // fencing token: what the holder acts on rejects a lower one than it has seen
+	Token     uint64 // fencing token; the protected resource rejects a lower token than the highest it has seen
 }
 
-// Remaining is the answer to when a lease holder stops acting: now, where it is 0, and after that
-// time at the latest otherwise, unless a keep-alive extends it. It is 0 when the lease's or the
-// session's time is over (counted from when the newest successful request was sent), when the
-// coordinators said that the session has ended, when the lease was released or transferred, and when
-// it is held again under another token.
+// Remaining returns for how long the holder may still act under the lease unless a keep-alive extends
+// it; 0 means that it must stop now. It is 0 once the lease or the session has expired (counted from when
+// the most recent successful request was sent), the coordinators have reported the end of the session,
+// or the lease was released, transferred, or acquired again with another token.
 //
-// It is the check before an act. A process may be stopped between the check and the act for longer
-// than any lease lasts, so the act itself must be checked by its token or be harmless twice.
+// Callers check it before an act. The process may be paused between the check and the act for longer
+// than any lease lasts, so the act itself must be checked by its token or be harmless if repeated.
 func (l *Lease) Remaining() time.Duration {
 	l.client.mu.Lock()
 	defer l.client.mu.Unlock()
@@ -38,12 +37,12 @@
 	return remaining
 }
 
-// Context ends margin before the lease's time is over, or once it is lost, with ErrLeaseLost as its
-// cause. The function that is returned ends it too, and waits for its goroutine.
+// Context returns a context that ends when less than margin of the lease remains or the lease is lost,
+// with ErrLeaseLost as its cause. The returned function cancels it and waits for its goroutine.
 func (l *Lease) Context(parent context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	done := make(chan struct{})
-	go func() { // ended by the function that is returned, which waits for it
+	go func() { // ended by the returned function, which waits for it
 		defer close(done)
 		for {
 			remaining := l.Remaining() - margin
@@ -62,7 +61,7 @@
 	}
 }
 
-// Acquire asks for a lease once. A RejectedError with CodeHeld says who holds it.
+// Acquire tries once to acquire a lease. A RejectedError with CodeHeld names the current holder.
 func (c *Client) Acquire(ctx context.Context, name, purpose string, ttl time.Duration) (*Lease, error) {
 	command := coord.Command{Op: coord.OpAcquire, Lease: name, Purpose: purpose, TTL: ttl}
 	o := c.execute(ctx, command, func(late outcome) { c.releaseUnwanted(name, late) })
@@ -79,7 +78,7 @@
 	return &Lease{client: c, sessionID: o.sessionID, Name: name, Token: token}, nil
 }
 
-// releaseUnwanted gives back a lease that was granted after its caller stopped waiting.
+// releaseUnwanted releases a lease that was granted after its caller stopped waiting.
 func (c *Client) releaseUnwanted(name string, granted outcome) {
 	if granted.err != nil {
 		return
@@ -96,15 +95,15 @@
 	c.execute(sessionContext, release, nil)
 }
 
-// Release gives the lease back. Nothing may be acted on it from the call on, whatever the error.
+// Release releases the lease. The holder must not act under it from the call on, whatever the error.
 func (l *Lease) Release(ctx context.Context) error {
 	l.stopActing()
 	return l.client.execute(ctx, l.command(coord.OpRelease), nil).err
 }
 
-// Transfer gives the lease to the client of that name, and returns the successor's token. Nothing
-// may be acted on it from the call on. Where it is rejected, the lease is this client's to acquire
-// again, and Acquire gives it back at once.
+// Transfer gives the lease to another client, by name, and returns the successor's token. The holder
+// must not act under the lease from the call on. After a rejected transfer, a client that still holds
+// the lease gets it back with Acquire.
 func (l *Lease) Transfer(ctx context.Context, successor string) (token uint64, err error) {
 	l.stopActing()
 	command := l.command(coord.OpTransfer)
@@ -113,8 +112,8 @@
 	return o.response.Token, o.err
 }
 
-// WriteRecord sets the lease's record, if the lease still is held with its token when the write is
-// carried out: an act that the agreed state itself checks.
+// WriteRecord sets the lease's record if the lease is still held with its token when the command is
+// executed. The state machine itself checks the token.
 func (l *Lease) WriteRecord(ctx context.Context, record []byte) error {
 	command := l.command(coord.OpWriteRecord)
 	command.Record = record
@@ -125,16 +124,16 @@
 	return coord.Command{Op: op, SessionID: l.sessionID, Lease: l.Name, Token: l.Token}
 }
 
-// stopActing has Remaining return 0 before the coordinators may give the lease to another.
+// stopActing makes Remaining return 0 before the coordinators may give the lease to another client.
 func (l *Lease) stopActing() {
 	l.client.mu.Lock()
 	l.client.leases.Forget(l.Name, l.Token)
 	l.client.mu.Unlock()
 }
 
-// RunWithLease waits until the lease is held, runs f under it, and releases it. The context of f
-// ends margin before the lease's time is over. It returns f's error, or why there is no lease once
-// ctx has ended.
+// RunWithLease waits until it holds the lease, runs f under it, and releases it. The context of f ends
+// when less than margin of the lease remains. It returns f's error, or, once ctx has ended, why the
+// lease could not be acquired.
 func (c *Client) RunWithLease(
 	ctx context.Context, name, purpose string, ttl, margin time.Duration, f func(context.Context, *Lease) error,
 ) error {
@@ -154,7 +153,7 @@
 		}
 		if isRejected && rejected.Code == coord.CodeHeld && c.WatchLease(ctx, name, rejected.Token) == nil {
 			pause = minRetryPause
-			if !clock.Sleep(ctx, jitter(pause)) { // all who wait for the lease must not come at once
+			if !clock.Sleep(ctx, jitter(pause)) { // spreads out the clients that wait for the lease
 				return ctx.Err()
 			}
 			continue
@@ -166,7 +165,7 @@
 	}
 }
 
-// runUnder runs f and releases the lease; where the release fails, the lease expires.
+// runUnder runs f and releases the lease. If the release fails, the lease expires.
 func (c *Client) runUnder(
 	ctx context.Context, lease *Lease, margin time.Duration, f func(context.Context, *Lease) error,
 ) error {
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -9,10 +9,10 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// LeaseTable is what a client knows of its session and leases, and by which it may act. It has no
-// I/O and no clock: all times are the caller's, on one clock. An expiry is counted from when a
-// request was sent, never from when its response came: the coordinators began to count before they
-// responded, and a holder that counted from the response would act beyond its time.
+// LeaseTable is a client's local record of its session and leases, which decides whether it may act. It
+// has no I/O and no clock: the caller passes all times, which must be of one clock. Expiry is counted
+// from when a request was sent, never from when its response arrived: the coordinators start counting
+// before they respond, so a holder that counts from the response would act beyond its lease.
 type LeaseTable struct {
 	sessionTTL       time.Duration
 	sessionExpiresAt time.Duration
@@ -26,7 +26,7 @@
 	expiresAt time.Duration
 }
 
-// SessionOpened records a session that was asked for at sentAt.
+// SessionOpened records a session whose request was sent at sentAt.
 func (t *LeaseTable) SessionOpened(ttl, sentAt, now time.Duration) {
 	*t = LeaseTable{
 		sessionTTL:       ttl,
@@ -36,7 +36,7 @@
 	}
 }
 
-// countedFrom is when the time of what was asked for at sentAt begins.
+// countedFrom returns the instant from which expiry is counted for a request that was sent at sentAt.
 func countedFrom(sentAt, now time.Duration) time.Duration {
 	if failpoint.Is("time-from-answer") {
 		return now
@@ -44,9 +44,9 @@
 	return sentAt
 }
 
-// KeptAlive records that the session was kept alive by a command that was sent at sentAt and whose
-// response came at now. What had expired by then stays expired: the coordinators may have given it
-// to another holder before the command reached them.
+// KeptAlive records a keep-alive that was sent at sentAt and whose response arrived at now. Leases that
+// had expired by then stay expired: the coordinators may have granted them to another holder before the
+// keep-alive reached them.
 func (t *LeaseTable) KeptAlive(sentAt, now time.Duration) {
 	if !t.HasSession(now) {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// Granted records a lease, and reports whether any of its time is left.
+// Granted records a granted lease. It returns false if the lease or the session has expired already.
 func (t *LeaseTable) Granted(name string, token uint64, ttl, sentAt, now time.Duration) bool {
 	expiresAt := countedFrom(sentAt, now) + ttl
 	if !t.HasSession(now) || now >= expiresAt {
@@ -77,22 +77,22 @@
 	return true
 }
 
-// Forget removes a lease that is held with this token: the client has stopped acting on it.
+// Forget removes a lease that is held with this token, as the client has stopped acting under it.
 func (t *LeaseTable) Forget(name string, token uint64) {
 	if lease := t.leases[name]; lease != nil && lease.token == token {
 		delete(t.leases, name)
 	}
 }
 
-// SessionLost removes everything: the coordinators said that the session has ended.
+// SessionLost removes the session and all leases.
 func (t *LeaseTable) SessionLost() { *t = LeaseTable{} }
 
-// HasSession reports whether the session is there.
+// HasSession reports whether the session is open.
 func (t *LeaseTable) HasSession(now time.Duration) bool {
 	return t.hasSession && now < t.sessionExpiresAt
 }
 
-// Held is a lease's token and how much of its time is left; false where it must not be acted on.
+// Held returns a held lease's token and the time until it expires, or false if the client must not act.
 func (t *LeaseTable) Held(name string, now time.Duration) (token uint64, remaining time.Duration, ok bool) {
 	lease := t.leases[name]
 	if lease == nil || !t.HasSession(now) || now >= lease.expiresAt {
@@ -101,7 +101,7 @@
 	return lease.token, min(lease.expiresAt, t.sessionExpiresAt) - now, true
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a copy that shares no mutable data.
 func (t *LeaseTable) Clone() LeaseTable {
 	c := *t
 	if t.leases == nil {
@@ -115,7 +115,7 @@
 	return c
 }
 
-// Fingerprint is a text of all that the table knows: equal tables give equal texts.
+// Fingerprint returns a text of the table's content. Equal tables have equal texts.
 func (t *LeaseTable) Fingerprint() string {
 	text := fmt.Sprint(t.sessionTTL, t.sessionExpiresAt, t.hasSession)
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
--- a/internal/coord/client/request.go
+++ b/internal/coord/client/request.go
@@ -19,12 +19,12 @@
 const (
 	maxResponseBytes = 8 << 20
 
-	// watchDuration is how long a coordinator may keep a GET waiting for a change, beyond the
-	// request timeout.
+	// watchDuration is how long a coordinator may delay the response to a GET until there is a change,
+	// beyond the request timeout.
 	watchDuration = 10 * time.Second
 )
 
-// request is one HTTP request as any coordinator may get it.
+// request is an HTTP request that can be sent to any coordinator.
 type request struct {
 	method  string
 	path    string
@@ -32,13 +32,13 @@
 	timeout time.Duration // for one coordinator to respond
 }
 
-// send sends a command within the usual timeout.
+// send sends a command with the base timeout.
 func (c *Client) send(ctx context.Context, command coord.Command) (coord.Response, error) {
 	return c.sendWithin(ctx, c.baseRequestTimeout(), command)
 }
 
-// sendWithin sends a command to the leader as far as it is known, following redirects, until one
-// coordinator has carried it out or all have been asked.
+// sendWithin sends a command to the known leader, or follows redirects to it, until one coordinator has
+// executed the command or all have been asked.
 func (c *Client) sendWithin(ctx context.Context, timeout time.Duration, command coord.Command) (coord.Response, error) {
 	var response coord.Response
 	body, err := json.Marshal(command)
@@ -49,13 +49,13 @@
 	return response, err
 }
 
-// get reads a path within the usual timeout into a value.
+// get decodes the response to a GET into a value, with the base timeout.
 func (c *Client) get(ctx context.Context, path string, into any) error {
 	return c.call(ctx, request{http.MethodGet, path, nil, c.baseRequestTimeout()}, into)
 }
 
-// call asks coordinators in turn, the leader first, until one responds for all. The error joins what
-// each of them said.
+// call asks the coordinators one after another, the leader first, until one responds. The error joins
+// their errors.
 func (c *Client) call(ctx context.Context, r request, into any) error {
 	c.mu.Lock()
 	next := c.leader
@@ -63,8 +63,8 @@
 	unasked := slices.Collect(maps.Keys(c.options.Coordinators))
 	rand.Shuffle(len(unasked), func(i, j int) { unasked[i], unasked[j] = unasked[j], unasked[i] })
 	var errs []error
-	// A coordinator that gave no response, or has reached a limit, isn't asked again, whoever names
-	// it as the leader: a command that is sent again while it waits there only makes its queue longer.
+	// A coordinator that failed to respond or has reached a limit isn't asked again, even if others
+	// name it as the leader: the command may still wait there, and a retry would only lengthen the queue.
 	failed := map[string]bool{}
 	for attempt := 0; attempt < 2*len(c.options.Coordinators) && ctx.Err() == nil; attempt++ {
 		if c.options.Coordinators[next] == "" {
@@ -100,8 +100,8 @@
 	c.mu.Unlock()
 }
 
-// requestOne asks one coordinator. With an error it returns the leader's name where that coordinator
-// knows another.
+// requestOne asks one coordinator. With a redirect error it returns the leader's name if that
+// coordinator knows one.
 func (c *Client) requestOne(ctx context.Context, name string, r request, into any) (leader string, err error) {
 	timeout := r.timeout
 	if r.method == http.MethodGet {
@@ -129,14 +129,14 @@
 	return readResponse(httpResponse, body, into)
 }
 
-// readResponse tells a result from a redirect, a limit and any other error.
+// readResponse decodes a result, or returns the error for a redirect, a limit or any other status.
 func readResponse(response *http.Response, body []byte, into any) (leader string, err error) {
 	switch response.StatusCode {
 	case http.StatusOK:
 		return "", json.Unmarshal(body, into)
 	case http.StatusMisdirectedRequest:
 		var redirect struct{ Leader, Text string }
-		_ = json.Unmarshal(body, &redirect) // a body that can't be read names nobody
+		_ = json.Unmarshal(body, &redirect) // a malformed body names no leader
 		return redirect.Leader, &redirectError{redirect.Text}
 	case http.StatusServiceUnavailable:
 		return "", retryLater(response.Header, body)
@@ -144,8 +144,8 @@
 	return "", fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(body))
 }
 
-// Call asks one coordinator at an address, for operators' tools. The bodies are JSON; nil where there
-// is none. The error is ErrNotLeader, or what the coordinator said.
+// Call asks the coordinator at an address, for operators' tools. Request and response bodies are JSON;
+// body and into may be nil. The error is ErrNotLeader, or the coordinator's text.
 func Call(ctx context.Context, method, address, path string, body, into any) error {
 	var text []byte
 	if body != nil {
@@ -177,7 +177,7 @@
 	return json.Unmarshal(got, into)
 }
 
-// callError is what a response other than 200 says.
+// callError returns the error for a response with a status other than 200.
 func callError(response *http.Response, body []byte) error {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return ErrNotLeader
--- a/internal/coord/client/request_timeout_test.go
+++ b/internal/coord/client/request_timeout_test.go
@@ -13,31 +13,29 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A coordinator is slow, then others refuse connections. The timeout doubles only where a response
-// didn't come in time, up to half of the session's TTL. A client that doubled it after every error
-// would wait long for a coordinator that is back; one that never did would lengthen a slow leader's
-// queue.
+// The timeout doubles only after a timeout, up to half of the session's TTL, not after other errors such
+// as a refused connection. If it doubled after every error, clients would wait too long for a restarted
+// coordinator; if it never doubled, they would lengthen a slow leader's queue.
 func TestRequestTimeoutBackoff(t *testing.T) {
 	p := New(Options{TTL: 10 * time.Second}).newRequestTimeout()
 	if p.current != time.Second {
-		t.Errorf("it begins with %v", p.current)
+		t.Errorf("the initial timeout is %v", p.current)
 	}
 	p.observe(nil)
 	p.observe(errors.New("connection refused"))
 	if p.current != time.Second {
-		t.Errorf("%v after other errors", p.current)
+		t.Errorf("%v after errors other than timeouts", p.current)
 	}
 	for range 5 {
 		p.observe(errors.Join(context.DeadlineExceeded))
 	}
 	if p.current != 5*time.Second {
-		t.Errorf("%v after many", p.current)
+		t.Errorf("%v after five timeouts", p.current)
 	}
 }
 
-// The leader needs 300 ms for each response, and the client waits 50 ms at first. The timeout grows
-// until the response comes in time, so that the session is opened; with a fixed timeout the client
-// would ask for ever and never have a session.
+// The leader takes 300 ms for each response, and the client's first timeout is 50 ms. The timeout must
+// grow until a response arrives in time; with a fixed timeout the client would never get a session.
 func TestSlowLeader(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	var mu sync.Mutex
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	minRetryPause = 20 * time.Millisecond // before the first retry; doubled for each further one
+	minRetryPause = 20 * time.Millisecond // before the first retry; doubles for each further one
 	maxRetryPause = time.Second
 
-	// maxRetryAfter bounds the Retry-After that is believed.
+	// maxRetryAfter is the longest Retry-After that is followed.
 	maxRetryAfter = 5 * time.Minute
 )
 
-// retryLater reads the body of a coordinator that has reached a limit. A body that can't be read
-// leaves the header's whole seconds; 0 means to come back as after any other error.
+// retryLater returns the error for a coordinator that has reached a limit. If the body is malformed, the
+// header's whole seconds are used. A RetryAfter of 0 means the same pause as after any other error.
 func retryLater(header http.Header, body []byte) error {
 	var rejection struct {
 		Text       string        `json:"text"`
@@ -31,9 +31,9 @@
 	return &RetryLaterError{Text: rejection.Text, RetryAfter: rejection.RetryAfter}
 }
 
-// RetryDelay is how long to wait after an error: not less than the coordinators asked for, and up to
-// half of that longer, so that clients which got the same time don't come back at once; otherwise
-// where they asked for nothing.
+// RetryDelay returns how long to wait after an error: at least the coordinators' Retry-After and up to
+// half of it longer, so that clients with the same Retry-After don't retry at the same time. Without a
+// Retry-After it returns otherwise.
 func RetryDelay(err error, otherwise time.Duration) time.Duration {
 	retryAfter := min(retryAfterOf(err), maxRetryAfter)
 	if retryAfter <= 0 {
@@ -42,7 +42,7 @@
 	return retryAfter + rand.N(retryAfter/2+1)
 }
 
-// retryAfterOf is the time to come back that an error carries, or 0.
+// retryAfterOf returns the Retry-After that an error carries, or 0.
 func retryAfterOf(err error) time.Duration {
 	var later *RetryLaterError
 	if errors.As(err, &later) {
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// jitter spreads a pause over half of it to one and a half.
+// jitter returns a random duration between half of the pause and one and a half times the pause.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + time.Duration(rand.Int64N(int64(pause)+1))
 }
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -15,8 +15,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A hundred clients get the same Retry-After. None comes back sooner, and they come back spread over
-// half of it. A client that came sooner, or all at once, would overload the coordinator again.
+// A hundred clients get the same Retry-After. None retries sooner, and their retries are spread over half
+// of it. Otherwise they would overload the coordinator again.
 func TestRetryDelayIsSpread(t *testing.T) {
 	const asked = time.Second
 	for _, err := range []error{
@@ -24,39 +24,39 @@
 		errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
 		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}},
 	} {
-		seen := map[time.Duration]bool{}
+		delays := map[time.Duration]bool{}
 		for range 100 {
 			d := RetryDelay(err, time.Millisecond)
 			if d < asked || d > asked*3/2 {
 				t.Fatalf("%v: %v", err, d)
 			}
-			seen[d] = true
+			delays[d] = true
 		}
-		if len(seen) < 50 {
-			t.Errorf("%v: %d times of 100 differ", err, len(seen))
+		if len(delays) < 50 {
+			t.Errorf("%v: %d distinct delays of 100", err, len(delays))
 		}
 	}
 	if d := RetryDelay(errors.New("another"), time.Millisecond); d != time.Millisecond {
-		t.Errorf("%v after an error that asks for nothing", d)
+		t.Errorf("%v after an error without a Retry-After", d)
 	}
-	if d := RetryDelay(&RetryLaterError{"lies", time.Hour}, 0); d > maxRetryAfter*3/2 {
-		t.Errorf("%v is believed", d)
+	if d := RetryDelay(&RetryLaterError{"full", time.Hour}, 0); d > maxRetryAfter*3/2 {
+		t.Errorf("a Retry-After of an hour gives a delay of %v", d)
 	}
 	if d := RetryDelay(retryLater(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
-		t.Errorf("%v by the header alone", d)
+		t.Errorf("a delay of %v from the header alone", d)
 	}
 }
 
-// The coordinators' table of sessions is full. The client asks again no sooner than the Retry-After
-// says, and a caller that waits for the session gets the coordinators' reason. A client that ignored
-// it would add load to full coordinators, and an operator would not learn why there is no lease.
+// The session table is full. The client retries no sooner than the Retry-After, and a caller that waits
+// for the session gets the coordinators' reason. Otherwise the client would add load to an overloaded
+// coordinator, and an operator would not learn why there is no lease.
 func TestSessionRefused(t *testing.T) {
 	const asked = 200 * time.Millisecond
 	var mu sync.Mutex
-	var tries []time.Time
+	var attemptTimes []time.Time
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
-		tries = append(tries, time.Now())
+		attemptTimes = append(attemptTimes, time.Now())
 		mu.Unlock()
 		full := coord.Response{Code: coord.CodeLimitReached, Text: "sessions: 3 at most", RetryAfter: asked}
 		_ = json.NewEncoder(w).Encode(full)
@@ -73,18 +73,18 @@
 		t.Errorf("%v", err)
 	}
 	wg.Wait()
-	for i := 1; i < len(tries); i++ {
-		if apart := tries[i].Sub(tries[i-1]); apart < asked {
-			t.Errorf("try %d came %v after the one before", i, apart)
+	for i := 1; i < len(attemptTimes); i++ {
+		if interval := attemptTimes[i].Sub(attemptTimes[i-1]); interval < asked {
+			t.Errorf("attempt %d came %v after the previous one", i, interval)
 		}
 	}
-	if len(tries) < 2 {
-		t.Errorf("%d tries", len(tries))
+	if len(attemptTimes) < 2 {
+		t.Errorf("%d attempts", len(attemptTimes))
 	}
 }
 
-// The leader has reached its limit of watchers, and four followers name it as the leader. It is asked
-// once. A client that followed each redirect would ask it five times in one call.
+// The leader has reached its limit of watchers, and four followers redirect to it. It must be asked once;
+// a client that followed each redirect would ask it five times in one call.
 func TestFullLeaderAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -109,12 +109,12 @@
 		t.Errorf("%v", err)
 	}
 	if n := asked.Load(); n != 1 {
-		t.Errorf("it was asked %d times", n)
+		t.Errorf("the leader was asked %d times", n)
 	}
 }
 
-// The leader doesn't respond in time, and four followers name it as the leader. It is asked once in a
-// call: the command waits there already, and sending it again would lengthen its queue.
+// The leader doesn't respond in time, and four followers redirect to it. It must be asked once per call:
+// the command waits there already, and a retry would lengthen its queue.
 func TestSilentLeaderAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	ended := make(chan struct{})
@@ -140,9 +140,9 @@
 		Coordinators: coordinators, ClientName: "r", TTL: 10 * time.Second, RequestTimeoutMillis: 50,
 	})
 	if _, err := c.send(t.Context(), coord.Command{Op: coord.OpKeepAlive}); err == nil {
-		t.Error("it was answered")
+		t.Error("the command was answered")
 	}
 	if n := asked.Load(); n != 1 {
-		t.Errorf("it was asked %d times", n)
+		t.Errorf("the leader was asked %d times", n)
 	}
 }
--- a/internal/coord/client/session.go
+++ b/internal/coord/client/session.go
@@ -13,7 +13,7 @@
 
 const sessionIDBytes = 16
 
-// SessionID is the id of the session that is there; "" where none is.
+// SessionID returns the id of the open session, or "" if there is none.
 func (c *Client) SessionID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +23,7 @@
 	return c.sessionID
 }
 
-// noSessionError is ErrNoSession, with what the coordinators said where they rejected a session.
+// noSessionError returns ErrNoSession, joined with the error of the last attempt to open a session.
 func (c *Client) noSessionError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +33,7 @@
 	return fmt.Errorf("%w: %w", ErrNoSession, c.sessionError)
 }
 
-// startSession draws the id of a new session, whose commands are numbered from 1 again.
+// startSession generates the id of a new session and restarts the numbering of commands from 1.
 func (c *Client) startSession(ctx context.Context) (id string) {
 	random := make([]byte, sessionIDBytes)
 	_, _ = crand.Read(random) // never fails
@@ -48,7 +48,7 @@
 	return id
 }
 
-// openSession asks for a session with a new id until there is one. It returns false once ctx ends.
+// openSession tries to open a session with a new id until it succeeds. It returns false once ctx ends.
 func (c *Client) openSession(ctx context.Context) bool {
 	open := coord.Command{
 		Op:        coord.OpOpenSession,
@@ -58,8 +58,8 @@
 	}
 	timeout := c.newRequestTimeout()
 	for pause := minRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
-		// Each attempt counts from its own sending: the coordinators count from the newest that they
-		// carried out, and the session must not seem longer here than there.
+		// Expiry is counted from when this attempt was sent. The coordinators count from the latest
+		// attempt that they executed, and the session must not appear to last longer here than there.
 		sentAt := c.options.Clock()
 		response, err := c.sendWithin(ctx, timeout.current, open)
 		timeout.observe(err)
@@ -68,7 +68,7 @@
 				return true
 			}
 		} else if err == nil {
-			c.options.Log.Warn("no session", "answer", response.Error())
+			c.options.Log.Warn("session rejected", "answer", response.Error())
 			pause = maxRetryPause
 			err = &RejectedError{response}
 		}
@@ -82,7 +82,7 @@
 	return false
 }
 
-// sessionOpened records the session, and reports whether any of its time is left.
+// sessionOpened records the session. It returns false if the session has expired already.
 func (c *Client) sessionOpened(sentAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +95,8 @@
 	return true
 }
 
-// keepSessionAlive sends keep-alives until the session is lost or ctx ends; then it closes the
-// session.
+// keepSessionAlive sends keep-alives until the session is lost or ctx ends; in the latter case it closes
+// the session.
 func (c *Client) keepSessionAlive(ctx context.Context) {
 	interval := c.options.TTL / 3
 	retryPause := time.Duration(0)
@@ -120,11 +120,11 @@
 			continue
 		}
 		retryPause = min(max(2*retryPause, minRetryPause), interval)
-		next = min(RetryDelay(err, jitter(retryPause)), interval) // later would lose the session
+		next = min(RetryDelay(err, jitter(retryPause)), interval) // a longer delay would lose the session
 	}
 }
 
-// keepAliveOnce sends a keep-alive, and reports whether the session still is there.
+// keepAliveOnce sends a keep-alive and reports whether the session is still open.
 func (c *Client) keepAliveOnce(ctx context.Context) (response coord.Response, isOpen bool, err error) {
 	sentAt := c.options.Clock()
 	response, err = c.send(ctx, coord.Command{Op: coord.OpKeepAlive, SessionID: c.sessionID})
@@ -137,8 +137,8 @@
 	return response, c.leases.HasSession(now), err
 }
 
-// closeSession ends the session at the coordinators after ctx has ended. Where that fails, the
-// session expires.
+// closeSession closes the session at the coordinators after ctx has ended. If that fails, the session
+// expires.
 func (c *Client) closeSession(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.baseRequestTimeout())
 	defer cancel()
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -13,7 +13,7 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// lateCoordinator carries commands out alone, but those for one lease only once released is closed.
+// lateCoordinator executes commands by itself, but those for the late lease only once released is closed.
 type lateCoordinator struct {
 	mu       sync.Mutex
 	state    *coord.State
@@ -40,9 +40,9 @@
 	_ = json.NewEncoder(w).Encode(l.state.Apply(c, 1))
 }
 
-// One command's response doesn't come while the client sends others. The coordinators remember
-// MaxCachedResponses beyond it, and reject what lies further. The client holds such commands back
-// until the late response has come; a client that sent them would have them rejected.
+// One command's response is late while the client sends others. The coordinators remember
+// MaxCachedResponses from it on and reject commands beyond that window. The client must hold back such
+// commands until the late response has arrived.
 func TestLateCommandHoldsTheWindow(t *testing.T) {
 	late := &lateCoordinator{state: coord.New(), late: "late", released: make(chan struct{})}
 	server := httptest.NewServer(late)
@@ -59,9 +59,9 @@
 		_, err := c.Acquire(ctx, "late", "", 10*time.Second)
 		errs <- err
 	})
-	for under := 0; under == 0; { // until it is under way
+	for inFlight := 0; inFlight == 0; { // until the command is in flight
 		c.mu.Lock()
-		under = len(c.pending)
+		inFlight = len(c.pending)
 		c.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
@@ -75,9 +75,9 @@
 		_, err := c.Acquire(ctx, "beyond", "", 10*time.Second)
 		next <- err
 	})
-	brief, end := context.WithTimeout(ctx, 50*time.Millisecond)
+	shortContext, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
-	if _, err := c.Acquire(brief, "beyond too", "", 10*time.Second); err == nil {
+	if _, err := c.Acquire(shortContext, "beyond too", "", 10*time.Second); err == nil {
 		t.Error("a command beyond the window was carried out")
 	}
 	close(late.released)
--- a/internal/coord/clock/clock.go
+++ b/internal/coord/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock is the clock of leases. It neither steps with the wall clock nor stops while the
-// machine is suspended: a holder that counted without the suspend would act on a lease that another
-// holds by then. The clock starts anywhere; only differences mean something.
+// Package clock provides the clock for leases. It neither steps with the wall clock nor stops while the
+// machine is suspended: a holder whose clock excluded the suspended time would act on a lease that
+// another client holds by then. The clock's origin is arbitrary; only differences are meaningful.
 package clock
 
 import (
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the machine's time since its start, suspends counted (Linux CLOCK_BOOTTIME).
+// Boot returns the time since the machine started, including suspended time (Linux CLOCK_BOOTTIME).
 func Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("CLOCK_BOOTTIME: " + err.Error()) // in Linux since 2.6.39
+		panic("CLOCK_BOOTTIME: " + err.Error()) // Linux has it since 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
 
-// Sleep waits for d, and reports whether ctx has not ended. It may take longer where the machine is
-// suspended; what may be done after it must be asked of Now.
+// Sleep waits for d and returns true, or returns false if ctx ends first. It may take longer if the
+// machine is suspended, so callers must compare Now with their deadline afterwards.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/coord/clock/faults.go
+++ b/internal/coord/clock/faults.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A build with the tag faults lets the laboratory set the clock's rate (DOCKHINGE_CLOCK_RATE, as 1.01)
-// and a step of the wall clock some time after the start (DOCKHINGE_WALL_STEP, as -1h@5s).
+// In a build with the tag faults, tests can set the clock's rate (DOCKHINGE_CLOCK_RATE, such as 1.01)
+// and a step of the wall clock at some time after the start (DOCKHINGE_WALL_STEP, such as -1h@5s).
 var (
 	rate      = 1.0
 	start     = Boot()
@@ -24,14 +24,14 @@
 		rate = value
 	}
 	step, after, _ := strings.Cut(os.Getenv("DOCKHINGE_WALL_STEP"), "@")
-	wallStep, _ = time.ParseDuration(step) // 0 where none is set
+	wallStep, _ = time.ParseDuration(step) // 0 if none is set
 	stepAfter, _ = time.ParseDuration(after)
 }
 
-// Now is the time on the clock of leases, at the rate that was set.
+// Now returns the time on the clock for leases, at the configured rate.
 func Now() time.Duration { return start + time.Duration(float64(Boot()-start)*rate) }
 
-// Wall is the wall clock with its step.
+// Wall returns the wall clock's time with the configured step.
 func Wall() time.Time {
 	t := time.Now().Round(0)
 	if Boot()-start >= stepAfter {
--- a/internal/coord/clock/nofaults.go
+++ b/internal/coord/clock/nofaults.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Now is the time on the clock of leases.
+// Now returns the time on the clock for leases.
 func Now() time.Duration { return Boot() }
 
-// Wall is the wall clock, for what people read only.
+// Wall returns the wall clock's time. It is for display only.
 func Wall() time.Time { return time.Now() }
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -7,25 +7,25 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// budgetsFile is a file of budgets. docs/rollout.md describes each key.
+// budgetsFile is the content of a budgets file. docs/rollout.md describes each key.
 type budgetsFile struct {
-	// Version is that of the file's form: 1.
+	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
-	// Grace is longer than routers' sessions last, 1s to 1h.
+	// Grace must be longer than the TTL of routers' sessions, from 1s to 1h.
 	Grace string `toml:"grace"`
-	// ExpectedRouters must take part before a server is drained; 0 sets no such condition.
+	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the check.
 	ExpectedRouters int `toml:"routers"`
-	// EjectionQuorum is how many routers must find a server failing before all eject it; 0 turns
-	// shared ejection off.
+	// EjectionQuorum is how many routers must find a server failing before all of them eject it; 0
+	// disables shared ejection.
 	EjectionQuorum int `toml:"quorum"`
-	// OverloadShare is the share of rejected or failed requests above which nothing new goes out; 0
-	// turns the check off.
+	// OverloadShare is the fraction of rejected or failed requests above which no further drain or permit
+	// starts; 0 disables the check.
 	OverloadShare float64 `toml:"busy"`
-	// Budgets are the budgets.
+	// Budgets limit how many routers or servers may be out of service at the same time.
 	Budgets []budgetEntry `toml:"budget"`
 }
 
-// budgetEntry is one budget of the file: see rollout.Budget for the fields.
+// budgetEntry is one budget in the file; see rollout.Budget for the fields.
 type budgetEntry struct {
 	Name        string  `toml:"name"`
 	Kind        string  `toml:"kind"`
@@ -36,7 +36,7 @@
 	SlowStart   string  `toml:"warm"`
 }
 
-// LoadBudgets reads the file of budgets at path, and returns the command that puts them in force.
+// LoadBudgets reads the budgets file at path and returns the command that puts it in force.
 func LoadBudgets(path string) (rollout.Command, error) {
 	text, err := readFile("budgets", path)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return ParseBudgets(path, text)
 }
 
-// ParseBudgets reads the text of the file of budgets at path.
+// ParseBudgets parses the content of the budgets file at path.
 func ParseBudgets(path string, text []byte) (rollout.Command, error) {
 	file := budgetsFile{Grace: rollout.DefaultGrace.String()}
 	if err := decode(path, text, &file); err != nil {
@@ -74,7 +74,7 @@
 	return command, c.err()
 }
 
-// checkBudgets checks the budgets and returns them.
+// checkBudgets checks the budgets and returns the valid ones.
 func (f *budgetsFile) checkBudgets(c *checker) (budgets []rollout.Budget) {
 	if len(f.Budgets) == 0 {
 		c.add("budget", "none: nothing would ever be let out")
@@ -101,7 +101,7 @@
 	return budgets
 }
 
-// budget makes a budget of the entry; false once a mistake in its duration is recorded.
+// budget converts the entry. It returns false if its duration is invalid, which it has recorded.
 func (e *budgetEntry) budget(c *checker, setting string) (b rollout.Budget, isValid bool) {
 	slowStart := time.Duration(0)
 	if e.SlowStart != "" {
--- a/internal/coord/config/check.go
+++ b/internal/coord/config/check.go
@@ -12,13 +12,13 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// Version is that of the form of all files of this package.
+// Version is the version of the format of all files that this package reads.
 const Version = 1
 
-// maxFileBytes bounds a file: a larger one is none of these.
+// maxFileBytes is the maximum size of a file; a larger file can't be a configuration file.
 const maxFileBytes = 64 << 10
 
-// maxNameBytes bounds a coordinator's or observer's name.
+// maxNameBytes is the maximum length of a coordinator's or observer's name.
 const maxNameBytes = 64
 
 const nameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-_"
@@ -26,7 +26,7 @@
 // logLevels are the values of log_level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// readFile reads the file at path; kind names it in the error.
+// readFile reads the file at path. kind names the kind of file in the error.
 func readFile(kind, path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return text, nil
 }
 
-// decode decodes the TOML text of the file at path into a struct that has the defaults.
+// decode decodes the TOML text of the file at path into a struct that holds the defaults.
 func decode(path string, text []byte, into any) error {
 	if len(text) > maxFileBytes {
 		reason := fmt.Sprintf("%d bytes, %d at most", len(text), maxFileBytes)
@@ -44,19 +44,19 @@
 	return configerror.DecodeTOML(path, text, into)
 }
 
-// checker collects the mistakes in one file.
+// checker collects the problems of one file.
 type checker struct {
 	path     string
 	problems []error
 }
 
-// add records a mistake in a setting.
+// add records a problem with a setting.
 func (c *checker) add(setting, format string, values ...any) {
 	problem := configerror.Problem{File: c.path, Setting: setting, Reason: fmt.Sprintf(format, values...)}
 	c.problems = append(c.problems, problem)
 }
 
-// err joins a configerror.Problem for each mistake; nil without one.
+// err joins the recorded problems (configerror.Problem); nil if there are none.
 func (c *checker) err() error { return errors.Join(c.problems...) }
 
 func (c *checker) version(version int) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// addresses checks a table of names and their addresses.
+// addresses checks the names and addresses of a table.
 func (c *checker) addresses(table string, byName map[string]string) {
 	for name, address := range byName {
 		setting := table + "." + name
@@ -92,7 +92,7 @@
 	}
 }
 
-// duration parses a duration; false once the mistake is recorded.
+// duration parses a duration. It returns false if the duration is invalid, which it has recorded.
 func (c *checker) duration(setting, text string) (d time.Duration, isValid bool) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return d, true
 }
 
-// durationWithin parses a duration that must lie within bounds.
+// durationWithin parses a duration and records a problem if it is invalid or out of bounds.
 func (c *checker) durationWithin(setting, text string, least, most time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
@@ -116,8 +116,8 @@
 	return err == nil
 }
 
-// CheckName checks the name of a coordinator or observer: 1 to 64 letters, digits, dots, dashes and
-// underscores.
+// CheckName returns an error unless the name of a coordinator or observer has 1 to 64 letters, digits,
+// dots, dashes and underscores.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.Trim(name, nameCharacters) != "" {
 		return fmt.Errorf("%q is no name of 1 to %d letters, digits, dots, dashes and underscores", name, maxNameBytes)
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the files that operators write for coordinators and observers, for budgets
-// and for releases. All are TOML; a mistake is a configerror.Problem that names file and setting,
-// and one error joins all mistakes of a file.
+// Package config reads the TOML files that operators write for coordinators, observers, budgets and
+// releases. Each problem in a file is a configerror.Problem that names the file and the setting; the
+// returned error joins all problems of the file.
 package config
 
 import (
@@ -22,9 +22,9 @@
 	defaultLogLevel = "info"
 )
 
-// File is a coordinator's file. docs/agreement.md describes each key.
+// File is a coordinator's configuration file. docs/agreement.md describes each key.
 type File struct {
-	// Version is that of the file's form: 1.
+	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
 	// Name is unique among the coordinators.
 	Name string `toml:"name"`
@@ -34,32 +34,31 @@
 	Listen string `toml:"listen"`
 	// API is the host:port for clients.
 	API string `toml:"api"`
-	// Figures is a host:port that serves metrics and takes no commands; "" for none.
+	// Figures is a host:port that serves metrics and accepts no commands; "" disables it.
 	Figures string `toml:"figures"`
-	// ClockRate bounds how much faster or slower than true time any clock runs, 0 to 0.1; 0.01 by
+	// ClockRate is the maximum fraction by which any clock may run fast or slow, 0 to 0.1; 0.01 by
 	// default.
 	ClockRate float64 `toml:"clock_rate"`
 	// SnapshotEvery is the number of log entries between two snapshots, 16 to 1,000,000; 8192 by
 	// default.
 	SnapshotEvery uint64 `toml:"snapshot_every"`
-	// Beat is how long a leader may be silent, 100ms to 10s; 250ms by default.
+	// Beat is how long a leader may be silent before another is elected, 100ms to 10s; 250ms by default.
 	Beat string `toml:"beat"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
 	// LogJSON selects JSON for log lines.
 	LogJSON bool `toml:"log_json"`
-	// Peers are the addresses of other coordinators by name, where they are reached by another
-	// address than their own.
+	// Peers override, by name, the addresses at which this coordinator connects to others.
 	Peers map[string]string `toml:"peers"`
 }
 
-// HeartbeatTimeout is Beat as a duration; the file has been checked.
+// HeartbeatTimeout returns Beat as a duration. The file must have been checked.
 func (f File) HeartbeatTimeout() time.Duration {
 	d, _ := time.ParseDuration(f.Beat)
 	return d
 }
 
-// Load reads the coordinator's file at path.
+// Load reads a coordinator's file at path.
 func Load(path string) (File, error) {
 	text, err := readFile("coordinator's file", path)
 	if err != nil {
@@ -68,7 +67,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of the coordinator's file at path.
+// Parse parses the content of a coordinator's file at path.
 func Parse(path string, text []byte) (File, error) {
 	f := File{
 		ClockRate:     coord.DefaultClockRateBound,
--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -9,7 +9,7 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// expectProblem expects an error that names the file and says what is wanted.
+// expectProblem fails unless the error contains the path and the wanted text.
 func expectProblem(t *testing.T, err error, path, want string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
@@ -36,7 +36,7 @@
 command = ["true", "{name}"]
 `
 
-// Files without a mistake are read with their defaults; each mistake is told with file and setting.
+// Valid files are read with the defaults; each problem is reported with the file and the setting.
 func TestFiles(t *testing.T) {
 	t.Run("coordinator", func(t *testing.T) {
 		text := "version = 1\nname = \"c1\"\ndir = \"d\"\nlisten = \"a:1\"\napi = \"a:2\"\nbeat = \"300ms\"\n"
@@ -92,7 +92,7 @@
 	}
 }
 
-// A release's file is read with its defaults, and each mistake in one is told with file and setting.
+// A valid release file is read with the defaults; each problem is reported with the file and the setting.
 func TestReleaseFile(t *testing.T) {
 	t.Run("defaults", func(t *testing.T) {
 		f, plan, err := ParseRelease("r.toml", []byte(goodRelease))
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// expectStored compares a value with what an earlier program made of the same file, field by field
-// of its stored form.
+// expectStored compares the JSON form of a value with the one that an earlier version of the program
+// wrote for the same file.
 func expectStored(t *testing.T, value any, name string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -27,8 +27,8 @@
 	}
 }
 
-// Operators keep their files when the program is replaced. A budgets file that has every key gives
-// the command that the earlier program sent to the coordinators.
+// Operators keep their files across upgrades. A budgets file with every key must give the command that
+// an earlier version sent to the coordinators.
 func TestBudgetsFileOfEarlierProgram(t *testing.T) {
 	command, err := LoadBudgets("testdata/budgets.toml")
 	if err != nil {
@@ -37,8 +37,8 @@
 	expectStored(t, command, "budgets.command.json")
 }
 
-// A release file that has every key gives the plan that the earlier program sent, and the same
-// settings for the driver.
+// A release file with every key must give the plan that an earlier version sent, and the same settings
+// of the release driver.
 func TestReleaseFileOfEarlierProgram(t *testing.T) {
 	file, plan, err := LoadRelease("testdata/release.toml")
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A coordinator's file that has every key is read as the earlier program read it.
+// A coordinator's file with every key must be read as an earlier version read it.
 func TestCoordinatorFileOfEarlierProgram(t *testing.T) {
 	file, err := Load("testdata/coordinator.toml")
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// An observer's file that has every key is read as the earlier program read it.
+// An observer's file with every key must be read as an earlier version read it.
 func TestObserverFileOfEarlierProgram(t *testing.T) {
 	file, err := LoadObserver("testdata/observer.toml")
 	if err != nil {
--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -2,39 +2,40 @@
 
 // Limits of an observer's file.
 const (
-	// MaxObserverWatchers bounds the watchers of one observer. Each has two connections.
+	// MaxObserverWatchers is the highest limit on the watchers of one observer. Each watcher has two
+	// connections.
 	MaxObserverWatchers = 8192
-	// MaxJoinsPerSecond bounds the watches begun per second.
+	// MaxJoinsPerSecond is the highest limit on new watches per second.
 	MaxJoinsPerSecond = 10_000
-	// MinWatcherBytes and MaxWatcherBytes bound the bytes per second to each watcher.
+	// MinWatcherBytes and MaxWatcherBytes bound the limit on bytes per second to each watcher.
 	MinWatcherBytes = 16 << 10
 	MaxWatcherBytes = 1 << 30
 )
 
 // Defaults of an observer's file.
 const (
-	// defaultWatchers is several times the routers of one observer among twelve.
+	// defaultWatchers is several times the number of routers per observer in a fleet with 12 observers.
 	defaultWatchers     = 2048
 	defaultJoins        = 200
 	defaultWatcherBytes = 256 << 10
 )
 
-// Observer is an observer's file. docs/observers.md describes each key.
+// Observer is an observer's configuration file. docs/observers.md describes each key.
 type Observer struct {
-	// Version is that of the file's form: 1.
+	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
-	// Name is the observer's.
+	// Name is the name of the observer.
 	Name string `toml:"name"`
 	// API is the host:port for routers and tools.
 	API string `toml:"api"`
 	// Coordinators are the coordinators' addresses for clients, by name.
 	Coordinators map[string]string `toml:"coordinators"`
-	// MaxWatchers bounds the watchers, 1 to 8192; 2048 by default.
+	// MaxWatchers is the maximum number of watchers, 1 to 8192; 2048 by default.
 	MaxWatchers int `toml:"max_watchers"`
-	// JoinsPerSecond bounds the watches begun per second, 1 to 10,000; 200 by default.
+	// JoinsPerSecond is the maximum number of new watches per second, 1 to 10,000; 200 by default.
 	JoinsPerSecond float64 `toml:"joins_per_second"`
-	// WatcherBytes bounds the bytes per second to each watcher, 16 KiB to 1 GiB; 256 KiB by
-	// default.
+	// WatcherBytes is the maximum number of bytes per second to each watcher, 16 KiB to 1 GiB; 256 KiB
+	// by default.
 	WatcherBytes int `toml:"watcher_bytes"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
@@ -42,7 +43,7 @@
 	LogJSON bool `toml:"log_json"`
 }
 
-// LoadObserver reads the observer's file at path.
+// LoadObserver reads an observer's file at path.
 func LoadObserver(path string) (Observer, error) {
 	text, err := readFile("observer's file", path)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return ParseObserver(path, text)
 }
 
-// ParseObserver reads the text of the observer's file at path.
+// ParseObserver parses the content of an observer's file at path.
 func ParseObserver(path string, text []byte) (Observer, error) {
 	f := Observer{
 		MaxWatchers:    defaultWatchers,
--- a/internal/coord/config/observer_test.go
+++ b/internal/coord/config/observer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An observer's file is read with its defaults, and each mistake in one is told with file and
+// A valid observer file is read with the defaults; each problem is reported with the file and the
 // setting.
 func TestObserverFile(t *testing.T) {
 	good := "version = 1\nname = \"o1\"\napi = \"a:1\"\n[coordinators]\nc1 = \"b:2\"\n"
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -7,66 +7,65 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// RerunKinds are why a command may run twice at once: whatever it acts on rejects a token lower
-// than one it has seen, or it does no harm twice. A command that is neither must not run under a
-// lease or permit.
+// RerunKinds are the reasons why a command may run twice at the same time: "checked" if the resource
+// that it changes rejects a token lower than the highest it has seen, "harmless" if a second run does no
+// harm. A command for which neither holds must not run under a lease or permit.
 var RerunKinds = []string{"checked", "harmless"}
 
-// Limits of a release's file.
+// Limits of a release file.
 const (
 	minFalseHaltShare = 1e-9
 	maxFalseHaltShare = 0.1
 	maxAttemptsLimit  = 10
 )
 
-// Release is a release's file. docs/rollout.md describes each key.
+// Release is a release file. docs/rollout.md describes each key.
 type Release struct {
-	// Version is that of the file's form: 1.
+	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
 
-	// The fields of the plan: see rollout.ReleasePlan.
+	// The following fields form the plan; see rollout.ReleasePlan.
 
-	// Name names the release.
+	// Name is the name of the release.
 	Name string `toml:"name"`
-	// Match is a pattern for the names of the routers; "" matches all.
+	// Match is a pattern of router names; "" matches all.
 	Match string `toml:"match"`
-	// FromVersion is the version that the routers have.
+	// FromVersion is the version that the routers currently run.
 	FromVersion string `toml:"from"`
-	// ToVersion is the version to bring them to.
+	// ToVersion is the version to install.
 	ToVersion string `toml:"to"`
-	// FirstWave is how many routers the first wave has; 1 by default.
+	// FirstWave is the number of routers in the first wave; 1 by default.
 	FirstWave int `toml:"first"`
-	// GrowthFactor is how many times the routers of all waves before it a wave has; 2 by default.
+	// GrowthFactor is the ratio of a wave's size to the total size of all waves before it; 2 by default.
 	GrowthFactor float64 `toml:"grow"`
-	// BakeTime is how long a complete wave is watched; 2m by default.
+	// BakeTime is how long a complete wave is observed; 2m by default.
 	BakeTime string `toml:"bake"`
-	// MinRequests is how many requests the new version must have answered in a wave; 100 by
-	// default.
+	// MinRequests is how many requests the new version must have answered in a wave; 100 by default.
 	MinRequests int64 `toml:"least"`
-	// StepTimeout is within which a router must be back; 2m by default.
+	// StepTimeout is how long a router may take to return to service; 2m by default.
 	StepTimeout string `toml:"step"`
-	// LearnTime is how long the requests of a router that has started don't count; 20s by default.
+	// LearnTime is how long after a router's start its requests are not counted; 20s by default.
 	LearnTime string `toml:"learn"`
 
-	// The fields of whoever drives the release.
+	// The following fields configure the release driver.
 
-	// FalseHaltShare is the share of releases that may be halted though both versions are alike,
-	// 1e-9 to 0.1; 0.001 by default.
+	// FalseHaltShare is the accepted fraction of releases that are halted although both versions perform
+	// alike, 1e-9 to 0.1; 0.001 by default.
 	FalseHaltShare float64 `toml:"alpha"`
-	// MinServedShare halts the release where a smaller share of requests is served for 10 s,
-	// whatever the version, 0 to 1; 0.8 by default.
+	// MinServedShare is the fraction of requests served, over 10 s, below which the release is halted,
+	// whichever version causes it, 0 to 1; 0.8 by default.
 	MinServedShare float64 `toml:"floor"`
-	// RerunKind is one of RerunKinds: why Command may run twice.
+	// RerunKind is the one of RerunKinds that holds for Command.
 	RerunKind string `toml:"kind"`
-	// MaxAttempts is how often Command is run for one router before it has failed, 1 to 10; 2 by
-	// default.
+	// MaxAttempts is how many times Command is run for a router before the router counts as failed, 1 to
+	// 10; 2 by default.
 	MaxAttempts int `toml:"tries"`
-	// Command brings one router to a version. {name}, {to} and {from} are replaced; {to} is the
-	// version wanted, also in a rollback.
+	// Command installs a version on one router. The placeholders {name}, {to} and {from} are replaced;
+	// {to} is the version to install, also during a rollback.
 	Command []string `toml:"command"`
 }
 
-// LoadRelease reads the release's file at path, and returns it with the plan in it.
+// LoadRelease reads the release file at path. It returns the file and its plan.
 func LoadRelease(path string) (Release, rollout.ReleasePlan, error) {
 	text, err := readFile("release", path)
 	if err != nil {
@@ -75,7 +74,7 @@
 	return ParseRelease(path, text)
 }
 
-// ParseRelease reads the text of the release's file at path.
+// ParseRelease parses the content of the release file at path.
 func ParseRelease(path string, text []byte) (Release, rollout.ReleasePlan, error) {
 	f := Release{
 		FirstWave:      1,
@@ -101,12 +100,12 @@
 	return f, plan, c.err()
 }
 
-// plan makes the plan of the file's fields.
+// plan returns the plan in the file.
 func (f *Release) plan(c *checker) rollout.ReleasePlan {
 	duration := func(setting, text string) time.Duration {
 		d, isValid := c.duration(setting, text)
 		if !isValid {
-			return time.Minute // a valid one: the mistake is recorded already
+			return time.Minute // a valid placeholder: the problem is recorded already
 		}
 		return d
 	}
@@ -124,7 +123,7 @@
 	}
 }
 
-// checkDriver checks the fields of whoever drives the release.
+// checkDriver checks the fields that configure the release driver.
 func (f *Release) checkDriver(c *checker) {
 	if !(f.FalseHaltShare >= minFalseHaltShare && f.FalseHaltShare <= maxFalseHaltShare) {
 		c.add("alpha", "%v is not from 1e-9 to 0.1", f.FalseHaltShare)
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -17,7 +17,7 @@
 	OpWriteRecord, OpRaiseTokens, OpSetClockRate, "none",
 }
 
-// drawCommand draws a command of any kind, over few names, so that the commands meet.
+// drawCommand draws a random command over a few names, so that commands affect each other.
 func drawCommand(t *rapid.T, lastToken uint64) Command {
 	seconds := func(low, high int64, label string) time.Duration {
 		return time.Duration(rapid.Int64Range(low, high).Draw(t, label)) * time.Second
@@ -42,11 +42,10 @@
 	}
 }
 
-// Two replicas apply the same random commands; one of them is restored from its own snapshot now and
-// then, as after a restart. Whatever comes, they give the same responses and have the same bytes;
-// tokens only grow; no lease is held without a session; and no lease is taken back before its time
-// is over by any clock within the bound. A wrong machine would let replicas differ, or two holders
-// act at once.
+// Two replicas apply the same random commands; one of them is now and then restored from its own
+// snapshot, as after a restart. Checks that both always give the same responses and the same bytes,
+// that tokens never decrease, that no lease is held without a session, and that no lease expires early
+// by any clock within the bound. Otherwise replicas could diverge, or two holders act at once.
 func TestReplicasAgreeOnRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -67,7 +66,7 @@
 				b = restored
 			}
 			if a.LastToken < lastToken {
-				t.Fatalf("token %d after %d", a.LastToken, lastToken)
+				t.Fatalf("token %d after token %d", a.LastToken, lastToken)
 			}
 			lastToken = a.LastToken
 			checkHoldersHaveSessions(t, a)
@@ -76,18 +75,18 @@
 	})
 }
 
-// sameBytes encodes both states, which must give the same bytes, and returns them.
+// sameBytes encodes both states, fails unless they encode to the same bytes, and returns the bytes.
 func sameBytes(t *rapid.T, a, b *State) []byte {
 	t.Helper()
-	one, err := a.Marshal()
+	first, err := a.Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := b.Marshal()
-	if err != nil || !bytes.Equal(one, two) {
-		t.Fatalf("%v\n%s\n%s", err, one, two)
+	second, err := b.Marshal()
+	if err != nil || !bytes.Equal(first, second) {
+		t.Fatalf("%v\n%s\n%s", err, first, second)
 	}
-	return two
+	return second
 }
 
 func checkHoldersHaveSessions(t *rapid.T, s *State) {
@@ -100,8 +99,8 @@
 	}
 }
 
-// checkNothingTakenBackEarly checks the leases that were held before a command and are free or have
-// another token after it: the holder gave them back, or their time on a slow holder's clock is over.
+// checkNothingTakenBackEarly checks the leases that a command freed or transferred: the holder gave the
+// lease up itself, or the lease's TTL has passed even on a slow holder's clock.
 func checkNothingTakenBackEarly(t *rapid.T, c Command, before, after *State) {
 	t.Helper()
 	for name, lease := range before.Leases {
@@ -122,7 +121,7 @@
 	}
 }
 
-// must applies a command, which must end with the code.
+// must applies a command and fails unless the response has the code.
 func must(t *testing.T, s *State, c Command, want Code) Response {
 	t.Helper()
 	c.Version = 1
@@ -141,15 +140,15 @@
 	return Command{Op: OpTick, Term: 1, Elapsed: elapsed}
 }
 
-// reportCommand is the first report of router i of what it sees.
+// reportCommand returns router i's first report, of no servers.
 func reportCommand(i int) Command {
 	report := &rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{}}
 	return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: report}
 }
 
-// A rolling upgrade is under way: some coordinators run an older program, whose tables are smaller.
-// A session or router beyond the older limits is rejected by all alike until 'members upgrade', or
-// the two programs would come to different states.
+// During a rolling upgrade some coordinators run an older program with smaller tables. Until 'members
+// upgrade', all coordinators must reject a session or router beyond the older limits; otherwise the
+// states of the two programs diverge.
 func TestBoundsBeforeUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
@@ -183,7 +182,7 @@
 	}
 }
 
-// acquireCommand is the acquire of lease i, by one of 512 sessions.
+// acquireCommand returns the command that acquires lease i, by one of 512 sessions.
 func acquireCommand(i int) Command {
 	return Command{
 		Op: OpAcquire, SessionID: fmt.Sprint(i % 512), TTL: time.Minute, Lease: fmt.Sprint("l", i),
@@ -191,7 +190,7 @@
 	}
 }
 
-// writeCommand is the largest record of lease i, by the same session.
+// writeCommand returns the command that writes the largest record to lease i, by the same session.
 func writeCommand(i int) Command {
 	return Command{
 		Op: OpWriteRecord, SessionID: fmt.Sprint(i % 512), Lease: fmt.Sprint("l", i),
@@ -200,8 +199,8 @@
 	}
 }
 
-// Each table fills up, rejects one more with the name of its limit, and has capacity again once
-// something has gone. A table without a limit would grow until the coordinator has no memory left.
+// Guards against a table without a limit, which could use up the coordinator's memory. Each table is
+// filled, rejects one more entry with the limit's text, and accepts an entry again once one is freed.
 func TestTablesRejectBeyondTheirLimits(t *testing.T) {
 	s := New()
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: Version}, CodeOK)
@@ -237,7 +236,7 @@
 	}
 }
 
-// checkResponseWindow has the session "more" use up the responses that are kept for it.
+// checkResponseWindow fills the window of cached responses of session "more".
 func checkResponseWindow(t *testing.T, s *State) {
 	t.Helper()
 	acquire := func(sequence, acknowledged uint64) Command {
@@ -254,7 +253,7 @@
 	must(t, s, acquire(1, 0), CodeSuperseded)
 }
 
-// checkInvalidCommands sends fields that are out of bounds.
+// checkInvalidCommands applies commands whose fields are out of bounds.
 func checkInvalidCommands(t *testing.T, s *State) {
 	t.Helper()
 	acquire := Command{Op: OpAcquire, SessionID: "more", Lease: "y", TTL: time.Minute}
@@ -276,9 +275,9 @@
 	}
 }
 
-// Three hundred sessions fall silent in the same second, as when a network is cut. One command ends
-// all of them with all that they held, and not before their time; time that another term's leader
-// measured counts nothing.
+// 300 sessions become silent at the same time, as in a network partition. One command expires all of
+// them with their leases, but not before their time. Time measured by a leader of another term does not
+// count.
 func TestManyEndAtOnce(t *testing.T) {
 	s := New()
 	const sessions = 300
@@ -299,10 +298,10 @@
 	}
 }
 
-// A holder transfers its lease to a client that has no session, then to one that has been silent for
-// longer than the lease lasts: both are rejected and the lease stays. Then the successor is alive,
-// gets the lease under a higher token, and dies: the lease ends by the successor's time. A wrong
-// machine would give the lease to a dead process and keep it from all others.
+// Guards against a lease that is handed over to a dead process, which would block all other clients.
+// A transfer to a client without a session, or to one silent for longer than the lease's TTL, is
+// rejected and the holder keeps the lease. A transfer to a live successor gets a higher token; when
+// the successor then dies, the lease expires by the successor's last keep-alive.
 func TestHandOverToTheDead(t *testing.T) {
 	s := New()
 	const leaseTTL = 5 * time.Second
@@ -323,16 +322,16 @@
 	transfer(3, "b", CodeNoClient) // silent for longer than the lease lasts
 	must(t, s, Command{Op: OpKeepAlive, SessionID: "b"}, CodeOK)
 	if got := transfer(4, "b", CodeOK).Token; got <= token {
-		t.Errorf("token %d after %d", got, token)
+		t.Errorf("token %d after token %d", got, token)
 	}
 	must(t, s, tickCommand(s.ExpiryDelay(leaseTTL)), CodeOK)
 	if len(s.Leases) != 0 {
-		t.Error("a dead successor keeps it")
+		t.Error("a dead successor keeps the lease")
 	}
 }
 
-// A snapshot's file is damaged: one bit is flipped, or its end is missing, at any byte; or a newer
-// program wrote it. Unmarshal rejects it. A machine that read it would differ from the others.
+// A snapshot file has one bit flipped or is truncated, at any byte, or a newer program wrote it.
+// Unmarshal must reject it, or the coordinator's state would diverge from the others'.
 func TestSnapshotRefused(t *testing.T) {
 	s := New()
 	must(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
@@ -346,11 +345,11 @@
 		damaged[i] ^= 1
 		if got, err := Unmarshal(damaged); err == nil {
 			if again, err := got.Marshal(); err != nil || !bytes.Equal(again, text) {
-				t.Errorf("byte %d flipped: read as %s", i, again)
+				t.Errorf("byte %d flipped: accepted as %s", i, again)
 			}
 		}
 		if _, err := Unmarshal(text[:i]); err == nil {
-			t.Errorf("cut at %d: read", i)
+			t.Errorf("truncated at %d: accepted", i)
 		}
 	}
 	newer := bytes.Replace(text, []byte(`{"v":1`), fmt.Appendf(nil, `{"v":%d`, Version+1), 1)
--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -8,28 +8,28 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// The limits of the agreed documents.
+// Limits of the agreed documents.
 const (
 	MaxDocuments          = 1024
-	MaxDocumentBytes      = 32 << 10 // of one document; in base64 it still fits a command of 64 KiB
+	MaxDocumentBytes      = 32 << 10 // of one document; in base64 it still fits into a command of 64 KiB
 	MaxTotalDocumentBytes = 4 << 20  // of all documents, by watchlog.Change.Size
-	MaxHistoryChanges     = 8192     // of all documents, kept for watchers that come back
+	MaxHistoryChanges     = 8192     // of all documents, kept for watchers that reconnect
 	MaxHistoryBytes       = 4 << 20  // of all changes kept, by watchlog.Change.Size
 )
 
-// recoveryRevisionGap is by how much the revision rises when a majority was lost for good: above
-// every change that the lost coordinators may have agreed on. Without it a watcher could have a
-// revision of theirs and never see the new change under the same number.
+// recoveryRevisionGap is how much the revision rises after the permanent loss of a majority: above
+// every change that the lost coordinators may have committed. Without the gap a watcher could already
+// hold a lost change and never receive the new change with the same revision.
 const recoveryRevisionGap = 1 << 32
 
 const documentNameCharacters = "abcdefghijklmnopqrstuvwxyz" + "ABCDEFGHIJKLMNOPQRSTUVWXYZ" + "0123456789" + ".-_/"
 
-// DocumentPut puts a document under a name, or deletes it, if its revision is still the expected one.
+// DocumentPut sets or deletes a document if its revision is still the expected one.
 type DocumentPut struct {
 	Name   string `json:"name"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
-	// Expected is the revision of the document that this one replaces; 0: there is none.
+	// Expected is the current revision of the document, or 0 if it must not exist.
 	Expected uint64 `json:"expected"`
 }
 
@@ -37,7 +37,8 @@
 	return watchlog.NewLog(watchlog.Limits{Changes: HistoryLimit(), Bytes: MaxHistoryBytes})
 }
 
-// CheckDocumentName checks a document's name: letters, digits, dots, dashes, underscores and slashes.
+// CheckDocumentName returns an error unless the name is 1 to MaxNameBytes letters, digits, dots, dashes,
+// underscores and slashes.
 func CheckDocumentName(name string) error {
 	if problem := checkName("name", name); problem != "" {
 		return errors.New(problem)
@@ -48,13 +49,13 @@
 	return nil
 }
 
-// Revision is that of the newest change of any document; 0 until the first.
+// Revision returns the revision of the most recent change to any document, or 0 before the first.
 func (s *State) Revision() uint64 {
 	return s.Documents.Newest()
 }
 
-// ChangesAfter reads the changes after a revision for a watcher (see watchlog.Log.After), or a
-// snapshot where they are compacted.
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.After), or a
+// snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
 	if revision < s.Documents.Compacted() {
 		return s.Documents.Snapshot(prefix), nil
@@ -62,7 +63,7 @@
 	return s.Documents.After(revision, prefix, maxBytes)
 }
 
-// putDocument carries out a change of a document.
+// putDocument executes a change of a document.
 func (s *State) putDocument(c Command) Response {
 	if response, awaits := s.AwaitsUpgrade(c); awaits {
 		return response
@@ -100,7 +101,7 @@
 	return Response{Code: CodeOK, Revision: change.Revision}
 }
 
-// check says what is wrong with the change whatever the state.
+// check returns an error if the change is invalid independent of the state.
 func (put *DocumentPut) check() error {
 	if err := CheckDocumentName(put.Name); err != nil {
 		return err
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// documentLimitReached names the limit that a change would pass, or is "".
+// documentLimitReached returns the text of the limit that a change would exceed, or "".
 func (s *State) documentLimitReached(change watchlog.Change, growth int, exists bool) string {
 	if change.Deleted {
 		return ""
@@ -135,7 +136,7 @@
 	return c.Size()
 }
 
-// recountDocumentBytes adds up what a snapshot holds.
+// recountDocumentBytes recomputes documentBytes after a snapshot was restored.
 func (s *State) recountDocumentBytes() {
 	s.documentBytes = 0
 	for _, c := range s.Documents.Snapshot("").Changes {
@@ -143,7 +144,7 @@
 	}
 }
 
-// raiseRevision makes every watcher take a snapshot, of a revision that none of them can have.
+// raiseRevision forces every watcher to take a snapshot, at a revision that no watcher can have.
 func (s *State) raiseRevision() {
 	if s.Version >= DocumentVersion {
 		s.Documents.SkipRevisions(recoveryRevisionGap)
--- a/internal/coord/document_test.go
+++ b/internal/coord/document_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// agreed is a state of the version with documents, with one session.
+// agreed returns a state at DocumentVersion with one session, "s".
 func agreed(t *testing.T) *State {
 	t.Helper()
 	s := New()
@@ -18,7 +18,7 @@
 	return s
 }
 
-// putter numbers a session's commands.
+// putter puts documents as session "s" and numbers its commands.
 type putter struct {
 	state    *State
 	sequence uint64
@@ -30,7 +30,7 @@
 	return must(t, p.state, p.command(put), want)
 }
 
-// command is the session's newest one.
+// command returns the put as the session's most recent command.
 func (p *putter) command(put DocumentPut) Command {
 	return Command{
 		Op: OpPutDocument, SessionID: "s", Document: &put,
@@ -38,9 +38,9 @@
 	}
 }
 
-// Two operators put the same document. The second one expects a revision that is no longer there and
-// gets a conflict with the one that is; one counter goes over all changes; a command that is sent
-// again changes nothing. A wrong machine would lose the first operator's change.
+// Guards against a lost update when two operators put the same document. The second put expects a
+// revision that has been replaced and gets a conflict with the current one. Revisions count the changes
+// to all documents, and a retried command changes nothing.
 func TestCompareAndSet(t *testing.T) {
 	p := putter{state: agreed(t)}
 	first := p.put(t, DocumentPut{Name: "a", Value: []byte("1")}, CodeOK)
@@ -66,9 +66,8 @@
 	}
 }
 
-// A put that is impossible is rejected with the reason, and every put is rejected while an older
-// coordinator doesn't understand documents. A machine that carried it out would differ from the
-// older one's.
+// An invalid put is rejected with the reason. Every put is rejected while an older coordinator may not
+// support documents, as the states would diverge.
 func TestDocumentRefused(t *testing.T) {
 	p := putter{state: agreed(t)}
 	for text, put := range map[string]DocumentPut{
@@ -93,9 +92,9 @@
 	}
 }
 
-// The documents reach the limit of their number, then that of their bytes: one more is rejected with
-// the limit's name, and there is capacity again once one is deleted. The history is bounded without
-// rejecting anything: the oldest changes are compacted and a watcher that is behind gets a snapshot.
+// Documents are limited in number and in total bytes: a put beyond a limit is rejected with the limit's
+// text, and accepted again once a document is deleted. The history is limited without rejecting puts:
+// the oldest changes are compacted, and a watcher that is behind gets a snapshot.
 func TestDocumentBounds(t *testing.T) {
 	p := putter{state: agreed(t)}
 	for i := range MaxDocuments {
@@ -117,7 +116,7 @@
 	if !strings.Contains(full.Text, "bytes together") {
 		t.Errorf("%+v", full)
 	}
-	p.put(t, DocumentPut{Name: "0", Value: large, Expected: 1}, CodeOK) // it replaces as much as it brings
+	p.put(t, DocumentPut{Name: "0", Value: large, Expected: 1}, CodeOK) // replaces as many bytes as it adds
 	p.put(t, DocumentPut{Name: "0", Delete: true, Expected: p.state.Revision()}, CodeOK)
 	p.put(t, DocumentPut{Name: "more", Value: large}, CodeOK)
 	if p.state.Documents.Compacted() == 0 {
@@ -137,9 +136,9 @@
 	}
 }
 
-// Two replicas apply the same random puts and deletions; one is restored from its own snapshot now
-// and then, and now and then a majority was lost and the revision is raised. They have the same
-// bytes, and the revision never goes back.
+// Two replicas apply the same random puts and deletions; one is now and then restored from its own
+// snapshot, and now and then the revision is raised as after the loss of a majority. Checks that both
+// always have the same bytes and that the revision never decreases.
 func TestAnyDocuments(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, b := agreed(t), agreed(t)
--- a/internal/coord/history_nofaults.go
+++ b/internal/coord/history_nofaults.go
@@ -2,5 +2,5 @@
 
 package coord
 
-// HistoryLimit is how many changes of the agreed documents are kept.
+// HistoryLimit returns how many changes of the agreed documents are kept.
 func HistoryLimit() int { return MaxHistoryChanges }
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -9,16 +9,16 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Lease is one that is held by a session.
+// Lease is a lease that a session holds.
 type Lease struct {
 	SessionID string        `json:"session"`
-	Token     uint64        `json:"token"` // fencing token; higher than that of any holder before
-	TTL       time.Duration `json:"ttl"`   // at most the session's
+	Token     uint64        `json:"token"` // fencing token; higher than the token of any previous holder
+	TTL       time.Duration `json:"ttl"`   // at most the session's TTL
 	Purpose   string        `json:"purpose,omitempty"`
 	Record    []byte        `json:"record,omitempty"`
-	// RecordWrittenAt is the instant of State.Clock at which Record was written.
+	// RecordWrittenAt is the value of State.Clock when Record was written.
 	RecordWrittenAt time.Duration `json:"written,omitempty"`
-	// AcquireSequence is the sequence number of the holder's newest acquire.
+	// AcquireSequence is the sequence number of the holder's most recent acquire command.
 	AcquireSequence uint64 `json:"asked"`
 }
 
@@ -52,7 +52,7 @@
 	return Response{Code: CodeOK, Token: token, Holder: session.Client}
 }
 
-// acquireHeld confirms the lease to its holder, and tells anyone else who holds it.
+// acquireHeld confirms a held lease to its holder. Any other session gets CodeHeld with the holder.
 func (s *State) acquireHeld(c Command, lease *Lease) Response {
 	if lease.SessionID == c.SessionID {
 		lease.AcquireSequence = c.Sequence
@@ -66,7 +66,7 @@
 	return response
 }
 
-// holderName is the name of the client that holds a lease.
+// holderName returns the name of the client that holds the lease, or "".
 func (s *State) holderName(l *Lease) string {
 	if session := s.Sessions[l.SessionID]; session != nil {
 		return session.Client
@@ -74,7 +74,7 @@
 	return ""
 }
 
-// assignLease makes a session that is there the holder of a lease.
+// assignLease makes an existing session the holder of a lease.
 func (s *State) assignLease(name string, lease *Lease) {
 	session := s.Sessions[lease.SessionID]
 	s.Leases[name] = lease
@@ -83,7 +83,7 @@
 	s.changedLeases = append(s.changedLeases, name)
 }
 
-// freeLease takes a lease back.
+// freeLease removes a lease from its holder.
 func (s *State) freeLease(name string) {
 	lease := s.Leases[name]
 	if session := s.Sessions[lease.SessionID]; session != nil {
@@ -94,7 +94,7 @@
 	s.changedLeases = append(s.changedLeases, name)
 }
 
-// executeAsHolder carries out what only the holder may do, with the token that it holds.
+// executeAsHolder executes a command that requires the lease and its current token.
 func (s *State) executeAsHolder(c Command) Response {
 	lease := s.Leases[c.Lease]
 	if lease == nil || !holds(c, lease) {
@@ -109,8 +109,8 @@
 	if c.Op == OpWriteRecord {
 		return s.writeRecord(c, lease)
 	}
-	// A release that was overtaken on its way by an acquire of the same session would take back what
-	// the acquire confirmed, while the client goes on acting.
+	// A release may be overtaken on the network by an acquire of the same session. It would free the
+	// lease that the acquire confirmed while the client still acts on it.
 	if c.Sequence < lease.AcquireSequence && !failpoint.Is("release-overtaken") {
 		return Response{Code: CodeSuperseded, Text: fmt.Sprintf("lease %s was asked for again since", c.Lease)}
 	}
@@ -145,7 +145,7 @@
 	return Response{Code: CodeOK, Token: lease.Token}
 }
 
-// transferLease gives a lease to another client, under a new token.
+// transferLease gives a lease to another client under a new token.
 func (s *State) transferLease(c Command, lease *Lease) Response {
 	successorID := s.newestSession(c.Successor)
 	successor := s.Sessions[successorID]
@@ -170,7 +170,7 @@
 	return Response{Code: CodeOK, Token: transferred.Token, Holder: c.Successor}
 }
 
-// newestSession is the id of the client's session that was opened last, or "".
+// newestSession returns the id of the client's most recently opened session, or "".
 func (s *State) newestSession(client string) string {
 	newest := ""
 	for id, session := range s.Sessions {
@@ -184,22 +184,22 @@
 	return newest
 }
 
-// LeaseStatus is one lease as it is listed.
+// LeaseStatus describes one lease in a list.
 type LeaseStatus struct {
 	Lease  string        `json:"lease"`
-	Holder string        `json:"holder"` // the client's name
+	Holder string        `json:"holder"` // client name
 	Token  uint64        `json:"token"`
 	TTL    time.Duration `json:"ttl"`
-	// Remaining is the time on the coordinators' clock until it expires, unless it is kept alive.
+	// Remaining is the time on the coordinators' clock until the lease expires unless it is kept alive.
 	Remaining time.Duration `json:"left"`
 	Purpose   string        `json:"purpose,omitempty"`
 	Record    []byte        `json:"record,omitempty"`
-	// RecordAge is that of Record on the coordinators' clock, which lags by the time since the
-	// command that was applied last.
+	// RecordAge is the age of Record on the coordinators' clock, which lags by the time since the
+	// most recently applied command.
 	RecordAge time.Duration `json:"age,omitempty"`
 }
 
-// ListLeases lists the leases whose names match, by name.
+// ListLeases returns the leases whose names match, sorted by name.
 func (s *State) ListLeases(match func(name string) bool) []LeaseStatus {
 	list := []LeaseStatus{}
 	for name, lease := range s.Leases {
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// The limits of all tables and fields.
+// Limits of all tables and fields.
 const (
-	// MaxSessions has space for 5,100 routers and over half as many again, for tools and for
-	// processes that were replaced and whose sessions have not expired yet.
+	// MaxSessions allows for 5,100 routers and over half as many again: tools, and replaced processes
+	// whose sessions have not expired yet.
 	MaxSessions = 8192
 	MaxLeases   = 8192
 
-	// MaxCachedResponses are kept of a session, for commands that are sent again. A client has at
-	// most so many in flight.
+	// MaxCachedResponses is the number of responses kept per session for retried commands, and thereby
+	// the maximum number of commands that a client has in flight.
 	MaxCachedResponses = 32
 
-	MaxNameBytes        = 128     // of a session's, client's or lease's name
+	MaxNameBytes        = 128     // of the name of a session, client or lease
 	MaxPurposeBytes     = 256     // of one lease
 	MaxRecordBytes      = 4096    // of one lease
 	MaxTotalRecordBytes = 8 << 20 // of all leases
@@ -24,14 +24,14 @@
 	MinTTL = time.Second     // of sessions and leases
 	MaxTTL = 5 * time.Minute // of sessions and leases
 
-	MaxClockRateBound     = 0.1  // a share of the rate
-	DefaultClockRateBound = 0.01 // a share of the rate
+	MaxClockRateBound     = 0.1  // fraction of the rate
+	DefaultClockRateBound = 0.01 // fraction of the rate
 )
 
-// earlierMaxSessions holds before fleetLimitsVersion is in force.
+// earlierMaxSessions is the limit before fleetLimitsVersion is in force.
 const earlierMaxSessions = 4096
 
-// checkName says what is wrong with a name in a command's field, or "".
+// checkName returns what is wrong with the name in a command's field, or "".
 func checkName(field, name string) string {
 	if name == "" {
 		return field + ": empty"
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// maxSessions is the limit in force.
+// maxSessions returns the limit in force.
 func (s *State) maxSessions() int {
 	if s.hasEarlierLimits() {
 		return earlierMaxSessions
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -18,38 +18,38 @@
 
 // Limits on commands in flight.
 const (
-	// MaxCommandsInFlight is as many as there are sessions, as all may send their keep-alives at once.
+	// MaxCommandsInFlight is the maximum number of sessions: all may send keep-alives at the same time.
 	MaxCommandsInFlight = 8192
 
-	// MaxOtherCommandsInFlight bounds commands other than keep-alives, by about what a busy leader
-	// carries out in the second for which clients wait. Beyond it they are rejected with a time to
-	// come back, so that the sessions that are there can be kept alive.
+	// MaxOtherCommandsInFlight bounds commands other than keep-alives. It is about the number that a
+	// busy leader executes in one second, the time for which clients wait. Commands beyond it are
+	// rejected with a Retry-After, so that existing sessions can still be kept alive.
 	MaxOtherCommandsInFlight = 4096
 )
 
-// Bounds on when rejected clients come back.
+// Bounds of the Retry-After of rejected clients.
 const (
 	minRetryAfter = time.Second
 
-	// Clients that find a table full come back 5 ms apart: it may stay full for long.
+	// Clients rejected by a full table retry 5 ms apart, as the table may stay full for long.
 	tableReturnsPerSecond = 200
 	maxTableRetryAfter    = time.Minute
 
-	// Clients that find too many commands in flight come back half a millisecond apart: the commands
-	// are carried out within seconds.
+	// Clients rejected by too many commands in flight retry 0.5 ms apart, as the commands are executed
+	// within seconds.
 	commandReturnsPerSecond = 2000
 	maxCommandRetryAfter    = 5 * time.Second
 )
 
 // Limits on connections.
 const (
-	// maxRejectedConnections lie over the limit, and are kept only until they got their Retry-After.
+	// maxRejectedConnections is how many connections over the limit are accepted to send a Retry-After.
 	maxRejectedConnections = 256
-	// reservedDescriptors of the process are for its log, its snapshots and the other coordinators.
+	// reservedDescriptors are kept for the process's log, snapshots and the other coordinators.
 	reservedDescriptors = 1024
 )
 
-// maxCommands is how many commands may be in flight where one more is to be carried out.
+// maxCommands returns the limit on commands in flight that applies to the operation.
 func maxCommands(op coord.Op) int {
 	if op == coord.OpKeepAlive {
 		return MaxCommandsInFlight
@@ -57,27 +57,27 @@
 	return MaxOtherCommandsInFlight
 }
 
-// returnSchedule gives rejected clients times to come back that lie apart, so that their number
-// doesn't decide how many come at once.
+// returnSchedule assigns rejected clients evenly spaced times to retry, so that the rate of retries does
+// not depend on the number of clients.
 type returnSchedule struct {
 	perSecond     int
 	maxRetryAfter time.Duration
 
 	mu           sync.Mutex
-	nextReturnAt time.Duration // given out last, on clock.Now
+	nextReturnAt time.Duration // assigned last, on clock.Now
 }
 
-// newTableReturns is the schedule of clients that find a table full.
+// newTableReturns returns the schedule for clients that are rejected by a full table.
 func newTableReturns() *returnSchedule {
 	return &returnSchedule{perSecond: tableReturnsPerSecond, maxRetryAfter: maxTableRetryAfter}
 }
 
-// newCommandReturns is the schedule of clients that find too many commands in flight.
+// newCommandReturns returns the schedule for clients that are rejected by too many commands in flight.
 func newCommandReturns() *returnSchedule {
 	return &returnSchedule{perSecond: commandReturnsPerSecond, maxRetryAfter: maxCommandRetryAfter}
 }
 
-// nextRetryAfter is after how long one more client is to come back.
+// nextRetryAfter assigns the next time to retry and returns how long after now it is.
 func (r *returnSchedule) nextRetryAfter(now time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,15 +88,16 @@
 	return r.nextReturnAt - now
 }
 
-// withRetryAfter counts a response that rejects by a limit, and adds when to come back.
+// withRetryAfter counts a rejection by a limit and sets its RetryAfter.
 func (n *Node) withRetryAfter(response coord.Response, returns *returnSchedule) coord.Response {
 	n.rejected.Add(1)
 	response.RetryAfter = returns.nextRetryAfter(clock.Now())
 	return response
 }
 
-// awaitsUpgrade rejects a command for which the version in force is too old. A coordinator that has
-// just started may not have read the version yet: only what the leader has from all others counts.
+// awaitsUpgrade returns the response to a command that requires a later version than the one in force.
+// A coordinator that has just started may have an outdated version, so only a linearizable read at the
+// leader is decisive.
 func (n *Node) awaitsUpgrade(c coord.Command) (response coord.Response, awaits bool, err error) {
 	n.mu.Lock()
 	response, awaits = n.state.AwaitsUpgrade(c)
@@ -107,9 +108,9 @@
 	return response, awaits, err
 }
 
-// rejectsSession rejects a session for which there is no capacity before it gets into the log: a
-// fleet over the limit that retries costs the other coordinators nothing. Only a leader knows the
-// state well enough to do so.
+// rejectsSession rejects a new session that exceeds the limit before it is written to the log: retries
+// of a fleet over the limit must not load the other coordinators. Only the leader's state is recent
+// enough to decide that.
 func (n *Node) rejectsSession(c coord.Command) (coord.Response, bool) {
 	if c.Op != coord.OpOpenSession || n.raft.State() != raft.Leader {
 		return coord.Response{}, false
@@ -119,13 +120,13 @@
 	return n.state.RejectsSession(c.SessionID)
 }
 
-// retryAfterSeconds is HTTP's header Retry-After: whole seconds, rounded up.
+// retryAfterSeconds returns the value of the HTTP header Retry-After: whole seconds, rounded up.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// connectionLimitForProcess is how many connections of clients are served at once: MaxConnections, or
-// fewer where the process may open fewer descriptors.
+// connectionLimitForProcess returns how many client connections are served at the same time:
+// MaxConnections, or fewer if the process may open fewer descriptors.
 func connectionLimitForProcess() int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
@@ -135,25 +136,25 @@
 	return max(1, min(MaxConnections, available))
 }
 
-// connectionLimit answers what comes over a connection beyond the limit with when to come back, and
-// closes the connection.
+// connectionLimit answers requests on connections beyond the limit with a Retry-After and closes these
+// connections.
 type connectionLimit struct {
 	bound   int
 	returns *returnSchedule
 
 	mu   sync.Mutex
-	open map[net.Conn]bool // whether it counts against the bound
-	used int               // connections that count
+	open map[net.Conn]bool // open connections; true if the connection counts towards the bound
+	used int               // connections that count towards the bound
 }
 
 func newConnectionLimit(bound int) *connectionLimit {
 	return &connectionLimit{bound: bound, returns: newTableReturns(), open: map[net.Conn]bool{}}
 }
 
-// overBound is the key under which a connection's context has whether it lies beyond the bound.
+// overBound is the context key that says whether the connection exceeds the bound.
 type overBound struct{}
 
-// opened counts a new connection.
+// opened registers a new connection. It is the server's ConnContext.
 func (l *connectionLimit) opened(ctx context.Context, c net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,7 +166,7 @@
 	return context.WithValue(ctx, overBound{}, !isWithin)
 }
 
-// changed counts a connection that ended.
+// changed unregisters a connection that has ended. It is the server's ConnState.
 func (l *connectionLimit) changed(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
@@ -178,7 +179,7 @@
 	delete(l.open, c)
 }
 
-// handler serves connections within the bound by another handler.
+// handler returns a handler that passes requests within the bound to another handler.
 func (l *connectionLimit) handler(within http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if isOver, _ := r.Context().Value(overBound{}).(bool); !isOver {
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -14,9 +14,9 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// The table of sessions is full, and 500 clients ask for one more each. Every one is rejected with the
-// table's name and a time to come back, the times lie apart, and the rejections cost no entries of the
-// log. A leader that wrote them to the log would be kept from real work by a fleet over the limit.
+// The session table is full, and 500 clients each open one more session. Each is rejected with the
+// limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a fleet
+// over the limit would keep the leader busy with rejections.
 func TestSessionsFull(t *testing.T) {
 	n := single(t)
 	n.mu.Lock()
@@ -40,24 +40,24 @@
 		}
 		last = response.RetryAfter
 	}
-	if grown := n.raft.LastIndex() - before; grown > attempts/4 { // time passes in the log all the same
+	if grown := n.raft.LastIndex() - before; grown > attempts/4 { // ticks are written to the log meanwhile
 		t.Errorf("%d rejections wrote %d entries of the log", attempts, grown)
 	}
 	if last < minRetryAfter+attempts*time.Second/tableReturnsPerSecond/2 {
-		t.Errorf("the last of %d is to come back after %v, which is with the first", attempts, last)
+		t.Errorf("the last of %d is to retry after %v, too close to the first", attempts, last)
 	}
 	if got := n.Status().Rejected; got != attempts {
-		t.Errorf("%d rejections are counted, there were %d", got, attempts)
+		t.Errorf("%d rejections are counted, want %d", got, attempts)
 	}
 	open.SessionID = "s1"
 	if _, response := postCommand(t, n, open); response.Code != coord.CodeOK {
-		t.Errorf("a session that is there: %+v", response)
+		t.Errorf("an existing session: %+v", response)
 	}
 }
 
 // The limits of watchers and of commands in flight are reached. One more is rejected with the limit's
-// name and a time to come back; a keep-alive still gets through where other commands don't, or a busy
-// leader would end the sessions that are there.
+// text and a Retry-After. A keep-alive is still accepted where other commands are rejected; otherwise
+// sessions would expire at a busy leader.
 func TestWatchersAndCommandsFull(t *testing.T) {
 	n := single(t)
 	n.mu.Lock()
@@ -87,8 +87,8 @@
 	n.commandsInFlight.Store(0)
 }
 
-// Thousands of clients are rejected in a row: each gets a time of its own, between the bounds. After an
-// hour without any the schedule starts from now. With one time for all, all would come back at once.
+// Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds, as
+// otherwise all would retry at the same time. After an idle hour the schedule starts from now again.
 func TestReturnSchedule(t *testing.T) {
 	r := newTableReturns()
 	first := r.nextRetryAfter(0)
@@ -107,9 +107,9 @@
 	}
 }
 
-// A server has capacity for one connection and gets two. The second one is answered with a time to come
-// back and closed; once the first has ended, it is served. A server that only let it wait would tell
-// the client nothing.
+// A server with capacity for one connection gets two. The second one gets a response with Retry-After
+// and is closed; once the first connection has ended, the second client is served. If the connection
+// were only queued, the client would not learn the reason.
 func TestConnectionsFull(t *testing.T) {
 	limit := newConnectionLimit(1)
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
@@ -138,7 +138,7 @@
 		t.Errorf("%d %s %v", code, text, header)
 	}
 	if code, _, _ := ask(first); code != http.StatusOK {
-		t.Errorf("the one within the bound: %d", code)
+		t.Errorf("the connection within the bound: %d", code)
 	}
 	first.CloseIdleConnections()
 	for code != http.StatusOK {
@@ -146,19 +146,19 @@
 	}
 }
 
-// A router watches the drains before anything was ever drained. With wait=true it waits for the first
-// version like any other; without, it is answered at once. If it never waited, every router would poll
-// again and again until the first drain.
+// A router watches the drains before the first drain. With wait=true it waits for the first version;
+// without, it gets a response immediately. If wait=true didn't wait, every router would poll in a loop
+// until the first drain.
 func TestWatchFromNothing(t *testing.T) {
 	n := single(t)
 	answered := make(chan int, 1)
-	go func() { // ends with the watch, at the latest when its time is over
+	go func() { // ends with the watch, after its maximum duration at the latest
 		answered <- serve(n.Handler(), http.MethodGet, "/v1/drains?after=0&wait=true", nil).Code
 	}()
 	for watchers := 0; watchers == 0; watchers = n.Status().Watchers {
 		select {
 		case code := <-answered:
-			t.Fatalf("answered with %d and did not wait", code)
+			t.Fatalf("status %d without waiting", code)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -166,7 +166,7 @@
 		t.Errorf("%d %s", w.Code, w.Body)
 	}
 	postCommand(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "ann", TTL: time.Minute})
-	budgets := &rollout.Command{ // changes what routers go by
+	budgets := &rollout.Command{ // a new version of what routers watch
 		Op: rollout.OpSetBudgets, Grace: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum,
 	}
 	setBudgets := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: budgets}
@@ -178,9 +178,9 @@
 	}
 }
 
-// A coordinator that doesn't lead has an old state, by whose version a command is not understood yet.
-// It redirects to the leader, which knows better; if it rejected the command, a client would give up
-// something that the group understands.
+// Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead, a
+// command still requires an upgrade. It must redirect to the leader; if it rejected the command, the
+// client would give up a command that the group supports.
 func TestOldStateRefusesNothing(t *testing.T) {
 	n := startNode(t, 100)
 	acknowledge := &rollout.Command{Op: rollout.OpAcknowledgeDrains}
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -20,13 +20,13 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Limits and times of the clients' side.
+// Limits and timeouts of the HTTP API for clients.
 const (
-	// MaxConnections of clients are served at once: three for each session. There are fewer where the
-	// process may open fewer descriptors.
+	// MaxConnections is the number of client connections served at the same time: three per session.
+	// It is lower if the process may open fewer descriptors.
 	MaxConnections = 24576
 
-	// maxBodyBytes fit a report of rollout.MaxReportedServers servers with the longest names.
+	// maxBodyBytes allows for a report of rollout.MaxReportedServers servers with the longest names.
 	maxBodyBytes = 256 << 10
 
 	maxHeaderBytes          = 16 << 10
@@ -38,14 +38,14 @@
 	maxRolloutWatchDuration = 5 * time.Second
 )
 
-// errorBody is the body of a rejection by a coordinator that doesn't lead or has reached a limit.
+// errorBody is the body of an error response. Leader is set if another coordinator leads.
 type errorBody struct {
 	Leader     string        `json:"leader"`
 	Text       string        `json:"text"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
 
-// Handler serves clients and operators: JSON over HTTP.
+// Handler returns the HTTP API for clients and operators, which uses JSON.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/command", n.serveCommand)
@@ -65,8 +65,8 @@
 	return mux
 }
 
-// MetricsHandler serves monitoring: GET /-/metrics is the Status, and GET /-/ready says with 200 that
-// the coordinator belongs to a group and knows its leader, else 503. It takes no command.
+// MetricsHandler returns a handler for monitoring, which accepts no commands. GET /-/metrics returns the
+// Status. GET /-/ready returns 200 if the coordinator belongs to a group and knows its leader, else 503.
 func (n *Node) MetricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/metrics", n.serveStatus)
@@ -125,8 +125,8 @@
 	n.writeResponse(w, coord.Response{Code: coord.CodeOK}, err)
 }
 
-// awaitNewer waits for a version newer than the query's "after", where the leader is asked to: for 0
-// only with wait=true. It reports false where it has answered with an error.
+// awaitNewer waits until there is a version newer than the query's "after", if this coordinator leads.
+// For after=0 it waits only with wait=true. It returns false if it has sent an error response.
 func (n *Node) awaitNewer(
 	w http.ResponseWriter, r *http.Request, watch func(ctx context.Context, after uint64) error,
 ) bool {
@@ -207,7 +207,7 @@
 	n.writeResponse(w, response, err)
 }
 
-// readBody decodes a request's body, or answers with what is wrong with it.
+// readBody decodes a request's body. It returns false if it has sent an error response.
 func readBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -218,8 +218,8 @@
 	return true
 }
 
-// writeResponse answers with a value, or with an error by its type. A client that has disconnected
-// needs no answer, so that errors of writing are dropped.
+// writeResponse sends a value, or an error with the status code of its type. Write errors are ignored,
+// as they mean that the client has disconnected.
 func (n *Node) writeResponse(w http.ResponseWriter, value any, err error) {
 	var limit *LimitError
 	if errors.As(err, &limit) {
@@ -237,7 +237,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// writeLimitReached answers with a limit and when to come back.
+// writeLimitReached sends the text of a limit and a Retry-After.
 func writeLimitReached(w http.ResponseWriter, limit *LimitError) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Retry-After", retryAfterSeconds(limit.RetryAfter))
@@ -245,8 +245,7 @@
 	_ = json.NewEncoder(w).Encode(errorBody{Text: limit.Text, RetryAfter: limit.RetryAfter})
 }
 
-// Serve answers requests with the handler until ctx ends, and then lets those that are being served
-// end within shutdownTimeout.
+// Serve serves requests until ctx ends, and then waits up to shutdownTimeout for those in progress.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	limit := newConnectionLimit(connectionLimitForProcess())
 	server := &http.Server{
@@ -260,7 +259,7 @@
 		ConnState:         limit.changed,
 	}
 	done := make(chan error, 1)
-	go func() { // ends with the server, which is waited for
+	go func() { // ends with the server; done is received below
 		done <- server.Serve(netutil.LimitListener(listener, limit.bound+maxRejectedConnections))
 	}()
 	select {
--- a/internal/coord/node/api_test.go
+++ b/internal/coord/node/api_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// A coordinator belongs to no group yet: monitoring reads from the metrics' address how it stands, and
-// that it is not ready. Then it is made a group and becomes ready. No command is taken at that address,
-// which may be open to more than the clients' one.
+// The metrics address serves the status and the readiness of a coordinator, before and after it belongs
+// to a group. It must accept no commands, as it may be reachable by more clients than the API.
 func TestFigures(t *testing.T) {
 	n := startNode(t, 100)
 	h := n.MetricsHandler()
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// maxPollDuration of a long poll is short, so that an observer knows how old its state is.
+	// maxPollDuration limits a long poll. It is short, so that an observer knows how old its state is.
 	maxPollDuration = time.Second
 
-	// maxChangesBytes of one answer, unless it is a snapshot.
+	// maxChangesBytes limits the changes in one response, except for a snapshot.
 	maxChangesBytes = 256 << 10
 )
 
-// Changes waits until there are changes of documents after a revision, or ctx ends, and reads them.
-// Any coordinator answers from its own state, so that observers cost the leader no more than another
-// one. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a LimitError.
+// Changes waits until there are changes of documents after a revision or ctx ends, and returns them.
+// Any coordinator responds from its own state, so observers don't load the leader more than other
+// coordinators. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a
+// LimitError.
 func (n *Node) Changes(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
 	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
 		return protocol.Update{}, err
 	}
-	age, err := n.stateAge() // before the state is read, so that it is not older than the answer says
+	age, err := n.stateAge() // before the state is read, so that the state is at most this old
 	if err != nil {
 		return protocol.Update{}, err
 	}
@@ -44,8 +45,8 @@
 	return protocol.Update{Batch: batch, Newest: newest, AgeMillis: age.Milliseconds()}, err
 }
 
-// stateAge is how long ago this coordinator's state was complete, at most as far as it can know: now
-// at a leader that a majority confirms, at a follower since its leader was last heard of.
+// stateAge returns an upper bound on how long ago this coordinator's state was complete: 0 at a leader
+// that a majority confirms, and the time since the last contact with the leader at a follower.
 func (n *Node) stateAge() (time.Duration, error) {
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
@@ -90,10 +91,10 @@
 func writeRejection(w http.ResponseWriter, status int, rejection *protocol.Rejection) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(rejection) // a client that has disconnected needs no answer
+	_ = json.NewEncoder(w).Encode(rejection) // an error means that the client has disconnected
 }
 
-// serveHistory answers GET /v1/history?name=NAME with what is kept of a document's changes.
+// serveHistory answers GET /v1/history?name=NAME with the retained changes of a document.
 func (n *Node) serveHistory(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get("name")
 	history := []watchlog.Change{}
@@ -101,7 +102,7 @@
 	n.writeResponse(w, history, err)
 }
 
-// serveDocuments answers GET /v1/documents?prefix=PREFIX with a list.
+// serveDocuments answers GET /v1/documents?prefix=PREFIX with a list of documents.
 func (n *Node) serveDocuments(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
 	rows := []protocol.DocumentRow{}
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -10,7 +10,7 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// do has a command agreed on, which must end as it should.
+// do proposes a command and fails unless the response has the code.
 func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
 	t.Helper()
 	a, err := n.Propose(c)
@@ -20,7 +20,7 @@
 	return a
 }
 
-// poll asks for changes and reads the answer into one of the two.
+// poll requests changes. It returns the status and either the update or the rejection.
 func poll(t *testing.T, n *Node, query string) (int, protocol.Update, protocol.Rejection) {
 	t.Helper()
 	w := serve(n.Handler(), http.MethodGet, protocol.ChangesPath+"?"+query, nil)
@@ -36,10 +36,10 @@
 	return w.Code, update, rejection
 }
 
-// An observer polls for changes. It gets what comes after its revision, a notice of progress where
-// nothing comes, a snapshot where the changes are compacted, and a typed rejection where the
-// coordinator is behind the observer. A coordinator that answered an observer that is ahead with its
-// own older state would take changes back from routers.
+// An observer polls for changes. It gets the changes after its revision, a progress notice if there are
+// none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
+// coordinator is behind the observer. If a coordinator that is behind sent its older state, routers
+// would return to old documents.
 func TestChanges(t *testing.T) {
 	n := leading(t)
 	do(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
@@ -53,7 +53,7 @@
 	}
 	got := make(chan protocol.Update, 1)
 	done := make(chan struct{})
-	go func() { // ends with its one poll, which is waited for below
+	go func() { // ends with the first poll that gets a change; done is received below
 		defer close(done)
 		for {
 			code, update, _ := poll(t, n, "after=0")
@@ -96,9 +96,9 @@
 	}
 }
 
-// A document is put while an older coordinator doesn't understand documents. The leader rejects it and
-// writes nothing to the log: an older coordinator would reject the entry in other words, and its state
-// would differ.
+// A document is put while an older coordinator may not support documents. The leader must reject the
+// put without a log entry: an older coordinator would reject the entry with another text, and its state
+// would diverge.
 func TestPutBeforeUpgrade(t *testing.T) {
 	n := leading(t)
 	readAll := func() {
@@ -107,8 +107,8 @@
 			t.Fatal(err)
 		}
 	}
-	readAll()                         // what the leader begins with is applied by then
-	before := n.Status().AppliedIndex // that of the newest command: a read's barrier is none
+	readAll()                         // all earlier entries are applied afterwards
+	before := n.Status().AppliedIndex // counts commands only, not the barriers of reads
 	put := coord.Command{
 		Op: coord.OpPutDocument, SessionID: "s", Sequence: 1, Document: &coord.DocumentPut{Name: "a"},
 	}
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -15,16 +15,16 @@
 )
 
 // The fixture testdata/coordinator is the directory of a coordinator of an earlier version that was
-// killed: a snapshot through log index 160 and a log that goes on to 173. It holds sessions, leases,
-// a record, a budget, a waiting and a begun permit, a release under way and documents with a
-// deletion. testdata/coordinator-state.json is what that version's own state machine made of it.
+// killed. It has a snapshot through log index 160 and a log through index 173, with sessions, leases, a
+// record, a budget, a waiting and a started permit, a release in progress, and documents including a
+// deletion. testdata/coordinator-state.json is the state that the earlier version computed from it.
 const (
 	fixtureDirectory = "testdata/coordinator"
 	fixtureState     = "testdata/coordinator-state.json"
 	fixtureIdentity  = "19ff5e8dc3e8d22b"
 )
 
-// copyFixture copies the fixture, as opening a directory changes it.
+// copyFixture copies the fixture, as opening the directory modifies it.
 func copyFixture(t *testing.T) string {
 	t.Helper()
 	directory := filepath.Join(t.TempDir(), "coordinator")
@@ -34,10 +34,9 @@
 	return directory
 }
 
-// A rolling upgrade starts the new program on the directory of the old one. The new program restores
-// the snapshot and applies the rest of the log. A program that reads a field under another name, or
-// carries a command out differently, comes to another state than the coordinators that were not
-// upgraded yet, and the group no longer agrees.
+// In a rolling upgrade the new program starts on the directory of the old one, restores the snapshot and
+// applies the rest of the log. If it decoded a field or executed a command differently, its state would
+// diverge from that of coordinators that are not upgraded yet.
 func TestReplayOfEarlierDirectory(t *testing.T) {
 	directory := copyFixture(t)
 	snapshots, floor, err := openSnapshots(directory, hclog.NewNullLogger())
@@ -67,7 +66,7 @@
 	}
 }
 
-// replayLog applies the commands of the directory's log after an index.
+// replayLog applies the commands in the directory's log after the given index.
 func replayLog(t *testing.T, machine *stateMachine, directory string, after uint64) {
 	t.Helper()
 	store, err := openStore(directory, after, func(err error) { t.Error(err) })
@@ -90,9 +89,9 @@
 	}
 }
 
-// The whole coordinator starts on the directory of an earlier version, takes up its identity, leads
-// its group of one and goes on from the state: leases have their holders and tokens, documents their
-// revisions. A program that lost any of it would give a lease to a second holder.
+// A coordinator starts on the directory of an earlier version. It must keep the identity, become leader
+// of its group of one, and keep all holders, tokens and revisions. If it lost any of them, it could
+// grant a held lease to a second holder.
 func TestStartOnEarlierDirectory(t *testing.T) {
 	n, err := Start(Options{Name: "c1", Directory: copyFixture(t), ListenAddress: "127.0.0.1:0",
 		ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound,
@@ -104,7 +103,7 @@
 	for n.LinearizableRead(func(*coord.State) {}) != nil {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("never leads")
+			t.Fatal("the coordinator never becomes leader")
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -131,7 +130,7 @@
 	}
 }
 
-// checkFixtureState checks what in the fixture's state doesn't depend on the time since.
+// checkFixtureState checks the parts of the fixture's state that don't depend on the time since.
 func checkFixtureState(t *testing.T, s *coord.State) {
 	t.Helper()
 	leases := map[string]coord.LeaseStatus{}
--- a/internal/coord/node/duplicates.go
+++ b/internal/coord/node/duplicates.go
@@ -6,32 +6,32 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// duplicateCommands has a numbered command that a client sends again, while the first sending still
-// waits to be agreed on, wait with that one: the state would give it the same response anyway.
-// Without that a leader that needs longer than clients wait gets each command several times, and so
-// needs longer still.
+// duplicateCommands joins a retried command that has a sequence number with its first attempt while that
+// attempt waits for its commit: the state machine would return the same response anyway. Without this a
+// leader that takes longer than the clients' timeout would execute each command several times and become
+// even slower.
 //
-// Commands without a number are not joined: what a client may count on by a keep-alive begins when
-// that keep-alive was sent.
+// Commands without a sequence number are not joined: the time that a keep-alive gains is counted from
+// when that keep-alive was sent.
 type duplicateCommands struct {
 	mu      sync.Mutex
 	pending map[commandKey]*pendingCommand
 }
 
-// commandKey names a numbered command.
+// commandKey identifies a command that has a sequence number.
 type commandKey struct {
 	session string
 	seq     uint64
 }
 
-// pendingCommand is a command that waits to be agreed on.
+// pendingCommand is a command whose response is outstanding.
 type pendingCommand struct {
-	done     chan struct{} // closed once it is answered
+	done     chan struct{} // closed when response and err are set
 	response coord.Response
 	err      error
 }
 
-// do calls carryOut for a command, or waits for the call that carries out the same one.
+// do calls carryOut for a command, or waits for the result of a pending call for the same command.
 func (r *duplicateCommands) do(c coord.Command, carryOut func() (coord.Response, error)) (coord.Response, error) {
 	if c.Sequence == 0 {
 		return carryOut()
@@ -47,7 +47,7 @@
 		r.pending = map[commandKey]*pendingCommand{}
 	}
 	first := &pendingCommand{done: make(chan struct{})}
-	r.pending[key] = first // bounded by MaxCommands, as each is under way
+	r.pending[key] = first // at most MaxCommandsInFlight entries, one per command in flight
 	r.mu.Unlock()
 	first.response, first.err = carryOut()
 	r.mu.Lock()
--- a/internal/coord/node/duplicates_test.go
+++ b/internal/coord/node/duplicates_test.go
@@ -10,9 +10,9 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A slow leader gets the same numbered command ten times. It is carried out once, and all get its
-// response; one that comes later, one with another number and one without any are carried out by
-// themselves. A leader that carried out each sending would only get slower.
+// A slow leader gets the same numbered command ten times. It must execute the command once and send all
+// the same response; executing each retry would make it even slower. A later retry, a command with
+// another number and commands without a number are executed separately.
 func TestRepeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r duplicateCommands
@@ -37,7 +37,7 @@
 		}
 		synctest.Wait()
 		if n := carried.Load(); n != 1 {
-			t.Errorf("carried out %d times", n)
+			t.Errorf("executed %d times, want 1", n)
 		}
 		send(coord.Command{SessionID: "s", Sequence: 2})
 		send(coord.Command{SessionID: "t", Sequence: 1})
@@ -45,16 +45,16 @@
 		send(coord.Command{SessionID: "s"})
 		synctest.Wait()
 		if n := carried.Load(); n != 5 {
-			t.Errorf("%d were carried out, 5 differ", n)
+			t.Errorf("%d commands were executed, want 5", n)
 		}
 		close(release)
 		wg.Wait()
 		_, err := r.do(coord.Command{SessionID: "s", Sequence: 1}, slow)
 		if !errors.Is(err, lost) || carried.Load() != 6 {
-			t.Errorf("one that came later: %v", err)
+			t.Errorf("a later retry: %v", err)
 		}
 		if len(r.pending) != 0 {
-			t.Errorf("%d are kept", len(r.pending))
+			t.Errorf("%d commands are still pending", len(r.pending))
 		}
 	})
 }
--- a/internal/coord/node/errors.go
+++ b/internal/coord/node/errors.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrNotLeader says that another coordinator must be asked, or that what became of the command
-	// isn't known; the command may be repeated with its sequence number.
+	// ErrNotLeader means that another coordinator must be asked, or that the outcome of the command is
+	// unknown. The command may be retried with the same sequence number.
 	ErrNotLeader = errors.New("not the leader")
 
-	// errDamaged says that what stands on the disk isn't what was written.
+	// errDamaged means that the stored data is not what was written.
 	errDamaged = errors.New(
-		"the log is damaged; this coordinator must come back with an empty directory, as a new member")
+		"the log is damaged; restart this coordinator with an empty directory, as a new member")
 )
 
-// LimitError says that a limit has been reached, and when to come back.
+// LimitError means that a limit has been reached. RetryAfter is how long to wait before a retry.
 type LimitError struct {
 	Text       string
 	RetryAfter time.Duration
--- a/internal/coord/node/faults.go
+++ b/internal/coord/node/faults.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A build with the tag faults lets the laboratory make each sync take longer (DOCKHINGE_SLOW_SYNC, as
-// 50ms), the directory's epoch grow more often (DOCKHINGE_EPOCH_EVERY), and the process end at a crash
+// In a build with the tag faults, tests can slow down each sync (DOCKHINGE_SLOW_SYNC, such as 50ms),
+// shorten the interval of the directory's epoch (DOCKHINGE_EPOCH_EVERY) and kill the process at a crash
 // point (DOCKHINGE_KILL_AT).
 var (
 	syncTakes     = duration("DOCKHINGE_SLOW_SYNC", 0)
@@ -23,11 +23,11 @@
 	return otherwise
 }
 
-// crashPoint kills the process, as SIGKILL from outside does, where this is the one to end at.
+// crashPoint kills the process with SIGKILL if this is the configured crash point.
 func crashPoint(name string) {
 	if os.Getenv("DOCKHINGE_KILL_AT") == name {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // until it has come
+		select {} // until the signal arrives
 	}
 }
 
--- a/internal/coord/node/identity.go
+++ b/internal/coord/node/identity.go
@@ -13,7 +13,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// The keys of what this package stores beside the library's own.
+// The keys under which this package stores values, in addition to the library's keys.
 const (
 	identityKey      = "identity"
 	epochKey         = "epoch"
@@ -21,17 +21,17 @@
 )
 
 const (
-	// defaultEpochInterval is how often the directory's epoch grows: a copy that is put back after
-	// that long is known as one.
+	// defaultEpochInterval is how often the directory's epoch increases. An old copy of the directory
+	// that is restored after at least this time is recognized.
 	defaultEpochInterval = 10 * time.Second
 
 	identityBytes = 8
 	peerRunBytes  = 16 // nonce and epoch
 )
 
-// processRun is one start of a coordinator's process.
+// processRun identifies one run of a coordinator's process.
 type processRun struct {
-	nonce      uint64 // drawn at the start
+	nonce      uint64 // random, drawn at the start
 	startEpoch uint64 // the directory's epoch at the start
 	epoch      uint64 // the directory's epoch now
 }
@@ -40,7 +40,7 @@
 	return processRun{nonce: n.nonce, startEpoch: n.startEpoch, epoch: n.epoch.Load()}
 }
 
-// loadIdentity reads the directory's identity and raises its epoch. An empty directory gets a new
+// loadIdentity reads the directory's identity and increments its epoch. An empty directory gets a new
 // identity.
 func (n *Node) loadIdentity() error {
 	identity, err := n.store.Get([]byte(identityKey))
@@ -70,13 +70,13 @@
 	return identity, n.store.Set([]byte(identityKey), identity)
 }
 
-// checkPeerRun records the run of another coordinator. Its error says why this one must not talk to
-// it: an outdatedDiskError where the peer's disk was put back from an old copy and has forgotten
-// votes.
+// checkPeerRun records the run of another coordinator. It returns an outdatedDiskError if the peer's
+// disk was restored from an old copy, which lacks recent votes; this coordinator must then not
+// communicate with the peer.
 //
-// A disk that is as its process left it gives each start an epoch above all that were sent before;
-// one that was put back gives one that is not above. A handshake that comes late, from the same run
-// or from one that has ended, says nothing of the disk.
+// Each start of a process on its own disk gets an epoch above all those that earlier runs sent; a start
+// on an old copy doesn't. A delayed handshake, of the same run or of one that has ended, proves nothing
+// about the disk.
 func (n *Node) checkPeerRun(identity string, run processRun) error {
 	n.peerRunsMu.Lock()
 	defer n.peerRunsMu.Unlock()
@@ -100,7 +100,7 @@
 	return binary.LittleEndian.AppendUint64(encoded, run.epoch)
 }
 
-// decodePeerRun is the zero run where nothing is stored.
+// decodePeerRun decodes a stored run. It returns the zero run if nothing is stored.
 func decodePeerRun(stored []byte) processRun {
 	if len(stored) != peerRunBytes {
 		return processRun{}
@@ -111,11 +111,11 @@
 	}
 }
 
-// outdatedDiskPrefix begins the text by which the owner of an outdated disk is rejected: a peer knows
-// by it that it must end. It travels between programs of different versions.
+// outdatedDiskPrefix begins the rejection text for an outdated disk. The peer recognizes it and must
+// exit. Programs of different versions exchange it.
 const outdatedDiskPrefix = "your disk is older than one that was seen of you"
 
-// outdatedDiskError says that a peer's disk is older than it was.
+// outdatedDiskError is the error for a peer whose disk is older than in an earlier run of the peer.
 type outdatedDiskError struct {
 	startEpoch uint64
 	knownEpoch uint64
@@ -125,8 +125,8 @@
 	return fmt.Sprintf("%s (it started at epoch %d, and %d was seen)", outdatedDiskPrefix, e.startEpoch, e.knownEpoch)
 }
 
-// advanceEpoch lets the directory's epoch grow and tells all peers, so that a copy that is put back
-// later is known as one. Start owns it; it ends with ctx.
+// advanceEpoch periodically increments the directory's epoch and sends it to all peers, so that they
+// recognize an old copy that is restored later. Start starts it; it ends with ctx.
 func (n *Node) advanceEpoch(ctx context.Context) {
 	ticker := time.NewTicker(epochInterval)
 	defer ticker.Stop()
--- a/internal/coord/node/membership.go
+++ b/internal/coord/node/membership.go
@@ -7,10 +7,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// MaxMembers bounds the coordinators of a group.
+// MaxMembers is the maximum number of coordinators in a group.
 const MaxMembers = 9
 
-// Member is one coordinator as the others know it.
+// Member describes one coordinator of a group.
 type Member struct {
 	Name     string `json:"name"`
 	Identity string `json:"identity"`
@@ -18,10 +18,10 @@
 	IsVoter  bool   `json:"voter"`
 	IsLeader bool   `json:"leader,omitempty"`
 
-	// SupportedVersion is the newest version of commands that its program understands, as said by the
-	// one that is to be added.
+	// SupportedVersion is the latest version of commands that its program supports. It is set in a
+	// request to add the coordinator.
 	SupportedVersion int `json:"newest,omitempty"`
-	// IsReachable says, in the list of members alone, that it responds to the one that lists.
+	// IsReachable reports, in a list of members, whether the coordinator that made the list reached it.
 	IsReachable bool `json:"answers"`
 }
 
@@ -30,7 +30,7 @@
 	return raft.Server{ID: raft.ServerID(m.Identity), Address: address.serverAddress()}
 }
 
-// servers are the members of the group as the library has them; none before the group is made.
+// servers returns the members of the group as the library stores them; none before the bootstrap.
 func (n *Node) servers() []raft.Server {
 	future := n.raft.GetConfiguration()
 	if future.Error() != nil {
@@ -39,8 +39,8 @@
 	return future.Configuration().Servers
 }
 
-// listMembers lists the group. With probe it asks each whether it responds, which takes a while where
-// one doesn't.
+// listMembers lists the group. With probe set it checks whether each member responds, which takes up
+// to the timeout if one doesn't.
 func (n *Node) listMembers(probe bool) []Member {
 	isLeader := n.raft.State() == raft.Leader
 	reachable := map[raft.ServerID]bool{}
@@ -66,7 +66,7 @@
 	return members
 }
 
-// probeMembers asks each coordinator, side by side, whether it responds.
+// probeMembers checks concurrently which coordinators respond.
 func (n *Node) probeMembers(servers []raft.Server) map[raft.ServerID]bool {
 	type probe struct {
 		id          raft.ServerID
@@ -90,7 +90,7 @@
 	return reachable
 }
 
-// Bootstrap makes the first group, of coordinators whose directories are all empty.
+// Bootstrap forms the first group from coordinators whose directories are all empty.
 func (n *Node) Bootstrap(members []Member) error {
 	if len(members) == 0 || len(members) > MaxMembers {
 		return fmt.Errorf("members: %d, between 1 and %d must be named", len(members), MaxMembers)
@@ -110,9 +110,9 @@
 	return n.raft.BootstrapCluster(group).Error()
 }
 
-// AddMember takes a coordinator with an empty directory into the group. It gets the log first and
-// votes once it has it. Where it stops responding in between it stays a member without a vote, and
-// may be added again.
+// AddMember adds a coordinator with an empty directory to the group. The coordinator first receives the
+// log without a vote and is then made a voter. If it stops responding in between, it stays a member
+// without a vote and can be added again.
 func (n *Node) AddMember(m Member) error {
 	if n.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -148,8 +148,8 @@
 	return n.raft.AddVoter(added.ID, added.Address, 0, proposeTimeout).Error()
 }
 
-// checkAddition returns an error where a new coordinator doesn't respond, or where no majority would
-// respond with it.
+// checkAddition returns an error if the new coordinator doesn't respond, or if no majority of the group
+// including it would respond.
 func (n *Node) checkAddition(added raft.Server) error {
 	if !n.probeMembers([]raft.Server{added})[added.ID] {
 		return fmt.Errorf("members: %s does not respond, or is not the one that is meant: it gets no vote",
@@ -159,9 +159,8 @@
 	return n.checkQuorum(append(others, added))
 }
 
-// RemoveMember takes a coordinator out of the group, whether it runs or not. A leader that is to be
-// removed hands the leadership over first and returns ErrNotLeader: it couldn't report its own
-// removal.
+// RemoveMember removes a coordinator from the group, whether it runs or not. A leader that is to remove
+// itself first transfers the leadership and returns ErrNotLeader, as it couldn't report its own removal.
 func (n *Node) RemoveMember(name string) error {
 	if n.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -189,8 +188,8 @@
 	return n.raft.RemoveServer(servers[i].ID, 0, proposeTimeout).Error()
 }
 
-// checkQuorum returns an error where a change would leave no majority that responds now: no change
-// may be the one that stops the group.
+// checkQuorum returns an error if no majority of the voters after a change responds now: no change of
+// the membership may stop the group.
 func (n *Node) checkQuorum(after []raft.Server) error {
 	reachable := n.probeMembers(after)
 	reachable[raft.ServerID(n.identity)] = true
--- a/internal/coord/node/membership_test.go
+++ b/internal/coord/node/membership_test.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// startMember starts a coordinator of a name on a directory. It is closed at the test's end, unless the
-// test has closed it.
+// startMember starts a coordinator with this name on a directory. It is closed at the end of the test
+// unless the test closes it earlier.
 func startMember(t *testing.T, name, directory string) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = n.Close() }) // closed already, or an error that the test has seen
+	t.Cleanup(func() { _ = n.Close() }) // the test may have closed it already
 	return n
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// lead makes a coordinator a group by itself, at the newest version of commands.
+// lead bootstraps a group of this coordinator alone, at the latest version of commands.
 func lead(t *testing.T, n *Node) {
 	t.Helper()
 	if err := n.Bootstrap([]Member{n.asMember()}); err != nil {
@@ -65,13 +65,13 @@
 
 func upgrade(t *testing.T, n *Node) {
 	t.Helper()
-	await(t, "it leads", func() bool {
+	await(t, "leadership", func() bool {
 		_, err := n.Propose(coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.Version})
 		return err == nil
 	})
 }
 
-// addMember adds a coordinator and waits until it has what the leader has applied.
+// addMember adds a coordinator and waits until it has applied what the leader has applied.
 func addMember(t *testing.T, leader, added *Node) {
 	t.Helper()
 	if err := leader.AddMember(added.asMember()); err != nil {
@@ -90,8 +90,8 @@
 	return voters
 }
 
-// Guards against a group of one that can never grow, as the new coordinator counts as one that does
-// not respond: after init, and after recover.
+// Guards against a group of one that can never grow because the new coordinator counts as unreachable:
+// after a bootstrap, and after a recovery.
 func TestGroupOfOneGrowsToThree(t *testing.T) {
 	for name, isRecovered := range map[string]bool{"after init": false, "after recover": true} {
 		t.Run(name, func(t *testing.T) {
@@ -118,13 +118,13 @@
 			if err := c2.Close(); err != nil {
 				t.Fatal(err)
 			}
-			upgrade(t, c1) // with one of three gone, the others agree
+			upgrade(t, c1) // the other two of three still commit
 		})
 	}
 }
 
-// Guards against a coordinator that gets a vote though it is dead, which would stop a group of one for
-// good; once it runs it may be added.
+// Guards against giving a vote to a dead coordinator, which would stop a group of one for good. Once
+// the coordinator runs it can be added.
 func TestDeadCoordinatorGetsNoVote(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
 	lead(t, c1)
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against an addition that was broken off and can't be made again: a member without a vote gets
-// it by being added once more.
+// Guards against an interrupted addition that can't be repeated: a member without a vote gets one when
+// it is added again.
 func TestMemberWithoutVoteIsAddedAgain(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
 	lead(t, c1)
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one coordinator: the consensus library (hashicorp/raft) with its log in bbolt,
-// its snapshots in files and its transport, around the state machine of package coord. Clients'
-// commands come over HTTP (see Node.Handler).
+// Package node runs one coordinator: it drives the state machine of package coord with the consensus
+// library hashicorp/raft, which has its log in bbolt, its snapshots in files and a transport to the
+// other coordinators. Clients send commands over HTTP (see Node.Handler).
 package node
 
 import (
@@ -23,26 +23,26 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// Options are those of one coordinator.
+// Options configure one coordinator.
 type Options struct {
 	Name          string // unique among the coordinators
-	Directory     string // of log, snapshots and identity; it must be there
+	Directory     string // of log, snapshots and identity; must exist
 	ListenAddress string // host:port for the other coordinators
 	ClientAddress string // host:port for clients
 
-	// PeerAddresses are those by which other coordinators are reached from here, by name, where they
-	// differ from the ones that all know.
+	// PeerAddresses override, by coordinator name, the addresses at which this coordinator connects to
+	// the others.
 	PeerAddresses map[string]string
 
-	// ClockRateBound is the share by which any clock may be fast or slow.
+	// ClockRateBound is the maximum fraction by which any clock may run fast or slow.
 	ClockRateBound float64
-	// SnapshotEntries are applied between two snapshots; 0: 8192.
+	// SnapshotEntries is the number of log entries between two snapshots; 0: 8192.
 	SnapshotEntries uint64
 	// HeartbeatTimeout is how long a leader may be silent before another is elected; 0: 250 ms.
 	HeartbeatTimeout time.Duration
 
 	Log     *slog.Logger // nil: nothing is logged
-	OnFatal func(error)  // the process must end now; nil: panic
+	OnFatal func(error)  // called when the process must exit at once; nil: panic
 }
 
 func (o Options) peerAddress(identity string) string {
@@ -53,16 +53,16 @@
 	defaultHeartbeatTimeout = 250 * time.Millisecond
 	defaultSnapshotEntries  = 8192
 
-	commitTimeout         = 20 * time.Millisecond // an idle leader tells followers the commit index
+	commitTimeout         = 20 * time.Millisecond // after which an idle leader sends followers the commit index
 	snapshotCheckInterval = 2 * time.Second
 	retainedSnapshots     = 2
 	peerConnectionPool    = 3
-	peerTimeout           = 2 * time.Second // of the library's requests to a peer
+	peerTimeout           = 2 * time.Second // of the library's requests to another coordinator
 
-	// proposeTimeout is how long a command may wait to be taken over by the library.
+	// proposeTimeout is how long a command may wait until the library accepts it.
 	proposeTimeout = 2 * time.Second
 
-	// Histograms go to a minute with two significant digits; what took longer counts as that.
+	// Histograms record up to a minute with two significant digits; longer times count as a minute.
 	maxRecordedMicros = 60_000_000
 	histogramDigits   = 2
 )
@@ -70,35 +70,35 @@
 // Node is one coordinator. Its methods may be called concurrently.
 type Node struct {
 	options    Options
-	identity   string // of the directory
-	nonce      uint64 // drawn at the start of this process
-	startEpoch uint64 // the directory's epoch at the start of this process
+	identity   string // stored in the directory
+	nonce      uint64 // random, drawn when this process started
+	startEpoch uint64 // the directory's epoch when this process started
 	epoch      atomic.Uint64
-	peerRunsMu sync.Mutex // guards what the store has of the peers' runs
+	peerRunsMu sync.Mutex // guards the peers' runs in the store
 	store      *diskStore
 	raft       *raft.Raft
 	transport  *raft.NetworkTransport
 	peers      *peerLayer
 
-	mu           sync.Mutex // guards what follows up to watchers
+	mu           sync.Mutex // guards the fields through watchers
 	state        *coord.State
 	appliedIndex uint64
-	watches      map[string]chan struct{} // by lease or key: closed when it changes
-	watchers     int                      // clients that wait
+	watches      map[string]chan struct{} // by lease name or watch key: closed at the next change
+	watchers     int                      // clients that wait for a change
 
 	leaderClock      leaderClock
 	commandsInFlight atomic.Int64
-	rejected         atomic.Int64    // requests, as a limit was reached
-	tableReturns     *returnSchedule // of clients that found a table full
-	commandReturns   *returnSchedule // of clients that found too many commands in flight
+	rejected         atomic.Int64    // requests rejected because of a limit
+	tableReturns     *returnSchedule // retry times of clients rejected by a full table
+	commandReturns   *returnSchedule // retry times of clients rejected by too many commands in flight
 	readBarrier      sharedBarrier
 	duplicates       duplicateCommands
 
 	latencyMu     sync.Mutex              // guards commitLatency
-	commitLatency *hdrhistogram.Histogram // microseconds of commands from their coming to their response
+	commitLatency *hdrhistogram.Histogram // of commands, in microseconds from receipt to response
 
-	cancel context.CancelFunc // ends the goroutines of wg
-	wg     sync.WaitGroup     // of advanceTime and advanceEpoch
+	cancel context.CancelFunc // stops the goroutines of wg
+	wg     sync.WaitGroup     // advanceTime and advanceEpoch
 }
 
 func newNode(o Options) *Node {
@@ -116,12 +116,12 @@
 	return hdrhistogram.New(1, maxRecordedMicros, histogramDigits)
 }
 
-// recordLatency records the time since an instant; the caller guards the histogram.
+// recordLatency records the time since began. The caller must hold the lock of the histogram.
 func recordLatency(histogram *hdrhistogram.Histogram, began time.Time) {
-	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // within its range
+	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // can't fail: the value is within range
 }
 
-// Start opens the directory and takes part in the group. Close ends it.
+// Start opens the directory and starts the coordinator. Close stops it.
 func Start(o Options) (n *Node, err error) {
 	if o.HeartbeatTimeout == 0 {
 		o.HeartbeatTimeout = defaultHeartbeatTimeout
@@ -203,8 +203,8 @@
 	return c
 }
 
-// openSnapshots opens the directory's snapshots and returns the log index through which the newest
-// of them goes.
+// openSnapshots opens the directory's snapshot store and returns the log index that its most recent
+// snapshot covers, or 0.
 func openSnapshots(directory string, log hclog.Logger) (*raft.FileSnapshotStore, uint64, error) {
 	store, err := raft.NewFileSnapshotStoreWithLogger(directory, retainedSnapshots, log)
 	if err != nil {
@@ -217,7 +217,7 @@
 	return store, all[0].Index, nil
 }
 
-// logWriter passes on what the library logs, one event a line.
+// logWriter forwards the library's log events, one per Write.
 type logWriter struct{ log *slog.Logger }
 
 func (w logWriter) Write(p []byte) (int, error) {
@@ -227,7 +227,7 @@
 	return len(p), nil
 }
 
-// Leader is the leader's name as far as it is known here; "" otherwise.
+// Leader returns the name of the leader that this coordinator knows, or "".
 func (n *Node) Leader() string {
 	address, _ := n.raft.LeaderWithID()
 	leader, err := parsePeerAddress(address)
@@ -237,7 +237,7 @@
 	return leader.name
 }
 
-// Close ends the coordinator and its goroutines.
+// Close stops the coordinator and its goroutines.
 func (n *Node) Close() error {
 	n.cancel()
 	err := n.raft.Shutdown().Error()
@@ -245,7 +245,7 @@
 	return errors.Join(err, n.transport.Close(), n.store.Close())
 }
 
-// MakeDirectory makes a coordinator's directory.
+// MakeDirectory creates a coordinator's directory if it doesn't exist.
 func MakeDirectory(directory string) error {
 	if err := os.MkdirAll(directory, 0o700); err != nil {
 		return fmt.Errorf("dir: %w", err)
--- a/internal/coord/node/nofaults.go
+++ b/internal/coord/node/nofaults.go
@@ -2,11 +2,11 @@
 
 package node
 
-// slowSync does nothing but in a build with the tag faults.
+// slowSync does nothing unless built with the tag faults.
 func slowSync() {}
 
-// crashPoint does nothing but in a build with the tag faults.
+// crashPoint does nothing unless built with the tag faults.
 func crashPoint(string) {}
 
-// epochInterval is how often the directory's epoch grows.
+// epochInterval is how often the directory's epoch increases.
 const epochInterval = defaultEpochInterval
--- a/internal/coord/node/peers.go
+++ b/internal/coord/node/peers.go
@@ -12,34 +12,35 @@
 	"github.com/hashicorp/raft"
 )
 
-// MaxPeerConnections bounds the connections that other coordinators open to this one.
+// MaxPeerConnections is the maximum number of connections from other coordinators.
 const MaxPeerConnections = 256
 
 const (
 	handshakeTimeout  = 2 * time.Second
-	maxHandshakeBytes = 1024 // of one side's line
+	maxHandshakeBytes = 1024 // of one handshake line
 )
 
-// The bytes of the handshake, which programs of different versions exchange.
+// The format of the handshake, which programs of different versions exchange.
 const (
 	handshakeFormat  = "dockhinge-coord 1 %s %s %d %d %d"
 	rejectionPrefix  = "refused: "
 	noWantedIdentity = "-"
 )
 
-// peerLayer carries the library's bytes between coordinators. Each connection begins with a line
-// from either side that names its identity, which its directory got when it was empty, and the
-// directory's epoch: a wiped disk must not answer for the voter that it was, and neither may one
-// that was put back from an old copy, as it has forgotten its votes and would vote twice in a term.
+// peerLayer is the transport's stream layer between coordinators. On each connection both sides first
+// send a line with their identity, which an empty directory is given once, and their directory's epoch.
+// Two kinds of coordinator are rejected: one with an empty disk in place of a voter's, and one whose
+// disk was restored from an old copy. Such a disk lacks recent votes, and its coordinator could vote
+// twice in a term.
 type peerLayer struct {
 	net.Listener
 	node *Node
 
 	mu          sync.Mutex
-	connections map[net.Conn]bool // that came in; MaxPeerConnections at most
+	connections map[net.Conn]bool // incoming connections; MaxPeerConnections at most
 }
 
-// Addr is the address by which the others know this coordinator.
+// Addr returns the address of this coordinator in the form that the library stores.
 func (p *peerLayer) Addr() net.Addr {
 	return networkAddress(p.node.options.peerAddress(p.node.identity))
 }
@@ -50,7 +51,7 @@
 func (a networkAddress) Network() string { return "tcp" }
 func (a networkAddress) String() string  { return string(a) }
 
-// peerAddress is a coordinator's address as the library carries it: NAME/IDENTITY@HOST:PORT.
+// peerAddress is a coordinator's address in the form that the library stores: NAME/IDENTITY@HOST:PORT.
 type peerAddress struct {
 	name     string
 	identity string
@@ -70,10 +71,10 @@
 	return peerAddress{name: name, identity: identity, hostport: hostport}, nil
 }
 
-// peerHandshake is one side's line.
+// peerHandshake is the handshake line of one side.
 type peerHandshake struct {
 	identity       string
-	wantedIdentity string // of the other side; noWantedIdentity in an answer
+	wantedIdentity string // of the other side; noWantedIdentity in a response
 	run            processRun
 }
 
@@ -85,8 +86,8 @@
 	return err
 }
 
-// readHandshake reads the other side's line. It takes no byte beyond the line, which are the
-// library's.
+// readHandshake reads the other side's line. It reads no byte beyond the line, as those belong to the
+// library.
 func readHandshake(c net.Conn) (peerHandshake, error) {
 	var line []byte
 	next := make([]byte, 1)
@@ -106,22 +107,22 @@
 	_, err := fmt.Sscanf(string(line), handshakeFormat,
 		&h.identity, &h.wantedIdentity, &h.run.nonce, &h.run.startEpoch, &h.run.epoch)
 	if err != nil {
-		return h, fmt.Errorf("no coordinator's first line: %q", line)
+		return h, fmt.Errorf("invalid handshake: %q", line)
 	}
 	return h, nil
 }
 
-// rejectedByPeerError is why the other side doesn't talk to this one.
+// rejectedByPeerError is the reason for which the other side rejected the handshake.
 type rejectedByPeerError struct{ text string }
 
 func (e *rejectedByPeerError) Error() string { return rejectionPrefix + e.text }
 
-// isOutdatedDisk reports whether the other side knows that this disk was put back from an old copy.
+// isOutdatedDisk reports whether the reason is that this disk was restored from an old copy.
 func (e *rejectedByPeerError) isOutdatedDisk() bool {
 	return strings.HasPrefix(e.text, outdatedDiskPrefix)
 }
 
-// Dial connects to a coordinator and makes sure that it is the one that is meant.
+// Dial connects to a coordinator and verifies its identity.
 func (p *peerLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, err := parsePeerAddress(to)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return connection, nil
 }
 
-// handshake sends this side's line and checks the other's.
+// handshake sends this side's line and verifies the response.
 func (p *peerLayer) handshake(c net.Conn, identity string, timeout time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(min(handshakeTimeout, timeout)))
 	if err := p.writeHandshake(c, identity); err != nil {
@@ -154,7 +155,7 @@
 		return err
 	}
 	if peer.identity != identity {
-		return fmt.Errorf("it is %s now, and %s is meant: its disk is another", peer.identity, identity)
+		return fmt.Errorf("its identity is %s, want %s: its directory was replaced", peer.identity, identity)
 	}
 	if err := p.node.checkPeerRun(peer.identity, peer.run); err != nil {
 		return err
@@ -162,16 +163,17 @@
 	return c.SetDeadline(time.Time{})
 }
 
-// endIfOutdated ends the process whose disk has forgotten votes: it must not take part again.
+// endIfOutdated calls OnFatal if the peer rejected this side's disk as outdated: the disk lacks recent
+// votes, so the process must not rejoin the group.
 func (p *peerLayer) endIfOutdated(err error) {
 	var rejected *rejectedByPeerError
 	if errors.As(err, &rejected) && rejected.isOutdatedDisk() {
 		p.node.options.OnFatal(fmt.Errorf("%s: this directory was put back from an old copy, "+
-			"and has forgotten votes; it must come back empty, as a new member", rejected.text))
+			"and lacks recent votes; restart with an empty directory, as a new member", rejected.text))
 	}
 }
 
-// Accept takes a connection of a coordinator. Its handshake is checked at the first Read.
+// Accept accepts a connection from a coordinator. The handshake is verified at the first Read.
 func (p *peerLayer) Accept() (net.Conn, error) {
 	for {
 		connection, err := p.Listener.Accept()
@@ -185,7 +187,7 @@
 	}
 }
 
-// register counts a connection, and reports false where there are too many.
+// register adds a connection. It returns false if MaxPeerConnections are open.
 func (p *peerLayer) register(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,8 +198,8 @@
 	return true
 }
 
-// incomingConnection checks the handshake at the first Read, on the connection's own goroutine, so
-// that a silent caller holds up nobody.
+// incomingConnection verifies the handshake at the first Read, which happens on the connection's own
+// goroutine, so a silent peer doesn't block Accept.
 type incomingConnection struct {
 	net.Conn
 	layer          *peerLayer
@@ -213,7 +215,7 @@
 	return c.Conn.Read(p)
 }
 
-// acceptHandshake checks the other side's line and answers with this side's, or with why not.
+// acceptHandshake verifies the other side's line and responds with this side's line or a rejection.
 func (c *incomingConnection) acceptHandshake() error {
 	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	peer, err := readHandshake(c.Conn)
@@ -222,7 +224,7 @@
 	}
 	if err := c.checkPeer(peer); err != nil {
 		reason := strings.ReplaceAll(err.Error(), "\n", " ")
-		_, _ = c.Conn.Write([]byte(rejectionPrefix + reason + "\n")) // it is closed all the same
+		_, _ = c.Conn.Write([]byte(rejectionPrefix + reason + "\n")) // an error doesn't matter: the connection is closed anyway
 		return err
 	}
 	if err := c.layer.writeHandshake(c.Conn, noWantedIdentity); err != nil {
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// tickInterval bounds how far the state's clock lags behind the leader's.
+	// tickInterval bounds how far the state's clock lags behind the leader's clock.
 	tickInterval = 200 * time.Millisecond
 
-	// maxElapsedPerCommand bounds what passes with one command: a leader that was stopped for long
-	// must not end all sessions with its first command after it.
+	// maxElapsedPerCommand bounds the time that one command may add. A leader that was paused for long
+	// must not expire all sessions with its first command afterwards.
 	maxElapsedPerCommand = time.Second
 )
 
-// leaderClock measures the time between two commands of one leader.
+// leaderClock measures the time between consecutive commands of a leader.
 type leaderClock struct {
 	sync.Mutex
-	term uint64        // in which last was read
-	last time.Duration // on clock.Now
+	term uint64        // the term in which last was read
+	last time.Duration // reading of clock.Now
 }
 
-// Propose has a command agreed on and applied, and returns its response. The error is ErrNotLeader
-// where another coordinator must be asked.
+// Propose commits a command to the log, waits until it is applied, and returns its response. The error
+// is ErrNotLeader if the caller must ask another coordinator.
 func (n *Node) Propose(c coord.Command) (coord.Response, error) {
 	limit := maxCommands(c.Op)
 	if n.commandsInFlight.Add(1) > int64(limit) {
@@ -72,13 +72,13 @@
 	return response, nil
 }
 
-// submit measures what has passed on the leader's clock and hands the command to the library. Both
-// happen under one lock, so that the order of the readings is that of the log.
+// submit measures the time since the previous command and passes the command to the library. Both
+// happen under one lock, so that the order of the clock readings is the order of the log.
 func (n *Node) submit(c coord.Command) (raft.ApplyFuture, error) {
 	n.leaderClock.Lock()
 	defer n.leaderClock.Unlock()
-	// The clock is read after the term: what another leader has measured before this term began can't
-	// be in it, and the state machine drops it if the entry comes to stand under another term.
+	// The clock is read after the term. Time that another leader measured before this term began can't
+	// be included, and the state machine ignores Elapsed if the entry is committed under another term.
 	c.Term = n.raft.CurrentTerm()
 	now := clock.Now()
 	if c.Term == n.leaderClock.term {
@@ -102,9 +102,8 @@
 	return n.raft.Apply(entry, proposeTimeout), nil
 }
 
-// advanceTime proposes ticks while this coordinator leads, and its bound on clock rate where the
-// state has another. A proposal that fails is repeated by the next tick. Start owns it; it ends with
-// ctx.
+// advanceTime proposes ticks while this coordinator leads, and its configured clock rate bound if the
+// state has another one. The next tick repeats a failed proposal. Start starts it; it ends with ctx.
 func (n *Node) advanceTime(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -135,8 +134,8 @@
 	}
 }
 
-// LinearizableRead calls f with a state that is not older than the call. The error is ErrNotLeader
-// where another coordinator must be asked. f must not keep the state.
+// LinearizableRead calls f with a state that is not older than the call. The error is ErrNotLeader if
+// the caller must ask another coordinator. f must not retain the state.
 func (n *Node) LinearizableRead(f func(*coord.State)) error {
 	if !failpoint.Is("stale-read") {
 		if n.raft.State() != raft.Leader {
--- a/internal/coord/node/read_barrier.go
+++ b/internal/coord/node/read_barrier.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// sharedBarrier lets readers that come while a barrier is under way share the next one: each entry of
-// the log that a barrier takes serves all who came before it was proposed. A change wakes thousands of
-// watchers at once, and each of them reads. A reader must not be served by a barrier that was proposed
-// before it came: the state could be older than its call.
+// sharedBarrier makes readers that arrive while a barrier is in progress share the next one, so that one
+// log entry serves all of them. A change wakes thousands of watchers at the same time, and each of them
+// reads. A barrier that was proposed before a reader arrived must not serve it: the state could be older
+// than the reader's call.
 type sharedBarrier struct {
-	propose func() error // one barrier: an entry of the log that is waited for
+	propose func() error // proposes one barrier and waits until it is applied
 
 	mu      sync.Mutex
 	running bool
-	next    *barrierRound // of readers that wait for the one after; nil where there are none
+	next    *barrierRound // the barrier that waiting readers will share; nil if there are none
 }
 
-// barrierRound is one barrier with those who wait for it.
+// barrierRound is one barrier and its result.
 type barrierRound struct {
-	done chan struct{} // closed at its end
+	done chan struct{} // closed when the barrier has ended
 	err  error
 }
 
-// wait returns once a barrier has passed that was proposed after the call.
+// wait returns once a barrier that was proposed after the call has ended.
 func (b *sharedBarrier) wait() error {
 	b.mu.Lock()
 	if b.next == nil {
@@ -29,19 +29,19 @@
 	round := b.next
 	if !b.running {
 		b.running = true
-		go b.run() // ends once nobody waits
+		go b.run() // ends once no reader waits
 	}
 	b.mu.Unlock()
 	<-round.done
 	return round.err
 }
 
-// run proposes barriers as long as anyone waits for one.
+// run proposes barriers while readers wait.
 func (b *sharedBarrier) run() {
 	for {
 		b.mu.Lock()
 		round := b.next
-		b.next = nil // whoever comes from here on came too late for this one
+		b.next = nil // later readers need a barrier of their own
 		b.running = round != nil
 		b.mu.Unlock()
 		if round == nil {
--- a/internal/coord/node/read_barrier_test.go
+++ b/internal/coord/node/read_barrier_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 )
 
-// A thousand readers come while a barrier is under way. They share the next one, and never that one: it
-// was proposed before they came, and would let them read a state that is older than their call.
+// A thousand readers arrive while a barrier is in progress. They must share the next one: the current
+// one was proposed before they arrived, and they could read a state older than their call.
 func TestSharedBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var proposed atomic.Int64
@@ -21,7 +21,7 @@
 				t.Errorf("the first: %v", err)
 			}
 		})
-		synctest.Wait() // the first is under way
+		synctest.Wait() // the first barrier is in progress
 		failed := errors.New("not the leader")
 		const readers = 1000
 		var returned atomic.Int64
@@ -38,7 +38,7 @@
 		first.Wait()
 		synctest.Wait()
 		if n := returned.Load(); n != 0 {
-			t.Errorf("%d of those who came later were served by the first barrier", n)
+			t.Errorf("the first barrier served %d later readers", n)
 		}
 		release <- failed
 		others.Wait()
@@ -47,7 +47,7 @@
 		}
 		synctest.Wait()
 		if b.running || b.next != nil {
-			t.Error("it goes on with nobody waiting")
+			t.Error("it still runs with no reader waiting")
 		}
 	})
 }
--- a/internal/coord/node/recovery.go
+++ b/internal/coord/node/recovery.go
@@ -10,14 +10,14 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// recoveryTokenGap is by how much tokens rise when a majority was lost for good: above any that the
-// lost coordinators may have given.
+// recoveryTokenGap is how much tokens rise after the permanent loss of a majority: above any token that
+// the lost coordinators may have issued.
 const recoveryTokenGap = 1 << 40
 
-// Recover makes a coordinator's directory that of the only voter, after a majority was lost for good,
-// and raises all tokens above any that the lost ones may have given: else a holder of theirs could
-// still act with a token that is newer than its successor's. What the lost ones had agreed on and
-// this one had not received is lost.
+// Recover makes the coordinator of a directory the only voter of its group, after the permanent loss of
+// a majority. It raises all tokens above any that the lost coordinators may have issued: otherwise a
+// holder could act with a token of theirs that is newer than its successor's. Commands that they
+// committed and this coordinator has not received are lost.
 func Recover(o Options) error {
 	n := newNode(o)
 	snapshots, floor, err := openSnapshots(o.Directory, hclog.NewNullLogger())
@@ -40,7 +40,7 @@
 	return errors.Join(err, n.store.Close())
 }
 
-// recoveryStateMachine is a state machine whose snapshot has its tokens raised.
+// recoveryStateMachine is a state machine whose snapshot has raised tokens.
 type recoveryStateMachine Node
 
 func (m *recoveryStateMachine) Apply(entry *raft.Log) any     { return (*stateMachine)(m).Apply(entry) }
--- a/internal/coord/node/start_test.go
+++ b/internal/coord/node/start_test.go
@@ -12,8 +12,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// startNode starts a coordinator on an empty directory, which belongs to no group. It is closed at the
-// test's end.
+// startNode starts a coordinator that belongs to no group, on an empty directory. It is closed at the
+// end of the test.
 func startNode(t *testing.T, snapshotEntries uint64) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return n
 }
 
-// bootstrapAlone makes a coordinator a group by itself.
+// bootstrapAlone bootstraps a group of this coordinator alone.
 func bootstrapAlone(t *testing.T, n *Node) {
 	t.Helper()
 	self := Member{Name: "c1", Identity: n.Status().Identity, Address: n.options.ListenAddress, IsVoter: true}
@@ -57,13 +57,13 @@
 	for !holds() {
 		select {
 		case <-t.Context().Done():
-			t.Fatal("never: " + what)
+			t.Fatal("the condition never holds: " + what)
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// leading starts a group of one coordinator that leads.
+// leading starts a coordinator that leads a group of one.
 func leading(t *testing.T) *Node {
 	t.Helper()
 	n := startNode(t, 100)
@@ -72,27 +72,27 @@
 	return n
 }
 
-// single starts a group of one coordinator that leads at the newest version and takes no snapshot.
+// single starts a coordinator that leads a group of one at the latest version and takes no snapshots.
 func single(t *testing.T) *Node {
 	t.Helper()
 	n := startNode(t, 1<<20)
 	bootstrapAlone(t, n)
 	upgrade := coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.Version}
-	await(t, "it leads", func() bool {
+	await(t, "leadership", func() bool {
 		_, err := n.Propose(upgrade)
 		return err == nil
 	})
 	return n
 }
 
-// serve has a request answered by a handler.
+// serve passes a request to a handler and returns the recorded response.
 func serve(h http.Handler, method, target string, body []byte) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, target, bytes.NewReader(body)))
 	return w
 }
 
-// postCommand sends a command as a client does.
+// postCommand posts a command as a client does.
 func postCommand(t *testing.T, n *Node, c coord.Command) (status int, response coord.Response) {
 	t.Helper()
 	text, err := json.Marshal(c)
--- a/internal/coord/node/state_machine.go
+++ b/internal/coord/node/state_machine.go
@@ -11,10 +11,10 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// stateMachine is the agreed state as the consensus library drives it, from one goroutine.
+// stateMachine implements raft.FSM. The consensus library calls it from one goroutine.
 type stateMachine Node
 
-// Apply carries out an entry of the log and wakes the watches of what it changed.
+// Apply applies a log entry and wakes the watches of what it changed.
 func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c coord.Command
 	if err := json.Unmarshal(entry.Data, &c); err != nil { // all coordinators reject it alike
@@ -25,7 +25,7 @@
 	rolloutVersion, drainsVersion := m.state.RolloutVersions()
 	revision := m.state.Revision()
 	response := m.state.Apply(c, entry.Term)
-	if response.Code == coord.CodeUnknownVersion { // going on would leave this state behind the others'
+	if response.Code == coord.CodeUnknownVersion { // this state would diverge from the others'
 		m.options.OnFatal(fmt.Errorf("%s: this program is too old for what the others agree on", response.Text))
 	}
 	m.appliedIndex = entry.Index
@@ -46,7 +46,7 @@
 	return response
 }
 
-// Snapshot encodes the state as it is.
+// Snapshot encodes the current state.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	crashPoint("snapshot-begun")
 	m.mu.Lock()
@@ -56,7 +56,7 @@
 	return stateSnapshot(text), err
 }
 
-// Restore replaces the state by a snapshot and wakes all watches, as anything may have changed.
+// Restore replaces the state with a snapshot and wakes all watches, as anything may have changed.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	crashPoint("restore-begun")
@@ -80,8 +80,8 @@
 // stateSnapshot is an encoded state.
 type stateSnapshot []byte
 
-// Persist writes the snapshot; the library syncs it and gives it its name. The crash points lie
-// between two writes and around the naming: a snapshot that is cut anywhere must not be read.
+// Persist writes the snapshot; the library syncs and renames the file. The crash points lie between the
+// two writes and before and after the renaming: a partly written snapshot must never be read.
 func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s[:len(s)/2]); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -92,9 +92,9 @@
 	}
 	crashPoint("snapshot-written")
 	err := sink.Close()
-	crashPoint("snapshot-named") // and the log not cut yet
+	crashPoint("snapshot-named") // and the log is not truncated yet
 	return err
 }
 
-// Release does nothing: the snapshot shares nothing with the state.
+// Release does nothing: the snapshot shares no data with the state.
 func (stateSnapshot) Release() {}
--- a/internal/coord/node/status.go
+++ b/internal/coord/node/status.go
@@ -6,10 +6,10 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// stateWaiting is Status.State of a coordinator that belongs to no group yet.
+// stateWaiting is the Status.State of a coordinator that belongs to no group yet.
 const stateWaiting = "Waiting"
 
-// Status is how a coordinator stands, for operators and metrics.
+// Status describes a coordinator, for operators and metrics.
 type Status struct {
 	Name             string   `json:"name"`
 	Identity         string   `json:"identity"`
@@ -18,25 +18,25 @@
 	Leader           string   `json:"leader"`
 	Term             uint64   `json:"term"`
 	LastLogIndex     uint64   `json:"last"`
-	AppliedIndex     uint64   `json:"applied"`     // log index of the newest command that the state has
-	Lag              uint64   `json:"lag"`         // entries committed and not applied
-	CommandVersion   int      `json:"version"`     // in force
-	SupportedVersion int      `json:"understands"` // newest version of commands that this program knows
+	AppliedIndex     uint64   `json:"applied"`     // log index of the most recently applied command
+	Lag              uint64   `json:"lag"`         // committed entries that are not applied yet
+	CommandVersion   int      `json:"version"`     // the version in force
+	SupportedVersion int      `json:"understands"` // the latest version of commands that this program supports
 	Epoch            uint64   `json:"epoch"`       // of the directory
 	Sessions         int      `json:"sessions"`    // open
 	Leases           int      `json:"leases"`      // held
 	LastToken        uint64   `json:"token"`
 	Revision         uint64   `json:"revision"` // of the agreed documents
 	Watchers         int      `json:"watchers"`
-	Rejected         int64    `json:"refused"` // requests, as a limit was reached
+	Rejected         int64    `json:"refused"` // requests rejected because of a limit
 	FsyncP50Millis   float64  `json:"fsync_p50_ms"`
 	FsyncP99Millis   float64  `json:"fsync_p99_ms"`
-	CommitP50Millis  float64  `json:"commit_p50_ms"` // of commands, from their coming to their response
+	CommitP50Millis  float64  `json:"commit_p50_ms"` // of commands, from receipt to response
 	CommitP99Millis  float64  `json:"commit_p99_ms"`
 	Members          []Member `json:"members"`
 }
 
-// Status is how the coordinator stands, by what is known here.
+// Status returns the coordinator's status as known locally.
 func (n *Node) Status() Status {
 	s := Status{
 		Name:             n.options.Name,
@@ -71,7 +71,7 @@
 	return s
 }
 
-// commitLag is how many entries are committed and not applied.
+// commitLag returns how many committed entries are not applied yet.
 func commitLag(r *raft.Raft) uint64 {
 	committed := r.CommitIndex()
 	return committed - min(committed, r.AppliedIndex())
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -23,30 +23,30 @@
 
 const (
 	logFileName   = "log.db"
-	openTimeout   = 5 * time.Second // for the file's lock
+	openTimeout   = 5 * time.Second // to acquire the file's lock
 	checksumBytes = 8
 
-	// unsyncedEntries stay in memory with the mutant "unsynced".
+	// unsyncedEntries is how many entries the mutant "unsynced" keeps in memory only.
 	unsyncedEntries = 50
 )
 
-// diskStore has the log and the votes in one file, each entry and value with a checksum: a bit that
-// flips on a disk would otherwise be agreed on.
+// diskStore stores the log and the votes in one file, each entry and value with a checksum: otherwise a
+// bit flipped on disk would be replicated.
 type diskStore struct {
 	*raftboltdb.BoltStore
-	onFatal func(error) // a vote can't be written: the process must end
+	onFatal func(error) // called when a value can't be stored: the process must exit
 
 	mu           sync.Mutex
-	syncLatency  *hdrhistogram.Histogram // microseconds of writes with their sync
-	unsyncedLogs []*raft.Log             // with the mutant "unsynced" only
+	syncLatency  *hdrhistogram.Histogram // of log writes with their sync, in microseconds
+	unsyncedLogs []*raft.Log             // used by the mutant "unsynced" only
 }
 
-// openStore opens the log in a directory and reads it through. Up to the index floor, through which a
-// snapshot goes, entries may be missing. The error is errDamaged where the file isn't what was written.
+// openStore opens the log of a directory and verifies all of it. A snapshot covers the entries up to
+// index floor; these may be missing. The error wraps errDamaged if the file's content is corrupt.
 func openStore(directory string, floor uint64, onFatal func(error)) (d *diskStore, err error) {
 	path := filepath.Join(directory, logFileName)
-	// A file that was cut off under its memory map faults at the first access beyond its end. The fault
-	// becomes a panic here, and an error below.
+	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns the
+	// fault into a panic, and the recover below turns the panic into an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -61,8 +61,8 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	// The list of free pages is worked out anew at each start: a damaged one would have pages in use
-	// written over.
+	// The free list is recomputed at each start instead of read from the file: with a damaged one,
+	// pages in use would be overwritten.
 	options := &bbolt.Options{Timeout: openTimeout, NoFreelistSync: true}
 	store, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: options, MsgpackUseNewTimeFormat: true})
 	if err != nil && exists && !errors.Is(err, bolterrors.ErrTimeout) {
@@ -78,8 +78,8 @@
 	return d, nil
 }
 
-// verify reads all that is there. A snapshot that came from the leader leaves a hole between what the
-// log had before and what came after it.
+// verify reads all entries and values. A snapshot received from the leader leaves a gap between the
+// entries before it and those after it.
 func (d *diskStore) verify(floor uint64) error {
 	first, err := d.FirstIndex()
 	if err != nil {
@@ -103,7 +103,7 @@
 			return err
 		}
 	}
-	for _, key := range []string{lastVoteTermKey, lastVoteCandidateKey} { // a coordinator may never have voted
+	for _, key := range []string{lastVoteTermKey, lastVoteCandidateKey} { // missing if this coordinator has never voted
 		if err := d.verifyKey(key, false); err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// verifyKey reads a value, which may be missing unless it is required.
+// verifyKey reads a value, which may be missing unless it is required, and checks it for damage.
 func (d *diskStore) verifyKey(key string, isRequired bool) error {
 	_, err := d.Get([]byte(key))
 	isMissing := errors.Is(err, raftboltdb.ErrKeyNotFound)
@@ -132,7 +132,7 @@
 	return h.Sum(nil)
 }
 
-// withChecksums copies entries, with their checksums as extensions.
+// withChecksums returns copies of the entries with their checksums as extensions.
 func withChecksums(logs []*raft.Log) []*raft.Log {
 	summed := make([]*raft.Log, len(logs))
 	for i, l := range logs {
@@ -143,13 +143,13 @@
 	return summed
 }
 
-// GetLog reads an entry and compares its checksum.
+// GetLog reads an entry and verifies its checksum.
 func (d *diskStore) GetLog(index uint64, l *raft.Log) error {
 	if unsynced := d.findUnsynced(index); unsynced != nil {
 		*l = *unsynced
 		return nil
 	}
-	*l = raft.Log{} // a field whose name is damaged must not keep what another entry had
+	*l = raft.Log{} // a field whose stored name is damaged must not keep a previous value
 	if err := d.BoltStore.GetLog(index, l); err != nil {
 		return err
 	}
@@ -171,11 +171,11 @@
 	return nil
 }
 
-// StoreLog writes an entry.
+// StoreLog writes an entry and syncs it.
 func (d *diskStore) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs writes entries and returns once they are synced. An entry that was acknowledged to the
-// leader before it is synced could be lost after it was committed.
+// leader before its sync could be committed and then lost.
 func (d *diskStore) StoreLogs(logs []*raft.Log) error {
 	if failpoint.Is("unsynced") {
 		return d.storeUnsynced(logs)
@@ -190,7 +190,7 @@
 	return err
 }
 
-// storeUnsynced keeps the newest entries in memory only, as a disk does with what was not synced.
+// storeUnsynced keeps the most recent entries in memory only, like a disk that loses unsynced writes.
 func (d *diskStore) storeUnsynced(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,7 +204,7 @@
 	return d.BoltStore.StoreLogs(summed)
 }
 
-// LastIndex is that of the newest entry.
+// LastIndex returns the index of the most recent entry, or 0.
 func (d *diskStore) LastIndex() (uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,7 +214,7 @@
 	return d.BoltStore.LastIndex()
 }
 
-// FirstIndex is that of the oldest entry.
+// FirstIndex returns the index of the oldest entry, or 0.
 func (d *diskStore) FirstIndex() (uint64, error) {
 	first, err := d.BoltStore.FirstIndex()
 	d.mu.Lock()
@@ -235,8 +235,8 @@
 	return d.BoltStore.DeleteRange(low, high)
 }
 
-// Set stores a value with its checksum. Where a vote can't be stored, the process must not go on: it
-// would vote twice in one term.
+// Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could vote
+// twice in one term.
 func (d *diskStore) Set(key, value []byte) error {
 	summed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
 	err := d.BoltStore.Set(key, summed)
@@ -246,8 +246,8 @@
 	return err
 }
 
-// Get reads a value and compares its checksum. The error is raftboltdb.ErrKeyNotFound itself where
-// there is none, which the library tells apart by its text.
+// Get reads a value and verifies its checksum. For a missing key it returns raftboltdb.ErrKeyNotFound
+// unwrapped, which the consensus library recognizes by its text.
 func (d *diskStore) Get(key []byte) ([]byte, error) {
 	stored, err := d.BoltStore.Get(key)
 	if err != nil {
@@ -260,12 +260,12 @@
 	return stored[:n], nil
 }
 
-// SetUint64 stores a number.
+// SetUint64 stores a number under a key.
 func (d *diskStore) SetUint64(key []byte, value uint64) error {
 	return d.Set(key, binary.LittleEndian.AppendUint64(nil, value))
 }
 
-// GetUint64 reads a number; 0 where there is none.
+// GetUint64 reads a number, or 0 for a missing key.
 func (d *diskStore) GetUint64(key []byte) (uint64, error) {
 	stored, err := d.Get(key)
 	if errors.Is(err, raftboltdb.ErrKeyNotFound) {
@@ -280,14 +280,14 @@
 	return binary.LittleEndian.Uint64(stored), nil
 }
 
-// syncLatencyMillis are quantiles of the time that a write with its sync takes.
+// syncLatencyMillis returns quantiles of the time that a log write with its sync takes.
 func (d *diskStore) syncLatencyMillis() (p50, p99 float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return quantilesMillis(d.syncLatency)
 }
 
-// quantilesMillis are those of a histogram of microseconds.
+// quantilesMillis returns quantiles, in milliseconds, of a histogram of microseconds.
 func quantilesMillis(histogram *hdrhistogram.Histogram) (p50, p99 float64) {
 	p50 = float64(histogram.ValueAtQuantile(50)) / 1000
 	p99 = float64(histogram.ValueAtQuantile(99)) / 1000
--- a/internal/coord/node/store_inspect.go
+++ b/internal/coord/node/store_inspect.go
@@ -13,9 +13,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// The layout of a bbolt file's two meta pages, from bbolt's documentation of the file: 16 bytes of
-// page header, then magic, version, page size and flags (4 bytes each), root (16), freelist, number
-// of pages and transaction (8 each), and an FNV-1a checksum of all that.
+// The layout of the two meta pages of a bbolt file, from bbolt's documentation of the format: a page
+// header of 16 bytes; magic, version, page size and flags (4 bytes each); root (16); freelist, number
+// of pages and transaction (8 each); and an FNV-1a checksum of the content after the header.
 const (
 	pageHeaderBytes   = 16
 	metaBytes         = 56
@@ -27,7 +27,7 @@
 	maxPageSize       = 1 << 20
 )
 
-// The buckets of raft-boltdb, and the keys that the library stores in the second one.
+// The buckets of raft-boltdb, and the keys that the library stores in the stable bucket.
 const (
 	logBucket    = "logs"
 	stableBucket = "conf"
@@ -39,9 +39,9 @@
 	lastVoteCandidateKey = "LastVoteCand"
 )
 
-// inspectFile finds damage that bbolt would pass over. A meta page that is damaged has bbolt go back
-// silently to the one before, which forgets the last transaction and with it, perhaps, a vote; and a
-// key that is damaged looks like one that was never written.
+// inspectFile detects damage that bbolt ignores. If a meta page is damaged, bbolt silently falls back to
+// the older one and loses the last transaction, which may include a vote. A damaged key looks like a
+// key that was never written.
 func inspectFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return db.View(inspectBuckets)
 }
 
-// inspectMetaPages checks both meta pages, of which bbolt takes the newer valid one.
+// inspectMetaPages checks both meta pages; bbolt uses the more recent valid one.
 func inspectMetaPages(file *os.File) error {
 	page := make([]byte, pageHeaderBytes+metaBytes+metaChecksumBytes)
 	if _, err := file.ReadAt(page, 0); err != nil {
@@ -67,7 +67,7 @@
 	}
 	pageSize := int64(binary.LittleEndian.Uint32(page[pageHeaderBytes+pageSizeOffset:]))
 	if pageSize < minPageSize || pageSize > maxPageSize {
-		return fmt.Errorf("%w: its first page is invalid", errDamaged)
+		return fmt.Errorf("%w: the first page is invalid", errDamaged)
 	}
 	for _, offset := range []int64{0, pageSize} {
 		if _, err := file.ReadAt(page, offset); err != nil {
@@ -86,23 +86,23 @@
 	_, _ = checksum.Write(meta[:metaBytes])
 	hasMagic := binary.LittleEndian.Uint32(meta) == metaMagic
 	if !hasMagic || binary.LittleEndian.Uint64(meta[metaBytes:]) != checksum.Sum64() {
-		return fmt.Errorf("%w: a meta page is invalid, and the one before it is older", errDamaged)
+		return fmt.Errorf("%w: a meta page is invalid, and the other one may lack the last transaction", errDamaged)
 	}
-	// Pages that are free now are written and read later: a file that was cut off in them faults then.
+	// Free pages are written and read later: if the file is truncated within them, the fault comes then.
 	size, err := file.Stat()
 	if err != nil {
 		return err
 	}
 	if pages := binary.LittleEndian.Uint64(meta[pageCountOffset:]); pages > uint64(size.Size()/pageSize) {
-		return fmt.Errorf("%w: it has %d bytes, and %d pages of %d bytes stand in it",
+		return fmt.Errorf("%w: the file has %d bytes, want %d pages of %d bytes",
 			errDamaged, size.Size(), pages, pageSize)
 	}
 	return nil
 }
 
-// inspectBuckets reads each byte of each key and value, in their order: where a page points outside
-// the file, the fault comes now, when openStore reports it as damage. It is not done by tx.Check,
-// which reads on a goroutine of its own, whose fault would end the process.
+// inspectBuckets reads every byte of all keys and values in order: if a page points outside the file,
+// the fault happens now, while openStore reports it as damage. It doesn't use tx.Check, which reads on
+// its own goroutine, where a fault would terminate the process.
 func inspectBuckets(tx *bbolt.Tx) error {
 	return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
 		if err := inspectOrder(bucket); err != nil {
@@ -114,7 +114,7 @@
 		case stableBucket:
 			return bucket.ForEach(inspectStableKey)
 		}
-		return fmt.Errorf("%w: bucket %q", errDamaged, name)
+		return fmt.Errorf("%w: unknown bucket %q", errDamaged, name)
 	})
 }
 
@@ -125,14 +125,14 @@
 			return fmt.Errorf("%w: keys out of order", errDamaged)
 		}
 		before = key
-		xxhash.Sum64(value) // reads it
+		xxhash.Sum64(value) // reads every byte of the value
 		return nil
 	})
 }
 
 func inspectLogKey(key, _ []byte) error {
 	if len(key) != logKeyBytes {
-		return fmt.Errorf("%w: an entry's key of %d bytes", errDamaged, len(key))
+		return fmt.Errorf("%w: log key of %d bytes", errDamaged, len(key))
 	}
 	return nil
 }
@@ -142,5 +142,5 @@
 	if strings.HasPrefix(string(key), peerRunKeyPrefix) || slices.Contains(known, string(key)) {
 		return nil
 	}
-	return fmt.Errorf("%w: key %q", errDamaged, key)
+	return fmt.Errorf("%w: unknown key %q", errDamaged, key)
 }
--- a/internal/coord/node/store_test.go
+++ b/internal/coord/node/store_test.go
@@ -11,11 +11,11 @@
 	"github.com/hashicorp/raft"
 )
 
-// written is a directory with a log of some entries, votes and an identity, closed.
-func written(t *testing.T) (dir string, want map[string]string) {
+// written returns a directory with a closed log of some entries, votes and an identity.
+func written(t *testing.T) (directory string, want map[string]string) {
 	t.Helper()
-	dir = t.TempDir()
-	d, err := openStore(dir, 0, func(err error) { t.Fatal(err) })
+	directory = t.TempDir()
+	d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,36 +42,37 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return dir, want
+	return directory, want
 }
 
-// A log's file is cut off anywhere, or has a flipped bit anywhere. It is reported as damaged, or holds
-// all that was written. A store that forgot a vote silently would vote twice in one term.
+// A log file is truncated, or has one bit flipped, at a random place. Opening it must either report
+// damage or find everything that was written. If a vote were lost silently, the coordinator could vote
+// twice in one term.
 func TestDamageIsNeverSilent(t *testing.T) {
 	dir, want := written(t)
-	whole, err := os.ReadFile(filepath.Join(dir, "log.db"))
+	intact, err := os.ReadFile(filepath.Join(dir, "log.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	rejected := 0
 	for n := range 300 {
-		text := append([]byte(nil), whole...)
+		text := append([]byte(nil), intact...)
 		at := rng.IntN(len(text))
-		what := fmt.Sprintf("bit %d of byte %d flipped", n%8, at)
+		damage := fmt.Sprintf("bit %d of byte %d flipped", n%8, at)
 		if n%3 == 0 {
-			text, what = text[:at], fmt.Sprintf("cut at byte %d", at)
+			text, damage = text[:at], fmt.Sprintf("truncated at byte %d", at)
 		} else {
 			text[at] ^= 1 << (n % 8)
 		}
-		into := t.TempDir()
-		if err := os.WriteFile(filepath.Join(into, "log.db"), text, 0o600); err != nil {
+		directory := t.TempDir()
+		if err := os.WriteFile(filepath.Join(directory, "log.db"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, err := openStore(into, 0, func(err error) { t.Fatal(err) })
+		d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
 		if err != nil {
 			if !errors.Is(err, errDamaged) {
-				t.Errorf("%s: rejected without saying that it is damaged: %v", what, err)
+				t.Errorf("%s: rejected with an error other than errDamaged: %v", damage, err)
 			}
 			rejected++
 			continue
@@ -79,12 +80,12 @@
 		for i := uint64(1); i <= 40; i++ {
 			var l raft.Log
 			if err := d.GetLog(i, &l); err != nil || string(l.Data) != want[fmt.Sprint(i)] {
-				t.Errorf("%s: entry %d: %q, %v", what, i, l.Data, err)
+				t.Errorf("%s: entry %d: %q, %v", damage, i, l.Data, err)
 			}
 		}
 		for _, k := range []string{currentTermKey, lastVoteTermKey, lastVoteCandidateKey, identityKey, epochKey} {
 			if v, err := d.Get([]byte(k)); err != nil || string(v) != want[k] {
-				t.Errorf("%s: %s: %q, %v", what, k, v, err)
+				t.Errorf("%s: %s: %q, %v", damage, k, v, err)
 			}
 		}
 		if err := d.Close(); err != nil {
@@ -92,15 +93,15 @@
 		}
 	}
 	if rejected < 50 {
-		t.Errorf("%d of 300 rejected: the damage met nothing", rejected)
+		t.Errorf("%d of 300 rejected, want 50 or more", rejected)
 	}
 }
 
-// Entries are missing in the middle of a log. That is damage, unless a snapshot holds what is missing:
-// a snapshot from the leader leaves such a hole. A store that passed over it would skip commands.
+// Entries are missing in the middle of a log. This is damage, unless a snapshot covers them: a snapshot
+// received from the leader leaves such a gap. Otherwise a store could silently skip commands.
 func TestHole(t *testing.T) {
-	dir, _ := written(t)
-	d, err := openStore(dir, 0, func(err error) { t.Fatal(err) })
+	directory, _ := written(t)
+	d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,10 +111,10 @@
 	if err := d.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := openStore(dir, 11, nil); !errors.Is(err, errDamaged) {
-		t.Errorf("a hole was passed over: %v", err)
+	if _, err := openStore(directory, 11, nil); !errors.Is(err, errDamaged) {
+		t.Errorf("a gap was accepted: %v", err)
 	}
-	d, err = openStore(dir, 12, nil)
+	d, err = openStore(directory, 12, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
