--- a/internal/coord/node/watch.go
+++ b/internal/coord/node/watch.go
@@ -8,18 +8,18 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// MaxWatchers is how many clients may wait for a change at once: two for each session.
+// MaxWatchers is the maximum number of clients that wait for a change: two for each session.
 const MaxWatchers = 16384
 
-// What may be watched beside leases. No lease's name may begin with a zero byte.
+// Keys of watches other than lease names, which are not expected to begin with a zero byte.
 const (
 	rolloutWatchKey   = "\x00rollout"
 	drainsWatchKey    = "\x00drains"
 	documentsWatchKey = "\x00changes"
 )
 
-// WatchLease waits until a lease is held with another token than this one (0: is free), has another
-// record, or ctx ends. That it returns says only that it may be worth asking.
+// WatchLease waits until a lease is held with another token than this one (0: is free), its record is
+// written, or ctx ends. A return only means that the lease may have changed.
 func (n *Node) WatchLease(ctx context.Context, name string, token uint64) error {
 	return n.watch(ctx, name, func(s *coord.State) bool {
 		lease := s.Leases[name]
@@ -30,7 +30,7 @@
 	})
 }
 
-// WatchRollout waits until the state of rollouts has a newer version than this one, or ctx ends.
+// WatchRollout waits until the state of rollouts has a newer version than after, or ctx ends.
 func (n *Node) WatchRollout(ctx context.Context, after uint64) error {
 	return n.watch(ctx, rolloutWatchKey, func(s *coord.State) bool {
 		version, _ := s.RolloutVersions()
@@ -38,7 +38,7 @@
 	})
 }
 
-// WatchDrains waits until the set of drained servers has a newer version than this one, or ctx ends.
+// WatchDrains waits until the set of drained servers has a newer version than after, or ctx ends.
 func (n *Node) WatchDrains(ctx context.Context, after uint64) error {
 	return n.watch(ctx, drainsWatchKey, func(s *coord.State) bool {
 		_, version := s.RolloutVersions()
@@ -46,8 +46,8 @@
 	})
 }
 
-// watch waits until what stands under the key may have changed, or ctx ends; not at all where hasNews
-// holds. Its error is a LimitError.
+// watch waits until the state under the key may have changed or ctx ends. It returns immediately if
+// hasNews is true. Its error is a LimitError.
 func (n *Node) watch(ctx context.Context, key string, hasNews func(*coord.State) bool) error {
 	n.mu.Lock()
 	if hasNews(n.state) {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// notifyWatches wakes those who wait for a key. The caller holds mu.
+// notifyWatches wakes the clients that wait for a key. The caller must hold mu.
 func (n *Node) notifyWatches(key string) {
 	if changed := n.watches[key]; changed != nil {
 		close(changed)
--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -12,10 +12,10 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// acknowledge sends the applied revision to the observer that is watched, once it changes and every
-// maxAcknowledgeInterval, until ctx ends; Run waits for it. By the answer the client knows how old its
-// state is: a line of the watch may have been on its way for any time, and the answer can't be older than
-// the request.
+// acknowledge sends the applied revision to the current observer when it changes and at least every
+// maxAcknowledgeInterval, until ctx ends; Run waits for it. The client derives the age of its state from
+// the responses: a line of the watch may have been in transit for any time, but a response can't be older
+// than its request.
 func (c *Client) acknowledge(ctx context.Context) {
 	ticker := time.NewTicker(maxAcknowledgeInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 		case <-ticker.C:
 		}
 		if err := c.acknowledgeOnce(ctx); err != nil {
-			c.options.Log.Debug("not acknowledged", "error", err) // the next one follows anyway
+			c.options.Log.Debug("not acknowledged", "error", err) // another acknowledgement follows anyway
 		}
 		if !clock.Sleep(ctx, minAcknowledgeInterval) {
 			return
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// confirmed records how old the state is, by the answer to what was sent at an instant.
+// confirmed updates the age of the state from the response to an acknowledgement that was sent at sent.
 func (c *Client) confirmed(answer protocol.AcknowledgementResponse, sent time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -1,6 +1,6 @@
-// Package client watches the agreed documents as a router does: through one observer of a list, moving
-// to another when that one fails, falls silent or is stale. Its revision never goes back. Nothing in a
-// request's path waits for it.
+// Package client watches the agreed documents for a router. It uses one observer of a list and switches
+// to another when that one fails, becomes silent or is stale. Its revision never decreases. It is not
+// meant to be waited for while serving a request.
 package client
 
 import (
@@ -19,67 +19,67 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// State is what a router is to apply.
+// State is a state of the documents for the router to apply.
 type State struct {
 	Revision  uint64
-	Documents []watchlog.Change // all under the prefix, by name
-	Update    protocol.Update   // what led to it from the state before
+	Documents []watchlog.Change // all documents under the prefix, by name
+	Update    protocol.Update   // the update that led from the previous state to this one
 }
 
-// Options are those of a client.
+// Options configure a client.
 type Options struct {
 	Observers []string // addresses (host:port)
-	Watcher   string   // the router's name, by which its acknowledgements are counted
+	Watcher   string   // name of the router, by which its acknowledgements are counted
 	Prefix    string   // of the names of the documents to watch
 
-	// Apply applies a state, completely or not at all. Where it fails, the state before stays applied,
-	// and nothing is acknowledged until a later state is applied. It is called from one goroutine, for
-	// updates that have changes; it must be set.
+	// Apply applies a state completely or not at all. If it fails, the previous state stays applied and
+	// nothing is acknowledged until a later state is applied. It is called from one goroutine, for
+	// updates that have changes. It must be set.
 	Apply func(context.Context, State) error
 
 	Log *slog.Logger // nil: nothing is logged
 }
 
-// The client's times.
+// Timeouts and delays of the client.
 const (
-	minPause = 50 * time.Millisecond // after an observer failed; doubled for each further one
+	minPause = 50 * time.Millisecond // after an observer failed; doubles for each further one
 	maxPause = 2 * time.Second
 
-	// silenceTimeout is how long an observer may send no byte; it sends progress notices twice a second.
+	// silenceTimeout is how long an observer may send nothing; it sends two progress notices per second.
 	silenceTimeout = 2 * time.Second
 
-	// minStaleAge is the age of the state at which a watch moves to another observer; it doubles each
-	// time in a row, as all observers may be stale.
+	// minStaleAge is the age of the state at which the client switches to another observer. It doubles
+	// each time in a row, as all observers may be stale.
 	minStaleAge = 5 * time.Second
 	maxStaleAge = time.Minute
 
 	minAcknowledgeInterval = 200 * time.Millisecond
 	maxAcknowledgeInterval = 2 * time.Second
 
-	// A Retry-After is lengthened by up to one part in retryJitter, so that clients which were rejected
-	// together don't come back together.
+	// A Retry-After is lengthened by a random amount of up to 1/retryJitter, so that clients that were
+	// rejected together don't retry at the same time.
 	retryJitter = 4
 
 	dialTimeout           = time.Second
 	idleConnectionTimeout = time.Minute
 )
 
-// Client is one watcher.
+// Client watches documents through one observer at a time. Its methods may be called concurrently.
 type Client struct {
 	options        Options
 	http           *http.Client
-	acknowledgeDue chan struct{} // of one: there may be something to acknowledge
+	acknowledgeDue chan struct{} // capacity 1: signals that there may be something to acknowledge
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	replica        *watchlog.Replica
-	observer       string // address of the one that is watched now; "" while none is
-	isApplyFailing bool   // Apply has failed, and not succeeded since
-	isComplete     bool   // completeAt has been set
-	// completeAt is an instant of clock.Now at which the replica had all that there was.
+	observer       string // address of the observer that is watched; "" if none is
+	isApplyFailing bool   // the most recent call of Apply failed
+	isComplete     bool   // whether completeAt is set
+	// completeAt is the latest instant of clock.Now at which the replica is known to have been complete.
 	completeAt time.Duration
 }
 
-// New prepares a client; Run has it watch.
+// New returns a client. Run starts watching.
 func New(options Options) *Client {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -98,21 +98,21 @@
 	}
 }
 
-// Revision is the one through which the replica is complete, and the one that was applied last.
+// Revision returns the revision up to which the replica is complete, and the one that was applied last.
 func (c *Client) Revision() (complete, applied uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.Revision(), c.replica.Acknowledged()
 }
 
-// Age is how long ago the replica had all that there was, at most; false where it never had.
+// Age returns an upper bound on how long ago the replica was complete, or false if it never was.
 func (c *Client) Age() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return clock.Now() - c.completeAt, c.isComplete
 }
 
-// Observer is the address of the observer that is watched now; "" while none is.
+// Observer returns the address of the observer that is watched, or "" if none is.
 func (c *Client) Observer() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +135,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.options.Log.Info("watching another observer", "before", address, "error", err)
+		c.options.Log.Info("switching to another observer", "before", address, "error", err)
 		if updates > 0 {
 			pause = minPause
 		}
@@ -151,8 +151,9 @@
 	}
 }
 
-// reconnectDelay is how long to wait after a watch ended: what the observer asked for, and up to a part
-// more; else the pause, spread over half of it to one and a half.
+// reconnectDelay returns how long to wait after a watch ended: the observer's Retry-After and up to
+// 1/retryJitter of it longer, or else a random duration between half of the pause and one and a half
+// times the pause.
 func reconnectDelay(err error, pause time.Duration) time.Duration {
 	var rejection *protocol.Rejection
 	if errors.As(err, &rejection) && rejection.RetryAfterMillis > 0 {
@@ -169,7 +170,7 @@
 	c.wake()
 }
 
-// receive takes an update into the replica and applies it.
+// receive adds an update to the replica and applies the new state.
 func (c *Client) receive(ctx context.Context, update protocol.Update) error {
 	state, err := c.extend(update)
 	if err != nil {
@@ -178,7 +179,7 @@
 	if update.Snapshot || len(update.Changes) > 0 {
 		err = c.options.Apply(ctx, state)
 		if err != nil {
-			c.options.Log.Warn("the state before stays applied", "revision", state.Revision, "error", err)
+			c.options.Log.Warn("state not applied; the previous state stays in force", "revision", state.Revision, "error", err)
 		}
 		c.recordApplyResult(err)
 	}
@@ -205,7 +206,7 @@
 	c.isApplyFailing = err != nil
 }
 
-// markApplied records that a revision is applied, and has it acknowledged.
+// markApplied records that a revision is applied, and signals that it can be acknowledged.
 func (c *Client) markApplied(revision uint64) {
 	c.mu.Lock()
 	before := c.replica.Acknowledged()
@@ -219,10 +220,10 @@
 	}
 }
 
-// wake has the applied revision acknowledged soon.
+// wake signals that there may be something to acknowledge.
 func (c *Client) wake() {
 	select {
 	case c.acknowledgeDue <- struct{}{}:
-	default: // a signal is waiting already
+	default: // a signal is pending already
 	}
 }
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -15,12 +15,12 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// fakeObserver gives each watch the updates that it is told to, and then ends it or keeps it open.
+// fakeObserver sends each watch the configured updates and then ends the watch or keeps it open.
 type fakeObserver struct {
 	mu           sync.Mutex
 	updates      []protocol.Update
 	staysOpen    bool
-	asked        []string // the revisions from which watches were begun
+	asked        []string // revisions from which watches were started
 	acknowledged []uint64
 	answer       protocol.AcknowledgementResponse
 }
@@ -56,7 +56,7 @@
 	f.updates, f.staysOpen = updates, staysOpen
 }
 
-// router is a client with the states that it was given to apply.
+// router is a client that records the states that it was given to apply.
 type router struct {
 	*Client
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 	reject func(State) bool
 }
 
-// run starts a client of observers that speak through these handlers, until the test ends.
+// run starts a client of observers with these handlers, until the end of the test.
 func run(t *testing.T, reject func(State) bool, observers ...http.Handler) *router {
 	t.Helper()
 	r := &router{reject: reject}
@@ -136,21 +136,21 @@
 	return update
 }
 
-// A client's observer ends, and the others are stale or send changes that don't follow. The client moves
-// until it finds one that goes on from its revision; it never applies anything older. A client that did
-// would bring an old configuration back.
+// A client's observer fails, and others are stale or send changes that don't follow the client's revision.
+// The client must switch until an observer continues from its revision and never apply an older state;
+// otherwise an old configuration could return.
 func TestNeverGoesBack(t *testing.T) {
 	first, second := &fakeObserver{}, &fakeObserver{}
 	first.script(false, snapshot(5, "a", "b"))
 	second.script(false, snapshot(5, "a", "b"))
 	r := run(t, nil, first, second)
 	eventually(t, held(r, 5))
-	first.script(false, snapshot(3, "a"))        // stale, and says so
-	second.script(false, differences(6, 7, "c")) // not what follows
+	first.script(false, snapshot(3, "a"))        // stale
+	second.script(false, differences(6, 7, "c")) // doesn't follow revision 5
 	before := watches(first) + watches(second)
 	eventually(t, func() error {
 		if watches(first)+watches(second) < before+3 {
-			return errors.New("it doesn't move")
+			return errors.New("the client doesn't switch observers")
 		}
 		return held(r, 5)()
 	})
@@ -177,15 +177,15 @@
 	return len(f.asked)
 }
 
-// A state can't be applied. It isn't acknowledged, nor is the progress that follows it; the next state that
-// is applied is. A client that acknowledged it would make operators believe that the change is applied.
+// A state can't be applied. Neither it nor the following progress notice may be acknowledged, but the next
+// state that is applied must be. Otherwise operators could conclude that the change is applied.
 func TestRefusedStateIsNotAcknowledged(t *testing.T) {
 	observer := &fakeObserver{}
 	observer.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6))
 	r := run(t, func(s State) bool { return s.Revision == 5 }, observer)
 	eventually(t, held(r, 6))
 	if _, applied := r.Revision(); applied != 4 {
-		t.Errorf("revision %d is said to be applied", applied)
+		t.Errorf("revision %d is reported as applied, want 4", applied)
 	}
 	eventually(t, func() error {
 		observer.mu.Lock()
@@ -206,9 +206,9 @@
 	})
 }
 
-// Acknowledgements are answered with the observer's newest revision and age. The client's age is known only
-// from an answer with nothing newer than its replica, and counts from the sending; otherwise a client that
-// lags would believe it is complete.
+// The response to an acknowledgement has the observer's newest revision and age. The client's age must be
+// unknown until such a response has no newer revision than its replica, and then be counted from when the
+// acknowledgement was sent. Otherwise a lagging client could appear to be complete.
 func TestAge(t *testing.T) {
 	c := New(Options{})
 	if err := c.replica.Apply(snapshot(5).Batch); err != nil {
@@ -221,28 +221,28 @@
 		}
 	}
 	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 1000}, time.Hour)
-	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 9000}, time.Hour) // older: it doesn't go back
+	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 9000}, time.Hour) // older: completeAt must not decrease
 	if c.completeAt != time.Hour-time.Second {
 		t.Errorf("complete at %v", c.completeAt)
 	}
 }
 
-// An observer rejects many clients with the same Retry-After. Each waits at least that long and up to a
-// quarter longer, so that they don't come back together; without a Retry-After the pause is spread.
+// An observer rejects many clients with the same Retry-After. Each must wait at least that long and up to a
+// quarter longer, so that they don't retry at the same time. Without a Retry-After the pause is spread.
 func TestComeBack(t *testing.T) {
-	told := &protocol.Rejection{Code: protocol.CodeOverloaded, RetryAfterMillis: 8000}
-	seen := map[time.Duration]bool{}
+	rejection := &protocol.Rejection{Code: protocol.CodeOverloaded, RetryAfterMillis: 8000}
+	delays := map[time.Duration]bool{}
 	for range 100 {
-		got := reconnectDelay(fmt.Errorf("joining: %w", told), time.Second)
+		got := reconnectDelay(fmt.Errorf("joining: %w", rejection), time.Second)
 		if got < 8*time.Second || got > 10*time.Second {
 			t.Fatalf("%v", got)
 		}
-		seen[got] = true
+		delays[got] = true
 		if got := reconnectDelay(errors.New("reset"), time.Second); got < time.Second/2 || got > 3*time.Second/2 {
 			t.Fatalf("%v", got)
 		}
 	}
-	if len(seen) < 50 {
-		t.Errorf("only %d times of 100 differ", len(seen))
+	if len(delays) < 50 {
+		t.Errorf("only %d distinct delays of 100", len(delays))
 	}
 }
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -16,7 +16,7 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// fixture is what an observer of an earlier version answered, byte for byte.
+// fixture returns a recorded response of an observer of an earlier version.
 func fixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "testdata", name))
@@ -46,13 +46,13 @@
 	}
 }
 
-// Routers and observers are upgraded one after the other, so a new client reads the stream of an
-// older observer. The recorded stream has the changes through revision 5, a progress notice, a
-// change of routers/a at 6 and the deletion of routers/b at 7. A client that read a field under
-// another name would stay at an older revision, keep the deleted document or never know its age.
+// Routers and observers are upgraded one after another, so a new client must read the stream of an older
+// observer. The recorded stream has the changes through revision 5, a progress notice, a change of
+// routers/a at revision 6 and the deletion of routers/b at 7. If the client decoded a field under another
+// name, it would stay at an older revision, keep the deleted document or never know the age of its state.
 func TestClientReadsEarlierObserver(t *testing.T) {
 	watch := fixture(t, "watch-from-start.jsonl")
-	_, changes, _ := bytes.Cut(fixture(t, "watch-changes.jsonl"), []byte("\n")) // its first line begins at 3
+	_, changes, _ := bytes.Cut(fixture(t, "watch-changes.jsonl"), []byte("\n")) // its first line starts at revision 3
 	watch = append(watch, changes...)
 	observer := &recordedObserver{
 		status:          http.StatusOK,
@@ -82,7 +82,7 @@
 	}
 }
 
-// A client that fell behind the observer's log is sent a snapshot. It replaces what the client has.
+// A client whose revision the observer has compacted is sent a snapshot. It must replace the client's state.
 func TestClientReadsEarlierSnapshot(t *testing.T) {
 	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
 	r := run(t, nil, observer)
@@ -94,8 +94,8 @@
 	})
 }
 
-// An observer of an earlier version rejects watches. The client must know the code, by which it
-// tells an observer that is behind from one that is overloaded, and the time to come back.
+// An observer of an earlier version rejects watches. The client must decode the code, which distinguishes
+// an observer that is behind from an overloaded one, and the time to retry.
 func TestClientReadsEarlierRejections(t *testing.T) {
 	for name, want := range map[string]protocol.Rejection{
 		"watch-behind.json":     {Code: protocol.CodeBehind},
@@ -116,7 +116,7 @@
 	}
 }
 
-// What this version writes is what the earlier one wrote: older routers read it.
+// Messages of this version must have the same bytes as those of the earlier one, as older routers read them.
 func TestMessagesHaveTheEarlierBytes(t *testing.T) {
 	for name, message := range map[string]any{
 		"acknowledgement.json":            protocol.AcknowledgementResponse{},
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxLineBytes      = 16 << 20 // a snapshot of all documents in base64, twice over
+	maxLineBytes      = 16 << 20 // twice the size of a snapshot of all documents in base64
 	maxRejectionBytes = 4 << 10
 )
 
-// errStale says that the watch works, and its observer's state is too old.
+// errStale means that the watch works but the observer's state is too old.
 var errStale = errors.New("the observer's state is too old")
 
-// watch watches one observer until it fails, sends nothing for silenceTimeout, or the replica is older
-// than staleAfter. It returns how many updates were received.
+// watch watches through one observer until it fails, sends nothing for silenceTimeout, or the replica is
+// older than staleAfter. It returns the number of updates received.
 func (c *Client) watch(ctx context.Context, address string, staleAfter time.Duration) (updates int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,16 +35,16 @@
 	defer response.Body.Close()
 	c.setObserver(address)
 	began := time.Now()
-	watchdog := time.AfterFunc(silenceTimeout, cancel) // a stopped observer's connection stays open
+	watchdog := time.AfterFunc(silenceTimeout, cancel) // the connection to a paused observer stays open
 	defer watchdog.Stop()
 	lines := bufio.NewScanner(&watchdogReader{from: response.Body, watchdog: watchdog})
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var update protocol.Update
 		if err := json.Unmarshal(lines.Bytes(), &update); err != nil {
-			return updates, fmt.Errorf("reading an update: %w", err)
+			return updates, fmt.Errorf("read an update: %w", err)
 		}
-		watchdog.Stop() // Apply takes as long as it takes
+		watchdog.Stop() // the time that Apply takes doesn't count
 		if err := c.receive(ctx, update); err != nil {
 			return updates, err
 		}
@@ -61,7 +61,7 @@
 	return updates, io.ErrUnexpectedEOF
 }
 
-// open begins a watch from the replica's revision.
+// open starts a watch from the replica's revision.
 func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
 	revision, _ := c.Revision()
 	query := url.Values{
@@ -85,7 +85,7 @@
 	return nil, readRejection(response)
 }
 
-// readRejection is the error that an answer other than 200 carries.
+// readRejection returns the error in a response with a status other than 200.
 func readRejection(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRejectionBytes))
 	if err != nil {
@@ -93,12 +93,12 @@
 	}
 	var rejection protocol.Rejection
 	if json.Unmarshal(body, &rejection) != nil || rejection.Code == "" {
-		return fmt.Errorf("the observer answered %s", response.Status)
+		return fmt.Errorf("observer responded with status %s", response.Status)
 	}
 	return &rejection
 }
 
-// watchdogReader resets the watchdog with each byte: a snapshot may take longer than silenceTimeout.
+// watchdogReader resets the watchdog after each read, as a snapshot may take longer than silenceTimeout.
 type watchdogReader struct {
 	from     io.Reader
 	watchdog *time.Timer
--- a/internal/coord/observer/follow.go
+++ b/internal/coord/observer/follow.go
@@ -16,13 +16,13 @@
 
 const (
 	pollTimeout    = 5 * time.Second        // a coordinator answers a poll within one second
-	maxUpstreamAge = 3 * time.Second        // a coordinator whose state is older is left for another
-	minPause       = 50 * time.Millisecond  // after a coordinator failed, doubled each time
-	maxPause       = 500 * time.Millisecond // short: an observer is one of a few
-	maxAnswerBytes = 16 << 20               // a snapshot of all documents in base64, twice over
+	maxUpstreamAge = 3 * time.Second        // the observer leaves a coordinator whose state is older
+	minPause       = 50 * time.Millisecond  // after a coordinator failed; doubles each time
+	maxPause       = 500 * time.Millisecond // short, as there are only a few observers
+	maxAnswerBytes = 16 << 20               // twice the size of a snapshot of all documents in base64
 )
 
-// follow polls one coordinator after another, each as long as it answers with fresh state.
+// follow polls one coordinator after another, each for as long as it responds with recent state.
 func (o *Observer) follow(ctx context.Context) {
 	var names []string
 	for name := range o.options.Coordinators {
@@ -37,7 +37,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		o.options.Log.Warn("following another coordinator", "before", name, "error", err)
+		o.options.Log.Warn("switching to another coordinator", "before", name, "error", err)
 		if answered {
 			pause = minPause
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-// followOne polls a coordinator until it fails. It reports whether it had answered.
+// followOne polls a coordinator until it fails. It reports whether the coordinator responded at least once.
 func (o *Observer) followOne(ctx context.Context, name string) (answered bool, err error) {
 	for {
 		o.mu.Lock()
@@ -63,7 +63,7 @@
 			return answered, err
 		}
 		if update.Age() > maxUpstreamAge && len(o.options.Coordinators) > 1 {
-			return answered, fmt.Errorf("its state is %v old", update.Age())
+			return answered, fmt.Errorf("coordinator state is %v old", update.Age())
 		}
 		o.mu.Lock()
 		o.following = name
@@ -72,7 +72,7 @@
 	}
 }
 
-// poll asks a coordinator for what follows a revision.
+// poll requests the changes after a revision from a coordinator.
 func (o *Observer) poll(ctx context.Context, address string, revision uint64) (update protocol.Update, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -93,14 +93,14 @@
 	if response.StatusCode != http.StatusOK {
 		var rejection protocol.Rejection
 		if json.Unmarshal(body, &rejection) != nil || rejection.Code == "" {
-			return update, fmt.Errorf("polling for changes: %s", response.Status)
+			return update, fmt.Errorf("poll for changes: %s", response.Status)
 		}
 		return update, &rejection
 	}
 	return update, json.Unmarshal(body, &update)
 }
 
-// jitter spreads a pause over half of it to one and a half.
+// jitter returns a random duration between half of the pause and one and a half times the pause.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause+1)
 }
--- a/internal/coord/observer/join_limiter.go
+++ b/internal/coord/observer/join_limiter.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	joinBurst = 32 // watches that may begin at once
+	joinBurst = 32 // watches that may start at the same time
 
-	// maxRetryAfter bounds the Retry-After of a join. A fleet that needs longer is spread by its clients'
-	// own jitter.
+	// maxRetryAfter bounds the Retry-After of a join. If a larger fleet needs longer, the jitter of the
+	// clients spreads the retries.
 	maxRetryAfter = 60 * time.Second
 )
 
-// joinLimiter admits joins at a bounded rate, and gives each that it rejects a time of its own to come
-// back, so that those which were rejected together don't come back together. It has no clock.
+// joinLimiter admits new watches at a limited rate. It assigns each rejected join its own time to retry,
+// so that rejected watchers don't all retry at the same time. It has no clock.
 type joinLimiter struct {
 	perSecond    float64
 	tokens       float64
-	tokensAt     time.Duration // instant of tokens
-	lastReturnAt time.Duration // given to the join that was rejected last
+	tokensAt     time.Duration // when tokens was updated
+	lastReturnAt time.Duration // the time to retry that was assigned last
 }
 
 func newJoinLimiter(perSecond float64) *joinLimiter {
 	return &joinLimiter{perSecond: perSecond, tokens: joinBurst}
 }
 
-// admit admits a join at an instant, or returns after what time there is capacity for it.
+// admit admits a join at the instant now, or returns the time after which to retry.
 func (l *joinLimiter) admit(now time.Duration) (retryAfter time.Duration, ok bool) {
 	l.tokens = min(joinBurst, l.tokens+(now-l.tokensAt).Seconds()*l.perSecond)
 	l.tokensAt = now
--- a/internal/coord/observer/join_limiter_test.go
+++ b/internal/coord/observer/join_limiter_test.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// A thousand routers join at once, as after an observer's restart. They are admitted at the rate, and one
-// that comes back when it was asked to is admitted then: each is rejected once. With one time for all they
-// would come back together, and most be rejected again.
+// A thousand routers join at the same time, as after an observer's restart. Joins are admitted at the
+// rate, and a rejected router that retries at its assigned time is admitted. If all had the same time to
+// retry, most would be rejected again.
 func TestHerdIsAdmittedAtTheRate(t *testing.T) {
-	const herd, perSecond = 1000, 100
+	const joins, perSecond = 1000, 100
 	limiter := newJoinLimiter(perSecond)
-	told := []time.Duration{}
+	retryTimes := []time.Duration{}
 	admitted := 0
-	for range herd {
+	for range joins {
 		if retryAfter, ok := limiter.admit(0); ok {
 			admitted++
 		} else {
-			told = append(told, retryAfter)
+			retryTimes = append(retryTimes, retryAfter)
 		}
 	}
 	if admitted != joinBurst {
 		t.Errorf("%d admitted at once, want %d", admitted, joinBurst)
 	}
-	for i, at := range told {
-		if i > 0 && at <= told[i-1] {
-			t.Fatalf("told %v after %v", at, told[i-1])
+	for i, at := range retryTimes {
+		if i > 0 && at <= retryTimes[i-1] {
+			t.Fatalf("Retry-After %v follows %v", at, retryTimes[i-1])
 		}
 		if retryAfter, ok := limiter.admit(at); !ok {
-			t.Fatalf("number %d came back at %v as told, and was told %v more", i, at, retryAfter)
+			t.Fatalf("join %d retried at its time %v and got another Retry-After of %v", i, at, retryAfter)
 		}
 	}
-	if want := time.Duration(len(told)) * time.Second / perSecond; told[len(told)-1] != want {
-		t.Errorf("the last one was told %v, want %v", told[len(told)-1], want)
+	if want := time.Duration(len(retryTimes)) * time.Second / perSecond; retryTimes[len(retryTimes)-1] != want {
+		t.Errorf("the last Retry-After is %v, want %v", retryTimes[len(retryTimes)-1], want)
 	}
 }
 
-// A hundred thousand join at once: no Retry-After is beyond the bound, so that no router waits for hours.
+// A hundred thousand routers join at the same time. No Retry-After may exceed the bound, so that no
+// router waits for hours.
 func TestRetryAfterIsBounded(t *testing.T) {
 	limiter := newJoinLimiter(1)
 	for range 100_000 {
 		if retryAfter, ok := limiter.admit(0); !ok && (retryAfter <= 0 || retryAfter > maxRetryAfter) {
-			t.Fatalf("told %v", retryAfter)
+			t.Fatalf("Retry-After %v", retryAfter)
 		}
 	}
 }
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -1,6 +1,6 @@
-// Package observer is a read-only replica of the agreed documents: it follows the coordinators without
-// a vote and serves watches to hundreds of routers, so that the coordinators' cost depends on the
-// number of observers alone. Its state is in memory; a restarted one takes a snapshot.
+// Package observer is a read-only replica of the agreed documents. It follows the coordinators without
+// a vote and serves watches to hundreds of routers, so that the load on the coordinators depends only on
+// the number of observers. Its state is in memory; after a restart it takes a snapshot.
 package observer
 
 import (
@@ -18,36 +18,36 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Options are those of one observer.
+// Options configure one observer.
 type Options struct {
 	Name           string
 	Coordinators   map[string]string // addresses for clients (host:port), by name
 	MaxWatchers    int
-	JoinsPerSecond float64 // at which watches are begun
-	WatcherBytes   int     // a second, to each watcher
+	JoinsPerSecond float64 // new watches
+	WatcherBytes   int     // per second, to each watcher
 	Log            *slog.Logger
 }
 
-// Observer holds the state and its watchers.
+// Observer holds the replicated documents and the table of watchers.
 type Observer struct {
 	options  Options
 	upstream *http.Client
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	log        *watchlog.Log
 	isReady    bool
-	completeAt time.Duration // on clock.Now: the state was complete then, or later
+	completeAt time.Duration // latest instant of clock.Now at which the state is known to have been complete
 	following  string        // the coordinator that is polled
-	changed    chan struct{} // closed, and replaced, once the log has changed
+	changed    chan struct{} // closed and replaced when the log changes
 	watchers   *watcherTable
 	joins      *joinLimiter
 }
 
-// logLimits are those of the coordinators' log: a watcher that needs a snapshot of an observer would
-// need one of them too.
+// logLimits equal the limits of the coordinators' log, so that an observer sends a snapshot only where a
+// coordinator would have to send one too.
 var logLimits = watchlog.Limits{Changes: coord.HistoryLimit(), Bytes: coord.MaxHistoryBytes}
 
-// New prepares an observer; Run has it follow the coordinators.
+// New returns an observer. Run starts following the coordinators.
 func New(options Options) *Observer {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -73,7 +73,7 @@
 	o.follow(ctx)
 }
 
-// apply extends the state by an update that was asked for at an instant of clock.Now.
+// apply extends the state by an update that was requested at askedAt, an instant of clock.Now.
 func (o *Observer) apply(update protocol.Update, askedAt time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// ageMillis is how long ago the state was complete, at most; -1 where it never was. The caller holds mu.
+// ageMillis returns an upper bound on how long ago the state was complete; -1 if it never was. The caller
+// must hold mu.
 func (o *Observer) ageMillis() int64 {
 	if !o.isReady {
 		return -1
@@ -101,8 +102,8 @@
 	return (clock.Now() - o.completeAt).Milliseconds()
 }
 
-// read is the update for a watcher that has everything through a revision, and a channel that is closed
-// once there may be more.
+// read returns the update for a watcher that has everything up to a revision, and a channel that is
+// closed when there may be more.
 func (o *Observer) read(revision uint64, prefix string) (protocol.Update, <-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,7 +119,7 @@
 	return update, o.changed, err
 }
 
-// Status is how the observer stands, with a summary of its watchers.
+// Status returns the observer's status, with a summary of its watchers.
 func (o *Observer) Status() protocol.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -19,11 +19,11 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// coordinator stands in for one: it answers polls from a log of the test's own.
+// coordinator is a fake coordinator that answers polls from its own log.
 type coordinator struct {
 	mu      sync.Mutex
 	log     *watchlog.Log
-	changed chan struct{} // closed at each change
+	changed chan struct{} // closed and replaced at each change
 }
 
 func (c *coordinator) put(t *testing.T, name string, size int) {
@@ -38,7 +38,7 @@
 	c.changed = make(chan struct{})
 }
 
-// wait waits for a change after a revision, for a poll's time.
+// wait waits for a change after a revision, but no longer than a poll lasts.
 func (c *coordinator) wait(ctx context.Context, after uint64) {
 	c.mu.Lock()
 	newest, changed := c.log.Newest(), c.changed
@@ -70,7 +70,7 @@
 	_ = json.NewEncoder(w).Encode(protocol.Update{Batch: batch, Newest: c.log.Newest()})
 }
 
-// started runs an observer of a stand-in coordinator until the test ends.
+// started runs an observer of a fake coordinator until the end of the test.
 func started(t *testing.T, options Options) (*Observer, *coordinator, *httptest.Server) {
 	t.Helper()
 	upstream := &coordinator{log: watchlog.NewLog(logLimits), changed: make(chan struct{})}
@@ -104,7 +104,7 @@
 	return o, upstream, routers
 }
 
-// socketBytes bounds what sockets hold of a watch, so that one who doesn't read is soon seen as such.
+// socketBytes limits the socket buffers of a watch, so that a watcher that doesn't read is soon detected.
 const socketBytes = 64 << 10
 
 // routerClient is a router's HTTP client.
@@ -120,7 +120,7 @@
 
 var plenty = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytes: 1 << 30}
 
-// eventually waits until f has no complaint.
+// eventually waits until f returns no error.
 func eventually(t *testing.T, f func() error) {
 	t.Helper()
 	for {
@@ -158,7 +158,7 @@
 	return lines
 }
 
-// next takes the watch's next update into a replica.
+// next applies the watch's next update to a replica.
 func next(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) protocol.Update {
 	t.Helper()
 	update, ok := tryNext(t, lines, replica)
@@ -168,7 +168,7 @@
 	return update
 }
 
-// tryNext is next, and false where the watch ended, in mid-line maybe.
+// tryNext is like next, but returns false if the watch has ended, possibly within a line.
 func tryNext(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) (update protocol.Update, ok bool) {
 	t.Helper()
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &update) != nil {
@@ -180,8 +180,8 @@
 	return update, true
 }
 
-// Documents change under a watcher's prefix and beside it. The watch gets the changes under its prefix, and
-// progress notices for the others, and can acknowledge the newest revision by either.
+// Documents change under a watcher's prefix and outside it. The watch gets the changes under its prefix
+// and progress notices for the others, and the watcher can acknowledge the newest revision after either.
 func TestWatch(t *testing.T) {
 	o, upstream, routers := started(t, plenty)
 	lines, replica := scanner(watch(t, routers, "watcher=w1&prefix=a/")), watchlog.NewReplica()
@@ -209,9 +209,9 @@
 	}
 }
 
-// Watches come that can't be served: before there is state, ahead of it, too many, impossible; and an
-// acknowledgement of what was not sent. Each is rejected with its code, by which a client moves to another
-// observer or waits; with a wrong code it would stay or hurry.
+// Watches that can't be served (no state yet, a revision ahead of the observer's, too many watchers, an
+// invalid request) and an acknowledgement of a revision that was not sent must be rejected with the right
+// code: by it a client moves to another observer or waits.
 func TestRefusals(t *testing.T) {
 	stateless := New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
 	unready := httptest.NewServer(stateless.Handler())
@@ -236,7 +236,7 @@
 			t.Errorf("%s: %+v, %v, want %s", want.query, rejection, err, want.code)
 		}
 		if want.code == protocol.CodeOverloaded && response.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: no time to come back", want.query)
+			t.Errorf("%s: no Retry-After", want.query)
 		}
 	}
 	body := bytes.NewBufferString(`{"watcher":"first","revision":9}`)
@@ -246,15 +246,15 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusConflict {
-		t.Errorf("an invalid acknowledgement was answered by %s", response.Status)
+		t.Errorf("an invalid acknowledgement got status %s", response.Status)
 	}
 }
 
-// More watchers join than the rate admits. They are rejected with a time to come back; an observer that
-// admitted all would send hundreds of snapshots at once.
+// More watchers join than the rate allows. They must be rejected with a time to retry; otherwise an
+// observer would send hundreds of snapshots at the same time.
 func TestJoinsAreLimited(t *testing.T) {
 	o, _, routers := started(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
-	for i := range 10 * joinBurst { // capacity for one comes each second meanwhile
+	for i := range 10 * joinBurst { // the rate admits one more each second meanwhile
 		response := watch(t, routers, fmt.Sprint("watcher=w", i))
 		if response.StatusCode == http.StatusServiceUnavailable {
 			var rejection protocol.Rejection
@@ -271,17 +271,17 @@
 	t.Errorf("%d joins were admitted", 10*joinBurst)
 }
 
-// One watcher doesn't read its connection while documents change. Another one keeps up without a snapshot,
-// and the slow one gets a snapshot once the log is compacted beyond it. An observer with a queue for each
-// watcher would run out of memory, or hold up the others.
+// One watcher doesn't read its connection while documents change. Another one must keep up without a
+// snapshot, and the slow one must get a snapshot once the log is compacted beyond its revision. With a
+// queue for each watcher the observer would run out of memory or delay the others.
 func TestSlowWatcher(t *testing.T) {
 	o, upstream, routers := started(t, plenty)
-	slow := watch(t, routers, "watcher=slow") // its header has come; its body isn't read
+	slow := watch(t, routers, "watcher=slow") // the response header is read, the body isn't
 	fast, replica := scanner(watch(t, routers, "watcher=fast")), watchlog.NewReplica()
-	const documents, rounds, size = 20, 12, 32 << 10 // 7.5 MiB: more than the sockets and the log hold
+	const documents, rounds, size = 20, 12, 32 << 10 // 7.5 MiB: more than the sockets and the log can hold
 	for i := range documents * rounds {
 		upstream.put(t, fmt.Sprint("d", i%documents), size)
-		if i%8 == 7 { // the fast one keeps up
+		if i%8 == 7 { // the fast watcher keeps up
 			for replica.Revision() < uint64(i+1) {
 				next(t, fast, replica)
 			}
@@ -291,13 +291,13 @@
 		next(t, fast, replica)
 	}
 	if o.Status().Snapshots != 0 {
-		t.Errorf("%d snapshots: the fast one should have had none", o.Status().Snapshots)
+		t.Errorf("%d snapshots, want none for the fast watcher", o.Status().Snapshots)
 	}
 	late, lines := watchlog.NewReplica(), scanner(slow)
 	snapshots := 0
 	for late.Revision() < documents*rounds {
 		update, ok := tryNext(t, lines, late)
-		if !ok { // on a slow machine it was disconnected meanwhile: it watches again from its revision
+		if !ok { // a slow machine may have disconnected it: watch again from its revision
 			lines = scanner(watch(t, routers, fmt.Sprint("watcher=slow&after=", late.Revision())))
 		}
 		if update.Snapshot {
@@ -305,15 +305,15 @@
 		}
 	}
 	if snapshots == 0 {
-		t.Error("the slow one got no snapshot: the test is too small for this machine's sockets")
+		t.Error("the slow watcher got no snapshot: this machine's sockets buffer too much for the test")
 	}
-	if one, two := fmt.Sprint(replica.Documents()), fmt.Sprint(late.Documents()); one != two {
-		t.Error("the slow one ends with other documents")
+	if want, got := fmt.Sprint(replica.Documents()), fmt.Sprint(late.Documents()); want != got {
+		t.Error("the slow watcher has other documents than the fast one")
 	}
 }
 
-// A watcher is sent more than its rate of bytes a second. It takes as long as the rate says; without the
-// bound one snapshot would take the bandwidth of all watchers.
+// A watcher is sent more bytes than its rate allows per second. Sending must take as long as the rate
+// requires; without the limit one snapshot could take the bandwidth of all watchers.
 func TestPace(t *testing.T) {
 	const rate = 160 << 10
 	_, upstream, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytes: rate})
@@ -327,18 +327,18 @@
 		bytes += len(lines.Bytes())
 	}
 	if least := time.Duration(bytes-2*pieceBytes) * time.Second / rate; time.Since(began) < least {
-		t.Errorf("%d bytes came in %v, and %v is the least", bytes, time.Since(began), least)
+		t.Errorf("%d bytes arrived in %v, want at least %v", bytes, time.Since(began), least)
 	}
 }
 
-// A router's connection breaks without the observer noticing, and it watches again. Its watch before ends;
-// else the router would be counted twice.
+// A router's connection breaks without the observer noticing, and the router watches again. The previous
+// watch must end; otherwise the router would be counted twice.
 func TestComeAgain(t *testing.T) {
 	o, _, routers := started(t, plenty)
 	first, replica := scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica()
 	next(t, first, replica)
 	next(t, scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica())
-	for first.Scan() { // a line may have been under way
+	for first.Scan() { // the previous watch may still have a line in transit
 	}
 	if o.Status().Watchers != 1 {
 		t.Errorf("%+v", o.Status())
--- a/internal/coord/observer/paced_writer.go
+++ b/internal/coord/observer/paced_writer.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	pieceBytes   = 16 << 10         // written at once
-	writeTimeout = 10 * time.Second // a watcher that takes no piece for so long is disconnected
+	pieceBytes   = 16 << 10         // maximum size of one write
+	writeTimeout = 10 * time.Second // a watcher that doesn't read a piece for this long is disconnected
 )
 
-// pacedWriter writes lines to one watcher at a bounded rate, in pieces.
+// pacedWriter writes lines to one watcher at a limited rate, in pieces.
 type pacedWriter struct {
 	to             http.ResponseWriter
 	control        *http.ResponseController
 	bytesPerSecond int
-	freeAt         time.Duration // on clock.Now: the next piece may be written
+	freeAt         time.Duration // instant of clock.Now from which the next piece may be written
 }
 
 func newPacedWriter(to http.ResponseWriter, bytesPerSecond int) *pacedWriter {
 	return &pacedWriter{to: to, control: http.NewResponseController(to), bytesPerSecond: bytesPerSecond}
 }
 
-// begin lifts the server's deadline for reading a request, which would end the watch, and sends the header.
+// begin removes the server's read deadline, which would end the watch, and sends the response header.
 func (p *pacedWriter) begin() error {
 	if err := p.control.SetReadDeadline(time.Time{}); err != nil {
-		return fmt.Errorf("lifting the read deadline: %w", err)
+		return fmt.Errorf("remove the read deadline: %w", err)
 	}
 	return p.control.Flush()
 }
@@ -58,7 +58,7 @@
 		return ctx.Err()
 	}
 	if err := p.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return fmt.Errorf("setting the write deadline: %w", err)
+		return fmt.Errorf("set the write deadline: %w", err)
 	}
 	if _, err := p.to.Write(piece); err != nil {
 		return err
--- a/internal/coord/observer/protocol/protocol.go
+++ b/internal/coord/observer/protocol/protocol.go
@@ -1,5 +1,5 @@
-// Package protocol holds the messages between coordinators, observers and the routers that watch
-// them: JSON over HTTP.
+// Package protocol defines the messages between coordinators, observers and the routers that watch
+// documents: JSON over HTTP.
 package protocol
 
 import (
@@ -11,39 +11,39 @@
 
 // Paths of the requests.
 const (
-	ChangesPath     = "/v1/changes"     // at coordinators: GET, a long poll answered by an Update
-	HistoryPath     = "/v1/history"     // at coordinators: GET, a document's []watchlog.Change
-	DocumentsPath   = "/v1/documents"   // at coordinators: GET, []DocumentRow
-	WatchPath       = "/v1/watch"       // at observers: GET, a stream of Update, one a line
-	AcknowledgePath = "/v1/acknowledge" // at observers: POST, answered by an AcknowledgementResponse
-	StatusPath      = "/v1/status"      // at observers: GET, Status
+	ChangesPath     = "/v1/changes"     // coordinators, GET: long poll, returns Update
+	HistoryPath     = "/v1/history"     // coordinators, GET: returns a document's []watchlog.Change
+	DocumentsPath   = "/v1/documents"   // coordinators, GET: returns []DocumentRow
+	WatchPath       = "/v1/watch"       // observers, GET: returns a stream of Update, one per line
+	AcknowledgePath = "/v1/acknowledge" // observers, POST Acknowledgement: returns AcknowledgementResponse
+	StatusPath      = "/v1/status"      // observers, GET: returns Status
 )
 
-// Update is what a watcher gets: a batch, and how old the state is that it comes from.
+// Update is a batch of changes for a watcher, with the age of the sender's state.
 type Update struct {
 	watchlog.Batch
-	// Newest is the sender's newest revision. Through is below it where more follows.
+	// Newest is the sender's newest revision. If Through is lower, more changes follow.
 	Newest uint64 `json:"newest"`
-	// AgeMillis is how long before the sending the sender's state was complete, at most.
+	// AgeMillis is an upper bound on how long before sending the sender's state was complete.
 	AgeMillis int64 `json:"ageMillis"`
 }
 
-// Age is AgeMillis as a duration.
+// Age returns AgeMillis as a duration.
 func (u Update) Age() time.Duration { return time.Duration(u.AgeMillis) * time.Millisecond }
 
-// Code says why a request was rejected.
+// Code is the reason for which a request was rejected.
 type Code string
 
-// The codes.
+// Codes of rejections.
 const (
-	CodeBehind      Code = "behind"      // the sender's state is older than the watcher's: try another
-	CodeNotReady    Code = "unready"     // the sender has no state yet: try another
-	CodeOverloaded  Code = "busy"        // too many join at once, or watch: RetryAfterMillis
-	CodeInvalid     Code = "invalid"     // the request is impossible
-	CodeNotWatching Code = "not-watched" // acknowledged without a watch, or beyond what was sent
+	CodeBehind      Code = "behind"      // the sender's state is older than the watcher's: try another sender
+	CodeNotReady    Code = "unready"     // the sender has no state yet: try another sender
+	CodeOverloaded  Code = "busy"        // too many joins or watchers: retry after RetryAfterMillis
+	CodeInvalid     Code = "invalid"     // the request is invalid
+	CodeNotWatching Code = "not-watched" // an acknowledgement without a watch, or of a revision that was not sent
 )
 
-// Rejection is the body of an answer that isn't 200. It is an error.
+// Rejection is the body of a response with a status other than 200. It is an error.
 type Rejection struct {
 	Code             Code   `json:"code"`
 	Text             string `json:"text"`
@@ -52,56 +52,56 @@
 
 func (r *Rejection) Error() string { return fmt.Sprintf("%s: %s", r.Code, r.Text) }
 
-// RetryAfter is RetryAfterMillis as a duration.
+// RetryAfter returns RetryAfterMillis as a duration.
 func (r *Rejection) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMillis) * time.Millisecond
 }
 
-// Acknowledgement says that a watcher has applied everything through a revision.
+// Acknowledgement reports that a watcher has applied everything up to a revision.
 type Acknowledgement struct {
 	Watcher  string `json:"watcher"`
 	Revision uint64 `json:"revision"`
 }
 
-// AcknowledgementResponse answers an Acknowledgement: a watcher that has everything through Newest
-// knows by it how old that is.
+// AcknowledgementResponse answers an Acknowledgement. A watcher that has everything up to Newest learns
+// the age of its state from it.
 type AcknowledgementResponse struct {
 	Newest    uint64 `json:"newest"`
-	AgeMillis int64  `json:"ageMillis"` // as in Status
+	AgeMillis int64  `json:"ageMillis"` // see Status
 }
 
-// DocumentRow is one document as it is listed.
+// DocumentRow describes one document in a list.
 type DocumentRow struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
 	Bytes    int    `json:"bytes"` // of its value
 }
 
-// LaggingWatcher is one that has not acknowledged the newest revision.
+// LaggingWatcher is a watcher that has not acknowledged the newest revision.
 type LaggingWatcher struct {
 	Watcher     string `json:"watcher"`
-	Revision    uint64 `json:"revision"`    // acknowledged
-	SinceMillis int64  `json:"sinceMillis"` // it has lagged for so long
+	Revision    uint64 `json:"revision"`    // the highest that it has acknowledged
+	SinceMillis int64  `json:"sinceMillis"` // how long it has been lagging
 }
 
-// Status is how an observer stands, with a summary of its watchers.
+// Status describes an observer, with a summary of its watchers.
 type Status struct {
 	Name      string `json:"name"`
 	Revision  uint64 `json:"revision"`
-	AgeMillis int64  `json:"ageMillis"` // the state was complete at most so long ago; -1: never
-	Upstream  string `json:"upstream"`  // the coordinator that it follows
+	AgeMillis int64  `json:"ageMillis"` // upper bound on how long ago the state was complete; -1: never
+	Upstream  string `json:"upstream"`  // name of the coordinator that it follows
 
 	Watchers     int `json:"watchers"`
-	Acknowledged int `json:"acknowledged"` // watchers that have applied the newest revision
-	// Lagging are the other watchers, those first that lag for longest; MaxLagging at most.
+	Acknowledged int `json:"acknowledged"` // number of watchers that have applied the newest revision
+	// Lagging are the other watchers, the longest-lagging first; MaxLagging at most.
 	Lagging []LaggingWatcher `json:"lagging"`
 
-	Snapshots     int64 `json:"snapshots"` // sent to watchers
-	RejectedJoins int64 `json:"refused"`   // as too many came at once, or watch
-	RejectedAhead int64 `json:"ahead"`     // joins, as the watcher had newer state
-	// InvalidAcknowledgements are those of a revision that was not sent.
+	Snapshots     int64 `json:"snapshots"` // number sent to watchers
+	RejectedJoins int64 `json:"refused"`   // by the limits of joins and watchers
+	RejectedAhead int64 `json:"ahead"`     // of watchers with a newer revision than the observer's
+	// InvalidAcknowledgements counts acknowledgements of revisions that were not sent.
 	InvalidAcknowledgements int64 `json:"lies"`
 }
 
-// MaxLagging bounds Status.Lagging.
+// MaxLagging is the maximum length of Status.Lagging.
 const MaxLagging = 100
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	maxBatchBytes    = 64 << 10               // of one update, unless it is a snapshot
-	progressInterval = 500 * time.Millisecond // between progress notices; clients time out after four
+	maxBatchBytes    = 64 << 10               // of one update, except for a snapshot
+	progressInterval = 500 * time.Millisecond // between progress notices; clients time out after four of them
 	maxRequestBytes  = 4 << 10
 
 	notReadyRetryAfter     = time.Second
 	watcherLimitRetryAfter = 5 * time.Second
 )
 
-// Handler serves routers and the operators' tool.
+// Handler returns the HTTP API for routers and the operators' tool.
 func (o *Observer) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.WatchPath, o.serveWatch)
 	mux.HandleFunc("POST "+protocol.AcknowledgePath, o.serveAcknowledge)
 	mux.HandleFunc("GET "+protocol.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(o.Status()) // a client that has disconnected needs no answer
+		_ = json.NewEncoder(w).Encode(o.Status()) // an error means that the client has disconnected
 	})
 	return mux
 }
 
-// watchRequest is what a watcher asks for.
+// watchRequest has the parameters of a watch.
 type watchRequest struct {
 	watcher string
 	after   uint64
@@ -62,8 +62,8 @@
 	return request, nil
 }
 
-// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with one line of JSON for
-// each update, until the router disconnects, doesn't read for writeTimeout, or begins another watch.
+// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with one line of JSON per
+// update, until the router disconnects, doesn't read for writeTimeout, or starts another watch.
 func (o *Observer) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatch(r)
 	if err != nil {
@@ -85,11 +85,11 @@
 	w.Header().Set("Content-Type", "application/jsonl")
 	err = o.stream(ctx, newPacedWriter(w, o.options.WatcherBytes), request, watch)
 	if err != nil && ctx.Err() == nil {
-		o.options.Log.Info("a watch ended", "watcher", request.watcher, "error", err)
+		o.options.Log.Info("watch ended", "watcher", request.watcher, "error", err)
 	}
 }
 
-// join admits a watcher, or returns why not.
+// join admits a watcher, or returns the rejection.
 func (o *Observer) join(request watchRequest, end func()) (*watcher, *protocol.Rejection) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,7 +121,7 @@
 	return watch, nil
 }
 
-// overloaded is a rejection by a limit.
+// overloaded returns a rejection because of a limit.
 func overloaded(text string, retryAfter time.Duration) *protocol.Rejection {
 	return &protocol.Rejection{
 		Code:             protocol.CodeOverloaded,
@@ -130,14 +130,14 @@
 	}
 }
 
-// stream sends updates until the watch ends. A watcher has no queue of its own: it is a revision in the
-// log, so that a slow one costs nothing, and gets a snapshot once the log is compacted beyond it.
+// stream sends updates until the watch ends. A watcher has no queue of its own but only a revision in the
+// log. So a slow watcher uses no memory, and gets a snapshot once the log is compacted beyond its revision.
 func (o *Observer) stream(ctx context.Context, out *pacedWriter, request watchRequest, watch *watcher) error {
 	if err := out.begin(); err != nil {
 		return err
 	}
 	revision := request.after
-	isProgressDue := true // the first line says at once which revision this observer has
+	isProgressDue := true // the first line immediately reports this observer's revision
 	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	for {
@@ -154,7 +154,7 @@
 			isProgressDue = false
 		}
 		if update.Through < update.Newest && len(update.Changes) > 0 {
-			continue // the rest of a large batch
+			continue // the rest of a large batch follows
 		}
 		select {
 		case <-ctx.Done():
@@ -189,16 +189,16 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a client that has disconnected needs no answer
+	_ = json.NewEncoder(w).Encode(answer) // an error means that the client has disconnected
 }
 
-// reject answers with a rejection, and with Retry-After in whole seconds, rounded up, where it has a
-// time to come back.
+// reject sends a rejection. If it has a time to retry, it also sets Retry-After, in whole seconds, rounded
+// up.
 func reject(w http.ResponseWriter, status int, rejection *protocol.Rejection) {
 	if rejection.RetryAfterMillis > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((rejection.RetryAfterMillis+999)/1000, 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(rejection) // a client that has disconnected needs no answer
+	_ = json.NewEncoder(w).Encode(rejection) // an error means that the client has disconnected
 }
--- a/internal/coord/observer/watchers.go
+++ b/internal/coord/observer/watchers.go
@@ -8,13 +8,13 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// watcherTable has the watchers, what each was sent and what it has acknowledged. It has no clock; the
-// Observer's mu guards it.
+// watcherTable has the watchers, and for each what it was sent and what it has acknowledged. It has no
+// clock. The Observer's mu guards it.
 type watcherTable struct {
 	limit  int
 	byName map[string]*watcher
 
-	// What follows counts since the start; see protocol.Status.
+	// Counters since the start; see protocol.Status.
 	snapshots               int64
 	rejectedJoins           int64
 	rejectedAhead           int64
@@ -24,8 +24,8 @@
 // watcher is one router's watch.
 type watcher struct {
 	name         string
-	sentThrough  uint64 // revision through which everything was sent
-	acknowledged uint64 // revision
+	sentThrough  uint64 // revision up to which everything was sent
+	acknowledged uint64 // highest revision that was acknowledged
 	isLagging    bool
 	laggingSince time.Duration
 	end          func() // ends the watch
@@ -35,8 +35,8 @@
 	return &watcherTable{limit: limit, byName: map[string]*watcher{}}
 }
 
-// join adds a watch from a revision. A watch of the same name ends: its router has connected again, and
-// the old connection may be half open. It returns nil where the table is full.
+// join adds a watch from a revision. It ends an existing watch of the same name: the router has
+// reconnected, and the previous connection may be half open. It returns nil if the table is full.
 func (t *watcherTable) join(name string, revision, newest uint64, now time.Duration, end func()) *watcher {
 	before := t.byName[name]
 	if before == nil && len(t.byName) >= t.limit {
@@ -53,7 +53,7 @@
 	return w
 }
 
-// leave removes a watch, unless another one of its name has replaced it.
+// leave removes a watch unless another one of the same name has replaced it.
 func (t *watcherTable) leave(w *watcher) {
 	if t.byName[w.name] == w {
 		delete(t.byName, w.name)
@@ -74,8 +74,8 @@
 	w.laggingSince = now
 }
 
-// acknowledge records that a watcher has applied a revision. It returns false for a watcher that doesn't
-// watch here or wasn't sent the revision.
+// acknowledge records that a watcher has applied a revision. It returns false if there is no such watcher
+// or if it wasn't sent the revision.
 func (t *watcherTable) acknowledge(a protocol.Acknowledgement, newest uint64) bool {
 	w := t.byName[a.Watcher]
 	if w == nil {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// status is the watchers' part of an observer's status.
+// status returns the watchers' part of an observer's status.
 func (t *watcherTable) status(newest uint64, now time.Duration) protocol.Status {
 	status := protocol.Status{
 		Revision:                newest,
--- a/internal/coord/observer/watchers_test.go
+++ b/internal/coord/observer/watchers_test.go
@@ -8,28 +8,28 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// The table is full. A third watcher is rejected; one that connects again under its name is admitted, and
-// its watch before ends. If that one counted, a router could not come back after its connection broke.
+// The table is full. A third watcher is rejected. A watcher that reconnects under the same name must be
+// admitted, and its previous watch ends; otherwise a router could not reconnect after its connection broke.
 func TestWatcherTableIsBounded(t *testing.T) {
 	table := newWatcherTable(2)
 	ended := ""
-	one := table.join("a", 0, 0, 0, func() { ended = "a" })
+	first := table.join("a", 0, 0, 0, func() { ended = "a" })
 	table.join("b", 0, 0, 0, func() { ended = "b" })
 	if table.join("c", 0, 0, 0, nil) != nil {
-		t.Error("a third one was admitted")
+		t.Error("a third watcher was admitted")
 	}
 	if table.join("a", 0, 0, 0, nil) == nil || ended != "a" {
-		t.Errorf("one that connected again was rejected, or %q ended", ended)
+		t.Errorf("a reconnecting watcher was rejected, or %q ended", ended)
 	}
-	table.leave(one) // it has come again since
+	table.leave(first) // the watcher has joined again meanwhile
 	if len(table.byName) != 2 {
-		t.Errorf("%d watch", len(table.byName))
+		t.Errorf("%d watchers", len(table.byName))
 	}
 }
 
-// Watchers lag behind the newest revision. The status names them, those first that lag for longest; a
-// revision that was not sent can't be acknowledged. An operator would else believe that a change is
-// applied everywhere.
+// The status must list the watchers that lag behind the newest revision, the longest-lagging first, and a
+// revision that was not sent must not be acknowledged. Otherwise an operator could conclude that a change
+// is applied everywhere.
 func TestLagging(t *testing.T) {
 	table := newWatcherTable(1000)
 	for i := range protocol.MaxLagging + 2 {
@@ -41,7 +41,7 @@
 		return table.acknowledge(protocol.Acknowledgement{Watcher: name, Revision: revision}, 7)
 	}
 	if !acknowledge("w0", 7) || !acknowledge("w1", 6) || acknowledge("w2", 8) || acknowledge("nobody", 1) {
-		t.Error("an acknowledgement was taken or rejected wrongly")
+		t.Error("an acknowledgement was accepted or rejected wrongly")
 	}
 	status := table.status(7, 4*time.Second)
 	isCounted := status.Watchers == protocol.MaxLagging+2 && len(status.Lagging) == protocol.MaxLagging
@@ -58,7 +58,7 @@
 	if status.Watchers != protocol.MaxLagging+3 || last.SinceMillis != 3000 {
 		t.Errorf("%+v", last)
 	}
-	table.changed(8, 5*time.Second) // one that lags for longer stays so
+	table.changed(8, 5*time.Second) // a lagging watcher keeps its start time
 	if first := table.status(8, 6*time.Second).Lagging[0]; first.SinceMillis != 5000 {
 		t.Errorf("%+v", first)
 	}
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// Sizes of the property check: small, so that moves, compaction and limits meet.
+// Sizes of the property check. They are small, so that the events, compaction and limits coincide often.
 const (
 	checkObservers = 3
 	checkWatchers  = 4
@@ -20,17 +20,17 @@
 
 var checkLimits = Limits{Changes: 12, Bytes: 12 * 2 * changeOverhead}
 
-// watcher is a router as the check sees it: what it was given, beside what it believes.
+// watcher is a router in the check: its replica, and what the deliveries to it should have led to.
 type watcher struct {
 	replica   *Replica
 	prefix    string
 	observer  int
-	delivered uint64            // newest revision through which the checker has seen deliveries
-	documents map[string]Change // as the deliveries alone would have them
-	applied   uint64            // what the router applied
+	delivered uint64            // revision up to which the check has seen deliveries
+	documents map[string]Change // the documents according to the deliveries alone
+	applied   uint64            // the revision that the router has applied
 }
 
-// world is the agreed order with observers and watchers of it.
+// world is the agreed sequence of changes with observers and watchers.
 type world struct {
 	rng       *rand.Rand
 	agreed    []Change // agreed[i] has revision i+1
@@ -45,9 +45,9 @@
 		w.observers = append(w.observers, NewLog(checkLimits))
 	}
 	for i := range checkWatchers {
-		one := &watcher{prefix: []string{"", "a/", "b/", "none/"}[i]}
-		one.restart()
-		w.watchers = append(w.watchers, one)
+		added := &watcher{prefix: []string{"", "a/", "b/", "none/"}[i]}
+		added.restart()
+		w.watchers = append(w.watchers, added)
 	}
 	return w
 }
@@ -56,7 +56,7 @@
 	x.replica, x.documents, x.delivered, x.applied = NewReplica(), map[string]Change{}, 0, 0
 }
 
-// state is what the agreed order has under a prefix at a revision.
+// state returns the documents under a prefix at a revision, according to the agreed sequence.
 func (w *world) state(prefix string, through uint64) map[string]Change {
 	documents := map[string]Change{}
 	for _, c := range w.agreed[:through] {
@@ -71,7 +71,7 @@
 	return documents
 }
 
-// step plays one event and tells a broken rule.
+// step simulates one random event. It returns an error if an invariant is violated.
 func (w *world) step() error {
 	switch w.rng.IntN(16) {
 	case 0, 1, 2, 3:
@@ -82,7 +82,7 @@
 		i := w.rng.IntN(checkObservers)
 		w.observers[i].Compact(w.observers[i].Compacted() + uint64(w.rng.IntN(6)))
 	case 9:
-		if w.rng.IntN(4) == 0 { // killed: its state is in memory alone
+		if w.rng.IntN(4) == 0 { // killed: its state is only in memory
 			w.observers[w.rng.IntN(checkObservers)] = NewLog(checkLimits)
 		}
 	case 10:
@@ -113,7 +113,7 @@
 	return w.voters.Append(c)
 }
 
-// pull has an observer take a batch from the voters.
+// pull makes an observer poll the voters for a batch.
 func (w *world) pull(i int) error {
 	batch, err := w.voters.After(w.observers[i].Newest(), "", 1+w.rng.IntN(600))
 	var compacted *CompactedError
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// deliver has a watcher take a batch from its observer, and judges what was given by the agreed order alone.
+// deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed sequence.
 func (w *world) deliver(x *watcher) error {
 	log := w.observers[x.observer]
 	batch, err := log.After(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
@@ -142,7 +142,7 @@
 		if !w.staleSnapshot() {
 			return nil
 		}
-		batch = log.Snapshot(x.prefix) // an observer that answers what it shouldn't: the replica must reject it
+		batch = log.Snapshot(x.prefix) // a faulty observer's response: the replica must reject it
 	case err != nil:
 		return err
 	}
@@ -152,18 +152,18 @@
 		if batch.Snapshot && batch.Through < x.delivered && errors.As(err, &stale) {
 			return nil
 		}
-		return fmt.Errorf("a batch that follows was rejected: %w", err)
+		return fmt.Errorf("a batch that follows the replica was rejected: %w", err)
 	}
 	return w.judge(x, batch)
 }
 
-// staleSnapshot says whether a stale observer serves its snapshot all the same.
+// staleSnapshot decides randomly whether a stale observer serves its snapshot although it must not.
 func (w *world) staleSnapshot() bool { return w.rng.IntN(2) == 0 }
 
-// judge checks a delivery against the agreed order.
+// judge checks a delivery against the agreed sequence.
 func (w *world) judge(x *watcher, batch Batch) error {
 	if batch.Through < x.delivered {
-		return fmt.Errorf("went back from revision %d to %d", x.delivered, batch.Through)
+		return fmt.Errorf("revision decreased from %d to %d", x.delivered, batch.Through)
 	}
 	if batch.Snapshot {
 		x.documents = map[string]Change{}
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// deliveredAll checks that differences are exactly those of the agreed order: a change that the next one
-// hides counts too.
+// deliveredAll checks that a batch has exactly the changes of the agreed sequence, including changes that a
+// later change in the batch replaces.
 func (w *world) deliveredAll(prefix string, batch Batch) error {
 	if batch.Snapshot {
 		return nil
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// heal lets all observers and watchers catch up and checks that they agree with the agreed order.
+// heal lets all observers and watchers catch up, and checks their documents against the agreed sequence.
 func (w *world) heal() error {
 	newest := uint64(len(w.agreed))
 	for i, log := range w.observers {
@@ -261,19 +261,19 @@
 	return nil
 }
 
-// overTheWire is the batch as the other side reads it.
+// overTheWire returns the batch as the receiver decodes it.
 func overTheWire(batch Batch) (got Batch) {
 	text, err := json.Marshal(batch)
 	if err == nil {
 		err = json.Unmarshal(text, &got)
 	}
 	if err != nil {
-		panic(err) // a test's own fault
+		panic(err) // a fault of the test itself
 	}
 	return got
 }
 
-// play plays one walk from a seed and tells the broken rule.
+// play simulates the random walk of a seed. It returns an error if an invariant is violated.
 func play(seed uint64) error {
 	w := newWorld(seed)
 	for i := range checkEvents {
@@ -287,10 +287,10 @@
 	return nil
 }
 
-// Watchers move between observers, observers are killed, restarted, compacted or stale, in random order.
-// Each watcher sees the agreed order: nothing twice, nothing left out, never back, acknowledged only once
-// applied; and at the end all agree. A wrong log or replica would have a router on other documents than
-// the rest of the fleet.
+// Watchers switch between observers, and observers are killed, restarted, compacted or stale, in random
+// order. Each watcher must get the agreed sequence: no change twice, none skipped, no older revision, and no
+// acknowledgement before a revision is applied. At the end all must agree; otherwise a router could have
+// other documents than the rest of the fleet.
 func TestAnyInterleaving(t *testing.T) {
 	for seed := range uint64(checkWalks) {
 		if err := play(seed); err != nil {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -11,19 +11,20 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Limits bound what a Log keeps of past changes. The documents are bounded by the caller of Append.
+// Limits bound the past changes that a Log keeps. The caller of Append must bound the documents.
 type Limits struct {
-	Changes int // at most this many
-	Bytes   int // at most this much, by Change.Size; the newest change is kept whatever its size
+	Changes int // maximum number
+	Bytes   int // maximum total Change.Size; the newest change is kept even if it is larger
 }
 
-// Log is the state of all documents with the newest changes that led to it. A watcher costs it nothing:
-// it is a revision, from which After reads. The zero Log isn't ready; NewLog makes one.
+// Log is the state of all documents with the most recent changes that led to it. It keeps no state per
+// watcher: a watcher is a revision after which it reads with After. Use NewLog to create a Log. Its methods
+// must not be called concurrently.
 type Log struct {
 	limits    Limits
-	documents map[string]Change // nil until the first
-	changes   []Change          // those after compacted through newest, without a gap
-	bytes     int               // of changes
+	documents map[string]Change // nil until the first change
+	changes   []Change          // the changes after compacted up to newest, without a gap
+	bytes     int               // total size of changes
 	compacted uint64
 	newest    uint64
 }
@@ -31,26 +32,26 @@
 // NewLog returns an empty log.
 func NewLog(limits Limits) *Log { return &Log{limits: limits} }
 
-// Newest is the revision of the newest change, 0 where there was none.
+// Newest returns the revision of the newest change, or 0 if there was none.
 func (l *Log) Newest() uint64 { return l.newest }
 
-// Compacted is the revision through which changes are no longer kept.
+// Compacted returns the revision up to which changes are no longer kept.
 func (l *Log) Compacted() uint64 { return l.compacted }
 
-// IsZero reports whether there was never a change.
+// IsZero reports whether there has been no change.
 func (l *Log) IsZero() bool { return l == nil || l.newest == 0 }
 
-// Len is how many documents there are.
+// Len returns the number of documents.
 func (l *Log) Len() int { return len(l.documents) }
 
-// Document is the newest change of the document, false where it isn't there.
+// Document returns the newest change of a document, or false if the document doesn't exist.
 func (l *Log) Document(name string) (Change, bool) {
 	c, ok := l.documents[name]
 	return c, ok
 }
 
-// History are the changes of a document that the log still has, the oldest first. The one that made the
-// document what it is now is among them also where the log has compacted it.
+// History returns the retained changes of a document, the oldest first. It includes the current change even
+// if the log has compacted it.
 func (l *Log) History(name string) []Change {
 	var history []Change
 	for _, c := range l.changes {
@@ -64,7 +65,7 @@
 	return history
 }
 
-// Append adds the next change; its revision must be one above the newest.
+// Append adds the next change. Its revision must be one above the newest, or the error is a GapError.
 func (l *Log) Append(c Change) error {
 	if c.Revision != l.newest+1 {
 		return &GapError{Current: l.newest, Got: c.Revision}
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// enforceLimits compacts the oldest changes once a limit is passed.
+// enforceLimits compacts the oldest changes while a limit is exceeded.
 func (l *Log) enforceLimits() {
 	through := l.compacted
 	count := len(l.changes)
@@ -101,7 +102,7 @@
 	l.Compact(through)
 }
 
-// Compact forgets the changes through a revision. The documents stay.
+// Compact discards the changes up to a revision. The documents stay.
 func (l *Log) Compact(through uint64) {
 	through = min(through, l.newest)
 	if through <= l.compacted {
@@ -115,8 +116,8 @@
 	l.compacted = through
 }
 
-// SkipRevisions raises the newest revision, after changes were lost for good, above all that the lost
-// ones may have had. Every watcher gets a snapshot.
+// SkipRevisions raises the newest revision after a permanent loss of changes, above all revisions that the
+// lost changes may have. Every watcher then gets a snapshot.
 func (l *Log) SkipRevisions(by uint64) {
 	l.newest += by
 	l.changes = nil
@@ -124,9 +125,9 @@
 	l.compacted = l.newest
 }
 
-// After reads the changes after a revision, of the documents whose names begin with prefix. The batch
-// has at most maxBytes of changes, but at least one where there is one. The error is a CompactedError,
-// after which the caller sends a Snapshot, or a BehindError, as the log is stale for the watcher.
+// After returns the changes after a revision to documents whose names begin with prefix. The batch has at
+// most maxBytes of changes, but at least one change if there is any. The error is a CompactedError, after
+// which the caller must send a Snapshot, or a BehindError, if the watcher's revision is newer than the log's.
 func (l *Log) After(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
@@ -151,8 +152,8 @@
 	return batch, nil
 }
 
-// injectFault moves the first change that After reads, for the mutants of delivery. They need a prefix:
-// Extend, whose batches have none, would reject a gap or a repeat.
+// injectFault moves the first change that After returns, for the mutants of delivery. They only affect
+// batches with a prefix: Extend, which takes batches without one, would reject a gap or a repeated change.
 func (l *Log) injectFault(first int, prefix string) int {
 	if prefix == "" {
 		return first
@@ -166,7 +167,7 @@
 	return first
 }
 
-// Snapshot is the state of all documents whose names begin with prefix.
+// Snapshot returns all documents whose names begin with prefix.
 func (l *Log) Snapshot(prefix string) Batch {
 	batch := Batch{Through: l.newest, Snapshot: true}
 	for name, c := range l.documents {
@@ -178,8 +179,8 @@
 	return batch
 }
 
-// Extend appends a batch of another log, read without a prefix, completely or not at all. The error is a
-// GapError or a StaleError.
+// Extend appends a batch of another log, completely or not at all. The batch must have been read without a
+// prefix. The error is a GapError or a StaleError.
 func (l *Log) Extend(batch Batch) error {
 	if batch.Snapshot {
 		return l.restore(batch)
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// restore replaces all by a snapshot that is newer.
+// restore replaces the content with a snapshot that is newer.
 func (l *Log) restore(batch Batch) error {
 	if batch.Through < l.newest && !failpoint.Is("snapshot-older") {
 		return &StaleError{Current: l.newest, Got: batch.Through}
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// Clone is a copy that shares nothing that changes; values of documents never do.
+// Clone returns a copy that shares no mutable data. The values of documents are never changed.
 func (l *Log) Clone() *Log {
 	c := *l
 	c.documents = maps.Clone(l.documents)
@@ -230,7 +231,7 @@
 	return &c
 }
 
-// stored is a Log as it stands in a file.
+// stored is the stored form of a Log.
 type stored struct {
 	Compacted uint64            `json:"compacted"`
 	Newest    uint64            `json:"newest"`
@@ -247,7 +248,7 @@
 	return json.Marshal(stored{l.compacted, l.newest, documents, l.changes})
 }
 
-// UnmarshalJSON decodes a log, and rejects one whose changes have a gap. The limits stay as they are.
+// UnmarshalJSON decodes a log and rejects one whose changes have a gap. The limits are not changed.
 func (l *Log) UnmarshalJSON(text []byte) error {
 	var s stored
 	if err := json.Unmarshal(text, &s); err != nil {
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// A log passes its limit of changes, then that of bytes: the oldest changes are compacted, and a watcher
-// that asks for them gets a CompactedError. A log without limits would grow until there is no memory.
+// A log exceeds its limit of changes, then that of bytes. The oldest changes must be compacted, and a watcher
+// that requests them gets a CompactedError. Without the limits a log would use up the memory.
 func TestLimits(t *testing.T) {
 	l := NewLog(Limits{Changes: 3, Bytes: 1000})
 	for range 5 {
@@ -31,7 +31,7 @@
 	}
 	put(t, l, "d", 5000)
 	if got, err := l.After(7, "", 1); err != nil || len(got.Changes) != 1 {
-		t.Errorf("%+v, %v: the newest is kept whatever its size", got, err)
+		t.Errorf("%+v, %v: the newest change must be kept even if it exceeds the limit", got, err)
 	}
 	var compacted *CompactedError
 	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
@@ -42,12 +42,12 @@
 		t.Errorf("%v", err)
 	}
 	if history := l.History("b"); len(history) != 1 || history[0].Revision != 6 {
-		t.Errorf("%+v: what is in force is always in the history", history)
+		t.Errorf("%+v: the current change must be in the history", history)
 	}
 }
 
-// A watcher with a prefix reads more changes than fit a batch. The batch is bounded in bytes, and the next
-// one continues where it ends, also where the prefix leaves changes out; a wrong one would skip changes.
+// A watcher with a prefix reads more changes than fit into a batch. Batches are limited in bytes, and the next
+// one must continue where the previous one ended, even if the prefix excludes changes in between.
 func TestBatches(t *testing.T) {
 	l := NewLog(Limits{Changes: 100, Bytes: 1 << 20})
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A log is stored and read back, as with a coordinator's snapshot: it is the same, byte for byte. One with
-// a gap is rejected; a coordinator that read it would send watchers an incomplete history.
+// A stored log is decoded to an equal log, byte for byte, as in a coordinator's snapshot. A log with a gap
+// must be rejected; otherwise a coordinator could send watchers an incomplete history.
 func TestStored(t *testing.T) {
 	l := NewLog(Limits{Changes: 2, Bytes: 1000})
 	for _, name := range []string{"a", "b", "c"} {
@@ -78,25 +78,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewLog(Limits{Changes: 2, Bytes: 1000})
-	if err := json.Unmarshal(text, again); err != nil {
+	decoded := NewLog(Limits{Changes: 2, Bytes: 1000})
+	if err := json.Unmarshal(text, decoded); err != nil {
 		t.Fatal(err)
 	}
 	put(t, l, "d", 1)
-	put(t, again, "d", 1)
-	one, _ := json.Marshal(l)
-	two, _ := json.Marshal(again)
-	if !bytes.Equal(one, two) {
-		t.Errorf("%s\n%s", one, two)
+	put(t, decoded, "d", 1)
+	want, _ := json.Marshal(l)
+	got, _ := json.Marshal(decoded)
+	if !bytes.Equal(want, got) {
+		t.Errorf("%s\n%s", want, got)
 	}
 	gap := bytes.Replace(text, []byte(`"compacted":1`), []byte(`"compacted":0`), 1)
-	if err := json.Unmarshal(gap, again); err == nil {
-		t.Error("a log with a gap was read")
+	if err := json.Unmarshal(gap, decoded); err == nil {
+		t.Error("a log with a gap was decoded")
 	}
 }
 
-// A majority of coordinators was lost for good and revisions are skipped. Every watcher gets a snapshot,
-// and revisions only grow; else a watcher could keep a change of the lost ones under a number used again.
+// Revisions are skipped after the permanent loss of a majority. Every watcher must get a snapshot, as a
+// revision number could otherwise stand for a lost change at a watcher and for a new one in the log.
 func TestRaise(t *testing.T) {
 	l := NewLog(Limits{Changes: 10, Bytes: 1000})
 	put(t, l, "a", 1)
@@ -111,8 +111,8 @@
 	}
 }
 
-// Batches come that don't follow: with a gap, a repeat, or from an older snapshot. They change nothing;
-// a replica that applied a part of one would have documents that never were together.
+// A batch that doesn't follow (with a gap, a repeated change, or an older snapshot) must change nothing. If a
+// part of it were applied, the documents would be in a state that never existed.
 func TestRefusedWhole(t *testing.T) {
 	r, l := NewReplica(), NewLog(Limits{Changes: 10, Bytes: 1000})
 	good := Batch{Through: 2, Changes: []Change{{Revision: 1, Name: "a"}, {Revision: 2, Name: "b"}}}
@@ -129,13 +129,13 @@
 		{Snapshot: true, Through: 1},
 	} {
 		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
-			t.Errorf("replica took %+v", bad)
+			t.Errorf("the replica accepted %+v", bad)
 		}
 		if l.Extend(bad) == nil || l.Newest() != 2 || l.Len() != 2 {
-			t.Errorf("log took %+v", bad)
+			t.Errorf("the log accepted %+v", bad)
 		}
 	}
 	if r.MarkApplied(9); r.Acknowledged() != 2 {
-		t.Errorf("%d acknowledged of 2", r.Acknowledged())
+		t.Errorf("revision %d is acknowledged, want 2", r.Acknowledged())
 	}
 }
--- a/internal/coord/observer/watchlog/mutants_test.go
+++ b/internal/coord/observer/watchlog/mutants_test.go
@@ -8,7 +8,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Each injected fault is found by a walk of the property check.
+// Guards against a property check that misses a fault: each injected fault must be detected.
 func TestMutantsAreFound(t *testing.T) {
 	defer failpoint.Inject("")
 	for _, name := range []string{"change-skipped", "change-delivered-twice", "snapshot-older", "acknowledged-early"} {
@@ -20,7 +20,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("not detected")
 		})
 	}
 }
--- a/internal/coord/observer/watchlog/replica.go
+++ b/internal/coord/observer/watchlog/replica.go
@@ -8,30 +8,30 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Replica has the documents of one prefix as a router has them, from the batches of any chain of logs.
-// Its revision never goes back.
+// Replica has a router's copy of the documents under one prefix. It applies batches of any observers' logs.
+// Its revision never decreases. Its methods must not be called concurrently.
 type Replica struct {
 	documents map[string]Change // by name
-	revision  uint64            // through which it is complete
-	applied   uint64            // that the router applied last
+	revision  uint64            // up to which it is complete
+	applied   uint64            // that the router has applied
 }
 
-// NewReplica returns an empty one, at revision 0.
+// NewReplica returns an empty replica at revision 0.
 func NewReplica() *Replica { return &Replica{documents: map[string]Change{}} }
 
-// Revision is the one through which the replica is complete, and from which to watch.
+// Revision returns the revision up to which the replica is complete, from which to watch.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Documents are all documents, by name.
+// Documents returns all documents, sorted by name.
 func (r *Replica) Documents() []Change {
 	documents := slices.Collect(maps.Values(r.documents))
 	slices.SortFunc(documents, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
 	return documents
 }
 
-// Apply applies a batch, completely or not at all. The error is a StaleError for a snapshot that is older
-// than the replica, or a GapError for changes that don't follow it; after either the watcher asks another
-// observer, from Revision.
+// Apply applies a batch completely or not at all. The error is a StaleError for a snapshot that is older than
+// the replica, or a GapError for changes that don't follow it. After either the watcher must ask another
+// observer for what follows Revision.
 func (r *Replica) Apply(batch Batch) error {
 	if batch.Snapshot {
 		return r.restore(batch)
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// MarkApplied records that the router has applied the documents through the revision.
+// MarkApplied records that the router has applied the documents up to the revision.
 func (r *Replica) MarkApplied(revision uint64) { r.applied = max(r.applied, min(revision, r.revision)) }
 
-// Acknowledged is the revision to acknowledge: the one that the router has applied.
+// Acknowledged returns the revision to acknowledge, which is the one that the router has applied.
 func (r *Replica) Acknowledged() uint64 {
 	if failpoint.Is("acknowledged-early") {
 		return r.revision
--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -2,7 +2,7 @@
 
 import "dockhinge.example/dockhinge/internal/rollout"
 
-// applyRollout carries out a command of internal/rollout.
+// applyRollout executes a command of internal/rollout.
 func (s *State) applyRollout(c Command, session *Session) Response {
 	if response, rejected := s.rejectRollout(c); rejected {
 		return response
@@ -27,8 +27,8 @@
 	}
 }
 
-// rejectRollout gives the response to a command that is empty or that not all coordinators
-// understand at the version in force.
+// rejectRollout returns the response to a command that is empty or that not all coordinators support
+// at the version in force.
 func (s *State) rejectRollout(c Command) (response Response, rejected bool) {
 	if s.Version < rolloutVersion {
 		return RequiresVersion(s.Version, rolloutVersion), true
@@ -52,15 +52,15 @@
 	return s.AwaitsUpgrade(c)
 }
 
-// requiresSignalVersion names the fields for which the version in force is too old. The text is part
-// of the replicated state, as older coordinators have it.
+// requiresSignalVersion returns the response to a command whose fields (what) require a later version.
+// The text is part of the replicated state and must equal that of older coordinators.
 func requiresSignalVersion(inForce int, what string) Response {
 	return invalid("version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
 		inForce, what, rolloutSignalVersion)
 }
 
-// RouterDrains is the set of drained servers and what else routers go by, in the fields that all
-// coordinators understand; empty until the first command of internal/rollout.
+// RouterDrains returns the set of drained servers and the other settings that routers follow, in the
+// fields that all coordinators support. It is empty until the first rollout command.
 func (s *State) RouterDrains() rollout.DrainSet {
 	if s.Rollout == nil {
 		return rollout.DrainSet{}
@@ -72,8 +72,8 @@
 	return drains
 }
 
-// RolloutVersions are those of the rollout's state and of the set of drained servers, by which
-// watchers know that there is something new; 0 until the first command of internal/rollout.
+// RolloutVersions returns the versions of the rollout's state and of the set of drained servers, by
+// which watchers detect changes. Both are 0 until the first rollout command.
 func (s *State) RolloutVersions() (version, drains uint64) {
 	if s.Rollout == nil {
 		return 0, 0
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -10,22 +10,22 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Session is what a client's process has with the coordinators. It ends when it is closed or when
-// no command of it came for its TTL (see ExpiryDelay); its leases end with it.
+// Session is the session of one client process. It ends when it is closed or when no command of it
+// has arrived for its TTL (see ExpiryDelay); its leases end with it.
 type Session struct {
-	Client string        `json:"client"` // name of the client; several sessions may have the same
+	Client string        `json:"client"` // client name; several sessions may have the same
 	TTL    time.Duration `json:"ttl"`
-	// KeptAliveAt is the instant of State.Clock at which the newest command of the session came.
+	// KeptAliveAt is the value of State.Clock when the session's most recent command was applied.
 	KeptAliveAt time.Duration `json:"kept"`
-	// OpenedIndex is State.AppliedCommands at the opening: it tells which of two sessions is newer.
+	// OpenedIndex is State.AppliedCommands when the session was opened. It orders sessions by age.
 	OpenedIndex uint64 `json:"opened"`
-	// LastSequence is the highest sequence number that was carried out.
+	// LastSequence is the highest sequence number that was executed.
 	LastSequence uint64 `json:"top"`
-	// AcknowledgedThrough is the sequence number through which the client has all responses.
+	// AcknowledgedThrough is the sequence number up to which the client has received all responses.
 	AcknowledgedThrough uint64 `json:"acked"`
-	// Responses are those that the client may still ask for, by sequence number.
+	// Responses are the responses that the client may still request, by sequence number.
 	Responses map[uint64]Response `json:"said,omitempty"`
-	Leases    map[string]bool     `json:"leases,omitempty"` // names of those it holds
+	Leases    map[string]bool     `json:"leases,omitempty"` // names of the leases that the session holds
 }
 
 func (session *Session) clone() *Session {
@@ -35,10 +35,10 @@
 	return &c
 }
 
-// ExpiryDelay is how long coordinators wait, on State.Clock, before they take back what was granted
-// for ttl. On the holder's clock, which may be slow by the bound while the coordinators' is fast by
-// it, ttl has passed by then, and the holder has stopped acting. With less, a slow holder and its
-// successor would act at once.
+// ExpiryDelay returns how long, on State.Clock, the coordinators wait before a session or lease with
+// this TTL expires. The holder's clock may be slow and the coordinators' clock fast by the bound:
+// after this delay the TTL has passed on the holder's clock too, and the holder has stopped acting.
+// With a shorter delay a slow holder and its successor could act at the same time.
 func (s *State) ExpiryDelay(ttl time.Duration) time.Duration {
 	if failpoint.Is("rate-ignored") {
 		return ttl
@@ -46,14 +46,14 @@
 	return time.Duration(math.Ceil(float64(ttl)*(1+s.ClockRateBound)/(1-s.ClockRateBound))) + 1
 }
 
-// expiresAt is the instant of State.Clock at which what the session has for ttl expires, unless it
-// is kept alive.
+// expiresAt returns the instant of State.Clock at which the session, or a lease of it, with this TTL
+// expires unless it is kept alive.
 func (s *State) expiresAt(session *Session, ttl time.Duration) time.Duration {
 	return session.KeptAliveAt + s.ExpiryDelay(ttl)
 }
 
-// RejectsSession reports whether a session with this id can't be opened now, as the table is full.
-// It changes nothing, so that a leader can reject without writing to the log.
+// RejectsSession reports whether the session table is full for a session with this id, and returns
+// the response to it. It changes nothing, so a leader can reject without writing to the log.
 func (s *State) RejectsSession(id string) (response Response, rejected bool) {
 	limit := s.maxSessions()
 	if s.Sessions[id] != nil || len(s.Sessions) < limit {
@@ -72,7 +72,7 @@
 	if c.TTL < MinTTL || c.TTL > MaxTTL {
 		return invalid("ttl: %v is not between %v and %v", c.TTL, MinTTL, MaxTTL)
 	}
-	if session := s.Sessions[c.SessionID]; session != nil { // the command was sent again
+	if session := s.Sessions[c.SessionID]; session != nil { // the command is a retry
 		session.KeptAliveAt = s.Clock
 		return Response{Code: CodeOK}
 	}
@@ -90,7 +90,7 @@
 	return Response{Code: CodeOK}
 }
 
-// endSession removes a session that is there, and frees its leases.
+// endSession removes an existing session and frees its leases.
 func (s *State) endSession(id string) {
 	for _, name := range slices.Sorted(maps.Keys(s.Sessions[id].Leases)) {
 		s.freeLease(name)
@@ -102,9 +102,9 @@
 	}
 }
 
-// expire takes back what was not kept alive. It looks at all sessions only once nextExpiry has come,
-// which a kept-alive session moves by at least a third of a TTL: the cost is bounded by the
-// keep-alives. The order is that of names, as tokens and reports depend on it.
+// expire ends the sessions and leases that were not kept alive in time. It scans all sessions only
+// after nextExpiry. Each keep-alive defers its session's expiry by at least a third of a TTL, so the
+// number of keep-alives bounds the cost. The order is by name, as tokens and reports depend on it.
 func (s *State) expire() {
 	if s.Clock < s.nextExpiry {
 		return
@@ -122,7 +122,7 @@
 	}
 }
 
-// expireLeases takes back the session's leases whose TTL is shorter than the session's.
+// expireLeases frees the session's expired leases: a lease may have a shorter TTL than its session.
 func (s *State) expireLeases(session *Session) {
 	for _, name := range slices.Sorted(maps.Keys(session.Leases)) {
 		expiresAt := s.expiresAt(session, s.Leases[name].TTL)
@@ -134,7 +134,7 @@
 	}
 }
 
-// forgetAcknowledged drops the responses that the client has.
+// forgetAcknowledged drops the responses that the client has received.
 func (session *Session) forgetAcknowledged(through uint64) {
 	session.AcknowledgedThrough = max(session.AcknowledgedThrough, min(through, session.LastSequence))
 	maps.DeleteFunc(session.Responses, func(sequence uint64, _ Response) bool {
@@ -142,9 +142,9 @@
 	})
 }
 
-// rejectDuplicate gives the response to a command that must not be carried out: it was carried out
-// before, and a client that didn't get the response has sent it again, or it lies beyond the window
-// in which duplicates are recognised. Without this a repeated release would take back a later grant.
+// rejectDuplicate returns the response to a command that must not be executed: a retry of a command
+// that was executed already, or a command beyond the window in which duplicates are recognized.
+// Without this check a repeated release could free a lease that was granted later.
 func (session *Session) rejectDuplicate(sequence uint64) (Response, bool) {
 	if failpoint.Is("command-twice") {
 		return Response{}, false
@@ -163,7 +163,7 @@
 	return Response{}, false
 }
 
-// remember keeps a response until the client acknowledges it.
+// remember stores a response until the client acknowledges it.
 func (session *Session) remember(sequence uint64, response Response) {
 	if session.Responses == nil {
 		session.Responses = map[uint64]Response{}
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -10,7 +10,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// snapshot is the form in which a state is stored.
+// snapshot is the stored form of a state.
 type snapshot struct {
 	Version  int             `json:"v"`
 	Checksum uint64          `json:"sum"` // xxHash64 of State
@@ -34,18 +34,18 @@
 	return json.Marshal(snapshot{Version: s.Version, Checksum: xxhash.Sum64(body), State: body})
 }
 
-// Unmarshal decodes a state of this version or an older one. Its error says what is damaged or that
-// the version is unknown; a coordinator must not start from such a snapshot.
+// Unmarshal decodes a state of this version or an older one. It returns an error if the data is damaged
+// or its version is unknown; a coordinator must not start from such a snapshot.
 func Unmarshal(text []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if stored.Version < 1 || stored.Version > Version {
-		return nil, fmt.Errorf("snapshot: version %d, and this program knows 1 to %d", stored.Version, Version)
+		return nil, fmt.Errorf("snapshot: version %d, this program supports 1 to %d", stored.Version, Version)
 	}
 	if sum := xxhash.Sum64(bytes.TrimSpace(stored.State)); sum != stored.Checksum {
-		return nil, fmt.Errorf("snapshot: its checksum is %x, and %x stands in it: the file is damaged",
+		return nil, fmt.Errorf("snapshot: checksum %x, want %x: the file is damaged",
 			sum, stored.Checksum)
 	}
 	s := New()
@@ -55,7 +55,7 @@
 	if err := s.linkLeases(); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	s.nextExpiry = 0 // unknown: the next command looks
+	s.nextExpiry = 0 // unknown: the next command scans all sessions
 	s.recountDocumentBytes()
 	if s.Rollout != nil {
 		s.Rollout.RebuildDerived()
@@ -63,14 +63,14 @@
 	return s, nil
 }
 
-// linkLeases checks that sessions and leases name each other, and counts the records. A lease
-// without its session would never expire.
+// linkLeases checks that sessions and leases refer to each other, and counts the record bytes. A lease
+// without a session would never expire.
 func (s *State) linkLeases() error {
 	s.recordBytes = 0
 	for name, lease := range s.Leases {
 		s.recordBytes += len(lease.Record)
 		if s.Sessions[lease.SessionID] == nil {
-			return fmt.Errorf("lease %s is of session %s, which isn't there", name, lease.SessionID)
+			return fmt.Errorf("lease %s belongs to session %s, which does not exist", name, lease.SessionID)
 		}
 	}
 	for id, session := range s.Sessions {
--- a/internal/coord/state.go
+++ b/internal/coord/state.go
@@ -10,27 +10,27 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// State is all that the coordinators agree on.
+// State is the state that the coordinators replicate.
 type State struct {
-	// Version is that of the commands which all coordinators understand.
+	// Version is the version of commands that all coordinators support.
 	Version int `json:"v"`
-	// ClockRateBound is the share by which the clocks of holders and coordinators may be fast or slow.
+	// ClockRateBound is the maximum fraction by which clocks of holders and coordinators run fast or slow.
 	ClockRateBound float64 `json:"rate"`
-	// Clock adds up what leaders have measured. It never runs ahead of real time by more than the
-	// bound, so that no lease expires early.
+	// Clock is the sum of the times that leaders have measured. It never runs ahead of real time by
+	// more than the bound, so no lease expires early.
 	Clock time.Duration `json:"clock"`
 
 	AppliedCommands uint64 `json:"applied"`
-	LastToken       uint64 `json:"token"` // fencing token that was given last; only grows
+	LastToken       uint64 `json:"token"` // most recently issued fencing token; never decreases
 
 	Sessions  map[string]*Session `json:"sessions"`          // by id
-	Leases    map[string]*Lease   `json:"leases"`            // those that are held, by name
-	Rollout   *rollout.State      `json:"rollout,omitempty"` // nil until the first command of it
+	Leases    map[string]*Lease   `json:"leases"`            // held leases, by name
+	Rollout   *rollout.State      `json:"rollout,omitempty"` // nil until the first rollout command
 	Documents *watchlog.Log       `json:"changes,omitzero"`
 
-	recordBytes   int           // of all leases' records
-	documentBytes int           // of all documents
-	nextExpiry    time.Duration // no session or lease expires before this instant of Clock
+	recordBytes   int           // total size of the leases' records
+	documentBytes int           // total size of the documents
+	nextExpiry    time.Duration // no session or lease expires before this value of Clock
 	changedLeases []string      // see ChangedLeases
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// Apply carries out a command that stands in the log under a term.
+// Apply executes a command of the log. term is the term of its log entry.
 func (s *State) Apply(c Command, term uint64) Response {
 	s.changedLeases = s.changedLeases[:0]
 	if c.Version > Version || c.Op == OpUpgrade && c.TargetVersion > Version {
@@ -66,17 +66,18 @@
 	return response
 }
 
-// advanceClock adds what the leader has measured. A leader that was replaced after it measured
-// proposes under one term, and its entry may come to stand under a later one: the new leader has
-// counted the same time itself, and counting it twice would end leases early.
+// advanceClock adds the time that the leader has measured. A leader that is replaced after measuring
+// may have its entry committed under a later term. The new leader has counted the same time itself,
+// and counting it twice would end leases early.
 func (s *State) advanceClock(c Command, term uint64) {
 	if c.Term == term && c.Elapsed > 0 {
 		s.Clock += c.Elapsed
 	}
 }
 
-// ChangedLeases names the leases that changed hands, became free or got a record by the command
-// that was applied last, sorted. The slice is valid until the next Apply.
+// ChangedLeases returns the names of the leases that were granted, transferred or freed, or whose
+// record was written, by the most recently applied command, sorted. The slice is valid until the next
+// Apply.
 func (s *State) ChangedLeases() []string { return s.changedLeases }
 
 func (s *State) execute(c Command) Response {
@@ -123,7 +124,7 @@
 	return s.LastToken
 }
 
-// executeInSession carries out what only a session may do. Every command of a session keeps it alive.
+// executeInSession executes a command of an existing session. Every command keeps its session alive.
 func (s *State) executeInSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
 		return invalid("%s", problem)
@@ -149,7 +150,7 @@
 	return response
 }
 
-// executeNumbered carries out a command that has a sequence number, for the first time.
+// executeNumbered executes a command that has a sequence number and is not a duplicate.
 func (s *State) executeNumbered(c Command, session *Session) Response {
 	switch c.Op {
 	case OpRollout:
@@ -169,7 +170,7 @@
 	return invalid("op: %q is none", c.Op)
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable data.
 func (s *State) Clone() *State {
 	c := *s
 	c.changedLeases = slices.Clone(s.changedLeases)
--- a/internal/coord/version.go
+++ b/internal/coord/version.go
@@ -2,7 +2,7 @@
 
 package coord
 
-// Version is the newest version of commands and state that this program understands. Commands are
-// proposed at the version that all coordinators understand, State.Version, until an operator raises
-// it (members upgrade).
+// Version is the latest version of commands and state that this program supports. Leaders propose
+// commands at State.Version, which all coordinators support, until an operator raises it ('members
+// upgrade').
 const Version = fleetLimitsVersion
--- a/internal/coord/version_next.go
+++ b/internal/coord/version_next.go
@@ -2,5 +2,5 @@
 
 package coord
 
-// Version is one more than the program's, so that tests can play the rolling upgrade to the next one.
+// Version is one above that of the normal build, so that tests can run a rolling upgrade to it.
 const Version = fleetLimitsVersion + 1
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -1,23 +1,23 @@
 package coord
 
-// The versions of commands from which on a part of the state machine exists. While a rolling upgrade
-// is under way an older coordinator applies the same log: a command that it doesn't know must be
-// rejected by all alike, or the states differ from there on.
+// Each part of the state machine exists from one of these command versions on. During a rolling
+// upgrade, older coordinators apply the same log: all coordinators must reject a command that an
+// older program doesn't support, or their states diverge.
 const (
-	rolloutVersion       = 2 // internal/rollout
-	rolloutSignalVersion = 3 // response times, learning periods, ejection quorum and load limit in it
-	fleetLimitsVersion   = 4 // today's limits of all tables; an older program has lower ones
+	rolloutVersion       = 2 // commands of internal/rollout
+	rolloutSignalVersion = 3 // its response times, learning periods, ejection quorum and load limit
+	fleetLimitsVersion   = 4 // the current limits of all tables; older programs have lower ones
 
-	// DocumentVersion is the one from which on there are agreed documents.
+	// DocumentVersion is the version from which on there are agreed documents.
 	DocumentVersion = 4
 )
 
 // hasEarlierLimits reports whether the limits of an older program are in force.
 func (s *State) hasEarlierLimits() bool { return s.Version < fleetLimitsVersion }
 
-// AwaitsUpgrade reports whether a command needs a later version than the one in force, because an
-// older program doesn't know it or has lower limits, and gives the response to it. A leader keeps
-// such a command out of the log, as an older coordinator would reject it in other words.
+// AwaitsUpgrade reports whether a command requires a later version than the one in force, because an
+// older program doesn't support it or has lower limits, and returns the response to it. A leader
+// keeps such a command out of the log, as an older coordinator would reject it with another text.
 func (s *State) AwaitsUpgrade(c Command) (response Response, awaits bool) {
 	needed := s.neededVersion(c)
 	if s.Version >= needed {
@@ -26,7 +26,7 @@
 	return RequiresVersion(s.Version, needed), true
 }
 
-// neededVersion is the lowest version at which every coordinator applies the command alike.
+// neededVersion returns the lowest version at which every coordinator applies the command alike.
 func (s *State) neededVersion(c Command) int {
 	if c.Op == OpPutDocument {
 		return DocumentVersion
@@ -41,7 +41,7 @@
 	return rolloutVersion
 }
 
-// RequiresVersion is the response to a command that not all coordinators understand yet.
+// RequiresVersion returns the response to a command that not all coordinators support yet.
 func RequiresVersion(inForce, needed int) Response {
 	return invalid("version: %d is in force, and this wants %d: "+
 		"once all coordinators run this program, 'members upgrade'", inForce, needed)
--- a/internal/failpoint/off.go
+++ b/internal/failpoint/off.go
@@ -1,8 +1,8 @@
 //go:build !mutants
 
-// Package failpoint injects faults by name in a build with the tag mutants, so that the checks can be
-// seen to fail. Without the tag Is is a constant, and the compiler leaves the faults out.
+// Package failpoint injects faults by name in a build with the tag mutants, to verify that the checks
+// detect them. Without the tag Is is constant, and the compiler removes the faults.
 package failpoint
 
-// Is reports whether the fault of a name is injected: never in a build without the tag.
+// Is reports whether the named fault is injected. It is always false in a build without the tag.
 func Is(string) bool { return false }
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -1,17 +1,18 @@
 //go:build mutants
 
-// Package failpoint injects faults by name in a build with the tag mutants, so that the checks can be
-// seen to fail.
+// Package failpoint injects faults by name in a build with the tag mutants, to verify that the checks
+// detect them.
 package failpoint
 
 import "os"
 
-// injected is the fault's name, "" for none. It is read once at the start from DOCKHINGE_MUTANT;
-// Inject sets it in tests that stay in one process.
+// injected is the name of the injected fault, or "" for none. It is read once from DOCKHINGE_MUTANT at
+// the start; in-process tests set it with Inject.
 var injected = os.Getenv("DOCKHINGE_MUTANT")
 
-// Is reports whether the fault of this name is injected.
+// Is reports whether the named fault is injected.
 func Is(name string) bool { return name == injected }
 
-// Inject injects another fault, or none for "". It is for tests; nothing else may run meanwhile.
+// Inject replaces the injected fault; "" removes it. It is for tests and must not run concurrently
+// with other code.
 func Inject(name string) { injected = name }
