--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -38,7 +38,7 @@
 
 // countedFrom returns the instant from which expiry is counted for a request that was sent at sentAt.
 func countedFrom(sentAt, now time.Duration) time.Duration {
-	if failpoint.Is("time-from-answer") {
+	if failpoint.IsInjected("time-from-answer") {
 		return now
 	}
 	return sentAt
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -111,7 +111,7 @@
 	}
 	// A release may be overtaken on the network by an acquire of the same session. It would free the
 	// lease that the acquire confirmed while the client still acts on it.
-	if c.Sequence < lease.AcquireSequence && !failpoint.Is("release-overtaken") {
+	if c.Sequence < lease.AcquireSequence && !failpoint.IsInjected("release-overtaken") {
 		return Response{Code: CodeSuperseded, Text: fmt.Sprintf("lease %s was asked for again since", c.Lease)}
 	}
 	if c.Op == OpTransfer {
@@ -126,7 +126,7 @@
 	if lease.SessionID != c.SessionID {
 		return false
 	}
-	isTokenUnchecked := c.Op == OpWriteRecord && failpoint.Is("token-unchecked")
+	isTokenUnchecked := c.Op == OpWriteRecord && failpoint.IsInjected("token-unchecked")
 	return lease.Token == c.Token || isTokenUnchecked
 }
 
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -84,7 +84,7 @@
 	if c.Term == n.leaderClock.term {
 		c.Elapsed = min(now-n.leaderClock.last, maxElapsedPerCommand)
 	}
-	if failpoint.Is("wall-clock") {
+	if failpoint.IsInjected("wall-clock") {
 		now = time.Duration(clock.Wall().UnixNano())
 		if c.Term == n.leaderClock.term {
 			c.Elapsed = now - n.leaderClock.last
@@ -137,7 +137,7 @@
 // LinearizableRead calls f with a state that is not older than the call. The error is ErrNotLeader if
 // the caller must ask another coordinator. f must not retain the state.
 func (n *Node) LinearizableRead(f func(*coord.State)) error {
-	if !failpoint.Is("stale-read") {
+	if !failpoint.IsInjected("stale-read") {
 		if n.raft.State() != raft.Leader {
 			return ErrNotLeader
 		}
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -177,7 +177,7 @@
 // StoreLogs writes entries and returns once they are synced. An entry that was acknowledged to the
 // leader before its sync could be committed and then lost.
 func (d *diskStore) StoreLogs(logs []*raft.Log) error {
-	if failpoint.Is("unsynced") {
+	if failpoint.IsInjected("unsynced") {
 		return d.storeUnsynced(logs)
 	}
 	summed := withChecksums(logs)
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -108,7 +108,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	update := protocol.Update{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
-	isStale := failpoint.Is("snapshot-older") && revision > o.log.Newest()
+	isStale := failpoint.IsInjected("snapshot-older") && revision > o.log.Newest()
 	if revision < o.log.Compacted() || isStale {
 		update.Batch = o.log.Snapshot(prefix)
 		o.watchers.snapshots++
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -101,7 +101,7 @@
 		}
 	}
 	newest := o.log.Newest()
-	if request.after > newest && !failpoint.Is("snapshot-older") {
+	if request.after > newest && !failpoint.IsInjected("snapshot-older") {
 		o.watchers.rejectedAhead++
 		behind := watchlog.BehindError{After: request.after, Newest: newest}
 		return nil, &protocol.Rejection{Code: protocol.CodeBehind, Text: behind.Error()}
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -158,10 +158,10 @@
 	if prefix == "" {
 		return first
 	}
-	if failpoint.Is("change-delivered-twice") && first > 0 {
+	if failpoint.IsInjected("change-delivered-twice") && first > 0 {
 		return first - 1
 	}
-	if failpoint.Is("change-skipped") && len(l.changes)-first > 1 {
+	if failpoint.IsInjected("change-skipped") && len(l.changes)-first > 1 {
 		return first + 1
 	}
 	return first
@@ -206,7 +206,7 @@
 
 // restore replaces the content with a snapshot that is newer.
 func (l *Log) restore(batch Batch) error {
-	if batch.Through < l.newest && !failpoint.Is("snapshot-older") {
+	if batch.Through < l.newest && !failpoint.IsInjected("snapshot-older") {
 		return &StaleError{Current: l.newest, Got: batch.Through}
 	}
 	if batch.Through == l.newest {
--- a/internal/coord/observer/watchlog/replica.go
+++ b/internal/coord/observer/watchlog/replica.go
@@ -41,7 +41,7 @@
 	}
 	last := r.revision
 	for _, c := range batch.Changes {
-		if c.Revision <= last && !failpoint.Is("change-delivered-twice") {
+		if c.Revision <= last && !failpoint.IsInjected("change-delivered-twice") {
 			return &GapError{Current: last, Got: c.Revision}
 		}
 		if c.Revision > batch.Through {
@@ -61,7 +61,7 @@
 }
 
 func (r *Replica) restore(batch Batch) error {
-	if batch.Through < r.revision && !failpoint.Is("snapshot-older") {
+	if batch.Through < r.revision && !failpoint.IsInjected("snapshot-older") {
 		return &StaleError{Current: r.revision, Got: batch.Through}
 	}
 	r.documents = make(map[string]Change, len(batch.Changes))
@@ -77,7 +77,7 @@
 
 // Acknowledged returns the revision to acknowledge, which is the one that the router has applied.
 func (r *Replica) Acknowledged() uint64 {
-	if failpoint.Is("acknowledged-early") {
+	if failpoint.IsInjected("acknowledged-early") {
 		return r.revision
 	}
 	return r.applied
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -40,7 +40,7 @@
 // after this delay the TTL has passed on the holder's clock too, and the holder has stopped acting.
 // With a shorter delay a slow holder and its successor could act at the same time.
 func (s *State) ExpiryDelay(ttl time.Duration) time.Duration {
-	if failpoint.Is("rate-ignored") {
+	if failpoint.IsInjected("rate-ignored") {
 		return ttl
 	}
 	return time.Duration(math.Ceil(float64(ttl)*(1+s.ClockRateBound)/(1-s.ClockRateBound))) + 1
@@ -146,7 +146,7 @@
 // that was executed already, or a command beyond the window in which duplicates are recognized.
 // Without this check a repeated release could free a lease that was granted later.
 func (session *Session) rejectDuplicate(sequence uint64) (Response, bool) {
-	if failpoint.Is("command-twice") {
+	if failpoint.IsInjected("command-twice") {
 		return Response{}, false
 	}
 	if response, ok := session.Responses[sequence]; ok {
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -20,11 +20,11 @@
 // Marshal encodes the state. Equal states give equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	stored := *s
-	if failpoint.Is("snapshot-without-leases") {
+	if failpoint.IsInjected("snapshot-without-leases") {
 		stored.Leases = map[string]*Lease{}
 		stored.Sessions = map[string]*Session{}
 	}
-	if failpoint.Is("token-reused") {
+	if failpoint.IsInjected("token-reused") {
 		stored.LastToken = 0
 	}
 	body, err := json.Marshal(&stored)
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -10,8 +10,8 @@
 // the start; in-process tests set it with Inject.
 var injected = os.Getenv("DOCKHINGE_MUTANT")
 
-// Is reports whether the named fault is injected.
-func Is(name string) bool { return name == injected }
+// IsInjected reports whether the named fault is injected.
+func IsInjected(name string) bool { return name == injected }
 
 // Inject replaces the injected fault; "" removes it. It is for tests and must not run concurrently
 // with other code.
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -80,7 +80,7 @@
 func (s *State) credibleRouters() map[string]bool {
 	credible := map[string]bool{}
 	for router, n := range s.observationsByRouter {
-		credible[router] = n.failing <= max(1, n.total/maxFailingDivisor) || failpoint.Is("liar-believed")
+		credible[router] = n.failing <= max(1, n.total/maxFailingDivisor) || failpoint.IsInjected("liar-believed")
 	}
 	return credible
 }
@@ -93,7 +93,7 @@
 		return
 	}
 	quorum := s.EjectionQuorum
-	if failpoint.Is("quorum-of-one") {
+	if failpoint.IsInjected("quorum-of-one") {
 		quorum = 1
 	}
 	names := slices.Sorted(maps.Keys(s.Servers))
@@ -101,7 +101,7 @@
 	credible := s.credibleRouters()
 	for _, name := range names {
 		server := s.Servers[name]
-		if server.isEjected() || ejectedCount >= maxEjected && !failpoint.Is("suspects-unbounded") {
+		if server.isEjected() || ejectedCount >= maxEjected && !failpoint.IsInjected("suspects-unbounded") {
 			continue
 		}
 		reporters := server.failingReporters(credible, now)
@@ -121,7 +121,7 @@
 			continue
 		}
 		ejection := server.Ejection
-		isTimeOver := ejection.EndsAt <= now && !failpoint.Is("suspicion-forever")
+		isTimeOver := ejection.EndsAt <= now && !failpoint.IsInjected("suspicion-forever")
 		if isTimeOver || server.Incarnation != ejection.Incarnation || s.EjectionQuorum == 0 {
 			ejection.IsOver = true
 			ejection.EndsAt = min(ejection.EndsAt, now)
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -60,7 +60,7 @@
 		}
 		s.reconcileAt(confirmedAt)
 	}
-	if failpoint.Is("budget-unchecked") {
+	if failpoint.IsInjected("budget-unchecked") {
 		return ""
 	}
 	if outage == NotOut {
@@ -116,7 +116,7 @@
 			return fmt.Sprintf("%s: a share of %v of %d is none: raise it, or say a number",
 				u.text(), u.budget.MaxOutShare, u.targets)
 		}
-		isFree := failpoint.Is("out-is-free") && u.taken[ref]
+		isFree := failpoint.IsInjected("out-is-free") && u.taken[ref]
 		if len(u.taken)+needed > u.allowed && !isFree {
 			return fmt.Sprintf("%s: %d of at most %d out: %s", u.text(), len(u.taken), u.allowed, FirstNames(u.out))
 		}
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -79,7 +79,7 @@
 	switch {
 	case !s.Load.IsOverloaded:
 		return s.Load.FailedShare > s.OverloadShare, countsUntilOverloaded
-	case failpoint.Is("busy-flaps"):
+	case failpoint.IsInjected("busy-flaps"):
 		return s.Load.FailedShare <= s.OverloadShare, 1
 	}
 	return s.Load.FailedShare < s.OverloadShare/2, countsUntilRecovered
@@ -109,7 +109,7 @@
 
 // overloadReason tells why the load lets nothing new out; "" where it does.
 func (s *State) overloadReason(p *Permit) string {
-	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.Is("busy-ignored") {
+	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.IsInjected("busy-ignored") {
 		return ""
 	}
 	return fmt.Sprintf(
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -90,7 +90,7 @@
 		if p.target() != target || p.Session != sender.Session {
 			continue
 		}
-		if p.Token == token || failpoint.Is("permit-token-unchecked") {
+		if p.Token == token || failpoint.IsInjected("permit-token-unchecked") {
 			return p
 		}
 	}
--- a/internal/rollout/permit_commands.go
+++ b/internal/rollout/permit_commands.go
@@ -89,7 +89,7 @@
 	if p.Stage == StageBegun {
 		return Result{Code: CodeOK}
 	}
-	if p.Stage != StageGranted && !failpoint.Is("permit-token-unchecked") {
+	if p.Stage != StageGranted && !failpoint.IsInjected("permit-token-unchecked") {
 		return notHeld("the permit was taken back: %s", p.WaitReason)
 	}
 	p.Stage = StageBegun
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -76,7 +76,7 @@
 // servesByObservations tells whether at least half of the routers that observe the server find it
 // serving. One router with a bad link then neither takes a server out nor hides that it is out.
 func (t *Target) servesByObservations() bool {
-	if failpoint.Is("evidence-of-one") {
+	if failpoint.IsInjected("evidence-of-one") {
 		return t.counts.notServing() == 0
 	}
 	return t.counts.total > 0 && 2*t.counts.notServing() <= t.counts.total
@@ -102,7 +102,7 @@
 		return
 	}
 	removeAt := max(server.ChangedAt, server.DelistedAt) + ForgetAfterGraces*s.Grace
-	if removeAt > now && !failpoint.Is("gone-is-forgotten") {
+	if removeAt > now && !failpoint.IsInjected("gone-is-forgotten") {
 		s.serverChangesAt(removeAt)
 		return
 	}
@@ -148,7 +148,7 @@
 func (s *State) endOrphanedOutage(p *Permit, now time.Duration) bool {
 	t := s.target(p.target())
 	settledAt := p.BegunAt + s.Grace
-	if t != nil && settledAt > now && !failpoint.Is("late-news-believed") {
+	if t != nil && settledAt > now && !failpoint.IsInjected("late-news-believed") {
 		s.reconcileAt(settledAt)
 		p.Incarnation = t.Incarnation
 	}
@@ -185,7 +185,7 @@
 // endpoint list, which must say that the server is draining, and which it has read within the
 // grace.
 func (s *State) possibleSenders(p *Permit, now time.Duration) (senders firstNames) {
-	if failpoint.Is("drain-unacknowledged") {
+	if failpoint.IsInjected("drain-unacknowledged") {
 		return senders
 	}
 	server := s.target(p.target())
--- a/internal/rollout/release_hold.go
+++ b/internal/rollout/release_hold.go
@@ -49,7 +49,7 @@
 		return holdBakeNotBegun
 	case r.BakeEndsAt > now:
 		return holdBaking
-	case s.Halt != nil && !failpoint.Is("halt-ignored"):
+	case s.Halt != nil && !failpoint.IsInjected("halt-ignored"):
 		return holdHalted
 	case r.WaveSize < len(r.Routers) && r.RequestsInWave < r.MinRequests:
 		return holdTooFewRequests
--- a/internal/rollout/target.go
+++ b/internal/rollout/target.go
@@ -139,7 +139,7 @@
 		return OutUnobserved, 0
 	case !t.IsUp:
 		return OutDown, 0
-	case warmAt > now && !failpoint.Is("cold-counts-as-in"):
+	case warmAt > now && !failpoint.IsInjected("cold-counts-as-in"):
 		return OutSlowStart, warmAt
 	}
 	return NotOut, 0
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -117,12 +117,12 @@
 	}
 	id, isKnown := l.serverIDs.IDs[name]
 	switch {
-	case failpoint.Is("lies-all") || failpoint.Is("lies-some") && isKnown && id%5 == 0: // for the laboratory
+	case failpoint.IsInjected("lies-all") || failpoint.IsInjected("lies-some") && isKnown && id%5 == 0: // for the laboratory
 		observation.Status = rollout.StatusFailing
 	case e.State != stateReady:
 		observation.Status = rollout.StatusDraining
 	case isKnown && l.balancer.IsEjected(id):
-		if !l.ejectedOnlyByPeers[id] || failpoint.Is("gossip-counts") {
+		if !l.ejectedOnlyByPeers[id] || failpoint.IsInjected("gossip-counts") {
 			observation.Status = rollout.StatusFailing
 		}
 	default:
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -144,7 +144,7 @@
 	} else {
 		got = l.upstreams.roundTrip(ctx, t, cmd, hooks)
 	}
-	if failpoint.Is("slower") { // a slow version of the program, for the laboratory
+	if failpoint.IsInjected("slower") { // a slow version of the program, for the laboratory
 		time.Sleep(ms((l.now() - a.startedAt) / 10))
 	}
 	if stream == nil {
@@ -198,7 +198,7 @@
 			r.id, a.index, a.server, got.status, got.cacheResult, latencyMillis)
 	}
 	switch {
-	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // a bad version, for the laboratory
+	case got.status == decide.OK && failpoint.IsInjected("fails-some") && r.id%20 == 0: // a bad version, for the laboratory
 		l.finish(r, failedAnswer(), metrics.Error)
 	case got.status == decide.OK:
 		l.finish(r, servedAnswer(&r.command, got.body), metrics.Success)
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -389,7 +389,7 @@
 func (w *world) act(i int) string {
 	q := &w.parties[i]
 	q.Acting = false
-	if q.Checked < w.lastAct && !failpoint.Is("resource-unchecked") {
+	if q.Checked < w.lastAct && !failpoint.IsInjected("resource-unchecked") {
 		return "" // refused
 	}
 	if q.Checked < w.lastAct {
