--- a/internal/coord/clock/clock.go
+++ b/internal/coord/clock/clock.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the machine started, including suspended time (Linux CLOCK_BOOTTIME).
-func Boot() time.Duration {
+// SinceBoot returns the time since the machine started, including suspended time (Linux CLOCK_BOOTTIME).
+func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic("CLOCK_BOOTTIME: " + err.Error()) // Linux has it since 2.6.39
--- a/internal/coord/clock/faults.go
+++ b/internal/coord/clock/faults.go
@@ -13,7 +13,7 @@
 // and a step of the wall clock at some time after the start (DOCKHINGE_WALL_STEP, such as -1h@5s).
 var (
 	rate      = 1.0
-	start     = Boot()
+	start     = SinceBoot()
 	wallStep  time.Duration
 	stepAfter time.Duration // since start
 )
@@ -29,12 +29,12 @@
 }
 
 // Now returns the time on the clock for leases, at the configured rate.
-func Now() time.Duration { return start + time.Duration(float64(Boot()-start)*rate) }
+func Now() time.Duration { return start + time.Duration(float64(SinceBoot()-start)*rate) }
 
 // Wall returns the wall clock's time with the configured step.
 func Wall() time.Time {
 	t := time.Now().Round(0)
-	if Boot()-start >= stepAfter {
+	if SinceBoot()-start >= stepAfter {
 		t = t.Add(wallStep)
 	}
 	return t
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -73,7 +73,7 @@
 	id := h.next
 	h.mu.Unlock()
 	o.Client = h.Name
-	o.From = int64(clock.Boot())
+	o.From = int64(clock.SinceBoot())
 	h.log(entry{Call: &o, ID: id})
 	code, got, who := f()
 	if who != "" {
@@ -81,7 +81,7 @@
 	}
 	o.Code, o.Got = code, got
 	if code != "" {
-		o.To = int64(clock.Boot())
+		o.To = int64(clock.SinceBoot())
 	}
 	h.log(entry{Op: &o, ID: id})
 }
@@ -107,7 +107,7 @@
 		return err
 	}
 	defer f.Close()
-	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)), next: int(clock.Boot()/time.Millisecond) << 12,
+	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)), next: int(clock.SinceBoot()/time.Millisecond) << 12,
 		c: client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -150,14 +150,14 @@
 	if l == nil {
 		return
 	}
-	until := clock.Boot() + time.Duration(h.rng.Float64()*float64(h.Hold))
-	for ctx.Err() == nil && clock.Boot() < until {
-		from := clock.Boot()
+	until := clock.SinceBoot() + time.Duration(h.rng.Float64()*float64(h.Hold))
+	for ctx.Err() == nil && clock.SinceBoot() < until {
+		from := clock.SinceBoot()
 		left := l.Remaining()
 		if left <= 0 {
 			break
 		}
-		h.log(entry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.Boot())}})
+		h.log(entry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.SinceBoot())}})
 		if h.rng.Float64() < 0.2 {
 			h.act(ctx, l)
 		}
@@ -233,7 +233,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		a := checker.Act{Holder: q.Get("holder"), Lease: q.Get("lease"), Token: token, At: int64(clock.Boot())}
+		a := checker.Act{Holder: q.Get("holder"), Lease: q.Get("lease"), Token: token, At: int64(clock.SinceBoot())}
 		a.Refused = token < top[a.Lease]
 		top[a.Lease] = max(top[a.Lease], token)
 		text, _ := json.Marshal(a) // plain data
