--- a/internal/coord/clock/faults.go
+++ b/internal/coord/clock/faults.go
@@ -31,8 +31,8 @@
 // Now returns the time on the clock for leases, at the configured rate.
 func Now() time.Duration { return start + time.Duration(float64(SinceBoot()-start)*rate) }
 
-// Wall returns the wall clock's time with the configured step.
-func Wall() time.Time {
+// WallTime returns the wall clock's time with the configured step.
+func WallTime() time.Time {
 	t := time.Now().Round(0)
 	if SinceBoot()-start >= stepAfter {
 		t = t.Add(wallStep)
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -85,7 +85,7 @@
 		c.Elapsed = min(now-n.leaderClock.last, maxElapsedPerCommand)
 	}
 	if failpoint.IsInjected("wall-clock") {
-		now = time.Duration(clock.Wall().UnixNano())
+		now = time.Duration(clock.WallTime().UnixNano())
 		if c.Term == n.leaderClock.term {
 			c.Elapsed = now - n.leaderClock.last
 		}
