--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -26,8 +26,8 @@
 	expiresAt time.Duration
 }
 
-// SessionOpened records a session whose request was sent at sentAt.
-func (t *LeaseTable) SessionOpened(ttl, sentAt, now time.Duration) {
+// RecordSessionOpened records a session whose request was sent at sentAt.
+func (t *LeaseTable) RecordSessionOpened(ttl, sentAt, now time.Duration) {
 	*t = LeaseTable{
 		sessionTTL:       ttl,
 		sessionExpiresAt: countedFrom(sentAt, now) + ttl,
--- a/internal/coord/client/session.go
+++ b/internal/coord/client/session.go
@@ -86,7 +86,7 @@
 func (c *Client) sessionOpened(sentAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leases.SessionOpened(c.options.TTL, sentAt, c.options.Clock())
+	c.leases.RecordSessionOpened(c.options.TTL, sentAt, c.options.Clock())
 	if !c.leases.HasSession(c.options.Clock()) {
 		return false
 	}
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -172,7 +172,7 @@
 		}
 		q, id := &w.parties[i], fmt.Sprintf("s%d.0", i)
 		w.agree(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
-		q.book.SessionOpened(ttl, 0, 0)
+		q.book.RecordSessionOpened(ttl, 0, 0)
 		q.Asked, q.Open = true, true
 		if i == 0 {
 			q.Seq = 1
@@ -419,7 +419,7 @@
 		if q.Open || m.Answer.Code != coord.CodeOK {
 			return ""
 		}
-		q.book.SessionOpened(ttl, m.Sent, now)
+		q.book.RecordSessionOpened(ttl, m.Sent, now)
 		q.Open = q.book.HasSession(now)
 		return w.promised(p)
 	case coord.OpKeepAlive:
