--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -44,10 +44,10 @@
 	return sentAt
 }
 
-// KeptAlive records a keep-alive that was sent at sentAt and whose response arrived at now. Leases that
+// RecordKeepAlive records a keep-alive that was sent at sentAt and whose response arrived at now. Leases that
 // had expired by then stay expired: the coordinators may have granted them to another holder before the
 // keep-alive reached them.
-func (t *LeaseTable) KeptAlive(sentAt, now time.Duration) {
+func (t *LeaseTable) RecordKeepAlive(sentAt, now time.Duration) {
 	if !t.HasSession(now) {
 		return
 	}
--- a/internal/coord/client/session.go
+++ b/internal/coord/client/session.go
@@ -132,7 +132,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil && response.Code == coord.CodeOK {
-		c.leases.KeptAlive(sentAt, now)
+		c.leases.RecordKeepAlive(sentAt, now)
 	}
 	return response, c.leases.HasSession(now), err
 }
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -425,7 +425,7 @@
 	case coord.OpKeepAlive:
 		switch m.Answer.Code {
 		case coord.CodeOK:
-			q.book.KeptAlive(m.Sent, now)
+			q.book.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
 			q.book.SessionLost()
 			q.Open = false
