--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -70,7 +70,7 @@
 	}
 	token := o.response.Token
 	c.mu.Lock()
-	isHeld := c.sessionID == o.sessionID && c.leases.Granted(name, token, ttl, o.firstSentAt, c.options.Clock())
+	isHeld := c.sessionID == o.sessionID && c.leases.RecordGrant(name, token, ttl, o.firstSentAt, c.options.Clock())
 	c.mu.Unlock()
 	if !isHeld {
 		return nil, ErrLeaseLost
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Granted records a granted lease. It returns false if the lease or the session has expired already.
-func (t *LeaseTable) Granted(name string, token uint64, ttl, sentAt, now time.Duration) bool {
+// RecordGrant records a granted lease. It returns false if the lease or the session has expired already.
+func (t *LeaseTable) RecordGrant(name string, token uint64, ttl, sentAt, now time.Duration) bool {
 	expiresAt := countedFrom(sentAt, now) + ttl
 	if !t.HasSession(now) || now >= expiresAt {
 		return false
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -178,7 +178,7 @@
 			q.Seq = 1
 			q.Token = w.agree(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease, TTL: ttl, Sequence: 1}, p).Token
 			q.Given = q.Token
-			q.book.Granted(lease, q.Token, ttl, 0, 0)
+			q.book.RecordGrant(lease, q.Token, ttl, 0, 0)
 		}
 	}
 	return w
@@ -442,7 +442,7 @@
 		q.Wants = false
 		if m.Answer.Code == coord.CodeOK {
 			q.Given = m.Answer.Token
-			if q.book.Granted(lease, m.Answer.Token, ttl, q.First, now) {
+			if q.book.RecordGrant(lease, m.Answer.Token, ttl, q.First, now) {
 				q.Token = m.Answer.Token
 			}
 		}
