--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -112,7 +112,7 @@
 			c.keepSessionAlive(sessionContext)
 		}
 		c.mu.Lock()
-		c.leases.SessionLost()
+		c.leases.RecordSessionLost()
 		c.sessionReady = make(chan struct{})
 		c.mu.Unlock()
 		end()
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// SessionLost removes the session and all leases.
-func (t *LeaseTable) SessionLost() { *t = LeaseTable{} }
+// RecordSessionLost removes the session and all leases.
+func (t *LeaseTable) RecordSessionLost() { *t = LeaseTable{} }
 
 // HasSession reports whether the session is open.
 func (t *LeaseTable) HasSession(now time.Duration) bool {
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -427,7 +427,7 @@
 		case coord.CodeOK:
 			q.book.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
-			q.book.SessionLost()
+			q.book.RecordSessionLost()
 			q.Open = false
 		}
 		return w.promised(p)
