--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -30,7 +30,7 @@
 func (l *Lease) Remaining() time.Duration {
 	l.client.mu.Lock()
 	defer l.client.mu.Unlock()
-	token, remaining, ok := l.client.leases.Held(l.Name, l.client.options.Clock())
+	token, remaining, ok := l.client.leases.HeldLease(l.Name, l.client.options.Clock())
 	if !ok || token != l.Token {
 		return 0
 	}
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -92,8 +92,8 @@
 	return t.hasSession && now < t.sessionExpiresAt
 }
 
-// Held returns a held lease's token and the time until it expires, or false if the client must not act.
-func (t *LeaseTable) Held(name string, now time.Duration) (token uint64, remaining time.Duration, ok bool) {
+// HeldLease returns a held lease's token and the time until it expires, or false if the client must not act.
+func (t *LeaseTable) HeldLease(name string, now time.Duration) (token uint64, remaining time.Duration, ok bool) {
 	lease := t.leases[name]
 	if lease == nil || !t.HasSession(now) || now >= lease.expiresAt {
 		return 0, 0, false
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -208,7 +208,7 @@
 			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acked()
 			w.net = append(w.net, message{From: i, Life: q.Life, Cmd: c, Sent: w.clockOf(i, p), Repeats: 1})
 		}
-		_, _, held := q.book.Held(lease, now)
+		_, _, held := q.book.HeldLease(lease, now)
 		if send && !q.Asked && !q.Open {
 			add(2, func(w *world) string {
 				w.parties[i].Asked = true
@@ -348,7 +348,7 @@
 func (w *world) promised(p Params) string {
 	for i := range w.parties {
 		q := &w.parties[i]
-		token, _, held := q.book.Held(lease, w.clockOf(i, p))
+		token, _, held := q.book.HeldLease(lease, w.clockOf(i, p))
 		if !held {
 			continue
 		}
@@ -375,7 +375,7 @@
 func (w *world) overlap(p Params) string {
 	var who []int
 	for i := range w.parties {
-		if _, _, held := w.parties[i].book.Held(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
+		if _, _, held := w.parties[i].book.HeldLease(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
 			who = append(who, i)
 		}
 	}
