--- a/cmd/dockhinge-coord/serve.go
+++ b/cmd/dockhinge-coord/serve.go
@@ -50,7 +50,7 @@
 		Short: "Run a coordinator until SIGTERM",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			file, err := config.Load(args[0])
+			file, err := config.LoadCoordinator(args[0])
 			if err != nil {
 				return err
 			}
@@ -139,7 +139,7 @@
 		Short: "Check a coordinator's file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := config.Load(args[0]); err != nil {
+			if _, err := config.LoadCoordinator(args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ok")
@@ -166,7 +166,7 @@
 			if !isConfirmed {
 				return errNotConfirmed
 			}
-			file, err := config.Load(args[0])
+			file, err := config.LoadCoordinator(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -58,8 +58,8 @@
 	return d
 }
 
-// Load reads a coordinator's file at path.
-func Load(path string) (File, error) {
+// LoadCoordinator reads a coordinator's file at path.
+func LoadCoordinator(path string) (File, error) {
 	text, err := readFile("coordinator's file", path)
 	if err != nil {
 		return File{}, err
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -58,7 +58,7 @@
 
 // A coordinator's file with every key must be read as an earlier version read it.
 func TestCoordinatorFileOfEarlierProgram(t *testing.T) {
-	file, err := Load("testdata/coordinator.toml")
+	file, err := LoadCoordinator("testdata/coordinator.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
