--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -64,11 +64,11 @@
 	if err != nil {
 		return File{}, err
 	}
-	return Parse(path, text)
+	return ParseCoordinator(path, text)
 }
 
-// Parse parses the content of a coordinator's file at path.
-func Parse(path string, text []byte) (File, error) {
+// ParseCoordinator parses the content of a coordinator's file at path.
+func ParseCoordinator(path string, text []byte) (File, error) {
 	f := File{
 		ClockRate:     coord.DefaultClockRateBound,
 		SnapshotEvery: defaultSnapshotEvery,
--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -40,7 +40,7 @@
 func TestFiles(t *testing.T) {
 	t.Run("coordinator", func(t *testing.T) {
 		text := "version = 1\nname = \"c1\"\ndir = \"d\"\nlisten = \"a:1\"\napi = \"a:2\"\nbeat = \"300ms\"\n"
-		f, err := Parse("c.toml", []byte(text))
+		f, err := ParseCoordinator("c.toml", []byte(text))
 		if err != nil || f.HeartbeatTimeout() != 300*time.Millisecond || f.ClockRate != 0.01 {
 			t.Errorf("%+v, %v", f, err)
 		}
@@ -86,7 +86,7 @@
 		{"peers", "[peers]\n\"c 2\" = \"a\"", "peers.c 2"},
 	} {
 		t.Run("coordinator/"+mistake.name, func(t *testing.T) {
-			_, err := Parse("c.toml", []byte(mistake.text))
+			_, err := ParseCoordinator("c.toml", []byte(mistake.text))
 			expectProblem(t, err, "c.toml", mistake.want)
 		})
 	}
