--- a/cmd/dockhinge-coord/serve.go
+++ b/cmd/dockhinge-coord/serve.go
@@ -76,7 +76,7 @@
 }
 
 // serve runs a coordinator until ctx ends.
-func serve(ctx context.Context, file config.File, log *slog.Logger) error {
+func serve(ctx context.Context, file config.Coordinator, log *slog.Logger) error {
 	if err := node.MakeDirectory(file.Dir); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	return errors.Join(err, coordinator.Close())
 }
 
-func nodeOptions(file config.File, log *slog.Logger) node.Options {
+func nodeOptions(file config.Coordinator, log *slog.Logger) node.Options {
 	return node.Options{
 		Name:             file.Name,
 		Directory:        file.Dir,
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -22,8 +22,8 @@
 	defaultLogLevel = "info"
 )
 
-// File is a coordinator's configuration file. docs/agreement.md describes each key.
-type File struct {
+// Coordinator is a coordinator's configuration file. docs/agreement.md describes each key.
+type Coordinator struct {
 	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
 	// Name is unique among the coordinators.
@@ -53,30 +53,30 @@
 }
 
 // HeartbeatTimeout returns Beat as a duration. The file must have been checked.
-func (f File) HeartbeatTimeout() time.Duration {
+func (f Coordinator) HeartbeatTimeout() time.Duration {
 	d, _ := time.ParseDuration(f.Beat)
 	return d
 }
 
 // LoadCoordinator reads a coordinator's file at path.
-func LoadCoordinator(path string) (File, error) {
+func LoadCoordinator(path string) (Coordinator, error) {
 	text, err := readFile("coordinator's file", path)
 	if err != nil {
-		return File{}, err
+		return Coordinator{}, err
 	}
 	return ParseCoordinator(path, text)
 }
 
 // ParseCoordinator parses the content of a coordinator's file at path.
-func ParseCoordinator(path string, text []byte) (File, error) {
-	f := File{
+func ParseCoordinator(path string, text []byte) (Coordinator, error) {
+	f := Coordinator{
 		ClockRate:     coord.DefaultClockRateBound,
 		SnapshotEvery: defaultSnapshotEvery,
 		Beat:          defaultHeartbeat,
 		LogLevel:      defaultLogLevel,
 	}
 	if err := decode(path, text, &f); err != nil {
-		return File{}, err
+		return Coordinator{}, err
 	}
 	c := &checker{path: path}
 	c.version(f.Version)
@@ -95,12 +95,12 @@
 	c.logLevel(f.LogLevel)
 	c.addresses("peers", f.Peers)
 	if err := c.err(); err != nil {
-		return File{}, err
+		return Coordinator{}, err
 	}
 	return f, nil
 }
 
-func (f *File) checkAddresses(c *checker) {
+func (f *Coordinator) checkAddresses(c *checker) {
 	c.address("listen", f.Listen)
 	c.address("api", f.API)
 	isOwn := f.Figures != f.API && f.Figures != f.Listen
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := File{
+	want := Coordinator{
 		Version: 1, Name: "c1", Dir: "data/c1",
 		Listen: "127.0.0.1:7001", API: "127.0.0.1:7002", Figures: "127.0.0.1:7003",
 		ClockRate: 0.02, SnapshotEvery: 1024, Beat: "300ms", LogLevel: "warn", LogJSON: true,
