--- a/cmd/dockhinge-coord/serve.go
+++ b/cmd/dockhinge-coord/serve.go
@@ -85,8 +85,8 @@
 		return fmt.Errorf("api: %w", err)
 	}
 	var metrics net.Listener
-	if file.Figures != "" {
-		metrics, err = net.Listen("tcp", file.Figures)
+	if file.MetricsAddress != "" {
+		metrics, err = net.Listen("tcp", file.MetricsAddress)
 		if err != nil {
 			return errors.Join(fmt.Errorf("figures: %w", err), clients.Close())
 		}
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -34,8 +34,8 @@
 	Listen string `toml:"listen"`
 	// API is the host:port for clients.
 	API string `toml:"api"`
-	// Figures is a host:port that serves metrics and accepts no commands; "" disables it.
-	Figures string `toml:"figures"`
+	// MetricsAddress is a host:port that serves metrics and accepts no commands; "" disables it.
+	MetricsAddress string `toml:"figures"`
 	// ClockRate is the maximum fraction by which any clock may run fast or slow, 0 to 0.1; 0.01 by
 	// default.
 	ClockRate float64 `toml:"clock_rate"`
@@ -103,9 +103,9 @@
 func (f *Coordinator) checkAddresses(c *checker) {
 	c.address("listen", f.Listen)
 	c.address("api", f.API)
-	isOwn := f.Figures != f.API && f.Figures != f.Listen
-	if f.Figures != "" && !(isAddress(f.Figures) && isOwn) {
-		c.add("figures", "%q is no host:port of its own", f.Figures)
+	isOwn := f.MetricsAddress != f.API && f.MetricsAddress != f.Listen
+	if f.MetricsAddress != "" && !(isAddress(f.MetricsAddress) && isOwn) {
+		c.add("figures", "%q is no host:port of its own", f.MetricsAddress)
 	}
 	if f.Listen != "" && f.Listen == f.API {
 		c.add("api", "%q is the address for the other coordinators too", f.API)
