--- a/cmd/dockhinge-coord/serve.go
+++ b/cmd/dockhinge-coord/serve.go
@@ -50,7 +50,7 @@
 		Short: "Run a coordinator until SIGTERM",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			file, err := config.Load(args[0])
+			file, err := config.LoadCoordinator(args[0])
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 }
 
 // serve runs a coordinator until ctx ends.
-func serve(ctx context.Context, file config.File, log *slog.Logger) error {
+func serve(ctx context.Context, file config.Coordinator, log *slog.Logger) error {
 	if err := node.MakeDirectory(file.Dir); err != nil {
 		return err
 	}
@@ -85,8 +85,8 @@
 		return fmt.Errorf("api: %w", err)
 	}
 	var metrics net.Listener
-	if file.Figures != "" {
-		metrics, err = net.Listen("tcp", file.Figures)
+	if file.MetricsAddress != "" {
+		metrics, err = net.Listen("tcp", file.MetricsAddress)
 		if err != nil {
 			return errors.Join(fmt.Errorf("figures: %w", err), clients.Close())
 		}
@@ -115,7 +115,7 @@
 	return errors.Join(err, coordinator.Close())
 }
 
-func nodeOptions(file config.File, log *slog.Logger) node.Options {
+func nodeOptions(file config.Coordinator, log *slog.Logger) node.Options {
 	return node.Options{
 		Name:             file.Name,
 		Directory:        file.Dir,
@@ -139,7 +139,7 @@
 		Short: "Check a coordinator's file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if _, err := config.Load(args[0]); err != nil {
+			if _, err := config.LoadCoordinator(args[0]); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ok")
@@ -166,7 +166,7 @@
 			if !isConfirmed {
 				return errNotConfirmed
 			}
-			file, err := config.Load(args[0])
+			file, err := config.LoadCoordinator(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -108,7 +108,7 @@
 // handleArrival passes a new request to admission, which admits, queues or rejects it.
 func (ad *admissionControl) handleArrival(r *request, remainingMillis float64) {
 	var client netip.Addr
-	if ad.tenants.ByNetwork() {
+	if ad.tenants.UsesNetwork() {
 		client = clientAddr(r.response.conn.Conn)
 	}
 	class, ok := ad.classIndex[r.command.class]
@@ -140,9 +140,9 @@
 	r.admissionStage = admissionNone
 	switch stage {
 	case admissionQueued:
-		ad.admission.Disconnected(now, r.id)
+		ad.admission.ClientDisconnected(now, r.id)
 	case admissionAdmitted:
-		ad.admission.Ended(now, admission.Outcome{
+		ad.admission.RequestEnded(now, admission.Outcome{
 			ID:            r.id,
 			Served:        served,
 			Rejected:      rejected,
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -146,7 +146,7 @@
 	} else {
 		got = l.upstreams.roundTrip(ctx, t, cmd, hooks)
 	}
-	if failpoint.Is("slower") { // slow, for lab tests
+	if failpoint.IsInjected("slower") { // slow, for lab tests
 		time.Sleep(ms((l.now() - a.startedAt) / 10))
 	}
 	if stream == nil {
@@ -200,7 +200,7 @@
 			r.id, a.index, a.server, got.status, got.cacheResult, latencyMillis)
 	}
 	switch {
-	case got.status == decide.OK && failpoint.Is("fails-some") && r.id%20 == 0: // faulty, for lab tests
+	case got.status == decide.OK && failpoint.IsInjected("fails-some") && r.id%20 == 0: // faulty, for lab tests
 		l.finish(r, failedAnswer(), metrics.Error)
 	case got.status == decide.OK:
 		l.finish(r, servedAnswer(&r.command, got.body), metrics.Success)
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -106,14 +106,14 @@
 // the time after which a change counts as received.
 func TestFirstWatchAfterAFailureIsShort(t *testing.T) {
 	const receivedWithin = 6 * time.Second
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.firstWatchWait +
+	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.firstWatchWait +
 		sharedTiming.watchSlack; sum > receivedWithin {
 		t.Errorf("polled: changes arrive at most %v after a failure", sum)
 	}
-	if sum := decide.MaxBackOffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > receivedWithin {
+	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > receivedWithin {
 		t.Errorf("polled: a queued call times out at most %v after a failure", sum)
 	}
-	if sharedTiming.maxBackoff > decide.MaxBackOffMillis*time.Millisecond {
+	if sharedTiming.maxBackoff > decide.MaxPollBackoffMillis*time.Millisecond {
 		t.Errorf("polled: maxBackoff of %v exceeds the Balancer's backoff", sharedTiming.maxBackoff)
 	}
 	if sum := agentTiming.maxBackoff + agentTiming.watchWait + agentTiming.watchSlack; sum > receivedWithin {
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -223,8 +223,8 @@
 	}
 }
 
-// Joined runs the link to another process of this router until it closes.
-func (r *Router) Joined(ctx context.Context, link *handover.Link) {
+// RunLink runs the link to another process of this router until it closes.
+func (r *Router) RunLink(ctx context.Context, link *handover.Link) {
 	r.peers.add(link, true)
 	r.splitLimits()
 	link.Run(ctx, func(m handover.Message) error { return r.handleMessage(ctx, link, m) })
