--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -11,8 +11,8 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// admissionRules returns rules that admit one request at a time and use small tables.
-func admissionRules() admission.Config {
+// singleSlotRules returns rules that admit one request at a time and use small tables.
+func singleSlotRules() admission.Config {
 	return admission.Config{
 		OthersWeight:        1,
 		Flows:               8,
@@ -30,8 +30,8 @@
 	}
 }
 
-// byClient assigns requests to the tenant that the client declares.
-var byClient = admission.TenantRules{{Source: admission.TenantFromClient}}
+// tenantFromClient assigns requests to the tenant that the client declares.
+var tenantFromClient = admission.TenantRules{{Source: admission.TenantFromClient}}
 
 // Admission admits one request at a time. The first request is running; the second is queued until
 // its client disconnects, which frees its place. The third is queued and served once the first is
@@ -39,7 +39,7 @@
 // over. Each outcome is counted once.
 func TestAdmissionStandsBeforeTheBalancer(t *testing.T) {
 	release := make(chan struct{}, 10)
-	cache := startFake(t, func(line string) string {
+	cache := startFakeServer(t, func(line string) string {
 		if !strings.HasPrefix(line, "mg") { // a health check
 			return "STAT qps 3\r\nSTAT util 0.1\r\nEND\r\n"
 		}
@@ -47,25 +47,25 @@
 		return "VA 5 O{id} h1\r\nhello\r\n"
 	})
 	awaitAttempt := func(what string) {
-		for !strings.HasPrefix(receive(t, cache.seen, what), "mg") {
+		for !strings.HasPrefix(receive(t, cache.received, what), "mg") {
 		}
 	}
 	t.Cleanup(func() { close(release) })
-	origin := startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", cache.addr), originAt(origin.addr)))
+	origin := startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", cache.addr), originEntry(origin.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	ln := listenLocal(t)
 	m := metrics.New()
-	rules := admissionRules()
+	rules := singleSlotRules()
 	rules.MaxWaitMillis = 1e6
-	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: byClient}
+	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: tenantFromClient}
 	r, err := New(cfg, ln, m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, r, ln)
-	c := dial(t, ln.Addr().String())
-	for c.ask("mn") != "MN" {
+	runRouter(t, r, ln)
+	c := dialClient(t, ln.Addr().String())
+	for c.exchange("mn") != "MN" {
 	}
 	// queued returns the number of queued requests, once the loop has processed earlier events.
 	queued := func() int {
@@ -75,7 +75,7 @@
 	}
 	awaitQueued := func(want int) {
 		t.Helper()
-		for end := time.Now().Add(wait); queued() != want; {
+		for end := time.Now().Add(testTimeout); queued() != want; {
 			if time.Now().After(end) {
 				t.Fatalf("%d requests are queued, want %d", queued(), want)
 			}
@@ -84,9 +84,9 @@
 	get := func(c *client, id int, tenant string) {
 		c.send(fmt.Sprintf("mg %016x v O%016x Pc=read,d=1900,t=%s\r\n", id, id, tenant))
 	}
-	first := dial(t, ln.Addr().String())
-	second := dial(t, ln.Addr().String())
-	third := dial(t, ln.Addr().String())
+	first := dialClient(t, ln.Addr().String())
+	second := dialClient(t, ln.Addr().String())
+	third := dialClient(t, ln.Addr().String())
 	get(first, 1, "a")
 	awaitAttempt("attempt")
 	get(second, 2, "b")
@@ -96,19 +96,19 @@
 	get(third, 3, "b")
 	awaitQueued(1)
 	release <- struct{}{}
-	if got := first.line(); !strings.HasPrefix(got, "VA 5") {
+	if got := first.nextAnswer(); !strings.HasPrefix(got, "VA 5") {
 		t.Errorf("first request: got %q", got)
 	}
 	awaitAttempt("second attempt, once there is capacity")
 	get(first, 4, "a") // the limit is in use, so it waits for at most half of its time
-	if got := first.line(); got != "SERVER_ERROR busy" && !strings.HasPrefix(got, "SERVER_ERROR busy ") {
+	if got := first.nextAnswer(); got != "SERVER_ERROR busy" && !strings.HasPrefix(got, "SERVER_ERROR busy ") {
 		t.Errorf("fourth request: got %q", got)
 	}
 	release <- struct{}{}
-	if got := third.line(); !strings.HasPrefix(got, "VA 5") {
+	if got := third.nextAnswer(); !strings.HasPrefix(got, "VA 5") {
 		t.Errorf("third request: got %q", got)
 	}
-	for end := time.Now().Add(wait); m.Concurrent.Load() != 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); m.Concurrent.Load() != 0 && time.Now().Before(end); {
 	}
 	s := m.Snapshot()
 	if n := s.Success["read"] + s.Overload["read"] + s.Error["read"]; n != 3 || s.Overload["read"] < 1 {
@@ -125,16 +125,16 @@
 		cfg.Admission = &AdmissionConfig{Rules: rules}
 		return cfg
 	}
-	l, err := newLoop(with(admissionRules()), newUpstreams(time.Second, time.Second, 1), metrics.New())
+	l, err := newLoop(with(singleSlotRules()), newUpstreams(time.Second, time.Second, 1), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
-	withTenant := admissionRules()
+	withTenant := singleSlotRules()
 	withTenant.Tenants = []admission.Tenant{{Name: "a", Weight: 2}}
 	if err := l.reconfigure(with(withTenant)); err != nil || len(l.admission.admission.Snapshot(l.now()).Tenants) != 1 {
 		t.Errorf("new tenant: %v", err)
 	}
-	withMoreFlows := admissionRules()
+	withMoreFlows := singleSlotRules()
 	withMoreFlows.Flows = 9
 	for setting, cfg := range map[string]*Config{
 		"admission.flows":   with(withMoreFlows),
@@ -154,10 +154,10 @@
 // capacity for, instead of the limit that the old process had reached.
 func TestAdmissionIsHandedOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", endpointList{})
-	rules := admissionRules()
+	rules := singleSlotRules()
 	rules.InitialLimit = 7
 	rules.MaxLimit = 9
-	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: byClient}
+	cfg.Admission = &AdmissionConfig{Rules: rules, Tenants: tenantFromClient}
 	start := func() *Router {
 		r, err := New(cfg, listenLocal(t), metrics.New())
 		if err != nil {
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -11,8 +11,8 @@
 // other routers is avoided, is not reported as this router's own evidence, and is used again when
 // the ejection expires by this router's clock.
 func TestGossipIsNotForwarded(t *testing.T) {
-	_, entries := startFlaky(t, 6, func(int, int) bool { return false })
-	run, _ := serving(t, append(entries, originAt(startFake(t, originOK).addr))...)
+	_, entries := startFlakyFleet(t, 6, func(int, int) bool { return false })
+	run, _ := startReadyRouter(t, append(entries, originEntry(startFakeServer(t, originAnswer).addr))...)
 	r := run.router
 	observe := func() (failing []string, avoided int64) {
 		t.Helper()
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -46,8 +46,8 @@
 	isDone bool
 	// mayHaveRun is set until the outcome proves that the server has not run the request.
 	mayHaveRun bool
-	// isCancelled is set when a written attempt is canceled or times out.
-	isCancelled bool
+	// isCanceled is set when a written attempt is canceled or times out.
+	isCanceled bool
 	// cancelStatus is the outcome if isCancelled is set, unless the attempt succeeded just before.
 	cancelStatus decide.AttemptStatus
 	// cancelContext closes the attempt's connection.
@@ -183,7 +183,7 @@
 	if a.isDone {
 		return
 	}
-	if a.isCancelled && got.status != decide.OK {
+	if a.isCanceled && got.status != decide.OK {
 		got = replyWithoutAnswer(a.cancelStatus)
 	}
 	a.isDone = true
@@ -278,10 +278,10 @@
 // cancelSent cancels a written attempt. The outcome is reported only after its connection is
 // closed: a retry written earlier could run concurrently with it.
 func (a *attempt) cancelSent(status decide.AttemptStatus) {
-	if a.isDone || a.isCancelled || a.phase.Load() != phaseWriting {
+	if a.isDone || a.isCanceled || a.phase.Load() != phaseWriting {
 		return
 	}
-	a.isCancelled = true
+	a.isCanceled = true
 	a.cancelStatus = status
 	a.cancelContext()
 }
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -24,7 +24,10 @@
 		"left": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{in(e, "left")}})
 		},
-		"not in complete list": func(l *loop, _, o listEntry) { l.updateEndpoints(decide.AllEndpoints, full(o)) },
+		"not in complete list": func(l *loop, _, o listEntry) {
+
+			l.updateEndpoints(decide.AllEndpoints, completeList(o))
+		},
 		"moved": func(l *loop, e, _ listEntry) {
 			l.updateEndpoints(decide.ChangedEndpoints, endpointList{Version: 2, Servers: []listEntry{moved(e)}})
 		},
@@ -32,25 +35,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o, allowDial := startFake(t, hit), startFake(t, originOK), newGate(t)
+			s, o, allowDial := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer), newGate(t)
 			dialing := make(chan struct{}, 10)
-			e := box("s-0000000b", s.addr)
-			l, _, addr := startLoopAndClients(t, 192, 40, e, originAt(o.addr))
-			l.upstreams.holdDials(dialing, allowDial)
-			c := dial(t, addr)
-			c.send(readOf(1, "w0", 60000) + "\r\n")
+			e := cacheEntry("s-0000000b", s.addr)
+			l, _, addr := startLoopAndClients(t, 192, 40, e, originEntry(o.addr))
+			l.upstreams.blockDials(dialing, allowDial)
+			c := dialClient(t, addr)
+			c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
 			receive(t, dialing, "a dial")
-			onLoop(l, func() { event(l, e, originAt(o.addr)) })
+			onLoop(l, func() { event(l, e, originEntry(o.addr)) })
 			eventually(t, l, "the end of the attempt", func() bool {
 				r := l.unanswered["w0"]
 				return r == nil ||
 					r.attempts[0].isDone
 			})
 			allowDial.open()
-			c.line() // any answer will do
+			c.nextAnswer() // any answer will do
 			eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-			if len(s.seen) > 0 {
-				t.Errorf("sent to the server: %q", receivedSoFar(s.seen))
+			if len(s.received) > 0 {
+				t.Errorf("sent to the server: %q", receivedSoFar(s.received))
 			}
 		})
 	}
@@ -62,17 +65,18 @@
 	for _, how := range []string{"cancel", "time-out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			answer := once("", hit) // the first server that is asked does not answer
-			a, b := startFake(t, answer), startFake(t, answer)
-			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
-				originAt("127.0.0.1:1"))
+			answer := answerOnce("", hitAnswer) // the first server that is asked does not answer
+			a, b := startFakeServer(t, answer), startFakeServer(t, answer)
+			l, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", a.addr),
+				cacheEntry("s-0000000c", b.addr), originEntry("127.0.0.1:1"))
 			closing, allowClose := make(chan struct{}, 10), newGate(t)
 			addIdleConn := func(t *target) {
 				nc, err := net.Dial("tcp", t.addr)
 				if err != nil {
 					panic(err)
 				}
-				c := &upstreamConn{Conn: slowClose{nc.(*net.TCPConn), closing, allowClose}, idleSince: time.Now()}
+				c := &upstreamConn{Conn: blockingCloseConn{nc.(*net.TCPConn), closing, allowClose},
+					idleSince: time.Now()}
 				c.reader = bufio.NewReaderSize(c, maxLineBytes)
 				l.upstreams.mu.Lock()
 				l.upstreams.openConns++
@@ -86,12 +90,12 @@
 					}
 				}
 			})
-			c := dial(t, addr)
-			c.send(readOf(1, "w0", 60000) + "\r\n")
+			c := dialClient(t, addr)
+			c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
 			select {
-			case <-a.seen:
-			case <-b.seen:
-			case <-time.After(wait):
+			case <-a.received:
+			case <-b.received:
+			case <-time.After(testTimeout):
 				t.Fatal("no attempt")
 			}
 			onLoop(l, func() {
@@ -108,7 +112,7 @@
 				}
 			})
 			allowClose.open()
-			if got := c.line(); got != "VA 5 Ow0 hello" {
+			if got := c.nextAnswer(); got != "VA 5 Ow0 hello" {
 				t.Errorf("got %q", got)
 			}
 		})
@@ -123,26 +127,26 @@
 			t.Parallel()
 			closeConns, allowDial := newGate(t), newGate(t)
 			dialing := make(chan struct{}, 10)
-			closeOnce := once("close", hit)
+			closeOnce := answerOnce("close", hitAnswer)
 			answer := func(line string) string { <-closeConns.opened; return closeOnce(line) }
-			a, b := startFake(t, answer), startFake(t, answer)
-			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
+			a, b := startFakeServer(t, answer), startFakeServer(t, answer)
+			cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 			for i := range cfg.settings.Config.Classes {
 				if k := &cfg.settings.Config.Classes[i]; k.Name == "read" {
 					k.Effect, k.IdempotencyScope, k.IdempotencyWindowMillis = decide.IdempotentByKey, "all", 2000
 				}
 			}
-			l, _, addr := startLoopWith(t, cfg, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
-				originAt("127.0.0.1:1"))
-			c := dial(t, addr)
-			c.send(readOf(1, "w0", 60000) + ",k=7\r\n")
+			l, _, addr := startLoopWith(t, cfg, 40, cacheEntry("s-0000000b", a.addr), cacheEntry("s-0000000c", b.addr),
+				originEntry("127.0.0.1:1"))
+			c := dialClient(t, addr)
+			c.send(readCommandOfKey(1, "w0", 60000) + ",k=7\r\n")
 			select {
-			case <-a.seen:
-			case <-b.seen:
-			case <-time.After(wait):
+			case <-a.received:
+			case <-b.received:
+			case <-time.After(testTimeout):
 				t.Fatal("no attempt")
 			}
-			l.upstreams.holdDials(dialing, allowDial)
+			l.upstreams.blockDials(dialing, allowDial)
 			var firstAttemptAt float64
 			onLoop(l, func() { firstAttemptAt = l.unanswered["w0"].attempts[0].startedAt })
 			closeConns.open() // the request may have run
@@ -151,9 +155,9 @@
 				eventually(t, l, "the end of the window", func() bool { return l.now() > firstAttemptAt+2000 })
 			}
 			allowDial.open()
-			got := c.line()
+			got := c.nextAnswer()
 			eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-			if n := len(a.seen) + len(b.seen); late && (n > 0 || !strings.HasPrefix(got, "SERVER_ERROR")) ||
+			if n := len(a.received) + len(b.received); late && (n > 0 || !strings.HasPrefix(got, "SERVER_ERROR")) ||
 				!late && got != "VA 5 Ow0 hello" {
 				t.Errorf("got %q, retried %d times", got, n)
 			}
@@ -164,21 +168,21 @@
 // An attempt that the Balancer cancels ends at once and its connection is closed. The client gets
 // exactly one answer.
 func TestCanceledAttemptIsGivenUp(t *testing.T) {
-	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
+	s, o := startFakeServer(t, func(string) string { return "" }), startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	cfg.settings.Config.CancelAllowed = true
-	r := start(t, cfg)
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	r := startRouter(t, cfg)
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	startedAt := time.Now()
-	if got := c.ask(readCommandOf("a1", 8000)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+	if got := c.exchange(readCommandOf("a1", 8000)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("got %q", got)
 	}
-	receive(t, s.ended, "end of the attempt's connection")
+	receive(t, s.peerCloses, "end of the attempt's connection")
 	if took := time.Since(startedAt); took > 5*time.Second {
 		t.Errorf("canceled after %v", took)
 	}
-	c.nothingMore()
+	c.expectNoMoreInput()
 }
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -13,25 +13,25 @@
 // request stays.
 func TestSilentClientsAreClosed(t *testing.T) {
 	release := make(chan struct{})
-	o := startFake(t, func(line string) string { <-release; return originOK(line) })
-	r, _ := serving(t, box("s-0000000b", startFake(t, miss).addr), originAt(o.addr))
+	o := startFakeServer(t, func(line string) string { <-release; return originAnswer(line) })
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, missAnswer).addr), originEntry(o.addr))
 	startedAt := time.Now()
-	busy := dial(t, r.addr)
+	busy := dialClient(t, r.addr)
 	busy.send(billCommandOf("slow", 8000) + "\r\n")
-	receive(t, o.seen, "write")
+	receive(t, o.received, "write")
 	close(release)
 	for name, text := range map[string]string{"silent": "", "half a command": "mg 7f3a",
 		"half a value": "ms k 60000 Oa1 Pc=put,d=900,k=1\r\nabc"} {
-		c := dial(t, r.addr)
+		c := dialClient(t, r.addr)
 		c.send(text)
-		if got := c.line(); got != "EOF" {
+		if got := c.nextAnswer(); got != "EOF" {
 			t.Errorf("%s: got %q", name, got)
 		}
 		if took := time.Since(startedAt); took > firstCommandTimeout*3+time.Second {
 			t.Errorf("%s: closed after %v", name, took)
 		}
 	}
-	if got := busy.line(); got != "HD Oslow c5c0f" {
+	if got := busy.nextAnswer(); got != "HD Oslow c5c0f" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -40,41 +40,42 @@
 // clients get theirs, and no connection with an open request is closed.
 func TestPlacesAreTakenFromTheIdle(t *testing.T) {
 	release := make(chan struct{})
-	s := startFake(t, func(line string) string {
+	s := startFakeServer(t, func(line string) string {
 		if strings.Contains(line, "Oslow ") {
 			<-release
 		}
-		return hit(line)
+		return hitAnswer(line)
 	})
-	_, addr := startLoop(t, 192, 8, box("s-0000000b", s.addr), originAt(s.addr))
-	busy := dial(t, addr)
+	_, addr := startLoop(t, 192, 8, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
+	busy := dialClient(t, addr)
 	busy.send(readCommandOf("slow", 2000) + "\r\n")
-	receive(t, s.seen, "request")
+	receive(t, s.received, "request")
 	for i := range 40 {
-		dial(t, addr).send("mg half")
+		dialClient(t, addr).send("mg half")
 		if i%10 == 0 {
-			if got := dial(t, addr).ask(readCommandOf(fmt.Sprint(i), 2000)); !strings.HasPrefix(got, "VA ") {
+			if got := dialClient(t, addr).exchange(readCommandOf(fmt.Sprint(i), 2000)); !strings.HasPrefix(got, "VA ") {
 				t.Errorf("a client among silent clients got %q", got)
 			}
 		}
 	}
 	close(release)
-	if got := busy.line(); got != "VA 5 Oslow hello" {
+	if got := busy.nextAnswer(); got != "VA 5 Oslow hello" {
 		t.Errorf("the client with an open request got %q", got)
 	}
 }
 
 // A few unknown commands are answered with an error, then the connection is closed.
 func TestUnknownCommandsAreBounded(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
-	c := dial(t, r.addr)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
+	c := dialClient(t, r.addr)
 	c.send(strings.Repeat("version\r\n", 10*maxUnknownCommands))
 	for range maxUnknownCommands {
-		if got := c.line(); got != "ERROR" {
+		if got := c.nextAnswer(); got != "ERROR" {
 			t.Errorf("got %q", got)
 		}
 	}
-	if got := c.line(); got != "EOF" {
+	if got := c.nextAnswer(); got != "EOF" {
 		t.Errorf("after the errors: got %q", got)
 	}
 }
@@ -83,58 +84,60 @@
 // hold at most half of the descriptors: when another client sends a request, the one idle for
 // longest is evicted, long before its idle timeout.
 func TestClientsThatAskOnceGiveWay(t *testing.T) {
-	s := startFake(t, hit)
-	_, addr := startLoop(t, 192, 8, box("s-0000000b", s.addr), originAt(s.addr))
+	s := startFakeServer(t, hitAnswer)
+	_, addr := startLoop(t, 192, 8, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	startedAt := time.Now()
 	var kept []*client
 	for i := range 5 {
-		c := dial(t, addr)
-		c.ask(readCommandOf(fmt.Sprint("a", i), 2000))
+		c := dialClient(t, addr)
+		c.exchange(readCommandOf(fmt.Sprint("a", i), 2000))
 		kept = append(kept, c)
 		time.Sleep(lingerAfterAnswer + 20*time.Millisecond) // idle times must differ
 	}
-	if got := kept[0].line(); got != "EOF" {
+	if got := kept[0].nextAnswer(); got != "EOF" {
 		t.Errorf("got %q", got)
 	}
 	if took := time.Since(startedAt); took > idleTimeout {
 		t.Errorf("closed by timeout after %v", took)
 	}
-	if got := kept[4].ask(readCommandOf("b", 2000)); got != "VA 5 Ob hello" {
+	if got := kept[4].exchange(readCommandOf("b", 2000)); got != "VA 5 Ob hello" {
 		t.Errorf("the last connection got %q", got)
 	}
 }
 
 func TestAnswersComeInTheOrderOfCommands(t *testing.T) {
 	first := make(chan struct{})
-	s := startFake(t, func(line string) string {
+	s := startFakeServer(t, func(line string) string {
 		if strings.Contains(line, "Oa1 ") {
 			<-first
 		}
-		return hit(line)
+		return hitAnswer(line)
 	})
 	releaseFirst := sync.OnceFunc(func() { close(first) })
 	t.Cleanup(releaseFirst)
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(startFake(t, originOK).addr))
-	c := dial(t, r.addr)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(startFakeServer(t, originAnswer).addr))
+	c := dialClient(t, r.addr)
 	c.send(readCommandOf("a1", 5000) + "\r\n" + readCommandOf("a2", 5000) + "\r\nversion\r\n")
-	receive(t, s.seen, "request")
-	receive(t, s.seen, "second request, on another connection")
+	receive(t, s.received, "request")
+	receive(t, s.received, "second request, on another connection")
 	releaseFirst()
 	for _, want := range []string{"VA 5 Oa1 hello", "VA 5 Oa2 hello", "ERROR"} {
-		if got := c.line(); got != want {
+		if got := c.nextAnswer(); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
-	if s.conns.Load() != 2 {
-		t.Errorf("%d connections carried two requests at once, want 2", s.conns.Load())
+	if s.connCount.Load() != 2 {
+		t.Errorf("%d connections carried two requests at once, want 2", s.connCount.Load())
 	}
 }
 
 // With more clients than descriptors, idle connections are evicted and all clients are served.
 func TestIdleClientsMakeRoom(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
 	for i := range 300 {
-		if got := dial(t, r.addr).ask(readCommandOf(fmt.Sprint(i), 5000)); got != fmt.Sprintf("VA 5 O%d hello", i) {
+		if got := dialClient(t, r.addr).exchange(readCommandOf(fmt.Sprint(i), 5000)); got !=
+			fmt.Sprintf("VA 5 O%d hello", i) {
 			t.Fatalf("client %d got %q", i, got)
 		}
 	}
--- a/internal/router/command_test.go
+++ b/internal/router/command_test.go
@@ -9,7 +9,8 @@
 )
 
 func TestMalformedClientInput(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
 	for _, in := range []string{
 		"\r\n",
 		"mg\r\n",
@@ -41,15 +42,15 @@
 		"mg k\x00 v Oa1 Pc=read,d=9\r\n",
 		strings.Repeat("x", 5000),
 	} {
-		c := dial(t, r.addr)
+		c := dialClient(t, r.addr)
 		c.send(readCommandOf("ok", 2000) + "\r\n" + in)
-		if got := c.line(); got != "VA 5 Ook hello" {
+		if got := c.nextAnswer(); got != "VA 5 Ook hello" {
 			t.Errorf("before %.20q: got %q", in, got)
 		}
-		if got := c.line(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
+		if got := c.nextAnswer(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
 			t.Errorf("%.20q: got %q", in, got)
 		}
-		if got := c.line(); got != "EOF" {
+		if got := c.nextAnswer(); got != "EOF" {
 			t.Errorf("%.20q: after the error: got %q", in, got)
 		}
 	}
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -18,20 +18,21 @@
 // Guards against a connection reset that destroys answers: the answers before an error reach the
 // client, however much input it continues to send.
 func TestAnswersSurviveRejectedInput(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
 	for range 20 {
-		c := dial(t, r.addr)
+		c := dialClient(t, r.addr)
 		input := readCommandOf("a1", 2000) + "\r\nms k 62914560 Oa2 Pc=put,d=900,k=1\r\n" +
 			strings.Repeat("x", 100<<10)
 		go io.WriteString(c, input)
 		time.Sleep(20 * time.Millisecond) // an early reset would arrive before the answers are read
-		if got := c.line(); got != "VA 5 Oa1 hello" {
+		if got := c.nextAnswer(); got != "VA 5 Oa1 hello" {
 			t.Fatalf("got %q", got)
 		}
-		if got := c.line(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
+		if got := c.nextAnswer(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
 			t.Fatalf("got %q", got)
 		}
-		if got := c.line(); got != "EOF" {
+		if got := c.nextAnswer(); got != "EOF" {
 			t.Fatalf("got %q", got)
 		}
 	}
@@ -39,8 +40,9 @@
 
 // Guards against clients that send input forever: reading is limited in time and bytes.
 func TestEndlessInputIsCutOff(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
-	c := dial(t, r.addr)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
+	c := dialClient(t, r.addr)
 	c.send("ms k 62914560 Oa2 Pc=put,d=900,k=1\r\n")
 	chunk, sent := make([]byte, 64<<10), 0
 	for sent < 60<<20 {
@@ -52,7 +54,7 @@
 	if sent >= 60<<20 {
 		t.Error("a value of 60 MB was read completely")
 	}
-	if got := dial(t, r.addr).ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
+	if got := dialClient(t, r.addr).exchange(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -61,7 +63,7 @@
 // hasInput reports it even though a read only returns the deadline error.
 func TestInputIsSeenWhenTheTimeIsUp(t *testing.T) {
 	ln := listenLocal(t)
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	s, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +74,7 @@
 		t.Error("input reported before any was sent")
 	}
 	c.send("mn\r\n")
-	for end := time.Now().Add(wait); !hasInput(s); {
+	for end := time.Now().Add(testTimeout); !hasInput(s); {
 		if time.Now().After(end) {
 			t.Fatal("the input is not reported")
 		}
@@ -86,8 +88,8 @@
 // that read then returns a deadline error.
 type expiringListener struct {
 	net.Listener
-	at  chan<- *expiringConn
-	let gate
+	secondReads chan<- *expiringConn
+	expire      gate
 }
 
 type expiringConn struct {
@@ -106,8 +108,8 @@
 
 func (c *expiringConn) Read(b []byte) (int, error) {
 	if c.reads.Add(1) == 2 {
-		c.from.at <- c
-		<-c.from.let.opened
+		c.from.secondReads <- c
+		<-c.from.expire.opened
 		return 0, os.ErrDeadlineExceeded
 	}
 	return c.TCPConn.Read(b)
@@ -115,13 +117,13 @@
 
 // Guards against dropping a command whose last part arrives while its connection is being evicted.
 func TestCommandThatCrossesItsConnectionsEndIsTaken(t *testing.T) {
-	s := startFake(t, hit)
-	l, _, _ := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(s.addr))
+	s := startFakeServer(t, hitAnswer)
+	l, _, _ := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	secondReads, expire := make(chan *expiringConn, 10), newGate(t)
 	clients := newClients(l, expiringListener{listenLocal(t), secondReads, expire}, 10)
 	clients.wg.Go(clients.accept)
-	c := dial(t, clients.listener.Addr().String())
-	c.send(readOf(1, "a", 60000)[:9])
+	c := dialClient(t, clients.listener.Addr().String())
+	c.send(readCommandOfKey(1, "a", 60000)[:9])
 	nc := receive(t, secondReads, "a read after the first part")
 	clients.mu.Lock()
 	for conn := range clients.conns {
@@ -130,38 +132,38 @@
 		conn.mu.Unlock()
 	}
 	clients.mu.Unlock()
-	c.send(readOf(1, "a", 60000)[9:] + "\r\n")
+	c.send(readCommandOfKey(1, "a", 60000)[9:] + "\r\n")
 	for !hasInput(nc) {
 	}
 	expire.open()
-	if got := c.line(); got != "VA 5 Oa hello" {
+	if got := c.nextAnswer(); got != "VA 5 Oa hello" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "EOF" {
+	if got := c.nextAnswer(); got != "EOF" {
 		t.Errorf("after the answer: got %q", got)
 	}
 	c.Close()
-	clients.awaitEnd(t)
+	clients.closeAndAwaitEnd(t)
 }
 
 // Guards against requests and reserved answer bytes that remain after a failed write: if an answer
 // can't be written, the requests and answers queued after it end too.
 func TestWhatStandsBehindABrokenAnswerEnds(t *testing.T) {
 	first, second := newGate(t), newGate(t)
-	s := startFake(t, miss)
-	o := startFake(t, func(line string) string {
+	s := startFakeServer(t, missAnswer)
+	o := startFakeServer(t, func(line string) string {
 		if strings.Contains(line, fmt.Sprintf("%016x", 1)) {
 			<-first.opened
 		} else {
 			<-second.opened
 		}
-		return originOK(line)
+		return originAnswer(line)
 	})
-	l, clients, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-	c := dial(t, addr)
+	l, clients, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c := dialClient(t, addr)
 	for i := range 2 {
-		c.send(readOf(1+i, fmt.Sprint("a", i), 60000) + "\r\n")
-		receive(t, o.seen, "a fetch")
+		c.send(readCommandOfKey(1+i, fmt.Sprint("a", i), 60000) + "\r\n")
+		receive(t, o.received, "a fetch")
 	}
 	c.send(strings.Repeat("mn\r\n", maxPipelined-2))
 	eventually(t, l, "answers queued after both", func() bool {
@@ -178,26 +180,26 @@
 	eventually(t, l, "the end of both requests, and no reserved bytes",
 		func() bool { return l.answerBytes.used.Load() == 0 && len(l.unanswered) == 0 })
 	second.open()
-	clients.awaitEnd(t)
+	clients.closeAndAwaitEnd(t)
 }
 
 // Guards against a command that arrives just before its connection is closed: closing would reset
 // the connection and destroy the answer before it.
 func TestCommandThatCrossesTheCloseDestroysNoAnswer(t *testing.T) {
 	ln := listenLocal(t)
-	client := dial(t, ln.Addr().String())
+	client := dialClient(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &clientConn{Conn: nc, reader: bufio.NewReader(nc), unwritable: make(chan struct{})}
-	client.send(readOf(1, "late", 60000) + "\r\n")
+	client.send(readCommandOfKey(1, "late", 60000) + "\r\n")
 	for !hasInput(nc) {
 	}
 	io.WriteString(nc, "HD Oa c5c0f\r\n")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.closeAfterAnswers(false) }()
-	if got := client.line(); got != "HD Oa c5c0f" {
+	if got := client.nextAnswer(); got != "HD Oa c5c0f" {
 		t.Errorf("got %q", got)
 	}
 	if _, err := client.r.ReadByte(); err != io.EOF {
@@ -212,27 +214,27 @@
 func TestCloseThatCrossesAWriteIsAReset(t *testing.T) {
 	closeConn := newGate(t)
 	var armed atomic.Bool
-	o := startFake(t, func(line string) string {
+	o := startFakeServer(t, func(line string) string {
 		if armed.Load() {
 			<-closeConn.opened
 			return "close"
 		}
-		return originOK(line)
+		return originAnswer(line)
 	})
-	u := testUpstreams(t, 10*time.Second, 10)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(o.addr, true)
-	if got := u.roundTrip(t.Context(), target, putCommand(), writeAlways); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), target, newWriteCommand(), unconditionalHooks); got.status != decide.OK {
 		t.Fatalf("got %v", got.status)
 	}
 	armed.Store(true)
 	time.Sleep(originIdleMinimum) // until then the connection is not used again
-	hooks := writeAlways
+	hooks := unconditionalHooks
 	hooks.afterWrite = closeConn.open // the request is written completely; the server closes without an answer
-	if got := u.roundTrip(t.Context(), target, putCommand(), hooks); got.status != decide.Reset {
+	if got := u.roundTrip(t.Context(), target, newWriteCommand(), hooks); got.status != decide.Reset {
 		t.Errorf("got %v, want a reset", got.status)
 	}
-	if o.conns.Load() != 1 || len(o.seen) != 2 {
-		t.Errorf("%d connections, %d requests", o.conns.Load(), len(o.seen))
+	if o.connCount.Load() != 1 || len(o.received) != 2 {
+		t.Errorf("%d connections, %d requests", o.connCount.Load(), len(o.received))
 	}
 }
 
@@ -257,7 +259,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ln := listenLocal(t)
-			client := dial(t, ln.Addr().String())
+			client := dialClient(t, ln.Addr().String())
 			nc, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -267,14 +269,14 @@
 				unwritable: make(chan struct{}), lastAnswerAt: time.Now().Add(offset)}
 			ended := make(chan struct{})
 			go func() { defer close(ended); c.closeAfterAnswers(false) }()
-			if got := client.line(); got != "EOF" {
+			if got := client.nextAnswer(); got != "EOF" {
 				t.Errorf("got %q", got)
 			}
 			if offset > 0 {
 				if got := receive(t, shutdowns, "shutdown"); got != "end of the answers" {
 					t.Errorf("first shutdown: got %q", got)
 				}
-				client.send(readOf(1, "late", 60000) + "\r\n")
+				client.send(readCommandOfKey(1, "late", 60000) + "\r\n")
 				for range 2 { // the input is not read as commands and causes no reset
 					client.send("mn\r\n")
 				}
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -16,39 +16,41 @@
 			where string
 			send  func(t *testing.T, l *loop, s *clients, c *client)
 		}{
-			{"alone", func(t *testing.T, l *loop, s *clients, c *client) { c.send(readOf(1, "w0", 60000) + "\r\n") }},
+			{"alone", func(t *testing.T, l *loop, s *clients, c *client) {
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
+			}},
 			{"in a full pipeline", func(t *testing.T, l *loop, s *clients, c *client) {
 				for i := range maxPipelined + 4 { // the last ones stay unread
-					c.send(readOf(1, fmt.Sprint("w", i), 60000) + "\r\n")
+					c.send(readCommandOfKey(1, fmt.Sprint("w", i), 60000) + "\r\n")
 				}
 				eventually(t, l, "a full pipeline", func() bool { return len(l.unanswered) == maxPipelined+1 })
 			}},
 			{"in a full pipeline with more input than is read", func(t *testing.T, l *loop, s *clients, c *client) {
 				for i := range maxPipelined {
-					c.send(readOf(1, fmt.Sprint("w", i), 60000) + "\r\n")
+					c.send(readCommandOfKey(1, fmt.Sprint("w", i), 60000) + "\r\n")
 				}
 				eventually(t, l, "a full pipeline", func() bool { return len(l.unanswered) == maxPipelined+1 })
 				c.send(strings.Repeat("mn\r\n", 2*maxLineBytes/4))
 			}},
 			{"rejected", func(t *testing.T, l *loop, s *clients, c *client) {
-				c.send(readOf(1, "w0", 60000) + "\r\nmg what\r\nand more")
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\nmg what\r\nand more")
 				eventually(t, l, "the answer after it", func() bool { return l.answerBytes.used.Load() > 0 })
 			}},
 			{"rejected with much input", func(t *testing.T, l *loop, s *clients, c *client) {
-				c.send(readOf(1, "w0", 60000) + "\r\nmg what\r\n" + strings.Repeat("more", lingerBytes/8))
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\nmg what\r\n" + strings.Repeat("more", lingerBytes/8))
 				eventually(t, l, "the answer after it", func() bool { return l.answerBytes.used.Load() > 0 })
 			}},
 			{"part of a command after it", func(t *testing.T, l *loop, s *clients, c *client) {
-				c.send(readOf(1, "w0", 60000) + "\r\nmg 00")
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\nmg 00")
 				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
 			}},
 			{"draining", func(t *testing.T, l *loop, s *clients, c *client) {
-				c.send(readOf(1, "w0", 60000) + "\r\n")
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
 				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
 				s.startDrain()
 			}},
 			{"draining with input unread", func(t *testing.T, l *loop, s *clients, c *client) {
-				c.send(readOf(1, "w0", 60000) + "\r\n")
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
 				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
 				s.startDrain()
 				c.send("mg 00")
@@ -57,25 +59,26 @@
 			t.Run(c.where+" "+how, func(t *testing.T) {
 				t.Parallel()
 				fetch := newGate(t)
-				s := startFake(t, once("EN O{id} h0\r\n", hit))
-				o := startFake(t, func(line string) string { <-fetch.opened; return originOK(line) })
-				l, clients, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-				first := dial(t, addr)
-				first.send(readOf(1, "f", 60000) + "\r\n")
-				receive(t, s.seen, "the read that misses")
-				receive(t, o.seen, "its fetch")
-				waiting := dial(t, addr)
+				s := startFakeServer(t, answerOnce("EN O{id} h0\r\n", hitAnswer))
+				o := startFakeServer(t, func(line string) string { <-fetch.opened; return originAnswer(line) })
+				l, clients, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr),
+					originEntry(o.addr))
+				first := dialClient(t, addr)
+				first.send(readCommandOfKey(1, "f", 60000) + "\r\n")
+				receive(t, s.received, "the read that misses")
+				receive(t, o.received, "its fetch")
+				waiting := dialClient(t, addr)
 				c.send(t, l, clients, waiting)
 				eventually(t, l, "the waiting request", func() bool { return l.unanswered["w0"] != nil })
 				waiting.disconnect(how)
 				eventually(t, l, "the end of the waiting requests", func() bool { return len(l.unanswered) == 1 })
 				fetch.open()
-				if got := first.line(); got != "VA 5 Of fresh" {
+				if got := first.nextAnswer(); got != "VA 5 Of fresh" {
 					t.Errorf("the fetching client got %q", got)
 				}
 				eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-				if len(s.seen)+len(o.seen) > 0 {
-					t.Errorf("requests were sent: %q", append(receivedSoFar(s.seen), receivedSoFar(o.seen)...))
+				if len(s.received)+len(o.received) > 0 {
+					t.Errorf("requests were sent: %q", append(receivedSoFar(s.received), receivedSoFar(o.received)...))
 				}
 				// The writer releases them after its write.
 				eventually(t, l, "no reserved answer bytes", func() bool { return l.answerBytes.used.Load() == 0 })
@@ -87,15 +90,15 @@
 // Guards against sending a command whose client closes right after it: the disconnect is noticed
 // before the loop processes the command.
 func TestCommandWithTheClientsEndBehindItIsNotSentOn(t *testing.T) {
-	for _, command := range []string{readOf(1, "w0", 60000) + "\r\n",
+	for _, command := range []string{readCommandOfKey(1, "w0", 60000) + "\r\n",
 		"ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=60000,k=7\r\nabc\r\n"} {
 		t.Run(command[:2], func(t *testing.T) {
 			t.Parallel()
-			s, o := startFake(t, hit), startFake(t, originOK)
-			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
+			s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+			cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 			cfg.settings.Config.HealthChecks = false
-			l, clients, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(o.addr))
-			c := dial(t, addr)
+			l, clients, addr := startLoopWith(t, cfg, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+			c := dialClient(t, addr)
 			busy := newGate(t)
 			eventually(t, l, "the list", func() bool { return len(l.targets) == 2 })
 			l.post(func() { <-busy.opened }) // the loop processes the command after the disconnect
@@ -111,8 +114,8 @@
 			}
 			busy.open()
 			eventually(t, l, "the end of the command", func() bool { return l.lastID == 1 && len(l.requests) == 0 })
-			if len(s.seen)+len(o.seen) > 0 {
-				t.Errorf("requests were sent: %q", append(receivedSoFar(s.seen), receivedSoFar(o.seen)...))
+			if len(s.received)+len(o.received) > 0 {
+				t.Errorf("requests were sent: %q", append(receivedSoFar(s.received), receivedSoFar(o.received)...))
 			}
 		})
 	}
@@ -125,19 +128,19 @@
 		for _, busy := range []bool{false, true} {
 			t.Run(fmt.Sprint(how, " loop busy ", busy), func(t *testing.T) {
 				t.Parallel()
-				s, allowDial := startFake(t, hit), newGate(t)
+				s, allowDial := startFakeServer(t, hitAnswer), newGate(t)
 				dialing := make(chan struct{}, 10)
-				l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(s.addr))
-				l.upstreams.holdDials(dialing, allowDial)
-				c := dial(t, addr)
-				c.send(readOf(1, "w0", 60000) + "\r\n")
+				l, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
+				l.upstreams.blockDials(dialing, allowDial)
+				c := dialClient(t, addr)
+				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
 				receive(t, dialing, "a dial")
 				if busy { // the connection is opened before the loop is notified of the disconnect
 					blockLoop := newGate(t)
 					l.post(func() { <-blockLoop.opened })
 					c.disconnect(how)
 					allowDial.open()
-					receive(t, s.connected, "the connection")
+					receive(t, s.accepts, "the connection")
 					blockLoop.open()
 				} else {
 					c.disconnect(how)
@@ -145,8 +148,8 @@
 					allowDial.open()
 				}
 				eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-				if len(s.seen) > 0 {
-					t.Errorf("requests were sent: %q", receivedSoFar(s.seen))
+				if len(s.received) > 0 {
+					t.Errorf("requests were sent: %q", receivedSoFar(s.received))
 				}
 			})
 		}
@@ -159,21 +162,21 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			closeConns := newGate(t)
-			s := startFake(t, func(string) string { <-closeConns.opened; return "close" })
-			o := startFake(t, originOK)
-			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-			c := dial(t, addr)
-			c.send(readOf(1, "w0", 60000) + "\r\n")
-			receive(t, s.seen, "the first attempt")
+			s := startFakeServer(t, func(string) string { <-closeConns.opened; return "close" })
+			o := startFakeServer(t, originAnswer)
+			l, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+			c := dialClient(t, addr)
+			c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
+			receive(t, s.received, "the first attempt")
 			blockLoop := newGate(t)
 			l.post(func() { <-blockLoop.opened }) // the loop is notified of both events only afterwards
 			closeConns.open()
-			receive(t, s.closed, "the reset")
+			receive(t, s.ownCloses, "the reset")
 			c.disconnect(how)
 			blockLoop.open()
 			eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-			if len(s.seen)+len(o.seen) > 0 {
-				t.Errorf("retried: %q", append(receivedSoFar(s.seen), receivedSoFar(o.seen)...))
+			if len(s.received)+len(o.received) > 0 {
+				t.Errorf("retried: %q", append(receivedSoFar(s.received), receivedSoFar(o.received)...))
 			}
 		})
 	}
@@ -183,25 +186,26 @@
 // client's request, a, is running and is answered once answer is opened. The second client's
 // request, b, is queued in admission. settings is the router's configuration, from which a test can
 // derive another one.
-func startWithQueuedRequest(t *testing.T) (r *running, s *fake, answer gate, first, second *client, settings *Config) {
+func startWithQueuedRequest(t *testing.T) (r *runningRouter, s *fakeServer, answer gate, first, second *client,
+	settings *Config) {
 	t.Helper()
 	answer = newGate(t)
-	s = startFake(t, func(line string) string { <-answer.opened; return hit(line) })
+	s = startFakeServer(t, func(line string) string { <-answer.opened; return hitAnswer(line) })
 	t.Cleanup(answer.open) // before the server's cleanup, which waits for its goroutines
-	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(s.addr)))
-	cfg := longLived(testConfig(t, d.Listener.Addr().String(), endpointList{}))
-	cfg.Admission = onePlaceAdmission()
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(s.addr)))
+	cfg := withLongDeadlines(testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	cfg.Admission = singleSlotAdmission()
 	cfg.settings.Config.HealthChecks = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // admission's estimate of a request's duration
 	}
-	r = start(t, cfg)
-	for c := dial(t, r.addr); c.ask("mn") != "MN"; {
+	r = startRouter(t, cfg)
+	for c := dialClient(t, r.addr); c.exchange("mn") != "MN"; {
 	}
-	first, second = dial(t, r.addr), dial(t, r.addr)
-	first.send(readOf(1, "a", 60000) + "\r\n")
-	receive(t, s.seen, "the first request, which uses the only slot")
-	second.send(readOf(2, "b", 60000) + "\r\n")
+	first, second = dialClient(t, r.addr), dialClient(t, r.addr)
+	first.send(readCommandOfKey(1, "a", 60000) + "\r\n")
+	receive(t, s.received, "the first request, which uses the only slot")
+	second.send(readCommandOfKey(2, "b", 60000) + "\r\n")
 	eventually(t, r.router.loop, "the second request in admission's queue",
 		func() bool { return r.router.loop.admission.admission.State(0).Waiting == 1 })
 	return r, s, answer, first, second, cfg
@@ -216,12 +220,12 @@
 	second.Close()
 	eventually(t, l, "the end of the second request", func() bool { return l.unanswered["b"] == nil })
 	answer.open()
-	if got := first.line(); got != "VA 5 Oa hello" {
+	if got := first.nextAnswer(); got != "VA 5 Oa hello" {
 		t.Errorf("the first client got %q", got)
 	}
 	eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-	if len(s.seen) > 0 {
-		t.Errorf("requests were sent: %q", receivedSoFar(s.seen))
+	if len(s.received) > 0 {
+		t.Errorf("requests were sent: %q", receivedSoFar(s.received))
 	}
 }
 
@@ -230,19 +234,19 @@
 // that it has accepted are still answered.
 func TestOldProcessOfAnUpgradeSendsNothingForAClientThatLeft(t *testing.T) {
 	fetch := newGate(t)
-	s := startFake(t, once("EN O{id} h0\r\n", hit))
-	o := startFake(t, func(line string) string { <-fetch.opened; return originOK(line) })
-	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-	old := start(t, longLived(testConfig(t, d.Listener.Addr().String(), endpointList{})))
-	staying, leaving := dial(t, old.addr), dial(t, old.addr)
-	for staying.ask("mn") != "MN" || leaving.ask("mn") != "MN" {
+	s := startFakeServer(t, answerOnce("EN O{id} h0\r\n", hitAnswer))
+	o := startFakeServer(t, func(line string) string { <-fetch.opened; return originAnswer(line) })
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
+	old := startRouter(t, withLongDeadlines(testConfig(t, d.Listener.Addr().String(), endpointList{})))
+	staying, leaving := dialClient(t, old.addr), dialClient(t, old.addr)
+	for staying.exchange("mn") != "MN" || leaving.exchange("mn") != "MN" {
 	}
 	l := old.router.loop
-	staying.send(readOf(1, "a", 60000) + "\r\n")
-	receive(t, o.seen, "the fetch")
-	leaving.send(readOf(1, "b", 60000) + "\r\n")
+	staying.send(readCommandOfKey(1, "a", 60000) + "\r\n")
+	receive(t, o.received, "the fetch")
+	leaving.send(readCommandOfKey(1, "b", 60000) + "\r\n")
 	eventually(t, l, "the waiting request", func() bool { return l.unanswered["b"] != nil })
-	successor, end := succeeded(t, old, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
+	successor, end := startSuccessor(t, old, withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{})))
 	defer end()
 	for !successor.router.Ready() || old.router.peers.count() == 0 {
 	}
@@ -252,14 +256,14 @@
 	leaving.disconnect("reset")
 	eventually(t, l, "the end of the waiting request", func() bool { return l.unanswered["b"] == nil })
 	fetch.open()
-	if got := staying.line(); got != "VA 5 Oa fresh" {
+	if got := staying.nextAnswer(); got != "VA 5 Oa fresh" {
 		t.Errorf("the other client got %q", got)
 	}
 	if err := receive(t, old.done, "end of the old process"); err != nil {
 		t.Error(err)
 	}
-	if len(s.seen) != 1 || len(o.seen) > 0 { // one request: the read that missed
-		t.Errorf("requests were sent: %q", append(receivedSoFar(s.seen), receivedSoFar(o.seen)...))
+	if len(s.received) != 1 || len(o.received) > 0 { // one request: the read that missed
+		t.Errorf("requests were sent: %q", append(receivedSoFar(s.received), receivedSoFar(o.received)...))
 	}
 }
 
@@ -267,7 +271,7 @@
 // connection, and must not report an expired read deadline as a disconnect.
 func TestWaitForAClientEndsWithItsConnection(t *testing.T) {
 	ln := listenLocal(t)
-	client := dial(t, ln.Addr().String())
+	client := dialClient(t, ln.Addr().String())
 	c, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -298,34 +302,35 @@
 		t.Run(fmt.Sprint("cancel ", allowed), func(t *testing.T) {
 			t.Parallel()
 			answer := newGate(t)
-			s, o := startFake(t, hit), startFake(t, func(line string) string { <-answer.opened; return originOK(line) })
-			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
+			s, o := startFakeServer(t, hitAnswer), startFakeServer(t,
+				func(line string) string { <-answer.opened; return originAnswer(line) })
+			d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = allowed
-			r := start(t, cfg)
-			for c := dial(t, r.addr); c.ask("mn") != "MN"; {
+			r := startRouter(t, cfg)
+			for c := dialClient(t, r.addr); c.exchange("mn") != "MN"; {
 			}
-			c := dial(t, r.addr)
+			c := dialClient(t, r.addr)
 			c.send(billCommandOf("a1", 60000) + "\r\n") // the Balancer cancels only reads on its own
-			receive(t, o.seen, "request")
+			receive(t, o.received, "request")
 			c.Close()
 			eventually(t, r.router.loop, "the end of the request",
 				func() bool { return len(r.router.loop.unanswered) == 0 })
 			if !allowed {
-				if len(o.ended) > 0 {
+				if len(o.peerCloses) > 0 {
 					t.Error("the attempt was canceled")
 				}
 				answer.open()
 				eventually(t, r.router.loop, "the end of the attempt",
 					func() bool { return len(r.router.loop.requests) == 0 })
 				if kept := idleConns(r.router.upstreams, originTarget(r.router.loop)); len(kept) != 1 ||
-					o.conns.Load() != 1 {
-					t.Errorf("%d of %d connections kept", len(kept), o.conns.Load())
+					o.connCount.Load() != 1 {
+					t.Errorf("%d of %d connections kept", len(kept), o.connCount.Load())
 				}
 				return
 			}
 			answer.open()
-			receive(t, o.ended, "end of the attempt's connection")
+			receive(t, o.peerCloses, "end of the attempt's connection")
 		})
 	}
 }
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -204,15 +204,16 @@
 
 // A router that restarts while discovery is unavailable serves from the list that it last held.
 func TestRestartServesFromTheKnownList(t *testing.T) {
-	s, o := startFake(t, hit), startFake(t, originOK)
+	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	ln := listenLocal(t)
 	ln.Close() // connections are refused
 	for range 2 {
-		r := start(t, testConfig(t, ln.Addr().String(), full(box("s-0000000b", s.addr), originAt(o.addr))))
-		c := dial(t, r.addr)
-		for c.ask("mn") != "MN" {
+		r := startRouter(t, testConfig(t, ln.Addr().String(), completeList(cacheEntry("s-0000000b", s.addr),
+			originEntry(o.addr))))
+		c := dialClient(t, r.addr)
+		for c.exchange("mn") != "MN" {
 		}
-		if got := c.ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
+		if got := c.exchange(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 			t.Errorf("got %q", got)
 		}
 		r.stop()
@@ -225,8 +226,8 @@
 func TestNotReadyWithoutAList(t *testing.T) {
 	ln := listenLocal(t)
 	ln.Close()
-	r := start(t, testConfig(t, ln.Addr().String(), endpointList{}))
-	if got := dial(t, r.addr).ask("mn"); got != "SERVER_ERROR not ready" {
+	r := startRouter(t, testConfig(t, ln.Addr().String(), endpointList{}))
+	if got := dialClient(t, r.addr).exchange("mn"); got != "SERVER_ERROR not ready" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -260,7 +261,7 @@
 	}))
 	defer d.Close()
 	defer d.CloseClientConnections()
-	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	r := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	var previous call
 	for i, after := range []string{"", "after=1&", "after=1&", "", "", "after=3&", "after=3&", "after=4&"} {
 		c := receive(t, calls, fmt.Sprintf("call %d", i))
@@ -272,17 +273,17 @@
 		}
 		previous = c
 	}
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 }
 
 // Guards against a watch that stops answering, so that changes sent on it are lost. It is replaced
 // soon, repeatedly if necessary, and a drain arrives with the complete list.
 func TestSilentWatchIsGivenUp(t *testing.T) {
-	s1, s2, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
-	servers := full(box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr))
-	drained := full(servers.Servers...)
+	s1, s2, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	servers := completeList(cacheEntry("s-0000000b", s1.addr), cacheEntry("s-0000000c", s2.addr), originEntry(o.addr))
+	drained := completeList(servers.Servers...)
 	drained.Version, drained.Servers = 2, slices.Clone(drained.Servers)
 	drained.Servers[0].State = "leaving"
 	calls := make(chan string, 100)
@@ -300,7 +301,7 @@
 	}))
 	defer d.Close()
 	defer d.CloseClientConnections()
-	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	r := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	receive(t, calls, "call for the list")
 	receive(t, calls, "watch")
 	watchedAt := time.Now()
@@ -309,17 +310,17 @@
 	if took := time.Since(watchedAt); took > 8*time.Second { // below the 10 s of the shared timing's wait
 		t.Errorf("replaced after %v", took)
 	}
-	c := dial(t, r.addr)
+	c := dialClient(t, r.addr)
 	for i := range 20 {
-		c.ask(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
+		c.exchange(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
 	}
-	if len(s1.seen) > 0 || len(s2.seen) != 20 {
-		t.Errorf("%d requests to the draining server, %d to the other", len(s1.seen), len(s2.seen))
+	if len(s1.received) > 0 || len(s2.received) != 20 {
+		t.Errorf("%d requests to the draining server, %d to the other", len(s1.received), len(s2.received))
 	}
 }
 
-// queueLimit is the longest time that an overloaded discovery keeps a call in its queue.
-const queueLimit = 2 * time.Second
+// maxQueueWait is the longest time that an overloaded discovery keeps a call in its queue.
+const maxQueueWait = 2 * time.Second
 
 // Guards against a call that times out in an overloaded discovery's queue just before its turn: its
 // place in the queue is lost, and the next call waits as long again.
@@ -331,7 +332,7 @@
 			d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
 				select {
-				case <-time.After(queueLimit + 200*time.Millisecond):
+				case <-time.After(maxQueueWait + 200*time.Millisecond):
 				case <-r.Context().Done():
 					abortedCalls.Add(1)
 					return
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -30,11 +30,11 @@
 	return g
 }
 
-// holdDials makes each dial report its start on dialing and block until the gate up is opened.
-func (u *upstreams) holdDials(dialing chan<- struct{}, up gate) {
+// blockDials makes each dial report its start on dialing and block until the gate up is opened.
+func (u *upstreams) blockDials(dialing chan<- struct{}, up gate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dialer.Timeout = wait
+	u.dialer.Timeout = testTimeout
 	u.dialer.Control = func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
 		<-up.opened
@@ -42,23 +42,23 @@
 	}
 }
 
-// slowClose is a connection whose Close reports its start on closing and blocks until let is
-// opened.
-type slowClose struct {
+// blockingCloseConn is a connection whose Close reports its start on closing and blocks until let
+// is opened.
+type blockingCloseConn struct {
 	*net.TCPConn
-	closing chan<- struct{}
-	let     gate
+	closing    chan<- struct{}
+	allowClose gate
 }
 
-func (c slowClose) Close() error {
+func (c blockingCloseConn) Close() error {
 	c.closing <- struct{}{}
-	<-c.let.opened
+	<-c.allowClose.opened
 	return c.TCPConn.Close()
 }
 
-// once returns an answer function that answers the first request with first and later ones with
-// then.
-func once(first string, then func(string) string) func(string) string {
+// answerOnce returns an answer function that answers the first request with first and later ones
+// with then.
+func answerOnce(first string, then func(string) string) func(string) string {
 	var mu sync.Mutex
 	asked := false
 	return func(line string) string {
@@ -72,25 +72,27 @@
 	}
 }
 
-// fake is a server on a loopback socket. serve handles each connection and records the lines and
-// bodies received.
-type fake struct {
-	addr  string
-	seen  chan string // the first line and body of each request
-	conns atomic.Int32
-	ended chan struct{} // an element for each connection closed by the other side
+// fakeServer is a server on a loopback socket. serve handles each connection and records the lines
+// and bodies received.
+type fakeServer struct {
+	addr       string
+	received   chan string // the first line and body of each request
+	connCount  atomic.Int32
+	peerCloses chan struct{} // an element for each connection closed by the other side
 
-	// connected has an element for each accepted connection, closed for each closed by this side.
-	connected, closed chan struct{}
+	// accepts has an element for each accepted connection, ownCloses for each ownCloses by this
+	// side.
+	accepts, ownCloses chan struct{}
 }
 
-// startFake starts a server that answers each request with the text returned by answer: "" means no
-// answer, "close" closes the connection, and the suffix "{cut}" closes it after the text.
-func startFake(t testing.TB, answer func(line string) string) *fake {
+// startFakeServer starts a server that answers each request with the text returned by answer: ""
+// means no answer, "close" closes the connection, and the suffix "{cut}" closes it after the text.
+func startFakeServer(t testing.TB, answer func(line string) string) *fakeServer {
 	t.Helper()
 	ln := listenLocal(t)
-	f := &fake{addr: ln.Addr().String(), seen: make(chan string, 10000), ended: make(chan struct{}, 10000),
-		connected: make(chan struct{}, 10000), closed: make(chan struct{}, 10000)}
+	f := &fakeServer{addr: ln.Addr().String(), received: make(chan string, 10000),
+		peerCloses: make(chan struct{}, 10000),
+		accepts:    make(chan struct{}, 10000), ownCloses: make(chan struct{}, 10000)}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var open []net.Conn
@@ -109,13 +111,13 @@
 			if err != nil {
 				return
 			}
-			f.conns.Add(1)
-			f.connected <- struct{}{}
+			f.connCount.Add(1)
+			f.accepts <- struct{}{}
 			mu.Lock()
 			open = append(open, c)
 			mu.Unlock()
 			wg.Go(func() {
-				defer func() { c.Close(); f.closed <- struct{}{} }()
+				defer func() { c.Close(); f.ownCloses <- struct{}{} }()
 				f.serve(c, answer)
 			})
 		}
@@ -123,12 +125,12 @@
 	return f
 }
 
-func (f *fake) serve(c net.Conn, answer func(string) string) {
+func (f *fakeServer) serve(c net.Conn, answer func(string) string) {
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			f.ended <- struct{}{}
+			f.peerCloses <- struct{}{}
 			return
 		}
 		line = strings.TrimSpace(line)
@@ -154,13 +156,13 @@
 		if _, err := io.ReadFull(r, body); err != nil {
 			return
 		}
-		f.seen <- line + " " + strings.TrimSpace(string(body))
+		f.received <- line + " " + strings.TrimSpace(string(body))
 		switch a := answer(line); a {
 		case "":
 		case "close":
 			return
 		default:
-			text := strings.TrimSuffix(strings.ReplaceAll(a, "{id}", idOf(line)), "{cut}")
+			text := strings.TrimSuffix(strings.ReplaceAll(a, "{id}", requestIDOf(line)), "{cut}")
 			if _, err := io.WriteString(c, text); err != nil {
 				return
 			}
@@ -171,8 +173,8 @@
 	}
 }
 
-// idOf returns the request's id in either protocol.
-func idOf(line string) string {
+// requestIDOf returns the request's id in either protocol.
+func requestIDOf(line string) string {
 	for f := range strings.FieldsSeq(line) {
 		if f[0] == 'O' && len(f) > 1 {
 			return f[1:]
@@ -188,19 +190,19 @@
 		strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-func hit(string) string { return "VA 5 O{id} h1 Lqps=3,util=0.1\r\nhello\r\n" }
+func hitAnswer(string) string { return "VA 5 O{id} h1 Lqps=3,util=0.1\r\nhello\r\n" }
 
-func miss(string) string { return "EN O{id} h0\r\n" }
+func missAnswer(string) string { return "EN O{id} h0\r\n" }
 
-func originOK(line string) string {
+func originAnswer(line string) string {
 	if strings.HasPrefix(line, "PUT") {
 		return httpAnswer("200 OK", "5c0f")
 	}
 	return httpAnswer("200 OK", "fresh")
 }
 
-// directory is a fake discovery service.
-type directory struct {
+// fakeDiscovery is a fake discovery service.
+type fakeDiscovery struct {
 	*httptest.Server
 	mu      sync.Mutex
 	lists   []endpointList // the complete list first, then changes
@@ -208,9 +210,9 @@
 	calls   chan string
 }
 
-func startDirectory(t testing.TB, first endpointList) *directory {
+func startFakeDiscovery(t testing.TB, first endpointList) *fakeDiscovery {
 	t.Helper()
-	d := &directory{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
+	d := &fakeDiscovery{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls <- r.URL.RawQuery
 		after := r.URL.Query().Get("after")
@@ -229,7 +231,7 @@
 			select {
 			case <-changed:
 			case <-time.After(time.Duration(ms) * time.Millisecond):
-				json.NewEncoder(w).Encode(endpointList{Version: watchedVersion(after)})
+				json.NewEncoder(w).Encode(endpointList{Version: parseVersion(after)})
 				return
 			case <-r.Context().Done():
 				return
@@ -240,14 +242,14 @@
 	return d
 }
 
-// watchedVersion parses the version in a watch call.
-func watchedVersion(after string) int64 {
+// parseVersion parses the version in a watch call.
+func parseVersion(after string) int64 {
 	v, _ := strconv.ParseInt(after, 10, 64)
 	return v
 }
 
-// change publishes changes to the list.
-func (d *directory) change(entries ...listEntry) {
+// publishChange publishes changes to the list.
+func (d *fakeDiscovery) publishChange(entries ...listEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	last := d.lists[len(d.lists)-1]
@@ -256,16 +258,16 @@
 	d.changed = make(chan struct{})
 }
 
-func box(id, addr string) listEntry {
+func cacheEntry(id, addr string) listEntry {
 	return listEntry{ID: id, Addr: addr, Zone: "a", Kind: "box", State: "active", Weight: 1}
 }
 
-func originAt(addr string) listEntry {
-	e := box("s-00000063", addr)
+func originEntry(addr string) listEntry {
+	e := cacheEntry("s-00000063", addr)
 	e.Kind = "origin"
 	return e
 }
 
-func full(entries ...listEntry) endpointList {
+func completeList(entries ...listEntry) endpointList {
 	return endpointList{Version: 1, IsComplete: true, Servers: entries}
 }
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -117,13 +117,13 @@
 		t.Fatal(err)
 	}
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
-	cfg.Admission = onePlaceAdmission()
+	cfg.Admission = singleSlotAdmission()
 	listener := listenLocal(t)
 	next := newRouter(t, cfg, listener)
 	if err := next.Inherit(text, nil); err != nil {
 		t.Fatal(err)
 	}
-	run(t, next, listener)
+	runRouter(t, next, listener)
 	eventually(t, next.loop, "the inherited list", func() bool { return len(next.loop.targets) == 7 })
 	onLoop(next.loop, func() {
 		if got := slices.Sorted(maps.Keys(next.loop.disabledByOperator)); !slices.Equal(got, []string{"s-0000000c"}) {
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -12,9 +12,9 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-// succeeded starts a router that takes over from old, and returns it with a function that ends the
-// old router's hand-over service.
-func succeeded(t *testing.T, old *running, cfg *Config) (young *running, end context.CancelFunc) {
+// startSuccessor starts a router that takes over from old, and returns it with a function that ends
+// the old router's hand-over service.
+func startSuccessor(t *testing.T, old *runningRouter, cfg *Config) (young *runningRouter, end context.CancelFunc) {
 	t.Helper()
 	dir := t.TempDir()
 	ctx, stop := context.WithCancel(t.Context())
@@ -38,28 +38,29 @@
 		if err := r.Inherit(state, link); err != nil {
 			t.Fatal(err)
 		}
-		return run(t, r, ln), stop
+		return runRouter(t, r, ln), stop
 	}
 }
 
 func TestTwoProcessesAreOneRouter(t *testing.T) {
-	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", a.addr), box("s-0000000c", b.addr), originAt(o.addr)))
+	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", a.addr), cacheEntry("s-0000000c", b.addr),
+		originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
-	old := start(t, cfg)
-	c := dial(t, old.addr)
-	for c.ask("mn") != "MN" {
+	old := startRouter(t, cfg)
+	c := dialClient(t, old.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	if err := old.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
 	}
 	// The successor's own configuration and discovery have no list: its list is from the old
 	// process.
-	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
-	c2 := dial(t, successor.addr)
+	successor, end := startSuccessor(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	c2 := dialClient(t, successor.addr)
 	for !successor.router.Ready() {
 	}
-	disabled := func(r *running) int64 {
+	disabled := func(r *runningRouter) int64 {
 		done := make(chan int64)
 		r.router.loop.post(func() { _, n := r.router.loop.balancer.CountEndpoints(); done <- int64(n) })
 		return receive(t, done, "count")
@@ -82,16 +83,16 @@
 	if got := disabled(successor); got != 0 {
 		t.Errorf("servers enabled in the old process: %d disabled in the successor", got)
 	}
-	for _, r := range []*running{old, successor} {
+	for _, r := range []*runningRouter{old, successor} {
 		if err := r.router.SetDisabled(t.Context(), "s-000000ff", true); !errors.Is(err, admin.ErrUnknownServer) {
 			t.Errorf("unlisted server: got %v", err)
 		}
 	}
 	// A list that the old process receives from discovery reaches the successor.
 	wasReady := successor.router.Ready()
-	leaving := box("s-0000000b", a.addr)
+	leaving := cacheEntry("s-0000000b", a.addr)
 	leaving.State = "leaving"
-	d.change(leaving, box("s-0000000d", b.addr))
+	d.publishChange(leaving, cacheEntry("s-0000000d", b.addr))
 	for listed := 0; listed == 0; {
 		done := make(chan int)
 		successor.router.loop.post(func() { done <- len(successor.router.loop.entries) })
@@ -113,9 +114,9 @@
 	end()
 	for successor.router.peers.count() > 0 || successor.router.loop.valueBytes.limit.Load() != 192<<20/16 {
 	}
-	c3 := dial(t, successor.addr)
+	c3 := dialClient(t, successor.addr)
 	for _, c := range []*client{c2, c3} { // one of them may have been accepted by the old process
-		if got := c.ask("mn"); got != "MN" && got != "EOF" {
+		if got := c.exchange("mn"); got != "MN" && got != "EOF" {
 			t.Errorf("got %q", got)
 		}
 	}
@@ -124,18 +125,18 @@
 // Guards against losing a list that the old process has received from discovery, but not yet
 // processed when its state is handed over.
 func TestListThatCrossesTheHandOverReachesTheNewProcess(t *testing.T) {
-	s, o := startFake(t, hit), startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
-	for c := dial(t, old.addr); c.ask("mn") != "MN"; {
+	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
+	old := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	for c := dialClient(t, old.addr); c.exchange("mn") != "MN"; {
 	}
 	l, blockLoop := old.router.loop, newGate(t)
 	running := make(chan struct{})
 	l.post(func() { close(running); <-blockLoop.opened })
 	receive(t, running, "the loop")
-	leaving := box("s-0000000b", s.addr)
+	leaving := cacheEntry("s-0000000b", s.addr)
 	leaving.State = "leaving"
-	d.change(leaving)
+	d.publishChange(leaving)
 	for len(l.events) == 0 { // the list is queued behind the running event
 	}
 	stateRequested := make(chan struct{})
@@ -145,7 +146,7 @@
 		}
 		blockLoop.open()
 	}()
-	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	successor, end := startSuccessor(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
 	receive(t, stateRequested, "the call for the state")
 	eventually(t, successor.router.loop, "the list", func() bool {
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -31,7 +31,7 @@
 	s := newClients(l, ln, places)
 	s.wg.Go(func() { l.run(t.Context()) })
 	s.wg.Go(s.accept)
-	l.post(func() { l.updateEndpoints(0, full(entries...)) })
+	l.post(func() { l.updateEndpoints(0, completeList(entries...)) })
 	return l, ln.Addr().String()
 }
 
@@ -45,14 +45,14 @@
 // eventually waits until holds, which runs on the loop, returns true.
 func eventually(t testing.TB, l *loop, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(wait); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		var isTrue bool
 		onLoop(l, func() { isTrue = holds() })
 		if isTrue {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", wait, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 	c.Close()
 }
 
-// readOf returns a read of the given key, with a deadline of d milliseconds.
-func readOf(key int, id string, d int) string {
+// readCommandOfKey returns a read of the given key, with a deadline of d milliseconds.
+func readCommandOfKey(key int, id string, d int) string {
 	return fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=%d", key, id, d)
 }
 
@@ -81,7 +81,7 @@
 // startLoopAndClients is startLoop with long deadlines; it also returns the clients.
 func startLoopAndClients(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
-	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
+	cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.Limits.MemoryMB = memoryMB
 	return startLoopWith(t, cfg, places, entries...)
 }
@@ -100,12 +100,12 @@
 	go func() { defer close(ended); l.run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
 	s.wg.Go(s.accept)
-	l.post(func() { l.updateEndpoints(0, full(entries...)) })
+	l.post(func() { l.updateEndpoints(0, completeList(entries...)) })
 	return l, s, ln.Addr().String()
 }
 
-// onePlaceAdmission returns a configuration that admits one request at a time.
-func onePlaceAdmission() *AdmissionConfig {
+// singleSlotAdmission returns a configuration that admits one request at a time.
+func singleSlotAdmission() *AdmissionConfig {
 	return &AdmissionConfig{
 		Rules: admission.Config{OthersWeight: 1, Flows: 8, Buckets: 2, RehashMillis: 10000, QueueLimit: 2,
 			ReservationLimit: 8, MaxWaitMillis: 1e6, MaxRetryAfterMillis: 1500,
@@ -114,8 +114,9 @@
 	}
 }
 
-// awaitEnd closes the listener and waits until all connections and their goroutines have ended.
-func (s *clients) awaitEnd(t *testing.T) {
+// closeAndAwaitEnd closes the listener and waits until all connections and their goroutines have
+// ended.
+func (s *clients) closeAndAwaitEnd(t *testing.T) {
 	t.Helper()
 	s.listener.Close()
 	done := make(chan struct{})
@@ -123,8 +124,8 @@
 	receive(t, done, "end of all connections")
 }
 
-// longLived sets all deadlines so high that none expires during a test.
-func longLived(cfg *Config) *Config {
+// withLongDeadlines sets all deadlines so high that none expires during a test.
+func withLongDeadlines(cfg *Config) *Config {
 	for i := range cfg.settings.Config.Classes {
 		c := &cfg.settings.Config.Classes[i]
 		c.LatencyObjectiveMillis, c.DeadlineMillis, c.IdempotencyWindowMillis = 30000, 60000, 60000
@@ -162,8 +163,8 @@
 	`"caps":{"cancel":false,"mayProbe":true,"maxAttempts":4,"connIdle":10000,"connectTimeout":250},` +
 	`"rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
-// wait is the timeout for expected events. A passing test does not use it up.
-const wait = 10 * time.Second
+// testTimeout is the timeout for expected events. A passing test does not use it up.
+const testTimeout = 10 * time.Second
 
 func listenLocal(t testing.TB) net.Listener {
 	t.Helper()
@@ -181,14 +182,14 @@
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatalf("timeout waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// running is a running router under test.
-type running struct {
+// runningRouter is a runningRouter router under test.
+type runningRouter struct {
 	router  *Router
 	addr    string
 	stop    context.CancelFunc
@@ -226,18 +227,18 @@
 	return r
 }
 
-// start starts a router on a loopback listener.
-func start(t testing.TB, cfg *Config) *running {
+// startRouter starts a router on a loopback listener.
+func startRouter(t testing.TB, cfg *Config) *runningRouter {
 	t.Helper()
 	listener := listenLocal(t)
-	return run(t, newRouter(t, cfg, listener), listener)
+	return runRouter(t, newRouter(t, cfg, listener), listener)
 }
 
-// run runs a router until the test ends or stop is called.
-func run(t testing.TB, router *Router, ln net.Listener) *running {
+// runRouter runs a router until the test ends or stop is called.
+func runRouter(t testing.TB, router *Router, ln net.Listener) *runningRouter {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	r := &running{router: router, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1),
+	r := &runningRouter{router: router, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1),
 		updates: make(chan *Config)}
 	ended := make(chan struct{})
 	go func() {
@@ -248,16 +249,16 @@
 	return r
 }
 
-// serving starts a router with a fake discovery that lists the entries, and waits until it is
-// ready.
-func serving(t testing.TB, entries ...listEntry) (*running, *directory) {
+// startReadyRouter starts a router with a fake discovery that lists the entries, and waits until
+// it is ready.
+func startReadyRouter(t testing.TB, entries ...listEntry) (*runningRouter, *fakeDiscovery) {
 	t.Helper()
-	d := startDirectory(t, full(entries...))
-	r := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	d := startFakeDiscovery(t, completeList(entries...))
+	r := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	receive(t, d.calls, "call for the list")
 	receive(t, d.calls, "watch")
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	return r, d
 }
@@ -269,14 +270,14 @@
 	r *bufio.Reader
 }
 
-func dial(t testing.TB, addr string) *client {
+func dialClient(t testing.TB, addr string) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, t, bufio.NewReader(c)}
 }
 
@@ -287,8 +288,8 @@
 	}
 }
 
-// line returns the next answer and, if it has one, its value, or "EOF".
-func (c *client) line() string {
+// nextAnswer returns the next answer and, if it has one, its value, or "EOF".
+func (c *client) nextAnswer() string {
 	c.t.Helper()
 	l, err := c.r.ReadString('\n')
 	if err != nil {
@@ -305,11 +306,11 @@
 	return l
 }
 
-// ask sends a command and returns its answer.
-func (c *client) ask(command string) string {
+// exchange sends a command and returns its answer.
+func (c *client) exchange(command string) string {
 	c.t.Helper()
 	c.send(command + "\r\n")
-	return c.line()
+	return c.nextAnswer()
 }
 
 // readCommandOf returns a read of a fixed key, with a deadline of d milliseconds.
@@ -322,8 +323,8 @@
 	return fmt.Sprintf("ms 7f3a9c21e0b4d655 3 O%s Pc=bill,t=t,d=%d\r\nabc", id, d)
 }
 
-// nothingMore fails the test if more input arrives within 100 ms.
-func (c *client) nothingMore() {
+// expectNoMoreInput fails the test if more input arrives within 100 ms.
+func (c *client) expectNoMoreInput() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if b, err := c.r.ReadByte(); err == nil {
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// flaky is a fleet of cache servers whose connections end under some requests. It records the first
-// and the last server that received each request.
-type flaky struct {
+// flakyFleet is a fleet of cache servers whose connections end under some requests. It records the
+// first and the last server that received each request.
+type flakyFleet struct {
 	mu    sync.Mutex
 	first map[string]int // by request id
 	last  map[string]int
@@ -18,31 +18,31 @@
 	fails func(server, n int) bool
 }
 
-// startFlaky starts n servers.
-func startFlaky(t testing.TB, n int, fails func(server, n int) bool) (*flaky, []listEntry) {
+// startFlakyFleet starts n servers.
+func startFlakyFleet(t testing.TB, n int, fails func(server, n int) bool) (*flakyFleet, []listEntry) {
 	t.Helper()
-	f := &flaky{first: map[string]int{}, last: map[string]int{}, count: make([]int, n), fails: fails}
+	f := &flakyFleet{first: map[string]int{}, last: map[string]int{}, count: make([]int, n), fails: fails}
 	var entries []listEntry
 	for i := range n {
-		s := startFake(t, func(line string) string {
+		s := startFakeServer(t, func(line string) string {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if _, seen := f.first[idOf(line)]; !seen {
-				f.first[idOf(line)] = i
+			if _, seen := f.first[requestIDOf(line)]; !seen {
+				f.first[requestIDOf(line)] = i
 			}
-			f.last[idOf(line)] = i
+			f.last[requestIDOf(line)] = i
 			if f.count[i]++; f.fails(i, f.count[i]) {
 				return "close"
 			}
 			return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n" // far below capacity
 		})
-		entries = append(entries, box(fmt.Sprintf("s-%08x", 11+i), s.addr))
+		entries = append(entries, cacheEntry(fmt.Sprintf("s-%08x", 11+i), s.addr))
 	}
 	return f, entries
 }
 
-// cameTo returns the servers that received a request first and last, or -1 if none did.
-func (f *flaky) cameTo(id string) (first, last int) {
+// serversOf returns the servers that received a request first and last, or -1 if none did.
+func (f *flakyFleet) serversOf(id string) (first, last int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at, seen := f.first[id]; seen {
@@ -51,41 +51,41 @@
 	return -1, -1
 }
 
-// firstSolve is the earliest time, after the start, at which the placement of keys is solved.
-const firstSolve = 200 * time.Millisecond
+// firstSolveDelay is the earliest time, after the start, at which the placement of keys is solved.
+const firstSolveDelay = 200 * time.Millisecond
 
 // Guards against keys that move to another server because connections fail at every server alike,
 // before the placement is solved for the first time.
 func TestConnectionsThatEndEverywhereMoveNoKeysAtFirst(t *testing.T) {
-	checkKeysStay(t, firstSolve)
+	checkKeysStayHome(t, firstSolveDelay)
 }
 
 // Guards against the same at any time: failures that are as frequent everywhere must move no keys.
 func TestConnectionsThatEndEverywhereMoveNoKeys(t *testing.T) {
-	checkKeysStay(t, wait)
+	checkKeysStayHome(t, testTimeout)
 }
 
-// checkKeysStay makes connections end under one request in six to eight at every server alike,
+// checkKeysStayHome makes connections end under one request in six to eight at every server alike,
 // including two in a row. During the given time, keys must stay at their homes and reads must be
 // answered. Then one server fails, and its keys must move to other servers soon.
-func checkKeysStay(t *testing.T, during time.Duration) {
+func checkKeysStayHome(t *testing.T, during time.Duration) {
 	t.Helper()
 	failed := -1
-	f, entries := startFlaky(t, 3, func(server, n int) bool {
+	f, entries := startFlakyFleet(t, 3, func(server, n int) bool {
 		return server == failed || n < 60 && n%6 == 0 || n >= 60 && n%16 < 2
 	})
 	startedAt := time.Now()
-	r, _ := serving(t, append(entries, originAt(startFake(t, originOK).addr))...)
-	c := dial(t, r.addr)
+	r, _ := startReadyRouter(t, append(entries, originEntry(startFakeServer(t, originAnswer).addr))...)
+	c := dialClient(t, r.addr)
 	home := map[int]int{}
 	ask := func(i int) (key, first, last int) {
 		key = i % 30
 		id := fmt.Sprintf("%x", 1000+i)
-		got := c.ask(fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=2000,h=52000,size=5", 7919*(key+1), id))
+		got := c.exchange(fmt.Sprintf("mg %016x v O%s Pc=read,t=t,d=2000,h=52000,size=5", 7919*(key+1), id))
 		if !strings.HasPrefix(got, "VA 5 O"+id) && got != "SERVER_ERROR busy" { // all attempts may fail
 			t.Fatalf("request %d: got %q", i, got)
 		}
-		first, last = f.cameTo(id)
+		first, last = f.serversOf(id)
 		return key, first, last
 	}
 	for i := range 400 {
@@ -128,13 +128,15 @@
 	for name, cut := range map[string]string{"value": "VA 50 O{id} h1\r\nhel{cut}", "line": "VA 5{cut}"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			answer, o := once(cut, hit), startFake(t, originOK) // the first answer is incomplete
-			s1, s2 := startFake(t, answer), startFake(t, answer)
-			r, _ := serving(t, box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr))
-			if got := dial(t, r.addr).ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
+			answer, o := answerOnce(cut, hitAnswer), startFakeServer(t, originAnswer) // the first answer is incomplete
+			s1, s2 := startFakeServer(t, answer), startFakeServer(t, answer)
+			r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s1.addr), cacheEntry("s-0000000c", s2.addr),
+				originEntry(o.addr))
+			if got := dialClient(t, r.addr).exchange(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 				t.Errorf("got %q", got)
 			}
-			if n := [3]int{len(s1.seen), len(s2.seen), len(o.seen)}; n != [3]int{2, 0, 0} && n != [3]int{0, 2, 0} {
+			if n := [3]int{len(s1.received), len(s2.received), len(o.received)}; n != [3]int{2, 0, 0} &&
+				n != [3]int{0, 2, 0} {
 				t.Errorf("%v requests, want two at one server", n)
 			}
 		})
@@ -143,19 +145,20 @@
 
 // A fetch whose connection ends is retried for a read, but not for a write, which may have run.
 func TestFetchThatWasCutOffIsMadeAgain(t *testing.T) {
-	s, o := startFake(t, miss), startFake(t, once("close", originOK))
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	c := dial(t, r.addr)
-	if got := c.ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 fresh" {
+	s, o := startFakeServer(t, missAnswer), startFakeServer(t, answerOnce("close", originAnswer))
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
+	if got := c.exchange(readCommandOf("a1", 2000)); got != "VA 5 Oa1 fresh" {
 		t.Errorf("got %q", got)
 	}
-	if len(s.seen) != 1 || len(o.seen) != 2 {
-		t.Errorf("%d requests at the server and %d at the origin, want 1 and 2", len(s.seen), len(o.seen))
+	if len(s.received) != 1 || len(o.received) != 2 {
+		t.Errorf("%d requests at the server and %d at the origin, want 1 and 2", len(s.received), len(o.received))
 	}
-	o = startFake(t, once("close", originOK))
-	r, _ = serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	if got := dial(t, r.addr).ask(billCommandOf("a2", 2000)); got != "SERVER_ERROR failed" || len(o.seen) != 1 {
-		t.Errorf("write: got %q after %d attempts", got, len(o.seen))
+	o = startFakeServer(t, answerOnce("close", originAnswer))
+	r, _ = startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	if got := dialClient(t, r.addr).exchange(billCommandOf("a2", 2000)); got != "SERVER_ERROR failed" ||
+		len(o.received) != 1 {
+		t.Errorf("write: got %q after %d attempts", got, len(o.received))
 	}
 }
 
@@ -166,7 +169,7 @@
 	lose := func(answer func(string) string) func(string) string {
 		var lost sync.Once
 		return func(line string) (got string) {
-			if idOf(line) == "lost" {
+			if requestIDOf(line) == "lost" {
 				lost.Do(func() { got = "none" })
 			}
 			if got == "none" {
@@ -179,26 +182,26 @@
 		server, origin func(string) string
 		want           string
 	}{
-		"server": {lose(hit), originOK, "VA 5 Olost hello"},
-		"origin": {miss, lose(originOK), "VA 5 Olost fresh"},
+		"server": {lose(hitAnswer), originAnswer, "VA 5 Olost hello"},
+		"origin": {missAnswer, lose(originAnswer), "VA 5 Olost fresh"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o := startFake(t, c.server), startFake(t, c.origin)
-			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
+			s, o := startFakeServer(t, c.server), startFakeServer(t, c.origin)
+			d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 			cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 			cfg.settings.Config.CancelAllowed = true
 			for i := range cfg.settings.Config.Classes {
 				// by their load reports, the servers serve 30 requests a second
 				cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 1900
 			}
-			r := start(t, cfg)
-			others, lostClient := dial(t, r.addr), dial(t, r.addr)
-			for others.ask("mn") != "MN" {
+			r := startRouter(t, cfg)
+			others, lostClient := dialClient(t, r.addr), dialClient(t, r.addr)
+			for others.exchange("mn") != "MN" {
 			}
 			answer := make(chan string, 1)
 			other := func(i int) {
-				others.ask(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
+				others.exchange(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
 			}
 			for i := range 20 { // establishes the usual latency
 				other(i)
@@ -237,22 +240,23 @@
 		time.Sleep(80 * time.Millisecond) // network latency
 		return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n"
 	}
-	s1, s2, o := startFake(t, far), startFake(t, far), startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", s1.addr), box("s-0000000c", s2.addr), originAt(o.addr)))
+	s1, s2, o := startFakeServer(t, far), startFakeServer(t, far), startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s1.addr), cacheEntry("s-0000000c", s2.addr),
+		originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
 	cfg.settings.Config.CancelAllowed = true
-	r := start(t, cfg)
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	r := startRouter(t, cfg)
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	const asked = 10
 	for i := range asked {
 		line := fmt.Sprintf("mg %016x v Oa%d Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i)
-		if got := c.ask(line); !strings.HasPrefix(got, "VA ") {
+		if got := c.exchange(line); !strings.HasPrefix(got, "VA ") {
 			t.Errorf("got %q", got)
 		}
 	}
-	if n1, n2 := len(s1.seen), len(s2.seen); n1+n2 != asked || n1 == 0 || n2 == 0 {
+	if n1, n2 := len(s1.received), len(s2.received); n1+n2 != asked || n1 == 0 || n2 == 0 {
 		t.Errorf("%d requests arrived %d times at one server and %d times at the other", asked, n1, n2)
 	}
 }
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -26,26 +26,26 @@
 	for _, state := range []string{"leaving", "left"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			s, o := startFake(t, hit), startFake(t, originOK)
-			e := box("s-0000000b", s.addr)
-			r, d := serving(t, e, originAt(o.addr))
-			c := dial(t, r.addr)
-			c.ask(readCommandOf("a1", 2000))
-			receive(t, s.seen, "request")
+			s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+			e := cacheEntry("s-0000000b", s.addr)
+			r, d := startReadyRouter(t, e, originEntry(o.addr))
+			c := dialClient(t, r.addr)
+			c.exchange(readCommandOf("a1", 2000))
+			receive(t, s.received, "request")
 			e.State = state
 			changedAt := time.Now()
-			d.change(e)
+			d.publishChange(e)
 			receive(t, d.calls, "watch after the change")
 			if state == "left" {
-				receive(t, s.ended, "end of the idle connection")
+				receive(t, s.peerCloses, "end of the idle connection")
 				if took := time.Since(changedAt); took > 5*time.Second { // else its idle time has expired
 					t.Errorf("closed after %v", took)
 				}
 			}
 			for i := range 5 {
-				c.ask(readCommandOf(fmt.Sprint("b", i), 2000))
+				c.exchange(readCommandOf(fmt.Sprint("b", i), 2000))
 			}
-			if len(s.seen) > 0 {
+			if len(s.received) > 0 {
 				t.Error("a request was sent to a draining server")
 			}
 		})
@@ -55,14 +55,14 @@
 // Guards against requests on connections to a server's previous process: they are closed when the
 // list has a new start time.
 func TestRestartedServerGetsNewConnections(t *testing.T) {
-	s, o := startFake(t, hit), startFake(t, originOK)
-	e := box("s-0000000b", s.addr)
-	r, d := serving(t, e, originAt(o.addr))
-	dial(t, r.addr).ask(readCommandOf("a1", 2000))
+	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	e := cacheEntry("s-0000000b", s.addr)
+	r, d := startReadyRouter(t, e, originEntry(o.addr))
+	dialClient(t, r.addr).exchange(readCommandOf("a1", 2000))
 	e.StartedMillis = float64(time.Now().UnixMilli())
 	changedAt := time.Now()
-	d.change(e)
-	receive(t, s.ended, "end of the old connection")
+	d.publishChange(e)
+	receive(t, s.peerCloses, "end of the old connection")
 	if took := time.Since(changedAt); took > 5*time.Second { // else its idle time has expired
 		t.Errorf("closed after %v", took)
 	}
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -11,7 +11,7 @@
 	"dockhinge.example/dockhinge/internal/metrics"
 )
 
-func (r *running) figures(t *testing.T) (s metrics.Snapshot) {
+func (r *runningRouter) metricsSnapshot(t *testing.T) (s metrics.Snapshot) {
 	t.Helper()
 	text, err := r.router.Metrics()
 	if err != nil {
@@ -24,24 +24,24 @@
 }
 
 func TestFiguresCountEachEndOnce(t *testing.T) {
-	a, o := startFake(t, func(line string) string {
-		return map[string]string{"a": hit(line), "b": "SERVER_ERROR failed\r\n"}[idOf(line)[:1]]
-	}), startFake(t, func(string) string { return httpAnswer("500 Internal Server Error", "") })
-	r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
-	c := dial(t, r.addr)
+	a, o := startFakeServer(t, func(line string) string {
+		return map[string]string{"a": hitAnswer(line), "b": "SERVER_ERROR failed\r\n"}[requestIDOf(line)[:1]]
+	}), startFakeServer(t, func(string) string { return httpAnswer("500 Internal Server Error", "") })
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
 	for i := range 3 {
-		c.ask(readCommandOf(fmt.Sprint("a", i), 5000))
+		c.exchange(readCommandOf(fmt.Sprint("a", i), 5000))
 	}
-	if got := c.ask(billCommandOf("w", 5000)); got != "SERVER_ERROR failed" {
+	if got := c.exchange(billCommandOf("w", 5000)); got != "SERVER_ERROR failed" {
 		t.Fatalf("got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := c.ask(readCommandOf("a9", 5000)); got != "SERVER_ERROR busy" {
+	if got := c.exchange(readCommandOf("a9", 5000)); got != "SERVER_ERROR busy" {
 		t.Fatalf("with the only server disabled: got %q", got)
 	}
-	s := r.figures(t)
+	s := r.metricsSnapshot(t)
 	if s.Success["read"] != 3 || s.Overload["read"] != 1 || s.Error["read"] != 0 || s.Error["bill"] != 1 ||
 		s.Dispatches != 4 || s.Concurrent != 0 || s.Targets != 2 || s.TargetsDisabled != 1 {
 		t.Errorf("metrics: %+v", s)
@@ -49,8 +49,8 @@
 }
 
 func TestDisableOverTheList(t *testing.T) {
-	a, o := startFake(t, hit), startFake(t, originOK)
-	r, d := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
+	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	r, d := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
 	if err := r.router.SetDisabled(t.Context(), "s-000000bb", true); !errors.Is(err, admin.ErrUnknownServer) {
 		t.Errorf("unlisted server: got %v", err)
 	}
@@ -60,17 +60,17 @@
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", true); err != nil {
 		t.Fatal(err)
 	}
-	d.change(box("s-0000000b", a.addr))
+	d.publishChange(cacheEntry("s-0000000b", a.addr))
 	receive(t, d.calls, "watch")
-	c := dial(t, r.addr)
-	if got := c.ask(readCommandOf("a1", 5000)); got != "SERVER_ERROR busy" {
+	c := dialClient(t, r.addr)
+	if got := c.exchange(readCommandOf("a1", 5000)); got != "SERVER_ERROR busy" {
 		t.Errorf("got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-0000000b", false); err != nil {
 		t.Fatal(err)
 	}
 	for i := 2; ; i++ { // at first there may be no capacity for a cold server
-		if got := c.ask(readCommandOf(fmt.Sprint("a", i), 5000)); got == fmt.Sprintf("VA 5 Oa%d hello", i) {
+		if got := c.exchange(readCommandOf(fmt.Sprint("a", i), 5000)); got == fmt.Sprintf("VA 5 Oa%d hello", i) {
 			break
 		} else if got != "SERVER_ERROR busy" {
 			t.Fatalf("after enabling the server: got %q", got)
--- a/internal/router/overflow_test.go
+++ b/internal/router/overflow_test.go
@@ -11,16 +11,16 @@
 // connection waits for an answer: requests on further connections are rejected at once.
 func TestRequestBeyondAllBusyConnectionsIsRejected(t *testing.T) {
 	const maxConns = 3
-	silent := startFake(t, func(string) string { return "" })
-	l, _, addr := startLoopAndClients(t, 192, maxConns, box("s-0000000b", silent.addr), originAt(silent.addr))
+	silent := startFakeServer(t, func(string) string { return "" })
+	l, _, addr := startLoopAndClients(t, 192, maxConns, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
 	for i := range maxConns {
-		busy := dial(t, addr)
-		busy.send(readOf(i+1, fmt.Sprint("busy", i), 20000) + "\r\n")
-		receive(t, silent.seen, "request at the silent server")
+		busy := dialClient(t, addr)
+		busy.send(readCommandOfKey(i+1, fmt.Sprint("busy", i), 20000) + "\r\n")
+		receive(t, silent.received, "request at the silent server")
 	}
 	for i := range 5 * maxOverflowConns {
 		sentAt := time.Now()
-		got := dial(t, addr).ask(readOf(i+10, fmt.Sprint("more", i), 20000))
+		got := dialClient(t, addr).exchange(readCommandOfKey(i+10, fmt.Sprint("more", i), 20000))
 		if !strings.HasPrefix(got, "SERVER_ERROR busy") {
 			t.Fatalf("request %d beyond the limit: got %q", i, got)
 		}
@@ -37,15 +37,16 @@
 
 // Guards against silent clients whose overflow connections keep all other clients out.
 func TestSilentOverflowConnectionsEndSoon(t *testing.T) {
-	silent := startFake(t, func(string) string { return "" })
-	_, _, addr := startLoopAndClients(t, 192, 1, box("s-0000000b", silent.addr), originAt(silent.addr))
-	busy := dial(t, addr)
-	busy.send(readOf(1, "busy", 20000) + "\r\n")
-	receive(t, silent.seen, "request at the silent server")
+	silent := startFakeServer(t, func(string) string { return "" })
+	_, _, addr := startLoopAndClients(t, 192, 1, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
+	busy := dialClient(t, addr)
+	busy.send(readCommandOfKey(1, "busy", 20000) + "\r\n")
+	receive(t, silent.received, "request at the silent server")
 	for range 2 * maxOverflowConns {
-		dial(t, addr)
+		dialClient(t, addr)
 	}
-	if got := dial(t, addr).ask(readOf(2, "more", 20000)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+	if got := dialClient(t, addr).exchange(readCommandOfKey(2, "more", 20000)); !strings.HasPrefix(got,
+		"SERVER_ERROR busy") {
 		t.Errorf("after silent connections: got %q", got)
 	}
 }
--- a/internal/router/pool_test.go
+++ b/internal/router/pool_test.go
@@ -13,8 +13,8 @@
 // Guards against use of a connection that its server is about to close: a connection that was
 // acquired and not written to keeps its idle time.
 func TestUnusedConnectionKeepsItsAge(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, hitAnswer)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
 	old, err := u.acquire(t.Context(), target, false)
 	if err != nil {
@@ -30,7 +30,7 @@
 	u.mu.Lock()
 	old.idleSince = originalIdleSince
 	u.mu.Unlock()
-	u.roundTrip(t.Context(), target, getCommand(),
+	u.roundTrip(t.Context(), target, newReadCommand(),
 		attemptHooks{false, func() timeoutHint { return 0 }, noHook, noStream})
 	if kept := idleConns(u, target); len(kept) != 2 || kept[0] != old || !kept[0].idleSince.Equal(originalIdleSince) {
 		t.Errorf("the idle time was reset: %v", kept)
@@ -43,7 +43,7 @@
 	}
 }
 
-func testUpstreams(t *testing.T, idle time.Duration, limit int) *upstreams {
+func newTestUpstreams(t *testing.T, idle time.Duration, limit int) *upstreams {
 	t.Helper()
 	u := newUpstreams(idle, 250*time.Millisecond, limit)
 	ctx, stop := context.WithCancel(t.Context())
@@ -65,8 +65,8 @@
 // Guards against a request on an idle connection that the server has closed: it would end with a
 // reset and might have run.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
-	f := startFake(t, func(line string) string {
+	u := newTestUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, func(line string) string {
 		if strings.HasPrefix(line, "PUT") { // answers without announcing a close, and closes the connection
 			return httpAnswer("200 OK", "77") + "{cut}"
 		}
@@ -74,24 +74,24 @@
 	})
 	target := u.add(f.addr, true)
 	for n := range 3 {
-		if got := u.roundTrip(t.Context(), target, putCommand(), writeAlways); got.status != decide.OK {
+		if got := u.roundTrip(t.Context(), target, newWriteCommand(), unconditionalHooks); got.status != decide.OK {
 			t.Fatalf("request %d: got %v", n, got.status)
 		}
 		for kept := idleConns(u, target); len(kept) > 0 && kept[0].isQuiet(); {
 			time.Sleep(time.Millisecond) // until the end of the connection was received
 		}
 	}
-	if n := f.conns.Load(); n != 3 {
+	if n := f.connCount.Load(); n != 3 {
 		t.Errorf("%d connections, want one for each request", n)
 	}
 }
 
 func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 400*time.Millisecond, 10)
+	f := startFakeServer(t, hitAnswer)
+	u := newTestUpstreams(t, 400*time.Millisecond, 10)
 	target, startedAt := u.add(f.addr, false), time.Now()
-	u.roundTrip(t.Context(), target, getCommand(), writeAlways)
-	receive(t, f.ended, "end of the idle connection")
+	u.roundTrip(t.Context(), target, newReadCommand(), unconditionalHooks)
+	receive(t, f.peerCloses, "end of the idle connection")
 	if took := time.Since(startedAt); took < 200*time.Millisecond || took > 3*time.Second {
 		t.Errorf("closed after %v", took)
 	}
@@ -103,22 +103,22 @@
 }
 
 func TestSocketLimit(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 1)
-	f, silent := startFake(t, hit), startFake(t, func(string) string { return "" })
+	u := newTestUpstreams(t, 10*time.Second, 1)
+	f, silent := startFakeServer(t, hitAnswer), startFakeServer(t, func(string) string { return "" })
 	a, b := u.add(f.addr, false), u.add(silent.addr, false)
-	if got := u.roundTrip(t.Context(), a, getCommand(), writeAlways); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), a, newReadCommand(), unconditionalHooks); got.status != decide.OK {
 		t.Fatalf("got %v", got.status)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan reply, 1)
-	go func() { done <- u.roundTrip(ctx, b, getCommand(), writeAlways) }() // replaces the idle connection
-	receive(t, silent.seen, "request")
-	if got := u.roundTrip(t.Context(), a, getCommand(), writeAlways); got.status != decide.Unprocessed {
+	go func() { done <- u.roundTrip(ctx, b, newReadCommand(), unconditionalHooks) }() // replaces the idle connection
+	receive(t, silent.received, "request")
+	if got := u.roundTrip(t.Context(), a, newReadCommand(), unconditionalHooks); got.status != decide.Unprocessed {
 		t.Errorf("beyond the limit: got %v", got.status)
 	}
 	stop()
 	receive(t, done, "end of the canceled attempt")
-	if got := u.roundTrip(t.Context(), a, getCommand(), writeAlways); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), a, newReadCommand(), unconditionalHooks); got.status != decide.OK {
 		t.Errorf("once there is capacity: got %v", got.status)
 	}
 }
@@ -126,8 +126,8 @@
 // Guards against repeated handshakes: connections opened during a peak are used in turn. Otherwise
 // all but one would expire and be opened again at the next peak.
 func TestKeptConnectionsTakeTurns(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, hitAnswer)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
 	first, err := u.acquire(t.Context(), target, false)
 	if err != nil {
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -15,12 +15,12 @@
 // When a configuration names another discovery, the held list stays in use until the new discovery
 // provides a complete one, the old watch ends, and later changes of the old discovery are ignored.
 func TestNewDiscoveryTakesOver(t *testing.T) {
-	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
-	r, old := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
-	c := dial(t, r.addr)
+	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	r, old := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
 
 	allowAnswers, callEnded := make(chan struct{}), make(chan struct{}, 10)
-	second := startDirectory(t, full(box("s-0000000c", b.addr), originAt(o.addr)))
+	second := startFakeDiscovery(t, completeList(cacheEntry("s-0000000c", b.addr), originEntry(o.addr)))
 	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-allowAnswers:
@@ -32,24 +32,24 @@
 	t.Cleanup(func() { slow.CloseClientConnections(); slow.Close() })
 	r.updates <- testConfig(t, slow.Listener.Addr().String(), endpointList{})
 	receive(t, callEnded, "end of a first call, which was not answered") // the new discovery is called repeatedly
-	if got := c.ask(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
+	if got := c.exchange(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("while the new discovery does not answer: got %q", got)
 	}
-	receive(t, a.seen, "request at the server of the held list")
-	removed := originAt(o.addr)
+	receive(t, a.received, "request at the server of the held list")
+	removed := originEntry(o.addr)
 	removed.State = "left"
-	old.change(removed) // the watch has ended, so this must have no effect
+	old.publishChange(removed) // the watch has ended, so this must have no effect
 	close(allowAnswers)
 	receive(t, second.calls, "call for the complete list")
 	receive(t, second.calls, "watch")
-	receive(t, a.ended, "end of the connection to the server that the new list lacks")
+	receive(t, a.peerCloses, "end of the connection to the server that the new list lacks")
 	for i := range 3 {
-		if got := c.ask(readCommandOf(fmt.Sprint("b", i), 5000)); !strings.HasSuffix(got, "hello") {
+		if got := c.exchange(readCommandOf(fmt.Sprint("b", i), 5000)); !strings.HasSuffix(got, "hello") {
 			t.Errorf("after the change: got %q", got)
 		}
-		receive(t, b.seen, "request at the server of the new list")
+		receive(t, b.received, "request at the server of the new list")
 	}
-	if got := c.ask(billCommandOf("w", 5000)); got != "HD Ow c5c0f" {
+	if got := c.exchange(billCommandOf("w", 5000)); got != "HD Ow c5c0f" {
 		t.Errorf("the origin removed by the old discovery: got %q", got)
 	}
 }
@@ -66,7 +66,7 @@
 	// deliver delivers a list from a discovery; the loop processes it after calling between.
 	deliver := func(d *discovery, between func()) {
 		done := make(chan struct{})
-		go func() { defer close(done); d.onList(full(box("s-0000000b", "127.0.0.1:1"))) }()
+		go func() { defer close(done); d.onList(completeList(cacheEntry("s-0000000b", "127.0.0.1:1"))) }()
 		event := receive(t, l.events, "the list")
 		between()
 		event()
@@ -83,37 +83,37 @@
 	}
 }
 
-func (r *running) reloads(t *testing.T) [2]int64 {
-	s := r.figures(t)
+func (r *runningRouter) reloadCounts(t *testing.T) [2]int64 {
+	s := r.metricsSnapshot(t)
 	return [2]int64{s.ReloadSuccess, s.ReloadFailure}
 }
 
 func TestNewClassesAtReload(t *testing.T) {
-	a, o := startFake(t, hit), startFake(t, originOK)
-	d := startDirectory(t, full(box("s-0000000b", a.addr), originAt(o.addr)))
+	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", a.addr), originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
-	r := start(t, cfg)
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	r := startRouter(t, cfg)
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	other := strings.Replace(readCommandOf("a1", 5000), "c=read", "c=fetch", 1)
 	bad := withSettings(t, cfg, `"name":"n0"`, `"name":"n1"`)
 	good := withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`)
 	r.updates <- bad
 	r.updates <- withSettings(t, cfg, `"hardLimit":2000,"gain":1}`, `"hardLimit":2000,"gain":1}`+" ") // unchanged
-	if got := c.ask(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
+	if got := c.exchange(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
 		t.Errorf("before: got %q", got)
 	}
 	r.updates <- good
 	r.updates <- good // accepted once the previous one has been applied
-	if got := c.ask(other); got != "VA 5 Oa1 hello" {
+	if got := c.exchange(other); got != "VA 5 Oa1 hello" {
 		t.Errorf("new class: got %q", got)
 	}
-	if got := c.ask(readCommandOf("a2", 5000)); !strings.HasPrefix(got, "CLIENT_ERROR") {
+	if got := c.exchange(readCommandOf("a2", 5000)); !strings.HasPrefix(got, "CLIENT_ERROR") {
 		t.Errorf("removed class: got %q", got)
 	}
 	r.updates <- bad
-	if got := r.reloads(t); got[0] < 2 || got[1] < 1 {
+	if got := r.reloadCounts(t); got[0] < 2 || got[1] < 1 {
 		t.Errorf("got %v", got)
 	}
 }
@@ -168,35 +168,35 @@
 func TestQueuedRequestKeepsItsClassOverReload(t *testing.T) {
 	r, _, answer, first, second, cfg := startWithQueuedRequest(t)
 	l := r.router.loop
-	updated := longLived(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
+	updated := withLongDeadlines(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
 	updated.Admission = cfg.Admission
 	updated.settings.Config.HealthChecks = false
 	r.updates <- updated
 	eventually(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
 	answer.open()
 	for i, c := range []*client{first, second} {
-		if got, want := c.line(), "VA 5 O"+string("ab"[i])+" hello"; got != want {
+		if got, want := c.nextAnswer(), "VA 5 O"+string("ab"[i])+" hello"; got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
 
-// polled returns the configuration of one of 300 routers that poll one discovery.
-func polled(t *testing.T, cfg *Config) *Config {
+// withPolledDiscovery returns the configuration of one of 300 routers that poll one discovery.
+func withPolledDiscovery(t *testing.T, cfg *Config) *Config {
 	t.Helper()
 	cfg = withSettings(t, cfg, `"discovery":"push"`, `"discovery":"ask"`)
 	return withSettings(t, cfg, `"balancers":1`, `"balancers":300`)
 }
 
-// servingPolled starts a router that polls discovery and already holds its list, and waits until it
-// is watching.
-func servingPolled(t *testing.T, entries ...listEntry) *running {
+// startPollingRouter starts a router that polls discovery and already holds its list, and waits
+// until it is watching.
+func startPollingRouter(t *testing.T, entries ...listEntry) *runningRouter {
 	t.Helper()
-	d := startDirectory(t, full(entries...))
-	r := start(t, polled(t, testConfig(t, d.Listener.Addr().String(), full(entries...))))
+	d := startFakeDiscovery(t, completeList(entries...))
+	r := startRouter(t, withPolledDiscovery(t, testConfig(t, d.Listener.Addr().String(), completeList(entries...))))
 	receive(t, d.calls, "watch")
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	return r
 }
@@ -205,10 +205,10 @@
 // as long as changes. The new discovery is asked for the changes to the list in the configuration;
 // the two together replace the held list, whose versions are unrelated.
 func TestAnotherDiscoveryIsAskedForChangesToItsConfigurationsList(t *testing.T) {
-	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
-	r := servingPolled(t, box("s-0000000b", a.addr), originAt(o.addr))
-	c := dial(t, r.addr)
-	if got := c.ask(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
+	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	r := startPollingRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
+	if got := c.exchange(readCommandOf("a0", 5000)); got != "VA 5 Oa0 hello" {
 		t.Errorf("before: got %q", got)
 	}
 	queries := make(chan string, 10)
@@ -223,26 +223,26 @@
 	}))
 	t.Cleanup(second.Close)
 	t.Cleanup(hold.open)
-	known := full(box("s-0000000c", b.addr), originAt(o.addr))
+	known := completeList(cacheEntry("s-0000000c", b.addr), originEntry(o.addr))
 	known.Version = 8
-	r.updates <- polled(t, testConfig(t, second.Listener.Addr().String(), known))
-	receive(t, a.ended, "end of the connection to the server that the new list lacks")
+	r.updates <- withPolledDiscovery(t, testConfig(t, second.Listener.Addr().String(), known))
+	receive(t, a.peerCloses, "end of the connection to the server that the new list lacks")
 	if got := receive(t, queries, "call"); got != "8" {
 		t.Errorf("call for the changes after %q, want 8", got)
 	}
-	if got := c.ask(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
+	if got := c.exchange(readCommandOf("a1", 5000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
 	}
-	receive(t, b.seen, "request at the server of the new list")
+	receive(t, b.received, "request at the server of the new list")
 }
 
 // Guards against a watch that stops answering just after the change to another discovery and is
 // replaced only after its usual long wait. What discovery has 4 s after the change counts as
 // received then.
 func TestSilentWatchAfterAMoveIsGivenUpSoon(t *testing.T) {
-	a, o := startFake(t, hit), startFake(t, originOK)
-	entries := []listEntry{box("s-0000000b", a.addr), originAt(o.addr)}
-	r := servingPolled(t, entries...)
+	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	entries := []listEntry{cacheEntry("s-0000000b", a.addr), originEntry(o.addr)}
+	r := startPollingRouter(t, entries...)
 	calls := make(chan string, 100)
 	var answered atomic.Int32
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -254,7 +254,7 @@
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	t.Cleanup(func() { second.CloseClientConnections(); second.Close() })
-	r.updates <- polled(t, testConfig(t, second.Listener.Addr().String(), full(entries...)))
+	r.updates <- withPolledDiscovery(t, testConfig(t, second.Listener.Addr().String(), completeList(entries...)))
 	movedAt := time.Now()
 	for _, what := range []string{"call", "unanswered watch", "next call"} {
 		receive(t, calls, what)
@@ -268,14 +268,14 @@
 // that is overloaded and rejects the first calls, a drain must still be applied in time.
 func TestDrainIsLearntFromACrowdedDiscovery(t *testing.T) {
 	const rejectedCalls = 3
-	a, b, o := startFake(t, hit), startFake(t, hit), startFake(t, originOK)
-	entries := []listEntry{box("s-0000000b", a.addr), box("s-0000000c", b.addr), originAt(o.addr)}
-	r := servingPolled(t, entries...)
+	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	entries := []listEntry{cacheEntry("s-0000000b", a.addr), cacheEntry("s-0000000c", b.addr), originEntry(o.addr)}
+	r := startPollingRouter(t, entries...)
 	calls := make(chan time.Time, 100)
-	drained := full(entries...)
+	drained := completeList(entries...)
 	drained.Version = 2
 	drained.Servers[0].State = "leaving"
-	second := startDirectory(t, drained)
+	second := startFakeDiscovery(t, drained)
 	crowded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- time.Now()
 		if len(calls) <= rejectedCalls {
@@ -286,17 +286,17 @@
 	}))
 	t.Cleanup(func() { crowded.CloseClientConnections(); crowded.Close() })
 	movedAt := time.Now()
-	r.updates <- polled(t, testConfig(t, crowded.Listener.Addr().String(), full(entries...)))
+	r.updates <- withPolledDiscovery(t, testConfig(t, crowded.Listener.Addr().String(), completeList(entries...)))
 	receive(t, second.calls, "accepted call")
 	receive(t, second.calls, "watch")
 	if took := time.Since(movedAt); took > 4*time.Second {
 		t.Errorf("the list was current again %v after the new configuration", took)
 	}
-	c := dial(t, r.addr)
+	c := dialClient(t, r.addr)
 	for i := range 20 {
-		c.ask(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
+		c.exchange(fmt.Sprintf("mg %016x v O%x Pc=read,t=t,d=2000,h=52000,size=5", 7919*(i+1), i))
 	}
-	if len(a.seen) > 0 {
-		t.Errorf("%d requests to the draining server", len(a.seen))
+	if len(a.received) > 0 {
+		t.Errorf("%d requests to the draining server", len(a.received))
 	}
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -222,7 +222,7 @@
 // request has ended in the meantime.
 func (l *loop) startStream(a *attempt, got reply) *response {
 	r := a.request
-	if a.isDone || a.isCancelled || r.isDone {
+	if a.isDone || a.isCanceled || r.isDone {
 		return nil
 	}
 	a.isDone = true
--- a/internal/router/requests_test.go
+++ b/internal/router/requests_test.go
@@ -11,16 +11,16 @@
 // Guards against records, timers and reserved memory that outlive an answered request, on a
 // connection that stays open and with deadlines far in the future.
 func TestNothingIsKeptOfAnsweredRequests(t *testing.T) {
-	s, o := startFake(t, hit), startFake(t, originOK)
-	l, addr := startLoop(t, 192, 10, box("s-0000000b", s.addr), originAt(o.addr))
-	c := dial(t, addr)
+	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	l, addr := startLoop(t, 192, 10, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c := dialClient(t, addr)
 	for i := range 50 {
-		if got := c.ask(readCommandOf(fmt.Sprint("a", i), 4000000000)); !strings.HasPrefix(got, "VA ") {
+		if got := c.exchange(readCommandOf(fmt.Sprint("a", i), 4000000000)); !strings.HasPrefix(got, "VA ") {
 			t.Fatalf("got %q", got)
 		}
-		c.ask(fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow%d Pc=put,t=t,d=4000000000,k=7\r\nabc", i))
+		c.exchange(fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow%d Pc=put,t=t,d=4000000000,k=7\r\nabc", i))
 	}
-	if got := c.ask("quit"); got != "EOF" { // sent once the router has accounted for all answers
+	if got := c.exchange("quit"); got != "EOF" { // sent once the router has accounted for all answers
 		t.Errorf("got %q", got)
 	}
 	farTimers := 0
@@ -42,24 +42,24 @@
 // Guards against two open requests with the same id, which cache servers could not distinguish.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	release := make(chan struct{})
-	s := startFake(t, func(line string) string { <-release; return hit(line) })
-	l, addr := startLoop(t, 192, 10, box("s-0000000b", s.addr), originAt(s.addr))
-	one, two := dial(t, addr), dial(t, addr)
+	s := startFakeServer(t, func(line string) string { <-release; return hitAnswer(line) })
+	l, addr := startLoop(t, 192, 10, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
+	one, two := dialClient(t, addr), dialClient(t, addr)
 	one.send(readCommandOf("a1", 2000) + "\r\n")
-	receive(t, s.seen, "request")
-	if got := two.ask(readCommandOf("a1", 2000)); !strings.HasPrefix(got, "CLIENT_ERROR ") {
+	receive(t, s.received, "request")
+	if got := two.exchange(readCommandOf("a1", 2000)); !strings.HasPrefix(got, "CLIENT_ERROR ") {
 		t.Errorf("got %q", got)
 	}
 	close(release)
-	if got := one.line(); got != "VA 5 Oa1 hello" {
+	if got := one.nextAnswer(); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
 	}
-	if got := two.ask(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
+	if got := two.exchange(readCommandOf("a1", 2000)); got != "VA 5 Oa1 hello" {
 		t.Errorf("after the answer: got %q", got)
 	}
 	onLoop(l, func() {
-		if len(s.seen) != 1 {
-			t.Errorf("%d further requests were sent", len(s.seen))
+		if len(s.received) != 1 {
+			t.Errorf("%d further requests were sent", len(s.received))
 		}
 	})
 }
@@ -68,8 +68,8 @@
 // write beyond that is rejected and has not run.
 func TestHeldValuesAreBounded(t *testing.T) {
 	release := make(chan struct{})
-	o := startFake(t, func(line string) string { <-release; return originOK(line) })
-	l, addr := startLoop(t, 16, 100, originAt(o.addr)) // a budget of 1 MiB
+	o := startFakeServer(t, func(line string) string { <-release; return originAnswer(line) })
+	l, addr := startLoop(t, 16, 100, originEntry(o.addr)) // a budget of 1 MiB
 	value := strings.Repeat("v", maxBufferedValue)
 	write := func(c *client, id int) {
 		c.send(fmt.Sprintf("ms 7f3a9c21e0b4d655 %d Ow%d Pc=put,t=t,d=2000,k=%d\r\n%s\r\n", maxBufferedValue, id, id,
@@ -77,24 +77,24 @@
 	}
 	var first []*client
 	for i := range 16 {
-		c := dial(t, addr)
+		c := dialClient(t, addr)
 		write(c, i)
 		first = append(first, c)
 	}
 	for isFull := false; !isFull; {
 		onLoop(l, func() { isFull = l.valueBytes.used.Load() == l.valueBytes.limit.Load() })
 	}
-	c := dial(t, addr)
+	c := dialClient(t, addr)
 	write(c, 99)
-	if got := c.line(); got != "SERVER_ERROR busy" {
+	if got := c.nextAnswer(); got != "SERVER_ERROR busy" {
 		t.Errorf("beyond the limit: got %q", got)
 	}
 	close(release)
 	for _, c := range first {
-		c.line()
+		c.nextAnswer()
 	}
 	write(c, 100)
-	if got := c.line(); got != "HD Ow100 c5c0f" {
+	if got := c.nextAnswer(); got != "HD Ow100 c5c0f" {
 		t.Errorf("once there is capacity: got %q", got)
 	}
 }
@@ -102,10 +102,10 @@
 // Answers that clients have not received are limited too: a request beyond that is rejected before
 // it reaches the Balancer.
 func TestUntakenAnswersAreBounded(t *testing.T) {
-	l, addr := startLoop(t, 16, 10, originAt("127.0.0.1:1"))
+	l, addr := startLoop(t, 16, 10, originEntry("127.0.0.1:1"))
 	l.answerBytes.reserve(int(l.answerBytes.limit.Load()))
-	c := dial(t, addr)
-	if got := c.ask(readCommandOf("a1", 2000)); got != "SERVER_ERROR busy" {
+	c := dialClient(t, addr)
+	if got := c.exchange(readCommandOf("a1", 2000)); got != "SERVER_ERROR busy" {
 		t.Errorf("got %q", got)
 	}
 	onLoop(l, func() {
@@ -116,30 +116,30 @@
 }
 
 func TestHitIsServedAndPassedOnAsItCame(t *testing.T) {
-	s, o := startFake(t, hit), startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	c := dial(t, r.addr)
-	if got := c.ask("mg 7f3a9c21e0b4d655 v Oa1 Pc=read,t=t,zz=9,d=480,k=7,h=52000"); got != "VA 5 Oa1 hello" {
+	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
+	if got := c.exchange("mg 7f3a9c21e0b4d655 v Oa1 Pc=read,t=t,zz=9,d=480,k=7,h=52000"); got != "VA 5 Oa1 hello" {
 		t.Errorf("got %q", got)
 	}
 	var d int
-	got := receive(t, s.seen, "request")
+	got := receive(t, s.received, "request")
 	if n, err := fmt.Sscanf(got, "mg 7f3a9c21e0b4d655 v Oa1 Pc=read,t=t,zz=9,d=%d,k=7,h=52000", &d); n != 1 ||
 		err != nil || d < 1 || d > 480 {
 		t.Errorf("the cache server received %q", got)
 	}
-	if len(o.seen) > 0 {
+	if len(o.received) > 0 {
 		t.Error("a hit was also sent to the origin")
 	}
 }
 
 func TestMissIsFetchedFromTheOrigin(t *testing.T) {
-	s, o := startFake(t, miss), startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	if got := dial(t, r.addr).ask(readCommandOf("a1", 480)); got != "VA 5 Oa1 fresh" {
+	s, o := startFakeServer(t, missAnswer), startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	if got := dialClient(t, r.addr).exchange(readCommandOf("a1", 480)); got != "VA 5 Oa1 fresh" {
 		t.Errorf("got %q", got)
 	}
-	got := receive(t, o.seen, "fetch")
+	got := receive(t, o.received, "fetch")
 	var hint int // the remaining time; everything else is as the client sent it
 	_, facts, _ := strings.Cut(got, "X-Facts: ")
 	if n, err := fmt.Sscanf(facts, "c=read,t=t,d=%d,h=52000,size=5 ", &hint); n != 1 || err != nil || hint < 1 ||
@@ -151,16 +151,16 @@
 }
 
 func TestWriteGoesToTheOriginOnce(t *testing.T) {
-	s, o := startFake(t, miss), startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	if got := dial(t, r.addr).ask(billCommandOf("a1", 480)); got != "HD Oa1 c5c0f" {
+	s, o := startFakeServer(t, missAnswer), startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	if got := dialClient(t, r.addr).exchange(billCommandOf("a1", 480)); got != "HD Oa1 c5c0f" {
 		t.Errorf("got %q", got)
 	}
-	if got := receive(t, o.seen, "write"); !strings.HasPrefix(got, "PUT /7f3a9c21e0b4d655 ") ||
+	if got := receive(t, o.received, "write"); !strings.HasPrefix(got, "PUT /7f3a9c21e0b4d655 ") ||
 		!strings.HasSuffix(got, " abc") {
 		t.Errorf("the origin received %q", got)
 	}
-	if len(s.seen)+len(o.seen) > 0 {
+	if len(s.received)+len(o.received) > 0 {
 		t.Error("the write was sent twice")
 	}
 }
@@ -178,18 +178,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o := startFake(t, miss), startFake(t, func(string) string { return c.answer })
-			r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-			cl, sentAt := dial(t, r.addr), time.Now()
-			if got := cl.ask(billCommandOf("a1", 300)); !strings.HasPrefix(got, c.want) {
+			s, o := startFakeServer(t, missAnswer), startFakeServer(t, func(string) string { return c.answer })
+			r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+			cl, sentAt := dialClient(t, r.addr), time.Now()
+			if got := cl.exchange(billCommandOf("a1", 300)); !strings.HasPrefix(got, c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
 			}
 			if took := time.Since(sentAt); took > 300*time.Millisecond+time.Second {
 				t.Errorf("answered after %v", took)
 			}
-			receive(t, o.seen, "write")
-			cl.nothingMore()
-			if len(o.seen)+len(s.seen) > 0 {
+			receive(t, o.received, "write")
+			cl.expectNoMoreInput()
+			if len(o.received)+len(s.received) > 0 {
 				t.Error("the request was sent again")
 			}
 		})
@@ -203,7 +203,7 @@
 	const window = 100 * time.Millisecond
 	var mu sync.Mutex
 	var ranAt []time.Time
-	o := startFake(t, func(string) string {
+	o := startFakeServer(t, func(string) string {
 		mu.Lock()
 		isRepeat := len(ranAt) > 0 && time.Since(ranAt[len(ranAt)-1]) < window
 		if !isRepeat {
@@ -213,16 +213,16 @@
 		time.Sleep(2 * window)
 		return httpAnswer("500 Internal Server Error", "")
 	})
-	s := startFake(t, miss)
-	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
+	s := startFakeServer(t, missAnswer)
+	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 	cfg := withSettings(t, testConfig(t, d.Listener.Addr().String(), endpointList{}), `"window":2000`, `"window":100`)
-	r := start(t, cfg)
-	c := dial(t, r.addr)
-	for c.ask("mn") != "MN" {
+	r := startRouter(t, cfg)
+	c := dialClient(t, r.addr)
+	for c.exchange("mn") != "MN" {
 	}
 	answer := ""
 	for i := range 3 {
-		answer = c.ask(fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Oa%d Pc=put,t=t,d=2000,k=b1\r\nabc", i))
+		answer = c.exchange(fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Oa%d Pc=put,t=t,d=2000,k=b1\r\nabc", i))
 		if !strings.HasPrefix(answer, "SERVER_ERROR busy") {
 			break
 		}
@@ -237,17 +237,17 @@
 // If a cache server does not answer, the client gets one answer by its deadline, and the attempt is
 // canceled.
 func TestSilentServerIsGivenUpAtTheDeadline(t *testing.T) {
-	s, o := startFake(t, func(string) string { return "" }), startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", s.addr), originAt(o.addr))
-	c, sentAt := dial(t, r.addr), time.Now()
-	if got := c.ask(readCommandOf("a1", 200)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+	s, o := startFakeServer(t, func(string) string { return "" }), startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c, sentAt := dialClient(t, r.addr), time.Now()
+	if got := c.exchange(readCommandOf("a1", 200)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("got %q", got)
 	}
 	if took := time.Since(sentAt); took < 190*time.Millisecond || took > 1200*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	receive(t, s.ended, "end of the attempt's connection")
-	c.nothingMore()
+	receive(t, s.peerCloses, "end of the attempt's connection")
+	c.expectNoMoreInput()
 }
 
 // Start times of servers are compared with the router's clock, which counts from 1970, so that no
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -11,15 +11,15 @@
 // largeFleet returns a list of cache servers and the origin, with ids and addresses of typical
 // length.
 func largeFleet(servers int) endpointList {
-	entries := []listEntry{originAt("127.0.0.1:1")}
+	entries := []listEntry{originEntry("127.0.0.1:1")}
 	for i := range servers {
-		e := box(fmt.Sprintf("s-%08x", 0x5be20000+i),
+		e := cacheEntry(fmt.Sprintf("s-%08x", 0x5be20000+i),
 			fmt.Sprintf("10.%d.%d.%d:11211", 100+i>>16, 100+i>>8&0x7f, 100+i&0x7f))
 		e.Zone, e.Kind, e.Cell, e.Weight, e.StartedMillis = fmt.Sprintf("region-%02d-zone-%02d", i%13,
 			i%47), "box", i%64, 1.25, 1796188180127
 		entries = append(entries, e)
 	}
-	return full(entries...)
+	return completeList(entries...)
 }
 
 // Guards against limits on list or hand-over sizes that are below a fleet of 2,500 servers: an
@@ -45,9 +45,9 @@
 	}))
 	t.Cleanup(d.Close)
 	t.Cleanup(hold.open)
-	old := start(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
+	old := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	eventually(t, old.router.loop, "the list", func() bool { return len(old.router.loop.targets) == servers+1 })
-	successor, end := succeeded(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
+	successor, end := startSuccessor(t, old, testConfig(t, "127.0.0.1:1", endpointList{}))
 	defer end()
 	eventually(t, successor.router.loop, "the successor's list",
 		func() bool { return len(successor.router.loop.targets) == servers+1 })
--- a/internal/router/streaming_test.go
+++ b/internal/router/streaming_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// bigValue returns a value of n bytes in which every part differs.
-func bigValue(n int) string {
+// distinctValue returns a value of n bytes in which every part differs.
+func distinctValue(n int) string {
 	var b strings.Builder
 	for i := 0; b.Len() < n; i++ {
 		fmt.Fprintf(&b, "%d,", i)
@@ -34,31 +34,31 @@
 
 func TestLargeValuesArePassedThrough(t *testing.T) {
 	const n = 3 << 20
-	value := bigValue(n)
-	a, o := startFake(t, func(line string) string {
-		if idOf(line)[0] == 'o' {
+	value := distinctValue(n)
+	a, o := startFakeServer(t, func(line string) string {
+		if requestIDOf(line)[0] == 'o' {
 			return "EN O{id} h0\r\n"
 		}
 		return fmt.Sprintf("VA %d O{id} h1\r\n%s\r\n", n, value)
-	}), startFake(t, func(string) string { return httpAnswer("200 OK", value) })
-	r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
-	c := dial(t, r.addr)
+	}), startFakeServer(t, func(string) string { return httpAnswer("200 OK", value) })
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
+	c := dialClient(t, r.addr)
 	// Two values on one connection, from a cache server and from the origin, with a short answer in
 	// between.
 	c.send(readCommandOf("a1", 5000) + "\r\nmn\r\n")
 	if got, hasEnd := c.readStreamed(t, "a1", n); got != value || !hasEnd {
 		t.Errorf("from a cache server: %d bytes, line end %t", len(got), hasEnd)
 	}
-	if got := c.line(); got != "MN" {
+	if got := c.nextAnswer(); got != "MN" {
 		t.Errorf("after the value: got %q", got)
 	}
 	c.send(readCommandOf("o1", 5000) + "\r\n")
 	if got, hasEnd := c.readStreamed(t, "o1", n); got != value || !hasEnd {
 		t.Errorf("from the origin: %d bytes, line end %t", len(got), hasEnd)
 	}
-	for r.figures(t).Success["read"] != 2 {
+	for r.metricsSnapshot(t).Success["read"] != 2 {
 	}
-	if got := r.figures(t); got.Concurrent != 0 || got.Error["read"] != 0 {
+	if got := r.metricsSnapshot(t); got.Concurrent != 0 || got.Error["read"] != 0 {
 		t.Errorf("metrics: %+v", got)
 	}
 }
@@ -72,17 +72,17 @@
 		"no end": fmt.Sprintf("VA %d O{id} h1\r\n%s{cut}", n, strings.Repeat("v", n+100)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, o := startFake(t, func(string) string { return answer }), startFake(t, originOK)
-			r, _ := serving(t, box("s-0000000b", a.addr), originAt(o.addr))
-			c := dial(t, r.addr)
+			a, o := startFakeServer(t, func(string) string { return answer }), startFakeServer(t, originAnswer)
+			r, _ := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
+			c := dialClient(t, r.addr)
 			c.send(readCommandOf("a1", 5000) + "\r\n")
 			if got, hasEnd := c.readStreamed(t, "a1", n); hasEnd {
 				t.Errorf("%d bytes appear as a complete value", len(got))
 			}
-			if got := c.line(); got != "EOF" {
+			if got := c.nextAnswer(); got != "EOF" {
 				t.Errorf("after the value: got %q", got)
 			}
-			for r.figures(t).Error["read"] != 1 {
+			for r.metricsSnapshot(t).Error["read"] != 1 {
 			}
 		})
 	}
@@ -140,10 +140,10 @@
 }
 
 func TestLargeWritesArePassedOnWhileTheyCome(t *testing.T) {
-	value := bigValue(3<<20 + 7)
-	o := startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
-	c := dial(t, r.addr)
+	value := distinctValue(3<<20 + 7)
+	o := startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(o.addr))
+	c := dialClient(t, r.addr)
 	for _, id := range []string{"w1", "w2"} { // the second write uses the same connections
 		text := largeWrite(id, value)
 		for len(text) > 0 { // pieces of any size
@@ -151,14 +151,14 @@
 			c.send(text[:n])
 			text = text[n:]
 		}
-		if got := c.line(); got != "HD O"+id+" c5c0f" {
+		if got := c.nextAnswer(); got != "HD O"+id+" c5c0f" {
 			t.Fatalf("got %q", got)
 		}
-		if got := receive(t, o.seen, "write"); !strings.HasSuffix(got, " "+value) || idOf(got) != id {
+		if got := receive(t, o.received, "write"); !strings.HasSuffix(got, " "+value) || requestIDOf(got) != id {
 			t.Errorf("the origin received %.100q and %d bytes", got, len(got))
 		}
 	}
-	if got := r.figures(t); got.Success["bill"] != 2 || got.Dispatches != 2 ||
+	if got := r.metricsSnapshot(t); got.Success["bill"] != 2 || got.Dispatches != 2 ||
 		r.router.loop.valueBytes.used.Load() != 0 {
 		t.Errorf("metrics: %+v, %d bytes reserved", got, r.router.loop.valueBytes.used.Load())
 	}
@@ -170,7 +170,7 @@
 // A large write whose last chunk was not sent has not run, even if the rest was sent: it is
 // rejected and not failed.
 func TestLargeWriteThatCantBePassedOn(t *testing.T) {
-	value := bigValue(1 << 20)
+	value := distinctValue(1 << 20)
 	ln := listenLocal(t) // an origin that closes each connection in the middle of a value
 	closed := make(chan struct{}, 10)
 	go func() {
@@ -184,23 +184,23 @@
 			closed <- struct{}{}
 		}
 	}()
-	r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(ln.Addr().String()))
-	c := dial(t, r.addr)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(ln.Addr().String()))
+	c := dialClient(t, r.addr)
 	text := largeWrite("w1", value)
 	c.send(text[:len(text)/2])
 	receive(t, closed, "close at the origin")
 	c.send(text[len(text)/2:])
-	if got := c.line(); got != "SERVER_ERROR busy" {
+	if got := c.nextAnswer(); got != "SERVER_ERROR busy" {
 		t.Errorf("origin that closes: got %q", got)
 	}
 	if err := r.router.SetDisabled(t.Context(), "s-00000063", true); err != nil {
 		t.Fatal(err)
 	}
 	c.send(largeWrite("w2", value)) // the client's connection is still usable
-	if got := c.line(); got != "SERVER_ERROR busy" {
+	if got := c.nextAnswer(); got != "SERVER_ERROR busy" {
 		t.Errorf("disabled origin: got %q", got)
 	}
-	if got := r.figures(t); got.Overload["bill"] != 2 || got.Dispatches != 0 {
+	if got := r.metricsSnapshot(t); got.Overload["bill"] != 2 || got.Dispatches != 0 {
 		t.Errorf("metrics: %+v", got)
 	}
 }
@@ -208,23 +208,23 @@
 // Guards against a partial write that runs, and against resources left behind by a client that
 // disconnects in the middle of a value.
 func TestLargeWriteThatBreaksOff(t *testing.T) {
-	o := startFake(t, originOK)
-	r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
+	o := startFakeServer(t, originAnswer)
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(o.addr))
 	for _, cut := range []int{100 << 10, 1<<20 + 30} { // in the middle, and within the last chunk
-		c := dial(t, r.addr)
-		c.send(largeWrite("w1", bigValue(1<<20))[:cut])
-		for o.conns.Load() == 0 {
+		c := dialClient(t, r.addr)
+		c.send(largeWrite("w1", distinctValue(1<<20))[:cut])
+		for o.connCount.Load() == 0 {
 		}
 		c.Close()
 	}
 	for r.router.upstreams.uploads.Load() != 0 || r.router.loop.valueBytes.used.Load() != 0 {
 	}
-	if len(o.seen) != 0 || r.figures(t).Dispatches != 0 {
+	if len(o.received) != 0 || r.metricsSnapshot(t).Dispatches != 0 {
 		t.Error("an incomplete write has run")
 	}
-	bad := dial(t, r.addr)
-	bad.send(strings.TrimSuffix(largeWrite("w2", bigValue(1<<20)), "\r\n") + "xx")
-	if got := bad.line(); !strings.HasPrefix(got, "CLIENT_ERROR") {
+	bad := dialClient(t, r.addr)
+	bad.send(strings.TrimSuffix(largeWrite("w2", distinctValue(1<<20)), "\r\n") + "xx")
+	if got := bad.nextAnswer(); !strings.HasPrefix(got, "CLIENT_ERROR") {
 		t.Errorf("value without its line end: got %q", got)
 	}
 }
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -14,15 +14,15 @@
 // before which the attempt can't have been written. The limit for the hint follows from two
 // readings of the clock, so no test depends on the speed of the machine.
 
-// held is how long each test blocks the server or connection. A hint that does not account for it
-// is too long by that time.
-const held = 40 * time.Millisecond
+// holdTime is how long each test blocks the server or connection. A hint that does not account for
+// it is too long by that time.
+const holdTime = 40 * time.Millisecond
 
 // isSet reports whether the instant was set.
 func (i *instant) isSet() bool { return i.bits.Load() != 0 }
 
-// hintOf returns the timeout hint in a request that an upstream received, in milliseconds.
-func hintOf(t testing.TB, line string) float64 {
+// timeoutHintOf returns the timeout hint in a request that an upstream received, in milliseconds.
+func timeoutHintOf(t testing.TB, line string) float64 {
 	t.Helper()
 	_, facts, found := strings.Cut(line, ",d=")
 	if !found {
@@ -39,37 +39,37 @@
 	return hint
 }
 
-// atMost checks the hint of an attempt that can't have been written before notBefore. Its request
-// was received by the router at the time receivedAt or earlier, and allowed at most allowed
+// checkHint checks the hint of an attempt that can't have been written before notBefore. Its
+// request was received by the router at the time receivedAt or earlier, and allowed at most allowed
 // milliseconds.
-func atMost(t testing.TB, line string, allowed float64, receivedAt, notBefore time.Time) {
+func checkHint(t testing.TB, line string, allowed float64, receivedAt, notBefore time.Time) {
 	t.Helper()
-	hint := hintOf(t, line)
+	hint := timeoutHintOf(t, line)
 	remaining := allowed - float64(notBefore.Sub(receivedAt))/float64(time.Millisecond)
 	if hint > remaining || hint < 1 {
 		t.Errorf("hint of %v ms with at most %.1f ms remaining: %q", hint, remaining, line)
 	}
 }
 
-const longWait = 50000 // milliseconds that the clients of these tests wait
+const clientWaitMillis = 50000 // milliseconds that the clients of these tests wait
 
 func TestHintOfAFetchAfterAMiss(t *testing.T) {
 	answer := newGate(t)
-	s := startFake(t, func(line string) string { <-answer.opened; return miss(line) })
-	o := startFake(t, originOK)
-	_, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-	c := dial(t, addr)
-	c.send(readOf(1, "w0", longWait) + "\r\n")
-	first := receive(t, s.seen, "the read that misses")
+	s := startFakeServer(t, func(line string) string { <-answer.opened; return missAnswer(line) })
+	o := startFakeServer(t, originAnswer)
+	_, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+	c := dialClient(t, addr)
+	c.send(readCommandOfKey(1, "w0", clientWaitMillis) + "\r\n")
+	first := receive(t, s.received, "the read that misses")
 	receivedAt := time.Now()
-	if hint := hintOf(t, first); hint > longWait {
-		t.Errorf("hint of the first attempt is %v of %d ms", hint, longWait)
+	if hint := timeoutHintOf(t, first); hint > clientWaitMillis {
+		t.Errorf("hint of the first attempt is %v of %d ms", hint, clientWaitMillis)
 	}
-	time.Sleep(held)
+	time.Sleep(holdTime)
 	answeredAt := time.Now()
 	answer.open()
-	atMost(t, receive(t, o.seen, "its fetch"), longWait, receivedAt, answeredAt)
-	if got := c.line(); got != "VA 5 Ow0 fresh" {
+	checkHint(t, receive(t, o.received, "its fetch"), clientWaitMillis, receivedAt, answeredAt)
+	if got := c.nextAnswer(); got != "VA 5 Ow0 fresh" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -79,33 +79,33 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			closeConns := newGate(t)
-			answer := once("close", hit)
+			answer := answerOnce("close", hitAnswer)
 			serve := func(line string) string { <-closeConns.opened; return answer(line) }
-			a, b := startFake(t, serve), startFake(t, serve)
-			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", a.addr), box("s-0000000c", b.addr),
-				originAt("127.0.0.1:1"))
-			c := dial(t, addr)
-			c.send(readOf(1, "w0", longWait) + "\r\n")
+			a, b := startFakeServer(t, serve), startFakeServer(t, serve)
+			l, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", a.addr),
+				cacheEntry("s-0000000c", b.addr), originEntry("127.0.0.1:1"))
+			c := dialClient(t, addr)
+			c.send(readCommandOfKey(1, "w0", clientWaitMillis) + "\r\n")
 			seen := func() string {
 				select {
-				case line := <-a.seen:
+				case line := <-a.received:
 					return line
-				case line := <-b.seen:
+				case line := <-b.received:
 					return line
-				case <-time.After(wait):
+				case <-time.After(testTimeout):
 					t.Fatal("no attempt")
 					return ""
 				}
 			}
 			seen()
 			receivedAt := time.Now()
-			time.Sleep(held)
+			time.Sleep(holdTime)
 			endedAt := time.Now()
 			if how == "time-out" {
 				onLoop(l, func() { l.timeOut(l.unanswered["w0"].attempts[0]) })
 			}
 			closeConns.open()
-			atMost(t, seen(), longWait, receivedAt, endedAt)
+			checkHint(t, seen(), clientWaitMillis, receivedAt, endedAt)
 		})
 	}
 }
@@ -114,27 +114,28 @@
 // subtracted.
 func TestHintOverAConnectionThatComesUpLate(t *testing.T) {
 	for name, command := range map[string]string{
-		"read at a cache server": readOf(1, "w0", longWait) + "\r\n",
-		"write at the origin":    fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=%d,k=7\r\nabc\r\n", longWait),
+		"read at a cache server": readCommandOfKey(1, "w0", clientWaitMillis) + "\r\n",
+		"write at the origin": fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=%d,k=7\r\nabc\r\n",
+			clientWaitMillis),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, o, allowDial := startFake(t, hit), startFake(t, originOK), newGate(t)
+			s, o, allowDial := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer), newGate(t)
 			dialing := make(chan struct{}, 10)
-			l, _, addr := startLoopAndClients(t, 192, 40, box("s-0000000b", s.addr), originAt(o.addr))
-			l.upstreams.holdDials(dialing, allowDial)
-			c := dial(t, addr)
+			l, _, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
+			l.upstreams.blockDials(dialing, allowDial)
+			c := dialClient(t, addr)
 			c.send(command)
 			receive(t, dialing, "a dial")
 			receivedAt := time.Now()
-			time.Sleep(held)
+			time.Sleep(holdTime)
 			connectedAt := time.Now()
 			allowDial.open()
-			if got := c.line(); strings.HasPrefix(got, "SERVER_ERROR") {
+			if got := c.nextAnswer(); strings.HasPrefix(got, "SERVER_ERROR") {
 				t.Errorf("got %q", got)
 			}
-			for _, line := range append(receivedSoFar(s.seen), receivedSoFar(o.seen)...) {
-				atMost(t, line, longWait, receivedAt, connectedAt)
+			for _, line := range append(receivedSoFar(s.received), receivedSoFar(o.received)...) {
+				checkHint(t, line, clientWaitMillis, receivedAt, connectedAt)
 			}
 		})
 	}
@@ -143,28 +144,28 @@
 // Guards against writing a request when less than a millisecond remains, even if the loop is too
 // busy to end the attempt.
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
-	s, allowDial := startFake(t, hit), newGate(t)
-	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
+	s, allowDial := startFakeServer(t, hitAnswer), newGate(t)
+	cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.settings.Config.HealthChecks = false // their dials would be blocked too
-	l, _, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
+	l, _, addr := startLoopWith(t, cfg, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	dialing := make(chan struct{}, 10)
-	l.upstreams.holdDials(dialing, allowDial)
-	c := dial(t, addr)
+	l.upstreams.blockDials(dialing, allowDial)
+	c := dialClient(t, addr)
 	const remainingMillis = 400
-	c.send(readOf(1, "w0", remainingMillis) + "\r\n")
+	c.send(readCommandOfKey(1, "w0", remainingMillis) + "\r\n")
 	receive(t, dialing, "a dial")
 	busy := newGate(t)
 	l.post(func() { <-busy.opened })
 	time.Sleep(remainingMillis * time.Millisecond) // the request was received before that
 	allowDial.open()
-	receive(t, s.connected, "the connection")
+	receive(t, s.accepts, "the connection")
 	busy.open()
-	if got := c.line(); !strings.HasPrefix(got, "SERVER_ERROR") {
+	if got := c.nextAnswer(); !strings.HasPrefix(got, "SERVER_ERROR") {
 		t.Errorf("got %q", got)
 	}
 	eventually(t, l, "the end of all requests", func() bool { return len(l.requests) == 0 })
-	if len(s.seen) > 0 {
-		t.Errorf("sent: %q", receivedSoFar(s.seen))
+	if len(s.received) > 0 {
+		t.Errorf("sent: %q", receivedSoFar(s.received))
 	}
 }
 
@@ -175,9 +176,9 @@
 	for _, isShuttingDown := range []bool{false, true} {
 		t.Run(fmt.Sprint("shutdown ", isShuttingDown), func(t *testing.T) {
 			t.Parallel()
-			o := startFake(t, originOK)
-			r, _ := serving(t, box("s-0000000b", "127.0.0.1:1"), originAt(o.addr))
-			c := dial(t, r.addr)
+			o := startFakeServer(t, originAnswer)
+			r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(o.addr))
+			c := dialClient(t, r.addr)
 			limit := float64(allowed)
 			if isShuttingDown { // the process is shutting down
 				limit = 1500
@@ -185,11 +186,11 @@
 				onLoop(l, func() { l.answerAllBy(l.now() + limit) })
 			}
 			receivedAt := time.Now()
-			c.send(strings.Replace(largeWrite("w1", bigValue(1<<20)), "d=2000", "d=60000", 1))
-			if got := c.line(); got != "HD Ow1 c5c0f" {
+			c.send(strings.Replace(largeWrite("w1", distinctValue(1<<20)), "d=2000", "d=60000", 1))
+			if got := c.nextAnswer(); got != "HD Ow1 c5c0f" {
 				t.Fatalf("got %q", got)
 			}
-			atMost(t, strings.TrimSuffix(receive(t, o.seen, "the write"), bigValue(1<<20)), limit,
+			checkHint(t, strings.TrimSuffix(receive(t, o.received, "the write"), distinctValue(1<<20)), limit,
 				receivedAt, receivedAt)
 		})
 	}
@@ -199,11 +200,11 @@
 func TestHintAfterAdmission(t *testing.T) {
 	_, s, answer, _, second, _ := startWithQueuedRequest(t)
 	receivedAt := time.Now()
-	time.Sleep(held)
+	time.Sleep(holdTime)
 	admittedAt := time.Now()
 	answer.open()
-	atMost(t, receive(t, s.seen, "the second request"), 60000, receivedAt, admittedAt)
-	if got := second.line(); got != "VA 5 Ob hello" {
+	checkHint(t, receive(t, s.received, "the second request"), 60000, receivedAt, admittedAt)
+	if got := second.nextAnswer(); got != "VA 5 Ob hello" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -215,18 +216,18 @@
 		t.Run(fmt.Sprint("upgrade ", upgrade), func(t *testing.T) {
 			t.Parallel()
 			answer := newGate(t)
-			s := startFake(t, func(line string) string { <-answer.opened; return miss(line) })
-			o := startFake(t, originOK)
-			d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(o.addr)))
-			r := start(t, longLived(testConfig(t, d.Listener.Addr().String(), endpointList{})))
+			s := startFakeServer(t, func(line string) string { <-answer.opened; return missAnswer(line) })
+			o := startFakeServer(t, originAnswer)
+			d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
+			r := startRouter(t, withLongDeadlines(testConfig(t, d.Listener.Addr().String(), endpointList{})))
 			l := r.router.loop
-			c := dial(t, r.addr)
-			for c.ask("mn") != "MN" {
+			c := dialClient(t, r.addr)
+			for c.exchange("mn") != "MN" {
 			}
-			c.send(readOf(1, "w0", longWait) + "\r\n")
-			receive(t, s.seen, "the read")
+			c.send(readCommandOfKey(1, "w0", clientWaitMillis) + "\r\n")
+			receive(t, s.received, "the read")
 			if upgrade {
-				successor, end := succeeded(t, r, longLived(testConfig(t, "127.0.0.1:1", endpointList{})))
+				successor, end := startSuccessor(t, r, withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{})))
 				defer end()
 				for !successor.router.Ready() || r.router.peers.count() == 0 {
 				}
@@ -234,12 +235,13 @@
 			r.stop()
 			eventually(t, l, "the time limit of the process", func() bool { return l.answerDeadline.isSet() })
 			stoppedAt := time.Now()
-			time.Sleep(held)
+			time.Sleep(holdTime)
 			answeredAt := time.Now()
 			answer.open()
-			atMost(t, receive(t, o.seen, "its fetch"), min(l.longestDeadline(), minStopMillis)+answerMarginMillis,
+			checkHint(t, receive(t, o.received, "its fetch"), min(l.longestDeadline(),
+				minStopMillis)+answerMarginMillis,
 				stoppedAt, answeredAt)
-			if got := c.line(); got != "VA 5 Ow0 fresh" {
+			if got := c.nextAnswer(); got != "VA 5 Ow0 fresh" {
 				t.Errorf("got %q", got)
 			}
 		})
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -12,12 +12,12 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-func getCommand() *command {
+func newReadCommand() *command {
 	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=read,t=t,d=480", class: "read",
 		remainingMillis: 480}
 }
 
-func putCommand() *command {
+func newWriteCommand() *command {
 	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=t,d=480,k=7", class: "put",
 		remainingMillis: 480, value: []byte("abc")}
 }
@@ -25,7 +25,7 @@
 func noHook()                     {}
 func noStream(reply) *valueStream { return nil }
 
-var writeAlways = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
+var unconditionalHooks = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
 
 // Checks the outcome of an attempt, and whether its connection is reused, for each kind of answer
 // in both protocols.
@@ -138,19 +138,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFake(t, func(string) string { return c.answer })
-			u := testUpstreams(t, 10*time.Second, 10)
-			target, cmd := u.add(f.addr, c.origin), getCommand()
+			f := startFakeServer(t, func(string) string { return c.answer })
+			u := newTestUpstreams(t, 10*time.Second, 10)
+			target, cmd := u.add(f.addr, c.origin), newReadCommand()
 			if c.write {
-				cmd = putCommand()
+				cmd = newWriteCommand()
 			}
-			got := u.roundTrip(t.Context(), target, cmd, writeAlways)
+			got := u.roundTrip(t.Context(), target, cmd, unconditionalHooks)
 			if got.status != c.want || got.cacheResult != c.cacheResult {
 				t.Errorf("got status %v, cache result %d; want %v, %d",
 					got.status, got.cacheResult, c.want, c.cacheResult)
 			}
-			receive(t, f.seen, "request")
-			if len(f.seen) > 0 {
+			receive(t, f.received, "request")
+			if len(f.received) > 0 {
 				t.Error("the request was sent twice")
 			}
 			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
@@ -161,42 +161,43 @@
 }
 
 func TestNoConnectionIsNeverRan(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), false)
 	ln.Close()
-	if got := u.roundTrip(t.Context(), refusing, getCommand(), writeAlways); got.status != decide.ConnectError {
+	if got := u.roundTrip(t.Context(), refusing, newReadCommand(),
+		unconditionalHooks); got.status != decide.ConnectError {
 		t.Errorf("refused connection: got %v", got.status)
 	}
 }
 
 // An attempt abandoned before its first byte leaves nothing on the connection, which is reused.
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, hitAnswer)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	u.roundTrip(t.Context(), target, getCommand(),
+	u.roundTrip(t.Context(), target, newReadCommand(),
 		attemptHooks{false, func() timeoutHint { return 0 }, noHook, noStream})
-	if got := u.roundTrip(t.Context(), target, getCommand(), writeAlways); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), target, newReadCommand(), unconditionalHooks); got.status != decide.OK {
 		t.Errorf("got %v", got.status)
 	}
-	receive(t, f.seen, "request")
-	if len(f.seen) > 0 || f.conns.Load() != 1 {
+	receive(t, f.received, "request")
+	if len(f.received) > 0 || f.connCount.Load() != 1 {
 		t.Error("the abandoned attempt was written")
 	}
 }
 
 func TestProbe(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
-	f := startFake(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
-	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
+	u := newTestUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
+	o := startFakeServer(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
 	for _, target := range []*target{u.add(f.addr, false), u.add(o.addr, true)} {
 		status, load := u.checkHealth(t.Context(), target)
 		if status != decide.OK || load.RequestsPerSecond != 12 || load.Utilization != 0.5 {
 			t.Errorf("origin %v: got %v, %+v", target.isOrigin, status, load)
 		}
 	}
-	if st, _ := u.checkHealth(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr,
+	if st, _ := u.checkHealth(t.Context(), u.add(startFakeServer(t, func(string) string { return "ERROR\r\n" }).addr,
 		false)); st == decide.OK {
 		t.Error("an error was accepted as a load report")
 	}
@@ -240,12 +241,12 @@
 			}()
 		}
 	}()
-	u := testUpstreams(t, 10*time.Second, 10)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(ln.Addr().String(), true)
 	for n := range 5 {
-		cmd := getCommand()
+		cmd := newReadCommand()
 		cmd.id = fmt.Sprint("a", n)
-		if got := u.roundTrip(t.Context(), target, cmd, writeAlways); string(got.body) != cmd.id {
+		if got := u.roundTrip(t.Context(), target, cmd, unconditionalHooks); string(got.body) != cmd.id {
 			t.Errorf("request %s: got status %v, %q", cmd.id, got.status, got.body)
 		}
 		if n == 2 { // wait until the duplicates have arrived
