--- a/cmd/dockhinge-coord/config_status.go
+++ b/cmd/dockhinge-coord/config_status.go
@@ -18,28 +18,28 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// observerStatus is the status of one observer, or why there is none.
+// observerStatus is the status of one observer, or the error of the call.
 type observerStatus struct {
 	// Status is the observer's answer.
 	Status protocol.Status `json:"status"`
-	// Error is why it did not answer; "" if it did.
+	// Error is why the observer did not answer; "" if it did.
 	Error string `json:"error,omitempty"`
 }
 
-// configTotals are the observers' statuses added up.
+// configTotals are the totals over all observers.
 type configTotals struct {
-	// Revision is the newest that any observer has.
+	// Revision is the newest revision that any observer has.
 	Revision uint64 `json:"revision"`
 	// Watchers is how many watchers the observers that answered have.
 	Watchers int `json:"watchers"`
-	// Acknowledged is how many of the watchers have Revision in force.
+	// Acknowledged is how many of the watchers have applied Revision.
 	Acknowledged int `json:"acknowledged"`
 	// Silent is how many observers did not answer.
 	Silent int `json:"silent"`
 }
 
-// sumStatuses adds the statuses of observers up. The watchers of an observer that hasn't the newest
-// revision can't have it.
+// sumStatuses returns the totals over all observers. The watchers of an observer that does not have
+// the newest revision can't have applied it, so they don't count as acknowledged.
 func sumStatuses(observers map[string]observerStatus) (totals configTotals) {
 	for _, o := range observers {
 		if o.Error == "" {
@@ -59,7 +59,7 @@
 	return totals
 }
 
-// observerStatuses calls all observers side by side.
+// observerStatuses calls all observers concurrently, and returns their statuses by name.
 func observerStatuses(ctx context.Context, addresses map[string]string) map[string]observerStatus {
 	statuses := map[string]observerStatus{}
 	var mu sync.Mutex
@@ -81,14 +81,14 @@
 }
 
 func newConfigStatusCommand() *cobra.Command {
-	var words []string
+	var entries []string
 	var isJSON bool
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Which routers have the newest revision in force, as their observers count them",
+		Short: "Show which routers have applied the newest revision, as counted by the observers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			addresses, err := parseAddresses(words)
+			addresses, err := parseAddresses(entries)
 			if err != nil {
 				return err
 			}
@@ -107,13 +107,13 @@
 			return printConfigStatus(cmd.OutOrStdout(), statuses)
 		},
 	}
-	cmd.Flags().StringSliceVar(&words, "observers", wordsOfEnvironment("DOCKHINGE_OBSERVERS"),
-		"NAME=HOST:PORT of each (or DOCKHINGE_OBSERVERS)")
-	cmd.Flags().BoolVar(&isJSON, "json", false, "all figures as JSON")
+	cmd.Flags().StringSliceVar(&entries, "observers", wordsOfEnvironment("DOCKHINGE_OBSERVERS"),
+		"NAME=HOST:PORT of each observer (or DOCKHINGE_OBSERVERS)")
+	cmd.Flags().BoolVar(&isJSON, "json", false, "print all values as JSON")
 	return cmd
 }
 
-// printConfigStatus prints the observers, the totals, and the routers that lag.
+// printConfigStatus prints the observers, the totals, and the routers that lag behind.
 func printConfigStatus(out io.Writer, observers map[string]observerStatus) error {
 	names := slices.Sorted(maps.Keys(observers))
 	w := tabwriter.NewWriter(out, 4, 4, 2, ' ', 0)
@@ -136,13 +136,13 @@
 	fmt.Fprintf(out, "revision %d is in force at %d of %d routers that watch\n",
 		totals.Revision, totals.Acknowledged, totals.Watchers)
 	if totals.Silent > 0 {
-		fmt.Fprintf(out, "%d observers don't answer: nothing is known of their routers\n", totals.Silent)
+		fmt.Fprintf(out, "%d observers don't answer: the status of their routers is unknown\n", totals.Silent)
 	}
 	printLagging(out, names, observers)
 	return nil
 }
 
-// printLagging prints the routers that do not have the newest revision in force, if there are any.
+// printLagging prints the routers that have not applied the newest revision, if there are any.
 func printLagging(out io.Writer, names []string, observers map[string]observerStatus) {
 	w := tabwriter.NewWriter(out, 4, 4, 2, ' ', 0)
 	isFirst := true
@@ -155,10 +155,10 @@
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", lagging.Watcher, name, lagging.Revision, ageText(lagging.SinceMillis))
 		}
 	}
-	_ = w.Flush() // an error of the output was returned for the table before, if it lasts
+	_ = w.Flush() // a persistent output error was already returned for the previous table
 }
 
-// ageText is a duration for operators; one below 0 isn't known.
+// ageText formats a duration for operators; a negative one means that the observer has no state.
 func ageText(millis int64) string {
 	if millis < 0 {
 		return "no state"
--- a/cmd/dockhinge-coord/coordinators.go
+++ b/cmd/dockhinge-coord/coordinators.go
@@ -23,38 +23,39 @@
 )
 
 const (
-	// toolTTL is how long the session of an operators' tool lasts at least, and the time limit of a
+	// toolTTL is the minimum lifetime of an operators' command's session, and the time limit of a
 	// single call.
 	toolTTL = 10 * time.Second
-	// statusTimeout is the time limit of a look at how all stand.
+	// statusTimeout is the time limit for getting the statuses of all coordinators or observers.
 	statusTimeout = 3 * time.Second
-	// leaderTimeout is the time limit of a command that the leader carries out, the search for it
-	// included.
+	// leaderTimeout is the time limit of a command that the leader carries out, including the
+	// search for the leader.
 	leaderTimeout = 10 * time.Second
-	// leaderAttempts is how often the leader is looked for, leaderInterval apart.
+	// leaderAttempts is how often the search for the leader is tried.
 	leaderAttempts = 20
+	// leaderInterval is the pause between two such attempts.
 	leaderInterval = 200 * time.Millisecond
 )
 
-// States of a coordinator, as its status names them.
+// States of a coordinator in its status.
 const (
 	stateLeader = "Leader"
-	// stateWaiting is that of a coordinator which belongs to no group.
+	// stateWaiting is the state of a coordinator that does not belong to a group.
 	stateWaiting = "Waiting"
 )
 
-// toolCommand is the frame of a sub-command that calls the coordinators.
+// toolCommand describes a sub-command that calls the coordinators.
 type toolCommand struct {
 	use   string
 	short string
 	long  string
 	args  cobra.PositionalArgs
-	// flags adds flags beside --coordinators; nil for none.
+	// flags adds flags in addition to --coordinators; nil for none.
 	flags func(cmd *cobra.Command)
 	run   func(cmd *cobra.Command, args []string, c *coordinators) error
 }
 
-// build makes the cobra command, which has the flag --coordinators.
+// build returns the cobra command, with the flag --coordinators.
 func (t toolCommand) build() *cobra.Command {
 	var c coordinators
 	cmd := &cobra.Command{
@@ -65,14 +66,14 @@
 		RunE:  func(cmd *cobra.Command, args []string) error { return t.run(cmd, args, &c) },
 	}
 	cmd.Flags().StringSliceVar(&c.words, "coordinators", wordsOfEnvironment("DOCKHINGE_COORDINATORS"),
-		"NAME=HOST:PORT of each, as clients reach them (or DOCKHINGE_COORDINATORS)")
+		"NAME=HOST:PORT of each coordinator, at its address for clients (or DOCKHINGE_COORDINATORS)")
 	if t.flags != nil {
 		t.flags(cmd)
 	}
 	return cmd
 }
 
-// wordsOfEnvironment splits a variable of the environment at its commas.
+// wordsOfEnvironment returns the comma-separated values of an environment variable.
 func wordsOfEnvironment(name string) []string {
 	value := os.Getenv(name)
 	if value == "" {
@@ -81,37 +82,37 @@
 	return strings.Split(value, ",")
 }
 
-// newTable returns a writer of tables for operators: columns are separated by tabs.
+// newTable returns a writer that aligns tab-separated columns. The caller must flush it.
 func newTable(cmd *cobra.Command) *tabwriter.Writer {
 	return tabwriter.NewWriter(cmd.OutOrStdout(), 4, 4, 2, ' ', 0)
 }
 
-// parseAddresses parses words of the form NAME=HOST:PORT.
-func parseAddresses(words []string) (map[string]string, error) {
+// parseAddresses parses entries of the form NAME=HOST:PORT, and returns the addresses by name.
+func parseAddresses(entries []string) (map[string]string, error) {
 	addresses := map[string]string{}
-	for _, word := range words {
-		name, address, hasAddress := strings.Cut(word, "=")
+	for _, entry := range entries {
+		name, address, hasAddress := strings.Cut(entry, "=")
 		if !hasAddress {
-			return nil, fmt.Errorf("%q is not NAME=HOST:PORT", word)
+			return nil, fmt.Errorf("%q is not NAME=HOST:PORT", entry)
 		}
 		if err := config.CheckName(name); err != nil {
 			return nil, err
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return nil, fmt.Errorf("%s: %q is no host:port", name, address)
+			return nil, fmt.Errorf("%s: %q is not HOST:PORT", name, address)
 		}
 		addresses[name] = address
 	}
 	return addresses, nil
 }
 
-// coordinators are the coordinators that a sub-command calls, by its flag --coordinators.
+// coordinators are the coordinators that a sub-command calls, as given by its flag --coordinators.
 type coordinators struct {
-	// words are those of the flag.
+	// words are the values of the flag.
 	words []string
 }
 
-// addresses returns the addresses by name.
+// addresses returns the coordinators' addresses by name.
 func (c *coordinators) addresses() (map[string]string, error) {
 	addresses, err := parseAddresses(c.words)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return client.New(client.Options{Coordinators: addresses, TTL: toolTTL}), nil
 }
 
-// report returns how the rollout state stands.
+// report returns the current report of the rollout state.
 func (c *coordinators) report(ctx context.Context) (rollout.Report, error) {
 	reader, err := c.reader()
 	if err != nil {
@@ -143,8 +144,8 @@
 	return reader.RolloutReport(ctx, 0)
 }
 
-// withSession calls f with a session of its own that lasts for ttl, under a client name; "" stands
-// for HOST/PID. The session is kept alive by a goroutine that ends before withSession returns.
+// withSession calls f with a new session that has the given time to live and client name; "" means
+// HOST/PID. A goroutine keeps the session alive; it ends before withSession returns.
 func (c *coordinators) withSession(
 	ctx context.Context, name string, ttl time.Duration, f func(context.Context, *client.Client) error,
 ) error {
@@ -165,7 +166,7 @@
 	return f(ctx, session)
 }
 
-// execute has one rollout command carried out.
+// execute sends one rollout command in a session of its own.
 func (c *coordinators) execute(ctx context.Context, command rollout.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, toolTTL)
 	defer cancel()
@@ -175,8 +176,8 @@
 	})
 }
 
-// statuses calls all coordinators side by side, and returns the statuses of those that answer within
-// statusTimeout and the errors of the others.
+// statuses calls all coordinators concurrently. It returns the statuses of those that answer within
+// statusTimeout, and the errors of the others, by name.
 func statuses(ctx context.Context, addresses map[string]string) (map[string]node.Status, map[string]error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -201,9 +202,9 @@
 	return answers, failures
 }
 
-// withLeader calls f with the address of the leader, and looks for the leader again where it has
-// changed meanwhile. All of it ends within leaderTimeout, with an error that says what is not known
-// then.
+// withLeader calls f with the address of the leader. If the leader has changed in the meantime, it
+// searches for the new one and calls f again. After leaderTimeout it returns an error which says
+// that the outcome of the call is unknown.
 func (c *coordinators) withLeader(ctx context.Context, f func(ctx context.Context, address string) error) error {
 	addresses, err := c.addresses()
 	if err != nil {
@@ -233,7 +234,7 @@
 	return errors.Join(append(namedErrors(failures), errNoLeaderAnswers, err)...)
 }
 
-// withTimeoutHint adds to the error of a call that was cut off that its outcome is not known.
+// withTimeoutHint adds errLeaderTimeout to the error of a call that was canceled by a timeout.
 func withTimeoutHint(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
@@ -241,7 +242,8 @@
 	return errors.Join(errLeaderTimeout, err)
 }
 
-// namedErrors are the errors of coordinators, each with its name, in the order of names.
+// namedErrors returns the errors of coordinators, each prefixed with the coordinator's name,
+// ordered by name.
 func namedErrors(failures map[string]error) (named []error) {
 	for _, name := range slices.Sorted(maps.Keys(failures)) {
 		named = append(named, fmt.Errorf("%s: %w", name, failures[name]))
--- a/cmd/dockhinge-coord/documents.go
+++ b/cmd/dockhinge-coord/documents.go
@@ -20,9 +20,9 @@
 func newConfigCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "config",
-		Short: "The configuration that all routers share",
-		Long: "Documents that the coordinators agree on and observers carry to all routers. " +
-			"docs/observers.md tells more.",
+		Short: "Manage the configuration that all routers share",
+		Long: "Manages the documents that the coordinators agree on and the observers distribute to " +
+			"all routers. See docs/observers.md.",
 	}
 	cmd.AddCommand(
 		newDocumentPutCommand(),
@@ -36,8 +36,8 @@
 	return cmd
 }
 
-// checkDocument returns an error for a document that no router could read: a TOML or JSON file, by
-// its name's end, that isn't one.
+// checkDocument returns an error for a document that routers could not read: one that is too large,
+// has an invalid name, or is not the TOML or JSON that the suffix of its name announces.
 func checkDocument(name string, value []byte) error {
 	if len(value) > coord.MaxDocumentBytes {
 		return fmt.Errorf("%s: %d bytes, at most %d", name, len(value), coord.MaxDocumentBytes)
@@ -50,7 +50,7 @@
 		}
 	case strings.HasSuffix(name, ".json"):
 		if !json.Valid(value) {
-			return fmt.Errorf("%s: it is no JSON", name)
+			return fmt.Errorf("%s: not valid JSON", name)
 		}
 	}
 	return coord.CheckDocumentName(name)
@@ -64,7 +64,7 @@
 		revision, err := session.PutDocument(ctx, put)
 		var rejected *client.RejectedError
 		if errors.As(err, &rejected) && rejected.Code == coord.CodeConflict {
-			return fmt.Errorf("%s; look at it with 'config get' and say --expect %d", rejected.Text, rejected.Revision)
+			return fmt.Errorf("%s; check it with 'config get' and use --expect %d", rejected.Text, rejected.Revision)
 		}
 		if err != nil {
 			return err
@@ -74,7 +74,8 @@
 	})
 }
 
-// documentHistory returns the changes of a document that are kept, the oldest first, at least one.
+// documentHistory returns the stored changes of a document, oldest first. If there are none, it
+// returns an error.
 func (c *coordinators) documentHistory(ctx context.Context, name string) ([]watchlog.Change, error) {
 	reader, err := c.reader()
 	if err != nil {
@@ -89,7 +90,8 @@
 	return history, err
 }
 
-// atRevision returns a document's change of a revision, or the newest for 0.
+// atRevision returns the change of a document at a revision; 0 means the newest. The history must
+// not be empty.
 func atRevision(history []watchlog.Change, name string, revision uint64) (watchlog.Change, error) {
 	if revision == 0 {
 		return history[len(history)-1], nil
@@ -107,11 +109,11 @@
 	var expected uint64
 	return toolCommand{
 		use:   "put NAME FILE",
-		short: "Put a file under a name, if the document is still at the expected revision",
+		short: "Store a file as a document, if the document is still at the expected revision",
 		args:  cobra.ExactArgs(2),
 		flags: func(cmd *cobra.Command) {
 			cmd.Flags().Uint64Var(&expected, "expect", 0,
-				"the revision that this replaces; 0: there is no such document yet")
+				"the revision to replace; 0: the document must not exist yet")
 		},
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			value, err := os.ReadFile(args[1])
@@ -133,7 +135,7 @@
 		short: "Delete a document, if it is still at the expected revision",
 		args:  cobra.ExactArgs(1),
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().Uint64Var(&expected, "expect", 0, "the revision that is deleted")
+			cmd.Flags().Uint64Var(&expected, "expect", 0, "the revision to delete")
 		},
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			return c.putDocument(cmd, coord.DocumentPut{Name: args[0], Delete: true, Expected: expected})
@@ -145,10 +147,10 @@
 	var revision uint64
 	return toolCommand{
 		use:   "get NAME",
-		short: "Print a document, and its revision to the standard error",
+		short: "Print a document, and its revision to standard error",
 		args:  cobra.ExactArgs(1),
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().Uint64Var(&revision, "revision", 0, "as it was at this one; 0: the newest")
+			cmd.Flags().Uint64Var(&revision, "revision", 0, "the revision to print; 0: the newest")
 		},
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			history, err := c.documentHistory(cmd.Context(), args[0])
@@ -172,7 +174,7 @@
 func newDocumentListCommand() *cobra.Command {
 	return toolCommand{
 		use:   "list [PREFIX]",
-		short: "The documents that there are",
+		short: "List the documents",
 		args:  cobra.MaximumNArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			reader, err := c.reader()
@@ -198,7 +200,7 @@
 func newDocumentHistoryCommand() *cobra.Command {
 	return toolCommand{
 		use:   "history NAME",
-		short: "The revisions of a document that are kept, the oldest first",
+		short: "List the stored revisions of a document, oldest first",
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			history, err := c.documentHistory(cmd.Context(), args[0])
@@ -218,14 +220,14 @@
 func newDocumentBackCommand() *cobra.Command {
 	return toolCommand{
 		use:   "back NAME REVISION",
-		short: "Put a document as it was at an earlier revision, as a new one",
-		long: "Puts the document as it was at an earlier revision that is kept. " +
-			"Where somebody changes it meanwhile, nothing is put.",
+		short: "Restore an earlier revision of a document as a new revision",
+		long: "Stores the content of an earlier revision that is still kept as a new revision. " +
+			"If the document changes in the meantime, nothing is stored.",
 		args: cobra.ExactArgs(2),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			revision, err := strconv.ParseUint(args[1], 10, 64)
 			if err != nil || revision == 0 {
-				return fmt.Errorf("%q is no revision", args[1])
+				return fmt.Errorf("%q is not a revision", args[1])
 			}
 			history, err := c.documentHistory(cmd.Context(), args[0])
 			if err != nil {
--- a/cmd/dockhinge-coord/documents_test.go
+++ b/cmd/dockhinge-coord/documents_test.go
@@ -10,11 +10,11 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// What no router could read never gets to the coordinators.
+// Guards against documents that routers could not read: they are not sent to the coordinators.
 func TestCheckDocument(t *testing.T) {
 	for _, bad := range []struct{ name, value, want string }{
 		{"a.toml", "x = ", "a.toml"},
-		{"a.json", "{", "no JSON"},
+		{"a.json", "{", "not valid JSON"},
 		{"a b", "", "has other than"},
 		{"", "", "empty"},
 		{"a", strings.Repeat("x", coord.MaxDocumentBytes+1), "at most"},
@@ -30,7 +30,7 @@
 	}
 }
 
-// A revision is found while it is kept.
+// A revision is found while it is stored; 0 finds the newest.
 func TestAtRevision(t *testing.T) {
 	history := []watchlog.Change{{Revision: 3}, {Revision: 9}}
 	for revision, want := range map[uint64]uint64{0: 9, 3: 3, 9: 9} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Watchers of an observer that is behind, and of one that doesn't answer, aren't counted as having
-// the newest revision.
+// Guards against watchers that count as having the newest revision although their observer lags
+// behind or doesn't answer.
 func TestConfigStatus(t *testing.T) {
 	observers := map[string]observerStatus{
 		"o1": {Status: protocol.Status{
--- a/cmd/dockhinge-coord/errors.go
+++ b/cmd/dockhinge-coord/errors.go
@@ -3,21 +3,21 @@
 import "errors"
 
 var (
-	errNoCoordinators  = errors.New("--coordinators: none named")
-	errNoObservers     = errors.New("--observers: none named")
+	errNoCoordinators  = errors.New("--coordinators: no coordinator given")
+	errNoObservers     = errors.New("--observers: no observer given")
 	errNoLeaderAnswers = errors.New("no leader answers")
 	errLeaderTimeout   = errors.New(
-		"no answer in time: whether it was carried out is not known, look at members and status")
+		"no answer in time: the command may have been carried out; check 'members' and 'status'")
 	errNotConfirmed = errors.New(
-		"--i-have-waited: say that all others are ended and the longest time to live has passed")
-	errNoHaltReason     = errors.New("--why: say why; others will read it")
-	errNoReleaseStarted = errors.New("there has been no release")
+		"--i-have-waited: confirm that all others have ended and the longest time to live has passed since")
+	errNoHaltReason     = errors.New("--why: a reason is required; 'fleet' shows it to others")
+	errNoReleaseStarted = errors.New("no release has been started")
 
-	// errNoLeader is that of status where no coordinator leads.
+	// errNoLeader is returned by the status command if no coordinator is the leader.
 	errNoLeader = errors.New(
-		"no leader: nothing new can be agreed on (what is held ends by its time; routers serve on)")
+		"no leader: no new decisions are possible (leases expire at the end of their time; routers continue to serve)")
 
-	// errSessionLost tells that a begun permit has no holder any more.
+	// errSessionLost is returned if the session that holds a begun permit has ended.
 	errSessionLost = errors.New(
-		"the session was lost: the permit stays used until it is seen started anew, or cleared")
+		"the session was lost: the permit stays in use until the target is restarted, or until 'permit clear'")
 )
--- a/cmd/dockhinge-coord/fleet.go
+++ b/cmd/dockhinge-coord/fleet.go
@@ -19,8 +19,8 @@
 
 // parseTarget parses KIND/NAME.
 func parseTarget(text string) (rollout.Kind, string, error) {
-	word, name, hasName := strings.Cut(text, "/")
-	kind := rollout.Kind(word)
+	kindText, name, hasName := strings.Cut(text, "/")
+	kind := rollout.Kind(kindText)
 	if !hasName || name == "" || kind != rollout.KindRouter && kind != rollout.KindServer {
 		return "", "", fmt.Errorf("%q is neither router/NAME nor server/NAME", text)
 	}
@@ -28,10 +28,10 @@
 }
 
 func newBudgetsCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "budgets", Short: "How many may be out at once"}
+	cmd := &cobra.Command{Use: "budgets", Short: "Limit how many targets may be out at once"}
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a file of budgets",
+		Short: "Check a budgets file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := config.LoadBudgets(args[0]); err != nil {
@@ -43,7 +43,7 @@
 	}
 	set := toolCommand{
 		use:   "set FILE",
-		short: "Put a file of budgets in force",
+		short: "Put the budgets of a file in force",
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			command, err := config.LoadBudgets(args[0])
@@ -59,7 +59,7 @@
 	return cmd
 }
 
-// setBudgets puts budgets in force, and warns of those that let nothing out.
+// setBudgets puts budgets in force, and prints a warning for each budget that allows no outages.
 func setBudgets(ctx context.Context, session *client.Client, command rollout.Command, out io.Writer) error {
 	if _, err := session.ExecuteRollout(ctx, command); err != nil {
 		return err
@@ -67,14 +67,14 @@
 	report, err := session.RolloutReport(ctx, 0)
 	for _, b := range report.Budgets {
 		if b.Allowed == 0 {
-			fmt.Fprintf(out, "warning: budget %s%s lets nothing out: its share of %d is none\n",
+			fmt.Fprintf(out, "warning: budget %s%s allows no outages: its share of %d rounds down to 0\n",
 				b.Budget, inZone(b.Zone), b.Targets)
 		}
 	}
 	return err
 }
 
-// inZone names the zone of a budget per zone.
+// inZone returns the suffix that names the zone of a budget per zone; "" for other budgets.
 func inZone(zone string) string {
 	if zone == "" {
 		return ""
@@ -86,10 +86,10 @@
 	var isJSON bool
 	return toolCommand{
 		use:   "fleet",
-		short: "Who is out, what may still go, and why each permit waits",
+		short: "Show which targets are out, the usage of the budgets, and why each permit waits",
 		args:  cobra.NoArgs,
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().BoolVar(&isJSON, "json", false, "as JSON")
+			cmd.Flags().BoolVar(&isJSON, "json", false, "print the report as JSON")
 		},
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			report, err := c.report(cmd.Context())
@@ -110,8 +110,8 @@
 		fmt.Fprintf(out, "HALTED by %s: %s\n", report.Halt.By, report.Halt.Reason)
 	}
 	if report.Load.IsOverloaded {
-		fmt.Fprintf(out, "OVER ITS LIMIT: the fleet refuses or fails %.1f%% of requests; "+
-			"nothing new goes out but emergencies\n", 100*report.Load.FailedShare)
+		fmt.Fprintf(out, "OVERLOADED: the fleet rejects or fails %.1f%% of requests; "+
+			"no new outages except emergencies\n", 100*report.Load.FailedShare)
 	}
 	w := newTable(cmd)
 	fmt.Fprintln(w, "budget\tkind\tzone\tthings\tmay be out\tout")
@@ -132,13 +132,13 @@
 	for _, t := range unavailable {
 		reason := string(t.Reason)
 		if len(t.ReportedBy) > 0 {
-			reason = fmt.Sprintf("found bad by %s, left out by all", rollout.FirstNames(t.ReportedBy))
+			reason = fmt.Sprintf("reported failing by %s, ejected by all", rollout.FirstNames(t.ReportedBy))
 		}
 		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%v\n", t.Kind, t.Name, t.Zone, reason, t.Duration.Round(time.Second))
 	}
 }
 
-// newTargetCommand makes a sub-command that has one operation carried out on a target.
+// newTargetCommand returns a sub-command that executes one operation on a target.
 func newTargetCommand(use, short string, op rollout.Op) *cobra.Command {
 	return toolCommand{
 		use:   use + " KIND/NAME",
@@ -158,10 +158,10 @@
 	var reason string
 	return toolCommand{
 		use:   "halt --why TEXT",
-		short: "Let nothing new out, from now on and everywhere",
+		short: "Stop all new outages in the whole fleet, except emergencies",
 		args:  cobra.NoArgs,
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().StringVar(&reason, "why", "", "the reason, which fleet shows")
+			cmd.Flags().StringVar(&reason, "why", "", "the reason, which 'fleet' shows")
 		},
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			if reason == "" {
--- a/cmd/dockhinge-coord/group.go
+++ b/cmd/dockhinge-coord/group.go
@@ -18,17 +18,17 @@
 	"dockhinge.example/dockhinge/internal/coord/node"
 )
 
-// initTimeout is the time limit of making a group.
+// initTimeout is the time limit for forming a group.
 const initTimeout = 10 * time.Second
 
 func newStatusCommand() *cobra.Command {
 	var isJSON bool
 	return toolCommand{
 		use:   "status",
-		short: "How the coordinators stand",
+		short: "Show the status of the coordinators",
 		args:  cobra.NoArgs,
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().BoolVar(&isJSON, "json", false, "all figures as JSON")
+			cmd.Flags().BoolVar(&isJSON, "json", false, "print all values as JSON")
 		},
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			addresses, err := c.addresses()
@@ -44,13 +44,13 @@
 	}.build()
 }
 
-// failedStatus stands in JSON for a coordinator that did not answer.
+// failedStatus is the JSON of a coordinator that did not answer.
 type failedStatus struct {
 	Error string `json:"error"`
 }
 
-// encodeStatuses prints an object with the status, or the error, of each coordinator by its name. It
-// returns errNoLeader where none leads.
+// encodeStatuses prints a JSON object with the status or the error of each coordinator by name. It
+// returns errNoLeader if no coordinator is the leader.
 func encodeStatuses(cmd *cobra.Command, answers map[string]node.Status, failures map[string]error) error {
 	all := map[string]any{}
 	for name, status := range answers {
@@ -65,7 +65,7 @@
 	return checkHasLeader(answers)
 }
 
-// checkHasLeader returns errNoLeader where none of the coordinators leads.
+// checkHasLeader returns errNoLeader if no coordinator is the leader.
 func checkHasLeader(answers map[string]node.Status) error {
 	for _, status := range answers {
 		if status.State == stateLeader {
@@ -75,7 +75,8 @@
 	return errNoLeader
 }
 
-// printStatuses prints one line for each coordinator. It returns errNoLeader where none leads.
+// printStatuses prints one line for each coordinator. It returns errNoLeader if no coordinator is
+// the leader.
 func printStatuses(
 	cmd *cobra.Command, names []string, answers map[string]node.Status, failures map[string]error,
 ) error {
@@ -92,16 +93,16 @@
 			name, s.State, s.Leader, s.Term, s.LastLogIndex, s.AppliedIndex, s.Lag, s.Sessions, s.Leases, s.Rejected,
 			s.FsyncP50Millis, s.FsyncP99Millis, s.CommitP50Millis, s.CommitP99Millis)
 	}
-	_ = w.Flush() // a closed output also loses the verdict below
+	_ = w.Flush() // checkHasLeader's result matters more than an output error
 	return checkHasLeader(answers)
 }
 
 func newInitCommand() *cobra.Command {
 	return toolCommand{
 		use:   "init",
-		short: "Make one group of coordinators whose directories are empty",
-		long: "Asks each of the coordinators who it is and has them form a group. " +
-			"Only coordinators that belong to none are taken.",
+		short: "Form a group of coordinators whose directories are empty",
+		long: "Gets the identities of the given coordinators and lets them form a group. " +
+			"None of them may belong to a group yet.",
 		args: cobra.NoArgs,
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			addresses, err := c.addresses()
@@ -113,13 +114,13 @@
 			if err := initGroup(ctx, addresses); err != nil {
 				return err
 			}
-			_, err = c.upgrade(ctx) // a new group has no earlier program in it
+			_, err = c.upgrade(ctx) // no coordinator of a new group runs an earlier program version
 			return err
 		},
 	}.build()
 }
 
-// initGroup has coordinators form a group.
+// initGroup makes coordinators form a group.
 func initGroup(ctx context.Context, addresses map[string]string) error {
 	answers, failures := statuses(ctx, addresses)
 	var group []node.Member
@@ -129,20 +130,19 @@
 		}
 		s := answers[name]
 		if s.Name != name {
-			return fmt.Errorf("%s: the coordinator there is %s", name, s.Name)
+			return fmt.Errorf("%s: the coordinator at its address is %s", name, s.Name)
 		}
 		if s.State != stateWaiting {
-			return fmt.Errorf("%s: belongs to a group already", name)
+			return fmt.Errorf("%s: already belongs to a group", name)
 		}
 		group = append(group, node.Member{Name: name, Identity: s.Identity, Address: s.ListenAddress})
 	}
 	slices.SortFunc(group, func(a, b node.Member) int { return strings.Compare(a.Name, b.Name) })
-	// The first becomes the leader, and the others get the group from it.
+	// The first one becomes the leader; the others get the members from it.
 	return client.Call(ctx, http.MethodPost, addresses[group[0].Name], "/v1/init", group, nil)
 }
 
-// upgrade puts the newest version of commands in force that all coordinators support, and returns
-// it.
+// upgrade puts the newest command version that all coordinators support in force, and returns it.
 func (c *coordinators) upgrade(ctx context.Context) (version int, err error) {
 	addresses, err := c.addresses()
 	if err != nil {
@@ -155,12 +155,12 @@
 		}
 		for _, member := range s.Members {
 			if addresses[member.Name] == "" {
-				return 0, fmt.Errorf("--coordinators: %s is a member too (says %s)", member.Name, name)
+				return 0, fmt.Errorf("--coordinators: %s is missing; it is a member according to %s", member.Name, name)
 			}
 		}
 	}
 	for name, err := range failures {
-		return 0, fmt.Errorf("%s: %w (each must answer: one that runs an older program could not go on)", name, err)
+		return 0, fmt.Errorf("%s: %w (all must answer: an upgrade stops those that run an older version)", name, err)
 	}
 	return version, c.withLeader(ctx, func(ctx context.Context, leader string) error {
 		var answer coord.Response
@@ -178,19 +178,19 @@
 func newMembersCommand() *cobra.Command {
 	cmd := toolCommand{
 		use:   "members",
-		short: "Who the coordinators are",
+		short: "List the coordinators of the group",
 		args:  cobra.NoArgs,
 		run:   listMembers,
 	}.build()
 	add := toolCommand{
 		use:   "add NAME=HOST:PORT",
-		short: "Take in a coordinator that runs with an empty directory, by its clients' address",
+		short: "Add a coordinator that runs with an empty directory; HOST:PORT is its address for clients",
 		args:  cobra.ExactArgs(1),
 		run:   addMember,
 	}
 	remove := toolCommand{
 		use:   "remove NAME",
-		short: "Take a coordinator out, dead or alive",
+		short: "Remove a coordinator, whether it runs or not",
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			return c.withLeader(cmd.Context(), func(ctx context.Context, leader string) error {
@@ -200,7 +200,7 @@
 	}
 	upgrade := toolCommand{
 		use:   "upgrade",
-		short: "Let the coordinators use what all of them understand, once each runs the new program",
+		short: "Put the newest command version that all coordinators support in force",
 		args:  cobra.NoArgs,
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			version, err := c.upgrade(cmd.Context())
@@ -231,7 +231,7 @@
 	})
 }
 
-// addMember adds the coordinator whose name and address is the one argument.
+// addMember adds the coordinator whose NAME=HOST:PORT is the only argument.
 func addMember(cmd *cobra.Command, args []string, c *coordinators) error {
 	added, err := parseAddresses(args)
 	if err != nil {
@@ -245,7 +245,8 @@
 	return nil
 }
 
-// addOne adds a coordinator that belongs to no group, or whose addition was broken off.
+// addOne adds a coordinator that belongs to no group, or one whose earlier addition was
+// interrupted.
 func addOne(ctx context.Context, c *coordinators, name, address string) error {
 	answers, failures := statuses(ctx, map[string]string{name: address})
 	if err := failures[name]; err != nil {
@@ -253,7 +254,7 @@
 	}
 	s := answers[name]
 	if s.Name != name {
-		return fmt.Errorf("%s: the coordinator there is %s", name, s.Name)
+		return fmt.Errorf("%s: the coordinator at its address is %s", name, s.Name)
 	}
 	member := node.Member{
 		Name:             name,
@@ -263,7 +264,7 @@
 	}
 	return c.withLeader(ctx, func(ctx context.Context, leader string) error {
 		if s.State != stateWaiting && !lacksVote(ctx, leader, s.Identity) {
-			return fmt.Errorf("%s: belongs to a group already, as %s; one that belongs to none is wanted",
+			return fmt.Errorf("%s: already belongs to a group (state %s); only one without a group can be added",
 				name, s.State)
 		}
 		return client.Call(ctx, http.MethodPost, leader, "/v1/members", member, nil)
--- a/cmd/dockhinge-coord/lease.go
+++ b/cmd/dockhinge-coord/lease.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// listLeasesTTL is the time limit of the calls of lease list.
+	// listLeasesTTL is the time limit of the calls of 'lease list'.
 	listLeasesTTL = 6 * time.Second
-	// minLeaseMargin leaves a command time to end.
+	// minLeaseMargin is the minimum of --margin. It leaves the command time to end.
 	minLeaseMargin     = 500 * time.Millisecond
 	defaultLeaseTTL    = 15 * time.Second
 	defaultLeaseMargin = 4 * time.Second
 )
 
 func newLeaseCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "lease", Short: "Leases"}
+	cmd := &cobra.Command{Use: "lease", Short: "List leases, and run commands under leases"}
 	cmd.AddCommand(newLeaseListCommand(), newLeaseTakeCommand())
 	return cmd
 }
@@ -32,7 +32,7 @@
 func newLeaseListCommand() *cobra.Command {
 	return toolCommand{
 		use:   "list [NAME]",
-		short: "Who holds what",
+		short: "List the leases and their holders",
 		args:  cobra.MaximumNArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			addresses, err := c.addresses()
@@ -60,7 +60,7 @@
 	}.build()
 }
 
-// leaseRequest is the lease that lease take requests.
+// leaseRequest are the parameters of 'lease take'.
 type leaseRequest struct {
 	ttl       time.Duration
 	margin    time.Duration
@@ -75,15 +75,15 @@
 		use:   "take NAME -- COMMAND...",
 		short: "Run a command under a lease",
 		long: "Waits for the lease, runs the command with DOCKHINGE_LEASE and DOCKHINGE_TOKEN in " +
-			"its environment, and gives the lease\n" +
-			"back when it has ended. Where the lease can't be kept, the command's process group " +
-			"gets TERM and, a third of the margin\n" +
-			"before the lease's time is out, KILL.\n\n" +
-			"A process can be stopped between a check and its act for longer than any lease " +
-			"lasts. So say with --kind why the command\n" +
-			"is safe all the same: 'checked', as whatever it acts on refuses a token lower than " +
-			"one it has seen, or 'harmless', as it\n" +
-			"does no harm when two run it. There is no third kind: what is neither must not be run by a lease.",
+			"its environment, and releases the\n" +
+			"lease when the command has ended. If the lease can't be renewed, the command's process " +
+			"group gets TERM and, a third of\n" +
+			"the margin before the lease expires, KILL.\n\n" +
+			"A process may be paused between a check and the action that follows for longer than " +
+			"any lease lasts. So --kind states why\n" +
+			"the command is safe nevertheless: 'checked' if the resource it changes rejects a token " +
+			"lower than one it has already seen,\n" +
+			"or 'harmless' if running it twice at the same time does no harm. Run no other commands under a lease.",
 		args:  cobra.MinimumNArgs(2),
 		flags: request.addFlags,
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
@@ -99,15 +99,15 @@
 	flags := cmd.Flags()
 	flags.DurationVar(&r.ttl, "ttl", defaultLeaseTTL, "time to live of the lease")
 	flags.DurationVar(&r.margin, "margin", defaultLeaseMargin,
-		"the command gets TERM so long before the lease's time is out, and KILL after two thirds of it")
-	flags.StringVar(&r.purpose, "purpose", "", "what for, as lease list shows it")
+		"the command gets TERM this long before the lease expires, and KILL after two thirds of this time")
+	flags.StringVar(&r.purpose, "purpose", "", "the purpose, which 'lease list' shows")
 	flags.StringVar(&r.holder, "as", "", "the holder's name (default: HOST/PID)")
-	flags.StringVar(&r.rerunKind, "kind", "", "checked or harmless: why two that run it at once do no harm")
+	flags.StringVar(&r.rerunKind, "kind", "", "checked or harmless: why running the command twice at once is safe")
 }
 
 func (r *leaseRequest) check() error {
 	if !slices.Contains(config.RerunKinds, r.rerunKind) {
-		return fmt.Errorf("--kind: %q is none of checked, harmless; what is neither must not be run under a lease",
+		return fmt.Errorf("--kind: %q is none of checked, harmless; other commands must not be run under a lease",
 			r.rerunKind)
 	}
 	if r.margin < minLeaseMargin || r.margin > r.ttl/2 {
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// run runs a command under the lease. The command's own error comes before that of the lease.
+// run runs a command under the lease. If both fail, the command's error is joined before the
+// lease's error.
 func (r *leaseRequest) run(ctx context.Context, c *coordinators, lease string, command []string) error {
 	var commandErr error
 	leaseErr := c.withSession(ctx, r.holder, r.ttl, func(ctx context.Context, session *client.Client) error {
--- a/cmd/dockhinge-coord/main.go
+++ b/cmd/dockhinge-coord/main.go
@@ -1,5 +1,6 @@
-// Command dockhinge-coord is a coordinator, one of the few processes that agree on leases, permits
-// and configuration for the whole fleet, an observer of them, and the operators' tool for both.
+// Command dockhinge-coord runs coordinators and observers, and contains the operators' commands for
+// both. Coordinators are the few processes that agree on leases, permits and configuration for the
+// whole fleet; observers serve the agreed configuration to routers.
 package main
 
 import (
@@ -16,10 +17,11 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Exit codes. A command that was run under a lease or permit and has failed passes its own code on.
+// Exit codes. If an operator's command that runs under a lease or permit fails, its own exit code
+// is used.
 const (
 	exitError = 1
-	// exitFatal is that of a coordinator which can't go on.
+	// exitFatal is the exit code of a coordinator that stops because of a fatal error.
 	exitFatal = 4
 )
 
@@ -40,8 +42,8 @@
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "dockhinge-coord",
-		Short:         "Leases for tasks of the whole fleet",
-		Long:          "A coordinator and the operators' tool for them. docs/agreement.md tells more.",
+		Short:         "Leases, permits, releases and configuration for the whole fleet",
+		Long:          "Coordinators, observers and the operators' commands for them. See docs/agreement.md.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -58,8 +60,8 @@
 		newFleetCommand(),
 		newPermitCommand(),
 		newDrainCommand(),
-		newTargetCommand("undrain", "Have routers send to a drained cache server again", rollout.OpClearPermit),
-		newTargetCommand("forget", "Say that a router or cache server that isn't there belongs to the fleet no more",
+		newTargetCommand("undrain", "Let routers send to a drained cache server again", rollout.OpClearPermit),
+		newTargetCommand("forget", "Remove a router or cache server that no longer exists from the fleet",
 			rollout.OpForgetTarget),
 		newHaltCommand(),
 		newResumeCommand(),
--- a/cmd/dockhinge-coord/observe.go
+++ b/cmd/dockhinge-coord/observe.go
@@ -18,9 +18,9 @@
 	return &cobra.Command{
 		Use:   "observe FILE",
 		Short: "Run an observer, which serves the agreed configuration to routers, until SIGTERM",
-		Long: "An observer follows the coordinators without a vote and serves watches to hundreds " +
+		Long: "An observer follows the coordinators without voting and serves watches to hundreds " +
 			"of routers. " +
-			"docs/observers.md tells more.",
+			"See docs/observers.md.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file, err := config.LoadObserver(args[0])
--- a/cmd/dockhinge-coord/permit.go
+++ b/cmd/dockhinge-coord/permit.go
@@ -24,49 +24,51 @@
 }
 
 const (
-	// reportRetryInterval is between two calls for a report where the coordinators don't answer.
+	// reportRetryInterval is the pause before the next call for a report after one that failed.
 	reportRetryInterval = 200 * time.Millisecond
-	// cancelTimeout is the time limit of withdrawing a request.
+	// cancelTimeout is the time limit for withdrawing a request.
 	cancelTimeout = time.Second
 )
 
 func newPermitCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "permit", Short: "Permits to take routers and cache servers out"}
+	cmd := &cobra.Command{Use: "permit", Short: "Run commands under permits for outages, and clear permits"}
 	cmd.AddCommand(
 		newPermitTakeCommand(),
 		newTargetCommand("clear",
-			"Say that nothing happens any more by a permit whose holder is gone, and that it may come back",
+			"Remove a permit whose holder no longer exists, after nothing is done under it any more",
 			rollout.OpClearPermit),
 	)
 	return cmd
 }
 
-// permitRequest is a permit as a tool requests it.
+// permitRequest are the parameters of a request for a permit.
 type permitRequest struct {
-	// holder is the client name; "" stands for HOST/PID.
+	// holder is the client name; "" means HOST/PID.
 	holder string
-	// purpose is shown by fleet.
+	// purpose is shown by 'fleet'.
 	purpose string
 	// priority is one of the names in priorities.
 	priority string
-	// validFor is how long the permit is waited for; 0 is for ever.
+	// validFor is how long to wait for the permit; 0 means without limit.
 	validFor time.Duration
 }
 
 func (r *permitRequest) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&r.priority, "priority", "normal",
-		"release, normal or emergency; emergency passes a halt, no budget")
-	flags.DurationVar(&r.validFor, "within", 0, "give up waiting for the permit after this (default: never)")
-	flags.StringVar(&r.purpose, "why", "", "what for, as fleet shows it")
+		"release, normal or emergency; emergency overrides a halt, but no budget")
+	flags.DurationVar(&r.validFor, "within", 0, "give up if there is no permit after this time (default: never)")
+	flags.StringVar(&r.purpose, "why", "", "the purpose, which 'fleet' shows")
 	flags.StringVar(&r.holder, "as", "",
-		"the holder's name (default: HOST/PID); one of the same name takes over from one that died")
+		"the holder's name (default: HOST/PID); a process of the same name takes over from one that has crashed")
 }
 
-// acquire waits for the permit of a target and begins the outage; for a cache server it also waits
-// until no router sends to it any more. It writes to out why it waits, whenever that changes.
+// acquire waits for the permit of a target and begins the outage. For a cache server it then waits
+// until no router sends to the server any more. Whenever the reason to wait changes, it writes the
+// new one to out.
 //
-// It returns the permit's token. After an error the token is 0 unless the outage has begun.
+// It returns the token of the permit. If it returns an error, the token is 0 unless the outage has
+// begun.
 func (r *permitRequest) acquire(
 	ctx context.Context, session *client.Client, kind rollout.Kind, name string, out io.Writer,
 ) (token uint64, err error) {
@@ -94,27 +96,27 @@
 	return a.token, err
 }
 
-// acquisition is one permit on its way from the request to a begun outage.
+// acquisition is the state of acquire: one permit from its request to the begun outage.
 type acquisition struct {
 	session *client.Client
 	out     io.Writer
-	// request is the command that requests the permit. It has the token that was granted last,
-	// which a request doesn't need.
+	// request is the command that requests the permit. Once the permit is granted, it also contains
+	// the token, which only the command that begins the outage needs.
 	request rollout.Command
 	// requestedAt is when the permit was first requested, on the process's monotonic clock.
 	requestedAt time.Duration
-	// begunSession is the session that holds the begun permit; "" before.
+	// begunSession is the session that holds the begun permit; "" before the outage begins.
 	begunSession string
-	// token is the begun permit's; 0 before.
+	// token is the token of the begun permit; 0 before the outage begins.
 	token uint64
-	// waitReason is the reason that was written last.
+	// waitReason is the reason to wait that was written last.
 	waitReason string
-	// reportVersion is the version of the newest report.
+	// reportVersion is the version of the latest report.
 	reportVersion uint64
 }
 
-// run requests the permit again whenever the coordinators' state has changed, until the outage has
-// begun and is drained.
+// run repeats the request whenever the coordinators' state has changed, until the outage has begun
+// and a cache server is drained.
 func (a *acquisition) run(ctx context.Context) error {
 	for {
 		if a.begunSession != "" && a.session.SessionID() != a.begunSession {
@@ -150,7 +152,7 @@
 		permit, err = a.session.ExecuteRollout(ctx, begin)
 		step("begun")
 	}
-	// It may also have been begun under this name, by a process that died.
+	// A process of the same client name may also have begun the outage before it crashed.
 	if err == nil && permit.Stage == rollout.StageBegun && a.begunSession == "" {
 		a.begunSession = a.session.SessionID()
 		a.token = permit.Token
@@ -158,13 +160,13 @@
 	return permit, err
 }
 
-// classify tells whether the outage is ready. It returns an error if waiting does not help;
-// otherwise permit.Text is why to wait.
+// classify reports whether the outage is ready, by the result of requestAndBegin. It returns an
+// error if waiting does not help; otherwise permit.Text is the reason to wait.
 func (a *acquisition) classify(ctx context.Context, permit *coord.Response, err error) (isReady bool, _ error) {
 	var rejected *client.RejectedError
 	switch {
 	case errors.As(err, &rejected) && rejected.Code == coord.CodeNotHeld:
-		return false, nil // revoked between grant and beginning: request it again
+		return false, nil // revoked before the outage began: request it again
 	case errors.As(err, &rejected):
 		return false, err
 	case err != nil && ctx.Err() != nil:
@@ -177,8 +179,8 @@
 	return isBegun && (permit.IsDrained || a.request.Kind == rollout.KindRouter), nil
 }
 
-// awaitChange waits until the coordinators' state has changed, or for a while where they don't
-// answer.
+// awaitChange waits until the coordinators' state has changed. If they don't answer, it waits for
+// reportRetryInterval.
 func (a *acquisition) awaitChange(ctx context.Context) error {
 	report, err := a.session.RolloutReport(ctx, a.reportVersion)
 	if err != nil && !clock.Sleep(ctx, reportRetryInterval) {
@@ -188,8 +190,9 @@
 	return nil
 }
 
-// withdraw withdraws a request that has not begun: until its session ends it would keep its place
-// in the budgets. Where the coordinators don't answer it ends with the session.
+// withdraw cancels a request whose outage has not begun, because it would reserve its place in the
+// budgets until its session ends. Errors are ignored: the end of the session removes the request
+// too.
 func (a *acquisition) withdraw(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
@@ -201,17 +204,17 @@
 	var request permitRequest
 	return toolCommand{
 		use:   "take KIND/NAME -- COMMAND...",
-		short: "Run a command while a router or cache server is out",
-		long: "Waits for the permit, says why it waits, and for a cache server until no router " +
-			"sends to it any more. Then it runs the\n" +
-			"command, with DOCKHINGE_PERMIT and DOCKHINGE_TOKEN in its environment, and gives the " +
-			"permit back when it has ended well.\n" +
-			"Where the command fails or this program dies, the permit stays used: the thing " +
-			"counts as out until it is seen started\n" +
-			"anew (later than 'grace' after the step began), or until 'permit clear', or until " +
-			"the same command with the same --as\n" +
-			"takes it over, which runs the command again: it must do no harm twice, or refuse a " +
-			"token lower than one it has seen.",
+		short: "Run a command while a router or cache server is out of service",
+		long: "Waits for the permit, and for a cache server also until no router sends to it any " +
+			"more; prints why it waits. Then it runs\n" +
+			"the command with DOCKHINGE_PERMIT and DOCKHINGE_TOKEN in its environment, and returns " +
+			"the permit if the command succeeds.\n" +
+			"If the command fails or this program is killed, the permit stays in use: the target " +
+			"counts as out until it is restarted\n" +
+			"(later than 'grace' after its outage began), or until 'permit clear', or until the same " +
+			"command with the same --as takes\n" +
+			"the permit over. The command then runs again, so it must do no harm twice, or the " +
+			"resource it changes must reject a token lower than one it has already seen.",
 		args:  cobra.MinimumNArgs(2),
 		flags: request.addFlags,
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
@@ -234,7 +237,8 @@
 	}.build()
 }
 
-// runInOutage runs a command while a target is out, and gives the permit back by endOutage.
+// runInOutage runs a command while a target is out. If the command succeeds, it returns the permit
+// with the command endOutage.
 func runInOutage(
 	ctx context.Context, session *client.Client, endOutage rollout.Command, command []string,
 ) error {
@@ -242,7 +246,7 @@
 	target := string(endOutage.Kind) + "/" + endOutage.Name
 	err := runCommand(ctx, os.Stdout, command, "DOCKHINGE_PERMIT="+target, tokenVariable(endOutage.Token))
 	if err != nil {
-		return fmt.Errorf("%s counts as out until it is seen started anew, or until 'permit clear %s': %w",
+		return fmt.Errorf("%s counts as out until it is restarted, or until 'permit clear %s': %w",
 			target, target, err)
 	}
 	step("ran")
@@ -258,16 +262,16 @@
 	var request permitRequest
 	return toolCommand{
 		use:   "drain server/NAME",
-		short: "Have no router send to a cache server any more, and leave it so",
-		long: "Ends once no router sends to the server any more, so that it may be stopped. It " +
-			"counts as out until it is seen started\n" +
-			"anew, or until 'undrain'.",
+		short: "Drain a cache server, and leave it drained",
+		long: "Ends once no router sends to the server any more, so that it may be stopped. The " +
+			"server counts as out until it is\n" +
+			"restarted, or until 'undrain'.",
 		args:  cobra.ExactArgs(1),
 		flags: request.addFlags,
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			kind, name, err := parseTarget(args[0])
 			if err != nil || kind != rollout.KindServer {
-				return errors.Join(err, fmt.Errorf("%s: only a cache server is drained by the routers", args[0]))
+				return errors.Join(err, fmt.Errorf("%s: only cache servers can be drained", args[0]))
 			}
 			err = c.withSession(cmd.Context(), request.holder, toolTTL,
 				func(ctx context.Context, session *client.Client) error {
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -14,19 +14,19 @@
 )
 
 func newReleaseCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "release", Short: "Releases of routers in waves"}
+	cmd := &cobra.Command{Use: "release", Short: "Release a version to the routers in waves"}
 	cmd.AddCommand(
 		newReleasePlanCommand(),
 		newReleaseStartCommand(),
 		newReleaseRunCommand(),
 		newReleaseStatusCommand(),
-		newReleaseOpCommand("back", "Bring all routers of the release back to the version before", rollout.OpRollBack),
-		newReleaseOpCommand("end", "End the release as it stands", rollout.OpEndRelease),
+		newReleaseOpCommand("back", "Return all routers of the release to the previous version", rollout.OpRollBack),
+		newReleaseOpCommand("end", "End the release; each router keeps its current version", rollout.OpEndRelease),
 	)
 	return cmd
 }
 
-// newReleaseOpCommand makes a sub-command that has one operation carried out on the release.
+// newReleaseOpCommand returns a sub-command that executes one operation on the release.
 func newReleaseOpCommand(use, short string, op rollout.Op) *cobra.Command {
 	return toolCommand{
 		use:   use,
@@ -41,7 +41,7 @@
 func newReleasePlanCommand() *cobra.Command {
 	return toolCommand{
 		use:   "plan FILE",
-		short: "The waves against the fleet as it is, and how long they take at least",
+		short: "Show the waves over the current fleet, and how long they take at least",
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
 			_, plan, err := config.LoadRelease(args[0])
@@ -54,37 +54,37 @@
 			}
 			names := rollout.MatchingMembers(report.Members, plan.Match)
 			if len(names) == 0 {
-				return fmt.Errorf("match: %q names no router", plan.Match)
+				return fmt.Errorf("match: %q matches no router", plan.Match)
 			}
 			out := cmd.OutOrStdout()
 			if plan.LearnTime >= plan.BakeTime {
 				fmt.Fprintf(out,
-					"learn, %v, is not less than bake, %v: what a wave answers doesn't count before the "+
-						"next one begins\n",
+					"learn (%v) is not shorter than bake (%v): the requests of a wave are not compared "+
+						"before the next wave begins\n",
 					plan.LearnTime, plan.BakeTime)
 			}
 			binding := findBindingBudget(out, report.Budgets, len(names))
 			total := printWaves(cmd, plan, names, binding)
 			fmt.Fprintf(out,
-				"%d routers, at least %v beside the time that the command takes; the budget that binds: %s\n",
+				"%d routers, at least %v plus the time that the command takes; limiting budget: %s\n",
 				len(names), total, binding.name)
 			return nil
 		},
 	}.build()
 }
 
-// bindingBudget is the budget over the fleet that bounds a release most.
+// bindingBudget is the budget over the fleet that limits a release most.
 type bindingBudget struct {
-	// name is the budget's; "none" where no budget binds.
+	// name is the budget's name; "none" if no budget limits the release.
 	name string
 	// allowed is how many routers may be out at once.
 	allowed int
-	// slowStart is the longest of all budgets of routers.
+	// slowStart is the longest slow start of all budgets for routers.
 	slowStart time.Duration
 }
 
-// findBindingBudget finds the budget that bounds a release of so many routers, and writes which
-// budgets stop it.
+// findBindingBudget returns the budget that limits a release of the given number of routers most.
+// It prints the budgets that allow no outages at all.
 func findBindingBudget(out io.Writer, budgets []rollout.BudgetUsage, routers int) bindingBudget {
 	binding := bindingBudget{name: "none", allowed: routers}
 	for _, b := range budgets {
@@ -93,7 +93,7 @@
 		}
 		binding.slowStart = max(binding.slowStart, b.SlowStart)
 		if b.Allowed == 0 {
-			fmt.Fprintf(out, "budget %s%s lets nothing out: the release would not move\n", b.Budget, inZone(b.Zone))
+			fmt.Fprintf(out, "budget %s%s allows no outages: the release can't progress\n", b.Budget, inZone(b.Zone))
 		}
 		if b.Zone == "" && b.Allowed < binding.allowed {
 			binding.allowed = b.Allowed
@@ -103,8 +103,8 @@
 	return binding
 }
 
-// printWaves prints the waves of a plan over these routers, and returns how long they take at
-// least.
+// printWaves prints the waves of a plan over these routers, and returns their minimum total
+// duration.
 func printWaves(cmd *cobra.Command, plan rollout.ReleasePlan, names []string, binding bindingBudget) time.Duration {
 	w := newTable(cmd)
 	fmt.Fprintln(w, "wave\trouters\tat once\tat least\tnames")
@@ -120,14 +120,14 @@
 			i+1, len(wave), min(len(wave), binding.allowed), duration, rollout.FirstNames(wave))
 		before = size
 	}
-	_ = w.Flush() // a closed output also loses the line that follows
+	_ = w.Flush() // an output error would also affect the line that the caller prints next
 	return total
 }
 
 func newReleaseStatusCommand() *cobra.Command {
 	return toolCommand{
 		use:   "status",
-		short: "How far the release is",
+		short: "Show the progress of the release",
 		args:  cobra.NoArgs,
 		run: func(cmd *cobra.Command, _ []string, c *coordinators) error {
 			report, err := c.report(cmd.Context())
@@ -148,32 +148,32 @@
 	if report.Halt != nil {
 		fmt.Fprintf(out, "HALTED by %s: %s\n", report.Halt.By, report.Halt.Reason)
 	}
-	fmt.Fprintf(out, "release %s by %s: %s, towards %s; %d of %d routers are there, the wave has %d\n",
+	fmt.Fprintf(out, "release %s by %s: %s, towards %s; %d of %d routers updated, wave size %d\n",
 		r.Name, r.StartedBy, r.State, r.GoalVersion, len(report.Updated), len(r.Routers), r.WaveSize)
 	failures := rollout.CompareFailures(r.Buckets)
-	fmt.Fprintf(out, "failed or refused: %.3f%% at %s, %.3f%% at %s; evidence that the new one is worse: %.3g\n",
+	fmt.Fprintf(out, "failed or rejected: %.3f%% at %s, %.3f%% at %s; evidence that the new version is worse: %.3g\n",
 		100*failures.FromShare, r.FromVersion, 100*failures.ToShare, r.ToVersion, failures.Evidence)
 	latency := rollout.CompareLatency(r.Buckets)
 	fmt.Fprintf(out, "%s takes %.3f times as long as %s; evidence that it is slower: %.3g\n",
 		r.ToVersion, latency.Ratio, r.FromVersion, latency.Evidence)
 	for _, name := range report.Pending {
-		fmt.Fprintf(out, "to be changed now: router/%s\n", name)
+		fmt.Fprintf(out, "to be updated now: router/%s\n", name)
 	}
 	for name, reason := range r.NotRolledBack {
-		fmt.Fprintf(out, "left: router/%s: %s\n", name, reason)
+		fmt.Fprintf(out, "not rolled back: router/%s: %s\n", name, reason)
 	}
 }
 
 // releaseDriveHelp is the help of the sub-commands that drive a release.
-const releaseDriveHelp = "Runs the file's command for each router that is to be changed, within permits, " +
+const releaseDriveHelp = "Runs the file's command for each router that is to be updated, under permits, " +
 	"wave by wave. It may be stopped or killed\n" +
-	"at any time: the release stays as it is until 'release run' is called again, anywhere. " +
+	"at any time: the release then pauses until 'release run' is called again, on any machine. " +
 	"Ends when the release does."
 
 func newReleaseStartCommand() *cobra.Command {
 	return toolCommand{
 		use:   "start FILE",
-		short: "Begin a release, and drive it",
+		short: "Start a release, and drive it",
 		long:  releaseDriveHelp,
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
@@ -185,7 +185,7 @@
 func newReleaseRunCommand() *cobra.Command {
 	return toolCommand{
 		use:   "run FILE",
-		short: "Drive the release that is under way, or wait to take over from who does",
+		short: "Drive the release in progress, or wait to take over from another driver",
 		long:  releaseDriveHelp,
 		args:  cobra.ExactArgs(1),
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// runRelease drives the release of a file until it is over. A prepare that is not nil is called
-// before.
+// runRelease drives the release of a file until it is over. It first calls prepare, unless that is
+// nil.
 func runRelease(
 	cmd *cobra.Command, path string, c *coordinators,
 	prepare func(context.Context, *client.Client, rollout.ReleasePlan) error,
--- a/cmd/dockhinge-coord/release_driver.go
+++ b/cmd/dockhinge-coord/release_driver.go
@@ -17,35 +17,35 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// The lease of whoever drives a release. It only spares work: the coordinators' state decides all
-// that matters, so that two drivers at once do no harm.
+// The lease of the process that drives a release. It only avoids duplicate work: the coordinators'
+// state decides everything that matters, so two drivers at the same time do no harm.
 const (
 	controllerLease  = "release/controller"
 	controllerTTL    = 10 * time.Second
 	controllerMargin = 3 * time.Second
-	// controllerName is the client name of all drivers: one takes over the permits of one that
-	// died.
+	// controllerName is the client name of all drivers, so that a driver takes over the permits of
+	// one that has crashed.
 	controllerName = "release"
 )
 
 const (
 	// maxUpdates is how many routers are updated at once.
 	maxUpdates = 16
-	// updateRetryInterval is between two runs of the command for one router.
+	// updateRetryInterval is the pause between two runs of the command for one router.
 	updateRetryInterval = time.Second
-	// updatePollInterval is between two looks at whether a router is up with the goal version.
+	// updatePollInterval is the interval at which awaitUpdated checks whether a router is updated.
 	updatePollInterval = 100 * time.Millisecond
 )
 
-// releaseDriver runs the operator's command for the routers that the release is to change.
+// releaseDriver runs the operator's command for the routers that the release is to update.
 type releaseDriver struct {
 	session *client.Client
 	file    config.Release
-	// out is where progress is written.
+	// out receives the progress messages.
 	out io.Writer
 }
 
-// driveWithLease drives the release whenever this process has the controller's lease, until the
+// driveWithLease drives the release while this process holds the lease controllerLease, until the
 // release is over or ctx ends.
 func (d *releaseDriver) driveWithLease(ctx context.Context) error {
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-// drive works until the release is over, or ctx ends.
+// drive drives the release until it is over or ctx ends.
 func (d *releaseDriver) drive(ctx context.Context) (isOver bool, err error) {
 	updates := newRouterUpdates(ctx, d)
 	defer updates.stop()
@@ -97,24 +97,25 @@
 	return false, ctx.Err()
 }
 
-// outcome tells whether the release is over, with an error unless all routers have the new version.
+// outcome reports whether the release is over. If so, it returns an error unless all routers have
+// the new version.
 func (d *releaseDriver) outcome(report rollout.Report) (isOver bool, err error) {
 	r := report.Release
 	switch {
 	case r == nil || r.Name != d.file.Name:
-		return true, fmt.Errorf("release %s is not the one that is under way", d.file.Name)
+		return true, fmt.Errorf("release %s is not the current release", d.file.Name)
 	case r.State == rollout.ReleaseDone && r.GoalVersion == r.ToVersion:
 		fmt.Fprintf(d.out, "release %s: done, %d routers have %s\n", r.Name, len(report.Updated), r.GoalVersion)
 		return true, nil
 	case r.State != rollout.ReleaseRunning:
-		return true, fmt.Errorf("release %s: %s towards %s; %d routers were left",
+		return true, fmt.Errorf("release %s: %s towards %s; %d routers were not rolled back",
 			r.Name, r.State, r.GoalVersion, len(r.NotRolledBack))
 	}
 	return false, nil
 }
 
-// haltByComparison halts the release where its new version does worse. It returns false if the
-// coordinators did not take the halt.
+// haltByComparison halts the release if ReleaseProgress.ComparisonHalts finds a reason. It returns
+// false if the halt could not be sent.
 func (d *releaseDriver) haltByComparison(ctx context.Context, r *rollout.ReleaseProgress) bool {
 	limits := rollout.ComparisonLimits{FalseHaltShare: d.file.FalseHaltShare, MinServedShare: d.file.MinServedShare}
 	for _, reason := range r.ComparisonHalts(limits) {
@@ -125,18 +126,18 @@
 	return true
 }
 
-// releaseStatus is how far the release is, in one line.
+// releaseStatus returns the progress of the release in one line.
 func releaseStatus(report rollout.Report) string {
 	if report.Halt != nil {
 		return fmt.Sprintf("halted by %s: %s", report.Halt.By, report.Halt.Reason)
 	}
 	r := report.Release
-	return fmt.Sprintf("towards %s: %d of %d routers there, wave of %d",
+	return fmt.Sprintf("towards %s: %d of %d routers updated, wave size %d",
 		r.GoalVersion, len(report.Updated), len(r.Routers), r.WaveSize)
 }
 
-// routerUpdates are the updates of routers under way towards one goal version. It owns their
-// goroutines: stop and setGoal end and await them.
+// routerUpdates are the running updates of routers to one goal version. It owns their goroutines:
+// stop and setGoal end them and wait for them.
 type routerUpdates struct {
 	driver *releaseDriver
 	wg     sync.WaitGroup
@@ -147,7 +148,7 @@
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// running are the routers under way; guarded by mu.
+	// running are the routers that are being updated; guarded by mu.
 	running map[string]bool
 }
 
@@ -157,13 +158,13 @@
 	return u
 }
 
-// stop ends all updates.
+// stop ends all updates and waits for them.
 func (u *routerUpdates) stop() {
 	u.cancel()
 	u.wg.Wait()
 }
 
-// setGoal ends the updates towards another version than the goal.
+// setGoal sets the goal version. If it has changed, setGoal ends the updates to the old one.
 func (u *routerUpdates) setGoal(ctx context.Context, goal string) {
 	if goal == u.goal {
 		return
@@ -173,7 +174,8 @@
 	u.ctx, u.cancel = context.WithCancel(ctx)
 }
 
-// begin begins the update of a router, unless it is under way or too many are.
+// begin starts the update of a router, unless the router is being updated already or maxUpdates are
+// running.
 func (u *routerUpdates) begin(name string, release *rollout.ReleaseProgress) {
 	if !u.reserve(name) {
 		return
@@ -203,16 +205,16 @@
 	delete(u.running, name)
 }
 
-// updateRouter brings one router to the goal: it acquires the permit, runs the command, waits until
-// the router is up with the goal version, and gives the permit back.
+// updateRouter brings one router to the goal version: it acquires the permit, runs the command,
+// waits until the router is up with the goal version, and returns the permit.
 func (d *releaseDriver) updateRouter(ctx context.Context, name string, release *rollout.ReleaseProgress) error {
 	request := permitRequest{
 		priority: "release",
 		purpose:  "release " + release.Name + " towards " + release.GoalVersion,
 	}
 	if release.GoalVersion == release.FromVersion {
-		// A new version that fails may have taken out more routers than the budgets allow: what is
-		// down may always come back.
+		// A new version that fails may have taken down more routers than the budgets allow. A
+		// router that is down may always be rolled back.
 		request.priority = "emergency"
 	}
 	token, err := request.acquire(ctx, d.session, rollout.KindRouter, name, d.out)
@@ -220,7 +222,7 @@
 		return err
 	}
 	step("step-begun")
-	// A driver that died may have run the command already.
+	// A driver that crashed may have run the command already.
 	if isUpdated, err := d.isUpdated(ctx, name); err != nil || !isUpdated {
 		if err := d.runWithRetries(ctx, name, release, token); err != nil {
 			return err
@@ -238,14 +240,14 @@
 	return err
 }
 
-// isUpdated tells whether a router is up with the goal version.
+// isUpdated reports whether a router is up with the goal version.
 func (d *releaseDriver) isUpdated(ctx context.Context, name string) (bool, error) {
 	report, err := d.session.RolloutReport(ctx, 0)
 	return err == nil && slices.Contains(report.Updated, name), err
 }
 
-// awaitUpdated waits until a router is up with the goal version, or ctx ends. The coordinators halt
-// the release where that takes longer than the step timeout.
+// awaitUpdated waits until a router is up with the goal version, or ctx ends. If that takes longer
+// than the step timeout, the coordinators halt the release.
 func (d *releaseDriver) awaitUpdated(ctx context.Context, name string) error {
 	for {
 		isUpdated, err := d.isUpdated(ctx, name)
@@ -258,9 +260,9 @@
 	}
 }
 
-// runWithRetries runs the command for a router until it succeeds. After the last attempt it tells
-// the coordinators that the router has failed. It returns nil where ctx ends: the caller's next
-// step then ends by it.
+// runWithRetries runs the command for a router until it succeeds. If the last attempt fails, it
+// reports the failed router to the coordinators. It returns nil if ctx ends, because the caller's
+// next call then returns the error of ctx.
 func (d *releaseDriver) runWithRetries(
 	ctx context.Context, name string, release *rollout.ReleaseProgress, token uint64,
 ) error {
@@ -282,11 +284,11 @@
 	}
 }
 
-// truncateReason cuts a reason to what the coordinators take.
+// truncateReason cuts a reason to the maximum length that the coordinators accept.
 func truncateReason(text string) string { return text[:min(len(text), rollout.MaxText)] }
 
-// runCommand runs the operator's command for one router. Its output goes where the driver's own
-// does.
+// runCommand runs the operator's command for one router. The command's standard output goes to
+// standard error, as the driver's own progress messages do.
 func (d *releaseDriver) runCommand(
 	ctx context.Context, name string, release *rollout.ReleaseProgress, token uint64,
 ) error {
--- a/cmd/dockhinge-coord/run_command.go
+++ b/cmd/dockhinge-coord/run_command.go
@@ -13,11 +13,11 @@
 	"dockhinge.example/dockhinge/internal/coord/client"
 )
 
-// killDelay is how long a command that got TERM has before it gets KILL.
+// killDelay is the time between TERM and KILL for a command that does not end.
 const killDelay = 2 * time.Second
 
-// newCommand makes an operator's command that runs in a process group of its own, so that none of
-// its processes outlives this program.
+// newCommand prepares an operator's command. It gets its own process group, so that all of its
+// processes can be signaled, and it is killed if this program ends first.
 func newCommand(ctx context.Context, words []string, environment ...string) *exec.Cmd {
 	command := exec.CommandContext(ctx, words[0], words[1:]...)
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -27,16 +27,17 @@
 	return command
 }
 
-// signalGroup signals the process group of a command that has started. The group may have ended.
+// signalGroup signals the process group of a started command. It returns an error if the group has
+// already ended.
 func signalGroup(command *exec.Cmd, signal syscall.Signal) error {
 	return syscall.Kill(-command.Process.Pid, signal)
 }
 
-// tokenVariable passes a fencing token to a command.
+// tokenVariable returns the environment entry that passes a fencing token to a command.
 func tokenVariable(token uint64) string { return "DOCKHINGE_TOKEN=" + strconv.FormatUint(token, 10) }
 
-// runCommand runs an operator's command. When ctx ends its process group gets TERM, and KILL after
-// killDelay.
+// runCommand runs an operator's command. When ctx ends, the command's process group gets TERM, and
+// KILL after killDelay.
 func runCommand(ctx context.Context, stdout io.Writer, words []string, environment ...string) error {
 	command := newCommand(ctx, words, environment...)
 	command.Cancel = func() error { return signalGroup(command, syscall.SIGTERM) }
@@ -44,14 +45,14 @@
 	command.Stdout = stdout
 	err := command.Run()
 	if ctx.Err() != nil && command.Process != nil {
-		_ = signalGroup(command, syscall.SIGKILL) // what is left of the group
+		_ = signalGroup(command, syscall.SIGKILL) // kill the remaining processes of the group
 	}
 	return err
 }
 
-// runUnderLease runs a command until it ends or ctx does, which ends when the lease can't be kept.
-// Then its process group gets TERM, and KILL within two thirds of the margin, a third of it before
-// the lease's time is out.
+// runUnderLease runs a command. When ctx ends, which happens if the lease can't be renewed, the
+// command's process group gets TERM. It gets KILL after two thirds of the margin, or earlier if
+// only a third of the margin remains until the lease expires.
 func runUnderLease(ctx context.Context, l *client.Lease, words []string, margin time.Duration) error {
 	command := newCommand(context.Background(), words, "DOCKHINGE_LEASE="+l.Name, tokenVariable(l.Token))
 	command.Stdout = os.Stdout
--- a/cmd/dockhinge-coord/serve.go
+++ b/cmd/dockhinge-coord/serve.go
@@ -22,17 +22,18 @@
 )
 
 const (
-	// maxDataBytes bounds a coordinator's memory; it uses a small part of it.
+	// maxDataBytes limits a coordinator's memory. Normally a coordinator uses a small part of it.
 	maxDataBytes = 1 << 30
-	// gcPercent makes a smaller process. A limit on memory instead would have it collect all the
-	// time with many clients.
+	// gcPercent keeps the process small. With a soft memory limit instead, the garbage collector
+	// would run all the time when there are many clients.
 	gcPercent = 50
-	// logRepeatInterval and logRepeatBurst bound how often the same log line is repeated.
+	// logRepeatInterval and logRepeatBurst limit how often the same log line is repeated.
 	logRepeatInterval = 10 * time.Second
 	logRepeatBurst    = 20
 )
 
-// startLogging makes the process's logger, to the standard error.
+// startLogging creates the process's logger, which writes to standard error, and makes it the
+// default logger.
 func startLogging(level string, isJSON bool) *slog.Logger {
 	log := logging.New(os.Stderr, logging.Options{
 		Level:          level,
@@ -62,15 +63,16 @@
 	}
 }
 
-// limitProcess bounds the process's memory, and has a full disk return an error from the write.
+// limitProcess limits the process's memory. It also ignores SIGXFSZ, so that a write beyond the
+// file size limit returns an error, as a full disk does, instead of killing the process.
 func limitProcess() error {
 	signal.Ignore(syscall.SIGXFSZ)
 	debug.SetGCPercent(gcPercent)
-	// A damaged page that leads back to itself has the log's library allocate without end: the
-	// bound ends this process and not the machine.
+	// A damaged page that refers to itself makes the log's library allocate without end. The limit
+	// ends this process before the whole machine runs out of memory.
 	limit := &unix.Rlimit{Cur: maxDataBytes, Max: maxDataBytes}
 	if err := unix.Setrlimit(unix.RLIMIT_DATA, limit); err != nil {
-		return fmt.Errorf("bounding the memory: %w", err)
+		return fmt.Errorf("limiting the memory: %w", err)
 	}
 	return nil
 }
@@ -80,21 +82,21 @@
 	if err := node.MakeDirectory(file.Dir); err != nil {
 		return err
 	}
-	clients, err := net.Listen("tcp", file.API)
+	clientListener, err := net.Listen("tcp", file.API)
 	if err != nil {
 		return fmt.Errorf("api: %w", err)
 	}
-	var metrics net.Listener
+	var metricsListener net.Listener
 	if file.Figures != "" {
-		metrics, err = net.Listen("tcp", file.Figures)
+		metricsListener, err = net.Listen("tcp", file.Figures)
 		if err != nil {
-			return errors.Join(fmt.Errorf("figures: %w", err), clients.Close())
+			return errors.Join(fmt.Errorf("figures: %w", err), clientListener.Close())
 		}
-		defer metrics.Close()
+		defer metricsListener.Close()
 	}
 	coordinator, err := node.Start(nodeOptions(file, log))
 	if err != nil {
-		return errors.Join(err, clients.Close())
+		return errors.Join(err, clientListener.Close())
 	}
 	identity := coordinator.Status().Identity
 	log.Info("serving", "name", file.Name, "identity", identity, "listen", file.Listen, "api", file.API)
@@ -102,14 +104,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	if metrics != nil {
+	if metricsListener != nil {
 		wg.Go(func() {
-			if err := node.Serve(ctx, metrics, coordinator.MetricsHandler()); err != nil {
-				log.Error("metrics can't be served", "error", err)
+			if err := node.Serve(ctx, metricsListener, coordinator.MetricsHandler()); err != nil {
+				log.Error("failed to serve metrics", "error", err)
 			}
 		})
 	}
-	err = node.Serve(ctx, clients, coordinator.Handler())
+	err = node.Serve(ctx, clientListener, coordinator.Handler())
 	cancel()
 	wg.Wait()
 	return errors.Join(err, coordinator.Close())
@@ -127,7 +129,7 @@
 		HeartbeatTimeout: file.HeartbeatTimeout(),
 		Log:              log,
 		OnFatal: func(err error) {
-			fmt.Fprintln(os.Stderr, "dockhinge-coord: it can't go on:", err)
+			fmt.Fprintln(os.Stderr, "dockhinge-coord: fatal:", err)
 			os.Exit(exitFatal)
 		},
 	}
@@ -136,7 +138,7 @@
 func newCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a coordinator's file",
+		Short: "Check a coordinator's configuration file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := config.Load(args[0]); err != nil {
@@ -152,15 +154,15 @@
 	var isConfirmed bool
 	cmd := &cobra.Command{
 		Use: "recover FILE",
-		Short: "DANGEROUS: make a coordinator's directory a group of its own, " +
-			"after a majority was lost for good",
-		Long: "For the day on which a majority of the coordinators is lost for good. What the lost " +
-			"ones had agreed on and this one had\n" +
-			"not heard of is gone. All tokens are raised. Before it: end every coordinator that " +
-			"is left, take the directory whose\n" +
-			"log reaches furthest ('last' in status), and wait until the longest time to live has " +
-			"passed, as holders that this\n" +
-			"one doesn't know of may still act.",
+		Short: "DANGEROUS: form a new group from one coordinator's directory, " +
+			"after a majority was lost permanently",
+		Long: "For use after a majority of the coordinators has been lost permanently. Decisions of " +
+			"the lost coordinators that this\n" +
+			"one had not received are lost. All tokens are raised. Before you run it, stop every " +
+			"remaining coordinator, choose the\n" +
+			"directory with the longest log ('last' in status), and wait until the longest time to " +
+			"live has passed, because lease\n" +
+			"holders that this coordinator does not have on record may still act.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if !isConfirmed {
@@ -174,6 +176,6 @@
 		},
 	}
 	cmd.Flags().BoolVar(&isConfirmed, "i-have-waited", false,
-		"all other coordinators are ended, and the longest time to live has passed since")
+		"confirms that all other coordinators have ended and that the longest time to live has passed since")
 	return cmd
 }
--- a/cmd/dockhinge-coord/step_faults.go
+++ b/cmd/dockhinge-coord/step_faults.go
@@ -8,25 +8,24 @@
 	"time"
 )
 
-// pausePollInterval is between two looks at whether a paused program may go on.
+// pausePollInterval is the interval at which a paused program checks whether it may continue.
 const pausePollInterval = 5 * time.Millisecond
 
-// step is a named point of this program at which the laboratory injects a crash or a pause. At the
-// step in DOCKHINGE_KILL_AT the program is killed as by SIGKILL from outside. At the one in
-// DOCKHINGE_PAUSE_AT it waits, once, until the laboratory has made the file
-// DOCKHINGE_PAUSE_FILE.go.
+// step is called at the named points of this program at which tests may inject a crash or a pause.
+// At the point in DOCKHINGE_KILL_AT the program is killed with SIGKILL. At the point in
+// DOCKHINGE_PAUSE_AT it waits, once, until the test has created the file DOCKHINGE_PAUSE_FILE.go.
 func step(name string) {
 	if file := os.Getenv("DOCKHINGE_PAUSE_FILE"); file != "" && os.Getenv("DOCKHINGE_PAUSE_AT") == name {
 		pauseOnce(file)
 	}
 	if os.Getenv("DOCKHINGE_KILL_AT") == name {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-		select {} // until the signal has come
+		select {} // wait for the signal
 	}
 }
 
-// pauseOnce makes the file, and waits for the one that lets the program go on. Where the file was
-// there, it has waited before.
+// pauseOnce creates the file at path, and waits until path.go exists. If the file already exists,
+// it returns at once, because the program has already paused.
 func pauseOnce(path string) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/cmd/dockhinge-coord/step_off.go
+++ b/cmd/dockhinge-coord/step_off.go
@@ -2,5 +2,5 @@
 
 package main
 
-// step does nothing: crashes and pauses are injected only in a build with the tag faults.
+// step does nothing: crashes and pauses are only injected in builds with the tag faults.
 func step(string) {}
--- a/cmd/dockhinge-coord/stopped_test.go
+++ b/cmd/dockhinge-coord/stopped_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// commandTimeLimit is the time within which each operators' command ends that waits for no permit, with
-// the slack of a busy machine.
+// commandTimeLimit is the time within which each operators' command that waits for no permit must
+// end. It is generous, because the machine may be busy.
 const commandTimeLimit = 3 * leaderTimeout
 
-// startStopped listens as the machine of a stopped process does: connections are accepted, and nothing
-// is ever answered.
+// startStopped listens like the machine of a stopped process: it accepts connections, but never
+// answers.
 func startStopped(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	return listener.Addr().String()
 }
 
-// goneAddr is an address at which nobody listens.
+// goneAddr returns an address at which no process listens.
 func goneAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,8 +38,8 @@
 	return listener.Addr().String()
 }
 
-// Guards against operators' commands that never end, or end as if all were well, while coordinators
-// are stopped or gone.
+// Guards against operators' commands that never end, or that report success, while the coordinators
+// are stopped or unreachable.
 func TestCommandsEndWithoutCoordinators(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a.toml")
 	if err := os.WriteFile(file, []byte("x = 1\n"), 0o600); err != nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Guards against coordinators that don't answer and are left out of the JSON.
+// Guards against JSON that omits the coordinators that don't answer.
 func TestStatusNamesCoordinatorsThatDoNotAnswer(t *testing.T) {
 	root := newRootCommand()
 	var out bytes.Buffer
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// RouterClientPrefix begins the client names of the routers' sessions.
+// RouterClientPrefix is the prefix of the client names of routers' sessions.
 const RouterClientPrefix = "router/"
 
-// Code tells how a command ended. The values travel to clients.
+// Code is the outcome of a command. The values are sent to clients.
 type Code string
 
 // The codes.
 const (
-	// CodeOK tells that the command was carried out.
+	// CodeOK means that the command was carried out.
 	CodeOK Code = "ok"
-	// CodeNotHeld tells that the session has no permit of the target with the token.
+	// CodeNotHeld means that the session has no permit of the target with the token.
 	CodeNotHeld Code = "not-held"
-	// CodeLimitReached tells that a table is full; the text names it.
+	// CodeLimitReached means that a table is full; the text names the table.
 	CodeLimitReached Code = "full"
-	// CodeInvalid tells that the command can't be carried out; the text tells why.
+	// CodeInvalid means that the command can't be carried out; the text gives the reason.
 	CodeInvalid Code = "bad"
 )
 
-// Result is what a command returned.
+// Result is the result of a command.
 type Result struct {
-	// Code tells how the command ended.
+	// Code is the outcome of the command.
 	Code Code
-	// Text is why it could not be carried out, or why the sender's permit of the target waits.
+	// Text is why the command was not carried out, or why the sender's permit of the target waits.
 	Text string
-	// Token is that of the sender's permit of the target; 0 while none is granted.
+	// Token is the token of the sender's permit of the target; 0 while that permit is not granted.
 	Token uint64
-	// Stage is that of the sender's permit of the target.
+	// Stage is the stage of the sender's permit of the target.
 	Stage Stage
-	// IsDrained tells that no router sends to the target of the sender's permit any more.
+	// IsDrained reports that no router sends to the target of the sender's permit any more.
 	IsDrained bool
 
-	// isUnchanged tells that nothing has changed that others wait to hear of. State.Version then
-	// stays, unless reconciling changes something.
+	// isUnchanged reports that the command changed nothing that waiting clients must be notified
+	// of. State.Version then stays the same unless reconcile changes something.
 	isUnchanged bool
 }
 
@@ -54,33 +54,35 @@
 	return Result{Code: CodeLimitReached, Text: fmt.Sprintf("%s: %d at most", table, limit)}
 }
 
-// Sender is who sends a command, and when.
+// Sender is the session that sends a command, and the agreed time at which the command is applied.
 type Sender struct {
 	// Time is the agreed time.
 	Time time.Duration
-	// Session is the sender's session.
+	// Session is the ID of the sender's session.
 	Session string
-	// Client is the name of the session's client: RouterClientPrefix and the name for a router.
+	// Client is the name of the session's client. For a router it is RouterClientPrefix followed by
+	// the router's name.
 	Client string
-	// SessionOrder is the position of the session among all sessions; the larger, the later.
+	// SessionOrder is the position of the session among all sessions; later sessions have larger
+	// values.
 	SessionOrder uint64
-	// NextToken returns a fencing token larger than all before it.
+	// NextToken returns a fencing token larger than all earlier ones.
 	NextToken func() uint64
-	// HasEarlierLimits tells that a coordinator may run an earlier program, whose tables have lower
-	// limits.
+	// HasEarlierLimits is set while a coordinator may run an earlier program version, whose tables
+	// have lower limits.
 	HasEarlierLimits bool
 }
 
-// router is the name of the router whose session the sender has; false for any other client.
-func (f Sender) router() (name string, isRouter bool) { return routerOfClient(f.Client) }
+// router returns the name of the router that sent the command; false for any other client.
+func (s Sender) router() (name string, isRouter bool) { return routerOfClient(s.Client) }
 
 func routerOfClient(client string) (name string, isRouter bool) {
 	name, hasPrefix := strings.CutPrefix(client, RouterClientPrefix)
 	return name, hasPrefix && name != ""
 }
 
-// Apply carries out a command. It is called with the commands in the order of the coordinators'
-// log.
+// Apply carries out a command and returns its result. Commands must be applied in the order of the
+// coordinators' log.
 func (s *State) Apply(c Command, sender Sender) Result {
 	decoded, err := c.decode()
 	if err != nil {
@@ -103,8 +105,8 @@
 	return result
 }
 
-// SessionEnded tells the state that a session has ended: a router's observations are dropped, and
-// its permits have no holder.
+// SessionEnded applies the end of a session. The permits of the session lose their holder. If it
+// was a router's session, the router's observations are dropped.
 func (s *State) SessionEnded(session, client string, now time.Duration, nextToken func() uint64) {
 	hasChanged := false
 	if name, isRouter := routerOfClient(client); isRouter {
@@ -129,7 +131,7 @@
 	}
 }
 
-// Advance lets the agreed time pass up to now.
+// Advance applies all changes that are due at the agreed time now.
 func (s *State) Advance(now time.Duration, nextToken func() uint64) {
 	if now >= s.nextReconcileAt {
 		s.reconcile(now, nextToken)
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// The routers and servers of three regions.
+// Sizes of the benchmarked fleet: the routers and servers of three regions.
 const (
 	benchRouters       = 1000
 	benchRegionRouters = 392
 	benchServers       = 192
 )
 
-// BenchmarkJoin is what a fleet of 1,000 routers that join costs the state: each reports the 192
+// BenchmarkJoin measures the cost per router when 1,000 routers register: each reports the 192
 // servers of its region.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
@@ -21,7 +21,7 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
 
-// newJoinedFleet is a fleet of so many routers, all servers serving.
+// newJoinedFleet returns a fleet with the given number of routers that find all servers serving.
 func newJoinedFleet(routers int) *testFleet {
 	f := newTestFleet(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
@@ -42,7 +42,7 @@
 	return f
 }
 
-// BenchmarkDrain is what a drain and its acknowledgements by 1,000 routers cost the state.
+// BenchmarkDrain measures the cost per router of a drain that 1,000 routers acknowledge.
 func BenchmarkDrain(b *testing.B) {
 	f := newJoinedFleet(benchRouters)
 	for b.Loop() {
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// scopeZone is the Budget.Per of a budget that holds for each zone by itself.
+// scopeZone is the Budget.Per of a budget that applies to each zone separately.
 const scopeZone = "zone"
 
-// Budget bounds how many targets of a kind may be out of service at once, whatever the reason.
+// Budget limits how many targets of a kind may be out of service at once, for whatever reason.
 type Budget struct {
 	// Name is unique among the budgets in force.
 	Name string `json:"name"`
-	// Kind is that of the targets covered.
+	// Kind is the kind of the covered targets.
 	Kind Kind `json:"kind"`
-	// Match is a pattern of path.Match for the names covered; "" covers all.
+	// Match is a path.Match pattern for the names of the covered targets; "" covers all.
 	Match string `json:"match,omitempty"`
-	// Per is "zone" for a budget that holds for each zone by itself, or "" for one over the whole
+	// Per is "zone" for a budget that applies to each zone separately, or "" for one over the whole
 	// fleet.
 	Per string `json:"per,omitempty"`
-	// MaxOut is how many targets may be out at once; 0 leaves it to MaxOutShare.
+	// MaxOut is how many targets may be out at once; 0 means that MaxOutShare applies.
 	MaxOut int `json:"most,omitempty"`
-	// MaxOutShare is the share of the covered targets that may be out, rounded down; used where
-	// MaxOut is 0.
+	// MaxOutShare is the share of the covered targets that may be out at once, rounded down. It
+	// applies if MaxOut is 0.
 	MaxOutShare float64 `json:"share,omitempty"`
 	// SlowStart is how long a target that has come back still counts as out.
 	SlowStart time.Duration `json:"warm,omitempty"`
@@ -33,8 +33,7 @@
 
 var errBothLimits = errors.New("share: most is given too, and one of them holds")
 
-// Check returns what is wrong with the budget, beginning with the name of the setting; nil if
-// nothing is.
+// Check returns an error that names the first invalid setting; nil if the budget is valid.
 func (b *Budget) Check() error {
 	if b.Name == "" || len(b.Name) > MaxName {
 		return fmt.Errorf("name: %q is not of 1 to %d bytes", b.Name, MaxName)
@@ -68,7 +67,7 @@
 	return nil
 }
 
-// checkMatch checks a pattern for names.
+// checkMatch returns an error if a name pattern is malformed or too long.
 func checkMatch(pattern string) error {
 	if _, err := path.Match(pattern, ""); err != nil || len(pattern) > MaxName {
 		return fmt.Errorf("match: %q is no pattern of at most %d bytes", pattern, MaxName)
@@ -85,16 +84,16 @@
 	return isMatch
 }
 
-// covers reports whether a target comes under the budget.
+// covers reports whether the budget applies to a target.
 func (b *Budget) covers(ref targetRef) bool {
 	return b.Kind == ref.kind && matches(b.Match, ref.name)
 }
 
-// shareRounding keeps a product such as 0.1 * 30, which floating point puts just below a whole
-// number, from being rounded down.
+// shareRounding prevents math.Floor from rounding down a product such as 0.1 * 30, which floating
+// point arithmetic may put just below the whole number.
 const shareRounding = 1e-9
 
-// allowed is how many of n covered targets may be out at once.
+// allowed returns how many of n covered targets may be out at once.
 func (b *Budget) allowed(n int) int {
 	if b.MaxOut > 0 {
 		return b.MaxOut
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// Op names what a Command does. The values stand in the coordinators' log.
+// Op is the operation of a Command. The values are stored in the coordinators' log.
 type Op string
 
 // The operations.
 const (
 	// OpSetBudgets puts Budgets, Grace, ExpectedRouters, EjectionQuorum and OverloadShare in force.
 	OpSetBudgets Op = "budgets"
-	// OpReport is a router's Report; only from the session of a router.
+	// OpReport delivers the Report of a router. Only a router's session may send it.
 	OpReport Op = "see"
-	// OpAcknowledgeDrains tells that a router has DrainVersion in force: it sends nothing more to
-	// the servers drained by it.
+	// OpAcknowledgeDrains confirms that a router has applied the drain set of DrainVersion: it
+	// sends nothing more to the servers in that set.
 	OpAcknowledgeDrains Op = "ack"
-	// OpRequestPermit requests the permit to take Kind/Name out. Repeated, it tells how the request
-	// stands.
+	// OpRequestPermit requests the permit to take Kind/Name out of service. Sent again, it returns
+	// the status of the request.
 	OpRequestPermit Op = "ask"
-	// OpBeginOutage begins the outage by the permit with Token: from here on the target is out.
+	// OpBeginOutage begins the outage under the permit with Token: from now on the target is out.
 	OpBeginOutage Op = "begin"
-	// OpEndOutage gives the permit with Token back: the target is in service again.
+	// OpEndOutage returns the permit with Token: the target is back in service.
 	OpEndOutage Op = "back"
-	// OpCancelPermit withdraws a permit that has not begun.
+	// OpCancelPermit withdraws a permit whose outage has not begun.
 	OpCancelPermit Op = "cancel"
-	// OpClearPermit is an operator's assurance that nothing happens any more by the begun permit of
-	// Kind/Name, whoever held it.
+	// OpClearPermit removes the begun permit of Kind/Name, whoever holds it. The operator thereby
+	// confirms that nothing is done under that permit any more.
 	OpClearPermit Op = "clear"
-	// OpForgetTarget removes Kind/Name, which does not serve, from the fleet.
+	// OpForgetTarget removes Kind/Name, which must be out of service, from the fleet.
 	OpForgetTarget Op = "forget"
-	// OpHalt stops all new outages but emergencies, for Reason.
+	// OpHalt stops all new outages except emergencies, for Reason.
 	OpHalt Op = "halt"
 	// OpResume ends the halt.
 	OpResume Op = "resume"
 
 	// OpStartRelease starts the release Plan.
 	OpStartRelease Op = "release"
-	// OpRollBack brings the routers of the release back to the version before.
+	// OpRollBack returns the routers of the release to the previous version.
 	OpRollBack Op = "way-back"
-	// OpEndRelease ends the release as it stands.
+	// OpEndRelease ends the release and leaves each router at its current version.
 	OpEndRelease Op = "end"
-	// OpRouterFailed tells that the router Name can't be brought to the goal version, for Reason.
+	// OpRouterFailed reports that the router Name can't be brought to the goal version, for Reason.
 	OpRouterFailed Op = "failed"
 )
 
-// Command is one command as clients send it and as it stands in the coordinators' log. Which fields
-// count depends on Op. decode makes one of the typed commands of it.
+// Command is one command as clients send it and as the coordinators' log stores it. Op determines
+// which of the other fields are used. decode converts it to a typed command.
 type Command struct {
 	// Op is the operation.
 	Op Op `json:"op"`
-	// Budgets are for OpSetBudgets.
+	// Budgets is for OpSetBudgets: see State.Budgets.
 	Budgets []Budget `json:"budgets,omitempty"`
 	// Grace is for OpSetBudgets: see State.Grace.
 	Grace time.Duration `json:"grace,omitempty"`
@@ -65,16 +65,16 @@
 	Report *RouterReport `json:"view,omitempty"`
 	// DrainVersion is for OpAcknowledgeDrains.
 	DrainVersion uint64 `json:"drains,omitempty"`
-	// Kind is that of the target of a permit's operation, or of OpForgetTarget.
+	// Kind is the kind of the target, for the operations on permits and for OpForgetTarget.
 	Kind Kind `json:"kind,omitempty"`
-	// Name is that of the target, or of the router of OpRouterFailed.
+	// Name is the name of the target, or of the router of OpRouterFailed.
 	Name string `json:"name,omitempty"`
-	// Token is that of the permit, for OpBeginOutage and OpEndOutage.
+	// Token is the token of the permit, for OpBeginOutage and OpEndOutage.
 	Token uint64 `json:"token,omitempty"`
 	// Priority is for OpRequestPermit: PriorityRelease to PriorityEmergency.
 	Priority int `json:"priority,omitempty"`
-	// ValidFor is for OpRequestPermit: the request is dropped if it has not begun within it; 0
-	// keeps it for ever.
+	// ValidFor is for OpRequestPermit: a request whose outage has not begun within this time is
+	// dropped; 0 keeps it until it is withdrawn.
 	ValidFor time.Duration `json:"within,omitempty"`
 	// Reason is the purpose of a permit, or the reason of a halt or of a router's failure.
 	Reason string `json:"why,omitempty"`
@@ -82,17 +82,17 @@
 	Plan *ReleasePlan `json:"plan,omitempty"`
 }
 
-// target is the target that the command names.
+// target returns the target that the command names.
 func (c *Command) target() targetRef { return targetRef{c.Kind, c.Name} }
 
-// command is a decoded command. apply changes the state and returns the result; what follows from
-// the change for other targets is left to State.reconcile.
+// command is a decoded command. apply changes the state and returns the result. It leaves the
+// consequences for other targets to State.reconcile.
 type command interface {
 	apply(s *State, sender Sender) Result
 }
 
-// decoders make a typed command of a stored one. One that returns an error changes nothing, not
-// even what time alone changes.
+// decoders convert stored commands to typed commands. If a decoder returns an error, the state does
+// not change at all: reconcile isn't called either.
 var decoders = map[Op]func(c *Command) (command, error){
 	OpSetBudgets: func(c *Command) (command, error) {
 		return setBudgets{
@@ -131,7 +131,7 @@
 	OpForgetTarget: ofTarget(func(c *Command) command { return forgetTarget{c.target()} }),
 }
 
-// decode returns the typed command, or what is wrong with the stored one.
+// decode returns the typed command, or an error that says why the stored one is invalid.
 func (c *Command) decode() (command, error) {
 	decoder := decoders[c.Op]
 	if decoder == nil {
@@ -147,7 +147,8 @@
 	return halt{reason: c.Reason}, nil
 }
 
-// ofTarget decodes a command on a target, once kind and name of the target have been checked.
+// ofTarget returns a decoder for a command on a target. The decoder checks the target's kind and
+// name before it calls build.
 func ofTarget(build func(c *Command) command) func(c *Command) (command, error) {
 	return func(c *Command) (command, error) {
 		if c.Kind != KindRouter && c.Kind != KindServer {
--- a/internal/rollout/comparison.go
+++ b/internal/rollout/comparison.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Constants of the comparison of both versions.
+// Constants of the comparison of the two versions of a release.
 const (
-	// MaxComparisonBuckets is how many buckets are kept, the newest.
+	// MaxComparisonBuckets is how many buckets are kept; the oldest are dropped.
 	MaxComparisonBuckets = 256
-	// ComparisonInterval is the agreed time that one bucket covers.
+	// ComparisonInterval is the length of one bucket in agreed time.
 	ComparisonInterval = 2 * time.Second
 )
 
@@ -20,25 +20,25 @@
 	toVersion   = 1
 )
 
-// ComparisonBucket counts what routers of both versions have answered in one interval, side by
-// side. The arrays are indexed by fromVersion and toVersion. A router's requests count once it is
-// out of slow start and has learnt.
+// ComparisonBucket counts the requests that routers of both versions have answered in one interval.
+// The arrays are indexed by fromVersion and toVersion. The requests of a router are counted once it
+// is out of slow start and its learning time is over.
 type ComparisonBucket struct {
-	// Served are the served requests.
+	// Served are the numbers of served requests.
 	Served [2]int64 `json:"good"`
-	// Failed are the rejected and failed requests.
+	// Failed are the numbers of rejected and failed requests.
 	Failed [2]int64 `json:"bad"`
-	// LatencyCounts are the served requests by LatencyBucket; empty where routers don't report
-	// them.
+	// LatencyCounts are the numbers of served requests by LatencyBucket; empty while routers don't
+	// report them.
 	LatencyCounts [2][]int64 `json:"speed,omitzero"`
 }
 
-// LatencyBuckets is into how many buckets latencies are sorted.
+// LatencyBuckets is the number of latency buckets.
 const LatencyBuckets = 16
 
-// LatencyBucket is the bucket of a latency, given as a part of the latency objective of the
-// request's class. Buckets are half octaves, from 1/64 of the objective to twice the objective and
-// beyond.
+// LatencyBucket returns the bucket of a latency, given as a fraction of the latency objective of
+// the request's class. Each bucket is half an octave wide: the first holds latencies up to 1/64 of
+// the objective, the last those above twice the objective.
 func LatencyBucket(objectiveShare float64) int {
 	if !(objectiveShare > 0) {
 		return 0
@@ -47,9 +47,10 @@
 	return max(0, min(LatencyBuckets-1, bucket))
 }
 
-// recordRequestCounts records a router's counts of requests, and adds what it has answered since
-// its last report to the fleet's load and to the comparison of both versions. A first report only
-// sets the counts: its requests are of an unknown time.
+// recordRequestCounts records the request counts of a router's report. It adds the requests that
+// the router has answered since its last report to the fleet's load and to the comparison of the
+// two versions. A first report only sets the counts, because it is unknown when its requests were
+// answered.
 func (s *State) recordRequestCounts(router *Target, name string, report *RouterReport, now time.Duration) {
 	earlierTotal := router.Served + router.Failed
 	isFirstReport := earlierTotal == 0 || earlierTotal > report.Served+report.Failed
@@ -79,7 +80,7 @@
 	latencyCounts []int64
 }
 
-// differences are the increases of counts; 0 where one has decreased.
+// differences returns by how much each count has increased; 0 for a count that has decreased.
 func differences(counts, earlier []int64) []int64 {
 	increases := make([]int64, len(counts))
 	for i, n := range counts {
@@ -88,7 +89,7 @@
 	return increases
 }
 
-// isCompared tells whether the requests of a router count in the comparison of both versions.
+// isCompared reports whether the requests of a router count in the comparison of the two versions.
 func (s *State) isCompared(router *Target, name string, now time.Duration) bool {
 	r := s.Release
 	if r == nil || r.State != ReleaseRunning || !router.IsUp {
@@ -98,7 +99,8 @@
 	return now >= router.ChangedAt+warmUp && slices.Contains(r.Routers, name)
 }
 
-// addToBucket adds requests that a router of a version has answered to the newest bucket.
+// addToBucket adds requests that a router with a version has answered to the newest bucket. It
+// begins a new bucket if the newest one is over.
 func (r *ReleaseProgress) addToBucket(version string, added answeredRequests, now time.Duration) {
 	index := slices.Index([]string{fromVersion: r.FromVersion, toVersion: r.ToVersion}, version)
 	if index < 0 {
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Limits of State.EjectionQuorum. One router alone is never believed: its own link or process may
-// be at fault.
+// Limits of State.EjectionQuorum. The reports of one router alone never eject a server, because the
+// fault may be in that router or its network link.
 const (
 	MinEjectionQuorum = 2
 	MaxEjectionQuorum = 16
@@ -18,55 +18,60 @@
 
 // Constants of shared ejection. Durations are agreed time.
 const (
-	// failingReportMaxAge is how long it counts that a router began to find a server failing.
+	// failingReportMaxAge is how long after a router began to find a server failing this counts
+	// towards the quorum.
 	failingReportMaxAge = 10 * time.Second
-	// firstEjectionDuration is how long a first ejection lasts; each further one in a row lasts
-	// twice as long.
+	// firstEjectionDuration is how long a first ejection lasts; each consecutive one lasts twice as
+	// long.
 	firstEjectionDuration = 3 * time.Second
-	// maxEjectionDuration bounds the doubling.
+	// maxEjectionDuration limits the doubling.
 	maxEjectionDuration = 30 * time.Second
-	// maxEjectionDoublings bounds the shift; far more than maxEjectionDuration needs.
+	// maxEjectionDoublings prevents the shift from overflowing. It is larger than the number of
+	// doublings that reach maxEjectionDuration.
 	maxEjectionDoublings = 10
-	// ejectionMemory is how long after an ejection the next one still counts as in a row with it.
+	// ejectionMemory is how long after the end of an ejection the next one counts as consecutive.
 	ejectionMemory = 2 * maxEjectionDuration
-	// maxFailingDivisor: a router that finds more than one in so many servers failing, and more
-	// than one, has a fault of its own and is not believed.
+	// maxFailingDivisor limits what a credible router reports. If it finds more than one server,
+	// and more than one in maxFailingDivisor of its servers, failing, the fault is probably its own
+	// and its reports are ignored.
 	maxFailingDivisor = 4
-	// maxEjectedDivisor: at most one in so many servers, but always one, is ejected at once.
+	// maxEjectedDivisor limits ejections: at most one in maxEjectedDivisor of all servers is
+	// ejected at once, but one server always may be.
 	maxEjectedDivisor = 5
-	// maxNamedReporters is how many of the routers that reported a server are kept.
+	// maxNamedReporters is how many of the routers that reported a server are stored.
 	maxNamedReporters = 8
 )
 
-// Ejection has all routers leave a server out, because a quorum of them found it failing. It ends
-// by time, whatever becomes of the server; the newest one stays in the state after its end.
+// Ejection makes all routers leave a server out because a quorum of them found it failing. It ends
+// after a fixed time, even if the server still fails. The latest ejection stays in the state after
+// its end.
 type Ejection struct {
 	// EndsAt is when the ejection ends or has ended.
 	EndsAt time.Duration `json:"until"`
-	// ConsecutiveCount is how many ejections of the server were in a row, with this one.
+	// ConsecutiveCount is the number of consecutive ejections of the server, including this one.
 	ConsecutiveCount int `json:"times"`
-	// ReportedBy are the first routers that found the server failing, sorted.
+	// ReportedBy are the alphabetically first routers that found the server failing.
 	ReportedBy []string `json:"by"`
-	// Incarnation is the server's when the ejection began: a restarted server is not ejected.
+	// Incarnation is the server's incarnation when the ejection began. A restart ends the ejection.
 	Incarnation string `json:"run"`
-	// IsOver tells that the ejection has ended.
+	// IsOver reports that the ejection has ended.
 	IsOver bool `json:"over,omitempty"`
 }
 
 // EjectedServer is an ejection as it is sent to routers.
 type EjectedServer struct {
-	// Name is the server's.
+	// Name is the server's name.
 	Name string `json:"name"`
-	// Remaining is agreed time until the ejection ends. The router measures it on its own clock.
+	// Remaining is the agreed time until the ejection ends. Routers measure it on their own clocks.
 	Remaining time.Duration `json:"left"`
 }
 
-// isEjected tells whether an ejection of the server is in force.
+// isEjected reports whether an ejection of the server is in force.
 func (t *Target) isEjected() bool { return t.Ejection != nil && !t.Ejection.IsOver }
 
-// EjectedServers are the servers that routers leave out by a quorum's reports, by name.
+// EjectedServers returns the servers under shared ejection at the agreed time now, ordered by name.
 func (s *State) EjectedServers(now time.Duration) (ejected []EjectedServer) {
-	for name, server := range s.Servers { // few of thousands are ejected: only these are sorted
+	for name, server := range s.Servers { // sort only the ejected servers, which are few of thousands
 		if server.isEjected() && server.Ejection.EndsAt > now {
 			ejected = append(ejected, EjectedServer{Name: name, Remaining: server.Ejection.EndsAt - now})
 		}
@@ -75,8 +80,8 @@
 	return ejected
 }
 
-// credibleRouters are the routers whose reports count. One that finds many servers failing is cut
-// off or broken itself.
+// credibleRouters returns the routers whose reports count towards the quorum. A router that finds
+// many servers failing is probably disconnected or faulty itself.
 func (s *State) credibleRouters() map[string]bool {
 	credible := map[string]bool{}
 	for router, n := range s.observationsByRouter {
@@ -85,8 +90,7 @@
 	return credible
 }
 
-// updateEjections ends the ejections whose time is over and ejects the servers that a quorum finds
-// failing.
+// updateEjections ends expired ejections and ejects the servers that a quorum finds failing.
 func (s *State) updateEjections(now time.Duration) {
 	ejectedCount := s.endEjections(now)
 	if s.EjectionQuorum == 0 {
@@ -113,8 +117,8 @@
 	}
 }
 
-// endEjections ends the ejections whose time is over, and those of restarted servers. It returns
-// how many stay in force.
+// endEjections ends expired ejections and those of restarted servers; without a quorum it ends all.
+// It returns how many remain in force.
 func (s *State) endEjections(now time.Duration) (ejectedCount int) {
 	for _, server := range s.Servers {
 		if !server.isEjected() {
@@ -135,8 +139,9 @@
 	return ejectedCount
 }
 
-// failingReporters are the credible routers that began to find the server failing lately, and after
-// its last ejection: what they found before has had its effect.
+// failingReporters returns the sorted names of the credible routers that began to find the server
+// failing within failingReportMaxAge, and not before the end of its last ejection: earlier reports
+// have already caused that ejection.
 func (t *Target) failingReporters(credible map[string]bool, now time.Duration) (reporters []string) {
 	since := now - failingReportMaxAge + 1
 	if t.Ejection != nil {
@@ -151,7 +156,8 @@
 	return reporters
 }
 
-// eject puts an ejection in force, longer than the one before it where that was short ago.
+// eject puts an ejection of a server in force. It lasts longer if the previous one ended within
+// ejectionMemory.
 func (s *State) eject(server *Target, reporters []string, now time.Duration) {
 	count := 1
 	if server.Ejection != nil && now-server.Ejection.EndsAt < ejectionMemory {
--- a/internal/rollout/ejection_test.go
+++ b/internal/rollout/ejection_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// ejectionRun is one run of TestSuspicion, with the test's own record of who reported what.
+// ejectionRun is one run of TestSuspicion. It keeps its own record of all reports.
 type ejectionRun struct {
 	*testFleet
 	t       *rapid.T
@@ -21,7 +21,7 @@
 	incarnations map[string]int
 	// observed is how each router observes each server.
 	observed map[string]map[string]ServerStatus
-	// failingSince is since when each server is found failing by each router.
+	// failingSince is since when each router finds a server failing, by server and router.
 	failingSince map[string]map[string]time.Duration
 	// ejectedAt is when the ejections in force began, by server.
 	ejectedAt map[string]time.Duration
@@ -29,12 +29,12 @@
 	endedAt map[string]time.Duration
 }
 
-// Routers report servers as failing and as serving in any order; some are cut off and find all
-// servers failing, sessions end, and servers restart. Whatever the order, a server is ejected only
-// where a quorum of credible routers found it failing within the last ten seconds and after its
-// last ejection; never more than a fifth of the servers; never for longer than the longest
-// ejection, nor after a restart; and a state read back from a snapshot goes on alike. A wrong
-// program would let one broken router eject the fleet.
+// Guards against one faulty router that ejects the fleet. Random events: routers report servers as
+// failing and as serving, are disconnected and find all servers failing, sessions end, servers
+// restart. A server may only be ejected if a quorum of credible routers found it failing within the
+// last ten seconds and after its last ejection. At most a fifth of the servers is ejected at once,
+// none longer than maxEjectionDuration or beyond a restart. A state read back from a snapshot must
+// eject the same servers.
 func TestSuspicion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newEjectionRun(t)
@@ -78,7 +78,7 @@
 	return run
 }
 
-// event plays one random event.
+// event applies one random event.
 func (run *ejectionRun) event() {
 	t := run.t
 	router := rapid.SampledFrom(run.routers).Draw(t, "router")
@@ -88,7 +88,7 @@
 		run.reportAll(router, StatusFailing, server)
 	case 5:
 		run.reportAll(router, StatusServing, server)
-	case 6: // the router is cut off
+	case 6: // the router is disconnected from all servers
 		run.reportAll(router, StatusFailing, run.servers...)
 	case 7:
 		run.incarnations[server]++
@@ -104,7 +104,7 @@
 	}
 }
 
-// reportAll has a router report servers in one report, and records it.
+// reportAll makes a router report servers with one status in one report, and records it.
 func (run *ejectionRun) reportAll(router string, status ServerStatus, servers ...string) {
 	var reported []string
 	for _, server := range servers {
@@ -150,7 +150,7 @@
 	}
 }
 
-// credibleReporters counts the routers whose report of a server counts now.
+// credibleReporters returns how many routers' reports of a server count towards the quorum now.
 func (run *ejectionRun) credibleReporters(server string) (count int) {
 	for router, since := range run.failingSince[server] {
 		failing := 0
@@ -182,14 +182,14 @@
 	restored.Advance(run.now, run.nextToken)
 	got, want := restored.EjectedServers(run.now), run.state.EjectedServers(run.now)
 	if !slices.Equal(got, want) {
-		t.Fatalf("read back: %v, not %v", got, want)
+		t.Fatalf("the restored state ejects %v, want %v", got, want)
 	}
 }
 
-// A quorum of routers finds a server failing. All leave it out, and it counts as out. One router
-// alone, and one that finds all servers failing, are not believed. The ejection ends by its time,
-// lasts longer the next time, and ends at once where the server is restarted. A wrong program would
-// keep a recovered server out, or eject by what it has ejected for before.
+// Guards against ejections without a quorum and against ejections that don't end. A server is
+// ejected once a quorum of routers finds it failing; one router alone, or one that finds all
+// servers failing, is not enough. The ejection ends after its time or with a restart of the server,
+// and lasts longer the next time. Reports from before an ejection do not cause another one.
 func TestSuspected(t *testing.T) {
 	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	if result := f.set(Command{EjectionQuorum: 1}); result.Code != CodeInvalid {
@@ -201,30 +201,30 @@
 	for _, router := range []string{"r1", "r2", "r3", "r4", "r5"} {
 		f.report(router, "z", "s1:up/1", "s2:up/1", "s3:up/1", "s4:up/1", "s5:up/1")
 	}
-	expectEjection := func(what string, want time.Duration) {
+	expectEjection := func(situation string, want time.Duration) {
 		t.Helper()
 		remaining := time.Duration(0)
 		ejected := f.state.EjectedServers(f.now)
 		if len(ejected) > 1 {
-			t.Fatalf("%s: %v", what, ejected)
+			t.Fatalf("%s: %v", situation, ejected)
 		}
 		if len(ejected) == 1 {
 			remaining = ejected[0].Remaining
 		}
 		if remaining != want {
-			t.Errorf("%s: ejected for %v, not %v", what, remaining, want)
+			t.Errorf("%s: ejected for %v, want %v", situation, remaining, want)
 		}
 	}
 	drainVersion := f.state.DrainVersion
 	f.report("r1", "z", "s1:bad/1")
 	f.report("r1", "z", "s1:bad/1")
-	expectEjection("one router", 0)
+	expectEjection("found failing by one router", 0)
 	f.report("r2", "z", "s1:bad/1", "s2:bad/1", "s3:bad/1", "s4:bad/1", "s5:bad/1")
-	expectEjection("one router, and one that finds all failing", 0)
+	expectEjection("found failing by one router, and by one that finds all servers failing", 0)
 	f.report("r3", "z", "s1:bad/1")
-	expectEjection("two routers", firstEjectionDuration)
+	expectEjection("found failing by two routers", firstEjectionDuration)
 	if f.state.DrainVersion == drainVersion || f.state.Servers["s1"].IsUp {
-		t.Errorf("no router is told, or it counts as in service: %+v", f.state.Servers["s1"])
+		t.Errorf("the drain version is unchanged, or the server counts as up: %+v", f.state.Servers["s1"])
 	}
 	unavailable := f.state.Report(f.now).Unavailable
 	if len(unavailable) == 0 || fmt.Sprint(unavailable[len(unavailable)-1].ReportedBy) != "[r1 r3]" {
@@ -232,15 +232,15 @@
 	}
 	f.report("r4", "z", "s2:bad/1")
 	f.report("r5", "z", "s2:bad/1")
-	expectEjection("a second server, where one in five may be ejected", firstEjectionDuration)
+	expectEjection("a second server is failing, and only one in five may be ejected", firstEjectionDuration)
 	f.report("r4", "z", "s2:up/1")
 	f.report("r5", "z", "s2:up/1")
 	f.advance(firstEjectionDuration)
-	expectEjection("its time is over", 0)
+	expectEjection("the ejection has expired", 0)
 	f.report("r4", "z", "s1:bad/1")
-	expectEjection("what was found before counts no more", 0)
+	expectEjection("found failing by one router since the last ejection", 0)
 	f.report("r5", "z", "s1:bad/1")
-	expectEjection("again", 2*firstEjectionDuration)
+	expectEjection("found failing by two routers again", 2*firstEjectionDuration)
 	f.report("r5", "z", "s1:up/2")
-	expectEjection("it is restarted", 0)
+	expectEjection("the server has restarted", 0)
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -2,22 +2,24 @@
 
 import "math"
 
-// testsPerRelease is how many tests a release is put to at once. Each gets its part of the false
-// halts.
+// testsPerRelease is how many statistical tests a release must pass: the one of its failures and
+// the one of its latencies. The allowed share of false halts is divided evenly between them.
 const testsPerRelease = 2
 
-// failureOddsRatios are the alternatives weighed by CompareFailures: the odds of a failure at the
-// new version against those at the old one.
+// failureOddsRatios are the alternative hypotheses of CompareFailures: the odds of a failure at the
+// new version relative to those at the old one.
 var failureOddsRatios = [...]float64{1.2, 1.5, 2, 4, 10}
 
-// maxLogEvidencePerBucket is the most that one bucket adds to the evidence, as a logarithm.
-// Requests that fail in a burst at one router are one event, not hundreds: a version must be worse
-// in several buckets. Counting less than the likelihood ratio keeps the bound on false halts.
+// maxLogEvidencePerBucket limits the evidence that one bucket contributes, as a natural logarithm.
+// Requests that fail in a burst at one router are one event, not hundreds, so a version must be
+// worse in several buckets. Counting less than the likelihood ratio preserves the bound on false
+// halts.
 var maxLogEvidencePerBucket = math.Log(4)
 
-// FailureComparison is how often both versions reject or fail requests.
+// FailureComparison compares how often the two versions reject or fail requests.
 type FailureComparison struct {
-	// Evidence is that the new version fails more often; 1 is none.
+	// Evidence is the strength of the evidence that the new version fails more often, as a
+	// likelihood ratio; 1 is no evidence.
 	Evidence float64
 	// FromShare is the share of requests that the old version rejects or fails.
 	FromShare float64
@@ -25,14 +27,14 @@
 	ToShare float64
 }
 
-// CompareFailures weighs whether the new version fails more often than the old one at the same
+// CompareFailures tests whether the new version fails more often than the old one does at the same
 // time.
 //
-// In each bucket, given how many requests failed in all, the share of them that falls to the new
-// version is its share of the requests if both are alike. The product over the buckets of the
-// likelihood ratios, averaged over the alternatives, then is a test martingale: whatever the load
-// does and whenever one looks, it exceeds 1/alpha with a probability of at most alpha (Ville's
-// inequality). See Shafer, 'Testing by betting' (2021).
+// If both versions are alike, the new version's expected share of the failed requests in a bucket
+// equals its share of all requests in the bucket. Under this hypothesis the product of the buckets'
+// likelihood ratios, averaged over the alternatives, is a test martingale: it exceeds 1/alpha with
+// a probability of at most alpha (Ville's inequality), however the load varies and however often
+// the test is repeated. See Shafer, 'Testing by betting' (2021).
 func CompareFailures(buckets []ComparisonBucket) FailureComparison {
 	var logEvidence [len(failureOddsRatios)]float64
 	var total, failed [2]float64
@@ -61,7 +63,7 @@
 	}
 }
 
-// meanEvidence averages the evidence over alternatives of equal weight.
+// meanEvidence returns the mean evidence over all alternatives, which have equal weight.
 func meanEvidence(logEvidence []float64) (evidence float64) {
 	for _, l := range logEvidence {
 		evidence += math.Exp(l) / float64(len(logEvidence))
@@ -69,27 +71,29 @@
 	return evidence
 }
 
-// latencyTilts are the alternatives weighed by CompareLatency: how much likelier a request of the
-// new version is for each standard deviation by which its latency bucket lies above the mean, as a
-// logarithm.
+// latencyTilts are the alternative hypotheses of CompareLatency: by how much the log-likelihood of
+// a request at the new version increases for each standard deviation by which its latency bucket
+// lies above the mean.
 var latencyTilts = [...]float64{0.05, 0.1, 0.2, 0.4, 0.8}
 
-// LatencyComparison is how fast both versions answer.
+// LatencyComparison compares the latencies of the two versions.
 type LatencyComparison struct {
-	// Evidence is that the new version is slower; 1 is none.
+	// Evidence is the strength of the evidence that the new version is slower, as a likelihood
+	// ratio; 1 is no evidence.
 	Evidence float64
-	// Ratio is the new version's geometric mean latency against the old one's, as far as the
-	// buckets tell.
+	// Ratio is the geometric mean latency of the new version divided by that of the old one, within
+	// the resolution of the latency buckets.
 	Ratio float64
 }
 
-// CompareLatency weighs whether the new version is slower than the old one at the same time.
+// CompareLatency tests whether the new version is slower than the old one is at the same time.
 //
-// If both are alike, who answered a request says nothing of its latency: the new version's n
-// requests of a bucket are drawn from all requests of the bucket without replacement. The mean of
-// exp(tilt x the sum of their scores) then is at most the n-th power of the mean of exp(tilt x
-// score) over the bucket (Hoeffding 1963, theorem 4), so that the product of the ratios over the
-// buckets, averaged over the tilts, is a test supermartingale, as that of CompareFailures is.
+// If both versions are alike, a request's latency is independent of the version that answered it:
+// the new version's n requests in a bucket are a sample without replacement from all requests of
+// the bucket. Then the mean of exp(tilt x the sum of their scores) is at most the n-th power of the
+// mean of exp(tilt x score) over the bucket (Hoeffding 1963, theorem 4). The product of the ratios
+// over the buckets, averaged over the tilts, is therefore a test supermartingale, and has the same
+// bound on false halts as CompareFailures.
 func CompareLatency(buckets []ComparisonBucket) LatencyComparison {
 	var logEvidence [len(latencyTilts)]float64
 	var requests, latencySum [2]float64
@@ -114,18 +118,18 @@
 	}
 }
 
-// latencyBucketsPerOctave is how many latency buckets a doubling of the latency takes.
+// latencyBucketsPerOctave is how many latency buckets there are for each doubling of the latency.
 const latencyBucketsPerOctave = 2
 
-// latencyHistogram pools the latencies of both versions in one comparison bucket.
+// latencyHistogram is the combined latency distribution of both versions in one comparison bucket.
 type latencyHistogram struct {
-	// counts are the requests by LatencyBucket.
+	// counts are the numbers of requests by LatencyBucket.
 	counts [LatencyBuckets]float64
-	// requests are the requests by version.
+	// requests are the numbers of requests by version.
 	requests [2]float64
-	// sum is that of all latency bucket numbers.
+	// sum is the sum of the latency bucket numbers of all requests.
 	sum float64
-	// sumOfSquares is that of their squares.
+	// sumOfSquares is the sum of the squares of these bucket numbers.
 	sumOfSquares float64
 }
 
@@ -165,23 +169,23 @@
 	}
 }
 
-// MinLatencyRatio is how much slower the new version must be at least to halt a release: less is no
-// reason, however sure.
+// MinLatencyRatio is the smallest LatencyComparison.Ratio that halts a release. A smaller slowdown
+// does not, however strong the evidence.
 const MinLatencyRatio = 1.04
 
-// IsSlower tells whether the latencies halt a release, with at most alpha false halts of releases
-// in which both versions are alike.
+// IsSlower reports whether the latencies are a reason to halt a release. Of the releases whose two
+// versions are alike, it halts at most a share of alpha/testsPerRelease.
 func IsSlower(buckets []ComparisonBucket, alpha float64) bool {
 	c := CompareLatency(buckets)
 	return c.Evidence >= testsPerRelease/alpha && c.Ratio >= MinLatencyRatio
 }
 
-// MinFailedShareDifference is the least difference of the failed shares that halts a release: less
-// is no reason, however sure.
+// MinFailedShareDifference is the smallest difference of the failed shares that halts a release. A
+// smaller difference does not, however strong the evidence.
 const MinFailedShareDifference = 0.005
 
-// FailsMoreOften tells whether the failures halt a release, with at most alpha false halts of
-// releases in which both versions are alike.
+// FailsMoreOften reports whether the failures are a reason to halt a release. Of the releases whose
+// two versions are alike, it halts at most a share of alpha/testsPerRelease.
 func FailsMoreOften(buckets []ComparisonBucket, alpha float64) bool {
 	c := CompareFailures(buckets)
 	return c.Evidence >= testsPerRelease/alpha && c.ToShare-c.FromShare >= MinFailedShareDifference
@@ -189,14 +193,15 @@
 
 // Constants of ServesTooLittle.
 const (
-	// servedShareBuckets is how many of the newest buckets are weighed: 10 s.
+	// servedShareBuckets is how many of the newest buckets are evaluated: the last 10 s.
 	servedShareBuckets = 5
-	// servedShareMinRequests is how many requests they must have: fewer say nothing.
+	// servedShareMinRequests is how many requests these buckets must contain; with fewer the check
+	// is skipped.
 	servedShareMinRequests = 100
 )
 
-// ServesTooLittle returns the share of requests that both versions served in the newest buckets,
-// and whether it is below a floor.
+// ServesTooLittle returns the share of requests that both versions together served in the newest
+// buckets, and whether it is below minShare.
 func ServesTooLittle(buckets []ComparisonBucket, minShare float64) (served float64, isTooLittle bool) {
 	var servedCount, total int64
 	newest := buckets[max(0, len(buckets)-servedShareBuckets):]
@@ -210,7 +215,7 @@
 	return served, hasEnough && served < minShare
 }
 
-// ratio divides; 0 where the divisor is 0.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// testAlpha is the share of false halts in the tests of the evidence.
+	// testAlpha is the allowed share of false halts.
 	testAlpha = 0.001
-	// canaryRequests is how many requests a router answers in one bucket: 20 a second.
+	// canaryRequests is how many requests a router answers in one bucket, at 20 per second.
 	canaryRequests = 40
-	// neverHalted stands for a release that was not halted, where buckets are counted; more than
-	// any that is.
+	// neverHalted stands for a release that was not halted where a number of buckets is expected.
+	// It is larger than any such number.
 	neverHalted = 1000
 )
 
-// requestsByVersion are the requests in one bucket at routers of the old version and at one canary.
+// requestsByVersion returns how many requests the routers of the old version and the one canary
+// answer in one bucket.
 func requestsByVersion(routers int) [2]int {
 	return [2]int{fromVersion: canaryRequests * (routers - 1), toVersion: canaryRequests}
 }
 
-// bucketsUntilFailuresHalt draws the requests of a canary, which fails a larger share by worse,
-// among routers of the old version, until FailsMoreOften halts it. It returns after how many
-// buckets, or neverHalted. The share of failures wanders and jumps, alike for both versions.
-func bucketsUntilFailuresHalt(rng *rand.Rand, routers int, worse float64, maxBuckets int) int {
+// bucketsUntilFailuresHalt simulates a release with one canary, whose share of failed requests is
+// larger by extraFailedShare than that of the other routers. It returns after how many buckets
+// FailsMoreOften halts the release, or neverHalted. The share of failures varies randomly, in the
+// same way for both versions.
+func bucketsUntilFailuresHalt(rng *rand.Rand, routers int, extraFailedShare float64, maxBuckets int) int {
 	var buckets []ComparisonBucket
 	base := 0.002 + 0.03*rng.Float64()
 	for i := range maxBuckets {
 		failedShare := base
-		if rng.IntN(20) == 0 { // a fault for all
+		if rng.IntN(20) == 0 { // a fault that affects all routers
 			failedShare = 0.3
 		}
 		var b ComparisonBucket
 		for version, requests := range requestsByVersion(routers) {
 			share := failedShare
 			if version == toVersion {
-				share = min(1, failedShare+worse)
+				share = min(1, failedShare+extraFailedShare)
 			}
 			for range requests {
 				if rng.Float64() < share {
@@ -56,9 +58,9 @@
 	return neverHalted
 }
 
-// The test's power and false halts, as docs/rollout-design.md states them: a release in which both
-// versions are alike is not halted, and one whose new version fails 5% more requests is halted
-// soon.
+// Guards against false halts and against halts that come too late, as stated in
+// docs/rollout-design.md: a release whose two versions are alike is not halted, and one whose new
+// version fails 5% more requests is halted soon.
 func TestEvidence(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	falseHalts := 0
@@ -72,18 +74,18 @@
 		buckets = append(buckets, bucketsUntilFailuresHalt(rng, 24, 0.05, 150))
 	}
 	slices.Sort(buckets)
-	t.Logf("%d false halts in 200 calm releases of 300 s; "+
-		"5%% more failures are found after %d s in the middle, %d s at 90%%",
+	t.Logf("%d false halts in 200 releases of 300 s with equal versions; "+
+		"5%% more failures are detected after %d s (median), %d s (90th percentile)",
 		falseHalts, 2*buckets[25], 2*buckets[45])
 	if falseHalts > 1 || buckets[45] > 100 {
-		t.Errorf("%d false halts of 200, 5%% more failures found after %v buckets", falseHalts, buckets)
+		t.Errorf("%d false halts of 200, 5%% more failures detected after %v buckets", falseHalts, buckets)
 	}
 }
 
-// bucketsUntilLatencyHalts draws the latencies of a canary, which is slower by a ratio, among
-// routers of the old version, until IsSlower halts it. It returns after how many buckets, or
-// neverHalted. Latencies are those of hits and misses, whose share and latency wander, alike for
-// both versions.
+// bucketsUntilLatencyHalts simulates a release with one canary, whose latencies are larger by a
+// ratio than those of the other routers. It returns after how many buckets IsSlower halts the
+// release, or neverHalted. Latencies are those of cache hits and misses. The share of misses and
+// the load vary randomly, in the same way for both versions.
 func bucketsUntilLatencyHalts(rng *rand.Rand, routers int, ratio float64, maxBuckets int) int {
 	var buckets []ComparisonBucket
 	missShare := 0.1 + 0.2*rng.Float64()
@@ -112,7 +114,8 @@
 	return neverHalted
 }
 
-// The same of a version that is slower by 10% and by 20%.
+// Guards against false halts because of latency, and against halts that come too late for a version
+// that is slower by 10% or 20%, as stated in docs/rollout-design.md.
 func TestSlowness(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	releases := 20
@@ -134,24 +137,24 @@
 	}
 	tenth := bucketsFor(1.1)
 	fifth := bucketsFor(1.2)
-	middle := releases / 4
-	late := releases * 9 / 20
-	t.Logf("%d false halts in %d calm releases of 300 s; "+
-		"10%% slower is found after %d s in the middle, %d s at 90%%; 20%% after %d and %d s",
-		falseHalts, releases, 2*tenth[middle], 2*tenth[late], 2*fifth[middle], 2*fifth[late])
-	if falseHalts > 1 || tenth[middle] > 200 || fifth[late] > 100 {
-		t.Errorf("%d false halts of %d; 10%% slower found after %v buckets, 20%% after %v",
+	median := releases / 4
+	percentile90 := releases * 9 / 20
+	t.Logf("%d false halts in %d releases of 300 s with equal versions; 10%% slower is detected "+
+		"after %d s (median), %d s (90th percentile); 20%% slower after %d and %d s",
+		falseHalts, releases, 2*tenth[median], 2*tenth[percentile90], 2*fifth[median], 2*fifth[percentile90])
+	if falseHalts > 1 || tenth[median] > 200 || fifth[percentile90] > 100 {
+		t.Errorf("%d false halts of %d; 10%% slower detected after %v buckets, 20%% after %v",
 			falseHalts, releases, tenth, fifth)
 	}
 }
 
-// latencyBucket is a comparison bucket with these latencies only.
+// latencyBucket returns a comparison bucket that only has latency counts.
 func latencyBucket(from, to []int64) ComparisonBucket {
 	return ComparisonBucket{LatencyCounts: [2][]int64{fromVersion: from, toVersion: to}}
 }
 
-// The ratio of latencies is that of the geometric means; without requests of both versions there is
-// no evidence.
+// The ratio compares the geometric means of the latencies. Without requests of both versions, or
+// with equal latencies, there is no evidence.
 func TestCompareLatency(t *testing.T) {
 	fast := make([]int64, LatencyBuckets)
 	fast[3] = 100
@@ -172,14 +175,14 @@
 	}
 }
 
-// Any latency has a bucket, also one that is none.
+// Guards against an index out of range: any value has a bucket, even one that is no latency.
 func TestLatencyBucket(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		objectiveShare float64
 		bucket         int
 	}{{0, 0}, {math.NaN(), 0}, {1, 12}, {1e9, LatencyBuckets - 1}} {
-		if got := LatencyBucket(x.objectiveShare); got != x.bucket {
-			t.Errorf("%v: bucket %d, not %d", x.objectiveShare, got, x.bucket)
+		if got := LatencyBucket(tc.objectiveShare); got != tc.bucket {
+			t.Errorf("%v: bucket %d, not %d", tc.objectiveShare, got, tc.bucket)
 		}
 	}
 }
@@ -197,26 +200,26 @@
 	}
 }
 
-// A fleet that serves little halts a release, whichever version it is; a short fault or few
-// requests don't.
+// Guards against a release that continues while the fleet serves too small a share of all requests,
+// and against halts because of a short fault or of few requests.
 func TestLow(t *testing.T) {
-	well := ComparisonBucket{Served: [2]int64{90, 9}, Failed: [2]int64{1, 0}}
-	ill := ComparisonBucket{Served: [2]int64{50, 5}, Failed: [2]int64{40, 5}}
-	few := ComparisonBucket{Failed: [2]int64{9, 9}}
-	for _, x := range []struct {
+	good := ComparisonBucket{Served: [2]int64{90, 9}, Failed: [2]int64{1, 0}}
+	bad := ComparisonBucket{Served: [2]int64{50, 5}, Failed: [2]int64{40, 5}}
+	fewRequests := ComparisonBucket{Failed: [2]int64{9, 9}}
+	for _, tc := range []struct {
 		name        string
 		buckets     []ComparisonBucket
 		isTooLittle bool
 	}{
 		{"no bucket", nil, false},
-		{"not long enough", []ComparisonBucket{ill, ill, ill, ill}, false},
-		{"short fault", []ComparisonBucket{well, well, well, well, ill}, false},
-		{"long fault", []ComparisonBucket{ill, ill, ill, ill, ill}, true},
-		{"recovered", []ComparisonBucket{ill, ill, ill, ill, ill, well, well, well, well, well}, false},
-		{"few requests", []ComparisonBucket{{}, {}, {}, {}, few}, false},
+		{"not long enough", []ComparisonBucket{bad, bad, bad, bad}, false},
+		{"short fault", []ComparisonBucket{good, good, good, good, bad}, false},
+		{"long fault", []ComparisonBucket{bad, bad, bad, bad, bad}, true},
+		{"recovered", []ComparisonBucket{bad, bad, bad, bad, bad, good, good, good, good, good}, false},
+		{"few requests", []ComparisonBucket{{}, {}, {}, {}, fewRequests}, false},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if served, isTooLittle := ServesTooLittle(x.buckets, 0.8); isTooLittle != x.isTooLittle {
+		t.Run(tc.name, func(t *testing.T) {
+			if served, isTooLittle := ServesTooLittle(tc.buckets, 0.8); isTooLittle != tc.isTooLittle {
 				t.Errorf("%v served, too little: %v", served, isTooLittle)
 			}
 		})
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// storedEvent is one line of testdata/commands.jsonl: an input of the state machine, and the answer
-// that the program which wrote the file gave to it.
+// storedEvent is one line of testdata/commands.jsonl: an input of the state machine, and the result
+// that the program version which wrote the file computed for it.
 type storedEvent struct {
 	Kind    string          `json:"kind"` // command, ended or advance
 	Clock   time.Duration   `json:"clock"`
 	Session string          `json:"session"`
 	Client  string          `json:"client"`
 	Opened  uint64          `json:"opened"`
-	Roll    json.RawMessage `json:"roll"` // the command as it stands in the coordinators' log
+	Roll    json.RawMessage `json:"roll"` // the command as stored in the coordinators' log
 	Answer  *storedAnswer   `json:"answer"`
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// lastStoredTime is the agreed time at the end of testdata/commands.jsonl.
+// lastStoredTime returns the agreed time at the end of testdata/commands.jsonl.
 func lastStoredTime(t *testing.T) (last time.Duration) {
 	t.Helper()
 	for _, line := range bytes.Split(readStored(t, "commands.jsonl"), []byte("\n")) {
@@ -68,10 +68,10 @@
 	return last
 }
 
-// Coordinators of an earlier program and of this one run side by side and apply the same log. The
-// commands in testdata were stored by the program of the day before the types of this package were
-// renamed. A program that reads one of them in another way, answers it in other words, or encodes
-// the state in another way would make the replicas differ.
+// Guards against replicas that differ: coordinators of an earlier program version and of this one
+// run side by side and apply the same log. The commands in testdata were stored by the version
+// before the types of this package were renamed. This version must decode them in the same way,
+// return the same results and encode the same state.
 func TestStoredCommands(t *testing.T) {
 	state := New()
 	lastToken := uint64(0)
@@ -115,10 +115,10 @@
 	expectBytes(t, "the state", encoded(t, state), readStored(t, "state.json"))
 }
 
-// A coordinator that starts reads the state from its snapshot. The stored one has budgets, drains,
-// permits of each stage, a release in its second wave, evidence of failing servers and an ejection.
-// A field that is lost or read in another way would change what the state encodes to, or what is
-// reported of it.
+// Guards against a field that is lost or decoded differently when a coordinator reads the state
+// from a snapshot: that would change the encoded state or the reports. The stored state has
+// budgets, drains, permits of each stage, a release in its second wave, observations of failing
+// servers and an ejection.
 func TestStoredState(t *testing.T) {
 	stored := readStored(t, "state.json")
 	state := New()
@@ -130,10 +130,10 @@
 
 	now := lastStoredTime(t)
 	expectBytes(t, "the report", encoded(t, state.Report(now)), readStored(t, "report.json"))
-	expectBytes(t, "what routers are told", encoded(t, state.DrainSet(now, true)), readStored(t, "drains.json"))
+	expectBytes(t, "the drain set", encoded(t, state.DrainSet(now, true)), readStored(t, "drains.json"))
 
 	state.Advance(now, func() uint64 {
-		t.Fatal("the state grants a permit that the program which stored it did not grant")
+		t.Fatal("the state grants a permit that the program version which stored it did not grant")
 		return 0
 	})
 	expectBytes(t, "the state reconciled again", encoded(t, state), stored)
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// testFleet is a fleet that sends commands to a State, and keeps its own record of what must hold.
+// testFleet simulates a fleet that sends commands to a State. It keeps its own record of sessions,
+// acknowledgements and tokens for the checks.
 type testFleet struct {
 	state *State
 	// now is the agreed time.
 	now time.Duration
-	// lastToken is the newest fencing token.
+	// lastToken is the latest fencing token.
 	lastToken uint64
-	// lastSession is the SessionOrder of the newest session.
+	// lastSession is the SessionOrder of the latest session.
 	lastSession uint64
 	// sessions are the open sessions by client.
 	sessions map[string]Sender
 	// acknowledged are the drain versions that routers have acknowledged, by client.
 	acknowledged map[string]uint64
-	// begunTokens are the highest tokens by which the outage of a target has begun.
+	// begunTokens has the token of the latest outage of each target.
 	begunTokens map[targetRef]uint64
-	// drainedPermits are the permits that were found drained.
+	// drainedPermits are the IDs of the permits that were found drained.
 	drainedPermits map[uint64]bool
 }
 
-// testGrace is the grace of a testFleet.
+// testGrace is the grace period of a testFleet.
 const testGrace = 5 * time.Second
 
 func newTestFleet(budgets ...Budget) *testFleet {
@@ -40,8 +41,8 @@
 	return f
 }
 
-// newWarmFleet is a fleet of three routers and the servers sa1, sa2, sb1 and sb2, out of slow
-// start.
+// newWarmFleet returns a fleet of three routers and the servers sa1, sa2, sb1 and sb2, none of them
+// in slow start.
 func newWarmFleet(budgets ...Budget) *testFleet {
 	f := newTestFleet(budgets...)
 	for _, router := range []string{"r1", "r2", "r3"} {
@@ -56,7 +57,7 @@
 	return f.lastToken
 }
 
-// sender is the client's session, which is opened if there is none.
+// sender returns the client's session, and opens one if there is none.
 func (f *testFleet) sender(client string) Sender {
 	sender, isOpen := f.sessions[client]
 	if !isOpen {
@@ -85,7 +86,7 @@
 	return result
 }
 
-// applyToServer sends an operation on a server.
+// applyToServer applies an operation to a server.
 func (f *testFleet) applyToServer(op Op, name string, token uint64, client string) Result {
 	return f.apply(Command{Op: op, Kind: KindServer, Name: name, Token: token}, client)
 }
@@ -102,12 +103,12 @@
 	return token
 }
 
-// endServer gives the permit of a server back.
+// endServer returns the permit of a server.
 func (f *testFleet) endServer(name, client string, token uint64) {
 	f.mustApply(Command{Op: OpEndOutage, Kind: KindServer, Name: name, Token: token}, client)
 }
 
-// set puts settings in force beside the budgets in force.
+// set applies settings, and keeps the current budgets.
 func (f *testFleet) set(settings Command) Result {
 	settings.Op = OpSetBudgets
 	settings.Budgets = f.state.Budgets
@@ -115,7 +116,7 @@
 	return f.apply(settings, "operator")
 }
 
-// advance lets time pass.
+// advance lets the agreed time pass.
 func (f *testFleet) advance(d time.Duration) {
 	f.now += d
 	f.state.Advance(f.now, f.nextToken)
@@ -132,7 +133,8 @@
 	f.state.SessionEnded(sender.Session, client, f.now, f.nextToken)
 }
 
-// report has a ready router report servers as "s1:up" and "s2:bad/incarnation".
+// report makes a ready router report servers, each given as NAME:STATUS or
+// NAME:STATUS/INCARNATION.
 func (f *testFleet) report(router, zone string, servers ...string) {
 	report := &RouterReport{Zone: zone, IsReady: true}
 	for _, text := range servers {
@@ -145,18 +147,18 @@
 	f.mustApply(Command{Op: OpReport, Report: report}, RouterClientPrefix+router)
 }
 
-// reportCounts has a ready router report its counts of requests.
+// reportCounts makes a ready router report its request counts.
 func (f *testFleet) reportCounts(router string, served, failed int64) {
 	report := &RouterReport{IsReady: true, Served: served, Failed: failed}
 	f.mustApply(Command{Op: OpReport, Report: report}, RouterClientPrefix+router)
 }
 
-// acknowledge has a router acknowledge a version of the drain set.
+// acknowledge makes a router acknowledge a version of the drain set.
 func (f *testFleet) acknowledge(router string, version uint64) Result {
 	return f.apply(Command{Op: OpAcknowledgeDrains, DrainVersion: version}, RouterClientPrefix+router)
 }
 
-// permit is the first permit of a target, or nil.
+// permit returns the first permit of a target, or nil.
 func (f *testFleet) permit(kind Kind, name string) *Permit {
 	for _, p := range f.state.Permits {
 		if p.Kind == kind && p.Name == name {
--- a/internal/rollout/follow/drain.go
+++ b/internal/rollout/follow/drain.go
@@ -13,18 +13,18 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// drainWatch is how far the watch for drain sets is.
+// drainWatch is the state of the watch for new drain sets.
 type drainWatch struct {
-	// hasDrainSet tells that a drain set has been applied.
+	// hasDrainSet reports that a drain set has been applied.
 	hasDrainSet bool
-	// version is that of the drain set applied last.
+	// version is the version of the drain set applied last.
 	version uint64
-	// pause bounds the pause before the next watch after one that was answered at once without a
+	// pause limits the random pause before the next watch, after one that was answered without a
 	// change.
 	pause time.Duration
 }
 
-// follow brings each drain set into force until ctx ends.
+// follow applies each new drain set until ctx ends.
 func (f *follower) follow(ctx context.Context) {
 	watch := drainWatch{pause: attemptsPollInterval}
 	for ctx.Err() == nil {
@@ -48,10 +48,10 @@
 	}
 }
 
-// nextDrainSet polls the first drain set, and then watches for the next one. It returns false after
-// an error or an answer without a change, once it is time for the next call.
+// nextDrainSet polls for the first drain set, and then watches for the next one. After an error or
+// an answer without a change it pauses until the next call is due, and returns false.
 func (f *follower) nextDrainSet(ctx context.Context, watch *drainWatch) (drains rollout.DrainSet, hasChanged bool) {
-	askedAt := clock.Now()
+	calledAt := clock.Now()
 	call := f.options.Client.Drains
 	if watch.hasDrainSet {
 		call = f.options.Client.WatchDrains
@@ -65,10 +65,10 @@
 		watch.pause = attemptsPollInterval
 		return drains, true
 	}
-	// A coordinator that has just become the leader answers at once, and one of an earlier program
-	// does so until something was drained. Without a pause that grows, all routers would call such
-	// a coordinator again and again.
-	if clock.Now()-askedAt >= minWatchDuration {
+	// A coordinator that has just become the leader answers immediately. One that runs an earlier
+	// program version does so until the first drain. Without a growing pause, all routers would
+	// call such a coordinator in a busy loop.
+	if clock.Now()-calledAt >= minWatchDuration {
 		watch.pause = attemptsPollInterval
 	}
 	clock.Sleep(ctx, rand.N(watch.pause))
@@ -76,14 +76,14 @@
 	return drains, false
 }
 
-// applyDrainSet leaves out the servers of the drain set and the ejected ones. It returns false if a
-// drain could not be applied.
+// applyDrainSet drains the servers of the drain set, ejects the ejected ones, and stores what the
+// coordinators request. It returns false if a server could not be drained.
 func (f *follower) applyDrainSet(ctx context.Context, drains rollout.DrainSet) bool {
 	if !f.setDrained(ctx, drains.Servers) {
 		return false
 	}
 	if err := f.options.SetEjected(ctx, drains.Ejected); err != nil {
-		slog.Warn("ejections by other routers' reports could not be applied", "error", err)
+		slog.Warn("failed to apply shared ejections", "error", err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,8 +92,8 @@
 	return true
 }
 
-// setDrained leaves out these servers, and takes back those that are not among them. It returns
-// false if one could not be left out.
+// setDrained begins the drains of these servers, and ends the drains of all others. It returns
+// false if a server could not be drained.
 func (f *follower) setDrained(ctx context.Context, servers []string) bool {
 	incarnations := map[string]string{}
 	if observed, err := f.options.ObserveServers(ctx); err == nil {
@@ -109,7 +109,7 @@
 			continue
 		}
 		if err := f.options.SetDrained(ctx, name, true); err != nil {
-			slog.Warn("a server of the drain set could not be drained", "server", name, "error", err)
+			slog.Warn("failed to drain a server of the drain set", "server", name, "error", err)
 			areAllDrained = false
 			continue
 		}
@@ -123,26 +123,26 @@
 	return areAllDrained
 }
 
-// takeBack ends the drain of a server. The caller holds mu.
+// takeBack ends the drain of a server. The caller must hold mu.
 func (f *follower) takeBack(ctx context.Context, name string) {
 	if err := f.options.SetDrained(ctx, name, false); err != nil {
-		slog.Warn("the drain of a server could not be ended", "server", name, "error", err)
+		slog.Warn("failed to end the drain of a server", "server", name, "error", err)
 		return
 	}
 	delete(f.drained, name)
 }
 
-// awaitAttempts waits until no attempt at the servers is open, or maxAttemptsWait has passed; false
-// if ctx has ended before.
+// awaitAttempts waits until no attempt at the servers is open, or until maxAttemptsWait has passed.
+// It returns false if ctx ends first.
 func (f *follower) awaitAttempts(ctx context.Context, servers []string) bool {
-	until := clock.Now() + f.maxAttemptsWait
+	waitUntil := clock.Now() + f.maxAttemptsWait
 	for {
 		open, err := f.options.OpenAttempts(ctx, servers)
 		if err == nil && open == 0 {
 			return true
 		}
-		if clock.Now() >= until {
-			slog.Warn("drained servers still have attempts: not waited for any longer",
+		if clock.Now() >= waitUntil {
+			slog.Warn("gave up waiting for open attempts at drained servers",
 				"attempts", open, "waited", f.maxAttemptsWait, "error", err)
 			return true
 		}
@@ -152,8 +152,8 @@
 	}
 }
 
-// setApplied has the reporter acknowledge a drain set that is in force, and report what it requests
-// for.
+// setApplied marks a drain set as fully applied. The reporter then acknowledges it, and reports
+// what the drain set requests.
 func (f *follower) setApplied(drains rollout.DrainSet) {
 	f.mu.Lock()
 	f.appliedVersion = drains.Version
@@ -162,13 +162,13 @@
 	f.mu.Unlock()
 	select {
 	case f.appliedVersionChanged <- struct{}{}:
-	default: // the reporter has not taken the last change yet, and will see this one with it
+	default: // the reporter has not received the last notification yet, which covers this change too
 	}
 }
 
-// endDrainsByDiscovery takes back the drained servers that were restarted since, by the endpoint
-// list. It is called while the router has no session: no coordinator can tell it then that a drain
-// is over.
+// endDrainsByDiscovery ends the drains of servers that, according to the endpoint list, have been
+// restarted since. It is called while the router has no session, because then it can't receive the
+// end of a drain from the coordinators.
 func (f *follower) endDrainsByDiscovery(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -1,6 +1,7 @@
-// Package follow is a router's part in the drains that the fleet agrees on. The router reports how
-// it observes itself and the cache servers, leaves out the servers of the drain set, and
-// acknowledges once it sends nothing more to them. Nothing here is ever on the way of a request.
+// Package follow makes a router follow the drain sets that the coordinators agree on. The router
+// reports its own state and its observations of the cache servers, stops sending to the servers of
+// the drain set, and acknowledges the set once all attempts at these servers have ended. Nothing in
+// this package is on the request path.
 package follow
 
 import (
@@ -14,8 +15,8 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Options are the settings of a router's part, and what it needs of the router. The functions are
-// called from two goroutines.
+// Options are the settings of Run and the functions of the router that it calls. The functions are
+// called from two goroutines, so they must be safe for concurrent use.
 type Options struct {
 	// Client is the router's session with the coordinators.
 	Client *client.Client
@@ -23,78 +24,85 @@
 	Zone string
 	// Version is the label of the program's version.
 	Version string
-	// RequestCounts returns how many requests were served, and how many rejected or failed, since
-	// the process began, and the served ones by rollout.LatencyBucket.
+	// RequestCounts returns how many requests were served, and how many were rejected or failed,
+	// since the process started, and the served ones by rollout.LatencyBucket.
 	RequestCounts func() (served, failed int64, latencyCounts []int64)
-	// IsReady tells whether the router takes clients.
+	// IsReady reports whether the router accepts clients.
 	IsReady func() bool
 	// ObserveServers returns all servers of the endpoint list, as the router observes them.
 	ObserveServers func(context.Context) ([]rollout.ServerObservation, error)
-	// SetDrained leaves a server out, or takes it back where nothing else keeps it out.
+	// SetDrained begins or ends the drain of a server. After the end the router sends to the server
+	// again, unless another reason prevents it.
 	SetDrained func(ctx context.Context, server string, isDrained bool) error
 	// OpenAttempts returns how many attempts at these servers are open.
 	OpenAttempts func(ctx context.Context, servers []string) (int, error)
-	// InheritedDrains are the servers that the process before this one had left out by the drain
-	// set.
+	// InheritedDrains returns the servers that the previous process of the router had drained
+	// because of the drain set.
 	InheritedDrains func(context.Context) []string
-	// SetEjected leaves these servers out by the reports of other routers, and no other server for
-	// that reason.
+	// SetEjected sets the servers that are ejected because of other routers' reports. It replaces
+	// the servers of the previous call.
 	SetEjected func(context.Context, []rollout.EjectedServer) error
-	// OnFirstDrainSet is called once, when the first drain set is in force; nil for no call.
+	// OnFirstDrainSet is called once, when the first drain set has been applied; nil for no call.
 	OnFirstDrainSet func()
 }
 
 const (
-	// reportInterval is the mean time between two looks at what has changed.
+	// reportInterval is the mean interval at which the reporter checks for changes to report.
 	reportInterval = 250 * time.Millisecond
-	// promptReportInterval is that where other routers wait for what is observed.
+	// promptReportInterval is this interval while shared ejection is on, when other routers depend
+	// on fast reports.
 	promptReportInterval = 40 * time.Millisecond
-	// countsInterval is the least time between two reports of request counts alone.
+	// countsInterval is the minimum time between two reports that only update request counts.
 	countsInterval = time.Second
-	// attemptsPollInterval is between two looks at whether attempts at drained servers have ended.
+	// attemptsPollInterval is the interval at which OpenAttempts is polled.
 	attemptsPollInterval = 20 * time.Millisecond
-	// maxAttemptsWait is how long they are waited for: longer than any deadline. A value that is
-	// streamed to a slow client has none, and must not hold a release.
+	// maxAttemptsWait limits the wait for open attempts at drained servers. It is longer than any
+	// deadline. A value that is streamed to a slow client has no deadline, and must not block a
+	// release.
 	maxAttemptsWait = 30 * time.Second
 
-	// minWatchDuration: a watch that was answered sooner without a change did not wait.
+	// minWatchDuration: a watch that was answered sooner without a change did not wait for one.
 	minWatchDuration = time.Second
-	// maxUnchangedPause bounds the pause after several such answers.
+	// maxUnchangedPause limits the growing pause after watches that were answered without waiting.
 	maxUnchangedPause = time.Second
 )
 
-// follower is a router's part. Two goroutines use it: reporter.run, and follow.
+// follower applies drain sets and acknowledges them. Two goroutines use it: one runs reporter.run,
+// the other runs follow.
 type follower struct {
 	options Options
-	// maxAttemptsWait bounds the wait for the attempts at drained servers.
+	// maxAttemptsWait is the constant maxAttemptsWait, or a shorter time in tests.
 	maxAttemptsWait time.Duration
 
-	// appliedVersionChanged has capacity 1 and tells that appliedVersion has grown.
+	// appliedVersionChanged has capacity 1 and notifies the reporter that appliedVersion has
+	// increased.
 	appliedVersionChanged chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// drained are the servers left out by the drain set, with the incarnation that each had then.
+	// drained maps each server drained because of the drain set to the incarnation that it had
+	// then.
 	drained map[string]string
-	// appliedVersion is the version of the drain set that is in force here, its attempts ended.
+	// appliedVersion is the version of the latest drain set that is fully applied: all attempts at
+	// its servers have ended, or were waited for as long as maxAttemptsWait allows.
 	appliedVersion uint64
-	// requests is what the coordinators want routers to report.
+	// requests is what the coordinators currently request routers to report.
 	requests reportRequests
 }
 
-// reportRequests is what the coordinators want routers to report.
+// reportRequests is what the coordinators request routers to report.
 type reportRequests struct {
-	// wantsCounts requests the counts of requests.
+	// wantsCounts requests the counts of served and failed requests.
 	wantsCounts bool
 	// wantsLatency requests the latencies too.
 	wantsLatency bool
-	// isPrompt requests observations at once.
+	// isPrompt requests that observations are reported at promptReportInterval.
 	isPrompt bool
-	// maxServers bounds the servers of one report.
+	// maxServers limits the number of servers in one report.
 	maxServers int
 }
 
-// Run takes part until ctx ends.
+// Run applies and acknowledges drain sets and sends reports until ctx ends.
 func Run(ctx context.Context, o Options) {
 	f := &follower{
 		options:               o,
@@ -104,7 +112,7 @@
 		requests:              reportRequests{maxServers: rollout.EarlierMaxReportedServers},
 	}
 	for _, name := range o.InheritedDrains(ctx) {
-		f.drained[name] = "" // any incarnation is another one
+		f.drained[name] = "" // its incarnation is unknown; "" differs from any
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -113,25 +121,25 @@
 	f.follow(ctx)
 }
 
-// reportRequests returns what the coordinators want.
+// reportRequests returns what the coordinators currently request.
 func (f *follower) reportRequests() reportRequests {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests
 }
 
-// version returns the version of the drain set that is in force here.
+// version returns the version of the latest drain set that is fully applied.
 func (f *follower) version() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.appliedVersion
 }
 
-// logRejection logs what the coordinators rejected. Other errors, as of the connection, are logged
-// by the client.
-func logRejection(what string, err error) {
+// logRejection logs a message if the coordinators rejected a command. Other errors, such as failed
+// connections, are logged by the client.
+func logRejection(message string, err error) {
 	var rejected *client.RejectedError
 	if errors.As(err, &rejected) {
-		slog.Warn(what, "answer", rejected.Response.Error())
+		slog.Warn(message, "answer", rejected.Response.Error())
 	}
 }
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -14,8 +14,7 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// countingCoordinator counts how often it is polled, and how often it is watched, for the drain
-// set.
+// countingCoordinator counts the polls and watches for the drain set, and answers them at once.
 type countingCoordinator struct {
 	mu      sync.Mutex
 	polls   int
@@ -34,13 +33,12 @@
 		c.polls++
 	}
 	c.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // at once, as an earlier program does at version 0
+	_ = json.NewEncoder(w).Encode(rollout.DrainSet{}) // as an earlier program version does at version 0
 }
 
-// Nothing was ever drained, and the coordinator runs an earlier program: it answers a watch at
-// once, without a change. The router polls once and then watches, with pauses that grow. A wrong
-// program would watch again without a pause, some 200 times in the two seconds, and so would each
-// router of the fleet.
+// Guards against a busy loop of watches. A coordinator that runs an earlier program version answers
+// each watch at once, without a change, until the first drain. A router that did not pause would
+// watch some 200 times in two seconds, and so would each router of the fleet.
 func TestWaitsForTheFirstDrain(t *testing.T) {
 	var c countingCoordinator
 	s := httptest.NewServer(&c)
@@ -68,29 +66,29 @@
 	if c.polls != 1 || c.watches == 0 {
 		t.Errorf("polled %d times, watched %d times", c.polls, c.watches)
 	}
-	// Pauses are random below 20 ms at first, doubled up to 1 s.
+	// Pauses are random: below 20 ms at first, with a limit that doubles up to 1 s.
 	if c.watches > 40 {
 		t.Errorf("watched %d times in 2 s", c.watches)
 	}
 }
 
-// Guards against one stalled value that holds a release, and each later drain, for as long as its
-// client likes.
+// Guards against a client that stalls while it receives a value, and thereby delays the drain, and
+// each later one, without limit.
 func TestStalledAttemptHoldsADrainForABoundedTime(t *testing.T) {
-	looks := 0
+	polls := 0
 	f := &follower{
 		maxAttemptsWait: 100 * time.Millisecond,
 		options: Options{OpenAttempts: func(context.Context, []string) (int, error) {
-			looks++
+			polls++
 			return 1, nil
 		}},
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	if !f.awaitAttempts(ctx, []string{"server/s1"}) || ctx.Err() != nil {
-		t.Error("the drain was held until its context ended")
+		t.Error("the wait lasted until the context ended")
 	}
-	if looks < 2 {
-		t.Errorf("%d looks", looks)
+	if polls < 2 {
+		t.Errorf("open attempts were polled %d times, want at least 2", polls)
 	}
 }
--- a/internal/rollout/follow/report.go
+++ b/internal/rollout/follow/report.go
@@ -10,36 +10,36 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// reporter reports what the router observes, and acknowledges drain sets. It holds what was
-// reported in one session.
+// reporter reports what the router observes, and acknowledges drain sets. It stores what it has
+// reported in the current session.
 type reporter struct {
 	follower *follower
 
-	// session is the session in which something was reported; "" before the first report.
+	// session is the session of the last report; "" before the first one.
 	session string
-	// reported are the observations that the coordinators have.
+	// reported are the observations that the coordinators have, by server.
 	reported map[string]rollout.ServerObservation
-	// acknowledgedVersion is the drain set's version that was acknowledged last.
+	// acknowledgedVersion is the version of the drain set that was acknowledged last.
 	acknowledgedVersion uint64
-	// isReady is as reported last.
+	// isReady is the readiness that was reported last.
 	isReady bool
-	// counts are those reported last.
+	// counts are the request counts that were reported last.
 	counts requestCounts
-	// reportedAt is when the last report was taken, on the process's monotonic clock.
+	// reportedAt is when the last report was accepted, on the process's monotonic clock.
 	reportedAt time.Duration
 }
 
-// requestCounts are a router's counts of requests since its process began.
+// requestCounts are a router's request counts since its process started.
 type requestCounts struct {
 	served        int64
 	failed        int64
 	latencyCounts []int64
 }
 
-// observed is what the router observes now, beside what it has reported.
+// observed is what the router observes now, compared with what it has reported in the session.
 type observed struct {
 	session string
-	// isNewSession tells that nothing was reported in the session yet.
+	// isNewSession reports that the session has no report yet.
 	isNewSession bool
 	// changed are the observations that differ from the reported ones.
 	changed  []rollout.ServerObservation
@@ -48,7 +48,7 @@
 	requests reportRequests
 }
 
-// run reports until ctx ends.
+// run sends reports and acknowledgements until ctx ends.
 func (r *reporter) run(ctx context.Context) {
 	for r.wait(ctx) {
 		session := r.follower.options.Client.SessionID()
@@ -56,12 +56,12 @@
 			r.follower.endDrainsByDiscovery(ctx)
 			continue
 		}
-		now, err := r.observe(ctx, session)
+		current, err := r.observe(ctx, session)
 		if err != nil {
 			continue
 		}
-		for r.needsReport(now) {
-			if !r.report(ctx, &now) {
+		for r.needsReport(current) {
+			if !r.report(ctx, &current) {
 				break
 			}
 		}
@@ -69,8 +69,8 @@
 	}
 }
 
-// wait waits until it is time to look, or a drain set is in force; false once ctx has ended. The
-// interval is spread, so that the routers of a fleet do not report together.
+// wait waits until the next check is due or a drain set has been applied. It returns false once ctx
+// has ended. The interval is random, so that the routers of a fleet do not report at the same time.
 func (r *reporter) wait(ctx context.Context) bool {
 	interval := reportInterval
 	if r.follower.reportRequests().isPrompt {
@@ -97,24 +97,24 @@
 	if err != nil {
 		return observed{}, err
 	}
-	now := observed{
+	current := observed{
 		session:      session,
 		isNewSession: isNewSession,
 		changed:      r.changes(servers),
 		isReady:      options.IsReady(),
 		requests:     r.follower.reportRequests(),
 	}
-	if now.requests.wantsCounts {
-		now.counts.served, now.counts.failed, now.counts.latencyCounts = options.RequestCounts()
+	if current.requests.wantsCounts {
+		current.counts.served, current.counts.failed, current.counts.latencyCounts = options.RequestCounts()
 	}
-	if !now.requests.wantsLatency {
-		now.counts.latencyCounts = nil
+	if !current.requests.wantsLatency {
+		current.counts.latencyCounts = nil
 	}
-	return now, nil
+	return current, nil
 }
 
-// changes are the observations that differ from the reported ones. A server that is not observed
-// any more is reported as removed.
+// changes returns the observations that differ from the reported ones. A server that is no longer
+// in the endpoint list gets the status StatusRemoved.
 func (r *reporter) changes(servers []rollout.ServerObservation) (changed []rollout.ServerObservation) {
 	isObserved := map[string]bool{}
 	for _, server := range servers {
@@ -132,29 +132,29 @@
 	return changed
 }
 
-// needsReport tells whether the coordinators do not know what the router observes.
-func (r *reporter) needsReport(now observed) bool {
-	if now.isNewSession || len(now.changed) > 0 || now.isReady != r.isReady {
+// needsReport reports whether the router has observed something that the coordinators don't have.
+func (r *reporter) needsReport(current observed) bool {
+	if current.isNewSession || len(current.changed) > 0 || current.isReady != r.isReady {
 		return true
 	}
-	hasAnswered := now.counts.served > r.counts.served || now.counts.failed > r.counts.failed
-	return now.requests.wantsCounts && hasAnswered && clock.Now()-r.reportedAt >= countsInterval
+	hasAnswered := current.counts.served > r.counts.served || current.counts.failed > r.counts.failed
+	return current.requests.wantsCounts && hasAnswered && clock.Now()-r.reportedAt >= countsInterval
 }
 
-// report sends one report, with as many changed observations as one may have, and takes these from
-// now.changed. It returns false after an error, once the time to come back is over.
-func (r *reporter) report(ctx context.Context, now *observed) bool {
+// report sends one report with as many changed observations as a report may contain, and removes
+// these from current.changed. After an error it waits until a retry is due, and returns false.
+func (r *reporter) report(ctx context.Context, current *observed) bool {
 	options := &r.follower.options
-	part := now.changed[:min(len(now.changed), now.requests.maxServers)]
-	// A process that a newer one has replaced is answered OK: that is no error.
+	part := current.changed[:min(len(current.changed), current.requests.maxServers)]
+	// If a newer process has replaced this one, the coordinators answer OK, so this is no error.
 	_, err := options.Client.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpReport, Report: &rollout.RouterReport{
 		Zone:          options.Zone,
 		Version:       options.Version,
-		IsReady:       now.isReady,
+		IsReady:       current.isReady,
 		Servers:       part,
-		Served:        now.counts.served,
-		Failed:        now.counts.failed,
-		LatencyCounts: now.counts.latencyCounts,
+		Served:        current.counts.served,
+		Failed:        current.counts.failed,
+		LatencyCounts: current.counts.latencyCounts,
 	}})
 	if err != nil {
 		logRejection("the coordinators rejected the router's report", err)
@@ -168,17 +168,17 @@
 			r.reported[server.Name] = server
 		}
 	}
-	r.session = now.session
-	r.isReady = now.isReady
-	r.counts = now.counts
+	r.session = current.session
+	r.isReady = current.isReady
+	r.counts = current.counts
 	r.reportedAt = clock.Now()
-	now.isNewSession = false
-	now.changed = now.changed[len(part):]
+	current.isNewSession = false
+	current.changed = current.changed[len(part):]
 	return true
 }
 
-// acknowledge acknowledges the drain set in force, if the session has reported and not acknowledged
-// it.
+// acknowledge acknowledges the applied drain set, if the session has sent a report and has not yet
+// acknowledged this version.
 func (r *reporter) acknowledge(ctx context.Context, session string) {
 	version := r.follower.version()
 	if r.session != session || version <= r.acknowledgedVersion {
@@ -188,7 +188,7 @@
 	if _, err := r.follower.options.Client.ExecuteRollout(ctx, command); err != nil {
 		logRejection("the coordinators rejected the router's acknowledgement of drains", err)
 		clock.Sleep(ctx, client.RetryDelay(err, 0))
-		r.session = "" // the coordinators may not know of this session's reports: report all anew
+		r.session = "" // the coordinators may lack this session's reports: report everything again
 		return
 	}
 	r.acknowledgedVersion = version
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -8,9 +8,10 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// grantPermits is the pass that weighs the permits which have not begun, in their order. One that
-// must wait keeps its place in all of its budgets: a later one gets only what is left beside it.
-// One that was granted and does not fit any more is revoked.
+// grantPermits is the pass that grants permits whose outage has not begun. It evaluates them by
+// priority, then by age. A permit that must wait still reserves its place in the budgets that cover
+// its target, so that later permits can't overtake it. A granted permit that no longer fits is
+// revoked.
 func (s *State) grantPermits(now time.Duration, nextToken func() uint64) {
 	pending := slices.DeleteFunc(slices.Clone(s.Permits), func(p *Permit) bool { return p.Stage == StageBegun })
 	if len(pending) == 0 {
@@ -18,12 +19,12 @@
 	}
 	slices.SortFunc(pending, comparePermits)
 	usage := s.usage(now)
-	hasEarlierPermit := s.plannedOutages()
+	targetsWithPermit := s.plannedOutages()
 	for _, p := range pending {
 		ref := p.target()
 		t := s.target(ref)
-		reason := s.waitReason(p, t, usage, hasEarlierPermit[ref], now)
-		hasEarlierPermit[ref] = true
+		reason := s.waitReason(p, t, usage, targetsWithPermit[ref], now)
+		targetsWithPermit[ref] = true
 		s.reserve(usage, ref, t)
 		switch {
 		case reason == "" && p.Stage == StageWaiting:
@@ -39,8 +40,8 @@
 	}
 }
 
-// waitReason tells why a permit that has not begun can't be granted now; "" where it can. It is the
-// one place that decides this. The first reason found is the one that operators see.
+// waitReason returns why a permit whose outage has not begun can't be granted now; "" if it can. No
+// other function decides this. Operators see the first reason found.
 func (s *State) waitReason(p *Permit, t *Target, usage *fleetUsage, hasEarlierPermit bool, now time.Duration) string {
 	ref := p.target()
 	if reason := s.fleetWaitReason(p, hasEarlierPermit); reason != "" {
@@ -52,8 +53,8 @@
 	}
 	outage := usage.reasons[ref]
 	if outage == OutDown && p.Priority >= PriorityEmergency {
-		// It counts against the budgets already, and serves nobody. One that only its session's end
-		// has marked as down is back within the grace.
+		// The target already counts against the budgets and serves no requests. If it is marked as
+		// down only because its session ended, it comes back within the grace period.
 		confirmedAt := t.ChangedAt + s.Grace
 		if confirmedAt <= now {
 			return ""
@@ -71,8 +72,8 @@
 	return exhaustedBudgetReason(covering, ref, outage)
 }
 
-// fleetWaitReason tells why nothing, or nothing of this priority or kind, may go out now; "" where
-// something may.
+// fleetWaitReason returns why no target, or none of this kind or priority, may be taken out now; ""
+// if there is no such reason.
 func (s *State) fleetWaitReason(p *Permit, hasEarlierPermit bool) string {
 	if hasEarlierPermit {
 		return "another permit of it is given or comes first"
@@ -83,15 +84,16 @@
 	if reason := s.overloadReason(p); reason != "" {
 		return reason
 	}
-	// Routers that do not take part would go on sending to a drained server.
+	// Routers that have not registered would continue to send to a drained server.
 	if p.Kind == KindServer && len(s.Routers) < s.ExpectedRouters {
 		return fmt.Sprintf("%d routers are expected, and %d take part", s.ExpectedRouters, len(s.Routers))
 	}
 	return ""
 }
 
-// lastInServiceReason keeps the last target of a kind in service, and the last of a zone that has
-// several, whatever the budgets say; "" where others are left.
+// lastInServiceReason returns the reason to wait if the target is the last of its kind in service,
+// or the last in service of a zone with several targets; "" otherwise. It applies even if the
+// budgets would allow the outage.
 func (u *fleetUsage) lastInServiceReason(ref targetRef, zone string) string {
 	if u.inService[ref.kind] <= 1 {
 		return fmt.Sprintf("it is the last %s that is in", ref.kind)
@@ -103,9 +105,9 @@
 	return ""
 }
 
-// exhaustedBudgetReason names the first budget that has no place for the target; "" if all have
-// one. A target that is out already takes no further place, but the budget must hold all the same:
-// one in slow start or unobserved may well serve.
+// exhaustedBudgetReason names the first budget that is exhausted; "" if the outage fits into all of
+// them. A target that is already out is already counted, but the budgets must not be exceeded
+// either: a target in slow start or an unobserved one may well serve requests.
 func exhaustedBudgetReason(covering []*budgetUsage, ref targetRef, outage OutageReason) string {
 	needed := 1
 	if outage != NotOut {
--- a/internal/rollout/halt.go
+++ b/internal/rollout/halt.go
@@ -1,10 +1,10 @@
 package rollout
 
-// halt is the command that stops all new outages but emergencies.
+// halt is the command that stops all new outages except emergencies.
 type halt struct{ reason string }
 
 func (c halt) apply(s *State, sender Sender) Result {
-	if s.Halt == nil { // the first reason stays
+	if s.Halt == nil { // keep the first reason
 		s.Halt = &HaltRecord{By: sender.Client, Reason: c.reason, Time: sender.Time}
 	}
 	return Result{Code: CodeOK}
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -6,57 +6,58 @@
 const (
 	// MaxBudgets is how many budgets may be in force.
 	MaxBudgets = 64
-	// MaxRouters is 5,100, the largest fleet planned for, and over half as many again.
+	// MaxRouters is the largest planned fleet, 5,100 routers, plus more than half of it.
 	MaxRouters = 8192
-	// MaxServers is 2,500, the cache servers of the largest fleet, and over half as many again.
+	// MaxServers is the 2,500 cache servers of the largest planned fleet, plus more than half of
+	// them.
 	MaxServers = 4096
-	// MaxPermits is how many permits may wait or be granted.
+	// MaxPermits is how many permits there may be, whatever their stage.
 	MaxPermits = 256
-	// MaxReportedServers is how many servers one report of a router may have.
+	// MaxReportedServers is how many servers one report of a router may contain.
 	MaxReportedServers = 512
-	// MaxObservations limits observations of a server by a router. It is 13 regions of 392 routers
-	// that observe 192 servers each, twice. All routers that observe all servers would be six times
-	// as many.
+	// MaxObservations limits the observations of all servers by all routers. It is twice what 13
+	// regions need, each with 392 routers that observe 192 servers. If all routers observed all
+	// servers there would be six times as many.
 	MaxObservations = 2 << 20
-	// MaxName is the length of a name, zone, version or incarnation in bytes.
+	// MaxName is the maximum length of a name, zone, version or incarnation in bytes.
 	MaxName = 128
-	// MaxText is the length of a purpose or reason in bytes.
+	// MaxText is the maximum length of a purpose or reason in bytes.
 	MaxText = 256
-	// MaxDuration bounds the grace, slow start, step timeout and learning time.
+	// MaxDuration limits the grace period, slow start, step timeout and learning time.
 	MaxDuration = time.Hour
-	// MaxPermitWait bounds how long a permit may be waited for, and the bake time of a release.
+	// MaxPermitWait limits how long a permit request may wait, and the bake time of a release.
 	MaxPermitWait = 24 * time.Hour
-	// MinGrace is the shortest grace.
+	// MinGrace is the shortest grace period.
 	MinGrace = time.Second
-	// ForgetAfterGraces is how many graces a server must be off every endpoint list before it is
-	// removed.
+	// ForgetAfterGraces is for how many grace periods a server must be missing from every endpoint
+	// list before it is removed.
 	ForgetAfterGraces = 10
 )
 
-// Limits of coordinators that run an earlier program. While one of them may vote, all replicas must
-// reject by its limits.
+// Limits of coordinators that run an earlier program version. While one of them may vote, all
+// replicas must reject commands by its limits, so that all reach the same state.
 const (
 	EarlierMaxRouters         = 1024
 	EarlierMaxServers         = 1024
 	EarlierMaxReportedServers = 128
 )
 
-// tableLimits are the limits in force of the tables whose limit has changed between programs.
+// tableLimits are the effective limits of the tables whose limit differs between program versions.
 type tableLimits struct {
 	routers int
 	servers int
 }
 
-// limits returns the limits that hold for a command of the sender.
-func (f Sender) limits() tableLimits {
-	if f.HasEarlierLimits {
+// limits returns the limits that apply to a command of the sender.
+func (s Sender) limits() tableLimits {
+	if s.HasEarlierLimits {
 		return tableLimits{routers: EarlierMaxRouters, servers: EarlierMaxServers}
 	}
 	return tableLimits{routers: MaxRouters, servers: MaxServers}
 }
 
-// ExceedsEarlierLimits reports whether a coordinator that runs an earlier program would reject the
-// command for its size.
+// ExceedsEarlierLimits reports whether a coordinator that runs an earlier program version would
+// reject the command because of its size.
 func (c *Command) ExceedsEarlierLimits() bool {
 	if c.ExpectedRouters > EarlierMaxRouters {
 		return true
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -9,38 +9,40 @@
 
 // Constants of the fleet's load. Durations are agreed time.
 const (
-	// loadCountInterval is over which requests are counted.
+	// loadCountInterval is the length of a measurement window.
 	loadCountInterval = 2 * time.Second
-	// loadMinRequests is how many requests a count needs: fewer say nothing.
+	// loadMinRequests is how many requests a window needs; windows with fewer are ignored.
 	loadMinRequests = 50
-	// countsUntilOverloaded is how many counts in a row above the bound make the fleet overloaded.
+	// countsUntilOverloaded is how many consecutive windows above the threshold begin an overload.
 	countsUntilOverloaded = 2
-	// countsUntilRecovered is how many counts in a row below half of the bound end the overload.
+	// countsUntilRecovered is how many consecutive windows below half of the threshold end an
+	// overload.
 	countsUntilRecovered = 3
-	// loadMaxAge is how long an overload holds when no counts are reported any more.
+	// loadMaxAge is how long an overload lasts once routers report no more requests.
 	loadMaxAge = 10 * time.Second
 )
 
-// Load is how the fleet as a whole is loaded, by the counts that all routers report. Overload
-// begins above State.OverloadShare and ends below half of it, so that it does not flap.
+// Load is the load of the whole fleet, measured from the requests that all routers report. An
+// overload begins above State.OverloadShare and ends below half of it, so that it does not flap.
 type Load struct {
-	// IsOverloaded tells that nothing new may go out but emergencies.
+	// IsOverloaded reports that no new outages except emergencies may begin.
 	IsOverloaded bool `json:"over,omitempty"`
 	// ChangedAt is when IsOverloaded changed.
 	ChangedAt time.Duration `json:"since,omitempty"`
-	// FailedShare is the share of rejected or failed requests in the last complete count.
+	// FailedShare is the share of rejected or failed requests in the last complete window.
 	FailedShare float64 `json:"share"`
-	// CountBeganAt is when the present count began.
+	// CountBeganAt is when the current window began.
 	CountBeganAt time.Duration `json:"open"`
-	// Served is the present count of served requests.
+	// Served is the number of served requests in the current window.
 	Served int64 `json:"good"`
-	// Failed is the present count of rejected or failed requests.
+	// Failed is the number of rejected or failed requests in the current window.
 	Failed int64 `json:"bad"`
-	// ConsecutiveCounts is how many complete counts in a row spoke against IsOverloaded.
+	// ConsecutiveCounts is how many of the last complete windows in a row contradict IsOverloaded.
 	ConsecutiveCounts int `json:"row"`
 }
 
-// countRequests adds what a router has answered since its last report to the present count.
+// countRequests adds the requests that a router has answered since its last report to the current
+// window.
 func (s *State) countRequests(served, failed int64, now time.Duration) {
 	if s.OverloadShare == 0 || served < 0 || failed < 0 {
 		return
@@ -52,7 +54,7 @@
 	s.Load.Failed += failed
 }
 
-// closeLoadCount weighs the present count and begins another.
+// closeLoadCount evaluates the current window and begins the next one.
 func (s *State) closeLoadCount(now time.Duration) {
 	load := &s.Load
 	total := load.Served + load.Failed
@@ -73,8 +75,8 @@
 	load.CountBeganAt = now
 }
 
-// contradictsLoad tells whether the last complete count speaks against IsOverloaded, and how many
-// such counts in a row change it.
+// contradictsLoad reports whether the last complete window contradicts IsOverloaded, and how many
+// such windows in a row change it.
 func (s *State) contradictsLoad() (contradicts bool, countsNeeded int) {
 	switch {
 	case !s.Load.IsOverloaded:
@@ -92,9 +94,9 @@
 	s.Version++
 }
 
-// updateOverload ends an overload that no counts have confirmed for loadMaxAge, or that is not
-// enabled any more. Without it a fleet whose routers stop reporting would stay overloaded for
-// ever.
+// updateOverload is the pass that ends an overload if no requests were reported for loadMaxAge, or
+// if the overload check was turned off. Without it, a fleet whose routers stop reporting would stay
+// overloaded forever.
 func (s *State) updateOverload(now time.Duration) {
 	if !s.Load.IsOverloaded {
 		return
@@ -107,7 +109,7 @@
 	s.setOverloaded(false, now)
 }
 
-// overloadReason tells why the load lets nothing new out; "" where it does.
+// overloadReason returns the reason to wait if an overload forbids the outage; "" otherwise.
 func (s *State) overloadReason(p *Permit) string {
 	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.Is("busy-ignored") {
 		return ""
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newLoadedFleet is a fleet of one router that observes three servers, and reports an overload
-// above 10% of its requests.
+// newLoadedFleet returns a fleet of one router and three servers that is overloaded if more than
+// 10% of its requests fail.
 func newLoadedFleet(t *testing.T) *testFleet {
 	t.Helper()
 	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
@@ -18,26 +18,25 @@
 	return f
 }
 
-// The fleet rejects requests while an operator has the permit of a server. Overload begins after
-// two counts in a row above the bound and ends after three below half of it; meanwhile the permit
-// is revoked. Counts of few requests say nothing. A wrong program would flap with each count, or
-// take a server out of a fleet that can't do without it.
+// Guards against an overload state that flaps, and against outages during an overload. An overload
+// begins after two consecutive windows above the threshold and ends after three below half of it.
+// While it lasts, a granted permit is revoked. Windows with few requests are ignored.
 func TestLoad(t *testing.T) {
 	const fewRequests = -1
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name     string
-		percents []int64 // rejected in each count, or fewRequests
-		overload string  // after each count: o if overloaded
+		percents []int64 // rejected percentage in each window, or fewRequests
+		overload string  // after each window: o if overloaded
 	}{
-		{"single counts", []int64{0, 20, 0, 20, 0, 20, 0}, "......."},
+		{"single windows", []int64{0, 20, 0, 20, 0, 20, 0}, "......."},
 		{"two in a row", []int64{20, 20, 20}, "..o"},
-		{"between both bounds", []int64{20, 20, 6, 6, 6, 6, 6, 6}, "..oooooo"},
+		{"between both thresholds", []int64{20, 20, 6, 6, 6, 6, 6, 6}, "..oooooo"},
 		{"recovered", []int64{20, 20, 4, 4, 4, 4}, "..ooo."},
-		{"recovery interrupted below the bound", []int64{20, 20, 4, 4, 6, 4, 4, 4, 4}, "..oooooo."},
-		{"recovery interrupted above the bound", []int64{20, 20, 20, 4, 4, 20, 4, 4, 4, 4}, "..ooooooo."},
+		{"recovery interrupted below the threshold", []int64{20, 20, 4, 4, 6, 4, 4, 4, 4}, "..oooooo."},
+		{"recovery interrupted above the threshold", []int64{20, 20, 20, 4, 4, 20, 4, 4, 4, 4}, "..ooooooo."},
 		{"few requests", []int64{20, fewRequests, 20, 20}, "...o"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			f := newLoadedFleet(t)
 			served, failed := int64(1), int64(0)
 			f.reportCounts("r1", served, failed)
@@ -46,7 +45,7 @@
 			if granted.Stage != StageGranted {
 				t.Fatalf("%+v", granted)
 			}
-			for i, percent := range x.percents {
+			for i, percent := range tc.percents {
 				requests := int64(1000)
 				if percent == fewRequests {
 					requests = loadMinRequests - 1
@@ -55,35 +54,35 @@
 				f.advance(loadCountInterval)
 				served += requests * (100 - percent) / 100
 				failed += requests * percent / 100
-				f.reportCounts("r1", served, failed) // it ends the count before, and begins one with these
-				f.checkOverload(t, i, x.overload[i] == 'o', granted.Token)
+				f.reportCounts("r1", served, failed) // closes the previous window and opens one with these requests
+				f.checkOverload(t, i, tc.overload[i] == 'o', granted.Token)
 			}
 		})
 	}
 }
 
-// checkOverload checks that the fleet is overloaded or not, and that the permit of s1 is revoked or
-// granted with it.
-func (f *testFleet) checkOverload(t *testing.T, count int, isOverloaded bool, token uint64) {
+// checkOverload checks whether the fleet is overloaded, and that the permit of s1 is granted
+// exactly while it is not.
+func (f *testFleet) checkOverload(t *testing.T, window int, isOverloaded bool, token uint64) {
 	t.Helper()
 	permit := f.permit(KindServer, "s1")
 	isGranted := permit.Stage == StageGranted
 	if f.state.Load.IsOverloaded != isOverloaded || isGranted == isOverloaded {
-		t.Errorf("count %d: %+v, permit %+v", count, f.state.Load, permit)
+		t.Errorf("window %d: %+v, permit %+v", window, f.state.Load, permit)
 	}
 	if !isOverloaded {
 		return
 	}
 	if !strings.Contains(permit.WaitReason, "over 10% of requests") {
-		t.Errorf("count %d: the permit waits as %q", count, permit.WaitReason)
+		t.Errorf("window %d: the wait reason of the permit is %q", window, permit.WaitReason)
 	}
 	if f.applyToServer(OpBeginOutage, "s1", token, "ann").Code == CodeOK {
-		t.Errorf("count %d: the outage begins", count)
+		t.Errorf("window %d: the outage begins", window)
 	}
 }
 
-// A fleet is overloaded, and then no router reports counts any more. An emergency passes the
-// overload. The overload ends without counts: a wrong program would let nothing out for ever.
+// Guards against an overload that never ends because routers have stopped reporting request counts.
+// Until it ends, only emergencies get a permit.
 func TestLoadWithoutCounts(t *testing.T) {
 	f := newLoadedFleet(t)
 	for i := range int64(5) {
@@ -98,11 +97,11 @@
 	}
 	f.advance(loadMaxAge)
 	if f.state.Load.IsOverloaded {
-		t.Errorf("without counts: %+v", f.state.Load)
+		t.Errorf("still overloaded without counts: %+v", f.state.Load)
 	}
 }
 
-// A bound that is no share is rejected.
+// An overload threshold that is not a share is rejected.
 func TestOverloadShare(t *testing.T) {
 	f := newLoadedFleet(t)
 	for _, share := range []float64{-0.1, 1} {
--- a/internal/rollout/names.go
+++ b/internal/rollout/names.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxListedNames is how many of many names a text lists.
+// maxListedNames is how many names a summary lists before it only counts the rest.
 const maxListedNames = 3
 
-// FirstNames lists the first names and tells how many more there are.
+// FirstNames returns a text with the first few names and the number of names left out.
 func FirstNames(names []string) string {
 	return firstNamesText(names[:min(len(names), maxListedNames)], len(names))
 }
@@ -21,10 +21,10 @@
 	return strings.Join(first, ", ")
 }
 
-// firstNames collects the first of many names in sorted order without keeping all: a drain may wait
-// for thousands of routers.
+// firstNames collects the alphabetically first names of a set without keeping the others: a drain
+// may wait for thousands of routers.
 type firstNames struct {
-	// first are the first names, sorted, at most maxListedNames.
+	// first are the first names in alphabetical order, at most maxListedNames.
 	first []string
 	// total is how many names were added.
 	total int
@@ -32,11 +32,11 @@
 
 func (f *firstNames) add(name string) {
 	f.total++
-	at, _ := slices.BinarySearch(f.first, name)
-	if at == maxListedNames {
+	index, _ := slices.BinarySearch(f.first, name)
+	if index == maxListedNames {
 		return
 	}
-	f.first = slices.Insert(f.first, at, name)
+	f.first = slices.Insert(f.first, index, name)
 	f.first = f.first[:min(len(f.first), maxListedNames)]
 }
 
