--- a/internal/rollout/observations.go
+++ b/internal/rollout/observations.go
@@ -1,24 +1,24 @@
 package rollout
 
-// ServerStatus is how a router observes a cache server. The values stand in reports and in the
-// stored state.
+// ServerStatus is the status of a cache server as a router observes it. The values are used in
+// reports and in the stored state.
 type ServerStatus string
 
 // The statuses.
 const (
-	// StatusServing is that of a server which answers.
+	// StatusServing is the status of a server that answers.
 	StatusServing ServerStatus = "up"
-	// StatusFailing is that of a server which does not answer, or answers wrongly.
+	// StatusFailing is the status of a server that does not answer, or answers incorrectly.
 	StatusFailing ServerStatus = "bad"
-	// StatusDraining is that of a server which the endpoint list marks as draining.
+	// StatusDraining is the status of a server that the endpoint list marks as draining.
 	StatusDraining ServerStatus = "leaving"
-	// StatusRemoved is that of a server which is not in the endpoint list any more.
+	// StatusRemoved is the status of a server that is not in the endpoint list any more.
 	StatusRemoved ServerStatus = "gone"
 )
 
-// observationCounts counts observations by status: those of one server by all routers, or those of
-// one router of all servers. They follow from Target.Observations, and are kept so that weighing a
-// server does not walk over all routers.
+// observationCounts counts observations by status: either all routers' observations of one server,
+// or one router's observations of all servers. The counts can be derived from Target.Observations;
+// they are kept so that evaluating a server does not iterate over all routers.
 type observationCounts struct {
 	total    int
 	serving  int
@@ -27,10 +27,10 @@
 	removed  int
 }
 
-// notServing is how many observations have another status than StatusServing.
+// notServing returns the number of observations whose status is not StatusServing.
 func (n *observationCounts) notServing() int { return n.total - n.serving }
 
-// add counts an observation with 1, or takes it back with -1.
+// add counts one observation (delta 1) or removes it from the counts (delta -1).
 func (n *observationCounts) add(status ServerStatus, delta int) {
 	n.total += delta
 	switch status {
@@ -45,7 +45,7 @@
 	}
 }
 
-// recordObservation records how a router observes a server.
+// recordObservation records the status of a server as a router observes it.
 func (s *State) recordObservation(server *Target, router string, status ServerStatus) {
 	s.dropObservation(server, router)
 	if server.Observations == nil {
@@ -55,7 +55,7 @@
 	s.countObservation(server, router, status, 1)
 }
 
-// dropObservation drops what a router has observed of a server.
+// dropObservation removes a router's observation of a server.
 func (s *State) dropObservation(server *Target, router string) {
 	status, isKnown := server.Observations[router]
 	if !isKnown {
@@ -65,7 +65,7 @@
 	s.countObservation(server, router, status, -1)
 }
 
-// dropObservationsOf drops all that a router has observed.
+// dropObservationsOf removes all observations of a router.
 func (s *State) dropObservationsOf(router string) {
 	s.serversChanged = true
 	for _, server := range s.Servers {
@@ -74,7 +74,8 @@
 	}
 }
 
-// countObservation keeps the counts of one observation: 1 adds it, -1 takes it back.
+// countObservation updates all counts for one observation that is added (delta 1) or removed (delta
+// -1).
 func (s *State) countObservation(server *Target, router string, status ServerStatus, delta int) {
 	s.observationCount += delta
 	server.counts.add(status, delta)
@@ -98,7 +99,7 @@
 	delete(s.Servers, name)
 }
 
-// recountObservations counts all observations anew.
+// recountObservations rebuilds all counts from the observations.
 func (s *State) recountObservations() {
 	s.observationCount = 0
 	s.observationsByRouter = map[string]*observationCounts{}
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -10,39 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-// Observations have a limit of their own, which all routers that observe all servers would pass;
-// one whose session ends frees its own.
+// Guards against unlimited memory: observations have a limit that is reached if all routers observe
+// all servers. The end of a router's session frees its observations.
 func TestSightingsBound(t *testing.T) {
 	f := newTestFleet()
 	const routers = MaxObservations / MaxServers
 	report := func(router string, from, n int) Result {
-		v := &RouterReport{IsReady: true}
+		view := &RouterReport{IsReady: true}
 		for i := range n {
-			v.Servers = append(v.Servers, ServerObservation{Name: fmt.Sprint("s", from+i), Status: StatusServing})
+			view.Servers = append(view.Servers, ServerObservation{Name: fmt.Sprint("s", from+i), Status: StatusServing})
 		}
-		return f.apply(Command{Op: OpReport, Report: v}, RouterClientPrefix+router)
+		return f.apply(Command{Op: OpReport, Report: view}, RouterClientPrefix+router)
 	}
 	for r := range routers {
 		for from := 0; from < MaxServers; from += MaxReportedServers {
-			if a := report(fmt.Sprint("r", r), from, MaxReportedServers); a.Code != CodeOK {
-				t.Fatalf("router %d, servers from %d: %+v", r, from, a)
+			if result := report(fmt.Sprint("r", r), from, MaxReportedServers); result.Code != CodeOK {
+				t.Fatalf("router %d, servers from %d: %+v", r, from, result)
 			}
 		}
 	}
-	if a := report("more", 0, 1); a.Code != CodeLimitReached || !strings.Contains(a.Text, "sightings") {
-		t.Errorf("one more: %+v", a)
+	if result := report("more", 0, 1); result.Code != CodeLimitReached || !strings.Contains(result.Text, "sightings") {
+		t.Errorf("one observation over the limit: %+v", result)
 	}
-	if a := report("r0", 0, 1); a.Code != CodeOK {
-		t.Errorf("one that is known already: %+v", a)
+	if result := report("r0", 0, 1); result.Code != CodeOK {
+		t.Errorf("update of a known observation: %+v", result)
 	}
 	f.endSession(RouterClientPrefix + "r1")
-	if a := report("more", 0, 1); a.Code != CodeOK {
-		t.Errorf("after a router has gone: %+v", a)
+	if result := report("more", 0, 1); result.Code != CodeOK {
+		t.Errorf("after the end of another router's session: %+v", result)
 	}
 }
 
-// The counts that are kept are those that a look at all observations gives, whatever is reported,
-// ends, or is removed.
+// Guards against stored counts that differ from the observations after any sequence of reports,
+// ended sessions and removals.
 func TestSightCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
@@ -57,20 +57,20 @@
 				f.report(router, "z", rapid.SampledFrom(names).Draw(t, "server")+":"+string(status))
 			}
 			f.advance(DefaultGrace)
-			again := f.state.Clone()
-			again.recountObservations()
+			recounted := f.state.Clone()
+			recounted.recountObservations()
 			total, routers := f.state.observationCount, len(f.state.observationsByRouter)
-			if again.observationCount != total || len(again.observationsByRouter) != routers {
+			if recounted.observationCount != total || len(recounted.observationsByRouter) != routers {
 				t.Fatalf("%d observations by %d routers are counted, there are %d by %d",
-					total, routers, again.observationCount, len(again.observationsByRouter))
+					total, routers, recounted.observationCount, len(recounted.observationsByRouter))
 			}
-			for router, n := range again.observationsByRouter {
+			for router, n := range recounted.observationsByRouter {
 				if counted := *f.state.observationsByRouter[router]; counted != *n {
 					t.Fatalf("router %s: %+v is counted, there are %+v", router, counted, *n)
 				}
 			}
 			for _, name := range names {
-				if s := again.Servers[name]; s != nil && s.counts != f.state.Servers[name].counts {
+				if s := recounted.Servers[name]; s != nil && s.counts != f.state.Servers[name].counts {
 					t.Fatalf("server %s: %+v is counted, there are %+v", name, f.state.Servers[name].counts, s.counts)
 				}
 			}
@@ -78,18 +78,19 @@
 	})
 }
 
-// Naming the first few of many gives the same text as sorting all of them.
+// Guards against a different text when names are collected one by one instead of sorted all at
+// once: both texts are replicated state.
 func TestFewNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.StringMatching("[a-c]{1,3}"), 1, 8, rapid.ID[string]).Draw(t, "names")
 		set := map[string]bool{}
-		var few firstNames
+		var summary firstNames
 		for _, name := range all {
-			few.add(name)
+			summary.add(name)
 			set[name] = true
 		}
-		if want := FirstNames(sorted(set)); few.text() != want {
-			t.Fatalf("%q, want %q", few.text(), want)
+		if want := FirstNames(sorted(set)); summary.text() != want {
+			t.Fatalf("%q, want %q", summary.text(), want)
 		}
 	})
 }
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -8,70 +8,74 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Priorities of permits. A higher one is weighed first; PriorityEmergency also passes a halt and an
-// overload.
+// Priorities of permits. Permits of higher priority are evaluated first. PriorityEmergency also
+// overrides a halt and an overload.
 const (
 	PriorityRelease   = 0
 	PriorityNormal    = 5
 	PriorityEmergency = 9
 )
 
-// Stage is how far a permit is.
+// Stage is the state of a permit.
 type Stage string
 
 // The stages.
 const (
+	// StageWaiting is the stage of a permit that was requested and is not granted.
 	StageWaiting Stage = "waiting"
-	// StageGranted lasts until OpBeginOutage. Until then the permit can be revoked: a failure
-	// elsewhere may need its place in the budgets.
+	// StageGranted lasts until OpBeginOutage. Until then the permit can be revoked, because the
+	// failure of another target may use up the budget.
 	StageGranted Stage = "granted"
-	StageBegun   Stage = "begun"
+	// StageBegun is the stage of a permit whose target is out.
+	StageBegun Stage = "begun"
 )
 
-// Permit is the permission to take a target out, or the request for it.
+// Permit is the permission to take a target out of service, or the request for it.
 type Permit struct {
-	// ID is unique; the larger, the later was the request.
+	// ID is unique; later requests have larger IDs.
 	ID uint64 `json:"id"`
-	// Token is the fencing token that came with StageGranted; the larger, the later. 0 while the
-	// permit waits.
+	// Token is the fencing token that the permit got when it was granted; later tokens are larger.
+	// 0 while the permit waits.
 	Token uint64 `json:"token,omitempty"`
-	// Kind is that of the target.
+	// Kind is the kind of the target.
 	Kind Kind `json:"kind"`
-	// Name is that of the target.
+	// Name is the name of the target.
 	Name string `json:"name"`
-	// Session is the holder's; "" once it has ended. A permit that has begun then stays in use.
+	// Session is the session of the holder; "" once it has ended. A permit that has begun is kept
+	// without a holder.
 	Session string `json:"session"`
-	// Client is the holder's name.
+	// Client is the client name of the holder.
 	Client string `json:"client"`
 	// Priority is PriorityRelease to PriorityEmergency.
 	Priority int `json:"priority"`
 	// Purpose is shown to operators.
 	Purpose string `json:"why,omitempty"`
-	// Stage is how far the permit is.
+	// Stage is the state of the permit.
 	Stage Stage `json:"stage"`
-	// ExpiresAt is when a permit that has not begun is dropped; 0 is never.
+	// ExpiresAt is when the permit is dropped unless its outage has begun; 0 means never.
 	ExpiresAt time.Duration `json:"until,omitempty"`
 	// BegunAt is when the outage began.
 	BegunAt time.Duration `json:"began,omitempty"`
-	// Incarnation is the target's when the outage began.
+	// Incarnation is the incarnation that the target had when the outage began.
 	Incarnation string `json:"run,omitempty"`
-	// DrainVersion is the version of the DrainSet from which on the server is in it.
+	// DrainVersion is the version of the first DrainSet that contains the server.
 	DrainVersion uint64 `json:"drain,omitempty"`
-	// IsDrained tells that no router sends to the server any more.
+	// IsDrained reports that no router sends to the server any more.
 	IsDrained bool `json:"drained,omitempty"`
-	// WaitReason is why the permit does not go on, in one sentence for operators; "" if it does.
+	// WaitReason is one sentence for operators on why the permit waits; "" if it does not wait.
 	WaitReason string `json:"waits,omitempty"`
 }
 
-// target is the target that the permit takes out.
+// target returns the target of the permit.
 func (p *Permit) target() targetRef { return targetRef{p.Kind, p.Name} }
 
-// comparePermits orders permits as they are weighed: by priority, then by age.
+// comparePermits orders permits by priority, then by age.
 func comparePermits(a, b *Permit) int {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.ID, b.ID))
 }
 
-// permitOfSession is the permit that the sender's session has of a target, or nil.
+// permitOfSession returns the permit of a target that the sender's session holds or has requested;
+// nil if there is none.
 func (s *State) permitOfSession(target targetRef, sender Sender) *Permit {
 	if sender.Session == "" {
 		return nil
@@ -84,7 +88,8 @@
 	return nil
 }
 
-// permitWithToken is the permit of a target that the sender's session holds with the token, or nil.
+// permitWithToken returns the permit of a target that the sender's session holds with the token;
+// nil if there is none.
 func (s *State) permitWithToken(target targetRef, token uint64, sender Sender) *Permit {
 	for _, p := range s.Permits {
 		if p.target() != target || p.Session != sender.Session {
@@ -97,7 +102,7 @@
 	return nil
 }
 
-// begunPermit is the permit of a target that has begun, or nil.
+// begunPermit returns the permit under which a target is out; nil if there is none.
 func (s *State) begunPermit(target targetRef) *Permit {
 	for _, p := range s.Permits {
 		if p.target() == target && p.Stage == StageBegun {
@@ -107,8 +112,8 @@
 	return nil
 }
 
-// removePermits removes the permits that a predicate selects, and with one that has begun the drain
-// of its server.
+// removePermits removes the permits that a predicate selects. If a server is out under such a
+// permit, this also ends the drain of the server.
 func (s *State) removePermits(isSelected func(*Permit) bool) {
 	s.Permits = slices.DeleteFunc(s.Permits, func(p *Permit) bool {
 		if !isSelected(p) {
@@ -117,7 +122,7 @@
 		if p.DrainVersion > 0 {
 			s.DrainVersion++
 		}
-		s.serversChanged = true // a server that only its permit kept may be removed
+		s.serversChanged = true // the permit may have been the only reason to keep a delisted server
 		return true
 	})
 }
@@ -127,7 +132,8 @@
 	s.removePermits(func(p *Permit) bool { return p == permit })
 }
 
-// DrainedServers are the servers to which routers send nothing new, sorted.
+// DrainedServers returns the sorted names of the servers to which routers must send no new
+// requests.
 func (s *State) DrainedServers() []string {
 	names := []string{}
 	for _, p := range s.Permits {
--- a/internal/rollout/permit_commands.go
+++ b/internal/rollout/permit_commands.go
@@ -6,7 +6,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// requestPermit is the command that requests a permit, or polls how the request stands.
+// requestPermit is the command that requests a permit, or polls the status of an earlier request.
 type requestPermit struct {
 	target   targetRef
 	priority int
@@ -54,16 +54,17 @@
 	return Result{Code: CodeOK}
 }
 
-// takeOver gives the sender the permit that a client of the same name began before its session
-// ended, with a new token that fences the earlier holder off. It reports whether there was one.
+// takeOver assigns to the sender the begun permit of an earlier client of the same name whose
+// session has ended. A new token fences off the earlier holder. takeOver reports whether there was
+// such a permit.
 func (c requestPermit) takeOver(s *State, sender Sender) bool {
 	for _, p := range s.Permits {
 		isOrphan := p.Stage == StageBegun && p.Session == ""
 		if p.target() != c.target || !isOrphan || p.Client != sender.Client {
 			continue
 		}
-		// The sender may have requested the permit anew before the earlier session ended: that
-		// request is moot.
+		// The sender may have made a new request before the earlier session ended. The permit that
+		// is taken over replaces it.
 		if request := s.permitOfSession(c.target, sender); request != nil {
 			s.removePermit(request)
 		}
@@ -103,7 +104,7 @@
 	return Result{Code: CodeOK}
 }
 
-// endOutage is the command that gives a permit back once its target is back.
+// endOutage is the command that returns a permit once its target is back in service.
 type endOutage struct {
 	target targetRef
 	token  uint64
@@ -118,9 +119,10 @@
 		return notHeld("the permit of %s has not begun: cancel it", c.target)
 	}
 	if t := s.target(c.target); t != nil {
-		t.ChangedAt = sender.Time // slow start begins here
-		// A router that has the session it had before may not have been restarted, or be dead with
-		// its session not yet expired. Within the grace that shows, so until then it counts as out.
+		t.ChangedAt = sender.Time // slow start begins now
+		// A router that still has its earlier session may not have been restarted, or it may have
+		// crashed and its session has not expired yet. Either is known after the grace period, so
+		// until then the router counts as out.
 		if p.Kind == KindRouter && t.Session != "" && t.Incarnation == p.Incarnation {
 			t.ChangedAt += max(0, s.Grace-s.slowStart(c.target))
 		}
@@ -129,10 +131,11 @@
 	return Result{Code: CodeOK}
 }
 
-// cancelPermit is the command that withdraws a permit which has not begun.
+// cancelPermit is the command that withdraws a permit whose outage has not begun.
 type cancelPermit struct {
 	target targetRef
-	// token is not compared: a client that lost the answer to its request doesn't know it.
+	// token only appears in the error text. It is not compared, because a client that did not
+	// receive the answer to its request doesn't have it.
 	token uint64
 }
 
@@ -152,7 +155,7 @@
 	return notHeld("no permit of %s with token %d is held by this session", target, token)
 }
 
-// clearPermit is the command by which an operator ends a permit that has begun, whoever holds it.
+// clearPermit is the command with which an operator removes a begun permit, whoever holds it.
 type clearPermit struct{ target targetRef }
 
 func (c clearPermit) apply(s *State, sender Sender) Result {
@@ -166,8 +169,8 @@
 	return Result{Code: CodeOK}
 }
 
-// forgetTarget is the command by which an operator removes a target that does not serve from the
-// fleet.
+// forgetTarget is the command with which an operator removes a target that is out of service from
+// the fleet.
 type forgetTarget struct{ target targetRef }
 
 func (c forgetTarget) apply(s *State, _ Sender) Result {
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -9,16 +9,17 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// reconcile derives all that depends on several targets or on time, in passes: who serves, which
-// permits are over, whether the fleet is overloaded, what is drained, how far the release is, and
-// who may go out. The outcome follows from the state and the agreed time alone, so that a second
-// call changes nothing.
+// reconcile derives everything that depends on several targets or on time, in passes: which targets
+// serve, which permits are finished, whether the fleet is overloaded, which servers are drained,
+// how far the release is, and which permits are granted. The outcome depends only on the state and
+// the agreed time, and reconcile is idempotent: a second call at the same time changes nothing.
 //
-// Each pass names the instants at which time alone may change its outcome by reconcileAt.
+// Each pass calls reconcileAt with the times at which the passing of time alone may change its
+// outcome.
 func (s *State) reconcile(now time.Duration, nextToken func() uint64) {
 	s.nextReconcileAt = math.MaxInt64
-	// A permit that is over may let a server be removed, whose removal may end further permits:
-	// until neither changes anything.
+	// Removing a finished permit may allow a server to be removed, which may finish further
+	// permits. Repeat both passes until neither changes anything.
 	for {
 		before := s.Version
 		s.updateAvailability(now)
@@ -33,16 +34,17 @@
 	s.grantPermits(now, nextToken)
 }
 
-// reconcileAt has Advance reconcile at an instant at the latest.
+// reconcileAt makes Advance call reconcile no later than at a given time.
 func (s *State) reconcileAt(at time.Duration) { s.nextReconcileAt = min(s.nextReconcileAt, at) }
 
-// serverChangesAt has updateAvailability weigh all servers at an instant at the latest.
+// serverChangesAt makes updateAvailability evaluate all servers no later than at a given time.
 func (s *State) serverChangesAt(at time.Duration) {
 	s.nextServerChangeAt = min(s.nextServerChangeAt, at)
 }
 
-// updateAvailability is the pass that finds out who serves. Hundreds of routers observe hundreds of
-// servers, so servers are weighed only where observations or time may have changed something.
+// updateAvailability is the pass that determines which targets serve. Hundreds of routers observe
+// hundreds of servers, so it evaluates servers only if new observations or the time may have
+// changed one of them.
 func (s *State) updateAvailability(now time.Duration) {
 	for _, router := range s.changedRouters {
 		s.setUp(router, router.Session != "" && router.IsReady, now)
@@ -63,7 +65,7 @@
 	s.reconcileAt(s.nextServerChangeAt)
 }
 
-// setUp records whether a target serves.
+// setUp records whether a target serves, and since when.
 func (s *State) setUp(t *Target, isUp bool, now time.Duration) {
 	if t.IsUp == isUp {
 		return
@@ -73,8 +75,9 @@
 	s.Version++
 }
 
-// servesByObservations tells whether at least half of the routers that observe the server find it
-// serving. One router with a bad link then neither takes a server out nor hides that it is out.
+// servesByObservations reports whether at least half of the routers that observe the server find it
+// serving. A single router with a bad network link then can neither take a server out of service
+// nor hide that it is out.
 func (t *Target) servesByObservations() bool {
 	if failpoint.Is("evidence-of-one") {
 		return t.counts.notServing() == 0
@@ -82,8 +85,8 @@
 	return t.counts.total > 0 && 2*t.counts.notServing() <= t.counts.total
 }
 
-// updateDelisted records since when a router finds the server draining or missing in the endpoint
-// list.
+// updateDelisted records since when at least one router finds the server draining or missing in the
+// endpoint list.
 func (t *Target) updateDelisted(now time.Duration) {
 	isDelisted := t.counts.removed+t.counts.draining > 0
 	switch {
@@ -94,9 +97,10 @@
 	}
 }
 
-// removeDelistedServer removes a server that no endpoint list has had for long. It may have
-// crashed, or be back with the list late, so it counts as down for some graces first; and a server
-// that has a permit stays.
+// removeDelistedServer removes a server that all routers find missing in the endpoint list, once it
+// has been down and delisted for ForgetAfterGraces grace periods. Until then it counts as down,
+// because it may have crashed, or it may come back before the list does. A server that has a permit
+// is kept.
 func (s *State) removeDelistedServer(name string, server *Target, now time.Duration) {
 	if server.counts.total == 0 || server.counts.removed < server.counts.total {
 		return
@@ -114,8 +118,8 @@
 	s.Version++
 }
 
-// removeFinishedPermits is the pass that removes the permits which nobody wants any more, and those
-// whose holder's session has ended and whose target is back.
+// removeFinishedPermits is the pass that removes obsolete requests, and begun permits without a
+// holder whose target is back in service.
 func (s *State) removeFinishedPermits(now time.Duration) {
 	count := len(s.Permits)
 	s.removePermits(func(p *Permit) bool {
@@ -129,8 +133,8 @@
 	}
 }
 
-// isRequestOver tells whether a permit that has not begun has lost its holder, its target or its
-// time.
+// isRequestOver reports whether a permit that has not begun is obsolete: it has expired, its
+// holder's session has ended, or its target has been removed.
 func (s *State) isRequestOver(p *Permit, now time.Duration) bool {
 	if p.ExpiresAt > 0 {
 		s.reconcileAt(p.ExpiresAt)
@@ -139,12 +143,13 @@
 	return p.Session == "" || s.target(p.target()) == nil || isExpired
 }
 
-// endOrphanedOutage ends an outage whose holder's session has ended once its target serves in a new
-// incarnation, and tells whether it has.
+// endOrphanedOutage reports whether the outage of a permit without a holder is over, which is so
+// once the target serves in a new incarnation. If the outage is over, the target's slow start
+// begins; otherwise the permit gets a WaitReason.
 //
-// The holder is not there to tell what became of the outage, so only a restart after its beginning
-// proves that it is over. What is observed within the grace may be from before the beginning: an
-// incarnation seen then is taken for the old one.
+// The holder can no longer report the end of the outage, so only a restart after its beginning
+// proves that it is over. An observation made within the grace period may date from before the
+// outage, so an incarnation observed then is treated as the old one.
 func (s *State) endOrphanedOutage(p *Permit, now time.Duration) bool {
 	t := s.target(p.target())
 	settledAt := p.BegunAt + s.Grace
@@ -162,7 +167,8 @@
 	return false
 }
 
-// completeDrains is the pass that finds out to which servers no router sends any more.
+// completeDrains is the pass that determines which drained servers get no more requests from any
+// router.
 func (s *State) completeDrains(now time.Duration) {
 	for _, p := range s.Permits {
 		if p.Kind != KindServer || p.Stage != StageBegun || p.IsDrained {
@@ -180,10 +186,10 @@
 	}
 }
 
-// possibleSenders are the routers that may still send to the server of a begun permit. A router
-// with a session acknowledges the drain. One without a session can't receive it: it stops by the
-// endpoint list, which must say that the server is draining, and which it has read within the
-// grace.
+// possibleSenders returns the routers that may still send to the server of a begun permit. A router
+// with a session may do so until it acknowledges the drain. A router without a session does not
+// receive the drain set. It stops sending because of the endpoint list, which must mark the server
+// as draining, and which the router reads within the grace period.
 func (s *State) possibleSenders(p *Permit, now time.Duration) (senders firstNames) {
 	if failpoint.Is("drain-unacknowledged") {
 		return senders
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -10,19 +10,21 @@
 
 // States of a release.
 const (
+	// ReleaseRunning is the state of a release, or of its rollback, that is in progress.
 	ReleaseRunning = "running"
-	ReleaseDone    = "done"
-	// ReleaseEnded is that of a release which an operator has ended as it stood.
+	// ReleaseDone is the state of a release, or of its rollback, that has finished its last wave.
+	ReleaseDone = "done"
+	// ReleaseEnded is the state of a release that an operator has ended before it was done.
 	ReleaseEnded = "ended"
 )
 
-// ReleaseProgress is a release and how far it is. All instants are agreed time.
+// ReleaseProgress is a release and its progress. All times are agreed time.
 type ReleaseProgress struct {
-	// ReleasePlan is the plan.
+	// ReleasePlan is the plan as it was requested.
 	ReleasePlan
 	// StartedBy is the client that started the release or its rollback.
 	StartedBy string `json:"by"`
-	// GoalVersion is the version that routers are brought to: ToVersion, or FromVersion in a
+	// GoalVersion is the version that routers are brought to: ToVersion, or FromVersion during a
 	// rollback.
 	GoalVersion string `json:"goal"`
 	// State is ReleaseRunning, ReleaseDone or ReleaseEnded.
@@ -31,29 +33,29 @@
 	Routers []string `json:"names"`
 	// GoalSetAt is when GoalVersion was set.
 	GoalSetAt time.Duration `json:"since"`
-	// WaveSize is how many routers the present wave has, with those of all waves before it.
+	// WaveSize is how many routers the current wave and all earlier waves have together.
 	WaveSize int `json:"size"`
-	// BakeEndsAt is when the present wave has baked; 0 while it is not complete.
+	// BakeEndsAt is when the bake time of the current wave ends; 0 until the wave is complete.
 	BakeEndsAt time.Duration `json:"baked,omitempty"`
-	// StepBegunAt is since when a router that has not reached the goal is being changed.
+	// StepBegunAt is when the update of each router that has not reached the goal began.
 	StepBegunAt map[string]time.Duration `json:"began,omitempty"`
 	// Reached are the routers that have reached the goal.
 	Reached map[string]bool `json:"there,omitempty"`
 	// FailedAfterUpdate is how often a router that had reached the goal went down without a permit.
 	FailedAfterUpdate int `json:"fell,omitempty"`
-	// NotRolledBack are the routers that a rollback could not bring back, with the reason.
+	// NotRolledBack are the routers that a rollback could not return to FromVersion, with the
+	// reason for each.
 	NotRolledBack map[string]string `json:"left,omitempty"`
-	// Buckets are the requests that both versions have answered side by side, the newest
-	// MaxComparisonBuckets.
+	// Buckets count the requests of both versions by interval: the newest MaxComparisonBuckets.
 	Buckets []ComparisonBucket `json:"bins,omitempty"`
 	// BucketOpenedAt is when the newest bucket began.
 	BucketOpenedAt time.Duration `json:"open,omitempty"`
-	// RequestsInWave is how many requests the goal version has answered since the present wave was
+	// RequestsInWave is how many requests the goal version has answered since the current wave was
 	// complete.
 	RequestsInWave int64 `json:"seen,omitempty"`
 }
 
-// clone returns a copy that shares nothing with the release; nil for nil.
+// clone returns a deep copy of the release; nil for nil.
 func (r *ReleaseProgress) clone() *ReleaseProgress {
 	if r == nil {
 		return nil
@@ -72,7 +74,7 @@
 	return &clone
 }
 
-// isRollback tells whether the release goes back to the version before.
+// isRollback reports whether the release is returning the routers to the previous version.
 func (r *ReleaseProgress) isRollback() bool { return r.GoalVersion == r.FromVersion }
 
 // startRelease is the command that starts a release.
@@ -119,7 +121,8 @@
 	return Result{Code: CodeOK}
 }
 
-// matchingRouters are the names of the routers that match a pattern, ordered by zone, then by name.
+// matchingRouters returns the names of the routers that match a pattern, ordered by zone, then by
+// name.
 func (s *State) matchingRouters(pattern string) []string {
 	names := []string{}
 	for name := range s.Routers {
@@ -135,7 +138,7 @@
 
 var noRelease = invalid("no release is under way")
 
-// rollBack is the command that brings all routers of the release back to the version before.
+// rollBack is the command that returns all routers of the release to the previous version.
 type rollBack struct{}
 
 func (rollBack) apply(s *State, sender Sender) Result {
@@ -146,8 +149,8 @@
 	if r.isRollback() {
 		return invalid("release %s is on its way back already", r.Name)
 	}
-	// All routers form one wave: what they had before is known to work, so only the budgets bound
-	// how fast they go back.
+	// All routers form one wave: the previous version is known to work, so only the budgets limit
+	// the speed of the rollback.
 	r.GoalVersion = r.FromVersion
 	r.State = ReleaseRunning
 	r.StartedBy = sender.Client
@@ -164,7 +167,7 @@
 	return Result{Code: CodeOK}
 }
 
-// endRelease is the command that ends the release as it stands.
+// endRelease is the command that ends the release and leaves each router at its current version.
 type endRelease struct{}
 
 func (endRelease) apply(s *State, _ Sender) Result {
@@ -172,11 +175,11 @@
 		return noRelease
 	}
 	s.Release.State = ReleaseEnded
-	s.DrainVersion++ // the DrainSet does not request counts any more
+	s.DrainVersion++ // the DrainSet no longer requests counts
 	return Result{Code: CodeOK}
 }
 
-// routerFailed is the command that tells that a router can't be brought to the goal version.
+// routerFailed is the command that reports that a router can't be brought to the goal version.
 type routerFailed struct {
 	router string
 	reason string
@@ -195,8 +198,8 @@
 	return Result{Code: CodeOK}
 }
 
-// resumeRelease has a halted release go on: what halted it is forgiven, and must come anew to halt
-// it again.
+// resumeRelease resets what may have halted the release, so that only new failures can halt it
+// again.
 func (s *State) resumeRelease(now time.Duration) {
 	r := s.Release
 	if r == nil || r.State != ReleaseRunning {
@@ -212,8 +215,7 @@
 	}
 }
 
-// advanceRelease is the pass that moves the release on as far as state and time allow. releaseHold
-// has the rule.
+// advanceRelease is the pass that advances the release as far as releaseHold allows.
 func (s *State) advanceRelease(now time.Duration) {
 	if s.Release == nil || s.Release.State != ReleaseRunning {
 		return
@@ -223,7 +225,7 @@
 	}
 }
 
-// advanceWave moves the present wave on, and tells whether the next one has begun.
+// advanceWave updates the current wave, and reports whether the next wave has begun.
 func (s *State) advanceWave(now time.Duration) (hasNewWave bool) {
 	r := s.Release
 	planned := s.plannedOutages()
@@ -251,14 +253,13 @@
 			return true
 		}
 		r.State = ReleaseDone
-		s.DrainVersion++ // the DrainSet does not request counts any more
+		s.DrainVersion++ // the DrainSet no longer requests counts
 		s.Version++
 	}
 	return false
 }
 
-// recordStepBeginnings records since when routers of the release that are out by a permit are being
-// changed.
+// recordStepBeginnings records when the updates of the routers that are out under a permit began.
 func (s *State) recordStepBeginnings() {
 	r := s.Release
 	for _, p := range s.Permits {
@@ -269,12 +270,14 @@
 		if r.StepBegunAt == nil {
 			r.StepBegunAt = map[string]time.Duration{}
 		}
-		r.StepBegunAt[p.Name] = max(p.BegunAt, r.GoalSetAt) // the outage may have begun towards the other version
+		// The outage may have begun before the goal version was changed by a rollback.
+		r.StepBegunAt[p.Name] = max(p.BegunAt, r.GoalSetAt)
 	}
 }
 
-// updateWaveRouters records the routers of the wave that exceed the step timeout, and tells whether
-// all others have reached the goal.
+// updateWaveRouters records a failure for each router of the wave that exceeds the step timeout. It
+// reports whether the wave is complete: all of its routers have reached the goal or could not be
+// rolled back.
 func (s *State) updateWaveRouters(planned map[targetRef]bool, now time.Duration) (isComplete bool) {
 	r := s.Release
 	isComplete = true
@@ -298,21 +301,21 @@
 	return isComplete
 }
 
-// hasGoalVersion tells whether a router of the release is up with the goal version, whoever holds
-// its permit.
+// hasGoalVersion reports whether a router of the release is up with the goal version, even if its
+// permit has not been returned.
 func (s *State) hasGoalVersion(name string) bool {
 	router := s.Routers[name]
 	return router != nil && router.IsUp && router.Version == s.Release.GoalVersion
 }
 
-// hasReachedGoal tells whether a router of the release has the goal version and its permit is given
-// back.
+// hasReachedGoal reports whether a router of the release is up with the goal version and its permit
+// has been returned.
 func (s *State) hasReachedGoal(name string, planned map[targetRef]bool) bool {
 	return s.hasGoalVersion(name) && !planned[targetRef{KindRouter, name}]
 }
 
-// UpdatedRouters are the routers of the release that are up with the goal version, whoever holds
-// their permits.
+// UpdatedRouters returns the names of the routers of the release that are up with the goal version,
+// even if their permits have not been returned.
 func (s *State) UpdatedRouters() (names []string) {
 	if s.Release == nil {
 		return nil
@@ -325,8 +328,8 @@
 	return names
 }
 
-// PendingRouters are the routers of the present wave that are to be changed now; none while the
-// release is halted.
+// PendingRouters returns the names of the routers of the current wave that are to be updated now;
+// none while the release is halted.
 func (s *State) PendingRouters() (names []string) {
 	r := s.Release
 	if r == nil || r.State != ReleaseRunning || s.Halt != nil {
--- a/internal/rollout/release_hold.go
+++ b/internal/rollout/release_hold.go
@@ -7,28 +7,28 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// This file has the rules by which a release does not go on. Whether the next wave may begin is
-// decided by releaseHold. What halts the release is one of:
+// This file contains the rules that hold or halt a release. releaseHold decides whether the next
+// wave may begin. A release is halted by:
 //
 //   - haltIfUpdatedRoutersFail: an updated router went down again;
 //   - recordRouterFailure: a router exceeds the step timeout, or its command failed;
-//   - haltWithoutRequests: the new version gets no requests;
+//   - haltWithoutRequests: the new version gets too few requests;
 //   - ReleaseProgress.ComparisonHalts: the new version fails more often or is slower, or the fleet
-//     serves too little; whoever drives the release checks these and sends the halt;
+//     serves too little; the client that drives the release checks these and sends the halt;
 //   - an operator's OpHalt.
 //
-// Why a single router of the wave is not changed is the WaitReason of its permit: see
+// The reason why a single router of the wave is not updated is the WaitReason of its permit: see
 // State.waitReason.
 
-// releaseHold names why a release does not go on to its next wave, or to its end.
+// releaseHold is why a release can't begin its next wave, or finish after its last one.
 type releaseHold int
 
 const (
-	// holdNone lets the next wave begin; after the last one the release is done.
+	// holdNone: the next wave may begin; after the last one the release is done.
 	holdNone releaseHold = iota
 	// holdWaveIncomplete: a router of the wave has not reached the goal version.
 	holdWaveIncomplete
-	// holdBakeNotBegun: the wave has just become complete, and its bake time begins.
+	// holdBakeNotBegun: the wave has just become complete, and its bake time begins now.
 	holdBakeNotBegun
 	// holdBaking: the bake time is not over.
 	holdBaking
@@ -38,8 +38,8 @@
 	holdTooFewRequests
 )
 
-// releaseHold decides whether the release goes on, and if not, why. The first hold that applies
-// counts.
+// releaseHold returns why the release can't begin its next wave, or holdNone. If several reasons
+// apply, it returns the first one.
 func (s *State) releaseHold(isWaveComplete bool, now time.Duration) releaseHold {
 	r := s.Release
 	switch {
@@ -57,7 +57,7 @@
 	return holdNone
 }
 
-// haltRelease halts the fleet in the name of the release, unless it is halted already.
+// haltRelease halts the fleet on behalf of the release, unless it is already halted.
 func (s *State) haltRelease(reason string, now time.Duration) {
 	if s.Halt != nil {
 		return
@@ -66,8 +66,8 @@
 	s.Version++
 }
 
-// recordRouterFailure records that a router can't be brought to the goal. That halts a release; a
-// rollback goes on with the other routers and names this one.
+// recordRouterFailure records that a router can't be brought to the goal version. A release is
+// halted; a rollback lists the router in NotRolledBack and continues with the others.
 func (s *State) recordRouterFailure(name, reason string, now time.Duration) {
 	r := s.Release
 	if !r.isRollback() {
@@ -84,9 +84,9 @@
 	s.Version++
 }
 
-// haltIfUpdatedRoutersFail halts a release whose new version does not stay up: one router of the
-// first wave that is down again, or two later. Where most routers are down, the coordinators have
-// lost their sessions, and nothing is concluded.
+// haltIfUpdatedRoutersFail halts a release if updated routers go down again: one during the first
+// wave, two during later ones. If most routers are down, the coordinators have probably lost the
+// routers' sessions, and the new version is not blamed.
 func (s *State) haltIfUpdatedRoutersFail(planned map[targetRef]bool, now time.Duration) {
 	if s.areMostRoutersDown() {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// areMostRoutersDown tells whether more than half of the routers of the release are down.
+// areMostRoutersDown reports whether more than half of the routers of the release are down.
 func (s *State) areMostRoutersDown() bool {
 	names := s.Release.Routers
 	down := 0
@@ -125,12 +125,12 @@
 	return 2*down > len(names) && len(names) > 1
 }
 
-// extraBakeTimes is how many further bake times a wave waits for MinRequests before the release is
-// halted.
+// extraBakeTimes is how many bake times a wave that has baked waits for MinRequests before the
+// release is halted.
 const extraBakeTimes = 10
 
-// haltWithoutRequests halts a release whose new version has not answered MinRequests long after the
-// wave has baked.
+// haltWithoutRequests halts a release if its new version has not answered MinRequests within
+// extraBakeTimes after the wave has baked.
 func (s *State) haltWithoutRequests(now time.Duration) {
 	r := s.Release
 	haltAt := r.BakeEndsAt + extraBakeTimes*r.BakeTime
@@ -142,16 +142,18 @@
 		r.GoalVersion, r.RequestsInWave, r.MinRequests, (1+extraBakeTimes)*r.BakeTime), now)
 }
 
-// ComparisonLimits are the limits that the comparison of both versions must keep.
+// ComparisonLimits are the limits that decide when the comparison of the two versions halts a
+// release.
 type ComparisonLimits struct {
-	// FalseHaltShare is the share of releases that may be halted though both versions are alike.
+	// FalseHaltShare is the share of releases that may be halted although both versions are alike.
 	FalseHaltShare float64
-	// MinServedShare is the share of requests that the fleet must serve, whatever the version.
+	// MinServedShare is the share of all requests that the fleet must serve, whatever the version
+	// of the routers.
 	MinServedShare float64
 }
 
-// ComparisonHalts are the reasons to halt the release by the requests that both versions have
-// answered; none for a rollback.
+// ComparisonHalts returns the reasons to halt the release that follow from the requests answered by
+// both versions; none for a rollback.
 func (r *ReleaseProgress) ComparisonHalts(limits ComparisonLimits) (reasons []string) {
 	if r.GoalVersion != r.ToVersion {
 		return nil
--- a/internal/rollout/release_plan.go
+++ b/internal/rollout/release_plan.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Lower bounds of a plan's durations.
+// Lower limits of a plan's durations.
 const (
 	MinStepTimeout = time.Second
 	MinBakeTime    = time.Second
 )
 
-// maxGrowthFactor bounds ReleasePlan.GrowthFactor.
+// maxGrowthFactor is the upper limit of ReleasePlan.GrowthFactor.
 const maxGrowthFactor = 100
 
-// ReleasePlan is a release as an operator requested it: all routers whose names match are brought
-// to ToVersion, wave by wave.
+// ReleasePlan is an operator's request to bring all routers whose names match to ToVersion, wave by
+// wave.
 type ReleasePlan struct {
 	// Name names the release for operators.
 	Name string `json:"name"`
-	// Match is a pattern of path.Match for the names of the routers; "" matches all.
+	// Match is a path.Match pattern for the names of the routers; "" matches all.
 	Match string `json:"match,omitempty"`
-	// FromVersion is the version that the routers have, and get again by a rollback.
+	// FromVersion is the current version of the routers. A rollback returns them to it.
 	FromVersion string `json:"from"`
-	// ToVersion is the version to bring them to.
+	// ToVersion is the version to bring the routers to.
 	ToVersion string `json:"to"`
-	// FirstWave is how many routers the first wave, the canary, has.
+	// FirstWave is the number of routers in the first wave, the canaries.
 	FirstWave int `json:"first"`
-	// GrowthFactor is how many times the routers of all waves before it a wave has.
+	// GrowthFactor is the number of routers that each further wave adds, as a multiple of the
+	// routers in all earlier waves.
 	GrowthFactor float64 `json:"grow"`
-	// BakeTime is how long a complete wave is watched before the next one begins.
+	// BakeTime is how long a complete wave is observed before the next one begins.
 	BakeTime time.Duration `json:"bake"`
-	// MinRequests is how many requests the new version must have answered in a wave before the next
-	// one begins.
+	// MinRequests is how many requests the new version must answer in a wave before the next one
+	// begins.
 	MinRequests int64 `json:"least"`
-	// StepTimeout is within which a router must be back with the goal version after its outage
-	// began.
+	// StepTimeout is the time limit of a router's update, from the beginning of its outage until it
+	// is up with the goal version.
 	StepTimeout time.Duration `json:"step"`
-	// LearnTime is how long a router that has started is worse than others, whatever its version:
-	// its requests don't count.
+	// LearnTime is how long a router performs worse after its start, whatever its version. Its
+	// requests are not compared during this time.
 	LearnTime time.Duration `json:"learn,omitempty"`
 }
 
-// Check returns what is wrong with the plan, beginning with the name of the setting; nil if nothing
-// is.
+// Check returns an error that names the first invalid setting; nil if the plan is valid.
 func (p *ReleasePlan) Check() error {
 	names := []struct{ setting, value string }{{"name", p.Name}, {"from", p.FromVersion}, {"to", p.ToVersion}}
 	for _, f := range names {
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// Waves are the sizes of the waves over n routers, each with the routers of all waves before it.
+// Waves returns the sizes of the waves over n routers. Each size includes the routers of all
+// earlier waves.
 func (p *ReleasePlan) Waves(n int) (sizes []int) {
 	size := min(p.FirstWave, n)
 	for {
@@ -93,7 +94,7 @@
 	}
 }
 
-// nextWaveSize is the size of the wave after one of a size, over n routers.
+// nextWaveSize returns the size of the wave that follows a wave of the given size, over n routers.
 func (p *ReleasePlan) nextWaveSize(size, n int) int {
 	added := int(math.Floor(p.GrowthFactor * float64(size)))
 	return min(n, max(size+1, size+added))
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// newReleasingFleet is a fleet of n routers r00, r01 and so on with version a, and a release of
-// them to b.
+// newReleasingFleet returns a fleet of n routers r00, r01 and so on with version a, in which a
+// release to version b has just started.
 func newReleasingFleet(n int, plan ReleasePlan) *testFleet {
 	f := newTestFleet(Budget{Name: "r", Kind: KindRouter, MaxOut: 3, SlowStart: 2 * time.Second})
 	for i := range n {
@@ -28,7 +28,7 @@
 	return f
 }
 
-// reportVersion has a ready router report its version and its counts of requests.
+// reportVersion makes a ready router report its version and its request counts.
 func (f *testFleet) reportVersion(name, version string, served, failed int64) {
 	report := &RouterReport{
 		Zone: "z" + name[len(name)-1:], Version: version, IsReady: true, Served: served, Failed: failed,
@@ -36,8 +36,8 @@
 	f.mustApply(Command{Op: OpReport, Report: report}, RouterClientPrefix+name)
 }
 
-// update updates one router as a driver does, if the permit is granted at once. version is the one
-// that comes back; "" stands for a router that doesn't.
+// update updates one router as a release driver does, provided that the permit is granted at once.
+// The router comes back with version; "" means that it doesn't come back.
 func (f *testFleet) update(name, version string) {
 	command := Command{Op: OpRequestPermit, Kind: KindRouter, Name: name, Priority: PriorityRelease}
 	permit := f.mustApply(command, "release")
@@ -53,34 +53,34 @@
 	}
 }
 
-// waveRecord is the test's own record of the waves of a release.
+// waveRecord is a test's own record of the waves of a release.
 type waveRecord struct {
 	*testFleet
 	t    *rapid.T
 	plan ReleasePlan
-	// sizes are the sizes of the waves, by the plan.
+	// sizes are the sizes of the waves according to the plan.
 	sizes []int
-	// wave is the index of the present wave.
+	// wave is the index of the current wave.
 	wave int
-	// isComplete and completeAt tell whether and since when all routers of the wave have been
-	// updated.
+	// isComplete reports whether all routers of the wave have been updated.
 	isComplete bool
+	// completeAt is since when isComplete is set.
 	completeAt time.Duration
 }
 
-// check checks the present wave against the record.
+// check checks the current wave against the record.
 func (r *waveRecord) check() {
 	release := r.state.Release
 	for r.wave < len(r.sizes) && r.sizes[r.wave] != release.WaveSize {
 		r.wave++
 		if !r.isComplete || r.now < r.completeAt+r.plan.BakeTime {
-			r.t.Fatalf("wave %d of %v at %v, the one before it was complete at %v",
+			r.t.Fatalf("wave %d of %v begins at %v, the previous one was complete at %v",
 				r.wave, r.sizes, r.now, r.completeAt)
 		}
 		r.isComplete = false
 	}
 	if r.wave == len(r.sizes) {
-		r.t.Fatalf("size %d is none of %v", release.WaveSize, r.sizes)
+		r.t.Fatalf("wave size %d is not in %v", release.WaveSize, r.sizes)
 	}
 	if len(r.state.UpdatedRouters()) >= release.WaveSize && len(r.state.PendingRouters()) == 0 {
 		r.recordComplete()
@@ -94,10 +94,10 @@
 	}
 }
 
-// A driver updates routers in any order and at any pace, and an operator may roll back at any
-// point. Waves grow as planned, none begins before the one before it is complete and has baked, and
-// in the end all routers have the version; a rollback brings all back. A wrong program would begin
-// a wave beside one that has not baked, or stop half way.
+// Guards against a wave that begins before the previous one is complete and has baked, and against
+// a release that stops half-way. A driver updates routers in random order and at a random pace, and
+// an operator may roll back at any point. Waves grow as planned, and in the end all routers have
+// the goal version.
 func TestRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 24).Draw(t, "routers")
@@ -106,7 +106,7 @@
 		plan.GrowthFactor = float64(rapid.IntRange(1, 4).Draw(t, "grow"))
 		f := newReleasingFleet(n, plan)
 		record := &waveRecord{testFleet: f, t: t, plan: plan, sizes: plan.Waves(n)}
-		rollBackAt := rapid.IntRange(0, 400).Draw(t, "turns back at")
+		rollBackAt := rapid.IntRange(0, 400).Draw(t, "rolls back at")
 		for i := 0; i < 4000 && f.state.Release.State == ReleaseRunning; i++ {
 			if i == rollBackAt {
 				f.mustApply(Command{Op: OpRollBack}, "ann")
@@ -116,7 +116,7 @@
 				record.check()
 			}
 			pending := f.state.PendingRouters()
-			if len(pending) > 0 && rapid.IntRange(0, 3).Draw(t, "drives") > 0 {
+			if len(pending) > 0 && rapid.IntRange(0, 3).Draw(t, "updates if not 0") > 0 {
 				f.update(rapid.SampledFrom(pending).Draw(t, "router"), f.state.Release.GoalVersion)
 				if !isRollback && len(f.state.PendingRouters()) == 0 {
 					record.recordComplete()
@@ -126,17 +126,18 @@
 		}
 		updated := len(f.state.UpdatedRouters())
 		if r := f.state.Release; r.State != ReleaseDone || updated != n {
-			t.Fatalf("%s towards %s, %d of %d updated, halted %+v", r.State, r.GoalVersion, updated, n, f.state.Halt)
+			t.Fatalf("%s, goal %s, %d of %d updated, halt %+v", r.State, r.GoalVersion, updated, n, f.state.Halt)
 		}
 	})
 }
 
-// expectHalted expects the release to have halted the fleet, for a reason.
+// expectHalted checks that the release has halted the fleet for a reason, and that no routers are
+// pending.
 func (f *testFleet) expectHalted(t *testing.T, reason string) {
 	t.Helper()
 	h := f.state.Halt
 	if h == nil || !strings.Contains(h.Reason, reason) || h.By != "release x" {
-		t.Errorf("halted %+v, want %q", h, reason)
+		t.Errorf("halt %+v, want reason %q", h, reason)
 	}
 	if pending := f.state.PendingRouters(); len(pending) > 0 {
 		t.Errorf("pending %v", pending)
@@ -150,8 +151,8 @@
 	}
 }
 
-// What goes wrong in a release halts it: see each case. A wrong program would go on to the next
-// wave with a version that does not come up, does not stay up or is used by nobody.
+// Guards against a next wave with a version that does not come up, does not stay up or gets no
+// requests: each of these halts the release.
 func TestReleaseHalts(t *testing.T) {
 	t.Run("router not back in time", testRouterNotBackInTime)
 	t.Run("updated router down again", func(t *testing.T) {
@@ -166,7 +167,7 @@
 		f.mustApply(Command{Op: OpHalt, Reason: "by hand"}, "ann")
 		f.advance(time.Hour)
 		if f.state.Release.WaveSize != 1 || len(f.state.PendingRouters()) > 0 {
-			t.Errorf("halted, the wave has %d", f.state.Release.WaveSize)
+			t.Errorf("the halted release has wave size %d", f.state.Release.WaveSize)
 		}
 	})
 	t.Run("command failed", func(t *testing.T) {
@@ -177,9 +178,9 @@
 	t.Run("no requests", testReleaseWithoutRequests)
 }
 
-// A router's outage begins and it never comes back. The release halts after the step timeout. On
-// rollback the router has the timeout anew; then it is named and left, and the rollback goes on
-// with the others.
+// A router never comes back from its outage. The release halts after the step timeout. A rollback
+// gives the router the full timeout again; then it lists the router as not rolled back, and
+// continues with the others.
 func testRouterNotBackInTime(t *testing.T) {
 	f := newReleasingFleet(4, testPlan())
 	f.update("r00", "")
@@ -199,9 +200,9 @@
 	}
 }
 
-// The first wave is up, and the new version gets no requests. The release waits for eleven bake
-// times and halts. Resumed, it goes on once the requests have come; a router's first report counts
-// for nothing, as its requests are of an unknown time.
+// The first wave is up, but the new version gets no requests. The release halts after eleven bake
+// times. After it is resumed, it continues once the new version has answered enough requests. A
+// router's first report does not count, because it is unknown when its requests were answered.
 func testReleaseWithoutRequests(t *testing.T) {
 	plan := testPlan()
 	plan.MinRequests = 5
@@ -211,7 +212,7 @@
 	f.advance(99 * time.Second)
 	f.expectNotHalted(t)
 	if f.state.Release.WaveSize != 1 {
-		t.Errorf("size %d", f.state.Release.WaveSize)
+		t.Errorf("wave size %d", f.state.Release.WaveSize)
 	}
 	f.advance(time.Second)
 	f.expectHalted(t, "b has answered 0 of the 5 requests wanted")
@@ -220,7 +221,7 @@
 	f.reportVersion("r00", "b", 9, 0)
 	f.advance(10 * time.Second)
 	if f.state.Release.WaveSize != 3 {
-		t.Errorf("size %d after %d requests", f.state.Release.WaveSize, f.state.Release.RequestsInWave)
+		t.Errorf("wave size %d after %d requests", f.state.Release.WaveSize, f.state.Release.RequestsInWave)
 	}
 }
 
@@ -252,7 +253,7 @@
 	})
 }
 
-// A long release keeps the newest buckets.
+// Guards against unlimited memory: a long release only keeps the newest buckets.
 func TestComparisonBucketLimit(t *testing.T) {
 	f := newReleasingFleet(4, testPlan())
 	for i := range int64(2 * MaxComparisonBuckets) {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -7,20 +7,19 @@
 	"time"
 )
 
-// Report is how all stands, for operators and tools. It is encoded as JSON in answers of the
-// coordinators.
+// Report is an overview of the state for operators and tools. Coordinators send it as JSON.
 type Report struct {
 	// Version is State.Version.
 	Version uint64 `json:"version"`
 	// DrainVersion is State.DrainVersion.
 	DrainVersion uint64 `json:"drains"`
-	// Drained are the servers to which routers send nothing new.
+	// Drained are the servers to which routers must send no new requests.
 	Drained []string `json:"drained"`
 	// Routers is how many routers the fleet has.
 	Routers int `json:"routers"`
 	// Servers is how many cache servers the fleet has.
 	Servers int `json:"servers"`
-	// Budgets are the budgets as they stand.
+	// Budgets are the usages of all budgets, ordered by name, then by zone.
 	Budgets []BudgetUsage `json:"budgets"`
 	// Unavailable are the targets that are out.
 	Unavailable []UnavailableTarget `json:"out"`
@@ -28,27 +27,27 @@
 	Members []Member `json:"all"`
 	// Permits are all permits.
 	Permits []*Permit `json:"permits"`
-	// Halt is the halt in force.
+	// Halt is the halt in force; nil if there is none.
 	Halt *HaltRecord `json:"halted,omitempty"`
 	// Load is the fleet's load.
 	Load Load `json:"load,omitzero"`
-	// Release is the newest release.
+	// Release is the latest release; nil before the first one.
 	Release *ReleaseProgress `json:"release,omitempty"`
-	// Pending are the routers that the release is to change now.
+	// Pending are the routers that the release is to update now.
 	Pending []string `json:"do,omitempty"`
 	// Updated are the routers of the release that are up with its goal version.
 	Updated []string `json:"at,omitempty"`
 }
 
-// BudgetUsage is one budget as it stands, in one zone for a budget per zone.
+// BudgetUsage is how much of a budget is used, over the fleet or in one zone.
 type BudgetUsage struct {
-	// Budget is its name.
+	// Budget is the name of the budget.
 	Budget string `json:"budget"`
-	// Kind is that of the targets covered.
+	// Kind is the kind of the covered targets.
 	Kind Kind `json:"kind"`
-	// Zone is the zone of a budget per zone.
+	// Zone is the zone of a budget per zone; "" for one over the fleet.
 	Zone string `json:"zone,omitempty"`
-	// Targets is how many targets it covers.
+	// Targets is how many targets the budget covers.
 	Targets int `json:"things"`
 	// Allowed is how many of them may be out at once.
 	Allowed int `json:"allowed"`
@@ -60,23 +59,23 @@
 
 // UnavailableTarget is a target that is out.
 type UnavailableTarget struct {
-	// Kind is the target's.
+	// Kind is the target's kind.
 	Kind Kind `json:"kind"`
-	// Name is the target's.
+	// Name is the target's name.
 	Name string `json:"name"`
-	// Zone is the target's.
+	// Zone is the target's failure domain.
 	Zone string `json:"zone,omitempty"`
-	// Reason is why it is out.
+	// Reason is why the target is out.
 	Reason OutageReason `json:"reason"`
-	// Duration is for how long, by the agreed time.
+	// Duration is how long the target has been out, in agreed time.
 	Duration time.Duration `json:"for"`
-	// ReportedBy are the routers by whose reports all eject it.
+	// ReportedBy are routers whose reports caused the shared ejection of the target.
 	ReportedBy []string `json:"by,omitempty"`
 }
 
 // Member is one router of the fleet.
 type Member struct {
-	// Name is the router's.
+	// Name is the router's name.
 	Name string `json:"name"`
 	// Zone is the router's failure domain.
 	Zone string `json:"zone,omitempty"`
@@ -84,8 +83,8 @@
 	Version string `json:"version,omitempty"`
 }
 
-// MatchingMembers are the names of the routers that match a pattern of path.Match, in their order;
-// "" matches all.
+// MatchingMembers returns the names of the members that match a path.Match pattern, in the order of
+// members; "" matches all.
 func MatchingMembers(members []Member, pattern string) (names []string) {
 	for _, m := range members {
 		if matches(pattern, m.Name) {
@@ -95,28 +94,28 @@
 	return names
 }
 
-// DrainSet is what routers act by. It is encoded as JSON in answers of the coordinators.
+// DrainSet is what the coordinators instruct all routers to do. They send it as JSON.
 type DrainSet struct {
-	// Version is State.DrainVersion: it grows with each change.
+	// Version is State.DrainVersion: it increases with each change.
 	Version uint64 `json:"version"`
-	// Servers are those to which nothing new is sent, sorted.
+	// Servers are the sorted names of the servers to which routers must send no new requests.
 	Servers []string `json:"servers"`
-	// WantsCounts requests routers to report how many requests they served and failed.
+	// WantsCounts tells routers to report how many requests they served and failed.
 	WantsCounts bool `json:"figures,omitempty"`
-	// WantsLatency requests routers to report their latencies too.
+	// WantsLatency tells routers to report their latencies too.
 	WantsLatency bool `json:"speed,omitempty"`
-	// EjectionQuorum is State.EjectionQuorum. Unless it is 0, routers report failing servers at
-	// once.
+	// EjectionQuorum is State.EjectionQuorum. Unless it is 0, routers report failing servers
+	// immediately.
 	EjectionQuorum int `json:"quorum,omitempty"`
-	// Ejected are the servers that are left out by a quorum's reports.
+	// Ejected are the servers that all routers must leave out because of a quorum's reports.
 	Ejected []EjectedServer `json:"suspects,omitempty"`
-	// MaxReportedServers is how many servers one report may have; 0 stands for
+	// MaxReportedServers is how many servers one report may contain; 0 means
 	// EarlierMaxReportedServers.
 	MaxReportedServers int `json:"max_seen,omitempty"`
 }
 
-// DrainSet returns what routers act by. canReadLatency tells whether all coordinators understand
-// reports of latencies.
+// DrainSet returns the current drain set. canReadLatency reports whether all coordinators support
+// reports with latencies.
 func (s *State) DrainSet(now time.Duration, canReadLatency bool) DrainSet {
 	isReleasing := s.Release != nil && s.Release.State == ReleaseRunning
 	return DrainSet{
@@ -129,9 +128,9 @@
 	}
 }
 
-// Report tells how all stands at an instant. It does not change the state.
+// Report returns an overview of the state at the agreed time now. It does not change the state.
 func (s *State) Report(now time.Duration) Report {
-	c := s.Clone() // usage names instants to reconcile at
+	c := s.Clone() // computing the usage sets nextReconcileAt
 	usage := c.usage(now)
 	return Report{
 		Version:      c.Version,
@@ -159,7 +158,7 @@
 	return members
 }
 
-// report lists the budgets by name, then by zone.
+// report returns the usage of all budgets, ordered by name, then by zone.
 func (u *fleetUsage) report() (budgets []BudgetUsage) {
 	byNameAndZone := func(a, b usageKey) int {
 		return cmp.Or(cmp.Compare(a.budget, b.budget), cmp.Compare(a.zone, b.zone))
@@ -179,7 +178,8 @@
 	return budgets
 }
 
-// unavailableTargets lists the targets that are out, routers first, by name.
+// unavailableTargets returns the targets that are out: routers first, then servers, each ordered by
+// name.
 func (s *State) unavailableTargets(usage *fleetUsage, now time.Duration) (unavailable []UnavailableTarget) {
 	for _, kind := range kinds {
 		targets := s.targets(kind)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// isOut tells whether a target counts as out, from the test's own record and without any counts
-// that the state keeps.
+// isOut reports whether a target counts as out. It uses the test's own record of sessions, and
+// derives everything else from the observations and permits, not from counts in the state.
 func (f *testFleet) isOut(ref targetRef, t *Target) bool {
 	for _, p := range f.state.Permits {
 		if p.target() == ref && p.Stage == StageBegun {
@@ -45,7 +45,7 @@
 	return f.now < t.ChangedAt+slowStart
 }
 
-// budgetsRun is one run of TestBudgetsHold.
+// budgetsRun is one random run of TestBudgetsHold.
 type budgetsRun struct {
 	*testFleet
 	t       *rapid.T
@@ -53,17 +53,19 @@
 	servers []string
 }
 
-// Operators, a release and failures all take targets out at once, in any order: requests,
-// beginnings and ends of outages, lost sessions, reports of failing and removed servers, late
-// acknowledgements, halts. Whatever the order, an outage begins only within every budget; a target
-// has one outage at a time; tokens of a target grow; a server counts as drained only after all
-// routers that could send to it have acknowledged; and a state that was read back from a snapshot
-// goes on alike. A wrong program would, for example, begin a second outage of a zone after a server
-// there has failed.
+// Guards against exceeded budgets, for example by a second outage in a zone where a server has
+// already failed. Operators, a release and failures take targets out at once, in random order:
+// requests, beginnings and ends of outages, lost sessions, reports of failing and removed servers,
+// late acknowledgements, halts. In any order:
+//
+//   - an outage begins only if every budget allows it;
+//   - a target has at most one outage at a time, and the tokens of its outages increase;
+//   - a server counts as drained only after all routers that could send to it have acknowledged;
+//   - a state read back from a snapshot is the same.
 func TestBudgetsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		maxOut := rapid.IntRange(1, 3).Draw(t, "servers")
-		slowStart := time.Duration(rapid.IntRange(0, 20).Draw(t, "warm")) * time.Second
+		maxOut := rapid.IntRange(1, 3).Draw(t, "servers out at most")
+		slowStart := time.Duration(rapid.IntRange(0, 20).Draw(t, "slow start seconds")) * time.Second
 		run := &budgetsRun{
 			testFleet: newTestFleet(
 				Budget{Name: "servers", Kind: KindServer, MaxOut: maxOut, SlowStart: slowStart},
@@ -83,7 +85,7 @@
 	})
 }
 
-// reportAllServing has all routers report all servers as serving in one incarnation.
+// reportAllServing makes all routers report all servers as serving in one incarnation.
 func (run *budgetsRun) reportAllServing(incarnation string) {
 	for _, router := range run.routers {
 		for _, server := range run.servers {
@@ -92,17 +94,17 @@
 	}
 }
 
-// event plays one random event.
+// event applies one random event.
 func (run *budgetsRun) event() {
 	t := run.t
 	ref := targetRef{KindServer, rapid.SampledFrom(run.servers).Draw(t, "server")}
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		ref = targetRef{KindRouter, rapid.SampledFrom(run.routers).Draw(t, "router")}
 	}
-	client := rapid.SampledFrom([]string{"ann", "bob", "cid"}).Draw(t, "who")
-	router := rapid.SampledFrom(run.routers).Draw(t, "of")
+	client := rapid.SampledFrom([]string{"ann", "bob", "cid"}).Draw(t, "client")
+	router := rapid.SampledFrom(run.routers).Draw(t, "other router")
 	permit := run.permit(ref.kind, ref.name)
-	switch rapid.IntRange(0, 13).Draw(t, "what") {
+	switch rapid.IntRange(0, 13).Draw(t, "event") {
 	case 0, 1, 2:
 		run.requestPermit(ref, client)
 	case 3, 4, 5, 6:
@@ -117,7 +119,7 @@
 		op := rapid.SampledFrom([]Op{OpClearPermit, OpCancelPermit, OpForgetTarget}).Draw(t, "op")
 		run.apply(Command{Op: op, Kind: ref.kind, Name: ref.name}, client)
 	case 9:
-		run.endSession(rapid.SampledFrom([]string{client, RouterClientPrefix + router}).Draw(t, "ends"))
+		run.endSession(rapid.SampledFrom([]string{client, RouterClientPrefix + router}).Draw(t, "ended session"))
 	case 10:
 		run.reportOneServer(router)
 	case 11:
@@ -137,11 +139,12 @@
 		Kind:     ref.kind,
 		Name:     ref.name,
 		Priority: rapid.SampledFrom(priorities).Draw(run.t, "priority"),
-		ValidFor: time.Duration(rapid.IntRange(0, 30).Draw(run.t, "within")) * time.Second,
+		ValidFor: time.Duration(rapid.IntRange(0, 30).Draw(run.t, "valid seconds")) * time.Second,
 	}, client)
 }
 
-// beginOutage begins the outage of a permit, and checks the token and all budgets if it has begun.
+// beginOutage tries to begin the outage of a permit. If it begins, beginOutage checks the token and
+// all budgets.
 func (run *budgetsRun) beginOutage(ref targetRef, permit *Permit) {
 	target := run.state.target(ref)
 	wasDown := !target.IsUp
@@ -156,7 +159,7 @@
 	}
 	run.begunTokens[ref] = permit.Token
 	if wasDown && permit.Priority == PriorityEmergency {
-		return // it counted as out before
+		return // it already counted as out
 	}
 	for _, b := range run.state.Budgets {
 		if b.covers(ref) {
@@ -165,8 +168,7 @@
 	}
 }
 
-// checkBudget checks that no more targets of a budget are out than it allows, after the outage of a
-// target has begun.
+// checkBudget checks that a budget is not exceeded after the outage of a target has begun.
 func (run *budgetsRun) checkBudget(b Budget, zone string, begun targetRef) {
 	out, total := 0, 0
 	for name, target := range run.state.targets(b.Kind) {
@@ -180,7 +182,7 @@
 		}
 	}
 	if out > b.allowed(total) {
-		run.t.Fatalf("budget %s: %d out of %d allowed, after %s began", b.Name, out, b.allowed(total), begun)
+		run.t.Fatalf("budget %s: %d out, %d allowed, after %s went out", b.Name, out, b.allowed(total), begun)
 	}
 }
 
@@ -188,25 +190,25 @@
 	statuses := []ServerStatus{
 		StatusServing, StatusServing, StatusServing, StatusFailing, StatusDraining, StatusRemoved,
 	}
-	server := rapid.SampledFrom(run.servers).Draw(run.t, "seen")
-	status := rapid.SampledFrom(statuses).Draw(run.t, "sight")
-	incarnation := rapid.IntRange(1, 3).Draw(run.t, "run")
+	server := rapid.SampledFrom(run.servers).Draw(run.t, "observed server")
+	status := rapid.SampledFrom(statuses).Draw(run.t, "status")
+	incarnation := rapid.IntRange(1, 3).Draw(run.t, "incarnation")
 	run.report(router, "z"+router[1:], fmt.Sprintf("%s:%s/%d", server, status, incarnation))
 }
 
-// acknowledgeSome has a router with a session acknowledge some version of the drain set.
+// acknowledgeSome makes a router that has a session acknowledge a random version of the drain set.
 func (run *budgetsRun) acknowledgeSome(router string) {
 	client := RouterClientPrefix + router
 	if _, isOpen := run.sessions[client]; !isOpen || run.state.Routers[router] == nil {
 		return
 	}
-	version := uint64(rapid.IntRange(0, int(run.state.DrainVersion)).Draw(run.t, "acked"))
+	version := uint64(rapid.IntRange(0, int(run.state.DrainVersion)).Draw(run.t, "acknowledged version"))
 	if run.acknowledge(router, version).Code == CodeOK {
 		run.acknowledged[client] = max(run.acknowledged[client], version)
 	}
 }
 
-// checkInvariants checks what holds at any time.
+// checkInvariants checks the conditions that must hold after every event.
 func (run *budgetsRun) checkInvariants() {
 	begun := map[targetRef]bool{}
 	for _, p := range run.state.Permits {
@@ -216,7 +218,8 @@
 			}
 			begun[p.target()] = true
 		}
-		// A router whose session begins later knows of the drain before its first request.
+		// Check once: a router whose session begins later applies the drain before its first
+		// request.
 		if p.IsDrained && !run.drainedPermits[p.ID] {
 			run.drainedPermits[p.ID] = true
 			run.checkAcknowledged(p)
@@ -234,14 +237,14 @@
 			continue
 		}
 		if run.acknowledged[client] < p.DrainVersion {
-			run.t.Fatalf("%s counts as drained, and %s has acknowledged %d, not %d",
+			run.t.Fatalf("%s counts as drained, but %s has acknowledged version %d, not %d",
 				p.target(), name, run.acknowledged[client], p.DrainVersion)
 		}
 	}
 }
 
-// checkSnapshot checks that the state read back from its encoding is the same, and does nothing
-// else.
+// checkSnapshot checks that the state read back from its encoding is the same, and that reconciling
+// it changes nothing.
 func (run *budgetsRun) checkSnapshot() {
 	t := run.t
 	text, err := json.Marshal(run.state)
@@ -254,16 +257,17 @@
 	}
 	restored.RebuildDerived()
 	restored.Advance(run.now, func() uint64 {
-		t.Fatal("read back, it grants a permit")
+		t.Fatal("the restored state grants a permit")
 		return 0
 	})
 	again, err := json.Marshal(restored)
 	if err != nil || !bytes.Equal(text, again) {
-		t.Fatalf("read back (%v):\n%s\n%s", err, text, again)
+		t.Fatalf("the restored state differs (%v):\n%s\n%s", err, text, again)
 	}
 }
 
-// expectAllPermitsInTheEnd has the fleet recover: then each request gets its permit in the end.
+// expectAllPermitsInTheEnd lets the fleet recover, and checks that each request finally gets its
+// permit.
 func (run *budgetsRun) expectAllPermitsInTheEnd() {
 	run.mustApply(Command{Op: OpResume}, "operator")
 	for _, p := range slices.Clone(run.state.Permits) {
@@ -284,11 +288,12 @@
 	}
 	if len(run.state.Permits) > 0 {
 		p := run.state.Permits[0]
-		run.t.Fatalf("all targets serve, and %s waits still: %s", p.target(), p.WaitReason)
+		run.t.Fatalf("all targets serve, but %s still waits: %s", p.target(), p.WaitReason)
 	}
 }
 
-// expectPermit expects a permit's stage and what its reason to wait contains; "" expects none.
+// expectPermit checks the stage of a permit, and that its wait reason contains a text; "" expects
+// that there is no wait reason.
 func expectPermit(t *testing.T, result Result, stage Stage, reason string) {
 	t.Helper()
 	hasReason := strings.Contains(result.Text, reason) && (reason == "") == (result.Text == "")
@@ -297,9 +302,9 @@
 	}
 }
 
-// Several operators want servers out while one may be. Each reason to wait is told in words and
-// ends when its cause does. A wrong program would begin by a revoked permit, or leave an operator
-// without the reason.
+// Guards against an outage that begins under a revoked permit, and against permits that wait
+// without a reason. Several operators request permits while only one server may be out. Each wait
+// reason names its cause, and disappears with it.
 func TestWhyItWaits(t *testing.T) {
 	servers := Budget{Name: "s", Kind: KindServer, MaxOut: 1, SlowStart: 30 * time.Second}
 	f := newWarmFleet(servers)
@@ -308,18 +313,18 @@
 		"1 of at most 1 out: sa1 (permit before this one)")
 	version := f.state.Version
 	if f.request("sa2", "bob", PriorityNormal).Code != CodeOK || f.state.Version != version {
-		t.Error("asking again wakes all others")
+		t.Error("a repeated request increases the state's version, which notifies all clients")
 	}
 	emergency := f.request("sa1", "cid", PriorityEmergency)
-	expectPermit(t, emergency, StageGranted, "") // it revokes the permit that has not begun
+	expectPermit(t, emergency, StageGranted, "") // revokes ann's permit, whose outage has not begun
 	if result := f.applyToServer(OpBeginOutage, "sa1", 1, "ann"); result.Code != CodeNotHeld {
-		t.Errorf("begun with a revoked permit: %+v", result)
+		t.Errorf("an outage begins under a revoked permit: %+v", result)
 	}
 	expectPermit(t, f.applyToServer(OpBeginOutage, "sa1", emergency.Token, "cid"), StageBegun, "r1, r2, r3")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "1 of at most 1 out: sa1 (by plan)")
 	f.endServer("sa1", "cid", emergency.Token)
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "sa1 (cold)")
-	f.advance(30 * time.Second) // ann waits still for sa1, and came first
+	f.advance(30 * time.Second) // ann's earlier request for sa1 still waits
 	f.mustApply(Command{Op: OpCancelPermit, Kind: KindServer, Name: "sa1"}, "ann")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "")
 
@@ -329,11 +334,11 @@
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "")
 
 	f.report("r1", "z1", "sb1:bad/1")
-	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "") // one router is no evidence
+	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageGranted, "") // one router is not enough evidence
 	f.report("r2", "z1", "sb1:bad/1")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "sb1 (down)")
 	expectPermit(t, f.request("sb1", "eve", PriorityNormal), StageWaiting, "permit before this one") // bob's
-	// It is out already.
+	// The server is already out, so an emergency needs no budget.
 	expectPermit(t, f.request("sb1", "eve", PriorityEmergency), StageGranted, "")
 
 	unknown := f.request("nobody", "eve", PriorityNormal)
@@ -345,16 +350,16 @@
 	routers := Budget{Name: "r", Kind: KindRouter, MaxOutShare: 0.2}
 	f.mustApply(Command{Op: OpSetBudgets, Budgets: []Budget{servers, routers}, Grace: time.Second}, "ann")
 	expectPermit(t, f.apply(requestRouter, "eve"), StageWaiting, "a share of 0.2 of 3 is none")
-	// A router runs a program that does not take part.
+	// One of the expected routers runs a program version that does not register.
 	f.mustApply(Command{
 		Op: OpSetBudgets, Budgets: []Budget{servers}, Grace: time.Second, ExpectedRouters: 4,
 	}, "ann")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "4 routers are expected, and 3 take part")
 }
 
-// A budget is set far too high, and all servers are taken out one after the other. The last of the
-// kind, and the last of a zone that has several, stay. A wrong program would let a zone or the
-// whole fleet go.
+// Guards against the loss of a whole zone or fleet because a budget is far too high. All servers
+// are requested one after the other. The last one of a zone with several servers, and the last one
+// of the fleet, get no permit.
 func TestLastStays(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 100})
 	for _, step := range []struct{ server, reason string }{ // sa1 and sb1 are in zone z1
@@ -376,10 +381,10 @@
 	}
 }
 
-// The holder of a permit dies after the outage has begun: nobody tells what became of it. The
-// permit stays used until the target is observed in a new incarnation, later than the grace, or an
-// operator clears it. A wrong program would free the permit when the session ends, or believe an
-// observation from before the outage, and let others out beside a target that is down.
+// Guards against further outages while a target may still be out because the holder of its permit
+// has crashed. The permit stays in use until the target is observed in a new incarnation, later
+// than the grace period, or until an operator clears it. Neither the end of the session nor an
+// observation that may be from before the outage frees it.
 func TestOrphans(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1}, Budget{Name: "r", Kind: KindRouter, MaxOut: 1})
 	for _, orphan := range []struct {
@@ -403,7 +408,7 @@
 			f.mustApply(Command{Op: OpBeginOutage, Kind: kind, Name: name, Token: request.Token}, "ann")
 			f.advance(4 * time.Second)
 			f.endSession("ann")
-			if name == "sa1" { // within the grace: it may be from before the outage
+			if name == "sa1" { // within the grace period: may be from before the outage
 				f.report("r1", "z1", "sa1:up/1b")
 			}
 			f.advance(time.Hour)
@@ -416,17 +421,17 @@
 			}
 			orphan.recover()
 			if f.permit(kind, name) != nil || len(f.state.DrainedServers()) > 0 {
-				t.Errorf("%+v after it was back, drained %v", f.permit(kind, name), f.state.DrainedServers())
+				t.Errorf("permit %+v after the recovery, drained %v", f.permit(kind, name), f.state.DrainedServers())
 			}
 			f.advance(time.Hour)
 		})
 	}
 }
 
-// A tool dies in an outage and is started again under the same name, before its old session has
-// ended. It takes the permit over once that has, with a higher token; a tool of another name waits.
-// A wrong program would let the old process, if it only was slow, give the permit back under the
-// new one.
+// Guards against a process that was replaced and still returns the permit that its successor holds.
+// A tool crashes during an outage and is restarted under the same client name before its session
+// has ended. Once that has ended, the new process takes the permit over with a higher token. A tool
+// of another name must wait.
 func TestTakeOver(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
@@ -442,14 +447,14 @@
 	old.Time = f.now
 	endOutage := Command{Op: OpEndOutage, Kind: KindServer, Name: "sa1", Token: token}
 	if result := f.state.Apply(endOutage, old); result.Code != CodeNotHeld {
-		t.Errorf("the process that had died gives it back: %+v", result)
+		t.Errorf("the replaced process returns the permit: %+v", result)
 	}
 }
 
-// A server is drained while one router is cut off from the coordinators. The routers with a session
-// acknowledge; the one without hears of the drain by the endpoint list only, within the grace after
-// the list says it. A wrong program would call the server drained while the cut-off router still
-// sends to it.
+// Guards against a server that counts as drained while a router without a session still sends to
+// it. The routers with a session acknowledge the drain. The one without a session only stops
+// because of the endpoint list, within the grace period after the list marks the server as
+// draining.
 func TestDrained(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
@@ -471,13 +476,13 @@
 		t.Error(f.state.DrainedServers())
 	}
 	if result := f.applyToServer(OpEndOutage, "sa1", token, "ann"); result.Code != CodeNotHeld {
-		t.Errorf("given back twice: %+v", result)
+		t.Errorf("the permit is returned twice: %+v", result)
 	}
 }
 
-// All endpoint lists drop a server that was just in an outage. It may have crashed, or be back with
-// the lists late: it counts as out for some graces, and is removed after them. A wrong program
-// would remove it at once, and let another out in its place.
+// Guards against another outage in place of a server that has just disappeared from all endpoint
+// lists. It may have crashed, or be back before the lists are. It counts as out for
+// ForgetAfterGraces grace periods, and is removed only after them.
 func TestDelistedServerCountsAsOutForAWhile(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
@@ -495,10 +500,10 @@
 	}
 }
 
-// Each table has its limit, and a command over it is rejected with the table's name.
+// Guards against unlimited memory: a command that exceeds the limit of a table is rejected.
 func TestTablesRejectBeyondTheirLimits(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
-	expectFull := func(table string, result Result) {
+	expectLimitReached := func(table string, result Result) {
 		t.Helper()
 		if result.Code != CodeLimitReached || !strings.Contains(result.Text, "at most") {
 			t.Errorf("%s: %+v", table, result)
@@ -507,21 +512,21 @@
 	for i := range MaxRouters - 3 {
 		f.report(fmt.Sprint("x", i), "z")
 	}
-	expectFull("routers", f.apply(Command{Op: OpReport, Report: &RouterReport{}}, RouterClientPrefix+"y"))
+	expectLimitReached("routers", f.apply(Command{Op: OpReport, Report: &RouterReport{}}, RouterClientPrefix+"y"))
 	for i := range MaxServers - 4 {
 		f.report("r1", "z", fmt.Sprintf("s%d:up", i))
 	}
 	oneMore := &RouterReport{Servers: []ServerObservation{{Name: "y", Status: StatusServing}}}
-	expectFull("servers", f.apply(Command{Op: OpReport, Report: oneMore}, RouterClientPrefix+"r1"))
+	expectLimitReached("servers", f.apply(Command{Op: OpReport, Report: oneMore}, RouterClientPrefix+"r1"))
 	for i := range MaxPermits {
 		f.mustApply(Command{Op: OpRequestPermit, Kind: KindServer, Name: "sa1"}, fmt.Sprint("c", i))
 	}
-	expectFull("permits", f.request("sa1", "late", PriorityRelease))
+	expectLimitReached("permits", f.request("sa1", "late", PriorityRelease))
 	tooMany := make([]Budget, MaxBudgets+1)
-	expectFull("budgets", f.apply(Command{Op: OpSetBudgets, Budgets: tooMany, Grace: time.Second}, "ann"))
+	expectLimitReached("budgets", f.apply(Command{Op: OpSetBudgets, Budgets: tooMany, Grace: time.Second}, "ann"))
 }
 
-// A command that misses a field, or has one out of its bounds, is rejected with the reason.
+// A command with a missing field, or with one out of its limits, is rejected with the reason.
 func TestInvalidCommands(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	noLimit := Budget{Name: "a", Kind: KindServer}
--- a/internal/rollout/router_report.go
+++ b/internal/rollout/router_report.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// RouterReport is what a router reports of itself and of the cache servers.
+// RouterReport is a router's report about itself and the cache servers.
 type RouterReport struct {
 	// Zone is the router's failure domain.
 	Zone string `json:"zone,omitempty"`
 	// Version is the router's program version.
 	Version string `json:"version,omitempty"`
-	// IsReady is whether the router takes clients.
+	// IsReady is whether the router accepts clients.
 	IsReady bool `json:"ready"`
 	// Servers are the observations that have changed since the last report of the same session.
 	Servers []ServerObservation `json:"servers,omitempty"`
-	// Served is how many requests were served since the process began; reported while
-	// DrainSet.WantsCounts.
+	// Served is the number of served requests since the process started; reported while
+	// DrainSet.WantsCounts is set.
 	Served int64 `json:"good,omitempty"`
-	// Failed is how many requests were rejected or failed since the process began; reported while
-	// DrainSet.WantsCounts.
+	// Failed is the number of rejected or failed requests since the process started; reported while
+	// DrainSet.WantsCounts is set.
 	Failed int64 `json:"bad,omitempty"`
-	// LatencyCounts are the served requests by LatencyBucket; reported while DrainSet.WantsLatency.
+	// LatencyCounts are the numbers of served requests by LatencyBucket; reported while
+	// DrainSet.WantsLatency is set.
 	LatencyCounts []int64 `json:"speed,omitempty"`
 }
 
-// ServerObservation is one cache server as a router observes it.
+// ServerObservation is the status of one cache server as a router observes it.
 type ServerObservation struct {
-	// Name is the server's.
+	// Name is the server's name.
 	Name string `json:"name"`
-	// Zone is the server's failure domain, by the endpoint list.
+	// Zone is the server's failure domain, from the endpoint list.
 	Zone string `json:"zone,omitempty"`
-	// Incarnation tells one start of the server's process from another, by the endpoint list.
+	// Incarnation identifies one run of the server's process, from the endpoint list.
 	Incarnation string `json:"run,omitempty"`
-	// Status is how the router observes the server.
+	// Status is the observed status.
 	Status ServerStatus `json:"is"`
 }
 
-// textOfEarlierProcess answers a process of a router that a newer one has replaced.
+// textOfEarlierProcess is the result text for a process of a router that a newer process has
+// replaced.
 const textOfEarlierProcess = "a newer process of this router speaks for it"
 
-// routerReport is the command that brings a router's report into the state.
+// routerReport is the command that records a router's report.
 type routerReport struct{ report *RouterReport }
 
 func (c routerReport) apply(s *State, sender Sender) Result {
@@ -82,7 +84,7 @@
 	return Result{Code: CodeOK, isUnchanged: isUnchanged}
 }
 
-// check returns the result for a report that can't be recorded.
+// check validates the report. If it is invalid, problem is the result to return.
 func (r *RouterReport) check() (problem Result, isValid bool) {
 	if len(r.Servers) > MaxReportedServers {
 		return invalid("view: %d servers, %d at most at once", len(r.Servers), MaxReportedServers), false
@@ -105,8 +107,8 @@
 	return Result{}, true
 }
 
-// beginRouterSession begins the session of a router's new process. What the process before it
-// observed is dropped: the new one reports all that it observes anew.
+// beginRouterSession records the session of a router's new process. It drops the observations of
+// the previous process, because the new one reports all of its own.
 func (s *State) beginRouterSession(name string, router *Target, sender Sender) {
 	s.dropObservationsOf(name)
 	router.Session = sender.Session
@@ -118,8 +120,8 @@
 	router.LatencyCounts = nil
 }
 
-// observeServer records one observation of a router. Where a table is full it returns the result
-// that names it.
+// observeServer records one observation of a router. If a table is full, problem is the result that
+// names the table.
 func (s *State) observeServer(router string, o ServerObservation, sender Sender) (problem Result, isRecorded bool) {
 	server := s.Servers[o.Name]
 	if server == nil {
@@ -144,8 +146,8 @@
 	return Result{}, true
 }
 
-// acknowledgeDrains is the command by which a router tells that it sends nothing more to the
-// servers drained by a version.
+// acknowledgeDrains is the command with which a router confirms that it sends nothing more to the
+// servers in a version of the drain set.
 type acknowledgeDrains struct{ version uint64 }
 
 func (c acknowledgeDrains) apply(s *State, sender Sender) Result {
@@ -161,7 +163,7 @@
 	return Result{Code: CodeOK, isUnchanged: true}
 }
 
-// recordFailing records since when a router finds a server failing by its own requests.
+// recordFailing records since when a router's own requests to a server fail.
 func (t *Target) recordFailing(router string, status ServerStatus, now time.Duration) {
 	if status != StatusFailing {
 		delete(t.FailingSince, router)
--- a/internal/rollout/set_budgets.go
+++ b/internal/rollout/set_budgets.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// setBudgets is the command that puts the operators' settings in force.
+// setBudgets is the command that replaces the budgets and the other settings made by operators.
 type setBudgets struct {
 	budgets         []Budget
 	grace           time.Duration
@@ -19,9 +19,9 @@
 	if problem, isValid := c.check(); !isValid {
 		return problem
 	}
-	s.serversChanged = true // servers are removed by the grace, which may differ
+	s.serversChanged = true // the grace period, which may have changed, determines when servers are removed
 	if s.EjectionQuorum != c.ejectionQuorum || s.OverloadShare != c.overloadShare {
-		s.DrainVersion++ // what routers report, and how soon, follows from these
+		s.DrainVersion++ // what routers report, and how soon, depends on these settings
 	}
 	s.Budgets = slices.Clone(c.budgets)
 	s.Grace = c.grace
@@ -31,7 +31,7 @@
 	return Result{Code: CodeOK}
 }
 
-// check returns the result for settings that can't be put in force.
+// check validates the settings. If they are invalid, problem is the result to return.
 func (c setBudgets) check() (problem Result, isValid bool) {
 	if len(c.budgets) > MaxBudgets {
 		text := fmt.Sprintf("budgets: %d, %d at most", len(c.budgets), MaxBudgets)
@@ -63,7 +63,7 @@
 	return Result{}, true
 }
 
-// IsEjectionQuorum reports whether a quorum may be set; 0 turns shared ejection off.
+// IsEjectionQuorum reports whether a quorum is a valid setting; 0 turns shared ejection off.
 func IsEjectionQuorum(quorum int) bool {
 	return quorum == 0 || quorum >= MinEjectionQuorum && quorum <= MaxEjectionQuorum
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -1,17 +1,18 @@
-// Package rollout decides which routers and cache servers may be taken out of service, when one
-// that was out counts as back, and how a release goes through the fleet in waves.
+// Package rollout decides which routers and cache servers may be taken out of service, when a
+// target that was out counts as back in service, and how a release proceeds through the fleet in
+// waves.
 //
-// It is a replicated state machine without I/O and without a clock: the coordinators feed it
-// commands, ends of sessions and the agreed time, in the same order on each of them. State.Apply,
-// State.SessionEnded and State.Advance are the only ways in. After each of them State.reconcile
-// derives all that depends on several targets or on time.
+// It is a replicated state machine without I/O and without a clock. Every coordinator applies the
+// same commands, session ends and agreed times in the same order. State.Apply, State.SessionEnded
+// and State.Advance are its only inputs. After each of them, State.reconcile derives everything
+// that depends on several targets or on time.
 //
 // Replicas of several program versions run side by side, so the same inputs must give the same
 // state, byte for byte. The tags of stored fields, the operations' names and all texts of results,
-// permits and halts are part of that state and stay as the first version wrote them;
-// docs/rollout.md uses these words too.
+// permits and halts are part of that state and must not change. docs/rollout.md uses these words
+// too.
 //
-// docs/rollout-design.md has the reasons for the rules, docs/rollout.md is for operators.
+// docs/rollout-design.md gives the reasons for the rules; docs/rollout.md is for operators.
 package rollout
 
 import (
@@ -21,23 +22,24 @@
 	"time"
 )
 
-// DefaultGrace is the grace of a new state.
+// DefaultGrace is the grace period of a new state.
 const DefaultGrace = 15 * time.Second
 
-// State is the replicated state. All instants are agreed time, counted from the start of the group
-// of coordinators.
+// State is the replicated state. All times are agreed time, counted from the start of the group of
+// coordinators. Its methods must not be called concurrently.
 type State struct {
-	// Version grows with each change that an observer of the state may want to know.
+	// Version increases with each change that clients waiting for a new state must be notified of.
 	Version uint64 `json:"version"`
-	// DrainVersion grows with each change of the DrainSet.
+	// DrainVersion increases with each change of the DrainSet.
 	DrainVersion uint64 `json:"drains"`
-	// Grace is longer than a router's session lasts: a router without a session has read the
-	// endpoint list within it.
+	// Grace is longer than a router's session lasts. A router without a session is assumed to read
+	// the endpoint list within this period.
 	Grace time.Duration `json:"grace"`
-	// ExpectedRouters must take part before a server is drained; 0 sets no such condition.
+	// ExpectedRouters is how many routers must be registered before a server may be drained; 0
+	// means no minimum.
 	ExpectedRouters int `json:"expect,omitempty"`
-	// EjectionQuorum is how many routers must find a server failing before all eject it; 0 turns
-	// shared ejection off.
+	// EjectionQuorum is how many routers must find a server failing before all routers eject it; 0
+	// turns shared ejection off.
 	EjectionQuorum int `json:"quorum,omitempty"`
 	// OverloadShare is the share of rejected or failed requests above which the fleet is
 	// overloaded; 0 turns the check off.
@@ -50,26 +52,27 @@
 	Routers map[string]*Target `json:"routers"`
 	// Servers are the cache servers of the fleet by name.
 	Servers map[string]*Target `json:"servers"`
-	// Permits are all permits that wait, are granted or have begun, ordered by ID.
+	// Permits are all permits in any stage, ordered by ID.
 	Permits []*Permit `json:"permits,omitempty"`
-	// Halt stops all new outages but emergencies; nil while there is none.
+	// Halt stops all new outages except emergencies; nil while there is no halt.
 	Halt *HaltRecord `json:"halted,omitempty"`
-	// Release is the newest release; nil before the first one.
+	// Release is the latest release; nil before the first one.
 	Release *ReleaseProgress `json:"release,omitempty"`
-	// LastPermitID is the ID of the newest permit.
+	// LastPermitID is the ID of the latest permit.
 	LastPermitID uint64 `json:"ids"`
 
-	// The fields below are derived. They are not stored: RebuildDerived sets them after a snapshot
-	// was read.
+	// The fields below are derived and not stored. RebuildDerived sets them after a snapshot has
+	// been read.
 
-	// nextReconcileAt is the first instant at which time alone may change something.
+	// nextReconcileAt is the earliest time at which the passing of time alone may change the state.
 	nextReconcileAt time.Duration
-	// serversChanged tells that observations of servers may have changed since updateAvailability
-	// weighed them.
+	// serversChanged is set when observations of servers may have changed since updateAvailability
+	// last evaluated them.
 	serversChanged bool
-	// nextServerChangeAt is the first instant at which time alone may change a server.
+	// nextServerChangeAt is the earliest time at which the passing of time alone may change a
+	// server.
 	nextServerChangeAt time.Duration
-	// changedRouters are routers that may have come into service or gone out of it in this command.
+	// changedRouters are the routers whose availability may have changed in this command.
 	changedRouters []*Target
 	// observationCount is the number of observations of all servers.
 	observationCount int
@@ -77,9 +80,9 @@
 	observationsByRouter map[string]*observationCounts
 }
 
-// HaltRecord is a halt of all new outages but emergencies.
+// HaltRecord is a halt of all new outages except emergencies.
 type HaltRecord struct {
-	// By is the client, or the release, that halted.
+	// By is the client or the release that requested the halt.
 	By string `json:"by"`
 	// Reason is shown to operators.
 	Reason string `json:"why"`
@@ -99,8 +102,8 @@
 	}
 }
 
-// RebuildDerived sets all derived fields of a state that was decoded from a snapshot. It is called
-// before any other method.
+// RebuildDerived sets all derived fields of a state that was decoded from a snapshot. It must be
+// called before any other method.
 func (s *State) RebuildDerived() {
 	s.nextReconcileAt = 0
 	s.serversChanged = true
@@ -110,7 +113,7 @@
 	s.recountObservations()
 }
 
-// Clone returns a copy that shares nothing with the state.
+// Clone returns a deep copy of the state.
 func (s *State) Clone() *State {
 	clone := *s
 	clone.changedRouters = nil // empty between commands: reconcile clears it
--- a/internal/rollout/target.go
+++ b/internal/rollout/target.go
@@ -10,7 +10,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Kind tells routers from cache servers.
+// Kind is the kind of a target: a router or a cache server.
 type Kind string
 
 // The kinds of targets.
@@ -19,50 +19,52 @@
 	KindServer Kind = "server"
 )
 
-// kinds are all kinds, in the order in which reports list them.
+// kinds lists all kinds in the order of reports.
 var kinds = [...]Kind{KindRouter, KindServer}
 
-// Target is a router or cache server of the fleet. All instants are agreed time.
+// Target is a router or cache server of the fleet. All times are agreed time.
 type Target struct {
 	// Zone is the failure domain.
 	Zone string `json:"zone,omitempty"`
 	// Version is the program version of a router.
 	Version string `json:"version,omitempty"`
-	// IsUp tells whether the target serves.
+	// IsUp reports whether the target serves requests.
 	IsUp bool `json:"up"`
-	// ChangedAt is when IsUp changed, or when a permit of the target was given back.
+	// ChangedAt is when IsUp changed, or when a permit of the target was returned or cleared.
 	ChangedAt time.Duration `json:"since"`
-	// Incarnation tells one start of the target's process from another.
+	// Incarnation identifies one run of the target's process: it changes with each restart.
 	Incarnation string `json:"run,omitempty"`
 
-	// Session is a router's session; "" while it has none.
+	// Session is the session of a router; "" while it has none.
 	Session string `json:"session,omitempty"`
-	// SessionOrder is the position of Session among all sessions; the larger, the later.
+	// SessionOrder is the position of Session among all sessions; later sessions have larger
+	// values.
 	SessionOrder uint64 `json:"opened,omitempty"`
-	// IsReady is whether a router takes clients, as it reports itself.
+	// IsReady is whether a router reports that it accepts clients.
 	IsReady bool `json:"ready,omitempty"`
-	// SessionEndedAt is when a router's last session ended.
+	// SessionEndedAt is when the last session of a router ended.
 	SessionEndedAt time.Duration `json:"ended,omitempty"`
-	// AcknowledgedDrains is the newest drain version that a router has in force.
+	// AcknowledgedDrains is the latest drain version that a router has acknowledged.
 	AcknowledgedDrains uint64 `json:"acked,omitempty"`
-	// Served is a router's count of served requests, by its newest report.
+	// Served is the number of served requests in a router's latest report.
 	Served int64 `json:"good,omitempty"`
-	// Failed is a router's count of rejected and failed requests, by its newest report.
+	// Failed is the number of rejected and failed requests in a router's latest report.
 	Failed int64 `json:"bad,omitempty"`
-	// LatencyCounts are a router's counts of served requests by LatencyBucket, by its newest
+	// LatencyCounts are the numbers of served requests by LatencyBucket in a router's latest
 	// report.
 	LatencyCounts []int64 `json:"speed,omitempty"`
 
-	// Observations are the statuses of a server by the router that reports them, while that
-	// router's session lasts. Only State.recordObservation and State.dropObservation change them,
-	// as counts follows from them.
+	// Observations are the statuses of a server by the name of the router that reports them, while
+	// that router's session lasts. Only State.recordObservation and State.dropObservation may
+	// change them, because they keep counts consistent.
 	Observations map[string]ServerStatus `json:"saw,omitempty"`
-	// DelistedAt is since when a router finds a server draining or missing in the endpoint list;
-	// notDelisted if none does.
+	// DelistedAt is since when at least one router reports a server as draining or missing in the
+	// endpoint list; notDelisted if no router does.
 	DelistedAt time.Duration `json:"listed,omitempty"`
-	// FailingSince is, for each router that finds a server failing by its own requests, since when.
+	// FailingSince maps each router whose own requests to the server fail to the time since when
+	// they do.
 	FailingSince map[string]time.Duration `json:"found,omitempty"`
-	// Ejection is the newest shared ejection of a server, in force or over; nil before the first
+	// Ejection is the latest shared ejection of a server, in force or ended; nil before the first
 	// one.
 	Ejection *Ejection `json:"suspect,omitempty"`
 
@@ -70,17 +72,17 @@
 	counts observationCounts
 }
 
-// notDelisted is the DelistedAt of a server that no router finds draining or missing in the
+// notDelisted is the DelistedAt of a server that no router reports as draining or missing in the
 // endpoint list.
 const notDelisted time.Duration = -1
 
-// targetRef names a target.
+// targetRef identifies a target.
 type targetRef struct {
 	kind Kind
 	name string
 }
 
-// String returns the reference as operators write it.
+// String returns KIND/NAME, the form that operators use.
 func (r targetRef) String() string { return string(r.kind) + "/" + r.name }
 
 // targets returns the targets of a kind by name.
@@ -91,13 +93,13 @@
 	return s.Servers
 }
 
-// target returns a target, or nil.
+// target returns a target; nil if the fleet has no such target.
 func (s *State) target(ref targetRef) *Target { return s.targets(ref.kind)[ref.name] }
 
-// maxKnownNames is how many names an error about an unknown name lists.
+// maxKnownNames is how many known names an error about an unknown name lists.
 const maxKnownNames = 5
 
-// knownNames lists some of the names of a kind, for the error about a name that is not among them.
+// knownNames lists some names of targets of a kind, for the error about an unknown name.
 func (s *State) knownNames(kind Kind) string {
 	names := slices.Sorted(maps.Keys(s.targets(kind)))
 	switch {
@@ -113,21 +115,21 @@
 // stored in permits.
 type OutageReason string
 
-// The reasons, in the order in which they are checked: the first that holds counts.
+// The reasons. If several apply, the first in this order is used.
 const (
-	// NotOut is the reason of a target in service.
+	// NotOut is for a target in service.
 	NotOut OutageReason = ""
-	// OutPlanned is that of a target whose permit has begun.
+	// OutPlanned is for a target whose permit has begun.
 	OutPlanned OutageReason = "by plan"
-	// OutUnobserved is that of a server which no router with a session observes.
+	// OutUnobserved is for a server that no router with a session observes.
 	OutUnobserved OutageReason = "unknown"
-	// OutDown is that of a target which does not serve.
+	// OutDown is for a target that does not serve requests.
 	OutDown OutageReason = "down"
-	// OutSlowStart is that of a target which has come back and is still in slow start.
+	// OutSlowStart is for a target that has come back and is still in slow start.
 	OutSlowStart OutageReason = "cold"
 )
 
-// outageReason returns why a target is out, and for OutSlowStart until when.
+// outageReason returns why a target is out, and for OutSlowStart the time at which slow start ends.
 func (s *State) outageReason(
 	ref targetRef, t *Target, planned map[targetRef]bool, now time.Duration,
 ) (OutageReason, time.Duration) {
@@ -145,8 +147,8 @@
 	return NotOut, 0
 }
 
-// slowStart is how long a target that has come back counts as out: the longest of the budgets that
-// cover it.
+// slowStart returns how long a target that has come back still counts as out: the longest SlowStart
+// of the budgets that cover it.
 func (s *State) slowStart(ref targetRef) (longest time.Duration) {
 	for i := range s.Budgets {
 		if s.Budgets[i].covers(ref) {
@@ -156,7 +158,7 @@
 	return longest
 }
 
-// plannedOutages are the targets whose permit has begun.
+// plannedOutages returns the set of targets whose permit has begun.
 func (s *State) plannedOutages() map[targetRef]bool {
 	planned := map[targetRef]bool{}
 	for _, p := range s.Permits {
--- a/internal/rollout/usage.go
+++ b/internal/rollout/usage.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// usageKey names one budget, in one zone for a budget per zone.
+// usageKey identifies one budget, or one zone of a budget per zone.
 type usageKey struct {
 	budget string
 	zone   string
 }
 
-// budgetUsage is one budget, in one zone or over the fleet, with what counts against it.
+// budgetUsage is how much of a budget is used, over the fleet or in one zone.
 type budgetUsage struct {
 	// budget is the budget.
 	budget *Budget
-	// zone is that of a budget per zone; "" for one over the fleet.
+	// zone is the zone of a budget per zone; "" for one over the fleet.
 	zone string
-	// targets is how many targets it covers.
+	// targets is how many targets the budget covers.
 	targets int
 	// allowed is how many of these may be out at once.
 	allowed int
-	// taken are the targets that count against it.
+	// taken are the targets that count against the budget.
 	taken map[targetRef]bool
-	// out are the targets in taken with their reasons, for operators, in the order in which they
-	// were found.
+	// out lists the targets in taken with their reasons, for operators, in the order in which they
+	// were added.
 	out []string
 }
 
-// text names the budget for operators.
+// text returns the budget's name and zone for operators.
 func (u *budgetUsage) text() string {
 	if u.budget.Per == scopeZone {
 		return fmt.Sprintf("budget %s (zone %s)", u.budget.Name, u.zone)
@@ -38,21 +38,22 @@
 	return "budget " + u.budget.Name
 }
 
-// zoneKey names the targets of a kind in a zone.
+// zoneKey identifies the targets of a kind in a zone.
 type zoneKey struct {
 	kind Kind
 	zone string
 }
 
-// zoneOfAll is a zone name whose count of targets in service also includes all targets of the kind.
-// The first program kept both counts under one key, and replicas of all versions must decide alike.
+// zoneOfAll is the one zone name for which the count of targets in service starts at the number of
+// all targets of the kind. The first program version kept the total under this key, and replicas of
+// all versions must make the same decisions.
 const zoneOfAll = "all"
 
-// fleetUsage is which targets are out, and how much of each budget they use.
+// fleetUsage is which targets of the fleet are out, and how much of each budget they use.
 type fleetUsage struct {
 	// budgets is the usage of each budget that covers a target.
 	budgets map[usageKey]*budgetUsage
-	// reasons is why each target is out, or NotOut.
+	// reasons has the reason for which each target is out, or NotOut.
 	reasons map[targetRef]OutageReason
 	// inService counts the targets in service by kind.
 	inService map[Kind]int
@@ -62,7 +63,7 @@
 	totalByZone map[zoneKey]int
 }
 
-// usage weighs all targets against all budgets.
+// usage evaluates all targets and computes the usage of all budgets.
 func (s *State) usage(now time.Duration) *fleetUsage {
 	usage := &fleetUsage{
 		budgets:         map[usageKey]*budgetUsage{},
@@ -92,8 +93,8 @@
 				u.targets++
 				if reason != NotOut {
 					u.taken[ref] = true
-					// Without how long it has been out: the text is stored, and would change with
-					// no event.
+					// The text does not say how long the target has been out: it is stored, and
+					// would change without an event.
 					u.out = append(u.out, fmt.Sprintf("%s (%s)", name, reason))
 				}
 			}
@@ -105,8 +106,8 @@
 	return usage
 }
 
-// coveringUsages are the usages of the budgets that cover a target. It adds those that are not
-// there yet.
+// coveringUsages returns the usages of the budgets that cover a target. It adds missing ones to
+// usage.
 func (s *State) coveringUsages(usage *fleetUsage, ref targetRef, t *Target) (covering []*budgetUsage) {
 	for i := range s.Budgets {
 		b := &s.Budgets[i]
@@ -125,8 +126,8 @@
 	return covering
 }
 
-// reserve counts a target whose permit was weighed as out, so that later permits get only what is
-// left beside it.
+// reserve counts the target of a permit as out, so that permits evaluated later get only what is
+// left of the budgets.
 func (s *State) reserve(usage *fleetUsage, ref targetRef, t *Target) {
 	if usage.reasons[ref] == NotOut {
 		usage.inService[ref.kind]--
