--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -55,7 +55,7 @@
 	if outage == OutDown && p.Priority >= PriorityEmergency {
 		// The target already counts against the budgets and serves no requests. If it is marked as
 		// down only because its session ended, it comes back within the grace period.
-		confirmedAt := t.ChangedAt + s.Grace
+		confirmedAt := t.ChangedAt + s.GracePeriod
 		if confirmedAt <= now {
 			return ""
 		}
--- a/internal/rollout/permit_commands.go
+++ b/internal/rollout/permit_commands.go
@@ -124,7 +124,7 @@
 		// crashed and its session has not expired yet. Either is known after the grace period, so
 		// until then the router counts as out.
 		if p.Kind == KindRouter && t.Session != "" && t.Incarnation == p.Incarnation {
-			t.ChangedAt += max(0, s.Grace-s.slowStart(c.target))
+			t.ChangedAt += max(0, s.GracePeriod-s.slowStart(c.target))
 		}
 	}
 	s.removePermit(p)
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -105,7 +105,7 @@
 	if server.counts.total == 0 || server.counts.removed < server.counts.total {
 		return
 	}
-	removeAt := max(server.ChangedAt, server.DelistedAt) + ForgetAfterGraces*s.Grace
+	removeAt := max(server.ChangedAt, server.DelistedAt) + ForgetAfterGraces*s.GracePeriod
 	if removeAt > now && !failpoint.Is("gone-is-forgotten") {
 		s.serverChangesAt(removeAt)
 		return
@@ -152,7 +152,7 @@
 // outage, so an incarnation observed then is treated as the old one.
 func (s *State) endOrphanedOutage(p *Permit, now time.Duration) bool {
 	t := s.target(p.target())
-	settledAt := p.BegunAt + s.Grace
+	settledAt := p.BegunAt + s.GracePeriod
 	if t != nil && settledAt > now && !failpoint.Is("late-news-believed") {
 		s.reconcileAt(settledAt)
 		p.Incarnation = t.Incarnation
@@ -204,7 +204,7 @@
 		case server == nil || server.DelistedAt < 0:
 			senders.add(name + " (no session, and discovery's list doesn't say that the server leaves)")
 		default:
-			stoppedAt := max(router.SessionEndedAt, server.DelistedAt, p.BegunAt) + s.Grace
+			stoppedAt := max(router.SessionEndedAt, server.DelistedAt, p.BegunAt) + s.GracePeriod
 			if stoppedAt > now {
 				s.reconcileAt(stoppedAt)
 				senders.add(name + " (no session)")
--- a/internal/rollout/set_budgets.go
+++ b/internal/rollout/set_budgets.go
@@ -24,7 +24,7 @@
 		s.DrainVersion++ // what routers report, and how soon, depends on these settings
 	}
 	s.Budgets = slices.Clone(c.budgets)
-	s.Grace = c.grace
+	s.GracePeriod = c.grace
 	s.ExpectedRouters = c.expectedRouters
 	s.EjectionQuorum = c.ejectionQuorum
 	s.OverloadShare = c.overloadShare
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -32,9 +32,9 @@
 	Version uint64 `json:"version"`
 	// DrainVersion increases with each change of the DrainSet.
 	DrainVersion uint64 `json:"drains"`
-	// Grace is longer than a router's session lasts. A router without a session is assumed to read
+	// GracePeriod is longer than a router's session lasts. A router without a session is assumed to read
 	// the endpoint list within this period.
-	Grace time.Duration `json:"grace"`
+	GracePeriod time.Duration `json:"grace"`
 	// ExpectedRouters is how many routers must be registered before a server may be drained; 0
 	// means no minimum.
 	ExpectedRouters int `json:"expect,omitempty"`
@@ -93,7 +93,7 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		Grace:                DefaultGrace,
+		GracePeriod:                DefaultGrace,
 		Routers:              map[string]*Target{},
 		Servers:              map[string]*Target{},
 		nextReconcileAt:      math.MaxInt64,
