--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -53,8 +53,8 @@
 		if err != nil || !reflect.DeepEqual(command.Budgets, want) {
 			t.Errorf("%+v, %v", command, err)
 		}
-		if command.Grace != 9*time.Second || command.ExpectedRouters != 3 {
-			t.Errorf("grace %v, %d routers", command.Grace, command.ExpectedRouters)
+		if command.GracePeriod != 9*time.Second || command.ExpectedRouters != 3 {
+			t.Errorf("grace %v, %d routers", command.GracePeriod, command.ExpectedRouters)
 		}
 	})
 	secondBudget := goodBudgets[strings.Index(goodBudgets, "[["):]
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -167,7 +167,7 @@
 	}
 	postCommand(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "ann", TTL: time.Minute})
 	budgets := &rollout.Command{ // changes what routers go by
-		Op: rollout.OpSetBudgets, Grace: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum,
+		Op: rollout.OpSetBudgets, GracePeriod: time.Minute, EjectionQuorum: rollout.MinEjectionQuorum,
 	}
 	setBudgets := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: budgets}
 	if _, response := postCommand(t, n, setBudgets); response.Code != coord.CodeOK {
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -53,8 +53,8 @@
 	Op Op `json:"op"`
 	// Budgets is for OpSetBudgets: see State.Budgets.
 	Budgets []Budget `json:"budgets,omitempty"`
-	// Grace is for OpSetBudgets: see State.Grace.
-	Grace time.Duration `json:"grace,omitempty"`
+	// GracePeriod is for OpSetBudgets: see State.GracePeriod.
+	GracePeriod time.Duration `json:"grace,omitempty"`
 	// ExpectedRouters is for OpSetBudgets: see State.ExpectedRouters.
 	ExpectedRouters int `json:"expect,omitempty"`
 	// EjectionQuorum is for OpSetBudgets: see State.EjectionQuorum.
@@ -97,7 +97,7 @@
 	OpSetBudgets: func(c *Command) (command, error) {
 		return setBudgets{
 			budgets:         c.Budgets,
-			grace:           c.Grace,
+			grace:           c.GracePeriod,
 			expectedRouters: c.ExpectedRouters,
 			ejectionQuorum:  c.EjectionQuorum,
 			overloadShare:   c.OverloadShare,
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -37,7 +37,7 @@
 		begunTokens:    map[targetRef]uint64{},
 		drainedPermits: map[uint64]bool{},
 	}
-	f.mustApply(Command{Op: OpSetBudgets, Budgets: budgets, Grace: testGrace}, "operator")
+	f.mustApply(Command{Op: OpSetBudgets, Budgets: budgets, GracePeriod: testGrace}, "operator")
 	return f
 }
 
@@ -112,7 +112,7 @@
 func (f *testFleet) set(settings Command) Result {
 	settings.Op = OpSetBudgets
 	settings.Budgets = f.state.Budgets
-	settings.Grace = testGrace
+	settings.GracePeriod = testGrace
 	return f.apply(settings, "operator")
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -348,11 +348,11 @@
 	requestRouter := Command{Op: OpRequestPermit, Kind: KindRouter, Name: "r1"}
 	expectPermit(t, f.apply(requestRouter, "eve"), StageWaiting, "no budget covers router/r1")
 	routers := Budget{Name: "r", Kind: KindRouter, MaxOutShare: 0.2}
-	f.mustApply(Command{Op: OpSetBudgets, Budgets: []Budget{servers, routers}, Grace: time.Second}, "ann")
+	f.mustApply(Command{Op: OpSetBudgets, Budgets: []Budget{servers, routers}, GracePeriod: time.Second}, "ann")
 	expectPermit(t, f.apply(requestRouter, "eve"), StageWaiting, "a share of 0.2 of 3 is none")
 	// One of the expected routers runs a program version that does not register.
 	f.mustApply(Command{
-		Op: OpSetBudgets, Budgets: []Budget{servers}, Grace: time.Second, ExpectedRouters: 4,
+		Op: OpSetBudgets, Budgets: []Budget{servers}, GracePeriod: time.Second, ExpectedRouters: 4,
 	}, "ann")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting, "4 routers are expected, and 3 take part")
 }
@@ -523,7 +523,7 @@
 	}
 	expectLimitReached("permits", f.request("sa1", "late", PriorityRelease))
 	tooMany := make([]Budget, MaxBudgets+1)
-	expectLimitReached("budgets", f.apply(Command{Op: OpSetBudgets, Budgets: tooMany, Grace: time.Second}, "ann"))
+	expectLimitReached("budgets", f.apply(Command{Op: OpSetBudgets, Budgets: tooMany, GracePeriod: time.Second}, "ann"))
 }
 
 // A command with a missing field, or with one out of its limits, is rejected with the reason.
@@ -538,8 +538,8 @@
 		"no reason":            {Op: OpHalt},
 		"no report":            {Op: OpReport},
 		"no grace":             {Op: OpSetBudgets},
-		"empty budget":         {Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{{}}},
-		"budget without limit": {Op: OpSetBudgets, Grace: time.Second, Budgets: []Budget{noLimit}},
+		"empty budget":         {Op: OpSetBudgets, GracePeriod: time.Second, Budgets: []Budget{{}}},
+		"budget without limit": {Op: OpSetBudgets, GracePeriod: time.Second, Budgets: []Budget{noLimit}},
 		"report too long":      {Op: OpReport, Report: tooLong},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -170,7 +170,7 @@
 func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
 	defer cancel()
-	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, Grace: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
+	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
 }
 
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -57,7 +57,7 @@
 		}
 		return a, nil
 	}
-	if _, err := do(rollout.Command{Op: rollout.OpSetBudgets, Grace: 5 * time.Second, Budgets: []rollout.Budget{
+	if _, err := do(rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 5 * time.Second, Budgets: []rollout.Budget{
 		{Name: "routers", Kind: rollout.KindRouter, MaxOutShare: shareOut, SlowStart: routerWarm},
 		{Name: "servers", Kind: rollout.KindServer, MaxOutShare: shareOut, SlowStart: serverWarm},
 		{Name: "zones", Kind: rollout.KindServer, Per: "zone", MaxOutShare: shareZone}}}, from("operator", 0)); err != nil {
