--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -47,7 +47,7 @@
 
 // ParseBudgets reads the text of the file of budgets at path.
 func ParseBudgets(path string, text []byte) (rollout.Command, error) {
-	file := budgetsFile{Grace: rollout.DefaultGrace.String()}
+	file := budgetsFile{Grace: rollout.DefaultGracePeriod.String()}
 	if err := decode(path, text, &file); err != nil {
 		return rollout.Command{Op: rollout.OpSetBudgets}, err
 	}
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -56,7 +56,7 @@
 				status := rapid.SampledFrom(statuses).Draw(t, "is")
 				f.report(router, "z", rapid.SampledFrom(names).Draw(t, "server")+":"+string(status))
 			}
-			f.advance(DefaultGrace)
+			f.advance(DefaultGracePeriod)
 			recounted := f.state.Clone()
 			recounted.recountObservations()
 			total, routers := f.state.observationCount, len(f.state.observationsByRouter)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -22,8 +22,8 @@
 	"time"
 )
 
-// DefaultGrace is the grace period of a new state.
-const DefaultGrace = 15 * time.Second
+// DefaultGracePeriod is the grace period of a new state.
+const DefaultGracePeriod = 15 * time.Second
 
 // State is the replicated state. All times are agreed time, counted from the start of the group of
 // coordinators. Its methods must not be called concurrently.
@@ -93,7 +93,7 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		GracePeriod:                DefaultGrace,
+		GracePeriod:                DefaultGracePeriod,
 		Routers:              map[string]*Target{},
 		Servers:              map[string]*Target{},
 		nextReconcileAt:      math.MaxInt64,
