--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -27,8 +27,8 @@
 	MaxDuration = time.Hour
 	// MaxPermitWait limits how long a permit request may wait, and the bake time of a release.
 	MaxPermitWait = 24 * time.Hour
-	// MinGrace is the shortest grace period.
-	MinGrace = time.Second
+	// MinGracePeriod is the shortest grace period.
+	MinGracePeriod = time.Second
 	// ForgetAfterGraces is for how many grace periods a server must be missing from every endpoint
 	// list before it is removed.
 	ForgetAfterGraces = 10
--- a/internal/rollout/set_budgets.go
+++ b/internal/rollout/set_budgets.go
@@ -47,8 +47,8 @@
 		}
 		names[b.Name] = true
 	}
-	if c.grace < MinGrace || c.grace > MaxDuration {
-		return invalid("grace: %v is not from %v to %v", c.grace, MinGrace, MaxDuration), false
+	if c.grace < MinGracePeriod || c.grace > MaxDuration {
+		return invalid("grace: %v is not from %v to %v", c.grace, MinGracePeriod, MaxDuration), false
 	}
 	if c.expectedRouters < 0 || c.expectedRouters > MaxRouters {
 		return invalid("routers: %d is not from 0 to %d", c.expectedRouters, MaxRouters), false
