--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -160,10 +160,10 @@
 		t.Errorf("%s", response.Text)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
-	for i := range rollout.EarlierMaxRouters {
+	for i := range rollout.LegacyMaxRouters {
 		must(t, s, reportCommand(i), CodeOK)
 	}
-	beyond := must(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
+	beyond := must(t, s, reportCommand(rollout.LegacyMaxRouters), CodeLimitReached)
 	if beyond.Text != "routers: 1024 at most" {
 		t.Errorf("%s", beyond.Text)
 	}
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -37,7 +37,7 @@
 // Limits of coordinators that run an earlier program version. While one of them may vote, all
 // replicas must reject commands by its limits, so that all reach the same state.
 const (
-	EarlierMaxRouters         = 1024
+	LegacyMaxRouters         = 1024
 	EarlierMaxServers         = 1024
 	EarlierMaxReportedServers = 128
 )
@@ -51,7 +51,7 @@
 // limits returns the limits that apply to a command of the sender.
 func (s Sender) limits() tableLimits {
 	if s.HasEarlierLimits {
-		return tableLimits{routers: EarlierMaxRouters, servers: EarlierMaxServers}
+		return tableLimits{routers: LegacyMaxRouters, servers: EarlierMaxServers}
 	}
 	return tableLimits{routers: MaxRouters, servers: MaxServers}
 }
@@ -59,17 +59,17 @@
 // ExceedsEarlierLimits reports whether a coordinator that runs an earlier program version would
 // reject the command because of its size.
 func (c *Command) ExceedsEarlierLimits() bool {
-	if c.ExpectedRouters > EarlierMaxRouters {
+	if c.ExpectedRouters > LegacyMaxRouters {
 		return true
 	}
 	if c.Report != nil && len(c.Report.Servers) > EarlierMaxReportedServers {
 		return true
 	}
-	if c.Plan != nil && c.Plan.FirstWave > EarlierMaxRouters {
+	if c.Plan != nil && c.Plan.FirstWave > LegacyMaxRouters {
 		return true
 	}
 	for i := range c.Budgets {
-		if c.Budgets[i].MaxOut > EarlierMaxRouters {
+		if c.Budgets[i].MaxOut > LegacyMaxRouters {
 			return true
 		}
 	}
