--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -169,7 +169,7 @@
 	}
 	large := reportCommand(0)
 	large.Sequence = 2
-	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)
+	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.LegacyMaxReportedServers+1)
 	if response := must(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
 		t.Errorf("%s", response.Text)
 	}
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -26,9 +26,9 @@
 	f := newTestFleet(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
 		client := RouterClientPrefix + fmt.Sprint("r", r)
-		for from := 0; from < benchServers; from += EarlierMaxReportedServers {
+		for from := 0; from < benchServers; from += LegacyMaxReportedServers {
 			report := &RouterReport{Zone: "z", IsReady: true}
-			for i := from; i < min(from+EarlierMaxReportedServers, benchServers); i++ {
+			for i := from; i < min(from+LegacyMaxReportedServers, benchServers); i++ {
 				report.Servers = append(report.Servers, ServerObservation{
 					Name:        fmt.Sprint("s", r/benchRegionRouters, "-", i),
 					Zone:        "z",
--- a/internal/rollout/follow/drain.go
+++ b/internal/rollout/follow/drain.go
@@ -88,7 +88,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests.isPrompt = drains.EjectionQuorum > 0
-	f.requests.maxServers = cmp.Or(drains.MaxReportedServers, rollout.EarlierMaxReportedServers)
+	f.requests.maxServers = cmp.Or(drains.MaxReportedServers, rollout.LegacyMaxReportedServers)
 	return true
 }
 
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -109,7 +109,7 @@
 		maxAttemptsWait:       maxAttemptsWait,
 		appliedVersionChanged: make(chan struct{}, 1),
 		drained:               map[string]string{},
-		requests:              reportRequests{maxServers: rollout.EarlierMaxReportedServers},
+		requests:              reportRequests{maxServers: rollout.LegacyMaxReportedServers},
 	}
 	for _, name := range o.InheritedDrains(ctx) {
 		f.drained[name] = "" // its incarnation is unknown; "" differs from any
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -39,7 +39,7 @@
 const (
 	LegacyMaxRouters         = 1024
 	EarlierMaxServers         = 1024
-	EarlierMaxReportedServers = 128
+	LegacyMaxReportedServers = 128
 )
 
 // tableLimits are the effective limits of the tables whose limit differs between program versions.
@@ -62,7 +62,7 @@
 	if c.ExpectedRouters > LegacyMaxRouters {
 		return true
 	}
-	if c.Report != nil && len(c.Report.Servers) > EarlierMaxReportedServers {
+	if c.Report != nil && len(c.Report.Servers) > LegacyMaxReportedServers {
 		return true
 	}
 	if c.Plan != nil && c.Plan.FirstWave > LegacyMaxRouters {
