--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -35,7 +35,7 @@
 		return 1
 	}
 	isRolloutKnown := s.Version >= rolloutVersion
-	if isRolloutKnown && s.hasEarlierLimits() && c.Rollout.ExceedsEarlierLimits() {
+	if isRolloutKnown && s.hasEarlierLimits() && c.Rollout.ExceedsLegacyLimits() {
 		return fleetLimitsVersion
 	}
 	return rolloutVersion
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -56,9 +56,9 @@
 	return tableLimits{routers: MaxRouters, servers: MaxServers}
 }
 
-// ExceedsEarlierLimits reports whether a coordinator that runs an earlier program version would
+// ExceedsLegacyLimits reports whether a coordinator that runs an earlier program version would
 // reject the command because of its size.
-func (c *Command) ExceedsEarlierLimits() bool {
+func (c *Command) ExceedsLegacyLimits() bool {
 	if c.ExpectedRouters > LegacyMaxRouters {
 		return true
 	}
