--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -16,7 +16,7 @@
 		Client:           session.Client,
 		SessionOrder:     session.OpenedIndex,
 		NextToken:        s.newToken,
-		HasEarlierLimits: s.hasEarlierLimits(),
+		UsesLegacyLimits: s.hasEarlierLimits(),
 	})
 	return Response{
 		Code:      Code(result.Code),
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -68,9 +68,9 @@
 	SessionOrder uint64
 	// NextToken returns a fencing token larger than all earlier ones.
 	NextToken func() uint64
-	// HasEarlierLimits is set while a coordinator may run an earlier program version, whose tables
+	// UsesLegacyLimits is set while a coordinator may run an earlier program version, whose tables
 	// have lower limits.
-	HasEarlierLimits bool
+	UsesLegacyLimits bool
 }
 
 // router returns the name of the router that sent the command; false for any other client.
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -50,7 +50,7 @@
 
 // limits returns the limits that apply to a command of the sender.
 func (s Sender) limits() tableLimits {
-	if s.HasEarlierLimits {
+	if s.UsesLegacyLimits {
 		return tableLimits{routers: LegacyMaxRouters, servers: EarlierMaxServers}
 	}
 	return tableLimits{routers: MaxRouters, servers: MaxServers}
