--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -63,7 +63,7 @@
 	if file.ExpectedRouters < 0 || file.ExpectedRouters > rollout.MaxRouters {
 		c.add("routers", "%d is not from 0 to %d", file.ExpectedRouters, rollout.MaxRouters)
 	}
-	if !rollout.IsEjectionQuorum(file.EjectionQuorum) {
+	if !rollout.IsValidEjectionQuorum(file.EjectionQuorum) {
 		c.add("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed",
 			file.EjectionQuorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
 	}
--- a/internal/rollout/set_budgets.go
+++ b/internal/rollout/set_budgets.go
@@ -53,7 +53,7 @@
 	if c.expectedRouters < 0 || c.expectedRouters > MaxRouters {
 		return invalid("routers: %d is not from 0 to %d", c.expectedRouters, MaxRouters), false
 	}
-	if !IsEjectionQuorum(c.ejectionQuorum) {
+	if !IsValidEjectionQuorum(c.ejectionQuorum) {
 		return invalid("quorum: %d is neither 0 nor from %d to %d",
 			c.ejectionQuorum, MinEjectionQuorum, MaxEjectionQuorum), false
 	}
@@ -63,7 +63,7 @@
 	return Result{}, true
 }
 
-// IsEjectionQuorum reports whether a quorum is a valid setting; 0 turns shared ejection off.
-func IsEjectionQuorum(quorum int) bool {
+// IsValidEjectionQuorum reports whether a quorum is a valid setting; 0 turns shared ejection off.
+func IsValidEjectionQuorum(quorum int) bool {
 	return quorum == 0 || quorum >= MinEjectionQuorum && quorum <= MaxEjectionQuorum
 }
