--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -55,7 +55,7 @@
 	c.version(file.Version)
 	command := rollout.Command{
 		Op:              rollout.OpSetBudgets,
-		GracePeriod:           c.durationWithin("grace", file.Grace, rollout.MinGracePeriod, rollout.MaxDuration),
+		GracePeriod:     c.durationWithin("grace", file.Grace, rollout.MinGracePeriod, rollout.MaxDuration),
 		ExpectedRouters: file.ExpectedRouters,
 		EjectionQuorum:  file.EjectionQuorum,
 		OverloadShare:   file.OverloadShare,
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -38,7 +38,7 @@
 // replicas must reject commands by its limits, so that all reach the same state.
 const (
 	LegacyMaxRouters         = 1024
-	EarlierMaxServers         = 1024
+	EarlierMaxServers        = 1024
 	LegacyMaxReportedServers = 128
 )
 
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -93,7 +93,7 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		GracePeriod:                DefaultGracePeriod,
+		GracePeriod:          DefaultGracePeriod,
 		Routers:              map[string]*Target{},
 		Servers:              map[string]*Target{},
 		nextReconcileAt:      math.MaxInt64,
