--- a/cmd/dockhinge-coord/fleet.go
+++ b/cmd/dockhinge-coord/fleet.go
@@ -132,7 +132,7 @@
 	for _, t := range unavailable {
 		reason := string(t.Reason)
 		if len(t.ReportedBy) > 0 {
-			reason = fmt.Sprintf("reported failing by %s, ejected by all", rollout.FirstNames(t.ReportedBy))
+			reason = fmt.Sprintf("reported failing by %s, ejected by all", rollout.SummarizeNames(t.ReportedBy))
 		}
 		fmt.Fprintf(w, "%s/%s\t%s\t%s\t%v\n", t.Kind, t.Name, t.Zone, reason, t.Duration.Round(time.Second))
 	}
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -117,7 +117,7 @@
 		duration := plan.BakeTime + time.Duration(rounds)*binding.slowStart
 		total += duration
 		fmt.Fprintf(w, "%d\t%d\t%d\t%v\t%s\n",
-			i+1, len(wave), min(len(wave), binding.allowed), duration, rollout.FirstNames(wave))
+			i+1, len(wave), min(len(wave), binding.allowed), duration, rollout.SummarizeNames(wave))
 		before = size
 	}
 	_ = w.Flush() // an output error would also affect the line that the caller prints next
--- a/cmd/dockhinge-coord/release_driver.go
+++ b/cmd/dockhinge-coord/release_driver.go
@@ -285,7 +285,7 @@
 }
 
 // truncateReason cuts a reason to the maximum length that the coordinators accept.
-func truncateReason(text string) string { return text[:min(len(text), rollout.MaxText)] }
+func truncateReason(text string) string { return text[:min(len(text), rollout.MaxTextBytes)] }
 
 // runCommand runs the operator's command for one router. The command's standard output goes to
 // standard error, as the driver's own progress messages do.
--- a/internal/rollout/budget.go
+++ b/internal/rollout/budget.go
@@ -35,8 +35,8 @@
 
 // Check returns an error that names the first invalid setting; nil if the budget is valid.
 func (b *Budget) Check() error {
-	if b.Name == "" || len(b.Name) > MaxName {
-		return fmt.Errorf("name: %q is not of 1 to %d bytes", b.Name, MaxName)
+	if b.Name == "" || len(b.Name) > MaxNameBytes {
+		return fmt.Errorf("name: %q is not of 1 to %d bytes", b.Name, MaxNameBytes)
 	}
 	if b.Kind != KindRouter && b.Kind != KindServer {
 		return fmt.Errorf("kind: %q is none of router, server", b.Kind)
@@ -69,8 +69,8 @@
 
 // checkMatch returns an error if a name pattern is malformed or too long.
 func checkMatch(pattern string) error {
-	if _, err := path.Match(pattern, ""); err != nil || len(pattern) > MaxName {
-		return fmt.Errorf("match: %q is no pattern of at most %d bytes", pattern, MaxName)
+	if _, err := path.Match(pattern, ""); err != nil || len(pattern) > MaxNameBytes {
+		return fmt.Errorf("match: %q is no pattern of at most %d bytes", pattern, MaxNameBytes)
 	}
 	return nil
 }
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -10,7 +10,8 @@
 
 // The operations.
 const (
-	// OpSetBudgets puts Budgets, Grace, ExpectedRouters, EjectionQuorum and OverloadShare in force.
+	// OpSetBudgets puts Budgets, GracePeriod, ExpectedRouters, EjectionQuorum and OverloadShare in
+	// force.
 	OpSetBudgets Op = "budgets"
 	// OpReport delivers the Report of a router. Only a router's session may send it.
 	OpReport Op = "see"
@@ -115,20 +116,20 @@
 	OpRouterFailed: func(c *Command) (command, error) {
 		return routerFailed{router: c.Name, reason: c.Reason}, nil
 	},
-	OpRequestPermit: ofTarget(func(c *Command) command {
+	OpRequestPermit: targetDecoder(func(c *Command) command {
 		return requestPermit{target: c.target(), priority: c.Priority, validFor: c.ValidFor, purpose: c.Reason}
 	}),
-	OpBeginOutage: ofTarget(func(c *Command) command {
+	OpBeginOutage: targetDecoder(func(c *Command) command {
 		return beginOutage{target: c.target(), token: c.Token}
 	}),
-	OpEndOutage: ofTarget(func(c *Command) command {
+	OpEndOutage: targetDecoder(func(c *Command) command {
 		return endOutage{target: c.target(), token: c.Token}
 	}),
-	OpCancelPermit: ofTarget(func(c *Command) command {
+	OpCancelPermit: targetDecoder(func(c *Command) command {
 		return cancelPermit{target: c.target(), token: c.Token}
 	}),
-	OpClearPermit:  ofTarget(func(c *Command) command { return clearPermit{c.target()} }),
-	OpForgetTarget: ofTarget(func(c *Command) command { return forgetTarget{c.target()} }),
+	OpClearPermit:  targetDecoder(func(c *Command) command { return clearPermit{c.target()} }),
+	OpForgetTarget: targetDecoder(func(c *Command) command { return forgetTarget{c.target()} }),
 }
 
 // decode returns the typed command, or an error that says why the stored one is invalid.
@@ -141,21 +142,21 @@
 }
 
 func decodeHalt(c *Command) (command, error) {
-	if c.Reason == "" || len(c.Reason) > MaxText {
-		return nil, fmt.Errorf("why: %d bytes, 1 to %d are wanted", len(c.Reason), MaxText)
+	if c.Reason == "" || len(c.Reason) > MaxTextBytes {
+		return nil, fmt.Errorf("why: %d bytes, 1 to %d are wanted", len(c.Reason), MaxTextBytes)
 	}
 	return halt{reason: c.Reason}, nil
 }
 
-// ofTarget returns a decoder for a command on a target. The decoder checks the target's kind and
+// targetDecoder returns the decoder of a command on a target. It checks the target's kind and
 // name before it calls build.
-func ofTarget(build func(c *Command) command) func(c *Command) (command, error) {
+func targetDecoder(build func(c *Command) command) func(c *Command) (command, error) {
 	return func(c *Command) (command, error) {
 		if c.Kind != KindRouter && c.Kind != KindServer {
 			return nil, fmt.Errorf("kind: %q is none of router, server", c.Kind)
 		}
-		if c.Name == "" || len(c.Name) > MaxName {
-			return nil, fmt.Errorf("name: %q is not of 1 to %d bytes", c.Name, MaxName)
+		if c.Name == "" || len(c.Name) > MaxNameBytes {
+			return nil, fmt.Errorf("name: %q is not of 1 to %d bytes", c.Name, MaxNameBytes)
 		}
 		return build(c), nil
 	}
--- a/internal/rollout/follow/drain.go
+++ b/internal/rollout/follow/drain.go
@@ -24,8 +24,8 @@
 	pause time.Duration
 }
 
-// follow applies each new drain set until ctx ends.
-func (f *follower) follow(ctx context.Context) {
+// followDrainSets applies each new drain set until ctx ends.
+func (f *follower) followDrainSets(ctx context.Context) {
 	watch := drainWatch{pause: attemptsPollInterval}
 	for ctx.Err() == nil {
 		drains, hasChanged := f.nextDrainSet(ctx, &watch)
@@ -42,8 +42,8 @@
 		if isFirst && f.options.OnFirstDrainSet != nil {
 			f.options.OnFirstDrainSet()
 		}
-		if f.awaitAttempts(ctx, drains.Servers) {
-			f.setApplied(drains)
+		if f.awaitOpenAttempts(ctx, drains.Servers) {
+			f.markApplied(drains)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // applyDrainSet drains the servers of the drain set, ejects the ejected ones, and stores what the
 // coordinators request. It returns false if a server could not be drained.
 func (f *follower) applyDrainSet(ctx context.Context, drains rollout.DrainSet) bool {
-	if !f.setDrained(ctx, drains.Servers) {
+	if !f.updateDrains(ctx, drains.Servers) {
 		return false
 	}
 	if err := f.options.SetEjected(ctx, drains.Ejected); err != nil {
@@ -92,9 +92,9 @@
 	return true
 }
 
-// setDrained begins the drains of these servers, and ends the drains of all others. It returns
+// updateDrains begins the drains of these servers, and ends the drains of all others. It returns
 // false if a server could not be drained.
-func (f *follower) setDrained(ctx context.Context, servers []string) bool {
+func (f *follower) updateDrains(ctx context.Context, servers []string) bool {
 	incarnations := map[string]string{}
 	if observed, err := f.options.ObserveServers(ctx); err == nil {
 		for _, server := range observed {
@@ -117,14 +117,14 @@
 	}
 	for name := range f.drained {
 		if !slices.Contains(servers, name) {
-			f.takeBack(ctx, name)
+			f.endDrain(ctx, name)
 		}
 	}
 	return areAllDrained
 }
 
-// takeBack ends the drain of a server. The caller must hold mu.
-func (f *follower) takeBack(ctx context.Context, name string) {
+// endDrain ends the drain of a server. The caller must hold mu.
+func (f *follower) endDrain(ctx context.Context, name string) {
 	if err := f.options.SetDrained(ctx, name, false); err != nil {
 		slog.Warn("failed to end the drain of a server", "server", name, "error", err)
 		return
@@ -132,9 +132,9 @@
 	delete(f.drained, name)
 }
 
-// awaitAttempts waits until no attempt at the servers is open, or until maxAttemptsWait has passed.
-// It returns false if ctx ends first.
-func (f *follower) awaitAttempts(ctx context.Context, servers []string) bool {
+// awaitOpenAttempts waits until no attempt at the servers is open, or until maxAttemptsWait has
+// passed. It returns false if ctx ends first.
+func (f *follower) awaitOpenAttempts(ctx context.Context, servers []string) bool {
 	waitUntil := clock.Now() + f.maxAttemptsWait
 	for {
 		open, err := f.options.OpenAttempts(ctx, servers)
@@ -152,13 +152,13 @@
 	}
 }
 
-// setApplied marks a drain set as fully applied. The reporter then acknowledges it, and reports
+// markApplied marks a drain set as fully applied. The reporter then acknowledges it, and reports
 // what the drain set requests.
-func (f *follower) setApplied(drains rollout.DrainSet) {
+func (f *follower) markApplied(drains rollout.DrainSet) {
 	f.mu.Lock()
 	f.appliedVersion = drains.Version
-	f.requests.wantsCounts = drains.WantsCounts
-	f.requests.wantsLatency = drains.WantsLatency
+	f.requests.needsCounts = drains.NeedsCounts
+	f.requests.needsLatency = drains.NeedsLatency
 	f.mu.Unlock()
 	select {
 	case f.appliedVersionChanged <- struct{}{}:
@@ -182,7 +182,7 @@
 	for _, server := range servers {
 		incarnation, isDrained := f.drained[server.Name]
 		if isDrained && server.Status == rollout.StatusServing && server.Incarnation != incarnation {
-			f.takeBack(ctx, server.Name)
+			f.endDrain(ctx, server.Name)
 		}
 	}
 }
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -92,10 +92,10 @@
 
 // reportRequests is what the coordinators request routers to report.
 type reportRequests struct {
-	// wantsCounts requests the counts of served and failed requests.
-	wantsCounts bool
-	// wantsLatency requests the latencies too.
-	wantsLatency bool
+	// needsCounts requests the counts of served and failed requests.
+	needsCounts bool
+	// needsLatency requests the latencies too.
+	needsLatency bool
 	// isPrompt requests that observations are reported at promptReportInterval.
 	isPrompt bool
 	// maxServers limits the number of servers in one report.
@@ -118,7 +118,7 @@
 	defer wg.Wait()
 	reporter := &reporter{follower: f}
 	wg.Go(func() { reporter.run(ctx) })
-	f.follow(ctx)
+	f.followDrainSets(ctx)
 }
 
 // reportRequests returns what the coordinators currently request.
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -85,7 +85,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if !f.awaitAttempts(ctx, []string{"server/s1"}) || ctx.Err() != nil {
+	if !f.awaitOpenAttempts(ctx, []string{"server/s1"}) || ctx.Err() != nil {
 		t.Error("the wait lasted until the context ended")
 	}
 	if polls < 2 {
--- a/internal/rollout/follow/report.go
+++ b/internal/rollout/follow/report.go
@@ -36,8 +36,8 @@
 	latencyCounts []int64
 }
 
-// observed is what the router observes now, compared with what it has reported in the session.
-type observed struct {
+// observedState is what the router observes now, compared with what it has reported in the session.
+type observedState struct {
 	session string
 	// isNewSession reports that the session has no report yet.
 	isNewSession bool
@@ -50,7 +50,7 @@
 
 // run sends reports and acknowledgements until ctx ends.
 func (r *reporter) run(ctx context.Context) {
-	for r.wait(ctx) {
+	for r.awaitNextCheck(ctx) {
 		session := r.follower.options.Client.SessionID()
 		if session == "" {
 			r.follower.endDrainsByDiscovery(ctx)
@@ -69,9 +69,10 @@
 	}
 }
 
-// wait waits until the next check is due or a drain set has been applied. It returns false once ctx
-// has ended. The interval is random, so that the routers of a fleet do not report at the same time.
-func (r *reporter) wait(ctx context.Context) bool {
+// awaitNextCheck waits until the next check is due or a drain set has been applied. It returns
+// false once ctx has ended. The interval is random, so that the routers of a fleet do not report at
+// the same time.
+func (r *reporter) awaitNextCheck(ctx context.Context) bool {
 	interval := reportInterval
 	if r.follower.reportRequests().isPrompt {
 		interval = promptReportInterval
@@ -86,7 +87,7 @@
 }
 
 // observe compares what the router observes with what it has reported in the session.
-func (r *reporter) observe(ctx context.Context, session string) (observed, error) {
+func (r *reporter) observe(ctx context.Context, session string) (observedState, error) {
 	isNewSession := session != r.session
 	if isNewSession {
 		r.reported = map[string]rollout.ServerObservation{}
@@ -95,19 +96,19 @@
 	options := &r.follower.options
 	servers, err := options.ObserveServers(ctx)
 	if err != nil {
-		return observed{}, err
+		return observedState{}, err
 	}
-	current := observed{
+	current := observedState{
 		session:      session,
 		isNewSession: isNewSession,
 		changed:      r.changes(servers),
 		isReady:      options.IsReady(),
 		requests:     r.follower.reportRequests(),
 	}
-	if current.requests.wantsCounts {
+	if current.requests.needsCounts {
 		current.counts.served, current.counts.failed, current.counts.latencyCounts = options.RequestCounts()
 	}
-	if !current.requests.wantsLatency {
+	if !current.requests.needsLatency {
 		current.counts.latencyCounts = nil
 	}
 	return current, nil
@@ -133,17 +134,17 @@
 }
 
 // needsReport reports whether the router has observed something that the coordinators don't have.
-func (r *reporter) needsReport(current observed) bool {
+func (r *reporter) needsReport(current observedState) bool {
 	if current.isNewSession || len(current.changed) > 0 || current.isReady != r.isReady {
 		return true
 	}
 	hasAnswered := current.counts.served > r.counts.served || current.counts.failed > r.counts.failed
-	return current.requests.wantsCounts && hasAnswered && clock.Now()-r.reportedAt >= countsInterval
+	return current.requests.needsCounts && hasAnswered && clock.Now()-r.reportedAt >= countsInterval
 }
 
 // report sends one report with as many changed observations as a report may contain, and removes
 // these from current.changed. After an error it waits until a retry is due, and returns false.
-func (r *reporter) report(ctx context.Context, current *observed) bool {
+func (r *reporter) report(ctx context.Context, current *observedState) bool {
 	options := &r.follower.options
 	part := current.changed[:min(len(current.changed), current.requests.maxServers)]
 	// If a newer process has replaced this one, the coordinators answer OK, so this is no error.
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -18,7 +18,7 @@
 		return
 	}
 	slices.SortFunc(pending, comparePermits)
-	usage := s.usage(now)
+	usage := s.computeUsage(now)
 	targetsWithPermit := s.plannedOutages()
 	for _, p := range pending {
 		ref := p.target()
@@ -116,11 +116,12 @@
 	for _, u := range covering {
 		if u.allowed == 0 {
 			return fmt.Sprintf("%s: a share of %v of %d is none: raise it, or say a number",
-				u.text(), u.budget.MaxOutShare, u.targets)
+				u.description(), u.budget.MaxOutShare, u.targets)
 		}
-		isFree := failpoint.Is("out-is-free") && u.taken[ref]
-		if len(u.taken)+needed > u.allowed && !isFree {
-			return fmt.Sprintf("%s: %d of at most %d out: %s", u.text(), len(u.taken), u.allowed, FirstNames(u.out))
+		isFree := failpoint.Is("out-is-free") && u.outTargets[ref]
+		if len(u.outTargets)+needed > u.allowed && !isFree {
+			return fmt.Sprintf("%s: %d of at most %d out: %s",
+				u.description(), len(u.outTargets), u.allowed, SummarizeNames(u.outTexts))
 		}
 	}
 	return ""
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -19,26 +19,26 @@
 	// regions need, each with 392 routers that observe 192 servers. If all routers observed all
 	// servers there would be six times as many.
 	MaxObservations = 2 << 20
-	// MaxName is the maximum length of a name, zone, version or incarnation in bytes.
-	MaxName = 128
-	// MaxText is the maximum length of a purpose or reason in bytes.
-	MaxText = 256
+	// MaxNameBytes is the maximum length of a name, zone, version or incarnation in bytes.
+	MaxNameBytes = 128
+	// MaxTextBytes is the maximum length of a purpose or reason in bytes.
+	MaxTextBytes = 256
 	// MaxDuration limits the grace period, slow start, step timeout and learning time.
 	MaxDuration = time.Hour
 	// MaxPermitWait limits how long a permit request may wait, and the bake time of a release.
 	MaxPermitWait = 24 * time.Hour
 	// MinGracePeriod is the shortest grace period.
 	MinGracePeriod = time.Second
-	// ForgetAfterGraces is for how many grace periods a server must be missing from every endpoint
-	// list before it is removed.
-	ForgetAfterGraces = 10
+	// RemoveAfterGracePeriods is for how many grace periods a server must be missing from every
+	// endpoint list before it is removed.
+	RemoveAfterGracePeriods = 10
 )
 
 // Limits of coordinators that run an earlier program version. While one of them may vote, all
 // replicas must reject commands by its limits, so that all reach the same state.
 const (
 	LegacyMaxRouters         = 1024
-	EarlierMaxServers        = 1024
+	LegacyMaxServers         = 1024
 	LegacyMaxReportedServers = 128
 )
 
@@ -51,7 +51,7 @@
 // limits returns the limits that apply to a command of the sender.
 func (s Sender) limits() tableLimits {
 	if s.UsesLegacyLimits {
-		return tableLimits{routers: LegacyMaxRouters, servers: EarlierMaxServers}
+		return tableLimits{routers: LegacyMaxRouters, servers: LegacyMaxServers}
 	}
 	return tableLimits{routers: MaxRouters, servers: MaxServers}
 }
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -9,15 +9,15 @@
 
 // Constants of the fleet's load. Durations are agreed time.
 const (
-	// loadCountInterval is the length of a measurement window.
-	loadCountInterval = 2 * time.Second
-	// loadMinRequests is how many requests a window needs; windows with fewer are ignored.
-	loadMinRequests = 50
-	// countsUntilOverloaded is how many consecutive windows above the threshold begin an overload.
-	countsUntilOverloaded = 2
-	// countsUntilRecovered is how many consecutive windows below half of the threshold end an
+	// loadWindow is the length of a measurement window.
+	loadWindow = 2 * time.Second
+	// loadWindowMinRequests is how many requests a window needs; windows with fewer are ignored.
+	loadWindowMinRequests = 50
+	// windowsUntilOverloaded is how many consecutive windows above the threshold begin an overload.
+	windowsUntilOverloaded = 2
+	// windowsUntilRecovered is how many consecutive windows below half of the threshold end an
 	// overload.
-	countsUntilRecovered = 3
+	windowsUntilRecovered = 3
 	// loadMaxAge is how long an overload lasts once routers report no more requests.
 	loadMaxAge = 10 * time.Second
 )
@@ -31,14 +31,14 @@
 	ChangedAt time.Duration `json:"since,omitempty"`
 	// FailedShare is the share of rejected or failed requests in the last complete window.
 	FailedShare float64 `json:"share"`
-	// CountBeganAt is when the current window began.
-	CountBeganAt time.Duration `json:"open"`
+	// WindowBeganAt is when the current window began.
+	WindowBeganAt time.Duration `json:"open"`
 	// Served is the number of served requests in the current window.
 	Served int64 `json:"good"`
 	// Failed is the number of rejected or failed requests in the current window.
 	Failed int64 `json:"bad"`
-	// ConsecutiveCounts is how many of the last complete windows in a row contradict IsOverloaded.
-	ConsecutiveCounts int `json:"row"`
+	// ConsecutiveWindows is how many of the last complete windows in a row contradict IsOverloaded.
+	ConsecutiveWindows int `json:"row"`
 }
 
 // countRequests adds the requests that a router has answered since its last report to the current
@@ -47,50 +47,50 @@
 	if s.OverloadShare == 0 || served < 0 || failed < 0 {
 		return
 	}
-	if now >= s.Load.CountBeganAt+loadCountInterval {
-		s.closeLoadCount(now)
+	if now >= s.Load.WindowBeganAt+loadWindow {
+		s.closeLoadWindow(now)
 	}
 	s.Load.Served += served
 	s.Load.Failed += failed
 }
 
-// closeLoadCount evaluates the current window and begins the next one.
-func (s *State) closeLoadCount(now time.Duration) {
+// closeLoadWindow evaluates the current window and begins the next one.
+func (s *State) closeLoadWindow(now time.Duration) {
 	load := &s.Load
 	total := load.Served + load.Failed
-	if total >= loadMinRequests {
+	if total >= loadWindowMinRequests {
 		load.FailedShare = ratio(float64(load.Failed), float64(total))
-		contradicts, countsNeeded := s.contradictsLoad()
+		contradicts, countsNeeded := s.contradictsOverloadState()
 		if contradicts {
-			load.ConsecutiveCounts++
+			load.ConsecutiveWindows++
 		} else {
-			load.ConsecutiveCounts = 0
+			load.ConsecutiveWindows = 0
 		}
-		if load.ConsecutiveCounts >= countsNeeded {
+		if load.ConsecutiveWindows >= countsNeeded {
 			s.setOverloaded(!load.IsOverloaded, now)
 		}
 	}
 	load.Served = 0
 	load.Failed = 0
-	load.CountBeganAt = now
+	load.WindowBeganAt = now
 }
 
-// contradictsLoad reports whether the last complete window contradicts IsOverloaded, and how many
-// such windows in a row change it.
-func (s *State) contradictsLoad() (contradicts bool, countsNeeded int) {
+// contradictsOverloadState reports whether the last complete window contradicts IsOverloaded, and
+// how many such windows in a row change it.
+func (s *State) contradictsOverloadState() (contradicts bool, windowsNeeded int) {
 	switch {
 	case !s.Load.IsOverloaded:
-		return s.Load.FailedShare > s.OverloadShare, countsUntilOverloaded
+		return s.Load.FailedShare > s.OverloadShare, windowsUntilOverloaded
 	case failpoint.Is("busy-flaps"):
 		return s.Load.FailedShare <= s.OverloadShare, 1
 	}
-	return s.Load.FailedShare < s.OverloadShare/2, countsUntilRecovered
+	return s.Load.FailedShare < s.OverloadShare/2, windowsUntilRecovered
 }
 
 func (s *State) setOverloaded(isOverloaded bool, now time.Duration) {
 	s.Load.IsOverloaded = isOverloaded
 	s.Load.ChangedAt = now
-	s.Load.ConsecutiveCounts = 0
+	s.Load.ConsecutiveWindows = 0
 	s.Version++
 }
 
@@ -101,7 +101,7 @@
 	if !s.Load.IsOverloaded {
 		return
 	}
-	expiresAt := s.Load.CountBeganAt + loadMaxAge
+	expiresAt := s.Load.WindowBeganAt + loadMaxAge
 	if s.OverloadShare > 0 && expiresAt > now {
 		s.reconcileAt(expiresAt)
 		return
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -48,10 +48,10 @@
 			for i, percent := range tc.percents {
 				requests := int64(1000)
 				if percent == fewRequests {
-					requests = loadMinRequests - 1
+					requests = loadWindowMinRequests - 1
 					percent = 0
 				}
-				f.advance(loadCountInterval)
+				f.advance(loadWindow)
 				served += requests * (100 - percent) / 100
 				failed += requests * percent / 100
 				f.reportCounts("r1", served, failed) // closes the previous window and opens one with these requests
@@ -87,7 +87,7 @@
 	f := newLoadedFleet(t)
 	for i := range int64(5) {
 		f.reportCounts("r1", 100*i+1, 100*i)
-		f.advance(loadCountInterval)
+		f.advance(loadWindow)
 	}
 	if !f.state.Load.IsOverloaded {
 		t.Errorf("%+v", f.state.Load)
--- a/internal/rollout/names.go
+++ b/internal/rollout/names.go
@@ -9,28 +9,28 @@
 // maxListedNames is how many names a summary lists before it only counts the rest.
 const maxListedNames = 3
 
-// FirstNames returns a text with the first few names and the number of names left out.
-func FirstNames(names []string) string {
-	return firstNamesText(names[:min(len(names), maxListedNames)], len(names))
+// SummarizeNames returns a text with the first few names and the number of names left out.
+func SummarizeNames(names []string) string {
+	return nameSummaryText(names[:min(len(names), maxListedNames)], len(names))
 }
 
-func firstNamesText(first []string, total int) string {
+func nameSummaryText(first []string, total int) string {
 	if total > len(first) {
 		return fmt.Sprintf("%s and %d more", strings.Join(first, ", "), total-len(first))
 	}
 	return strings.Join(first, ", ")
 }
 
-// firstNames collects the alphabetically first names of a set without keeping the others: a drain
+// nameSummary collects the alphabetically first names of a set without keeping the others: a drain
 // may wait for thousands of routers.
-type firstNames struct {
+type nameSummary struct {
 	// first are the first names in alphabetical order, at most maxListedNames.
 	first []string
 	// total is how many names were added.
 	total int
 }
 
-func (f *firstNames) add(name string) {
+func (f *nameSummary) add(name string) {
 	f.total++
 	index, _ := slices.BinarySearch(f.first, name)
 	if index == maxListedNames {
@@ -40,4 +40,4 @@
 	f.first = f.first[:min(len(f.first), maxListedNames)]
 }
 
-func (f *firstNames) text() string { return firstNamesText(f.first, f.total) }
+func (f *nameSummary) text() string { return nameSummaryText(f.first, f.total) }
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -84,12 +84,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.StringMatching("[a-c]{1,3}"), 1, 8, rapid.ID[string]).Draw(t, "names")
 		set := map[string]bool{}
-		var summary firstNames
+		var summary nameSummary
 		for _, name := range all {
 			summary.add(name)
 			set[name] = true
 		}
-		if want := FirstNames(sorted(set)); summary.text() != want {
+		if want := SummarizeNames(sorted(set)); summary.text() != want {
 			t.Fatalf("%q, want %q", summary.text(), want)
 		}
 	})
--- a/internal/rollout/permit_commands.go
+++ b/internal/rollout/permit_commands.go
@@ -21,9 +21,9 @@
 	if c.priority < PriorityRelease || c.priority > PriorityEmergency {
 		return invalid("priority: %d is not from %d to %d", c.priority, PriorityRelease, PriorityEmergency)
 	}
-	if c.validFor < 0 || c.validFor > MaxPermitWait || len(c.purpose) > MaxText {
+	if c.validFor < 0 || c.validFor > MaxPermitWait || len(c.purpose) > MaxTextBytes {
 		return invalid("within: %v is not from 0 to %v, or the reason has over %d bytes",
-			c.validFor, MaxPermitWait, MaxText)
+			c.validFor, MaxPermitWait, MaxTextBytes)
 	}
 	if c.takeOver(s, sender) {
 		return Result{Code: CodeOK}
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -47,7 +47,7 @@
 // changed one of them.
 func (s *State) updateAvailability(now time.Duration) {
 	for _, router := range s.changedRouters {
-		s.setUp(router, router.Session != "" && router.IsReady, now)
+		s.setIsUp(router, router.Session != "" && router.IsReady, now)
 	}
 	s.changedRouters = nil
 	if !s.serversChanged && now < s.nextServerChangeAt {
@@ -58,15 +58,15 @@
 	s.nextServerChangeAt = math.MaxInt64
 	s.updateEjections(now)
 	for name, server := range s.Servers {
-		s.setUp(server, server.servesByObservations() && !server.isEjected(), now)
+		s.setIsUp(server, server.isObservedServing() && !server.isEjected(), now)
 		server.updateDelisted(now)
 		s.removeDelistedServer(name, server, now)
 	}
 	s.reconcileAt(s.nextServerChangeAt)
 }
 
-// setUp records whether a target serves, and since when.
-func (s *State) setUp(t *Target, isUp bool, now time.Duration) {
+// setIsUp records whether a target serves, and since when.
+func (s *State) setIsUp(t *Target, isUp bool, now time.Duration) {
 	if t.IsUp == isUp {
 		return
 	}
@@ -75,10 +75,10 @@
 	s.Version++
 }
 
-// servesByObservations reports whether at least half of the routers that observe the server find it
+// isObservedServing reports whether at least half of the routers that observe the server find it
 // serving. A single router with a bad network link then can neither take a server out of service
 // nor hide that it is out.
-func (t *Target) servesByObservations() bool {
+func (t *Target) isObservedServing() bool {
 	if failpoint.Is("evidence-of-one") {
 		return t.counts.notServing() == 0
 	}
@@ -98,14 +98,14 @@
 }
 
 // removeDelistedServer removes a server that all routers find missing in the endpoint list, once it
-// has been down and delisted for ForgetAfterGraces grace periods. Until then it counts as down,
-// because it may have crashed, or it may come back before the list does. A server that has a permit
-// is kept.
+// has been down and delisted for RemoveAfterGracePeriods grace periods. Until then it counts as
+// down, because it may have crashed, or it may come back before the list does. A server that has a
+// permit is kept.
 func (s *State) removeDelistedServer(name string, server *Target, now time.Duration) {
 	if server.counts.total == 0 || server.counts.removed < server.counts.total {
 		return
 	}
-	removeAt := max(server.ChangedAt, server.DelistedAt) + ForgetAfterGraces*s.GracePeriod
+	removeAt := max(server.ChangedAt, server.DelistedAt) + RemoveAfterGracePeriods*s.GracePeriod
 	if removeAt > now && !failpoint.Is("gone-is-forgotten") {
 		s.serverChangesAt(removeAt)
 		return
@@ -124,7 +124,7 @@
 	count := len(s.Permits)
 	s.removePermits(func(p *Permit) bool {
 		if p.Stage != StageBegun {
-			return s.isRequestOver(p, now)
+			return s.isRequestObsolete(p, now)
 		}
 		return p.Session == "" && s.endOrphanedOutage(p, now)
 	})
@@ -133,9 +133,9 @@
 	}
 }
 
-// isRequestOver reports whether a permit that has not begun is obsolete: it has expired, its
+// isRequestObsolete reports whether a permit that has not begun is obsolete: it has expired, its
 // holder's session has ended, or its target has been removed.
-func (s *State) isRequestOver(p *Permit, now time.Duration) bool {
+func (s *State) isRequestObsolete(p *Permit, now time.Duration) bool {
 	if p.ExpiresAt > 0 {
 		s.reconcileAt(p.ExpiresAt)
 	}
@@ -190,7 +190,7 @@
 // with a session may do so until it acknowledges the drain. A router without a session does not
 // receive the drain set. It stops sending because of the endpoint list, which must mark the server
 // as draining, and which the router reads within the grace period.
-func (s *State) possibleSenders(p *Permit, now time.Duration) (senders firstNames) {
+func (s *State) possibleSenders(p *Permit, now time.Duration) (senders nameSummary) {
 	if failpoint.Is("drain-unacknowledged") {
 		return senders
 	}
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -39,8 +39,8 @@
 	BakeEndsAt time.Duration `json:"baked,omitempty"`
 	// StepBegunAt is when the update of each router that has not reached the goal began.
 	StepBegunAt map[string]time.Duration `json:"began,omitempty"`
-	// Reached are the routers that have reached the goal.
-	Reached map[string]bool `json:"there,omitempty"`
+	// ReachedGoal are the routers that have reached the goal.
+	ReachedGoal map[string]bool `json:"there,omitempty"`
 	// FailedAfterUpdate is how often a router that had reached the goal went down without a permit.
 	FailedAfterUpdate int `json:"fell,omitempty"`
 	// NotRolledBack are the routers that a rollback could not return to FromVersion, with the
@@ -65,7 +65,7 @@
 	clone.Buckets = slices.Clone(r.Buckets)
 	clone.StepBegunAt = maps.Clone(r.StepBegunAt)
 	clone.NotRolledBack = maps.Clone(r.NotRolledBack)
-	clone.Reached = maps.Clone(r.Reached)
+	clone.ReachedGoal = maps.Clone(r.ReachedGoal)
 	for i := range clone.Buckets {
 		latency := &clone.Buckets[i].LatencyCounts
 		latency[fromVersion] = slices.Clone(latency[fromVersion])
@@ -160,7 +160,7 @@
 	r.StepBegunAt = nil
 	r.NotRolledBack = nil
 	r.RequestsInWave = 0
-	r.Reached = nil
+	r.ReachedGoal = nil
 	r.FailedAfterUpdate = 0
 	s.Halt = nil
 	s.DrainVersion++
@@ -190,8 +190,9 @@
 	if r == nil || r.State != ReleaseRunning {
 		return noRelease
 	}
-	if !slices.Contains(r.Routers, c.router) || len(c.reason) > MaxText {
-		return invalid("router %q is not in release %s, or the reason has over %d bytes", c.router, r.Name, MaxText)
+	if !slices.Contains(r.Routers, c.router) || len(c.reason) > MaxTextBytes {
+		return invalid("router %q is not in release %s, or the reason has over %d bytes",
+			c.router, r.Name, MaxTextBytes)
 	}
 	s.recordRouterFailure(c.router, c.reason, sender.Time)
 	s.DrainVersion++
@@ -244,7 +245,7 @@
 		s.reconcileAt(r.BakeEndsAt)
 	case holdHalted:
 	case holdTooFewRequests:
-		s.haltWithoutRequests(now)
+		s.haltIfTooFewRequests(now)
 	case holdNone:
 		if r.WaveSize < len(r.Routers) {
 			r.WaveSize = r.nextWaveSize(r.WaveSize, len(r.Routers))
--- a/internal/rollout/release_hold.go
+++ b/internal/rollout/release_hold.go
@@ -12,7 +12,7 @@
 //
 //   - haltIfUpdatedRoutersFail: an updated router went down again;
 //   - recordRouterFailure: a router exceeds the step timeout, or its command failed;
-//   - haltWithoutRequests: the new version gets too few requests;
+//   - haltIfTooFewRequests: the new version gets too few requests;
 //   - ReleaseProgress.ComparisonHalts: the new version fails more often or is slower, or the fleet
 //     serves too little; the client that drives the release checks these and sends the halt;
 //   - an operator's OpHalt.
@@ -97,12 +97,12 @@
 		isDown := router == nil || !router.IsUp
 		switch {
 		case s.hasReachedGoal(name, planned):
-			if r.Reached == nil {
-				r.Reached = map[string]bool{}
+			if r.ReachedGoal == nil {
+				r.ReachedGoal = map[string]bool{}
 			}
-			r.Reached[name] = true
-		case r.Reached[name] && isDown && !planned[targetRef{KindRouter, name}]:
-			delete(r.Reached, name)
+			r.ReachedGoal[name] = true
+		case r.ReachedGoal[name] && isDown && !planned[targetRef{KindRouter, name}]:
+			delete(r.ReachedGoal, name)
 			r.FailedAfterUpdate++
 			isFirstWave := r.WaveSize <= r.FirstWave
 			if !r.isRollback() && (r.FailedAfterUpdate > 1 || isFirstWave) {
@@ -129,9 +129,9 @@
 // release is halted.
 const extraBakeTimes = 10
 
-// haltWithoutRequests halts a release if its new version has not answered MinRequests within
+// haltIfTooFewRequests halts a release if its new version has not answered MinRequests within
 // extraBakeTimes after the wave has baked.
-func (s *State) haltWithoutRequests(now time.Duration) {
+func (s *State) haltIfTooFewRequests(now time.Duration) {
 	r := s.Release
 	haltAt := r.BakeEndsAt + extraBakeTimes*r.BakeTime
 	if now < haltAt {
--- a/internal/rollout/release_plan.go
+++ b/internal/rollout/release_plan.go
@@ -48,8 +48,8 @@
 func (p *ReleasePlan) Check() error {
 	names := []struct{ setting, value string }{{"name", p.Name}, {"from", p.FromVersion}, {"to", p.ToVersion}}
 	for _, f := range names {
-		if f.value == "" || len(f.value) > MaxName {
-			return fmt.Errorf("%s: %q is not of 1 to %d bytes", f.setting, f.value, MaxName)
+		if f.value == "" || len(f.value) > MaxNameBytes {
+			return fmt.Errorf("%s: %q is not of 1 to %d bytes", f.setting, f.value, MaxNameBytes)
 		}
 	}
 	switch {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -100,17 +100,17 @@
 	Version uint64 `json:"version"`
 	// Servers are the sorted names of the servers to which routers must send no new requests.
 	Servers []string `json:"servers"`
-	// WantsCounts tells routers to report how many requests they served and failed.
-	WantsCounts bool `json:"figures,omitempty"`
-	// WantsLatency tells routers to report their latencies too.
-	WantsLatency bool `json:"speed,omitempty"`
+	// NeedsCounts tells routers to report how many requests they served and failed.
+	NeedsCounts bool `json:"figures,omitempty"`
+	// NeedsLatency tells routers to report their latencies too.
+	NeedsLatency bool `json:"speed,omitempty"`
 	// EjectionQuorum is State.EjectionQuorum. Unless it is 0, routers report failing servers
 	// immediately.
 	EjectionQuorum int `json:"quorum,omitempty"`
 	// Ejected are the servers that all routers must leave out because of a quorum's reports.
 	Ejected []EjectedServer `json:"suspects,omitempty"`
 	// MaxReportedServers is how many servers one report may contain; 0 means
-	// EarlierMaxReportedServers.
+	// LegacyMaxReportedServers.
 	MaxReportedServers int `json:"max_seen,omitempty"`
 }
 
@@ -121,8 +121,8 @@
 	return DrainSet{
 		Version:        s.DrainVersion,
 		Servers:        s.DrainedServers(),
-		WantsCounts:    isReleasing || s.OverloadShare > 0,
-		WantsLatency:   isReleasing && canReadLatency,
+		NeedsCounts:    isReleasing || s.OverloadShare > 0,
+		NeedsLatency:   isReleasing && canReadLatency,
 		EjectionQuorum: s.EjectionQuorum,
 		Ejected:        s.EjectedServers(now),
 	}
@@ -131,7 +131,7 @@
 // Report returns an overview of the state at the agreed time now. It does not change the state.
 func (s *State) Report(now time.Duration) Report {
 	c := s.Clone() // computing the usage sets nextReconcileAt
-	usage := c.usage(now)
+	usage := c.computeUsage(now)
 	return Report{
 		Version:      c.Version,
 		DrainVersion: c.DrainVersion,
@@ -171,7 +171,7 @@
 			Zone:      usage.zone,
 			Targets:   usage.targets,
 			Allowed:   usage.allowed,
-			Out:       len(usage.taken),
+			Out:       len(usage.outTargets),
 			SlowStart: usage.budget.SlowStart,
 		})
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -482,7 +482,7 @@
 
 // Guards against another outage in place of a server that has just disappeared from all endpoint
 // lists. It may have crashed, or be back before the lists are. It counts as out for
-// ForgetAfterGraces grace periods, and is removed only after them.
+// RemoveAfterGracePeriods grace periods, and is removed only after them.
 func TestDelistedServerCountsAsOutForAWhile(t *testing.T) {
 	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
@@ -491,7 +491,7 @@
 	}
 	f.endServer("sa1", "ann", token)
 	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageWaiting, "sa1 (down)")
-	f.advance(ForgetAfterGraces*testGrace - 1)
+	f.advance(RemoveAfterGracePeriods*testGrace - 1)
 	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageWaiting, "sa1 (down)")
 	f.advance(1)
 	expectPermit(t, f.request("sa2", "ann", PriorityRelease), StageGranted, "")
--- a/internal/rollout/router_report.go
+++ b/internal/rollout/router_report.go
@@ -16,13 +16,13 @@
 	// Servers are the observations that have changed since the last report of the same session.
 	Servers []ServerObservation `json:"servers,omitempty"`
 	// Served is the number of served requests since the process started; reported while
-	// DrainSet.WantsCounts is set.
+	// DrainSet.NeedsCounts is set.
 	Served int64 `json:"good,omitempty"`
 	// Failed is the number of rejected or failed requests since the process started; reported while
-	// DrainSet.WantsCounts is set.
+	// DrainSet.NeedsCounts is set.
 	Failed int64 `json:"bad,omitempty"`
 	// LatencyCounts are the numbers of served requests by LatencyBucket; reported while
-	// DrainSet.WantsLatency is set.
+	// DrainSet.NeedsLatency is set.
 	LatencyCounts []int64 `json:"speed,omitempty"`
 }
 
@@ -38,9 +38,9 @@
 	Status ServerStatus `json:"is"`
 }
 
-// textOfEarlierProcess is the result text for a process of a router that a newer process has
+// replacedProcessText is the result text for a process of a router that a newer process has
 // replaced.
-const textOfEarlierProcess = "a newer process of this router speaks for it"
+const replacedProcessText = "a newer process of this router speaks for it"
 
 // routerReport is the command that records a router's report.
 type routerReport struct{ report *RouterReport }
@@ -63,7 +63,7 @@
 	}
 	if router.Session != sender.Session {
 		if router.Session != "" && router.SessionOrder > sender.SessionOrder {
-			return Result{Code: CodeOK, Text: textOfEarlierProcess}
+			return Result{Code: CodeOK, Text: replacedProcessText}
 		}
 		s.beginRouterSession(name, router, sender)
 	}
@@ -91,9 +91,9 @@
 	}
 	for _, server := range r.Servers {
 		longest := max(len(server.Name), len(server.Zone), len(server.Incarnation))
-		if server.Name == "" || longest > MaxName {
+		if server.Name == "" || longest > MaxNameBytes {
 			return invalid("view: server %.32q: its name, zone or run is empty or over %d bytes",
-				server.Name, MaxName), false
+				server.Name, MaxNameBytes), false
 		}
 	}
 	n := len(r.LatencyCounts)
@@ -101,8 +101,8 @@
 	if n != 0 && n != LatencyBuckets || slices.ContainsFunc(r.LatencyCounts, isNegative) {
 		return invalid("view: speed has %d counts, or some below 0; %d are wanted", n, LatencyBuckets), false
 	}
-	if max(len(r.Zone), len(r.Version)) > MaxName {
-		return invalid("view: zone or version over %d bytes", MaxName), false
+	if max(len(r.Zone), len(r.Version)) > MaxNameBytes {
+		return invalid("view: zone or version over %d bytes", MaxNameBytes), false
 	}
 	return Result{}, true
 }
@@ -154,7 +154,7 @@
 	name, isRouter := sender.router()
 	router := s.Routers[name]
 	if isRouter && router != nil && router.SessionOrder > sender.SessionOrder {
-		return Result{Code: CodeOK, Text: textOfEarlierProcess}
+		return Result{Code: CodeOK, Text: replacedProcessText}
 	}
 	if !isRouter || router == nil || router.Session != sender.Session {
 		return invalid("ack: only a router that has told what it sees acknowledges")
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -32,8 +32,8 @@
 	Version uint64 `json:"version"`
 	// DrainVersion increases with each change of the DrainSet.
 	DrainVersion uint64 `json:"drains"`
-	// GracePeriod is longer than a router's session lasts. A router without a session is assumed to read
-	// the endpoint list within this period.
+	// GracePeriod is longer than a router's session lasts. A router without a session is assumed to
+	// read the endpoint list within this period.
 	GracePeriod time.Duration `json:"grace"`
 	// ExpectedRouters is how many routers must be registered before a server may be drained; 0
 	// means no minimum.
--- a/internal/rollout/usage.go
+++ b/internal/rollout/usage.go
@@ -23,15 +23,15 @@
 	targets int
 	// allowed is how many of these may be out at once.
 	allowed int
-	// taken are the targets that count against the budget.
-	taken map[targetRef]bool
-	// out lists the targets in taken with their reasons, for operators, in the order in which they
-	// were added.
-	out []string
+	// outTargets are the targets that count against the budget.
+	outTargets map[targetRef]bool
+	// outTexts names the targets in outTargets with their reasons, for operators, in the order in
+	// which they were added.
+	outTexts []string
 }
 
-// text returns the budget's name and zone for operators.
-func (u *budgetUsage) text() string {
+// description returns the budget's name and zone for operators.
+func (u *budgetUsage) description() string {
 	if u.budget.Per == scopeZone {
 		return fmt.Sprintf("budget %s (zone %s)", u.budget.Name, u.zone)
 	}
@@ -44,10 +44,10 @@
 	zone string
 }
 
-// zoneOfAll is the one zone name for which the count of targets in service starts at the number of
-// all targets of the kind. The first program version kept the total under this key, and replicas of
-// all versions must make the same decisions.
-const zoneOfAll = "all"
+// legacyTotalZone is the one zone name for which the count of targets in service starts at the
+// number of all targets of the kind. The first program version kept the total under this key, and
+// replicas of all versions must make the same decisions.
+const legacyTotalZone = "all"
 
 // fleetUsage is which targets of the fleet are out, and how much of each budget they use.
 type fleetUsage struct {
@@ -63,8 +63,8 @@
 	totalByZone map[zoneKey]int
 }
 
-// usage evaluates all targets and computes the usage of all budgets.
-func (s *State) usage(now time.Duration) *fleetUsage {
+// computeUsage evaluates all targets and computes the usage of all budgets.
+func (s *State) computeUsage(now time.Duration) *fleetUsage {
 	usage := &fleetUsage{
 		budgets:         map[usageKey]*budgetUsage{},
 		reasons:         map[targetRef]OutageReason{},
@@ -75,7 +75,7 @@
 	planned := s.plannedOutages()
 	for _, kind := range kinds {
 		targets := s.targets(kind)
-		usage.inServiceByZone[zoneKey{kind, zoneOfAll}] = len(targets)
+		usage.inServiceByZone[zoneKey{kind, legacyTotalZone}] = len(targets)
 		for _, name := range slices.Sorted(maps.Keys(targets)) {
 			ref := targetRef{kind, name}
 			t := targets[name]
@@ -92,10 +92,10 @@
 			for _, u := range s.coveringUsages(usage, ref, t) {
 				u.targets++
 				if reason != NotOut {
-					u.taken[ref] = true
+					u.outTargets[ref] = true
 					// The text does not say how long the target has been out: it is stored, and
 					// would change without an event.
-					u.out = append(u.out, fmt.Sprintf("%s (%s)", name, reason))
+					u.outTexts = append(u.outTexts, fmt.Sprintf("%s (%s)", name, reason))
 				}
 			}
 		}
@@ -119,7 +119,7 @@
 			key.zone = t.Zone
 		}
 		if usage.budgets[key] == nil {
-			usage.budgets[key] = &budgetUsage{budget: b, zone: key.zone, taken: map[targetRef]bool{}}
+			usage.budgets[key] = &budgetUsage{budget: b, zone: key.zone, outTargets: map[targetRef]bool{}}
 		}
 		covering = append(covering, usage.budgets[key])
 	}
@@ -134,10 +134,10 @@
 		usage.inServiceByZone[zoneKey{ref.kind, t.Zone}]--
 	}
 	for _, u := range s.coveringUsages(usage, ref, t) {
-		if u.taken[ref] {
+		if u.outTargets[ref] {
 			continue
 		}
-		u.taken[ref] = true
-		u.out = append(u.out, fmt.Sprintf("%s (permit before this one)", ref.name))
+		u.outTargets[ref] = true
+		u.outTexts = append(u.outTexts, fmt.Sprintf("%s (permit before this one)", ref.name))
 	}
 }
