--- a/decide/config.go
+++ b/decide/config.go
@@ -148,8 +148,8 @@
 	Field string
 	// List is "Classes" or "Tenants" if Field is in an entry of that list, else "".
 	List string
-	// At is the index of the entry in the list.
-	At int
+	// Index is the index of the entry in the list.
+	Index int
 	// Entry is the name of the entry.
 	Entry string
 	// Value is the invalid value.
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -65,7 +65,7 @@
 func platformError(e *decide.SettingError) *Error {
 	key := settingKeys[e.Field]
 	if e.List != "" {
-		key = fmt.Sprintf("%s[%d].%s", settingKeys[e.List], e.At, key)
+		key = fmt.Sprintf("%s[%d].%s", settingKeys[e.List], e.Index, key)
 	}
 	return &Error{Key: key, Reason: fmt.Sprintf("impossible value %v", e.Value)}
 }
