--- a/decide/config.go
+++ b/decide/config.go
@@ -93,8 +93,8 @@
 	// PollWithinMillis is the time after a change within which all routers should have asked; 0 =
 	// no limit.
 	PollWithinMillis float64
-	// HealthChecks says that health checks are allowed.
-	HealthChecks bool
+	// HealthChecksAllowed says that health checks are allowed.
+	HealthChecksAllowed bool
 	// GossipAllowed says that routers may send messages to each other.
 	GossipAllowed bool
 	// CancelAllowed says that attempts may be canceled.
--- a/decide/disable_test.go
+++ b/decide/disable_test.go
@@ -89,7 +89,7 @@
 func TestDisabledServerGetsNoHealthChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
-	cfg.HealthChecks = true
+	cfg.HealthChecksAllowed = true
 	endpoints := fleet(2)
 	b, h := start(t, cfg, endpoints)
 	b.Disable(100000, endpoints[0].ID)
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -39,7 +39,7 @@
 
 // checkIfDue sends a health check to a server if it is due and allowed, and reports whether it did.
 func (b *Balancer) checkIfDue(s *server) bool {
-	if !b.cfg.LoadByHealthCheck || !b.cfg.HealthChecks || s.isDisabled {
+	if !b.cfg.LoadByHealthCheck || !b.cfg.HealthChecksAllowed || s.isDisabled {
 		return false
 	}
 	if b.healthChecks.budget < 1 || b.now-s.health.checkedAt < healthCheckMillis {
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -9,7 +9,7 @@
 func TestHealthChecksAreAPartOfTheRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
-	cfg.HealthChecks = true
+	cfg.HealthChecksAllowed = true
 	cfg.Routers = 600
 	b, h := start(t, cfg, fleet(100))
 	requests := uint32(0)
@@ -45,7 +45,7 @@
 		cfg := testConfig()
 		cfg.Routers = 300
 		cfg.LoadByHealthCheck = true
-		cfg.HealthChecks = true
+		cfg.HealthChecksAllowed = true
 		b, h := start(t, cfg, fleet(c.servers))
 		id := uint32(0)
 		checksLater := 0
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -87,7 +87,7 @@
 	cfg := testConfig()
 	cfg.SlowStartMillis = 1
 	cfg.SlowStartInitialShare = 1
-	cfg.HealthChecks = true
+	cfg.HealthChecksAllowed = true
 	cfg.LoadByHealthCheck = true
 	b, h := start(t, cfg, fleet(6))
 	for i := range uint32(200) {
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -93,7 +93,7 @@
 			t.Parallel()
 			s, o := startFake(t, hit), startFake(t, originOK)
 			cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
-			cfg.settings.Config.HealthChecks = false
+			cfg.settings.Config.HealthChecksAllowed = false
 			l, clients, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(o.addr))
 			c := dial(t, addr)
 			busy := newGate(t)
@@ -190,7 +190,7 @@
 	d := startDirectory(t, full(box("s-0000000b", s.addr), originAt(s.addr)))
 	cfg := longLived(testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	cfg.Admission = onePlaceAdmission()
-	cfg.settings.Config.HealthChecks = false
+	cfg.settings.Config.HealthChecksAllowed = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // the door expects a request to take so long
 	}
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -169,7 +169,7 @@
 	l := r.router.loop
 	dropped := longLived(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
 	dropped.Admission = cfg.Admission
-	dropped.settings.Config.HealthChecks = false
+	dropped.settings.Config.HealthChecksAllowed = false
 	r.updates <- dropped
 	eventually(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
 	answer.open()
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -142,7 +142,7 @@
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
 	s, up := startFake(t, hit), newGate(t)
 	cfg := longLived(testConfig(t, "127.0.0.1:1", endpointList{}))
-	cfg.settings.Config.HealthChecks = false // whose dials are not the request's
+	cfg.settings.Config.HealthChecksAllowed = false // whose dials are not the request's
 	l, _, addr := startLoopWith(t, cfg, 40, box("s-0000000b", s.addr), originAt(s.addr))
 	dialing := make(chan struct{}, 10)
 	l.upstreams.holdDials(dialing, up)
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -17,7 +17,7 @@
 	origin := model.Params{Cores: servers, Speed: 1, Queue: 100 * servers, Origin: true}
 	return Params{
 		Config: decide.Config{Routers: routers, Classes: []decide.Class{{Name: "read", LatencyObjectiveMillis: 600, DeadlineMillis: 1200, PriorityWeight: 1}},
-			LoadByHealthCheck: true, HealthChecks: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000,
+			LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000,
 			PollWithinMillis: 10000, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000},
 		Servers: servers, Kinds: []model.Params{server, slow}, Origin: origin,
 		List: model.DirectoryParams{LateMS: [2]float64{500, 2000}, CallsPerS: 40, TimeoutMS: 2000},
@@ -151,7 +151,7 @@
 // A dead machine's connections are of no use to its successor, a silent one lets none come up, and a connection is kept.
 func TestConnectionsAreCountedOnce(t *testing.T) {
 	p := fleet(1, 2)
-	p.Conn, p.Rate, p.Length, p.Config.HealthChecks = Conn{RTTs: 1, Timeout: 250}, 20, 4000, false
+	p.Conn, p.Rate, p.Length, p.Config.HealthChecksAllowed = Conn{RTTs: 1, Timeout: 250}, 20, 4000, false
 	calm := play(t, p)
 	if calm.Dials == 0 || calm.Dials > calm.Attempts/2 {
 		t.Errorf("calm: %d connections for %d attempts", calm.Dials, calm.Attempts)
--- a/lab/simulation/twin.go
+++ b/lab/simulation/twin.go
@@ -75,7 +75,7 @@
 	cores := max(1, int(math.Round(in(1.9, 2.8)*left*p.Rate*fetchMS/1000)))
 	p.Origin = model.Params{Cores: cores, Speed: work / fetchMS, Queue: int(in(0.3, 3.1)*1000/fetchMS) * cores, Origin: true, KeyedMS: 3000,
 		Thrash: in(0.05, 0.2), ThrashAt: 4}
-	p.Config = decide.Config{Routers: routers, LoadByHealthCheck: true, HealthChecks: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3,
+	p.Config = decide.Config{Routers: routers, LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3,
 		IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8800, SlowStartInitialShare: 0.3, OverloadFactor: 3, OverloadMillis: 2000, Classes: []decide.Class{
 			{Name: "fetch", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2},
 			{Name: "publish", LatencyObjectiveMillis: aim, DeadlineMillis: 1500, PriorityWeight: 10, Effect: decide.IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 3000},
