--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -68,10 +68,10 @@
 	movedCallsEnd float64
 }
 
-// DiscoveryMoved makes the Balancer poll at once, as the configuration names another discovery. It
+// DiscoveryChanged makes the Balancer poll at once, as the configuration names another discovery. It
 // is also called if another process polls from now on. The current list is kept until the first
 // answer.
-func (b *Balancer) DiscoveryMoved(now float64) {
+func (b *Balancer) DiscoveryChanged(now float64) {
 	b.begin(now)
 	b.discovery = discoveryPolling{pollAt: now, movedCallsEnd: now + DiscoveryChangeBudgetMillis}
 	b.pollDiscovery()
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -115,7 +115,7 @@
 			b.UpdateEndpoints(movedAt-10000, RestoredEndpoints, fleet(6))
 			b.UpdateEndpoints(movedAt-5000, ChangedEndpoints, nil)
 			before := h.watches
-			b.DiscoveryMoved(movedAt)
+			b.DiscoveryChanged(movedAt)
 			if h.watches != before+1 {
 				t.Fatalf("%d routers: no immediate call after a change of the discovery", routers)
 			}
@@ -158,7 +158,7 @@
 		cfg.Routers = 300
 		cfg.PollEndpoints = true
 		b, h := start(t, cfg, fleet(3))
-		b.DiscoveryMoved(movedAt)
+		b.DiscoveryChanged(movedAt)
 		b.UpdateEndpoints(movedAt+500, ChangedEndpoints, nil)
 		b.UpdateEndpoints(c.failedAt, WatchFailed, nil)
 		watchesBefore := h.watches
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -61,7 +61,7 @@
 func (l *loop) setDiscovery(d *discovery) {
 	l.discovery = d
 	if d.isPolled && !d.replacedAt.IsZero() {
-		l.balancer.DiscoveryMoved(l.now())
+		l.balancer.DiscoveryChanged(l.now())
 	}
 	l.staleGuard = staleGuard{} // its versions may be counted otherwise
 }
