--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -45,7 +45,7 @@
 	if len(h.cancels) != 1 {
 		t.Fatalf("cancels %v: want the unanswered attempt canceled", h.cancels)
 	}
-	b.AttemptEnded(100200, ended(1, h.sends[0].server, Cancelled, 190))
+	b.AttemptEnded(100200, ended(1, h.sends[0].server, Canceled, 190))
 	if len(h.sends) != 2 {
 		t.Error("no second attempt after the cancel")
 	}
@@ -147,7 +147,7 @@
 		if len(h.cancels) != 1 {
 			t.Fatalf("canceled %v at the objective, want the attempt", h.cancels)
 		}
-		b.AttemptEnded(100311, ended(1, h.last().server, Cancelled, 301))
+		b.AttemptEnded(100311, ended(1, h.last().server, Canceled, 301))
 		if h.rejected[1] != 1 {
 			t.Error("the client was not rejected at once")
 		}
--- a/decide/messages.go
+++ b/decide/messages.go
@@ -95,8 +95,8 @@
 	ConnectError
 	// Reset: the connection broke; the attempt may have run.
 	Reset
-	// Cancelled: the Balancer canceled the attempt; it may have run.
-	Cancelled
+	// Canceled: the Balancer canceled the attempt; it may have run.
+	Canceled
 	// Unprocessed: the attempt was never sent.
 	Unprocessed
 	// Miss: the server has no value for the key.
@@ -116,7 +116,7 @@
 
 // isOfServer reports whether the status is evidence about the server. Cancelled and Unprocessed
 // result from the router's own actions.
-func (s AttemptStatus) isOfServer() bool { return s != Cancelled && s != Unprocessed }
+func (s AttemptStatus) isOfServer() bool { return s != Canceled && s != Unprocessed }
 
 // isAnswer reports whether the server processed the attempt without an error.
 func (s AttemptStatus) isAnswer() bool { return s == OK || s == Miss }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -115,7 +115,7 @@
 		return endDisconnected
 	case MalformedResponse:
 		return endMalformed
-	case Cancelled, Unprocessed:
+	case Canceled, Unprocessed:
 		return endNotRun
 	}
 	if o.CacheResult == CacheMiss && !isCacheAside {
@@ -267,7 +267,7 @@
 // isLostFetch reports whether a fetch ended without an answer and without evidence that the origin
 // is faulty.
 func (e *attemptEnd) isLostFetch() bool {
-	return e.isFromOrigin && (e.kind == endDisconnected || e.Status == Cancelled)
+	return e.isFromOrigin && (e.kind == endDisconnected || e.Status == Canceled)
 }
 
 // releaseFetch lets other requests fetch a key whose fetch was lost, or makes a read prefer the
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -28,7 +28,7 @@
 // allowed it must be sent, and to the same server only after a malformed answer, as other servers
 // lack the key.
 func TestEveryOutcomeAndEffect(t *testing.T) {
-	outcomes := []AttemptStatus{Failed, QueueFull, Timeout, ConnectError, Reset, Cancelled, Unprocessed, MalformedResponse}
+	outcomes := []AttemptStatus{Failed, QueueFull, Timeout, ConnectError, Reset, Canceled, Unprocessed, MalformedResponse}
 	for _, class := range []string{"read", "keyed", "zoned", "once"} {
 		for _, status := range outcomes {
 			t.Run(fmt.Sprint(class, "/", status), func(t *testing.T) {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -244,9 +244,9 @@
 // cancel cancels an attempt, by closing its connection if it has one.
 func (l *loop) cancel(a *attempt) {
 	if a.cancelUnsent() {
-		l.deferOutcome(a, decide.Cancelled)
+		l.deferOutcome(a, decide.Canceled)
 	} else {
-		a.cancelSent(decide.Cancelled)
+		a.cancelSent(decide.Canceled)
 	}
 }
 
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -178,7 +178,7 @@
 	l.balancer.ClientDisconnected(l.now(), r.id)
 	for _, a := range r.attempts {
 		if a.cancelUnsent() {
-			l.deferOutcome(a, decide.Cancelled)
+			l.deferOutcome(a, decide.Canceled)
 		}
 	}
 }
--- a/internal/simulator/words.go
+++ b/internal/simulator/words.go
@@ -54,7 +54,7 @@
 	"TimedOut":     decide.Timeout,
 	"ConnectError": decide.ConnectError,
 	"ResetByPeer":  decide.Reset,
-	"Canceled":     decide.Cancelled,
+	"Canceled":     decide.Canceled,
 	"Ignored":      decide.Unprocessed,
 	"Miss":         decide.Miss,
 }
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -344,7 +344,7 @@
 		return
 	}
 	a := q.tries[n]
-	r.d.after(0, func() { r.d.end(a, decide.Cancelled, 0, decide.NoLoadReport) })
+	r.d.after(0, func() { r.d.end(a, decide.Canceled, 0, decide.NoLoadReport) })
 	r.giveUp(a)
 }
 
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -386,7 +386,7 @@
 		if a.to.place >= 0 {
 			d.sums.Servers[a.to.place].Misses++
 		}
-	case st == decide.Cancelled && !a.q.over:
+	case st == decide.Canceled && !a.q.over:
 		d.sums.Cancels++
 		d.band(a.q.wish).Cancels++
 		s.Cancels++
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -181,7 +181,7 @@
 
 func init() {
 	for st, name := range map[decide.AttemptStatus]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
-		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Cancelled: "cancelled",
+		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Canceled: "cancelled",
 		decide.Unprocessed: "ignored", decide.Miss: "miss", decide.MalformedResponse: "spoilt"} {
 		statuses[strconv.Itoa(int(st))] = name
 	}
