--- a/decide/messages.go
+++ b/decide/messages.go
@@ -114,7 +114,7 @@
 	return false
 }
 
-// isOfServer reports whether the status is evidence about the server. Cancelled and Unprocessed
+// isOfServer reports whether the status is evidence about the server. Canceled and Unprocessed
 // result from the router's own actions.
 func (s AttemptStatus) isOfServer() bool { return s != Canceled && s != Unprocessed }
 
--- a/internal/settings/fixture_test.go
+++ b/internal/settings/fixture_test.go
@@ -56,7 +56,7 @@
 			LoadByHealthCheck:     true,
 			PollEndpoints:         true,
 			PollWithinMillis:      4000,
-			HealthChecksAllowed:          true,
+			HealthChecksAllowed:   true,
 			GossipAllowed:         true,
 			CancelAllowed:         true,
 			HedgingAllowed:        true,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -80,7 +80,7 @@
 		LoadByHealthCheck:     o.LoadInfo.How == loadByProbe,
 		PollEndpoints:         o.Discovery == discoveryByPoll,
 		PollWithinMillis:      o.Rules.MustAskIn,
-		HealthChecksAllowed:          o.Caps.MayProbe,
+		HealthChecksAllowed:   o.Caps.MayProbe,
 		GossipAllowed:         o.Caps.Peers,
 		CancelAllowed:         o.Caps.Cancel,
 		HedgingAllowed:        o.Caps.SecondCopies,
