--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -12,9 +12,9 @@
 const (
 	// LinePrefix is the prefix of each line. A log collector may put its own prefix before it.
 	LinePrefix = "trace "
-	// MaxPerFlush is the number of events that are kept between two flushes; further ones are only
-	// counted.
-	MaxPerFlush = 4096
+	// MaxEventsPerFlush is the number of events that are kept between two flushes; further ones are
+	// only counted.
+	MaxEventsPerFlush = 4096
 )
 
 // Trace keeps the events since the last flush. Its methods may be called concurrently.
@@ -25,7 +25,7 @@
 	buf bytes.Buffer
 	// count is the number of events in buf.
 	count int
-	// dropped is the number of events in excess of MaxPerFlush.
+	// dropped is the number of events in excess of MaxEventsPerFlush.
 	dropped int
 }
 
@@ -43,7 +43,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.count >= MaxPerFlush {
+	if t.count >= MaxEventsPerFlush {
 		t.dropped++
 		return
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -11,7 +11,7 @@
 func TestEventsBeyondTheBoundAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(&out)
-	for i := range MaxPerFlush + 7 {
+	for i := range MaxEventsPerFlush + 7 {
 		tr.Event(1000, "dial", "to=a ok=%t", i%2 == 0)
 	}
 	tr.Flush(1200)
@@ -20,7 +20,7 @@
 	last := lines[len(lines)-1]
 	isFirst := first == "trace 1000.00 dial to=a ok=true"
 	isLast := last == "trace 1200.00 dropped n=7"
-	if len(lines) != MaxPerFlush+1 || !isFirst || !isLast {
+	if len(lines) != MaxEventsPerFlush+1 || !isFirst || !isLast {
 		t.Errorf("%d lines from %q to %q", len(lines), first, last)
 	}
 	out.Reset()
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -413,7 +413,7 @@
 		fmt.Fprintf(w, "%s %6d %8.1f %5d  %s%s\n", v.ID, v.Sent, v.MS/float64(max(1, v.Sent)), v.ColdPeak, strings.Join(outcomes, " "), what)
 	}
 	if t.Total.Dropped > 0 {
-		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n", t.Total.Dropped, trace.MaxPerFlush)
+		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n", t.Total.Dropped, trace.MaxEventsPerFlush)
 	}
 }
 
