--- a/internal/operator/admission.go
+++ b/internal/operator/admission.go
@@ -9,31 +9,24 @@
 )
 
 // Admission is the section that enables and configures fair admission. Its keys are the names that
-// operators use; Config maps them to the terms of package admission, which validates their values.
+// operators use; Config maps them to the terms of package admission, which has their bounds.
 type Admission struct {
-	Enabled      bool    `toml:"enabled"`
-	OthersWeight float64 `toml:"others_weight"`
-	Flows        int     `toml:"flows"`
-	Buckets      int     `toml:"buckets"`
-	// TurnMS sets admission.Config.RehashMillis.
-	TurnMS float64 `toml:"turn_ms"`
-	// Queue sets admission.Config.QueueLimit.
-	Queue int `toml:"queue"`
-	// Promises sets admission.Config.ReservationLimit.
-	Promises  int     `toml:"promises"`
-	MaxWaitMS float64 `toml:"max_wait_ms"`
-	// MaxAfterMS sets admission.Config.MaxRetryAfterMillis.
-	MaxAfterMS float64 `toml:"max_after_ms"`
-	// Start sets admission.Config.InitialLimit.
-	Start float64 `toml:"start"`
-	// Least sets admission.Config.MinLimit.
-	Least float64 `toml:"least"`
-	// Most sets admission.Config.MaxLimit.
-	Most       float64  `toml:"most"`
-	RetryShare float64  `toml:"retry_share"`
-	RetryBurst float64  `toml:"retry_burst"`
-	Tenants    []Tenant `toml:"tenant"`
-	Identify   []Match  `toml:"identify"`
+	Enabled         bool           `toml:"enabled"`
+	OthersWeight    float64        `toml:"others_weight"`
+	Flows           int            `toml:"flows"`
+	Buckets         int            `toml:"buckets"`
+	RehashMS        float64        `toml:"turn_ms"`
+	QueueSize       int            `toml:"queue"`
+	Reservations    int            `toml:"promises"`
+	MaxWaitMS       float64        `toml:"max_wait_ms"`
+	MaxRetryAfterMS float64        `toml:"max_after_ms"`
+	LimitAtStart    float64        `toml:"start"`
+	LimitMin        float64        `toml:"least"`
+	LimitMax        float64        `toml:"most"`
+	RetryShare      float64        `toml:"retry_share"`
+	RetryBurst      float64        `toml:"retry_burst"`
+	Tenants         []Tenant       `toml:"tenant"`
+	Identify        []IdentifyRule `toml:"identify"`
 }
 
 // Tenant is a tenant with a share of its own.
@@ -46,8 +39,8 @@
 	Burst float64 `toml:"burst"`
 }
 
-// Match is a rule that assigns a tenant to the requests that it matches.
-type Match struct {
+// IdentifyRule is a rule that assigns a tenant to the requests that it matches.
+type IdentifyRule struct {
 	// By is fact (the tenant that the client declares), key (a prefix of the key) or network (the
 	// client's address).
 	By      string `toml:"by"`
@@ -63,14 +56,14 @@
 		OthersWeight:        a.OthersWeight,
 		Flows:               a.Flows,
 		Buckets:             a.Buckets,
-		RehashMillis:        a.TurnMS,
-		QueueLimit:          a.Queue,
-		ReservationLimit:    a.Promises,
+		RehashMillis:        a.RehashMS,
+		QueueLimit:          a.QueueSize,
+		ReservationLimit:    a.Reservations,
 		MaxWaitMillis:       a.MaxWaitMS,
-		MaxRetryAfterMillis: a.MaxAfterMS,
-		InitialLimit:        a.Start,
-		MinLimit:            a.Least,
-		MaxLimit:            a.Most,
+		MaxRetryAfterMillis: a.MaxRetryAfterMS,
+		InitialLimit:        a.LimitAtStart,
+		MinLimit:            a.LimitMin,
+		MaxLimit:            a.LimitMax,
 		RetryBudgetShare:    a.RetryShare,
 		RetryBudgetBurst:    a.RetryBurst,
 	}
@@ -94,8 +87,8 @@
 // tenantRules returns the rules that assign tenants to requests.
 func (a Admission) tenantRules() (admission.TenantRules, error) {
 	var rules admission.TenantRules
-	for i, match := range a.Identify {
-		rule, err := match.rule()
+	for i, identify := range a.Identify {
+		rule, err := identify.rule()
 		if err != nil {
 			setting := fmt.Sprintf("identify[%d]", i)
 			return rules, &admission.SettingError{Setting: setting, Reason: err.Error()}
@@ -105,8 +98,8 @@
 	return rules, nil
 }
 
-// rule returns the match in the terms of package admission.
-func (m Match) rule() (admission.TenantRule, error) {
+// rule returns the rule in the terms of package admission.
+func (m IdentifyRule) rule() (admission.TenantRule, error) {
 	rule := admission.TenantRule{Prefix: m.Prefix, Tenant: m.Tenant}
 	switch m.By {
 	case "fact":
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -54,13 +54,19 @@
 			"f.toml:4: log.repeat_burst: 5000 is not from 1 to 1000",
 		},
 		{
-			"unknown tenant source", identify(`by = "name"`),
+			"unknown tenant source", fileWithIdentifyRule(`by = "name"`),
 			`admission.identify[0]: by: "name" is none of fact, key, network`,
 		},
-		{"key without a tenant", identify(`by = "key"`, `prefix = "x"`), "identify[0]: by key needs prefix and tenant"},
-		{"key without a prefix", identify(`by = "key"`, `tenant = "x"`), "identify[0]: by key needs prefix and tenant"},
 		{
-			"invalid network", identify(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
+			"key without a tenant", fileWithIdentifyRule(`by = "key"`, `prefix = "x"`),
+			"identify[0]: by key needs prefix and tenant",
+		},
+		{
+			"key without a prefix", fileWithIdentifyRule(`by = "key"`, `tenant = "x"`),
+			"identify[0]: by key needs prefix and tenant",
+		},
+		{
+			"invalid network", fileWithIdentifyRule(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
 			"identify[0]: by network needs network: ",
 		},
 	} {
@@ -80,8 +86,8 @@
 	}
 }
 
-// identify returns an operator file with one rule that assigns a tenant.
-func identify(lines ...string) string {
+// fileWithIdentifyRule returns an operator file with one rule that assigns a tenant.
+func fileWithIdentifyRule(lines ...string) string {
 	return "version = 1\n[[admission.identify]]\n" + strings.Join(lines, "\n") + "\n"
 }
 
