--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -142,7 +142,7 @@
 		returnStats:  returnTracker{rate: 1},
 	}
 	a.salt = a.rng.Uint64()
-	a.freeRecords = descending(recordCount)
+	a.freeRecords = descendingStack(recordCount)
 	a.initFlows()
 	return a, nil
 }
@@ -170,8 +170,8 @@
 	}
 }
 
-// descending returns a stack of the numbers below n with 0 on top.
-func descending(n int) []int32 {
+// descendingStack returns a stack of the numbers below n with 0 on top.
+func descendingStack(n int) []int32 {
 	all := make([]int32, 0, n)
 	for i := range n {
 		all = append(all, int32(n-1-i))
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -35,9 +35,9 @@
 		return
 	}
 	allowed := a.allowedWait(&in)
-	wait := a.waitFor(in.flow, max(0, allowed))
+	wait := a.expectedWait(in.flow, max(0, allowed))
 	if in.isGuaranteed {
-		wait = min(wait, (a.guaranteedBacklog+in.cost)/a.pace())
+		wait = min(wait, (a.guaranteedBacklog+in.cost)/a.workRate())
 	}
 	if allowed <= 0 || !in.isDue() && wait > allowed {
 		a.reject(q.ID, in.flow, in.cost, in.identity)
@@ -49,7 +49,7 @@
 
 // newArrival looks up a request's tenant, cost and reservation, and updates the statistics.
 func (a *Admission) newArrival(q Request) arrival {
-	flowIndex, hash := a.find(q.Tenant)
+	flowIndex, hash := a.findFlow(q.Tenant)
 	f := &a.flows[flowIndex]
 	f.stats.Requests++
 	in := arrival{request: q, flow: flowIndex}
--- a/internal/admission/costs.go
+++ b/internal/admission/costs.go
@@ -61,53 +61,54 @@
 	return m.classes[class].CostMillis
 }
 
-// admitted updates the mean cost with an admitted request.
-func (m *costModel) admitted(cost float64) { m.mean += meanCostGain * (cost - m.mean) }
+// observeAdmission updates the mean cost with an admitted request.
+func (m *costModel) observeAdmission(cost float64) { m.mean += meanCostGain * (cost - m.mean) }
 
 // observeLatency updates the averages with the latency of a served request.
 func (m *costModel) observeLatency(class int32, latency float64) {
-	m.latency = follow(m.latency, latency, latencyGain)
-	m.latencyByClass[class] = follow(m.latencyByClass[class], latency, latencyGain)
+	m.latency = updateAverage(m.latency, latency, latencyGain)
+	m.latencyByClass[class] = updateAverage(m.latencyByClass[class], latency, latencyGain)
 }
 
 // observeWork updates the averages with the work of a served request.
 func (m *costModel) observeWork(class int32, work float64) {
 	scale := work / m.classes[class].CostMillis
-	m.workByClass[class] = follow(m.workByClass[class], work, workGain)
+	m.workByClass[class] = updateAverage(m.workByClass[class], work, workGain)
 	if m.scale == 0 { // from now on costs are measured ones
 		m.mean *= scale
 	}
-	m.scale = follow(m.scale, scale, workGain)
+	m.scale = updateAverage(m.scale, scale, workGain)
 }
 
-// pace returns the work per millisecond that the concurrency limit allows, by Little's law: the
+// workRate returns the work per millisecond that the concurrency limit allows, by Little's law: the
 // work in use divided by the latency. It is used only under contention, when the limit is in use.
 // Until a request has been served, the latency of a request is assumed to equal its cost.
-func (a *Admission) pace() float64 {
+func (a *Admission) workRate() float64 {
 	if a.costs.latency == 0 {
 		return a.limiter.limit
 	}
 	return a.limiter.limit * a.costs.mean / a.costs.latency
 }
 
-// waitFor returns how long a new request of a flow would have to wait until its start tag, in ms.
-// At the flow's rate, this work comes first: what the flow received beyond its share, its queued
-// requests, and, scaled by the return rate, its reservations that become due within the given time.
-func (a *Admission) waitFor(i int32, within float64) float64 {
+// expectedWait returns how long a new request of a flow would have to wait until its start tag, in
+// ms. At the flow's rate, this work comes first: what the flow received beyond its share, its
+// queued requests, and, scaled by the return rate, its reservations that become due within the
+// given time.
+func (a *Admission) expectedWait(i int32, within float64) float64 {
 	f := &a.flows[i]
-	rate := a.rateOf(i)
+	rate := a.workRateOf(i)
 	debt := max(0, f.finishTag-a.queueOf(f).virtualTime) * f.weight
 	dueWithin := min(within, max(0, a.now+within-f.reservationsDueFrom))
 	returning := min(f.reservedWork, rate*dueWithin)
 	return (debt + f.backlog + a.returnStats.rate*returning) / rate
 }
 
-// rateOf returns the work per millisecond that a flow receives while it has more queued: its share,
-// blended with the measured rate the longer the flow has been active. The two differ because flows
-// within their shares are admitted without being queued.
-func (a *Admission) rateOf(i int32) float64 {
+// workRateOf returns the work per millisecond that a flow receives while it has more queued: its
+// share, blended with the measured rate the longer the flow has been active. The two differ because
+// flows within their shares are admitted without being queued.
+func (a *Admission) workRateOf(i int32) float64 {
 	f := &a.flows[i]
-	share := a.share(i) * a.pace()
+	share := a.share(i) * a.workRate()
 	if !f.isActive() {
 		return share
 	}
--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -137,7 +137,7 @@
 	if a.waiting == 0 {
 		return
 	}
-	cost := a.records[a.next()].cost
+	cost := a.records[a.nextQueued()].cost
 	if a.hasCapacity(cost) || len(a.byID) == a.waiting {
 		t.Fatalf("%d requests queued, the next one needs %v slots, and %v of %v are in use",
 			a.waiting, cost/a.costs.mean, a.limiter.inUse, a.limiter.limit)
@@ -220,7 +220,8 @@
 		backlog := want.backlog[int32(i)]
 		reserved := want.reserved[int32(i)]
 		if differs(f.backlog, backlog) || differs(f.reservedWork, reserved) || f.backlog > 0 != (f.waiting > 0) {
-			t.Fatalf("flow %d: backlog %v, want %v; reserved %v, want %v", i, f.backlog, backlog, f.reservedWork, reserved)
+			t.Fatalf("flow %d: backlog %v, want %v; reserved %v, want %v",
+				i, f.backlog, backlog, f.reservedWork, reserved)
 		}
 	}
 	if want.waiting != a.waiting || want.waiting > a.cfg.QueueLimit || differs(want.inUse, a.limiter.inUse) {
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -27,10 +27,10 @@
 	return &a.top
 }
 
-// next returns the queued request to admit next: the first one of the flow that has waited longest
-// with guaranteed requests, as these precede all shares and count toward them; otherwise the
-// request with the lowest start tag.
-func (a *Admission) next() int32 {
+// nextQueued returns the queued request to admit next: the first one of the flow that has waited
+// longest with guaranteed requests, as these precede all shares and count toward them; otherwise
+// the request with the lowest start tag.
+func (a *Admission) nextQueued() int32 {
 	if a.guaranteed.len() > 0 {
 		return a.flows[a.guaranteed.first()].head[guaranteedList]
 	}
@@ -60,13 +60,13 @@
 	}
 }
 
-// correct charges a flow for the difference between a request's actual and estimated cost, which
-// may be negative.
-func (a *Admission) correct(i int32, cost float64) {
+// adjustCharge charges a flow for the difference between a request's actual and estimated cost,
+// which may be negative.
+func (a *Admission) adjustCharge(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
 	if f.isUnnamed {
-		a.correct(a.unnamedFlow(), cost)
+		a.adjustCharge(a.unnamedFlow(), cost)
 	}
 	f.finishTag = max(queue.virtualTime, f.finishTag+cost/f.weight)
 	if queue.ready.has(i) {
--- a/internal/admission/fake_fleet_test.go
+++ b/internal/admission/fake_fleet_test.go
@@ -129,7 +129,13 @@
 		if f.endsAt[id] <= f.now {
 			delete(f.endsAt, id)
 			f.served[f.tenantByID[id]]++
-			f.admission.RequestEnded(f.now, Outcome{ID: id, Served: true, LatencyMillis: 10, Attempts: 1, WorkMillis: 10})
+			f.admission.RequestEnded(f.now, Outcome{
+				ID:            id,
+				Served:        true,
+				LatencyMillis: 10,
+				Attempts:      1,
+				WorkMillis:    10,
+			})
 		}
 	}
 	f.admission.Tick(f.now)
--- a/internal/admission/flow.go
+++ b/internal/admission/flow.go
@@ -33,8 +33,8 @@
 	hash    uint64 // of the tenant's name
 	name    [maxNameBytes]byte
 	nameLen uint8
-	// used reports whether the flow is assigned to a tenant.
-	used bool
+	// isAssigned reports whether the flow is assigned to a tenant.
+	isAssigned bool
 	// isUnnamed reports whether the flow is scheduled among the unnamed tenants, not at the top
 	// level.
 	isUnnamed bool
@@ -122,7 +122,7 @@
 // assign assigns a flow to a named tenant.
 func (a *Admission) assign(i int32, tenant Tenant) {
 	f := &a.flows[i]
-	f.used = true
+	f.isAssigned = true
 	f.weight = tenant.Weight
 	f.retryTokens = a.cfg.RetryBudgetBurst
 	f.guaranteedAt = a.now
@@ -132,9 +132,9 @@
 	a.named[tenant.Name] = i
 }
 
-// find returns the flow of a tenant and the hash of its name. A named or tracked tenant has its own
-// flow; any other tenant gets one if an exact flow is available, or else shares a bucket.
-func (a *Admission) find(tenant string) (flowIndex int32, hash uint64) {
+// findFlow returns the flow of a tenant and the hash of its name. A named or tracked tenant has its
+// own flow; any other tenant gets one if an exact flow is available, or else shares a bucket.
+func (a *Admission) findFlow(tenant string) (flowIndex int32, hash uint64) {
 	hash = xxhash.Sum64String(tenant)
 	if i, ok := a.named[tenant]; ok {
 		return i, hash
@@ -145,11 +145,11 @@
 	}
 	i := a.takeExactFlow()
 	if i == noIndex {
-		return a.bucket(hash), hash
+		return a.bucketFlow(hash), hash
 	}
 	f := &a.flows[i]
 	f.hash = hash
-	f.used = true
+	f.isAssigned = true
 	f.recentWork = 0
 	f.finishTag = 0
 	f.reservedWork = 0
@@ -186,8 +186,8 @@
 	return noIndex
 }
 
-// bucket returns the flow that a tenant without an exact flow shares with others.
-func (a *Admission) bucket(hash uint64) int32 {
+// bucketFlow returns the flow that a tenant without an exact flow shares with others.
+func (a *Admission) bucketFlow(hash uint64) int32 {
 	number := combinedHash(hash, a.salt, 0) % uint64(a.cfg.Buckets)
 	return int32(maxNamedTenants + a.cfg.Flows + int(number))
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -16,12 +16,12 @@
 	// originRejectTolerance is the share of requests that the Balancer may reject after a miss,
 	// because the origin has no capacity, before this counts as pressure.
 	originRejectTolerance = 0.01
-	// easyStretch is a mean stretch at which few answers are late. The stretch of an answer is its
-	// latency divided by the configured cost of its class, which routers set to the latency
+	// acceptableStretch is a mean stretch at which few answers are late. The stretch of an answer
+	// is its latency divided by the configured cost of its class, which routers set to the latency
 	// objective.
-	easyStretch = 0.33
+	acceptableStretch = 0.33
 	// baseTolerance is the multiple of baseStretch up to which stretch is acceptable, if that is
-	// above easyStretch.
+	// above acceptableStretch.
 	baseTolerance = 1.25
 	// stretchPressure is the pressure per unit of stretch above what is acceptable.
 	stretchPressure = 1.5
@@ -40,9 +40,9 @@
 	// residualPressure is a pressure that is acceptable at a low limit. A higher one is assumed not
 	// to depend on the limit.
 	residualPressure = 0.03
-	// forgetPerMillis is the share by which toleratedPressure and baseStretch decay per
+	// decayPerMillis is the share by which toleratedPressure and baseStretch decay per
 	// millisecond.
-	forgetPerMillis = 1e-6
+	decayPerMillis = 1e-6
 )
 
 // Gains of the moving averages that are updated once a window.
@@ -57,7 +57,7 @@
 
 // limiter maintains the concurrency limit, in requests of mean cost. The limit falls when the
 // Balancer rejects admitted requests or when answers take more than a third of their class's
-// latency objective (easyStretch), and rises while it is in use.
+// latency objective (acceptableStretch), and rises while it is in use.
 //
 // The limiter checks whether a fall has an effect: if the limit is down to a third of its recent
 // maximum and the pressure remains, a lower limit does not help, and from then on that much
@@ -170,8 +170,8 @@
 	if isLow && pressure > residualPressure {
 		l.toleratedPressure += toleratedGain * pressure
 	}
-	l.toleratedPressure *= 1 - windowMillis*forgetPerMillis
-	l.baseStretch *= 1 - windowMillis*forgetPerMillis
+	l.toleratedPressure *= 1 - windowMillis*decayPerMillis
+	l.baseStretch *= 1 - windowMillis*decayPerMillis
 	l.set(l.limit)
 	l.startWindow()
 }
@@ -196,7 +196,8 @@
 	if isLow { // answers are this slow even with few requests in progress
 		l.baseStretch += baseGain * max(0, mean-l.baseStretch)
 	}
-	l.excessStretch = follow(l.excessStretch, mean-max(easyStretch, baseTolerance*l.baseStretch), excessGain)
+	l.excessStretch = updateAverage(
+		l.excessStretch, mean-max(acceptableStretch, baseTolerance*l.baseStretch), excessGain)
 	l.stretchCount = 0
 	l.stretchSum = 0
 }
@@ -218,8 +219,8 @@
 	l.peakInUse = l.inUse
 }
 
-// follow returns an EWMA after one more value. An average of 0 has no value yet.
-func follow(average, value, share float64) float64 {
+// updateAverage returns an EWMA after one more value. An average of 0 has no value yet.
+func updateAverage(average, value, share float64) float64 {
 	if average == 0 {
 		return value
 	}
--- a/internal/admission/outcome.go
+++ b/internal/admission/outcome.go
@@ -26,7 +26,7 @@
 		a.countDownstreamRejection(&r, outcome)
 	}
 	if outcome.Served && outcome.LatencyMillis > 0 && outcome.WorkMillis > 0 {
-		a.observe(&r, outcome)
+		a.observeServed(&r, outcome)
 	}
 	a.settleCharge(&r, outcome)
 	a.admitWaiting()
@@ -52,9 +52,9 @@
 	a.recentRejections.add(r.identity, a.now)
 }
 
-// observe updates the cost model with a served request, and the limiter with its stretch. A large
-// answer takes long even without overload, so it only updates the latency averages.
-func (a *Admission) observe(r *record, outcome Outcome) {
+// observeServed updates the cost model with a served request, and the limiter with its stretch. A
+// large answer takes long even without overload, so it only updates the latency averages.
+func (a *Admission) observeServed(r *record, outcome Outcome) {
 	a.costs.observeLatency(r.class, outcome.LatencyMillis)
 	if r.sizeBytes+outcome.ResponseBytes > sizeUnitBytes {
 		return
@@ -72,7 +72,7 @@
 	if outcome.Attempts == 0 {
 		actual = 0
 	}
-	a.correct(r.flow, actual-r.cost)
+	a.adjustCharge(r.flow, actual-r.cost)
 	a.flows[r.flow].stats.WorkMillis += actual - r.cost
 }
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -227,7 +227,7 @@
 // admitWaiting admits queued requests while the concurrency limit allows it.
 func (a *Admission) admitWaiting() {
 	for a.waiting > 0 {
-		i := a.next()
+		i := a.nextQueued()
 		if !a.hasCapacity(a.records[i].cost) {
 			return
 		}
@@ -248,7 +248,7 @@
 	a.charge(r.flow, r.cost)
 	r.slots = a.limiter.slots(r.cost, a.costs.mean)
 	a.limiter.acquire(r.slots)
-	a.costs.admitted(r.cost)
+	a.costs.observeAdmission(r.cost)
 	f.recentWork = f.recentWork*math.Exp((f.recentWorkAt-a.now)/rateTimeConstantMillis) + r.cost
 	f.recentWorkAt = a.now
 	f.stats.Admitted++
--- a/internal/admission/reconfigure.go
+++ b/internal/admission/reconfigure.go
@@ -53,7 +53,7 @@
 	}
 	for i := range maxNamedTenants {
 		f := &a.flows[i]
-		if !f.used || f.isIdle() && !stillNamed[f.tenant()] {
+		if !f.isAssigned || f.isIdle() && !stillNamed[f.tenant()] {
 			free++
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 	for i := range int32(maxNamedTenants) {
 		f := &a.flows[i]
-		if !f.used {
+		if !f.isAssigned {
 			continue
 		}
 		tenant, isNamed := rules[f.tenant()]
@@ -115,7 +115,7 @@
 		if _, ok := a.named[tenant.Name]; ok {
 			continue
 		}
-		for a.flows[next].used {
+		for a.flows[next].isAssigned {
 			next++
 		}
 		f := &a.flows[next]
@@ -133,11 +133,11 @@
 // retire frees the flow of a tenant that is no longer named, once it is idle.
 func (a *Admission) retire(i int32) {
 	f := &a.flows[i]
-	if i >= maxNamedTenants || !f.used || !f.isIdle() {
+	if i >= maxNamedTenants || !f.isAssigned || !f.isIdle() {
 		return
 	}
 	if current, ok := a.named[f.tenant()]; !ok || current != i {
-		f.used = false
+		f.isAssigned = false
 	}
 }
 
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -41,7 +41,7 @@
 func newReservationTable(size int) reservationTable {
 	return reservationTable{
 		entries:    make([]reservation, size),
-		free:       descending(size),
+		free:       descendingStack(size),
 		byIdentity: make(map[uint64]int32, size),
 		expiry:     newHeap(size),
 	}
@@ -90,8 +90,8 @@
 	stats := &a.flows[flowIndex].stats
 	stats.Rejected++
 	jitter := 1 + retryAfterJitter*a.rng.Float64()
-	retryAfter := max(minAdmissionRetryAfterMillis, a.waitFor(flowIndex, math.Inf(1))*jitter)
-	stats.RetryAfterMillis = follow(stats.RetryAfterMillis, retryAfter, retryAfterGain)
+	retryAfter := max(minAdmissionRetryAfterMillis, a.expectedWait(flowIndex, math.Inf(1))*jitter)
+	stats.RetryAfterMillis = updateAverage(stats.RetryAfterMillis, retryAfter, retryAfterGain)
 	if retryAfter <= a.cfg.MaxRetryAfterMillis {
 		a.reserve(identity, flowIndex, retryAfter, cost)
 	}
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -89,7 +89,7 @@
 	}
 	runUntil(6500)
 	for i := range int32(maxNamedTenants) {
-		if f := &fleet.admission.flows[i]; f.tenant() == "b" && f.used && f.isIdle() {
+		if f := &fleet.admission.flows[i]; f.tenant() == "b" && f.isAssigned && f.isIdle() {
 			t.Error("the flow of a tenant that is no longer named was not freed")
 		}
 	}
@@ -254,7 +254,8 @@
 	reported := a.TableBytes()
 	t.Logf("%d bytes allocated at startup, %d reported; %d more after a million names", allocated, reported, grown)
 	if grown > 200_000 || math.Abs(float64(allocated-int64(reported))) > 0.25*float64(allocated) {
-		t.Errorf("%d bytes allocated at startup, %d reported; %d more after a million names", allocated, reported, grown)
+		t.Errorf("%d bytes allocated at startup, %d reported; %d more after a million names",
+			allocated, reported, grown)
 	}
 	runtime.KeepAlive(a)
 }
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -82,7 +82,7 @@
 func (a *Admission) snapshotTenants() (tenants []TenantSnapshot) {
 	add := func(i int32) {
 		f := &a.flows[i]
-		if !f.used || len(tenants) >= maxSnapshotEntries {
+		if !f.isAssigned || len(tenants) >= maxSnapshotEntries {
 			return
 		}
 		debt := max(0, f.finishTag-a.queueOf(f).virtualTime)
@@ -110,7 +110,7 @@
 	for _, i := range byExpiry {
 		r := a.reservations.entries[i]
 		f := &a.flows[r.flow]
-		if !f.used || len(reservations) >= maxSnapshotEntries {
+		if !f.isAssigned || len(reservations) >= maxSnapshotEntries {
 			continue
 		}
 		reservations = append(reservations, ReservationSnapshot{
@@ -135,7 +135,7 @@
 			s.Limit, s.MeanCostMillis)
 	}
 	if len(s.Tenants) > maxSnapshotEntries || len(s.Reservations) > maxSnapshotEntries {
-		return fmt.Errorf("admission: restoring a snapshot: %d tenants and %d reservations, at most %d of each are allowed",
+		return fmt.Errorf("admission: restoring a snapshot: %d tenants and %d reservations, at most %d of each allowed",
 			len(s.Tenants), len(s.Reservations), maxSnapshotEntries)
 	}
 	return nil
@@ -175,9 +175,9 @@
 				continue
 			}
 		}
-		i, _ := a.find(tenant.Name)
+		i, _ := a.findFlow(tenant.Name)
 		f := &a.flows[i]
-		if f.used && tenant.Debt >= 0 && !math.IsInf(tenant.Debt, 0) {
+		if f.isAssigned && tenant.Debt >= 0 && !math.IsInf(tenant.Debt, 0) {
 			f.finishTag = a.queueOf(f).virtualTime + tenant.Debt
 			f.stats = tenant.Stats
 		}
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -42,7 +42,8 @@
 		t.Fatalf("%d of %d reservations restored", got, want)
 	}
 	if successor.limiter.limit != predecessor.limiter.limit || len(successor.State(100).Tenants) != 4 {
-		t.Fatalf("limit %v, want %v; state %+v", successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
+		t.Fatalf("limit %v, want %v; state %+v",
+			successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
 	}
 	for identity, i := range predecessor.reservations.byIdentity {
 		before := predecessor.reservations.entries[i].dueAt - fleet.now
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -162,7 +162,7 @@
 		stats.ReservedMillis = f.reservedWork
 		stats.Weight = f.weight
 		stats.Share = a.share(i)
-		if f.used && stats.Tenant != "" {
+		if f.isAssigned && stats.Tenant != "" {
 			tracked = append(tracked, stats)
 		} else {
 			others.add(stats)
