--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -83,8 +83,8 @@
 	return response.StatusCode, strings.TrimSpace(string(b))
 }
 
-// head returns the header of a call, with additional lines.
-func head(method, path string, lines ...string) string {
+// requestHeader returns the header of a call, with additional lines.
+func requestHeader(method, path string, lines ...string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: x\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
@@ -119,7 +119,7 @@
 		{"GET", "/-/x/../ready", 404, "404 page not found"},
 		{"PUT", "/-/cache-servers//disable", 404, "404 page not found"},
 	} {
-		code, body := exchange(t, addr, head(c.method, c.path))
+		code, body := exchange(t, addr, requestHeader(c.method, c.path))
 		if code != c.code || body != c.body {
 			t.Errorf("%s %s: got %d %q, want %d %q", c.method, c.path, code, body, c.code, c.body)
 		}
@@ -128,14 +128,14 @@
 	f.unready = true
 	f.err = errors.New("too busy")
 	f.mu.Unlock()
-	if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 503 {
+	if code, _ := exchange(t, addr, requestHeader("GET", "/-/ready")); code != 503 {
 		t.Errorf("not ready: got %d", code)
 	}
-	code, body := exchange(t, addr, head("PUT", "/-/cache-servers/s-0b/disable"))
+	code, body := exchange(t, addr, requestHeader("PUT", "/-/cache-servers/s-0b/disable"))
 	if code != 503 || body != "too busy" {
 		t.Errorf("call that fails: got %d %q", code, body)
 	}
-	if code, body := exchange(t, addr, head("GET", "/-/admission")); code != 404 || body != "not switched on" {
+	if code, body := exchange(t, addr, requestHeader("GET", "/-/admission")); code != 404 || body != "not switched on" {
 		t.Errorf("admission not enabled: got %d %q", code, body)
 	}
 }
@@ -150,11 +150,11 @@
 	}{
 		"not HTTP":    {"what is this\r\n\r\n", 400},
 		"no host":     {"GET /-/ready HTTP/1.1\r\n\r\n", 400},
-		"bad escape":  {head("GET", "/-/%zz"), 400},
-		"long header": {head("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
-		"long body":   {head("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
-		"bad chunk":   {head("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
-		"small body":  {head("PUT", disable, "Content-Length: 2") + "{}", 204},
+		"bad escape":  {requestHeader("GET", "/-/%zz"), 400},
+		"long header": {requestHeader("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
+		"long body":   {requestHeader("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
+		"bad chunk":   {requestHeader("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
+		"small body":  {requestHeader("PUT", disable, "Content-Length: 2") + "{}", 204},
 		"bad version": {"GET /-/ready HTTP/3.9\r\nHost: x\r\n\r\n", 505},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, head("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
+	io.WriteString(c, requestHeader("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
 	c.(*net.TCPConn).CloseWrite()
 	io.ReadAll(c) //nolint:errcheck // until the server closes the connection
 	c.Close()
@@ -201,7 +201,7 @@
 		}
 	}
 	for range 5 {
-		if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 200 {
+		if code, _ := exchange(t, addr, requestHeader("GET", "/-/ready")); code != 200 {
 			t.Fatalf("got %d", code)
 		}
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -118,9 +118,9 @@
 }
 
 // Serve waits for successor processes until ctx ends. Each one with the same version receives ln
-// and the result of State; then Joined runs the link to it. Serve replaces the socket at the path,
+// and the result of State; then RunLink runs the link to it. Serve replaces the socket at the path,
 // whichever process created it, so the file of a dead process does no harm. Serve returns after all
-// calls of Joined have returned.
+// calls of RunLink have returned.
 func Serve(ctx context.Context, dir, addr string, ln syscall.Conn, peer Peer) error {
 	path, folder, err := socketPath(dir, addr)
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,12 +22,12 @@
 
 // process is a fake of the process that serves and hands over.
 type process struct {
-	ln     net.Listener
-	state  string
-	err    error
-	joined chan *Link
-	heard  chan Message
-	answer func(Message) error
+	ln       net.Listener
+	state    string
+	err      error
+	joined   chan *Link
+	received chan Message
+	handle   func(Message) error
 }
 
 func (p *process) State(context.Context, *Link) (any, error) { return p.state, p.err }
@@ -35,9 +35,9 @@
 func (p *process) RunLink(ctx context.Context, l *Link) {
 	p.joined <- l
 	l.Run(ctx, func(m Message) error {
-		p.heard <- m
-		if p.answer != nil {
-			return p.answer(m)
+		p.received <- m
+		if p.handle != nil {
+			return p.handle(m)
 		}
 		return nil
 	})
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{ln: ln, state: state, joined: make(chan *Link, 10), heard: make(chan Message, 10)}
+	p := &process{ln: ln, state: state, joined: make(chan *Link, 10), received: make(chan Message, 10)}
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -114,7 +114,7 @@
 
 	// Calls work in both directions.
 	oldLink := <-old.joined
-	old.answer = func(Message) error { return errors.New("not here") }
+	old.handle = func(Message) error { return errors.New("not here") }
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	received := make(chan Message, 1)
@@ -246,7 +246,7 @@
 
 // The peer reads a call and never answers it. The call must end with its context.
 func TestCallToASilentPeer(t *testing.T) {
-	a, b := pipe(t)
+	a, b := connPair(t)
 	defer b.Close()
 	l := newLink(a)
 	ctx, stop := context.WithCancel(t.Context())
@@ -256,7 +256,7 @@
 	}
 }
 
-func pipe(t *testing.T) (a, b *net.UnixConn) {
+func connPair(t *testing.T) (a, b *net.UnixConn) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "s")
 	u, err := net.Listen("unix", name)
@@ -324,7 +324,7 @@
 			t.Fatal(err)
 		}
 		complete := frame(`{"kind":"state","version":1,"body":"first"}`)
-		before := descriptors(t)
+		before := countDescriptors(t)
 		for n := range complete {
 			dir := t.TempDir()
 			path, d, err := socketPath(dir, "a:1")
@@ -359,7 +359,7 @@
 			u.Close()
 			d.Close()
 		}
-		if after := descriptors(t); after > before {
+		if after := countDescriptors(t); after > before {
 			t.Errorf("%d descriptors are open, %d were before", after, before)
 		}
 	})
@@ -416,8 +416,8 @@
 	})
 }
 
-// descriptors returns the number of open file descriptors of the process.
-func descriptors(t *testing.T) int {
+// countDescriptors returns the number of open file descriptors of the process.
+func countDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -438,7 +438,7 @@
 		"unknown": errors.New("not here"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := pipe(t)
+			a, b := connPair(t)
 			caller := newLink(a)
 			peer := newLink(b)
 			var running sync.WaitGroup
--- a/internal/healthcheck/prober.go
+++ b/internal/healthcheck/prober.go
@@ -20,9 +20,9 @@
 	maxHeldLeases = 4
 	// maxConcurrentProbes bounds the number of concurrent probes in a shard.
 	maxConcurrentProbes = 16
-	// leaseMarginShare is the part of a lease's TTL, as its reciprocal, by which probing stops
-	// before the lease expires.
-	leaseMarginShare = 10
+	// leaseMarginDivisor determines when probing stops before a lease expires: by its TTL divided
+	// by this number.
+	leaseMarginDivisor = 10
 	// releaseTimeout bounds the release of a lease.
 	releaseTimeout = time.Second
 	// leasePurpose is the purpose of the lease that is shown to operators.
@@ -127,7 +127,7 @@
 func (p *prober) freeShards(taken map[string]bool) (free []int, hasCapacity bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for shard := range Shards {
+	for shard := range ShardCount {
 		if !taken[LeaseName(shard)] && !p.held[shard] {
 			free = append(free, shard)
 		}
@@ -147,7 +147,7 @@
 
 // holdLease probes a shard's servers and shares their reports while the lease is held.
 func (p *prober) holdLease(ctx context.Context, shard int, lease *client.Lease) {
-	held, cancel := lease.Context(ctx, p.LeaseTTL/leaseMarginShare)
+	held, cancel := lease.Context(ctx, p.LeaseTTL/leaseMarginDivisor)
 	defer cancel()
 	for held.Err() == nil {
 		startedAt := p.NowMillis()
--- a/internal/healthcheck/report.go
+++ b/internal/healthcheck/report.go
@@ -15,8 +15,9 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// Shards is the number of shards, each with its own lease, that the cache servers are divided into.
-const Shards = 16
+// ShardCount is the number of shards, each with its own lease, that the cache servers are divided
+// into.
+const ShardCount = 16
 
 // LeasePrefix is the prefix of the names of these leases.
 const LeasePrefix = "probe/"
@@ -27,7 +28,7 @@
 	fibonacciShift  = 32 - 4 // leaves four bits, enough for the shard numbers
 )
 
-// ShardOf returns the shard that a server belongs to, from 0 to Shards-1.
+// ShardOf returns the shard that a server belongs to, from 0 to ShardCount-1.
 func ShardOf(server uint32) int { return int(server * fibonacciFactor >> fibonacciShift) }
 
 // LeaseName returns the name of a shard's lease.
--- a/internal/healthcheck/report_test.go
+++ b/internal/healthcheck/report_test.go
@@ -39,7 +39,7 @@
 // Servers must be spread evenly over the shards: a router with a crowded shard would probe most
 // servers.
 func TestShards(t *testing.T) {
-	var counts [Shards]int
+	var counts [ShardCount]int
 	for i := range uint32(16000) {
 		counts[ShardOf(i*40503)]++
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -36,7 +36,7 @@
 		handler = slog.NewJSONHandler(w, options)
 	}
 	if o.RepeatBurst > 0 {
-		handler = &limiter{next: handler, events: newEventLimits(o.RepeatInterval, o.RepeatBurst)}
+		handler = &limitingHandler{next: handler, events: newEventLimits(o.RepeatInterval, o.RepeatBurst)}
 	}
 	return slog.New(handler)
 }
@@ -97,7 +97,7 @@
 		return w
 	}
 	if len(l.windows) >= maxEvents {
-		l.evictOver(now)
+		l.evictEnded(now)
 	}
 	if len(l.windows) >= maxEvents {
 		return &l.overflow
@@ -107,8 +107,8 @@
 	return w
 }
 
-// evictOver removes the windows that have ended and have no suppressed lines to report.
-func (l *eventLimits) evictOver(now time.Time) {
+// evictEnded removes the windows that have ended and have no suppressed lines to report.
+func (l *eventLimits) evictEnded(now time.Time) {
 	for e, w := range l.windows {
 		if now.Sub(w.startedAt) >= l.interval && w.suppressed == 0 {
 			delete(l.windows, e)
@@ -116,17 +116,18 @@
 	}
 }
 
-// limiter is a slog.Handler that passes on a limited number of lines per event and interval.
-type limiter struct {
+// limitingHandler is a slog.Handler that passes on a limited number of lines per event and
+// interval.
+type limitingHandler struct {
 	next   slog.Handler
 	events *eventLimits
 }
 
-func (l *limiter) Enabled(ctx context.Context, level slog.Level) bool {
+func (l *limitingHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return l.next.Enabled(ctx, level)
 }
 
-func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
+func (l *limitingHandler) Handle(ctx context.Context, r slog.Record) error {
 	isAllowed, suppressed := l.events.allow(event{r.Level, r.Message}, r.Time)
 	if !isAllowed {
 		return nil
@@ -138,10 +139,10 @@
 	return l.next.Handle(ctx, r)
 }
 
-func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limiter{next: l.next.WithAttrs(attrs), events: l.events}
+func (l *limitingHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitingHandler{next: l.next.WithAttrs(attrs), events: l.events}
 }
 
-func (l *limiter) WithGroup(name string) slog.Handler {
-	return &limiter{next: l.next.WithGroup(name), events: l.events}
+func (l *limitingHandler) WithGroup(name string) slog.Handler {
+	return &limitingHandler{next: l.next.WithGroup(name), events: l.events}
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -9,16 +9,16 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxPreparedEntries bounds the memory that is allocated for list entries before they are read, as
-// the announced number of entries may be wrong.
-const maxPreparedEntries = 4096
+// maxPreallocatedEntries bounds the memory that is allocated for list entries before they are read,
+// as the announced number of entries may be wrong.
+const maxPreallocatedEntries = 4096
 
-// deliver passes an event to a Balancer.
-type deliver func(b *decide.Balancer)
+// eventFunc passes an event to a Balancer.
+type eventFunc func(b *decide.Balancer)
 
-// event reads one event and passes it to its instance. An event for an instance that is not open is
-// validated like any other, and then ignored.
-func (s *session) event(now float64, text string) error {
+// handleEvent reads one handleEvent and passes it to its instance. An handleEvent for an instance
+// that is not open is validated like any other, and then ignored.
+func (s *session) handleEvent(now float64, text string) error {
 	f := newFields(text)
 	kind := f.word()
 	id := f.instanceID()
@@ -47,7 +47,7 @@
 }
 
 // readEvent reads the fields of an event and returns the function that passes it to a Balancer.
-func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (deliver, error) {
+func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (eventFunc, error) {
 	switch kind {
 	case eventEndpoints:
 		return s.readEndpoints(f, now)
@@ -73,14 +73,14 @@
 }
 
 // readEndpoints reads an update of the endpoint list, with one line per entry.
-func (s *session) readEndpoints(f *fields, now float64) (deliver, error) {
+func (s *session) readEndpoints(f *fields, now float64) (eventFunc, error) {
 	kind := oneOf(f, "kind", updateKinds)
 	f.numberOrAbsent("version")
 	count := f.uint("number of entries")
 	if err := f.end(eventEndpoints); err != nil {
 		return nil, err
 	}
-	entries := make([]decide.Endpoint, 0, min(count, maxPreparedEntries))
+	entries := make([]decide.Endpoint, 0, min(count, maxPreallocatedEntries))
 	for range count {
 		entry, err := s.readEntry()
 		if err != nil {
@@ -116,7 +116,7 @@
 	return entry, f.end("list entry")
 }
 
-func readRequest(f *fields, now float64) deliver {
+func readRequest(f *fields, now float64) eventFunc {
 	q := decide.Request{ID: f.uint("requestId"), Class: f.word(), Tenant: f.word()}
 	q.Key, q.HasKey = f.key()
 	q.RemainingMillis = f.number("remaining")
@@ -127,7 +127,7 @@
 	return func(b *decide.Balancer) { b.Request(now, q) }
 }
 
-func readStreamStarted(f *fields, now float64) deliver {
+func readStreamStarted(f *fields, now float64) eventFunc {
 	id := f.uint("requestId")
 	f.uint("leg")
 	f.uint("server")
@@ -135,7 +135,7 @@
 	return func(b *decide.Balancer) { b.StreamStarted(now, id) }
 }
 
-func readAttemptEnded(f *fields, now float64, in *instance) deliver {
+func readAttemptEnded(f *fields, now float64, in *instance) eventFunc {
 	o := decide.Outcome{
 		RequestID:     f.uint("requestId"),
 		Attempt:       int(f.uint("leg")),
@@ -149,7 +149,7 @@
 	return func(b *decide.Balancer) { b.AttemptEnded(now, o) }
 }
 
-func readHealthCheckEnded(f *fields, now float64, in *instance) deliver {
+func readHealthCheckEnded(f *fields, now float64, in *instance) eventFunc {
 	server := f.uint("server")
 	status := oneOf(f, "outcome", statuses)
 	f.numberOrAbsent("lag")
@@ -169,7 +169,7 @@
 
 // readTimer reads the token of a timer. A token that is not a number was not set by a Balancer, and
 // the event is ignored.
-func readTimer(f *fields, now float64) deliver {
+func readTimer(f *fields, now float64) eventFunc {
 	token, err := strconv.ParseUint(f.word(), 10, 64)
 	return func(b *decide.Balancer) {
 		if err == nil {
--- a/internal/simulator/lines.go
+++ b/internal/simulator/lines.go
@@ -68,8 +68,8 @@
 	return word
 }
 
-// fail records an invalid field, unless an error has been recorded before.
-func (f *fields) fail(name, word string) {
+// recordInvalid records an invalid field, unless an error has been recorded before.
+func (f *fields) recordInvalid(name, word string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("bad %s %q", name, word)
 	}
@@ -99,7 +99,7 @@
 func (f *fields) parseNumber(name, word string) float64 {
 	v, err := strconv.ParseFloat(word, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(name, word)
+		f.recordInvalid(name, word)
 		return 0
 	}
 	return v
@@ -110,7 +110,7 @@
 	word := f.word()
 	v, err := strconv.ParseUint(word, 10, 32)
 	if err != nil {
-		f.fail(name, word)
+		f.recordInvalid(name, word)
 	}
 	return uint32(v)
 }
@@ -119,7 +119,7 @@
 func (f *fields) bool(name string) bool {
 	word := f.word()
 	if word != "0" && word != "1" && word != absent {
-		f.fail(name, word)
+		f.recordInvalid(name, word)
 	}
 	return word == "1"
 }
@@ -128,7 +128,7 @@
 func (f *fields) instanceID() string {
 	id := f.word()
 	if _, err := strconv.ParseUint(id, 10, 63); err != nil {
-		f.fail("instance", id)
+		f.recordInvalid("instance", id)
 	}
 	return id
 }
@@ -141,7 +141,7 @@
 	}
 	seed, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
-		f.fail("entropy", word)
+		f.recordInvalid("entropy", word)
 	}
 	return uint64(seed)
 }
@@ -154,7 +154,7 @@
 	}
 	key, err := strconv.ParseUint(word, 16, 64)
 	if err != nil {
-		f.fail("affinity", word)
+		f.recordInvalid("affinity", word)
 	}
 	return key, true
 }
@@ -164,7 +164,7 @@
 	word := f.word()
 	data, err := base64.StdEncoding.DecodeString(strings.TrimSuffix(word, absent))
 	if err != nil {
-		f.fail("octets", word)
+		f.recordInvalid("octets", word)
 	}
 	return data
 }
@@ -178,7 +178,7 @@
 	}
 	values := strings.Split(word, ",")
 	if len(values) != len(columns) {
-		f.fail("load report", word)
+		f.recordInvalid("load report", word)
 		return report
 	}
 	for i, value := range values {
@@ -187,7 +187,7 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			f.fail("load report", word)
+			f.recordInvalid("load report", word)
 			return report
 		}
 		settings.SetLoadField(&report, columns[i], v)
@@ -211,7 +211,7 @@
 	word := f.word()
 	v, ok := words[word]
 	if !ok {
-		f.fail(name, word)
+		f.recordInvalid(name, word)
 	}
 	return v
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -37,7 +37,7 @@
 func Run(in io.Reader, out io.Writer) error {
 	s := &session{lines: newLineReader(in), instances: map[string]*instance{}, reply: new(bytes.Buffer)}
 	for {
-		hasBatch, err := s.batch()
+		hasBatch, err := s.handleBatch()
 		if err != nil {
 			return fmt.Errorf("line %d: %w", s.lines.number, err)
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// batch reads one batch and handles its events. It returns false at the end of the input.
-func (s *session) batch() (bool, error) {
-	text, err := s.nextFilled()
+// handleBatch reads one batch and handles its events. It returns false at the end of the input.
+func (s *session) handleBatch() (bool, error) {
+	text, err := s.nextNonEmpty()
 	if errors.Is(err, io.EOF) {
 		return false, nil
 	}
@@ -65,7 +65,7 @@
 		return false, err
 	}
 	for {
-		text, err := s.nextFilled()
+		text, err := s.nextNonEmpty()
 		if errors.Is(err, io.EOF) {
 			return false, errEndsInBatch
 		}
@@ -75,15 +75,15 @@
 		if text == batchEnd {
 			return true, nil
 		}
-		if err := s.event(now, text); err != nil {
+		if err := s.handleEvent(now, text); err != nil {
 			return false, err
 		}
 	}
 }
 
-// nextFilled returns the next line that is not empty. It returns io.EOF only if the input does not
-// end within a line.
-func (s *session) nextFilled() (string, error) {
+// nextNonEmpty returns the next line that is not empty. It returns io.EOF only if the input does
+// not end within a line.
+func (s *session) nextNonEmpty() (string, error) {
 	for {
 		text, err := s.lines.next()
 		if err != nil || text != "" {
