--- a/cmd/dockhinge/completion.go
+++ b/cmd/dockhinge/completion.go
@@ -21,9 +21,9 @@
 complete -o default -F _dockhinge dockhinge
 `
 
-// completion prints a script that completes the command line in a shell: first the sub-command,
-// then its flags, or files.
-func completion(stdout io.Writer, shell string, commands []subcommand) error {
+// printCompletion prints a script that completes the command line in a shell: first the
+// sub-command, then its flags, or files.
+func printCompletion(stdout io.Writer, shell string, commands []subcommand) error {
 	var script string
 	switch shell {
 	case "bash":
--- a/cmd/dockhinge/descriptors_test.go
+++ b/cmd/dockhinge/descriptors_test.go
@@ -60,8 +60,8 @@
 	return ln
 }
 
-// cacheServer runs a cache server that answers each read with a hit.
-func cacheServer(t *testing.T) (addr string) {
+// startCacheServer runs a cache server that answers each read with a hit.
+func startCacheServer(t *testing.T) (addr string) {
 	ln := listen(t, "127.0.0.1:0")
 	var served sync.WaitGroup
 	var mu sync.Mutex
@@ -150,7 +150,7 @@
 // never receive the endpoint list.
 func TestIdleClientsLeaveDescriptorsToDiscovery(t *testing.T) {
 	const sockets = 256
-	server := cacheServer(t)
+	server := startCacheServer(t)
 	discovery := listen(t, "127.0.0.1:0") // reserves the address of discovery, which is down at first
 	discovery.Close()
 	reserved := listen(t, "127.0.0.1:0")
--- a/cmd/dockhinge/main.go
+++ b/cmd/dockhinge/main.go
@@ -107,7 +107,7 @@
 			short: "check configurations (.json) and operator files (.toml)",
 			long:  checkHelp,
 			flags: newFlagSet(),
-			exec:  func(paths []string) error { return check(paths, stdout, stderr) },
+			exec:  func(paths []string) error { return checkFiles(paths, stdout, stderr) },
 		},
 		{
 			name:  "tenants",
@@ -115,13 +115,13 @@
 			short: "show the state of fair admission by tenant",
 			long:  tenantsHelp,
 			flags: newFlagSet(),
-			exec:  func(addrs []string) error { return tenants(addrs, stdout) },
+			exec:  func(addrs []string) error { return printTenants(addrs, stdout) },
 		},
 		{
 			name:  "version",
 			short: "print the versions of the program, the operator file and the hand-over",
 			flags: newFlagSet(),
-			exec:  func([]string) error { return version(stdout) },
+			exec:  func([]string) error { return printVersion(stdout) },
 		},
 		{
 			name:  "completion",
@@ -130,7 +130,7 @@
 			long:  completionHelp,
 			flags: newFlagSet(),
 			exec: func(shell []string) error {
-				return completion(stdout, shell[0], subcommands(nil, stdout, stderr))
+				return printCompletion(stdout, shell[0], subcommands(nil, stdout, stderr))
 			},
 		},
 	}
@@ -188,8 +188,8 @@
 	return c.exec(rest)
 }
 
-// check prints the mistakes in each file. The error is errMistakes if there are any.
-func check(paths []string, stdout, stderr io.Writer) error {
+// checkFiles prints the mistakes in each file. The error is errMistakes if there are any.
+func checkFiles(paths []string, stdout, stderr io.Writer) error {
 	var result error
 	for _, path := range paths {
 		if err := checkFile(path); err != nil {
@@ -211,7 +211,7 @@
 	return router.Check(path, os.Getenv)
 }
 
-func version(stdout io.Writer) error {
+func printVersion(stdout io.Writer) error {
 	program := revision()
 	if info, ok := debug.ReadBuildInfo(); ok {
 		program += " " + info.GoVersion
--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -117,7 +117,7 @@
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
 	var out strings.Builder
-	if err := tenants([]string{addr}, &out); err != nil {
+	if err := printTenants([]string{addr}, &out); err != nil {
 		t.Fatal(err)
 	}
 	rows := strings.Split(out.String(), "\n")
@@ -129,7 +129,7 @@
 	}
 	answer = ""
 	for _, bad := range []string{addr, "nowhere"} {
-		if err := tenants([]string{bad}, &out); err == nil || !strings.Contains(err.Error(), bad) {
+		if err := printTenants([]string{bad}, &out); err == nil || !strings.Contains(err.Error(), bad) {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -79,7 +79,7 @@
 		}
 		background.Go(func() { admin.Serve(alive, ln, adminRouter) })
 	}
-	r, ln, err := start(ctx, cfg, routerMetrics)
+	r, ln, err := createRouter(ctx, cfg, routerMetrics)
 	if err != nil {
 		return err
 	}
@@ -110,10 +110,10 @@
 	debug.SetMemoryLimit(cfg.Limits.MemoryMB << megabyteShift * heapTenths / wholeTenths / int64(processes))
 }
 
-// start creates the router with a listening socket. A process that already serves the address hands
-// over its socket and its state; without such a process, or if the hand-over fails, start binds the
-// address.
-func start(
+// createRouter creates the router with a listening socket. A process that already serves the
+// address hands over its socket and its state; without such a process, or if the hand-over fails,
+// createRouter binds the address.
+func createRouter(
 	ctx context.Context, cfg *router.Config, routerMetrics *metrics.Router,
 ) (*router.Router, net.Listener, error) {
 	setMemoryLimit(cfg, 2) // until it is known whether there is another process
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -19,8 +19,9 @@
 // errAdmissionOff reports that a router does not have fair admission enabled.
 var errAdmissionOff = errors.New("fair admission is not enabled at this router")
 
-// tenants prints the state of fair admission at each of the routers, given their admin addresses.
-func tenants(addrs []string, stdout io.Writer) error {
+// printTenants prints the state of fair admission at each of the routers, given their admin
+// addresses.
+func printTenants(addrs []string, stdout io.Writer) error {
 	var failed []error
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
