--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -42,8 +42,8 @@
 	// SnapshotEvery is the number of log entries between two snapshots, 16 to 1,000,000; 8192 by
 	// default.
 	SnapshotEvery uint64 `toml:"snapshot_every"`
-	// Beat is how long a leader may be silent before another is elected, 100ms to 10s; 250ms by default.
-	Beat string `toml:"beat"`
+	// Heartbeat is how long a leader may be silent before another is elected, 100ms to 10s; 250ms by default.
+	Heartbeat string `toml:"beat"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
 	// LogJSON selects JSON for log lines.
@@ -52,9 +52,9 @@
 	Peers map[string]string `toml:"peers"`
 }
 
-// HeartbeatTimeout returns Beat as a duration. The file must have been checked.
+// HeartbeatTimeout returns Heartbeat as a duration. The file must have been checked.
 func (f Coordinator) HeartbeatTimeout() time.Duration {
-	d, _ := time.ParseDuration(f.Beat)
+	d, _ := time.ParseDuration(f.Heartbeat)
 	return d
 }
 
@@ -72,7 +72,7 @@
 	f := Coordinator{
 		ClockRate:     coord.DefaultClockRateBound,
 		SnapshotEvery: defaultSnapshotEvery,
-		Beat:          defaultHeartbeat,
+		Heartbeat:     defaultHeartbeat,
 		LogLevel:      defaultLogLevel,
 	}
 	if err := decode(path, text, &f); err != nil {
@@ -91,7 +91,7 @@
 	if f.SnapshotEvery < minSnapshotEvery || f.SnapshotEvery > maxSnapshotEvery {
 		c.add("snapshot_every", "%d is not from 16 to 1,000,000", f.SnapshotEvery)
 	}
-	c.durationWithin("beat", f.Beat, minHeartbeat, maxHeartbeat)
+	c.durationWithin("beat", f.Heartbeat, minHeartbeat, maxHeartbeat)
 	c.logLevel(f.LogLevel)
 	c.addresses("peers", f.Peers)
 	if err := c.err(); err != nil {
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -65,7 +65,7 @@
 	want := Coordinator{
 		Version: 1, Name: "c1", Dir: "data/c1",
 		Listen: "127.0.0.1:7001", API: "127.0.0.1:7002", MetricsAddress: "127.0.0.1:7003",
-		ClockRate: 0.02, SnapshotEvery: 1024, Beat: "300ms", LogLevel: "warn", LogJSON: true,
+		ClockRate: 0.02, SnapshotEvery: 1024, Heartbeat: "300ms", LogLevel: "warn", LogJSON: true,
 		Peers: map[string]string{"c2": "127.0.0.1:7011", "c3": "127.0.0.1:7021"},
 	}
 	if !reflect.DeepEqual(file, want) {
