--- a/cmd/dockhinge-coord/observe.go
+++ b/cmd/dockhinge-coord/observe.go
@@ -44,7 +44,7 @@
 		Coordinators:   file.Coordinators,
 		MaxWatchers:    file.MaxWatchers,
 		JoinsPerSecond: file.JoinsPerSecond,
-		WatcherBytes:   file.WatcherBytes,
+		WatcherBytes:   file.WatcherBytesPerSecond,
 		Log:            log,
 	})
 	log.Info("observing", "name", file.Name, "api", file.API)
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -85,7 +85,7 @@
 	want := Observer{
 		Version: 1, Name: "o1", API: "127.0.0.1:7102",
 		Coordinators: map[string]string{"c1": "127.0.0.1:7002", "c2": "127.0.0.1:7012"},
-		MaxWatchers:  512, JoinsPerSecond: 50.5, WatcherBytes: 32768, LogLevel: "debug", LogJSON: true,
+		MaxWatchers:  512, JoinsPerSecond: 50.5, WatcherBytesPerSecond: 32768, LogLevel: "debug", LogJSON: true,
 	}
 	if !reflect.DeepEqual(file, want) {
 		t.Errorf("%+v, want %+v", file, want)
--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -34,9 +34,9 @@
 	MaxWatchers int `toml:"max_watchers"`
 	// JoinsPerSecond is the maximum number of new watches per second, 1 to 10,000; 200 by default.
 	JoinsPerSecond float64 `toml:"joins_per_second"`
-	// WatcherBytes is the maximum number of bytes per second to each watcher, 16 KiB to 1 GiB; 256 KiB
+	// WatcherBytesPerSecond is the maximum number of bytes per second to each watcher, 16 KiB to 1 GiB; 256 KiB
 	// by default.
-	WatcherBytes int `toml:"watcher_bytes"`
+	WatcherBytesPerSecond int `toml:"watcher_bytes"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
 	// LogJSON selects JSON for log lines.
@@ -55,10 +55,10 @@
 // ParseObserver parses the content of an observer's file at path.
 func ParseObserver(path string, text []byte) (Observer, error) {
 	f := Observer{
-		MaxWatchers:    defaultWatchers,
-		JoinsPerSecond: defaultJoins,
-		WatcherBytes:   defaultWatcherBytes,
-		LogLevel:       defaultLogLevel,
+		MaxWatchers:           defaultWatchers,
+		JoinsPerSecond:        defaultJoins,
+		WatcherBytesPerSecond: defaultWatcherBytes,
+		LogLevel:              defaultLogLevel,
 	}
 	if err := decode(path, text, &f); err != nil {
 		return Observer{}, err
@@ -77,8 +77,8 @@
 	if !(f.JoinsPerSecond >= 1 && f.JoinsPerSecond <= MaxJoinsPerSecond) {
 		c.add("joins_per_second", "%v is not from 1 to %d", f.JoinsPerSecond, MaxJoinsPerSecond)
 	}
-	if f.WatcherBytes < MinWatcherBytes || f.WatcherBytes > MaxWatcherBytes {
-		c.add("watcher_bytes", "%d is not from %d to %d", f.WatcherBytes, MinWatcherBytes, MaxWatcherBytes)
+	if f.WatcherBytesPerSecond < MinWatcherBytes || f.WatcherBytesPerSecond > MaxWatcherBytes {
+		c.add("watcher_bytes", "%d is not from %d to %d", f.WatcherBytesPerSecond, MinWatcherBytes, MaxWatcherBytes)
 	}
 	c.logLevel(f.LogLevel)
 	if err := c.err(); err != nil {
--- a/internal/coord/config/observer_test.go
+++ b/internal/coord/config/observer_test.go
@@ -14,7 +14,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.MaxWatchers != 2048 || f.JoinsPerSecond != 200 || f.WatcherBytes != 256<<10 {
+		if f.MaxWatchers != 2048 || f.JoinsPerSecond != 200 || f.WatcherBytesPerSecond != 256<<10 {
 			t.Errorf("%+v", f)
 		}
 		if f.Coordinators["c1"] != "b:2" {
