--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -7,8 +7,8 @@
 	MaxObserverWatchers = 8192
 	// MaxJoinsPerSecond is the highest limit on new watches per second.
 	MaxJoinsPerSecond = 10_000
-	// MinWatcherBytes and MaxWatcherBytes bound the limit on bytes per second to each watcher.
-	MinWatcherBytes          = 16 << 10
+	// MinWatcherBytesPerSecond and MaxWatcherBytes bound the limit on bytes per second to each watcher.
+	MinWatcherBytesPerSecond = 16 << 10
 	MaxWatcherBytesPerSecond = 1 << 30
 )
 
@@ -77,8 +77,8 @@
 	if !(f.JoinsPerSecond >= 1 && f.JoinsPerSecond <= MaxJoinsPerSecond) {
 		c.add("joins_per_second", "%v is not from 1 to %d", f.JoinsPerSecond, MaxJoinsPerSecond)
 	}
-	if f.WatcherBytesPerSecond < MinWatcherBytes || f.WatcherBytesPerSecond > MaxWatcherBytesPerSecond {
-		c.add("watcher_bytes", "%d is not from %d to %d", f.WatcherBytesPerSecond, MinWatcherBytes, MaxWatcherBytesPerSecond)
+	if f.WatcherBytesPerSecond < MinWatcherBytesPerSecond || f.WatcherBytesPerSecond > MaxWatcherBytesPerSecond {
+		c.add("watcher_bytes", "%d is not from %d to %d", f.WatcherBytesPerSecond, MinWatcherBytesPerSecond, MaxWatcherBytesPerSecond)
 	}
 	c.logLevel(f.LogLevel)
 	if err := c.err(); err != nil {
