--- a/cmd/dockhinge-coord/observe.go
+++ b/cmd/dockhinge-coord/observe.go
@@ -40,12 +40,12 @@
 // runObserver runs an observer until ctx ends. Its goroutine ends before runObserver returns.
 func runObserver(ctx context.Context, file config.Observer, listener net.Listener, log *slog.Logger) error {
 	o := observer.New(observer.Options{
-		Name:           file.Name,
-		Coordinators:   file.Coordinators,
-		MaxWatchers:    file.MaxWatchers,
-		JoinsPerSecond: file.JoinsPerSecond,
-		WatcherBytes:   file.WatcherBytesPerSecond,
-		Log:            log,
+		Name:                  file.Name,
+		Coordinators:          file.Coordinators,
+		MaxWatchers:           file.MaxWatchers,
+		JoinsPerSecond:        file.JoinsPerSecond,
+		WatcherBytesPerSecond: file.WatcherBytesPerSecond,
+		Log:                   log,
 	})
 	log.Info("observing", "name", file.Name, "api", file.API)
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -20,12 +20,12 @@
 
 // Options configure one observer.
 type Options struct {
-	Name           string
-	Coordinators   map[string]string // addresses for clients (host:port), by name
-	MaxWatchers    int
-	JoinsPerSecond float64 // new watches
-	WatcherBytes   int     // per second, to each watcher
-	Log            *slog.Logger
+	Name                  string
+	Coordinators          map[string]string // addresses for clients (host:port), by name
+	MaxWatchers           int
+	JoinsPerSecond        float64 // new watches
+	WatcherBytesPerSecond int     // per second, to each watcher
+	Log                   *slog.Logger
 }
 
 // Observer holds the replicated documents and the table of watchers.
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -118,7 +118,7 @@
 	return conn, conn.(*net.TCPConn).SetReadBuffer(socketBytes)
 }
 
-var plenty = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytes: 1 << 30}
+var plenty = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 30}
 
 // eventually waits until f returns no error.
 func eventually(t *testing.T, f func() error) {
@@ -213,10 +213,10 @@
 // invalid request) and an acknowledgement of a revision that was not sent must be rejected with the right
 // code: by it a client moves to another observer or waits.
 func TestRefusals(t *testing.T) {
-	stateless := New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
+	stateless := New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytesPerSecond: 1 << 20})
 	unready := httptest.NewServer(stateless.Handler())
 	defer unready.Close()
-	_, _, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytes: 1 << 20})
+	_, _, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 20})
 	next(t, scanner(watch(t, routers, "watcher=first")), watchlog.NewReplica())
 	for _, want := range []struct {
 		server *httptest.Server
@@ -253,7 +253,7 @@
 // More watchers join than the rate allows. They must be rejected with a time to retry; otherwise an
 // observer would send hundreds of snapshots at the same time.
 func TestJoinsAreLimited(t *testing.T) {
-	o, _, routers := started(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytes: 1 << 20})
+	o, _, routers := started(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytesPerSecond: 1 << 20})
 	for i := range 10 * joinBurst { // the rate admits one more each second meanwhile
 		response := watch(t, routers, fmt.Sprint("watcher=w", i))
 		if response.StatusCode == http.StatusServiceUnavailable {
@@ -316,7 +316,7 @@
 // requires; without the limit one snapshot could take the bandwidth of all watchers.
 func TestPace(t *testing.T) {
 	const rate = 160 << 10
-	_, upstream, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytes: rate})
+	_, upstream, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: rate})
 	for i := range 4 {
 		upstream.put(t, fmt.Sprint("d", i), 32<<10)
 	}
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -83,7 +83,7 @@
 		o.mu.Unlock()
 	}()
 	w.Header().Set("Content-Type", "application/jsonl")
-	err = o.stream(ctx, newPacedWriter(w, o.options.WatcherBytes), request, watch)
+	err = o.stream(ctx, newPacedWriter(w, o.options.WatcherBytesPerSecond), request, watch)
 	if err != nil && ctx.Err() == nil {
 		o.options.Log.Info("watch ended", "watcher", request.watcher, "error", err)
 	}
