--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithTimeout(ctx, silenceTimeout)
 	defer cancel()
 	_, applied := c.Revision()
-	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.Watcher, Revision: applied})
+	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.WatcherName, Revision: applied})
 	if err != nil {
 		return err
 	}
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -28,9 +28,9 @@
 
 // Options configure a client.
 type Options struct {
-	Observers []string // addresses (host:port)
-	Watcher   string   // name of the router, by which its acknowledgements are counted
-	Prefix    string   // of the names of the documents to watch
+	Observers   []string // addresses (host:port)
+	WatcherName string   // name of the router, by which its acknowledgements are counted
+	Prefix      string   // of the names of the documents to watch
 
 	// Apply applies a state completely or not at all. If it fails, the previous state stays applied and
 	// nothing is acknowledged until a later state is applied. It is called from one goroutine, for
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -74,7 +74,7 @@
 		server := httptest.NewServer(handler)
 		servers, addresses = append(servers, server), append(addresses, server.Listener.Addr().String())
 	}
-	r.Client = New(Options{Observers: addresses, Watcher: "w", Apply: r.apply})
+	r.Client = New(Options{Observers: addresses, WatcherName: "w", Apply: r.apply})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { r.Run(ctx) })
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -106,7 +106,7 @@
 			observer := &recordedObserver{status: http.StatusServiceUnavailable, watch: fixture(t, name)}
 			server := httptest.NewServer(observer)
 			defer server.Close()
-			c := New(Options{Watcher: "w"})
+			c := New(Options{WatcherName: "w"})
 			_, err := c.open(t.Context(), server.Listener.Addr().String())
 			var got *protocol.Rejection
 			if !errors.As(err, &got) || got.Code != want.Code || got.RetryAfterMillis != want.RetryAfterMillis {
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -65,7 +65,7 @@
 func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
 	revision, _ := c.Revision()
 	query := url.Values{
-		"watcher": {c.options.Watcher},
+		"watcher": {c.options.WatcherName},
 		"prefix":  {c.options.Prefix},
 		"after":   {strconv.FormatUint(revision, 10)},
 	}
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -149,7 +149,7 @@
 func (r *watchingRouter) start() {
 	life := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := observerclient.New(observerclient.Options{Observers: r.observers, Watcher: r.name, Prefix: r.prefix,
+	c := observerclient.New(observerclient.Options{Observers: r.observers, WatcherName: r.name, Prefix: r.prefix,
 		Apply: func(ctx context.Context, state observerclient.State) error { return r.apply(ctx, life, state) }})
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -127,7 +127,7 @@
 
 func (r *costRun) startRouters(ctx context.Context, routers int) {
 	for i := range routers {
-		c := observerclient.New(observerclient.Options{Observers: r.addresses, Watcher: fmt.Sprint("r", i),
+		c := observerclient.New(observerclient.Options{Observers: r.addresses, WatcherName: fmt.Sprint("r", i),
 			Apply: func(context.Context, observerclient.State) error { return nil }})
 		r.clients = append(r.clients, c)
 		r.wg.Go(func() { c.Run(ctx) })
