--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -42,7 +42,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, silenceTimeout)
 	defer cancel()
-	_, applied := c.Revision()
+	_, applied := c.Revisions()
 	body, err := json.Marshal(protocol.Acknowledgement{Watcher: c.options.WatcherName, Revision: applied})
 	if err != nil {
 		return err
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Revision returns the revision up to which the replica is complete, and the one that was applied last.
-func (c *Client) Revision() (complete, applied uint64) {
+// Revisions returns the revision up to which the replica is complete, and the one that was applied last.
+func (c *Client) Revisions() (complete, applied uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica.Revision(), c.replica.Acknowledged()
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -115,7 +115,7 @@
 
 func held(r *router, want uint64) func() error {
 	return func() error {
-		if got, _ := r.Revision(); got != want {
+		if got, _ := r.Revisions(); got != want {
 			return fmt.Errorf("revision %d, want %d", got, want)
 		}
 		return nil
@@ -184,7 +184,7 @@
 	observer.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6))
 	r := run(t, func(s State) bool { return s.Revision == 5 }, observer)
 	eventually(t, held(r, 6))
-	if _, applied := r.Revision(); applied != 4 {
+	if _, applied := r.Revisions(); applied != 4 {
 		t.Errorf("revision %d is reported as applied, want 4", applied)
 	}
 	eventually(t, func() error {
@@ -199,7 +199,7 @@
 	other.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6), differences(6, 7, "good"))
 	r = run(t, func(s State) bool { return s.Revision == 5 }, other)
 	eventually(t, func() error {
-		if _, applied := r.Revision(); applied != 7 {
+		if _, applied := r.Revisions(); applied != 7 {
 			return fmt.Errorf("revision %d is applied", applied)
 		}
 		return nil
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -61,7 +61,7 @@
 	}
 	r := run(t, nil, observer)
 	eventually(t, func() error {
-		held, applied := r.Revision()
+		held, applied := r.Revisions()
 		if held != 7 || applied != 7 {
 			return fmt.Errorf("revision %d, applied %d, want 7", held, applied)
 		}
@@ -87,7 +87,7 @@
 	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
 	r := run(t, nil, observer)
 	eventually(t, func() error {
-		if held, _ := r.Revision(); held != 7 {
+		if held, _ := r.Revisions(); held != 7 {
 			return fmt.Errorf("revision %d", held)
 		}
 		return nil
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -63,7 +63,7 @@
 
 // open starts a watch from the replica's revision.
 func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
-	revision, _ := c.Revision()
+	revision, _ := c.Revisions()
 	query := url.Values{
 		"watcher": {c.options.WatcherName},
 		"prefix":  {c.options.Prefix},
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -266,7 +266,7 @@
 	newest := o.newest()
 	o.await(what, func() error {
 		for _, router := range routers {
-			if held, inForce := router.current().Revision(); inForce != newest {
+			if held, inForce := router.current().Revisions(); inForce != newest {
 				return fmt.Errorf("%s holds revision %d and has %d of %d in force", router.name, held, inForce, newest)
 			}
 		}
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -97,7 +97,7 @@
 	newest := o.newest()
 	o.await("a router with newer state", func() error {
 		for _, router := range o.routers {
-			if _, inForce := router.current().Revision(); inForce == newest {
+			if _, inForce := router.current().Revisions(); inForce == newest {
 				return nil
 			}
 		}
@@ -173,7 +173,7 @@
 	o.awaitRouters("the others", o.routers[1:])
 	before, _ := router.current().Age()
 	o.await("a heartbeat of the slow router", func() error {
-		if held, _ := router.current().Revision(); held != newest {
+		if held, _ := router.current().Revisions(); held != newest {
 			return fmt.Errorf("it holds %d", held)
 		}
 		if age, ok := router.current().Age(); !ok || age >= before {
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -138,7 +138,7 @@
 func (r *costRun) awaitRevision(ctx context.Context, revision uint64) error {
 	for _, c := range r.clients {
 		for {
-			if _, inForce := c.Revision(); inForce >= revision {
+			if _, inForce := c.Revisions(); inForce >= revision {
 				break
 			}
 			if !wait(ctx, 0.001) {
