--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -51,7 +51,7 @@
 
 // Revision returns the revision of the most recent change to any document, or 0 before the first.
 func (s *State) Revision() uint64 {
-	return s.Documents.Newest()
+	return s.Documents.NewestRevision()
 }
 
 // ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.After), or a
@@ -85,7 +85,7 @@
 		return invalid("document %s: there is none", put.Name)
 	}
 	change := watchlog.Change{
-		Revision: s.Documents.Newest() + 1,
+		Revision: s.Documents.NewestRevision() + 1,
 		Name:     put.Name,
 		Value:    put.Value,
 		Deleted:  put.Delete,
--- a/internal/coord/observer/follow.go
+++ b/internal/coord/observer/follow.go
@@ -52,7 +52,7 @@
 func (o *Observer) followOne(ctx context.Context, name string) (answered bool, err error) {
 	for {
 		o.mu.Lock()
-		revision := o.log.Newest()
+		revision := o.log.NewestRevision()
 		o.mu.Unlock()
 		askedAt := clock.Now()
 		update, err := o.poll(ctx, o.options.Coordinators[name], revision)
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -77,7 +77,7 @@
 func (o *Observer) apply(update protocol.Update, askedAt time.Duration) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	before := o.log.Newest()
+	before := o.log.NewestRevision()
 	if err := o.log.Extend(update.Batch); err != nil {
 		return err
 	}
@@ -85,8 +85,8 @@
 		o.completeAt = max(o.completeAt, askedAt-update.Age())
 		o.isReady = true
 	}
-	if o.log.Newest() != before {
-		o.watchers.changed(o.log.Newest(), clock.Now())
+	if o.log.NewestRevision() != before {
+		o.watchers.changed(o.log.NewestRevision(), clock.Now())
 		close(o.changed)
 		o.changed = make(chan struct{})
 	}
@@ -107,8 +107,8 @@
 func (o *Observer) read(revision uint64, prefix string) (protocol.Update, <-chan struct{}, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	update := protocol.Update{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
-	isStale := failpoint.IsInjected("snapshot-older") && revision > o.log.Newest()
+	update := protocol.Update{Newest: o.log.NewestRevision(), AgeMillis: o.ageMillis()}
+	isStale := failpoint.IsInjected("snapshot-older") && revision > o.log.NewestRevision()
 	if revision < o.log.Compacted() || isStale {
 		update.Batch = o.log.Snapshot(prefix)
 		o.watchers.snapshots++
@@ -123,7 +123,7 @@
 func (o *Observer) Status() protocol.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	status := o.watchers.status(o.log.Newest(), clock.Now())
+	status := o.watchers.status(o.log.NewestRevision(), clock.Now())
 	status.Name = o.options.Name
 	status.Upstream = o.following
 	status.AgeMillis = o.ageMillis()
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change := watchlog.Change{Revision: c.log.Newest() + 1, Name: name, Value: make([]byte, size)}
+	change := watchlog.Change{Revision: c.log.NewestRevision() + 1, Name: name, Value: make([]byte, size)}
 	if err := c.log.Append(change); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 // wait waits for a change after a revision, but no longer than a poll lasts.
 func (c *coordinator) wait(ctx context.Context, after uint64) {
 	c.mu.Lock()
-	newest, changed := c.log.Newest(), c.changed
+	newest, changed := c.log.NewestRevision(), c.changed
 	c.mu.Unlock()
 	if newest > after {
 		return
@@ -67,7 +67,7 @@
 		reject(w, http.StatusConflict, &protocol.Rejection{Code: protocol.CodeBehind, Text: err.Error()})
 		return
 	}
-	_ = json.NewEncoder(w).Encode(protocol.Update{Batch: batch, Newest: c.log.Newest()})
+	_ = json.NewEncoder(w).Encode(protocol.Update{Batch: batch, Newest: c.log.NewestRevision()})
 }
 
 // started runs an observer of a fake coordinator until the end of the test.
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -100,7 +100,7 @@
 			RetryAfterMillis: notReadyRetryAfter.Milliseconds(),
 		}
 	}
-	newest := o.log.Newest()
+	newest := o.log.NewestRevision()
 	if request.after > newest && !failpoint.IsInjected("snapshot-older") {
 		o.watchers.rejectedAhead++
 		behind := watchlog.BehindError{After: request.after, Newest: newest}
@@ -180,7 +180,7 @@
 		return
 	}
 	o.mu.Lock()
-	answer := protocol.AcknowledgementResponse{Newest: o.log.Newest(), AgeMillis: o.ageMillis()}
+	answer := protocol.AcknowledgementResponse{Newest: o.log.NewestRevision(), AgeMillis: o.ageMillis()}
 	ok := o.watchers.acknowledge(a, answer.Newest)
 	o.mu.Unlock()
 	if !ok {
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -115,7 +115,7 @@
 
 // pull makes an observer poll the voters for a batch.
 func (w *world) pull(i int) error {
-	batch, err := w.voters.After(w.observers[i].Newest(), "", 1+w.rng.IntN(600))
+	batch, err := w.voters.After(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		batch, err = w.voters.Snapshot(""), nil
@@ -235,7 +235,7 @@
 func (w *world) heal() error {
 	newest := uint64(len(w.agreed))
 	for i, log := range w.observers {
-		for log.Newest() < newest {
+		for log.NewestRevision() < newest {
 			if err := w.pull(i); err != nil {
 				return err
 			}
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -32,8 +32,8 @@
 // NewLog returns an empty log.
 func NewLog(limits Limits) *Log { return &Log{limits: limits} }
 
-// Newest returns the revision of the newest change, or 0 if there was none.
-func (l *Log) Newest() uint64 { return l.newest }
+// NewestRevision returns the revision of the newest change, or 0 if there was none.
+func (l *Log) NewestRevision() uint64 { return l.newest }
 
 // Compacted returns the revision up to which changes are no longer kept.
 func (l *Log) Compacted() uint64 { return l.compacted }
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -9,7 +9,7 @@
 
 func put(t *testing.T, l *Log, name string, size int) {
 	t.Helper()
-	if err := l.Append(Change{Revision: l.Newest() + 1, Name: name, Value: make([]byte, size)}); err != nil {
+	if err := l.Append(Change{Revision: l.NewestRevision() + 1, Name: name, Value: make([]byte, size)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -21,8 +21,8 @@
 	for range 5 {
 		put(t, l, "a", 1)
 	}
-	if l.Compacted() != 2 || l.Newest() != 5 || len(l.History("a")) != 3 {
-		t.Errorf("compacted %d, newest %d, %d kept", l.Compacted(), l.Newest(), len(l.History("a")))
+	if l.Compacted() != 2 || l.NewestRevision() != 5 || len(l.History("a")) != 3 {
+		t.Errorf("compacted %d, newest %d, %d kept", l.Compacted(), l.NewestRevision(), len(l.History("a")))
 	}
 	put(t, l, "b", 700)
 	put(t, l, "c", 700)
@@ -131,7 +131,7 @@
 		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
 			t.Errorf("the replica accepted %+v", bad)
 		}
-		if l.Extend(bad) == nil || l.Newest() != 2 || l.Len() != 2 {
+		if l.Extend(bad) == nil || l.NewestRevision() != 2 || l.Len() != 2 {
 			t.Errorf("the log accepted %+v", bad)
 		}
 	}
