--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -57,7 +57,7 @@
 // ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.After), or a
 // snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
-	if revision < s.Documents.Compacted() {
+	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
 	}
 	return s.Documents.After(revision, prefix, maxBytes)
--- a/internal/coord/document_test.go
+++ b/internal/coord/document_test.go
@@ -119,7 +119,7 @@
 	p.put(t, DocumentPut{Name: "0", Value: large, Expected: 1}, CodeOK) // replaces as many bytes as it adds
 	p.put(t, DocumentPut{Name: "0", Delete: true, Expected: p.state.Revision()}, CodeOK)
 	p.put(t, DocumentPut{Name: "more", Value: large}, CodeOK)
-	if p.state.Documents.Compacted() == 0 {
+	if p.state.Documents.CompactedRevision() == 0 {
 		t.Error("the history has no bound in bytes")
 	}
 
@@ -128,7 +128,7 @@
 	for range MaxHistoryChanges + 1 {
 		revision = p.put(t, DocumentPut{Name: "a", Expected: revision}, CodeOK).Revision
 	}
-	if got := p.state.Documents.Compacted(); got != 1 {
+	if got := p.state.Documents.CompactedRevision(); got != 1 {
 		t.Errorf("compacted %d", got)
 	}
 	if batch, err := p.state.ChangesAfter(0, "", 1000); err != nil || !batch.Snapshot || batch.Through != revision {
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -109,7 +109,7 @@
 	defer o.mu.Unlock()
 	update := protocol.Update{Newest: o.log.NewestRevision(), AgeMillis: o.ageMillis()}
 	isStale := failpoint.IsInjected("snapshot-older") && revision > o.log.NewestRevision()
-	if revision < o.log.Compacted() || isStale {
+	if revision < o.log.CompactedRevision() || isStale {
 		update.Batch = o.log.Snapshot(prefix)
 		o.watchers.snapshots++
 		return update, o.changed, nil
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -80,7 +80,7 @@
 		return w.pull(w.rng.IntN(checkObservers))
 	case 8:
 		i := w.rng.IntN(checkObservers)
-		w.observers[i].Compact(w.observers[i].Compacted() + uint64(w.rng.IntN(6)))
+		w.observers[i].Compact(w.observers[i].CompactedRevision() + uint64(w.rng.IntN(6)))
 	case 9:
 		if w.rng.IntN(4) == 0 { // killed: its state is only in memory
 			w.observers[w.rng.IntN(checkObservers)] = NewLog(checkLimits)
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -35,8 +35,8 @@
 // NewestRevision returns the revision of the newest change, or 0 if there was none.
 func (l *Log) NewestRevision() uint64 { return l.newest }
 
-// Compacted returns the revision up to which changes are no longer kept.
-func (l *Log) Compacted() uint64 { return l.compacted }
+// CompactedRevision returns the revision up to which changes are no longer kept.
+func (l *Log) CompactedRevision() uint64 { return l.compacted }
 
 // IsZero reports whether there has been no change.
 func (l *Log) IsZero() bool { return l == nil || l.newest == 0 }
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -21,13 +21,13 @@
 	for range 5 {
 		put(t, l, "a", 1)
 	}
-	if l.Compacted() != 2 || l.NewestRevision() != 5 || len(l.History("a")) != 3 {
-		t.Errorf("compacted %d, newest %d, %d kept", l.Compacted(), l.NewestRevision(), len(l.History("a")))
+	if l.CompactedRevision() != 2 || l.NewestRevision() != 5 || len(l.History("a")) != 3 {
+		t.Errorf("compacted %d, newest %d, %d kept", l.CompactedRevision(), l.NewestRevision(), len(l.History("a")))
 	}
 	put(t, l, "b", 700)
 	put(t, l, "c", 700)
-	if l.Compacted() != 6 {
-		t.Errorf("compacted %d by bytes", l.Compacted())
+	if l.CompactedRevision() != 6 {
+		t.Errorf("compacted %d by bytes", l.CompactedRevision())
 	}
 	put(t, l, "d", 5000)
 	if got, err := l.After(7, "", 1); err != nil || len(got.Changes) != 1 {
