--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -60,7 +60,7 @@
 	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
 	}
-	return s.Documents.After(revision, prefix, maxBytes)
+	return s.Documents.ChangesAfter(revision, prefix, maxBytes)
 }
 
 // putDocument executes a change of a document.
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -125,10 +125,10 @@
 	l.compacted = l.newest
 }
 
-// After returns the changes after a revision to documents whose names begin with prefix. The batch has at
+// ChangesAfter returns the changes after a revision to documents whose names begin with prefix. The batch has at
 // most maxBytes of changes, but at least one change if there is any. The error is a CompactedError, after
 // which the caller must send a Snapshot, or a BehindError, if the watcher's revision is newer than the log's.
-func (l *Log) After(revision uint64, prefix string, maxBytes int) (Batch, error) {
+func (l *Log) ChangesAfter(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
 		return Batch{}, &BehindError{After: revision, Newest: l.newest}
