--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -120,7 +120,7 @@
 	if change.Deleted {
 		return ""
 	}
-	if !exists && s.Documents.Len() >= MaxDocuments {
+	if !exists && s.Documents.DocumentCount() >= MaxDocuments {
 		return fmt.Sprintf("documents: %d at most", MaxDocuments)
 	}
 	if s.documentBytes+growth > MaxTotalDocumentBytes {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -41,8 +41,8 @@
 // IsZero reports whether there has been no change.
 func (l *Log) IsZero() bool { return l == nil || l.newest == 0 }
 
-// Len returns the number of documents.
-func (l *Log) Len() int { return len(l.documents) }
+// DocumentCount returns the number of documents.
+func (l *Log) DocumentCount() int { return len(l.documents) }
 
 // Document returns the newest change of a document, or false if the document doesn't exist.
 func (l *Log) Document(name string) (Change, bool) {
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -131,7 +131,7 @@
 		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
 			t.Errorf("the replica accepted %+v", bad)
 		}
-		if l.Extend(bad) == nil || l.NewestRevision() != 2 || l.Len() != 2 {
+		if l.Extend(bad) == nil || l.NewestRevision() != 2 || l.DocumentCount() != 2 {
 			t.Errorf("the log accepted %+v", bad)
 		}
 	}
