--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -54,7 +54,7 @@
 	return s.Documents.NewestRevision()
 }
 
-// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.After), or a
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ChangesAfter), or a
 // snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
 	if revision < s.Documents.CompactedRevision() {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -18,7 +18,7 @@
 }
 
 // Log is the state of all documents with the most recent changes that led to it. It keeps no state per
-// watcher: a watcher is a revision after which it reads with After. Use NewLog to create a Log. Its methods
+// watcher: a watcher is a revision after which it reads with ChangesAfter. Use NewLog to create a Log. Its methods
 // must not be called concurrently.
 type Log struct {
 	limits    Limits
@@ -152,7 +152,7 @@
 	return batch, nil
 }
 
-// injectFault moves the first change that After returns, for the mutants of delivery. They only affect
+// injectFault moves the first change that ChangesAfter returns, for the mutants of delivery. They only affect
 // batches with a prefix: Extend, which takes batches without one, would reject a gap or a repeated change.
 func (l *Log) injectFault(first int, prefix string) int {
 	if prefix == "" {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-// Operators and their tools read the report by its names.
+// Operators and their tools depend on the names in the JSON metrics.
 func TestReportHasTheOperatorsNames(t *testing.T) {
 	m := New()
 	c := m.Class("fetch")
-	c.Ended(Success)
-	c.Ended(Success)
-	c.Ended(Overload)
-	c.Ended(Error)
+	c.CountOutcome(Success)
+	c.CountOutcome(Success)
+	c.CountOutcome(Overload)
+	c.CountOutcome(Error)
 	m.Dispatches.Add(5)
-	m.Class("publish") // known, and nothing has happened yet
+	m.Class("publish") // registered, but without requests
 	m.Concurrent.Store(14)
 	m.Targets.Store(12)
 	m.TargetsDisabled.Store(1)
@@ -40,14 +40,14 @@
 	}
 }
 
-// Requests end in many goroutines while the report is read: no end is lost.
+// Requests end in many goroutines while snapshots are taken. No request may be lost.
 func TestCountsFromManyGoroutinesAddUp(t *testing.T) {
 	m := New()
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
-				m.Class("fetch").Ended(Success)
+				m.Class("fetch").CountOutcome(Success)
 				m.Snapshot()
 			}
 		})
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -108,7 +108,7 @@
 // arrive passes a new request to admission, which admits, queues or rejects it.
 func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
 	var client netip.Addr
-	if ad.tenants.ByNetwork() {
+	if ad.tenants.UsesNetwork() {
 		client = clientAddr(r.response.conn.Conn)
 	}
 	class, ok := ad.classIndex[r.command.class]
@@ -140,9 +140,9 @@
 	r.admissionStage = admissionNone
 	switch stage {
 	case admissionQueued:
-		ad.admission.Disconnected(now, r.id)
+		ad.admission.ClientDisconnected(now, r.id)
 	case admissionAdmitted:
-		ad.admission.Ended(now, admission.Outcome{
+		ad.admission.RequestEnded(now, admission.Outcome{
 			ID:            r.id,
 			Served:        served,
 			Rejected:      rejected,
