--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -54,13 +54,13 @@
 	return s.Documents.NewestRevision()
 }
 
-// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ChangesAfter), or a
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or a
 // snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
 	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
 	}
-	return s.Documents.ChangesAfter(revision, prefix, maxBytes)
+	return s.Documents.ReadAfter(revision, prefix, maxBytes)
 }
 
 // putDocument executes a change of a document.
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -114,7 +114,7 @@
 		o.watchers.snapshots++
 		return update, o.changed, nil
 	}
-	batch, err := o.log.ChangesAfter(revision, prefix, maxBatchBytes)
+	batch, err := o.log.ReadAfter(revision, prefix, maxBatchBytes)
 	update.Batch = batch
 	return update, o.changed, err
 }
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -58,7 +58,7 @@
 	c.wait(r.Context(), after)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	batch, err := c.log.ChangesAfter(after, "", 256<<10)
+	batch, err := c.log.ReadAfter(after, "", 256<<10)
 	var compacted *watchlog.CompactedError
 	if errors.As(err, &compacted) {
 		batch, err = c.log.Snapshot(""), nil
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -115,7 +115,7 @@
 
 // pull makes an observer poll the voters for a batch.
 func (w *world) pull(i int) error {
-	batch, err := w.voters.ChangesAfter(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
+	batch, err := w.voters.ReadAfter(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		batch, err = w.voters.Snapshot(""), nil
@@ -132,7 +132,7 @@
 // deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed sequence.
 func (w *world) deliver(x *watcher) error {
 	log := w.observers[x.observer]
-	batch, err := log.ChangesAfter(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
+	batch, err := log.ReadAfter(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	var behind *BehindError
 	switch {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -18,7 +18,7 @@
 }
 
 // Log is the state of all documents with the most recent changes that led to it. It keeps no state per
-// watcher: a watcher is a revision after which it reads with ChangesAfter. Use NewLog to create a Log. Its methods
+// watcher: a watcher is a revision after which it reads with ReadAfter. Use NewLog to create a Log. Its methods
 // must not be called concurrently.
 type Log struct {
 	limits    Limits
@@ -125,10 +125,10 @@
 	l.compacted = l.newest
 }
 
-// ChangesAfter returns the changes after a revision to documents whose names begin with prefix. The batch has at
+// ReadAfter returns the changes after a revision to documents whose names begin with prefix. The batch has at
 // most maxBytes of changes, but at least one change if there is any. The error is a CompactedError, after
 // which the caller must send a Snapshot, or a BehindError, if the watcher's revision is newer than the log's.
-func (l *Log) ChangesAfter(revision uint64, prefix string, maxBytes int) (Batch, error) {
+func (l *Log) ReadAfter(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
 		return Batch{}, &BehindError{After: revision, Newest: l.newest}
@@ -152,7 +152,7 @@
 	return batch, nil
 }
 
-// injectFault moves the first change that ChangesAfter returns, for the mutants of delivery. They only affect
+// injectFault moves the first change that ReadAfter returns, for the mutants of delivery. They only affect
 // batches with a prefix: Extend, which takes batches without one, would reject a gap or a repeated change.
 func (l *Log) injectFault(first int, prefix string) int {
 	if prefix == "" {
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -30,15 +30,15 @@
 		t.Errorf("compacted %d by bytes", l.CompactedRevision())
 	}
 	put(t, l, "d", 5000)
-	if got, err := l.ChangesAfter(7, "", 1); err != nil || len(got.Changes) != 1 {
+	if got, err := l.ReadAfter(7, "", 1); err != nil || len(got.Changes) != 1 {
 		t.Errorf("%+v, %v: the newest change must be kept even if it exceeds the limit", got, err)
 	}
 	var compacted *CompactedError
-	if _, err := l.ChangesAfter(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
 		t.Errorf("%v", err)
 	}
 	var behind *BehindError
-	if _, err := l.ChangesAfter(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
+	if _, err := l.ReadAfter(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
 		t.Errorf("%v", err)
 	}
 	if history := l.History("b"); len(history) != 1 || history[0].Revision != 6 {
@@ -53,15 +53,15 @@
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
 		put(t, l, name, 100)
 	}
-	first, err := l.ChangesAfter(0, "a/", 250)
+	first, err := l.ReadAfter(0, "a/", 250)
 	if err != nil || len(first.Changes) != 1 || first.Through != 2 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	rest, err := l.ChangesAfter(first.Through, "a/", 1000)
+	rest, err := l.ReadAfter(first.Through, "a/", 1000)
 	if err != nil || len(rest.Changes) != 2 || rest.Through != 5 {
 		t.Errorf("%+v, %v", rest, err)
 	}
-	progress, err := l.ChangesAfter(5, "a/", 1000)
+	progress, err := l.ReadAfter(5, "a/", 1000)
 	if err != nil || len(progress.Changes) != 0 || progress.Through != 5 {
 		t.Errorf("%+v, %v", progress, err)
 	}
@@ -102,11 +102,11 @@
 	put(t, l, "a", 1)
 	l.SkipRevisions(100)
 	var compacted *CompactedError
-	if _, err := l.ChangesAfter(1, "", 1000); !errors.As(err, &compacted) {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) {
 		t.Errorf("%v", err)
 	}
 	put(t, l, "b", 1)
-	if got, err := l.ChangesAfter(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
+	if got, err := l.ReadAfter(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
