--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -52,7 +52,7 @@
 	Peers map[string]string `toml:"peers"`
 }
 
-// HeartbeatTimeout returns Beat as a duration. The file must have been checked.
+// HeartbeatTimeout returns Heartbeat as a duration. The file must have been checked.
 func (f Coordinator) HeartbeatTimeout() time.Duration {
 	d, _ := time.ParseDuration(f.Heartbeat)
 	return d
@@ -72,7 +72,7 @@
 	f := Coordinator{
 		ClockRate:     coord.DefaultClockRateBound,
 		SnapshotEvery: defaultSnapshotEvery,
-		Heartbeat:          defaultHeartbeat,
+		Heartbeat:     defaultHeartbeat,
 		LogLevel:      defaultLogLevel,
 	}
 	if err := decode(path, text, &f); err != nil {
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -61,7 +61,7 @@
 	}
 	r := run(t, nil, observer)
 	eventually(t, func() error {
-		held, applied := r.Revision()
+		held, applied := r.Revisions()
 		if held != 7 || applied != 7 {
 			return fmt.Errorf("revision %d, applied %d, want 7", held, applied)
 		}
@@ -87,7 +87,7 @@
 	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
 	r := run(t, nil, observer)
 	eventually(t, func() error {
-		if held, _ := r.Revision(); held != 7 {
+		if held, _ := r.Revisions(); held != 7 {
 			return fmt.Errorf("revision %d", held)
 		}
 		return nil
@@ -106,7 +106,7 @@
 			observer := &recordedObserver{status: http.StatusServiceUnavailable, watch: fixture(t, name)}
 			server := httptest.NewServer(observer)
 			defer server.Close()
-			c := New(Options{Watcher: "w"})
+			c := New(Options{WatcherName: "w"})
 			_, err := c.open(t.Context(), server.Listener.Addr().String())
 			var got *protocol.Rejection
 			if !errors.As(err, &got) || got.Code != want.Code || got.RetryAfterMillis != want.RetryAfterMillis {
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -80,7 +80,7 @@
 		return w.pull(w.rng.IntN(checkObservers))
 	case 8:
 		i := w.rng.IntN(checkObservers)
-		w.observers[i].Compact(w.observers[i].Compacted() + uint64(w.rng.IntN(6)))
+		w.observers[i].Compact(w.observers[i].CompactedRevision() + uint64(w.rng.IntN(6)))
 	case 9:
 		if w.rng.IntN(4) == 0 { // killed: its state is only in memory
 			w.observers[w.rng.IntN(checkObservers)] = NewLog(checkLimits)
@@ -115,7 +115,7 @@
 
 // pull makes an observer poll the voters for a batch.
 func (w *world) pull(i int) error {
-	batch, err := w.voters.After(w.observers[i].Newest(), "", 1+w.rng.IntN(600))
+	batch, err := w.voters.ReadAfter(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
 		batch, err = w.voters.Snapshot(""), nil
@@ -132,7 +132,7 @@
 // deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed sequence.
 func (w *world) deliver(x *watcher) error {
 	log := w.observers[x.observer]
-	batch, err := log.After(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
+	batch, err := log.ReadAfter(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	var behind *BehindError
 	switch {
@@ -235,7 +235,7 @@
 func (w *world) heal() error {
 	newest := uint64(len(w.agreed))
 	for i, log := range w.observers {
-		for log.Newest() < newest {
+		for log.NewestRevision() < newest {
 			if err := w.pull(i); err != nil {
 				return err
 			}
