--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// fakeRouter answers as a test has it.
+// fakeRouter is a Router whose answers a test sets.
 type fakeRouter struct {
 	mu       sync.Mutex
 	unready  bool
@@ -49,7 +49,7 @@
 	return []byte(`{"waiting":3}`), f.err
 }
 
-// serve serves a router's admin address for the test.
+// serve serves r at an admin address until the test ends.
 func serve(t *testing.T, r Router) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return ln.Addr().String()
 }
 
-// exchange sends the text of a call over a connection of its own, and returns the answer.
+// exchange sends the text of a call over a new connection, and returns the response.
 func exchange(t *testing.T, addr, text string) (code int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -79,12 +79,12 @@
 		t.Fatalf("%.60q: %v", text, err)
 	}
 	defer response.Body.Close()
-	b, _ := io.ReadAll(response.Body) // where the call was not read completely, the close may cross it
+	b, _ := io.ReadAll(response.Body) // fails if the server closes before it has read the whole call
 	return response.StatusCode, strings.TrimSpace(string(b))
 }
 
-// head is the header of a call, with more lines for it.
-func head(method, path string, lines ...string) string {
+// requestHeader returns the header of a call, with additional lines.
+func requestHeader(method, path string, lines ...string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: x\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
@@ -92,7 +92,8 @@
 	return text + "\r\n"
 }
 
-// Each call of the pages has its status and its body; what is no call has a status that says so.
+// Each documented call must have its status and body, and anything else a status for an unknown
+// call.
 func TestCalls(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
@@ -118,7 +119,7 @@
 		{"GET", "/-/x/../ready", 404, "404 page not found"},
 		{"PUT", "/-/cache-servers//disable", 404, "404 page not found"},
 	} {
-		code, body := exchange(t, addr, head(c.method, c.path))
+		code, body := exchange(t, addr, requestHeader(c.method, c.path))
 		if code != c.code || body != c.body {
 			t.Errorf("%s %s: got %d %q, want %d %q", c.method, c.path, code, body, c.code, c.body)
 		}
@@ -127,19 +128,19 @@
 	f.unready = true
 	f.err = errors.New("too busy")
 	f.mu.Unlock()
-	if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 503 {
+	if code, _ := exchange(t, addr, requestHeader("GET", "/-/ready")); code != 503 {
 		t.Errorf("not ready: got %d", code)
 	}
-	code, body := exchange(t, addr, head("PUT", "/-/cache-servers/s-0b/disable"))
+	code, body := exchange(t, addr, requestHeader("PUT", "/-/cache-servers/s-0b/disable"))
 	if code != 503 || body != "too busy" {
-		t.Errorf("not done: got %d %q", code, body)
+		t.Errorf("call that fails: got %d %q", code, body)
 	}
-	if code, body := exchange(t, addr, head("GET", "/-/admission")); code != 404 || body != "not switched on" {
-		t.Errorf("without admission: got %d %q", code, body)
+	if code, body := exchange(t, addr, requestHeader("GET", "/-/admission")); code != 404 || body != "not switched on" {
+		t.Errorf("admission not enabled: got %d %q", code, body)
 	}
 }
 
-// Calls that are malformed or too large have an answer that says so, and none of them is carried out.
+// Malformed and oversized calls must be rejected with a matching status, and must have no effect.
 func TestMalformedAndOversizedCallsGetANo(t *testing.T) {
 	const disable = "/-/cache-servers/s-0b/disable"
 	addr := serve(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
@@ -147,13 +148,13 @@
 		text string
 		code int
 	}{
-		"noise":       {"what is this\r\n\r\n", 400},
+		"not HTTP":    {"what is this\r\n\r\n", 400},
 		"no host":     {"GET /-/ready HTTP/1.1\r\n\r\n", 400},
-		"bad escape":  {head("GET", "/-/%zz"), 400},
-		"long head":   {head("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
-		"long body":   {head("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
-		"bad chunk":   {head("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
-		"small body":  {head("PUT", disable, "Content-Length: 2") + "{}", 204},
+		"bad escape":  {requestHeader("GET", "/-/%zz"), 400},
+		"long header": {requestHeader("GET", "/-/ready", "X: "+strings.Repeat("a", 64<<10)), 431},
+		"long body":   {requestHeader("PUT", disable, "Content-Length: 5000") + strings.Repeat("a", 5000), 413},
+		"bad chunk":   {requestHeader("PUT", disable, "Transfer-Encoding: chunked") + "zz\r\n\r\n", 400},
+		"small body":  {requestHeader("PUT", disable, "Content-Length: 2") + "{}", 204},
 		"bad version": {"GET /-/ready HTTP/3.9\r\nHost: x\r\n\r\n", 505},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -164,8 +165,8 @@
 	}
 }
 
-// A caller disconnects in the middle of a call's body. Nothing is carried out: it may have meant
-// another call.
+// A caller disconnects in the middle of a call's body. The call must have no effect, as the caller
+// may not have intended it.
 func TestHalfACallDoesNothing(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
@@ -173,19 +174,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, head("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
+	io.WriteString(c, requestHeader("PUT", "/-/cache-servers/s-0b/disable", "Content-Length: 20")+"half")
 	c.(*net.TCPConn).CloseWrite()
-	io.ReadAll(c) //nolint:errcheck // until it is closed
+	io.ReadAll(c) //nolint:errcheck // until the server closes the connection
 	c.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.disabled["s-0b"] {
-		t.Error("half a call was carried out")
+		t.Error("an incomplete call had an effect")
 	}
 }
 
-// Three times as many callers as the address takes connect and send nothing, or half a call. A usual
-// call is answered beside them; a program that kept the first connections would keep operators out.
+// Three times as many callers connect as the address accepts, and send nothing or half a call. An
+// ordinary call must still be answered; if the first connections were kept, operators would be
+// locked out.
 func TestSilentCallersGiveWay(t *testing.T) {
 	addr := serve(t, &fakeRouter{})
 	for i := range 3 * MaxConns {
@@ -199,7 +201,7 @@
 		}
 	}
 	for range 5 {
-		if code, _ := exchange(t, addr, head("GET", "/-/ready")); code != 200 {
+		if code, _ := exchange(t, addr, requestHeader("GET", "/-/ready")); code != 200 {
 			t.Fatalf("got %d", code)
 		}
 	}
--- a/internal/coord/config/observer_test.go
+++ b/internal/coord/config/observer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An observer's file is read with its defaults, and each mistake in one is told with file and
+// A valid observer file is read with the defaults; each problem is reported with the file and the
 // setting.
 func TestObserverFile(t *testing.T) {
 	good := "version = 1\nname = \"o1\"\napi = \"a:1\"\n[coordinators]\nc1 = \"b:2\"\n"
@@ -14,7 +14,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.MaxWatchers != 2048 || f.JoinsPerSecond != 200 || f.WatcherBytes != 256<<10 {
+		if f.MaxWatchers != 2048 || f.JoinsPerSecond != 200 || f.WatcherBytesPerSecond != 256<<10 {
 			t.Errorf("%+v", f)
 		}
 		if f.Coordinators["c1"] != "b:2" {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging is the router's log: log/slog, one event a line, with a bound on how often one
-// event is repeated.
+// Package logging sets up the router's log: log/slog with one line per event, and a limit on how
+// often the same event is logged.
 package logging
 
 import (
@@ -10,58 +10,60 @@
 	"time"
 )
 
-// Options say how to log.
+// Options configure the log.
 type Options struct {
 	// Level is debug, info, warn or error.
 	Level string
-	// JSON writes JSON in place of text.
+	// JSON selects JSON instead of text.
 	JSON bool
-	// RepeatInterval is the time in which the lines of one event are bounded.
+	// RepeatInterval is the interval in which the lines of one event are limited.
 	RepeatInterval time.Duration
-	// RepeatBurst is how many lines of one event are written in that time; 0 = no bound.
+	// RepeatBurst is the number of lines of one event that are written per interval; 0 = no limit.
 	RepeatBurst int
 }
 
-// maxEvents bounds the events that are limited each on its own; those beyond share one limit.
+// maxEvents bounds the number of events with a limit of their own; all further events share one
+// limit.
 const maxEvents = 256
 
 // New returns a logger that writes to w.
 func New(w io.Writer, o Options) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(o.Level)) // unknown: info; the operator file is checked where it is read
+	_ = level.UnmarshalText([]byte(o.Level)) // an unknown level means info; the operator file is validated when read
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewTextHandler(w, options)
 	if o.JSON {
 		handler = slog.NewJSONHandler(w, options)
 	}
 	if o.RepeatBurst > 0 {
-		handler = &limiter{next: handler, events: newEventLimits(o.RepeatInterval, o.RepeatBurst)}
+		handler = &limitingHandler{next: handler, events: newEventLimits(o.RepeatInterval, o.RepeatBurst)}
 	}
 	return slog.New(handler)
 }
 
-// event is what counts as the same line again: its level and message, whatever its attributes.
+// event identifies repeated lines: they have the same level and message, but may have other
+// attributes.
 type event struct {
 	level   slog.Level
 	message string
 }
 
-// window counts the lines of an event in one interval.
+// window counts the lines of an event within one interval.
 type window struct {
 	startedAt time.Time
 	lines     int
-	// suppressed is how many lines were not written since the last that was.
+	// suppressed is the number of lines that were not written since the last one that was.
 	suppressed int
 }
 
-// eventLimits counts lines by event. It has no clock: the records bring their time.
+// eventLimits counts lines by event. It reads no clock: each record has a time.
 type eventLimits struct {
 	interval time.Duration
 	burst    int
 
 	mu      sync.Mutex
 	windows map[event]*window
-	// overflow counts the events for which there is no window.
+	// overflow counts the lines of all events that have no window of their own.
 	overflow window
 }
 
@@ -69,8 +71,8 @@
 	return &eventLimits{interval: interval, burst: burst, windows: map[event]*window{}}
 }
 
-// allow reports whether a line of an event may be written at now, and how many were suppressed since
-// the last that was.
+// allow reports whether a line of an event may be written at now, and how many lines were
+// suppressed since the last one that was written.
 func (l *eventLimits) allow(e event, now time.Time) (isAllowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,13 +91,13 @@
 	return true, suppressed
 }
 
-// window returns the window of an event, or overflow where there are too many.
+// window returns the window of an event, or overflow if there are too many events.
 func (l *eventLimits) window(e event, now time.Time) *window {
 	if w := l.windows[e]; w != nil {
 		return w
 	}
 	if len(l.windows) >= maxEvents {
-		l.evictOver(now)
+		l.evictEnded(now)
 	}
 	if len(l.windows) >= maxEvents {
 		return &l.overflow
@@ -105,8 +107,8 @@
 	return w
 }
 
-// evictOver drops the windows that are over and have no suppressed lines to tell of.
-func (l *eventLimits) evictOver(now time.Time) {
+// evictEnded removes the windows that have ended and have no suppressed lines to report.
+func (l *eventLimits) evictEnded(now time.Time) {
 	for e, w := range l.windows {
 		if now.Sub(w.startedAt) >= l.interval && w.suppressed == 0 {
 			delete(l.windows, e)
@@ -114,17 +116,18 @@
 	}
 }
 
-// limiter is a slog.Handler that passes on a bounded number of lines of each event.
-type limiter struct {
+// limitingHandler is a slog.Handler that passes on a limited number of lines per event and
+// interval.
+type limitingHandler struct {
 	next   slog.Handler
 	events *eventLimits
 }
 
-func (l *limiter) Enabled(ctx context.Context, level slog.Level) bool {
+func (l *limitingHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return l.next.Enabled(ctx, level)
 }
 
-func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
+func (l *limitingHandler) Handle(ctx context.Context, r slog.Record) error {
 	isAllowed, suppressed := l.events.allow(event{r.Level, r.Message}, r.Time)
 	if !isAllowed {
 		return nil
@@ -136,10 +139,10 @@
 	return l.next.Handle(ctx, r)
 }
 
-func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limiter{next: l.next.WithAttrs(attrs), events: l.events}
+func (l *limitingHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitingHandler{next: l.next.WithAttrs(attrs), events: l.events}
 }
 
-func (l *limiter) WithGroup(name string) slog.Handler {
-	return &limiter{next: l.next.WithGroup(name), events: l.events}
+func (l *limitingHandler) WithGroup(name string) slog.Handler {
+	return &limitingHandler{next: l.next.WithGroup(name), events: l.events}
 }
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -61,7 +61,7 @@
 		}
 		s.reconcileAt(confirmedAt)
 	}
-	if failpoint.Is("budget-unchecked") {
+	if failpoint.IsInjected("budget-unchecked") {
 		return ""
 	}
 	if outage == NotOut {
@@ -118,7 +118,7 @@
 			return fmt.Sprintf("%s: a share of %v of %d is none: raise it, or say a number",
 				u.description(), u.budget.MaxOutShare, u.targets)
 		}
-		isFree := failpoint.Is("out-is-free") && u.outTargets[ref]
+		isFree := failpoint.IsInjected("out-is-free") && u.outTargets[ref]
 		if len(u.outTargets)+needed > u.allowed && !isFree {
 			return fmt.Sprintf("%s: %d of at most %d out: %s",
 				u.description(), len(u.outTargets), u.allowed, SummarizeNames(u.outTexts))
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -81,7 +81,7 @@
 	switch {
 	case !s.Load.IsOverloaded:
 		return s.Load.FailedShare > s.OverloadShare, windowsUntilOverloaded
-	case failpoint.Is("busy-flaps"):
+	case failpoint.IsInjected("busy-flaps"):
 		return s.Load.FailedShare <= s.OverloadShare, 1
 	}
 	return s.Load.FailedShare < s.OverloadShare/2, windowsUntilRecovered
@@ -111,7 +111,7 @@
 
 // overloadReason returns the reason to wait if an overload forbids the outage; "" otherwise.
 func (s *State) overloadReason(p *Permit) string {
-	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.Is("busy-ignored") {
+	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.IsInjected("busy-ignored") {
 		return ""
 	}
 	return fmt.Sprintf(
--- a/internal/rollout/reconcile.go
+++ b/internal/rollout/reconcile.go
@@ -79,7 +79,7 @@
 // serving. A single router with a bad network link then can neither take a server out of service
 // nor hide that it is out.
 func (t *Target) isObservedServing() bool {
-	if failpoint.Is("evidence-of-one") {
+	if failpoint.IsInjected("evidence-of-one") {
 		return t.counts.notServing() == 0
 	}
 	return t.counts.total > 0 && 2*t.counts.notServing() <= t.counts.total
@@ -106,7 +106,7 @@
 		return
 	}
 	removeAt := max(server.ChangedAt, server.DelistedAt) + RemoveAfterGracePeriods*s.GracePeriod
-	if removeAt > now && !failpoint.Is("gone-is-forgotten") {
+	if removeAt > now && !failpoint.IsInjected("gone-is-forgotten") {
 		s.serverChangesAt(removeAt)
 		return
 	}
@@ -153,7 +153,7 @@
 func (s *State) endOrphanedOutage(p *Permit, now time.Duration) bool {
 	t := s.target(p.target())
 	settledAt := p.BegunAt + s.GracePeriod
-	if t != nil && settledAt > now && !failpoint.Is("late-news-believed") {
+	if t != nil && settledAt > now && !failpoint.IsInjected("late-news-believed") {
 		s.reconcileAt(settledAt)
 		p.Incarnation = t.Incarnation
 	}
@@ -191,7 +191,7 @@
 // receive the drain set. It stops sending because of the endpoint list, which must mark the server
 // as draining, and which the router reads within the grace period.
 func (s *State) possibleSenders(p *Permit, now time.Duration) (senders nameSummary) {
-	if failpoint.Is("drain-unacknowledged") {
+	if failpoint.IsInjected("drain-unacknowledged") {
 		return senders
 	}
 	server := s.target(p.target())
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -9,16 +9,16 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// maxPreparedEntries bounds the entries that memory is set aside for before they were read: the
-// number that a line announces may be wrong.
-const maxPreparedEntries = 4096
+// maxPreallocatedEntries bounds the memory that is allocated for list entries before they are read,
+// as the announced number of entries may be wrong.
+const maxPreallocatedEntries = 4096
 
-// deliver hands an event that was read to a Balancer.
-type deliver func(b *decide.Balancer)
+// eventFunc passes an event to a Balancer.
+type eventFunc func(b *decide.Balancer)
 
-// event reads one event and hands it to its instance. An event for an instance that is not open is
-// checked as any other and then ignored.
-func (s *session) event(now float64, text string) error {
+// handleEvent reads one handleEvent and passes it to its instance. An handleEvent for an instance
+// that is not open is validated like any other, and then ignored.
+func (s *session) handleEvent(now float64, text string) error {
 	f := newFields(text)
 	kind := f.word()
 	id := f.instanceID()
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// readEvent reads the fields of an event.
-func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (deliver, error) {
+// readEvent reads the fields of an event and returns the function that passes it to a Balancer.
+func (s *session) readEvent(kind string, f *fields, now float64, in *instance) (eventFunc, error) {
 	switch kind {
 	case eventEndpoints:
 		return s.readEndpoints(f, now)
@@ -72,15 +72,15 @@
 	return nil, fmt.Errorf("unknown event %q", kind)
 }
 
-// readEndpoints reads an update of the endpoint list, with a line for each entry.
-func (s *session) readEndpoints(f *fields, now float64) (deliver, error) {
+// readEndpoints reads an update of the endpoint list, with one line per entry.
+func (s *session) readEndpoints(f *fields, now float64) (eventFunc, error) {
 	kind := oneOf(f, "kind", updateKinds)
 	f.numberOrAbsent("version")
 	count := f.uint("number of entries")
 	if err := f.end(eventEndpoints); err != nil {
 		return nil, err
 	}
-	entries := make([]decide.Endpoint, 0, min(count, maxPreparedEntries))
+	entries := make([]decide.Endpoint, 0, min(count, maxPreallocatedEntries))
 	for range count {
 		entry, err := s.readEntry()
 		if err != nil {
@@ -91,7 +91,7 @@
 	return func(b *decide.Balancer) { b.UpdateEndpoints(now, kind, entries) }, nil
 }
 
-// readEntry reads one line of an endpoint list.
+// readEntry reads one entry of the endpoint list.
 func (s *session) readEntry() (decide.Endpoint, error) {
 	text, err := s.lines.next()
 	if errors.Is(err, io.EOF) {
@@ -116,7 +116,7 @@
 	return entry, f.end("list entry")
 }
 
-func readRequest(f *fields, now float64) deliver {
+func readRequest(f *fields, now float64) eventFunc {
 	q := decide.Request{ID: f.uint("requestId"), Class: f.word(), Tenant: f.word()}
 	q.Key, q.HasKey = f.key()
 	q.RemainingMillis = f.number("remaining")
@@ -127,7 +127,7 @@
 	return func(b *decide.Balancer) { b.Request(now, q) }
 }
 
-func readStreamStarted(f *fields, now float64) deliver {
+func readStreamStarted(f *fields, now float64) eventFunc {
 	id := f.uint("requestId")
 	f.uint("leg")
 	f.uint("server")
@@ -135,7 +135,7 @@
 	return func(b *decide.Balancer) { b.StreamStarted(now, id) }
 }
 
-func readAttemptEnded(f *fields, now float64, in *instance) deliver {
+func readAttemptEnded(f *fields, now float64, in *instance) eventFunc {
 	o := decide.Outcome{
 		RequestID:     f.uint("requestId"),
 		Attempt:       int(f.uint("leg")),
@@ -149,7 +149,7 @@
 	return func(b *decide.Balancer) { b.AttemptEnded(now, o) }
 }
 
-func readHealthCheckEnded(f *fields, now float64, in *instance) deliver {
+func readHealthCheckEnded(f *fields, now float64, in *instance) eventFunc {
 	server := f.uint("server")
 	status := oneOf(f, "outcome", statuses)
 	f.numberOrAbsent("lag")
@@ -157,8 +157,8 @@
 	return func(b *decide.Balancer) { b.HealthCheckEnded(now, server, status, load) }
 }
 
-// readLoad reads a load report. The columns are those of the instance's settings; without an
-// instance the report is passed over.
+// readLoad reads a load report. Its columns are given by the settings of the instance; without an
+// instance, the report is skipped.
 func readLoad(f *fields, in *instance) decide.LoadReport {
 	if in == nil {
 		f.word()
@@ -167,9 +167,9 @@
 	return f.load(in.loadColumns)
 }
 
-// readTimer reads the token of a timer. One that is no number was not set by a Balancer and is
-// ignored.
-func readTimer(f *fields, now float64) deliver {
+// readTimer reads the token of a timer. A token that is not a number was not set by a Balancer, and
+// the event is ignored.
+func readTimer(f *fields, now float64) eventFunc {
 	token, err := strconv.ParseUint(f.word(), 10, 64)
 	return func(b *decide.Balancer) {
 		if err == nil {
