--- a/cmd/dockhinge-coord/config_status.go
+++ b/cmd/dockhinge-coord/config_status.go
@@ -107,7 +107,7 @@
 			return printConfigStatus(cmd.OutOrStdout(), statuses)
 		},
 	}
-	cmd.Flags().StringSliceVar(&entries, "observers", wordsOfEnvironment("DOCKHINGE_OBSERVERS"),
+	cmd.Flags().StringSliceVar(&entries, "observers", splitEnvironment("DOCKHINGE_OBSERVERS"),
 		"NAME=HOST:PORT of each observer (or DOCKHINGE_OBSERVERS)")
 	cmd.Flags().BoolVar(&isJSON, "json", false, "print all values as JSON")
 	return cmd
--- a/cmd/dockhinge-coord/coordinators.go
+++ b/cmd/dockhinge-coord/coordinators.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// toolTTL is the minimum lifetime of an operators' command's session, and the time limit of a
-	// single call.
-	toolTTL = 10 * time.Second
+	// commandTTL is the minimum lifetime of an operators' command's session, and the time limit of
+	// a single call.
+	commandTTL = 10 * time.Second
 	// statusTimeout is the time limit for getting the statuses of all coordinators or observers.
 	statusTimeout = 3 * time.Second
 	// leaderTimeout is the time limit of a command that the leader carries out, including the
@@ -65,7 +65,7 @@
 		Args:  t.args,
 		RunE:  func(cmd *cobra.Command, args []string) error { return t.run(cmd, args, &c) },
 	}
-	cmd.Flags().StringSliceVar(&c.words, "coordinators", wordsOfEnvironment("DOCKHINGE_COORDINATORS"),
+	cmd.Flags().StringSliceVar(&c.entries, "coordinators", splitEnvironment("DOCKHINGE_COORDINATORS"),
 		"NAME=HOST:PORT of each coordinator, at its address for clients (or DOCKHINGE_COORDINATORS)")
 	if t.flags != nil {
 		t.flags(cmd)
@@ -73,8 +73,8 @@
 	return cmd
 }
 
-// wordsOfEnvironment returns the comma-separated values of an environment variable.
-func wordsOfEnvironment(name string) []string {
+// splitEnvironment returns the comma-separated values of an environment variable.
+func splitEnvironment(name string) []string {
 	value := os.Getenv(name)
 	if value == "" {
 		return nil
@@ -108,13 +108,13 @@
 
 // coordinators are the coordinators that a sub-command calls, as given by its flag --coordinators.
 type coordinators struct {
-	// words are the values of the flag.
-	words []string
+	// entries are the values of the flag.
+	entries []string
 }
 
 // addresses returns the coordinators' addresses by name.
 func (c *coordinators) addresses() (map[string]string, error) {
-	addresses, err := parseAddresses(c.words)
+	addresses, err := parseAddresses(c.entries)
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return client.New(client.Options{Coordinators: addresses, TTL: toolTTL}), nil
+	return client.New(client.Options{Coordinators: addresses, TTL: commandTTL}), nil
 }
 
 // report returns the current report of the rollout state.
@@ -139,7 +139,7 @@
 	if err != nil {
 		return rollout.Report{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, toolTTL)
+	ctx, cancel := context.WithTimeout(ctx, commandTTL)
 	defer cancel()
 	return reader.RolloutReport(ctx, 0)
 }
@@ -168,9 +168,9 @@
 
 // execute sends one rollout command in a session of its own.
 func (c *coordinators) execute(ctx context.Context, command rollout.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, toolTTL)
+	ctx, cancel := context.WithTimeout(ctx, commandTTL)
 	defer cancel()
-	return c.withSession(ctx, "", toolTTL, func(ctx context.Context, session *client.Client) error {
+	return c.withSession(ctx, "", commandTTL, func(ctx context.Context, session *client.Client) error {
 		_, err := session.ExecuteRollout(ctx, command)
 		return err
 	})
--- a/cmd/dockhinge-coord/documents.go
+++ b/cmd/dockhinge-coord/documents.go
@@ -29,7 +29,7 @@
 		newDocumentGetCommand(),
 		newDocumentListCommand(),
 		newDocumentHistoryCommand(),
-		newDocumentBackCommand(),
+		newDocumentRestoreCommand(),
 		newDocumentDeleteCommand(),
 		newConfigStatusCommand(),
 	)
@@ -58,9 +58,9 @@
 
 // putDocument puts or deletes a document and prints its new revision.
 func (c *coordinators) putDocument(cmd *cobra.Command, put coord.DocumentPut) error {
-	ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
+	ctx, cancel := context.WithTimeout(cmd.Context(), commandTTL)
 	defer cancel()
-	return c.withSession(ctx, "", toolTTL, func(ctx context.Context, session *client.Client) error {
+	return c.withSession(ctx, "", commandTTL, func(ctx context.Context, session *client.Client) error {
 		revision, err := session.PutDocument(ctx, put)
 		var rejected *client.RejectedError
 		if errors.As(err, &rejected) && rejected.Code == coord.CodeConflict {
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, toolTTL)
+	ctx, cancel := context.WithTimeout(ctx, commandTTL)
 	defer cancel()
 	history, err := reader.DocumentHistory(ctx, name)
 	if err == nil && len(history) == 0 {
@@ -90,9 +90,9 @@
 	return history, err
 }
 
-// atRevision returns the change of a document at a revision; 0 means the newest. The history must
-// not be empty.
-func atRevision(history []watchlog.Change, name string, revision uint64) (watchlog.Change, error) {
+// changeAtRevision returns the change of a document at a revision; 0 means the newest. The history
+// must not be empty.
+func changeAtRevision(history []watchlog.Change, name string, revision uint64) (watchlog.Change, error) {
 	if revision == 0 {
 		return history[len(history)-1], nil
 	}
@@ -157,7 +157,7 @@
 			if err != nil {
 				return err
 			}
-			change, err := atRevision(history, args[0], revision)
+			change, err := changeAtRevision(history, args[0], revision)
 			if err != nil {
 				return err
 			}
@@ -181,7 +181,7 @@
 			if err != nil {
 				return err
 			}
-			ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
+			ctx, cancel := context.WithTimeout(cmd.Context(), commandTTL)
 			defer cancel()
 			documents, err := reader.ListDocuments(ctx, strings.Join(args, ""))
 			if err != nil {
@@ -217,7 +217,7 @@
 	}.build()
 }
 
-func newDocumentBackCommand() *cobra.Command {
+func newDocumentRestoreCommand() *cobra.Command {
 	return toolCommand{
 		use:   "back NAME REVISION",
 		short: "Restore an earlier revision of a document as a new revision",
@@ -233,7 +233,7 @@
 			if err != nil {
 				return err
 			}
-			change, err := atRevision(history, args[0], revision)
+			change, err := changeAtRevision(history, args[0], revision)
 			if err != nil {
 				return err
 			}
--- a/cmd/dockhinge-coord/documents_test.go
+++ b/cmd/dockhinge-coord/documents_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against documents that routers could not read: they are not sent to the coordinators.
-func TestCheckDocument(t *testing.T) {
+func TestInvalidDocumentsAreRejected(t *testing.T) {
 	for _, bad := range []struct{ name, value, want string }{
 		{"a.toml", "x = ", "a.toml"},
 		{"a.json", "{", "not valid JSON"},
@@ -31,21 +31,21 @@
 }
 
 // A revision is found while it is stored; 0 finds the newest.
-func TestAtRevision(t *testing.T) {
+func TestStoredRevisionIsFound(t *testing.T) {
 	history := []watchlog.Change{{Revision: 3}, {Revision: 9}}
 	for revision, want := range map[uint64]uint64{0: 9, 3: 3, 9: 9} {
-		if got, err := atRevision(history, "a", revision); err != nil || got.Revision != want {
+		if got, err := changeAtRevision(history, "a", revision); err != nil || got.Revision != want {
 			t.Errorf("%d: %+v, %v", revision, got, err)
 		}
 	}
-	if _, err := atRevision(history, "a", 4); err == nil {
+	if _, err := changeAtRevision(history, "a", 4); err == nil {
 		t.Error("revision 4 was found")
 	}
 }
 
 // Guards against watchers that count as having the newest revision although their observer lags
 // behind or doesn't answer.
-func TestConfigStatus(t *testing.T) {
+func TestWatchersOfLaggingObserversAreNotAcknowledged(t *testing.T) {
 	observers := map[string]observerStatus{
 		"o1": {Status: protocol.Status{
 			Revision: 7, Watchers: 10, Acknowledged: 9,
--- a/cmd/dockhinge-coord/fleet.go
+++ b/cmd/dockhinge-coord/fleet.go
@@ -50,9 +50,10 @@
 			if err != nil {
 				return err
 			}
-			return c.withSession(cmd.Context(), "", toolTTL, func(ctx context.Context, session *client.Client) error {
-				return setBudgets(ctx, session, command, cmd.ErrOrStderr())
-			})
+			return c.withSession(cmd.Context(), "", commandTTL,
+				func(ctx context.Context, session *client.Client) error {
+					return setBudgets(ctx, session, command, cmd.ErrOrStderr())
+				})
 		},
 	}
 	cmd.AddCommand(check, set.build())
@@ -68,14 +69,14 @@
 	for _, b := range report.Budgets {
 		if b.Allowed == 0 {
 			fmt.Fprintf(out, "warning: budget %s%s allows no outages: its share of %d rounds down to 0\n",
-				b.Budget, inZone(b.Zone), b.Targets)
+				b.Budget, zoneSuffix(b.Zone), b.Targets)
 		}
 	}
 	return err
 }
 
-// inZone returns the suffix that names the zone of a budget per zone; "" for other budgets.
-func inZone(zone string) string {
+// zoneSuffix returns the suffix that names the zone of a budget per zone; "" for other budgets.
+func zoneSuffix(zone string) string {
 	if zone == "" {
 		return ""
 	}
--- a/cmd/dockhinge-coord/group.go
+++ b/cmd/dockhinge-coord/group.go
@@ -238,16 +238,16 @@
 		return err
 	}
 	for name, address := range added {
-		if err := addOne(cmd.Context(), c, name, address); err != nil {
+		if err := addCoordinator(cmd.Context(), c, name, address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addOne adds a coordinator that belongs to no group, or one whose earlier addition was
+// addCoordinator adds a coordinator that belongs to no group, or one whose earlier addition was
 // interrupted.
-func addOne(ctx context.Context, c *coordinators, name, address string) error {
+func addCoordinator(ctx context.Context, c *coordinators, name, address string) error {
 	answers, failures := statuses(ctx, map[string]string{name: address})
 	if err := failures[name]; err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -263,7 +263,7 @@
 		SupportedVersion: s.SupportedVersion,
 	}
 	return c.withLeader(ctx, func(ctx context.Context, leader string) error {
-		if s.State != stateWaiting && !lacksVote(ctx, leader, s.Identity) {
+		if s.State != stateWaiting && !isNonVotingMember(ctx, leader, s.Identity) {
 			return fmt.Errorf("%s: already belongs to a group (state %s); only one without a group can be added",
 				name, s.State)
 		}
@@ -271,8 +271,8 @@
 	})
 }
 
-// lacksVote reports whether a coordinator is a member of the leader's group without a vote.
-func lacksVote(ctx context.Context, leader, identity string) bool {
+// isNonVotingMember reports whether a coordinator is a member of the leader's group without a vote.
+func isNonVotingMember(ctx context.Context, leader, identity string) bool {
 	var members []node.Member
 	if err := client.Call(ctx, http.MethodGet, leader, "/v1/members", nil, &members); err != nil {
 		return false
--- a/cmd/dockhinge-coord/step_faults.go
+++ b/cmd/dockhinge-coord/inject_faults.go
@@ -11,10 +11,10 @@
 // pausePollInterval is the interval at which a paused program checks whether it may continue.
 const pausePollInterval = 5 * time.Millisecond
 
-// step is called at the named points of this program at which tests may inject a crash or a pause.
-// At the point in DOCKHINGE_KILL_AT the program is killed with SIGKILL. At the point in
+// injectFaultAt is called at the named points of this program at which tests may inject a crash or
+// a pause. At the point in DOCKHINGE_KILL_AT the program is killed with SIGKILL. At the point in
 // DOCKHINGE_PAUSE_AT it waits, once, until the test has created the file DOCKHINGE_PAUSE_FILE.go.
-func step(name string) {
+func injectFaultAt(name string) {
 	if file := os.Getenv("DOCKHINGE_PAUSE_FILE"); file != "" && os.Getenv("DOCKHINGE_PAUSE_AT") == name {
 		pauseOnce(file)
 	}
--- a/cmd/dockhinge-coord/lease.go
+++ b/cmd/dockhinge-coord/lease.go
@@ -44,7 +44,7 @@
 				name = args[0]
 			}
 			reader := client.New(client.Options{Coordinators: addresses, TTL: listLeasesTTL})
-			ctx, cancel := context.WithTimeout(cmd.Context(), toolTTL)
+			ctx, cancel := context.WithTimeout(cmd.Context(), commandTTL)
 			defer cancel()
 			leases, err := reader.ListLeases(ctx, name)
 			if err != nil {
--- a/cmd/dockhinge-coord/permit.go
+++ b/cmd/dockhinge-coord/permit.go
@@ -76,7 +76,7 @@
 	if !isKnown {
 		return 0, fmt.Errorf("--priority: %q is none of release, normal, emergency", r.priority)
 	}
-	a := &acquisition{
+	a := &permitAcquisition{
 		session: session,
 		out:     out,
 		request: rollout.Command{
@@ -91,13 +91,13 @@
 	}
 	err = a.run(ctx)
 	if err != nil && a.begunSession == "" {
-		a.withdraw(ctx)
+		a.cancelRequest(ctx)
 	}
 	return a.token, err
 }
 
-// acquisition is the state of acquire: one permit from its request to the begun outage.
-type acquisition struct {
+// permitAcquisition is the state of acquire: one permit from its request to the begun outage.
+type permitAcquisition struct {
 	session *client.Client
 	out     io.Writer
 	// request is the command that requests the permit. Once the permit is granted, it also contains
@@ -117,7 +117,7 @@
 
 // run repeats the request whenever the coordinators' state has changed, until the outage has begun
 // and a cache server is drained.
-func (a *acquisition) run(ctx context.Context) error {
+func (a *permitAcquisition) run(ctx context.Context) error {
 	for {
 		if a.begunSession != "" && a.session.SessionID() != a.begunSession {
 			return errSessionLost
@@ -142,15 +142,15 @@
 }
 
 // requestAndBegin requests the permit, and begins the outage if it is granted.
-func (a *acquisition) requestAndBegin(ctx context.Context) (coord.Response, error) {
+func (a *permitAcquisition) requestAndBegin(ctx context.Context) (coord.Response, error) {
 	permit, err := a.session.ExecuteRollout(ctx, a.request)
 	if err == nil && permit.Stage == rollout.StageGranted {
 		a.request.Token = permit.Token
 		begin := a.request
 		begin.Op = rollout.OpBeginOutage
-		step("granted")
+		injectFaultAt("granted")
 		permit, err = a.session.ExecuteRollout(ctx, begin)
-		step("begun")
+		injectFaultAt("begun")
 	}
 	// A process of the same client name may also have begun the outage before it crashed.
 	if err == nil && permit.Stage == rollout.StageBegun && a.begunSession == "" {
@@ -162,7 +162,7 @@
 
 // classify reports whether the outage is ready, by the result of requestAndBegin. It returns an
 // error if waiting does not help; otherwise permit.Text is the reason to wait.
-func (a *acquisition) classify(ctx context.Context, permit *coord.Response, err error) (isReady bool, _ error) {
+func (a *permitAcquisition) classify(ctx context.Context, permit *coord.Response, err error) (isReady bool, _ error) {
 	var rejected *client.RejectedError
 	switch {
 	case errors.As(err, &rejected) && rejected.Code == coord.CodeNotHeld:
@@ -181,7 +181,7 @@
 
 // awaitChange waits until the coordinators' state has changed. If they don't answer, it waits for
 // reportRetryInterval.
-func (a *acquisition) awaitChange(ctx context.Context) error {
+func (a *permitAcquisition) awaitChange(ctx context.Context) error {
 	report, err := a.session.RolloutReport(ctx, a.reportVersion)
 	if err != nil && !clock.Sleep(ctx, reportRetryInterval) {
 		return ctx.Err()
@@ -190,10 +190,10 @@
 	return nil
 }
 
-// withdraw cancels a request whose outage has not begun, because it would reserve its place in the
-// budgets until its session ends. Errors are ignored: the end of the session removes the request
-// too.
-func (a *acquisition) withdraw(ctx context.Context) {
+// cancelRequest cancels a request whose outage has not begun, because it would reserve its place in
+// the budgets until its session ends. Errors are ignored: the end of the session removes the
+// request too.
+func (a *permitAcquisition) cancelRequest(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
 	command := rollout.Command{Op: rollout.OpCancelPermit, Kind: a.request.Kind, Name: a.request.Name}
@@ -222,14 +222,14 @@
 			if err != nil {
 				return err
 			}
-			return c.withSession(cmd.Context(), request.holder, toolTTL,
+			return c.withSession(cmd.Context(), request.holder, commandTTL,
 				func(ctx context.Context, session *client.Client) error {
 					token, err := request.acquire(ctx, session, kind, name, cmd.ErrOrStderr())
 					if err != nil {
 						return err
 					}
-					step("drained")
-					return runInOutage(ctx, session, rollout.Command{
+					injectFaultAt("drained")
+					return runDuringOutage(ctx, session, rollout.Command{
 						Op: rollout.OpEndOutage, Kind: kind, Name: name, Token: token,
 					}, args[1:])
 				})
@@ -237,9 +237,9 @@
 	}.build()
 }
 
-// runInOutage runs a command while a target is out. If the command succeeds, it returns the permit
-// with the command endOutage.
-func runInOutage(
+// runDuringOutage runs a command while a target is out. If the command succeeds, it returns the
+// permit with the command endOutage.
+func runDuringOutage(
 	ctx context.Context, session *client.Client, endOutage rollout.Command, command []string,
 ) error {
 	begunSession := session.SessionID()
@@ -249,12 +249,12 @@
 		return fmt.Errorf("%s counts as out until it is restarted, or until 'permit clear %s': %w",
 			target, target, err)
 	}
-	step("ran")
+	injectFaultAt("ran")
 	if session.SessionID() != begunSession {
 		return errSessionLost
 	}
 	_, err = session.ExecuteRollout(ctx, endOutage)
-	step("given-back")
+	injectFaultAt("given-back")
 	return err
 }
 
@@ -273,7 +273,7 @@
 			if err != nil || kind != rollout.KindServer {
 				return errors.Join(err, fmt.Errorf("%s: only cache servers can be drained", args[0]))
 			}
-			err = c.withSession(cmd.Context(), request.holder, toolTTL,
+			err = c.withSession(cmd.Context(), request.holder, commandTTL,
 				func(ctx context.Context, session *client.Client) error {
 					_, err := request.acquire(ctx, session, kind, name, cmd.ErrOrStderr())
 					return err
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -63,7 +63,7 @@
 						"before the next wave begins\n",
 					plan.LearnTime, plan.BakeTime)
 			}
-			binding := findBindingBudget(out, report.Budgets, len(names))
+			binding := findLimitingBudget(out, report.Budgets, len(names))
 			total := printWaves(cmd, plan, names, binding)
 			fmt.Fprintf(out,
 				"%d routers, at least %v plus the time that the command takes; limiting budget: %s\n",
@@ -73,8 +73,8 @@
 	}.build()
 }
 
-// bindingBudget is the budget over the fleet that limits a release most.
-type bindingBudget struct {
+// limitingBudget is the budget over the fleet that limits a release most.
+type limitingBudget struct {
 	// name is the budget's name; "none" if no budget limits the release.
 	name string
 	// allowed is how many routers may be out at once.
@@ -83,17 +83,18 @@
 	slowStart time.Duration
 }
 
-// findBindingBudget returns the budget that limits a release of the given number of routers most.
+// findLimitingBudget returns the budget that limits a release of the given number of routers most.
 // It prints the budgets that allow no outages at all.
-func findBindingBudget(out io.Writer, budgets []rollout.BudgetUsage, routers int) bindingBudget {
-	binding := bindingBudget{name: "none", allowed: routers}
+func findLimitingBudget(out io.Writer, budgets []rollout.BudgetUsage, routers int) limitingBudget {
+	binding := limitingBudget{name: "none", allowed: routers}
 	for _, b := range budgets {
 		if b.Kind != rollout.KindRouter {
 			continue
 		}
 		binding.slowStart = max(binding.slowStart, b.SlowStart)
 		if b.Allowed == 0 {
-			fmt.Fprintf(out, "budget %s%s allows no outages: the release can't progress\n", b.Budget, inZone(b.Zone))
+			fmt.Fprintf(out, "budget %s%s allows no outages: the release can't progress\n",
+				b.Budget, zoneSuffix(b.Zone))
 		}
 		if b.Zone == "" && b.Allowed < binding.allowed {
 			binding.allowed = b.Allowed
@@ -105,7 +106,7 @@
 
 // printWaves prints the waves of a plan over these routers, and returns their minimum total
 // duration.
-func printWaves(cmd *cobra.Command, plan rollout.ReleasePlan, names []string, binding bindingBudget) time.Duration {
+func printWaves(cmd *cobra.Command, plan rollout.ReleasePlan, names []string, binding limitingBudget) time.Duration {
 	w := newTable(cmd)
 	fmt.Fprintln(w, "wave\trouters\tat once\tat least\tnames")
 	total := time.Duration(0)
@@ -200,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	step("started")
+	injectFaultAt("started")
 	return nil
 }
 
@@ -214,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	return c.withSession(cmd.Context(), controllerName, toolTTL,
+	return c.withSession(cmd.Context(), controllerName, commandTTL,
 		func(ctx context.Context, session *client.Client) error {
 			if prepare != nil {
 				if err := prepare(ctx, session, plan); err != nil {
--- a/cmd/dockhinge-coord/release_driver.go
+++ b/cmd/dockhinge-coord/release_driver.go
@@ -177,19 +177,19 @@
 // begin starts the update of a router, unless the router is being updated already or maxUpdates are
 // running.
 func (u *routerUpdates) begin(name string, release *rollout.ReleaseProgress) {
-	if !u.reserve(name) {
+	if !u.markRunning(name) {
 		return
 	}
 	ctx := u.ctx
 	u.wg.Go(func() {
-		defer u.release(name)
+		defer u.markFinished(name)
 		if err := u.driver.updateRouter(ctx, name, release); err != nil && ctx.Err() == nil {
 			fmt.Fprintf(u.driver.out, "router/%s: %v\n", name, err)
 		}
 	})
 }
 
-func (u *routerUpdates) reserve(name string) bool {
+func (u *routerUpdates) markRunning(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.running[name] || len(u.running) >= maxUpdates {
@@ -199,7 +199,7 @@
 	return true
 }
 
-func (u *routerUpdates) release(name string) {
+func (u *routerUpdates) markFinished(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.running, name)
@@ -221,22 +221,22 @@
 	if err != nil {
 		return err
 	}
-	step("step-begun")
+	injectFaultAt("step-begun")
 	// A driver that crashed may have run the command already.
 	if isUpdated, err := d.isUpdated(ctx, name); err != nil || !isUpdated {
 		if err := d.runWithRetries(ctx, name, release, token); err != nil {
 			return err
 		}
 	}
-	step("step-ran")
+	injectFaultAt("step-ran")
 	if err := d.awaitUpdated(ctx, name); err != nil {
 		return err
 	}
-	step("step-seen")
+	injectFaultAt("step-seen")
 	_, err = d.session.ExecuteRollout(ctx, rollout.Command{
 		Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: name, Token: token,
 	})
-	step("step-back")
+	injectFaultAt("step-back")
 	return err
 }
 
--- a/cmd/dockhinge-coord/stopped_test.go
+++ b/cmd/dockhinge-coord/stopped_test.go
@@ -15,9 +15,9 @@
 // end. It is generous, because the machine may be busy.
 const commandTimeLimit = 3 * leaderTimeout
 
-// startStopped listens like the machine of a stopped process: it accepts connections, but never
-// answers.
-func startStopped(t *testing.T) (addr string) {
+// listenWithoutAnswering listens like the machine of a stopped process: it accepts connections, but
+// never answers.
+func listenWithoutAnswering(t *testing.T) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,8 +27,8 @@
 	return listener.Addr().String()
 }
 
-// goneAddr returns an address at which no process listens.
-func goneAddr(t *testing.T) string {
+// unusedAddr returns an address at which no process listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 		{"config", "history", "a.toml"},
 		{"config", "put", "a.toml", file},
 	}
-	for state, addr := range map[string]string{"stopped": startStopped(t), "gone": goneAddr(t)} {
+	for state, addr := range map[string]string{"stopped": listenWithoutAnswering(t), "gone": unusedAddr(t)} {
 		for _, args := range commands {
 			t.Run(state+"/"+strings.Join(args[:min(len(args), 2)], " "), func(t *testing.T) {
 				t.Parallel()
@@ -89,7 +89,7 @@
 	root := newRootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
-	root.SetArgs([]string{"status", "--json", "--coordinators", "c1=" + goneAddr(t)})
+	root.SetArgs([]string{"status", "--json", "--coordinators", "c1=" + unusedAddr(t)})
 	if err := root.ExecuteContext(t.Context()); err == nil {
 		t.Error("no error without a leader")
 	}
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -16,13 +16,14 @@
 // servers of its region.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
-		newJoinedFleet(benchRouters)
+		newRegisteredFleet(benchRouters)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
 
-// newJoinedFleet returns a fleet with the given number of routers that find all servers serving.
-func newJoinedFleet(routers int) *testFleet {
+// newRegisteredFleet returns a fleet with the given number of routers that find all servers
+// serving.
+func newRegisteredFleet(routers int) *testFleet {
 	f := newTestFleet(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
 		client := RouterClientPrefix + fmt.Sprint("r", r)
@@ -44,7 +45,7 @@
 
 // BenchmarkDrain measures the cost per router of a drain that 1,000 routers acknowledge.
 func BenchmarkDrain(b *testing.B) {
-	f := newJoinedFleet(benchRouters)
+	f := newRegisteredFleet(benchRouters)
 	for b.Loop() {
 		token := f.beginServer("s0-0", "ann")
 		for r := range benchRouters {
--- a/internal/rollout/ejection_test.go
+++ b/internal/rollout/ejection_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// ejectionRun is one run of TestSuspicion. It keeps its own record of all reports.
+// ejectionRun is one random run of TestOnlyACredibleQuorumEjectsServers. It keeps its own record of
+// all reports.
 type ejectionRun struct {
 	*testFleet
 	t       *rapid.T
@@ -35,11 +36,11 @@
 // last ten seconds and after its last ejection. At most a fifth of the servers is ejected at once,
 // none longer than maxEjectionDuration or beyond a restart. A state read back from a snapshot must
 // eject the same servers.
-func TestSuspicion(t *testing.T) {
+func TestOnlyACredibleQuorumEjectsServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newEjectionRun(t)
 		for range rapid.IntRange(5, 100).Draw(t, "events") {
-			run.event()
+			run.applyRandomEvent()
 			run.checkEjections()
 			run.checkSnapshot()
 		}
@@ -78,8 +79,8 @@
 	return run
 }
 
-// event applies one random event.
-func (run *ejectionRun) event() {
+// applyRandomEvent applies one random event.
+func (run *ejectionRun) applyRandomEvent() {
 	t := run.t
 	router := rapid.SampledFrom(run.routers).Draw(t, "router")
 	server := rapid.SampledFrom(run.servers).Draw(t, "server")
@@ -190,7 +191,7 @@
 // ejected once a quorum of routers finds it failing; one router alone, or one that finds all
 // servers failing, is not enough. The ejection ends after its time or with a restart of the server,
 // and lasts longer the next time. Reports from before an ejection do not cause another one.
-func TestSuspected(t *testing.T) {
+func TestEjectionNeedsAQuorumAndExpires(t *testing.T) {
 	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	if result := f.set(Command{EjectionQuorum: 1}); result.Code != CodeInvalid {
 		t.Errorf("a quorum of one: %+v", result)
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -18,9 +18,9 @@
 	neverHalted = 1000
 )
 
-// requestsByVersion returns how many requests the routers of the old version and the one canary
-// answer in one bucket.
-func requestsByVersion(routers int) [2]int {
+// requestsPerBucketByVersion returns how many requests the routers of the old version and the one
+// canary answer in one bucket.
+func requestsPerBucketByVersion(routers int) [2]int {
 	return [2]int{fromVersion: canaryRequests * (routers - 1), toVersion: canaryRequests}
 }
 
@@ -37,7 +37,7 @@
 			failedShare = 0.3
 		}
 		var b ComparisonBucket
-		for version, requests := range requestsByVersion(routers) {
+		for version, requests := range requestsPerBucketByVersion(routers) {
 			share := failedShare
 			if version == toVersion {
 				share = min(1, failedShare+extraFailedShare)
@@ -61,7 +61,7 @@
 // Guards against false halts and against halts that come too late, as stated in
 // docs/rollout-design.md: a release whose two versions are alike is not halted, and one whose new
 // version fails 5% more requests is halted soon.
-func TestEvidence(t *testing.T) {
+func TestFailuresHaltOnlyWorseReleases(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	falseHalts := 0
 	for range 200 {
@@ -93,7 +93,7 @@
 	for i := range maxBuckets {
 		load = max(0.7, min(3, load*math.Exp(0.1*rng.NormFloat64())))
 		var b ComparisonBucket
-		for version, requests := range requestsByVersion(routers) {
+		for version, requests := range requestsPerBucketByVersion(routers) {
 			b.LatencyCounts[version] = make([]int64, LatencyBuckets)
 			for range requests {
 				objectiveShare := 0.05 * load * math.Exp(0.6*rng.NormFloat64())
@@ -116,7 +116,7 @@
 
 // Guards against false halts because of latency, and against halts that come too late for a version
 // that is slower by 10% or 20%, as stated in docs/rollout-design.md.
-func TestSlowness(t *testing.T) {
+func TestLatencyHaltsOnlySlowerReleases(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	releases := 20
 	if os.Getenv("DOCKHINGE_EVIDENCE_LONGER") != "" {
@@ -155,7 +155,7 @@
 
 // The ratio compares the geometric means of the latencies. Without requests of both versions, or
 // with equal latencies, there is no evidence.
-func TestCompareLatency(t *testing.T) {
+func TestLatencyRatioComparesGeometricMeans(t *testing.T) {
 	fast := make([]int64, LatencyBuckets)
 	fast[3] = 100
 	slow := make([]int64, LatencyBuckets)
@@ -176,7 +176,7 @@
 }
 
 // Guards against an index out of range: any value has a bucket, even one that is no latency.
-func TestLatencyBucket(t *testing.T) {
+func TestLatencyBucketIsInRangeForAnyValue(t *testing.T) {
 	for _, tc := range []struct {
 		objectiveShare float64
 		bucket         int
@@ -188,8 +188,8 @@
 }
 
 // A report with a wrong number of latency counts, or with one below 0, is rejected.
-func TestLatencyCountsChecked(t *testing.T) {
-	f := newReleasingFleet(2, testPlan())
+func TestInvalidLatencyCountsAreRejected(t *testing.T) {
+	f := newFleetInRelease(2, newTestPlan())
 	negative := append(make([]int64, LatencyBuckets-1), -1)
 	for name, counts := range map[string][]int64{"too few": {1}, "negative": negative} {
 		report := &RouterReport{Version: "a", IsReady: true, LatencyCounts: counts}
@@ -202,7 +202,7 @@
 
 // Guards against a release that continues while the fleet serves too small a share of all requests,
 // and against halts because of a short fault or of few requests.
-func TestLow(t *testing.T) {
+func TestLowServedShareHaltsRelease(t *testing.T) {
 	good := ComparisonBucket{Served: [2]int64{90, 9}, Failed: [2]int64{1, 0}}
 	bad := ComparisonBucket{Served: [2]int64{50, 5}, Failed: [2]int64{40, 5}}
 	fewRequests := ComparisonBucket{Failed: [2]int64{9, 9}}
--- a/internal/rollout/fixture_test.go
+++ b/internal/rollout/fixture_test.go
@@ -30,7 +30,7 @@
 	Drained bool
 }
 
-func readStored(t *testing.T, name string) []byte {
+func readTestdata(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return bytes.TrimSpace(text)
 }
 
-func encoded(t *testing.T, value any) []byte {
+func encodeJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -58,7 +58,7 @@
 // lastStoredTime returns the agreed time at the end of testdata/commands.jsonl.
 func lastStoredTime(t *testing.T) (last time.Duration) {
 	t.Helper()
-	for _, line := range bytes.Split(readStored(t, "commands.jsonl"), []byte("\n")) {
+	for _, line := range bytes.Split(readTestdata(t, "commands.jsonl"), []byte("\n")) {
 		var event storedEvent
 		if err := json.Unmarshal(line, &event); err != nil {
 			t.Fatal(err)
@@ -72,14 +72,14 @@
 // run side by side and apply the same log. The commands in testdata were stored by the version
 // before the types of this package were renamed. This version must decode them in the same way,
 // return the same results and encode the same state.
-func TestStoredCommands(t *testing.T) {
+func TestStoredCommandsGiveTheStoredState(t *testing.T) {
 	state := New()
 	lastToken := uint64(0)
 	nextToken := func() uint64 {
 		lastToken++
 		return lastToken
 	}
-	lines := bufio.NewScanner(bytes.NewReader(readStored(t, "commands.jsonl")))
+	lines := bufio.NewScanner(bytes.NewReader(readTestdata(t, "commands.jsonl")))
 	lines.Buffer(nil, 1<<20)
 	for number := 1; lines.Scan(); number++ {
 		var event storedEvent
@@ -96,7 +96,7 @@
 			if err := json.Unmarshal(event.Roll, &command); err != nil {
 				t.Fatalf("line %d: %v", number, err)
 			}
-			expectBytes(t, "the command encoded again", encoded(t, command), event.Roll)
+			expectBytes(t, "the command encoded again", encodeJSON(t, command), event.Roll)
 			answer := state.Apply(command, Sender{
 				Time:         event.Clock,
 				Session:      event.Session,
@@ -112,29 +112,29 @@
 			t.Fatalf("line %d: kind %q", number, event.Kind)
 		}
 	}
-	expectBytes(t, "the state", encoded(t, state), readStored(t, "state.json"))
+	expectBytes(t, "the state", encodeJSON(t, state), readTestdata(t, "state.json"))
 }
 
 // Guards against a field that is lost or decoded differently when a coordinator reads the state
 // from a snapshot: that would change the encoded state or the reports. The stored state has
 // budgets, drains, permits of each stage, a release in its second wave, observations of failing
 // servers and an ejection.
-func TestStoredState(t *testing.T) {
-	stored := readStored(t, "state.json")
+func TestStoredStateIsReadAndEncodedUnchanged(t *testing.T) {
+	stored := readTestdata(t, "state.json")
 	state := New()
 	if err := json.Unmarshal(stored, state); err != nil {
 		t.Fatal(err)
 	}
 	state.RebuildDerived()
-	expectBytes(t, "the state encoded again", encoded(t, state), stored)
+	expectBytes(t, "the state encoded again", encodeJSON(t, state), stored)
 
 	now := lastStoredTime(t)
-	expectBytes(t, "the report", encoded(t, state.Report(now)), readStored(t, "report.json"))
-	expectBytes(t, "the drain set", encoded(t, state.DrainSet(now, true)), readStored(t, "drains.json"))
+	expectBytes(t, "the report", encodeJSON(t, state.Report(now)), readTestdata(t, "report.json"))
+	expectBytes(t, "the drain set", encodeJSON(t, state.DrainSet(now, true)), readTestdata(t, "drains.json"))
 
 	state.Advance(now, func() uint64 {
 		t.Fatal("the state grants a permit that the program version which stored it did not grant")
 		return 0
 	})
-	expectBytes(t, "the state reconciled again", encoded(t, state), stored)
+	expectBytes(t, "the state reconciled again", encodeJSON(t, state), stored)
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -41,9 +41,9 @@
 	return f
 }
 
-// newWarmFleet returns a fleet of three routers and the servers sa1, sa2, sb1 and sb2, none of them
-// in slow start.
-func newWarmFleet(budgets ...Budget) *testFleet {
+// newFleetInService returns a fleet of three routers and the servers sa1, sa2, sb1 and sb2, none of
+// them in slow start.
+func newFleetInService(budgets ...Budget) *testFleet {
 	f := newTestFleet(budgets...)
 	for _, router := range []string{"r1", "r2", "r3"} {
 		f.report(router, "z1", "sa1:up/1", "sa2:up/1", "sb1:up/1", "sb2:up/1")
--- a/internal/rollout/follow/follow_test.go
+++ b/internal/rollout/follow/follow_test.go
@@ -39,7 +39,7 @@
 // Guards against a busy loop of watches. A coordinator that runs an earlier program version answers
 // each watch at once, without a change, until the first drain. A router that did not pause would
 // watch some 200 times in two seconds, and so would each router of the fleet.
-func TestWaitsForTheFirstDrain(t *testing.T) {
+func TestUnchangedWatchesAreRepeatedWithPauses(t *testing.T) {
 	var c countingCoordinator
 	s := httptest.NewServer(&c)
 	defer s.Close()
@@ -74,7 +74,7 @@
 
 // Guards against a client that stalls while it receives a value, and thereby delays the drain, and
 // each later one, without limit.
-func TestStalledAttemptHoldsADrainForABoundedTime(t *testing.T) {
+func TestStalledAttemptDelaysADrainForALimitedTime(t *testing.T) {
 	polls := 0
 	f := &follower{
 		maxAttemptsWait: 100 * time.Millisecond,
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// newLoadedFleet returns a fleet of one router and three servers that is overloaded if more than
-// 10% of its requests fail.
-func newLoadedFleet(t *testing.T) *testFleet {
+// newFleetWithOverloadCheck returns a fleet of one router and three servers that is overloaded if
+// more than 10% of its requests fail.
+func newFleetWithOverloadCheck(t *testing.T) *testFleet {
 	t.Helper()
 	f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	if result := f.set(Command{OverloadShare: 0.1}); result.Code != CodeOK {
@@ -21,7 +21,7 @@
 // Guards against an overload state that flaps, and against outages during an overload. An overload
 // begins after two consecutive windows above the threshold and ends after three below half of it.
 // While it lasts, a granted permit is revoked. Windows with few requests are ignored.
-func TestLoad(t *testing.T) {
+func TestOverloadRevokesPermitsAndDoesNotFlap(t *testing.T) {
 	const fewRequests = -1
 	for _, tc := range []struct {
 		name     string
@@ -37,7 +37,7 @@
 		{"few requests", []int64{20, fewRequests, 20, 20}, "...o"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := newLoadedFleet(t)
+			f := newFleetWithOverloadCheck(t)
 			served, failed := int64(1), int64(0)
 			f.reportCounts("r1", served, failed)
 			f.advance(time.Minute)
@@ -83,8 +83,8 @@
 
 // Guards against an overload that never ends because routers have stopped reporting request counts.
 // Until it ends, only emergencies get a permit.
-func TestLoadWithoutCounts(t *testing.T) {
-	f := newLoadedFleet(t)
+func TestOverloadEndsWhenCountsAreNoLongerReported(t *testing.T) {
+	f := newFleetWithOverloadCheck(t)
 	for i := range int64(5) {
 		f.reportCounts("r1", 100*i+1, 100*i)
 		f.advance(loadWindow)
@@ -102,8 +102,8 @@
 }
 
 // An overload threshold that is not a share is rejected.
-func TestOverloadShare(t *testing.T) {
-	f := newLoadedFleet(t)
+func TestInvalidOverloadShareIsRejected(t *testing.T) {
+	f := newFleetWithOverloadCheck(t)
 	for _, share := range []float64{-0.1, 1} {
 		if result := f.set(Command{OverloadShare: share}); result.Code != CodeInvalid {
 			t.Errorf("share %v: %+v", share, result)
--- a/internal/rollout/observations_test.go
+++ b/internal/rollout/observations_test.go
@@ -12,7 +12,7 @@
 
 // Guards against unlimited memory: observations have a limit that is reached if all routers observe
 // all servers. The end of a router's session frees its observations.
-func TestSightingsBound(t *testing.T) {
+func TestObservationsOverTheLimitAreRejected(t *testing.T) {
 	f := newTestFleet()
 	const routers = MaxObservations / MaxServers
 	report := func(router string, from, n int) Result {
@@ -43,7 +43,7 @@
 
 // Guards against stored counts that differ from the observations after any sequence of reports,
 // ended sessions and removals.
-func TestSightCounts(t *testing.T) {
+func TestObservationCountsMatchObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newTestFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 		names := []string{"a1", "b2", "c3"}
@@ -80,7 +80,7 @@
 
 // Guards against a different text when names are collected one by one instead of sorted all at
 // once: both texts are replicated state.
-func TestFewNames(t *testing.T) {
+func TestCollectedNamesGiveTheSameTextAsSortedNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfNDistinct(rapid.StringMatching("[a-c]{1,3}"), 1, 8, rapid.ID[string]).Draw(t, "names")
 		set := map[string]bool{}
@@ -89,10 +89,10 @@
 			summary.add(name)
 			set[name] = true
 		}
-		if want := SummarizeNames(sorted(set)); summary.text() != want {
+		if want := SummarizeNames(sortedNames(set)); summary.text() != want {
 			t.Fatalf("%q, want %q", summary.text(), want)
 		}
 	})
 }
 
-func sorted(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
+func sortedNames(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-func testPlan() ReleasePlan {
+func newTestPlan() ReleasePlan {
 	return ReleasePlan{
 		Name: "x", FromVersion: "a", ToVersion: "b", FirstWave: 1, GrowthFactor: 2,
 		BakeTime: 10 * time.Second, StepTimeout: time.Minute,
 	}
 }
 
-// newReleasingFleet returns a fleet of n routers r00, r01 and so on with version a, in which a
+// newFleetInRelease returns a fleet of n routers r00, r01 and so on with version a, in which a
 // release to version b has just started.
-func newReleasingFleet(n int, plan ReleasePlan) *testFleet {
+func newFleetInRelease(n int, plan ReleasePlan) *testFleet {
 	f := newTestFleet(Budget{Name: "r", Kind: KindRouter, MaxOut: 3, SlowStart: 2 * time.Second})
 	for i := range n {
 		f.reportVersion(fmt.Sprintf("r%02d", i), "a", 0, 0)
@@ -98,13 +98,13 @@
 // a release that stops half-way. A driver updates routers in random order and at a random pace, and
 // an operator may roll back at any point. Waves grow as planned, and in the end all routers have
 // the goal version.
-func TestRelease(t *testing.T) {
+func TestWavesBeginOnlyAfterThePreviousBakeTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 24).Draw(t, "routers")
-		plan := testPlan()
+		plan := newTestPlan()
 		plan.FirstWave = rapid.IntRange(1, 4).Draw(t, "first")
 		plan.GrowthFactor = float64(rapid.IntRange(1, 4).Draw(t, "grow"))
-		f := newReleasingFleet(n, plan)
+		f := newFleetInRelease(n, plan)
 		record := &waveRecord{testFleet: f, t: t, plan: plan, sizes: plan.Waves(n)}
 		rollBackAt := rapid.IntRange(0, 400).Draw(t, "rolls back at")
 		for i := 0; i < 4000 && f.state.Release.State == ReleaseRunning; i++ {
@@ -153,16 +153,16 @@
 
 // Guards against a next wave with a version that does not come up, does not stay up or gets no
 // requests: each of these halts the release.
-func TestReleaseHalts(t *testing.T) {
+func TestFailingReleaseHalts(t *testing.T) {
 	t.Run("router not back in time", testRouterNotBackInTime)
 	t.Run("updated router down again", func(t *testing.T) {
-		f := newReleasingFleet(4, testPlan())
+		f := newFleetInRelease(4, newTestPlan())
 		f.update("r00", "b")
 		f.endSession(RouterClientPrefix + "r00")
 		f.expectHalted(t, "router/r00 had b and is down again")
 	})
 	t.Run("operator", func(t *testing.T) {
-		f := newReleasingFleet(4, testPlan())
+		f := newFleetInRelease(4, newTestPlan())
 		f.update("r00", "b")
 		f.mustApply(Command{Op: OpHalt, Reason: "by hand"}, "ann")
 		f.advance(time.Hour)
@@ -171,7 +171,7 @@
 		}
 	})
 	t.Run("command failed", func(t *testing.T) {
-		f := newReleasingFleet(4, testPlan())
+		f := newFleetInRelease(4, newTestPlan())
 		f.mustApply(Command{Op: OpRouterFailed, Name: "r00", Reason: "no such file"}, "release")
 		f.expectHalted(t, "router/r00: no such file")
 	})
@@ -182,7 +182,7 @@
 // gives the router the full timeout again; then it lists the router as not rolled back, and
 // continues with the others.
 func testRouterNotBackInTime(t *testing.T) {
-	f := newReleasingFleet(4, testPlan())
+	f := newFleetInRelease(4, newTestPlan())
 	f.update("r00", "")
 	f.advance(59 * time.Second)
 	f.expectNotHalted(t)
@@ -204,9 +204,9 @@
 // times. After it is resumed, it continues once the new version has answered enough requests. A
 // router's first report does not count, because it is unknown when its requests were answered.
 func testReleaseWithoutRequests(t *testing.T) {
-	plan := testPlan()
+	plan := newTestPlan()
 	plan.MinRequests = 5
-	f := newReleasingFleet(4, plan)
+	f := newFleetInRelease(4, plan)
 	f.update("r00", "b")
 	f.advance(10 * time.Second)
 	f.advance(99 * time.Second)
@@ -226,10 +226,10 @@
 }
 
 // A plan that can't be carried out is rejected with the reason.
-func TestInvalidPlans(t *testing.T) {
-	f := newReleasingFleet(4, testPlan())
+func TestInvalidPlansAreRejected(t *testing.T) {
+	f := newFleetInRelease(4, newTestPlan())
 	f.mustApply(Command{Op: OpEndRelease}, "ann")
-	otherVersion := testPlan()
+	otherVersion := newTestPlan()
 	otherVersion.FromVersion = "c"
 	for name, plan := range map[string]ReleasePlan{
 		"empty":                  {},
@@ -244,8 +244,8 @@
 		})
 	}
 	t.Run("beside another release", func(t *testing.T) {
-		plan := testPlan()
-		f := newReleasingFleet(4, plan)
+		plan := newTestPlan()
+		f := newFleetInRelease(4, plan)
 		result := f.apply(Command{Op: OpStartRelease, Plan: &plan}, "ann")
 		if result.Code != CodeInvalid || result.Text == "" {
 			t.Errorf("%+v", result)
@@ -254,8 +254,8 @@
 }
 
 // Guards against unlimited memory: a long release only keeps the newest buckets.
-func TestComparisonBucketLimit(t *testing.T) {
-	f := newReleasingFleet(4, testPlan())
+func TestComparisonKeepsTheNewestBuckets(t *testing.T) {
+	f := newFleetInRelease(4, newTestPlan())
 	for i := range int64(2 * MaxComparisonBuckets) {
 		f.reportVersion("r01", "a", 10*i+1, i)
 		f.advance(ComparisonInterval)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -45,7 +45,7 @@
 	return f.now < t.ChangedAt+slowStart
 }
 
-// budgetsRun is one random run of TestBudgetsHold.
+// budgetsRun is one random run of TestBudgetsAreNeverExceeded.
 type budgetsRun struct {
 	*testFleet
 	t       *rapid.T
@@ -62,7 +62,7 @@
 //   - a target has at most one outage at a time, and the tokens of its outages increase;
 //   - a server counts as drained only after all routers that could send to it have acknowledged;
 //   - a state read back from a snapshot is the same.
-func TestBudgetsHold(t *testing.T) {
+func TestBudgetsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxOut := rapid.IntRange(1, 3).Draw(t, "servers out at most")
 		slowStart := time.Duration(rapid.IntRange(0, 20).Draw(t, "slow start seconds")) * time.Second
@@ -78,10 +78,10 @@
 		run.reportAllServing("1")
 		run.advance(time.Minute)
 		for range rapid.IntRange(10, 120).Draw(t, "events") {
-			run.event()
+			run.applyRandomEvent()
 			run.checkInvariants()
 		}
-		run.expectAllPermitsInTheEnd()
+		run.expectAllPermitsGranted()
 	})
 }
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// event applies one random event.
-func (run *budgetsRun) event() {
+// applyRandomEvent applies one random event.
+func (run *budgetsRun) applyRandomEvent() {
 	t := run.t
 	ref := targetRef{KindServer, rapid.SampledFrom(run.servers).Draw(t, "server")}
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
@@ -121,9 +121,9 @@
 	case 9:
 		run.endSession(rapid.SampledFrom([]string{client, RouterClientPrefix + router}).Draw(t, "ended session"))
 	case 10:
-		run.reportOneServer(router)
+		run.reportRandomServer(router)
 	case 11:
-		run.acknowledgeSome(router)
+		run.acknowledgeRandomVersion(router)
 	case 12:
 		run.advance(time.Duration(rapid.IntRange(0, 12000).Draw(t, "ms")) * time.Millisecond)
 	case 13:
@@ -186,7 +186,7 @@
 	}
 }
 
-func (run *budgetsRun) reportOneServer(router string) {
+func (run *budgetsRun) reportRandomServer(router string) {
 	statuses := []ServerStatus{
 		StatusServing, StatusServing, StatusServing, StatusFailing, StatusDraining, StatusRemoved,
 	}
@@ -196,8 +196,9 @@
 	run.report(router, "z"+router[1:], fmt.Sprintf("%s:%s/%d", server, status, incarnation))
 }
 
-// acknowledgeSome makes a router that has a session acknowledge a random version of the drain set.
-func (run *budgetsRun) acknowledgeSome(router string) {
+// acknowledgeRandomVersion makes a router that has a session acknowledge a random version of the
+// drain set.
+func (run *budgetsRun) acknowledgeRandomVersion(router string) {
 	client := RouterClientPrefix + router
 	if _, isOpen := run.sessions[client]; !isOpen || run.state.Routers[router] == nil {
 		return
@@ -266,9 +267,9 @@
 	}
 }
 
-// expectAllPermitsInTheEnd lets the fleet recover, and checks that each request finally gets its
+// expectAllPermitsGranted lets the fleet recover, and checks that each request finally gets its
 // permit.
-func (run *budgetsRun) expectAllPermitsInTheEnd() {
+func (run *budgetsRun) expectAllPermitsGranted() {
 	run.mustApply(Command{Op: OpResume}, "operator")
 	for _, p := range slices.Clone(run.state.Permits) {
 		if p.Stage == StageBegun {
@@ -305,9 +306,9 @@
 // Guards against an outage that begins under a revoked permit, and against permits that wait
 // without a reason. Several operators request permits while only one server may be out. Each wait
 // reason names its cause, and disappears with it.
-func TestWhyItWaits(t *testing.T) {
+func TestWaitingPermitHasAReason(t *testing.T) {
 	servers := Budget{Name: "s", Kind: KindServer, MaxOut: 1, SlowStart: 30 * time.Second}
-	f := newWarmFleet(servers)
+	f := newFleetInService(servers)
 	expectPermit(t, f.request("sa1", "ann", PriorityNormal), StageGranted, "")
 	expectPermit(t, f.request("sa2", "bob", PriorityNormal), StageWaiting,
 		"1 of at most 1 out: sa1 (permit before this one)")
@@ -360,8 +361,8 @@
 // Guards against the loss of a whole zone or fleet because a budget is far too high. All servers
 // are requested one after the other. The last one of a zone with several servers, and the last one
 // of the fleet, get no permit.
-func TestLastStays(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 100})
+func TestLastTargetInServiceGetsNoPermit(t *testing.T) {
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 100})
 	for _, step := range []struct{ server, reason string }{ // sa1 and sb1 are in zone z1
 		{"sa1", ""},
 		{"sb1", "the last server of zone z1"},
@@ -385,8 +386,9 @@
 // has crashed. The permit stays in use until the target is observed in a new incarnation, later
 // than the grace period, or until an operator clears it. Neither the end of the session nor an
 // observation that may be from before the outage frees it.
-func TestOrphans(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1}, Budget{Name: "r", Kind: KindRouter, MaxOut: 1})
+func TestOrphanedPermitStaysInUseUntilRestartOrClear(t *testing.T) {
+	f := newFleetInService(
+		Budget{Name: "s", Kind: KindServer, MaxOut: 1}, Budget{Name: "r", Kind: KindRouter, MaxOut: 1})
 	for _, orphan := range []struct {
 		name    string
 		target  targetRef
@@ -432,8 +434,8 @@
 // A tool crashes during an outage and is restarted under the same client name before its session
 // has ended. Once that has ended, the new process takes the permit over with a higher token. A tool
 // of another name must wait.
-func TestTakeOver(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+func TestRestartedHolderTakesItsPermitOver(t *testing.T) {
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
 	old := f.sessions["ann"]
 	delete(f.sessions, "ann") // a new process, before the session of the old one has ended
@@ -455,8 +457,8 @@
 // it. The routers with a session acknowledge the drain. The one without a session only stops
 // because of the endpoint list, within the grace period after the list marks the server as
 // draining.
-func TestDrained(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+func TestDrainWaitsForAllPossibleSenders(t *testing.T) {
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
 	status := func() Result { return f.request("sa1", "ann", PriorityRelease) }
 	expectPermit(t, status(), StageBegun, "until nothing more is sent to it by r1, r2, r3")
@@ -484,7 +486,7 @@
 // lists. It may have crashed, or be back before the lists are. It counts as out for
 // RemoveAfterGracePeriods grace periods, and is removed only after them.
 func TestDelistedServerCountsAsOutForAWhile(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	token := f.beginServer("sa1", "ann")
 	for _, router := range []string{"r1", "r2", "r3"} {
 		f.report(router, "z1", "sa1:gone")
@@ -502,7 +504,7 @@
 
 // Guards against unlimited memory: a command that exceeds the limit of a table is rejected.
 func TestTablesRejectBeyondTheirLimits(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	expectLimitReached := func(table string, result Result) {
 		t.Helper()
 		if result.Code != CodeLimitReached || !strings.Contains(result.Text, "at most") {
@@ -527,8 +529,8 @@
 }
 
 // A command with a missing field, or with one out of its limits, is rejected with the reason.
-func TestInvalidCommands(t *testing.T) {
-	f := newWarmFleet(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
+func TestInvalidCommandsAreRejected(t *testing.T) {
+	f := newFleetInService(Budget{Name: "s", Kind: KindServer, MaxOut: 1})
 	noLimit := Budget{Name: "a", Kind: KindServer}
 	tooLong := &RouterReport{Servers: make([]ServerObservation, MaxReportedServers+1)}
 	for name, c := range map[string]Command{
