--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -47,7 +47,7 @@
 
 // ParseBudgets parses the content of the budgets file at path.
 func ParseBudgets(path string, text []byte) (rollout.Command, error) {
-	file := budgetsFile{Grace: rollout.DefaultGrace.String()}
+	file := budgetsFile{Grace: rollout.DefaultGracePeriod.String()}
 	if err := decode(path, text, &file); err != nil {
 		return rollout.Command{Op: rollout.OpSetBudgets}, err
 	}
@@ -55,7 +55,7 @@
 	c.version(file.Version)
 	command := rollout.Command{
 		Op:              rollout.OpSetBudgets,
-		Grace:           c.durationWithin("grace", file.Grace, rollout.MinGrace, rollout.MaxDuration),
+		GracePeriod:     c.durationWithin("grace", file.Grace, rollout.MinGracePeriod, rollout.MaxDuration),
 		ExpectedRouters: file.ExpectedRouters,
 		EjectionQuorum:  file.EjectionQuorum,
 		OverloadShare:   file.OverloadShare,
@@ -63,7 +63,7 @@
 	if file.ExpectedRouters < 0 || file.ExpectedRouters > rollout.MaxRouters {
 		c.add("routers", "%d is not from 0 to %d", file.ExpectedRouters, rollout.MaxRouters)
 	}
-	if !rollout.IsEjectionQuorum(file.EjectionQuorum) {
+	if !rollout.IsValidEjectionQuorum(file.EjectionQuorum) {
 		c.add("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed",
 			file.EjectionQuorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
 	}
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -9,97 +9,99 @@
 
 // Constants of the fleet's load. Durations are agreed time.
 const (
-	// loadCountInterval is over which requests are counted.
-	loadCountInterval = 2 * time.Second
-	// loadMinRequests is how many requests a count needs: fewer say nothing.
-	loadMinRequests = 50
-	// countsUntilOverloaded is how many counts in a row above the bound make the fleet overloaded.
-	countsUntilOverloaded = 2
-	// countsUntilRecovered is how many counts in a row below half of the bound end the overload.
-	countsUntilRecovered = 3
-	// loadMaxAge is how long an overload holds when no counts are reported any more.
+	// loadWindow is the length of a measurement window.
+	loadWindow = 2 * time.Second
+	// loadWindowMinRequests is how many requests a window needs; windows with fewer are ignored.
+	loadWindowMinRequests = 50
+	// windowsUntilOverloaded is how many consecutive windows above the threshold begin an overload.
+	windowsUntilOverloaded = 2
+	// windowsUntilRecovered is how many consecutive windows below half of the threshold end an
+	// overload.
+	windowsUntilRecovered = 3
+	// loadMaxAge is how long an overload lasts once routers report no more requests.
 	loadMaxAge = 10 * time.Second
 )
 
-// Load is how the fleet as a whole is loaded, by the counts that all routers report. Overload
-// begins above State.OverloadShare and ends below half of it, so that it does not flap.
+// Load is the load of the whole fleet, measured from the requests that all routers report. An
+// overload begins above State.OverloadShare and ends below half of it, so that it does not flap.
 type Load struct {
-	// IsOverloaded tells that nothing new may go out but emergencies.
+	// IsOverloaded reports that no new outages except emergencies may begin.
 	IsOverloaded bool `json:"over,omitempty"`
 	// ChangedAt is when IsOverloaded changed.
 	ChangedAt time.Duration `json:"since,omitempty"`
-	// FailedShare is the share of rejected or failed requests in the last complete count.
+	// FailedShare is the share of rejected or failed requests in the last complete window.
 	FailedShare float64 `json:"share"`
-	// CountBeganAt is when the present count began.
-	CountBeganAt time.Duration `json:"open"`
-	// Served is the present count of served requests.
+	// WindowBeganAt is when the current window began.
+	WindowBeganAt time.Duration `json:"open"`
+	// Served is the number of served requests in the current window.
 	Served int64 `json:"good"`
-	// Failed is the present count of rejected or failed requests.
+	// Failed is the number of rejected or failed requests in the current window.
 	Failed int64 `json:"bad"`
-	// ConsecutiveCounts is how many complete counts in a row spoke against IsOverloaded.
-	ConsecutiveCounts int `json:"row"`
+	// ConsecutiveWindows is how many of the last complete windows in a row contradict IsOverloaded.
+	ConsecutiveWindows int `json:"row"`
 }
 
-// countRequests adds what a router has answered since its last report to the present count.
+// countRequests adds the requests that a router has answered since its last report to the current
+// window.
 func (s *State) countRequests(served, failed int64, now time.Duration) {
 	if s.OverloadShare == 0 || served < 0 || failed < 0 {
 		return
 	}
-	if now >= s.Load.CountBeganAt+loadCountInterval {
-		s.closeLoadCount(now)
+	if now >= s.Load.WindowBeganAt+loadWindow {
+		s.closeLoadWindow(now)
 	}
 	s.Load.Served += served
 	s.Load.Failed += failed
 }
 
-// closeLoadCount weighs the present count and begins another.
-func (s *State) closeLoadCount(now time.Duration) {
+// closeLoadWindow evaluates the current window and begins the next one.
+func (s *State) closeLoadWindow(now time.Duration) {
 	load := &s.Load
 	total := load.Served + load.Failed
-	if total >= loadMinRequests {
+	if total >= loadWindowMinRequests {
 		load.FailedShare = ratio(float64(load.Failed), float64(total))
-		contradicts, countsNeeded := s.contradictsLoad()
+		contradicts, countsNeeded := s.contradictsOverloadState()
 		if contradicts {
-			load.ConsecutiveCounts++
+			load.ConsecutiveWindows++
 		} else {
-			load.ConsecutiveCounts = 0
+			load.ConsecutiveWindows = 0
 		}
-		if load.ConsecutiveCounts >= countsNeeded {
+		if load.ConsecutiveWindows >= countsNeeded {
 			s.setOverloaded(!load.IsOverloaded, now)
 		}
 	}
 	load.Served = 0
 	load.Failed = 0
-	load.CountBeganAt = now
+	load.WindowBeganAt = now
 }
 
-// contradictsLoad tells whether the last complete count speaks against IsOverloaded, and how many
-// such counts in a row change it.
-func (s *State) contradictsLoad() (contradicts bool, countsNeeded int) {
+// contradictsOverloadState reports whether the last complete window contradicts IsOverloaded, and
+// how many such windows in a row change it.
+func (s *State) contradictsOverloadState() (contradicts bool, windowsNeeded int) {
 	switch {
 	case !s.Load.IsOverloaded:
-		return s.Load.FailedShare > s.OverloadShare, countsUntilOverloaded
+		return s.Load.FailedShare > s.OverloadShare, windowsUntilOverloaded
 	case failpoint.IsInjected("busy-flaps"):
 		return s.Load.FailedShare <= s.OverloadShare, 1
 	}
-	return s.Load.FailedShare < s.OverloadShare/2, countsUntilRecovered
+	return s.Load.FailedShare < s.OverloadShare/2, windowsUntilRecovered
 }
 
 func (s *State) setOverloaded(isOverloaded bool, now time.Duration) {
 	s.Load.IsOverloaded = isOverloaded
 	s.Load.ChangedAt = now
-	s.Load.ConsecutiveCounts = 0
+	s.Load.ConsecutiveWindows = 0
 	s.Version++
 }
 
-// updateOverload ends an overload that no counts have confirmed for loadMaxAge, or that is not
-// enabled any more. Without it a fleet whose routers stop reporting would stay overloaded for
-// ever.
+// updateOverload is the pass that ends an overload if no requests were reported for loadMaxAge, or
+// if the overload check was turned off. Without it, a fleet whose routers stop reporting would stay
+// overloaded forever.
 func (s *State) updateOverload(now time.Duration) {
 	if !s.Load.IsOverloaded {
 		return
 	}
-	expiresAt := s.Load.CountBeganAt + loadMaxAge
+	expiresAt := s.Load.WindowBeganAt + loadMaxAge
 	if s.OverloadShare > 0 && expiresAt > now {
 		s.reconcileAt(expiresAt)
 		return
@@ -107,7 +109,7 @@
 	s.setOverloaded(false, now)
 }
 
-// overloadReason tells why the load lets nothing new out; "" where it does.
+// overloadReason returns the reason to wait if an overload forbids the outage; "" otherwise.
 func (s *State) overloadReason(p *Permit) string {
 	if !s.Load.IsOverloaded || p.Priority >= PriorityEmergency || failpoint.IsInjected("busy-ignored") {
 		return ""
