--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -21,8 +21,9 @@
 	classes map[string]*Class
 	// maxPriority is the largest PriorityWeight of all classes.
 	maxPriority float64
-	// firstTryMillis is the remaining time that the latest first try of a client had, by class.
-	firstTryMillis map[string]float64
+	// firstTryRemainingMillis is the remaining time that the latest first try of a client had, by
+	// class.
+	firstTryRemainingMillis map[string]float64
 	// quotas are the tenants' quotas and usage (tenant_quota.go).
 	quotas tenantQuotas
 	// membership holds the known servers (endpoints.go).
@@ -45,8 +46,8 @@
 	serviceTime moments
 	// latencyPerWork follows the latency of a unit of work over all servers, ms.
 	latencyPerWork trend
-	// commonWait is the cached mean wait over all servers (waiting_time.go).
-	commonWait cachedWait
+	// meanWait is the cached mean wait over all servers (waiting_time.go).
+	meanWait cachedWait
 	// toleratedWaitShare is the share of the remaining time that a queue may take for a request of
 	// the lowest priority (rejection.go).
 	toleratedWaitShare float64
@@ -74,12 +75,13 @@
 	initialRetryBudget = 10
 	// initialToleratedWaitShare is the initial toleratedWaitShare.
 	initialToleratedWaitShare = 0.2
-	// initialFetchesOfFleet is the initial fetch limit of all routers together.
-	initialFetchesOfFleet = 32
-	// maxInitialFetches bounds the initial fetch limit of one router.
-	maxInitialFetches = 8
-	// healthCheckStarts is the number of positions at which routers start their round of checks.
-	healthCheckStarts = 4096
+	// initialFleetFetchLimit is the initial fetch limit of all routers together.
+	initialFleetFetchLimit = 32
+	// maxInitialFetchLimit bounds the initial fetch limit of one router.
+	maxInitialFetchLimit = 8
+	// healthCheckStartPositions is the number of positions at which routers start their round of
+	// checks.
+	healthCheckStartPositions = 4096
 )
 
 // New returns a Balancer for the settings. Equal seeds and events lead to equal decisions. The
@@ -103,42 +105,42 @@
 		requests:           map[uint32]*request{},
 		toleratedWaitShare: initialToleratedWaitShare,
 		retryBudget:        initialRetryBudget,
-		healthChecks:       healthChecks{next: int(seed % healthCheckStarts)},
+		healthChecks:       healthChecks{next: int(seed % healthCheckStartPositions)},
 		originFetches:      originFetches{limit: initialFetchLimit(cfg.Routers)},
 		idleTimeoutMillis:  cfg.IdleTimeoutMillis,
 	}
-	b.useSettings(cfg)
+	b.applySettings(cfg)
 	return b, nil
 }
 
-// initialFetchLimit is a router's share of initialFetchesOfFleet, but at least one: a router with
+// initialFetchLimit is a router's share of initialFleetFetchLimit, but at least one: a router with
 // one fetch at a time cannot outpace the origin.
 func initialFetchLimit(routers int) float64 {
-	return min(maxInitialFetches, max(1, initialFetchesOfFleet/float64(routers)))
+	return min(maxInitialFetchLimit, max(1, initialFleetFetchLimit/float64(routers)))
 }
 
-// useSettings applies settings to all requests that arrive from now on.
-func (b *Balancer) useSettings(cfg Config) {
+// applySettings applies settings to all requests that arrive from now on.
+func (b *Balancer) applySettings(cfg Config) {
 	b.cfg = cfg
 	b.maxPriority = 0
 	b.classes = map[string]*Class{}
-	b.firstTryMillis = map[string]float64{}
+	b.firstTryRemainingMillis = map[string]float64{}
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
 		b.classes[c.Name] = c
 		b.maxPriority = max(b.maxPriority, c.PriorityWeight)
 	}
-	b.quotas.useTenants(cfg.Tenants)
+	b.quotas.setTenants(cfg.Tenants)
 }
 
-// begin sets the current time to that of an event. Each event method calls it first. The first
+// beginEvent sets the current time to that of an event. Each event method calls it first. The first
 // event starts the housekeeping timer.
-func (b *Balancer) begin(now float64) {
+func (b *Balancer) beginEvent(now float64) {
 	b.now = now
 	if b.startedAt < 0 {
 		b.startedAt = now
 		b.placement.solvedAt = now
-		b.host.SetTimer(housekeepingMillis, housekeepingToken)
+		b.host.SetTimer(housekeepingIntervalMillis, housekeepingToken)
 	}
 }
 
@@ -148,7 +150,7 @@
 
 // Request handles a new request of a client. A request of an unknown class fails.
 func (b *Balancer) Request(now float64, q Request) {
-	b.begin(now)
+	b.beginEvent(now)
 	class := b.classes[q.Class]
 	maxAttempts := b.cfg.MaxAttempts
 	if q.ClassAtArrival != nil {
@@ -170,21 +172,21 @@
 	}
 	r.objectiveAt = now + b.objectiveMillis(class, q)
 	b.requests[q.ID] = r
-	b.arrive(r)
+	b.handleArrival(r)
 }
 
-// arrive counts a new request and forwards it or lets it wait for the origin.
-func (b *Balancer) arrive(r *request) {
+// handleArrival counts a new request and forwards it or lets it wait for the origin.
+func (b *Balancer) handleArrival(r *request) {
 	b.arrivals.add(b.now, trafficTimeConstantMillis, 1)
-	b.earnRetries()
-	b.earnHealthChecks()
+	b.refillRetryBudget()
+	b.refillHealthCheckBudget()
 	if b.recordTenantArrival(r.Tenant) {
 		r.priority *= b.cfg.OverQuotaWeight
 	}
 	b.countArrival(r.key, r.work)
 	if b.needsOrigin(r) {
 		b.waitForOrigin(r)
-		b.serveWaiting()
+		b.resumeWaiting()
 		return
 	}
 	b.forward(r)
@@ -194,7 +196,7 @@
 func (b *Balancer) forward(r *request) {
 	s := b.pick(r)
 	if s == nil {
-		b.answer(r, b.cause)
+		b.rejectOrFail(r, b.cause)
 		return
 	}
 	b.send(r, s)
@@ -208,12 +210,12 @@
 	s.attempts.lastSentAt = b.now
 	s.connection.mayBeOpen = true
 	if s == b.membership.origin {
-		b.host.SetTimer(b.fetchPatienceMillis(), attemptToken(r.ID, len(r.attempts)-1))
+		b.host.SetTimer(b.fetchSoftTimeoutMillis(), attemptToken(r.ID, len(r.attempts)-1))
 	} else {
 		s.slowStart.budget.requests -= slowStartCost(r.work)
 		s.attempts.work.add(b.now, workTimeConstantMillis, r.work)
-		if patience := b.patienceMillis(r, s); b.now+patience < r.deadlineAt {
-			b.host.SetTimer(patience, attemptToken(r.ID, len(r.attempts)-1))
+		if timeoutMillis := b.softTimeoutMillis(r, s); b.now+timeoutMillis < r.deadlineAt {
+			b.host.SetTimer(timeoutMillis, attemptToken(r.ID, len(r.attempts)-1))
 		}
 	}
 	b.host.Send(r.ID, s.ID, 0)
@@ -222,9 +224,9 @@
 // AttemptEnded handles the end of an attempt. Of one that is not in flight it uses only the load
 // report.
 func (b *Balancer) AttemptEnded(now float64, o Outcome) {
-	b.begin(now)
+	b.beginEvent(now)
 	if s := b.membership.servers[o.ServerID]; s != nil {
-		b.learnLoad(s, o.Load)
+		b.recordLoadReport(s, o.Load)
 	}
 	r := b.requests[o.RequestID]
 	if a := r.endAttempt(o.Attempt, o.Status); a != nil {
@@ -234,19 +236,19 @@
 
 // ClientDisconnected handles a client that closed or reset its connection: it needs no answer.
 func (b *Balancer) ClientDisconnected(now float64, requestID uint32) {
-	b.begin(now)
+	b.beginEvent(now)
 	r := b.requests[requestID]
 	if r == nil || r.isAnswered {
 		return
 	}
-	b.close(r)
-	b.serveWaiting()
+	b.finishRequest(r)
+	b.resumeWaiting()
 }
 
 // StreamStarted handles the start of a streamed answer: the client receives the attempt's data, so
 // the request is no longer retried, hedged or canceled.
 func (b *Balancer) StreamStarted(now float64, requestID uint32) {
-	b.begin(now)
+	b.beginEvent(now)
 	if r := b.requests[requestID]; r != nil {
 		r.deadlineAt = math.Inf(1)
 		r.objectiveAt = math.Inf(-1)
@@ -254,13 +256,13 @@
 }
 
 // GossipReceived handles a message of another router. Routers do not send messages yet.
-func (b *Balancer) GossipReceived(now float64, _ int, _ []byte) { b.begin(now) }
+func (b *Balancer) GossipReceived(now float64, _ int, _ []byte) { b.beginEvent(now) }
 
 // Reconfigure applies new settings, or returns an error and changes nothing: a *SettingError or
-// ErrFixedSetting. Requests that have already arrived keep their class and their maximum number of
-// attempts.
+// ErrImmutableSetting. Requests that have already arrived keep their class and their maximum number
+// of attempts.
 func (b *Balancer) Reconfigure(now float64, cfg Config) error {
-	b.begin(now)
+	b.beginEvent(now)
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
@@ -268,9 +270,9 @@
 	if !hasSameOrigin || cfg.PollEndpoints != b.cfg.PollEndpoints {
 		return ErrImmutableSetting
 	}
-	b.useSettings(cfg)
+	b.applySettings(cfg)
 	b.idleTimeoutMillis = cfg.IdleTimeoutMillis
 	b.placement.isStale = true
-	b.serveWaiting()
+	b.resumeWaiting()
 	return nil
 }
--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -23,7 +23,8 @@
 					now := 100010 + 50*float64(i) // 20 per second
 					ask(balancer, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
 					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
-						balancer.AttemptEnded(now+40, withResult(CacheHit, served(uint32(i+1), h.sends[n-1].server, 40)))
+						balancer.AttemptEnded(now+40, withResult(CacheHit,
+							served(uint32(i+1), h.sends[n-1].server, 40)))
 					}
 					if i%2 == 0 {
 						balancer.TimerExpired(now+45, housekeepingToken)
@@ -177,7 +178,7 @@
 		}
 	}
 	if h.failed[2] != 1 || h.rejected[2] != 0 {
-		t.Errorf("a request that may have run and is not idempotent: failed %d, rejected %d", h.failed[2], h.rejected[2])
+		t.Errorf("a non-idempotent request that may have run: failed %d, rejected %d", h.failed[2], h.rejected[2])
 	}
 	ask(b, 100040, 3, "important", 79) // a class that was removed
 	if h.failed[3] != 1 {
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -22,10 +22,10 @@
 // retry with another remaining time is given all that remains of the deadline.
 func (b *Balancer) waitedMillis(c *Class, q Request) float64 {
 	if !q.IsRetry {
-		b.firstTryMillis[c.Name] = q.RemainingMillis
+		b.firstTryRemainingMillis[c.Name] = q.RemainingMillis
 		return 0
 	}
-	firstMillis := b.firstTryMillis[c.Name]
+	firstMillis := b.firstTryRemainingMillis[c.Name]
 	if firstMillis == 0 || math.Abs(q.RemainingMillis-firstMillis) < sameDeadlineShare*firstMillis {
 		return 0
 	}
--- a/decide/disable.go
+++ b/decide/disable.go
@@ -3,7 +3,7 @@
 // Disable stops sending requests to a server, as if it were draining, until Enable is called,
 // whatever the endpoint list says. A repeated call has no effect.
 func (b *Balancer) Disable(now float64, serverID uint32) {
-	b.begin(now)
+	b.beginEvent(now)
 	if _, isDisabled := b.membership.disabledAt[serverID]; isDisabled {
 		return
 	}
@@ -14,14 +14,14 @@
 		b.placement.isStale = true
 		b.host.CloseIdle(serverID)
 	}
-	b.serveWaiting()
+	b.resumeWaiting()
 }
 
 // Enable ends all earlier Disable calls of a server. The server was most likely restarted
 // meanwhile, even if the endpoint list does not show it yet: unless the list has shown a start
 // since the server was disabled, it is treated as just started and therefore cold.
 func (b *Balancer) Enable(now float64, serverID uint32) {
-	b.begin(now)
+	b.beginEvent(now)
 	since, isDisabled := b.membership.disabledAt[serverID]
 	if !isDisabled {
 		return
@@ -35,7 +35,7 @@
 			s.slowStart.startedAt = s.StartedAt
 		}
 	}
-	b.serveWaiting()
+	b.resumeWaiting()
 }
 
 // resetServer gives a server the record of a process that started at the given time. The slow-start
--- a/decide/disable_test.go
+++ b/decide/disable_test.go
@@ -76,8 +76,8 @@
 		}
 		b.Enable(now, disabledID)
 		got := sentAtOnce(b, h, now+1000, &id, 77, disabledID)
-		if isCold := now < b.membership.servers[disabledID].slowStart.startedAt+cfg.SlowStartMillis; isCold == isListed {
-			t.Errorf("start listed %t: is cold %t", isListed, isCold)
+		if cold := now < b.membership.servers[disabledID].slowStart.startedAt+cfg.SlowStartMillis; cold == isListed {
+			t.Errorf("start listed %t: is cold %t", isListed, cold)
 		}
 		if !isListed && (got < 1 || got > 20) {
 			t.Errorf("%d of 200 requests at once to a server that may be cold", got)
--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -3,35 +3,37 @@
 import "math"
 
 // The time budget of a router that must poll discovery. It starts when the router's list is known
-// to have been current. A change counts as announced to all routers notifiedMillis after discovery
-// had it and was reachable, or MovedNotifiedMillis after a configuration that names another
-// discovery. The pauses and the calls of a router have to fit in that time:
+// to have been current. A change counts as announced to all routers discoveryBudgetMillis after
+// discovery had it and was reachable, or DiscoveryChangeBudgetMillis after a configuration that
+// names another discovery. The pauses and the calls of a router have to fit in that time:
 //
-//   - After a failed call, the next one follows within MaxBackOffMillis. A call that discovery has
-//     accepted is answered, or is abandoned, within MaxPollCallMillis. Both together are notifiedMillis.
+//   - After a failed call, the next one follows within MaxPollBackoffMillis. A call that discovery has
+//     accepted is answered, or is abandoned, within MaxPollCallMillis. Both together are discoveryBudgetMillis.
 //   - A restarted router polls like one whose calls have been failing: its list is as old as the
 //     restart took, and the calls of a fleet that starts at the same time are spread evenly.
 //   - After a change of the discovery, the first call is made at once, and each pause is a share of
 //     the remaining time.
 const (
-	// notifiedMillis is the time after which a change counts as announced, even if calls failed.
-	notifiedMillis = 6000
-	// DiscoveryChangeBudgetMillis is the same time from a configuration that names another discovery.
+	// discoveryBudgetMillis is the time after which a change counts as announced, even if calls
+	// failed.
+	discoveryBudgetMillis = 6000
+	// DiscoveryChangeBudgetMillis is the same time from a configuration that names another
+	// discovery.
 	DiscoveryChangeBudgetMillis = 4000
 	// MaxPollBackoffMillis is the longest time between two calls of a router whose calls fail.
 	MaxPollBackoffMillis = 3500
 	// MaxPollCallMillis is how long a router waits for the answer to a call that discovery has
 	// queued. Discovery itself rejects calls that would have to wait for 2 s, so a later answer is
 	// lost.
-	MaxPollCallMillis = notifiedMillis - MaxPollBackoffMillis
-	// movedRetryShare is the longest pause after a change of the discovery, as a share of the
+	MaxPollCallMillis = discoveryBudgetMillis - MaxPollBackoffMillis
+	// changeRetryShare is the longest pause after a change of the discovery, as a share of the
 	// remaining time.
-	movedRetryShare = 1.0 / 3
-	// minMovedRetryMillis is the shortest such pause, before its jitter, and
-	// movedRetryMillisPerRouter is the same per router of the fleet. All routers together make at
+	changeRetryShare = 1.0 / 3
+	// minChangeRetryMillis is the shortest such pause, before its jitter, and
+	// changeRetryMillisPerRouter is the same per router of the fleet. All routers together make at
 	// most some 1,500 calls per second.
-	minMovedRetryMillis       = 400
-	movedRetryMillisPerRouter = 1
+	minChangeRetryMillis       = 400
+	changeRetryMillisPerRouter = 1
 
 	// pollSlotMillis is the time that discovery needs per call. One discovery serves all routers in
 	// turn; a small fleet may call it every second.
@@ -51,9 +53,9 @@
 	// the longest. The calls of all routers fail at the same time and must not be repeated at the
 	// same time.
 	backoffSpread = 1.5
-	// pollAgainMillis is how long a call for a watch may remain without any answer before it is
-	// repeated.
-	pollAgainMillis = 5000
+	// unansweredPollMillis is how long a call for a watch may remain without any answer before it
+	// is repeated.
+	unansweredPollMillis = 5000
 )
 
 // discoveryPolling schedules the calls to discovery for the endpoint list.
@@ -62,18 +64,18 @@
 	pollAt float64
 	// failures is the number of consecutive failed calls.
 	failures int
-	// movedCallsEnd is until when calls are subject to the budget of a change of the discovery, ms,
-	// even after an answer: what the new discovery has by then counts as announced. 0 = no change
-	// yet.
-	movedCallsEnd float64
+	// changeBudgetEndsAt is until when calls are subject to the budget of a change of the
+	// discovery, ms, even after an answer: what the new discovery has by then counts as announced.
+	// 0 = no change yet.
+	changeBudgetEndsAt float64
 }
 
-// DiscoveryChanged makes the Balancer poll at once, as the configuration names another discovery. It
-// is also called if another process polls from now on. The current list is kept until the first
+// DiscoveryChanged makes the Balancer poll at once, as the configuration names another discovery.
+// It is also called if another process polls from now on. The current list is kept until the first
 // answer.
 func (b *Balancer) DiscoveryChanged(now float64) {
-	b.begin(now)
-	b.discovery = discoveryPolling{pollAt: now, movedCallsEnd: now + DiscoveryChangeBudgetMillis}
+	b.beginEvent(now)
+	b.discovery = discoveryPolling{pollAt: now, changeBudgetEndsAt: now + DiscoveryChangeBudgetMillis}
 	b.pollDiscovery()
 }
 
@@ -90,8 +92,8 @@
 func (b *Balancer) pollBackoffMillis() float64 {
 	longest := b.longestBackoffMillis()
 	b.discovery.failures++
-	if remaining := b.discovery.movedCallsEnd - b.now; remaining > 0 {
-		longest = min(longest, b.movedRetryMillis(remaining))
+	if remaining := b.discovery.changeBudgetEndsAt - b.now; remaining > 0 {
+		longest = min(longest, b.changeRetryMillis(remaining))
 	}
 	return longest * (1 + 2*b.rng.Float64()) / 3
 }
@@ -108,11 +110,11 @@
 	return min(backoffSpread*mean, MaxPollBackoffMillis)
 }
 
-// movedRetryMillis returns the longest pause while a call to another discovery can still be in
+// changeRetryMillis returns the longest pause while a call to another discovery can still be in
 // time. Routers with less remaining time call more often and so are served before the others.
-func (b *Balancer) movedRetryMillis(remainingMillis float64) float64 {
-	shortest := max(minMovedRetryMillis, movedRetryMillisPerRouter*float64(b.cfg.Routers))
-	return max(shortest, movedRetryShare*remainingMillis)
+func (b *Balancer) changeRetryMillis(remainingMillis float64) float64 {
+	shortest := max(minChangeRetryMillis, changeRetryMillisPerRouter*float64(b.cfg.Routers))
+	return max(shortest, changeRetryShare*remainingMillis)
 }
 
 // firstPollMillis returns how long to wait after a start: the rest of a backoff from a random
@@ -129,6 +131,6 @@
 	if b.now < b.discovery.pollAt {
 		return
 	}
-	b.discovery.pollAt = b.now + pollAgainMillis
+	b.discovery.pollAt = b.now + unansweredPollMillis
 	b.host.WatchEndpoints()
 }
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -129,7 +129,7 @@
 					b.UpdateEndpoints(now+20, WatchFailed, nil)
 				}
 			}
-			minCalls, maxCalls := 4, int(DiscoveryChangeBudgetMillis/(minMovedRetryMillis/3))
+			minCalls, maxCalls := 4, int(DiscoveryChangeBudgetMillis/(minChangeRetryMillis/3))
 			if routers == 5100 { // the calls of a large fleet must stay spread
 				minCalls, maxCalls = 1, 3
 			}
@@ -139,9 +139,9 @@
 			}
 		}
 	}
-	if MaxPollBackoffMillis+MaxPollCallMillis > notifiedMillis {
+	if MaxPollBackoffMillis+MaxPollCallMillis > discoveryBudgetMillis {
 		t.Errorf("a pause of %v ms and a call of %v ms exceed the budget of %v ms",
-			MaxPollBackoffMillis, MaxPollCallMillis, notifiedMillis)
+			MaxPollBackoffMillis, MaxPollCallMillis, discoveryBudgetMillis)
 	}
 }
 
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -37,7 +37,7 @@
 
 // UpdateEndpoints handles an update of the endpoint list, or a failed watch.
 func (b *Balancer) UpdateEndpoints(now float64, kind EndpointUpdateKind, entries []Endpoint) {
-	b.begin(now)
+	b.beginEvent(now)
 	if kind == WatchFailed {
 		b.discovery.pollAt = now + b.pollBackoffMillis()
 		return
@@ -78,13 +78,13 @@
 			s.Size = 0 // a load figure says nothing about the machine
 		}
 	}
-	m.sortOut(b.cfg)
+	m.classifyServers(b.cfg)
 	return started
 }
 
-// sortOut sets the origin and the cache servers, and removes servers that are neither listed nor
-// have attempts of this router in flight.
-func (m *membership) sortOut(cfg Config) {
+// classifyServers sets the origin and the cache servers, and removes servers that are neither
+// listed nor have attempts of this router in flight.
+func (m *membership) classifyServers(cfg Config) {
 	m.caches = m.caches[:0]
 	m.origin = nil
 	for id, s := range m.servers {
@@ -173,7 +173,7 @@
 // WriteServer returns the server that a write will go to, if there is one. The router streams large
 // values to it while they are still arriving.
 func (b *Balancer) WriteServer(now float64) (serverID uint32, isAvailable bool) {
-	b.begin(now)
+	b.beginEvent(now)
 	origin := b.membership.origin
 	if !b.cfg.CacheAside || origin == nil || !origin.acceptsNewWork() {
 		return 0, false
--- a/decide/handover.go
+++ b/decide/handover.go
@@ -135,8 +135,8 @@
 	return &at
 }
 
-// orNever returns the instant, or -Inf if it is absent.
-func orNever(at *float64) float64 {
+// instantOrNever returns the instant, or -Inf if it is absent.
+func instantOrNever(at *float64) float64 {
 	if at == nil {
 		return math.Inf(-1)
 	}
@@ -150,7 +150,7 @@
 // Balancer: half of the rest of each slow-start budget goes to the other process. It must be called
 // once per successor.
 func (b *Balancer) HandOver(now float64) Snapshot {
-	b.begin(now)
+	b.beginEvent(now)
 	state := Snapshot{
 		DisabledAt:         map[uint32]float64{},
 		StartedAt:          b.startedAt,
@@ -209,17 +209,18 @@
 // TakeOver restores the state of the previous process, before the first endpoint list and the first
 // request. Servers that operators have disabled are always restored. If the start time, the fetch
 // limit, the tolerated wait or the idle timeout is out of bounds, for example because the clocks of
-// the two processes disagree, nothing else is restored and the error is ErrImpossibleSnapshot. The
-// records of servers and keys are not checked. After another event the error is ErrNotFirst.
+// the two processes disagree, nothing else is restored and the error is ErrInvalidSnapshot. The
+// records of servers and keys are not checked. After another event the error is
+// ErrTakeOverAfterEvent.
 func (b *Balancer) TakeOver(now float64, state Snapshot) error {
 	if b.startedAt >= 0 {
 		return ErrTakeOverAfterEvent
 	}
-	b.begin(now)
+	b.beginEvent(now)
 	for id, at := range state.DisabledAt {
 		b.membership.disabledAt[id] = min(at, now)
 	}
-	if !state.isPossible(now) {
+	if !state.isValid(now) {
 		return ErrInvalidSnapshot
 	}
 	b.startedAt = min(now, state.StartedAt)
@@ -240,8 +241,8 @@
 	return nil
 }
 
-// isPossible reports whether the checked values of a snapshot are within their bounds.
-func (s *Snapshot) isPossible(now float64) bool {
+// isValid reports whether the checked values of a snapshot are within their bounds.
+func (s *Snapshot) isValid(now float64) bool {
 	return isWithin(s.FetchLimit, 0, maxFetchLimit) &&
 		isWithin(s.ToleratedWaitShare, 0, maxSnapshotToleratedWait) &&
 		isWithin(s.IdleTimeoutMillis, 0, maxSnapshotIdleTimeoutMillis) &&
@@ -273,12 +274,12 @@
 	s.health.probeAt = state.ProbeAt
 	s.health.ejectionMillis = state.EjectionMillis
 	s.health.forcedProbeAt = state.ForcedProbeAt
-	s.slowStart.startedAt = orNever(state.StartedAt)
+	s.slowStart.startedAt = instantOrNever(state.StartedAt)
 	s.slowStart.budget = slowStartBudget{requests: state.Budget.Value, updatedAt: state.Budget.UpdatedAt}
 	s.attempts.work = state.Work.restore()
 	s.load.lastReport = state.LastReport
 	s.load.reportedPerSecond = state.ReportedPerSecond
-	s.load.reportedAt = orNever(state.ReportedAt)
+	s.load.reportedAt = instantOrNever(state.ReportedAt)
 	s.load.capacityPerSecond = state.CapacityPerSecond.restore()
 	s.load.latencyPerWork = state.LatencyPerWork.restore()
 	s.health.lastReplyAt = state.LastReplyAt
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -5,13 +5,13 @@
 	// A bound on the age of reports instead would make a router of a large fleet send many per
 	// request.
 	checksPerArrival = 0.15
-	// maxHealthChecks is the largest budget that can accumulate.
-	maxHealthChecks = 4
-	// healthCheckMillis is the shortest time between two checks of a server.
-	healthCheckMillis = 700
-	// enoughReporting is the number of servers whose reports suffice to know the capacities by
-	// kind.
-	enoughReporting = 24
+	// maxHealthCheckBudget is the largest budget that can accumulate.
+	maxHealthCheckBudget = 4
+	// minHealthCheckIntervalMillis is the shortest time between two checks of a server.
+	minHealthCheckIntervalMillis = 700
+	// enoughReportingServers is the number of servers whose reports suffice to know the capacities
+	// by kind.
+	enoughReportingServers = 24
 )
 
 // healthChecks holds the budget of health checks and the position of the next server.
@@ -22,10 +22,10 @@
 	next int
 }
 
-// earnHealthChecks adds to the budget of health checks for an arrival.
-func (b *Balancer) earnHealthChecks() {
+// refillHealthCheckBudget adds to the budget of health checks for an arrival.
+func (b *Balancer) refillHealthCheckBudget() {
 	earned := checksPerArrival * b.usefulCheckShare()
-	b.healthChecks.budget = min(maxHealthChecks, b.healthChecks.budget+earned)
+	b.healthChecks.budget = min(maxHealthCheckBudget, b.healthChecks.budget+earned)
 }
 
 // usefulCheckShare returns the share of the possible health checks that are worth sending: all
@@ -33,8 +33,9 @@
 // report is outdated long before its next one, checks give little information for their cost.
 func (b *Balancer) usefulCheckShare() float64 {
 	checksPerSecond := checksPerArrival * b.perSecond(&b.arrivals, trafficTimeConstantMillis)
-	perServer := checksPerSecond * trafficTimeConstantMillis / millisPerSecond / max(1, float64(len(b.membership.caches)))
-	return max(1-b.capacities.reporting/enoughReporting, min(1, perServer))
+	perServer := checksPerSecond * trafficTimeConstantMillis / millisPerSecond /
+		max(1, float64(len(b.membership.caches)))
+	return max(1-b.capacities.reportingServers/enoughReportingServers, min(1, perServer))
 }
 
 // checkIfDue sends a health check to a server if it is due and allowed, and reports whether it did.
@@ -42,7 +43,7 @@
 	if !b.cfg.LoadByHealthCheck || !b.cfg.HealthChecksAllowed || s.isDisabled {
 		return false
 	}
-	if b.healthChecks.budget < 1 || b.now-s.health.checkedAt < healthCheckMillis {
+	if b.healthChecks.budget < 1 || b.now-s.health.checkedAt < minHealthCheckIntervalMillis {
 		return false
 	}
 	b.healthChecks.budget--
@@ -54,12 +55,12 @@
 // HealthCheckEnded handles the result of a health check. One without an answer counts as
 // unanswered.
 func (b *Balancer) HealthCheckEnded(now float64, serverID uint32, status AttemptStatus, l LoadReport) {
-	b.begin(now)
+	b.beginEvent(now)
 	s := b.membership.servers[serverID]
 	if s == nil {
 		return
 	}
-	b.learnLoad(s, l)
+	b.recordLoadReport(s, l)
 	if status != OK && status != QueueFull {
 		s.health.unanswered++
 		b.eject(s, true)
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -48,7 +48,7 @@
 		cfg.HealthChecksAllowed = true
 		b, h := start(t, cfg, fleet(c.servers))
 		id := uint32(0)
-		checksLater := 0
+		checks := 0
 		for i := range 30 * c.perSecond {
 			now := 100010 + float64(i)*1000/float64(c.perSecond)
 			id++
@@ -61,13 +61,13 @@
 				b.HealthCheckEnded(now+3, s, OK, loadReport(20+float64(i%7), 0.4))
 			}
 			if i >= 15*c.perSecond {
-				checksLater += len(h.healthChecks)
+				checks += len(h.healthChecks)
 			}
 			h.healthChecks = h.healthChecks[:0]
 		}
 		// At least 700 ms pass between two checks of a server.
 		maxChecks := min(c.maxChecks, float64(c.servers)/0.7/float64(c.perSecond))
-		if got := float64(checksLater) / float64(15*c.perSecond); got < min(c.minChecks, 0.8*maxChecks) || got > maxChecks {
+		if got := float64(checks) / float64(15*c.perSecond); got < min(c.minChecks, 0.8*maxChecks) || got > maxChecks {
 			t.Errorf("%d servers at %d requests per second: %.3f health checks per arrival, want %.3f to %.3f",
 				c.servers, c.perSecond, got, c.minChecks, maxChecks)
 		}
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -3,48 +3,50 @@
 const (
 	// minServiceMillis is the shortest assumed service time of a unit of work.
 	minServiceMillis = 5
-	// minPatienceWork is the least work that a soft timeout allows for. Hints are inaccurate, and
-	// they omit the part of the service time that does not depend on the work.
-	minPatienceWork = 0.5
-	// patienceFactor is the smallest soft timeout, as a multiple of the expected time.
-	patienceFactor = 1.2
-	// maxPatienceFactor is the largest soft timeout, as a multiple of the expected time. It is used
-	// if it leaves nextAttemptFactor times the expected time for another attempt.
-	maxPatienceFactor = 3
-	nextAttemptFactor = 1.5
-	// unknownServerShare is the smallest soft timeout at a server that is probed or has no known
-	// latency, as a share of the remaining time. Such a server answers over a new connection,
+	// minSoftTimeoutWork is the least work that a soft timeout allows for. Hints are inaccurate,
+	// and they omit the part of the service time that does not depend on the work.
+	minSoftTimeoutWork = 0.5
+	// minSoftTimeoutFactor is the smallest soft timeout, as a multiple of the expected time.
+	minSoftTimeoutFactor = 1.2
+	// maxSoftTimeoutFactor is the largest soft timeout, as a multiple of the expected time. It is
+	// used if it leaves nextAttemptFactor times the expected time for another attempt.
+	maxSoftTimeoutFactor = 3
+	nextAttemptFactor    = 1.5
+	// unknownServerTimeoutShare is the smallest soft timeout at a server that is probed or has no
+	// known latency, as a share of the remaining time. Such a server answers over a new connection,
 	// perhaps from another zone, and would stay ejected if its probes were ended early.
-	unknownServerShare = 0.75
-	// overtakenFactor is the next soft timeout of an attempt that is overtaken, or is a fetch, as a
-	// multiple of the time since its send.
-	overtakenFactor = 0.5
+	unknownServerTimeoutShare = 0.75
+	// overtakenTimeoutFactor is the next soft timeout of an attempt that is overtaken, or is a
+	// fetch, as a multiple of the time since its send.
+	overtakenTimeoutFactor = 0.5
 
-	// lostWeight is the EWMA weight of an overtaken attempt in the lost share: about five attempts.
-	lostWeight = 0.2
-	// mostlyLost is the lost share from which an overtaken attempt is canceled at once.
-	mostlyLost = 0.5
-	// lostDecay multiplies the lost share for each attempt canceled at once, as its answer is never
-	// seen. After a few of them, one is waited for again.
-	lostDecay = 0.97
+	// lostShareWeight is the EWMA weight of an overtaken attempt in the lost share: about five
+	// attempts.
+	lostShareWeight = 0.2
+	// cancelLostShare is the lost share from which an overtaken attempt is canceled at once.
+	cancelLostShare = 0.5
+	// lostShareDecay multiplies the lost share for each attempt canceled at once, as its answer is
+	// never seen. After a few of them, one is waited for again.
+	lostShareDecay = 0.97
 )
 
-// patienceMillis returns the soft timeout of an attempt at a cache server: when it is hedged or
+// softTimeoutMillis returns the soft timeout of an attempt at a cache server: when it is hedged or
 // canceled.
-func (b *Balancer) patienceMillis(r *request, s *server) float64 {
+func (b *Balancer) softTimeoutMillis(r *request, s *server) float64 {
 	service := max(s.load.latencyPerWork.floor, b.serviceTime.mean/2, minServiceMillis)
-	expected := service*max(minPatienceWork, r.work) + b.expectedWaitMillis(s)
+	expected := service*max(minSoftTimeoutWork, r.work) + b.expectedWaitMillis(s)
 	remaining := r.objectiveAt - b.now
-	patience := max(patienceFactor*expected, min(maxPatienceFactor*expected, remaining-nextAttemptFactor*expected))
+	timeoutMillis := max(minSoftTimeoutFactor*expected,
+		min(maxSoftTimeoutFactor*expected, remaining-nextAttemptFactor*expected))
 	if s.health.isEjected || s.load.latencyPerWork.value == 0 {
-		patience = max(patience, unknownServerShare*remaining)
+		timeoutMillis = max(timeoutMillis, unknownServerTimeoutShare*remaining)
 	}
-	return patience
+	return timeoutMillis
 }
 
-// patienceEnded handles an expired soft timeout: the attempt is hedged, or canceled for a retry. A
-// server that has answered other attempts since this one was sent is not suspected.
-func (b *Balancer) patienceEnded(r *request, number int) {
+// softTimeoutExpired handles an expired soft timeout: the attempt is hedged, or canceled for a
+// retry. A server that has answered other attempts since this one was sent is not suspected.
+func (b *Balancer) softTimeoutExpired(r *request, number int) {
 	if number >= len(r.attempts) || r.attempts[number].hasEnded {
 		return
 	}
@@ -57,11 +59,11 @@
 		return
 	}
 	if isFetch || a.server.health.lastReplyAt >= a.sentAt {
-		b.overtakenPatienceEnded(r, number)
+		b.overtakenTimeoutExpired(r, number)
 		return
 	}
 	if !r.isServerFetch {
-		b.observeStall(r, a.server)
+		b.recordStall(r, a.server)
 	}
 	if b.retryBudget < 1 || r.inFlight > 1 {
 		return
@@ -69,7 +71,7 @@
 	if b.cfg.HedgingAllowed {
 		b.hedge(r)
 	} else {
-		b.cancelForAnother(r, number)
+		b.cancelForRetry(r, number)
 	}
 }
 
@@ -86,9 +88,9 @@
 	}
 }
 
-// cancelForAnother cancels an attempt if another server can take the request in time. Otherwise a
+// cancelForRetry cancels an attempt if another server can take the request in time. Otherwise a
 // cancellation would cost a connection and gain nothing. The end of the attempt leads to a retry.
-func (b *Balancer) cancelForAnother(r *request, number int) {
+func (b *Balancer) cancelForRetry(r *request, number int) {
 	r.inFlight-- // pick must decide as if the attempt had ended
 	s := b.pick(r)
 	r.inFlight++
@@ -99,20 +101,20 @@
 	}
 }
 
-// overtakenPatienceEnded handles an expired soft timeout of a fetch, or of an attempt whose server
+// overtakenTimeoutExpired handles an expired soft timeout of a fetch, or of an attempt whose server
 // has answered other attempts since. The attempt is either lost or heavy. It gets half as much time
 // again, unless most overtaken attempts were lost recently.
-func (b *Balancer) overtakenPatienceEnded(r *request, number int) {
+func (b *Balancer) overtakenTimeoutExpired(r *request, number int) {
 	a := &r.attempts[number]
 	mayRetry := !b.cfg.HedgingAllowed && b.mayCancel(r) && b.retryBudget >= 1
 	if mayRetry && a.server.health.latestAnsweredSentAt > a.sentAt && b.recordOvertaken(a) {
 		if a.server != b.membership.origin {
-			r.askAgain = a.server
+			r.preferredServer = a.server
 		}
 		b.host.Cancel(r.ID, number)
 		return
 	}
-	b.host.SetTimer(overtakenFactor*(b.now-a.sentAt), attemptToken(r.ID, number))
+	b.host.SetTimer(overtakenTimeoutFactor*(b.now-a.sentAt), attemptToken(r.ID, number))
 }
 
 // recordOvertaken records the expired soft timeout of an attempt that later ones have overtaken. It
@@ -120,25 +122,25 @@
 // lost.
 func (b *Balancer) recordOvertaken(a *attempt) bool {
 	isSecondTime := a.wasOvertaken
-	areMostLost := b.lostShare > mostlyLost
+	areMostLost := b.lostShare > cancelLostShare
 	a.wasOvertaken = true
 	if isSecondTime {
-		b.lostShare += lostWeight * (1 - b.lostShare)
+		b.lostShare += lostShareWeight * (1 - b.lostShare)
 	} else if areMostLost {
-		b.lostShare *= lostDecay
+		b.lostShare *= lostShareDecay
 	}
 	return isSecondTime || areMostLost
 }
 
-// overtakenAnswered records that an overtaken attempt was answered.
-func (b *Balancer) overtakenAnswered() { b.lostShare -= lostWeight * b.lostShare }
+// recordOvertakenAnswer records that an overtaken attempt was answered.
+func (b *Balancer) recordOvertakenAnswer() { b.lostShare -= lostShareWeight * b.lostShare }
 
-// observeStall records the expired soft timeout of an attempt at a server that has not replied to
+// recordStall records the expired soft timeout of an attempt at a server that has not replied to
 // anything since the send. That detects a fault about a second before the timeout. If servers
 // rarely get requests from this router, the key of a stalled request has most likely caused the
 // long queue itself, and is counted as hotter than the arrivals show.
-func (b *Balancer) observeStall(r *request, s *server) {
-	r.key.arrivals.add(b.now, b.keyTimeConstantMillis(), b.rarelyAskedShare())
+func (b *Balancer) recordStall(r *request, s *server) {
+	r.key.arrivals.add(b.now, b.keyTimeConstantMillis(), b.lowTrafficFactor())
 	b.recordWait(s, r.class.LatencyObjectiveMillis)
 	s.health.unanswered++
 	s.health.acceptedShare *= stalledAcceptedFactor
--- a/decide/hedge_test.go
+++ b/decide/hedge_test.go
@@ -23,7 +23,7 @@
 		k := b.requests[1].key
 		b.membership.servers[h.last().server].health.lastReplyAt = 0
 		b.TimerExpired(101200, 1<<8|1)
-		if isHot := k.arrivals.value >= hotArrivals; isHot != c.isHot {
+		if isHot := k.arrivals.value >= minHotArrivals; isHot != c.isHot {
 			t.Errorf("%d requests per second: %v arrivals after a soft timeout", c.requestsBefore, k.arrivals.value)
 		}
 	}
--- a/decide/housekeeping.go
+++ b/decide/housekeeping.go
@@ -1,8 +1,8 @@
 package decide
 
 const (
-	// housekeepingMillis is the time between two housekeeping runs.
-	housekeepingMillis = 100
+	// housekeepingIntervalMillis is the time between two housekeeping runs.
+	housekeepingIntervalMillis = 100
 	// housekeepingToken is the token of the housekeeping timer. Other tokens contain a request ID
 	// and the number of an attempt.
 	housekeepingToken = 1 << 63
@@ -23,7 +23,7 @@
 
 // TimerExpired handles an expired timer.
 func (b *Balancer) TimerExpired(now float64, token uint64) {
-	b.begin(now)
+	b.beginEvent(now)
 	if token == housekeepingToken {
 		b.housekeep()
 		return
@@ -33,17 +33,17 @@
 		return
 	}
 	if numberPlusOne := int(token & attemptMask); numberPlusOne > 0 {
-		b.patienceEnded(r, numberPlusOne-1)
-	} else if r.waitingSince > 0 && r.inFlight == 0 {
-		b.answer(r, causeWaited)
+		b.softTimeoutExpired(r, numberPlusOne-1)
+	} else if r.waitingSinceAt > 0 && r.inFlight == 0 {
+		b.rejectOrFail(r, causeWaited)
 	}
-	b.serveWaiting()
+	b.resumeWaiting()
 }
 
 // housekeep performs the periodic work: it recomputes the placement, polls discovery, closes idle
 // connections and sends health checks.
 func (b *Balancer) housekeep() {
-	b.host.SetTimer(housekeepingMillis, housekeepingToken)
+	b.host.SetTimer(housekeepingIntervalMillis, housekeepingToken)
 	b.solveIfDue()
 	b.pollDiscovery()
 	caches := b.membership.caches
--- a/decide/idle_connections_test.go
+++ b/decide/idle_connections_test.go
@@ -19,14 +19,14 @@
 		t.Fatalf("closed %v though no connection was refused", h.closes)
 	}
 	for _, s := range b.membership.caches[:5] { // these appear to be dead
-		b.observe(s, ConnectError, b.now)
+		b.recordOutcome(s, ConnectError, b.now)
 	}
 	b.TimerExpired(105050, housekeepingToken)
 	if len(h.closes) != 0 || b.idleTimeoutMillis != cfg.IdleTimeoutMillis {
 		t.Fatalf("idle timeout %v, closed %v after dead servers refused connections", b.idleTimeoutMillis, h.closes)
 	}
 	for _, s := range b.membership.caches[:5] { // these are at their limit, as they answer on other connections
-		b.observe(s, OK, b.now)
+		b.recordOutcome(s, OK, b.now)
 	}
 	b.TimerExpired(105100, housekeepingToken)
 	b.TimerExpired(105200, housekeepingToken)
@@ -34,7 +34,7 @@
 		t.Errorf("closed %v, want once server %d, last used 5 s ago", h.closes, first)
 	}
 	for range 1000 {
-		b.observe(b.membership.caches[0], OK, b.now)
+		b.recordOutcome(b.membership.caches[0], OK, b.now)
 	}
 	if b.idleTimeoutMillis != cfg.IdleTimeoutMillis {
 		t.Errorf("idle timeout %v after a thousand answers, want %v", b.idleTimeoutMillis, cfg.IdleTimeoutMillis)
--- a/decide/key_traffic.go
+++ b/decide/key_traffic.go
@@ -11,8 +11,8 @@
 	// keyMemoryArrivals is the number of arrivals that the time constant of key rates covers, so
 	// that one of many routers sees enough requests to detect a hot key.
 	keyMemoryArrivals = 100
-	// fadedArrivals is the decayed number of arrivals below which a key is forgotten.
-	fadedArrivals = 0.02
+	// minRememberedArrivals is the decayed number of arrivals below which a key is forgotten.
+	minRememberedArrivals = 0.02
 	// meanWorkWeight is the EWMA weight of a request in the mean work of its key: about five
 	// requests.
 	meanWorkWeight = 0.2
@@ -90,7 +90,7 @@
 func (b *Balancer) currentKeys() []*keyTraffic {
 	timeConstant := b.keyTimeConstantMillis()
 	b.keys.all = slices.DeleteFunc(b.keys.all, func(k *keyTraffic) bool {
-		isForgotten := k.arrivals.decayTo(b.now, timeConstant) < fadedArrivals && k.fetch == nil
+		isForgotten := k.arrivals.decayTo(b.now, timeConstant) < minRememberedArrivals && k.fetch == nil
 		if isForgotten {
 			delete(b.keys.byID, k.id)
 		}
@@ -101,7 +101,7 @@
 
 // workOf returns a request's work according to its hint, in units of the mean request.
 func (b *Balancer) workOf(hint float64) float64 {
-	if hint <= 0 || !isUsable(hint) {
+	if hint <= 0 || !isPlausible(hint) {
 		return 1
 	}
 	if b.meanHint == 0 {
--- a/decide/load_report.go
+++ b/decide/load_report.go
@@ -25,15 +25,16 @@
 	// typicalByKind is the capacity (requests per second) per unit of size by kind, and of all
 	// servers under allKinds.
 	typicalByKind map[string]float64
-	// reporting is the number of servers that have reported.
-	reporting float64
+	// reportingServers is the number of servers that have reported.
+	reportingServers float64
 	// hasSizes says that the endpoint list gives the size of each server.
 	hasSizes bool
 }
 
-// learnLoad applies a load report. Absent or implausible figures and repeated reports are ignored.
-func (b *Balancer) learnLoad(s *server, l LoadReport) {
-	if !isUsable(l.RequestsPerSecond) || !isUsable(l.Utilization) || l == s.load.lastReport {
+// recordLoadReport applies a load report. Absent or implausible figures and repeated reports are
+// ignored.
+func (b *Balancer) recordLoadReport(s *server, l LoadReport) {
+	if !isPlausible(l.RequestsPerSecond) || !isPlausible(l.Utilization) || l == s.load.lastReport {
 		return
 	}
 	s.load.lastReport = l
@@ -48,21 +49,21 @@
 
 // capacitySum adds up the reports of several servers.
 type capacitySum struct {
-	perSecond float64 // sum of rates per unit of size
-	busy      float64 // sum of the shares of capacity in use
-	reports   float64 // number of servers
+	perSecond   float64 // sum of rates per unit of size
+	utilization float64 // sum of the shares of capacity in use
+	reports     float64 // number of servers
 }
 
-func (c capacitySum) plus(perSecond, busy float64) capacitySum {
-	return capacitySum{c.perSecond + perSecond, c.busy + busy, c.reports + 1}
+func (c capacitySum) plus(perSecond, utilization float64) capacitySum {
+	return capacitySum{c.perSecond + perSecond, c.utilization + utilization, c.reports + 1}
 }
 
-// surveyCapacities updates the capacity per unit of size by kind, and returns the mean rate of the
-// servers that reported one, 0 if none did. If any size is missing, all servers count as equal. A
-// kind's capacity is the total rate of its servers divided by their total utilization.
-func (b *Balancer) surveyCapacities() (meanPerSecond float64) {
+// updateTypicalCapacities updates the capacity per unit of size by kind, and returns the mean rate
+// of the servers that reported one, 0 if none did. If any size is missing, all servers count as
+// equal. A kind's capacity is the total rate of its servers divided by their total utilization.
+func (b *Balancer) updateTypicalCapacities() (meanPerSecond float64) {
 	model := &b.capacities
-	hasNoSize := func(s *server) bool { return !isUsable(s.Size) || s.Size == 0 }
+	hasNoSize := func(s *server) bool { return !isPlausible(s.Size) || s.Size == 0 }
 	model.hasSizes = !slices.ContainsFunc(b.membership.caches, hasNoSize)
 	kinds := map[string]capacitySum{}
 	all := capacitySum{}
@@ -72,21 +73,21 @@
 			continue
 		}
 		rate := reported / s.sizeUnits(model.hasSizes)
-		busy := reported / s.load.capacityPerSecond.value
-		kinds[s.Kind] = kinds[s.Kind].plus(rate, busy)
-		all = all.plus(rate, busy)
+		utilization := reported / s.load.capacityPerSecond.value
+		kinds[s.Kind] = kinds[s.Kind].plus(rate, utilization)
+		all = all.plus(rate, utilization)
 		meanPerSecond += reported
 	}
-	model.reporting = all.reports
+	model.reportingServers = all.reports
 	model.typicalByKind = map[string]float64{}
 	if all.reports == 0 {
 		return 0
 	}
-	model.typicalByKind[allKinds] = all.perSecond / all.busy
+	model.typicalByKind[allKinds] = all.perSecond / all.utilization
 	for kind, k := range kinds {
 		rate := k.perSecond + kindPriorReports*all.perSecond/all.reports
-		busy := k.busy + kindPriorReports*all.busy/all.reports
-		model.typicalByKind[kind] = rate / busy
+		utilization := k.utilization + kindPriorReports*all.utilization/all.reports
+		model.typicalByKind[kind] = rate / utilization
 	}
 	return meanPerSecond / all.reports
 }
--- a/decide/messages.go
+++ b/decide/messages.go
@@ -114,9 +114,9 @@
 	return false
 }
 
-// isOfServer reports whether the status is evidence about the server. Canceled and Unprocessed
+// reflectsServer reports whether the status is evidence about the server. Canceled and Unprocessed
 // result from the router's own actions.
-func (s AttemptStatus) isOfServer() bool { return s != Canceled && s != Unprocessed }
+func (s AttemptStatus) reflectsServer() bool { return s != Canceled && s != Unprocessed }
 
 // isAnswer reports whether the server processed the attempt without an error.
 func (s AttemptStatus) isAnswer() bool { return s == OK || s == Miss }
--- a/decide/origin_fetch.go
+++ b/decide/origin_fetch.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// storedMillis is how long a server that fetches by itself is assumed to keep a value.
-	storedMillis = 10000
-	// leaveMillis is the time before the client's deadline at which a request stops waiting for the
-	// origin.
-	leaveMillis = 5
+	// assumedStoredMillis is how long a server that fetches by itself is assumed to keep a value.
+	assumedStoredMillis = 10000
+	// originWaitMarginMillis is the time before the client's deadline at which a request stops
+	// waiting for the origin.
+	originWaitMarginMillis = 5
 	// minFetchLatencyMillis is the assumed latency of fetches while it is unknown.
 	minFetchLatencyMillis = 5
 	// minFetchCycleMillis is the shortest time that a fetch counts for while the limit is below
 	// one.
 	minFetchCycleMillis = 100
-	// fetchQueueMillis is the time constant with which an observed queue at the origin decays.
-	fetchQueueMillis = 2000
+	// fetchQueueDecayMillis is the time constant with which an observed queue at the origin decays.
+	fetchQueueDecayMillis = 2000
 	// fetchWeight is the EWMA weight of a fetch in the latency of fetches: about ten fetches.
 	fetchWeight = 0.1
-	// fetchPatienceFactor is the soft timeout of a fetch, as a multiple of the latency of fetches.
-	// A fetch whose answer is lost delays all requests that wait for the key.
-	fetchPatienceFactor = 2
-	// lateFactor is the multiple of the floor latency beyond which a timeout shows a slow origin.
-	// An earlier timeout shows only that the fetch was sent too late.
-	lateFactor = 2
+	// fetchSoftTimeoutFactor is the soft timeout of a fetch, as a multiple of the latency of
+	// fetches. A fetch whose answer is lost delays all requests that wait for the key.
+	fetchSoftTimeoutFactor = 2
+	// slowTimeoutFactor is the multiple of the floor latency beyond which a timeout shows a slow
+	// origin. An earlier timeout shows only that the fetch was sent too late.
+	slowTimeoutFactor = 2
 
-	// slowFactor is the multiple of the floor latency from which the origin always counts as slow.
-	slowFactor = 2.5
-	// slowFactorMin is the multiple of the floor latency below which slowObjectiveShare does not
+	// maxSlowFactor is the multiple of the floor latency from which the origin always counts as
+	// slow.
+	maxSlowFactor = 2.5
+	// minSlowFactor is the multiple of the floor latency below which slowObjectiveShare does not
 	// apply.
-	slowFactorMin = 1.3
+	minSlowFactor = 1.3
 	// slowObjectiveShare is the share of the latency objective from which the origin counts as
 	// slow. A longer queue at the origin is of no use, as the time of the cache lookup comes on
 	// top.
@@ -49,22 +50,22 @@
 	// fleetFetchGrowth is the smallest growth of the limits of all routers together during the time
 	// of a fetch.
 	fleetFetchGrowth = 4
-	// fetchCutMillis is the shortest time between two cuts of the limit.
-	fetchCutMillis = 500
-	// fetchCut is the factor of a cut.
-	fetchCut = 0.8
-	// failedFetchCut is the factor of a cut after a failure. The origin is down, or processes a
-	// queue of requests that have already timed out, and needs time to recover.
-	failedFetchCut = 0.4
-	// minFleetFetches is the smallest sum of the limits of all routers after cuts.
-	minFleetFetches = 8
-	// maxLeastFetches bounds the smallest limit of one router after cuts.
-	maxLeastFetches = 2
+	// minFetchCutIntervalMillis is the shortest time between two cuts of the limit.
+	minFetchCutIntervalMillis = 500
+	// fetchCutFactor is the factor of a cut.
+	fetchCutFactor = 0.8
+	// failedFetchCutFactor is the factor of a cut after a failure. The origin is down, or processes
+	// a queue of requests that have already timed out, and needs time to recover.
+	failedFetchCutFactor = 0.4
+	// minFleetFetchLimit is the smallest sum of the limits of all routers after cuts.
+	minFleetFetchLimit = 8
+	// maxMinFetchLimit bounds the smallest limit of one router after cuts.
+	maxMinFetchLimit = 2
 	// minFetchedShare is the share of this router's requests that the limit allows to fetch after
 	// cuts, as any origin has capacity for that.
 	minFetchedShare = 0.1
-	// failedLeastDivisor divides the smallest limit after a failure.
-	failedLeastDivisor = 40
+	// failedMinLimitDivisor divides the smallest limit after a failure.
+	failedMinLimitDivisor = 40
 )
 
 // originFetches limits the fetches from the origin.
@@ -89,23 +90,23 @@
 	if r.IsWrite || r.key.fetch != nil {
 		return true
 	}
-	return !b.cfg.CacheAside && b.now > r.key.storedAt+storedMillis
+	return !b.cfg.CacheAside && b.now > r.key.storedAt+assumedStoredMillis
 }
 
 // waitForOrigin queues a request for the origin or for a fetch of its key, as long as its answer
 // can be in time.
 func (b *Balancer) waitForOrigin(r *request) {
-	waitUntil := r.deadlineAt - leaveMillis
+	waitUntil := r.deadlineAt - originWaitMarginMillis
 	if r.class.LateWeight == 0 {
 		waitUntil = min(waitUntil, r.objectiveAt-b.originFetches.latency.value/2)
 	}
-	r.waitingSince = b.now
+	r.waitingSinceAt = b.now
 	b.originFetches.waiting = append(b.originFetches.waiting, r)
 	b.host.SetTimer(max(1, waitUntil-b.now), waitToken(r.ID))
 }
 
-// serveWaiting resumes all waiting requests that can proceed, in descending order of priority.
-func (b *Balancer) serveWaiting() {
+// resumeWaiting resumes all waiting requests that can proceed, in descending order of priority.
+func (b *Balancer) resumeWaiting() {
 	waiting := b.originFetches.waiting
 	slices.SortStableFunc(waiting, func(p, q *request) int { return cmp.Compare(q.priority, p.priority) })
 	// The Host does not call the Balancer from its methods, so the list does not change meanwhile.
@@ -118,13 +119,13 @@
 	switch {
 	case r.isAnswered:
 		return true
-	case !r.IsWrite && r.key.storedAt > r.waitingSince:
-		r.askAgain = r.key.storedOn
-		r.waitingSince = 0
+	case !r.IsWrite && r.key.storedAt > r.waitingSinceAt:
+		r.preferredServer = r.key.storedOn
+		r.waitingSinceAt = 0
 		b.forward(r)
 		return true
 	case b.cfg.CacheAside && !b.canFetchInTime(r):
-		b.answer(r, causeOrigin)
+		b.rejectOrFail(r, causeOrigin)
 		return true
 	case !b.hasFetchSlot(r):
 		return false
@@ -160,7 +161,7 @@
 // fetch sends a waiting request to the origin, either directly or by way of a server that fetches
 // by itself.
 func (b *Balancer) fetch(r *request) {
-	r.waitingSince = 0
+	r.waitingSinceAt = 0
 	if !r.IsWrite {
 		r.key.fetch = r
 	}
@@ -193,12 +194,12 @@
 // expectedFetchMillis returns the expected time of a fetch. An observed queue at the origin decays.
 func (b *Balancer) expectedFetchMillis() float64 {
 	l := b.originFetches.latency
-	return l.floor + (l.value-l.floor)*math.Exp((l.updatedAt-b.now)/fetchQueueMillis)
+	return l.floor + (l.value-l.floor)*math.Exp((l.updatedAt-b.now)/fetchQueueDecayMillis)
 }
 
-// fetchPatienceMillis returns the soft timeout of a fetch.
-func (b *Balancer) fetchPatienceMillis() float64 {
-	return fetchPatienceFactor * max(b.originFetches.latency.value, minFetchLatencyMillis)
+// fetchSoftTimeoutMillis returns the soft timeout of a fetch.
+func (b *Balancer) fetchSoftTimeoutMillis() float64 {
+	return fetchSoftTimeoutFactor * max(b.originFetches.latency.value, minFetchLatencyMillis)
 }
 
 // fetchEnded handles the end of a fetch. The key is then stored on the server that missed it, and
@@ -209,10 +210,10 @@
 	}
 	if r.key.fetch == r && status == OK {
 		r.key.storedAt = b.now
-		r.key.storedOn = r.askAgain
+		r.key.storedOn = r.preferredServer
 	}
 	f := &b.originFetches
-	isLate := status == Timeout && latencyMillis > lateFactor*f.latency.floor
+	isLate := status == Timeout && latencyMillis > slowTimeoutFactor*f.latency.floor
 	if status == OK || isLate {
 		f.latency.update(b.now, latencyMillis, fetchWeight)
 	}
@@ -220,7 +221,7 @@
 	switch {
 	case (status == OK || isLate) && f.latency.value < slowMillis:
 		f.limit = min(maxFetchLimit, f.limit+fetchLimitGrowth(f.limit, b.cfg.Routers))
-	case status.isOfServer() && (status != Timeout || isLate) && b.now-f.limitCutAt > fetchCutMillis:
+	case status.reflectsServer() && (status != Timeout || isLate) && b.now-f.limitCutAt > minFetchCutIntervalMillis:
 		b.cutFetchLimit(status == Failed, f.latency.value >= slowMillis)
 	}
 }
@@ -230,8 +231,8 @@
 // answers.
 func slowFetchMillis(floorMillis, objectiveMillis float64) float64 {
 	return min(
-		slowFactor*floorMillis,
-		max(slowFactorMin*floorMillis, slowObjectiveShare*objectiveMillis),
+		maxSlowFactor*floorMillis,
+		max(minSlowFactor*floorMillis, slowObjectiveShare*objectiveMillis),
 		maxObjectiveShare*objectiveMillis,
 	)
 }
@@ -252,11 +253,11 @@
 	f := &b.originFetches
 	perSecond := b.perSecond(&b.arrivals, trafficTimeConstantMillis)
 	requestsLimit := minFetchedShare * perSecond * f.latency.floor / millisPerSecond
-	minLimit := min(maxLeastFetches, max(minFleetFetches/float64(b.cfg.Routers), requestsLimit))
-	factor := fetchCut
+	minLimit := min(maxMinFetchLimit, max(minFleetFetchLimit/float64(b.cfg.Routers), requestsLimit))
+	factor := fetchCutFactor
 	if hasFailed {
-		factor = failedFetchCut
-		minLimit /= failedLeastDivisor
+		factor = failedFetchCutFactor
+		minLimit /= failedMinLimitDivisor
 	}
 	f.limitCutAt = b.now
 	if isSlow {
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -175,7 +175,7 @@
 		}
 		// With only a few routers, an answer raises the limit above one.
 		if sent := len(h.sends) - n; routers == 300 && (sent < 8 || sent > 20) {
-			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms per fetch, want about ten", routers, sent)
+			t.Errorf("%d routers: %d fetches in 10 s at a limit of 0.1 and 100 ms each, want about ten", routers, sent)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 func TestMalformedFetchIsAskedForWhereItIsStored(t *testing.T) {
 	cfg := cacheAsideConfig()
 	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 99, Kind: "origin"}))
-	limitBefore := b.originFetches.limit
+	before := b.originFetches.limit
 	ask(b, 100010, 1, "read", 9)
 	home := h.last().server
 	b.AttemptEnded(100020, ended(1, home, Miss, 10))
@@ -193,7 +193,7 @@
 		t.Fatal("no fetch")
 	}
 	b.AttemptEnded(100060, ofAttempt(1, ended(1, 99, MalformedResponse, 40)))
-	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < limitBefore || b.keys.byID[9].fetch != nil {
+	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < before || b.keys.byID[9].fetch != nil {
 		t.Errorf("sends %v, limit %v", h.sends, b.originFetches.limit)
 	}
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -26,39 +26,40 @@
 	// maxEvidence is the evidence that leads to an ejection: two consecutive failures if failures
 	// are rare, six if one attempt in eight fails.
 	maxEvidence = 7.5
-	// returnEvidence and returnAcceptedShare are the values of a server after a successful probe:
-	// half of the evidence for the next ejection, and about half of its channels. way to the next
-	// ejection, and about half of its channels.
-	returnEvidence      = maxEvidence / 2
-	returnAcceptedShare = 0.75
+	// reinstatedEvidence and reinstatedAcceptedShare are the values of a server after a successful
+	// probe: half of the evidence for the next ejection, and about half of its channels.
+	reinstatedEvidence      = maxEvidence / 2
+	reinstatedAcceptedShare = 0.75
 
 	// outlierFailureShare is the failure share of the faulty server that the CUSUM test looks for.
 	outlierFailureShare = 0.5
-	// minUsualShare and maxUsualShare bound the usual failure share that it is compared with.
-	minUsualShare = 0.01
-	maxUsualShare = 0.3
+	// minUsualFailureShare and maxUsualFailureShare bound the usual failure share that it is
+	// compared with.
+	minUsualFailureShare = 0.01
+	maxUsualFailureShare = 0.3
 	// failureShareOutcomes is the number of outcomes that the EWMA of a failure share covers.
 	failureShareOutcomes = 30
 
 	// acceptedWeight is the EWMA weight of an outcome in the accepted share: about eight outcomes,
 	// so that a server that fails fast soon gets fewer requests.
 	acceptedWeight = 0.12
-	// malformedRelief reduces the effect of a malformed answer, as the network may have damaged it.
-	malformedRelief = 1.07
+	// malformedAcceptedFactor reduces the effect of a malformed answer, as the network may have
+	// damaged it.
+	malformedAcceptedFactor = 1.07
 	// stalledAcceptedFactor multiplies the accepted share when a soft timeout expires, so that the
 	// keys of an overloaded server move at once.
 	stalledAcceptedFactor = 0.5
-	// aliveMillis is how long after a reply a server that refuses connections is assumed to be at
-	// its connection limit rather than dead.
-	aliveMillis = 1000
+	// recentReplyMillis is how long after a reply a server that refuses connections is assumed to
+	// be at its connection limit rather than dead.
+	recentReplyMillis = 1000
 )
 
-// observe updates a server's health from the end of an attempt.
+// recordOutcome updates a server's health from the end of an attempt.
 //
 // Failures count in relation to those of all servers. Broken connections, damaged answers or
 // overload at every server are not a fault of one server.
-func (b *Balancer) observe(s *server, status AttemptStatus, sentAt float64) {
-	if !b.recordSignOfLife(s, status, sentAt) {
+func (b *Balancer) recordOutcome(s *server, status AttemptStatus, sentAt float64) {
+	if !b.recordReply(s, status, sentAt) {
 		return
 	}
 	hasFailed := !status.isAnswer()
@@ -66,20 +67,20 @@
 		b.usualFailureShare = medianFailureShare(b.membership.caches)
 	}
 	if status != Timeout {
-		s.health.weigh(hasFailed, b.usualFailureShare)
+		s.health.addEvidence(hasFailed, b.usualFailureShare)
 	}
 	if hasFailed {
-		b.observeFailure(s, status)
+		b.recordFailure(s, status)
 		return
 	}
-	b.observeAnswer(s)
+	b.recordSuccess(s)
 }
 
-// recordSignOfLife updates the time of the last reply, and reports whether the outcome is evidence
+// recordReply updates the time of the last reply, and reports whether the outcome is evidence
 // of the server's health. A timeout is not, if the server has replied to anything since the attempt
 // was sent: the attempt waited in the queue or for a fetch, and moving the server's keys would only
 // add fetches.
-func (b *Balancer) recordSignOfLife(s *server, status AttemptStatus, sentAt float64) bool {
+func (b *Balancer) recordReply(s *server, status AttemptStatus, sentAt float64) bool {
 	h := &s.health
 	switch status {
 	case OK, Miss, Failed, QueueFull, MalformedResponse:
@@ -89,7 +90,7 @@
 	case ConnectError:
 		// The server is at its connection limit, or dead if it has not replied recently.
 		s.connection.rejectedAt = b.now
-		if b.now-h.lastReplyAt > aliveMillis {
+		if b.now-h.lastReplyAt > recentReplyMillis {
 			h.evidence = maxEvidence
 		}
 	case Reset:
@@ -102,37 +103,37 @@
 	return true
 }
 
-// observeFailure reduces a server's accepted share, and ejects the server if the evidence suffices.
-func (b *Balancer) observeFailure(s *server, status AttemptStatus) {
+// recordFailure reduces a server's accepted share, and ejects the server if the evidence suffices.
+func (b *Balancer) recordFailure(s *server, status AttemptStatus) {
 	s.health.acceptedShare *= 1 - acceptedWeight
 	if status == MalformedResponse {
-		s.health.acceptedShare *= malformedRelief
+		s.health.acceptedShare *= malformedAcceptedFactor
 	}
 	if s.health.isEjected || s.health.evidence >= maxEvidence || s.health.unanswered >= maxUnanswered {
 		b.eject(s, status == Timeout)
 	}
 }
 
-// observeAnswer raises a server's accepted share. An ejected server returns, as its probe was
+// recordSuccess raises a server's accepted share. An ejected server returns, as its probe was
 // answered.
-func (b *Balancer) observeAnswer(s *server) {
+func (b *Balancer) recordSuccess(s *server) {
 	b.adaptIdleTimeout(s)
 	h := &s.health
 	h.acceptedShare += acceptedWeight * (1 - h.acceptedShare)
 	h.ejectionMillis *= ejectionDecay
 	if h.isEjected {
 		h.isEjected = false
-		h.acceptedShare = returnAcceptedShare
-		h.evidence = returnEvidence
+		h.acceptedShare = reinstatedAcceptedShare
+		h.evidence = reinstatedEvidence
 		b.placement.isStale = true
 	}
 }
 
-// weigh adds an outcome to the evidence. The evidence is Page's test (CUSUM) of a server that fails
-// every second attempt against one that fails at the usual rate. No other test detects such a
+// addEvidence adds an outcome to the evidence. The evidence is Page's test (CUSUM) of a server that
+// fails every second attempt against one that fails at the usual rate. No other test detects such a
 // change faster at the same rate of false alarms.
-func (h *serverHealth) weigh(hasFailed bool, usualShare float64) {
-	usualShare = min(maxUsualShare, max(minUsualShare, usualShare))
+func (h *serverHealth) addEvidence(hasFailed bool, usualShare float64) {
+	usualShare = min(maxUsualFailureShare, max(minUsualFailureShare, usualShare))
 	if hasFailed {
 		h.failureShare += (1 - h.failureShare) / failureShareOutcomes
 		h.evidence += math.Log(outlierFailureShare / usualShare)
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -12,14 +12,14 @@
 	s := b.membership.caches[0]
 	for range 20 {
 		s.health.lastReplyAt = b.now
-		b.observe(s, Timeout, b.now-400)
+		b.recordOutcome(s, Timeout, b.now-400)
 	}
 	if s.health.acceptedShare < 1 || s.health.isEjected {
 		t.Errorf("accepted share %.2f, ejected %v: want no effect, as it answers others", s.health.acceptedShare,
 			s.health.isEjected)
 	}
 	for range 20 {
-		b.observe(s, Timeout, b.now+1)
+		b.recordOutcome(s, Timeout, b.now+1)
 	}
 	if !s.health.isEjected {
 		t.Error("a server that does not answer is still in use")
@@ -34,7 +34,7 @@
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.membership.caches[0]
 	for range maxUnanswered {
-		b.observe(s, Timeout, b.now+1)
+		b.recordOutcome(s, Timeout, b.now+1)
 	}
 	if !s.health.isEjected || b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("three unanswered attempts did not eject the server")
@@ -44,7 +44,7 @@
 	}
 	fourth := b.membership.caches[3]
 	for range 2 * maxUnanswered {
-		b.observe(fourth, Timeout, b.now+1)
+		b.recordOutcome(fourth, Timeout, b.now+1)
 	}
 	if fourth.health.isEjected {
 		t.Error("a server was ejected though half of the fleet does not answer")
@@ -57,12 +57,12 @@
 		o.load.capacityPerSecond.update(b.now, 100, 1)
 	}
 	b.serviceTime.add(100)
-	b.observe(s, OK, b.now)
+	b.recordOutcome(s, OK, b.now)
 	if b.prepareModels(); s.health.isEjected || s.model.channels > 6 || b.membership.caches[5].model.channels != 10 {
 		t.Errorf("ejected %v, %d channels where others have %d: want it in use with about half", s.health.isEjected,
 			s.model.channels, b.membership.caches[5].model.channels)
 	}
-	if b.observe(s, Failed, b.now); !s.health.isEjected {
+	if b.recordOutcome(s, Failed, b.now); !s.health.isEjected {
 		t.Error("one failure after the return did not eject the server again")
 	}
 }
@@ -98,11 +98,11 @@
 	ask(b, 100010, 1, "read", 9)
 	home := b.membership.servers[h.last().server]
 	b.AttemptEnded(100015, served(1, home.ID, 5))
-	b.observe(home, Reset, 100020)
+	b.recordOutcome(home, Reset, 100020)
 	if home.health.isEjected { // one reset is not enough evidence
 		t.Fatal("ejected after one reset")
 	}
-	b.observe(home, Reset, 100020)
+	b.recordOutcome(home, Reset, 100020)
 	if !home.health.isEjected {
 		t.Fatal("two resets do not eject a server")
 	}
@@ -138,7 +138,7 @@
 			if rng.Float64() < 0.12 {
 				status = Reset
 			}
-			if b.observe(s, status, b.now); s.health.isEjected {
+			if b.recordOutcome(s, status, b.now); s.health.isEjected {
 				ejectedOutcomes++
 			}
 		}
@@ -159,7 +159,7 @@
 			if c.fails(n) {
 				status = Reset
 			}
-			b.observe(s, status, b.now)
+			b.recordOutcome(s, status, b.now)
 		}
 		if n < c.atLeast || n > c.within {
 			t.Errorf("%s: ejected after %d outcomes, want %d to %d", c.name, n, c.atLeast, c.within)
@@ -173,14 +173,14 @@
 	b, _ := start(t, testConfig(), fleet(6))
 	s := b.membership.caches[2]
 	for range 2 {
-		b.observe(s, Reset, b.now)
+		b.recordOutcome(s, Reset, b.now)
 	}
 	if !s.health.isEjected {
 		t.Fatal("two resets do not eject a server of a healthy fleet")
 	}
 	probeAt := s.health.probeAt
 	for range 10 {
-		b.observe(s, Reset, b.now)
+		b.recordOutcome(s, Reset, b.now)
 		b.eject(s, true)
 	}
 	if s.health.probeAt != probeAt || s.health.forcedProbeAt != probeAt {
@@ -188,7 +188,7 @@
 			s.health.forcedProbeAt)
 	}
 	b.now = probeAt + 1
-	if b.observe(s, Reset, b.now); s.health.probeAt <= probeAt+minEjectionMillis {
+	if b.recordOutcome(s, Reset, b.now); s.health.probeAt <= probeAt+minEjectionMillis {
 		t.Errorf("the next probe is due %.0f ms after the failed one", s.health.probeAt-probeAt)
 	}
 }
@@ -207,7 +207,7 @@
 	}
 	other := b.membership.servers[h.last().server]
 	b.AttemptEnded(105050, ofAttempt(1, served(1, other.ID, 49)))
-	b.observe(other, ConnectError, 105040)
+	b.recordOutcome(other, ConnectError, 105040)
 	if other.health.isEjected {
 		t.Error("a server that has just answered was ejected after one refused connection")
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -13,15 +13,16 @@
 //  1. candidates and home: the servers of the key's memento-hash list that are in use.
 //  2. prepareModels: each server as an M/G/m queue with the load that other routers send it.
 //  3. solve: all keys, in descending order of λ_i/μ_i.
-//  4. widen: copies of a hot key, in ascending order of their FDL, while the waiting decreases.
-//  5. equaliseFDL: the shares of the copies.
+//  4. chooseCopies: copies of a hot key, in ascending order of their FDL, while the waiting decreases.
+//  5. equalizeFDL: the shares of the copies.
 //  6. pick: a server for a request, drawn by the shares and subject to the queues.
 
 const (
-	// solveMillis is the longest time between two solutions.
-	solveMillis = 1000
-	// solveWhenStaleMillis is the shortest time between two solutions, after a change of the input.
-	solveWhenStaleMillis = 250
+	// maxSolveIntervalMillis is the longest time between two solutions.
+	maxSolveIntervalMillis = 1000
+	// minSolveIntervalMillis is the shortest time between two solutions, after a change of the
+	// input.
+	minSolveIntervalMillis = 250
 	// solvedUtilization is the utilization that the rates are scaled to, as in the paper.
 	solvedUtilization = 0.9
 	// minTotalPerSecond keeps divisions by rates finite.
@@ -34,17 +35,17 @@
 
 	// maxSplitKeys is the number of keys that may be split.
 	maxSplitKeys = 32
-	// hotArrivals is the decayed number of arrivals from which a key may be split.
-	hotArrivals = 1.5
+	// minHotArrivals is the decayed number of arrivals from which a key may be split.
+	minHotArrivals = 1.5
 	// maxFetchesPerSecond bounds the rate of fetches that a copy of a key adds. A frequently
 	// requested copy costs one fetch each time its server drops the value, and one for a value that
 	// it evicts.
 	maxFetchesPerSecond = 0.8
 
-	// maxSweeps ends equaliseFDL if it does not converge.
+	// maxSweeps ends equalizeFDL if it does not converge.
 	maxSweeps = 40
-	// convergence is the paper's ε: the relative change of F that ends the sweeps.
-	convergence = 1e-3
+	// convergenceTolerance is the paper's ε: the relative change of F that ends the sweeps.
+	convergenceTolerance = 1e-3
 	// sweepStep is the step of equation (10).
 	sweepStep = 0.5
 	// minCurvature keeps the division of equation (10) finite.
@@ -95,7 +96,7 @@
 // solveIfDue recomputes the placement if it is old, or stale and not too recent.
 func (b *Balancer) solveIfDue() {
 	since := b.now - b.placement.solvedAt
-	if since >= solveMillis || b.placement.isStale && since >= solveWhenStaleMillis {
+	if since >= maxSolveIntervalMillis || b.placement.isStale && since >= minSolveIntervalMillis {
 		b.solve()
 	}
 }
@@ -104,7 +105,7 @@
 // rates.
 func (b *Balancer) prepareModels() {
 	servicePerSecond := millisPerSecond / max(1, b.serviceTime.mean)
-	meanPerSecond := b.surveyCapacities()
+	meanPerSecond := b.updateTypicalCapacities()
 	largestCapacity := 0.0
 	for _, s := range b.membership.caches {
 		largestCapacity = max(largestCapacity, b.capacities.typicalPerSecond(s, 1))
@@ -170,21 +171,21 @@
 		keyPerSecond := b.perSecond(&k.arrivals, timeConstant) * k.meanWork * b.placement.scale
 		switch {
 		case len(candidates) == 0:
-		case i < maxSplitKeys && k.arrivals.value >= hotArrivals:
+		case i < maxSplitKeys && k.arrivals.value >= minHotArrivals:
 			// Excludes the arrival that made the key hot, as it biases the rate upwards.
 			fleetPerSecond := keyPerSecond / b.placement.trafficShare * (1 - 1/k.arrivals.value)
-			b.widen(k, candidates, fleetPerSecond)
+			b.chooseCopies(k, candidates, fleetPerSecond)
 		default:
 			candidates[0].model.arrivalsPerSecond += keyPerSecond
 		}
 	}
 }
 
-// widen places a key on its home and adds other candidates, in ascending order of their FDL, while
-// the modeled waiting decreases. The shares are solved at scaled rates, but a copy must save more
-// waiting than its fetches cost at the actual rates. The load of the copies is added to the
+// chooseCopies places a key on its home and adds other candidates, in ascending order of their FDL,
+// while the modeled waiting decreases. The shares are solved at scaled rates, but a copy must save
+// more waiting than its fetches cost at the actual rates. The load of the copies is added to the
 // servers.
-func (b *Balancer) widen(k *keyTraffic, candidates []*server, arrivalsPerSecond float64) {
+func (b *Balancer) chooseCopies(k *keyTraffic, candidates []*server, arrivalsPerSecond float64) {
 	momentRatio := b.serviceTime.ratio()
 	fdl := func(s *server) float64 {
 		_, slope, _ := mgmWaiting(s.model.arrivalsPerSecond, s.model.channels, s.model.servicePerSecond, momentRatio)
@@ -195,9 +196,9 @@
 	for i := 1; i < len(candidates); i++ {
 		rates = append(rates, 0)
 		wider := slices.Clone(rates)
-		b.equaliseFDL(candidates[:i+1], wider)
+		b.equalizeFDL(candidates[:i+1], wider)
 		gain := b.waitingSaved(candidates[:i+1], rates, wider, momentRatio)
-		if gain <= b.copyCost(wider[i])+convergence {
+		if gain <= b.copyCost(wider[i])+convergenceTolerance {
 			rates = rates[:i]
 			break
 		}
@@ -218,8 +219,10 @@
 	scale := b.placement.scale
 	for j, s := range servers {
 		m := &s.model
-		oldWaiting, _, _ := mgmWaiting((m.arrivalsPerSecond+oldRates[j])/scale, m.channels, m.servicePerSecond, momentRatio)
-		newWaiting, _, _ := mgmWaiting((m.arrivalsPerSecond+newRates[j])/scale, m.channels, m.servicePerSecond, momentRatio)
+		oldWaiting, _, _ := mgmWaiting((m.arrivalsPerSecond+oldRates[j])/scale, m.channels, m.servicePerSecond,
+			momentRatio)
+		newWaiting, _, _ := mgmWaiting((m.arrivalsPerSecond+newRates[j])/scale, m.channels, m.servicePerSecond,
+			momentRatio)
 		saved += oldWaiting - newWaiting
 	}
 	return saved
@@ -231,9 +234,9 @@
 	return fetchesPerSecond * b.originFetches.latency.value / millisPerSecond
 }
 
-// equaliseFDL distributes the rates of a key over the servers by the procedure of Table 1, until
+// equalizeFDL distributes the rates of a key over the servers by the procedure of Table 1, until
 // all have the same first derivative length of λ_j·T_j(λ_j), and returns F.
-func (b *Balancer) equaliseFDL(servers []*server, rates []float64) float64 {
+func (b *Balancer) equalizeFDL(servers []*server, rates []float64) float64 {
 	var slopes, curvatures [candidateLimit]float64
 	momentRatio := b.serviceTime.ratio()
 	previousTotal := 0.0
@@ -252,7 +255,7 @@
 				lowest = j
 			}
 		}
-		if sweep == maxSweeps || sweep > 0 && math.Abs(total-previousTotal) <= convergence*total {
+		if sweep == maxSweeps || sweep > 0 && math.Abs(total-previousTotal) <= convergenceTolerance*total {
 			return total
 		}
 		for j := range servers {
@@ -308,7 +311,7 @@
 // is too long.
 func (b *Balancer) pickByQueue(r *request, drawn *server) *server {
 	tolerated := b.toleratedWaitMillis(r)
-	tryOrder := append([]*server{r.askAgain, drawn}, r.key.hashList...)
+	tryOrder := append([]*server{r.preferredServer, drawn}, r.key.hashList...)
 	b.cause = causeNoServer
 	var fallback *server
 	for _, isLastResort := range [...]bool{false, true} {
@@ -317,7 +320,7 @@
 				continue
 			}
 			wait := b.expectedWaitMillis(s)
-			if s != drawn && s != r.askAgain && s != r.key.storedOn {
+			if s != drawn && s != r.preferredServer && s != r.key.storedOn {
 				// The server has to fetch the value: spreading keys would keep a slow origin
 				// overloaded.
 				wait += b.originFetches.latency.value
@@ -340,7 +343,7 @@
 
 // isCandidateFor reports whether a request's next attempt may go to a server, apart from its queue.
 func (b *Balancer) isCandidateFor(r *request, s *server, isLastResort bool) bool {
-	if s == nil || s != r.askAgain && r.hasTried(s) || !b.mayAttempt(r, s) {
+	if s == nil || s != r.preferredServer && r.hasTried(s) || !b.mayAttempt(r, s) {
 		return false
 	}
 	if b.isUsableFor(s, r) {
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -40,7 +40,7 @@
 			servers[j].model.arrivalsPerSecond = l
 		}
 		rates := []float64{c.total, 0, 0}
-		b.equaliseFDL(servers, rates)
+		b.equalizeFDL(servers, rates)
 		if sum := rates[0] + rates[1] + rates[2]; math.Abs(sum-c.total) > 1e-6 {
 			t.Fatalf("%v: rates add up to %v", c, sum)
 		}
@@ -67,7 +67,7 @@
 	b := &Balancer{}
 	servers := models(2, 3, 5)
 	rates := []float64{80, 0, 0}
-	b.equaliseFDL(servers, rates)
+	b.equalizeFDL(servers, rates)
 	var slopes [3]float64
 	for j, s := range servers {
 		_, slopes[j], _ = mgmWaiting(rates[j], s.model.channels, s.model.servicePerSecond, b.serviceTime.ratio())
@@ -94,7 +94,7 @@
 		servers := models(3, 3, 3, 3)
 		b.placement.scale = 1
 		b.originFetches.latency.value = c.fetchMillis
-		b.widen(k, servers, c.perSecond)
+		b.chooseCopies(k, servers, c.perSecond)
 		if len(k.copies) != c.want && (c.want == 1 || len(k.copies) < c.want) {
 			t.Errorf("rate %v, fetch %v ms: %d servers, want %d", c.perSecond, c.fetchMillis, len(k.copies), c.want)
 		}
@@ -190,7 +190,7 @@
 	b := &Balancer{placement: placementState{scale: 1}}
 	b.originFetches.latency.value = 200
 	k := &keyTraffic{}
-	b.widen(k, models(3, 3, 3), 24) // 24 of 30 per second: two requests wait
+	b.chooseCopies(k, models(3, 3, 3), 24) // 24 of 30 per second: two requests wait
 	if len(k.copies) < 2 {
 		t.Errorf("%d servers for a key that uses four fifths of one", len(k.copies))
 	}
@@ -204,7 +204,7 @@
 	b.originFetches.latency.value = 50
 	k := &keyTraffic{}
 	servers := models(3, 3)
-	b.widen(k, servers, 28) // 28 of 30 per second when scaled, actually 9
+	b.chooseCopies(k, servers, 28) // 28 of 30 per second when scaled, actually 9
 	if len(k.copies) != 1 {
 		t.Errorf("%d servers for a key that one serves easily", len(k.copies))
 	}
--- a/decide/records.go
+++ b/decide/records.go
@@ -174,12 +174,12 @@
 	attempts []attempt
 	// inFlight is the number of attempts that have not ended.
 	inFlight int
-	// askAgain is a server to prefer although it was tried: its fetched value is stored there, or
-	// an attempt there was lost.
-	askAgain *server
-	// waitingSince is since when the request has waited for the origin or for another request's
+	// preferredServer is a server to prefer although it was tried: its fetched value is stored
+	// there, or an attempt there was lost.
+	preferredServer *server
+	// waitingSinceAt is since when the request has waited for the origin or for another request's
 	// fetch, ms; 0 = it does not wait.
-	waitingSince float64
+	waitingSinceAt float64
 	// isServerFetch says that the server of its attempt is expected to fetch from the origin.
 	isServerFetch bool
 	// isAnswered says that it has its final answer.
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -22,10 +22,10 @@
 const (
 	// maxToleratedWaitShare bounds toleratedWaitShare.
 	maxToleratedWaitShare = 0.25
-	// inTimeGrowth and lateCut keep toleratedWaitShare where one answer in twenty is late. With a
-	// fixed share, idle servers would reject or overloaded ones would answer late.
-	inTimeGrowth = 0.0005
-	lateCut      = 0.01
+	// inTimeIncrease and lateDecrease keep toleratedWaitShare where one answer in twenty is late.
+	// With a fixed share, idle servers would reject or overloaded ones would answer late.
+	inTimeIncrease = 0.0005
+	lateDecrease   = 0.01
 	// priorityWaitShare is the additional share of the remaining time that a queue may take for a
 	// request of the highest priority.
 	priorityWaitShare = 0.55
@@ -34,9 +34,9 @@
 	// serviceShare is the share of a server's floor latency that counts as the request's service
 	// time.
 	serviceShare = 0.7
-	// floorSeenMillis is the time constant with which a floor latency observed in an overload
+	// floorDecayMillis is the time constant with which a floor latency observed in an overload
 	// decays.
-	floorSeenMillis = 10000
+	floorDecayMillis = 10000
 
 	// minRetryAfterMillis is the shortest Retry-After: a shorter one would not reduce the load.
 	minRetryAfterMillis = 25
@@ -56,15 +56,15 @@
 // the given wait: the time must suffice for both the wait and the service.
 func (b *Balancer) fitsInQueue(r *request, s *server, waitMillis, toleratedMillis float64) bool {
 	latency := &s.load.latencyPerWork
-	decay := math.Exp((latency.updatedAt - b.now) / floorSeenMillis)
+	decay := math.Exp((latency.updatedAt - b.now) / floorDecayMillis)
 	return waitMillis <= toleratedMillis-serviceShare*latency.floor*decay*r.work
 }
 
 // adaptToleratedWait adapts toleratedWaitShare to whether an answer was late.
 func (b *Balancer) adaptToleratedWait(isLate bool) {
-	b.toleratedWaitShare = min(maxToleratedWaitShare, b.toleratedWaitShare+inTimeGrowth)
+	b.toleratedWaitShare = min(maxToleratedWaitShare, b.toleratedWaitShare+inTimeIncrease)
 	if isLate {
-		b.toleratedWaitShare = max(0, b.toleratedWaitShare-lateCut)
+		b.toleratedWaitShare = max(0, b.toleratedWaitShare-lateDecrease)
 	}
 }
 
@@ -76,20 +76,20 @@
 		return true
 	}
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		return a.mayHaveRun && !b.dropsResend(r.class, &a, retryAfterMillis)
+		return a.mayHaveRun && !b.dropsClientRepeat(r.class, &a, retryAfterMillis)
 	})
 }
 
-// dropsResend reports whether any server that a client's repeat can reach will drop it, given an
-// attempt that may have run.
-func (b *Balancer) dropsResend(c *Class, a *attempt, retryAfterMillis float64) bool {
+// dropsClientRepeat reports whether any server that a client's repeat can reach will drop it, given
+// an attempt that may have run.
+func (b *Balancer) dropsClientRepeat(c *Class, a *attempt, retryAfterMillis float64) bool {
 	isDroppedAnywhere := c.Effect == IdempotentByKey && c.IdempotencyScope == scopeAll
 	return isDroppedAnywhere && a.server != b.membership.origin && a.isWithinWindow(c, b.now+retryAfterMillis)
 }
 
-// answer rejects or fails a request that was not served, unless an attempt is still in flight that
-// may be answered.
-func (b *Balancer) answer(r *request, cause rejectionCause) {
+// rejectOrFail rejects or fails a request that was not served, unless an attempt is still in flight
+// that may be answered.
+func (b *Balancer) rejectOrFail(r *request, cause rejectionCause) {
 	if r.isAnswered || r.inFlight > 0 && b.now < r.deadlineAt-minRemainingMillis {
 		return
 	}
@@ -100,12 +100,12 @@
 	} else {
 		b.host.Fail(r.ID)
 	}
-	b.close(r)
+	b.finishRequest(r)
 }
 
-// close marks a request as answered, cancels its attempts in flight, and removes it once there are
-// none.
-func (b *Balancer) close(r *request) {
+// finishRequest marks a request as answered, cancels its attempts in flight, and removes it once
+// there are none.
+func (b *Balancer) finishRequest(r *request) {
 	r.isAnswered = true
 	for i, a := range r.attempts {
 		if !a.hasEnded && b.cfg.CancelAllowed {
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -59,7 +59,11 @@
 	for name, c := range map[string]struct {
 		cfg       Config
 		endpoints []Endpoint
-	}{"empty": {cfg, nil}, "draining": {cfg, draining}, "origin only": {cacheAside, []Endpoint{{ID: 9, Kind: "origin"}}}} {
+	}{
+		"empty":       {cfg, nil},
+		"draining":    {cfg, draining},
+		"origin only": {cacheAside, []Endpoint{{ID: 9, Kind: "origin"}}},
+	} {
 		for _, class := range []string{"read", "once", "unknown"} {
 			b, h := start(t, c.cfg, c.endpoints)
 			ask(b, 100010, 1, class, 5)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -18,8 +18,8 @@
 	fleetLatencyWeight = 0.1
 )
 
-// earnRetries adds to the retry budget for an arrival.
-func (b *Balancer) earnRetries() {
+// refillRetryBudget adds to the retry budget for an arrival.
+func (b *Balancer) refillRetryBudget() {
 	b.retryBudget = min(maxRetryBudget, b.retryBudget+retriesPerArrival)
 }
 
@@ -128,12 +128,12 @@
 func (b *Balancer) attemptEnded(r *request, a *attempt, o Outcome) {
 	end := b.classify(r, a, o)
 	r.isServerFetch = false
-	if end.tellsOfServer() {
-		b.observe(end.server, end.Status, a.sentAt)
+	if end.reflectsServerHealth() {
+		b.recordOutcome(end.server, end.Status, a.sentAt)
 	}
-	b.learnQueue(r, &end)
+	b.recordLongQueue(r, &end)
 	if a.wasOvertaken && end.Status.isAnswer() {
-		b.overtakenAnswered()
+		b.recordOvertakenAnswer()
 	}
 	if end.wasFetch() {
 		b.fetchEnded(r, end.Status, end.LatencyMillis)
@@ -142,19 +142,19 @@
 		r.key.storedAt = 0 // the key's next request must wait for a fetch slot
 	}
 	if end.kind == endServed && !end.isFromOrigin {
-		b.learnServed(r, &end)
+		b.recordServed(r, &end)
 	}
-	b.follow(r, &end)
-	b.serveWaiting()
+	b.performNextStep(r, &end)
+	b.resumeWaiting()
 }
 
-// tellsOfServer reports whether an end is evidence of the server's health. An attempt that waited
-// for the origin or failed there is not.
-func (e *attemptEnd) tellsOfServer() bool {
+// reflectsServerHealth reports whether an end is evidence of the server's health. An attempt that
+// waited for the origin or failed there is not.
+func (e *attemptEnd) reflectsServerHealth() bool {
 	if e.kind == endOriginFailed || e.wasServerFetch && e.kind == endTimeout {
 		return false
 	}
-	return e.Status.isOfServer()
+	return e.Status.reflectsServer()
 }
 
 // wasFetch reports whether the origin was asked. A server that was expected to fetch reports a hit
@@ -163,8 +163,8 @@
 	return e.isFromOrigin || e.wasServerFetch && e.CacheResult != CacheHit
 }
 
-// learnQueue records a long queue at a server after a timeout or a rejection by a full queue.
-func (b *Balancer) learnQueue(r *request, end *attemptEnd) {
+// recordLongQueue records a long queue at a server after a timeout or a rejection by a full queue.
+func (b *Balancer) recordLongQueue(r *request, end *attemptEnd) {
 	isTimeout := end.kind == endTimeout && !end.wasServerFetch
 	if end.isFromOrigin || !isTimeout && end.kind != endRejected {
 		return
@@ -180,19 +180,19 @@
 // answerWeight returns the EWMA weight of an answer in its server's latency.
 func answerWeight(work float64) float64 { return min(maxLatencyWeight, latencyWeight*work) }
 
-// learnServed records the latency of a cache server's answer, and that the key is stored there. The
-// latency of an answer that waited for a fetch is not used.
-func (b *Balancer) learnServed(r *request, end *attemptEnd) {
+// recordServed records the latency of a cache server's answer, and that the key is stored there.
+// The latency of an answer that waited for a fetch is not used.
+func (b *Balancer) recordServed(r *request, end *attemptEnd) {
 	if end.CacheResult != CacheMiss {
 		b.adaptToleratedWait(b.now > r.objectiveAt)
-		b.learnLatency(r, end)
+		b.recordLatency(r, end)
 	}
 	r.key.storedAt = b.now
 	r.key.storedOn = end.server
 }
 
-// learnLatency records the latency of an answer.
-func (b *Balancer) learnLatency(r *request, end *attemptEnd) {
+// recordLatency records the latency of an answer.
+func (b *Balancer) recordLatency(r *request, end *attemptEnd) {
 	latency := &end.server.load.latencyPerWork
 	perWork := end.LatencyMillis / r.work
 	b.serviceTime.add(end.LatencyMillis)
@@ -211,8 +211,8 @@
 
 // The steps.
 const (
-	// stepClose: the request has its final answer.
-	stepClose step = iota
+	// stepFinish: the request has its final answer.
+	stepFinish step = iota
 	// stepFetchAgain: the request waits for the origin again, for another attempt there.
 	stepFetchAgain
 	// stepFetch: the request waits for the origin, as the key is missing.
@@ -227,18 +227,18 @@
 	stepAnswerWithoutRetry
 )
 
-// follow carries out the next step of a request after the end of an attempt.
-func (b *Balancer) follow(r *request, end *attemptEnd) {
-	mayAskSame := b.mayAskSameAgain(r, end)
-	b.releaseFetch(r, end, mayAskSame)
-	switch b.nextStep(r, end, mayAskSame) {
-	case stepClose:
-		b.close(r)
+// performNextStep carries out the next step of a request after the end of an attempt.
+func (b *Balancer) performNextStep(r *request, end *attemptEnd) {
+	mayRetrySame := b.mayRetrySameServer(r, end)
+	b.releaseFetch(r, end, mayRetrySame)
+	switch b.nextStep(r, end, mayRetrySame) {
+	case stepFinish:
+		b.finishRequest(r)
 	case stepFetchAgain:
 		b.retryBudget--
 		b.waitForOrigin(r)
 	case stepFetch:
-		r.askAgain = end.server
+		r.preferredServer = end.server
 		b.waitForOrigin(r)
 	case stepRetry:
 		b.retryBudget--
@@ -246,21 +246,21 @@
 	case stepFreeRetry:
 		b.forward(r)
 	case stepAnswer:
-		b.answer(r, causeAttempt)
+		b.rejectOrFail(r, causeAttempt)
 	case stepAnswerWithoutRetry:
-		b.answer(r, causeNoRetry)
+		b.rejectOrFail(r, causeNoRetry)
 	}
 }
 
-// mayAskSameAgain reports whether a read should be repeated at the same server, which has the
+// mayRetrySameServer reports whether a read should be repeated at the same server, which has the
 // value: its answer was malformed, or its connection broke and the server is not suspected of a
 // fault. That saves a fetch. If the server is dead, it costs a second attempt, which the retry
 // budget bounds.
-func (b *Balancer) mayAskSameAgain(r *request, end *attemptEnd) bool {
+func (b *Balancer) mayRetrySameServer(r *request, end *attemptEnd) bool {
 	if r.IsWrite {
 		return false
 	}
-	isServerHealthy := !end.isFromOrigin && end.server.health.evidence < returnEvidence
+	isServerHealthy := !end.isFromOrigin && end.server.health.evidence < reinstatedEvidence
 	return end.kind == endMalformed || end.kind == endDisconnected && isServerHealthy
 }
 
@@ -272,26 +272,26 @@
 
 // releaseFetch lets other requests fetch a key whose fetch was lost, or makes a read prefer the
 // server that has the value.
-func (b *Balancer) releaseFetch(r *request, end *attemptEnd, mayAskSame bool) {
+func (b *Balancer) releaseFetch(r *request, end *attemptEnd, mayRetrySame bool) {
 	switch {
-	case mayAskSame && !end.isFromOrigin:
-		r.askAgain = end.server
-	case (mayAskSame || end.isLostFetch()) && r.key.fetch == r:
+	case mayRetrySame && !end.isFromOrigin:
+		r.preferredServer = end.server
+	case (mayRetrySame || end.isLostFetch()) && r.key.fetch == r:
 		r.key.fetch = nil
 	}
 }
 
 // nextStep decides what follows for a request after the end of an attempt.
-func (b *Balancer) nextStep(r *request, end *attemptEnd, mayAskSame bool) step {
+func (b *Balancer) nextStep(r *request, end *attemptEnd, mayRetrySame bool) step {
 	isUncharged := end.Status == ConnectError // no server has spent time on it
 	switch {
 	case r.isAnswered || end.IsFinal:
-		return stepClose
+		return stepFinish
 	case end.isLostFetch() && b.retryBudget >= 1 && b.mayAttempt(r, end.server):
 		return stepFetchAgain
 	case b.now >= r.usefulUntil()-minRemainingMillis:
 		return stepAnswer
-	case end.isFromOrigin && !mayAskSame:
+	case end.isFromOrigin && !mayRetrySame:
 		return stepAnswer
 	case end.kind == endOriginFailed:
 		return stepAnswer
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -28,7 +28,8 @@
 // allowed it must be sent, and to the same server only after a malformed answer, as other servers
 // lack the key.
 func TestEveryOutcomeAndEffect(t *testing.T) {
-	outcomes := []AttemptStatus{Failed, QueueFull, Timeout, ConnectError, Reset, Canceled, Unprocessed, MalformedResponse}
+	outcomes := []AttemptStatus{Failed, QueueFull, Timeout, ConnectError, Reset, Canceled, Unprocessed,
+		MalformedResponse}
 	for _, class := range []string{"read", "keyed", "zoned", "once"} {
 		for _, status := range outcomes {
 			t.Run(fmt.Sprint(class, "/", status), func(t *testing.T) {
@@ -46,7 +47,8 @@
 					if h.rejected[1] > 0 {
 						t.Error("a rejection though a repeat is unsafe")
 					}
-					if isSentAgain && b.membership.servers[h.last().server].Zone != b.membership.servers[first.server].Zone {
+					if isSentAgain &&
+						b.membership.servers[h.last().server].Zone != b.membership.servers[first.server].Zone {
 						t.Error("sent again outside the group")
 					}
 				default:
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -8,9 +8,9 @@
 	warmAgeFactor = 1.5
 	// coldCapacityPerSecond is the assumed capacity of a server if no capacity is known.
 	coldCapacityPerSecond = 10
-	// budgetShare is the part of a cold server's limit that all routers together may send it. The
-	// rest is a reserve for requests heavier than their hints and for random variation.
-	budgetShare = 0.4
+	// coldLimitShare is the part of a cold server's limit that all routers together may send it.
+	// The rest is a reserve for requests heavier than their hints and for random variation.
+	coldLimitShare = 0.4
 )
 
 // warmShare returns the smallest share of its capacity that a server can have now.
@@ -51,8 +51,8 @@
 	// The typical capacity of the kind, as a report made during cheap misses overstates the
 	// capacity.
 	capacity := b.capacities.typicalPerSecond(s, coldCapacityPerSecond)
-	fleetPerSecond := budgetShare * b.cfg.OverloadFactor * capacity * b.warmShare(s)
-	requestsPerMilli := fleetPerSecond / b.budgetShares() / millisPerSecond
+	fleetPerSecond := coldLimitShare * b.cfg.OverloadFactor * capacity * b.warmShare(s)
+	requestsPerMilli := fleetPerSecond / b.fleetProcesses() / millisPerSecond
 	windowRequests := requestsPerMilli * b.cfg.OverloadMillis
 	s.slowStart.budget.refill(b.now, requestsPerMilli, windowRequests)
 	return s.slowStart.budget.requests >= 1+windowRequests*(1-1/max(1, work))
@@ -69,12 +69,12 @@
 // requests turn out heavier than their hints.
 func slowStartCost(work float64) float64 { return (1 + work) / 2 }
 
-// budgetShares returns the number of processes that share the slow-start budgets.
-func (b *Balancer) budgetShares() float64 { return float64(b.cfg.Routers * max(1, b.processes)) }
+// fleetProcesses returns the number of processes that share the slow-start budgets.
+func (b *Balancer) fleetProcesses() float64 { return float64(b.cfg.Routers * max(1, b.processes)) }
 
 // SetProcessCount sets the number of processes that now run as this router. They share its part of
 // the slow-start budgets.
 func (b *Balancer) SetProcessCount(now float64, processes int) {
-	b.begin(now)
+	b.beginEvent(now)
 	b.processes = max(1, processes)
 }
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -35,8 +35,8 @@
 		}
 	}
 	// The share of its capacity at the start of the window.
-	warmShare := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis
-	if limit := cfg.OverloadFactor * capacity * warmShare * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
+	share := cfg.SlowStartInitialShare + (1-cfg.SlowStartInitialShare)*500/cfg.SlowStartMillis
+	if limit := cfg.OverloadFactor * capacity * share * cfg.OverloadMillis / 1000; total > limit || total < limit/8 {
 		t.Errorf("%v requests to a cold server in the window, whose limit is %v", total, limit)
 	}
 }
@@ -62,7 +62,7 @@
 				s.load.capacityPerSecond.value = capacity
 				s.load.reportedPerSecond = 20
 			}
-			b.surveyCapacities()
+			b.updateTypicalCapacities()
 			endpoints[0].StartedAt = 100100
 			b.UpdateEndpoints(100100, ChangedEndpoints, endpoints[:1])
 			s := b.membership.servers[endpoints[0].ID]
@@ -139,7 +139,7 @@
 		s.load.capacityPerSecond.value = warmRequests * 1000 / (cfg.OverloadFactor * cfg.OverloadMillis)
 		s.load.reportedPerSecond = 1
 		s.load.reportedAt = b.now
-		b.surveyCapacities()
+		b.updateTypicalCapacities()
 		b.meanHint = 1 // the mean work of requests is known
 		entries[0].StartedAt = serverStart
 		b.UpdateEndpoints(serverStart+listedAfter, ChangedEndpoints, entries)
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -110,8 +110,8 @@
 	return x ^ x>>31
 }
 
-// maxFigure is the limit from which reported figures and hints count as implausible.
-const maxFigure = 1e9
+// maxPlausibleFigure is the limit from which reported figures and hints count as implausible.
+const maxPlausibleFigure = 1e9
 
-// isUsable reports whether a reported figure or a hint is plausible.
-func isUsable(figure float64) bool { return figure >= 0 && figure < maxFigure }
+// isPlausible reports whether a reported figure or a hint is plausible.
+func isPlausible(figure float64) bool { return figure >= 0 && figure < maxPlausibleFigure }
--- a/decide/tenant_quota.go
+++ b/decide/tenant_quota.go
@@ -14,8 +14,8 @@
 	usage map[string]*decayingSum
 }
 
-// useTenants sets new quotas and keeps the usage so far.
-func (q *tenantQuotas) useTenants(tenants []Tenant) {
+// setTenants sets new quotas and keeps the usage so far.
+func (q *tenantQuotas) setTenants(tenants []Tenant) {
 	q.perSecond = map[string]float64{}
 	for _, t := range tenants {
 		q.perSecond[t.Name] = t.QuotaPerSecond
--- a/decide/waiting_time.go
+++ b/decide/waiting_time.go
@@ -7,15 +7,15 @@
 	workTimeConstantMillis = 2000
 	// waitTimeConstantMillis is the time constant of the observed waits of a server.
 	waitTimeConstantMillis = 2000
-	// latencySeenMillis is the time constant with which an observed latency decays. Without the
+	// latencyDecayMillis is the time constant with which an observed latency decays. Without the
 	// decay, a server that is rejected for its latency would stay rejected, as no answer could
 	// correct it.
-	latencySeenMillis = 1000
+	latencyDecayMillis = 1000
 	// priorWaits is the number of mean waits over all servers that are added to a server's own
 	// waits.
 	priorWaits = 2
-	// commonWaitMillis is how long the mean wait over all servers is cached.
-	commonWaitMillis = 100
+	// meanWaitCacheMillis is how long the mean wait over all servers is cached.
+	meanWaitCacheMillis = 100
 	// minWaitCount is the decayed number of waits below which a server is left out of that mean.
 	minWaitCount = 1e-3
 	// minArrivalsDivisor keeps a division finite.
@@ -33,7 +33,7 @@
 // router's own attempts in flight are counted.
 func (b *Balancer) expectedWaitMillis(s *server) float64 {
 	latency := &s.load.latencyPerWork
-	decay := math.Exp((latency.updatedAt - b.now) / latencySeenMillis)
+	decay := math.Exp((latency.updatedAt - b.now) / latencyDecayMillis)
 	ownPerSecond := b.perSecond(&s.attempts.work, workTimeConstantMillis)
 	othersPerSecond := max(0, s.load.reportedPerSecond-ownPerSecond)
 	othersInFlight := othersPerSecond * latency.value / millisPerSecond * decay
@@ -51,12 +51,12 @@
 	if b.warmShare(s) < 1 {
 		prior = 0 // its queue was empty at the start, and the budgets of all routers bound it
 	}
-	waits := s.load.waits.decayTo(b.now, waitTimeConstantMillis) + prior*b.commonWaitMillis()
+	waits := s.load.waits.decayTo(b.now, waitTimeConstantMillis) + prior*b.meanWaitMillis()
 	wait := waits / (s.load.waitCount.decayTo(b.now, waitTimeConstantMillis) + priorWaits)
 	if s.health.isEjected {
 		return wait // an ejected server is tried as a last resort, and there is no better estimate
 	}
-	return wait * b.rarelyAskedShare()
+	return wait * b.lowTrafficFactor()
 }
 
 // recordWait records an observed wait of a server.
@@ -65,11 +65,11 @@
 	s.load.waitCount.add(b.now, waitTimeConstantMillis, 1)
 }
 
-// commonWaitMillis returns the mean wait over all servers. Each server has the same weight, however
+// meanWaitMillis returns the mean wait over all servers. Each server has the same weight, however
 // many requests it got.
-func (b *Balancer) commonWaitMillis() float64 {
-	if b.now < b.commonWait.computedAt+commonWaitMillis {
-		return b.commonWait.millis
+func (b *Balancer) meanWaitMillis() float64 {
+	if b.now < b.meanWait.computedAt+meanWaitCacheMillis {
+		return b.meanWait.millis
 	}
 	sum := 0.0
 	weights := 1.0
@@ -81,13 +81,13 @@
 			weights += weight
 		}
 	}
-	b.commonWait = cachedWait{millis: sum / weights, computedAt: b.now}
-	return b.commonWait.millis
+	b.meanWait = cachedWait{millis: sum / weights, computedAt: b.now}
+	return b.meanWait.millis
 }
 
-// rarelyAskedShare returns a factor that is near 1 if this router sends each server a request only
+// lowTrafficFactor returns a factor that is near 1 if this router sends each server a request only
 // every few seconds, and near 0 if it sends many.
-func (b *Balancer) rarelyAskedShare() float64 {
+func (b *Balancer) lowTrafficFactor() float64 {
 	perSecond := b.perSecond(&b.arrivals, trafficTimeConstantMillis)
 	return 1 - math.Exp(-float64(len(b.membership.caches))/(2*perSecond+minArrivalsDivisor))
 }
