--- a/cmd/dockhinge/cmd_test.go
+++ b/cmd/dockhinge/cmd_test.go
@@ -10,7 +10,7 @@
 
 // An operator checks files before a reload. Each mistake must be reported with its line and
 // setting, and the error must be set only if there is a mistake.
-func TestCheck(t *testing.T) {
+func TestCheckReportsMistakes(t *testing.T) {
 	dir := t.TempDir()
 	good, err := os.ReadFile("../../.ci/config.json")
 	if err != nil {
--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -43,7 +43,7 @@
 // and change nothing; once both are valid, the next signal must deliver their configuration. If one
 // file were applied alone, the router would run with a combination of settings that was never
 // validated.
-func TestReload(t *testing.T) {
+func TestReloadAppliesBothFilesOrNeither(t *testing.T) {
 	good, err := os.ReadFile("../../.ci/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 
 // The table must list the tenant with the most work first, and escape the names, as clients choose
 // them. The error must name a router without admission, and an address that is not valid.
-func TestTenants(t *testing.T) {
+func TestTenantsPrintsTable(t *testing.T) {
 	answer := admissionAnswer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if answer == "" {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -94,7 +94,7 @@
 
 // Each documented call must have its status and body, and anything else a status for an unknown
 // call.
-func TestCalls(t *testing.T) {
+func TestCallsAreAnswered(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
 	for _, c := range []struct {
@@ -141,7 +141,7 @@
 }
 
 // Malformed and oversized calls must be rejected with a matching status, and must have no effect.
-func TestMalformedAndOversizedCallsGetANo(t *testing.T) {
+func TestMalformedAndOversizedCallsAreRejected(t *testing.T) {
 	const disable = "/-/cache-servers/s-0b/disable"
 	addr := serve(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
 	for name, c := range map[string]struct {
@@ -167,7 +167,7 @@
 
 // A caller disconnects in the middle of a call's body. The call must have no effect, as the caller
 // may not have intended it.
-func TestHalfACallDoesNothing(t *testing.T) {
+func TestIncompleteCallHasNoEffect(t *testing.T) {
 	f := &fakeRouter{disabled: map[string]bool{"s-0b": false}}
 	addr := serve(t, f)
 	c, err := net.Dial("tcp", addr)
@@ -188,7 +188,7 @@
 // Three times as many callers connect as the address accepts, and send nothing or half a call. An
 // ordinary call must still be answered; if the first connections were kept, operators would be
 // locked out.
-func TestSilentCallersGiveWay(t *testing.T) {
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
 	addr := serve(t, &fakeRouter{})
 	for i := range 3 * MaxConns {
 		c, err := net.Dial("tcp", addr)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 // The fleet serves 800 requests a second: eight at a time, ten milliseconds each. One tenant sends
 // ten times its share, eight others nine tenths of theirs. Each of the eight must be served as if
 // it were alone; a single queue for all tenants would let the first one crowd them out.
-func TestOneTenantCrowdsOutNobody(t *testing.T) {
+func TestOverloadingTenantDoesNotAffectOthers(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	due := map[string]float64{}
 	for fleet.now < 5000 {
@@ -51,7 +51,7 @@
 // Two tenants with weights 1 and 3 send more requests than there is capacity for, the second one
 // with twice the cost each. Work must be shared by weight; sharing the number of requests would
 // give the second tenant twice its share.
-func TestWeightsShareWorkNotCounts(t *testing.T) {
+func TestWeightsDivideWorkNotRequestCounts(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 3}}
 	fleet := newFakeFleet(t, c)
@@ -71,7 +71,7 @@
 // retry-after is over must be admitted. Clients that return earlier must be rejected with the rest
 // of the same retry-after. Without stored reservations, the first would be rejected again or the
 // second would gain by returning early.
-func TestRetryAfterTimesAreKept(t *testing.T) {
+func TestRetryAfterIsHonored(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	type retry struct {
 		at  float64
@@ -122,7 +122,7 @@
 // Clients invent a new tenant name for each of 3,000 requests a second. All of them together have
 // the weight of the unnamed tenants, so the named tenant gets its half of 800 a second. If each
 // name had a share of its own, almost nothing would be left for the named tenant.
-func TestInventedNamesStayAmongTheOthers(t *testing.T) {
+func TestInventedTenantNamesShareOneWeight(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "ministry", Weight: 1}}
 	fleet := newFakeFleet(t, c)
@@ -142,7 +142,7 @@
 
 // Far more tenants, requests and rejections arrive than the tables hold. Each table must fill up to
 // its bound, and not exceed it.
-func TestBoundsAreReachedAndHeld(t *testing.T) {
+func TestTablesFillUpToTheirBounds(t *testing.T) {
 	t.Run("tables", testTableBounds)
 	t.Run("snapshot", testSnapshotBounds)
 }
--- a/internal/admission/benchmark_test.go
+++ b/internal/admission/benchmark_test.go
@@ -30,12 +30,12 @@
 	}
 }
 
-// BenchmarkRoom measures the usual case: there is capacity for all requests.
-func BenchmarkRoom(b *testing.B) { benchmark(b, 100, 5) }
+// BenchmarkFreeCapacity measures the usual case: there is capacity for all requests.
+func BenchmarkFreeCapacity(b *testing.B) { benchmark(b, 100, 5) }
 
 // BenchmarkContention measures the case that half of the requests are rejected.
 func BenchmarkContention(b *testing.B) { benchmark(b, 100, 12) }
 
-// BenchmarkStrangers measures more tenants than fit into the tables, and tables that exceed the
+// BenchmarkMoreTenantsThanFlows measures more tenants than fit into the tables, and tables that exceed the
 // processor's caches.
-func BenchmarkStrangers(b *testing.B) { benchmark(b, 100_000, 12) }
+func BenchmarkMoreTenantsThanFlows(b *testing.B) { benchmark(b, 100_000, 12) }
--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -147,7 +147,7 @@
 // Requests arrive, end, are rejected downstream and lose their clients in any order. Each must have
 // one decision, none may be queued while there is capacity, the limits and the sums must be
 // correct, and the same seed and events must lead to the same decisions.
-func TestAnyEvents(t *testing.T) {
+func TestInvariantsHoldForAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 1, 150).Draw(t, "events")
 		playAll := func() *fakeHost {
--- a/internal/admission/fixture_test.go
+++ b/internal/admission/fixture_test.go
@@ -20,7 +20,7 @@
 // A process of an older version hands over to this one, with its state as JSON under the field
 // names of that version. If a name were lost, the field would be zero here, and the successor would
 // start without the limit, the tenants' debts or the retry-after times given to clients.
-func TestHandoverOfOlderVersion(t *testing.T) {
+func TestSnapshotOfOlderVersionIsRestored(t *testing.T) {
 	text := readFixture(t, "handover.json")
 	var snapshot Snapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -14,7 +14,7 @@
 // Two tenants send 2,000 requests a second to a fleet that serves 800. A third one with a small
 // weight sends 200 a second, its guaranteed rate. Nearly all of these must be served, as they
 // precede all shares.
-func TestGuaranteedRateGoesAhead(t *testing.T) {
+func TestGuaranteedRateIsAdmittedFirst(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "vital", Weight: 0.01, GuaranteedPerSecond: 200, GuaranteedBurst: 4}}
 
@@ -51,7 +51,7 @@
 // The operator changes weights during a burst. The new weights must apply from then on, and queued
 // requests must stay queued. A tenant that is no longer named frees its flow. A new table size,
 // which requires a new process, must be rejected with an error that names the setting.
-func TestRulesChangeInABurst(t *testing.T) {
+func TestReconfigureDuringBurst(t *testing.T) {
 	c := testConfig()
 	c.Tenants = []Tenant{{Name: "a", Weight: 1}, {Name: "b", Weight: 1}}
 	fleet := newFakeFleet(t, c)
@@ -106,7 +106,7 @@
 // The other tenants must be served as if it were not there, and it must get its share of work too.
 // If a request needed as many slots as it costs, all others would wait until nothing is in
 // progress.
-func TestLargeWritesCrowdOutNobody(t *testing.T) {
+func TestLargeWritesDoNotDelayOthers(t *testing.T) {
 	fleet := newFakeFleet(t, testConfig())
 	fleet.host.onAdmit = func(id uint32) {
 		fleet.endsAt[id] = fleet.now + 10
@@ -131,7 +131,7 @@
 }
 
 // A tenant that sends one request a minute, next to two overloading tenants, is served each time.
-func TestOnceAMinuteAmongHeavyTenants(t *testing.T) {
+func TestRareTenantIsServedDespiteHeavyTenants(t *testing.T) {
 	const minute = 60_000
 	fleet := newFakeFleet(t, testConfig())
 	for fleet.now < 190_000 {
@@ -155,7 +155,7 @@
 
 // The fleet's capacity falls to a quarter while queues are full, and recovers. The limit must
 // follow in both directions, and each request must have exactly one decision.
-func TestCapacityHalves(t *testing.T) {
+func TestLimitFollowsCapacity(t *testing.T) {
 	c := testConfig()
 	c.MinLimit = 1
 	c.MaxLimit = 64
@@ -194,7 +194,7 @@
 
 // All clients of a full queue disconnect. Their requests must leave the queue immediately, so that
 // a new request is admitted next; otherwise the fleet would only serve disconnected clients.
-func TestQueueOfDisconnectedClients(t *testing.T) {
+func TestDisconnectedClientsLeaveQueue(t *testing.T) {
 	c := testConfig()
 	c.QueueLimit = 50
 	c.setLimit(1)
@@ -219,7 +219,7 @@
 
 // A million tenants arrive. The tables must not grow beyond the memory allocated at startup, and
 // TableBytes must report that memory.
-func TestAMillionTenantsTakeNoMemory(t *testing.T) {
+func TestTablesDoNotGrowWithTenants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("sends a million requests")
 	}
@@ -262,7 +262,7 @@
 
 // Tenants of any weights and request sizes all send more than there is capacity for. Each must
 // receive at least 85 % of its share of the work, however small its weight.
-func TestNobodyStarves(t *testing.T) {
+func TestEveryTenantGetsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), 2, 6).Draw(t, "weights")
 		sizes := rapid.SliceOfN(rapid.IntRange(0, 4*sizeUnitBytes), 1, 7).Draw(t, "sizes")
@@ -338,7 +338,7 @@
 // A tenant is removed from the operator file and named again while one of its requests is open. It
 // must keep its flow. With another flow, the request would be counted twice, or the old flow would
 // be freed while it is in use.
-func TestNamedAgainKeepsItsFlow(t *testing.T) {
+func TestTenantNamedAgainKeepsItsFlow(t *testing.T) {
 	for index, name := range []string{"a", "b"} {
 		t.Run(name, func(t *testing.T) {
 			c := testConfig()
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -61,7 +61,7 @@
 }
 
 // A snapshot with values that no correct process writes is rejected, and changes nothing.
-func TestImpossibleSnapshotsAreRejected(t *testing.T) {
+func TestInvalidSnapshotsAreRejected(t *testing.T) {
 	const tooMany = maxSnapshotEntries + 1
 	for name, snapshot := range map[string]Snapshot{
 		"empty":                 {},
--- a/internal/admission/tenant_rules_test.go
+++ b/internal/admission/tenant_rules_test.go
@@ -8,7 +8,7 @@
 // Several rules match a request: one by its key, one by the client's network and one by the
 // declared tenant. The first rule in the operator's order must decide. If the most specific or the
 // last one did, the wrong tenant would be charged.
-func TestFirstMatchWins(t *testing.T) {
+func TestFirstMatchingTenantRuleDecides(t *testing.T) {
 	rules := TenantRules{
 		{Source: TenantFromKey, Prefix: "health:", Tenant: "health"},
 		{Source: TenantFromNetwork, Network: netip.MustParsePrefix("10.1.0.0/16"), Tenant: "finance"},
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -86,7 +86,7 @@
 // the state, accept a connection that was queued when the old process closed the socket, and
 // exchange calls with the old process in both directions, each answered with the other side's
 // error.
-func TestSocketAndStateGoOver(t *testing.T) {
+func TestSuccessorReceivesSocketAndState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // exceeds the length limit of a Unix socket's path
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 // A process dies and leaves its socket file behind. Then two processes start one after the other,
 // and the first one ends. A successor must always reach the newest process: if a process removed
 // the file when it ends, the other one's successor could not connect.
-func TestNewestProcessHasThePath(t *testing.T) {
+func TestSuccessorReachesNewestProcess(t *testing.T) {
 	dir := t.TempDir()
 	path, d, err := socketPath(dir, "a:1")
 	if err != nil {
@@ -163,7 +163,7 @@
 
 // The peer at the path sends nothing, has another version, sends no socket, or is not a router.
 // Join must return an error within its timeouts, so that the new process can start alone.
-func TestPeersThatCantHandOver(t *testing.T) {
+func TestJoinFailsWithUnsuitablePeer(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -209,7 +209,7 @@
 // Only a successor of the same version may receive the socket and the state. A connection that
 // sends anything else must get no bytes, and neither must a successor if the state is not
 // available.
-func TestStrangersGetNothing(t *testing.T) {
+func TestOnlySuccessorsReceiveSocketAndState(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := serve(t, dir, "a:1", "first")
 	join(t, dir, "a:1", "first")
@@ -245,7 +245,7 @@
 }
 
 // The peer reads a call and never answers it. The call must end with its context.
-func TestCallToASilentPeer(t *testing.T) {
+func TestCallToSilentPeerEndsWithContext(t *testing.T) {
 	a, b := connPair(t)
 	defer b.Close()
 	l := newLink(a)
@@ -309,7 +309,7 @@
 
 // Either process may die after any byte that it sends. The other one must go on: a new process must
 // get an error from Join within its timeouts, and an old one must accept the next successor.
-func TestEitherMayEndAtAnyByte(t *testing.T) {
+func TestEitherProcessMayDieAtAnyByte(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -428,7 +428,7 @@
 
 // Only the text of an error is sent over the link. The caller must still be able to distinguish the
 // errors in remoteErrors, and must receive the text of any other error.
-func TestErrorsThatCrossTheLink(t *testing.T) {
+func TestErrorsSentOverLinkStayDistinguishable(t *testing.T) {
 	if text := admin.ErrUnknownServer.Error(); text != "no such cache server" {
 		t.Errorf("an older version would not recognize the error %q", text)
 	}
--- a/internal/healthcheck/fixture_test.go
+++ b/internal/healthcheck/fixture_test.go
@@ -12,7 +12,7 @@
 // Routers of an older version hold some of the leases and write their reports in the older
 // encoding. This version must decode them with the same meaning, and encode bytes that the older
 // version can decode.
-func TestRecordOfOlderVersion(t *testing.T) {
+func TestRecordOfOlderVersionIsDecoded(t *testing.T) {
 	text, err := os.ReadFile("testdata/record.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/healthcheck/report_cache_test.go
+++ b/internal/healthcheck/report_cache_test.go
@@ -11,7 +11,7 @@
 // Reports of any age are added in any order. Lookup must return a report until it is stale,
 // assuming the greatest age that it may have, and an older report must never replace a newer one.
 // Otherwise requests would be distributed by outdated loads.
-func TestReportsCountUntilStale(t *testing.T) {
+func TestReportsAreReturnedUntilStale(t *testing.T) {
 	const staleMillis = 1000
 	rapid.Check(t, func(t *rapid.T) {
 		cache := NewReportCache(staleMillis)
--- a/internal/healthcheck/report_test.go
+++ b/internal/healthcheck/report_test.go
@@ -11,7 +11,7 @@
 // A shard has more servers than fit into a record, and one server reports NaN. The reports that fit
 // must be decoded unchanged, only the one with NaN may be omitted before them, and the record must
 // not be truncated.
-func TestRecord(t *testing.T) {
+func TestRecordKeepsReportsThatFit(t *testing.T) {
 	var all []Report
 	for i := range uint32(500) {
 		all = append(all, Report{ServerID: i, AgeMillis: 1.5, Load: decide.LoadReport{
@@ -38,7 +38,7 @@
 
 // Servers must be spread evenly over the shards: a router with a crowded shard would probe most
 // servers.
-func TestShards(t *testing.T) {
+func TestServersAreSpreadOverShards(t *testing.T) {
 	var counts [ShardCount]int
 	for i := range uint32(16000) {
 		counts[ShardOf(i*40503)]++
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,7 +12,7 @@
 
 // An event is logged seven times within an interval, and once after it. The first two lines and the
 // one after the interval must be written, and the last must contain the number of suppressed lines.
-func TestRepeatedEventsAreCountedNotWritten(t *testing.T) {
+func TestRepeatedEventsAreSuppressedAndCounted(t *testing.T) {
 	var b bytes.Buffer
 	log := New(&b, Options{Level: "info", RepeatInterval: 10 * time.Second, RepeatBurst: 2})
 	at := time.Unix(1000, 0)
@@ -38,7 +38,7 @@
 
 // More different events are logged than there are windows. The rest must share one limit, and a new
 // event must replace the windows that have ended.
-func TestEventsHaveABound(t *testing.T) {
+func TestEventWindowsAreBounded(t *testing.T) {
 	e := newEventLimits(time.Second, 1)
 	now := time.Unix(1000, 0)
 	for i := range 10 * maxEvents {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 )
 
 // Operators and their tools depend on the names in the JSON metrics.
-func TestReportHasTheOperatorsNames(t *testing.T) {
+func TestMetricsHavePublishedNames(t *testing.T) {
 	m := New()
 	c := m.Class("fetch")
 	c.CountOutcome(Success)
@@ -41,7 +41,7 @@
 }
 
 // Requests end in many goroutines while snapshots are taken. No request may be lost.
-func TestCountsFromManyGoroutinesAddUp(t *testing.T) {
+func TestConcurrentCountsAreNotLost(t *testing.T) {
 	m := New()
 	var wg sync.WaitGroup
 	for range 8 {
--- a/internal/operator/fixture_test.go
+++ b/internal/operator/fixture_test.go
@@ -11,7 +11,7 @@
 
 // An operator file with every key set must be parsed into the same values as by an older version.
 // If a key were lost, operators' files would be rejected at the next start.
-func TestEveryKeyOfTheFile(t *testing.T) {
+func TestEveryKeyIsParsed(t *testing.T) {
 	file, err := Load("testdata/operator.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,7 +16,7 @@
 
 // A mistake in the file must be reported with its line and key, so that the operator finds it. If a
 // misspelled key passed for an omitted one, the default would silently be used.
-func TestMistakesNameLineAndSetting(t *testing.T) {
+func TestMistakesAreReportedWithLineAndSetting(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{
 			"misspelled key", "version = 1\n\n[log]\nlevle = \"info\"\n",
@@ -92,7 +92,7 @@
 }
 
 // The program must accept each operator file that is shipped as an example.
-func TestShippedFilesPass(t *testing.T) {
+func TestShippedFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 
 // Operators write their files from docs/configuration.md, so each key must have a row there with
 // its default, and each row must be a key.
-func TestPageAndStructAgree(t *testing.T) {
+func TestDocumentedKeysMatchProgram(t *testing.T) {
 	text, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/fixture_test.go
+++ b/internal/settings/fixture_test.go
@@ -10,7 +10,7 @@
 
 // A settings object with every key set must be parsed into the same values as by an older version.
 // If a key were lost, its zero value would be used as if the platform had set it.
-func TestEveryKeyOfTheSettings(t *testing.T) {
+func TestEverySettingIsParsed(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
  "rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000}}`
 
 // A settings object that has only the required keys is accepted.
-func TestWholeSettings(t *testing.T) {
+func TestRequiredKeysSuffice(t *testing.T) {
 	s, err := Parse([]byte(completeSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 
 // A settings object lacks a key or has an invalid value. Parse or Validate must return an error
 // that names the setting, as a zero used in its place might be a valid value.
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreNamed(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"maxAttempts":3,`, ``, "caps.maxAttempts"},
 		{`"maxAttempts":3`, `"maxAttempts":null`, "caps.maxAttempts"},
@@ -73,7 +73,7 @@
 
 // The later version of an object must have every key of the earlier one, except inside the keys
 // given as data.
-func TestLostKeys(t *testing.T) {
+func TestMissingKeyFindsLostKeys(t *testing.T) {
 	earlier := `{"a":{"b":1,"c":[{"x":1,"y":2},{"x":1}]},"d":{"e":1},"f":[1,2]}`
 	for later, want := range map[string]string{
 		earlier: "",
@@ -106,7 +106,7 @@
 
 // Each invalid value must be reported with the platform's key: an operator can't find the name of a
 // Go field in the file.
-func TestImpossibleValuesHaveThePlatformsKeys(t *testing.T) {
+func TestInvalidValuesAreReportedWithPlatformKeys(t *testing.T) {
 	for _, c := range []struct{ from, to, key string }{
 		{`"balancers":2`, `"balancers":0`, "balancers"},
 		{`"myNumber":1`, `"myNumber":2`, "myNumber"},
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -65,7 +65,7 @@
 
 // The settings name the columns of load reports. Each value must be stored in its field, an absent
 // value must stay negative, and an unknown column must be ignored.
-func TestReportColumns(t *testing.T) {
+func TestLoadReportColumnsAreMapped(t *testing.T) {
 	f := newFields("140,7,0.62,5,9,-")
 	l := f.load([]string{"rps", "active", "cpu", "avg_ms", "x0", "err_rps"})
 	want := decide.LoadReport{
@@ -114,7 +114,7 @@
 
 // A malformed line follows events whose reply exceeds a writer's buffer. No part of the reply to
 // this batch may have been written.
-func TestNothingOfAMalformedBatchIsAnswered(t *testing.T) {
+func TestMalformedBatchGetsNoReply(t *testing.T) {
 	var in strings.Builder
 	in.WriteString(opening + "SYNC 1005\n")
 	for i := range 20000 {
@@ -131,7 +131,7 @@
 }
 
 // Two instances run in one process. Each must act as it does in a process of its own.
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	script := func(ids ...int) string {
 		var in strings.Builder
 		in.WriteString("SYNC 1000\n")
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -8,7 +8,7 @@
 
 // More events are recorded between two flushes than are kept. The rest must be counted, and after
 // the flush events must be kept again.
-func TestEventsBeyondTheBoundAreCounted(t *testing.T) {
+func TestExcessEventsAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(&out)
 	for i := range MaxEventsPerFlush + 7 {
@@ -33,7 +33,7 @@
 }
 
 // A router without a trace calls the same methods on a nil *Trace, which must do nothing.
-func TestNoTraceTakesEvents(t *testing.T) {
+func TestNilTraceDoesNothing(t *testing.T) {
 	var tr *Trace
 	tr.Event(1, "dial", "to=a ok=true")
 	tr.Flush(2)
