--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -9,66 +9,66 @@
 
 func put(t *testing.T, l *Log, name string, size int) {
 	t.Helper()
-	if err := l.Append(Change{Revision: l.Newest() + 1, Name: name, Value: make([]byte, size)}); err != nil {
+	if err := l.Append(Change{Revision: l.NewestRevision() + 1, Name: name, Value: make([]byte, size)}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A log passes its limit of changes, then that of bytes: the oldest changes are compacted, and a watcher
-// that asks for them gets a CompactedError. A log without limits would grow until there is no memory.
+// A log exceeds its limit of changes, then that of bytes. The oldest changes must be compacted, and a watcher
+// that requests them gets a CompactedError. Without the limits a log would use up the memory.
 func TestLimits(t *testing.T) {
 	l := NewLog(Limits{Changes: 3, Bytes: 1000})
 	for range 5 {
 		put(t, l, "a", 1)
 	}
-	if l.Compacted() != 2 || l.Newest() != 5 || len(l.History("a")) != 3 {
-		t.Errorf("compacted %d, newest %d, %d kept", l.Compacted(), l.Newest(), len(l.History("a")))
+	if l.CompactedRevision() != 2 || l.NewestRevision() != 5 || len(l.History("a")) != 3 {
+		t.Errorf("compacted %d, newest %d, %d kept", l.CompactedRevision(), l.NewestRevision(), len(l.History("a")))
 	}
 	put(t, l, "b", 700)
 	put(t, l, "c", 700)
-	if l.Compacted() != 6 {
-		t.Errorf("compacted %d by bytes", l.Compacted())
+	if l.CompactedRevision() != 6 {
+		t.Errorf("compacted %d by bytes", l.CompactedRevision())
 	}
 	put(t, l, "d", 5000)
-	if got, err := l.After(7, "", 1); err != nil || len(got.Changes) != 1 {
-		t.Errorf("%+v, %v: the newest is kept whatever its size", got, err)
+	if got, err := l.ReadAfter(7, "", 1); err != nil || len(got.Changes) != 1 {
+		t.Errorf("%+v, %v: the newest change must be kept even if it exceeds the limit", got, err)
 	}
 	var compacted *CompactedError
-	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
 		t.Errorf("%v", err)
 	}
 	var behind *BehindError
-	if _, err := l.After(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
+	if _, err := l.ReadAfter(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
 		t.Errorf("%v", err)
 	}
 	if history := l.History("b"); len(history) != 1 || history[0].Revision != 6 {
-		t.Errorf("%+v: what is in force is always in the history", history)
+		t.Errorf("%+v: the current change must be in the history", history)
 	}
 }
 
-// A watcher with a prefix reads more changes than fit a batch. The batch is bounded in bytes, and the next
-// one continues where it ends, also where the prefix leaves changes out; a wrong one would skip changes.
+// A watcher with a prefix reads more changes than fit into a batch. Batches are limited in bytes, and the next
+// one must continue where the previous one ended, even if the prefix excludes changes in between.
 func TestBatches(t *testing.T) {
 	l := NewLog(Limits{Changes: 100, Bytes: 1 << 20})
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
 		put(t, l, name, 100)
 	}
-	first, err := l.After(0, "a/", 250)
+	first, err := l.ReadAfter(0, "a/", 250)
 	if err != nil || len(first.Changes) != 1 || first.Through != 2 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	rest, err := l.After(first.Through, "a/", 1000)
+	rest, err := l.ReadAfter(first.Through, "a/", 1000)
 	if err != nil || len(rest.Changes) != 2 || rest.Through != 5 {
 		t.Errorf("%+v, %v", rest, err)
 	}
-	progress, err := l.After(5, "a/", 1000)
+	progress, err := l.ReadAfter(5, "a/", 1000)
 	if err != nil || len(progress.Changes) != 0 || progress.Through != 5 {
 		t.Errorf("%+v, %v", progress, err)
 	}
 }
 
-// A log is stored and read back, as with a coordinator's snapshot: it is the same, byte for byte. One with
-// a gap is rejected; a coordinator that read it would send watchers an incomplete history.
+// A stored log is decoded to an equal log, byte for byte, as in a coordinator's snapshot. A log with a gap
+// must be rejected; otherwise a coordinator could send watchers an incomplete history.
 func TestStored(t *testing.T) {
 	l := NewLog(Limits{Changes: 2, Bytes: 1000})
 	for _, name := range []string{"a", "b", "c"} {
@@ -78,41 +78,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewLog(Limits{Changes: 2, Bytes: 1000})
-	if err := json.Unmarshal(text, again); err != nil {
+	decoded := NewLog(Limits{Changes: 2, Bytes: 1000})
+	if err := json.Unmarshal(text, decoded); err != nil {
 		t.Fatal(err)
 	}
 	put(t, l, "d", 1)
-	put(t, again, "d", 1)
-	one, _ := json.Marshal(l)
-	two, _ := json.Marshal(again)
-	if !bytes.Equal(one, two) {
-		t.Errorf("%s\n%s", one, two)
+	put(t, decoded, "d", 1)
+	want, _ := json.Marshal(l)
+	got, _ := json.Marshal(decoded)
+	if !bytes.Equal(want, got) {
+		t.Errorf("%s\n%s", want, got)
 	}
 	gap := bytes.Replace(text, []byte(`"compacted":1`), []byte(`"compacted":0`), 1)
-	if err := json.Unmarshal(gap, again); err == nil {
-		t.Error("a log with a gap was read")
+	if err := json.Unmarshal(gap, decoded); err == nil {
+		t.Error("a log with a gap was decoded")
 	}
 }
 
-// A majority of coordinators was lost for good and revisions are skipped. Every watcher gets a snapshot,
-// and revisions only grow; else a watcher could keep a change of the lost ones under a number used again.
+// Revisions are skipped after the permanent loss of a majority. Every watcher must get a snapshot, as a
+// revision number could otherwise stand for a lost change at a watcher and for a new one in the log.
 func TestRaise(t *testing.T) {
 	l := NewLog(Limits{Changes: 10, Bytes: 1000})
 	put(t, l, "a", 1)
 	l.SkipRevisions(100)
 	var compacted *CompactedError
-	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) {
 		t.Errorf("%v", err)
 	}
 	put(t, l, "b", 1)
-	if got, err := l.After(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
+	if got, err := l.ReadAfter(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-// Batches come that don't follow: with a gap, a repeat, or from an older snapshot. They change nothing;
-// a replica that applied a part of one would have documents that never were together.
+// A batch that doesn't follow (with a gap, a repeated change, or an older snapshot) must change nothing. If a
+// part of it were applied, the documents would be in a state that never existed.
 func TestRefusedWhole(t *testing.T) {
 	r, l := NewReplica(), NewLog(Limits{Changes: 10, Bytes: 1000})
 	good := Batch{Through: 2, Changes: []Change{{Revision: 1, Name: "a"}, {Revision: 2, Name: "b"}}}
@@ -129,13 +129,13 @@
 		{Snapshot: true, Through: 1},
 	} {
 		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
-			t.Errorf("replica took %+v", bad)
+			t.Errorf("the replica accepted %+v", bad)
 		}
-		if l.Extend(bad) == nil || l.Newest() != 2 || l.Len() != 2 {
-			t.Errorf("log took %+v", bad)
+		if l.Extend(bad) == nil || l.NewestRevision() != 2 || l.DocumentCount() != 2 {
+			t.Errorf("the log accepted %+v", bad)
 		}
 	}
 	if r.MarkApplied(9); r.Acknowledged() != 2 {
-		t.Errorf("%d acknowledged of 2", r.Acknowledged())
+		t.Errorf("revision %d is acknowledged, want 2", r.Acknowledged())
 	}
 }
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -172,13 +172,13 @@
 		}
 		q, id := &w.parties[i], fmt.Sprintf("s%d.0", i)
 		w.agree(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
-		q.book.SessionOpened(ttl, 0, 0)
+		q.book.RecordSessionOpened(ttl, 0, 0)
 		q.Asked, q.Open = true, true
 		if i == 0 {
 			q.Seq = 1
 			q.Token = w.agree(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease, TTL: ttl, Sequence: 1}, p).Token
 			q.Given = q.Token
-			q.book.Granted(lease, q.Token, ttl, 0, 0)
+			q.book.RecordGrant(lease, q.Token, ttl, 0, 0)
 		}
 	}
 	return w
@@ -208,7 +208,7 @@
 			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acked()
 			w.net = append(w.net, message{From: i, Life: q.Life, Cmd: c, Sent: w.clockOf(i, p), Repeats: 1})
 		}
-		_, _, held := q.book.Held(lease, now)
+		_, _, held := q.book.HeldLease(lease, now)
 		if send && !q.Asked && !q.Open {
 			add(2, func(w *world) string {
 				w.parties[i].Asked = true
@@ -348,7 +348,7 @@
 func (w *world) promised(p Params) string {
 	for i := range w.parties {
 		q := &w.parties[i]
-		token, _, held := q.book.Held(lease, w.clockOf(i, p))
+		token, _, held := q.book.HeldLease(lease, w.clockOf(i, p))
 		if !held {
 			continue
 		}
@@ -375,7 +375,7 @@
 func (w *world) overlap(p Params) string {
 	var who []int
 	for i := range w.parties {
-		if _, _, held := w.parties[i].book.Held(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
+		if _, _, held := w.parties[i].book.HeldLease(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
 			who = append(who, i)
 		}
 	}
@@ -389,7 +389,7 @@
 func (w *world) act(i int) string {
 	q := &w.parties[i]
 	q.Acting = false
-	if q.Checked < w.lastAct && !failpoint.Is("resource-unchecked") {
+	if q.Checked < w.lastAct && !failpoint.IsInjected("resource-unchecked") {
 		return "" // refused
 	}
 	if q.Checked < w.lastAct {
@@ -419,15 +419,15 @@
 		if q.Open || m.Answer.Code != coord.CodeOK {
 			return ""
 		}
-		q.book.SessionOpened(ttl, m.Sent, now)
+		q.book.RecordSessionOpened(ttl, m.Sent, now)
 		q.Open = q.book.HasSession(now)
 		return w.promised(p)
 	case coord.OpKeepAlive:
 		switch m.Answer.Code {
 		case coord.CodeOK:
-			q.book.KeptAlive(m.Sent, now)
+			q.book.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
-			q.book.SessionLost()
+			q.book.RecordSessionLost()
 			q.Open = false
 		}
 		return w.promised(p)
@@ -442,7 +442,7 @@
 		q.Wants = false
 		if m.Answer.Code == coord.CodeOK {
 			q.Given = m.Answer.Token
-			if q.book.Granted(lease, m.Answer.Token, ttl, q.First, now) {
+			if q.book.RecordGrant(lease, m.Answer.Token, ttl, q.First, now) {
 				q.Token = m.Answer.Token
 			}
 		}
