--- a/cmd/dockhinge/main_test.go
+++ b/cmd/dockhinge/main_test.go
@@ -107,9 +107,9 @@
 // them. The error must name a router without admission, and an address that is not valid.
 func TestTenantsPrintsTable(t *testing.T) {
 	answer := admissionAnswer
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		if answer == "" {
-			http.NotFound(w, q)
+			http.NotFound(w, request)
 			return
 		}
 		io.WriteString(w, answer)
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -67,8 +67,8 @@
 	defer background.Wait()
 	// The admin address and the hand-over socket stay available after the signal, while the router
 	// drains.
-	alive, end := context.WithCancel(context.Background())
-	defer end()
+	serviceCtx, stopServices := context.WithCancel(context.Background())
+	defer stopServices()
 
 	routerMetrics := metrics.New()
 	adminRouter := &adminRouter{metrics: routerMetrics}
@@ -77,7 +77,7 @@
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		background.Go(func() { admin.Serve(alive, ln, adminRouter) })
+		background.Go(func() { admin.Serve(serviceCtx, ln, adminRouter) })
 	}
 	r, ln, err := createRouter(ctx, cfg, routerMetrics)
 	if err != nil {
@@ -85,12 +85,12 @@
 	}
 	adminRouter.router.Store(r)
 	background.Go(func() {
-		if err := handover.Serve(alive, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
+		if err := handover.Serve(serviceCtx, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
 			slog.Warn("serving the hand-over socket failed; no process can take over from this one", "error", err)
 		}
 	})
 	updates := make(chan *router.Config)
-	background.Go(func() { files.reload(alive, hup, updates, routerMetrics) })
+	background.Go(func() { files.reload(serviceCtx, hup, updates, routerMetrics) })
 	return r.Run(ctx, updates)
 }
 
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -51,8 +51,8 @@
 }
 
 func handleAdmission(r Router) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		ctx, cancel := context.WithTimeout(q.Context(), workTimeout)
+	return func(w http.ResponseWriter, request *http.Request) {
+		ctx, cancel := context.WithTimeout(request.Context(), workTimeout)
 		defer cancel()
 		text, err := r.AdmissionState(ctx)
 		switch {
@@ -67,10 +67,10 @@
 }
 
 func handleSetDisabled(r Router, disabled bool) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		ctx, cancel := context.WithTimeout(q.Context(), workTimeout)
+	return func(w http.ResponseWriter, request *http.Request) {
+		ctx, cancel := context.WithTimeout(request.Context(), workTimeout)
 		defer cancel()
-		err := r.SetDisabled(ctx, q.PathValue("id"), disabled)
+		err := r.SetDisabled(ctx, request.PathValue("id"), disabled)
 		switch {
 		case err == nil:
 			w.WriteHeader(http.StatusNoContent)
@@ -90,8 +90,8 @@
 // requireCompleteCall passes a call on only after its body has arrived completely, so that a call
 // whose caller disconnects early has no effect.
 func requireCompleteCall(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, q.Body, maxBodyBytes)); err != nil {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, request.Body, maxBodyBytes)); err != nil {
 			code := http.StatusBadRequest
 			var tooLarge *http.MaxBytesError
 			if errors.As(err, &tooLarge) {
@@ -100,14 +100,14 @@
 			http.Error(w, "the body can't be read", code)
 			return
 		}
-		if c, ok := q.Context().Value(connContextKey{}).(*adminConn); ok {
+		if c, ok := request.Context().Value(connContextKey{}).(*adminConn); ok {
 			c.markComplete()
 		}
 		// net/http would redirect a path that is not clean, and a script could not tell the result.
-		if p := q.URL.Path; p == "" || p[0] != '/' || path.Clean(p) != p {
-			http.NotFound(w, q)
+		if p := request.URL.Path; p == "" || p[0] != '/' || path.Clean(p) != p {
+			http.NotFound(w, request)
 			return
 		}
-		next.ServeHTTP(w, q)
+		next.ServeHTTP(w, request)
 	})
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -172,11 +172,11 @@
 
 // descendingStack returns a stack of the numbers below n with 0 on top.
 func descendingStack(n int) []int32 {
-	all := make([]int32, 0, n)
+	stack := make([]int32, 0, n)
 	for i := range n {
-		all = append(all, int32(n-1-i))
+		stack = append(stack, int32(n-1-i))
 	}
-	return all
+	return stack
 }
 
 // advance moves the time forward to now and carries out everything that is due by then.
--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -20,9 +20,9 @@
 
 // Arrive decides on a new request: it is admitted, rejected or queued. The Host is notified of an
 // admission or a rejection before Arrive returns.
-func (a *Admission) Arrive(nowMillis float64, q Request) {
+func (a *Admission) Arrive(nowMillis float64, req Request) {
 	a.advance(nowMillis)
-	in := a.newArrival(q)
+	in := a.newArrival(req)
 	hasContention := a.waiting > 0 || !a.hasCapacity(in.cost)
 	if !hasContention && len(a.freeRecords) > 0 {
 		if in.earlyMillis > 0 {
@@ -40,7 +40,7 @@
 		wait = min(wait, (a.guaranteedBacklog+in.cost)/a.workRate())
 	}
 	if allowed <= 0 || !in.isDue() && wait > allowed {
-		a.reject(q.ID, in.flow, in.cost, in.identity)
+		a.reject(req.ID, in.flow, in.cost, in.identity)
 		return
 	}
 	a.enqueue(a.newRecord(&in), a.now+allowed, in.isDue())
@@ -48,14 +48,14 @@
 }
 
 // newArrival looks up a request's tenant, cost and reservation, and updates the statistics.
-func (a *Admission) newArrival(q Request) arrival {
-	flowIndex, hash := a.findFlow(q.Tenant)
+func (a *Admission) newArrival(req Request) arrival {
+	flowIndex, hash := a.findFlow(req.Tenant)
 	f := &a.flows[flowIndex]
 	f.stats.Requests++
-	in := arrival{request: q, flow: flowIndex}
-	in.cost = a.costs.estimate(q.Class) * sizeFactor(q.SizeBytes)
-	in.identity = combinedHash(hash, q.Key, uint64(q.Class))
-	in.isRetry = q.IsRetry || a.recentRejections.has(in.identity, a.now)
+	in := arrival{request: req, flow: flowIndex}
+	in.cost = a.costs.estimate(req.Class) * sizeFactor(req.SizeBytes)
+	in.identity = combinedHash(hash, req.Key, uint64(req.Class))
+	in.isRetry = req.IsRetry || a.recentRejections.has(in.identity, a.now)
 	in.claim = a.claimReservation(in.identity)
 	in.hasFreeShare = in.isDue() && f.waiting == 0 && f.finishTag <= a.queueOf(f).virtualTime
 	if in.isDue() {
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -95,14 +95,14 @@
 	}
 	for i, class := range c.Classes {
 		if !(class.CostMillis > 0) {
-			return impossible(fmt.Sprintf("class[%d].cost", i), class.CostMillis)
+			return invalidValue(fmt.Sprintf("class[%d].cost", i), class.CostMillis)
 		}
 	}
 	return nil
 }
 
-// impossible returns the error for a setting whose value is out of range.
-func impossible(setting string, value any) error {
+// invalidValue returns the error for a setting whose value is out of range.
+func invalidValue(setting string, value any) error {
 	return &SettingError{Setting: setting, Reason: fmt.Sprintf("impossible value %v", value)}
 }
 
@@ -128,7 +128,7 @@
 		{"retry_share", c.RetryBudgetShare >= 0, c.RetryBudgetShare},
 	} {
 		if !setting.isValid {
-			return impossible(setting.name, setting.value)
+			return invalidValue(setting.name, setting.value)
 		}
 	}
 	return nil
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -135,9 +135,9 @@
 	if !f.isUnnamed {
 		return f.weight / (a.top.activeWeight + missingWeight(f.isActive(), f.weight))
 	}
-	all := &a.flows[a.unnamedFlow()]
-	outer := all.weight / (a.top.activeWeight + missingWeight(a.unnamed.activeWeight > 0, all.weight))
-	return outer * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
+	group := &a.flows[a.unnamedFlow()]
+	groupShare := group.weight / (a.top.activeWeight + missingWeight(a.unnamed.activeWeight > 0, group.weight))
+	return groupShare * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
 }
 
 // missingWeight returns the weight to add for a flow to a sum that includes it only while it is
--- a/internal/admission/fake_fleet_test.go
+++ b/internal/admission/fake_fleet_test.go
@@ -104,17 +104,17 @@
 }
 
 // send lets a request of a tenant arrive. Without RemainingMillis, it has one second left.
-func (f *fakeFleet) send(tenant string, q Request) uint32 {
+func (f *fakeFleet) send(tenant string, request Request) uint32 {
 	f.lastID++
-	q.ID = f.lastID
-	q.Tenant = tenant
-	if q.RemainingMillis == 0 {
-		q.RemainingMillis = 1000
+	request.ID = f.lastID
+	request.Tenant = tenant
+	if request.RemainingMillis == 0 {
+		request.RemainingMillis = 1000
 	}
-	f.tenantByID[q.ID] = tenant
+	f.tenantByID[request.ID] = tenant
 	f.sent[tenant]++
-	f.admission.Arrive(f.now, q)
-	return q.ID
+	f.admission.Arrive(f.now, request)
+	return request.ID
 }
 
 // sendNew sends a request with a unique key.
--- a/internal/admission/return_tracker.go
+++ b/internal/admission/return_tracker.go
@@ -53,10 +53,10 @@
 // errorQuantile returns a quantile of the relative errors of retry-after times, rounded up to the
 // end of its histogram bin.
 func (t *returnTracker) errorQuantile(quantile float64) float64 {
-	below := 0.0
+	cumulative := 0.0
 	for i, count := range t.errors {
-		below += float64(count)
-		if below > 0 && below >= quantile*float64(t.returnedAdmitted) {
+		cumulative += float64(count)
+		if cumulative > 0 && cumulative >= quantile*float64(t.returnedAdmitted) {
 			return float64(i+1) * retryAfterErrorStep
 		}
 	}
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -261,7 +261,7 @@
 }
 
 // Tenants of any weights and request sizes all send more than there is capacity for. Each must
-// receive at least 85 % of its share of the work, however small its weight.
+// receive at least 85% of its share of the work, however small its weight.
 func TestEveryTenantGetsItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.2, 5), 2, 6).Draw(t, "weights")
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -97,18 +97,18 @@
 		t.Fatalf("got %v, want %v", ln.Addr(), old.ln.Addr())
 	}
 	// A connection that is queued when the old process closes the socket goes to the new one.
-	c, err := net.Dial("tcp", old.ln.Addr().String())
+	conn, err := net.Dial("tcp", old.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	old.ln.Close()
 	got, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer got.Close()
-	if got.RemoteAddr().String() != c.LocalAddr().String() {
+	if got.RemoteAddr().String() != conn.LocalAddr().String() {
 		t.Errorf("accepted a connection from %v", got.RemoteAddr())
 	}
 
@@ -139,11 +139,11 @@
 // the file when it ends, the other one's successor could not connect.
 func TestSuccessorReachesNewestProcess(t *testing.T) {
 	dir := t.TempDir()
-	path, d, err := socketPath(dir, "a:1")
+	path, folder, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer folder.Close()
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -175,26 +175,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			path, d, err := socketPath(dir, "a:1")
+			path, folder, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer d.Close()
-			u, err := net.Listen("unix", path)
+			defer folder.Close()
+			listener, err := net.Listen("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
 			defer wg.Wait()
-			defer u.Close()
+			defer listener.Close()
 			wg.Go(func() {
-				c, err := u.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				defer c.Close()
-				c.Write(sent)
-				io.Copy(io.Discard, c)
+				defer conn.Close()
+				conn.Write(sent)
+				io.Copy(io.Discard, conn)
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
 				t.Error("joined a peer that can't hand over")
@@ -214,24 +214,24 @@
 	p, _ := serve(t, dir, "a:1", "first")
 	join(t, dir, "a:1", "first")
 	<-p.joined
-	path, d, err := socketPath(dir, "a:1")
+	path, folder, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer folder.Close()
 	for _, sent := range []string{"", "noise", `{"kind":"hello","version":99}`, `{"kind":"ban"}`} {
-		c, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if sent != "" {
-			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sent))), sent...))
+			conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sent))), sent...))
 		}
-		c.(*net.UnixConn).CloseWrite()
-		if got, _ := io.ReadAll(c); len(got) > 0 {
+		conn.(*net.UnixConn).CloseWrite()
+		if got, _ := io.ReadAll(conn); len(got) > 0 {
 			t.Errorf("sent %q, received %q", sent, got)
 		}
-		c.Close()
+		conn.Close()
 	}
 	p.err = errors.New("no state")
 	if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
@@ -259,21 +259,21 @@
 func connPair(t *testing.T) (a, b *net.UnixConn) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "s")
-	u, err := net.Listen("unix", name)
+	listener, err := net.Listen("unix", name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer u.Close()
-	c, err := net.Dial("unix", name)
+	defer listener.Close()
+	client, err := net.Dial("unix", name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := u.Accept()
+	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); d.Close() })
-	return c.(*net.UnixConn), d.(*net.UnixConn)
+	t.Cleanup(func() { client.Close(); server.Close() })
+	return client.(*net.UnixConn), server.(*net.UnixConn)
 }
 
 // An old process that can't hand over still listens at the address. The new process must be able to
@@ -327,37 +327,37 @@
 		before := countDescriptors(t)
 		for n := range complete {
 			dir := t.TempDir()
-			path, d, err := socketPath(dir, "a:1")
+			path, folder, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			u, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+			listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
 			wg.Go(func() {
-				c, err := u.AcceptUnix()
+				conn, err := listener.AcceptUnix()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				defer c.Close() // the old process dies here
+				defer conn.Close() // the old process dies here
 				if n == 0 {
 					return
 				}
-				if _, err := readMessage(c); err != nil {
+				if _, err := readMessage(conn); err != nil {
 					t.Error(err)
 				}
-				raw.Control(func(fd uintptr) { c.WriteMsgUnix(complete[:1], syscall.UnixRights(int(fd)), nil) })
-				c.Write(complete[1:n])
+				raw.Control(func(fd uintptr) { conn.WriteMsgUnix(complete[:1], syscall.UnixRights(int(fd)), nil) })
+				conn.Write(complete[1:n])
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
 				t.Errorf("joined after %d bytes", n)
 			}
 			wg.Wait()
-			u.Close()
-			d.Close()
+			listener.Close()
+			folder.Close()
 		}
 		if after := countDescriptors(t); after > before {
 			t.Errorf("%d descriptors are open, %d were before", after, before)
@@ -379,19 +379,19 @@
 		}
 		for l := next(); !l.IsClosed(); {
 		}
-		path, d, err := socketPath(dir, "a:1")
+		path, folder, err := socketPath(dir, "a:1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer d.Close()
+		defer folder.Close()
 		hello := frame(`{"kind":"hello","version":1}`)
 		for n := range len(hello) + 1 {
-			c, err := net.Dial("unix", path)
+			conn, err := net.Dial("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Write(hello[:n])
-			c.Close()
+			conn.Write(hello[:n])
+			conn.Close()
 			if n == len(hello) { // it dies while the state is being sent, and may or may not have joined
 				for end := time.Now().Add(10 * time.Second); ; {
 					select {
