--- a/cmd/dockhinge-coord/observe.go
+++ b/cmd/dockhinge-coord/observe.go
@@ -18,9 +18,9 @@
 	return &cobra.Command{
 		Use:   "observe FILE",
 		Short: "Run an observer, which serves the agreed configuration to routers, until SIGTERM",
-		Long: "An observer follows the coordinators without a vote and serves watches to hundreds " +
+		Long: "An observer follows the coordinators without voting and serves watches to hundreds " +
 			"of routers. " +
-			"docs/observers.md tells more.",
+			"See docs/observers.md.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			file, err := config.LoadObserver(args[0])
@@ -40,12 +40,12 @@
 // runObserver runs an observer until ctx ends. Its goroutine ends before runObserver returns.
 func runObserver(ctx context.Context, file config.Observer, listener net.Listener, log *slog.Logger) error {
 	o := observer.New(observer.Options{
-		Name:           file.Name,
-		Coordinators:   file.Coordinators,
-		MaxWatchers:    file.MaxWatchers,
-		JoinsPerSecond: file.JoinsPerSecond,
-		WatcherBytes:   file.WatcherBytes,
-		Log:            log,
+		Name:                  file.Name,
+		Coordinators:          file.Coordinators,
+		MaxWatchers:           file.MaxWatchers,
+		JoinsPerSecond:        file.JoinsPerSecond,
+		WatcherBytesPerSecond: file.WatcherBytesPerSecond,
+		Log:                   log,
 	})
 	log.Info("observing", "name", file.Name, "api", file.API)
 	ctx, cancel := context.WithCancel(ctx)
--- a/cmd/dockhinge/serve.go
+++ b/cmd/dockhinge/serve.go
@@ -67,8 +67,8 @@
 	defer background.Wait()
 	// The admin address and the hand-over socket stay available after the signal, while the router
 	// drains.
-	alive, end := context.WithCancel(context.Background())
-	defer end()
+	serviceCtx, stopServices := context.WithCancel(context.Background())
+	defer stopServices()
 
 	routerMetrics := metrics.New()
 	adminRouter := &adminRouter{metrics: routerMetrics}
@@ -77,20 +77,20 @@
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		background.Go(func() { admin.Serve(alive, ln, adminRouter) })
+		background.Go(func() { admin.Serve(serviceCtx, ln, adminRouter) })
 	}
-	r, ln, err := start(ctx, cfg, routerMetrics)
+	r, ln, err := createRouter(ctx, cfg, routerMetrics)
 	if err != nil {
 		return err
 	}
 	adminRouter.router.Store(r)
 	background.Go(func() {
-		if err := handover.Serve(alive, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
+		if err := handover.Serve(serviceCtx, os.TempDir(), cfg.Listen, ln.(*net.TCPListener), r); err != nil {
 			slog.Warn("serving the hand-over socket failed; no process can take over from this one", "error", err)
 		}
 	})
 	updates := make(chan *router.Config)
-	background.Go(func() { files.reload(alive, hup, updates, routerMetrics) })
+	background.Go(func() { files.reload(serviceCtx, hup, updates, routerMetrics) })
 	return r.Run(ctx, updates)
 }
 
@@ -110,10 +110,10 @@
 	debug.SetMemoryLimit(cfg.Limits.MemoryMB << megabyteShift * heapTenths / wholeTenths / int64(processes))
 }
 
-// start creates the router with a listening socket. A process that already serves the address hands
-// over its socket and its state; without such a process, or if the hand-over fails, start binds the
-// address.
-func start(
+// createRouter creates the router with a listening socket. A process that already serves the
+// address hands over its socket and its state; without such a process, or if the hand-over fails,
+// createRouter binds the address.
+func createRouter(
 	ctx context.Context, cfg *router.Config, routerMetrics *metrics.Router,
 ) (*router.Router, net.Listener, error) {
 	setMemoryLimit(cfg, 2) // until it is known whether there is another process
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -115,7 +115,7 @@
 			b.UpdateEndpoints(movedAt-10000, RestoredEndpoints, fleet(6))
 			b.UpdateEndpoints(movedAt-5000, ChangedEndpoints, nil)
 			before := h.watches
-			b.DiscoveryMoved(movedAt)
+			b.DiscoveryChanged(movedAt)
 			if h.watches != before+1 {
 				t.Fatalf("%d routers: no immediate call after a change of the discovery", routers)
 			}
@@ -129,7 +129,7 @@
 					b.UpdateEndpoints(now+20, WatchFailed, nil)
 				}
 			}
-			minCalls, maxCalls := 4, int(DiscoveryChangeBudgetMillis/(minMovedRetryMillis/3))
+			minCalls, maxCalls := 4, int(DiscoveryChangeBudgetMillis/(minChangeRetryMillis/3))
 			if routers == 5100 { // the calls of a large fleet must stay spread
 				minCalls, maxCalls = 1, 3
 			}
@@ -139,9 +139,9 @@
 			}
 		}
 	}
-	if MaxPollBackoffMillis+MaxPollCallMillis > notifiedMillis {
+	if MaxPollBackoffMillis+MaxPollCallMillis > discoveryBudgetMillis {
 		t.Errorf("a pause of %v ms and a call of %v ms exceed the budget of %v ms",
-			MaxPollBackoffMillis, MaxPollCallMillis, notifiedMillis)
+			MaxPollBackoffMillis, MaxPollCallMillis, discoveryBudgetMillis)
 	}
 }
 
@@ -158,7 +158,7 @@
 		cfg.Routers = 300
 		cfg.PollEndpoints = true
 		b, h := start(t, cfg, fleet(3))
-		b.DiscoveryMoved(movedAt)
+		b.DiscoveryChanged(movedAt)
 		b.UpdateEndpoints(movedAt+500, ChangedEndpoints, nil)
 		b.UpdateEndpoints(c.failedAt, WatchFailed, nil)
 		watchesBefore := h.watches
--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -137,7 +137,7 @@
 	if a.waiting == 0 {
 		return
 	}
-	cost := a.records[a.next()].cost
+	cost := a.records[a.nextQueued()].cost
 	if a.hasCapacity(cost) || len(a.byID) == a.waiting {
 		t.Fatalf("%d requests queued, the next one needs %v slots, and %v of %v are in use",
 			a.waiting, cost/a.costs.mean, a.limiter.inUse, a.limiter.limit)
@@ -147,7 +147,7 @@
 // Requests arrive, end, are rejected downstream and lose their clients in any order. Each must have
 // one decision, none may be queued while there is capacity, the limits and the sums must be
 // correct, and the same seed and events must lead to the same decisions.
-func TestAnyEvents(t *testing.T) {
+func TestInvariantsHoldForAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(drawEvent), 1, 150).Draw(t, "events")
 		playAll := func() *fakeHost {
@@ -220,7 +220,8 @@
 		backlog := want.backlog[int32(i)]
 		reserved := want.reserved[int32(i)]
 		if differs(f.backlog, backlog) || differs(f.reservedWork, reserved) || f.backlog > 0 != (f.waiting > 0) {
-			t.Fatalf("flow %d: backlog %v, want %v; reserved %v, want %v", i, f.backlog, backlog, f.reservedWork, reserved)
+			t.Fatalf("flow %d: backlog %v, want %v; reserved %v, want %v",
+				i, f.backlog, backlog, f.reservedWork, reserved)
 		}
 	}
 	if want.waiting != a.waiting || want.waiting > a.cfg.QueueLimit || differs(want.inUse, a.limiter.inUse) {
--- a/internal/admission/fair_queue.go
+++ b/internal/admission/fair_queue.go
@@ -27,10 +27,10 @@
 	return &a.top
 }
 
-// next returns the queued request to admit next: the first one of the flow that has waited longest
-// with guaranteed requests, as these precede all shares and count toward them; otherwise the
-// request with the lowest start tag.
-func (a *Admission) next() int32 {
+// nextQueued returns the queued request to admit next: the first one of the flow that has waited
+// longest with guaranteed requests, as these precede all shares and count toward them; otherwise
+// the request with the lowest start tag.
+func (a *Admission) nextQueued() int32 {
 	if a.guaranteed.len() > 0 {
 		return a.flows[a.guaranteed.first()].head[guaranteedList]
 	}
@@ -60,13 +60,13 @@
 	}
 }
 
-// correct charges a flow for the difference between a request's actual and estimated cost, which
-// may be negative.
-func (a *Admission) correct(i int32, cost float64) {
+// adjustCharge charges a flow for the difference between a request's actual and estimated cost,
+// which may be negative.
+func (a *Admission) adjustCharge(i int32, cost float64) {
 	f := &a.flows[i]
 	queue := a.queueOf(f)
 	if f.isUnnamed {
-		a.correct(a.unnamedFlow(), cost)
+		a.adjustCharge(a.unnamedFlow(), cost)
 	}
 	f.finishTag = max(queue.virtualTime, f.finishTag+cost/f.weight)
 	if queue.ready.has(i) {
@@ -135,9 +135,9 @@
 	if !f.isUnnamed {
 		return f.weight / (a.top.activeWeight + missingWeight(f.isActive(), f.weight))
 	}
-	all := &a.flows[a.unnamedFlow()]
-	outer := all.weight / (a.top.activeWeight + missingWeight(a.unnamed.activeWeight > 0, all.weight))
-	return outer * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
+	group := &a.flows[a.unnamedFlow()]
+	groupShare := group.weight / (a.top.activeWeight + missingWeight(a.unnamed.activeWeight > 0, group.weight))
+	return groupShare * f.weight / (a.unnamed.activeWeight + missingWeight(f.isActive(), f.weight))
 }
 
 // missingWeight returns the weight to add for a flow to a sum that includes it only while it is
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -42,7 +42,8 @@
 		t.Fatalf("%d of %d reservations restored", got, want)
 	}
 	if successor.limiter.limit != predecessor.limiter.limit || len(successor.State(100).Tenants) != 4 {
-		t.Fatalf("limit %v, want %v; state %+v", successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
+		t.Fatalf("limit %v, want %v; state %+v",
+			successor.limiter.limit, predecessor.limiter.limit, successor.State(100))
 	}
 	for identity, i := range predecessor.reservations.byIdentity {
 		before := predecessor.reservations.entries[i].dueAt - fleet.now
@@ -60,7 +61,7 @@
 }
 
 // A snapshot with values that no correct process writes is rejected, and changes nothing.
-func TestImpossibleSnapshotsAreRejected(t *testing.T) {
+func TestInvalidSnapshotsAreRejected(t *testing.T) {
 	const tooMany = maxSnapshotEntries + 1
 	for name, snapshot := range map[string]Snapshot{
 		"empty":                 {},
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -159,16 +159,16 @@
 		t.Errorf("%s", response.Text)
 	}
 	must(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
-	for i := range rollout.EarlierMaxRouters {
+	for i := range rollout.LegacyMaxRouters {
 		must(t, s, reportCommand(i), CodeOK)
 	}
-	beyond := must(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
+	beyond := must(t, s, reportCommand(rollout.LegacyMaxRouters), CodeLimitReached)
 	if beyond.Text != "routers: 1024 at most" {
 		t.Errorf("%s", beyond.Text)
 	}
 	large := reportCommand(0)
 	large.Sequence = 2
-	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)
+	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.LegacyMaxReportedServers+1)
 	if response := must(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
 		t.Errorf("%s", response.Text)
 	}
--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -51,16 +51,16 @@
 
 // Revision returns the revision of the most recent change to any document, or 0 before the first.
 func (s *State) Revision() uint64 {
-	return s.Documents.Newest()
+	return s.Documents.NewestRevision()
 }
 
-// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.After), or a
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or a
 // snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
-	if revision < s.Documents.Compacted() {
+	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
 	}
-	return s.Documents.After(revision, prefix, maxBytes)
+	return s.Documents.ReadAfter(revision, prefix, maxBytes)
 }
 
 // putDocument executes a change of a document.
@@ -85,7 +85,7 @@
 		return invalid("document %s: there is none", put.Name)
 	}
 	change := watchlog.Change{
-		Revision: s.Documents.Newest() + 1,
+		Revision: s.Documents.NewestRevision() + 1,
 		Name:     put.Name,
 		Value:    put.Value,
 		Deleted:  put.Delete,
@@ -120,7 +120,7 @@
 	if change.Deleted {
 		return ""
 	}
-	if !exists && s.Documents.Len() >= MaxDocuments {
+	if !exists && s.Documents.DocumentCount() >= MaxDocuments {
 		return fmt.Sprintf("documents: %d at most", MaxDocuments)
 	}
 	if s.documentBytes+growth > MaxTotalDocumentBytes {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -18,7 +18,7 @@
 }
 
 // Log is the state of all documents with the most recent changes that led to it. It keeps no state per
-// watcher: a watcher is a revision after which it reads with After. Use NewLog to create a Log. Its methods
+// watcher: a watcher is a revision after which it reads with ReadAfter. Use NewLog to create a Log. Its methods
 // must not be called concurrently.
 type Log struct {
 	limits    Limits
@@ -32,17 +32,17 @@
 // NewLog returns an empty log.
 func NewLog(limits Limits) *Log { return &Log{limits: limits} }
 
-// Newest returns the revision of the newest change, or 0 if there was none.
-func (l *Log) Newest() uint64 { return l.newest }
+// NewestRevision returns the revision of the newest change, or 0 if there was none.
+func (l *Log) NewestRevision() uint64 { return l.newest }
 
-// Compacted returns the revision up to which changes are no longer kept.
-func (l *Log) Compacted() uint64 { return l.compacted }
+// CompactedRevision returns the revision up to which changes are no longer kept.
+func (l *Log) CompactedRevision() uint64 { return l.compacted }
 
 // IsZero reports whether there has been no change.
 func (l *Log) IsZero() bool { return l == nil || l.newest == 0 }
 
-// Len returns the number of documents.
-func (l *Log) Len() int { return len(l.documents) }
+// DocumentCount returns the number of documents.
+func (l *Log) DocumentCount() int { return len(l.documents) }
 
 // Document returns the newest change of a document, or false if the document doesn't exist.
 func (l *Log) Document(name string) (Change, bool) {
@@ -125,10 +125,10 @@
 	l.compacted = l.newest
 }
 
-// After returns the changes after a revision to documents whose names begin with prefix. The batch has at
+// ReadAfter returns the changes after a revision to documents whose names begin with prefix. The batch has at
 // most maxBytes of changes, but at least one change if there is any. The error is a CompactedError, after
 // which the caller must send a Snapshot, or a BehindError, if the watcher's revision is newer than the log's.
-func (l *Log) After(revision uint64, prefix string, maxBytes int) (Batch, error) {
+func (l *Log) ReadAfter(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
 		return Batch{}, &BehindError{After: revision, Newest: l.newest}
@@ -152,7 +152,7 @@
 	return batch, nil
 }
 
-// injectFault moves the first change that After returns, for the mutants of delivery. They only affect
+// injectFault moves the first change that ReadAfter returns, for the mutants of delivery. They only affect
 // batches with a prefix: Extend, which takes batches without one, would reject a gap or a repeated change.
 func (l *Log) injectFault(first int, prefix string) int {
 	if prefix == "" {
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -9,7 +9,7 @@
 
 func put(t *testing.T, l *Log, name string, size int) {
 	t.Helper()
-	if err := l.Append(Change{Revision: l.Newest() + 1, Name: name, Value: make([]byte, size)}); err != nil {
+	if err := l.Append(Change{Revision: l.NewestRevision() + 1, Name: name, Value: make([]byte, size)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -21,24 +21,24 @@
 	for range 5 {
 		put(t, l, "a", 1)
 	}
-	if l.Compacted() != 2 || l.Newest() != 5 || len(l.History("a")) != 3 {
-		t.Errorf("compacted %d, newest %d, %d kept", l.Compacted(), l.Newest(), len(l.History("a")))
+	if l.CompactedRevision() != 2 || l.NewestRevision() != 5 || len(l.History("a")) != 3 {
+		t.Errorf("compacted %d, newest %d, %d kept", l.CompactedRevision(), l.NewestRevision(), len(l.History("a")))
 	}
 	put(t, l, "b", 700)
 	put(t, l, "c", 700)
-	if l.Compacted() != 6 {
-		t.Errorf("compacted %d by bytes", l.Compacted())
+	if l.CompactedRevision() != 6 {
+		t.Errorf("compacted %d by bytes", l.CompactedRevision())
 	}
 	put(t, l, "d", 5000)
-	if got, err := l.After(7, "", 1); err != nil || len(got.Changes) != 1 {
+	if got, err := l.ReadAfter(7, "", 1); err != nil || len(got.Changes) != 1 {
 		t.Errorf("%+v, %v: the newest change must be kept even if it exceeds the limit", got, err)
 	}
 	var compacted *CompactedError
-	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) || compacted.Compacted != 7 {
 		t.Errorf("%v", err)
 	}
 	var behind *BehindError
-	if _, err := l.After(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
+	if _, err := l.ReadAfter(9, "", 1000); !errors.As(err, &behind) || behind.Newest != 8 {
 		t.Errorf("%v", err)
 	}
 	if history := l.History("b"); len(history) != 1 || history[0].Revision != 6 {
@@ -53,15 +53,15 @@
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
 		put(t, l, name, 100)
 	}
-	first, err := l.After(0, "a/", 250)
+	first, err := l.ReadAfter(0, "a/", 250)
 	if err != nil || len(first.Changes) != 1 || first.Through != 2 {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	rest, err := l.After(first.Through, "a/", 1000)
+	rest, err := l.ReadAfter(first.Through, "a/", 1000)
 	if err != nil || len(rest.Changes) != 2 || rest.Through != 5 {
 		t.Errorf("%+v, %v", rest, err)
 	}
-	progress, err := l.After(5, "a/", 1000)
+	progress, err := l.ReadAfter(5, "a/", 1000)
 	if err != nil || len(progress.Changes) != 0 || progress.Through != 5 {
 		t.Errorf("%+v, %v", progress, err)
 	}
@@ -102,11 +102,11 @@
 	put(t, l, "a", 1)
 	l.SkipRevisions(100)
 	var compacted *CompactedError
-	if _, err := l.After(1, "", 1000); !errors.As(err, &compacted) {
+	if _, err := l.ReadAfter(1, "", 1000); !errors.As(err, &compacted) {
 		t.Errorf("%v", err)
 	}
 	put(t, l, "b", 1)
-	if got, err := l.After(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
+	if got, err := l.ReadAfter(101, "", 1000); err != nil || len(got.Changes) != 1 || got.Through != 102 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -131,7 +131,7 @@
 		if r.Apply(bad) == nil || r.Revision() != 2 || len(r.Documents()) != 2 {
 			t.Errorf("the replica accepted %+v", bad)
 		}
-		if l.Extend(bad) == nil || l.Newest() != 2 || l.Len() != 2 {
+		if l.Extend(bad) == nil || l.NewestRevision() != 2 || l.DocumentCount() != 2 {
 			t.Errorf("the log accepted %+v", bad)
 		}
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -22,12 +22,12 @@
 
 // process is a fake of the process that serves and hands over.
 type process struct {
-	ln     net.Listener
-	state  string
-	err    error
-	joined chan *Link
-	heard  chan Message
-	answer func(Message) error
+	ln       net.Listener
+	state    string
+	err      error
+	joined   chan *Link
+	received chan Message
+	handle   func(Message) error
 }
 
 func (p *process) State(context.Context, *Link) (any, error) { return p.state, p.err }
@@ -35,9 +35,9 @@
 func (p *process) RunLink(ctx context.Context, l *Link) {
 	p.joined <- l
 	l.Run(ctx, func(m Message) error {
-		p.heard <- m
-		if p.answer != nil {
-			return p.answer(m)
+		p.received <- m
+		if p.handle != nil {
+			return p.handle(m)
 		}
 		return nil
 	})
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{ln: ln, state: state, joined: make(chan *Link, 10), heard: make(chan Message, 10)}
+	p := &process{ln: ln, state: state, joined: make(chan *Link, 10), received: make(chan Message, 10)}
 	ctx, stop := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -86,7 +86,7 @@
 // the state, accept a connection that was queued when the old process closed the socket, and
 // exchange calls with the old process in both directions, each answered with the other side's
 // error.
-func TestSocketAndStateGoOver(t *testing.T) {
+func TestSuccessorReceivesSocketAndState(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 40)) // exceeds the length limit of a Unix socket's path
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -97,24 +97,24 @@
 		t.Fatalf("got %v, want %v", ln.Addr(), old.ln.Addr())
 	}
 	// A connection that is queued when the old process closes the socket goes to the new one.
-	c, err := net.Dial("tcp", old.ln.Addr().String())
+	conn, err := net.Dial("tcp", old.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	old.ln.Close()
 	got, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer got.Close()
-	if got.RemoteAddr().String() != c.LocalAddr().String() {
+	if got.RemoteAddr().String() != conn.LocalAddr().String() {
 		t.Errorf("accepted a connection from %v", got.RemoteAddr())
 	}
 
 	// Calls work in both directions.
 	oldLink := <-old.joined
-	old.answer = func(Message) error { return errors.New("not here") }
+	old.handle = func(Message) error { return errors.New("not here") }
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	received := make(chan Message, 1)
@@ -137,13 +137,13 @@
 // A process dies and leaves its socket file behind. Then two processes start one after the other,
 // and the first one ends. A successor must always reach the newest process: if a process removed
 // the file when it ends, the other one's successor could not connect.
-func TestNewestProcessHasThePath(t *testing.T) {
+func TestSuccessorReachesNewestProcess(t *testing.T) {
 	dir := t.TempDir()
-	path, d, err := socketPath(dir, "a:1")
+	path, folder, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer folder.Close()
 	dead, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 
 // The peer at the path sends nothing, has another version, sends no socket, or is not a router.
 // Join must return an error within its timeouts, so that the new process can start alone.
-func TestPeersThatCantHandOver(t *testing.T) {
+func TestJoinFailsWithUnsuitablePeer(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -175,26 +175,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			path, d, err := socketPath(dir, "a:1")
+			path, folder, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer d.Close()
-			u, err := net.Listen("unix", path)
+			defer folder.Close()
+			listener, err := net.Listen("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
 			defer wg.Wait()
-			defer u.Close()
+			defer listener.Close()
 			wg.Go(func() {
-				c, err := u.Accept()
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				defer c.Close()
-				c.Write(sent)
-				io.Copy(io.Discard, c)
+				defer conn.Close()
+				conn.Write(sent)
+				io.Copy(io.Discard, conn)
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
 				t.Error("joined a peer that can't hand over")
@@ -209,29 +209,29 @@
 // Only a successor of the same version may receive the socket and the state. A connection that
 // sends anything else must get no bytes, and neither must a successor if the state is not
 // available.
-func TestStrangersGetNothing(t *testing.T) {
+func TestOnlySuccessorsReceiveSocketAndState(t *testing.T) {
 	dir := t.TempDir()
 	p, _ := serve(t, dir, "a:1", "first")
 	join(t, dir, "a:1", "first")
 	<-p.joined
-	path, d, err := socketPath(dir, "a:1")
+	path, folder, err := socketPath(dir, "a:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer folder.Close()
 	for _, sent := range []string{"", "noise", `{"kind":"hello","version":99}`, `{"kind":"ban"}`} {
-		c, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if sent != "" {
-			c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sent))), sent...))
+			conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(sent))), sent...))
 		}
-		c.(*net.UnixConn).CloseWrite()
-		if got, _ := io.ReadAll(c); len(got) > 0 {
+		conn.(*net.UnixConn).CloseWrite()
+		if got, _ := io.ReadAll(conn); len(got) > 0 {
 			t.Errorf("sent %q, received %q", sent, got)
 		}
-		c.Close()
+		conn.Close()
 	}
 	p.err = errors.New("no state")
 	if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
@@ -245,8 +245,8 @@
 }
 
 // The peer reads a call and never answers it. The call must end with its context.
-func TestCallToASilentPeer(t *testing.T) {
-	a, b := pipe(t)
+func TestCallToSilentPeerEndsWithContext(t *testing.T) {
+	a, b := connPair(t)
 	defer b.Close()
 	l := newLink(a)
 	ctx, stop := context.WithCancel(t.Context())
@@ -256,24 +256,24 @@
 	}
 }
 
-func pipe(t *testing.T) (a, b *net.UnixConn) {
+func connPair(t *testing.T) (a, b *net.UnixConn) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "s")
-	u, err := net.Listen("unix", name)
+	listener, err := net.Listen("unix", name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer u.Close()
-	c, err := net.Dial("unix", name)
+	defer listener.Close()
+	client, err := net.Dial("unix", name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := u.Accept()
+	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); d.Close() })
-	return c.(*net.UnixConn), d.(*net.UnixConn)
+	t.Cleanup(func() { client.Close(); server.Close() })
+	return client.(*net.UnixConn), server.(*net.UnixConn)
 }
 
 // An old process that can't hand over still listens at the address. The new process must be able to
@@ -309,7 +309,7 @@
 
 // Either process may die after any byte that it sends. The other one must go on: a new process must
 // get an error from Join within its timeouts, and an old one must accept the next successor.
-func TestEitherMayEndAtAnyByte(t *testing.T) {
+func TestEitherProcessMayDieAtAnyByte(t *testing.T) {
 	frame := func(text string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
 	}
@@ -324,42 +324,42 @@
 			t.Fatal(err)
 		}
 		complete := frame(`{"kind":"state","version":1,"body":"first"}`)
-		before := descriptors(t)
+		before := countDescriptors(t)
 		for n := range complete {
 			dir := t.TempDir()
-			path, d, err := socketPath(dir, "a:1")
+			path, folder, err := socketPath(dir, "a:1")
 			if err != nil {
 				t.Fatal(err)
 			}
-			u, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+			listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			var wg sync.WaitGroup
 			wg.Go(func() {
-				c, err := u.AcceptUnix()
+				conn, err := listener.AcceptUnix()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				defer c.Close() // the old process dies here
+				defer conn.Close() // the old process dies here
 				if n == 0 {
 					return
 				}
-				if _, err := readMessage(c); err != nil {
+				if _, err := readMessage(conn); err != nil {
 					t.Error(err)
 				}
-				raw.Control(func(fd uintptr) { c.WriteMsgUnix(complete[:1], syscall.UnixRights(int(fd)), nil) })
-				c.Write(complete[1:n])
+				raw.Control(func(fd uintptr) { conn.WriteMsgUnix(complete[:1], syscall.UnixRights(int(fd)), nil) })
+				conn.Write(complete[1:n])
 			})
 			if _, _, _, err := Join(t.Context(), dir, "a:1"); err == nil {
 				t.Errorf("joined after %d bytes", n)
 			}
 			wg.Wait()
-			u.Close()
-			d.Close()
+			listener.Close()
+			folder.Close()
 		}
-		if after := descriptors(t); after > before {
+		if after := countDescriptors(t); after > before {
 			t.Errorf("%d descriptors are open, %d were before", after, before)
 		}
 	})
@@ -379,19 +379,19 @@
 		}
 		for l := next(); !l.IsClosed(); {
 		}
-		path, d, err := socketPath(dir, "a:1")
+		path, folder, err := socketPath(dir, "a:1")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer d.Close()
+		defer folder.Close()
 		hello := frame(`{"kind":"hello","version":1}`)
 		for n := range len(hello) + 1 {
-			c, err := net.Dial("unix", path)
+			conn, err := net.Dial("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Write(hello[:n])
-			c.Close()
+			conn.Write(hello[:n])
+			conn.Close()
 			if n == len(hello) { // it dies while the state is being sent, and may or may not have joined
 				for end := time.Now().Add(10 * time.Second); ; {
 					select {
@@ -416,8 +416,8 @@
 	})
 }
 
-// descriptors returns the number of open file descriptors of the process.
-func descriptors(t *testing.T) int {
+// countDescriptors returns the number of open file descriptors of the process.
+func countDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -428,7 +428,7 @@
 
 // Only the text of an error is sent over the link. The caller must still be able to distinguish the
 // errors in remoteErrors, and must receive the text of any other error.
-func TestErrorsThatCrossTheLink(t *testing.T) {
+func TestErrorsSentOverLinkStayDistinguishable(t *testing.T) {
 	if text := admin.ErrUnknownServer.Error(); text != "no such cache server" {
 		t.Errorf("an older version would not recognize the error %q", text)
 	}
@@ -438,7 +438,7 @@
 		"unknown": errors.New("not here"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := pipe(t)
+			a, b := connPair(t)
 			caller := newLink(a)
 			peer := newLink(b)
 			var running sync.WaitGroup
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -5,30 +5,31 @@
 	"testing"
 )
 
-// The routers and servers of three regions.
+// Sizes of the benchmarked fleet: the routers and servers of three regions.
 const (
 	benchRouters       = 1000
 	benchRegionRouters = 392
 	benchServers       = 192
 )
 
-// BenchmarkJoin is what a fleet of 1,000 routers that join costs the state: each reports the 192
+// BenchmarkJoin measures the cost per router when 1,000 routers register: each reports the 192
 // servers of its region.
 func BenchmarkJoin(b *testing.B) {
 	for b.Loop() {
-		newJoinedFleet(benchRouters)
+		newRegisteredFleet(benchRouters)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/benchRouters, "µs/router")
 }
 
-// newJoinedFleet is a fleet of so many routers, all servers serving.
-func newJoinedFleet(routers int) *testFleet {
+// newRegisteredFleet returns a fleet with the given number of routers that find all servers
+// serving.
+func newRegisteredFleet(routers int) *testFleet {
 	f := newTestFleet(Budget{Name: "servers", Kind: KindServer, MaxOut: 1})
 	for r := range routers {
 		client := RouterClientPrefix + fmt.Sprint("r", r)
-		for from := 0; from < benchServers; from += EarlierMaxReportedServers {
+		for from := 0; from < benchServers; from += LegacyMaxReportedServers {
 			report := &RouterReport{Zone: "z", IsReady: true}
-			for i := from; i < min(from+EarlierMaxReportedServers, benchServers); i++ {
+			for i := from; i < min(from+LegacyMaxReportedServers, benchServers); i++ {
 				report.Servers = append(report.Servers, ServerObservation{
 					Name:        fmt.Sprint("s", r/benchRegionRouters, "-", i),
 					Zone:        "z",
@@ -42,9 +43,9 @@
 	return f
 }
 
-// BenchmarkDrain is what a drain and its acknowledgements by 1,000 routers cost the state.
+// BenchmarkDrain measures the cost per router of a drain that 1,000 routers acknowledge.
 func BenchmarkDrain(b *testing.B) {
-	f := newJoinedFleet(benchRouters)
+	f := newRegisteredFleet(benchRouters)
 	for b.Loop() {
 		token := f.beginServer("s0-0", "ann")
 		for r := range benchRouters {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -246,9 +246,9 @@
 // cancel cancels an attempt; if it has a connection, that is closed.
 func (l *loop) cancel(a *attempt) {
 	if a.cancelUnsent() {
-		l.deferOutcome(a, decide.Cancelled)
+		l.deferOutcome(a, decide.Canceled)
 	} else {
-		a.cancelSent(decide.Cancelled)
+		a.cancelSent(decide.Canceled)
 	}
 }
 
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -96,7 +96,7 @@
 			t.Parallel()
 			s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 			cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
-			cfg.settings.Config.HealthChecks = false
+			cfg.settings.Config.HealthChecksAllowed = false
 			l, clients, addr := startLoopWith(t, cfg, 40, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
 			c := dialClient(t, addr)
 			busy := newGate(t)
@@ -195,7 +195,7 @@
 	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(s.addr)))
 	cfg := withLongDeadlines(testConfig(t, d.Listener.Addr().String(), endpointList{}))
 	cfg.Admission = singleSlotAdmission()
-	cfg.settings.Config.HealthChecks = false
+	cfg.settings.Config.HealthChecksAllowed = false
 	for i := range cfg.settings.Config.Classes {
 		cfg.settings.Config.Classes[i].LatencyObjectiveMillis = 500 // admission's estimate of a request's duration
 	}
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -170,7 +170,7 @@
 	l := r.router.loop
 	updated := withLongDeadlines(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
 	updated.Admission = cfg.Admission
-	updated.settings.Config.HealthChecks = false
+	updated.settings.Config.HealthChecksAllowed = false
 	r.updates <- updated
 	eventually(t, l, "the new settings", func() bool { return l.rules.Load().classes["fetch"] != nil })
 	answer.open()
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -146,7 +146,7 @@
 func TestNothingIsSentWithNothingLeft(t *testing.T) {
 	s, allowDial := startFakeServer(t, hitAnswer), newGate(t)
 	cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
-	cfg.settings.Config.HealthChecks = false // their dials would be blocked too
+	cfg.settings.Config.HealthChecksAllowed = false // their dials would be blocked too
 	l, _, addr := startLoopWith(t, cfg, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	dialing := make(chan struct{}, 10)
 	l.upstreams.blockDials(dialing, allowDial)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -8,10 +8,10 @@
 
 // More events are recorded between two flushes than are kept. The rest must be counted, and after
 // the flush events must be kept again.
-func TestEventsBeyondTheBoundAreCounted(t *testing.T) {
+func TestExcessEventsAreCounted(t *testing.T) {
 	var out bytes.Buffer
 	tr := New(&out)
-	for i := range MaxPerFlush + 7 {
+	for i := range MaxEventsPerFlush + 7 {
 		tr.Event(1000, "dial", "to=a ok=%t", i%2 == 0)
 	}
 	tr.Flush(1200)
@@ -20,7 +20,7 @@
 	last := lines[len(lines)-1]
 	isFirst := first == "trace 1000.00 dial to=a ok=true"
 	isLast := last == "trace 1200.00 dropped n=7"
-	if len(lines) != MaxPerFlush+1 || !isFirst || !isLast {
+	if len(lines) != MaxEventsPerFlush+1 || !isFirst || !isLast {
 		t.Errorf("%d lines from %q to %q", len(lines), first, last)
 	}
 	out.Reset()
@@ -33,7 +33,7 @@
 }
 
 // A router without a trace calls the same methods on a nil *Trace, which must do nothing.
-func TestNoTraceTakesEvents(t *testing.T) {
+func TestNilTraceDoesNothing(t *testing.T) {
 	var tr *Trace
 	tr.Event(1, "dial", "to=a ok=true")
 	tr.Flush(2)
