--- a/cmd/dockhinge-coord/permit.go
+++ b/cmd/dockhinge-coord/permit.go
@@ -35,7 +35,7 @@
 	cmd.AddCommand(
 		newPermitTakeCommand(),
 		newTargetCommand("clear",
-			"Remove a permit whose holder no longer exists, after nothing is done under it any more",
+			"Remove the permit of a holder that has crashed, once nothing is done under it any more",
 			rollout.OpClearPermit),
 	)
 	return cmd
--- a/internal/rollout/follow/follow.go
+++ b/internal/rollout/follow/follow.go
@@ -68,7 +68,7 @@
 )
 
 // follower applies drain sets and acknowledges them. Two goroutines use it: one runs reporter.run,
-// the other runs follow.
+// the other runs followDrainSets.
 type follower struct {
 	options Options
 	// maxAttemptsWait is the constant maxAttemptsWait, or a shorter time in tests.
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -60,13 +60,13 @@
 	total := load.Served + load.Failed
 	if total >= loadWindowMinRequests {
 		load.FailedShare = ratio(float64(load.Failed), float64(total))
-		contradicts, countsNeeded := s.contradictsOverloadState()
+		contradicts, windowsNeeded := s.contradictsOverloadState()
 		if contradicts {
 			load.ConsecutiveWindows++
 		} else {
 			load.ConsecutiveWindows = 0
 		}
-		if load.ConsecutiveWindows >= countsNeeded {
+		if load.ConsecutiveWindows >= windowsNeeded {
 			s.setOverloaded(!load.IsOverloaded, now)
 		}
 	}
--- a/internal/rollout/names.go
+++ b/internal/rollout/names.go
@@ -30,14 +30,14 @@
 	total int
 }
 
-func (f *nameSummary) add(name string) {
-	f.total++
-	index, _ := slices.BinarySearch(f.first, name)
+func (s *nameSummary) add(name string) {
+	s.total++
+	index, _ := slices.BinarySearch(s.first, name)
 	if index == maxListedNames {
 		return
 	}
-	f.first = slices.Insert(f.first, index, name)
-	f.first = f.first[:min(len(f.first), maxListedNames)]
+	s.first = slices.Insert(s.first, index, name)
+	s.first = s.first[:min(len(s.first), maxListedNames)]
 }
 
-func (f *nameSummary) text() string { return nameSummaryText(f.first, f.total) }
+func (s *nameSummary) text() string { return nameSummaryText(s.first, s.total) }
