--- a/cmd/dockhinge-coord/coordinators.go
+++ b/cmd/dockhinge-coord/coordinators.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// commandTTL is the minimum lifetime of an operators' command's session, and the time limit of
+	// commandTTL is the time to live of the session of an operators' command, and the time limit of
 	// a single call.
 	commandTTL = 10 * time.Second
 	// statusTimeout is the time limit for getting the statuses of all coordinators or observers.
--- a/cmd/dockhinge-coord/release.go
+++ b/cmd/dockhinge-coord/release.go
@@ -63,11 +63,11 @@
 						"before the next wave begins\n",
 					plan.LearnTime, plan.BakeTime)
 			}
-			binding := findLimitingBudget(out, report.Budgets, len(names))
-			total := printWaves(cmd, plan, names, binding)
+			limiting := findLimitingBudget(out, report.Budgets, len(names))
+			total := printWaves(cmd, plan, names, limiting)
 			fmt.Fprintf(out,
 				"%d routers, at least %v plus the time that the command takes; limiting budget: %s\n",
-				len(names), total, binding.name)
+				len(names), total, limiting.name)
 			return nil
 		},
 	}.build()
@@ -86,39 +86,39 @@
 // findLimitingBudget returns the budget that limits a release of the given number of routers most.
 // It prints the budgets that allow no outages at all.
 func findLimitingBudget(out io.Writer, budgets []rollout.BudgetUsage, routers int) limitingBudget {
-	binding := limitingBudget{name: "none", allowed: routers}
+	limiting := limitingBudget{name: "none", allowed: routers}
 	for _, b := range budgets {
 		if b.Kind != rollout.KindRouter {
 			continue
 		}
-		binding.slowStart = max(binding.slowStart, b.SlowStart)
+		limiting.slowStart = max(limiting.slowStart, b.SlowStart)
 		if b.Allowed == 0 {
 			fmt.Fprintf(out, "budget %s%s allows no outages: the release can't progress\n",
 				b.Budget, zoneSuffix(b.Zone))
 		}
-		if b.Zone == "" && b.Allowed < binding.allowed {
-			binding.allowed = b.Allowed
-			binding.name = b.Budget
+		if b.Zone == "" && b.Allowed < limiting.allowed {
+			limiting.allowed = b.Allowed
+			limiting.name = b.Budget
 		}
 	}
-	return binding
+	return limiting
 }
 
 // printWaves prints the waves of a plan over these routers, and returns their minimum total
 // duration.
-func printWaves(cmd *cobra.Command, plan rollout.ReleasePlan, names []string, binding limitingBudget) time.Duration {
+func printWaves(cmd *cobra.Command, plan rollout.ReleasePlan, names []string, limiting limitingBudget) time.Duration {
 	w := newTable(cmd)
 	fmt.Fprintln(w, "wave\trouters\tat once\tat least\tnames")
 	total := time.Duration(0)
 	before := 0
 	for i, size := range plan.Waves(len(names)) {
 		wave := names[before:size]
-		atOnce := max(1, binding.allowed)
+		atOnce := max(1, limiting.allowed)
 		rounds := (len(wave) + atOnce - 1) / atOnce
-		duration := plan.BakeTime + time.Duration(rounds)*binding.slowStart
+		duration := plan.BakeTime + time.Duration(rounds)*limiting.slowStart
 		total += duration
 		fmt.Fprintf(w, "%d\t%d\t%d\t%v\t%s\n",
-			i+1, len(wave), min(len(wave), binding.allowed), duration, rollout.SummarizeNames(wave))
+			i+1, len(wave), min(len(wave), limiting.allowed), duration, rollout.SummarizeNames(wave))
 		before = size
 	}
 	_ = w.Flush() // an output error would also affect the line that the caller prints next
