--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -112,7 +112,7 @@
 		if p.Day != "release" && p.Day != "release-zone" {
 			continue
 		}
-		day, err := simulation.Twin(p.Day, p.Size[0], p.Size[1], p.Seed)
+		day, err := simulation.GenerateDay(p.Day, p.Size[0], p.Size[1], p.Seed)
 		if err != nil {
 			return err
 		}
@@ -137,7 +137,7 @@
 	for range max(1, min(workers, len(jobs))) {
 		all.Go(func() {
 			for i := range next {
-				p, err := simulation.Twin(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
+				p, err := simulation.GenerateDay(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
 				p.Shared = shared
 				if err == nil {
 					jobs[i].Sums, err = simulation.Play(p)
--- a/lab/simulation/hard_test.go
+++ b/lab/simulation/hard_test.go
@@ -59,7 +59,7 @@
 
 // hard plays a calm day with something done to it.
 func hard(t *testing.T, do func(p *Params)) (service, last float64) {
-	p, err := Twin("calm", hardRouters, hardServers, 3)
+	p, err := GenerateDay("calm", hardRouters, hardServers, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -114,7 +114,7 @@
 // What the figures are made of adds up, for every kind of day, and the same day gives the same digits twice.
 func TestASmallTwinOfEachDay(t *testing.T) {
 	for _, kind := range Days {
-		p, err := Twin(kind, 24, 12, 5)
+		p, err := GenerateDay(kind, 24, 12, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,7 +170,7 @@
 		func(p *Params) { p.Faults = []Fault{{Servers: []int{0}, Kind: Slow}} },
 		func(p *Params) { p.Config.Classes = p.Config.Classes[:2] },
 	} {
-		p, err := Twin("calm", 4, 4, 1)
+		p, err := GenerateDay("calm", 4, 4, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,10 +179,10 @@
 			t.Errorf("played: %+v", p.Faults)
 		}
 	}
-	if _, err := Twin("noon", 4, 4, 1); err == nil {
+	if _, err := GenerateDay("noon", 4, 4, 1); err == nil {
 		t.Error("a day that there is not is drawn")
 	}
-	if _, err := Twin("calm", 0, 4, 1); err == nil {
+	if _, err := GenerateDay("calm", 0, 4, 1); err == nil {
 		t.Error("a day without routers is drawn")
 	}
 }
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -15,7 +15,7 @@
 	for _, day := range []string{"roll", "throng", "zone"} {
 		for _, routers := range []int{5, 24, 80} {
 			for seed := range uint64(2) {
-				p, err := Twin(day, routers, 24, 41+seed)
+				p, err := GenerateDay(day, routers, 24, 41+seed)
 				if err != nil {
 					t.Fatal(err)
 				}
