--- a/lab/simulation/twin.go
+++ b/lab/simulation/twin.go
@@ -13,14 +13,14 @@
 // Days are the days that Twin draws.
 var Days = []string{"calm", "herd", "roll", "split", "zone"}
 
-// SlowStarts are further days that Twin draws, of which cold servers may fall to routers that don't know of their start yet.
-var SlowStarts = []string{"throng"}
+// SlowStartDays are further days that Twin draws, of which cold servers may fall to routers that don't know of their start yet.
+var SlowStartDays = []string{"throng"}
 
 // GenerateDay draws a day of the standing test's kind at the given size from the seed: the site's machines and classes, a load
 // about two thirds of what the servers can do with all memory as one cache, and the trouble that the day is named after.
 func GenerateDay(kind string, routers, servers int, seed uint64) (Params, error) {
-	if !slices.Contains(slices.Concat(Days, SlowStarts, Releases), kind) {
-		return Params{}, fmt.Errorf("virtual: no day %q; there are %v, %v and %v", kind, Days, SlowStarts, Releases)
+	if !slices.Contains(slices.Concat(Days, SlowStartDays, Releases), kind) {
+		return Params{}, fmt.Errorf("virtual: no day %q; there are %v, %v and %v", kind, Days, SlowStartDays, Releases)
 	}
 	if routers < 1 || servers < 4 {
 		return Params{}, fmt.Errorf("virtual: %d routers before %d servers: at least 1 and 4", routers, servers)
