--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -36,7 +36,7 @@
 	cmd := &cobra.Command{Use: "simulate DAY [DAY...]", Aliases: []string{"twin"}, Short: "Play days of hundreds of routers in virtual time",
 		Args: cobra.MinimumNArgs(1),
 		Long: "Plays days of the standing test's kinds with the decision module of this build before modelled servers, in virtual\n" +
-			"time: " + strings.Join(slices.Concat(simulation.Days, simulation.SlowStartDays, simulation.Releases), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
+			"time: " + strings.Join(slices.Concat(simulation.Days, simulation.SlowStartDays, simulation.ReleaseDays), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
 			"by seed, and tells the mean difference with its 95% confidence interval. docs/simulation.md tells how far to trust it.",
 		RunE: func(_ *cobra.Command, days []string) error {
 			var jobs []played
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -10,9 +10,9 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// Releases are further days that Twin draws: every router gets a new version and every server is changed, at 80% load, within
+// ReleaseDays are further days that Twin draws: every router gets a new version and every server is changed, at 80% load, within
 // budgets by the fleet's agreement (release), with a zone lost in the middle (release-zone), or all at once (release-at-once); or nothing is (release-none).
-var Releases = []string{"release", "release-zone", "release-at-once", "release-none"}
+var ReleaseDays = []string{"release", "release-zone", "release-at-once", "release-none"}
 
 // Budgets of these days: a tenth of the routers and of the servers, and of a zone's servers a quarter.
 const (
--- a/lab/simulation/twin.go
+++ b/lab/simulation/twin.go
@@ -19,8 +19,8 @@
 // GenerateDay draws a day of the standing test's kind at the given size from the seed: the site's machines and classes, a load
 // about two thirds of what the servers can do with all memory as one cache, and the trouble that the day is named after.
 func GenerateDay(kind string, routers, servers int, seed uint64) (Params, error) {
-	if !slices.Contains(slices.Concat(Days, SlowStartDays, Releases), kind) {
-		return Params{}, fmt.Errorf("virtual: no day %q; there are %v, %v and %v", kind, Days, SlowStartDays, Releases)
+	if !slices.Contains(slices.Concat(Days, SlowStartDays, ReleaseDays), kind) {
+		return Params{}, fmt.Errorf("virtual: no day %q; there are %v, %v and %v", kind, Days, SlowStartDays, ReleaseDays)
 	}
 	if routers < 1 || servers < 4 {
 		return Params{}, fmt.Errorf("virtual: %d routers before %d servers: at least 1 and 4", routers, servers)
@@ -80,7 +80,7 @@
 			{Name: "fetch", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2},
 			{Name: "publish", LatencyObjectiveMillis: aim, DeadlineMillis: 1500, PriorityWeight: 10, Effect: decide.IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 3000},
 			{Name: "release-tag", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2, Effect: decide.NotIdempotent}}}
-	if slices.Contains(Releases, kind) {
+	if slices.Contains(ReleaseDays, kind) {
 		return p, p.release(kind)
 	}
 	p.trouble(kind, rng)
