--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -96,13 +96,13 @@
 				x := all[i]
 				fmt.Fprintf(w, "%s\t%d", v.name, len(x.attempts))
 				for _, col := range [][]float64{x.attempts, x.late} {
-					mean, half := simulation.Mean(col)
+					mean, half := simulation.MeanWithInterval(col)
 					fmt.Fprintf(w, "\t%.1f\t%.1f", mean, half)
 				}
-				by, _ := simulation.Mean(x.by)
-				service, half := simulation.Mean(x.service)
-				breaches, _ := simulation.Mean(x.breaches)
-				cpu, _ := simulation.Mean(x.cpu)
+				by, _ := simulation.MeanWithInterval(x.by)
+				service, half := simulation.MeanWithInterval(x.service)
+				breaches, _ := simulation.MeanWithInterval(x.breaches)
+				cpu, _ := simulation.MeanWithInterval(x.cpu)
 				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n", by, service, half, breaches*float64(len(x.breaches)), cpu)
 			}
 			w.Flush()
--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -193,10 +193,10 @@
 	}
 	fmt.Fprintln(t)
 	for i, name := range names {
-		mean, half := simulation.Mean(column(now, i))
+		mean, half := simulation.MeanWithInterval(column(now, i))
 		fmt.Fprintf(t, "%s\t%.4f\t±%.4f", name, mean, half)
 		if before != nil {
-			mean, half := simulation.Mean(column(diff, i))
+			mean, half := simulation.MeanWithInterval(column(diff, i))
 			mark := ""
 			if mean > half || mean < -half {
 				mark = "*"
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -212,8 +212,8 @@
 		Probe: p.Probe * Share(s.Probes, s.Asked), Dial: p.Dial * Share(s.Dials, s.Asked), Call: p.Call * Share(s.Calls, s.Asked)}
 }
 
-// Mean gives the mean of some values and the half width of its 95% confidence interval by Student's t.
-func Mean(v []float64) (mean, half float64) {
+// MeanWithInterval gives the mean of some values and the half width of its 95% confidence interval by Student's t.
+func MeanWithInterval(v []float64) (mean, half float64) {
 	if len(v) == 0 {
 		return 0, 0
 	}
