--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -103,7 +103,7 @@
 	for _, p := range jobs {
 		l := report.Line{Name: p.Day + ": served in time, %"}
 		for _, s := range p.Sums.Seconds {
-			l.V = append(l.V, 100*simulation.Share(s.InTime, s.Asked))
+			l.V = append(l.V, 100*simulation.Ratio(s.InTime, s.Asked))
 		}
 		if n := len(l.V); n > 0 { // the last one is not a whole second
 			l.V = l.V[:n-1]
@@ -240,8 +240,8 @@
 		fmt.Fprintf(w, "%s, seed %d\n", p.Day, p.Seed)
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
-			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway,
-				s.Attempts, simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
+			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Asked, simulation.Ratio(s.InTime, s.Asked), s.Asks, s.TurnedAway,
+				s.Attempts, simulation.Ratio(s.Misses, s.Attempts), simulation.Ratio(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
@@ -255,9 +255,9 @@
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
-			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway,
-				b.Attempts, simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys), simulation.Share(b.Misses, b.Attempts),
-				simulation.Share(b.Cancels, b.Attempts))
+			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.Below, b.Keys, b.Asked, simulation.Ratio(b.InTime, b.Asked), b.TurnedAway,
+				b.Attempts, simulation.Ratio(b.AtMains, b.Attempts), simulation.Ratio(b.Places, b.Keys), simulation.Ratio(b.Misses, b.Attempts),
+				simulation.Ratio(b.Cancels, b.Attempts))
 		}
 		t.Flush()
 		fmt.Fprintln(w)
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -73,8 +73,8 @@
 	Fetches, Dials                  int
 }
 
-// Share is a over b, 0 where there is no b.
-func Share[A, B int | float64](a A, b B) float64 {
+// Ratio is a over b, 0 where there is no b.
+func Ratio[A, B int | float64](a A, b B) float64 {
 	if b == 0 {
 		return 0
 	}
@@ -82,7 +82,7 @@
 }
 
 // Service is the worth answered in time over the worth asked for.
-func (s *Sums) Service() float64 { return Share(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
+func (s *Sums) Service() float64 { return Ratio(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
 
 // The parts of G: the whole day, its worst ten seconds, its worst class.
 const (
@@ -116,7 +116,7 @@
 			break
 		}
 		if asked > 0 {
-			least = min(least, Share(in, asked))
+			least = min(least, Ratio(in, asked))
 		}
 	}
 	return least
@@ -129,27 +129,27 @@
 	add("served in time", s.Service())
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
-	add("asks a request", Share(s.Asks, s.Asked))
-	add("refused of asks", Share(s.TurnedAway, s.Asks))
-	add("attempts a request", Share(s.Attempts, s.Asked))
-	add("misses of attempts", Share(s.Misses, s.Attempts))
-	add("cancels of attempts", Share(s.Cancels, s.Attempts))
-	add("turned away of attempts", Share(s.Full, s.Attempts))
-	add("fetches a request", Share(s.Fetches, s.Asked))
-	add("same key of fetches", Share(s.SameKey, s.Fetches))
-	add("dials a request", Share(s.Dials, s.Asked))
-	add("probes a request", Share(s.Probes, s.Asked))
-	add("  of these for all", Share(s.ForAll, s.Asked))
-	add("wasted work", Share(s.Wasted, s.Work))
+	add("asks a request", Ratio(s.Asks, s.Asked))
+	add("refused of asks", Ratio(s.TurnedAway, s.Asks))
+	add("attempts a request", Ratio(s.Attempts, s.Asked))
+	add("misses of attempts", Ratio(s.Misses, s.Attempts))
+	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
+	add("turned away of attempts", Ratio(s.Full, s.Attempts))
+	add("fetches a request", Ratio(s.Fetches, s.Asked))
+	add("same key of fetches", Ratio(s.SameKey, s.Fetches))
+	add("dials a request", Ratio(s.Dials, s.Asked))
+	add("probes a request", Ratio(s.Probes, s.Asked))
+	add("  of these for all", Ratio(s.ForAll, s.Asked))
+	add("wasted work", Ratio(s.Wasted, s.Work))
 	add("price of dials", s.Price.Dial)
 	add("price of crossings", s.Price.Cross)
 	add("price of probes", s.Price.Probe)
 	add("price of waste", s.Price.Waste)
 	add("price of lists", s.Price.Call)
 	q := s.Quarters()
-	add("load of the slow quarter by that of the quick", Share(Share(float64(q[0].Attempts), q[0].Capacity), Share(float64(q[3].Attempts), q[3].Capacity)))
-	add("ms of a hit there", Share(q[0].MS, float64(q[0].Hits)))
-	add("and at the quick quarter", Share(q[3].MS, float64(q[3].Hits)))
+	add("load of the slow quarter by that of the quick", Ratio(Ratio(float64(q[0].Attempts), q[0].Capacity), Ratio(float64(q[3].Attempts), q[3].Capacity)))
+	add("ms of a hit there", Ratio(q[0].MS, float64(q[0].Hits)))
+	add("and at the quick quarter", Ratio(q[3].MS, float64(q[3].Hits)))
 	add("cold servers pushed over", float64(s.Fallen))
 	add("most sent to a cold server, of its bound", s.Cold.Most.Ratio())
 	add("  by routers told of its start", s.Cold.MostTold.Ratio())
@@ -162,7 +162,7 @@
 	for _, x := range s.Seconds[min(from, len(s.Seconds)):min(to, len(s.Seconds))] {
 		asked, in = asked+x.Asked, in+x.InTime
 	}
-	return Share(in, asked)
+	return Ratio(in, asked)
 }
 
 // second is the count of the second of a time.
@@ -208,8 +208,8 @@
 	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Asked == 0 { // the end, when nobody asks any more
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
-	s.Price = Prices{Cross: p.Cross * Share(s.Crossings, s.Asked), Waste: p.Waste * Share(s.Wasted, s.Work),
-		Probe: p.Probe * Share(s.Probes, s.Asked), Dial: p.Dial * Share(s.Dials, s.Asked), Call: p.Call * Share(s.Calls, s.Asked)}
+	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Asked), Waste: p.Waste * Ratio(s.Wasted, s.Work),
+		Probe: p.Probe * Ratio(s.Probes, s.Asked), Dial: p.Dial * Ratio(s.Dials, s.Asked), Call: p.Call * Ratio(s.Calls, s.Asked)}
 }
 
 // MeanWithInterval gives the mean of some values and the half width of its 95% confidence interval by Student's t.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -59,8 +59,8 @@
 	for _, routers := range []int{1, 4, 80} {
 		p := fleet(routers, 30)
 		p.Warm = true
-		if s := play(t, p); Share(s.InTime, s.Asked) < 0.9 {
-			t.Errorf("%d routers: %.2f served in time", routers, Share(s.InTime, s.Asked))
+		if s := play(t, p); Ratio(s.InTime, s.Asked) < 0.9 {
+			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Asked))
 		}
 	}
 }
@@ -81,8 +81,8 @@
 		if float64(s.Refusals) > float64(len(dead))*(0.8*float64(routers)+8) {
 			t.Errorf("%d routers: dead servers refused %d connections", routers, s.Refusals)
 		}
-		if Share(s.InTime, s.Asked) < 0.6 {
-			t.Errorf("%d routers: %.2f served in time", routers, Share(s.InTime, s.Asked))
+		if Ratio(s.InTime, s.Asked) < 0.6 {
+			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Asked))
 		}
 	}
 }
@@ -100,7 +100,7 @@
 			slow += n
 		}
 	}
-	if r := Share(fast, slow); r < 1.25 || r > 3 {
+	if r := Ratio(fast, slow); r < 1.25 || r > 3 {
 		t.Errorf("servers of twice the speed got %.2f times the attempts", r)
 	}
 }
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -24,7 +24,7 @@
 func (w ColdWindow) Bound() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
 // Ratio is what arrived over the bound.
-func (w ColdWindow) Ratio() float64 { return Share(w.Sent, w.Bound()) }
+func (w ColdWindow) Ratio() float64 { return Ratio(w.Sent, w.Bound()) }
 
 // coldArrival is work that reached a server in slow start.
 type coldArrival struct {
