--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -82,7 +82,7 @@
 	}
 	defer os.RemoveAll(dir)
 	o.Dir = dir
-	return hollow.Play(cmd.Context(), n, o)
+	return hollow.MeasureStep(cmd.Context(), n, o)
 }
 
 // writeRun writes a run to a file, where one is named.
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -30,7 +30,7 @@
 	run := NewRun("test", o)
 	for _, n := range []int{10, 20, 40} {
 		o.Dir = t.TempDir()
-		step, err := Play(ctx, n, o)
+		step, err := MeasureStep(ctx, n, o)
 		if err != nil {
 			t.Fatalf("%d routers: %v", n, err)
 		}
@@ -57,7 +57,7 @@
 // A step that was not finished says so and gives no point of a slope.
 func TestUnfinished(t *testing.T) {
 	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10, RegionServers: 4, Beat: time.Second, TTL: 10 * time.Second, Patience: time.Nanosecond}
-	step, err := Play(t.Context(), 5, o)
+	step, err := MeasureStep(t.Context(), 5, o)
 	if err == nil {
 		t.Fatal("finished within no time")
 	}
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -81,8 +81,8 @@
 	Failed string `json:"failed,omitempty"` // why the step was not finished
 }
 
-// Play plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
-func Play(ctx context.Context, routers int, o Options) (step Step, err error) {
+// MeasureStep plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
+func MeasureStep(ctx context.Context, routers int, o Options) (step Step, err error) {
 	step.Routers, step.Sightings = routers, routers*o.RegionServers
 	if err := fleet.EnoughDescriptors(routers); err != nil {
 		step.Failed = err.Error()
