--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -31,7 +31,7 @@
 				return err
 			}
 			w := cmd.OutOrStdout()
-			run.Head(w)
+			run.WriteTableHeader(w)
 			for _, n := range routers {
 				step, err := hollowStep(cmd, n, o)
 				run.Steps = append(run.Steps, step)
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -53,8 +53,8 @@
 	return u
 }
 
-// Head writes the table's head.
-func (r *Run) Head(w io.Writer) {
+// WriteTableHeader writes the table's head.
+func (r *Run) WriteTableHeader(w io.Writer) {
 	fmt.Fprintln(w, "| routers | sessions, drains, all reported after s | join: leader, voter CPU s | at rest: leader cores, MB, descriptors, KB/s read | other voter | log entries a s | router: bytes/s in, out, connections | drain: p50, p99, last, all acknowledged ms | leader CPU s a drain | all restarted: last has a drain after s | this process: cores, MB |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
