--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -35,7 +35,7 @@
 			for _, n := range routers {
 				step, err := hollowStep(cmd, n, o)
 				run.Steps = append(run.Steps, step)
-				run.Row(w, step)
+				run.WriteTableRow(w, step)
 				if step.RestartFailed != "" {
 					fmt.Fprintf(w, "%d routers: %s\n", n, step.RestartFailed)
 				}
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -59,8 +59,8 @@
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// Row writes a step's row.
-func (r *Run) Row(w io.Writer, s Step) {
+// WriteTableRow writes a step's row.
+func (r *Run) WriteTableRow(w io.Writer, s Step) {
 	usage := func(u Usage) string {
 		return fmt.Sprintf("%.2f, %.0f, %d, %.0f", u.Cores, u.ResidentMB, u.Open, u.ReadPerS/1000)
 	}
