--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -54,7 +54,7 @@
 	cmd.Flags().DurationVar(&o.TTL, "ttl", 10*time.Second, "time to live of the routers' sessions")
 	cmd.Flags().DurationVar(&o.Idle, "idle", 8*time.Second, "how long the fleet is measured at rest")
 	cmd.Flags().IntVar(&o.Drains, "drains", 3, "drains of a server whose latency is measured")
-	cmd.Flags().DurationVar(&o.Patience, "patience", 40*time.Second, "for all routers to have what they wait for")
+	cmd.Flags().DurationVar(&o.Timeout, "patience", 40*time.Second, "for all routers to have what they wait for")
 	cmd.Flags().StringVar(&out, "out", "", "write the run to this file, JSON, for 'capacity --slopes'")
 	cmd.Flags().BoolVar(&onto, "onto", false, "add the steps to those that the file has")
 	cmd.Flags().StringVar(&why, "why", "", "what the run is for, kept in the file")
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -29,7 +29,7 @@
 	TTL           time.Duration // of the routers' sessions
 	Idle          time.Duration // over which the fleet at rest is measured
 	Drains        int           // drains of a server whose latency is measured
-	Patience      time.Duration // for all routers to have what they wait for
+	Timeout      time.Duration // for all routers to have what they wait for
 }
 
 // Usage is what one process costs.
@@ -168,7 +168,7 @@
 
 // budget allows one server at a time to be out.
 func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
+	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
 	defer cancel()
 	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
@@ -184,8 +184,8 @@
 	select {
 	case <-done:
 		return nil
-	case <-time.After(f.o.Patience):
-		return fmt.Errorf("%s: not all of %d routers within %v (%d have what is drained)", what, len(f.routers), f.o.Patience, f.started.Load())
+	case <-time.After(f.o.Timeout):
+		return fmt.Errorf("%s: not all of %d routers within %v (%d have what is drained)", what, len(f.routers), f.o.Timeout, f.started.Load())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -226,10 +226,10 @@
 // sessions waits until all routers have one.
 func (f *hollowFleet) sessions(ctx context.Context) error {
 	missing := f.routers
-	return repeat(ctx, f.o.Patience, func() error {
+	return repeat(ctx, f.o.Timeout, func() error {
 		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.SessionID() != "" })
 		if len(missing) > 0 {
-			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.o.Patience)
+			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.o.Timeout)
 		}
 		return nil
 	})
@@ -244,7 +244,7 @@
 // reported waits until the coordinators count all routers, and no server's state is unknown: its last router has told of it.
 func (f *hollowFleet) reported(ctx context.Context, operator *client.Client, step *Step) error {
 	regions := (len(f.routers) + f.o.RegionRouters - 1) / f.o.RegionRouters
-	return repeat(ctx, f.o.Patience, func() error {
+	return repeat(ctx, f.o.Timeout, func() error {
 		began, bytes := time.Now(), operator.TransferredBytes()
 		report, err := operator.RolloutReport(ctx, 0)
 		if err != nil {
@@ -391,11 +391,11 @@
 
 // drain takes a server out and back. It tells how long each router took to have it, and how long until all had acknowledged.
 func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string) (took []reached, acked time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
+	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
 	defer cancel()
 	thing := rollout.Command{Kind: rollout.KindServer, Name: server}
 	var began time.Time
-	if err := repeat(ctx, f.o.Patience, func() error {
+	if err := repeat(ctx, f.o.Timeout, func() error {
 		thing.Op, thing.Token = rollout.OpRequestPermit, 0
 		a, err := f.roll(ctx, operator, thing)
 		if err != nil {
@@ -417,7 +417,7 @@
 	if took, err = f.all(ctx, server, true, began); err != nil {
 		return nil, 0, err
 	}
-	if err := repeat(ctx, f.o.Patience, func() error {
+	if err := repeat(ctx, f.o.Timeout, func() error {
 		a, err := f.roll(ctx, operator, thing) // repeated it tells how the permit stands
 		if err == nil && !a.IsDrained {
 			err = errors.New("not drained: " + a.Text)
