--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -50,7 +50,7 @@
 	cmd.Flags().IntVar(&o.Coordinators, "coordinators", 5, "coordinators")
 	cmd.Flags().IntVar(&o.RegionRouters, "region-routers", 392, "routers of a region")
 	cmd.Flags().IntVar(&o.RegionServers, "region-servers", 192, "cache servers of a region, which each of its routers reports")
-	cmd.Flags().DurationVar(&o.Beat, "beat", time.Second, "how long a leader may be silent: longer than the coordinators' own default, as all share one machine")
+	cmd.Flags().DurationVar(&o.HeartbeatTimeout, "beat", time.Second, "how long a leader may be silent: longer than the coordinators' own default, as all share one machine")
 	cmd.Flags().DurationVar(&o.TTL, "ttl", 10*time.Second, "time to live of the routers' sessions")
 	cmd.Flags().DurationVar(&o.Idle, "idle", 8*time.Second, "how long the fleet is measured at rest")
 	cmd.Flags().IntVar(&o.Drains, "drains", 3, "drains of a server whose latency is measured")
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	file := filepath.Join(o.Dir, name+".toml")
-	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name, filepath.Join(o.Dir, name), c.listen, c.api, o.Beat)
+	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name, filepath.Join(o.Dir, name), c.listen, c.api, o.HeartbeatTimeout)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute) // a bound for a machine that is busy: 10 s on one that is not
 	defer cancel()
 	o := Options{Coordinators: 3, Command: coordCommand(t), RegionRouters: 20, RegionServers: 150, TTL: 3 * time.Second,
-		Beat: time.Second, Idle: 2 * time.Second, Drains: 2, Timeout: 40 * time.Second}
+		HeartbeatTimeout: time.Second, Idle: 2 * time.Second, Drains: 2, Timeout: 40 * time.Second}
 	run := NewRun("test", o)
 	for _, n := range []int{10, 20, 40} {
 		o.Dir = t.TempDir()
@@ -56,7 +56,7 @@
 
 // A step that was not finished says so and gives no point of a slope.
 func TestUnfinished(t *testing.T) {
-	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10, RegionServers: 4, Beat: time.Second, TTL: 10 * time.Second, Timeout: time.Nanosecond}
+	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10, RegionServers: 4, HeartbeatTimeout: time.Second, TTL: 10 * time.Second, Timeout: time.Nanosecond}
 	step, err := MeasureStep(t.Context(), 5, o)
 	if err == nil {
 		t.Fatal("finished within no time")
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -23,7 +23,7 @@
 	Coordinators  int           // processes
 	Command       []string      // that starts one
 	Dir           string        // for their files; it must be there
-	Beat          time.Duration // of the coordinators: how long a leader may be silent
+	HeartbeatTimeout          time.Duration // of the coordinators: how long a leader may be silent
 	RegionRouters int           // routers of a region,
 	RegionServers int           // and the servers that each of them sees
 	TTL           time.Duration // of the routers' sessions
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -28,7 +28,7 @@
 // NewRun begins a ladder.
 func NewRun(why string, o Options) *Run {
 	return &Run{Why: why, At: time.Now().UTC().Format("2006-01-02 15:04"), Cores: runtime.NumCPU(), Coordinators: o.Coordinators,
-		RegionRouters: o.RegionRouters, RegionServers: o.RegionServers, TTLS: o.TTL.Seconds(), BeatMS: millis(o.Beat), IdleS: o.Idle.Seconds()}
+		RegionRouters: o.RegionRouters, RegionServers: o.RegionServers, TTLS: o.TTL.Seconds(), BeatMS: millis(o.HeartbeatTimeout), IdleS: o.Idle.Seconds()}
 }
 
 // Leader is what the leader costs at rest.
