--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatalf("%d routers: %v", n, err)
 		}
-		if step.Routers != n || len(step.Idle) != 3 || step.Drains != 2 || step.Sightings != n*150 {
+		if step.Routers != n || len(step.Idle) != 3 || step.Drains != 2 || step.ReportedPairs != n*150 {
 			t.Errorf("%+v", step)
 		}
 		l, v := step.Leader(), step.Voter()
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -45,7 +45,7 @@
 // Step is a ladder's step: what so many hollow routers cost.
 type Step struct {
 	Routers   int     `json:"routers"`
-	Sightings int     `json:"sightings"` // pairs of a router and a server that it reports
+	ReportedPairs int     `json:"sightings"` // pairs of a router and a server that it reports
 	SessionS  float64 `json:"session_s"` // all at once: until all have a session,
 	FirstS    float64 `json:"first_s"`   // until all have what is drained,
 	ReportedS float64 `json:"reported_s"`
@@ -83,7 +83,7 @@
 
 // MeasureStep plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
 func MeasureStep(ctx context.Context, routers int, o Options) (step Step, err error) {
-	step.Routers, step.Sightings = routers, routers*o.RegionServers
+	step.Routers, step.ReportedPairs = routers, routers*o.RegionServers
 	if err := fleet.EnoughDescriptors(routers); err != nil {
 		step.Failed = err.Error()
 		return step, err
