--- a/lab/capacity/table.go
+++ b/lab/capacity/table.go
@@ -137,7 +137,7 @@
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, l := range lines {
 		straight := "yes"
-		if !l.Straight() {
+		if !l.IsLinear() {
 			straight = "no"
 		}
 		fmt.Fprintf(w, "| %s | %s over %ss | %s | %s, %s | %s | %s | %s, %.0f%% | %.3f | %s |\n", l.Name, l.Unit, l.Per, l.Run, number(l.From), number(l.To),
--- a/lab/scalingfit/scalingfit.go
+++ b/lab/scalingfit/scalingfit.go
@@ -80,8 +80,8 @@
 // At is the line's value at a size.
 func (l *Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Straight reports whether the points lie on the line as far as their spread tells.
-func (l *Line) Straight() bool { return l.Worst <= bendsFrom }
+// IsLinear reports whether the points lie on the line as far as their spread tells.
+func (l *Line) IsLinear() bool { return l.Worst <= bendsFrom }
 
 // Beyond is how many times the largest measured size a size is; 1 within what was measured.
 func (l *Line) Beyond(size float64) float64 { return max(1, size/l.To) }
--- a/lab/scalingfit/scalingfit_test.go
+++ b/lab/scalingfit/scalingfit_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(l.Slope-0.0002) > 1e-9 || math.Abs(l.Intercept-0.1) > 1e-9 || l.From != 100 || l.To != 5100 || l.Error > 1e-9 || !l.Straight() {
+	if math.Abs(l.Slope-0.0002) > 1e-9 || math.Abs(l.Intercept-0.1) > 1e-9 || l.From != 100 || l.To != 5100 || l.Error > 1e-9 || !l.IsLinear() {
 		t.Errorf("%+v", l)
 	}
 	if got := l.At(10200); math.Abs(got-2.14) > 1e-9 {
@@ -31,10 +31,10 @@
 
 // A square is no line, and a constant is one.
 func TestBent(t *testing.T) {
-	if l, err := Fit("s", "s", "router", "run", points(func(x float64) float64 { return x * x })); err != nil || l.Straight() {
+	if l, err := Fit("s", "s", "router", "run", points(func(x float64) float64 { return x * x })); err != nil || l.IsLinear() {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if l, err := Fit("s", "s", "router", "run", points(func(float64) float64 { return 3 })); err != nil || !l.Straight() || l.At(7) != 3 || l.R2 != 1 {
+	if l, err := Fit("s", "s", "router", "run", points(func(float64) float64 { return 3 })); err != nil || !l.IsLinear() || l.At(7) != 3 || l.R2 != 1 {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
