--- a/lab/capacity/figure.go
+++ b/lab/capacity/figure.go
@@ -60,7 +60,7 @@
 	if !ok {
 		return Figure{From: name}
 	}
-	return Figure{Value: l.At(routers), Unit: l.Unit, Known: true, Error: l.Error, From: name, Beyond: l.Beyond(routers), Bent: !l.IsLinear()}
+	return Figure{Value: l.At(routers), Unit: l.Unit, Known: true, Error: l.Error, From: name, Beyond: l.ExtrapolationFactor(routers), Bent: !l.IsLinear()}
 }
 
 // share is what so many routers of the whole fleet add to a line: its slope times their number.
@@ -69,7 +69,7 @@
 	if !ok {
 		return Figure{From: name}
 	}
-	return Figure{Value: l.Slope * routers, Unit: l.Unit, Known: true, Error: l.Error, From: "slope of " + name, Beyond: l.Beyond(m.Routers), Bent: !l.IsLinear()}
+	return Figure{Value: l.Slope * routers, Unit: l.Unit, Known: true, Error: l.Error, From: "slope of " + name, Beyond: l.ExtrapolationFactor(m.Routers), Bent: !l.IsLinear()}
 }
 
 // times multiplies a figure, which then has another unit.
--- a/lab/scalingfit/scalingfit.go
+++ b/lab/scalingfit/scalingfit.go
@@ -83,5 +83,5 @@
 // IsLinear reports whether the points lie on the line as far as their spread tells.
 func (l *Line) IsLinear() bool { return l.Worst <= bendsFrom }
 
-// Beyond is how many times the largest measured size a size is; 1 within what was measured.
-func (l *Line) Beyond(size float64) float64 { return max(1, size/l.To) }
+// ExtrapolationFactor is how many times the largest measured size a size is; 1 within what was measured.
+func (l *Line) ExtrapolationFactor(size float64) float64 { return max(1, size/l.To) }
--- a/lab/scalingfit/scalingfit_test.go
+++ b/lab/scalingfit/scalingfit_test.go
@@ -24,8 +24,8 @@
 	if got := l.At(10200); math.Abs(got-2.14) > 1e-9 {
 		t.Errorf("at 10,200: %v", got)
 	}
-	if l.Beyond(5100) != 1 || l.Beyond(10200) != 2 {
-		t.Errorf("beyond: %v, %v", l.Beyond(5100), l.Beyond(10200))
+	if l.ExtrapolationFactor(5100) != 1 || l.ExtrapolationFactor(10200) != 2 {
+		t.Errorf("beyond: %v, %v", l.ExtrapolationFactor(5100), l.ExtrapolationFactor(10200))
 	}
 }
 
