--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -20,16 +20,16 @@
 
 // Options say what is played.
 type Options struct {
-	Coordinators  int           // processes
-	Command       []string      // that starts one
-	Dir           string        // for their files; it must be there
-	HeartbeatTimeout          time.Duration // of the coordinators: how long a leader may be silent
-	RegionRouters int           // routers of a region,
-	RegionServers int           // and the servers that each of them sees
-	TTL           time.Duration // of the routers' sessions
-	Idle          time.Duration // over which the fleet at rest is measured
-	Drains        int           // drains of a server whose latency is measured
-	Timeout      time.Duration // for all routers to have what they wait for
+	Coordinators     int           // processes
+	Command          []string      // that starts one
+	Dir              string        // for their files; it must be there
+	HeartbeatTimeout time.Duration // of the coordinators: how long a leader may be silent
+	RegionRouters    int           // routers of a region,
+	RegionServers    int           // and the servers that each of them sees
+	TTL              time.Duration // of the routers' sessions
+	Idle             time.Duration // over which the fleet at rest is measured
+	Drains           int           // drains of a server whose latency is measured
+	Timeout          time.Duration // for all routers to have what they wait for
 }
 
 // Usage is what one process costs.
@@ -44,11 +44,11 @@
 
 // Step is a ladder's step: what so many hollow routers cost.
 type Step struct {
-	Routers   int     `json:"routers"`
+	Routers       int     `json:"routers"`
 	ReportedPairs int     `json:"sightings"` // pairs of a router and a server that it reports
-	SessionS  float64 `json:"session_s"` // all at once: until all have a session,
-	FirstS    float64 `json:"first_s"`   // until all have what is drained,
-	ReportedS float64 `json:"reported_s"`
+	SessionS      float64 `json:"session_s"` // all at once: until all have a session,
+	FirstS        float64 `json:"first_s"`   // until all have what is drained,
+	ReportedS     float64 `json:"reported_s"`
 	// Join is what the leader and the busiest other voter used until then, in seconds of processor time.
 	JoinLeaderCPUS float64 `json:"join_leader_cpu_s"`
 	JoinVoterCPUS  float64 `json:"join_voter_cpu_s"`
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -9,35 +9,65 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Sums are what the whole fleet did.
+// Sums holds the counts of a day over the whole fleet. Fields are written as JSON under the names
+// in their tags.
 type Sums struct {
-	Asked, Served, InTime, Failed int            // requests of clients, their tries taken together
-	Asks, Repeats                 int            // tries, and those that were not a client's first
-	TurnedAway                    int            // tries that were refused
-	Lost                          map[string]int // those not served in time, by how the first try ended
-	ByCause                       map[string]int
-	Attempts, Refusals            int // at cache servers, and connections that did not come up
-	Misses, Cancels, Full         int // attempts that missed, were given up by the router, were turned away
-	Fetches, SameKey              int // at the origin, and those while another of the key was out
-	Dials, Probes, Crossings      int
-	ForAll                        int     // of the probes, those by the one whose task it is
-	Wasted, Work                  float64 // work of attempts whose answer served nobody, and work asked for
-	Calls, Turned                 int     // for the list, and those that discovery turned away
-	Fallen                        int     // cold servers that were pushed over
-	Cold                          ColdSum // what cold servers were sent, beside what they bear
-	Servers                       []ServerSum
-	Bands                         [len(bands)]BandSum
-	Seconds                       []Second
-	Worth, Gained                 []float64 // by class
-	Price                         Prices    // what each has cost, as a share of the worth
+	// Client requests, with the tries of each taken together.
+	Asked  int `json:"Asked"`
+	Served int
+	InTime int
+	Failed int
+	// Tries, and those that were not the first of their client request.
+	Asks    int `json:"Asks"`
+	Repeats int `json:"Repeats"`
+	// TurnedAway counts the tries that a router rejected.
+	TurnedAway int `json:"TurnedAway"`
+	// Lost counts the requests not served in time, by how their first try ended.
+	Lost map[string]int `json:"Lost"`
+	// ByCause counts the rejected tries by the cause that the decision module gives.
+	ByCause map[string]int `json:"ByCause"`
+	// Attempts at cache servers, and connections that were not established.
+	Attempts int
+	Refusals int `json:"Refusals"`
+	// Attempts that missed, were canceled by the router, and found a full queue.
+	Misses  int
+	Cancels int
+	Full    int `json:"Full"`
+	// Fetches from the origin, and those while another fetch of the same key was in flight.
+	Fetches int
+	SameKey int `json:"SameKey"`
+	Dials   int
+	Probes  int
+	// Crossings counts the attempts at servers of another zone.
+	Crossings int `json:"Crossings"`
+	// ForAll counts the probes whose result is shared with all routers.
+	ForAll int `json:"ForAll"`
+	// Work of attempts whose answer was not used, and work of all client requests.
+	Wasted float64 `json:"Wasted"`
+	Work   float64 `json:"Work"`
+	// Calls of discovery for the endpoint list, and those that discovery rejected.
+	Calls  int `json:"Calls"`
+	Turned int `json:"Turned"`
+	// Fallen counts the cold servers that were overloaded until they collapsed.
+	Fallen int `json:"Fallen"`
+	// Cold compares what servers in slow start received with what they can take.
+	Cold    ColdSum
+	Servers []ServerSum
+	Bands   [len(bands)]BandSum
+	Seconds []Second
+	// Priority weight of all requests, and of those served in time, by class.
+	Worth  []float64 `json:"Worth"`
+	Gained []float64 `json:"Gained"`
+	// Price holds what each kind of overhead cost, as a share of the priority weight of all requests.
+	Price Prices
 }
 
 // ServerSum is what the fleet did at one cache server.
 type ServerSum struct {
 	Capacity                  float64 // work a millisecond, warm
 	Attempts, Misses, Cancels int
-	MS                        float64 // that its hits took, together,
-	Hits                      int     // and how many they were
+	MS                        float64 `json:"MS"` // duration of all hits together
+	Hits                      int
 }
 
 // Quarters adds the servers up in four parts of equal number, the least capacity first: what they can do, and what they
@@ -58,19 +88,33 @@
 
 // BandSum is what the fleet did for the keys of some ranks.
 type BandSum struct {
-	Below                                      int // rank
-	Asked, InTime, TurnedAway                  int
-	Attempts, Misses, Cancels, Places, AtMains int // Places: servers that a key was asked at, over its keys; AtMains: attempts at the main one of each
-	Keys                                       int
-	at                                         map[uint64]map[int]int
+	Below      int `json:"Below"` // upper bound of the ranks, exclusive
+	Asked      int `json:"Asked"`
+	InTime     int
+	TurnedAway int `json:"TurnedAway"`
+	Attempts   int
+	Misses     int
+	Cancels    int
+	// Places counts the servers that received attempts for a key, summed over the keys.
+	Places int `json:"Places"`
+	// AtMains counts the attempts at the server of each key that received most of its attempts.
+	AtMains int `json:"AtMains"`
+	Keys    int
+	at      map[uint64]map[int]int
 }
 
 // Second is what the fleet did in one second.
 type Second struct {
-	Asked, InTime                   int // in time: of those asked in this second
-	Asks, TurnedAway                int
-	Attempts, Misses, Cancels, Full int
-	Fetches, Dials                  int
+	Asked      int `json:"Asked"`
+	InTime     int // of the requests that arrived in this second
+	Asks       int `json:"Asks"`
+	TurnedAway int `json:"TurnedAway"`
+	Attempts   int
+	Misses     int
+	Cancels    int
+	Full       int `json:"Full"`
+	Fetches    int
+	Dials      int
 }
 
 // Ratio is a over b, 0 where there is no b.
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -4,20 +4,26 @@
 
 // ColdSum is what the whole fleet sent to servers in slow start.
 type ColdSum struct {
-	Starts   int        // servers that were started during the day
-	Over     int        // windows that went over the bound, one a server's process at most
-	Broken   int        // of these, those of which over two thirds came from routers that knew of the start
-	Most     ColdWindow // the window that came nearest to its bound, whoever sent
-	MostTold ColdWindow // the same, of what routers sent that knew of the start
+	Starts int // servers started during the day
+	// Over counts the windows over their bound, at most one for each process of a server.
+	Over int `json:"Over"`
+	// Broken counts those of Over with more than informedShare of their work from informed routers.
+	Broken int `json:"Broken"`
+	// Most is the window with the highest load relative to its bound.
+	Most ColdWindow `json:"Most"`
+	// MostTold is the same, counting only the work from routers that knew of the start.
+	MostTold ColdWindow `json:"MostTold"`
 }
 
 // ColdWindow is one window of the settings' length (FallFor) at one server in slow start. Requests are counted by their
 // work, in units of the mean.
 type ColdWindow struct {
-	Sent      float64 // all that arrived, probes included
-	Told      float64 // of that, what came from routers that knew of the start
-	Allowed   float64 // N: the settings' multiple of the server's true capacity at the end of the window
-	AgeMillis float64 // age of the server's process then
+	Sent float64 // all that arrived, probes included
+	// Told is the part of Sent from routers that knew of the start.
+	Told float64 `json:"Told"`
+	// Allowed is N: OverloadFactor times the server's true capacity at the end of the window.
+	Allowed   float64
+	AgeMillis float64 // age of the server's process at the end of the window
 }
 
 // Bound is what a cold server bears in a window: N and an allowance for chance.
