--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -53,7 +53,7 @@
 	case u < d.p.Keyed+d.p.Once:
 		w.class, w.write = 2, true
 	}
-	d.sums.Asked++
+	d.sums.Requests++
 	d.sums.Work += w.work
 	d.sums.Worth[w.class] += d.p.Config.Classes[w.class].PriorityWeight
 	d.second(d.now).Asked++
--- a/lab/simulation/hard_test.go
+++ b/lab/simulation/hard_test.go
@@ -72,8 +72,8 @@
 	if s.Fallen > 0 {
 		t.Errorf("%d cold servers were pushed over", s.Fallen)
 	}
-	if s.Served+s.Failed != s.Asked {
-		t.Errorf("%d requests ended of %d", s.Served+s.Failed, s.Asked)
+	if s.Served+s.Failed != s.Requests {
+		t.Errorf("%d requests ended of %d", s.Served+s.Failed, s.Requests)
 	}
 	return s.Service(), s.between(10, 15)
 }
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -13,7 +13,7 @@
 // in their tags.
 type Sums struct {
 	// Client requests, with the tries of each taken together.
-	Asked  int `json:"Asked"`
+	Requests  int `json:"Asked"`
 	Served int
 	InTime int
 	Failed int
@@ -173,17 +173,17 @@
 	add("served in time", s.Service())
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
-	add("asks a request", Ratio(s.Asks, s.Asked))
+	add("asks a request", Ratio(s.Asks, s.Requests))
 	add("refused of asks", Ratio(s.TurnedAway, s.Asks))
-	add("attempts a request", Ratio(s.Attempts, s.Asked))
+	add("attempts a request", Ratio(s.Attempts, s.Requests))
 	add("misses of attempts", Ratio(s.Misses, s.Attempts))
 	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
 	add("turned away of attempts", Ratio(s.Full, s.Attempts))
-	add("fetches a request", Ratio(s.Fetches, s.Asked))
+	add("fetches a request", Ratio(s.Fetches, s.Requests))
 	add("same key of fetches", Ratio(s.SameKey, s.Fetches))
-	add("dials a request", Ratio(s.Dials, s.Asked))
-	add("probes a request", Ratio(s.Probes, s.Asked))
-	add("  of these for all", Ratio(s.ForAll, s.Asked))
+	add("dials a request", Ratio(s.Dials, s.Requests))
+	add("probes a request", Ratio(s.Probes, s.Requests))
+	add("  of these for all", Ratio(s.ForAll, s.Requests))
 	add("wasted work", Ratio(s.Wasted, s.Work))
 	add("price of dials", s.Price.Dial)
 	add("price of crossings", s.Price.Cross)
@@ -252,8 +252,8 @@
 	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Asked == 0 { // the end, when nobody asks any more
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
-	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Asked), Waste: p.Waste * Ratio(s.Wasted, s.Work),
-		Probe: p.Probe * Ratio(s.Probes, s.Asked), Dial: p.Dial * Ratio(s.Dials, s.Asked), Call: p.Call * Ratio(s.Calls, s.Asked)}
+	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Requests), Waste: p.Waste * Ratio(s.Wasted, s.Work),
+		Probe: p.Probe * Ratio(s.Probes, s.Requests), Dial: p.Dial * Ratio(s.Dials, s.Requests), Call: p.Call * Ratio(s.Calls, s.Requests)}
 }
 
 // MeanWithInterval gives the mean of some values and the half width of its 95% confidence interval by Student's t.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -38,8 +38,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d routers, %d servers: %+v", p.Config.Routers, p.Servers, s)
-	if ended := s.Served + s.Failed; ended != s.Asked {
-		t.Errorf("%d requests ended of %d", ended, s.Asked)
+	if ended := s.Served + s.Failed; ended != s.Requests {
+		t.Errorf("%d requests ended of %d", ended, s.Requests)
 	}
 	return s
 }
@@ -59,8 +59,8 @@
 	for _, routers := range []int{1, 4, 80} {
 		p := fleet(routers, 30)
 		p.Warm = true
-		if s := play(t, p); Ratio(s.InTime, s.Asked) < 0.9 {
-			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Asked))
+		if s := play(t, p); Ratio(s.InTime, s.Requests) < 0.9 {
+			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Requests))
 		}
 	}
 }
@@ -81,8 +81,8 @@
 		if float64(s.Refusals) > float64(len(dead))*(0.8*float64(routers)+8) {
 			t.Errorf("%d routers: dead servers refused %d connections", routers, s.Refusals)
 		}
-		if Ratio(s.InTime, s.Asked) < 0.6 {
-			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Asked))
+		if Ratio(s.InTime, s.Requests) < 0.6 {
+			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Requests))
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		for _, x := range s.Seconds {
 			asked, in, dials, misses = asked+x.Asked, in+x.InTime, dials+x.Dials, misses+x.Misses
 		}
-		if asked != s.Asked || in != s.InTime || dials > s.Dials || misses > s.Misses || s.Asks != s.Asked+s.Repeats {
+		if asked != s.Requests || in != s.InTime || dials > s.Dials || misses > s.Misses || s.Asks != s.Requests+s.Repeats {
 			t.Errorf("%s: seconds don't add up to the day", kind)
 		}
 		if s.Fallen > 0 {
@@ -139,8 +139,8 @@
 				t.Errorf("%s: %d requests were lost without a story", kind, n)
 			}
 		}
-		if told != s.Asked-s.InTime {
-			t.Errorf("%s: stories of %d of the %d not in time", kind, told, s.Asked-s.InTime)
+		if told != s.Requests-s.InTime {
+			t.Errorf("%s: stories of %d of the %d not in time", kind, told, s.Requests-s.InTime)
 		}
 		if s.Service() < 0.5 || s.Price.Dial <= 0 || s.Price.Probe <= 0 {
 			t.Errorf("%s: service %.2f, G %.2f", kind, s.Service(), s.G())
