--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -57,7 +57,7 @@
 	d.sums.Work += w.work
 	d.sums.Worth[w.class] += d.p.Config.Classes[w.class].PriorityWeight
 	d.second(d.now).Asked++
-	d.band(w).Asked++
+	d.band(w).Requests++
 	router := draw(d.rng, d.parts)
 	w.zone = router % d.p.Zones
 	d.try(w, d.routers[router])
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -89,7 +89,7 @@
 // BandSum is what the fleet did for the keys of some ranks.
 type BandSum struct {
 	Below      int `json:"Below"` // upper bound of the ranks, exclusive
-	Asked      int `json:"Asked"`
+	Requests      int `json:"Asked"`
 	InTime     int
 	TurnedAway int `json:"TurnedAway"`
 	Attempts   int
