--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -56,7 +56,7 @@
 	d.sums.Requests++
 	d.sums.Work += w.work
 	d.sums.Worth[w.class] += d.p.Config.Classes[w.class].PriorityWeight
-	d.second(d.now).Asked++
+	d.second(d.now).Requests++
 	d.band(w).Requests++
 	router := draw(d.rng, d.parts)
 	w.zone = router % d.p.Zones
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -105,7 +105,7 @@
 
 // Second is what the fleet did in one second.
 type Second struct {
-	Asked      int `json:"Asked"`
+	Requests      int `json:"Asked"`
 	InTime     int // of the requests that arrived in this second
 	Asks       int `json:"Asks"`
 	TurnedAway int `json:"TurnedAway"`
@@ -154,7 +154,7 @@
 	for i := range s.Seconds {
 		var asked, in int
 		for _, x := range s.Seconds[i:min(len(s.Seconds), i+worstWindow)] {
-			asked, in = asked+x.Asked, in+x.InTime
+			asked, in = asked+x.Requests, in+x.InTime
 		}
 		if i > 0 && i+worstWindow > len(s.Seconds) {
 			break
@@ -204,7 +204,7 @@
 func (s *Sums) between(from, to int) float64 {
 	var asked, in int
 	for _, x := range s.Seconds[min(from, len(s.Seconds)):min(to, len(s.Seconds))] {
-		asked, in = asked+x.Asked, in+x.InTime
+		asked, in = asked+x.Requests, in+x.InTime
 	}
 	return Ratio(in, asked)
 }
@@ -249,7 +249,7 @@
 func (d *day) price() {
 	s, p := &d.sums, d.p.Prices
 	d.places()
-	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Asked == 0 { // the end, when nobody asks any more
+	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Requests == 0 { // the end, when nobody asks any more
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
 	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Requests), Waste: p.Waste * Ratio(s.Wasted, s.Work),
