--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -67,7 +67,7 @@
 func (d *day) try(w *wish, r *router) {
 	c := d.p.Config.Classes[w.class]
 	w.tries++
-	d.sums.Asks++
+	d.sums.Tries++
 	d.second(d.now).Asks++
 	if w.tries > 1 {
 		d.sums.Repeats++
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -18,7 +18,7 @@
 	InTime int
 	Failed int
 	// Tries, and those that were not the first of their client request.
-	Asks    int `json:"Asks"`
+	Tries    int `json:"Asks"`
 	Repeats int `json:"Repeats"`
 	// TurnedAway counts the tries that a router rejected.
 	TurnedAway int `json:"TurnedAway"`
@@ -173,8 +173,8 @@
 	add("served in time", s.Service())
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
-	add("asks a request", Ratio(s.Asks, s.Requests))
-	add("refused of asks", Ratio(s.TurnedAway, s.Asks))
+	add("asks a request", Ratio(s.Tries, s.Requests))
+	add("refused of asks", Ratio(s.TurnedAway, s.Tries))
 	add("attempts a request", Ratio(s.Attempts, s.Requests))
 	add("misses of attempts", Ratio(s.Misses, s.Attempts))
 	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
