--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -68,7 +68,7 @@
 	c := d.p.Config.Classes[w.class]
 	w.tries++
 	d.sums.Tries++
-	d.second(d.now).Asks++
+	d.second(d.now).Tries++
 	if w.tries > 1 {
 		d.sums.Repeats++
 	}
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -107,7 +107,7 @@
 type Second struct {
 	Requests      int `json:"Asked"`
 	InTime     int // of the requests that arrived in this second
-	Asks       int `json:"Asks"`
+	Tries       int `json:"Asks"`
 	TurnedAway int `json:"TurnedAway"`
 	Attempts   int
 	Misses     int
