--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -70,7 +70,7 @@
 	d.sums.Tries++
 	d.second(d.now).Tries++
 	if w.tries > 1 {
-		d.sums.Repeats++
+		d.sums.Retries++
 	}
 	if r.dead { // its connections are reset at once, and new ones are refused
 		w.story = cmp.Or(w.story, routerDead)
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -19,7 +19,7 @@
 	Failed int
 	// Tries, and those that were not the first of their client request.
 	Tries    int `json:"Asks"`
-	Repeats int `json:"Repeats"`
+	Retries int `json:"Repeats"`
 	// TurnedAway counts the tries that a router rejected.
 	TurnedAway int `json:"TurnedAway"`
 	// Lost counts the requests not served in time, by how their first try ended.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -127,7 +127,7 @@
 		for _, x := range s.Seconds {
 			asked, in, dials, misses = asked+x.Requests, in+x.InTime, dials+x.Dials, misses+x.Misses
 		}
-		if asked != s.Requests || in != s.InTime || dials > s.Dials || misses > s.Misses || s.Tries != s.Requests+s.Repeats {
+		if asked != s.Requests || in != s.InTime || dials > s.Dials || misses > s.Misses || s.Tries != s.Requests+s.Retries {
 			t.Errorf("%s: seconds don't add up to the day", kind)
 		}
 		if s.Fallen > 0 {
