--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -20,8 +20,8 @@
 	// Tries, and those that were not the first of their client request.
 	Tries    int `json:"Asks"`
 	Retries int `json:"Repeats"`
-	// TurnedAway counts the tries that a router rejected.
-	TurnedAway int `json:"TurnedAway"`
+	// Rejected counts the tries that a router rejected.
+	Rejected int `json:"TurnedAway"`
 	// Lost counts the requests not served in time, by how their first try ended.
 	Lost map[string]int `json:"Lost"`
 	// ByCause counts the rejected tries by the cause that the decision module gives.
@@ -174,7 +174,7 @@
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
 	add("asks a request", Ratio(s.Tries, s.Requests))
-	add("refused of asks", Ratio(s.TurnedAway, s.Tries))
+	add("refused of asks", Ratio(s.Rejected, s.Tries))
 	add("attempts a request", Ratio(s.Attempts, s.Requests))
 	add("misses of attempts", Ratio(s.Misses, s.Attempts))
 	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -182,7 +182,7 @@
 		d.serve(q.wish)
 		return
 	case refused:
-		d.sums.TurnedAway++
+		d.sums.Rejected++
 		d.sums.ByCause[r.b.Cause()]++
 		d.second(d.now).TurnedAway++
 		d.band(q.wish).TurnedAway++
