--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -91,7 +91,7 @@
 	Below      int `json:"Below"` // upper bound of the ranks, exclusive
 	Requests      int `json:"Asked"`
 	InTime     int
-	TurnedAway int `json:"TurnedAway"`
+	Rejected int `json:"TurnedAway"`
 	Attempts   int
 	Misses     int
 	Cancels    int
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -185,7 +185,7 @@
 		d.sums.Rejected++
 		d.sums.ByCause[r.b.Cause()]++
 		d.second(d.now).TurnedAway++
-		d.band(q.wish).TurnedAway++
+		d.band(q.wish).Rejected++
 	}
 	if q.wish.story == "" {
 		q.wish.story = [...]string{"served", "refused: " + r.b.Cause(), "failed", "left"}[how] + q.path()
