--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -108,7 +108,7 @@
 	Requests      int `json:"Asked"`
 	InTime     int // of the requests that arrived in this second
 	Tries       int `json:"Asks"`
-	TurnedAway int `json:"TurnedAway"`
+	Rejected int `json:"TurnedAway"`
 	Attempts   int
 	Misses     int
 	Cancels    int
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -184,7 +184,7 @@
 	case refused:
 		d.sums.Rejected++
 		d.sums.ByCause[r.b.Cause()]++
-		d.second(d.now).TurnedAway++
+		d.second(d.now).Rejected++
 		d.band(q.wish).Rejected++
 	}
 	if q.wish.story == "" {
