--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -246,11 +246,11 @@
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
 		fmt.Fprintln(w, "not in time, by how the first try ended:")
-		stories := slices.SortedFunc(maps.Keys(p.Sums.Lost), func(a, b string) int {
-			return cmp.Or(cmp.Compare(p.Sums.Lost[b], p.Sums.Lost[a]), cmp.Compare(a, b))
+		stories := slices.SortedFunc(maps.Keys(p.Sums.NotInTimeByOutcome), func(a, b string) int {
+			return cmp.Or(cmp.Compare(p.Sums.NotInTimeByOutcome[b], p.Sums.NotInTimeByOutcome[a]), cmp.Compare(a, b))
 		})
 		for _, s := range stories[:min(12, len(stories))] {
-			fmt.Fprintf(w, "%7d %s\n", p.Sums.Lost[s], s)
+			fmt.Fprintf(w, "%7d %s\n", p.Sums.NotInTimeByOutcome[s], s)
 		}
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -123,7 +123,7 @@
 	if !w.over {
 		w.over = true
 		d.sums.Failed++
-		d.sums.Lost[w.story]++
+		d.sums.NotInTimeByOutcome[w.story]++
 	}
 }
 
@@ -140,6 +140,6 @@
 		d.second(w.asked).InTime++
 		d.band(w).InTime++
 	} else {
-		d.sums.Lost["late, "+w.story]++
+		d.sums.NotInTimeByOutcome["late, "+w.story]++
 	}
 }
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -22,8 +22,8 @@
 	Retries int `json:"Repeats"`
 	// Rejected counts the tries that a router rejected.
 	Rejected int `json:"TurnedAway"`
-	// Lost counts the requests not served in time, by how their first try ended.
-	Lost map[string]int `json:"Lost"`
+	// NotInTimeByOutcome counts the requests not served in time, by how their first try ended.
+	NotInTimeByOutcome map[string]int `json:"Lost"`
 	// ByCause counts the rejected tries by the cause that the decision module gives.
 	ByCause map[string]int `json:"ByCause"`
 	// Attempts at cache servers, and connections that were not established.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -134,7 +134,7 @@
 			t.Errorf("%s: %d cold servers were pushed over", kind, s.Fallen)
 		}
 		told := 0
-		for story, n := range s.Lost {
+		for story, n := range s.NotInTimeByOutcome {
 			if told += n; story == "" {
 				t.Errorf("%s: %d requests were lost without a story", kind, n)
 			}
