--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -244,7 +244,7 @@
 				s.Attempts, simulation.Ratio(s.Misses, s.Attempts), simulation.Ratio(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
 		}
 		t.Flush()
-		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
+		fmt.Fprintln(w, "refused:", p.Sums.RejectedByCause)
 		fmt.Fprintln(w, "not in time, by how the first try ended:")
 		stories := slices.SortedFunc(maps.Keys(p.Sums.NotInTimeByOutcome), func(a, b string) int {
 			return cmp.Or(cmp.Compare(p.Sums.NotInTimeByOutcome[b], p.Sums.NotInTimeByOutcome[a]), cmp.Compare(a, b))
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -24,8 +24,8 @@
 	Rejected int `json:"TurnedAway"`
 	// NotInTimeByOutcome counts the requests not served in time, by how their first try ended.
 	NotInTimeByOutcome map[string]int `json:"Lost"`
-	// ByCause counts the rejected tries by the cause that the decision module gives.
-	ByCause map[string]int `json:"ByCause"`
+	// RejectedByCause counts the rejected tries by the cause that the decision module gives.
+	RejectedByCause map[string]int `json:"ByCause"`
 	// Attempts at cache servers, and connections that were not established.
 	Attempts int
 	Refusals int `json:"Refusals"`
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -183,7 +183,7 @@
 		return
 	case refused:
 		d.sums.Rejected++
-		d.sums.ByCause[r.b.Cause()]++
+		d.sums.RejectedByCause[r.b.Cause()]++
 		d.second(d.now).Rejected++
 		d.band(q.wish).Rejected++
 	}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -75,7 +75,7 @@
 	p.Config.CacheAside, p.Config.OriginKind, p.Config.PollEndpoints = true, "origin", true
 	d := &day{engine: engine{now: begin}, p: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), byID: map[uint32]*machine{},
 		fetching: map[uint64]int{}, out: map[uint64]*attempt{}, drained: map[uint32]bool{}, board: map[uint32]report{}, cold: map[*machine]*coldWindow{}}
-	d.sums.Servers, d.sums.ByCause = make([]ServerSum, p.Servers), map[string]int{}
+	d.sums.Servers, d.sums.RejectedByCause = make([]ServerSum, p.Servers), map[string]int{}
 	d.sums.NotInTimeByOutcome = map[string]int{}
 	d.sums.Worth, d.sums.Gained = make([]float64, len(p.Config.Classes)), make([]float64, len(p.Config.Classes))
 	d.popularity()
