--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -5,8 +5,8 @@
 // ColdSum is what the whole fleet sent to servers in slow start.
 type ColdSum struct {
 	Starts int // servers started during the day
-	// Over counts the windows over their bound, at most one for each process of a server.
-	Over int `json:"Over"`
+	// OverBound counts the windows over their bound, at most one for each process of a server.
+	OverBound int `json:"Over"`
 	// Broken counts those of Over with more than informedShare of their work from informed routers.
 	Broken int `json:"Broken"`
 	// Most is the window with the highest load relative to its bound.
@@ -69,7 +69,7 @@
 	}
 	if seen.Ratio() > 1 && !window.isOver {
 		window.isOver = true
-		d.sums.Cold.Over++
+		d.sums.Cold.OverBound++
 		d.sums.Cold.Broken += b2i(seen.Told > toldShare*seen.Sent)
 	}
 	d.sums.Cold.add(seen)
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -67,8 +67,8 @@
 			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.Told != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, %v sent", most, want)
 			}
-			if cold := d.sums.Cold; cold.Over != c.over || cold.Broken != c.broken {
-				t.Errorf("%d over, %d broken", cold.Over, cold.Broken)
+			if cold := d.sums.Cold; cold.OverBound != c.over || cold.Broken != c.broken {
+				t.Errorf("%d over, %d broken", cold.OverBound, cold.Broken)
 			}
 		})
 	}
