--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -7,8 +7,8 @@
 	Starts int // servers started during the day
 	// OverBound counts the windows over their bound, at most one for each process of a server.
 	OverBound int `json:"Over"`
-	// Broken counts those of Over with more than informedShare of their work from informed routers.
-	Broken int `json:"Broken"`
+	// OverBoundByInformed counts those of Over with more than informedShare of their work from informed routers.
+	OverBoundByInformed int `json:"Broken"`
 	// Most is the window with the highest load relative to its bound.
 	Most ColdWindow `json:"Most"`
 	// MostTold is the same, counting only the work from routers that knew of the start.
@@ -70,7 +70,7 @@
 	if seen.Ratio() > 1 && !window.isOver {
 		window.isOver = true
 		d.sums.Cold.OverBound++
-		d.sums.Cold.Broken += b2i(seen.Told > toldShare*seen.Sent)
+		d.sums.Cold.OverBoundByInformed += b2i(seen.Told > toldShare*seen.Sent)
 	}
 	d.sums.Cold.add(seen)
 }
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -29,8 +29,8 @@
 				if cold.Starts == 0 || cold.Most.Sent == 0 {
 					t.Errorf("%s, %d routers, seed %d: nothing was recorded", day, routers, p.Seed)
 				}
-				if cold.Broken > 0 {
-					t.Errorf("%s, %d routers, seed %d: %d of %d starts broken", day, routers, p.Seed, cold.Broken, cold.Starts)
+				if cold.OverBoundByInformed > 0 {
+					t.Errorf("%s, %d routers, seed %d: %d of %d starts broken", day, routers, p.Seed, cold.OverBoundByInformed, cold.Starts)
 				}
 			}
 		}
@@ -67,8 +67,8 @@
 			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.Told != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, %v sent", most, want)
 			}
-			if cold := d.sums.Cold; cold.OverBound != c.over || cold.Broken != c.broken {
-				t.Errorf("%d over, %d broken", cold.OverBound, cold.Broken)
+			if cold := d.sums.Cold; cold.OverBound != c.over || cold.OverBoundByInformed != c.broken {
+				t.Errorf("%d over, %d broken", cold.OverBound, cold.OverBoundByInformed)
 			}
 		})
 	}
