--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -9,8 +9,8 @@
 	OverBound int `json:"Over"`
 	// OverBoundByInformed counts those of Over with more than informedShare of their work from informed routers.
 	OverBoundByInformed int `json:"Broken"`
-	// Most is the window with the highest load relative to its bound.
-	Most ColdWindow `json:"Most"`
+	// Fullest is the window with the highest load relative to its bound.
+	Fullest ColdWindow `json:"Most"`
 	// MostTold is the same, counting only the work from routers that knew of the start.
 	MostTold ColdWindow `json:"MostTold"`
 }
@@ -80,8 +80,8 @@
 
 // add keeps a window if it is nearer to its bound than those before.
 func (c *ColdSum) add(seen ColdWindow) {
-	if seen.Ratio() > c.Most.Ratio() {
-		c.Most = seen
+	if seen.Ratio() > c.Fullest.Ratio() {
+		c.Fullest = seen
 	}
 	seen.Sent = seen.Told
 	if seen.Ratio() > c.MostTold.Ratio() {
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -26,7 +26,7 @@
 				}
 				cold := s.Cold
 				t.Logf("%s, %d routers, seed %d: %+v", day, routers, p.Seed, cold)
-				if cold.Starts == 0 || cold.Most.Sent == 0 {
+				if cold.Starts == 0 || cold.Fullest.Sent == 0 {
 					t.Errorf("%s, %d routers, seed %d: nothing was recorded", day, routers, p.Seed)
 				}
 				if cold.OverBoundByInformed > 0 {
@@ -63,7 +63,7 @@
 			send(knows, c.told-c.told/2)
 			d.now += window / 2
 			send(knows, c.told/2)
-			most := d.sums.Cold.Most
+			most := d.sums.Cold.Fullest
 			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.Told != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, %v sent", most, want)
 			}
