--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -196,7 +196,7 @@
 	add("and at the quick quarter", Ratio(q[3].MS, float64(q[3].Hits)))
 	add("cold servers pushed over", float64(s.Fallen))
 	add("most sent to a cold server, of its bound", s.Cold.Fullest.Ratio())
-	add("  by routers told of its start", s.Cold.MostTold.Ratio())
+	add("  by routers told of its start", s.Cold.FullestByInformed.Ratio())
 	return names, values
 }
 
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -11,8 +11,8 @@
 	OverBoundByInformed int `json:"Broken"`
 	// Fullest is the window with the highest load relative to its bound.
 	Fullest ColdWindow `json:"Most"`
-	// MostTold is the same, counting only the work from routers that knew of the start.
-	MostTold ColdWindow `json:"MostTold"`
+	// FullestByInformed is the same, counting only the work from routers that knew of the start.
+	FullestByInformed ColdWindow `json:"MostTold"`
 }
 
 // ColdWindow is one window of the settings' length (FallFor) at one server in slow start. Requests are counted by their
@@ -84,7 +84,7 @@
 		c.Fullest = seen
 	}
 	seen.Sent = seen.Told
-	if seen.Ratio() > c.MostTold.Ratio() {
-		c.MostTold = seen
+	if seen.Ratio() > c.FullestByInformed.Ratio() {
+		c.FullestByInformed = seen
 	}
 }
