--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -227,7 +227,7 @@
 		}
 		most, told := cold.Fullest, cold.FullestByInformed
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", p.Day, p.Size[0], p.Size[1], p.Seed,
-			cold.Starts, cold.OverBound, cold.OverBoundByInformed, most.AgeMillis, most.Allowed, most.Sent, most.Told, most.Bound(), told.Sent, told.Allowed, told.Bound())
+			cold.Starts, cold.OverBound, cold.OverBoundByInformed, most.AgeMillis, most.Allowed, most.Sent, most.SentByInformed, most.Bound(), told.Sent, told.Allowed, told.Bound())
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -19,8 +19,8 @@
 // work, in units of the mean.
 type ColdWindow struct {
 	Sent float64 // all that arrived, probes included
-	// Told is the part of Sent from routers that knew of the start.
-	Told float64 `json:"Told"`
+	// SentByInformed is the part of Sent from routers that knew of the start.
+	SentByInformed float64 `json:"Told"`
 	// Allowed is N: OverloadFactor times the server's true capacity at the end of the window.
 	Allowed   float64
 	AgeMillis float64 // age of the server's process at the end of the window
@@ -64,13 +64,13 @@
 	for _, arrival := range window.arrivals {
 		seen.Sent += arrival.requests
 		if arrival.told {
-			seen.Told += arrival.requests
+			seen.SentByInformed += arrival.requests
 		}
 	}
 	if seen.Ratio() > 1 && !window.isOver {
 		window.isOver = true
 		d.sums.Cold.OverBound++
-		d.sums.Cold.OverBoundByInformed += b2i(seen.Told > toldShare*seen.Sent)
+		d.sums.Cold.OverBoundByInformed += b2i(seen.SentByInformed > toldShare*seen.Sent)
 	}
 	d.sums.Cold.add(seen)
 }
@@ -83,7 +83,7 @@
 	if seen.Ratio() > c.Fullest.Ratio() {
 		c.Fullest = seen
 	}
-	seen.Sent = seen.Told
+	seen.Sent = seen.SentByInformed
 	if seen.Ratio() > c.FullestByInformed.Ratio() {
 		c.FullestByInformed = seen
 	}
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -64,7 +64,7 @@
 			d.now += window / 2
 			send(knows, c.told/2)
 			most := d.sums.Cold.Fullest
-			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.Told != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
+			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.SentByInformed != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, %v sent", most, want)
 			}
 			if cold := d.sums.Cold; cold.OverBound != c.over || cold.OverBoundByInformed != c.broken {
