--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -88,7 +88,7 @@
 
 // BandSum is what the fleet did for the keys of some ranks.
 type BandSum struct {
-	Below      int `json:"Below"` // upper bound of the ranks, exclusive
+	RankLimit      int `json:"Below"` // upper bound of the ranks, exclusive
 	Requests      int `json:"Asked"`
 	InTime     int
 	Rejected int `json:"TurnedAway"`
@@ -225,7 +225,7 @@
 		i++
 	}
 	b := &d.sums.Bands[i]
-	b.Below = bands[i]
+	b.RankLimit = bands[i]
 	return b
 }
 
