--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -95,8 +95,8 @@
 	Attempts   int
 	Misses     int
 	Cancels    int
-	// Places counts the servers that received attempts for a key, summed over the keys.
-	Places int `json:"Places"`
+	// ServersTried counts the servers that received attempts for a key, summed over the keys.
+	ServersTried int `json:"Places"`
 	// AtMains counts the attempts at the server of each key that received most of its attempts.
 	AtMains int `json:"AtMains"`
 	Keys    int
@@ -239,7 +239,7 @@
 			for _, n := range servers {
 				most = max(most, n)
 			}
-			b.Places, b.AtMains = b.Places+len(servers), b.AtMains+most
+			b.ServersTried, b.AtMains = b.ServersTried+len(servers), b.AtMains+most
 		}
 		b.at = nil // what is left compares
 	}
