--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -256,7 +256,7 @@
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
 			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.RankLimit, b.Keys, b.Requests, simulation.Ratio(b.InTime, b.Requests), b.Rejected,
-				b.Attempts, simulation.Ratio(b.AtMains, b.Attempts), simulation.Ratio(b.ServersTried, b.Keys), simulation.Ratio(b.Misses, b.Attempts),
+				b.Attempts, simulation.Ratio(b.AtMainServer, b.Attempts), simulation.Ratio(b.ServersTried, b.Keys), simulation.Ratio(b.Misses, b.Attempts),
 				simulation.Ratio(b.Cancels, b.Attempts))
 		}
 		t.Flush()
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -97,8 +97,8 @@
 	Cancels    int
 	// ServersTried counts the servers that received attempts for a key, summed over the keys.
 	ServersTried int `json:"Places"`
-	// AtMains counts the attempts at the server of each key that received most of its attempts.
-	AtMains int `json:"AtMains"`
+	// AtMainServer counts the attempts at the server of each key that received most of its attempts.
+	AtMainServer int `json:"AtMains"`
 	Keys    int
 	at      map[uint64]map[int]int
 }
@@ -239,7 +239,7 @@
 			for _, n := range servers {
 				most = max(most, n)
 			}
-			b.ServersTried, b.AtMains = b.ServersTried+len(servers), b.AtMains+most
+			b.ServersTried, b.AtMainServer = b.ServersTried+len(servers), b.AtMainServer+most
 		}
 		b.at = nil // what is left compares
 	}
