--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -32,7 +32,7 @@
 	// Attempts that missed, were canceled by the router, and found a full queue.
 	Misses  int
 	Cancels int
-	Full    int `json:"Full"`
+	QueueFull    int `json:"Full"`
 	// Fetches from the origin, and those while another fetch of the same key was in flight.
 	Fetches int
 	SameKey int `json:"SameKey"`
@@ -178,7 +178,7 @@
 	add("attempts a request", Ratio(s.Attempts, s.Requests))
 	add("misses of attempts", Ratio(s.Misses, s.Attempts))
 	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
-	add("turned away of attempts", Ratio(s.Full, s.Attempts))
+	add("turned away of attempts", Ratio(s.QueueFull, s.Attempts))
 	add("fetches a request", Ratio(s.Fetches, s.Requests))
 	add("same key of fetches", Ratio(s.SameKey, s.Fetches))
 	add("dials a request", Ratio(s.Dials, s.Requests))
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -398,7 +398,7 @@
 		at.Hits++
 		at.MS += d.now - a.sent
 	case st == decide.QueueFull:
-		d.sums.Full++
+		d.sums.QueueFull++
 		s.Full++
 	}
 	a.r.release(a, st == decide.OK || st == decide.Miss || st == decide.Failed || st == decide.QueueFull)
