--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -241,7 +241,7 @@
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
 			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Requests, simulation.Ratio(s.InTime, s.Requests), s.Tries, s.Rejected,
-				s.Attempts, simulation.Ratio(s.Misses, s.Attempts), simulation.Ratio(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
+				s.Attempts, simulation.Ratio(s.Misses, s.Attempts), simulation.Ratio(s.Cancels, s.Attempts), s.QueueFull, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.RejectedByCause)
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -112,7 +112,7 @@
 	Attempts   int
 	Misses     int
 	Cancels    int
-	Full       int `json:"Full"`
+	QueueFull       int `json:"Full"`
 	Fetches    int
 	Dials      int
 }
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -399,7 +399,7 @@
 		at.MS += d.now - a.sent
 	case st == decide.QueueFull:
 		d.sums.QueueFull++
-		s.Full++
+		s.QueueFull++
 	}
 	a.r.release(a, st == decide.OK || st == decide.Miss || st == decide.Failed || st == decide.QueueFull)
 	if st == decide.OK {
