--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -121,7 +121,7 @@
 			return err
 		}
 		routers, servers := report.Line{Name: p.Day + ": routers out, %", V: make([]float64, 3)}, report.Line{Name: p.Day + ": servers out, %", V: make([]float64, 3)}
-		for _, o := range pl.Out {
+		for _, o := range pl.OutBySecond {
 			routers.V, servers.V = append(routers.V, 100*float64(o[0])/float64(p.Size[0])), append(servers.V, 100*float64(o[1])/float64(p.Size[1]))
 		}
 		lines = append(lines, routers, servers)
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -34,7 +34,7 @@
 	TookMS  float64              // from the beginning to the last one back
 	Most    map[rollout.Kind]int // out by plan at once
 	Allowed map[rollout.Kind]int
-	Out     [][2]int // by second: routers and servers out for any reason, as the agreement sees it
+	OutBySecond     [][2]int // by second: routers and servers out for any reason, as the agreement sees it
 }
 
 // PlanRelease works out a release of all routers and a change of all servers, with whoever drives being quick. With lost a zone's
@@ -278,7 +278,7 @@
 			pl.Most[k] = max(pl.Most[k], n)
 		}
 		if steps%10 == 0 {
-			pl.Out = append(pl.Out, out)
+			pl.OutBySecond = append(pl.OutBySecond, out)
 		}
 		pl.TookMS = at() - beginMS
 		now += tick
