--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -13,12 +13,12 @@
 // in their tags.
 type Sums struct {
 	// Client requests, with the tries of each taken together.
-	Requests  int `json:"Asked"`
-	Served int
-	InTime int
-	Failed int
+	Requests int `json:"Asked"`
+	Served   int
+	InTime   int
+	Failed   int
 	// Tries, and those that were not the first of their client request.
-	Tries    int `json:"Asks"`
+	Tries   int `json:"Asks"`
 	Retries int `json:"Repeats"`
 	// Rejected counts the tries that a router rejected.
 	Rejected int `json:"TurnedAway"`
@@ -30,9 +30,9 @@
 	Attempts int
 	Refusals int `json:"Refusals"`
 	// Attempts that missed, were canceled by the router, and found a full queue.
-	Misses  int
-	Cancels int
-	QueueFull    int `json:"Full"`
+	Misses    int
+	Cancels   int
+	QueueFull int `json:"Full"`
 	// Fetches from the origin, and those while another fetch of the same key was in flight.
 	Fetches int
 	SameKey int `json:"SameKey"`
@@ -88,33 +88,33 @@
 
 // BandSum is what the fleet did for the keys of some ranks.
 type BandSum struct {
-	RankLimit      int `json:"Below"` // upper bound of the ranks, exclusive
-	Requests      int `json:"Asked"`
-	InTime     int
-	Rejected int `json:"TurnedAway"`
-	Attempts   int
-	Misses     int
-	Cancels    int
+	RankLimit int `json:"Below"` // upper bound of the ranks, exclusive
+	Requests  int `json:"Asked"`
+	InTime    int
+	Rejected  int `json:"TurnedAway"`
+	Attempts  int
+	Misses    int
+	Cancels   int
 	// ServersTried counts the servers that received attempts for a key, summed over the keys.
 	ServersTried int `json:"Places"`
 	// AtMainServer counts the attempts at the server of each key that received most of its attempts.
 	AtMainServer int `json:"AtMains"`
-	Keys    int
-	at      map[uint64]map[int]int
+	Keys         int
+	at           map[uint64]map[int]int
 }
 
 // Second is what the fleet did in one second.
 type Second struct {
-	Requests      int `json:"Asked"`
-	InTime     int // of the requests that arrived in this second
-	Tries       int `json:"Asks"`
-	Rejected int `json:"TurnedAway"`
-	Attempts   int
-	Misses     int
-	Cancels    int
-	QueueFull       int `json:"Full"`
-	Fetches    int
-	Dials      int
+	Requests  int `json:"Asked"`
+	InTime    int // of the requests that arrived in this second
+	Tries     int `json:"Asks"`
+	Rejected  int `json:"TurnedAway"`
+	Attempts  int
+	Misses    int
+	Cancels   int
+	QueueFull int `json:"Full"`
+	Fetches   int
+	Dials     int
 }
 
 // Ratio is a over b, 0 where there is no b.
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -30,11 +30,11 @@
 
 // Planned is a time line that internal/rollout has worked out.
 type Planned struct {
-	Faults  []Fault
-	TookMS  float64              // from the beginning to the last one back
-	Most    map[rollout.Kind]int // out by plan at once
-	Allowed map[rollout.Kind]int
-	OutBySecond     [][2]int // by second: routers and servers out for any reason, as the agreement sees it
+	Faults      []Fault
+	TookMS      float64              // from the beginning to the last one back
+	Most        map[rollout.Kind]int // out by plan at once
+	Allowed     map[rollout.Kind]int
+	OutBySecond [][2]int // by second: routers and servers out for any reason, as the agreement sees it
 }
 
 // PlanRelease works out a release of all routers and a change of all servers, with whoever drives being quick. With lost a zone's
