--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -27,7 +27,7 @@
 	return NewModel(sizes, lines), lines
 }
 
-// The page is what the tool writes from the sizes and slopes that are shipped.
+// docs/CAPACITY.md is what the tool writes from the shipped sizes and slopes.
 func TestPage(t *testing.T) {
 	m, lines := shippedModel(t)
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
@@ -39,23 +39,24 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(page, filled) {
-		t.Error("docs/CAPACITY.md is not what its tool writes: 'dockhinge-lab capacity --page docs/CAPACITY.md'")
+		t.Error("docs/CAPACITY.md is out of date; update it with 'dockhinge-lab capacity --page docs/CAPACITY.md'")
 	}
 }
 
-// A page without its markers is left alone.
+// A page that lacks a marker is rejected.
 func TestPageWithoutMarkers(t *testing.T) {
 	if _, err := FillPage([]byte("# Capacity\n"+beginMarker), &Model{}, nil); err == nil {
-		t.Error("it was filled")
+		t.Error("a page without the end marker was filled")
 	}
 }
 
-// line is a straight one through the origin, measured up to a size.
+// line returns a line through the origin, measured up to a size.
 func line(name string, perRouter, to float64) scalingfit.Line {
 	return scalingfit.Line{Name: name, Unit: "cores", Per: "router", Slope: perRouter, From: 1, To: to, R2: 1}
 }
 
-// A row over its budget is red, one that no run gave is said to be not measured, and doubling the size doubles a figure.
+// A row over its budget is red, a row without a line is not measured, and doubling the size doubles a
+// figure.
 func TestStates(t *testing.T) {
 	sizes, err := ShippedSizes()
 	if err != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// A sum with a part that no run gave is not measured.
+// A sum with a part that was not measured is not measured.
 func TestUnknownParts(t *testing.T) {
 	if bySizes(1, "bytes").plus(notMeasured("bytes")).Known {
 		t.Error("a sum with an unknown part is known")
@@ -99,26 +100,27 @@
 	}
 }
 
-// Sizes are set by key, and what is no key is a mistake.
+// Sizes are set by key; unknown keys and malformed values are errors.
 func TestSet(t *testing.T) {
 	sizes, err := ShippedSizes()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := sizes.Set([]string{"routers=300", "purge_within_s = 1.5"}); err != nil || sizes.Routers != 300 || sizes.PurgeWithinS != 1.5 || sizes.Servers != 2500 {
+	if err := sizes.Set([]string{"routers=300", "purge_within_s = 1.5"}); err != nil ||
+		sizes.Routers != 300 || sizes.PurgeWithinS != 1.5 || sizes.Servers != 2500 {
 		t.Errorf("%+v, %v", sizes, err)
 	}
 	for _, wrong := range []string{"routers", "router=3", "routers=many"} {
 		if sizes.Set([]string{wrong}) == nil {
-			t.Errorf("%s was taken", wrong)
+			t.Errorf("%s was accepted", wrong)
 		}
 	}
 	if _, err := ParseSizes([]byte("routres = 3\n")); err == nil {
-		t.Error("an unknown key was taken")
+		t.Error("an unknown key was accepted")
 	}
 }
 
-// Each row says what carries it, and no table of a role is missing.
+// Each row has an event, a figure and a mechanism, and each role has a table.
 func TestRowsAreWhole(t *testing.T) {
 	m, _ := shippedModel(t)
 	tables := Tables()
@@ -139,16 +141,17 @@
 	}
 }
 
-// Numbers keep three digits.
+// Numbers are rounded to three significant digits.
 func TestNumber(t *testing.T) {
-	for want, v := range map[string]float64{"0": 0, "12,800,000": 12.75e6, "0.000181": 0.0001811, "246,000": 245535, "1.3": 1.3, "-1,230": -1234, "1,000": 999.9} {
+	for want, v := range map[string]float64{"0": 0, "12,800,000": 12.75e6, "0.000181": 0.0001811,
+		"246,000": 245535, "1.3": 1.3, "-1,230": -1234, "1,000": 999.9} {
 		if got := number(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
 		}
 	}
 }
 
-// A plot has what it is asked for, and names nothing else.
+// Plot draws the named lines and fails if there are none.
 func TestPlot(t *testing.T) {
 	_, lines := shippedModel(t)
 	path := filepath.Join(t.TempDir(), "plot.svg")
@@ -160,6 +163,6 @@
 		t.Errorf("%d bytes, %v", len(text), err)
 	}
 	if Plot(path, "Nothing", lines, "x") == nil {
-		t.Error("nothing was drawn")
+		t.Error("a plot without lines was accepted")
 	}
 }
--- a/lab/capacity/dataplane.go
+++ b/lab/capacity/dataplane.go
@@ -41,19 +41,21 @@
 	}}
 }
 
-// listEntries is over how many entries the bytes of one are averaged.
+// listEntries is the number of entries over which ListEntryBytes averages.
 const listEntries = 1000
 
-// ListEntryBytes is what one server takes on discovery's list, as JSON and uncompressed: measured on a list made for it.
+// ListEntryBytes returns the mean size in bytes of a server's entry in the endpoint list of discovery, as
+// uncompressed JSON. It encodes a generated list to measure it.
 func ListEntryBytes() float64 {
 	list := model.List{Version: 1, Full: true}
 	for i := range listEntries {
-		list.Servers = append(list.Servers, model.Entry{ID: fmt.Sprintf("s-%08d", i), Addr: fmt.Sprintf("10.1.%d.%d:11211", i/200, i%200), Zone: "region-01-a",
+		list.Servers = append(list.Servers, model.Entry{ID: fmt.Sprintf("s-%08d", i),
+			Addr: fmt.Sprintf("10.1.%d.%d:11211", i/200, i%200), Zone: "region-01-a",
 			Kind: "box", Cell: i % 8, State: "active", Weight: 1, Started: 1764651600000})
 	}
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // impossible: the list has only strings and finite numbers
 	}
 	return float64(len(text)) / listEntries
 }
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -9,15 +9,15 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// The markers between which the tool writes in the page.
+// The generated part of the page is between these markers.
 const (
 	beginMarker = "<!-- dockhinge-lab capacity: begin -->\n"
 	endMarker   = "<!-- dockhinge-lab capacity: end -->\n"
 )
 
-var errNoMarkers = errors.New("its markers are missing")
+var errNoMarkers = errors.New("the page lacks the markers of the generated part")
 
-// FillPage puts the tables between a page's markers.
+// FillPage returns the page with the tables between its markers, or an error if a marker is missing.
 func FillPage(page []byte, m *Model, lines []scalingfit.Line) ([]byte, error) {
 	before, rest, ok := bytes.Cut(page, []byte(beginMarker))
 	if !ok {
@@ -36,7 +36,7 @@
 	return out.Bytes(), nil
 }
 
-// UpdatePage writes the tables into a page's file.
+// UpdatePage replaces the tables in the file of a page.
 func UpdatePage(path string, m *Model, lines []scalingfit.Line) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
--- a/lab/capacity/plot.go
+++ b/lab/capacity/plot.go
@@ -12,16 +12,17 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// Measures of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// errNothingToPlot tells that none of the names is a line.
-var errNothingToPlot = errors.New("no such lines")
+// errNothingToPlot is returned if no line has one of the names.
+var errNothingToPlot = errors.New("no line has one of the names")
 
-// Plot draws measured points and their lines over the size into an SVG file; all must have one unit.
+// Plot draws the named lines and their measured points over the size into an SVG file. All of them must
+// have the same unit. Names without a line are ignored unless there is no line at all.
 func Plot(path, title string, lines []scalingfit.Line, names ...string) error {
 	p := plot.New()
 	p.Title.Text = title
--- a/lab/capacity/rows.go
+++ b/lab/capacity/rows.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Mechanisms that carry a row.
+// Mechanisms that rows depend on. These and all texts of the rows are printed in docs/CAPACITY.md.
 const (
 	bySession    = "sessions and keep-alives at the leader (internal/coord)"
 	byWatch      = "a long poll at the leader, and a barrier in its log for each answer (internal/coord/node)"
@@ -20,7 +20,7 @@
 	bitsPerByte   = 8
 )
 
-// Tables are all rows, role by role.
+// Tables returns all tables, one for each role.
 func Tables() []Table {
 	return []Table{routerTable(), leaderTable(), voterTable(), observerTable(), operatorsTable(), proberTable(), serverTable(), dataPlaneTable()}
 }
@@ -28,7 +28,7 @@
 // perRouter divides a figure of the whole fleet by its routers.
 func (m *Model) perRouter(f Figure, unit string) Figure { return f.times(1/m.Routers, unit) }
 
-// perDay is how much of something happens a second.
+// perDay converts a number per day to one per second.
 func perDay(n float64) float64 { return n / secondsPerDay }
 
 func routerBytesBudget(m *Model) float64 { return m.RouterBytesPerS }
@@ -166,7 +166,7 @@
 	}}
 }
 
-// maxAnswerBytes is the most that a client of the coordinators reads of one answer (internal/coord/client).
+// maxAnswerBytes is the largest answer that internal/coord/client reads.
 const maxAnswerBytes = 8 << 20
 
 func proberTable() Table {
@@ -179,5 +179,5 @@
 	}}
 }
 
-// probeLeases is into how many leases the servers are dealt (internal/healthcheck).
+// probeLeases is the number of leases over which the servers are spread (internal/healthcheck).
 const probeLeases = 16
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -1,18 +1,19 @@
-// Package capacity works out what the control plane and the connections of the data plane cost at a given size of the fleet, from
-// slopes that were measured, and writes the tables of docs/CAPACITY.md. It holds no sizes and no measurements itself: sizes come
-// from a TOML file, slopes from the file of a ladder. What no run gave is said to be not measured.
+// Package capacity computes what the control plane and the connections of the data plane cost at a given
+// size of the fleet, and writes the tables of docs/CAPACITY.md. The sizes come from a TOML file, the
+// slopes from the file of a ladder of measurements. A figure that no run measured is printed as "not
+// measured".
 package capacity
 
 import (
 	"bytes"
-	_ "embed" // the sizes that are shipped
+	_ "embed" // for sizes.toml
 	"fmt"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Sizes are what the tables are worked out for. sizes.toml says what each is.
+// Sizes describes the fleet that the tables are computed for. sizes.toml documents each field.
 type Sizes struct {
 	Routers                    float64 `toml:"routers"`
 	Sites                      float64 `toml:"sites"`
@@ -59,10 +60,10 @@
 //go:embed sizes.toml
 var shipped []byte
 
-// ShippedSizes are those of sizes.toml.
+// ShippedSizes returns the sizes in the embedded sizes.toml.
 func ShippedSizes() (Sizes, error) { return ParseSizes(shipped) }
 
-// ParseSizes reads a file of sizes. Unknown keys are mistakes.
+// ParseSizes reads the TOML text of a file of sizes. Unknown keys are errors.
 func ParseSizes(text []byte) (s Sizes, err error) {
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
 		return s, fmt.Errorf("sizes: %w", err)
@@ -70,7 +71,7 @@
 	return s, nil
 }
 
-// Set changes sizes by KEY=VALUE, in the words of the file.
+// Set changes sizes by assignments of the form KEY=VALUE, with the keys of the file.
 func (s *Sizes) Set(assignments []string) error {
 	for _, assignment := range assignments {
 		if !strings.Contains(assignment, "=") {
--- a/lab/capacity/table.go
+++ b/lab/capacity/table.go
@@ -8,26 +8,26 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// Row is one figure of a role at one event.
+// Row is one figure of a role during an event.
 type Row struct {
 	Event     string
 	What      string
 	Figure    func(*Model) Figure
-	Budget    func(*Model) float64 // nil: nobody gave one
-	CarriedBy string               // the mechanism, with its issue where it is missing
-	Breaks    string               // what does first when the size doubles
+	Budget    func(*Model) float64 // nil: no budget is given
+	CarriedBy string               // the mechanism that the figure depends on, with the issue number if it is missing
+	Breaks    string               // the first limit reached when the size doubles
 }
 
-// Table is all rows of a role.
+// Table holds all rows of a role.
 type Table struct {
 	Role string
 	Rows []Row
 }
 
-// State is how a row stands.
+// State compares a row with its budget.
 type State string
 
-// The states.
+// The states, as printed.
 const (
 	Fits        State = "fits"
 	Red         State = "RED"
@@ -35,7 +35,7 @@
 	NoBudget    State = "no budget"
 )
 
-// State tells how a row stands for a model.
+// State returns the state of the row for a model.
 func (r *Row) State(m *Model) State {
 	f := r.Figure(m)
 	switch {
@@ -49,7 +49,7 @@
 	return Fits
 }
 
-// margin is how much of the budget is left.
+// margin formats the unused share of the budget; it is empty without a value or a budget.
 func (r *Row) margin(m *Model) string {
 	state := r.State(m)
 	if state == NotMeasured || state == NoBudget {
@@ -63,7 +63,7 @@
 	return text
 }
 
-// budget is it in words.
+// budget formats the budget with its unit.
 func (r *Row) budget(m *Model) string {
 	if r.Budget == nil {
 		return ""
@@ -71,7 +71,7 @@
 	return number(r.Budget(m)) + " " + r.Figure(m).Unit
 }
 
-// twice is the figure at twice the size, red where it then is.
+// twice formats the figure at twice the size, marked red if it then exceeds its budget.
 func (r *Row) twice(m *Model) string {
 	double := m.doubled()
 	f := r.Figure(double)
@@ -88,7 +88,7 @@
 	return text
 }
 
-// Write writes the table.
+// Write writes the table as Markdown.
 func (t *Table) Write(w io.Writer, m *Model) {
 	fmt.Fprintf(w, "### %s\n\n", t.Role)
 	fmt.Fprintln(w, "| event | figure | value | from | budget | margin | carried by | at twice the size |")
@@ -102,7 +102,8 @@
 	fmt.Fprintln(w)
 }
 
-// WriteAll writes what the page has between its markers: all red rows, the tables, and the lines that they rest on.
+// WriteAll writes the generated part of the page: all red rows, the tables, and the lines that they are
+// computed from.
 func WriteAll(w io.Writer, m *Model, lines []scalingfit.Line) {
 	tables := Tables()
 	writeRed(w, m, tables)
@@ -112,7 +113,7 @@
 	writeLines(w, lines)
 }
 
-// writeRed names the rows that don't fit and counts the others.
+// writeRed lists the rows that exceed their budget and counts the rows by state.
 func writeRed(w io.Writer, m *Model, tables []Table) {
 	count := map[State]int{}
 	fmt.Fprintf(w, "### Red rows, for %s routers before %s cache servers\n\n", number(m.Routers), number(m.Servers))
@@ -122,14 +123,16 @@
 			state := r.State(m)
 			count[state]++
 			if state == Red {
-				fmt.Fprintf(w, "- %s, %s, %s: %s of %s. %s.\n", t.Role, r.Event, r.What, r.Figure(m).text(), r.budget(m), r.CarriedBy)
+				fmt.Fprintf(w, "- %s, %s, %s: %s of %s. %s.\n",
+					t.Role, r.Event, r.What, r.Figure(m).text(), r.budget(m), r.CarriedBy)
 			}
 		}
 	}
-	fmt.Fprintf(w, "\n%d rows are red, %d fit, %d have no budget, %d were not measured.\n\n", count[Red], count[Fits], count[NoBudget], count[NotMeasured])
+	fmt.Fprintf(w, "\n%d rows are red, %d fit, %d have no budget, %d were not measured.\n\n",
+		count[Red], count[Fits], count[NoBudget], count[NotMeasured])
 }
 
-// writeLines writes the lines with the runs that gave them.
+// writeLines writes the lines with the runs that measured them.
 func writeLines(w io.Writer, lines []scalingfit.Line) {
 	fmt.Fprintln(w, "### Slopes")
 	fmt.Fprintln(w)
@@ -140,8 +143,9 @@
 		if !l.IsLinear() {
 			straight = "no"
 		}
-		fmt.Fprintf(w, "| %s | %s over %ss | %s | %s, %s | %s | %s | %s, %.0f%% | %.3f | %s |\n", l.Name, l.Unit, l.Per, l.Run, number(l.From), number(l.To),
-			number(l.Intercept), number(1000*l.Slope), number(l.Error), 100*l.Worst, l.R2, straight)
+		fmt.Fprintf(w, "| %s | %s over %ss | %s | %s, %s | %s | %s | %s, %.0f%% | %.3f | %s |\n",
+			l.Name, l.Unit, l.Per, l.Run, number(l.From),
+			number(l.To), number(l.Intercept), number(1000*l.Slope), number(l.Error), 100*l.Worst, l.R2, straight)
 	}
 	fmt.Fprintln(w)
 }
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -20,7 +20,7 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Times of a group of coordinators.
+// Timeouts of a group of coordinators, and the pause between two polls.
 const (
 	startWithin  = 20 * time.Second
 	endWithin    = 5 * time.Second
@@ -28,19 +28,20 @@
 	askAgain     = 50 * time.Millisecond
 )
 
-// coordinator is one process.
+// coordinator is one coordinator process.
 type coordinator struct {
 	name, listen, api string
 	command           []string
 	log               string
 	cmd               *exec.Cmd
-	done              chan struct{} // closed at its end
+	done              chan struct{} // closed when the process has ended
 }
 
-// group is a group of coordinators that are real processes, without faults.
+// group is a group of coordinators, each a real process without injected faults.
 type group struct{ all []*coordinator }
 
-// startGroup starts coordinators in a directory, has them form a group and brings this program's version in force.
+// startGroup starts the coordinators, forms a group of them and upgrades it to the state version of
+// this program.
 func startGroup(ctx context.Context, o Options) (g *group, err error) {
 	g = &group{}
 	defer func() {
@@ -69,7 +70,7 @@
 	return g, repeat(ctx, startWithin, func() error { return g.upgrade(ctx) })
 }
 
-// startCoordinator starts one process with addresses and a directory of its own.
+// startCoordinator starts one process with its own addresses and directory.
 func startCoordinator(name string, o Options) (*coordinator, error) {
 	c := &coordinator{name: name, log: filepath.Join(o.Dir, name+".log")}
 	var err error
@@ -80,7 +81,8 @@
 		return nil, err
 	}
 	file := filepath.Join(o.Dir, name+".toml")
-	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name, filepath.Join(o.Dir, name), c.listen, c.api, o.HeartbeatTimeout)
+	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name,
+		filepath.Join(o.Dir, name), c.listen, c.api, o.HeartbeatTimeout)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -88,7 +90,7 @@
 	return c, c.start()
 }
 
-// start starts the process, also again after its end.
+// start starts the process, or restarts it after it has ended.
 func (c *coordinator) start() error {
 	cmd, err := fleet.Spawn(c.command, nil, c.log)
 	if err != nil {
@@ -96,17 +98,17 @@
 	}
 	done := make(chan struct{})
 	c.cmd, c.done = cmd, done
-	go func() { // ended by the end of the process, which close waits for
-		_ = cmd.Wait() // what became of it is seen by its answers
+	go func() { // returns when the process ends; close waits for it
+		_ = cmd.Wait() // a process that failed shows by its missing answers
 		close(done)
 	}()
 	return nil
 }
 
-// restart kills all coordinators at once and starts them again with their directories.
+// restart kills all coordinators at once and restarts them on their directories.
 func (g *group) restart() error {
 	for _, c := range g.all {
-		_ = c.cmd.Process.Kill() // it may have ended
+		_ = c.cmd.Process.Kill() // the process may have ended
 	}
 	for _, c := range g.all {
 		<-c.done
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// upgrade brings the commands and bounds of this program in force.
+// upgrade raises the group to the commands and limits of this program's state version.
 func (g *group) upgrade(ctx context.Context) error {
 	l, _, err := g.leader(ctx)
 	if err != nil {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// status asks a coordinator how it stands.
+// status returns the status that the coordinator reports.
 func (c *coordinator) status(ctx context.Context) (s node.Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusWithin)
 	defer cancel()
@@ -143,7 +145,7 @@
 
 var errNoLeader = errors.New("no coordinator leads")
 
-// leader finds the one that leads in the highest term.
+// leader returns the coordinator that reports to lead in the highest term, and its status.
 func (g *group) leader(ctx context.Context) (l *coordinator, status node.Status, err error) {
 	for _, c := range g.all {
 		if s, err := c.status(ctx); err == nil && s.State == "Leader" && s.Term > status.Term {
@@ -156,7 +158,7 @@
 	return l, status, nil
 }
 
-// addresses are those for clients, by name.
+// addresses returns the API addresses of the coordinators by name.
 func (g *group) addresses() map[string]string {
 	all := map[string]string{}
 	for _, c := range g.all {
@@ -165,10 +167,10 @@
 	return all
 }
 
-// close ends all processes and waits for them.
+// close terminates all processes and waits until they have ended.
 func (g *group) close() {
 	for _, c := range g.all {
-		_ = c.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = c.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 	}
 	over := time.After(endWithin)
 	for _, c := range g.all {
@@ -181,15 +183,16 @@
 	}
 }
 
-// use is what a process has used since its start, and holds now.
+// use is the resource use of a process: CPU time and bytes read since its start, memory and
+// descriptors at present.
 type use struct {
 	cpu         time.Duration
 	residentMB  float64
 	descriptors int
-	readBytes   int64 // by read calls: sockets, as the log and the state's files are mapped or only written
+	readBytes   int64 // by read calls; nearly all from sockets, as log and state files are mapped or only written
 }
 
-// processUse reads it from /proc.
+// processUse reads the resource use of a process from /proc.
 func processUse(pid int) (u use, err error) {
 	p, err := fleet.ProcessUse(pid)
 	if err != nil {
@@ -208,7 +211,7 @@
 	return u, err
 }
 
-// repeat tries until f succeeds or the time is over.
+// repeat calls f until it succeeds; when ctx ends or the time is up, it returns the last error of f.
 func repeat(ctx context.Context, within time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -21,9 +21,9 @@
 	return []string{path}
 }
 
-// A small fleet joins three coordinators, rests, and follows drains: all have each, and every figure is there.
+// A small fleet joins three coordinators, rests, and applies drains; every figure of a step is measured.
 func TestPlay(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute) // a bound for a machine that is busy: 10 s on one that is not
+	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute) // takes 10 s on an idle machine
 	defer cancel()
 	o := Options{Coordinators: 3, Command: coordCommand(t), RegionRouters: 20, RegionServers: 150, TTL: 3 * time.Second,
 		HeartbeatTimeout: time.Second, Idle: 2 * time.Second, Drains: 2, Timeout: 40 * time.Second}
@@ -44,8 +44,9 @@
 		if step.RouterInPerS <= 0 || step.RouterOutPerS <= 0 || step.Connections < 1 || step.JoinRouterOut <= 0 || step.DrainRouterIn <= 0 {
 			t.Errorf("%+v", step)
 		}
-		if step.SessionS > step.ReportedS || step.DrainP50MS > step.DrainP99MS || step.DrainP99MS > step.DrainLastMS || step.DrainLastMS > step.DrainAckedMS || step.RestartS <= 0 || step.RestartFailed != "" {
-			t.Errorf("times out of order: %+v", step)
+		if step.SessionS > step.ReportedS || step.DrainP50MS > step.DrainP99MS || step.DrainP99MS > step.DrainLastMS ||
+			step.DrainLastMS > step.DrainAckedMS || step.RestartS <= 0 || step.RestartFailed != "" {
+			t.Errorf("durations in the wrong order, or the restart failed: %+v", step)
 		}
 		run.Steps = append(run.Steps, step)
 	}
@@ -54,12 +55,13 @@
 	}
 }
 
-// A step that was not finished says so and gives no point of a slope.
+// An unfinished step returns an error and gives no point for the slopes.
 func TestUnfinished(t *testing.T) {
-	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10, RegionServers: 4, HeartbeatTimeout: time.Second, TTL: 10 * time.Second, Timeout: time.Nanosecond}
+	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10,
+		RegionServers: 4, HeartbeatTimeout: time.Second, TTL: 10 * time.Second, Timeout: time.Nanosecond}
 	step, err := MeasureStep(t.Context(), 5, o)
 	if err == nil {
-		t.Fatal("finished within no time")
+		t.Fatal("the step finished within a timeout of 1 ns")
 	}
 	step.Failed = err.Error()
 	run := NewRun("test", o)
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -18,70 +18,71 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Options say what is played.
+// Options configure a step.
 type Options struct {
-	Coordinators     int           // processes
-	Command          []string      // that starts one
-	Dir              string        // for their files; it must be there
-	HeartbeatTimeout time.Duration // of the coordinators: how long a leader may be silent
-	RegionRouters    int           // routers of a region,
-	RegionServers    int           // and the servers that each of them sees
+	Coordinators     int           // number of processes
+	Command          []string      // starts one coordinator
+	Dir              string        // of the coordinators' files; must exist
+	HeartbeatTimeout time.Duration // of the coordinators: how long a leader may be silent before an election
+	RegionRouters    int           // routers of a region
+	RegionServers    int           // servers of a region, each seen by all routers of the region
 	TTL              time.Duration // of the routers' sessions
-	Idle             time.Duration // over which the fleet at rest is measured
-	Drains           int           // drains of a server whose latency is measured
-	Timeout          time.Duration // for all routers to have what they wait for
+	Idle             time.Duration // duration of the measurement at rest
+	Drains           int           // number of drains to measure
+	Timeout          time.Duration // of each wait for all routers
 }
 
-// Usage is what one process costs.
+// Usage is the resource use of one process.
 type Usage struct {
 	Name       string  `json:"name"`
 	Leader     bool    `json:"leader"`
-	Cores      float64 `json:"cores"`       // of processor time a second
+	Cores      float64 `json:"cores"`       // CPU seconds per second
 	ResidentMB float64 `json:"resident_mb"` // at the end of the measurement
-	Open       int     `json:"open"`        // descriptors
-	ReadPerS   float64 `json:"read_per_s"`  // bytes read, of sockets
+	Open       int     `json:"open"`        // file descriptors
+	ReadPerS   float64 `json:"read_per_s"`  // bytes read from sockets per second
 }
 
-// Step is a ladder's step: what so many hollow routers cost.
+// Step is one step of a ladder of fleet sizes: what a number of hollow routers cost the coordinators.
 type Step struct {
 	Routers       int     `json:"routers"`
-	ReportedPairs int     `json:"sightings"` // pairs of a router and a server that it reports
-	SessionS      float64 `json:"session_s"` // all at once: until all have a session,
-	FirstS        float64 `json:"first_s"`   // until all have what is drained,
+	ReportedPairs int     `json:"sightings"` // pairs of a router and a server in its reports
+	SessionS      float64 `json:"session_s"` // from when all routers started until all have a session
+	FirstS        float64 `json:"first_s"`   // likewise, until all have the first set of drained servers
 	ReportedS     float64 `json:"reported_s"`
-	// Join is what the leader and the busiest other voter used until then, in seconds of processor time.
+	// CPU seconds of the leader and of the busiest other voter until all routers had reported.
 	JoinLeaderCPUS float64 `json:"join_leader_cpu_s"`
 	JoinVoterCPUS  float64 `json:"join_voter_cpu_s"`
-	// A router's bytes until then.
+	// Bytes received and sent per router until all had reported.
 	JoinRouterIn  float64 `json:"join_router_in"`
 	JoinRouterOut float64 `json:"join_router_out"`
 
-	Idle           []Usage `json:"idle"` // of the coordinators,
+	Idle           []Usage `json:"idle"` // of the coordinators at rest
 	HollowCores    float64 `json:"hollow_cores"`
-	HollowMB       float64 `json:"hollow_mb"`      // of the process that plays all routers
-	RouterInPerS   float64 `json:"router_in_s"`    // bytes a second and router at rest
+	HollowMB       float64 `json:"hollow_mb"`      // of the process that runs all hollow routers
+	RouterInPerS   float64 `json:"router_in_s"`    // bytes per second and router at rest
 	RouterOutPerS  float64 `json:"router_out_s"`   // likewise
-	ReportBytes    float64 `json:"report_bytes"`   // of what 'fleet' shows
-	Connections    float64 `json:"connections"`    // a router
-	EntriesPerS    float64 `json:"entries_s"`      // of the log, at rest
-	CommitP99MS    float64 `json:"commit_p99_ms"`  // of commands, by the leader's own figures over its life
-	Drains         int     `json:"drains"`         // that were measured
-	DrainP50MS     float64 `json:"drain_p50_ms"`   // from when the drain was sent until a router had it
+	ReportBytes    float64 `json:"report_bytes"`   // size of the answer that the operators' tool shows as 'fleet'
+	Connections    float64 `json:"connections"`    // per router
+	EntriesPerS    float64 `json:"entries_s"`      // log entries per second at rest
+	CommitP99MS    float64 `json:"commit_p99_ms"`  // of commands, as the leader reports it since its start
+	Drains         int     `json:"drains"`         // number of drains measured
+	DrainP50MS     float64 `json:"drain_p50_ms"`   // from when the drain was sent until a router applied it
 	DrainP99MS     float64 `json:"drain_p99_ms"`   // likewise
-	DrainLastMS    float64 `json:"drain_last_ms"`  // the last router of the slowest drain
-	DrainAckedMS   float64 `json:"drain_acked_ms"` // the slowest drain, until all had acknowledged it
+	DrainLastMS    float64 `json:"drain_last_ms"`  // of the last router of the slowest drain
+	DrainAckedMS   float64 `json:"drain_acked_ms"` // of the slowest drain, until all routers had acknowledged it
 	DrainLeaderCPU float64 `json:"drain_leader_cpu_s"`
-	DrainRouterIn  float64 `json:"drain_router_in"` // bytes a router and drain, its end included
+	DrainRouterIn  float64 `json:"drain_router_in"` // bytes per router and drain, including the end of the drain
 
-	// RestartS is from when all coordinators were killed and started again until the last router had a drain that was set as soon as
-	// they took one.
+	// RestartS is the time from when all coordinators were killed and restarted until the last router
+	// applied a drain that was begun as soon as the coordinators accepted one.
 	RestartS      float64 `json:"restart_s"`
-	RestartFailed string  `json:"restart_failed,omitempty"` // why that is not known
+	RestartFailed string  `json:"restart_failed,omitempty"` // why RestartS is unknown
 
 	Failed string `json:"failed,omitempty"` // why the step was not finished
 }
 
-// MeasureStep plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
+// MeasureStep starts coordinators, has the routers join all at once, and measures the join, the fleet
+// at rest, drains, and a restart of all coordinators.
 func MeasureStep(ctx context.Context, routers int, o Options) (step Step, err error) {
 	step.Routers, step.ReportedPairs = routers, routers*o.RegionServers
 	if err := fleet.EnoughDescriptors(routers); err != nil {
@@ -116,7 +117,8 @@
 	return step, nil
 }
 
-// roll has a command of the operators' tool carried out, coming back as told where a bound was reached.
+// roll executes a command of the operators' tool. It retries commands that are rejected because a
+// limit was reached, after the delay that the rejection gives.
 func (f *hollowFleet) roll(ctx context.Context, operator *client.Client, c rollout.Command) (a coord.Response, err error) {
 	for {
 		a, err = operator.ExecuteRollout(ctx, c)
@@ -127,14 +129,14 @@
 	}
 }
 
-// hollowFleet is all routers of a step.
+// hollowFleet holds all routers of a step.
 type hollowFleet struct {
 	o       Options
 	routers []*router
 	traffic Traffic
 	drains  chan drainSeen
-	first   sync.WaitGroup // until all have what is drained
-	started atomic.Int64   // routers that have
+	first   sync.WaitGroup // done once all routers have the first set of drained servers
+	started atomic.Int64   // number of routers that have it
 	wg      sync.WaitGroup
 }
 
@@ -156,28 +158,29 @@
 	return f
 }
 
-// operatorTTL is longer than all coordinators need to start again on a machine that is busy.
+// operatorTTL is longer than all coordinators need to restart on a busy machine.
 const operatorTTL = time.Minute
 
-// operator is a session of the operators' tool.
+// operator opens a session as the operators' tool does.
 func (f *hollowFleet) operator(ctx context.Context, coordinators map[string]string) *client.Client {
 	c := client.New(client.Options{Coordinators: coordinators, ClientName: "operator", TTL: operatorTTL})
 	f.wg.Go(func() { c.Run(ctx) })
 	return c
 }
 
-// budget allows one server at a time to be out.
+// budget sets a budget of one server out of service at a time.
 func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
 	defer cancel()
-	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
+	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL,
+		Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
 }
 
-// waitFor waits for a group of routers, within the patience.
+// waitFor waits until a wait group of the routers is done, for Options.Timeout at most.
 func (f *hollowFleet) waitFor(ctx context.Context, what string, group *sync.WaitGroup) error {
 	done := make(chan struct{})
-	go func() { // ends with the group, at the latest when the step's routers have ended
+	go func() { // returns when the group is done, at the latest when the routers of the step have ended
 		group.Wait()
 		close(done)
 	}()
@@ -185,13 +188,15 @@
 	case <-done:
 		return nil
 	case <-time.After(f.o.Timeout):
-		return fmt.Errorf("%s: not all of %d routers within %v (%d have what is drained)", what, len(f.routers), f.o.Timeout, f.started.Load())
+		return fmt.Errorf("%s: not all of %d routers within %v (%d have the first set of drained servers)",
+			what, len(f.routers), f.o.Timeout, f.started.Load())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// join starts all routers at once and waits until they have a session, what is drained, and have reported what they see.
+// join starts all routers at once and measures until all have a session, have the first set of drained
+// servers, and have reported their servers.
 func (f *hollowFleet) join(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
 	before, err := g.use(ctx)
 	if err != nil {
@@ -205,7 +210,7 @@
 		return err
 	}
 	step.SessionS = time.Since(began).Seconds()
-	if err := f.waitFor(ctx, "what is drained", &f.first); err != nil {
+	if err := f.waitFor(ctx, "first set of drained servers", &f.first); err != nil {
 		return err
 	}
 	step.FirstS = time.Since(began).Seconds()
@@ -223,7 +228,7 @@
 	return nil
 }
 
-// sessions waits until all routers have one.
+// sessions waits until all routers have a session.
 func (f *hollowFleet) sessions(ctx context.Context) error {
 	missing := f.routers
 	return repeat(ctx, f.o.Timeout, func() error {
@@ -235,13 +240,15 @@
 	})
 }
 
-// reportShare is how many times as long as a report took nobody asks for the next.
+// reportShare is the pause before the next report is requested, in multiples of the time that the last
+// one took.
 const reportShare = 10
 
-// errNotReported tells that some have not reported yet.
-var errNotReported = errors.New("not all routers have reported what they see")
+// errNotReported is returned while some routers have not reported their servers.
+var errNotReported = errors.New("not all routers have reported their servers")
 
-// reported waits until the coordinators count all routers, and no server's state is unknown: its last router has told of it.
+// reported waits until the report of the coordinators counts all routers and all servers. A server is
+// counted once the last of its routers has reported it.
 func (f *hollowFleet) reported(ctx context.Context, operator *client.Client, step *Step) error {
 	regions := (len(f.routers) + f.o.RegionRouters - 1) / f.o.RegionRouters
 	return repeat(ctx, f.o.Timeout, func() error {
@@ -252,23 +259,23 @@
 		}
 		step.ReportBytes = float64(operator.TransferredBytes() - bytes)
 		if report.Routers < len(f.routers) || report.Servers < regions*f.o.RegionServers {
-			time.Sleep(reportShare * time.Since(began)) // the leader copies its whole state for each
+			time.Sleep(reportShare * time.Since(began)) // the leader copies its whole state for each report
 			return errNotReported
 		}
 		return nil
 	})
 }
 
-// groupUse is what the coordinators use, with the leader's name.
+// groupUse is the resource use of all coordinators at one time.
 type groupUse struct {
 	leader  string
 	process map[string]use
 	at      time.Time
-	last    uint64 // entry of the leader's log
+	last    uint64 // index of the last entry in the leader's log
 	p99MS   float64
 }
 
-// use reads what all coordinators use.
+// use reads the resource use of all coordinators.
 func (g *group) use(ctx context.Context) (u groupUse, err error) {
 	var l *coordinator
 	var status node.Status
@@ -284,7 +291,7 @@
 	return u, nil
 }
 
-// since is the processor time in seconds that the leader and the busiest other voter have used.
+// since returns the CPU seconds that the leader and the busiest other voter used since before.
 func (u groupUse) since(before groupUse) (leader, voter float64) {
 	for name, p := range u.process {
 		cpu := (p.cpu - before.process[name].cpu).Seconds()
@@ -297,7 +304,7 @@
 	return leader, voter
 }
 
-// rest measures the fleet while nothing happens.
+// rest measures the fleet at rest, without changes.
 func (f *hollowFleet) rest(ctx context.Context, g *group, step *Step) error {
 	own, err := processUse(os.Getpid())
 	if err != nil {
@@ -337,7 +344,8 @@
 	return nil
 }
 
-// follow drains servers of the first region one after the other, and measures until each router has it.
+// follow drains servers of the first region one after the other and measures how long each router takes
+// to apply the drain.
 func (f *hollowFleet) follow(ctx context.Context, g *group, operator *client.Client, step *Step) error {
 	before, err := g.use(ctx)
 	if err != nil {
@@ -371,7 +379,7 @@
 	return nil
 }
 
-// restart has all coordinators end and start at once.
+// restart kills and restarts all coordinators at once and measures until the last router applies a drain.
 func (f *hollowFleet) restart(ctx context.Context, g *group, operator *client.Client, step *Step) error {
 	began := time.Now()
 	if err := g.restart(); err != nil {
@@ -389,7 +397,8 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// drain takes a server out and back. It tells how long each router took to have it, and how long until all had acknowledged.
+// drain drains a server and ends the drain. It returns how long each router took to apply the drain, and
+// how long it took until all had acknowledged it.
 func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string) (took []reached, acked time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
 	defer cancel()
@@ -402,11 +411,11 @@
 			return err
 		}
 		if a.Stage != rollout.StageGranted {
-			return errors.New("waits: " + a.Text)
+			return errors.New("waiting for the permit: " + a.Text)
 		}
 		began = time.Now()
 		thing.Op, thing.Token = rollout.OpBeginOutage, a.Token
-		_, err = operator.ExecuteRollout(ctx, thing) // it may have been taken back meanwhile, or a bound was reached
+		_, err = operator.ExecuteRollout(ctx, thing) // fails if the permit was withdrawn meanwhile or a limit was reached
 		if err != nil {
 			clock.Sleep(ctx, client.RetryDelay(err, 0))
 		}
@@ -418,7 +427,7 @@
 		return nil, 0, err
 	}
 	if err := repeat(ctx, f.o.Timeout, func() error {
-		a, err := f.roll(ctx, operator, thing) // repeated it tells how the permit stands
+		a, err := f.roll(ctx, operator, thing) // repeating the command returns the state of the permit
 		if err == nil && !a.IsDrained {
 			err = errors.New("not drained: " + a.Text)
 		}
@@ -435,13 +444,13 @@
 	return took, acked, err
 }
 
-// reached is when a router had a drain, and how long after it was sent.
+// reached is when a router applied a drain, and how long after it was sent.
 type reached struct {
 	at      time.Time
 	latency time.Duration
 }
 
-// all waits until each router has a server out, or back in.
+// all waits until each router has drained a server, or has ended the drain.
 func (f *hollowFleet) all(ctx context.Context, server string, out bool, began time.Time) (took []reached, err error) {
 	for len(took) < len(f.routers) {
 		select {
@@ -450,7 +459,7 @@
 				took = append(took, reached{seen.at, seen.at.Sub(began)})
 			}
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%d of %d routers have %s (out: %v): %w", len(took), len(f.routers), server, out, ctx.Err())
+			return nil, fmt.Errorf("%d of %d routers applied the change of %s (drained: %v): %w", len(took), len(f.routers), server, out, ctx.Err())
 		}
 	}
 	return took, nil
--- a/lab/hollow/router.go
+++ b/lab/hollow/router.go
@@ -1,6 +1,7 @@
-// Package hollow plays many hollow routers in one process: the real clients of the control plane (sessions and keep-alives of
-// internal/coord/client, watches, reports and acknowledgements of internal/rollout/follow) and no requests. The coordinators
-// before them are real processes. It measures what a fleet of that many routers costs the control plane.
+// Package hollow runs many hollow routers in one process. A hollow router is the real client of the
+// control plane (sessions and keep-alives of internal/coord/client; watches, reports and
+// acknowledgements of internal/rollout/follow) without request traffic. The coordinators are real
+// processes. The package measures what a fleet of that many routers costs the control plane.
 package hollow
 
 import (
@@ -16,16 +17,16 @@
 	"dockhinge.example/dockhinge/internal/rollout/follow"
 )
 
-// dialTimeout is how long a hollow router waits for a connection.
+// dialTimeout limits how long a hollow router waits for a connection.
 const dialTimeout = time.Second
 
 // Traffic counts the bytes of a fleet's sockets, headers included.
 type Traffic struct {
-	In, Out     atomic.Int64 // as the routers see it
-	Connections atomic.Int64 // that are open
+	In, Out     atomic.Int64 // received and sent by the routers
+	Connections atomic.Int64 // open connections
 }
 
-// dial opens a connection whose bytes are counted.
+// dial opens a connection that counts its bytes.
 func (t *Traffic) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 	if err != nil {
@@ -35,57 +36,57 @@
 	return &countedConn{Conn: conn, traffic: t}, nil
 }
 
-// countedConn counts what goes over a connection.
+// countedConn is a connection that adds its bytes to a Traffic.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
 	closed  sync.Once
 }
 
-// Read reads and counts.
+// Read reads and counts the bytes read.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.traffic.In.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes and counts the bytes written.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.traffic.Out.Add(int64(n))
 	return n, err
 }
 
-// Close closes the connection and counts it once.
+// Close closes the connection. Only the first call lowers the count of open connections.
 func (c *countedConn) Close() error {
 	c.closed.Do(func() { c.traffic.Connections.Add(-1) })
 	return c.Conn.Close()
 }
 
-// drainSeen tells that a router has taken a server out, or back in.
+// drainSeen reports that a router has drained a server, or has ended the drain.
 type drainSeen struct {
 	server string
 	out    bool
 	at     time.Time
 }
 
-// router is one hollow router.
 type router struct {
 	name    string
 	zone    string
 	servers []rollout.ServerObservation // of its region
 	client  *client.Client
 	drains  chan<- drainSeen
-	first   func()
+	first   func() // called when the first set of drained servers is applied
 }
 
-// newRouter prepares a router; run makes it live.
-func newRouter(name, zone string, servers []rollout.ServerObservation, coordinators map[string]string, ttl time.Duration, traffic *Traffic, drains chan<- drainSeen, first func()) *router {
+// newRouter creates a router; run connects it.
+func newRouter(name, zone string, servers []rollout.ServerObservation, coordinators map[string]string, ttl time.Duration,
+	traffic *Traffic, drains chan<- drainSeen, first func()) *router {
 	return &router{name: name, zone: zone, servers: servers, drains: drains, first: first, client: client.New(client.Options{
 		Coordinators: coordinators, ClientName: rollout.RouterClientPrefix + name, TTL: ttl, Dial: traffic.dial})}
 }
 
-// run keeps the router's session and follows what the fleet agrees on, until ctx ends.
+// run keeps the router's session and applies the drains that the coordinators announce, until ctx ends.
 func (r *router) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -111,16 +112,17 @@
 		}})
 }
 
-// regionServers are the hollow cache servers of a region: what each of its routers reports.
+// regionServers returns the cache servers that each router of a region reports.
 func regionServers(region, n int) []rollout.ServerObservation {
 	all := make([]rollout.ServerObservation, n)
 	for i := range all {
-		all[i] = rollout.ServerObservation{Name: serverName(region, i), Zone: zoneName(region, i%zonesPerRegion), Incarnation: "1764651600000", Status: rollout.StatusServing}
+		all[i] = rollout.ServerObservation{Name: serverName(region, i), Zone: zoneName(region, i%zonesPerRegion),
+			Incarnation: "1764651600000", Status: rollout.StatusServing}
 	}
 	return all
 }
 
-// zonesPerRegion is into how many zones the hollow servers and routers of a region are dealt.
+// zonesPerRegion is the number of zones over which the servers and routers of a region are spread.
 const zonesPerRegion = 4
 
 func serverName(region, i int) string { return fmt.Sprintf("s-%02d-%06d", region, i) }
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -9,7 +9,7 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// Run is a ladder that was played, as its file has it.
+// Run is the result of a ladder of fleet sizes, as written to its file.
 type Run struct {
 	Why           string  `json:"why,omitempty"`
 	At            string  `json:"at"` // UTC
@@ -25,13 +25,13 @@
 	Slopes []scalingfit.Line `json:"slopes,omitempty"`
 }
 
-// NewRun begins a ladder.
+// NewRun returns a run without steps.
 func NewRun(why string, o Options) *Run {
 	return &Run{Why: why, At: time.Now().UTC().Format("2006-01-02 15:04"), Cores: runtime.NumCPU(), Coordinators: o.Coordinators,
 		RegionRouters: o.RegionRouters, RegionServers: o.RegionServers, TTLS: o.TTL.Seconds(), BeatMS: millis(o.HeartbeatTimeout), IdleS: o.Idle.Seconds()}
 }
 
-// Leader is what the leader costs at rest.
+// Leader returns the resource use of the leader at rest.
 func (s *Step) Leader() (u Usage) {
 	for _, one := range s.Idle {
 		if one.Leader {
@@ -41,7 +41,7 @@
 	return u
 }
 
-// Voter is the most that another voter costs at rest, figure by figure.
+// Voter returns the maximum of each figure over the other voters at rest.
 func (s *Step) Voter() (u Usage) {
 	for _, one := range s.Idle {
 		if one.Leader {
@@ -53,13 +53,13 @@
 	return u
 }
 
-// WriteTableHeader writes the table's head.
+// WriteTableHeader writes the head of a Markdown table of steps.
 func (r *Run) WriteTableHeader(w io.Writer) {
 	fmt.Fprintln(w, "| routers | sessions, drains, all reported after s | join: leader, voter CPU s | at rest: leader cores, MB, descriptors, KB/s read | other voter | log entries a s | router: bytes/s in, out, connections | drain: p50, p99, last, all acknowledged ms | leader CPU s a drain | all restarted: last has a drain after s | this process: cores, MB |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 }
 
-// WriteTableRow writes a step's row.
+// WriteTableRow writes the table row of a step.
 func (r *Run) WriteTableRow(w io.Writer, s Step) {
 	usage := func(u Usage) string {
 		return fmt.Sprintf("%.2f, %.0f, %d, %.0f", u.Cores, u.ResidentMB, u.Open, u.ReadPerS/1000)
--- a/lab/hollow/slopes.go
+++ b/lab/hollow/slopes.go
@@ -7,16 +7,16 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// figure is one that a ladder gives over the number of routers.
+// figure is a measured value of a step to which Fit fits a line over the number of routers.
 type figure struct {
 	name, unit string
 	of         func(*Step) float64
 }
 
-// restartLine is of what is not known where a restart failed.
+// restartLine names the figure that is unknown for steps whose restart failed.
 const restartLine = "restart.last"
 
-// figures are all of them, of the whole fleet. docs/CAPACITY.md cites them by name.
+// figures lists all figures; each is of the whole fleet. docs/CAPACITY.md cites them by name.
 var figures = []figure{
 	{"join.sessions", "s", func(s *Step) float64 { return s.SessionS }},
 	{"join.first", "s", func(s *Step) float64 { return s.FirstS }},
@@ -49,10 +49,11 @@
 	{"drain.routers.in", "bytes", func(s *Step) float64 { return s.all(s.DrainRouterIn) }},
 }
 
-// all is what all routers of a step have together of a figure that is one router's.
+// all converts a figure per router to one of the whole fleet.
 func (s *Step) all(one float64) float64 { return one * float64(s.Routers) }
 
-// Fit works out the run's slopes from the steps that were finished. A run of fewer steps than a line wants has none.
+// Fit sets the slopes of the run from its finished steps. It returns an error for each figure that has
+// too few points.
 func (r *Run) Fit() error {
 	r.Slopes = nil
 	var errs []error
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,7 +1,9 @@
-// Package modelcheck goes through every order of events of leases, breadth first: the real machine of internal/coord as the one
-// agreed log, the real book-keeping of clients (client.Book), and between them a network that loses, repeats and delays, clocks
-// at both ends of their bound, holders that are stopped between their check and their act, and restarts. What it looks for is two
-// holders that act at once. The consensus beneath is the library's and not explored here.
+// Package modelcheck is a model checker for leases. It explores every order of events breadth first, and
+// longer orders at random. It uses the real state machine of internal/coord as the replicated log and the
+// real lease table of clients (client.LeaseTable). Between them it models a network that loses, repeats
+// and delays messages, clocks at both ends of their rate bound, holders that are paused between checking
+// and using the lease, and client restarts. The main property is that two holders never act at the same
+// time. Consensus itself is left to the raft library and not modeled.
 package modelcheck
 
 import (
@@ -20,73 +22,73 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Params bound a search.
+// Params configures and bounds a search.
 type Params struct {
 	Clients  int
-	Depth    int // events
-	Messages int // on the way at once at most, both directions
-	States   int // it ends after so many, and says so
-	Rate     float64
-	Warm     bool // all have a session and the first one holds the lease when it begins
+	Depth    int     // events from the first state
+	Messages int     // most messages in flight at once, both directions together
+	States   int     // the search stops after so many states
+	Rate     float64 // bound of the clock rate error, as a share
+	Warm     bool    // start with a session for each client and the lease held by the first
 }
 
-// Result is what a search found.
+// Result is the outcome of a search.
 type Result struct {
 	States, Depth int
-	Whole         bool // all states up to the depth were seen
-	Broken        string
-	Trace         []string // the events that lead there
+	Whole         bool     // all states up to Params.Depth were explored
+	Broken        string   // the property that was violated; empty: none
+	Trace         []string // the events that lead to the violation
 }
 
-// The times of the model: one step of the true clock, and what is given for how long. The steps are few, so that all ends
-// fall between them as well as on them.
+// One step of the true clock, the TTL of sessions and of the lease, and the name of the lease. The TTL is
+// only two steps, so that expiries fall both on and between steps.
 const (
 	step  = 500 * time.Millisecond
 	ttl   = time.Second
 	lease = "l"
 )
 
-// message is a command on its way to the coordinators, or its answer on its way back.
+// message is a command in flight to the coordinators, or its response in flight to the client.
 type message struct {
-	Back    bool
-	From    int
-	Life    int // of the client that sent it
+	Back    bool // it is a response
+	From    int  // index of the client
+	Life    int  // incarnation of the client that sent it
 	Cmd     coord.Command
 	Answer  coord.Response
-	Sent    time.Duration // on the client's clock
-	Repeats int           // how often it may still be carried out
+	Sent    time.Duration // when the command was sent, on the client's clock
+	Repeats int           // how often it may still be duplicated
 }
 
-// party is one client.
+// party is the state of one client.
 type party struct {
 	book    client.LeaseTable
-	Life    int // how often it was started
-	Session int // its number, in its id
-	Asked   bool
-	Open    bool // it believes that its session is there
-	Seq     uint64
-	Under   []uint64 // its numbered commands whose answers have not come, in their order
-	Wants   bool     // its acquire is under way
-	Asks    uint64   // the acquire's number
-	First   time.Duration
-	Token   uint64 // of the lease that it believes to hold
-	Given   uint64 // the token that it was told last
-	Acting  bool   // between check and act: with Checked
+	Life    int           // number of restarts
+	Session int           // unused; part of the encoded state
+	Asked   bool          // it has requested a session
+	Open    bool          // it has a session, as far as it knows
+	Seq     uint64        // sequence number of its last numbered command
+	Under   []uint64      // sequence numbers of its commands without a response yet, ascending
+	Wants   bool          // its acquire has no response yet
+	Asks    uint64        // sequence number of the acquire
+	First   time.Duration // when it first sent the acquire, on its clock
+	Token   uint64        // of the lease that it holds by its lease table
+	Given   uint64        // token in its last grant
+	Acting  bool          // it has checked that it holds the lease with token Checked, and has not acted yet
 	Checked uint64
-	Dropped map[uint64]bool // tokens that it has given back, and been told so
+	Dropped map[uint64]bool // tokens whose release or transfer was confirmed to it
 }
 
-// world is one state of all.
+// world is one state of the model.
 type world struct {
 	machine  *coord.State
-	now      time.Duration // the true time
-	leaderAt time.Duration // the leader's clock at its last command
+	now      time.Duration // the true time since the start
+	leaderAt time.Duration // the leader's clock when it last applied a command
 	parties  []party
 	net      []message
-	lastAct  uint64 // the highest token that the resource has seen
+	lastAct  uint64 // the highest token that the resource has accepted
 }
 
-// acked is up to where all answers have come.
+// acked returns the sequence number up to which all responses have been received.
 func (q *party) acked() uint64 {
 	if len(q.Under) > 0 {
 		return q.Under[0] - 1
@@ -94,14 +96,15 @@
 	return q.Seq
 }
 
-// number gives the next command its number.
+// number returns the sequence number of the next command and marks it as without a response.
 func (q *party) number() uint64 {
 	q.Seq++
 	q.Under = append(q.Under, q.Seq)
 	return q.Seq
 }
 
-// rates of the clocks by party: one slow, one fast, one true; the leader's is fast.
+// rate returns the clock rate of a client: in turn the slowest, the fastest and the true one. The
+// leader's clock runs at the fastest rate.
 func rate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
 
 func (w *world) clockOf(i int, p Params) time.Duration {
@@ -128,10 +131,10 @@
 	return &c
 }
 
-// key tells states apart.
+// key returns a hash of the state, by which Search recognizes states that it has explored.
 func (w *world) key() uint64 {
 	h := xxhash.New()
-	text, _ := w.machine.Marshal() // made by this package
+	text, _ := w.machine.Marshal() // does not fail for states built by commands
 	_, _ = h.Write(text)
 	var n [8]byte
 	num := func(v uint64) {
@@ -143,13 +146,13 @@
 	num(w.lastAct)
 	for i := range w.parties {
 		p := w.parties[i]
-		text, _ := json.Marshal(p) // plain data
+		text, _ := json.Marshal(p) // does not fail: only numbers, strings and maps
 		_, _ = h.Write(text)
 		_, _ = h.Write([]byte(p.book.Fingerprint()))
 	}
 	var msgs [][]byte
 	for _, m := range w.net {
-		text, _ := json.Marshal(m) // plain data
+		text, _ := json.Marshal(m) // does not fail: only numbers, strings and maps
 		msgs = append(msgs, text)
 	}
 	slices.SortFunc(msgs, bytes.Compare)
@@ -184,20 +187,20 @@
 	return w
 }
 
-// event is one thing that may happen next.
+// event is a possible transition from a state.
 type event struct {
 	what   string
-	weight float64             // how often a random walk takes it, beside others
-	do     func(*world) string // what is broken, or ""
+	weight float64             // relative probability in a random walk
+	do     func(*world) string // returns the violated property, or ""
 }
 
-// events are all that may happen next.
+// events returns all transitions that are possible in the state.
 func (w *world) events(p Params) (all []event) {
 	add := func(weight float64, do func(*world) string, form string, v ...any) {
 		all = append(all, event{fmt.Sprintf(form, v...), weight, do})
 	}
-	add(1, func(w *world) string { w.now += step; return "" }, "time passes")
-	add(0.5, func(w *world) string { return w.tick(p) }, "the leader lets time pass")
+	add(1, func(w *world) string { w.now += step; return "" }, "the clock advances")
+	add(0.5, func(w *world) string { return w.tick(p) }, "the leader applies a tick")
 	for i := range w.parties {
 		q := &w.parties[i]
 		now := w.clockOf(i, p)
@@ -214,10 +217,10 @@
 				w.parties[i].Asked = true
 				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
-			}, "c%d asks for a session", i)
+			}, "c%d requests a session", i)
 		}
 		if send && q.Open && q.book.HasSession(now) && w.underWay(i, coord.OpKeepAlive) == 0 {
-			add(2, func(w *world) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" }, "c%d keeps its session", i)
+			add(2, func(w *world) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" }, "c%d sends a keep-alive", i)
 		}
 		if send && q.Open && !q.Wants && !held {
 			add(2, func(w *world) string {
@@ -226,20 +229,20 @@
 				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.number()})
 				q.Asks = q.Seq
 				return ""
-			}, "c%d asks for the lease", i)
+			}, "c%d requests the lease", i)
 		}
 		if send && q.Open && q.Wants && w.underWay(i, coord.OpAcquire) == 0 {
 			add(1, func(w *world) string {
 				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.parties[i].Asks})
 				return ""
-			}, "c%d repeats that it asks for the lease", i)
+			}, "c%d repeats its request for the lease", i)
 		}
 		if held && !q.Acting {
 			add(1, func(w *world) string {
 				q := &w.parties[i]
 				q.Acting, q.Checked = true, q.Token
 				return w.overlap(p)
-			}, "c%d begins to act", i)
+			}, "c%d checks the lease and begins to act", i)
 			if send && !q.Wants {
 				give := func(op coord.Op, to string) func(*world) string {
 					return func(w *world) string {
@@ -249,26 +252,27 @@
 						return ""
 					}
 				}
-				add(0.3, give(coord.OpRelease, ""), "c%d gives the lease back", i)
-				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d hands the lease over", i)
+				add(0.3, give(coord.OpRelease, ""), "c%d releases the lease", i)
+				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d transfers the lease", i)
 			}
 		}
 		if q.Acting && send {
 			add(0.3, func(w *world) string {
 				q := &w.parties[i]
 				q.Acting = false
-				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.Checked, Sequence: q.number(), Record: []byte("x")})
+				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.Checked,
+					Sequence: q.number(), Record: []byte("x")})
 				return ""
-			}, "c%d acts through the agreed state", i)
+			}, "c%d writes a record to the state machine", i)
 		}
 		if q.Acting {
-			add(0.3, func(w *world) string { return w.act(i) }, "c%d's act reaches the resource", i)
+			add(0.3, func(w *world) string { return w.act(i) }, "c%d's write reaches the resource", i)
 		}
 		if q.Life < 1 && (q.Open || q.Asked) {
 			add(0.05, func(w *world) string {
 				w.parties[i] = party{Life: w.parties[i].Life + 1, Dropped: map[uint64]bool{}}
 				return ""
-			}, "c%d is killed and starts again", i)
+			}, "c%d is killed and restarted", i)
 		}
 	}
 	for k, m := range w.net {
@@ -277,21 +281,21 @@
 			add(4, func(w *world) string {
 				w.net = slices.Delete(w.net, k, k+1)
 				return w.answered(m, p)
-			}, "the answer to %s comes", who)
+			}, "the response to %s is received", who)
 		} else {
 			add(4, func(w *world) string {
 				w.net = slices.Delete(w.net, k, k+1)
 				return w.carryOut(m, p)
-			}, "%s is carried out", who)
+			}, "%s is applied", who)
 			if m.Repeats > 0 && len(w.net) < p.Messages {
 				add(0.5, func(w *world) string {
 					w.net[k].Repeats--
 					again := w.net[k]
 					return w.carryOut(again, p)
-				}, "%s is carried out, and will be again", who)
+				}, "%s is applied, and a duplicate remains", who)
 			}
 		}
-		add(0.3, func(w *world) string { w.net = slices.Delete(w.net, k, k+1); return "" }, "%s is lost (back: %t)", who, m.Back)
+		add(0.3, func(w *world) string { w.net = slices.Delete(w.net, k, k+1); return "" }, "%s is lost (response: %t)", who, m.Back)
 	}
 	return all
 }
@@ -305,7 +309,7 @@
 	return n
 }
 
-// agree has a command carried out with the time that has passed at the leader.
+// agree applies a command to the state machine, with the time elapsed on the leader's clock.
 func (w *world) agree(c coord.Command, p Params) coord.Response {
 	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderAt
 	w.leaderAt = w.leaderClock(p)
@@ -314,7 +318,7 @@
 
 func (w *world) tick(p Params) string {
 	w.agree(coord.Command{Op: coord.OpTick}, p)
-	if w.now%(2*step) == 0 { // a snapshot is read back
+	if w.now%(2*step) == 0 { // restore the state machine from a snapshot
 		text, err := w.machine.Marshal()
 		if err == nil {
 			w.machine, err = coord.Unmarshal(text)
@@ -326,16 +330,17 @@
 	return w.promised(p)
 }
 
-// carryOut has a command agreed on and sends its answer.
+// carryOut applies the command of a message and sends its response.
 func (w *world) carryOut(m message, p Params) string {
-	said := false // it was carried out before, and is only told again
+	said := false // the command was applied before, and its stored response is returned
 	if se := w.machine.Sessions[m.Cmd.SessionID]; se != nil {
 		_, said = se.Responses[m.Cmd.Sequence]
 	}
 	a := w.agree(m.Cmd, p)
 	if m.Cmd.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !said {
-		if m.Cmd.Token < w.machine.LastToken { // there is one lease, so the newest token is its newest holder's
-			return fmt.Sprintf("c%d acted in the agreed state with token %d after token %d was given", m.From, m.Cmd.Token, w.machine.LastToken)
+		if m.Cmd.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
+			return fmt.Sprintf("c%d wrote a record with token %d after token %d was granted",
+				m.From, m.Cmd.Token, w.machine.LastToken)
 		}
 	}
 	if len(w.net) < p.Messages {
@@ -344,7 +349,9 @@
 	return w.promised(p)
 }
 
-// promised is the invariant: who by its own book may act holds the lease in the agreed state, with that token.
+// promised checks the invariant: a client that holds the lease by its own lease table holds it with the
+// same token in the state machine. It also checks that a token that was given back is not held again, and
+// that a client knows the token of each acquire whose response it has received.
 func (w *world) promised(p Params) string {
 	for i := range w.parties {
 		q := &w.parties[i]
@@ -354,24 +361,26 @@
 		}
 		l := w.machine.Leases[lease]
 		if l == nil || l.Token != token {
-			return fmt.Sprintf("c%d may act with token %d, and the coordinators have given the lease to another", i, token)
+			return fmt.Sprintf("c%d holds the lease with token %d by its lease table, but not in the state machine", i, token)
 		}
 	}
 	if l := w.machine.Leases[lease]; l != nil {
 		for i := range w.parties {
 			q := &w.parties[i]
 			if q.Dropped[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) {
-				return fmt.Sprintf("c%d has given back token %d, was told so, and holds it again", i, l.Token)
+				return fmt.Sprintf("c%d holds token %d again after its release was confirmed", i, l.Token)
 			}
-			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) && l.AcquireSequence > 0 && l.AcquireSequence <= q.acked() && l.Token != q.Given {
-				return fmt.Sprintf("c%d holds token %d by a command that it has had its answer to, and doesn't know of it", i, l.Token)
+			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) && l.AcquireSequence > 0 &&
+				l.AcquireSequence <= q.acked() && l.Token != q.Given {
+				return fmt.Sprintf("c%d holds token %d by an acquire whose response it received, but its lease table lacks it",
+					i, l.Token)
 			}
 		}
 	}
 	return ""
 }
 
-// overlap reports two that act by leases that both hold.
+// overlap checks that no two clients act while both hold the lease by their lease tables.
 func (w *world) overlap(p Params) string {
 	var who []int
 	for i := range w.parties {
@@ -380,34 +389,34 @@
 		}
 	}
 	if len(who) > 1 {
-		return fmt.Sprintf("c%d and c%d act at once", who[0], who[1])
+		return fmt.Sprintf("c%d and c%d act at the same time", who[0], who[1])
 	}
 	return ""
 }
 
-// act brings an act to the resource, which checks its token.
+// act delivers a write of a client to the resource, which checks its fencing token.
 func (w *world) act(i int) string {
 	q := &w.parties[i]
 	q.Acting = false
 	if q.Checked < w.lastAct && !failpoint.IsInjected("resource-unchecked") {
-		return "" // refused
+		return "" // rejected
 	}
 	if q.Checked < w.lastAct {
-		return fmt.Sprintf("c%d acted with token %d after one with token %d", i, q.Checked, w.lastAct)
+		return fmt.Sprintf("c%d wrote to the resource with token %d after a write with token %d", i, q.Checked, w.lastAct)
 	}
 	if q.Checked == w.lastAct {
 		return ""
 	}
 	for j := range w.parties {
 		if j != i && w.parties[j].Acting && w.parties[j].Checked == q.Checked {
-			return fmt.Sprintf("c%d and c%d act with the same token %d", i, j, q.Checked)
+			return fmt.Sprintf("c%d and c%d use the same token %d", i, j, q.Checked)
 		}
 	}
 	w.lastAct = q.Checked
 	return ""
 }
 
-// answered books an answer as a client does.
+// answered processes a response as the client does.
 func (w *world) answered(m message, p Params) string {
 	q := &w.parties[m.From]
 	if m.Life != q.Life {
@@ -434,7 +443,7 @@
 	}
 	k := slices.Index(q.Under, m.Cmd.Sequence)
 	if k < 0 {
-		return "" // answered before
+		return "" // a response was processed before
 	}
 	q.Under = slices.Delete(slices.Clone(q.Under), k, k+1)
 	switch {
@@ -452,7 +461,8 @@
 	return w.promised(p)
 }
 
-// Search goes through all orders of events up to a depth, breadth first.
+// Search explores all orders of events up to Params.Depth, breadth first. It stops at the first violation
+// and after Params.States states.
 func Search(p Params) Result {
 	type node struct {
 		w      *world
@@ -492,12 +502,13 @@
 				}
 			}
 		}
-		nodes[i].w = nil // its states have been gone through
+		nodes[i].w = nil // its successors have been explored; free the memory
 	}
 	return Result{States: len(nodes), Depth: level, Whole: true}
 }
 
-// Walk goes one random way of at most so many events, by a seed.
+// Walk follows one random order of at most so many events, chosen by the seed. It stops at the first
+// violation.
 func Walk(p Params, seed uint64, events int) Result {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	w := newWorld(p)
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// searches are whole to their depth; DOCKHINGE_EXPLORE_DEEPER adds to it, for a look that takes longer than CI may.
+// searches are exhaustive up to their depth. DOCKHINGE_EXPLORE_DEEPER adds to the depth, for runs longer
+// than CI allows.
 var searches = map[string]Params{
 	"two clients":            {Clients: 2, Depth: 7, Messages: 3, States: 3_000_000, Rate: 0.1},
 	"two clients, one holds": {Clients: 2, Depth: 6, Messages: 3, States: 3_000_000, Rate: 0.1, Warm: true},
@@ -16,12 +17,12 @@
 
 const walks = 500
 
-// walk goes beyond the searches' depth.
+// walk runs a random walk that is longer than the depth of the searches.
 func walk(seed uint64) Result {
 	return Walk(Params{Clients: 3, Messages: 4, Rate: 0.1, Warm: seed%2 == 0}, seed, 300)
 }
 
-// No order of events lets two act at once, whole to a depth and at random beyond it.
+// No order of events violates the lease properties, exhaustively up to a depth and at random beyond it.
 func TestNoTwoHoldersAct(t *testing.T) {
 	deeper, _ := strconv.Atoi(os.Getenv("DOCKHINGE_EXPLORE_DEEPER"))
 	for name, p := range searches {
@@ -30,12 +31,12 @@
 			p.Depth += deeper
 			p.States <<= 3 * deeper
 			r := Search(p)
-			t.Logf("%d states, depth %d, whole %t", r.States, r.Depth, r.Whole)
+			t.Logf("%d states, depth %d, complete: %t", r.States, r.Depth, r.Whole)
 			if r.Broken != "" {
 				t.Fatalf("%s:\n%s", r.Broken, strings.Join(r.Trace, "\n"))
 			}
 			if !r.Whole {
-				t.Errorf("ended at its bound of %d states, at depth %d of %d", p.States, r.Depth, p.Depth)
+				t.Errorf("the search stopped at its limit of %d states, at depth %d of %d", p.States, r.Depth, p.Depth)
 			}
 		})
 	}
--- a/lab/modelcheck/mutants_test.go
+++ b/lab/modelcheck/mutants_test.go
@@ -9,7 +9,7 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Each planted fault is found: by the searches where it lies within their depth, else by a walk.
+// Each injected fault is found, by a search or by a random walk.
 func TestMutantsAreFound(t *testing.T) {
 	defer failpoint.Inject("")
 	for _, name := range []string{"time-from-answer", "rate-ignored", "token-unchecked", "command-twice", "release-overtaken",
@@ -21,7 +21,8 @@
 				p.Depth++
 				if r := Search(p); r.Broken != "" {
 					found = true
-					t.Logf("search, %s: %d states, %d events: %s:\n  %s", what, r.States, len(r.Trace), r.Broken, strings.Join(r.Trace, "\n  "))
+					t.Logf("search, %s: %d states, %d events: %s:\n  %s", what, r.States, len(r.Trace), r.Broken,
+						strings.Join(r.Trace, "\n  "))
 				}
 			}
 			for seed := range uint64(40 * walks) {
@@ -32,7 +33,7 @@
 				}
 			}
 			if !found {
-				t.Error("not found")
+				t.Error("neither the searches nor the walks found the fault")
 			}
 		})
 	}
--- a/lab/scalingfit/file.go
+++ b/lab/scalingfit/file.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// ErrNoLines tells that a file has no lines: its ladder had too few steps.
-var ErrNoLines = errors.New("it has no slopes")
+// ErrNoLines is returned for a file without lines, as its ladder had too few steps for a fit.
+var ErrNoLines = errors.New("the file has no slopes")
 
-// Read reads the lines of a ladder's file.
+// Read returns the lines in the JSON text of a ladder's file.
 func Read(text []byte) ([]Line, error) {
 	var file struct {
 		Slopes []Line `json:"slopes"`
--- a/lab/scalingfit/scalingfit_test.go
+++ b/lab/scalingfit/scalingfit_test.go
@@ -12,13 +12,14 @@
 	return all
 }
 
-// A line is found exactly, with its range and no error.
+// For points on a line, Fit returns exactly this line, its range and no error.
 func TestLine(t *testing.T) {
 	l, err := Fit("cores", "cores", "router", "run", points(func(x float64) float64 { return 0.1 + 0.0002*x }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if math.Abs(l.Slope-0.0002) > 1e-9 || math.Abs(l.Intercept-0.1) > 1e-9 || l.From != 100 || l.To != 5100 || l.Error > 1e-9 || !l.IsLinear() {
+	if math.Abs(l.Slope-0.0002) > 1e-9 || math.Abs(l.Intercept-0.1) > 1e-9 ||
+		l.From != 100 || l.To != 5100 || l.Error > 1e-9 || !l.IsLinear() {
 		t.Errorf("%+v", l)
 	}
 	if got := l.At(10200); math.Abs(got-2.14) > 1e-9 {
@@ -29,22 +30,23 @@
 	}
 }
 
-// A square is no line, and a constant is one.
+// A quadratic function is not linear, a constant is.
 func TestBent(t *testing.T) {
 	if l, err := Fit("s", "s", "router", "run", points(func(x float64) float64 { return x * x })); err != nil || l.IsLinear() {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if l, err := Fit("s", "s", "router", "run", points(func(float64) float64 { return 3 })); err != nil || !l.IsLinear() || l.At(7) != 3 || l.R2 != 1 {
+	if l, err := Fit("s", "s", "router", "run", points(func(float64) float64 { return 3 })); err != nil ||
+		!l.IsLinear() || l.At(7) != 3 || l.R2 != 1 {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
 
-// Too few points, or points of one size alone, are no line.
+// Fit rejects fewer than three points, and points that all have the same size.
 func TestTooFew(t *testing.T) {
 	if _, err := Fit("s", "s", "router", "run", []Point{{1, 1}, {2, 2}}); err == nil {
-		t.Error("two points gave a line")
+		t.Error("two points were accepted")
 	}
 	if _, err := Fit("s", "s", "router", "run", []Point{{1, 1}, {1, 2}, {1, 3}}); err == nil {
-		t.Error("one size gave a line")
+		t.Error("points of one size were accepted")
 	}
 }
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -6,7 +6,7 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-// wish is what a client wants, over all its tries.
+// wish is a request of a client, with all its tries.
 type wish struct {
 	class int
 	key   uint64
@@ -17,13 +17,13 @@
 	tries int
 	over  bool
 	zone  int
-	story string // how its first try ended, where that was not in time
+	story string // how its first try ended; empty until then
 }
 
-// routerDead is the story of a first try at a router that had died or did so meanwhile.
+// routerDead is the outcome of a first try at a router that was or became dead.
 const routerDead = "router dead"
 
-// gap is the time to the next request.
+// gap draws the time in milliseconds until the next request arrives.
 func (d *day) gap() float64 {
 	rate := d.p.Rate
 	for _, b := range d.p.Bursts {
@@ -34,7 +34,7 @@
 	return d.rng.ExpFloat64() * 1000 / rate
 }
 
-// arrive has a client come, and sees to the next one.
+// arrive starts a client request and schedules the next one.
 func (d *day) arrive() {
 	if d.now >= begin+d.p.Length {
 		return
@@ -63,7 +63,7 @@
 	d.try(w, d.routers[router])
 }
 
-// try has a client ask a router once.
+// try sends one try of a client to a router.
 func (d *day) try(w *wish, r *router) {
 	c := d.p.Config.Classes[w.class]
 	w.tries++
@@ -72,7 +72,7 @@
 	if w.tries > 1 {
 		d.sums.Retries++
 	}
-	if r.dead { // its connections are reset at once, and new ones are refused
+	if r.dead { // its connections have been reset, and new ones are refused
 		w.story = cmp.Or(w.story, routerDead)
 		d.again(w, 0)
 		return
@@ -86,10 +86,12 @@
 	if d.p.Hints {
 		hint = w.work
 	}
-	r.b.Request(d.now, decide.Request{ID: q.id, Class: c.Name, Key: q.key, HasKey: true, RemainingMillis: left, WorkHint: hint, IsRetry: w.tries > 1, IsWrite: w.write})
+	r.b.Request(d.now, decide.Request{ID: q.id, Class: c.Name, Key: q.key, HasKey: true,
+		RemainingMillis: left, WorkHint: hint, IsRetry: w.tries > 1, IsWrite: w.write})
 }
 
-// again has a client whose try was not served wait and ask again, while it has tries and time.
+// again schedules another try after one that was not served, unless the client has no tries or no time
+// left. A positive told is the retry delay that the router gave, in milliseconds.
 func (d *day) again(w *wish, told float64) {
 	c := d.p.Config.Classes[w.class]
 	pause := d.p.Clients.Pause * float64(int(1)<<min(20, w.tries-1)) * (0.5 + d.rng.Float64())
@@ -104,7 +106,7 @@
 		if w.over {
 			return
 		}
-		var alive []*router // the front spreads clients over those of their zone that it takes to be up
+		var alive []*router // the load balancer in front of the routers picks a live one in the client's zone
 		for i := w.zone; i < len(d.routers); i += d.p.Zones {
 			if !d.routers[i].dead {
 				alive = append(alive, d.routers[i])
@@ -118,7 +120,7 @@
 	})
 }
 
-// lose ends a wish unserved.
+// lose ends a client request that was not served.
 func (d *day) lose(w *wish) {
 	if !w.over {
 		w.over = true
@@ -127,7 +129,7 @@
 	}
 }
 
-// serve ends a wish served.
+// serve ends a client request that was served.
 func (d *day) serve(w *wish) {
 	if w.over {
 		return
--- a/lab/simulation/engine.go
+++ b/lab/simulation/engine.go
@@ -2,7 +2,8 @@
 
 import "container/heap"
 
-// engine plays events in the order of their time, and of their coming where that is the same.
+// engine runs events in the order of their times, and events of the same time in the order in which they
+// were scheduled.
 type engine struct {
 	now   float64
 	n     int
@@ -31,12 +32,13 @@
 	return e
 }
 
+// after schedules an event in so many milliseconds.
 func (g *engine) after(ms float64, do func()) {
 	g.n++
 	heap.Push(&g.queue, event{g.now + max(0, ms), g.n, do})
 }
 
-// play carries out events up to a time, as long as it may.
+// play runs the events before a time, as long as the condition holds.
 func (g *engine) play(until float64, may func() bool) {
 	for len(g.queue) > 0 && g.queue[0].at < until && may() {
 		e := heap.Pop(&g.queue).(event)
--- a/lab/simulation/hard_test.go
+++ b/lab/simulation/hard_test.go
@@ -9,19 +9,20 @@
 
 const hardRouters, hardServers = 48, 24
 
-// all are the numbers below n.
+// all returns the numbers below n.
 func all(n int) []int { return every(1, n) }
 
-// The hard cases of a large fleet, each beside the same day without it. What is lost is bounded, no cold server is pushed
-// over, and the last five seconds are as good as without: the fleet comes back.
+// Difficult conditions in a large fleet, each compared with the same day without it: the loss of service is
+// bounded, no cold server collapses, and the fleet recovers within the day, so that the last five seconds
+// are nearly as good.
 func TestHardCases(t *testing.T) {
 	const routers, servers = hardRouters, hardServers
 	calm, calmLast := hard(t, func(*Params) {})
 	for _, c := range []struct {
 		name  string
 		do    func(p *Params)
-		least float64 // of the other day's service
-		back  float64 // and of its last five seconds
+		least float64 // lowest service, relative to the day without it
+		back  float64 // likewise, of the last five seconds
 	}{
 		{"one router sees twenty times the mean", func(p *Params) { p.Hot = 20 }, 0.94, 0.95},
 		{"servers of a third of their kind's speed", func(p *Params) {
@@ -46,7 +47,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			service, last := hard(t, c.do)
-			t.Logf("service %.3f beside %.3f, the last five seconds %.3f beside %.3f", service, calm, last, calmLast)
+			t.Logf("service %.3f, without it %.3f; last five seconds %.3f, without it %.3f", service, calm, last, calmLast)
 			if service < c.least*calm {
 				t.Errorf("service %.3f, without it %.3f", service, calm)
 			}
@@ -57,7 +58,7 @@
 	}
 }
 
-// hard plays a calm day with something done to it.
+// hard runs a calm day whose parameters do has changed.
 func hard(t *testing.T, do func(p *Params)) (service, last float64) {
 	p, err := GenerateDay("calm", hardRouters, hardServers, 3)
 	if err != nil {
@@ -70,16 +71,16 @@
 		t.Fatal(err)
 	}
 	if s.Fallen > 0 {
-		t.Errorf("%d cold servers were pushed over", s.Fallen)
+		t.Errorf("%d cold servers collapsed", s.Fallen)
 	}
 	if s.Served+s.Failed != s.Requests {
-		t.Errorf("%d requests ended of %d", s.Served+s.Failed, s.Requests)
+		t.Errorf("%d of %d requests ended", s.Served+s.Failed, s.Requests)
 	}
 	return s.Service(), s.between(10, 15)
 }
 
-// A release of a whole fleet in virtual time: never more out by plan than the budgets let, all changed, at once as many as they
-// let, and the same for the same seed; a zone lost in the middle only makes it longer.
+// The plan of a release never exceeds its budgets but uses them, changes all processes, and is the same for
+// the same seed. Losing a zone half way only makes it longer.
 func TestPlanRelease(t *testing.T) {
 	var took float64
 	for _, lost := range []bool{false, true} {
@@ -89,7 +90,7 @@
 		}
 		again, _ := PlanRelease(60, 40, 4, lost, 1)
 		if !reflect.DeepEqual(pl, again) {
-			t.Error("the same seed, another release")
+			t.Error("two plans of the same seed differ")
 		}
 		for k, n := range pl.Most {
 			if n > pl.Allowed[k] {
@@ -97,7 +98,7 @@
 			}
 		}
 		if pl.Most[rollout.KindServer] < 3 || pl.Most[rollout.KindRouter] < 3 || pl.TookMS <= took {
-			t.Errorf("%v out at most, %v ms, %v without a zone lost", pl.Most, pl.TookMS, took)
+			t.Errorf("most out %v, duration %v ms; without the loss of a zone %v ms", pl.Most, pl.TookMS, took)
 		}
 		took = pl.TookMS
 	}
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -62,31 +62,34 @@
 	Price Prices
 }
 
-// ServerSum is what the fleet did at one cache server.
+// ServerSum holds the counts of one cache server over all routers.
 type ServerSum struct {
-	Capacity                  float64 // work a millisecond, warm
+	Capacity                  float64 // work per millisecond of the warm server
 	Attempts, Misses, Cancels int
 	MS                        float64 `json:"MS"` // duration of all hits together
 	Hits                      int
 }
 
-// Quarters adds the servers up in four parts of equal number, the least capacity first: what they can do, and what they
-// were sent.
+// Quarters groups the servers by ascending capacity into four quarters of equal number and sums up each
+// quarter.
 func (s *Sums) Quarters() (q [4]ServerSum) {
-	all := slices.SortedFunc(slices.Values(s.Servers), func(a, b ServerSum) int { return cmp.Compare(a.Capacity, b.Capacity) })
+	all := slices.SortedFunc(slices.Values(s.Servers), func(a, b ServerSum) int {
+		return cmp.Compare(a.Capacity, b.Capacity)
+	})
 	for i, v := range all {
 		to := &q[4*i/len(all)]
 		to.Capacity += v.Capacity
-		to.Attempts, to.Misses, to.Cancels, to.Hits = to.Attempts+v.Attempts, to.Misses+v.Misses, to.Cancels+v.Cancels, to.Hits+v.Hits
+		to.Attempts, to.Misses, to.Cancels, to.Hits = to.Attempts+v.Attempts, to.Misses+v.Misses,
+			to.Cancels+v.Cancels, to.Hits+v.Hits
 		to.MS += v.MS
 	}
 	return q
 }
 
-// bands are the ranks of popularity below which keys are counted together.
+// bands are the upper bounds of the popularity ranks that are counted together.
 var bands = [...]int{10, 100, 1000, math.MaxInt}
 
-// BandSum is what the fleet did for the keys of some ranks.
+// BandSum holds the counts of the keys in a band of popularity ranks.
 type BandSum struct {
 	RankLimit int `json:"Below"` // upper bound of the ranks, exclusive
 	Requests  int `json:"Asked"`
@@ -103,7 +106,7 @@
 	at           map[uint64]map[int]int
 }
 
-// Second is what the fleet did in one second.
+// Second holds the counts of one second over the whole fleet.
 type Second struct {
 	Requests  int `json:"Asked"`
 	InTime    int // of the requests that arrived in this second
@@ -117,7 +120,7 @@
 	Dials     int
 }
 
-// Ratio is a over b, 0 where there is no b.
+// Ratio returns a/b, or 0 if b is 0.
 func Ratio[A, B int | float64](a A, b B) float64 {
 	if b == 0 {
 		return 0
@@ -125,10 +128,11 @@
 	return float64(a) / float64(b)
 }
 
-// Service is the worth answered in time over the worth asked for.
+// Service returns the share of the priority weight of all requests that was served in time.
 func (s *Sums) Service() float64 { return Ratio(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
 
-// The parts of G: the whole day, its worst ten seconds, its worst class.
+// Weights in G of the whole day, of its worst ten seconds and of its worst class, and the length of that
+// window.
 const (
 	wholePart   = 0.7
 	windowPart  = 0.1
@@ -136,7 +140,8 @@
 	worstWindow = 10 // s
 )
 
-// G mixes the service of the whole day with that of its worst ten seconds and its worst class, less the prices.
+// G returns the score of the day: the weighted service of the whole day, of its worst ten seconds and of
+// its worst class, less the prices.
 func (s *Sums) G() float64 {
 	worst := 1.0
 	for i := range s.Worth {
@@ -148,7 +153,7 @@
 		s.Price.Dial - s.Price.Call
 }
 
-// worst is the share served in time of the worst ten seconds.
+// worst returns the lowest share of requests served in time over ten consecutive seconds.
 func (s *Sums) worst() float64 {
 	least := 1.0
 	for i := range s.Seconds {
@@ -166,7 +171,7 @@
 	return least
 }
 
-// Figures are what two programs are compared by, in a fixed order.
+// Figures returns the figures by which two builds are compared, in a fixed order.
 func (s *Sums) Figures() (names []string, values []float64) {
 	add := func(name string, v float64) { names, values = append(names, name), append(values, v) }
 	add("G", s.G())
@@ -191,7 +196,8 @@
 	add("price of waste", s.Price.Waste)
 	add("price of lists", s.Price.Call)
 	q := s.Quarters()
-	add("load of the slow quarter by that of the quick", Ratio(Ratio(float64(q[0].Attempts), q[0].Capacity), Ratio(float64(q[3].Attempts), q[3].Capacity)))
+	add("load of the slow quarter by that of the quick",
+		Ratio(Ratio(float64(q[0].Attempts), q[0].Capacity), Ratio(float64(q[3].Attempts), q[3].Capacity)))
 	add("ms of a hit there", Ratio(q[0].MS, float64(q[0].Hits)))
 	add("and at the quick quarter", Ratio(q[3].MS, float64(q[3].Hits)))
 	add("cold servers pushed over", float64(s.Fallen))
@@ -200,7 +206,8 @@
 	return names, values
 }
 
-// between is the share in time of what was asked in some seconds.
+// between returns the share served in time of the requests that arrived in the seconds from up to, but
+// not including, to.
 func (s *Sums) between(from, to int) float64 {
 	var asked, in int
 	for _, x := range s.Seconds[min(from, len(s.Seconds)):min(to, len(s.Seconds))] {
@@ -209,7 +216,7 @@
 	return Ratio(in, asked)
 }
 
-// second is the count of the second of a time.
+// second returns the counts of the second that contains a time.
 func (d *day) second(at float64) *Second {
 	i := max(0, int((at-begin)/1000))
 	for len(d.sums.Seconds) <= i {
@@ -218,7 +225,7 @@
 	return &d.sums.Seconds[i]
 }
 
-// band is the count of a key's band.
+// band returns the counts of the band of the request's key.
 func (d *day) band(w *wish) *BandSum {
 	i := 0
 	for w.rank >= bands[i] {
@@ -229,7 +236,7 @@
 	return b
 }
 
-// places sums up where the keys of the bands were asked for.
+// places computes the counts of servers for the keys of each band.
 func (d *day) places() {
 	for i := range d.sums.Bands {
 		b := &d.sums.Bands[i]
@@ -241,22 +248,24 @@
 			}
 			b.ServersTried, b.AtMainServer = b.ServersTried+len(servers), b.AtMainServer+most
 		}
-		b.at = nil // what is left compares
+		b.at = nil // so that equal days compare as equal
 	}
 }
 
-// price books what the day has cost.
+// price sets the prices of the day, after it has removed the trailing seconds without requests.
 func (d *day) price() {
 	s, p := &d.sums, d.p.Prices
 	d.places()
-	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Requests == 0 { // the end, when nobody asks any more
+	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Requests == 0 {
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
 	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Requests), Waste: p.Waste * Ratio(s.Wasted, s.Work),
-		Probe: p.Probe * Ratio(s.Probes, s.Requests), Dial: p.Dial * Ratio(s.Dials, s.Requests), Call: p.Call * Ratio(s.Calls, s.Requests)}
+		Probe: p.Probe * Ratio(s.Probes, s.Requests), Dial: p.Dial * Ratio(s.Dials, s.Requests),
+		Call: p.Call * Ratio(s.Calls, s.Requests)}
 }
 
-// MeanWithInterval gives the mean of some values and the half width of its 95% confidence interval by Student's t.
+// MeanWithInterval returns the mean of the values and the half width of its 95% confidence interval
+// by Student's t. The half width is infinite for a single value.
 func MeanWithInterval(v []float64) (mean, half float64) {
 	if len(v) == 0 {
 		return 0, 0
--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -9,35 +9,35 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// Params describe a day. Times are in milliseconds, rates in requests a second over the whole fleet, work in milliseconds
-// on a core of speed 1.
+// Params describes a day. Times are in milliseconds, rates in requests per second over the whole fleet,
+// work in milliseconds on a core of speed 1.
 type Params struct {
-	Config  decide.Config // of each router, but for its number and zone; Aside with the origin's kind is set here
+	Config  decide.Config // of each router; Play sets RouterIndex, Zone, CacheAside, OriginKind and PollEndpoints
 	Servers int
-	Kinds   []model.Params // server i is of kind i modulo their number
-	SpeedCV float64        // spread of a server's speed around its kind's, as a share
+	Kinds   []model.Params // server i has the parameters Kinds[i % len(Kinds)]
+	SpeedCV float64        // coefficient of variation of a server's speed around that of its kind
 	Origin  model.Params
 	List    model.DirectoryParams
 	Rate    float64
 	Bursts  []Burst
 	Length  float64
 	Keys    int
-	Zipf    float64 // exponent of the popularity of keys, above 0
-	Offset  float64 // added to the rank of a key, which begins at 0; 0 = 4
-	Drift   float64 // share of the keys that become new ones each second
-	Warm    bool    // servers begin with the most popular keys, at their homes as a router sees them that knows nothing
-	Work    float64 // mean work of a request,
-	WorkCV  float64 // and its spread, lognormal; 0 = exponential,
-	Noise   float64 // and that of an attempt around its request's
-	Hints   bool    // routers are told the work of a request
-	Keyed   float64 // share of requests that are of the second class, written
-	Once    float64 // and of the third
-	Zones   int     // servers and routers are dealt to them in turn; 0 = 1
-	Net     float64 // one way, within a zone
-	Cross   float64 // and between two; 0 = as within
-	Hot     float64 // times the mean traffic that router 0 sees; 0 = as the others
-	Uneven  float64 // spread of the routers' traffic, lognormal: 1 has some see several times the mean
-	Shared  float64 // one router probes a server for all, each so many ms; 0 = each router probes for itself
+	Zipf    float64 // exponent of the Zipf distribution of key popularity, above 0
+	Offset  float64 // added to the rank of a key, which starts at 0; 0: 4
+	Drift   float64 // share of the keys replaced by new ones each second
+	Warm    bool    // servers start with the most popular keys, each at its home as a new router computes it
+	Work    float64 // mean work of a request
+	WorkCV  float64 // coefficient of variation of the work, lognormal; 0: exponential
+	Noise   float64 // coefficient of variation of an attempt's work around that of its request, lognormal
+	Hints   bool    // requests carry the work as a hint
+	Keyed   float64 // share of requests that are writes of the second class
+	Once    float64 // share of requests that are writes of the third class
+	Zones   int     // servers and routers are assigned to zones in turn; 0: 1
+	Net     float64 // one-way network delay within a zone
+	Cross   float64 // one-way network delay between zones; 0: as within a zone
+	Hot     float64 // traffic of router 0 relative to the mean; 0: as the others
+	Uneven  float64 // coefficient of variation of the traffic per router, lognormal; with 1 some get several times the mean
+	Shared  float64 // interval at which one router probes a server for all; 0: each router probes for itself
 	Clients Clients
 	Conn    Conn
 	Prices  Prices
@@ -45,43 +45,46 @@
 	Faults  []Fault
 }
 
-// Burst multiplies the rate for a time.
+// Burst multiplies the request rate by Times, for the period For from At on.
 type Burst struct{ At, For, Times float64 }
 
-// Clients say how clients behave.
+// Clients describes how clients retry.
 type Clients struct {
 	Retries int     // tries after the first
-	Try     float64 // share of its class's deadline after which a client gives a try up; 0 = 1
-	Pause   float64 // first pause before another try, which doubles
-	Honour  float64 // share of clients that come back when they are told to
+	Try     float64 // share of the class's deadline after which a client abandons a try; 0: 1
+	Pause   float64 // mean backoff before the second try; doubles with each try
+	Honour  float64 // probability that a client honors the retry delay of a rejection
 }
 
-// Conn says what connections cost. Their number at a server and the work of one are the server's parameters.
+// Conn describes the cost of connections. A server's limit of connections and the work of establishing
+// one are in the server's parameters.
 type Conn struct {
-	RTTs    float64 // round trips before the first request on one; 0 = connections cost nothing and none is counted
-	Timeout float64 // one that has not come up by then has failed
+	RTTs    float64 // round trips to establish a connection; 0: connections cost nothing and are not counted
+	Timeout float64 // a connection that is not established by then has failed
 }
 
-// Prices are shares of the worth asked for, each for one of what it names for each request of a client. Waste is for as
-// much work as was asked for.
+// Prices are shares of the priority weight of all requests. Each is the price of one zone crossing, probe,
+// dial or discovery call per client request; Waste is the price of wasting as much work as the client
+// requests contain.
 type Prices struct{ Cross, Waste, Probe, Dial, Call float64 }
 
-// Fault is something that happens to servers, or to routers.
+// Fault is a change of servers or routers at a time of the day.
 type Fault struct {
 	At      float64
 	Servers []int
 	Routers []int
 	Kind    FaultKind
-	Factor  float64 // Slow: the speed is multiplied by it
-	Stale   bool    // Start of routers: they know the list as it was when the day began
+	Factor  float64 // Slow: multiplies the speed
+	Stale   bool    // Start of routers: they start with the endpoint list of the start of the day
 }
 
-// FaultKind says what.
+// FaultKind is the kind of a Fault.
 type FaultKind int
 
-// The faults. Kill ends processes without a word, Start starts them anew, cold and empty (a router: with the list that
-// discovery holds). Silent has servers hear and say nothing until Heard. Replace ends servers and starts others in their
-// place under new ids. Slow multiplies a server's speed.
+// Kinds of faults. Kill ends processes without notice. Start starts them again: servers cold and empty,
+// routers with the current endpoint list of discovery. Silent cuts servers off from the network until
+// Heard. Replace ends servers and starts others in their place under new IDs. Slow multiplies the speed of
+// servers.
 const (
 	Kill FaultKind = iota
 	Start
@@ -89,35 +92,37 @@
 	Heard
 	Replace
 	Slow
-	Drain   // all routers send nothing new to servers, as the fleet's agreement has it,
-	Undrain // until they do again
+	Drain   // all routers drain the servers
+	Undrain // all routers end the drain of the servers
 )
 
+// check validates the parameters and sets defaults.
 func (p *Params) check() error {
-	if p.Servers < 1 || len(p.Kinds) == 0 || p.Keys < 1 || !(p.Zipf > 0) || !(p.Rate > 0) || !(p.Length > 0) || !(p.Work > 0) {
-		return errors.New("virtual: Servers, Kinds, Keys, Zipf, Rate, Length and Work are needed")
+	if p.Servers < 1 || len(p.Kinds) == 0 || p.Keys < 1 || !(p.Zipf > 0) || !(p.Rate > 0) || !(p.Length > 0) ||
+		!(p.Work > 0) {
+		return errors.New("simulation: Servers, Kinds, Keys, Zipf, Rate, Length and Work are required")
 	}
 	for i, k := range append(slices.Clone(p.Kinds), p.Origin) {
 		if err := k.Check(); err != nil {
-			return fmt.Errorf("virtual: kind %d: %w", i, err)
+			return fmt.Errorf("simulation: kind %d: %w", i, err)
 		}
 	}
 	if need := 1 + b2i(p.Keyed > 0) + b2i(p.Once > 0); len(p.Config.Classes) < need {
-		return fmt.Errorf("virtual: Config.Classes: %d of the %d that Keyed and Once need", len(p.Config.Classes), need)
+		return fmt.Errorf("simulation: Config.Classes has %d classes, Keyed and Once need %d", len(p.Config.Classes), need)
 	}
 	for i, f := range p.Faults {
 		for _, s := range f.Servers {
 			if s < 0 || s >= p.Servers {
-				return fmt.Errorf("virtual: Faults[%d].Servers: no server %d", i, s)
+				return fmt.Errorf("simulation: Faults[%d].Servers: server %d does not exist", i, s)
 			}
 		}
 		for _, r := range f.Routers {
 			if r < 0 || r >= p.Config.Routers || f.Kind != Kill && f.Kind != Start {
-				return fmt.Errorf("virtual: Faults[%d].Routers: router %d can't have that", i, r)
+				return fmt.Errorf("simulation: Faults[%d].Routers: router %d does not exist, or the kind is neither Kill nor Start", i, r)
 			}
 		}
 		if f.Kind == Slow && !(f.Factor > 0) {
-			return fmt.Errorf("virtual: Faults[%d].Factor: impossible value %v", i, f.Factor)
+			return fmt.Errorf("simulation: Faults[%d].Factor: impossible value %v", i, f.Factor)
 		}
 	}
 	p.Zones = max(1, p.Zones)
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -10,44 +10,47 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// ReleaseDays are further days that Twin draws: every router gets a new version and every server is changed, at 80% load, within
-// budgets by the fleet's agreement (release), with a zone lost in the middle (release-zone), or all at once (release-at-once); or nothing is (release-none).
+// ReleaseDays lists further days, at 80% load. Every router gets a new version and every server is changed:
+// within the budgets of the coordinators (release), likewise with a zone lost half way (release-zone), or
+// all at once (release-at-once). On release-none nothing is changed.
 var ReleaseDays = []string{"release", "release-zone", "release-at-once", "release-none"}
 
-// Budgets of these days: a tenth of the routers and of the servers, and of a zone's servers a quarter.
+// Budgets and durations of release days: at most a tenth of the routers, a tenth of the servers and a
+// quarter of a zone's servers are out of service. The untyped durations are in milliseconds.
 const (
 	shareOut   = 0.1
 	shareZone  = 0.25
 	routerWarm = 2 * time.Second
 	serverWarm = 5 * time.Second
-	drainMS    = 300  // until all routers have said that they send nothing more
-	downMS     = 1000 // of a process, between its end and the next start
-	readyMS    = 300  // until a router that has started tells of itself
-	seenMS     = 1500 // until routers find a server bad, or back
-	beginMS    = 3000
-	lostMS     = 8000 // a zone is, from the middle on
+	drainMS    = 300  // until all routers have acknowledged a drain
+	downMS     = 1000 // between the end and the next start of a process
+	readyMS    = 300  // until a restarted router reports
+	seenMS     = 1500 // until routers detect that a server fails, or has recovered
+	beginMS    = 3000 // start of the release
+	lostMS     = 8000 // how long a lost zone is down
 )
 
-// Planned is a time line that internal/rollout has worked out.
+// Planned is the timeline of a release, as internal/rollout schedules it.
 type Planned struct {
 	Faults      []Fault
-	TookMS      float64              // from the beginning to the last one back
-	Most        map[rollout.Kind]int // out by plan at once
+	TookMS      float64              // from the start until the last process is back, in milliseconds
+	Most        map[rollout.Kind]int // most processes out of service by plan at the same time
 	Allowed     map[rollout.Kind]int
-	OutBySecond [][2]int // by second: routers and servers out for any reason, as the agreement sees it
+	OutBySecond [][2]int // by second: routers and servers out of service for any reason, as the coordinators see it
 }
 
-// PlanRelease works out a release of all routers and a change of all servers, with whoever drives being quick. With lost a zone's
-// servers die half way and come back cold.
+// PlanRelease computes the timeline of a release of all routers and a change of all servers, with tools
+// that act without delay. If lost is set, the servers of one zone are killed half way and come back cold.
 func PlanRelease(routers, servers, zones int, lost bool, seed uint64) (Planned, error) {
 	rng := rand.New(rand.NewPCG(seed, 61))
 	pl := Planned{Most: map[rollout.Kind]int{}, Allowed: map[rollout.Kind]int{}}
 	s := rollout.New()
-	var now time.Duration // the agreed clock
+	var now time.Duration // the replicated clock
 	var token, opened uint64
 	next := func() uint64 { token++; return token }
 	from := func(client string, n int) rollout.Sender {
-		return rollout.Sender{Time: now, Session: fmt.Sprint(client, "#", n), Client: client, SessionOrder: opened, NextToken: next}
+		return rollout.Sender{Time: now, Session: fmt.Sprint(client, "#", n), Client: client,
+			SessionOrder: opened, NextToken: next}
 	}
 	do := func(c rollout.Command, f rollout.Sender) (rollout.Result, error) {
 		f.Time = now
@@ -63,7 +66,7 @@
 		{Name: "zones", Kind: rollout.KindServer, Per: "zone", MaxOutShare: shareZone}}}, from("operator", 0)); err != nil {
 		return pl, err
 	}
-	run := make([]int, routers) // of each router's process
+	run := make([]int, routers) // incarnation of each router's process
 	state := make([]rollout.ServerStatus, servers)
 	boot := make([]int, servers)
 	server := func(i int) string { return fmt.Sprintf("s%03d", i) }
@@ -73,9 +76,11 @@
 		for part := range slices.Chunk(all, rollout.MaxReportedServers) {
 			v := &rollout.RouterReport{Zone: zone(i % zones), Version: version, IsReady: true}
 			for _, k := range part {
-				v.Servers = append(v.Servers, rollout.ServerObservation{Name: server(k), Zone: zone(k % zones), Incarnation: fmt.Sprint(boot[k]), Status: state[k]})
+				v.Servers = append(v.Servers, rollout.ServerObservation{Name: server(k), Zone: zone(k % zones),
+					Incarnation: fmt.Sprint(boot[k]), Status: state[k]})
 			}
-			if _, err := do(rollout.Command{Op: rollout.OpReport, Report: v}, from(rollout.RouterClientPrefix+router(i), run[i])); err != nil {
+			if _, err := do(rollout.Command{Op: rollout.OpReport, Report: v},
+				from(rollout.RouterClientPrefix+router(i), run[i])); err != nil {
 				return err
 			}
 		}
@@ -93,11 +98,12 @@
 		}
 	}
 	now = beginMS * time.Millisecond
-	s.Advance(now+time.Minute, next) // warm
+	s.Advance(now+time.Minute, next) // until all are past slow start
 	now += time.Minute
 	base := now
 	at := func() float64 { return beginMS + float64((now-base)/time.Millisecond) }
-	if _, err := do(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin", FromVersion: "v1", ToVersion: "v2", FirstWave: 3, GrowthFactor: 3, BakeTime: 2 * time.Second,
+	if _, err := do(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin",
+		FromVersion: "v1", ToVersion: "v2", FirstWave: 3, GrowthFactor: 3, BakeTime: 2 * time.Second,
 		StepTimeout: time.Minute}}, from("release", 0)); err != nil {
 		return pl, err
 	}
@@ -106,7 +112,7 @@
 			pl.Allowed[b.Kind] = b.Allowed
 		}
 	}
-	// What is to happen, by time.
+	// Scheduled steps of the timeline.
 	type todo struct {
 		at time.Duration
 		do func() error
@@ -117,7 +123,7 @@
 	}
 	order := rng.Perm(servers)
 	asked, changed := map[string]bool{}, 0
-	down := map[int]bool{} // of the zone that is lost
+	down := map[int]bool{} // servers of the lost zone
 	if lost {
 		after(float64(servers)/(shareOut*float64(servers))*(drainMS+downMS+float64(serverWarm/time.Millisecond))/2, func() error {
 			z := rng.IntN(zones)
@@ -153,7 +159,7 @@
 			return nil
 		})
 	}
-	// A server's change, and a router's.
+	// The change of a server, and the release of a router.
 	changeServer := func(i int, token uint64) {
 		name, who := server(i), from("op/"+server(i), 0)
 		pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Drain})
@@ -161,14 +167,16 @@
 			pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Kill})
 			var start func() error
 			start = func() error {
-				if down[i] { // its zone is lost
+				if down[i] { // wait until its zone is back
 					after(500, start)
 					return nil
 				}
 				boot[i]++
 				changed++
-				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start}, Fault{At: at(), Servers: []int{i}, Kind: Undrain})
-				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name, Token: token}, who)
+				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start},
+					Fault{At: at(), Servers: []int{i}, Kind: Undrain})
+				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name,
+					Token: token}, who)
 				return err
 			}
 			after(downMS, start)
@@ -188,7 +196,8 @@
 				if err := tell(i, "v2", every); err != nil {
 					return err
 				}
-				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: router(i), Token: token}, from("release", 0))
+				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: router(i),
+					Token: token}, from("release", 0))
 				return err
 			})
 			return nil
@@ -197,7 +206,7 @@
 	const tick = 100 * time.Millisecond
 	for steps := 0; changed < servers || s.Release.State == rollout.ReleaseRunning; steps++ {
 		if steps > 100_000 {
-			return pl, fmt.Errorf("the release does not come to its end: %d servers changed, %+v", changed, s.Report(now).Unavailable)
+			return pl, fmt.Errorf("the release does not end: %d servers changed, unavailable: %+v", changed, s.Report(now).Unavailable)
 		}
 		for len(later) > 0 {
 			i := 0
@@ -216,7 +225,7 @@
 			}
 		}
 		s.Advance(now, next)
-		// Whoever drives asks for what is to be done, and begins what it may.
+		// The tools request a permit for each outstanding change and begin those that are granted.
 		type ask struct {
 			k      rollout.Kind
 			i      int
@@ -251,7 +260,8 @@
 			if a.Stage != rollout.StageGranted {
 				continue
 			}
-			if _, err := do(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token}, from(x.client, 0)); err != nil {
+			if _, err := do(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token},
+				from(x.client, 0)); err != nil {
 				return pl, err
 			}
 			if x.k == rollout.KindServer {
@@ -295,7 +305,7 @@
 	return pl, nil
 }
 
-// release puts one of the Releases on a day's time line.
+// release adds the faults of a release day.
 func (p *Params) release(kind string) error {
 	p.Rate *= 0.8 / 0.62
 	if kind == "release-none" {
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -8,7 +8,7 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// request is one try of a client at a router.
+// request is one try of a client, as its router sees it.
 type request struct {
 	wish     *wish
 	id       uint32
@@ -19,6 +19,7 @@
 	missedAt []*machine
 }
 
+// attempt is one attempt of a router at a machine.
 type attempt struct {
 	r    *router
 	q    *request
@@ -32,44 +33,45 @@
 	st   outcome
 }
 
-// outcome is how an attempt ended; 0 = it has not.
+// outcome is how an attempt ended: 0 while it is open, else its decide.AttemptStatus plus 1.
 type outcome int
 
 func (o outcome) word() string {
 	return [...]string{"open", "ok", "failed", "full", "timeout", "connect", "reset", "cancelled", "ignored", "miss", "spoilt"}[o]
 }
 
-// conn is a connection of a router to a machine's process.
+// conn is a connection of a router to one process of a machine.
 type conn struct {
 	to   *machine
 	boot int
-	idle float64 // since
+	idle float64 // time since which it is idle
 }
 
-// router hosts one Balancer.
+// router is a router process: the host of one Balancer.
 type router struct {
 	d       *day
 	b       *decide.Balancer
 	zone    string
 	reqs    map[uint32]*request
-	conns   map[*machine][]*conn // idle ones, longest idle first
+	conns   map[*machine][]*conn // idle connections, the longest idle first
 	last    uint32
 	version int64
-	starts  map[uint32]float64 // the latest start of each server that the list has told of
+	starts  map[uint32]float64 // latest start time of each server in the lists received
 	dead    bool
 }
 
-// router starts the process of a router, which knows a list.
+// router starts a router process with an endpoint list.
 func (d *day) router(i int, known model.List) (*router, error) {
 	cfg := d.p.Config
 	cfg.RouterIndex, cfg.Zone = i, zone(i%d.p.Zones)
-	r := &router{d: d, zone: cfg.Zone, reqs: map[uint32]*request{}, conns: map[*machine][]*conn{}, version: known.Version, starts: map[uint32]float64{}}
+	r := &router{d: d, zone: cfg.Zone, reqs: map[uint32]*request{},
+		conns: map[*machine][]*conn{}, version: known.Version, starts: map[uint32]float64{}}
 	var err error
 	if r.b, err = decide.New(cfg, d.rng.Uint64(), r); err != nil {
 		return nil, err
 	}
 	r.update(decide.RestoredEndpoints, known)
-	for _, v := range d.servers { // one that starts in the middle knows it before its first request
+	for _, v := range d.servers { // drains are in force before the first request of a router
 		if d.drained[v.id] {
 			r.b.Disable(d.now, v.id)
 		}
@@ -77,7 +79,7 @@
 	return r, nil
 }
 
-// update hands a list to the Balancer, and notes which starts of servers it tells of.
+// update passes an endpoint list to the Balancer and records the start times of the servers in it.
 func (r *router) update(kind decide.EndpointUpdateKind, list model.List) {
 	entries := decided(list)
 	for _, entry := range entries {
@@ -86,7 +88,7 @@
 	r.b.UpdateEndpoints(r.d.now, kind, entries)
 }
 
-// die ends a router's process. Its clients see their connections reset, and its servers too.
+// die ends a router process. Its clients and its servers see their connections reset.
 func (r *router) die() {
 	if r.dead {
 		return
@@ -123,7 +125,7 @@
 	r.reqs, r.conns = nil, nil
 }
 
-// giveUp has a machine stop working on an attempt once it hears.
+// giveUp cancels an attempt at its machine, after the network delay.
 func (r *router) giveUp(a *attempt) {
 	r.d.after(r.net(a.to), func() {
 		if r.d.out[a.job] == a && a.to.up {
@@ -136,7 +138,7 @@
 	})
 }
 
-// net is the way to a machine.
+// net returns the one-way network delay to a machine.
 func (r *router) net(v *machine) float64 {
 	if r.zone == v.zone || v.origin {
 		return r.d.p.Net
@@ -144,7 +146,7 @@
 	return r.d.p.Cross
 }
 
-// leave is the end of a client's wait: what is out has timed out.
+// leave ends a try whose client has stopped waiting. Its open attempts time out.
 func (r *router) leave(q *request) {
 	if r.dead {
 		return
@@ -160,7 +162,7 @@
 	delete(r.reqs, q.id)
 }
 
-// The ends of a try.
+// How a try ended.
 const (
 	served = iota
 	refused
@@ -168,6 +170,8 @@
 	left
 )
 
+// finish ends a try and passes the result to its client. A positive told is the retry delay for the
+// client.
 func (r *router) finish(q *request, how int, told float64) {
 	if q.over {
 		return
@@ -193,7 +197,7 @@
 	d.again(q.wish, told)
 }
 
-// path tells how the attempts of a request ended.
+// path describes how the attempts of a request ended.
 func (q *request) path() (text string) {
 	for i, a := range q.tries {
 		if i == 0 {
@@ -206,7 +210,7 @@
 	return text
 }
 
-// The methods of decide.Host. None calls the Balancer before it has returned.
+// The methods of decide.Host follow. They never call the Balancer synchronously.
 
 // Send starts an attempt.
 func (r *router) Send(id, server uint32, timeout float64) {
@@ -216,7 +220,7 @@
 	}
 	a := &attempt{r: r, q: q, n: len(q.tries), to: v, sent: d.now, work: q.work * lognormal(d.rng, d.p.Noise)}
 	q.tries = append(q.tries, a)
-	if v == nil { // it is gone, and the list says so late
+	if v == nil { // the server was removed, and the list has not arrived yet
 		a.to = &machine{id: server, zone: r.zone, place: -1}
 	} else if v.origin {
 		if d.sums.Fetches++; d.fetching[q.key] > 0 {
@@ -261,7 +265,8 @@
 	}
 }
 
-// connect brings up a connection to a machine, or takes an idle one, and goes on with it, or with nil.
+// connect takes an idle connection to a machine or dials one, and calls on with it, or with nil if the dial
+// failed.
 func (r *router) connect(v *machine, on func(*conn)) {
 	d, way := r.d, r.net(v)
 	keep := d.p.Config.IdleTimeoutMillis - min(d.p.Config.IdleTimeoutMillis/4, 1000)
@@ -303,7 +308,7 @@
 	}
 }
 
-// release gives the connection of an attempt back, or closes it.
+// release makes the connection of an attempt idle, or closes it if it can't be reused.
 func (r *router) release(a *attempt, reuse bool) {
 	c := a.conn
 	if a.conn = nil; c == nil {
@@ -317,7 +322,7 @@
 	r.conns[a.to] = append(r.conns[a.to], c)
 }
 
-// reach brings an attempt to its machine.
+// reach delivers an attempt to its machine.
 func (d *day) reach(a *attempt) {
 	v := a.to
 	switch {
@@ -337,7 +342,7 @@
 	}
 }
 
-// Cancel gives an attempt up.
+// Cancel cancels an attempt.
 func (r *router) Cancel(id uint32, n int) {
 	q := r.reqs[id]
 	if q == nil || n < 0 || n >= len(q.tries) || q.tries[n].over {
@@ -348,9 +353,11 @@
 	r.giveUp(a)
 }
 
-// Reject and Fail are final answers.
+// Reject rejects a request with a retry delay.
 func (r *router) Reject(id uint32, wait float64) { r.answer(id, refused, wait) }
-func (r *router) Fail(id uint32)                 { r.answer(id, failed, 0) }
+
+// Fail ends a request as failed.
+func (r *router) Fail(id uint32) { r.answer(id, failed, 0) }
 
 func (r *router) answer(id uint32, how int, told float64) {
 	if q := r.reqs[id]; q != nil {
@@ -358,13 +365,13 @@
 	}
 }
 
-// HealthCheck asks a server for its load.
+// HealthCheck probes a server for its load, or uses a recent result that another router has shared.
 func (r *router) HealthCheck(server uint32) {
 	d, v := r.d, r.d.byID[server]
 	if v == nil {
 		return
 	}
-	if k, ok := d.board[server]; ok && d.now-k.at <= sharedStale { // another router has asked it
+	if k, ok := d.board[server]; ok && d.now-k.at <= sharedStale { // shared by another router
 		d.after(0, func() {
 			if !r.dead {
 				r.b.HealthCheckEnded(d.now, server, decide.OK, k.load)
@@ -375,14 +382,16 @@
 	r.ask(v, func(st decide.AttemptStatus, l decide.LoadReport) { r.b.HealthCheckEnded(d.now, server, st, l) })
 }
 
-// What routers tell one another of servers, as docs/agreement.md has it: each server is asked each Params.Shared by the one whose
-// task it is, the others hear of it later, and it counts until it is stale.
+// Shared probes, as described in docs/agreement.md: every Params.Shared one router probes a server for all.
+// The others receive the result after sharedLate milliseconds and use it until it is sharedStale
+// milliseconds old.
 const (
 	sharedLate  = 500
 	sharedStale = 2500
 )
 
-// share has one router ask a server for all, over and over: the first that lives from the one whose turn it is.
+// share has one router probe server i for all routers, and schedules the next probe. The router is the first
+// live one from router i on.
 func (d *day) share(i int) {
 	v := d.servers[i]
 	for k := range d.routers {
@@ -403,13 +412,13 @@
 	d.after(d.p.Shared, func() { d.share(i) })
 }
 
-// report is what a router has told the others.
+// report is a probe result that a router has shared with the others.
 type report struct {
 	load decide.LoadReport
 	at   float64
 }
 
-// ask probes a server, and tells what became of it once, unless the router dies.
+// ask probes a server and passes the result to tells, once, unless the router is dead by then.
 func (r *router) ask(v *machine, tells func(decide.AttemptStatus, decide.LoadReport)) {
 	d := r.d
 	d.sums.Probes++
@@ -449,7 +458,7 @@
 	})
 }
 
-// probeTimeout is how long a probe is waited for.
+// probeTimeout is the timeout of a probe, in milliseconds.
 const probeTimeout = 500
 
 // CloseIdle closes the idle connections to a server.
@@ -464,7 +473,7 @@
 	delete(r.conns, v)
 }
 
-// SetTimer calls the Balancer back.
+// SetTimer schedules a call of the Balancer, until the day has ended.
 func (r *router) SetTimer(after float64, token uint64) {
 	if d := r.d; d.now < begin+d.p.Length+rest {
 		d.after(after, func() {
@@ -475,12 +484,14 @@
 	}
 }
 
-// watchEvery is how often a watch looks for news, in milliseconds.
+// watchEvery is the interval at which a watch checks for changes, in milliseconds.
 const watchEvery = 100
 
-// WatchEndpoints asks for the changes since the version that is held, and waits for more once it has them.
+// WatchEndpoints requests the changes of the endpoint list since the version of this router, and watches
+// for further changes.
 func (r *router) WatchEndpoints() { r.d.after(r.d.p.Net, r.watch) }
 
+// watch passes the next change of the endpoint list to the Balancer, and repeats until the watch fails.
 func (r *router) watch() {
 	d := r.d
 	if r.dead {
@@ -513,11 +524,13 @@
 	})
 }
 
-// Gossip and Log have nobody to reach.
+// Gossip discards the message: the simulation has no gossip.
 func (r *router) Gossip([]byte) {}
-func (r *router) Log(string)    {}
 
-// homes is a Host that notes where requests are sent, and does nothing else.
+// Log discards the line.
+func (r *router) Log(string) {}
+
+// homes is a decide.Host that only records the server to which each request is sent.
 type homes struct{ sent map[uint32]uint32 }
 
 func (h *homes) Send(id, server uint32, _ float64) { h.sent[id] = server }
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation is the laboratory in virtual time: a fleet of real decision modules before modelled cache servers, origin,
-// discovery, connections and clients, judged by sums over the fleet. Nothing in it waits or reads a clock, so one seed is
-// one day.
+// Package simulation runs a fleet of real decision modules in virtual time, against models of cache
+// servers, origin, discovery, connections and clients, and sums up the results over the fleet. It neither
+// sleeps nor reads a clock, so a day depends on its parameters and seed only.
 package simulation
 
 import (
@@ -17,41 +17,42 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// MaxAttempts bounds the attempts of a day, as a module that loops would play for ever.
+// MaxAttempts bounds the attempts of a day, since a decision module that loops would never end it.
 const MaxAttempts = 10_000_000
 
-// begin is the time of a day's start: a server that started at 0 has run for long. Much later, the smallest step of the
-// models would be lost to rounding.
+// begin is the time at which a day starts, in milliseconds. Servers that started at time 0 are long warm by
+// then. At a much later time the smallest steps of the models would be lost to rounding.
 const begin = 1e6
 
-// rest is how long a day is played on after the last request.
+// rest is how long a day continues after the last request, in milliseconds.
 const rest = 3000
 
 const originID = 1
 
-// day is one day while it is played.
+// day is the state of a day in progress.
 type day struct {
 	engine
 	p        Params
 	rng      *rand.Rand
-	servers  []*machine // the origin is the last
+	servers  []*machine // the last one is the origin
 	byID     map[uint32]*machine
 	list     *model.Directory
-	first    model.List // as it was when the day began
+	first    model.List // the endpoint list at the start of the day
 	routers  []*router
-	parts    []float64 // the routers' traffic, added up
-	ranks    []float64 // the popularity of keys, added up
-	key      []uint64  // by rank
+	parts    []float64 // running sums of the routers' traffic
+	ranks    []float64 // running sums of the popularity of the keys
+	key      []uint64  // keys by popularity rank
 	nextKey  uint64
 	sums     Sums
-	fetching map[uint64]int
+	fetching map[uint64]int // attempts in flight at the origin, by key
 	jobs     uint64
 	out      map[uint64]*attempt
 	drained  map[uint32]bool
-	cold     map[*machine]*coldWindow // what cold servers were sent lately
-	board    map[uint32]report        // what routers have told one another
+	cold     map[*machine]*coldWindow // recent arrivals at servers in slow start
+	board    map[uint32]report        // probe results shared between routers, by server ID
 }
 
+// machine is a cache server or the origin.
 type machine struct {
 	id     uint32
 	m      *model.Server
@@ -59,25 +60,28 @@
 	origin bool
 	up     bool
 	silent bool
-	boot   int // of its process
-	// startedAt is when its process was started in the middle of the day.
+	boot   int // number of times its process was stopped
+	// startedAt is when its process was restarted during the day; 0 before that.
 	startedAt float64
-	at        float64
-	place     int
+	at        float64 // time of its next scheduled event
+	place     int     // index in day.servers; -1 for a server that no longer exists
 	zone      string
 }
 
-// Play plays a day.
+// Play runs a day and returns its sums. It returns an error for invalid parameters, or when the day
+// exceeds MaxAttempts.
 func Play(p Params) (Sums, error) {
 	if err := p.check(); err != nil {
 		return Sums{}, err
 	}
 	p.Config.CacheAside, p.Config.OriginKind, p.Config.PollEndpoints = true, "origin", true
 	d := &day{engine: engine{now: begin}, p: p, rng: rand.New(rand.NewPCG(p.Seed, 1)), byID: map[uint32]*machine{},
-		fetching: map[uint64]int{}, out: map[uint64]*attempt{}, drained: map[uint32]bool{}, board: map[uint32]report{}, cold: map[*machine]*coldWindow{}}
+		fetching: map[uint64]int{}, out: map[uint64]*attempt{}, drained: map[uint32]bool{},
+		board: map[uint32]report{}, cold: map[*machine]*coldWindow{}}
 	d.sums.Servers, d.sums.RejectedByCause = make([]ServerSum, p.Servers), map[string]int{}
 	d.sums.NotInTimeByOutcome = map[string]int{}
-	d.sums.Worth, d.sums.Gained = make([]float64, len(p.Config.Classes)), make([]float64, len(p.Config.Classes))
+	d.sums.Worth, d.sums.Gained = make([]float64, len(p.Config.Classes)),
+		make([]float64, len(p.Config.Classes))
 	d.popularity()
 	var known []model.Entry
 	for i := range p.Servers + 1 {
@@ -124,7 +128,7 @@
 	}
 	d.play(begin+p.Length+rest, func() bool { return d.sums.Attempts < MaxAttempts })
 	if d.sums.Attempts >= MaxAttempts {
-		return d.sums, fmt.Errorf("virtual: over %d attempts", MaxAttempts)
+		return d.sums, fmt.Errorf("simulation: more than %d attempts", MaxAttempts)
 	}
 	for _, v := range d.servers {
 		if v.m.Fallen() {
@@ -146,12 +150,12 @@
 	return math.Exp(math.Sqrt(s)*rng.NormFloat64() - s/2)
 }
 
-// quantile is that of Student's t for 95% and the degrees of freedom.
+// quantile returns the 97.5% quantile of Student's t distribution, for a two-sided 95% interval.
 func quantile(freedom float64) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
 }
 
-// name gives a machine a new id.
+// name assigns a new ID to a machine.
 func (d *day) name(v *machine) {
 	delete(d.byID, v.id)
 	for v.id = originID; !v.origin && (v.id == originID || d.byID[v.id] != nil); {
@@ -160,16 +164,17 @@
 	d.byID[v.id] = v
 }
 
-// entry is a machine on the list.
+// entry returns the entry of a machine in the endpoint list.
 func (d *day) entry(v *machine, state string, started float64) model.Entry {
-	e := model.Entry{ID: strconv.FormatUint(uint64(v.id), 16), Zone: v.zone, Kind: "origin", State: state, Weight: float64(v.p.Cores), Started: started}
+	e := model.Entry{ID: strconv.FormatUint(uint64(v.id), 16), Zone: v.zone, Kind: "origin", State: state,
+		Weight: float64(v.p.Cores), Started: started}
 	if !v.origin {
 		e.Kind = "kind-" + strconv.Itoa(v.place%len(d.p.Kinds))
 	}
 	return e
 }
 
-// popularity deals keys to ranks, by Zipf's law.
+// popularity creates the keys, with popularities by rank after Zipf's law.
 func (d *day) popularity() {
 	total := 0.0
 	for i := range d.p.Keys {
@@ -183,7 +188,7 @@
 	return d.nextKey * 0x9e3779b97f4a7c15
 }
 
-// drift has some ranks go over to new keys.
+// drift replaces the keys of some ranks by new ones, once a second.
 func (d *day) drift() {
 	n := d.p.Drift * float64(d.p.Keys)
 	for range int(n) + b2i(d.rng.Float64() < n-math.Floor(n)) {
@@ -192,13 +197,13 @@
 	d.after(1000, d.drift)
 }
 
-// draw draws an index by sums of weights.
+// draw draws an index with probabilities given by the running sums of their weights.
 func draw(rng *rand.Rand, sums []float64) int {
 	return min(len(sums)-1, sort.SearchFloat64s(sums, rng.Float64()*sums[len(sums)-1]))
 }
 
-// warm fills the servers with the most popular keys, the least popular first, at the homes that a router gives them that
-// knows nothing but the list.
+// warm stores the keys in the servers, the least popular first, each at its home. The homes are those that
+// a router computes which has only received the endpoint list.
 func (d *day) warm() error {
 	if !d.p.Warm {
 		return nil
@@ -214,18 +219,20 @@
 	c := cfg.Classes[0]
 	for i := len(d.key) - 1; i >= 0; i-- {
 		id := uint32(i + 1)
-		b.Request(begin, decide.Request{ID: id, Class: c.Name, Key: d.key[i], HasKey: true, RemainingMillis: c.DeadlineMillis})
+		b.Request(begin, decide.Request{ID: id, Class: c.Name, Key: d.key[i], HasKey: true,
+			RemainingMillis: c.DeadlineMillis})
 		if v := d.byID[h.sent[id]]; v != nil && !v.origin {
 			v.m.Store(begin, name(d.key[i]), 1)
 		}
-		b.AttemptEnded(begin, decide.Outcome{RequestID: id, ServerID: h.sent[id], Status: decide.OK, IsFinal: true, Load: decide.NoLoadReport})
+		b.AttemptEnded(begin, decide.Outcome{RequestID: id, ServerID: h.sent[id], Status: decide.OK, IsFinal: true,
+			Load: decide.NoLoadReport})
 	}
 	return nil
 }
 
 func name(key uint64) string { return strconv.FormatUint(key, 16) }
 
-// fault carries out a fault.
+// fault applies a fault.
 func (d *day) fault(f Fault) {
 	for _, i := range f.Routers {
 		d.routers[i].die()
@@ -235,7 +242,7 @@
 				known = d.first
 			}
 			r, err := d.router(i, known)
-			if err != nil { // the first ones took the same settings
+			if err != nil { // impossible: the first routers accepted the same settings
 				panic(err)
 			}
 			d.routers[i] = r
@@ -277,12 +284,13 @@
 	}
 }
 
+// happened reports a change of a server to discovery.
 func (d *day) happened(e model.Entry) {
 	d.list.Happened(d.now, e)
 	d.after(d.list.Next()-d.now, func() { d.list.Advance(d.now) })
 }
 
-// stop ends a machine's process: what is there is lost, and its connections are reset.
+// stop ends a machine's process: its jobs are lost, and its connections are reset.
 func (d *day) stop(v *machine) {
 	v.up = false
 	v.boot++
@@ -291,6 +299,7 @@
 	}
 }
 
+// start restarts a machine's process, cold and empty.
 func (d *day) start(v *machine) {
 	v.up = true
 	v.m.Advance(d.now)
@@ -300,7 +309,7 @@
 	d.look(v)
 }
 
-// lost are the attempts at a machine, in their order.
+// lost removes the attempts in flight at a machine and returns them in the order of their jobs.
 func (d *day) lost(v *machine) (all []*attempt) {
 	var jobs []uint64
 	for job, a := range d.out {
@@ -316,7 +325,8 @@
 	return all
 }
 
-// look has a machine work, and comes back when it next has something done.
+// look advances a machine to the present time, sends the responses of the jobs that are done, and
+// schedules the next call for when the machine next changes.
 func (d *day) look(v *machine) {
 	for _, done := range v.m.Advance(d.now) {
 		d.done(v, done)
@@ -331,7 +341,8 @@
 	}
 }
 
-// done sends a machine's answer back.
+// done sends the response of a job back to its router, and stores a value fetched from the origin at the
+// first two servers that missed.
 func (d *day) done(v *machine, done model.Done) {
 	a := d.out[done.ID]
 	if a == nil {
@@ -362,14 +373,14 @@
 	d.back(a, st, note)
 }
 
-// back sends an answer from its machine, unless that is cut off.
+// back sends a response to the router, unless the machine is cut off from the network.
 func (d *day) back(a *attempt, st decide.AttemptStatus, note int) {
 	if !a.to.silent {
 		d.after(a.r.net(a.to), func() { d.end(a, st, note, decide.NoLoadReport) })
 	}
 }
 
-// end tells a router the outcome of an attempt, once.
+// end reports the outcome of an attempt to its router. Only the first outcome counts.
 func (d *day) end(a *attempt, st decide.AttemptStatus, note int, l decide.LoadReport) {
 	if a.over || a.r.dead {
 		return
@@ -405,20 +416,22 @@
 	if st == decide.OK {
 		a.r.finish(a.q, served, 0)
 	}
-	a.r.b.AttemptEnded(d.now, decide.Outcome{RequestID: a.q.id, Attempt: a.n, ServerID: a.to.id, Status: st, LatencyMillis: d.now - a.sent,
-		IsFinal: a.q.over, CacheResult: decide.CacheResult(note), Load: l})
+	a.r.b.AttemptEnded(d.now, decide.Outcome{RequestID: a.q.id, Attempt: a.n, ServerID: a.to.id, Status: st,
+		LatencyMillis: d.now - a.sent,
+		IsFinal:       a.q.over, CacheResult: decide.CacheResult(note), Load: l})
 }
 
-// decided is a list in the module's terms.
+// decided converts an endpoint list to the types of the decision module.
 func decided(l model.List) []decide.Endpoint {
 	var es []decide.Endpoint
 	for _, e := range l.Servers {
-		id, _ := strconv.ParseUint(e.ID, 16, 32) // as it was written above
+		id, _ := strconv.ParseUint(e.ID, 16, 32) // entry has formatted the ID
 		state := decide.Ready
 		if e.State == "left" {
 			state = decide.Removed
 		}
-		es = append(es, decide.Endpoint{ID: uint32(id), State: state, StartedAt: e.Started, Size: e.Weight, Zone: e.Zone, Kind: e.Kind})
+		es = append(es, decide.Endpoint{ID: uint32(id), State: state, StartedAt: e.Started, Size: e.Weight,
+			Zone: e.Zone, Kind: e.Kind})
 	}
 	return es
 }
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -8,22 +8,25 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// fleet is a day of the given size. Each router has the same traffic, each server the same load, whatever the size.
+// fleet returns a day in which all routers have the same traffic. The load per server does not depend on
+// the size.
 func fleet(routers, servers int) Params {
-	server := model.Params{Cores: 4, Speed: 1, Queue: 80, Memory: 400, MissWork: 5, ColdFrom: 0.4, ColdMS: 6000, ReportEveryMS: 200,
-		ReportDelayMS: 50, ReportNoise: 0.1, FallMultiple: 3, FallForMS: 2000, Thrash: 0.05, ThrashAt: 4}
+	server := model.Params{Cores: 4, Speed: 1, Queue: 80, Memory: 400, MissWork: 5, ColdFrom: 0.4, ColdMS: 6000,
+		ReportEveryMS: 200, ReportDelayMS: 50, ReportNoise: 0.1, FallMultiple: 3, FallForMS: 2000, Thrash: 0.05, ThrashAt: 4}
 	slow := server
 	slow.Speed = 0.5
 	origin := model.Params{Cores: servers, Speed: 1, Queue: 100 * servers, Origin: true}
 	return Params{
-		Config: decide.Config{Routers: routers, Classes: []decide.Class{{Name: "read", LatencyObjectiveMillis: 600, DeadlineMillis: 1200, PriorityWeight: 1}},
-			LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000,
-			PollWithinMillis: 10000, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000},
+		Config: decide.Config{Routers: routers,
+			Classes:           []decide.Class{{Name: "read", LatencyObjectiveMillis: 600, DeadlineMillis: 1200, PriorityWeight: 1}},
+			LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true,
+			MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000},
 		Servers: servers, Kinds: []model.Params{server, slow}, Origin: origin,
 		List: model.DirectoryParams{LateMS: [2]float64{500, 2000}, CallsPerS: 40, TimeoutMS: 2000},
 		Rate: 16 * float64(servers), Length: 12000, Keys: 100 * servers, Zipf: 1.1, Work: 60, Net: 5, Seed: 7}
 }
 
+// every returns the multiples of nth below of.
 func every(nth, of int) (all []int) {
 	for i := 0; i < of; i += nth {
 		all = append(all, i)
@@ -39,22 +42,22 @@
 	}
 	t.Logf("%d routers, %d servers: %+v", p.Config.Routers, p.Servers, s)
 	if ended := s.Served + s.Failed; ended != s.Requests {
-		t.Errorf("%d requests ended of %d", ended, s.Requests)
+		t.Errorf("%d of %d requests ended", ended, s.Requests)
 	}
 	return s
 }
 
-// The same seed is the same day.
+// Two runs of the same parameters and seed are equal.
 func TestOneSeedIsOneDay(t *testing.T) {
 	p := fleet(8, 6)
 	p.Length = 3000
 	p.Faults = []Fault{{At: 1000, Servers: []int{0}}, {At: 2000, Servers: []int{0}, Kind: Start}}
 	if a, b := play(t, p), play(t, p); !reflect.DeepEqual(a, b) {
-		t.Errorf("two plays differ:\n%+v\n%+v", a, b)
+		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
 	}
 }
 
-// A calm fleet serves as well with many routers as with few.
+// On a calm day the share served in time does not depend on the number of routers.
 func TestManyRoutersServeACalmDay(t *testing.T) {
 	for _, routers := range []int{1, 4, 80} {
 		p := fleet(routers, 30)
@@ -65,8 +68,8 @@
 	}
 }
 
-// A third of the servers dies and comes back cold. Each router finds each dead server by few requests, and all of them
-// together push none over.
+// A third of the servers is killed and comes back cold. Each router detects a dead server by few failed
+// connections, and all routers together overload no cold server.
 func TestManyRoutersLoseAZoneAndGetItBack(t *testing.T) {
 	for _, routers := range []int{4, 80} {
 		p := fleet(routers, 30)
@@ -74,12 +77,13 @@
 		p.Faults = []Fault{{At: 3000, Servers: dead}, {At: 7000, Servers: dead, Kind: Start}}
 		s := play(t, p)
 		if s.Fallen > 0 {
-			t.Errorf("%d routers: %d cold servers were pushed over", routers, s.Fallen)
+			t.Errorf("%d routers: %d cold servers collapsed", routers, s.Fallen)
 		}
-		// One connection finds a dead server, but not every router meets each in the seconds until the list says so; then
-		// come trials with growing pauses. Two for each router and server, as it was, are 863 for eighty routers.
+		// A router detects a dead server by one failed connection, but not every router tries each in the
+		// seconds until the list marks it as removed. Afterwards it probes with growing pauses. Two failed
+		// connections per router and server, as in an earlier version, were 863 for 80 routers.
 		if float64(s.Refusals) > float64(len(dead))*(0.8*float64(routers)+8) {
-			t.Errorf("%d routers: dead servers refused %d connections", routers, s.Refusals)
+			t.Errorf("%d routers: %d connections to dead servers failed", routers, s.Refusals)
 		}
 		if Ratio(s.InTime, s.Requests) < 0.6 {
 			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Requests))
@@ -87,9 +91,9 @@
 	}
 }
 
-// Servers of half the speed get about half of the work.
+// Servers of half the speed receive about half as many attempts.
 func TestHomesFollowCapacityOverTheFleet(t *testing.T) {
-	p := fleet(20, 30) // each sees some twenty requests a second
+	p := fleet(20, 30) // each router gets about 20 requests per second
 	s := play(t, p)
 	var fast, slow int
 	for i, v := range s.Servers {
@@ -101,17 +105,17 @@
 		}
 	}
 	if r := Ratio(fast, slow); r < 1.25 || r > 3 {
-		t.Errorf("servers of twice the speed got %.2f times the attempts", r)
+		t.Errorf("servers of twice the speed received %.2f times the attempts", r)
 	}
 }
 
 func TestADayNeedsItsParameters(t *testing.T) {
 	if _, err := Play(Params{}); err == nil {
-		t.Error("a day without parameters is played")
+		t.Error("empty parameters were accepted")
 	}
 }
 
-// What the figures are made of adds up, for every kind of day, and the same day gives the same digits twice.
+// On every kind of day the counts are consistent with each other, and two runs are equal.
 func TestASmallTwinOfEachDay(t *testing.T) {
 	for _, kind := range Days {
 		p, err := GenerateDay(kind, 24, 12, 5)
@@ -121,26 +125,26 @@
 		p.Length = 15000
 		s := play(t, p)
 		if again := play(t, p); !reflect.DeepEqual(s, again) {
-			t.Errorf("%s: two plays differ", kind)
+			t.Errorf("%s: two runs differ", kind)
 		}
 		var asked, in, dials, misses int
 		for _, x := range s.Seconds {
 			asked, in, dials, misses = asked+x.Requests, in+x.InTime, dials+x.Dials, misses+x.Misses
 		}
 		if asked != s.Requests || in != s.InTime || dials > s.Dials || misses > s.Misses || s.Tries != s.Requests+s.Retries {
-			t.Errorf("%s: seconds don't add up to the day", kind)
+			t.Errorf("%s: the counts of the seconds don't add up to those of the day", kind)
 		}
 		if s.Fallen > 0 {
-			t.Errorf("%s: %d cold servers were pushed over", kind, s.Fallen)
+			t.Errorf("%s: %d cold servers collapsed", kind, s.Fallen)
 		}
 		told := 0
 		for story, n := range s.NotInTimeByOutcome {
 			if told += n; story == "" {
-				t.Errorf("%s: %d requests were lost without a story", kind, n)
+				t.Errorf("%s: %d requests not in time have no recorded outcome", kind, n)
 			}
 		}
 		if told != s.Requests-s.InTime {
-			t.Errorf("%s: stories of %d of the %d not in time", kind, told, s.Requests-s.InTime)
+			t.Errorf("%s: outcomes are recorded for %d of the %d requests not in time", kind, told, s.Requests-s.InTime)
 		}
 		if s.Service() < 0.5 || s.Price.Dial <= 0 || s.Price.Probe <= 0 {
 			t.Errorf("%s: service %.2f, G %.2f", kind, s.Service(), s.G())
@@ -148,7 +152,7 @@
 	}
 }
 
-// A dead machine's connections are of no use to its successor, a silent one lets none come up, and a connection is kept.
+// Idle connections are reused, and no connection to a server that is cut off is established.
 func TestConnectionsAreCountedOnce(t *testing.T) {
 	p := fleet(1, 2)
 	p.Conn, p.Rate, p.Length, p.Config.HealthChecksAllowed = Conn{RTTs: 1, Timeout: 250}, 20, 4000, false
@@ -158,7 +162,7 @@
 	}
 	p.Faults = []Fault{{At: 1000, Servers: []int{0, 1}, Kind: Silent}, {At: 3000, Servers: []int{0, 1}, Kind: Heard}}
 	if s := play(t, p); s.Refusals == 0 {
-		t.Error("silent servers let connections come up")
+		t.Error("no connection to a server that is cut off failed")
 	}
 }
 
@@ -176,13 +180,13 @@
 		}
 		bad(&p)
 		if _, err := Play(p); err == nil {
-			t.Errorf("played: %+v", p.Faults)
+			t.Errorf("invalid parameters were accepted: %+v", p.Faults)
 		}
 	}
 	if _, err := GenerateDay("noon", 4, 4, 1); err == nil {
-		t.Error("a day that there is not is drawn")
+		t.Error("an unknown day was accepted")
 	}
 	if _, err := GenerateDay("calm", 0, 4, 1); err == nil {
-		t.Error("a day without routers is drawn")
+		t.Error("a day without routers was accepted")
 	}
 }
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ColdSum is what the whole fleet sent to servers in slow start.
+// ColdSum holds what the whole fleet sent to servers in slow start.
 type ColdSum struct {
 	Starts int // servers started during the day
 	// OverBound counts the windows over their bound, at most one for each process of a server.
@@ -15,8 +15,8 @@
 	FullestByInformed ColdWindow `json:"MostTold"`
 }
 
-// ColdWindow is one window of the settings' length (FallFor) at one server in slow start. Requests are counted by their
-// work, in units of the mean.
+// ColdWindow is a window of OverloadMillis at one server in slow start. Requests are counted by their work,
+// in units of the mean work.
 type ColdWindow struct {
 	Sent float64 // all that arrived, probes included
 	// SentByInformed is the part of Sent from routers that knew of the start.
@@ -26,26 +26,27 @@
 	AgeMillis float64 // age of the server's process at the end of the window
 }
 
-// Bound is what a cold server bears in a window: N and an allowance for chance.
+// Bound returns what a cold server can take in a window: Allowed plus two standard deviations of a Poisson
+// count of that mean, plus 2.
 func (w ColdWindow) Bound() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
-// Ratio is what arrived over the bound.
+// Ratio returns Sent relative to the bound.
 func (w ColdWindow) Ratio() float64 { return Ratio(w.Sent, w.Bound()) }
 
-// coldArrival is work that reached a server in slow start.
+// coldArrival is work that reached a server in slow start, in units of the mean work.
 type coldArrival struct {
 	at, requests float64
 	told         bool
 }
 
-// coldWindow holds the latest arrivals at one process of a server.
+// coldWindow holds the arrivals of the last OverloadMillis at one process of a server.
 type coldWindow struct {
 	boot     int
 	arrivals []coldArrival
-	isOver   bool // has gone over the bound
+	isOver   bool // it has exceeded the bound
 }
 
-// recordCold books work from a router that reaches a server, if that is in slow start.
+// recordCold counts work from a router that reaches a server, if the server is in slow start.
 func (d *day) recordCold(v *machine, from *router, work float64) {
 	if v.origin || v.startedAt == 0 || v.m.Warmth() >= 1 {
 		return
@@ -56,11 +57,13 @@
 		d.cold[v] = window
 	}
 	cfg := &d.p.Config
-	window.arrivals = append(window.arrivals, coldArrival{d.now, work / d.p.Work, from.starts[v.id] >= v.startedAt})
+	window.arrivals = append(window.arrivals,
+		coldArrival{d.now, work / d.p.Work, from.starts[v.id] >= v.startedAt})
 	for window.arrivals[0].at <= d.now-cfg.OverloadMillis {
 		window.arrivals = window.arrivals[1:]
 	}
-	seen := ColdWindow{Allowed: cfg.OverloadFactor * v.m.Capacity() * cfg.OverloadMillis / d.p.Work, AgeMillis: d.now - v.startedAt}
+	seen := ColdWindow{Allowed: cfg.OverloadFactor * v.m.Capacity() * cfg.OverloadMillis / d.p.Work,
+		AgeMillis: d.now - v.startedAt}
 	for _, arrival := range window.arrivals {
 		seen.Sent += arrival.requests
 		if arrival.told {
@@ -75,10 +78,11 @@
 	d.sums.Cold.add(seen)
 }
 
-// toldShare is the share from which on a fall is the doing of routers that knew of the start.
+// toldShare is the share of the work in a window above which its overload is attributed to the routers
+// that knew of the start.
 const toldShare = 2.0 / 3
 
-// add keeps a window if it is nearer to its bound than those before.
+// add keeps a window if its ratio is higher than those before.
 func (c *ColdSum) add(seen ColdWindow) {
 	if seen.Ratio() > c.Fullest.Ratio() {
 		c.Fullest = seen
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -8,9 +8,10 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// Servers that start, some at once, some one after another, told late and under a burst: no window goes over its bound by
-// what routers sent that knew of the start, whatever their number. Servers work at the speed of their kind: of one that is
-// three times slower no router can know what it bears.
+// Servers restart together or one after the other, with late notification and under a burst. Whatever the
+// number of routers, those that know of a start don't send a server in slow start more than its bound.
+// Slow faults are left out: routers can't know the capacity of a server that is three times slower than its
+// kind.
 func TestNoStartedServerFallsToRoutersThatKnow(t *testing.T) {
 	for _, day := range []string{"roll", "throng", "zone"} {
 		for _, routers := range []int{5, 24, 80} {
@@ -27,17 +28,18 @@
 				cold := s.Cold
 				t.Logf("%s, %d routers, seed %d: %+v", day, routers, p.Seed, cold)
 				if cold.Starts == 0 || cold.Fullest.Sent == 0 {
-					t.Errorf("%s, %d routers, seed %d: nothing was recorded", day, routers, p.Seed)
+					t.Errorf("%s, %d routers, seed %d: no start or no arrival was recorded", day, routers, p.Seed)
 				}
 				if cold.OverBoundByInformed > 0 {
-					t.Errorf("%s, %d routers, seed %d: %d of %d starts broken", day, routers, p.Seed, cold.OverBoundByInformed, cold.Starts)
+					t.Errorf("%s, %d routers, seed %d: informed routers exceeded the bound in %d of %d starts", day, routers, p.Seed, cold.OverBoundByInformed, cold.Starts)
 				}
 			}
 		}
 	}
 }
 
-// The ledger counts the work of one window, forgets what is older, and tells who knew of the start.
+// recordCold counts the work of one window, drops older work, and separates the work from routers that
+// knew of the start.
 func TestTheLedgerCountsAWindowOfSlowStart(t *testing.T) {
 	const window, start, work = 2000.0, 1e6, 50.0
 	for _, c := range []struct {
@@ -58,17 +60,17 @@
 				}
 			}
 			send(knows, 3)
-			d.now = start + window // and these are forgotten
+			d.now = start + window // drops these arrivals
 			send(ignorant, c.untold)
 			send(knows, c.told-c.told/2)
 			d.now += window / 2
 			send(knows, c.told/2)
 			most := d.sums.Cold.Fullest
 			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.SentByInformed != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
-				t.Errorf("the fullest window: %+v, %v sent", most, want)
+				t.Errorf("the fullest window: %+v, want %v sent", most, want)
 			}
 			if cold := d.sums.Cold; cold.OverBound != c.over || cold.OverBoundByInformed != c.broken {
-				t.Errorf("%d over, %d broken", cold.OverBound, cold.OverBoundByInformed)
+				t.Errorf("%d windows over the bound, %d by informed routers", cold.OverBound, cold.OverBoundByInformed)
 			}
 		})
 	}
--- a/lab/simulation/twin.go
+++ b/lab/simulation/twin.go
@@ -10,20 +10,23 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// Days are the days that Twin draws.
+// Days lists the kinds of days that GenerateDay generates, apart from SlowStartDays and ReleaseDays.
 var Days = []string{"calm", "herd", "roll", "split", "zone"}
 
-// SlowStartDays are further days that Twin draws, of which cold servers may fall to routers that don't know of their start yet.
+// SlowStartDays lists further days, on which cold servers may be overloaded by routers that have not been
+// notified of their start yet.
 var SlowStartDays = []string{"throng"}
 
-// GenerateDay draws a day of the standing test's kind at the given size from the seed: the site's machines and classes, a load
-// about two thirds of what the servers can do with all memory as one cache, and the trouble that the day is named after.
+// GenerateDay returns the parameters of a day of the given kind and size, drawn from the seed: machines and
+// classes as in the standing test, a load of about two thirds of what the servers can serve with all their
+// memory as one cache, and the faults that the day is named after. It returns an error for an unknown kind
+// and for sizes that are too small.
 func GenerateDay(kind string, routers, servers int, seed uint64) (Params, error) {
 	if !slices.Contains(slices.Concat(Days, SlowStartDays, ReleaseDays), kind) {
-		return Params{}, fmt.Errorf("virtual: no day %q; there are %v, %v and %v", kind, Days, SlowStartDays, ReleaseDays)
+		return Params{}, fmt.Errorf("simulation: no day is named %q; the days are %v, %v and %v", kind, Days, SlowStartDays, ReleaseDays)
 	}
 	if routers < 1 || servers < 4 {
-		return Params{}, fmt.Errorf("virtual: %d routers before %d servers: at least 1 and 4", routers, servers)
+		return Params{}, fmt.Errorf("simulation: %d routers and %d servers: at least 1 and 4 are required", routers, servers)
 	}
 	rng := rand.New(rand.NewPCG(seed, 4))
 	in := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
@@ -33,32 +36,40 @@
 		aim    = 600
 	)
 	machine := func(cores int, speed, cold float64) model.Params {
-		return model.Params{Cores: cores, Speed: speed, Queue: int(in(9, 33) * float64(cores)), Thrash: in(0.045, 0.13), ThrashAt: in(2.9, 5.4),
+		return model.Params{Cores: cores, Speed: speed, Queue: int(in(9, 33) * float64(cores)),
+			Thrash: in(0.045, 0.13), ThrashAt: in(2.9, 5.4),
 			ColdFrom: cold, ColdMS: in(3500, 8500), MissWork: 5, Conns: 800 * cores, ConnWork: in(1.3, 6), ProbeWork: in(0.8, 1.5),
 			PauseEveryMS: in(4000, 11000), PauseMS: in(0, 60), ErrorRate: 0.0005, KeyedMS: 3000,
 			ReportEveryMS: in(70, 490), ReportDelayMS: in(2, 150), ReportNoise: in(0.03, 0.2), FallMultiple: 3, FallForMS: 2000,
-			ChokeAt: in(4, 7), ChokeOverMS: in(1500, 2500), ChokeSlower: in(2.2, 3.1), ChokeBelow: in(0.25, 0.4), ChokeRestMS: in(3000, 4600),
+			ChokeAt: in(4, 7), ChokeOverMS: in(1500, 2500), ChokeSlower: in(2.2, 3.1), ChokeBelow: in(0.25, 0.4),
+			ChokeRestMS: in(3000, 4600),
 			ChokeMostMS: in(17000, 29000)}
 	}
-	kinds := []model.Params{machine(4, in(1.7, 2.3), in(0.35, 0.53)), machine(5, in(1, 1.4), in(0.41, 0.6)), machine(5, in(0.68, 0.92), in(0.3, 0.59))}
-	if kind == "throng" { // small servers: a cold one bears a few dozen requests in a window
+	kinds := []model.Params{machine(4, in(1.7, 2.3), in(0.35, 0.53)), machine(5, in(1, 1.4), in(0.41, 0.6)),
+		machine(5, in(0.68, 0.92), in(0.3, 0.59))}
+	if kind == "throng" { // small servers: a cold one can take only a few dozen requests in a window
 		for i := range kinds {
-			kinds[i].Queue, kinds[i].Conns, kinds[i].Cores = kinds[i].Queue/kinds[i].Cores, max(1600, 4*routers), 1
+			kinds[i].Queue, kinds[i].Conns, kinds[i].Cores = kinds[i].Queue/kinds[i].Cores,
+				max(1600, 4*routers), 1
 		}
 	}
 	work := in(84, 150)
-	capacity := 0.0 // work a millisecond
+	capacity := 0.0 // work per millisecond
 	for i := range servers {
 		k := kinds[i%len(kinds)]
 		capacity += float64(k.Cores) * k.Speed
 	}
-	p := Params{Servers: servers, Kinds: kinds, SpeedCV: in(0.2, 0.35), Rate: 0.62 * capacity / work * 1000, Length: length, Keys: 150 * servers,
-		Zipf: in(0.92, 1.2), Offset: in(2, 10), Drift: in(0.0005, 0.003), Warm: true, Work: work, WorkCV: in(0.76, 1.5), Noise: in(0.13, 0.57),
+	p := Params{Servers: servers, Kinds: kinds, SpeedCV: in(0.2, 0.35), Rate: 0.62 * capacity / work * 1000,
+		Length: length, Keys: 150 * servers,
+		Zipf: in(0.92, 1.2), Offset: in(2, 10), Drift: in(0.0005, 0.003), Warm: true, Work: work,
+		WorkCV: in(0.76, 1.5), Noise: in(0.13, 0.57),
 		Keyed: 0.022, Once: 0.013, Zones: zones, Net: 0.2, Cross: in(10, 20), Uneven: 0.8,
-		Clients: Clients{Retries: 2, Try: in(0.5, 0.8), Pause: in(25, 200), Honour: in(0.7, 1)}, Conn: Conn{RTTs: in(1, 2), Timeout: 250},
-		Prices: Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
-		List:   model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6, TimeoutMS: 2000}, Seed: seed}
-	// The memory of all servers as one cache holds the most popular keys: so many that this share of the reads finds them.
+		Clients: Clients{Retries: 2, Try: in(0.5, 0.8), Pause: in(25, 200), Honour: in(0.7, 1)},
+		Conn:    Conn{RTTs: in(1, 2), Timeout: 250},
+		Prices:  Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
+		List:    model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6, TimeoutMS: 2000}, Seed: seed}
+	// The memory of all servers together holds the n most popular keys, where n is chosen so that they
+	// receive this share of the reads.
 	hits, total, sum, n := in(0.85, 0.95), 0.0, 0.0, 0
 	weight := func(i int) float64 { return math.Pow(float64(i)+p.Offset, -p.Zipf) }
 	for i := range p.Keys {
@@ -70,16 +81,20 @@
 	for i := range kinds {
 		kinds[i].Memory = max(1, n/servers)
 	}
-	// The origin can do about twice what would then be left.
+	// The capacity of the origin is about twice the load that then remains for it.
 	fetchMS, left := aim*in(0.08, 0.24), 1-hits+p.Keyed+p.Once
 	cores := max(1, int(math.Round(in(1.9, 2.8)*left*p.Rate*fetchMS/1000)))
-	p.Origin = model.Params{Cores: cores, Speed: work / fetchMS, Queue: int(in(0.3, 3.1)*1000/fetchMS) * cores, Origin: true, KeyedMS: 3000,
-		Thrash: in(0.05, 0.2), ThrashAt: 4}
-	p.Config = decide.Config{Routers: routers, LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3,
-		IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8800, SlowStartInitialShare: 0.3, OverloadFactor: 3, OverloadMillis: 2000, Classes: []decide.Class{
+	p.Origin = model.Params{Cores: cores, Speed: work / fetchMS, Queue: int(in(0.3, 3.1)*1000/fetchMS) * cores,
+		Origin: true, KeyedMS: 3000, Thrash: in(0.05, 0.2), ThrashAt: 4}
+	p.Config = decide.Config{Routers: routers, LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true,
+		SendRetryAfter: true, MaxRetryAfterMillis: 1500, MaxAttempts: 3,
+		IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8800, SlowStartInitialShare: 0.3,
+		OverloadFactor: 3, OverloadMillis: 2000, Classes: []decide.Class{
 			{Name: "fetch", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2},
-			{Name: "publish", LatencyObjectiveMillis: aim, DeadlineMillis: 1500, PriorityWeight: 10, Effect: decide.IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 3000},
-			{Name: "release-tag", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2, Effect: decide.NotIdempotent}}}
+			{Name: "publish", LatencyObjectiveMillis: aim, DeadlineMillis: 1500, PriorityWeight: 10,
+				Effect: decide.IdempotentByKey, IdempotencyScope: "all", IdempotencyWindowMillis: 3000},
+			{Name: "release-tag", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2,
+				Effect: decide.NotIdempotent}}}
 	if slices.Contains(ReleaseDays, kind) {
 		return p, p.release(kind)
 	}
@@ -87,7 +102,7 @@
 	return p, nil
 }
 
-// trouble puts what a day is named after on its time line.
+// trouble adds the bursts and faults of a kind of day.
 func (p *Params) trouble(kind string, rng *rand.Rand) {
 	routers, zoned := p.Config.Routers, func(n, zone int) (all []int) {
 		for i := zone; i < n; i += p.Zones {
