--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -103,7 +103,7 @@
 	for _, p := range jobs {
 		l := report.Line{Name: p.Day + ": served in time, %"}
 		for _, s := range p.Sums.Seconds {
-			l.V = append(l.V, 100*simulation.Ratio(s.InTime, s.Requests))
+			l.V = append(l.V, 100*simulation.Quotient(s.InTime, s.Requests))
 		}
 		if n := len(l.V); n > 0 { // the last one is not a whole second
 			l.V = l.V[:n-1]
@@ -240,8 +240,8 @@
 		fmt.Fprintf(w, "%s, seed %d\n", p.Day, p.Seed)
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
-			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Requests, simulation.Ratio(s.InTime, s.Requests), s.Tries, s.Rejected,
-				s.Attempts, simulation.Ratio(s.Misses, s.Attempts), simulation.Ratio(s.Cancels, s.Attempts), s.QueueFull, s.Fetches, s.Dials)
+			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Requests, simulation.Quotient(s.InTime, s.Requests), s.Tries, s.Rejected,
+				s.Attempts, simulation.Quotient(s.Misses, s.Attempts), simulation.Quotient(s.Cancels, s.Attempts), s.QueueFull, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.RejectedByCause)
@@ -255,9 +255,9 @@
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
-			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.RankLimit, b.Keys, b.Requests, simulation.Ratio(b.InTime, b.Requests), b.Rejected,
-				b.Attempts, simulation.Ratio(b.AtMainServer, b.Attempts), simulation.Ratio(b.ServersTried, b.Keys), simulation.Ratio(b.Misses, b.Attempts),
-				simulation.Ratio(b.Cancels, b.Attempts))
+			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.RankLimit, b.Keys, b.Requests, simulation.Quotient(b.InTime, b.Requests), b.Rejected,
+				b.Attempts, simulation.Quotient(b.AtMainServer, b.Attempts), simulation.Quotient(b.ServersTried, b.Keys), simulation.Quotient(b.Misses, b.Attempts),
+				simulation.Quotient(b.Cancels, b.Attempts))
 		}
 		t.Flush()
 		fmt.Fprintln(w)
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -120,8 +120,8 @@
 	Dials     int
 }
 
-// Ratio returns a/b, or 0 if b is 0.
-func Ratio[A, B int | float64](a A, b B) float64 {
+// Quotient returns a/b, or 0 if b is 0.
+func Quotient[A, B int | float64](a A, b B) float64 {
 	if b == 0 {
 		return 0
 	}
@@ -129,7 +129,7 @@
 }
 
 // Service returns the share of the priority weight of all requests that was served in time.
-func (s *Sums) Service() float64 { return Ratio(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
+func (s *Sums) Service() float64 { return Quotient(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
 
 // Weights in G of the whole day, of its worst ten seconds and of its worst class, and the length of that
 // window.
@@ -165,7 +165,7 @@
 			break
 		}
 		if asked > 0 {
-			least = min(least, Ratio(in, asked))
+			least = min(least, Quotient(in, asked))
 		}
 	}
 	return least
@@ -178,18 +178,18 @@
 	add("served in time", s.Service())
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
-	add("asks a request", Ratio(s.Tries, s.Requests))
-	add("refused of asks", Ratio(s.Rejected, s.Tries))
-	add("attempts a request", Ratio(s.Attempts, s.Requests))
-	add("misses of attempts", Ratio(s.Misses, s.Attempts))
-	add("cancels of attempts", Ratio(s.Cancels, s.Attempts))
-	add("turned away of attempts", Ratio(s.QueueFull, s.Attempts))
-	add("fetches a request", Ratio(s.Fetches, s.Requests))
-	add("same key of fetches", Ratio(s.SameKey, s.Fetches))
-	add("dials a request", Ratio(s.Dials, s.Requests))
-	add("probes a request", Ratio(s.Probes, s.Requests))
-	add("  of these for all", Ratio(s.ForAll, s.Requests))
-	add("wasted work", Ratio(s.Wasted, s.Work))
+	add("asks a request", Quotient(s.Tries, s.Requests))
+	add("refused of asks", Quotient(s.Rejected, s.Tries))
+	add("attempts a request", Quotient(s.Attempts, s.Requests))
+	add("misses of attempts", Quotient(s.Misses, s.Attempts))
+	add("cancels of attempts", Quotient(s.Cancels, s.Attempts))
+	add("turned away of attempts", Quotient(s.QueueFull, s.Attempts))
+	add("fetches a request", Quotient(s.Fetches, s.Requests))
+	add("same key of fetches", Quotient(s.SameKey, s.Fetches))
+	add("dials a request", Quotient(s.Dials, s.Requests))
+	add("probes a request", Quotient(s.Probes, s.Requests))
+	add("  of these for all", Quotient(s.ForAll, s.Requests))
+	add("wasted work", Quotient(s.Wasted, s.Work))
 	add("price of dials", s.Price.Dial)
 	add("price of crossings", s.Price.Cross)
 	add("price of probes", s.Price.Probe)
@@ -197,9 +197,9 @@
 	add("price of lists", s.Price.Call)
 	q := s.Quarters()
 	add("load of the slow quarter by that of the quick",
-		Ratio(Ratio(float64(q[0].Attempts), q[0].Capacity), Ratio(float64(q[3].Attempts), q[3].Capacity)))
-	add("ms of a hit there", Ratio(q[0].MS, float64(q[0].Hits)))
-	add("and at the quick quarter", Ratio(q[3].MS, float64(q[3].Hits)))
+		Quotient(Quotient(float64(q[0].Attempts), q[0].Capacity), Quotient(float64(q[3].Attempts), q[3].Capacity)))
+	add("ms of a hit there", Quotient(q[0].MS, float64(q[0].Hits)))
+	add("and at the quick quarter", Quotient(q[3].MS, float64(q[3].Hits)))
 	add("cold servers pushed over", float64(s.Fallen))
 	add("most sent to a cold server, of its bound", s.Cold.Fullest.Ratio())
 	add("  by routers told of its start", s.Cold.FullestByInformed.Ratio())
@@ -213,7 +213,7 @@
 	for _, x := range s.Seconds[min(from, len(s.Seconds)):min(to, len(s.Seconds))] {
 		asked, in = asked+x.Requests, in+x.InTime
 	}
-	return Ratio(in, asked)
+	return Quotient(in, asked)
 }
 
 // second returns the counts of the second that contains a time.
@@ -259,9 +259,9 @@
 	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Requests == 0 {
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
-	s.Price = Prices{Cross: p.Cross * Ratio(s.Crossings, s.Requests), Waste: p.Waste * Ratio(s.Wasted, s.Work),
-		Probe: p.Probe * Ratio(s.Probes, s.Requests), Dial: p.Dial * Ratio(s.Dials, s.Requests),
-		Call: p.Call * Ratio(s.Calls, s.Requests)}
+	s.Price = Prices{Cross: p.Cross * Quotient(s.Crossings, s.Requests), Waste: p.Waste * Quotient(s.Wasted, s.Work),
+		Probe: p.Probe * Quotient(s.Probes, s.Requests), Dial: p.Dial * Quotient(s.Dials, s.Requests),
+		Call: p.Call * Quotient(s.Calls, s.Requests)}
 }
 
 // MeanWithInterval returns the mean of the values and the half width of its 95% confidence interval
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -62,8 +62,8 @@
 	for _, routers := range []int{1, 4, 80} {
 		p := fleet(routers, 30)
 		p.Warm = true
-		if s := play(t, p); Ratio(s.InTime, s.Requests) < 0.9 {
-			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Requests))
+		if s := play(t, p); Quotient(s.InTime, s.Requests) < 0.9 {
+			t.Errorf("%d routers: %.2f served in time", routers, Quotient(s.InTime, s.Requests))
 		}
 	}
 }
@@ -85,8 +85,8 @@
 		if float64(s.Refusals) > float64(len(dead))*(0.8*float64(routers)+8) {
 			t.Errorf("%d routers: %d connections to dead servers failed", routers, s.Refusals)
 		}
-		if Ratio(s.InTime, s.Requests) < 0.6 {
-			t.Errorf("%d routers: %.2f served in time", routers, Ratio(s.InTime, s.Requests))
+		if Quotient(s.InTime, s.Requests) < 0.6 {
+			t.Errorf("%d routers: %.2f served in time", routers, Quotient(s.InTime, s.Requests))
 		}
 	}
 }
@@ -104,7 +104,7 @@
 			slow += n
 		}
 	}
-	if r := Ratio(fast, slow); r < 1.25 || r > 3 {
+	if r := Quotient(fast, slow); r < 1.25 || r > 3 {
 		t.Errorf("servers of twice the speed received %.2f times the attempts", r)
 	}
 }
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -31,7 +31,7 @@
 func (w ColdWindow) Bound() float64 { return w.Allowed + 2*math.Sqrt(w.Allowed) + 2 }
 
 // Ratio returns Sent relative to the bound.
-func (w ColdWindow) Ratio() float64 { return Ratio(w.Sent, w.Bound()) }
+func (w ColdWindow) Ratio() float64 { return Quotient(w.Sent, w.Bound()) }
 
 // coldArrival is work that reached a server in slow start, in units of the mean work.
 type coldArrival struct {
