--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -138,7 +138,7 @@
 		all.Go(func() {
 			for i := range next {
 				p, err := simulation.GenerateDay(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
-				p.Shared = shared
+				p.SharedProbeMillis = shared
 				if err == nil {
 					jobs[i].Sums, err = simulation.Play(p)
 				}
--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -37,7 +37,7 @@
 	Cross   float64 // one-way network delay between zones; 0: as within a zone
 	Hot     float64 // traffic of router 0 relative to the mean; 0: as the others
 	Uneven  float64 // coefficient of variation of the traffic per router, lognormal; with 1 some get several times the mean
-	Shared  float64 // interval at which one router probes a server for all; 0: each router probes for itself
+	SharedProbeMillis  float64 // interval at which one router probes a server for all; 0: each router probes for itself
 	Clients Clients
 	Conn    Conn
 	Prices  Prices
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -409,7 +409,7 @@
 		})
 		break
 	}
-	d.after(d.p.Shared, func() { d.share(i) })
+	d.after(d.p.SharedProbeMillis, func() { d.share(i) })
 }
 
 // report is a probe result that a router has shared with the others.
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -118,9 +118,9 @@
 	if p.Drift > 0 {
 		d.after(1000, d.drift)
 	}
-	if p.Shared > 0 {
+	if p.SharedProbeMillis > 0 {
 		for i := range p.Servers {
-			d.after(p.Shared*float64(i)/float64(p.Servers), func() { d.share(i) })
+			d.after(p.SharedProbeMillis*float64(i)/float64(p.Servers), func() { d.share(i) })
 		}
 	}
 	for _, f := range p.Faults {
