--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -140,9 +140,9 @@
 	worstWindow = 10 // s
 )
 
-// G returns the score of the day: the weighted service of the whole day, of its worst ten seconds and of
+// Score returns the score of the day: the weighted service of the whole day, of its worst ten seconds and of
 // its worst class, less the prices.
-func (s *Sums) G() float64 {
+func (s *Sums) Score() float64 {
 	worst := 1.0
 	for i := range s.Worth {
 		if s.Worth[i] > 0 {
@@ -174,7 +174,7 @@
 // Figures returns the figures by which two builds are compared, in a fixed order.
 func (s *Sums) Figures() (names []string, values []float64) {
 	add := func(name string, v float64) { names, values = append(names, name), append(values, v) }
-	add("G", s.G())
+	add("G", s.Score())
 	add("served in time", s.Service())
 	add("first 5 s", s.between(0, 5))
 	add("worst 10 s", s.worst())
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -147,7 +147,7 @@
 			t.Errorf("%s: outcomes are recorded for %d of the %d requests not in time", kind, told, s.Requests-s.InTime)
 		}
 		if s.Service() < 0.5 || s.Price.Dial <= 0 || s.Price.Probe <= 0 {
-			t.Errorf("%s: service %.2f, G %.2f", kind, s.Service(), s.G())
+			t.Errorf("%s: service %.2f, G %.2f", kind, s.Service(), s.Score())
 		}
 	}
 }
