--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -12,37 +12,37 @@
 // Params describes a day. Times are in milliseconds, rates in requests per second over the whole fleet,
 // work in milliseconds on a core of speed 1.
 type Params struct {
-	Config  decide.Config // of each router; Play sets RouterIndex, Zone, CacheAside, OriginKind and PollEndpoints
-	Servers int
-	Kinds   []model.Params // server i has the parameters Kinds[i % len(Kinds)]
-	SpeedCV float64        // coefficient of variation of a server's speed around that of its kind
-	Origin  model.Params
-	List    model.DirectoryParams
-	Rate    float64
-	Bursts  []Burst
-	Length  float64
-	Keys    int
-	Zipf    float64 // exponent of the Zipf distribution of key popularity, above 0
-	Offset  float64 // added to the rank of a key, which starts at 0; 0: 4
-	Drift   float64 // share of the keys replaced by new ones each second
-	Warm    bool    // servers start with the most popular keys, each at its home as a new router computes it
-	Work    float64 // mean work of a request
-	WorkCV  float64 // coefficient of variation of the work, lognormal; 0: exponential
-	Noise   float64 // coefficient of variation of an attempt's work around that of its request, lognormal
-	Hints   bool    // requests carry the work as a hint
-	Keyed   float64 // share of requests that are writes of the second class
-	Once    float64 // share of requests that are writes of the third class
-	Zones   int     // servers and routers are assigned to zones in turn; 0: 1
-	Net     float64 // one-way network delay within a zone
-	Cross   float64 // one-way network delay between zones; 0: as within a zone
-	Hot     float64 // traffic of router 0 relative to the mean; 0: as the others
-	Uneven  float64 // coefficient of variation of the traffic per router, lognormal; with 1 some get several times the mean
-	SharedProbeMillis  float64 // interval at which one router probes a server for all; 0: each router probes for itself
-	Clients Clients
-	Conn    Conn
-	Prices  Prices
-	Seed    uint64
-	Faults  []Fault
+	Config            decide.Config // of each router; Play sets RouterIndex, Zone, CacheAside, OriginKind and PollEndpoints
+	Servers           int
+	Kinds             []model.Params // server i has the parameters Kinds[i % len(Kinds)]
+	SpeedCV           float64        // coefficient of variation of a server's speed around that of its kind
+	Origin            model.Params
+	List              model.DirectoryParams
+	Rate              float64
+	Bursts            []Burst
+	Length            float64
+	Keys              int
+	Zipf              float64 // exponent of the Zipf distribution of key popularity, above 0
+	Offset            float64 // added to the rank of a key, which starts at 0; 0: 4
+	Drift             float64 // share of the keys replaced by new ones each second
+	Warm              bool    // servers start with the most popular keys, each at its home as a new router computes it
+	Work              float64 // mean work of a request
+	WorkCV            float64 // coefficient of variation of the work, lognormal; 0: exponential
+	Noise             float64 // coefficient of variation of an attempt's work around that of its request, lognormal
+	Hints             bool    // requests carry the work as a hint
+	Keyed             float64 // share of requests that are writes of the second class
+	Once              float64 // share of requests that are writes of the third class
+	Zones             int     // servers and routers are assigned to zones in turn; 0: 1
+	Net               float64 // one-way network delay within a zone
+	Cross             float64 // one-way network delay between zones; 0: as within a zone
+	Hot               float64 // traffic of router 0 relative to the mean; 0: as the others
+	Uneven            float64 // coefficient of variation of the traffic per router, lognormal; with 1 some get several times the mean
+	SharedProbeMillis float64 // interval at which one router probes a server for all; 0: each router probes for itself
+	Clients           Clients
+	Conn              Conn
+	Prices            Prices
+	Seed              uint64
+	Faults            []Fault
 }
 
 // Burst multiplies the request rate by Times, for the period For from At on.
