--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -241,7 +241,7 @@
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
 			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Requests, simulation.Quotient(s.InTime, s.Requests), s.Tries, s.Rejected,
-				s.Attempts, simulation.Quotient(s.Misses, s.Attempts), simulation.Quotient(s.Cancels, s.Attempts), s.QueueFull, s.Fetches, s.Dials)
+				s.Attempts, simulation.Quotient(s.Misses, s.Attempts), simulation.Quotient(s.Cancels, s.Attempts), s.QueueFullAttempts, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.RejectedByCause)
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -28,7 +28,7 @@
 }
 
 // docs/CAPACITY.md is what the tool writes from the shipped sizes and slopes.
-func TestPage(t *testing.T) {
+func TestPageMatchesShippedSizesAndSlopes(t *testing.T) {
 	m, lines := shippedModel(t)
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // A page that lacks a marker is rejected.
-func TestPageWithoutMarkers(t *testing.T) {
+func TestPageWithoutMarkersIsRejected(t *testing.T) {
 	if _, err := FillPage([]byte("# Capacity\n"+beginMarker), &Model{}, nil); err == nil {
 		t.Error("a page without the end marker was filled")
 	}
@@ -52,12 +52,12 @@
 
 // line returns a line through the origin, measured up to a size.
 func line(name string, perRouter, to float64) scalingfit.Line {
-	return scalingfit.Line{Name: name, Unit: "cores", Per: "router", Slope: perRouter, From: 1, To: to, R2: 1}
+	return scalingfit.Line{Name: name, Unit: "cores", SizeUnit: "router", Slope: perRouter, MinSize: 1, MaxSize: to, R2: 1}
 }
 
 // A row over its budget is red, a row without a line is not measured, and doubling the size doubles a
 // figure.
-func TestStates(t *testing.T) {
+func TestRowStateFollowsValueAndBudget(t *testing.T) {
 	sizes, err := ShippedSizes()
 	if err != nil {
 		t.Fatal(err)
@@ -68,20 +68,20 @@
 		t.Errorf("without a line: %s", s)
 	}
 	m := NewModel(sizes, []scalingfit.Line{line("x", 0.8/sizes.Routers, sizes.Routers)})
-	if s := row.State(m); s != Fits {
+	if s := row.State(m); s != WithinBudget {
 		t.Errorf("below the budget: %s", s)
 	}
-	if text := row.twice(m); !strings.HasPrefix(text, "**RED** 1.6") {
+	if text := row.doubledText(m); !strings.HasPrefix(text, "**RED** 1.6") {
 		t.Errorf("at twice the size: %s", text)
 	}
-	if text := row.margin(m); text != "20%" {
+	if text := row.marginText(m); text != "20%" {
 		t.Errorf("margin: %s", text)
 	}
 	m = NewModel(sizes, []scalingfit.Line{line("x", 1.5/sizes.Routers, sizes.Routers/2)})
-	if s := row.State(m); s != Red {
+	if s := row.State(m); s != OverBudget {
 		t.Errorf("over the budget: %s", s)
 	}
-	if text := row.Figure(m).source(); !strings.Contains(text, "2 times beyond") {
+	if text := row.Figure(m).sourceText(); !strings.Contains(text, "2 times beyond") {
 		t.Errorf("beyond the range: %s", text)
 	}
 	row.Budget = nil
@@ -91,17 +91,17 @@
 }
 
 // A sum with a part that was not measured is not measured.
-func TestUnknownParts(t *testing.T) {
-	if bySizes(1, "bytes").plus(notMeasured("bytes")).Known {
+func TestSumWithUnmeasuredPartIsNotMeasured(t *testing.T) {
+	if bySizes(1, "bytes").plus(notMeasured("bytes")).IsKnown {
 		t.Error("a sum with an unknown part is known")
 	}
-	if f := notMeasured("bytes").times(3, "bytes"); f.Known || f.text() != "not measured" {
+	if f := notMeasured("bytes").times(3, "bytes"); f.IsKnown || f.text() != "not measured" {
 		t.Errorf("%+v", f)
 	}
 }
 
 // Sizes are set by key; unknown keys and malformed values are errors.
-func TestSet(t *testing.T) {
+func TestUnknownSizeKeysAreRejected(t *testing.T) {
 	sizes, err := ShippedSizes()
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 }
 
 // Each row has an event, a figure and a mechanism, and each role has a table.
-func TestRowsAreWhole(t *testing.T) {
+func TestRowsAndTablesAreComplete(t *testing.T) {
 	m, _ := shippedModel(t)
 	tables := Tables()
 	const roles = 8
@@ -131,28 +131,28 @@
 	for _, table := range tables {
 		for i := range table.Rows {
 			r := &table.Rows[i]
-			if r.Event == "" || r.What == "" || r.CarriedBy == "" {
+			if r.Event == "" || r.Quantity == "" || r.Mechanism == "" {
 				t.Errorf("%s: %+v", table.Role, r)
 			}
-			if f := r.Figure(m); f.Known && f.Unit == "" {
-				t.Errorf("%s, %s: no unit", table.Role, r.What)
+			if f := r.Figure(m); f.IsKnown && f.Unit == "" {
+				t.Errorf("%s, %s: no unit", table.Role, r.Quantity)
 			}
 		}
 	}
 }
 
 // Numbers are rounded to three significant digits.
-func TestNumber(t *testing.T) {
+func TestNumbersKeepThreeDigits(t *testing.T) {
 	for want, v := range map[string]float64{"0": 0, "12,800,000": 12.75e6, "0.000181": 0.0001811,
 		"246,000": 245535, "1.3": 1.3, "-1,230": -1234, "1,000": 999.9} {
-		if got := number(v); got != want {
+		if got := formatNumber(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
 		}
 	}
 }
 
 // Plot draws the named lines and fails if there are none.
-func TestPlot(t *testing.T) {
+func TestPlotFailsWithoutLines(t *testing.T) {
 	_, lines := shippedModel(t)
 	path := filepath.Join(t.TempDir(), "plot.svg")
 	if err := Plot(path, "Processor time at rest", lines, "rest.leader.cores", "rest.voter.cores"); err != nil {
--- a/lab/capacity/dataplane.go
+++ b/lab/capacity/dataplane.go
@@ -9,35 +9,44 @@
 
 func serverTable() Table {
 	return Table{Role: "Cache server, as routers load it", Rows: []Row{
-		{Event: "at the peak", What: "requests", CarriedBy: "the routers' choice of servers (decide)",
+		{Event: "at the peak", Quantity: "requests", Mechanism: "the routers' choice of servers (decide)",
 			Figure: func(m *Model) Figure { return bySizes(m.RequestsPerS/m.Servers, "requests/s") }},
-		{Event: "at the peak", What: "bits out", CarriedBy: "the routers' choice of servers (decide)",
+		{Event: "at the peak", Quantity: "bits out", Mechanism: "the routers' choice of servers (decide)",
 			Figure: func(m *Model) Figure { return bySizes(m.BitsPerS/m.Servers, "bits/s") }},
-		{Event: "at rest", What: "connections, if all routers connect to all servers", CarriedBy: byRegions,
+		{Event: "at rest", Quantity: "connections, if all routers connect to all servers", Mechanism: mechanismRegions,
 			Figure: func(m *Model) Figure { return bySizes(m.Routers, "connections") }},
-		{Event: "at rest", What: "connections, by region", CarriedBy: byRegions,
+		{Event: "at rest", Quantity: "connections, by region", Mechanism: mechanismRegions,
 			Figure: func(m *Model) Figure { return bySizes(m.RegionRouters, "connections") }},
-		{Event: "at rest", What: "probes", CarriedBy: byProbeLease, Figure: func(*Model) Figure { return notMeasured("probes/s") }},
-		{Event: "a start, cold", What: "what all routers may send it at first (cold budgets)", CarriedBy: "a budget of each router (decide)",
-			Figure: func(*Model) Figure { return notMeasured("requests/s") }},
+		{Event: "at rest", Quantity: "probes", Mechanism: mechanismSharedProbes,
+			Figure: func(*Model) Figure { return notMeasured("probes/s") }},
+		{Event: "a start, cold", Quantity: "what all routers may send it at first (cold budgets)",
+			Mechanism: "a budget of each router (decide)",
+			Figure:    func(*Model) Figure { return notMeasured("requests/s") }},
 	}}
 }
 
 func dataPlaneTable() Table {
 	return Table{Role: "Data plane", Rows: []Row{
-		{Event: "at rest", What: "connections, all routers to all servers", CarriedBy: byRegions, Figure: func(m *Model) Figure { return bySizes(m.Routers*m.Servers, "connections") }},
-		{Event: "at rest", What: "connections, by region", CarriedBy: byRegions, Figure: func(m *Model) Figure { return bySizes(m.Regions*m.RegionRouters*m.RegionServers, "connections") }},
-		{Event: "at rest", What: "connections of a router, by region", CarriedBy: byRegions, Figure: func(m *Model) Figure { return bySizes(m.RegionServers, "connections") }},
-		{Event: "a zone lost and back", What: "handshakes of its routers, by region", CarriedBy: byRegions,
+		{Event: "at rest", Quantity: "connections, all routers to all servers", Mechanism: mechanismRegions,
+			Figure: func(m *Model) Figure { return bySizes(m.Routers*m.Servers, "connections") }},
+		{Event: "at rest", Quantity: "connections, by region", Mechanism: mechanismRegions,
+			Figure: func(m *Model) Figure { return bySizes(m.Regions*m.RegionRouters*m.RegionServers, "connections") }},
+		{Event: "at rest", Quantity: "connections of a router, by region", Mechanism: mechanismRegions,
+			Figure: func(m *Model) Figure { return bySizes(m.RegionServers, "connections") }},
+		{Event: "a zone lost and back", Quantity: "handshakes of its routers, by region", Mechanism: mechanismRegions,
 			Figure: func(m *Model) Figure { return bySizes(m.ZoneRouters*m.RegionServers, "handshakes") }},
-		{Event: "a region lost its servers", What: "servers left to its routers", CarriedBy: byRegions, Figure: func(*Model) Figure { return notMeasured("servers") }},
-		{Event: "at the peak", What: "requests of a router", CarriedBy: "the router's one loop (internal/router)",
+		{Event: "a region lost its servers", Quantity: "servers left to its routers", Mechanism: mechanismRegions,
+			Figure: func(*Model) Figure { return notMeasured("servers") }},
+		{Event: "at the peak", Quantity: "requests of a router", Mechanism: "the router's one loop (internal/router)",
 			Figure: func(m *Model) Figure { return bySizes(m.RequestsPerS/m.Routers, "requests/s") }},
-		{Event: "at the peak", What: "a mean answer, against the largest value: a question to the operators", CarriedBy: "values of at most 64 KiB (the protocol)",
-			Budget: func(m *Model) float64 { return m.ValueBytesMax },
-			Figure: func(m *Model) Figure { return bySizes(m.BitsPerS/bitsPerByte/m.RequestsPerS, "bytes") }},
-		{Event: "at the peak", What: "retries over the fleet", CarriedBy: "a budget of each router (decide)", Figure: func(*Model) Figure { return notMeasured("requests/s") }},
-		{Event: "at rest", What: "key statistics of a router", CarriedBy: "bounded tables of each router (decide)", Figure: func(*Model) Figure { return notMeasured("MB") }},
+		{Event: "at the peak", Quantity: "a mean answer, against the largest value: a question to the operators",
+			Mechanism: "values of at most 64 KiB (the protocol)",
+			Budget:    func(m *Model) float64 { return m.ValueBytesMax },
+			Figure:    func(m *Model) Figure { return bySizes(m.BitsPerS/bitsPerByte/m.RequestsPerS, "bytes") }},
+		{Event: "at the peak", Quantity: "retries over the fleet", Mechanism: "a budget of each router (decide)",
+			Figure: func(*Model) Figure { return notMeasured("requests/s") }},
+		{Event: "at rest", Quantity: "key statistics of a router", Mechanism: "bounded tables of each router (decide)",
+			Figure: func(*Model) Figure { return notMeasured("MB") }},
 	}}
 }
 
--- a/lab/capacity/figure.go
+++ b/lab/capacity/figure.go
@@ -11,14 +11,14 @@
 
 // Figure is a value and its source.
 type Figure struct {
-	Value float64
-	Unit  string
-	Known bool
+	Value   float64
+	Unit    string
+	IsKnown bool
 	// Error is the root mean square error of the line, in Unit; 0 for a value that follows from the sizes alone.
-	Error  float64
-	From   string  // names of the slopes, or "sizes"
-	Beyond float64 // size that Value is for, as a multiple of the largest measured size; at least 1
-	Bent   bool    // the measured points are not linear
+	Error               float64
+	Source              string  // names of the slopes, or "sizes"
+	ExtrapolationFactor float64 // size that Value is for, as a multiple of the largest measured size; at least 1
+	IsNonlinear         bool    // the measured points are not linear
 }
 
 // Model combines the sizes of a fleet with the measured lines.
@@ -39,8 +39,9 @@
 // doubled returns the model with twice the routers, servers, regions and traffic.
 func (m *Model) doubled() *Model {
 	twice := *m
-	for _, size := range []*float64{&twice.Routers, &twice.Servers, &twice.Regions, &twice.Zones, &twice.Sites, &twice.RequestsPerS,
-		&twice.BitsPerS, &twice.Objects, &twice.PurgesPerS, &twice.ConfigurationChangesPerDay, &twice.RestartsPerDay} {
+	for _, size := range []*float64{&twice.Routers, &twice.Servers, &twice.Regions, &twice.Zones, &twice.Sites,
+		&twice.RequestsPerS, &twice.BitsPerS, &twice.Objects,
+		&twice.PurgesPerS, &twice.ConfigurationChangesPerDay, &twice.RestartsPerDay} {
 		*size *= 2
 	}
 	return &twice
@@ -51,27 +52,27 @@
 
 // bySizes returns a figure that follows from the sizes.
 func bySizes(value float64, unit string) Figure {
-	return Figure{Value: value, Unit: unit, Known: true, From: "sizes", Beyond: 1}
+	return Figure{Value: value, Unit: unit, IsKnown: true, Source: "sizes", ExtrapolationFactor: 1}
 }
 
 // at returns the value of a line for a whole fleet of so many routers.
 func (m *Model) at(name string, routers float64) Figure {
 	l, ok := m.lines[name]
 	if !ok {
-		return Figure{From: name}
+		return Figure{Source: name}
 	}
-	return Figure{Value: l.At(routers), Unit: l.Unit, Known: true, Error: l.Error, From: name,
-		Beyond: l.ExtrapolationFactor(routers), Bent: !l.IsLinear()}
+	return Figure{Value: l.At(routers), Unit: l.Unit, IsKnown: true, Error: l.RMSError, Source: name,
+		ExtrapolationFactor: l.ExtrapolationFactor(routers), IsNonlinear: !l.IsLinear()}
 }
 
 // share returns the part of a line that so many routers of the fleet cause: its slope times their number.
 func (m *Model) share(name string, routers float64) Figure {
 	l, ok := m.lines[name]
 	if !ok {
-		return Figure{From: name}
+		return Figure{Source: name}
 	}
-	return Figure{Value: l.Slope * routers, Unit: l.Unit, Known: true, Error: l.Error, From: "slope of " + name,
-		Beyond: l.ExtrapolationFactor(m.Routers), Bent: !l.IsLinear()}
+	return Figure{Value: l.Slope * routers, Unit: l.Unit, IsKnown: true, Error: l.RMSError, Source: "slope of " + name,
+		ExtrapolationFactor: l.ExtrapolationFactor(m.Routers), IsNonlinear: !l.IsLinear()}
 }
 
 // times multiplies a figure and sets its unit.
@@ -82,56 +83,57 @@
 
 // plus adds two figures of the same unit. The sum is known only if both are.
 func (f Figure) plus(g Figure) Figure {
-	return Figure{Value: f.Value + g.Value, Unit: f.Unit, Known: f.Known && g.Known, Error: f.Error + g.Error,
-		From:   f.From + ", " + g.From,
-		Beyond: math.Max(f.Beyond, g.Beyond), Bent: f.Bent || g.Bent}
+	return Figure{Value: f.Value + g.Value, Unit: f.Unit, IsKnown: f.IsKnown && g.IsKnown, Error: f.Error + g.Error,
+		Source:              f.Source + ", " + g.Source,
+		ExtrapolationFactor: math.Max(f.ExtrapolationFactor, g.ExtrapolationFactor),
+		IsNonlinear:         f.IsNonlinear || g.IsNonlinear}
 }
 
 // text formats the value with its error and unit.
 func (f Figure) text() string {
-	if !f.Known {
+	if !f.IsKnown {
 		return "not measured"
 	}
-	text := number(f.Value)
+	text := formatNumber(f.Value)
 	if f.Error > 0 {
-		text += " ± " + number(f.Error)
+		text += " ± " + formatNumber(f.Error)
 	}
 	return text + " " + f.Unit
 }
 
-// source describes the source of the value, with its caveats.
-func (f Figure) source() string {
-	if !f.Known {
+// sourceText describes the source of the value, with its caveats.
+func (f Figure) sourceText() string {
+	if !f.IsKnown {
 		return ""
 	}
-	text := f.From
-	if f.Beyond > 1 {
-		text += fmt.Sprintf(" (%.2g times beyond what was measured)", f.Beyond)
+	text := f.Source
+	if f.ExtrapolationFactor > 1 {
+		text += fmt.Sprintf(" (%.2g times beyond what was measured)", f.ExtrapolationFactor)
 	}
-	if f.Bent {
+	if f.IsNonlinear {
 		text += " (no straight line)"
 	}
 	return text
 }
 
-// digits is the number of significant digits of a printed number.
-const digits = 3
+// significantDigits is the number of significant digits of a printed number.
+const significantDigits = 3
 
-// number formats a number with three significant digits and commas between thousands.
-func number(v float64) string {
+// formatNumber formats a number with three significant digits and commas between thousands.
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
-	scale := math.Pow(10, digits-1-math.Floor(math.Log10(math.Abs(v))))
+	scale := math.Pow(10, significantDigits-1-math.Floor(math.Log10(math.Abs(v))))
 	v = math.Round(v*scale) / scale
 	if math.Abs(v) < 1000 {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
-	return commas(strconv.FormatFloat(v, 'f', 0, 64))
+	return insertCommas(strconv.FormatFloat(v, 'f', 0, 64))
 }
 
-// commas inserts a comma between thousands.
-func commas(whole string) string {
+// insertCommas inserts a comma between thousands.
+func insertCommas(whole string) string {
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
 		sign, whole = "-", whole[1:]
--- a/lab/capacity/plot.go
+++ b/lab/capacity/plot.go
@@ -56,13 +56,13 @@
 	if err != nil {
 		return err
 	}
-	fitted, err := plotter.NewLine(plotter.XYs{{X: l.From, Y: l.At(l.From)}, {X: l.To, Y: l.At(l.To)}})
+	fitted, err := plotter.NewLine(plotter.XYs{{X: l.MinSize, Y: l.At(l.MinSize)}, {X: l.MaxSize, Y: l.At(l.MaxSize)}})
 	if err != nil {
 		return err
 	}
 	scatter.Color, fitted.Color = plotutil.Color(n), plotutil.Color(n)
 	scatter.Shape = plotutil.Shape(n)
-	p.X.Label.Text, p.Y.Label.Text = l.Per+"s", l.Unit
+	p.X.Label.Text, p.Y.Label.Text = l.SizeUnit+"s", l.Unit
 	p.Add(scatter, fitted)
 	p.Legend.Add(l.Name, scatter, fitted)
 	return nil
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -29,16 +29,16 @@
 	PurgeBytes                 float64 `toml:"purge_bytes"`
 	PurgeWithinS               float64 `toml:"purge_within_s"`
 
-	RouterCoreShare  float64 `toml:"router_core_share"`
-	RouterMemoryMB   float64 `toml:"router_memory_mb"`
-	RouterBytesPerS  float64 `toml:"router_bytes_per_s"`
-	ControlMachines  float64 `toml:"control_machines"`
-	MachinesLostADay float64 `toml:"machines_lost_per_day"`
-	RestartsPerDay   float64 `toml:"restarts_per_day"`
-	ZoneRouters      float64 `toml:"zone_routers"`
-	RegionCutS       float64 `toml:"region_cut_s"`
-	PurgeBurst       float64 `toml:"purge_burst"`
-	ChangeBurst      float64 `toml:"change_burst"`
+	RouterCoreShare    float64 `toml:"router_core_share"`
+	RouterMemoryMB     float64 `toml:"router_memory_mb"`
+	RouterBytesPerS    float64 `toml:"router_bytes_per_s"`
+	ControlMachines    float64 `toml:"control_machines"`
+	MachinesLostPerDay float64 `toml:"machines_lost_per_day"`
+	RestartsPerDay     float64 `toml:"restarts_per_day"`
+	ZoneRouters        float64 `toml:"zone_routers"`
+	RegionCutS         float64 `toml:"region_cut_s"`
+	PurgeBurst         float64 `toml:"purge_burst"`
+	ChangeBurst        float64 `toml:"change_burst"`
 
 	Voters        float64 `toml:"voters"`
 	Observers     float64 `toml:"observers"`
--- a/lab/capacity/table.go
+++ b/lab/capacity/table.go
@@ -10,12 +10,12 @@
 
 // Row is one figure of a role during an event.
 type Row struct {
-	Event     string
-	What      string
-	Figure    func(*Model) Figure
-	Budget    func(*Model) float64 // nil: no budget is given
-	CarriedBy string               // the mechanism that the figure depends on, with the issue number if it is missing
-	Breaks    string               // the first limit reached when the size doubles
+	Event      string
+	Quantity   string
+	Figure     func(*Model) Figure
+	Budget     func(*Model) float64 // nil: no budget is given
+	Mechanism  string               // the mechanism that the figure depends on, with the issue number if it is missing
+	FirstLimit string               // the first limit reached when the size doubles
 }
 
 // Table holds all rows of a role.
@@ -29,61 +29,61 @@
 
 // The states, as printed.
 const (
-	Fits        State = "fits"
-	Red         State = "RED"
-	NotMeasured State = "not measured"
-	NoBudget    State = "no budget"
+	WithinBudget State = "fits"
+	OverBudget   State = "RED"
+	NotMeasured  State = "not measured"
+	NoBudget     State = "no budget"
 )
 
 // State returns the state of the row for a model.
 func (r *Row) State(m *Model) State {
 	f := r.Figure(m)
 	switch {
-	case !f.Known:
+	case !f.IsKnown:
 		return NotMeasured
 	case r.Budget == nil:
 		return NoBudget
 	case f.Value > r.Budget(m):
-		return Red
+		return OverBudget
 	}
-	return Fits
+	return WithinBudget
 }
 
-// margin formats the unused share of the budget; it is empty without a value or a budget.
-func (r *Row) margin(m *Model) string {
+// marginText formats the unused share of the budget; it is empty without a value or a budget.
+func (r *Row) marginText(m *Model) string {
 	state := r.State(m)
 	if state == NotMeasured || state == NoBudget {
 		return ""
 	}
 	left := 100 * (1 - r.Figure(m).Value/r.Budget(m))
 	text := fmt.Sprintf("%.0f%%", left)
-	if state == Red {
+	if state == OverBudget {
 		return "**RED** " + text
 	}
 	return text
 }
 
-// budget formats the budget with its unit.
-func (r *Row) budget(m *Model) string {
+// budgetText formats the budget with its unit.
+func (r *Row) budgetText(m *Model) string {
 	if r.Budget == nil {
 		return ""
 	}
-	return number(r.Budget(m)) + " " + r.Figure(m).Unit
+	return formatNumber(r.Budget(m)) + " " + r.Figure(m).Unit
 }
 
-// twice formats the figure at twice the size, marked red if it then exceeds its budget.
-func (r *Row) twice(m *Model) string {
+// doubledText formats the figure at twice the size, marked red if it then exceeds its budget.
+func (r *Row) doubledText(m *Model) string {
 	double := m.doubled()
 	f := r.Figure(double)
-	if !f.Known {
-		return r.Breaks
+	if !f.IsKnown {
+		return r.FirstLimit
 	}
-	text := number(f.Value)
-	if r.State(double) == Red {
+	text := formatNumber(f.Value)
+	if r.State(double) == OverBudget {
 		text = "**RED** " + text
 	}
-	if r.Breaks != "" {
-		text += ": " + r.Breaks
+	if r.FirstLimit != "" {
+		text += ": " + r.FirstLimit
 	}
 	return text
 }
@@ -96,7 +96,8 @@
 	for i := range t.Rows {
 		r := &t.Rows[i]
 		f := r.Figure(m)
-		cells := []string{r.Event, r.What, f.text(), f.source(), r.budget(m), r.margin(m), r.CarriedBy, r.twice(m)}
+		cells := []string{r.Event, r.Quantity, f.text(), f.sourceText(), r.budgetText(m), r.marginText(m),
+			r.Mechanism, r.doubledText(m)}
 		fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | "))
 	}
 	fmt.Fprintln(w)
@@ -116,20 +117,21 @@
 // writeRed lists the rows that exceed their budget and counts the rows by state.
 func writeRed(w io.Writer, m *Model, tables []Table) {
 	count := map[State]int{}
-	fmt.Fprintf(w, "### Red rows, for %s routers before %s cache servers\n\n", number(m.Routers), number(m.Servers))
+	fmt.Fprintf(w, "### Red rows, for %s routers before %s cache servers\n\n",
+		formatNumber(m.Routers), formatNumber(m.Servers))
 	for _, t := range tables {
 		for i := range t.Rows {
 			r := &t.Rows[i]
 			state := r.State(m)
 			count[state]++
-			if state == Red {
+			if state == OverBudget {
 				fmt.Fprintf(w, "- %s, %s, %s: %s of %s. %s.\n",
-					t.Role, r.Event, r.What, r.Figure(m).text(), r.budget(m), r.CarriedBy)
+					t.Role, r.Event, r.Quantity, r.Figure(m).text(), r.budgetText(m), r.Mechanism)
 			}
 		}
 	}
 	fmt.Fprintf(w, "\n%d rows are red, %d fit, %d have no budget, %d were not measured.\n\n",
-		count[Red], count[Fits], count[NoBudget], count[NotMeasured])
+		count[OverBudget], count[WithinBudget], count[NoBudget], count[NotMeasured])
 }
 
 // writeLines writes the lines with the runs that measured them.
@@ -144,8 +146,9 @@
 			straight = "no"
 		}
 		fmt.Fprintf(w, "| %s | %s over %ss | %s | %s, %s | %s | %s | %s, %.0f%% | %.3f | %s |\n",
-			l.Name, l.Unit, l.Per, l.Run, number(l.From),
-			number(l.To), number(l.Intercept), number(1000*l.Slope), number(l.Error), 100*l.Worst, l.R2, straight)
+			l.Name, l.Unit, l.SizeUnit, l.Run, formatNumber(l.MinSize),
+			formatNumber(l.MaxSize), formatNumber(l.Intercept), formatNumber(1000*l.Slope), formatNumber(l.RMSError),
+			100*l.MaxRelativeError, l.R2, straight)
 	}
 	fmt.Fprintln(w)
 }
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -22,17 +22,17 @@
 
 // Timeouts of a group of coordinators, and the pause between two polls.
 const (
-	startWithin  = 20 * time.Second
-	endWithin    = 5 * time.Second
-	statusWithin = 5 * time.Second
-	askAgain     = 50 * time.Millisecond
+	startTimeout    = 20 * time.Second
+	shutdownTimeout = 5 * time.Second
+	statusTimeout   = 5 * time.Second
+	pollInterval    = 50 * time.Millisecond
 )
 
 // coordinator is one coordinator process.
 type coordinator struct {
 	name, listen, api string
 	command           []string
-	log               string
+	logPath           string
 	cmd               *exec.Cmd
 	done              chan struct{} // closed when the process has ended
 }
@@ -59,7 +59,7 @@
 	var members []node.Member
 	for _, c := range g.all {
 		var s node.Status
-		if err := repeat(ctx, startWithin, func() error { s, err = c.status(ctx); return err }); err != nil {
+		if err := retryUntil(ctx, startTimeout, func() error { s, err = c.status(ctx); return err }); err != nil {
 			return nil, fmt.Errorf("coordinator %s: %w", c.name, err)
 		}
 		members = append(members, node.Member{Name: c.name, Identity: s.Identity, Address: c.listen})
@@ -67,12 +67,12 @@
 	if err := client.Call(ctx, http.MethodPost, g.all[0].api, "/v1/init", members, nil); err != nil {
 		return nil, fmt.Errorf("forming the group: %w", err)
 	}
-	return g, repeat(ctx, startWithin, func() error { return g.upgrade(ctx) })
+	return g, retryUntil(ctx, startTimeout, func() error { return g.upgrade(ctx) })
 }
 
 // startCoordinator starts one process with its own addresses and directory.
 func startCoordinator(name string, o Options) (*coordinator, error) {
-	c := &coordinator{name: name, log: filepath.Join(o.Dir, name+".log")}
+	c := &coordinator{name: name, logPath: filepath.Join(o.Dir, name+".log")}
 	var err error
 	if c.listen, err = fleet.FreeAddr(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 
 // start starts the process, or restarts it after it has ended.
 func (c *coordinator) start() error {
-	cmd, err := fleet.Spawn(c.command, nil, c.log)
+	cmd, err := fleet.Spawn(c.command, nil, c.logPath)
 	if err != nil {
 		return fmt.Errorf("coordinator %s: %w", c.name, err)
 	}
@@ -126,7 +126,8 @@
 		return err
 	}
 	var a coord.Response
-	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: coord.Version}, &a); err != nil {
+	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade",
+		coord.Command{TargetVersion: coord.Version}, &a); err != nil {
 		return err
 	}
 	if a.Code != coord.CodeOK {
@@ -137,7 +138,7 @@
 
 // status returns the status that the coordinator reports.
 func (c *coordinator) status(ctx context.Context) (s node.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	err = client.Call(ctx, http.MethodGet, c.api, "/v1/status", nil, &s)
 	return s, err
@@ -172,33 +173,33 @@
 	for _, c := range g.all {
 		_ = c.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 	}
-	over := time.After(endWithin)
+	timeout := time.After(shutdownTimeout)
 	for _, c := range g.all {
 		select {
 		case <-c.done:
-		case <-over:
+		case <-timeout:
 			_ = c.cmd.Process.Kill()
 			<-c.done
 		}
 	}
 }
 
-// use is the resource use of a process: CPU time and bytes read since its start, memory and
+// processUsage is the resource use of a process: CPU time and bytes read since its start, memory and
 // descriptors at present.
-type use struct {
+type processUsage struct {
 	cpu         time.Duration
 	residentMB  float64
 	descriptors int
 	readBytes   int64 // by read calls; nearly all from sockets, as log and state files are mapped or only written
 }
 
-// processUse reads the resource use of a process from /proc.
-func processUse(pid int) (u use, err error) {
+// readProcessUsage reads the resource use of a process from /proc.
+func readProcessUsage(pid int) (u processUsage, err error) {
 	p, err := fleet.ProcessUse(pid)
 	if err != nil {
 		return u, err
 	}
-	u = use{cpu: time.Duration(p.CPUMS * float64(time.Millisecond)), residentMB: p.RSSMB, descriptors: p.FDs}
+	u = processUsage{cpu: time.Duration(p.CPUMS * float64(time.Millisecond)), residentMB: p.RSSMB, descriptors: p.FDs}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return u, err
@@ -211,8 +212,8 @@
 	return u, err
 }
 
-// repeat calls f until it succeeds; when ctx ends or the time is up, it returns the last error of f.
-func repeat(ctx context.Context, within time.Duration, f func() error) error {
+// retryUntil calls f until it succeeds; when ctx ends or the time is up, it returns the last error of f.
+func retryUntil(ctx context.Context, within time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
@@ -223,7 +224,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(askAgain):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/lab/hollow/hollow_test.go
+++ b/lab/hollow/hollow_test.go
@@ -22,7 +22,7 @@
 }
 
 // A small fleet joins three coordinators, rests, and applies drains; every figure of a step is measured.
-func TestPlay(t *testing.T) {
+func TestStepMeasuresEveryFigure(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute) // takes 10 s on an idle machine
 	defer cancel()
 	o := Options{Coordinators: 3, Command: coordCommand(t), RegionRouters: 20, RegionServers: 150, TTL: 3 * time.Second,
@@ -37,11 +37,12 @@
 		if step.Routers != n || len(step.Idle) != 3 || step.Drains != 2 || step.ReportedPairs != n*150 {
 			t.Errorf("%+v", step)
 		}
-		l, v := step.Leader(), step.Voter()
-		if l.ResidentMB <= 0 || v.ResidentMB <= 0 || l.ReadPerS <= 0 || v.ReadPerS <= 0 || l.Open <= n {
+		l, v := step.Leader(), step.MaxOtherVoter()
+		if l.ResidentMB <= 0 || v.ResidentMB <= 0 || l.ReadPerS <= 0 || v.ReadPerS <= 0 || l.Descriptors <= n {
 			t.Errorf("leader %+v, voter %+v", l, v)
 		}
-		if step.RouterInPerS <= 0 || step.RouterOutPerS <= 0 || step.Connections < 1 || step.JoinRouterOut <= 0 || step.DrainRouterIn <= 0 {
+		if step.RouterInPerS <= 0 || step.RouterOutPerS <= 0 || step.Connections < 1 ||
+			step.JoinRouterOut <= 0 || step.DrainRouterIn <= 0 {
 			t.Errorf("%+v", step)
 		}
 		if step.SessionS > step.ReportedS || step.DrainP50MS > step.DrainP99MS || step.DrainP99MS > step.DrainLastMS ||
@@ -56,7 +57,7 @@
 }
 
 // An unfinished step returns an error and gives no point for the slopes.
-func TestUnfinished(t *testing.T) {
+func TestUnfinishedStepGivesNoSlopes(t *testing.T) {
 	o := Options{Coordinators: 1, Command: coordCommand(t), Dir: t.TempDir(), RegionRouters: 10,
 		RegionServers: 4, HeartbeatTimeout: time.Second, TTL: 10 * time.Second, Timeout: time.Nanosecond}
 	step, err := MeasureStep(t.Context(), 5, o)
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -34,21 +34,21 @@
 
 // Usage is the resource use of one process.
 type Usage struct {
-	Name       string  `json:"name"`
-	Leader     bool    `json:"leader"`
-	Cores      float64 `json:"cores"`       // CPU seconds per second
-	ResidentMB float64 `json:"resident_mb"` // at the end of the measurement
-	Open       int     `json:"open"`        // file descriptors
-	ReadPerS   float64 `json:"read_per_s"`  // bytes read from sockets per second
+	Name        string  `json:"name"`
+	Leader      bool    `json:"leader"`
+	Cores       float64 `json:"cores"`       // CPU seconds per second
+	ResidentMB  float64 `json:"resident_mb"` // at the end of the measurement
+	Descriptors int     `json:"open"`        // file descriptors
+	ReadPerS    float64 `json:"read_per_s"`  // bytes read from sockets per second
 }
 
 // Step is one step of a ladder of fleet sizes: what a number of hollow routers cost the coordinators.
 type Step struct {
-	Routers       int     `json:"routers"`
-	ReportedPairs int     `json:"sightings"` // pairs of a router and a server in its reports
-	SessionS      float64 `json:"session_s"` // from when all routers started until all have a session
-	FirstS        float64 `json:"first_s"`   // likewise, until all have the first set of drained servers
-	ReportedS     float64 `json:"reported_s"`
+	Routers        int     `json:"routers"`
+	ReportedPairs  int     `json:"sightings"` // pairs of a router and a server in its reports
+	SessionS       float64 `json:"session_s"` // from when all routers started until all have a session
+	FirstDrainSetS float64 `json:"first_s"`   // likewise, until all have the first set of drained servers
+	ReportedS      float64 `json:"reported_s"`
 	// CPU seconds of the leader and of the busiest other voter until all routers had reported.
 	JoinLeaderCPUS float64 `json:"join_leader_cpu_s"`
 	JoinVoterCPUS  float64 `json:"join_voter_cpu_s"`
@@ -99,31 +99,33 @@
 	defer f.wg.Wait()
 	defer stop()
 	operator := f.operator(run, g.addresses())
-	if err := f.budget(ctx, operator); err != nil {
+	if err := f.setBudget(ctx, operator); err != nil {
 		return step, err
 	}
 	for _, measure := range []func(context.Context) error{
-		func(ctx context.Context) error { return f.join(ctx, run, g, operator, &step) },
-		func(ctx context.Context) error { return f.rest(ctx, g, &step) },
-		func(ctx context.Context) error { return f.follow(ctx, g, operator, &step) }} {
+		func(ctx context.Context) error { return f.measureJoin(ctx, run, g, operator, &step) },
+		func(ctx context.Context) error { return f.measureIdle(ctx, g, &step) },
+		func(ctx context.Context) error { return f.measureDrains(ctx, g, operator, &step) }} {
 		if err := measure(ctx); err != nil {
 			step.Failed = err.Error()
 			return step, err
 		}
 	}
-	if err := f.restart(ctx, g, operator, &step); err != nil {
+	if err := f.measureRestart(ctx, g, operator, &step); err != nil {
 		step.RestartFailed = err.Error()
 	}
 	return step, nil
 }
 
-// roll executes a command of the operators' tool. It retries commands that are rejected because a
+// execute executes a command of the operators' tool. It retries commands that are rejected because a
 // limit was reached, after the delay that the rejection gives.
-func (f *hollowFleet) roll(ctx context.Context, operator *client.Client, c rollout.Command) (a coord.Response, err error) {
+func (f *hollowFleet) execute(ctx context.Context, operator *client.Client, c rollout.Command,
+) (a coord.Response, err error) {
 	for {
 		a, err = operator.ExecuteRollout(ctx, c)
 		var refused *client.RejectedError
-		if !errors.As(err, &refused) || refused.Code != coord.CodeLimitReached || !clock.Sleep(ctx, client.RetryDelay(err, askAgain)) {
+		if !errors.As(err, &refused) || refused.Code != coord.CodeLimitReached ||
+			!clock.Sleep(ctx, client.RetryDelay(err, pollInterval)) {
 			return a, err
 		}
 	}
@@ -131,18 +133,18 @@
 
 // hollowFleet holds all routers of a step.
 type hollowFleet struct {
-	o       Options
-	routers []*router
-	traffic Traffic
-	drains  chan drainSeen
-	first   sync.WaitGroup // done once all routers have the first set of drained servers
-	started atomic.Int64   // number of routers that have it
-	wg      sync.WaitGroup
+	options           Options
+	routers           []*router
+	traffic           Traffic
+	drains            chan drainUpdate
+	firstDrainSets    sync.WaitGroup // done once all routers have the first set of drained servers
+	withFirstDrainSet atomic.Int64   // number of routers that have it
+	wg                sync.WaitGroup
 }
 
 func newFleet(n int, coordinators map[string]string, o Options) *hollowFleet {
-	f := &hollowFleet{o: o, drains: make(chan drainSeen, n)}
-	f.first.Add(n)
+	f := &hollowFleet{options: o, drains: make(chan drainUpdate, n)}
+	f.firstDrainSets.Add(n)
 	var servers []rollout.ServerObservation
 	for i := range n {
 		region := i / o.RegionRouters
@@ -150,10 +152,11 @@
 			servers = regionServers(region, o.RegionServers)
 		}
 		first := func() {
-			f.started.Add(1)
-			f.first.Done()
+			f.withFirstDrainSet.Add(1)
+			f.firstDrainSets.Done()
 		}
-		f.routers = append(f.routers, newRouter(fmt.Sprintf("router-%05d", i), zoneName(region, i%zonesPerRegion), servers, coordinators, o.TTL, &f.traffic, f.drains, first))
+		f.routers = append(f.routers, newRouter(fmt.Sprintf("router-%05d", i), zoneName(region, i%zonesPerRegion),
+			servers, coordinators, o.TTL, &f.traffic, f.drains, first))
 	}
 	return f
 }
@@ -168,11 +171,11 @@
 	return c
 }
 
-// budget sets a budget of one server out of service at a time.
-func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
+// setBudget sets a budget of one server out of service at a time.
+func (f *hollowFleet) setBudget(ctx context.Context, operator *client.Client) error {
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timeout)
 	defer cancel()
-	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL,
+	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.options.TTL,
 		Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
 }
@@ -187,18 +190,18 @@
 	select {
 	case <-done:
 		return nil
-	case <-time.After(f.o.Timeout):
+	case <-time.After(f.options.Timeout):
 		return fmt.Errorf("%s: not all of %d routers within %v (%d have the first set of drained servers)",
-			what, len(f.routers), f.o.Timeout, f.started.Load())
+			what, len(f.routers), f.options.Timeout, f.withFirstDrainSet.Load())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// join starts all routers at once and measures until all have a session, have the first set of drained
+// measureJoin starts all routers at once and measures until all have a session, have the first set of drained
 // servers, and have reported their servers.
-func (f *hollowFleet) join(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
-	before, err := g.use(ctx)
+func (f *hollowFleet) measureJoin(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
@@ -206,95 +209,96 @@
 	for _, r := range f.routers {
 		f.wg.Go(func() { r.run(run) })
 	}
-	if err := f.sessions(ctx); err != nil {
+	if err := f.waitForSessions(ctx); err != nil {
 		return err
 	}
 	step.SessionS = time.Since(began).Seconds()
-	if err := f.waitFor(ctx, "first set of drained servers", &f.first); err != nil {
+	if err := f.waitFor(ctx, "first set of drained servers", &f.firstDrainSets); err != nil {
 		return err
 	}
-	step.FirstS = time.Since(began).Seconds()
-	if err := f.reported(ctx, operator, step); err != nil {
+	step.FirstDrainSetS = time.Since(began).Seconds()
+	if err := f.waitForReports(ctx, operator, step); err != nil {
 		return err
 	}
 	step.ReportedS = time.Since(began).Seconds()
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	step.JoinLeaderCPUS, step.JoinVoterCPUS = after.since(before)
+	step.JoinLeaderCPUS, step.JoinVoterCPUS = after.cpuSecondsSince(before)
 	n := float64(len(f.routers))
 	step.JoinRouterIn, step.JoinRouterOut = float64(f.traffic.In.Load())/n, float64(f.traffic.Out.Load())/n
 	return nil
 }
 
-// sessions waits until all routers have a session.
-func (f *hollowFleet) sessions(ctx context.Context) error {
+// waitForSessions waits until all routers have a session.
+func (f *hollowFleet) waitForSessions(ctx context.Context) error {
 	missing := f.routers
-	return repeat(ctx, f.o.Timeout, func() error {
+	return retryUntil(ctx, f.options.Timeout, func() error {
 		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.SessionID() != "" })
 		if len(missing) > 0 {
-			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.o.Timeout)
+			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.options.Timeout)
 		}
 		return nil
 	})
 }
 
-// reportShare is the pause before the next report is requested, in multiples of the time that the last
+// reportPauseFactor is the pause before the next report is requested, in multiples of the time that the last
 // one took.
-const reportShare = 10
+const reportPauseFactor = 10
 
 // errNotReported is returned while some routers have not reported their servers.
 var errNotReported = errors.New("not all routers have reported their servers")
 
-// reported waits until the report of the coordinators counts all routers and all servers. A server is
+// waitForReports waits until the report of the coordinators counts all routers and all servers. A server is
 // counted once the last of its routers has reported it.
-func (f *hollowFleet) reported(ctx context.Context, operator *client.Client, step *Step) error {
-	regions := (len(f.routers) + f.o.RegionRouters - 1) / f.o.RegionRouters
-	return repeat(ctx, f.o.Timeout, func() error {
+func (f *hollowFleet) waitForReports(ctx context.Context, operator *client.Client, step *Step) error {
+	regions := (len(f.routers) + f.options.RegionRouters - 1) / f.options.RegionRouters
+	return retryUntil(ctx, f.options.Timeout, func() error {
 		began, bytes := time.Now(), operator.TransferredBytes()
 		report, err := operator.RolloutReport(ctx, 0)
 		if err != nil {
 			return err
 		}
 		step.ReportBytes = float64(operator.TransferredBytes() - bytes)
-		if report.Routers < len(f.routers) || report.Servers < regions*f.o.RegionServers {
-			time.Sleep(reportShare * time.Since(began)) // the leader copies its whole state for each report
+		if report.Routers < len(f.routers) || report.Servers < regions*f.options.RegionServers {
+			time.Sleep(reportPauseFactor * time.Since(began)) // the leader copies its whole state for each report
 			return errNotReported
 		}
 		return nil
 	})
 }
 
-// groupUse is the resource use of all coordinators at one time.
-type groupUse struct {
-	leader  string
-	process map[string]use
-	at      time.Time
-	last    uint64 // index of the last entry in the leader's log
-	p99MS   float64
+// groupUsage is the resource use of all coordinators at one time.
+type groupUsage struct {
+	leader       string
+	byName       map[string]processUsage
+	at           time.Time
+	lastLogIndex uint64 // index of the last entry in the leader's log
+	p99MS        float64
 }
 
-// use reads the resource use of all coordinators.
-func (g *group) use(ctx context.Context) (u groupUse, err error) {
+// usage reads the resource use of all coordinators.
+func (g *group) usage(ctx context.Context) (u groupUsage, err error) {
 	var l *coordinator
 	var status node.Status
-	if err := repeat(ctx, startWithin, func() error { l, status, err = g.leader(ctx); return err }); err != nil {
+	if err := retryUntil(ctx, startTimeout, func() error { l, status, err = g.leader(ctx); return err }); err != nil {
 		return u, err
 	}
-	u = groupUse{leader: l.name, process: map[string]use{}, at: time.Now(), last: status.LastLogIndex, p99MS: status.CommitP99Millis}
+	u = groupUsage{leader: l.name, byName: map[string]processUsage{}, at: time.Now(),
+		lastLogIndex: status.LastLogIndex, p99MS: status.CommitP99Millis}
 	for _, c := range g.all {
-		if u.process[c.name], err = processUse(c.cmd.Process.Pid); err != nil {
+		if u.byName[c.name], err = readProcessUsage(c.cmd.Process.Pid); err != nil {
 			return u, err
 		}
 	}
 	return u, nil
 }
 
-// since returns the CPU seconds that the leader and the busiest other voter used since before.
-func (u groupUse) since(before groupUse) (leader, voter float64) {
-	for name, p := range u.process {
-		cpu := (p.cpu - before.process[name].cpu).Seconds()
+// cpuSecondsSince returns the CPU seconds that the leader and the busiest other voter used since before.
+func (u groupUsage) cpuSecondsSince(before groupUsage) (leader, voter float64) {
+	for name, p := range u.byName {
+		cpu := (p.cpu - before.byName[name].cpu).Seconds()
 		if name == u.leader {
 			leader = cpu
 		} else {
@@ -304,13 +308,13 @@
 	return leader, voter
 }
 
-// rest measures the fleet at rest, without changes.
-func (f *hollowFleet) rest(ctx context.Context, g *group, step *Step) error {
-	own, err := processUse(os.Getpid())
+// measureIdle measures the fleet at rest, without changes.
+func (f *hollowFleet) measureIdle(ctx context.Context, g *group, step *Step) error {
+	own, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
-	before, err := g.use(ctx)
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
@@ -318,13 +322,13 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(f.o.Idle):
+	case <-time.After(f.options.Idle):
 	}
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	ownAfter, err := processUse(os.Getpid())
+	ownAfter, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
@@ -334,27 +338,28 @@
 	step.RouterOutPerS = float64(f.traffic.Out.Load()-out) / over / n
 	step.Connections = float64(f.traffic.Connections.Load()) / n
 	step.HollowCores, step.HollowMB = (ownAfter.cpu-own.cpu).Seconds()/over, ownAfter.residentMB
-	step.EntriesPerS = float64(after.last-before.last) / over
+	step.EntriesPerS = float64(after.lastLogIndex-before.lastLogIndex) / over
 	step.CommitP99MS = after.p99MS
 	for _, c := range g.all {
-		a, b := after.process[c.name], before.process[c.name]
-		step.Idle = append(step.Idle, Usage{Name: c.name, Leader: c.name == after.leader, Cores: (a.cpu - b.cpu).Seconds() / over, ResidentMB: a.residentMB,
-			Open: a.descriptors, ReadPerS: float64(a.readBytes-b.readBytes) / over})
+		a, b := after.byName[c.name], before.byName[c.name]
+		step.Idle = append(step.Idle, Usage{Name: c.name, Leader: c.name == after.leader,
+			Cores: (a.cpu - b.cpu).Seconds() / over, ResidentMB: a.residentMB,
+			Descriptors: a.descriptors, ReadPerS: float64(a.readBytes-b.readBytes) / over})
 	}
 	return nil
 }
 
-// follow drains servers of the first region one after the other and measures how long each router takes
+// measureDrains drains servers of the first region one after the other and measures how long each router takes
 // to apply the drain.
-func (f *hollowFleet) follow(ctx context.Context, g *group, operator *client.Client, step *Step) error {
-	before, err := g.use(ctx)
+func (f *hollowFleet) measureDrains(ctx context.Context, g *group, operator *client.Client, step *Step) error {
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
 	in := f.traffic.In.Load()
 	var latency []time.Duration
-	for i := range f.o.Drains {
-		took, acked, err := f.drain(ctx, operator, serverName(0, i%f.o.RegionServers))
+	for i := range f.options.Drains {
+		took, acked, err := f.drain(ctx, operator, serverName(0, i%f.options.RegionServers))
 		if err != nil {
 			return fmt.Errorf("drain %d: %w", i, err)
 		}
@@ -363,29 +368,30 @@
 		}
 		step.DrainAckedMS = max(step.DrainAckedMS, millis(acked))
 	}
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	if f.o.Drains == 0 {
+	if f.options.Drains == 0 {
 		return nil
 	}
 	slices.Sort(latency)
-	step.Drains = f.o.Drains
-	step.DrainP50MS, step.DrainP99MS, step.DrainLastMS = millis(latency[len(latency)/2]), millis(latency[len(latency)*99/100]), millis(latency[len(latency)-1])
-	leader, _ := after.since(before)
-	step.DrainLeaderCPU = leader / float64(f.o.Drains)
-	step.DrainRouterIn = float64(f.traffic.In.Load()-in) / float64(f.o.Drains) / float64(len(f.routers))
+	step.Drains = f.options.Drains
+	step.DrainP50MS, step.DrainP99MS, step.DrainLastMS = millis(latency[len(latency)/2]),
+		millis(latency[len(latency)*99/100]), millis(latency[len(latency)-1])
+	leader, _ := after.cpuSecondsSince(before)
+	step.DrainLeaderCPU = leader / float64(f.options.Drains)
+	step.DrainRouterIn = float64(f.traffic.In.Load()-in) / float64(f.options.Drains) / float64(len(f.routers))
 	return nil
 }
 
-// restart kills and restarts all coordinators at once and measures until the last router applies a drain.
-func (f *hollowFleet) restart(ctx context.Context, g *group, operator *client.Client, step *Step) error {
+// measureRestart kills and restarts all coordinators at once and measures until the last router applies a drain.
+func (f *hollowFleet) measureRestart(ctx context.Context, g *group, operator *client.Client, step *Step) error {
 	began := time.Now()
 	if err := g.restart(); err != nil {
 		return err
 	}
-	took, _, err := f.drain(ctx, operator, serverName(0, f.o.Drains%f.o.RegionServers))
+	took, _, err := f.drain(ctx, operator, serverName(0, f.options.Drains%f.options.RegionServers))
 	if err != nil {
 		return fmt.Errorf("after all coordinators were restarted: %w", err)
 	}
@@ -399,14 +405,15 @@
 
 // drain drains a server and ends the drain. It returns how long each router took to apply the drain, and
 // how long it took until all had acknowledged it.
-func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string) (took []reached, acked time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Timeout)
+func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string,
+) (took []drainReceipt, acked time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timeout)
 	defer cancel()
-	thing := rollout.Command{Kind: rollout.KindServer, Name: server}
+	permit := rollout.Command{Kind: rollout.KindServer, Name: server}
 	var began time.Time
-	if err := repeat(ctx, f.o.Timeout, func() error {
-		thing.Op, thing.Token = rollout.OpRequestPermit, 0
-		a, err := f.roll(ctx, operator, thing)
+	if err := retryUntil(ctx, f.options.Timeout, func() error {
+		permit.Op, permit.Token = rollout.OpRequestPermit, 0
+		a, err := f.execute(ctx, operator, permit)
 		if err != nil {
 			return err
 		}
@@ -414,8 +421,8 @@
 			return errors.New("waiting for the permit: " + a.Text)
 		}
 		began = time.Now()
-		thing.Op, thing.Token = rollout.OpBeginOutage, a.Token
-		_, err = operator.ExecuteRollout(ctx, thing) // fails if the permit was withdrawn meanwhile or a limit was reached
+		permit.Op, permit.Token = rollout.OpBeginOutage, a.Token
+		_, err = operator.ExecuteRollout(ctx, permit) // fails if the permit was withdrawn meanwhile or a limit was reached
 		if err != nil {
 			clock.Sleep(ctx, client.RetryDelay(err, 0))
 		}
@@ -423,11 +430,11 @@
 	}); err != nil {
 		return nil, 0, err
 	}
-	if took, err = f.all(ctx, server, true, began); err != nil {
+	if took, err = f.waitForDrain(ctx, server, true, began); err != nil {
 		return nil, 0, err
 	}
-	if err := repeat(ctx, f.o.Timeout, func() error {
-		a, err := f.roll(ctx, operator, thing) // repeating the command returns the state of the permit
+	if err := retryUntil(ctx, f.options.Timeout, func() error {
+		a, err := f.execute(ctx, operator, permit) // repeating the command returns the state of the permit
 		if err == nil && !a.IsDrained {
 			err = errors.New("not drained: " + a.Text)
 		}
@@ -436,30 +443,32 @@
 		return nil, 0, err
 	}
 	acked = time.Since(began)
-	thing.Op = rollout.OpEndOutage
-	if _, err := f.roll(ctx, operator, thing); err != nil {
+	permit.Op = rollout.OpEndOutage
+	if _, err := f.execute(ctx, operator, permit); err != nil {
 		return nil, 0, err
 	}
-	_, err = f.all(ctx, server, false, time.Now())
+	_, err = f.waitForDrain(ctx, server, false, time.Now())
 	return took, acked, err
 }
 
-// reached is when a router applied a drain, and how long after it was sent.
-type reached struct {
+// drainReceipt is when a router applied a drain, and how long after it was sent.
+type drainReceipt struct {
 	at      time.Time
 	latency time.Duration
 }
 
-// all waits until each router has drained a server, or has ended the drain.
-func (f *hollowFleet) all(ctx context.Context, server string, out bool, began time.Time) (took []reached, err error) {
+// waitForDrain waits until each router has drained a server, or has ended the drain.
+func (f *hollowFleet) waitForDrain(ctx context.Context, server string, out bool, began time.Time,
+) (took []drainReceipt, err error) {
 	for len(took) < len(f.routers) {
 		select {
 		case seen := <-f.drains:
-			if seen.server == server && seen.out == out {
-				took = append(took, reached{seen.at, seen.at.Sub(began)})
+			if seen.server == server && seen.isDrained == out {
+				took = append(took, drainReceipt{seen.at, seen.at.Sub(began)})
 			}
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%d of %d routers applied the change of %s (drained: %v): %w", len(took), len(f.routers), server, out, ctx.Err())
+			return nil, fmt.Errorf("%d of %d routers applied the change of %s (drained: %v): %w",
+				len(took), len(f.routers), server, out, ctx.Err())
 		}
 	}
 	return took, nil
--- a/lab/hollow/router.go
+++ b/lab/hollow/router.go
@@ -63,27 +63,28 @@
 	return c.Conn.Close()
 }
 
-// drainSeen reports that a router has drained a server, or has ended the drain.
-type drainSeen struct {
-	server string
-	out    bool
-	at     time.Time
+// drainUpdate reports that a router has drained a server, or has ended the drain.
+type drainUpdate struct {
+	server    string
+	isDrained bool
+	at        time.Time
 }
 
 type router struct {
-	name    string
-	zone    string
-	servers []rollout.ServerObservation // of its region
-	client  *client.Client
-	drains  chan<- drainSeen
-	first   func() // called when the first set of drained servers is applied
+	name            string
+	zone            string
+	servers         []rollout.ServerObservation // of its region
+	client          *client.Client
+	drains          chan<- drainUpdate
+	onFirstDrainSet func() // called when the first set of drained servers is applied
 }
 
 // newRouter creates a router; run connects it.
-func newRouter(name, zone string, servers []rollout.ServerObservation, coordinators map[string]string, ttl time.Duration,
-	traffic *Traffic, drains chan<- drainSeen, first func()) *router {
-	return &router{name: name, zone: zone, servers: servers, drains: drains, first: first, client: client.New(client.Options{
-		Coordinators: coordinators, ClientName: rollout.RouterClientPrefix + name, TTL: ttl, Dial: traffic.dial})}
+func newRouter(name, zone string, servers []rollout.ServerObservation, coordinators map[string]string,
+	ttl time.Duration, traffic *Traffic, drains chan<- drainUpdate, first func()) *router {
+	return &router{name: name, zone: zone, servers: servers, drains: drains, onFirstDrainSet: first,
+		client: client.New(client.Options{Coordinators: coordinators,
+			ClientName: rollout.RouterClientPrefix + name, TTL: ttl, Dial: traffic.dial})}
 }
 
 // run keeps the router's session and applies the drains that the coordinators announce, until ctx ends.
@@ -101,10 +102,10 @@
 		OpenAttempts:    func(context.Context, []string) (int, error) { return 0, nil },
 		InheritedDrains: func(context.Context) []string { return nil },
 		SetEjected:      func(context.Context, []rollout.EjectedServer) error { return nil },
-		OnFirstDrainSet: r.first,
+		OnFirstDrainSet: r.onFirstDrainSet,
 		SetDrained: func(ctx context.Context, server string, out bool) error {
 			select {
-			case r.drains <- drainSeen{server, out, time.Now()}:
+			case r.drains <- drainUpdate{server, out, time.Now()}:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -27,8 +27,11 @@
 
 // NewRun returns a run without steps.
 func NewRun(why string, o Options) *Run {
-	return &Run{Why: why, At: time.Now().UTC().Format("2006-01-02 15:04"), Cores: runtime.NumCPU(), Coordinators: o.Coordinators,
-		RegionRouters: o.RegionRouters, RegionServers: o.RegionServers, TTLS: o.TTL.Seconds(), BeatMS: millis(o.HeartbeatTimeout), IdleS: o.Idle.Seconds()}
+	return &Run{Why: why, At: time.Now().UTC().Format("2006-01-02 15:04"), Cores: runtime.NumCPU(),
+		Coordinators:  o.Coordinators,
+		RegionRouters: o.RegionRouters, RegionServers: o.RegionServers,
+		TTLS: o.TTL.Seconds(), BeatMS: millis(o.HeartbeatTimeout),
+		IdleS: o.Idle.Seconds()}
 }
 
 // Leader returns the resource use of the leader at rest.
@@ -41,14 +44,14 @@
 	return u
 }
 
-// Voter returns the maximum of each figure over the other voters at rest.
-func (s *Step) Voter() (u Usage) {
+// MaxOtherVoter returns the maximum of each figure over the other voters at rest.
+func (s *Step) MaxOtherVoter() (u Usage) {
 	for _, one := range s.Idle {
 		if one.Leader {
 			continue
 		}
 		u.Cores, u.ResidentMB = max(u.Cores, one.Cores), max(u.ResidentMB, one.ResidentMB)
-		u.Open, u.ReadPerS = max(u.Open, one.Open), max(u.ReadPerS, one.ReadPerS)
+		u.Descriptors, u.ReadPerS = max(u.Descriptors, one.Descriptors), max(u.ReadPerS, one.ReadPerS)
 	}
 	return u
 }
@@ -62,9 +65,11 @@
 // WriteTableRow writes the table row of a step.
 func (r *Run) WriteTableRow(w io.Writer, s Step) {
 	usage := func(u Usage) string {
-		return fmt.Sprintf("%.2f, %.0f, %d, %.0f", u.Cores, u.ResidentMB, u.Open, u.ReadPerS/1000)
+		return fmt.Sprintf("%.2f, %.0f, %d, %.0f", u.Cores, u.ResidentMB, u.Descriptors, u.ReadPerS/1000)
 	}
 	fmt.Fprintf(w, "| %d | %.2f, %.2f, %.2f | %.2f, %.2f | %s | %s | %.0f | %.0f, %.0f, %.1f | %.0f, %.0f, %.0f, %.0f | %.2f | %.2f | %.2f, %.0f |\n", s.Routers,
-		s.SessionS, s.FirstS, s.ReportedS, s.JoinLeaderCPUS, s.JoinVoterCPUS, usage(s.Leader()), usage(s.Voter()), s.EntriesPerS,
-		s.RouterInPerS, s.RouterOutPerS, s.Connections, s.DrainP50MS, s.DrainP99MS, s.DrainLastMS, s.DrainAckedMS, s.DrainLeaderCPU, s.RestartS, s.HollowCores, s.HollowMB)
+		s.SessionS, s.FirstDrainSetS, s.ReportedS, s.JoinLeaderCPUS, s.JoinVoterCPUS,
+		usage(s.Leader()), usage(s.MaxOtherVoter()), s.EntriesPerS,
+		s.RouterInPerS, s.RouterOutPerS, s.Connections, s.DrainP50MS, s.DrainP99MS, s.DrainLastMS,
+		s.DrainAckedMS, s.DrainLeaderCPU, s.RestartS, s.HollowCores, s.HollowMB)
 }
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -24,19 +24,19 @@
 
 // Params configures and bounds a search.
 type Params struct {
-	Clients  int
-	Depth    int     // events from the first state
-	Messages int     // most messages in flight at once, both directions together
-	States   int     // the search stops after so many states
-	Rate     float64 // bound of the clock rate error, as a share
-	Warm     bool    // start with a session for each client and the lease held by the first
+	Clients        int
+	Depth          int     // events from the first state
+	MaxInFlight    int     // most messages in flight at once, both directions together
+	MaxStates      int     // the search stops after so many states
+	ClockRateBound float64 // bound of the clock rate error, as a share
+	StartWithLease bool    // start with a session for each client and the lease held by the first
 }
 
 // Result is the outcome of a search.
 type Result struct {
 	States, Depth int
-	Whole         bool     // all states up to Params.Depth were explored
-	Broken        string   // the property that was violated; empty: none
+	IsComplete    bool     // all states up to Params.Depth were explored
+	Violation     string   // the property that was violated; empty: none
 	Trace         []string // the events that lead to the violation
 }
 
@@ -50,89 +50,89 @@
 
 // message is a command in flight to the coordinators, or its response in flight to the client.
 type message struct {
-	Back    bool // it is a response
-	From    int  // index of the client
-	Life    int  // incarnation of the client that sent it
-	Cmd     coord.Command
-	Answer  coord.Response
-	Sent    time.Duration // when the command was sent, on the client's clock
-	Repeats int           // how often it may still be duplicated
+	IsResponse  bool // it is a response
+	Client      int  // index of the client
+	Incarnation int  // incarnation of the client that sent it
+	Command     coord.Command
+	Response    coord.Response
+	Sent        time.Duration // when the command was sent, on the client's clock
+	Duplicates  int           // how often it may still be duplicated
 }
 
-// party is the state of one client.
-type party struct {
-	book    client.LeaseTable
-	Life    int           // number of restarts
-	Session int           // unused; part of the encoded state
-	Asked   bool          // it has requested a session
-	Open    bool          // it has a session, as far as it knows
-	Seq     uint64        // sequence number of its last numbered command
-	Under   []uint64      // sequence numbers of its commands without a response yet, ascending
-	Wants   bool          // its acquire has no response yet
-	Asks    uint64        // sequence number of the acquire
-	First   time.Duration // when it first sent the acquire, on its clock
-	Token   uint64        // of the lease that it holds by its lease table
-	Given   uint64        // token in its last grant
-	Acting  bool          // it has checked that it holds the lease with token Checked, and has not acted yet
-	Checked uint64
-	Dropped map[uint64]bool // tokens whose release or transfer was confirmed to it
+// clientState is the state of one client.
+type clientState struct {
+	leases              client.LeaseTable
+	Incarnation         int           // number of restarts
+	Session             int           // unused; part of the encoded state
+	HasRequestedSession bool          // it has requested a session
+	HasSession          bool          // it has a session, as far as it knows
+	LastSequence        uint64        // sequence number of its last numbered command
+	Pending             []uint64      // sequence numbers of its commands without a response yet, ascending
+	IsAcquiring         bool          // its acquire has no response yet
+	AcquireSequence     uint64        // sequence number of the acquire
+	AcquireSentAt       time.Duration // when it first sent the acquire, on its clock
+	Token               uint64        // of the lease that it holds by its lease table
+	LastGrantedToken    uint64        // token in its last grant
+	IsActing            bool          // it has checked that it holds the lease with CheckedToken, and has not acted yet
+	CheckedToken        uint64
+	ReleasedTokens      map[uint64]bool // tokens whose release or transfer was confirmed to it
 }
 
-// world is one state of the model.
-type world struct {
-	machine  *coord.State
-	now      time.Duration // the true time since the start
-	leaderAt time.Duration // the leader's clock when it last applied a command
-	parties  []party
-	net      []message
-	lastAct  uint64 // the highest token that the resource has accepted
+// state is one state of the model.
+type state struct {
+	machine       *coord.State
+	now           time.Duration // the true time since the start
+	leaderTime    time.Duration // the leader's clock when it last applied a command
+	clients       []clientState
+	inFlight      []message
+	resourceToken uint64 // the highest token that the resource has accepted
 }
 
-// acked returns the sequence number up to which all responses have been received.
-func (q *party) acked() uint64 {
-	if len(q.Under) > 0 {
-		return q.Under[0] - 1
+// acknowledgedThrough returns the sequence number up to which all responses have been received.
+func (q *clientState) acknowledgedThrough() uint64 {
+	if len(q.Pending) > 0 {
+		return q.Pending[0] - 1
 	}
-	return q.Seq
+	return q.LastSequence
 }
 
-// number returns the sequence number of the next command and marks it as without a response.
-func (q *party) number() uint64 {
-	q.Seq++
-	q.Under = append(q.Under, q.Seq)
-	return q.Seq
+// nextSequence returns the sequence number of the next command and marks it as without a response.
+func (q *clientState) nextSequence() uint64 {
+	q.LastSequence++
+	q.Pending = append(q.Pending, q.LastSequence)
+	return q.LastSequence
 }
 
-// rate returns the clock rate of a client: in turn the slowest, the fastest and the true one. The
+// clockRate returns the clock rate of a client: in turn the slowest, the fastest and the true one. The
 // leader's clock runs at the fastest rate.
-func rate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
+func clockRate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
 
-func (w *world) clockOf(i int, p Params) time.Duration {
-	return time.Duration(float64(w.now) * rate(i, p.Rate))
+func (w *state) clientClock(i int, p Params) time.Duration {
+	return time.Duration(float64(w.now) * clockRate(i, p.ClockRateBound))
 }
 
-func (w *world) leaderClock(p Params) time.Duration {
-	return time.Duration(float64(w.now) * (1 + p.Rate))
+func (w *state) leaderClock(p Params) time.Duration {
+	return time.Duration(float64(w.now) * (1 + p.ClockRateBound))
 }
 
-func (w *world) clone() *world {
+func (w *state) clone() *state {
 	c := *w
 	c.machine = w.machine.Clone()
-	c.parties = slices.Clone(w.parties)
-	for i := range c.parties {
-		c.parties[i].book = w.parties[i].book.Clone()
+	c.clients = slices.Clone(w.clients)
+	for i := range c.clients {
+		c.clients[i].leases = w.clients[i].leases.Clone()
 		d := map[uint64]bool{}
-		for t := range w.parties[i].Dropped {
+		for t := range w.clients[i].ReleasedTokens {
 			d[t] = true
 		}
-		c.parties[i].Dropped = d
+		c.clients[i].ReleasedTokens = d
 	}
-	c.net = slices.Clone(w.net)
+	c.inFlight = slices.Clone(w.inFlight)
 	return &c
 }
 
-// key returns a hash of the state, by which Search recognizes states that it has explored.
-func (w *world) key() uint64 {
+// hash returns a hash of the state, by which Search recognizes states that it has explored.
+func (w *state) hash() uint64 {
 	h := xxhash.New()
 	text, _ := w.machine.Marshal() // does not fail for states built by commands
 	_, _ = h.Write(text)
@@ -142,16 +142,16 @@
 		_, _ = h.Write(n[:])
 	}
 	num(uint64(w.now))
-	num(uint64(w.leaderAt))
-	num(w.lastAct)
-	for i := range w.parties {
-		p := w.parties[i]
+	num(uint64(w.leaderTime))
+	num(w.resourceToken)
+	for i := range w.clients {
+		p := w.clients[i]
 		text, _ := json.Marshal(p) // does not fail: only numbers, strings and maps
 		_, _ = h.Write(text)
-		_, _ = h.Write([]byte(p.book.Fingerprint()))
+		_, _ = h.Write([]byte(p.leases.Fingerprint()))
 	}
 	var msgs [][]byte
-	for _, m := range w.net {
+	for _, m := range w.inFlight {
 		text, _ := json.Marshal(m) // does not fail: only numbers, strings and maps
 		msgs = append(msgs, text)
 	}
@@ -163,25 +163,26 @@
 	return h.Sum64()
 }
 
-func newWorld(p Params) *world {
-	w := &world{machine: coord.New()}
-	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate, ClockRateBound: p.Rate}, 1)
+func newState(p Params) *state {
+	w := &state{machine: coord.New()}
+	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate, ClockRateBound: p.ClockRateBound}, 1)
 	for range p.Clients {
-		w.parties = append(w.parties, party{Dropped: map[uint64]bool{}})
+		w.clients = append(w.clients, clientState{ReleasedTokens: map[uint64]bool{}})
 	}
-	for i := range w.parties {
-		if !p.Warm {
+	for i := range w.clients {
+		if !p.StartWithLease {
 			break
 		}
-		q, id := &w.parties[i], fmt.Sprintf("s%d.0", i)
-		w.agree(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
-		q.book.RecordSessionOpened(ttl, 0, 0)
-		q.Asked, q.Open = true, true
+		q, id := &w.clients[i], fmt.Sprintf("s%d.0", i)
+		w.applyCommand(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
+		q.leases.RecordSessionOpened(ttl, 0, 0)
+		q.HasRequestedSession, q.HasSession = true, true
 		if i == 0 {
-			q.Seq = 1
-			q.Token = w.agree(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease, TTL: ttl, Sequence: 1}, p).Token
-			q.Given = q.Token
-			q.book.RecordGrant(lease, q.Token, ttl, 0, 0)
+			q.LastSequence = 1
+			q.Token = w.applyCommand(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease,
+				TTL: ttl, Sequence: 1}, p).Token
+			q.LastGrantedToken = q.Token
+			q.leases.RecordGrant(lease, q.Token, ttl, 0, 0)
 		}
 	}
 	return w
@@ -189,135 +190,138 @@
 
 // event is a possible transition from a state.
 type event struct {
-	what   string
+	name   string
 	weight float64             // relative probability in a random walk
-	do     func(*world) string // returns the violated property, or ""
+	apply  func(*state) string // returns the violated property, or ""
 }
 
 // events returns all transitions that are possible in the state.
-func (w *world) events(p Params) (all []event) {
-	add := func(weight float64, do func(*world) string, form string, v ...any) {
+func (w *state) events(p Params) (all []event) {
+	add := func(weight float64, do func(*state) string, form string, v ...any) {
 		all = append(all, event{fmt.Sprintf(form, v...), weight, do})
 	}
-	add(1, func(w *world) string { w.now += step; return "" }, "the clock advances")
-	add(0.5, func(w *world) string { return w.tick(p) }, "the leader applies a tick")
-	for i := range w.parties {
-		q := &w.parties[i]
-		now := w.clockOf(i, p)
-		send := len(w.net) < p.Messages
-		session := fmt.Sprintf("s%d.%d", i, q.Life)
-		put := func(w *world, c coord.Command) {
-			q := &w.parties[i]
-			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acked()
-			w.net = append(w.net, message{From: i, Life: q.Life, Cmd: c, Sent: w.clockOf(i, p), Repeats: 1})
-		}
-		_, _, held := q.book.HeldLease(lease, now)
-		if send && !q.Asked && !q.Open {
-			add(2, func(w *world) string {
-				w.parties[i].Asked = true
+	add(1, func(w *state) string { w.now += step; return "" }, "the clock advances")
+	add(0.5, func(w *state) string { return w.tick(p) }, "the leader applies a tick")
+	for i := range w.clients {
+		q := &w.clients[i]
+		now := w.clientClock(i, p)
+		send := len(w.inFlight) < p.MaxInFlight
+		session := fmt.Sprintf("s%d.%d", i, q.Incarnation)
+		put := func(w *state, c coord.Command) {
+			q := &w.clients[i]
+			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acknowledgedThrough()
+			w.inFlight = append(w.inFlight, message{Client: i, Incarnation: q.Incarnation,
+				Command: c, Sent: w.clientClock(i, p), Duplicates: 1})
+		}
+		_, _, held := q.leases.HeldLease(lease, now)
+		if send && !q.HasRequestedSession && !q.HasSession {
+			add(2, func(w *state) string {
+				w.clients[i].HasRequestedSession = true
 				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
 			}, "c%d requests a session", i)
 		}
-		if send && q.Open && q.book.HasSession(now) && w.underWay(i, coord.OpKeepAlive) == 0 {
-			add(2, func(w *world) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" }, "c%d sends a keep-alive", i)
+		if send && q.HasSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
+			add(2, func(w *state) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" },
+				"c%d sends a keep-alive", i)
 		}
-		if send && q.Open && !q.Wants && !held {
-			add(2, func(w *world) string {
-				q := &w.parties[i]
-				q.Wants, q.First = true, w.clockOf(i, p)
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.number()})
-				q.Asks = q.Seq
+		if send && q.HasSession && !q.IsAcquiring && !held {
+			add(2, func(w *state) string {
+				q := &w.clients[i]
+				q.IsAcquiring, q.AcquireSentAt = true, w.clientClock(i, p)
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.nextSequence()})
+				q.AcquireSequence = q.LastSequence
 				return ""
 			}, "c%d requests the lease", i)
 		}
-		if send && q.Open && q.Wants && w.underWay(i, coord.OpAcquire) == 0 {
-			add(1, func(w *world) string {
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.parties[i].Asks})
+		if send && q.HasSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
+			add(1, func(w *state) string {
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.clients[i].AcquireSequence})
 				return ""
 			}, "c%d repeats its request for the lease", i)
 		}
-		if held && !q.Acting {
-			add(1, func(w *world) string {
-				q := &w.parties[i]
-				q.Acting, q.Checked = true, q.Token
-				return w.overlap(p)
+		if held && !q.IsActing {
+			add(1, func(w *state) string {
+				q := &w.clients[i]
+				q.IsActing, q.CheckedToken = true, q.Token
+				return w.checkOverlap(p)
 			}, "c%d checks the lease and begins to act", i)
-			if send && !q.Wants {
-				give := func(op coord.Op, to string) func(*world) string {
-					return func(w *world) string {
-						q := &w.parties[i]
-						q.book.Forget(lease, q.Token)
-						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.number(), Successor: to})
+			if send && !q.IsAcquiring {
+				give := func(op coord.Op, to string) func(*state) string {
+					return func(w *state) string {
+						q := &w.clients[i]
+						q.leases.Forget(lease, q.Token)
+						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.nextSequence(), Successor: to})
 						return ""
 					}
 				}
 				add(0.3, give(coord.OpRelease, ""), "c%d releases the lease", i)
-				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d transfers the lease", i)
+				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.clients))), "c%d transfers the lease", i)
 			}
 		}
-		if q.Acting && send {
-			add(0.3, func(w *world) string {
-				q := &w.parties[i]
-				q.Acting = false
-				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.Checked,
-					Sequence: q.number(), Record: []byte("x")})
+		if q.IsActing && send {
+			add(0.3, func(w *state) string {
+				q := &w.clients[i]
+				q.IsActing = false
+				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.CheckedToken,
+					Sequence: q.nextSequence(), Record: []byte("x")})
 				return ""
 			}, "c%d writes a record to the state machine", i)
 		}
-		if q.Acting {
-			add(0.3, func(w *world) string { return w.act(i) }, "c%d's write reaches the resource", i)
+		if q.IsActing {
+			add(0.3, func(w *state) string { return w.writeToResource(i) }, "c%d's write reaches the resource", i)
 		}
-		if q.Life < 1 && (q.Open || q.Asked) {
-			add(0.05, func(w *world) string {
-				w.parties[i] = party{Life: w.parties[i].Life + 1, Dropped: map[uint64]bool{}}
+		if q.Incarnation < 1 && (q.HasSession || q.HasRequestedSession) {
+			add(0.05, func(w *state) string {
+				w.clients[i] = clientState{Incarnation: w.clients[i].Incarnation + 1, ReleasedTokens: map[uint64]bool{}}
 				return ""
 			}, "c%d is killed and restarted", i)
 		}
 	}
-	for k, m := range w.net {
-		who := fmt.Sprintf("c%d's %s", m.From, m.Cmd.Op)
-		if m.Back {
-			add(4, func(w *world) string {
-				w.net = slices.Delete(w.net, k, k+1)
-				return w.answered(m, p)
+	for k, m := range w.inFlight {
+		who := fmt.Sprintf("c%d's %s", m.Client, m.Command.Op)
+		if m.IsResponse {
+			add(4, func(w *state) string {
+				w.inFlight = slices.Delete(w.inFlight, k, k+1)
+				return w.deliverResponse(m, p)
 			}, "the response to %s is received", who)
 		} else {
-			add(4, func(w *world) string {
-				w.net = slices.Delete(w.net, k, k+1)
-				return w.carryOut(m, p)
+			add(4, func(w *state) string {
+				w.inFlight = slices.Delete(w.inFlight, k, k+1)
+				return w.deliverCommand(m, p)
 			}, "%s is applied", who)
-			if m.Repeats > 0 && len(w.net) < p.Messages {
-				add(0.5, func(w *world) string {
-					w.net[k].Repeats--
-					again := w.net[k]
-					return w.carryOut(again, p)
+			if m.Duplicates > 0 && len(w.inFlight) < p.MaxInFlight {
+				add(0.5, func(w *state) string {
+					w.inFlight[k].Duplicates--
+					again := w.inFlight[k]
+					return w.deliverCommand(again, p)
 				}, "%s is applied, and a duplicate remains", who)
 			}
 		}
-		add(0.3, func(w *world) string { w.net = slices.Delete(w.net, k, k+1); return "" }, "%s is lost (response: %t)", who, m.Back)
+		add(0.3, func(w *state) string { w.inFlight = slices.Delete(w.inFlight, k, k+1); return "" },
+			"%s is lost (response: %t)", who, m.IsResponse)
 	}
 	return all
 }
 
-func (w *world) underWay(i int, op coord.Op) (n int) {
-	for _, m := range w.net {
-		if m.From == i && m.Life == w.parties[i].Life && m.Cmd.Op == op {
+func (w *state) pendingCommands(i int, op coord.Op) (n int) {
+	for _, m := range w.inFlight {
+		if m.Client == i && m.Incarnation == w.clients[i].Incarnation && m.Command.Op == op {
 			n++
 		}
 	}
 	return n
 }
 
-// agree applies a command to the state machine, with the time elapsed on the leader's clock.
-func (w *world) agree(c coord.Command, p Params) coord.Response {
-	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderAt
-	w.leaderAt = w.leaderClock(p)
+// applyCommand applies a command to the state machine, with the time elapsed on the leader's clock.
+func (w *state) applyCommand(c coord.Command, p Params) coord.Response {
+	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderTime
+	w.leaderTime = w.leaderClock(p)
 	return w.machine.Apply(c, 1)
 }
 
-func (w *world) tick(p Params) string {
-	w.agree(coord.Command{Op: coord.OpTick}, p)
+func (w *state) tick(p Params) string {
+	w.applyCommand(coord.Command{Op: coord.OpTick}, p)
 	if w.now%(2*step) == 0 { // restore the state machine from a snapshot
 		text, err := w.machine.Marshal()
 		if err == nil {
@@ -327,35 +331,36 @@
 			return err.Error()
 		}
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
-// carryOut applies the command of a message and sends its response.
-func (w *world) carryOut(m message, p Params) string {
-	said := false // the command was applied before, and its stored response is returned
-	if se := w.machine.Sessions[m.Cmd.SessionID]; se != nil {
-		_, said = se.Responses[m.Cmd.Sequence]
-	}
-	a := w.agree(m.Cmd, p)
-	if m.Cmd.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !said {
-		if m.Cmd.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
+// deliverCommand applies the command of a message and sends its response.
+func (w *state) deliverCommand(m message, p Params) string {
+	isRepeated := false // the command was applied before, and its stored response is returned
+	if se := w.machine.Sessions[m.Command.SessionID]; se != nil {
+		_, isRepeated = se.Responses[m.Command.Sequence]
+	}
+	a := w.applyCommand(m.Command, p)
+	if m.Command.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !isRepeated {
+		if m.Command.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
 			return fmt.Sprintf("c%d wrote a record with token %d after token %d was granted",
-				m.From, m.Cmd.Token, w.machine.LastToken)
+				m.Client, m.Command.Token, w.machine.LastToken)
 		}
 	}
-	if len(w.net) < p.Messages {
-		w.net = append(w.net, message{Back: true, From: m.From, Life: m.Life, Cmd: m.Cmd, Answer: a, Sent: m.Sent})
+	if len(w.inFlight) < p.MaxInFlight {
+		w.inFlight = append(w.inFlight, message{IsResponse: true, Client: m.Client, Incarnation: m.Incarnation,
+			Command: m.Command, Response: a, Sent: m.Sent})
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
-// promised checks the invariant: a client that holds the lease by its own lease table holds it with the
+// checkInvariants checks the invariant: a client that holds the lease by its own lease table holds it with the
 // same token in the state machine. It also checks that a token that was given back is not held again, and
 // that a client knows the token of each acquire whose response it has received.
-func (w *world) promised(p Params) string {
-	for i := range w.parties {
-		q := &w.parties[i]
-		token, _, held := q.book.HeldLease(lease, w.clockOf(i, p))
+func (w *state) checkInvariants(p Params) string {
+	for i := range w.clients {
+		q := &w.clients[i]
+		token, _, held := q.leases.HeldLease(lease, w.clientClock(i, p))
 		if !held {
 			continue
 		}
@@ -365,13 +370,13 @@
 		}
 	}
 	if l := w.machine.Leases[lease]; l != nil {
-		for i := range w.parties {
-			q := &w.parties[i]
-			if q.Dropped[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) {
+		for i := range w.clients {
+			q := &w.clients[i]
+			if q.ReleasedTokens[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Incarnation) {
 				return fmt.Sprintf("c%d holds token %d again after its release was confirmed", i, l.Token)
 			}
-			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) && l.AcquireSequence > 0 &&
-				l.AcquireSequence <= q.acked() && l.Token != q.Given {
+			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Incarnation) && l.AcquireSequence > 0 &&
+				l.AcquireSequence <= q.acknowledgedThrough() && l.Token != q.LastGrantedToken {
 				return fmt.Sprintf("c%d holds token %d by an acquire whose response it received, but its lease table lacks it",
 					i, l.Token)
 			}
@@ -380,11 +385,11 @@
 	return ""
 }
 
-// overlap checks that no two clients act while both hold the lease by their lease tables.
-func (w *world) overlap(p Params) string {
+// checkOverlap checks that no two clients act while both hold the lease by their lease tables.
+func (w *state) checkOverlap(p Params) string {
 	var who []int
-	for i := range w.parties {
-		if _, _, held := w.parties[i].book.HeldLease(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
+	for i := range w.clients {
+		if _, _, held := w.clients[i].leases.HeldLease(lease, w.clientClock(i, p)); held && w.clients[i].IsActing {
 			who = append(who, i)
 		}
 	}
@@ -394,84 +399,85 @@
 	return ""
 }
 
-// act delivers a write of a client to the resource, which checks its fencing token.
-func (w *world) act(i int) string {
-	q := &w.parties[i]
-	q.Acting = false
-	if q.Checked < w.lastAct && !failpoint.IsInjected("resource-unchecked") {
+// writeToResource delivers a write of a client to the resource, which checks its fencing token.
+func (w *state) writeToResource(i int) string {
+	q := &w.clients[i]
+	q.IsActing = false
+	if q.CheckedToken < w.resourceToken && !failpoint.IsInjected("resource-unchecked") {
 		return "" // rejected
 	}
-	if q.Checked < w.lastAct {
-		return fmt.Sprintf("c%d wrote to the resource with token %d after a write with token %d", i, q.Checked, w.lastAct)
+	if q.CheckedToken < w.resourceToken {
+		return fmt.Sprintf("c%d wrote to the resource with token %d after a write with token %d",
+			i, q.CheckedToken, w.resourceToken)
 	}
-	if q.Checked == w.lastAct {
+	if q.CheckedToken == w.resourceToken {
 		return ""
 	}
-	for j := range w.parties {
-		if j != i && w.parties[j].Acting && w.parties[j].Checked == q.Checked {
-			return fmt.Sprintf("c%d and c%d use the same token %d", i, j, q.Checked)
+	for j := range w.clients {
+		if j != i && w.clients[j].IsActing && w.clients[j].CheckedToken == q.CheckedToken {
+			return fmt.Sprintf("c%d and c%d use the same token %d", i, j, q.CheckedToken)
 		}
 	}
-	w.lastAct = q.Checked
+	w.resourceToken = q.CheckedToken
 	return ""
 }
 
-// answered processes a response as the client does.
-func (w *world) answered(m message, p Params) string {
-	q := &w.parties[m.From]
-	if m.Life != q.Life {
+// deliverResponse processes a response as the client does.
+func (w *state) deliverResponse(m message, p Params) string {
+	q := &w.clients[m.Client]
+	if m.Incarnation != q.Incarnation {
 		return ""
 	}
-	now := w.clockOf(m.From, p)
-	switch m.Cmd.Op {
+	now := w.clientClock(m.Client, p)
+	switch m.Command.Op {
 	case coord.OpOpenSession:
-		if q.Open || m.Answer.Code != coord.CodeOK {
+		if q.HasSession || m.Response.Code != coord.CodeOK {
 			return ""
 		}
-		q.book.RecordSessionOpened(ttl, m.Sent, now)
-		q.Open = q.book.HasSession(now)
-		return w.promised(p)
+		q.leases.RecordSessionOpened(ttl, m.Sent, now)
+		q.HasSession = q.leases.HasSession(now)
+		return w.checkInvariants(p)
 	case coord.OpKeepAlive:
-		switch m.Answer.Code {
+		switch m.Response.Code {
 		case coord.CodeOK:
-			q.book.RecordKeepAlive(m.Sent, now)
+			q.leases.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
-			q.book.RecordSessionLost()
-			q.Open = false
+			q.leases.RecordSessionLost()
+			q.HasSession = false
 		}
-		return w.promised(p)
+		return w.checkInvariants(p)
 	}
-	k := slices.Index(q.Under, m.Cmd.Sequence)
+	k := slices.Index(q.Pending, m.Command.Sequence)
 	if k < 0 {
 		return "" // a response was processed before
 	}
-	q.Under = slices.Delete(slices.Clone(q.Under), k, k+1)
+	q.Pending = slices.Delete(slices.Clone(q.Pending), k, k+1)
 	switch {
-	case m.Cmd.Op == coord.OpAcquire:
-		q.Wants = false
-		if m.Answer.Code == coord.CodeOK {
-			q.Given = m.Answer.Token
-			if q.book.RecordGrant(lease, m.Answer.Token, ttl, q.First, now) {
-				q.Token = m.Answer.Token
+	case m.Command.Op == coord.OpAcquire:
+		q.IsAcquiring = false
+		if m.Response.Code == coord.CodeOK {
+			q.LastGrantedToken = m.Response.Token
+			if q.leases.RecordGrant(lease, m.Response.Token, ttl, q.AcquireSentAt, now) {
+				q.Token = m.Response.Token
 			}
 		}
-	case m.Answer.Code == coord.CodeOK && m.Cmd.Op != coord.OpWriteRecord:
-		q.Dropped[m.Cmd.Token] = true
+	case m.Response.Code == coord.CodeOK && m.Command.Op != coord.OpWriteRecord:
+		q.ReleasedTokens[m.Command.Token] = true
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
 // Search explores all orders of events up to Params.Depth, breadth first. It stops at the first violation
 // and after Params.States states.
 func Search(p Params) Result {
 	type node struct {
-		w      *world
+		w      *state
 		parent int
 		what   string
 	}
-	first := newWorld(p)
+	first := newState(p)
 	nodes := []node{{w: first, parent: -1}}
-	seen := map[uint64]bool{first.key(): true}
+	seen := map[uint64]bool{first.hash(): true}
 	trace := func(i int, last string) (t []string) {
 		t = []string{last}
 		for ; nodes[i].parent >= 0; i = nodes[i].parent {
@@ -486,32 +492,32 @@
 			level, end = level+1, len(nodes)
 		}
 		if level >= p.Depth {
-			return Result{States: len(nodes), Depth: level, Whole: true}
+			return Result{States: len(nodes), Depth: level, IsComplete: true}
 		}
 		w := nodes[i].w
 		for _, e := range w.events(p) {
 			next := w.clone()
-			if broken := e.do(next); broken != "" {
-				return Result{States: len(nodes), Depth: level + 1, Broken: broken, Trace: trace(i, e.what)}
+			if broken := e.apply(next); broken != "" {
+				return Result{States: len(nodes), Depth: level + 1, Violation: broken, Trace: trace(i, e.name)}
 			}
-			if k := next.key(); !seen[k] {
+			if k := next.hash(); !seen[k] {
 				seen[k] = true
-				nodes = append(nodes, node{next, i, e.what})
-				if len(nodes) >= p.States {
+				nodes = append(nodes, node{next, i, e.name})
+				if len(nodes) >= p.MaxStates {
 					return Result{States: len(nodes), Depth: level}
 				}
 			}
 		}
 		nodes[i].w = nil // its successors have been explored; free the memory
 	}
-	return Result{States: len(nodes), Depth: level, Whole: true}
+	return Result{States: len(nodes), Depth: level, IsComplete: true}
 }
 
 // Walk follows one random order of at most so many events, chosen by the seed. It stops at the first
 // violation.
 func Walk(p Params, seed uint64, events int) Result {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	w := newWorld(p)
+	w := newState(p)
 	var trace []string
 	for n := range events {
 		all := w.events(p)
@@ -524,9 +530,9 @@
 			at++
 		}
 		e := all[at]
-		trace = append(trace, e.what)
-		if broken := e.do(w); broken != "" {
-			return Result{States: n + 1, Depth: n + 1, Broken: broken, Trace: trace}
+		trace = append(trace, e.name)
+		if broken := e.apply(w); broken != "" {
+			return Result{States: n + 1, Depth: n + 1, Violation: broken, Trace: trace}
 		}
 	}
 	return Result{States: events, Depth: events}
--- a/lab/scalingfit/scalingfit.go
+++ b/lab/scalingfit/scalingfit.go
@@ -20,31 +20,31 @@
 type Line struct {
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
-	Per       string  `json:"per"` // what the size counts
+	SizeUnit  string  `json:"per"` // what the size counts
 	Run       string  `json:"run"` // the run that measured it
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	From      float64 `json:"from"` // smallest and largest measured size
-	To        float64 `json:"to"`
-	// Error is the root mean square of the residuals. Worst is the largest absolute residual, as a share of
-	// the line's largest absolute value.
-	Error  float64 `json:"error"`
-	Worst  float64 `json:"worst"`
-	R2     float64 `json:"r2"`
-	Points []Point `json:"points"`
+	MinSize   float64 `json:"from"` // smallest and largest measured size
+	MaxSize   float64 `json:"to"`
+	// RMSError is the root mean square of the residuals. MaxRelativeError is the largest absolute
+	// residual, as a share of the line's largest absolute value.
+	RMSError         float64 `json:"error"`
+	MaxRelativeError float64 `json:"worst"`
+	R2               float64 `json:"r2"`
+	Points           []Point `json:"points"`
 }
 
-// leastPoints is the smallest number of points for which the fit has an error: two points always fit.
-const leastPoints = 3
+// minPoints is the smallest number of points for which the fit has an error: two points always fit.
+const minPoints = 3
 
-// bendsFrom is the largest Line.Worst at which the points count as linear.
-const bendsFrom = 0.15
+// maxLinearError is the largest MaxRelativeError at which the points count as linear.
+const maxLinearError = 0.15
 
 // Fit fits a line to points. It returns an error for fewer than three points and for points that all have
 // the same size.
 func Fit(name, unit, per, run string, points []Point) (Line, error) {
-	if len(points) < leastPoints {
-		return Line{}, fmt.Errorf("slope %s: %d points, at least %d are needed", name, len(points), leastPoints)
+	if len(points) < minPoints {
+		return Line{}, fmt.Errorf("slope %s: %d points, at least %d are needed", name, len(points), minPoints)
 	}
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int { return int(math.Copysign(1, a.Size-b.Size)) })
@@ -52,21 +52,21 @@
 	for i, p := range points {
 		xs[i], ys[i] = p.Size, p.Value
 	}
-	l := Line{Name: name, Unit: unit, Per: per, Run: run, Points: points, From: xs[0], To: xs[len(xs)-1]}
-	if l.From == l.To {
-		return Line{}, fmt.Errorf("slope %s: all points have the size %v", name, l.From)
+	l := Line{Name: name, Unit: unit, SizeUnit: per, Run: run, Points: points, MinSize: xs[0], MaxSize: xs[len(xs)-1]}
+	if l.MinSize == l.MaxSize {
+		return Line{}, fmt.Errorf("slope %s: all points have the size %v", name, l.MinSize)
 	}
 	l.Intercept, l.Slope = stat.LinearRegression(xs, ys, nil, false)
 	l.R2 = stat.RSquared(xs, ys, nil, l.Intercept, l.Slope)
 	if math.IsNaN(l.R2) { // all values are equal
 		l.R2 = 1
 	}
-	l.misses()
+	l.computeErrors()
 	return l, nil
 }
 
-// misses sets Error and Worst from the residuals.
-func (l *Line) misses() {
+// computeErrors sets RMSError and MaxRelativeError from the residuals.
+func (l *Line) computeErrors() {
 	squares, most, largest := 0.0, 0.0, 0.0
 	for _, p := range l.Points {
 		miss := p.Value - l.At(p.Size)
@@ -74,9 +74,9 @@
 		most = max(most, math.Abs(miss))
 		largest = max(largest, math.Abs(l.At(p.Size)))
 	}
-	l.Error = math.Sqrt(squares / float64(len(l.Points)))
+	l.RMSError = math.Sqrt(squares / float64(len(l.Points)))
 	if largest > 0 {
-		l.Worst = most / largest
+		l.MaxRelativeError = most / largest
 	}
 }
 
@@ -84,7 +84,7 @@
 func (l *Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
 // IsLinear reports whether all points are close to the line.
-func (l *Line) IsLinear() bool { return l.Worst <= bendsFrom }
+func (l *Line) IsLinear() bool { return l.MaxRelativeError <= maxLinearError }
 
 // ExtrapolationFactor returns size as a multiple of the largest measured size, at least 1.
-func (l *Line) ExtrapolationFactor(size float64) float64 { return max(1, size/l.To) }
+func (l *Line) ExtrapolationFactor(size float64) float64 { return max(1, size/l.MaxSize) }
--- a/lab/scalingfit/scalingfit_test.go
+++ b/lab/scalingfit/scalingfit_test.go
@@ -13,13 +13,13 @@
 }
 
 // For points on a line, Fit returns exactly this line, its range and no error.
-func TestLine(t *testing.T) {
+func TestFitFindsAnExactLine(t *testing.T) {
 	l, err := Fit("cores", "cores", "router", "run", points(func(x float64) float64 { return 0.1 + 0.0002*x }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if math.Abs(l.Slope-0.0002) > 1e-9 || math.Abs(l.Intercept-0.1) > 1e-9 ||
-		l.From != 100 || l.To != 5100 || l.Error > 1e-9 || !l.IsLinear() {
+		l.MinSize != 100 || l.MaxSize != 5100 || l.RMSError > 1e-9 || !l.IsLinear() {
 		t.Errorf("%+v", l)
 	}
 	if got := l.At(10200); math.Abs(got-2.14) > 1e-9 {
@@ -31,8 +31,9 @@
 }
 
 // A quadratic function is not linear, a constant is.
-func TestBent(t *testing.T) {
-	if l, err := Fit("s", "s", "router", "run", points(func(x float64) float64 { return x * x })); err != nil || l.IsLinear() {
+func TestQuadraticIsNotLinear(t *testing.T) {
+	if l, err := Fit("s", "s", "router", "run", points(func(x float64) float64 { return x * x })); err != nil ||
+		l.IsLinear() {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if l, err := Fit("s", "s", "router", "run", points(func(float64) float64 { return 3 })); err != nil ||
@@ -42,7 +43,7 @@
 }
 
 // Fit rejects fewer than three points, and points that all have the same size.
-func TestTooFew(t *testing.T) {
+func TestFitRejectsTooFewPointsOrSizes(t *testing.T) {
 	if _, err := Fit("s", "s", "router", "run", []Point{{1, 1}, {2, 2}}); err == nil {
 		t.Error("two points were accepted")
 	}
--- a/lab/simulation/days.go
+++ b/lab/simulation/days.go
@@ -23,7 +23,8 @@
 // and for sizes that are too small.
 func GenerateDay(kind string, routers, servers int, seed uint64) (Params, error) {
 	if !slices.Contains(slices.Concat(Days, SlowStartDays, ReleaseDays), kind) {
-		return Params{}, fmt.Errorf("simulation: no day is named %q; the days are %v, %v and %v", kind, Days, SlowStartDays, ReleaseDays)
+		return Params{}, fmt.Errorf("simulation: no day is named %q; the days are %v, %v and %v",
+			kind, Days, SlowStartDays, ReleaseDays)
 	}
 	if routers < 1 || servers < 4 {
 		return Params{}, fmt.Errorf("simulation: %d routers and %d servers: at least 1 and 4 are required", routers, servers)
@@ -38,7 +39,8 @@
 	machine := func(cores int, speed, cold float64) model.Params {
 		return model.Params{Cores: cores, Speed: speed, Queue: int(in(9, 33) * float64(cores)),
 			Thrash: in(0.045, 0.13), ThrashAt: in(2.9, 5.4),
-			ColdFrom: cold, ColdMS: in(3500, 8500), MissWork: 5, Conns: 800 * cores, ConnWork: in(1.3, 6), ProbeWork: in(0.8, 1.5),
+			ColdFrom: cold, ColdMS: in(3500, 8500), MissWork: 5,
+			Conns: 800 * cores, ConnWork: in(1.3, 6), ProbeWork: in(0.8, 1.5),
 			PauseEveryMS: in(4000, 11000), PauseMS: in(0, 60), ErrorRate: 0.0005, KeyedMS: 3000,
 			ReportEveryMS: in(70, 490), ReportDelayMS: in(2, 150), ReportNoise: in(0.03, 0.2), FallMultiple: 3, FallForMS: 2000,
 			ChokeAt: in(4, 7), ChokeOverMS: in(1500, 2500), ChokeSlower: in(2.2, 3.1), ChokeBelow: in(0.25, 0.4),
@@ -60,18 +62,20 @@
 		capacity += float64(k.Cores) * k.Speed
 	}
 	p := Params{Servers: servers, Kinds: kinds, SpeedCV: in(0.2, 0.35), Rate: 0.62 * capacity / work * 1000,
-		Length: length, Keys: 150 * servers,
-		Zipf: in(0.92, 1.2), Offset: in(2, 10), Drift: in(0.0005, 0.003), Warm: true, Work: work,
-		WorkCV: in(0.76, 1.5), Noise: in(0.13, 0.57),
-		Keyed: 0.022, Once: 0.013, Zones: zones, Net: 0.2, Cross: in(10, 20), Uneven: 0.8,
-		Clients: Clients{Retries: 2, Try: in(0.5, 0.8), Pause: in(25, 200), Honour: in(0.7, 1)},
-		Conn:    Conn{RTTs: in(1, 2), Timeout: 250},
-		Prices:  Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
-		List:    model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6, TimeoutMS: 2000}, Seed: seed}
+		LengthMillis: length, Keys: 150 * servers,
+		ZipfExponent: in(0.92, 1.2), ZipfOffset: in(2, 10), KeyReplacementShare: in(0.0005, 0.003), StartsWarm: true,
+		Work: work, WorkCV: in(0.76, 1.5), AttemptWorkCV: in(0.13, 0.57),
+		IdempotentWriteShare: 0.022, OtherWriteShare: 0.013, Zones: zones, ZoneDelayMillis: 0.2, CrossZoneDelayMillis: in(10, 20),
+		RouterTrafficCV: 0.8,
+		Clients:         Clients{Retries: 2, TryTimeoutShare: in(0.5, 0.8), BackoffMillis: in(25, 200), HonorProbability: in(0.7, 1)},
+		Conn:            Conn{RTTs: in(1, 2), Timeout: 250},
+		Prices:          Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
+		List:            model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6, TimeoutMS: 2000},
+		Seed:            seed}
 	// The memory of all servers together holds the n most popular keys, where n is chosen so that they
 	// receive this share of the reads.
 	hits, total, sum, n := in(0.85, 0.95), 0.0, 0.0, 0
-	weight := func(i int) float64 { return math.Pow(float64(i)+p.Offset, -p.Zipf) }
+	weight := func(i int) float64 { return math.Pow(float64(i)+p.ZipfOffset, -p.ZipfExponent) }
 	for i := range p.Keys {
 		total += weight(i)
 	}
@@ -82,7 +86,7 @@
 		kinds[i].Memory = max(1, n/servers)
 	}
 	// The capacity of the origin is about twice the load that then remains for it.
-	fetchMS, left := aim*in(0.08, 0.24), 1-hits+p.Keyed+p.Once
+	fetchMS, left := aim*in(0.08, 0.24), 1-hits+p.IdempotentWriteShare+p.OtherWriteShare
 	cores := max(1, int(math.Round(in(1.9, 2.8)*left*p.Rate*fetchMS/1000)))
 	p.Origin = model.Params{Cores: cores, Speed: work / fetchMS, Queue: int(in(0.3, 3.1)*1000/fetchMS) * cores,
 		Origin: true, KeyedMS: 3000, Thrash: in(0.05, 0.2), ThrashAt: 4}
@@ -96,14 +100,14 @@
 			{Name: "release-tag", LatencyObjectiveMillis: aim, DeadlineMillis: 1200, PriorityWeight: 2,
 				Effect: decide.NotIdempotent}}}
 	if slices.Contains(ReleaseDays, kind) {
-		return p, p.release(kind)
+		return p, p.addRelease(kind)
 	}
-	p.trouble(kind, rng)
+	p.addFaults(kind, rng)
 	return p, nil
 }
 
-// trouble adds the bursts and faults of a kind of day.
-func (p *Params) trouble(kind string, rng *rand.Rand) {
+// addFaults adds the bursts and faults of a kind of day.
+func (p *Params) addFaults(kind string, rng *rand.Rand) {
 	routers, zoned := p.Config.Routers, func(n, zone int) (all []int) {
 		for i := zone; i < n; i += p.Zones {
 			all = append(all, i)
@@ -113,7 +117,7 @@
 	lost := rng.IntN(p.Zones)
 	switch kind {
 	case "calm":
-		p.Bursts = []Burst{{At: 8000, For: 4000, Times: 1.5}}
+		p.Bursts = []Burst{{At: 8000, For: 4000, Factor: 1.5}}
 	case "herd":
 		dead := rng.Perm(routers)[:routers*7/10]
 		p.Faults = append(p.Faults, Fault{At: 6000, Routers: dead, Kind: Kill}, Fault{At: 7000, Routers: dead, Kind: Start})
@@ -125,15 +129,17 @@
 		for i := range 10 {
 			part := order[i*routers/10 : (i+1)*routers/10]
 			at := 3000 + 1500*float64(i)
-			p.Faults = append(p.Faults, Fault{At: at, Routers: part, Kind: Kill}, Fault{At: at + 500, Routers: part, Kind: Start},
+			p.Faults = append(p.Faults, Fault{At: at, Routers: part, Kind: Kill},
+				Fault{At: at + 500, Routers: part, Kind: Start},
 				Fault{At: at, Servers: half[i*len(half)/10 : (i+1)*len(half)/10], Kind: Replace})
 		}
 	case "split":
 		cut := zoned(p.Servers, lost)
-		p.Faults = append(p.Faults, Fault{At: 7000, Servers: cut, Kind: Silent}, Fault{At: 13000, Servers: cut, Kind: Heard})
+		p.Faults = append(p.Faults, Fault{At: 7000, Servers: cut, Kind: Isolate},
+			Fault{At: 13000, Servers: cut, Kind: Reconnect})
 	case "throng":
 		cut := rng.Perm(p.Servers)[:max(1, p.Servers/4)]
-		p.Bursts, p.Hints = []Burst{{At: 7000, For: 5000, Times: 2}}, true
+		p.Bursts, p.SendsWorkHints = []Burst{{At: 7000, For: 5000, Factor: 2}}, true
 		p.Faults = append(p.Faults, Fault{At: 4000, Servers: cut, Kind: Kill}, Fault{At: 6000, Servers: cut, Kind: Start})
 	case "zone":
 		cut := zoned(p.Servers, lost)
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -30,9 +30,9 @@
 	Attempts int
 	Refusals int `json:"Refusals"`
 	// Attempts that missed, were canceled by the router, and found a full queue.
-	Misses    int
-	Cancels   int
-	QueueFull int `json:"Full"`
+	Misses            int
+	Cancels           int
+	QueueFullAttempts int `json:"Full"`
 	// Fetches from the origin, and those while another fetch of the same key was in flight.
 	Fetches int
 	SameKey int `json:"SameKey"`
@@ -70,9 +70,9 @@
 	Hits                      int
 }
 
-// Quarters groups the servers by ascending capacity into four quarters of equal number and sums up each
+// CapacityQuarters groups the servers by ascending capacity into four quarters of equal number and sums up each
 // quarter.
-func (s *Sums) Quarters() (q [4]ServerSum) {
+func (s *Sums) CapacityQuarters() (q [4]ServerSum) {
 	all := slices.SortedFunc(slices.Values(s.Servers), func(a, b ServerSum) int {
 		return cmp.Compare(a.Capacity, b.Capacity)
 	})
@@ -108,16 +108,16 @@
 
 // Second holds the counts of one second over the whole fleet.
 type Second struct {
-	Requests  int `json:"Asked"`
-	InTime    int // of the requests that arrived in this second
-	Tries     int `json:"Asks"`
-	Rejected  int `json:"TurnedAway"`
-	Attempts  int
-	Misses    int
-	Cancels   int
-	QueueFull int `json:"Full"`
-	Fetches   int
-	Dials     int
+	Requests          int `json:"Asked"`
+	InTime            int // of the requests that arrived in this second
+	Tries             int `json:"Asks"`
+	Rejected          int `json:"TurnedAway"`
+	Attempts          int
+	Misses            int
+	Cancels           int
+	QueueFullAttempts int `json:"Full"`
+	Fetches           int
+	Dials             int
 }
 
 // Quotient returns a/b, or 0 if b is 0.
@@ -134,10 +134,10 @@
 // Weights in G of the whole day, of its worst ten seconds and of its worst class, and the length of that
 // window.
 const (
-	wholePart   = 0.7
-	windowPart  = 0.1
-	classPart   = 0.2
-	worstWindow = 10 // s
+	wholePart          = 0.7
+	windowPart         = 0.1
+	classPart          = 0.2
+	worstWindowSeconds = 10 // s
 )
 
 // Score returns the score of the day: the weighted service of the whole day, of its worst ten seconds and of
@@ -149,19 +149,19 @@
 			worst = min(worst, s.Gained[i]/s.Worth[i])
 		}
 	}
-	return wholePart*s.Service() + windowPart*s.worst() + classPart*worst - s.Price.Cross - s.Price.Waste - s.Price.Probe -
-		s.Price.Dial - s.Price.Call
+	return wholePart*s.Service() + windowPart*s.worstWindowShare() + classPart*worst - s.Price.Cross - s.Price.Waste -
+		s.Price.Probe - s.Price.Dial - s.Price.Call
 }
 
-// worst returns the lowest share of requests served in time over ten consecutive seconds.
-func (s *Sums) worst() float64 {
+// worstWindowShare returns the lowest share of requests served in time over ten consecutive seconds.
+func (s *Sums) worstWindowShare() float64 {
 	least := 1.0
 	for i := range s.Seconds {
 		var asked, in int
-		for _, x := range s.Seconds[i:min(len(s.Seconds), i+worstWindow)] {
+		for _, x := range s.Seconds[i:min(len(s.Seconds), i+worstWindowSeconds)] {
 			asked, in = asked+x.Requests, in+x.InTime
 		}
-		if i > 0 && i+worstWindow > len(s.Seconds) {
+		if i > 0 && i+worstWindowSeconds > len(s.Seconds) {
 			break
 		}
 		if asked > 0 {
@@ -176,14 +176,14 @@
 	add := func(name string, v float64) { names, values = append(names, name), append(values, v) }
 	add("G", s.Score())
 	add("served in time", s.Service())
-	add("first 5 s", s.between(0, 5))
-	add("worst 10 s", s.worst())
+	add("first 5 s", s.shareBetween(0, 5))
+	add("worst 10 s", s.worstWindowShare())
 	add("asks a request", Quotient(s.Tries, s.Requests))
 	add("refused of asks", Quotient(s.Rejected, s.Tries))
 	add("attempts a request", Quotient(s.Attempts, s.Requests))
 	add("misses of attempts", Quotient(s.Misses, s.Attempts))
 	add("cancels of attempts", Quotient(s.Cancels, s.Attempts))
-	add("turned away of attempts", Quotient(s.QueueFull, s.Attempts))
+	add("turned away of attempts", Quotient(s.QueueFullAttempts, s.Attempts))
 	add("fetches a request", Quotient(s.Fetches, s.Requests))
 	add("same key of fetches", Quotient(s.SameKey, s.Fetches))
 	add("dials a request", Quotient(s.Dials, s.Requests))
@@ -195,7 +195,7 @@
 	add("price of probes", s.Price.Probe)
 	add("price of waste", s.Price.Waste)
 	add("price of lists", s.Price.Call)
-	q := s.Quarters()
+	q := s.CapacityQuarters()
 	add("load of the slow quarter by that of the quick",
 		Quotient(Quotient(float64(q[0].Attempts), q[0].Capacity), Quotient(float64(q[3].Attempts), q[3].Capacity)))
 	add("ms of a hit there", Quotient(q[0].MS, float64(q[0].Hits)))
@@ -206,9 +206,9 @@
 	return names, values
 }
 
-// between returns the share served in time of the requests that arrived in the seconds from up to, but
+// shareBetween returns the share served in time of the requests that arrived in the seconds from up to, but
 // not including, to.
-func (s *Sums) between(from, to int) float64 {
+func (s *Sums) shareBetween(from, to int) float64 {
 	var asked, in int
 	for _, x := range s.Seconds[min(from, len(s.Seconds)):min(to, len(s.Seconds))] {
 		asked, in = asked+x.Requests, in+x.InTime
@@ -216,17 +216,17 @@
 	return Quotient(in, asked)
 }
 
-// second returns the counts of the second that contains a time.
-func (d *day) second(at float64) *Second {
-	i := max(0, int((at-begin)/1000))
+// secondAt returns the counts of the second that contains a time.
+func (d *day) secondAt(at float64) *Second {
+	i := max(0, int((at-dayStart)/1000))
 	for len(d.sums.Seconds) <= i {
 		d.sums.Seconds = append(d.sums.Seconds, Second{})
 	}
 	return &d.sums.Seconds[i]
 }
 
-// band returns the counts of the band of the request's key.
-func (d *day) band(w *wish) *BandSum {
+// bandOf returns the counts of the band of the request's key.
+func (d *day) bandOf(w *clientRequest) *BandSum {
 	i := 0
 	for w.rank >= bands[i] {
 		i++
@@ -236,8 +236,8 @@
 	return b
 }
 
-// places computes the counts of servers for the keys of each band.
-func (d *day) places() {
+// sumBands computes the counts of servers for the keys of each band.
+func (d *day) sumBands() {
 	for i := range d.sums.Bands {
 		b := &d.sums.Bands[i]
 		b.Keys = len(b.at)
@@ -252,10 +252,10 @@
 	}
 }
 
-// price sets the prices of the day, after it has removed the trailing seconds without requests.
-func (d *day) price() {
-	s, p := &d.sums, d.p.Prices
-	d.places()
+// computePrices sets the prices of the day, after it has removed the trailing seconds without requests.
+func (d *day) computePrices() {
+	s, p := &d.sums, d.params.Prices
+	d.sumBands()
 	for len(s.Seconds) > 0 && s.Seconds[len(s.Seconds)-1].Requests == 0 {
 		s.Seconds = slices.Delete(s.Seconds, len(s.Seconds)-1, len(s.Seconds))
 	}
@@ -275,5 +275,5 @@
 	}
 	mean, deviation := stat.MeanStdDev(v, nil)
 	n := float64(len(v))
-	return mean, quantile(n-1) * stat.StdErr(deviation, n)
+	return mean, studentQuantile(n-1) * stat.StdErr(deviation, n)
 }
--- a/lab/simulation/recovery_test.go
+++ b/lab/simulation/recovery_test.go
@@ -9,36 +9,39 @@
 
 const hardRouters, hardServers = 48, 24
 
-// all returns the numbers below n.
-func all(n int) []int { return every(1, n) }
+// allBelow returns the numbers below n.
+func allBelow(n int) []int { return multiplesBelow(1, n) }
 
 // Difficult conditions in a large fleet, each compared with the same day without it: the loss of service is
 // bounded, no cold server collapses, and the fleet recovers within the day, so that the last five seconds
 // are nearly as good.
-func TestHardCases(t *testing.T) {
+func TestFleetRecoversUnderDifficultConditions(t *testing.T) {
 	const routers, servers = hardRouters, hardServers
-	calm, calmLast := hard(t, func(*Params) {})
+	calm, calmLast := runCalmDay(t, func(*Params) {})
 	for _, c := range []struct {
-		name  string
-		do    func(p *Params)
-		least float64 // lowest service, relative to the day without it
-		back  float64 // likewise, of the last five seconds
+		name           string
+		change         func(p *Params)
+		minService     float64 // lowest service, relative to the day without it
+		minLastSeconds float64 // likewise, of the last five seconds
 	}{
-		{"one router sees twenty times the mean", func(p *Params) { p.Hot = 20 }, 0.94, 0.95},
+		{"one router sees twenty times the mean", func(p *Params) { p.FirstRouterTraffic = 20 }, 0.94, 0.95},
 		{"servers of a third of their kind's speed", func(p *Params) {
-			p.Faults = []Fault{{Servers: every(10, servers), Kind: Slow, Factor: 1.0 / 3}}
+			p.Faults = []Fault{{Servers: multiplesBelow(10, servers), Kind: Slow, Factor: 1.0 / 3}}
 		}, 0.95, 0.95},
 		{"routers start while a zone is away", func(p *Params) {
-			zone := every(6, servers)
-			p.Faults = []Fault{{At: 3000, Servers: zone, Kind: Kill}, {At: 4000, Routers: every(2, routers), Kind: Kill},
-				{At: 4500, Routers: every(2, routers), Kind: Start, Stale: true}, {At: 7000, Servers: zone, Kind: Start}}
+			zone := multiplesBelow(6, servers)
+			p.Faults = []Fault{{At: 3000, Servers: zone, Kind: Kill},
+				{At: 4000, Routers: multiplesBelow(2, routers), Kind: Kill},
+				{At: 4500, Routers: multiplesBelow(2, routers), Kind: Start, HasStaleList: true},
+				{At: 7000, Servers: zone, Kind: Start}}
 		}, 0.94, 0.95},
 		{"a whole kind becomes slow", func(p *Params) {
-			p.Faults = []Fault{{At: 6000, Servers: every(3, servers), Kind: Slow, Factor: 0.6}}
+			p.Faults = []Fault{{At: 6000, Servers: multiplesBelow(3, servers), Kind: Slow, Factor: 0.6}}
 		}, 0.95, 0.95},
 		{"all routers start in one second with the same stale list", func(p *Params) {
-			p.Faults = []Fault{{At: 3000, Servers: every(4, servers), Kind: Replace}, {At: 5000, Routers: all(routers), Kind: Kill},
-				{At: 5500, Routers: all(routers), Kind: Start, Stale: true}}
+			p.Faults = []Fault{{At: 3000, Servers: multiplesBelow(4, servers), Kind: Replace},
+				{At: 5000, Routers: allBelow(routers), Kind: Kill},
+				{At: 5500, Routers: allBelow(routers), Kind: Start, HasStaleList: true}}
 		}, 0.9, 0.91},
 		{"full tables at every server of two zones", func(p *Params) { p.Kinds[0].Conns = routers / 3 }, 0.94, 0.93},
 		{"a server comes back with its old id", func(p *Params) {
@@ -46,25 +49,25 @@
 		}, 0.97, 0.96},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			service, last := hard(t, c.do)
+			service, last := runCalmDay(t, c.change)
 			t.Logf("service %.3f, without it %.3f; last five seconds %.3f, without it %.3f", service, calm, last, calmLast)
-			if service < c.least*calm {
+			if service < c.minService*calm {
 				t.Errorf("service %.3f, without it %.3f", service, calm)
 			}
-			if last < c.back*calmLast {
+			if last < c.minLastSeconds*calmLast {
 				t.Errorf("the last five seconds %.3f, without it %.3f", last, calmLast)
 			}
 		})
 	}
 }
 
-// hard runs a calm day whose parameters do has changed.
-func hard(t *testing.T, do func(p *Params)) (service, last float64) {
+// runCalmDay runs a calm day whose parameters were modified by change.
+func runCalmDay(t *testing.T, do func(p *Params)) (service, last float64) {
 	p, err := GenerateDay("calm", hardRouters, hardServers, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Length, p.Bursts = 15000, nil
+	p.LengthMillis, p.Bursts = 15000, nil
 	do(&p)
 	s, err := Play(p)
 	if err != nil {
@@ -76,12 +79,12 @@
 	if s.Served+s.Failed != s.Requests {
 		t.Errorf("%d of %d requests ended", s.Served+s.Failed, s.Requests)
 	}
-	return s.Service(), s.between(10, 15)
+	return s.Service(), s.shareBetween(10, 15)
 }
 
 // The plan of a release never exceeds its budgets but uses them, changes all processes, and is the same for
 // the same seed. Losing a zone half way only makes it longer.
-func TestPlanRelease(t *testing.T) {
+func TestReleasePlanKeepsBudgets(t *testing.T) {
 	var took float64
 	for _, lost := range []bool{false, true} {
 		pl, err := PlanRelease(60, 40, 4, lost, 1)
@@ -92,14 +95,14 @@
 		if !reflect.DeepEqual(pl, again) {
 			t.Error("two plans of the same seed differ")
 		}
-		for k, n := range pl.Most {
+		for k, n := range pl.MaxPlannedOut {
 			if n > pl.Allowed[k] {
 				t.Errorf("%d %ss out by plan, %d allowed", n, k, pl.Allowed[k])
 			}
 		}
-		if pl.Most[rollout.KindServer] < 3 || pl.Most[rollout.KindRouter] < 3 || pl.TookMS <= took {
-			t.Errorf("most out %v, duration %v ms; without the loss of a zone %v ms", pl.Most, pl.TookMS, took)
+		if pl.MaxPlannedOut[rollout.KindServer] < 3 || pl.MaxPlannedOut[rollout.KindRouter] < 3 || pl.DurationMillis <= took {
+			t.Errorf("most out %v, duration %v ms; without the loss of a zone %v ms", pl.MaxPlannedOut, pl.DurationMillis, took)
 		}
-		took = pl.TookMS
+		took = pl.DurationMillis
 	}
 }
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -18,41 +18,41 @@
 // Budgets and durations of release days: at most a tenth of the routers, a tenth of the servers and a
 // quarter of a zone's servers are out of service. The untyped durations are in milliseconds.
 const (
-	shareOut   = 0.1
-	shareZone  = 0.25
-	routerWarm = 2 * time.Second
-	serverWarm = 5 * time.Second
-	drainMS    = 300  // until all routers have acknowledged a drain
-	downMS     = 1000 // between the end and the next start of a process
-	readyMS    = 300  // until a restarted router reports
-	seenMS     = 1500 // until routers detect that a server fails, or has recovered
-	beginMS    = 3000 // start of the release
-	lostMS     = 8000 // how long a lost zone is down
+	maxOutShare        = 0.1
+	maxZoneOutShare    = 0.25
+	routerSlowStart    = 2 * time.Second
+	serverSlowStart    = 5 * time.Second
+	drainMillis        = 300  // until all routers have acknowledged a drain
+	restartMillis      = 1000 // between the end and the next start of a process
+	startupMillis      = 300  // until a restarted router reports
+	detectionMillis    = 1500 // until routers detect that a server fails, or has recovered
+	releaseStartMillis = 3000 // start of the release
+	zoneOutageMillis   = 8000 // how long a lost zone is down
 )
 
-// Planned is the timeline of a release, as internal/rollout schedules it.
-type Planned struct {
-	Faults      []Fault
-	TookMS      float64              // from the start until the last process is back, in milliseconds
-	Most        map[rollout.Kind]int // most processes out of service by plan at the same time
-	Allowed     map[rollout.Kind]int
-	OutBySecond [][2]int // by second: routers and servers out of service for any reason, as the coordinators see it
+// ReleaseTimeline is the timeline of a release, as internal/rollout schedules it.
+type ReleaseTimeline struct {
+	Faults         []Fault
+	DurationMillis float64              // from the start until the last process is back, in milliseconds
+	MaxPlannedOut  map[rollout.Kind]int // most processes out of service by plan at the same time
+	Allowed        map[rollout.Kind]int // the budget, in processes
+	OutBySecond    [][2]int             // by second: routers and servers out of service for any reason, as the coordinators see it
 }
 
 // PlanRelease computes the timeline of a release of all routers and a change of all servers, with tools
-// that act without delay. If lost is set, the servers of one zone are killed half way and come back cold.
-func PlanRelease(routers, servers, zones int, lost bool, seed uint64) (Planned, error) {
+// that act without delay. If losesZone is set, the servers of one zone are killed half way and come back cold.
+func PlanRelease(routers, servers, zones int, losesZone bool, seed uint64) (ReleaseTimeline, error) {
 	rng := rand.New(rand.NewPCG(seed, 61))
-	pl := Planned{Most: map[rollout.Kind]int{}, Allowed: map[rollout.Kind]int{}}
+	timeline := ReleaseTimeline{MaxPlannedOut: map[rollout.Kind]int{}, Allowed: map[rollout.Kind]int{}}
 	s := rollout.New()
 	var now time.Duration // the replicated clock
 	var token, opened uint64
 	next := func() uint64 { token++; return token }
-	from := func(client string, n int) rollout.Sender {
+	senderFor := func(client string, n int) rollout.Sender {
 		return rollout.Sender{Time: now, Session: fmt.Sprint(client, "#", n), Client: client,
 			SessionOrder: opened, NextToken: next}
 	}
-	do := func(c rollout.Command, f rollout.Sender) (rollout.Result, error) {
+	apply := func(c rollout.Command, f rollout.Sender) (rollout.Result, error) {
 		f.Time = now
 		a := s.Apply(c, f)
 		if a.Code != rollout.CodeOK {
@@ -60,86 +60,88 @@
 		}
 		return a, nil
 	}
-	if _, err := do(rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 5 * time.Second, Budgets: []rollout.Budget{
-		{Name: "routers", Kind: rollout.KindRouter, MaxOutShare: shareOut, SlowStart: routerWarm},
-		{Name: "servers", Kind: rollout.KindServer, MaxOutShare: shareOut, SlowStart: serverWarm},
-		{Name: "zones", Kind: rollout.KindServer, Per: "zone", MaxOutShare: shareZone}}}, from("operator", 0)); err != nil {
-		return pl, err
+	if _, err := apply(rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 5 * time.Second, Budgets: []rollout.Budget{
+		{Name: "routers", Kind: rollout.KindRouter, MaxOutShare: maxOutShare, SlowStart: routerSlowStart},
+		{Name: "servers", Kind: rollout.KindServer, MaxOutShare: maxOutShare, SlowStart: serverSlowStart},
+		{Name: "zones", Kind: rollout.KindServer, Per: "zone", MaxOutShare: maxZoneOutShare}}},
+		senderFor("operator", 0)); err != nil {
+		return timeline, err
 	}
-	run := make([]int, routers) // incarnation of each router's process
-	state := make([]rollout.ServerStatus, servers)
-	boot := make([]int, servers)
+	routerIncarnation := make([]int, routers) // incarnation of each router's process
+	serverStatus := make([]rollout.ServerStatus, servers)
+	serverIncarnation := make([]int, servers)
 	server := func(i int) string { return fmt.Sprintf("s%03d", i) }
 	router := func(i int) string { return fmt.Sprintf("r%03d", i) }
-	tell := func(i int, version string, all []int) error {
+	report := func(i int, version string, all []int) error {
 		opened++
 		for part := range slices.Chunk(all, rollout.MaxReportedServers) {
-			v := &rollout.RouterReport{Zone: zone(i % zones), Version: version, IsReady: true}
+			v := &rollout.RouterReport{Zone: zoneName(i % zones), Version: version, IsReady: true}
 			for _, k := range part {
-				v.Servers = append(v.Servers, rollout.ServerObservation{Name: server(k), Zone: zone(k % zones),
-					Incarnation: fmt.Sprint(boot[k]), Status: state[k]})
+				v.Servers = append(v.Servers, rollout.ServerObservation{Name: server(k), Zone: zoneName(k % zones),
+					Incarnation: fmt.Sprint(serverIncarnation[k]), Status: serverStatus[k]})
 			}
-			if _, err := do(rollout.Command{Op: rollout.OpReport, Report: v},
-				from(rollout.RouterClientPrefix+router(i), run[i])); err != nil {
+			if _, err := apply(rollout.Command{Op: rollout.OpReport, Report: v},
+				senderFor(rollout.RouterClientPrefix+router(i), routerIncarnation[i])); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	every := make([]int, servers)
-	for i := range every {
-		every[i], state[i] = i, rollout.StatusServing
+	allServers := make([]int, servers)
+	for i := range allServers {
+		allServers[i], serverStatus[i] = i, rollout.StatusServing
 	}
 	version := make([]string, routers)
 	for i := range routers {
 		version[i] = "v1"
-		if err := tell(i, "v1", every); err != nil {
-			return pl, err
+		if err := report(i, "v1", allServers); err != nil {
+			return timeline, err
 		}
 	}
-	now = beginMS * time.Millisecond
+	now = releaseStartMillis * time.Millisecond
 	s.Advance(now+time.Minute, next) // until all are past slow start
 	now += time.Minute
 	base := now
-	at := func() float64 { return beginMS + float64((now-base)/time.Millisecond) }
-	if _, err := do(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin",
+	at := func() float64 { return releaseStartMillis + float64((now-base)/time.Millisecond) }
+	if _, err := apply(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin",
 		FromVersion: "v1", ToVersion: "v2", FirstWave: 3, GrowthFactor: 3, BakeTime: 2 * time.Second,
-		StepTimeout: time.Minute}}, from("release", 0)); err != nil {
-		return pl, err
+		StepTimeout: time.Minute}}, senderFor("release", 0)); err != nil {
+		return timeline, err
 	}
 	for _, b := range s.Report(now).Budgets {
 		if b.Zone == "" {
-			pl.Allowed[b.Kind] = b.Allowed
+			timeline.Allowed[b.Kind] = b.Allowed
 		}
 	}
 	// Scheduled steps of the timeline.
-	type todo struct {
+	type scheduledStep struct {
 		at time.Duration
 		do func() error
 	}
-	var later []todo
+	var scheduled []scheduledStep
 	after := func(ms float64, f func() error) {
-		later = append(later, todo{now + time.Duration(ms*float64(time.Millisecond)), f})
+		scheduled = append(scheduled, scheduledStep{now + time.Duration(ms*float64(time.Millisecond)), f})
 	}
 	order := rng.Perm(servers)
-	asked, changed := map[string]bool{}, 0
-	down := map[int]bool{} // servers of the lost zone
-	if lost {
-		after(float64(servers)/(shareOut*float64(servers))*(drainMS+downMS+float64(serverWarm/time.Millisecond))/2, func() error {
+	hasPermit, changed := map[string]bool{}, 0
+	isLost := map[int]bool{} // servers of the lost zone
+	if losesZone {
+		after(float64(servers)/(maxOutShare*float64(servers))*(drainMillis+restartMillis+
+			float64(serverSlowStart/time.Millisecond))/2, func() error {
 			z := rng.IntN(zones)
 			var part []int
 			for i := z; i < servers; i += zones {
-				part, down[i] = append(part, i), true
+				part, isLost[i] = append(part, i), true
 			}
-			pl.Faults = append(pl.Faults, Fault{At: at(), Servers: part, Kind: Kill})
-			see := func(is rollout.ServerStatus) func() error {
+			timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: part, Kind: Kill})
+			detectStatus := func(is rollout.ServerStatus) func() error {
 				return func() error {
 					for _, i := range part {
-						state[i] = is
+						serverStatus[i] = is
 					}
 					for i := range routers {
 						if version[i] != "" {
-							if err := tell(i, version[i], part); err != nil {
+							if err := report(i, version[i], part); err != nil {
 								return err
 							}
 						}
@@ -147,13 +149,13 @@
 					return nil
 				}
 			}
-			after(seenMS, see(rollout.StatusFailing))
-			after(lostMS, func() error {
-				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: part, Kind: Start})
+			after(detectionMillis, detectStatus(rollout.StatusFailing))
+			after(zoneOutageMillis, func() error {
+				timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: part, Kind: Start})
 				for _, i := range part {
-					delete(down, i)
+					delete(isLost, i)
 				}
-				after(seenMS, see(rollout.StatusServing))
+				after(detectionMillis, detectStatus(rollout.StatusServing))
 				return nil
 			})
 			return nil
@@ -161,43 +163,43 @@
 	}
 	// The change of a server, and the release of a router.
 	changeServer := func(i int, token uint64) {
-		name, who := server(i), from("op/"+server(i), 0)
-		pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Drain})
-		after(drainMS, func() error {
-			pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Kill})
+		name, who := server(i), senderFor("op/"+server(i), 0)
+		timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: BeginDrain})
+		after(drainMillis, func() error {
+			timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: Kill})
 			var start func() error
 			start = func() error {
-				if down[i] { // wait until its zone is back
+				if isLost[i] { // wait until its zone is back
 					after(500, start)
 					return nil
 				}
-				boot[i]++
+				serverIncarnation[i]++
 				changed++
-				pl.Faults = append(pl.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start},
-					Fault{At: at(), Servers: []int{i}, Kind: Undrain})
-				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name,
+				timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start},
+					Fault{At: at(), Servers: []int{i}, Kind: EndDrain})
+				_, err := apply(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name,
 					Token: token}, who)
 				return err
 			}
-			after(downMS, start)
+			after(restartMillis, start)
 			return nil
 		})
 	}
 	changeRouter := func(i int, token uint64) {
-		pl.Faults = append(pl.Faults, Fault{At: at(), Routers: []int{i}, Kind: Kill})
-		f := from(rollout.RouterClientPrefix+router(i), run[i])
+		timeline.Faults = append(timeline.Faults, Fault{At: at(), Routers: []int{i}, Kind: Kill})
+		f := senderFor(rollout.RouterClientPrefix+router(i), routerIncarnation[i])
 		s.SessionEnded(f.Session, f.Client, now, next)
 		version[i] = ""
-		after(downMS, func() error {
-			pl.Faults = append(pl.Faults, Fault{At: at(), Routers: []int{i}, Kind: Start})
-			after(readyMS, func() error {
-				run[i]++
+		after(restartMillis, func() error {
+			timeline.Faults = append(timeline.Faults, Fault{At: at(), Routers: []int{i}, Kind: Start})
+			after(startupMillis, func() error {
+				routerIncarnation[i]++
 				version[i] = "v2"
-				if err := tell(i, "v2", every); err != nil {
+				if err := report(i, "v2", allServers); err != nil {
 					return err
 				}
-				_, err := do(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: router(i),
-					Token: token}, from("release", 0))
+				_, err := apply(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindRouter, Name: router(i),
+					Token: token}, senderFor("release", 0))
 				return err
 			})
 			return nil
@@ -206,66 +208,67 @@
 	const tick = 100 * time.Millisecond
 	for steps := 0; changed < servers || s.Release.State == rollout.ReleaseRunning; steps++ {
 		if steps > 100_000 {
-			return pl, fmt.Errorf("the release does not end: %d servers changed, unavailable: %+v", changed, s.Report(now).Unavailable)
+			return timeline, fmt.Errorf("the release does not end: %d servers changed, unavailable: %+v",
+				changed, s.Report(now).Unavailable)
 		}
-		for len(later) > 0 {
+		for len(scheduled) > 0 {
 			i := 0
-			for j := range later {
-				if later[j].at < later[i].at {
+			for j := range scheduled {
+				if scheduled[j].at < scheduled[i].at {
 					i = j
 				}
 			}
-			if later[i].at > now {
+			if scheduled[i].at > now {
 				break
 			}
-			f := later[i].do
-			later = slices.Delete(later, i, i+1)
+			f := scheduled[i].do
+			scheduled = slices.Delete(scheduled, i, i+1)
 			if err := f(); err != nil {
-				return pl, err
+				return timeline, err
 			}
 		}
 		s.Advance(now, next)
 		// The tools request a permit for each outstanding change and begin those that are granted.
-		type ask struct {
+		type permitRequest struct {
 			k      rollout.Kind
 			i      int
 			client string
 		}
-		var asks []ask
+		var permitRequests []permitRequest
 		for _, name := range s.PendingRouters() {
 			i, err := strconv.Atoi(name[1:])
 			if err != nil {
-				return pl, err
+				return timeline, err
 			}
 			if version[i] == "v1" {
-				asks = append(asks, ask{rollout.KindRouter, i, "release"})
+				permitRequests = append(permitRequests, permitRequest{rollout.KindRouter, i, "release"})
 			}
 		}
 		waiting := 0
 		for _, i := range order {
-			if name := server(i); !asked[name] && waiting < 2*max(1, pl.Allowed[rollout.KindServer]) && !down[i] {
-				asks = append(asks, ask{rollout.KindServer, i, "op/" + name})
+			if name := server(i); !hasPermit[name] && waiting < 2*max(1, timeline.Allowed[rollout.KindServer]) && !isLost[i] {
+				permitRequests = append(permitRequests, permitRequest{rollout.KindServer, i, "op/" + name})
 				waiting++
 			}
 		}
-		for _, x := range asks[:min(len(asks), rollout.MaxPermits/2)] {
+		for _, x := range permitRequests[:min(len(permitRequests), rollout.MaxPermits/2)] {
 			name := router(x.i)
 			if x.k == rollout.KindServer {
 				name = server(x.i)
 			}
-			a, err := do(rollout.Command{Op: rollout.OpRequestPermit, Kind: x.k, Name: name}, from(x.client, 0))
+			a, err := apply(rollout.Command{Op: rollout.OpRequestPermit, Kind: x.k, Name: name}, senderFor(x.client, 0))
 			if err != nil {
-				return pl, err
+				return timeline, err
 			}
 			if a.Stage != rollout.StageGranted {
 				continue
 			}
-			if _, err := do(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token},
-				from(x.client, 0)); err != nil {
-				return pl, err
+			if _, err := apply(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token},
+				senderFor(x.client, 0)); err != nil {
+				return timeline, err
 			}
 			if x.k == rollout.KindServer {
-				asked[name] = true
+				hasPermit[name] = true
 				changeServer(x.i, a.Token)
 			} else {
 				changeRouter(x.i, a.Token)
@@ -285,15 +288,15 @@
 			}
 		}
 		for k, n := range planned {
-			pl.Most[k] = max(pl.Most[k], n)
+			timeline.MaxPlannedOut[k] = max(timeline.MaxPlannedOut[k], n)
 		}
 		if steps%10 == 0 {
-			pl.OutBySecond = append(pl.OutBySecond, out)
+			timeline.OutBySecond = append(timeline.OutBySecond, out)
 		}
-		pl.TookMS = at() - beginMS
+		timeline.DurationMillis = at() - releaseStartMillis
 		now += tick
 	}
-	slices.SortStableFunc(pl.Faults, func(a, b Fault) int {
+	slices.SortStableFunc(timeline.Faults, func(a, b Fault) int {
 		switch {
 		case a.At < b.At:
 			return -1
@@ -302,14 +305,14 @@
 		}
 		return 0
 	})
-	return pl, nil
+	return timeline, nil
 }
 
-// release adds the faults of a release day.
-func (p *Params) release(kind string) error {
+// addRelease adds the faults of a release day.
+func (p *Params) addRelease(kind string) error {
 	p.Rate *= 0.8 / 0.62
 	if kind == "release-none" {
-		p.Length = 60000
+		p.LengthMillis = 60000
 		return nil
 	}
 	if kind == "release-at-once" {
@@ -320,12 +323,12 @@
 		for i := range p.Servers {
 			servers = append(servers, i)
 		}
-		p.Faults = append(p.Faults, Fault{At: beginMS, Routers: routers, Servers: servers, Kind: Kill},
-			Fault{At: beginMS + downMS, Routers: routers, Servers: servers, Kind: Start})
-		p.Length = 2 * 22000
+		p.Faults = append(p.Faults, Fault{At: releaseStartMillis, Routers: routers, Servers: servers, Kind: Kill},
+			Fault{At: releaseStartMillis + restartMillis, Routers: routers, Servers: servers, Kind: Start})
+		p.LengthMillis = 2 * 22000
 		return nil
 	}
 	pl, err := PlanRelease(p.Config.Routers, p.Servers, p.Zones, kind == "release-zone", p.Seed)
-	p.Faults, p.Length = append(p.Faults, pl.Faults...), beginMS+pl.TookMS+5000
+	p.Faults, p.LengthMillis = append(p.Faults, pl.Faults...), releaseStartMillis+pl.DurationMillis+5000
 	return err
 }
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -10,70 +10,71 @@
 
 // request is one try of a client, as its router sees it.
 type request struct {
-	wish     *wish
+	client   *clientRequest
 	id       uint32
 	key      uint64
-	over     bool
+	isDone   bool
 	work     float64
-	tries    []*attempt
+	attempts []*attempt
 	missedAt []*machine
 }
 
 // attempt is one attempt of a router at a machine.
 type attempt struct {
-	r    *router
-	q    *request
-	n    int
-	job  uint64
-	to   *machine
-	sent float64
-	work float64
-	conn *conn
-	over bool
-	st   outcome
+	fromRouter *router
+	parent     *request
+	index      int
+	job        uint64
+	target     *machine
+	sentAt     float64
+	work       float64
+	conn       *conn
+	isDone     bool
+	endedAs    outcome
 }
 
 // outcome is how an attempt ended: 0 while it is open, else its decide.AttemptStatus plus 1.
 type outcome int
 
-func (o outcome) word() string {
-	return [...]string{"open", "ok", "failed", "full", "timeout", "connect", "reset", "cancelled", "ignored", "miss", "spoilt"}[o]
+func (o outcome) label() string {
+	return [...]string{"open", "ok", "failed", "full", "timeout", "connect", "reset", "cancelled", "ignored",
+		"miss", "spoilt"}[o]
 }
 
 // conn is a connection of a router to one process of a machine.
 type conn struct {
-	to   *machine
-	boot int
-	idle float64 // time since which it is idle
+	target      *machine
+	incarnation int
+	idleSince   float64 // time since which it is idle
 }
 
 // router is a router process: the host of one Balancer.
 type router struct {
-	d       *day
-	b       *decide.Balancer
-	zone    string
-	reqs    map[uint32]*request
-	conns   map[*machine][]*conn // idle connections, the longest idle first
-	last    uint32
-	version int64
-	starts  map[uint32]float64 // latest start time of each server in the lists received
-	dead    bool
+	parentDay     *day
+	balancer      *decide.Balancer
+	zone          string
+	requests      map[uint32]*request
+	idleConns     map[*machine][]*conn // idle connections, the longest idle first
+	lastRequestID uint32
+	listVersion   int64
+	knownStarts   map[uint32]float64 // latest start time of each server in the lists received
+	isDead        bool
 }
 
-// router starts a router process with an endpoint list.
-func (d *day) router(i int, known model.List) (*router, error) {
-	cfg := d.p.Config
-	cfg.RouterIndex, cfg.Zone = i, zone(i%d.p.Zones)
-	r := &router{d: d, zone: cfg.Zone, reqs: map[uint32]*request{},
-		conns: map[*machine][]*conn{}, version: known.Version, starts: map[uint32]float64{}}
+// startRouter starts a router process with an endpoint list.
+func (d *day) startRouter(i int, known model.List) (*router, error) {
+	cfg := d.params.Config
+	cfg.RouterIndex, cfg.Zone = i, zoneName(i%d.params.Zones)
+	r := &router{parentDay: d, zone: cfg.Zone, requests: map[uint32]*request{},
+		idleConns: map[*machine][]*conn{}, listVersion: known.Version, knownStarts: map[uint32]float64{}}
 	var err error
-	if r.b, err = decide.New(cfg, d.rng.Uint64(), r); err != nil {
+	if r.balancer, err = decide.New(cfg, d.rng.Uint64(), r); err != nil {
 		return nil, err
 	}
 	r.update(decide.RestoredEndpoints, known)
 	for _, v := range d.servers { // drains are in force before the first request of a router
 		if d.drained[v.id] {
-			r.b.Disable(d.now, v.id)
+			r.balancer.Disable(d.now, v.id)
 		}
 	}
 	return r, nil
@@ -81,129 +82,130 @@
 
 // update passes an endpoint list to the Balancer and records the start times of the servers in it.
 func (r *router) update(kind decide.EndpointUpdateKind, list model.List) {
-	entries := decided(list)
+	entries := toEndpoints(list)
 	for _, entry := range entries {
-		r.starts[entry.ID] = max(r.starts[entry.ID], entry.StartedAt)
+		r.knownStarts[entry.ID] = max(r.knownStarts[entry.ID], entry.StartedAt)
 	}
-	r.b.UpdateEndpoints(r.d.now, kind, entries)
+	r.balancer.UpdateEndpoints(r.parentDay.now, kind, entries)
 }
 
-// die ends a router process. Its clients and its servers see their connections reset.
-func (r *router) die() {
-	if r.dead {
+// kill ends a router process. Its clients and its servers see their connections reset.
+func (r *router) kill() {
+	if r.isDead {
 		return
 	}
-	r.dead = true
-	ids := make([]uint32, 0, len(r.reqs))
-	for id := range r.reqs {
+	r.isDead = true
+	ids := make([]uint32, 0, len(r.requests))
+	for id := range r.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		q := r.reqs[id]
-		for _, a := range q.tries {
-			if a.over {
+		q := r.requests[id]
+		for _, a := range q.attempts {
+			if a.isDone {
 				continue
 			}
-			a.over = true
-			if a.to.origin {
-				r.d.fetching[q.key]--
+			a.isDone = true
+			if a.target.isOrigin {
+				r.parentDay.fetching[q.key]--
 			}
-			r.giveUp(a)
+			r.cancelAtServer(a)
 		}
-		if !q.over {
-			q.over = true
-			q.wish.story = cmp.Or(q.wish.story, routerDead)
-			r.d.again(q.wish, 0)
+		if !q.isDone {
+			q.isDone = true
+			q.client.firstOutcome = cmp.Or(q.client.firstOutcome, outcomeRouterDead)
+			r.parentDay.retryLater(q.client, 0)
 		}
 	}
-	for _, v := range r.d.servers {
-		for range r.conns[v] {
-			v.m.Disconnect()
+	for _, v := range r.parentDay.servers {
+		for range r.idleConns[v] {
+			v.serverModel.Disconnect()
 		}
 	}
-	r.reqs, r.conns = nil, nil
+	r.requests, r.idleConns = nil, nil
 }
 
-// giveUp cancels an attempt at its machine, after the network delay.
-func (r *router) giveUp(a *attempt) {
-	r.d.after(r.net(a.to), func() {
-		if r.d.out[a.job] == a && a.to.up {
-			r.d.look(a.to)
-			r.d.sums.Wasted += a.to.m.Spent(a.job)
-			delete(r.d.out, a.job)
-			a.to.m.Cancel(a.job)
-			r.d.look(a.to)
+// cancelAtServer cancels an attempt at its machine, after the network delay.
+func (r *router) cancelAtServer(a *attempt) {
+	r.parentDay.after(r.delayTo(a.target), func() {
+		if r.parentDay.inFlight[a.job] == a && a.target.isUp {
+			r.parentDay.advanceServer(a.target)
+			r.parentDay.sums.Wasted += a.target.serverModel.Spent(a.job)
+			delete(r.parentDay.inFlight, a.job)
+			a.target.serverModel.Cancel(a.job)
+			r.parentDay.advanceServer(a.target)
 		}
 	})
 }
 
-// net returns the one-way network delay to a machine.
-func (r *router) net(v *machine) float64 {
-	if r.zone == v.zone || v.origin {
-		return r.d.p.Net
+// delayTo returns the one-way network delay to a machine.
+func (r *router) delayTo(v *machine) float64 {
+	if r.zone == v.zone || v.isOrigin {
+		return r.parentDay.params.ZoneDelayMillis
 	}
-	return r.d.p.Cross
+	return r.parentDay.params.CrossZoneDelayMillis
 }
 
-// leave ends a try whose client has stopped waiting. Its open attempts time out.
-func (r *router) leave(q *request) {
-	if r.dead {
+// clientLeaves ends a try whose client has stopped waiting. Its open attempts time out.
+func (r *router) clientLeaves(q *request) {
+	if r.isDead {
 		return
 	}
-	for _, a := range q.tries {
-		if !a.over {
-			r.d.end(a, decide.Timeout, 0, decide.NoLoadReport)
-			r.giveUp(a)
+	for _, a := range q.attempts {
+		if !a.isDone {
+			r.parentDay.endAttempt(a, decide.Timeout, 0, decide.NoLoadReport)
+			r.cancelAtServer(a)
 		}
 	}
-	r.finish(q, left, 0)
-	r.b.ClientDisconnected(r.d.now, q.id)
-	delete(r.reqs, q.id)
+	r.finishTry(q, tryTimedOut, 0)
+	r.balancer.ClientDisconnected(r.parentDay.now, q.id)
+	delete(r.requests, q.id)
 }
 
 // How a try ended.
 const (
-	served = iota
-	refused
-	failed
-	left
+	tryServed = iota
+	tryRejected
+	tryFailed
+	tryTimedOut
 )
 
-// finish ends a try and passes the result to its client. A positive told is the retry delay for the
+// finishTry ends a try and passes the result to its client. A positive told is the retry delay for the
 // client.
-func (r *router) finish(q *request, how int, told float64) {
-	if q.over {
+func (r *router) finishTry(q *request, how int, told float64) {
+	if q.isDone {
 		return
 	}
-	q.over = true
-	d := r.d
+	q.isDone = true
+	d := r.parentDay
 	switch how {
-	case served:
-		if q.wish.story == "" {
-			q.wish.story = "served" + q.path()
+	case tryServed:
+		if q.client.firstOutcome == "" {
+			q.client.firstOutcome = "served" + q.attemptOutcomes()
 		}
-		d.serve(q.wish)
+		d.recordSuccess(q.client)
 		return
-	case refused:
+	case tryRejected:
 		d.sums.Rejected++
-		d.sums.RejectedByCause[r.b.Cause()]++
-		d.second(d.now).Rejected++
-		d.band(q.wish).Rejected++
+		d.sums.RejectedByCause[r.balancer.Cause()]++
+		d.secondAt(d.now).Rejected++
+		d.bandOf(q.client).Rejected++
 	}
-	if q.wish.story == "" {
-		q.wish.story = [...]string{"served", "refused: " + r.b.Cause(), "failed", "left"}[how] + q.path()
+	if q.client.firstOutcome == "" {
+		q.client.firstOutcome = [...]string{"served", "refused: " + r.balancer.Cause(), "failed", "left"}[how] +
+			q.attemptOutcomes()
 	}
-	d.again(q.wish, told)
+	d.retryLater(q.client, told)
 }
 
-// path describes how the attempts of a request ended.
-func (q *request) path() (text string) {
-	for i, a := range q.tries {
+// attemptOutcomes describes how the attempts of a request ended.
+func (q *request) attemptOutcomes() (text string) {
+	for i, a := range q.attempts {
 		if i == 0 {
 			text = " after"
 		}
-		if text += " " + a.st.word(); a.to.origin {
+		if text += " " + a.endedAs.label(); a.target.isOrigin {
 			text += " (origin)"
 		}
 	}
@@ -214,25 +216,26 @@
 
 // Send starts an attempt.
 func (r *router) Send(id, server uint32, timeout float64) {
-	d, q, v := r.d, r.reqs[id], r.d.byID[server]
+	d, q, v := r.parentDay, r.requests[id], r.parentDay.byID[server]
 	if q == nil {
 		return
 	}
-	a := &attempt{r: r, q: q, n: len(q.tries), to: v, sent: d.now, work: q.work * lognormal(d.rng, d.p.Noise)}
-	q.tries = append(q.tries, a)
+	a := &attempt{fromRouter: r, parent: q, index: len(q.attempts), target: v, sentAt: d.now,
+		work: q.work * lognormal(d.rng, d.params.AttemptWorkCV)}
+	q.attempts = append(q.attempts, a)
 	if v == nil { // the server was removed, and the list has not arrived yet
-		a.to = &machine{id: server, zone: r.zone, place: -1}
-	} else if v.origin {
+		a.target = &machine{id: server, zone: r.zone, index: -1}
+	} else if v.isOrigin {
 		if d.sums.Fetches++; d.fetching[q.key] > 0 {
 			d.sums.SameKey++
 		}
-		d.second(d.now).Fetches++
+		d.secondAt(d.now).Fetches++
 		d.fetching[q.key]++
 	} else {
 		d.sums.Attempts++
-		d.second(d.now).Attempts++
-		d.sums.Servers[v.place].Attempts++
-		b := d.band(q.wish)
+		d.secondAt(d.now).Attempts++
+		d.sums.Servers[v.index].Attempts++
+		b := d.bandOf(q.client)
 		b.Attempts++
 		if b.at == nil {
 			b.at = map[uint64]map[int]int{}
@@ -240,218 +243,218 @@
 		if b.at[q.key] == nil {
 			b.at[q.key] = map[int]int{}
 		}
-		b.at[q.key][v.place]++
+		b.at[q.key][v.index]++
 		if v.zone != r.zone {
 			d.sums.Crossings++
 		}
 	}
-	d.jobs++
-	a.job = d.jobs
-	r.connect(a.to, func(c *conn) {
-		if a.over {
-			r.drop(c)
+	d.lastJobID++
+	a.job = d.lastJobID
+	r.connect(a.target, func(c *conn) {
+		if a.isDone {
+			r.closeConn(c)
 			return
 		}
 		if c == nil {
 			d.sums.Refusals++
-			d.end(a, decide.ConnectError, 0, decide.NoLoadReport)
+			d.endAttempt(a, decide.ConnectError, 0, decide.NoLoadReport)
 			return
 		}
 		a.conn = c
-		d.after(r.net(a.to), func() { d.reach(a) })
+		d.after(r.delayTo(a.target), func() { d.deliver(a) })
 	})
 	if timeout > 0 {
-		d.after(timeout, func() { d.end(a, decide.Timeout, 0, decide.NoLoadReport) })
+		d.after(timeout, func() { d.endAttempt(a, decide.Timeout, 0, decide.NoLoadReport) })
 	}
 }
 
 // connect takes an idle connection to a machine or dials one, and calls on with it, or with nil if the dial
 // failed.
 func (r *router) connect(v *machine, on func(*conn)) {
-	d, way := r.d, r.net(v)
-	keep := d.p.Config.IdleTimeoutMillis - min(d.p.Config.IdleTimeoutMillis/4, 1000)
-	for kept := r.conns[v]; len(kept) > 0; kept = r.conns[v] {
+	d, way := r.parentDay, r.delayTo(v)
+	keep := d.params.Config.IdleTimeoutMillis - min(d.params.Config.IdleTimeoutMillis/4, 1000)
+	for kept := r.idleConns[v]; len(kept) > 0; kept = r.idleConns[v] {
 		c := kept[0]
-		r.conns[v] = kept[1:]
-		if c.boot == v.boot && (keep <= 0 || d.now-c.idle < keep) {
+		r.idleConns[v] = kept[1:]
+		if c.incarnation == v.incarnation && (keep <= 0 || d.now-c.idleSince < keep) {
 			on(c)
 			return
 		}
-		r.drop(c)
+		r.closeConn(c)
 	}
-	rtts := max(0, d.p.Conn.RTTs)
-	if rtts > 0 && !v.origin {
+	rtts := max(0, d.params.Conn.RTTs)
+	if rtts > 0 && !v.isOrigin {
 		d.sums.Dials++
-		d.second(d.now).Dials++
+		d.secondAt(d.now).Dials++
 	}
 	d.after(2*way*rtts, func() {
 		switch {
-		case r.dead:
-		case v.silent:
-			d.after(d.p.Conn.Timeout, func() {
-				if !r.dead {
+		case r.isDead:
+		case v.isPartitioned:
+			d.after(d.params.Conn.Timeout, func() {
+				if !r.isDead {
 					on(nil)
 				}
 			})
-		case !v.up || rtts > 0 && !v.m.Connect():
+		case !v.isUp || rtts > 0 && !v.serverModel.Connect():
 			on(nil)
 		default:
-			on(&conn{to: v, boot: v.boot})
+			on(&conn{target: v, incarnation: v.incarnation})
 		}
 	})
 }
 
-// drop closes a connection.
-func (r *router) drop(c *conn) {
-	if c != nil && c.boot == c.to.boot && c.to.up && r.d.p.Conn.RTTs > 0 {
-		c.to.m.Disconnect()
+// closeConn closes a connection.
+func (r *router) closeConn(c *conn) {
+	if c != nil && c.incarnation == c.target.incarnation && c.target.isUp && r.parentDay.params.Conn.RTTs > 0 {
+		c.target.serverModel.Disconnect()
 	}
 }
 
-// release makes the connection of an attempt idle, or closes it if it can't be reused.
-func (r *router) release(a *attempt, reuse bool) {
+// returnConn makes the connection of an attempt idle, or closes it if it can't be reused.
+func (r *router) returnConn(a *attempt, reuse bool) {
 	c := a.conn
 	if a.conn = nil; c == nil {
 		return
 	}
 	if !reuse {
-		r.drop(c)
+		r.closeConn(c)
 		return
 	}
-	c.idle = r.d.now
-	r.conns[a.to] = append(r.conns[a.to], c)
+	c.idleSince = r.parentDay.now
+	r.idleConns[a.target] = append(r.idleConns[a.target], c)
 }
 
-// reach delivers an attempt to its machine.
-func (d *day) reach(a *attempt) {
-	v := a.to
+// deliver delivers an attempt to its machine.
+func (d *day) deliver(a *attempt) {
+	v := a.target
 	switch {
-	case a.over || v.silent:
-	case !v.up || a.conn.boot != v.boot:
-		d.back(a, decide.Reset, 0)
+	case a.isDone || v.isPartitioned:
+	case !v.isUp || a.conn.incarnation != v.incarnation:
+		d.respond(a, decide.Reset, 0)
 	default:
-		d.look(v)
-		d.recordCold(v, a.r, a.work)
-		job := model.Job{ID: a.job, Key: name(a.q.key), Work: a.work, Size: 1, Write: a.q.wish.write}
-		if !v.m.Arrive(d.now, job) {
-			d.back(a, decide.QueueFull, 0)
+		d.advanceServer(v)
+		d.recordCold(v, a.fromRouter, a.work)
+		job := model.Job{ID: a.job, Key: keyName(a.parent.key), Work: a.work, Size: 1, Write: a.parent.client.isWrite}
+		if !v.serverModel.Arrive(d.now, job) {
+			d.respond(a, decide.QueueFull, 0)
 			return
 		}
-		d.out[a.job] = a
-		d.look(v)
+		d.inFlight[a.job] = a
+		d.advanceServer(v)
 	}
 }
 
 // Cancel cancels an attempt.
 func (r *router) Cancel(id uint32, n int) {
-	q := r.reqs[id]
-	if q == nil || n < 0 || n >= len(q.tries) || q.tries[n].over {
+	q := r.requests[id]
+	if q == nil || n < 0 || n >= len(q.attempts) || q.attempts[n].isDone {
 		return
 	}
-	a := q.tries[n]
-	r.d.after(0, func() { r.d.end(a, decide.Canceled, 0, decide.NoLoadReport) })
-	r.giveUp(a)
+	a := q.attempts[n]
+	r.parentDay.after(0, func() { r.parentDay.endAttempt(a, decide.Canceled, 0, decide.NoLoadReport) })
+	r.cancelAtServer(a)
 }
 
 // Reject rejects a request with a retry delay.
-func (r *router) Reject(id uint32, wait float64) { r.answer(id, refused, wait) }
+func (r *router) Reject(id uint32, wait float64) { r.finishRequest(id, tryRejected, wait) }
 
 // Fail ends a request as failed.
-func (r *router) Fail(id uint32) { r.answer(id, failed, 0) }
+func (r *router) Fail(id uint32) { r.finishRequest(id, tryFailed, 0) }
 
-func (r *router) answer(id uint32, how int, told float64) {
-	if q := r.reqs[id]; q != nil {
-		r.finish(q, how, told)
+func (r *router) finishRequest(id uint32, how int, told float64) {
+	if q := r.requests[id]; q != nil {
+		r.finishTry(q, how, told)
 	}
 }
 
 // HealthCheck probes a server for its load, or uses a recent result that another router has shared.
 func (r *router) HealthCheck(server uint32) {
-	d, v := r.d, r.d.byID[server]
+	d, v := r.parentDay, r.parentDay.byID[server]
 	if v == nil {
 		return
 	}
-	if k, ok := d.board[server]; ok && d.now-k.at <= sharedStale { // shared by another router
+	if k, ok := d.sharedReports[server]; ok && d.now-k.at <= sharedProbeMaxAge { // shared by another router
 		d.after(0, func() {
-			if !r.dead {
-				r.b.HealthCheckEnded(d.now, server, decide.OK, k.load)
+			if !r.isDead {
+				r.balancer.HealthCheckEnded(d.now, server, decide.OK, k.load)
 			}
 		})
 		return
 	}
-	r.ask(v, func(st decide.AttemptStatus, l decide.LoadReport) { r.b.HealthCheckEnded(d.now, server, st, l) })
+	r.probe(v, func(st decide.AttemptStatus, l decide.LoadReport) { r.balancer.HealthCheckEnded(d.now, server, st, l) })
 }
 
 // Shared probes, as described in docs/agreement.md: every Params.Shared one router probes a server for all.
-// The others receive the result after sharedLate milliseconds and use it until it is sharedStale
+// The others receive the result after sharedProbeDelay milliseconds and use it until it is sharedProbeMaxAge
 // milliseconds old.
 const (
-	sharedLate  = 500
-	sharedStale = 2500
+	sharedProbeDelay  = 500
+	sharedProbeMaxAge = 2500
 )
 
-// share has one router probe server i for all routers, and schedules the next probe. The router is the first
+// probeForAll has one router probe server i for all routers, and schedules the next probe. The router is the first
 // live one from router i on.
-func (d *day) share(i int) {
+func (d *day) probeForAll(i int) {
 	v := d.servers[i]
 	for k := range d.routers {
 		r := d.routers[(i+k)%len(d.routers)]
-		if r.dead {
+		if r.isDead {
 			continue
 		}
 		at := d.now
 		d.sums.ForAll++
-		r.ask(v, func(st decide.AttemptStatus, l decide.LoadReport) {
+		r.probe(v, func(st decide.AttemptStatus, l decide.LoadReport) {
 			if st == decide.OK {
 				id := v.id
-				d.after(sharedLate, func() { d.board[id] = report{l, at} })
+				d.after(sharedProbeDelay, func() { d.sharedReports[id] = sharedReport{l, at} })
 			}
 		})
 		break
 	}
-	d.after(d.p.SharedProbeMillis, func() { d.share(i) })
+	d.after(d.params.SharedProbeMillis, func() { d.probeForAll(i) })
 }
 
-// report is a probe result that a router has shared with the others.
-type report struct {
+// sharedReport is a probe result that a router has shared with the others.
+type sharedReport struct {
 	load decide.LoadReport
 	at   float64
 }
 
-// ask probes a server and passes the result to tells, once, unless the router is dead by then.
-func (r *router) ask(v *machine, tells func(decide.AttemptStatus, decide.LoadReport)) {
-	d := r.d
+// probe probes a server and passes the result to onResult, once, unless the router is dead by then.
+func (r *router) probe(v *machine, onResult func(decide.AttemptStatus, decide.LoadReport)) {
+	d := r.parentDay
 	d.sums.Probes++
-	told := false
-	tell := func(st decide.AttemptStatus, l decide.LoadReport) {
-		if !r.dead && !told {
-			told = true
-			tells(st, l)
+	isReported := false
+	report := func(st decide.AttemptStatus, l decide.LoadReport) {
+		if !r.isDead && !isReported {
+			isReported = true
+			onResult(st, l)
 		}
 	}
-	d.after(probeTimeout, func() { tell(decide.Timeout, decide.NoLoadReport) })
+	d.after(probeTimeout, func() { report(decide.Timeout, decide.NoLoadReport) })
 	r.connect(v, func(c *conn) {
 		if c == nil {
-			tell(decide.ConnectError, decide.NoLoadReport)
+			report(decide.ConnectError, decide.NoLoadReport)
 			return
 		}
-		d.after(r.net(v), func() {
-			if v.silent || !v.up || r.dead {
+		d.after(r.delayTo(v), func() {
+			if v.isPartitioned || !v.isUp || r.isDead {
 				return
 			}
-			d.look(v)
-			d.recordCold(v, r, v.p.ProbeWork)
-			got, ok := v.m.Probe(d.now)
-			d.look(v)
-			d.after(r.net(v), func() {
-				if r.dead || told {
+			d.advanceServer(v)
+			d.recordCold(v, r, v.params.ProbeWork)
+			got, ok := v.serverModel.Probe(d.now)
+			d.advanceServer(v)
+			d.after(r.delayTo(v), func() {
+				if r.isDead || isReported {
 					return
 				}
-				c.idle = d.now
-				r.conns[v] = append(r.conns[v], c)
+				c.idleSince = d.now
+				r.idleConns[v] = append(r.idleConns[v], c)
 				if l := decide.NoLoadReport; ok {
 					l.RequestsPerSecond, l.Utilization = got.QPS, got.Util
-					tell(decide.OK, l)
+					report(decide.OK, l)
 				}
 			})
 		})
@@ -463,64 +466,64 @@
 
 // CloseIdle closes the idle connections to a server.
 func (r *router) CloseIdle(server uint32) {
-	v := r.d.byID[server]
+	v := r.parentDay.byID[server]
 	if v == nil {
 		return
 	}
-	for _, c := range r.conns[v] {
-		r.drop(c)
+	for _, c := range r.idleConns[v] {
+		r.closeConn(c)
 	}
-	delete(r.conns, v)
+	delete(r.idleConns, v)
 }
 
 // SetTimer schedules a call of the Balancer, until the day has ended.
 func (r *router) SetTimer(after float64, token uint64) {
-	if d := r.d; d.now < begin+d.p.Length+rest {
+	if d := r.parentDay; d.now < dayStart+d.params.LengthMillis+cooldownMillis {
 		d.after(after, func() {
-			if !r.dead {
-				r.b.TimerExpired(d.now, token)
+			if !r.isDead {
+				r.balancer.TimerExpired(d.now, token)
 			}
 		})
 	}
 }
 
-// watchEvery is the interval at which a watch checks for changes, in milliseconds.
-const watchEvery = 100
+// watchInterval is the interval at which a watch checks for changes, in milliseconds.
+const watchInterval = 100
 
 // WatchEndpoints requests the changes of the endpoint list since the version of this router, and watches
 // for further changes.
-func (r *router) WatchEndpoints() { r.d.after(r.d.p.Net, r.watch) }
+func (r *router) WatchEndpoints() { r.parentDay.after(r.parentDay.params.ZoneDelayMillis, r.pollWatch) }
 
-// watch passes the next change of the endpoint list to the Balancer, and repeats until the watch fails.
-func (r *router) watch() {
-	d := r.d
-	if r.dead {
+// pollWatch passes the next change of the endpoint list to the Balancer, and repeats until the watch fails.
+func (r *router) pollWatch() {
+	d := r.parentDay
+	if r.isDead {
 		return
 	}
-	d.list.Advance(d.now)
-	if d.list.Version() == r.version {
-		d.after(watchEvery, r.watch)
+	d.directory.Advance(d.now)
+	if d.directory.Version() == r.listVersion {
+		d.after(watchInterval, r.pollWatch)
 		return
 	}
 	d.sums.Calls++
-	wait, ok := d.list.Call(d.now)
-	d.after(wait+d.p.Net, func() {
-		if r.dead {
+	wait, ok := d.directory.Call(d.now)
+	d.after(wait+d.params.ZoneDelayMillis, func() {
+		if r.isDead {
 			return
 		}
 		if !ok {
 			d.sums.Turned++
-			r.b.UpdateEndpoints(d.now, decide.WatchFailed, nil)
+			r.balancer.UpdateEndpoints(d.now, decide.WatchFailed, nil)
 			return
 		}
-		l := d.list.After(r.version)
-		r.version = l.Version
+		l := d.directory.After(r.listVersion)
+		r.listVersion = l.Version
 		kind := decide.ChangedEndpoints
 		if l.Full {
 			kind = decide.AllEndpoints
 		}
 		r.update(kind, l)
-		d.after(0, r.watch)
+		d.after(0, r.pollWatch)
 	})
 }
 
@@ -530,16 +533,16 @@
 // Log discards the line.
 func (r *router) Log(string) {}
 
-// homes is a decide.Host that only records the server to which each request is sent.
-type homes struct{ sent map[uint32]uint32 }
-
-func (h *homes) Send(id, server uint32, _ float64) { h.sent[id] = server }
-func (h *homes) Cancel(uint32, int)                {}
-func (h *homes) Reject(uint32, float64)            {}
-func (h *homes) Fail(uint32)                       {}
-func (h *homes) HealthCheck(uint32)                {}
-func (h *homes) CloseIdle(uint32)                  {}
-func (h *homes) SetTimer(float64, uint64)          {}
-func (h *homes) WatchEndpoints()                   {}
-func (h *homes) Gossip([]byte)                     {}
-func (h *homes) Log(string)                        {}
+// placementHost is a decide.Host that only records the server to which each request is sent.
+type placementHost struct{ sent map[uint32]uint32 }
+
+func (h *placementHost) Send(id, server uint32, _ float64) { h.sent[id] = server }
+func (h *placementHost) Cancel(uint32, int)                {}
+func (h *placementHost) Reject(uint32, float64)            {}
+func (h *placementHost) Fail(uint32)                       {}
+func (h *placementHost) HealthCheck(uint32)                {}
+func (h *placementHost) CloseIdle(uint32)                  {}
+func (h *placementHost) SetTimer(float64, uint64)          {}
+func (h *placementHost) WatchEndpoints()                   {}
+func (h *placementHost) Gossip([]byte)                     {}
+func (h *placementHost) Log(string)                        {}
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -8,9 +8,9 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// fleet returns a day in which all routers have the same traffic. The load per server does not depend on
+// dayOfSize returns a day in which all routers have the same traffic. The load per server does not depend on
 // the size.
-func fleet(routers, servers int) Params {
+func dayOfSize(routers, servers int) Params {
 	server := model.Params{Cores: 4, Speed: 1, Queue: 80, Memory: 400, MissWork: 5, ColdFrom: 0.4, ColdMS: 6000,
 		ReportEveryMS: 200, ReportDelayMS: 50, ReportNoise: 0.1, FallMultiple: 3, FallForMS: 2000, Thrash: 0.05, ThrashAt: 4}
 	slow := server
@@ -18,23 +18,26 @@
 	origin := model.Params{Cores: servers, Speed: 1, Queue: 100 * servers, Origin: true}
 	return Params{
 		Config: decide.Config{Routers: routers,
-			Classes:           []decide.Class{{Name: "read", LatencyObjectiveMillis: 600, DeadlineMillis: 1200, PriorityWeight: 1}},
+			Classes: []decide.Class{{Name: "read", LatencyObjectiveMillis: 600,
+				DeadlineMillis: 1200, PriorityWeight: 1}},
 			LoadByHealthCheck: true, HealthChecksAllowed: true, CancelAllowed: true, SendRetryAfter: true,
-			MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8000, SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000},
+			MaxRetryAfterMillis: 1500, MaxAttempts: 3, IdleTimeoutMillis: 10000, PollWithinMillis: 10000, SlowStartMillis: 8000,
+			SlowStartInitialShare: 0.4, OverloadFactor: 3, OverloadMillis: 2000},
 		Servers: servers, Kinds: []model.Params{server, slow}, Origin: origin,
 		List: model.DirectoryParams{LateMS: [2]float64{500, 2000}, CallsPerS: 40, TimeoutMS: 2000},
-		Rate: 16 * float64(servers), Length: 12000, Keys: 100 * servers, Zipf: 1.1, Work: 60, Net: 5, Seed: 7}
+		Rate: 16 * float64(servers), LengthMillis: 12000, Keys: 100 * servers, ZipfExponent: 1.1, Work: 60,
+		ZoneDelayMillis: 5, Seed: 7}
 }
 
-// every returns the multiples of nth below of.
-func every(nth, of int) (all []int) {
+// multiplesBelow returns the multiples of nth below of.
+func multiplesBelow(nth, of int) (all []int) {
 	for i := 0; i < of; i += nth {
 		all = append(all, i)
 	}
 	return all
 }
 
-func play(t *testing.T, p Params) Sums {
+func mustPlay(t *testing.T, p Params) Sums {
 	t.Helper()
 	s, err := Play(p)
 	if err != nil {
@@ -48,21 +51,21 @@
 }
 
 // Two runs of the same parameters and seed are equal.
-func TestOneSeedIsOneDay(t *testing.T) {
-	p := fleet(8, 6)
-	p.Length = 3000
+func TestSameSeedGivesSameSums(t *testing.T) {
+	p := dayOfSize(8, 6)
+	p.LengthMillis = 3000
 	p.Faults = []Fault{{At: 1000, Servers: []int{0}}, {At: 2000, Servers: []int{0}, Kind: Start}}
-	if a, b := play(t, p), play(t, p); !reflect.DeepEqual(a, b) {
+	if a, b := mustPlay(t, p), mustPlay(t, p); !reflect.DeepEqual(a, b) {
 		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
 	}
 }
 
 // On a calm day the share served in time does not depend on the number of routers.
-func TestManyRoutersServeACalmDay(t *testing.T) {
+func TestCalmDayIsServedWithAnyNumberOfRouters(t *testing.T) {
 	for _, routers := range []int{1, 4, 80} {
-		p := fleet(routers, 30)
-		p.Warm = true
-		if s := play(t, p); Quotient(s.InTime, s.Requests) < 0.9 {
+		p := dayOfSize(routers, 30)
+		p.StartsWarm = true
+		if s := mustPlay(t, p); Quotient(s.InTime, s.Requests) < 0.9 {
 			t.Errorf("%d routers: %.2f served in time", routers, Quotient(s.InTime, s.Requests))
 		}
 	}
@@ -70,12 +73,12 @@
 
 // A third of the servers is killed and comes back cold. Each router detects a dead server by few failed
 // connections, and all routers together overload no cold server.
-func TestManyRoutersLoseAZoneAndGetItBack(t *testing.T) {
+func TestColdServersSurviveTheReturnOfAZone(t *testing.T) {
 	for _, routers := range []int{4, 80} {
-		p := fleet(routers, 30)
-		dead := every(3, 30)
+		p := dayOfSize(routers, 30)
+		dead := multiplesBelow(3, 30)
 		p.Faults = []Fault{{At: 3000, Servers: dead}, {At: 7000, Servers: dead, Kind: Start}}
-		s := play(t, p)
+		s := mustPlay(t, p)
 		if s.Fallen > 0 {
 			t.Errorf("%d routers: %d cold servers collapsed", routers, s.Fallen)
 		}
@@ -92,9 +95,9 @@
 }
 
 // Servers of half the speed receive about half as many attempts.
-func TestHomesFollowCapacityOverTheFleet(t *testing.T) {
-	p := fleet(20, 30) // each router gets about 20 requests per second
-	s := play(t, p)
+func TestAttemptsFollowServerSpeed(t *testing.T) {
+	p := dayOfSize(20, 30) // each router gets about 20 requests per second
+	s := mustPlay(t, p)
 	var fast, slow int
 	for i, v := range s.Servers {
 		n := v.Attempts
@@ -109,22 +112,22 @@
 	}
 }
 
-func TestADayNeedsItsParameters(t *testing.T) {
+func TestEmptyParametersAreRejected(t *testing.T) {
 	if _, err := Play(Params{}); err == nil {
 		t.Error("empty parameters were accepted")
 	}
 }
 
 // On every kind of day the counts are consistent with each other, and two runs are equal.
-func TestASmallTwinOfEachDay(t *testing.T) {
+func TestCountsOfEachDayAreConsistent(t *testing.T) {
 	for _, kind := range Days {
 		p, err := GenerateDay(kind, 24, 12, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Length = 15000
-		s := play(t, p)
-		if again := play(t, p); !reflect.DeepEqual(s, again) {
+		p.LengthMillis = 15000
+		s := mustPlay(t, p)
+		if again := mustPlay(t, p); !reflect.DeepEqual(s, again) {
 			t.Errorf("%s: two runs differ", kind)
 		}
 		var asked, in, dials, misses int
@@ -153,20 +156,20 @@
 }
 
 // Idle connections are reused, and no connection to a server that is cut off is established.
-func TestConnectionsAreCountedOnce(t *testing.T) {
-	p := fleet(1, 2)
-	p.Conn, p.Rate, p.Length, p.Config.HealthChecksAllowed = Conn{RTTs: 1, Timeout: 250}, 20, 4000, false
-	calm := play(t, p)
+func TestConnectionsAreReusedAndFailWhenIsolated(t *testing.T) {
+	p := dayOfSize(1, 2)
+	p.Conn, p.Rate, p.LengthMillis, p.Config.HealthChecksAllowed = Conn{RTTs: 1, Timeout: 250}, 20, 4000, false
+	calm := mustPlay(t, p)
 	if calm.Dials == 0 || calm.Dials > calm.Attempts/2 {
 		t.Errorf("calm: %d connections for %d attempts", calm.Dials, calm.Attempts)
 	}
-	p.Faults = []Fault{{At: 1000, Servers: []int{0, 1}, Kind: Silent}, {At: 3000, Servers: []int{0, 1}, Kind: Heard}}
-	if s := play(t, p); s.Refusals == 0 {
+	p.Faults = []Fault{{At: 1000, Servers: []int{0, 1}, Kind: Isolate}, {At: 3000, Servers: []int{0, 1}, Kind: Reconnect}}
+	if s := mustPlay(t, p); s.Refusals == 0 {
 		t.Error("no connection to a server that is cut off failed")
 	}
 }
 
-func TestTwinsAreChecked(t *testing.T) {
+func TestInvalidDaysAreRejected(t *testing.T) {
 	for _, bad := range []func(*Params){
 		func(p *Params) { p.Faults = []Fault{{Servers: []int{p.Servers}}} },
 		func(p *Params) { p.Faults = []Fault{{Routers: []int{-1}}} },
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -36,7 +36,7 @@
 // coldArrival is work that reached a server in slow start, in units of the mean work.
 type coldArrival struct {
 	at, requests float64
-	told         bool
+	isInformed   bool
 }
 
 // coldWindow holds the arrivals of the last OverloadMillis at one process of a server.
@@ -48,39 +48,39 @@
 
 // recordCold counts work from a router that reaches a server, if the server is in slow start.
 func (d *day) recordCold(v *machine, from *router, work float64) {
-	if v.origin || v.startedAt == 0 || v.m.Warmth() >= 1 {
+	if v.isOrigin || v.startedAt == 0 || v.serverModel.Warmth() >= 1 {
 		return
 	}
-	window := d.cold[v]
-	if window == nil || window.boot != v.boot {
-		window = &coldWindow{boot: v.boot}
-		d.cold[v] = window
+	window := d.coldWindows[v]
+	if window == nil || window.boot != v.incarnation {
+		window = &coldWindow{boot: v.incarnation}
+		d.coldWindows[v] = window
 	}
-	cfg := &d.p.Config
+	cfg := &d.params.Config
 	window.arrivals = append(window.arrivals,
-		coldArrival{d.now, work / d.p.Work, from.starts[v.id] >= v.startedAt})
+		coldArrival{d.now, work / d.params.Work, from.knownStarts[v.id] >= v.startedAt})
 	for window.arrivals[0].at <= d.now-cfg.OverloadMillis {
 		window.arrivals = window.arrivals[1:]
 	}
-	seen := ColdWindow{Allowed: cfg.OverloadFactor * v.m.Capacity() * cfg.OverloadMillis / d.p.Work,
+	seen := ColdWindow{Allowed: cfg.OverloadFactor * v.serverModel.Capacity() * cfg.OverloadMillis / d.params.Work,
 		AgeMillis: d.now - v.startedAt}
 	for _, arrival := range window.arrivals {
 		seen.Sent += arrival.requests
-		if arrival.told {
+		if arrival.isInformed {
 			seen.SentByInformed += arrival.requests
 		}
 	}
 	if seen.Ratio() > 1 && !window.isOver {
 		window.isOver = true
 		d.sums.Cold.OverBound++
-		d.sums.Cold.OverBoundByInformed += b2i(seen.SentByInformed > toldShare*seen.Sent)
+		d.sums.Cold.OverBoundByInformed += boolToInt(seen.SentByInformed > informedShare*seen.Sent)
 	}
 	d.sums.Cold.add(seen)
 }
 
-// toldShare is the share of the work in a window above which its overload is attributed to the routers
+// informedShare is the share of the work in a window above which its overload is attributed to the routers
 // that knew of the start.
-const toldShare = 2.0 / 3
+const informedShare = 2.0 / 3
 
 // add keeps a window if its ratio is higher than those before.
 func (c *ColdSum) add(seen ColdWindow) {
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -12,7 +12,7 @@
 // number of routers, those that know of a start don't send a server in slow start more than its bound.
 // Slow faults are left out: routers can't know the capacity of a server that is three times slower than its
 // kind.
-func TestNoStartedServerFallsToRoutersThatKnow(t *testing.T) {
+func TestInformedRoutersKeepSlowStartBound(t *testing.T) {
 	for _, day := range []string{"roll", "throng", "zone"} {
 		for _, routers := range []int{5, 24, 80} {
 			for seed := range uint64(2) {
@@ -31,7 +31,8 @@
 					t.Errorf("%s, %d routers, seed %d: no start or no arrival was recorded", day, routers, p.Seed)
 				}
 				if cold.OverBoundByInformed > 0 {
-					t.Errorf("%s, %d routers, seed %d: informed routers exceeded the bound in %d of %d starts", day, routers, p.Seed, cold.OverBoundByInformed, cold.Starts)
+					t.Errorf("%s, %d routers, seed %d: informed routers exceeded the bound in %d of %d starts",
+						day, routers, p.Seed, cold.OverBoundByInformed, cold.Starts)
 				}
 			}
 		}
@@ -40,7 +41,7 @@
 
 // recordCold counts the work of one window, drops older work, and separates the work from routers that
 // knew of the start.
-func TestTheLedgerCountsAWindowOfSlowStart(t *testing.T) {
+func TestSlowStartWindowSeparatesInformedRouters(t *testing.T) {
 	const window, start, work = 2000.0, 1e6, 50.0
 	for _, c := range []struct {
 		name         string
@@ -48,12 +49,12 @@
 		over, broken int
 	}{{"within the bound", 7, 0, 0, 0}, {"by routers that knew", 10, 2, 1, 1}, {"by routers that did not", 8, 4, 1, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := &day{engine: engine{now: start}, cold: map[*machine]*coldWindow{},
-				p: Params{Work: work, Config: decide.Config{OverloadFactor: 2, OverloadMillis: window}}}
+			d := &day{engine: engine{now: start}, coldWindows: map[*machine]*coldWindow{},
+				params: Params{Work: work, Config: decide.Config{OverloadFactor: 2, OverloadMillis: window}}}
 			params := model.Params{Cores: 1, Speed: 0.25, ColdFrom: 0.4, ColdMS: 1e12} // N is 8, the bound 15.7
-			v := &machine{id: 7, up: true, p: params, m: model.New(params, 1, start-1), startedAt: start}
-			v.m.Restart(start)
-			knows, ignorant := &router{starts: map[uint32]float64{7: start}}, &router{starts: map[uint32]float64{}}
+			v := &machine{id: 7, isUp: true, params: params, serverModel: model.New(params, 1, start-1), startedAt: start}
+			v.serverModel.Restart(start)
+			knows, ignorant := &router{knownStarts: map[uint32]float64{7: start}}, &router{knownStarts: map[uint32]float64{}}
 			send := func(from *router, n int) {
 				for range n {
 					d.recordCold(v, from, 2*work)
@@ -66,7 +67,8 @@
 			d.now += window / 2
 			send(knows, c.told/2)
 			most := d.sums.Cold.Fullest
-			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.SentByInformed != 2*float64(c.told) || most.Allowed < 7.9 || most.Allowed > 8.1 {
+			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.SentByInformed != 2*float64(c.told) ||
+				most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, want %v sent", most, want)
 			}
 			if cold := d.sums.Cold; cold.OverBound != c.over || cold.OverBoundByInformed != c.broken {
