--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -91,12 +91,12 @@
 }
 
 // retryLater schedules another try after one that was not served, unless the client has no tries or no time
-// left. A positive told is the retry delay that the router gave, in milliseconds.
-func (d *day) retryLater(w *clientRequest, told float64) {
+// left. A positive retryAfterMillis is the retry delay that the router gave, in milliseconds.
+func (d *day) retryLater(w *clientRequest, retryAfterMillis float64) {
 	c := d.params.Config.Classes[w.class]
 	pause := d.params.Clients.BackoffMillis * float64(int(1)<<min(20, w.tryCount-1)) * (0.5 + d.rng.Float64())
-	if told > 0 && d.rng.Float64() < d.params.Clients.HonorProbability {
-		pause = told * (1 + 0.1*d.rng.Float64())
+	if retryAfterMillis > 0 && d.rng.Float64() < d.params.Clients.HonorProbability {
+		pause = retryAfterMillis * (1 + 0.1*d.rng.Float64())
 	}
 	if w.tryCount > d.params.Clients.Retries || d.now+pause >= w.arrivedAt+c.DeadlineMillis {
 		d.recordFailure(w)
--- a/lab/simulation/days.go
+++ b/lab/simulation/days.go
@@ -65,13 +65,16 @@
 		LengthMillis: length, Keys: 150 * servers,
 		ZipfExponent: in(0.92, 1.2), ZipfOffset: in(2, 10), KeyReplacementShare: in(0.0005, 0.003), StartsWarm: true,
 		Work: work, WorkCV: in(0.76, 1.5), AttemptWorkCV: in(0.13, 0.57),
-		IdempotentWriteShare: 0.022, OtherWriteShare: 0.013, Zones: zones, ZoneDelayMillis: 0.2, CrossZoneDelayMillis: in(10, 20),
-		RouterTrafficCV: 0.8,
-		Clients:         Clients{Retries: 2, TryTimeoutShare: in(0.5, 0.8), BackoffMillis: in(25, 200), HonorProbability: in(0.7, 1)},
-		Conn:            Conn{RTTs: in(1, 2), Timeout: 250},
-		Prices:          Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
-		List:            model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6, TimeoutMS: 2000},
-		Seed:            seed}
+		IdempotentWriteShare: 0.022, OtherWriteShare: 0.013, Zones: zones, ZoneDelayMillis: 0.2,
+		CrossZoneDelayMillis: in(10, 20),
+		RouterTrafficCV:      0.8,
+		Clients: Clients{Retries: 2, TryTimeoutShare: in(0.5, 0.8), BackoffMillis: in(25, 200),
+			HonorProbability: in(0.7, 1)},
+		Conn:   Conn{RTTs: in(1, 2), Timeout: 250},
+		Prices: Prices{Cross: 0.02, Waste: 0.04, Probe: 0.08, Dial: 0.08, Call: 0.05},
+		List: model.DirectoryParams{LateMS: [2]float64{600, 3500}, CallsPerS: float64(routers) / 6,
+			TimeoutMS: 2000},
+		Seed: seed}
 	// The memory of all servers together holds the n most popular keys, where n is chosen so that they
 	// receive this share of the reads.
 	hits, total, sum, n := in(0.85, 0.95), 0.0, 0.0, 0
--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -36,7 +36,7 @@
 	ZoneDelayMillis      float64 // one-way network delay within a zone
 	CrossZoneDelayMillis float64 // one-way network delay between zones; 0: as within a zone
 	FirstRouterTraffic   float64 // traffic of router 0 relative to the mean; 0: as the others
-	RouterTrafficCV      float64 // coefficient of variation of the traffic per router, lognormal; 1: up to several times the mean
+	RouterTrafficCV      float64 // coefficient of variation of the routers' traffic, lognormal
 	SharedProbeMillis    float64 // interval at which one router probes a server for all; 0: each router probes for itself
 	Clients              Clients
 	Conn                 Conn
@@ -109,7 +109,8 @@
 		}
 	}
 	if need := 1 + boolToInt(p.IdempotentWriteShare > 0) + boolToInt(p.OtherWriteShare > 0); len(p.Config.Classes) < need {
-		return fmt.Errorf("simulation: Config.Classes has %d classes, the shares of writes need %d", len(p.Config.Classes), need)
+		return fmt.Errorf("simulation: Config.Classes has %d classes, the shares of writes need %d",
+			len(p.Config.Classes), need)
 	}
 	for i, f := range p.Faults {
 		for _, s := range f.Servers {
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -36,7 +36,7 @@
 	DurationMillis float64              // from the start until the last process is back, in milliseconds
 	MaxPlannedOut  map[rollout.Kind]int // most processes out of service by plan at the same time
 	Allowed        map[rollout.Kind]int // the budget, in processes
-	OutBySecond    [][2]int             // by second: routers and servers out of service for any reason, as the coordinators see it
+	OutBySecond    [][2]int             // routers and servers out for any reason, as the coordinators see it
 }
 
 // PlanRelease computes the timeline of a release of all routers and a change of all servers, with tools
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -171,9 +171,9 @@
 	tryTimedOut
 )
 
-// finishTry ends a try and passes the result to its client. A positive told is the retry delay for the
-// client.
-func (r *router) finishTry(q *request, how int, told float64) {
+// finishTry ends a try and passes the result to its client. A positive retryAfterMillis is the retry
+// delay for the client.
+func (r *router) finishTry(q *request, how int, retryAfterMillis float64) {
 	if q.isDone {
 		return
 	}
@@ -196,7 +196,7 @@
 		q.client.firstOutcome = [...]string{"served", "refused: " + r.balancer.Cause(), "failed", "left"}[how] +
 			q.attemptOutcomes()
 	}
-	d.retryLater(q.client, told)
+	d.retryLater(q.client, retryAfterMillis)
 }
 
 // attemptOutcomes describes how the attempts of a request ended.
@@ -362,9 +362,9 @@
 // Fail ends a request as failed.
 func (r *router) Fail(id uint32) { r.finishRequest(id, tryFailed, 0) }
 
-func (r *router) finishRequest(id uint32, how int, told float64) {
+func (r *router) finishRequest(id uint32, how int, retryAfterMillis float64) {
 	if q := r.requests[id]; q != nil {
-		r.finishTry(q, how, told)
+		r.finishTry(q, how, retryAfterMillis)
 	}
 }
 
@@ -385,7 +385,7 @@
 	r.probe(v, func(st decide.AttemptStatus, l decide.LoadReport) { r.balancer.HealthCheckEnded(d.now, server, st, l) })
 }
 
-// Shared probes, as described in docs/agreement.md: every Params.Shared one router probes a server for all.
+// Shared probes, as described in docs/agreement.md: every Params.SharedProbeMillis one router probes a server for all.
 // The others receive the result after sharedProbeDelay milliseconds and use it until it is sharedProbeMaxAge
 // milliseconds old.
 const (
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -140,14 +140,14 @@
 		if s.Fallen > 0 {
 			t.Errorf("%s: %d cold servers collapsed", kind, s.Fallen)
 		}
-		told := 0
-		for story, n := range s.NotInTimeByOutcome {
-			if told += n; story == "" {
+		outcomeCount := 0
+		for outcome, n := range s.NotInTimeByOutcome {
+			if outcomeCount += n; outcome == "" {
 				t.Errorf("%s: %d requests not in time have no recorded outcome", kind, n)
 			}
 		}
-		if told != s.Requests-s.InTime {
-			t.Errorf("%s: outcomes are recorded for %d of the %d requests not in time", kind, told, s.Requests-s.InTime)
+		if outcomeCount != s.Requests-s.InTime {
+			t.Errorf("%s: outcomes are recorded for %d of the %d requests not in time", kind, outcomeCount, s.Requests-s.InTime)
 		}
 		if s.Service() < 0.5 || s.Price.Dial <= 0 || s.Price.Probe <= 0 {
 			t.Errorf("%s: service %.2f, G %.2f", kind, s.Service(), s.Score())
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -44,9 +44,9 @@
 func TestSlowStartWindowSeparatesInformedRouters(t *testing.T) {
 	const window, start, work = 2000.0, 1e6, 50.0
 	for _, c := range []struct {
-		name         string
-		told, untold int // requests of twice the mean work
-		over, broken int
+		name                 string
+		informed, uninformed int // requests of twice the mean work
+		over, broken         int
 	}{{"within the bound", 7, 0, 0, 0}, {"by routers that knew", 10, 2, 1, 1}, {"by routers that did not", 8, 4, 1, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &day{engine: engine{now: start}, coldWindows: map[*machine]*coldWindow{},
@@ -54,20 +54,21 @@
 			params := model.Params{Cores: 1, Speed: 0.25, ColdFrom: 0.4, ColdMS: 1e12} // N is 8, the bound 15.7
 			v := &machine{id: 7, isUp: true, params: params, serverModel: model.New(params, 1, start-1), startedAt: start}
 			v.serverModel.Restart(start)
-			knows, ignorant := &router{knownStarts: map[uint32]float64{7: start}}, &router{knownStarts: map[uint32]float64{}}
+			informed, uninformed := &router{knownStarts: map[uint32]float64{7: start}},
+				&router{knownStarts: map[uint32]float64{}}
 			send := func(from *router, n int) {
 				for range n {
 					d.recordCold(v, from, 2*work)
 				}
 			}
-			send(knows, 3)
+			send(informed, 3)
 			d.now = start + window // drops these arrivals
-			send(ignorant, c.untold)
-			send(knows, c.told-c.told/2)
+			send(uninformed, c.uninformed)
+			send(informed, c.informed-c.informed/2)
 			d.now += window / 2
-			send(knows, c.told/2)
+			send(informed, c.informed/2)
 			most := d.sums.Cold.Fullest
-			if want := 2 * float64(c.told+c.untold); most.Sent != want || most.SentByInformed != 2*float64(c.told) ||
+			if want := 2 * float64(c.informed+c.uninformed); most.Sent != want || most.SentByInformed != 2*float64(c.informed) ||
 				most.Allowed < 7.9 || most.Allowed > 8.1 {
 				t.Errorf("the fullest window: %+v, want %v sent", most, want)
 			}
