--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return u, err
 	}
-	before := map[string]Use{}
+	before := map[string]Usage{}
 	for _, c := range a.coords {
 		if before[c.name], err = ProcessUse(c.cmd.Process.Pid); err != nil {
 			return u, err
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -124,7 +124,7 @@
 // judgeLimits tells which routers went over their limits, all processes of a router together.
 func (fl *Fleet) judgeLimits() (failures []string) {
 	for _, r := range fl.routers {
-		most := Use{}
+		most := Usage{}
 		for _, s := range fl.samples {
 			most.RSSMB = max(most.RSSMB, s.Routers[r.name].RSSMB)
 			most.FDs = max(most.FDs, s.Routers[r.name].FDs)
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -22,7 +22,7 @@
 	Routers      int
 	Joined       time.Duration // until all held the first document
 	Coordinators AgreeUse      // idle
-	Observer     Use           // the busiest, idle; CPUMS is for a second
+	Observer     Usage           // the busiest, idle; CPUMS is for a second
 	P50, Last    time.Duration // from the answer to a put until the last router has it in force: the median, the longest
 }
 
@@ -151,7 +151,7 @@
 
 // measureIdle measures what all use while nothing changes.
 func (r *costRun) measureIdle(ctx context.Context, cost *ObserveCost) (err error) {
-	before := make([]Use, len(r.observers))
+	before := make([]Usage, len(r.observers))
 	for i, p := range r.observers {
 		if before[i], err = ProcessUse(p.cmd.Process.Pid); err != nil {
 			return err
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -118,7 +118,7 @@
 			return
 		case <-tick.C:
 		}
-		s := Sample{Routers: map[string]Use{}, Held: map[string]int{}}
+		s := Sample{Routers: map[string]Usage{}, Held: map[string]int{}}
 		for _, r := range fl.allRouters() {
 			s.Routers[r.name] = r.use()
 		}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -239,15 +239,15 @@
 	}
 }
 
-// Use is what a router's processes use together.
-type Use struct {
+// Usage is what a router's processes use together.
+type Usage struct {
 	RSSMB float64 `json:"rss_mb"`
 	FDs   int     `json:"fds"`
 	CPUMS float64 `json:"cpu_ms"` // since their start
 }
 
 // use reads what the processes use from /proc; what has ended meanwhile counts nothing.
-func (r *router) use() (u Use) {
+func (r *router) use() (u Usage) {
 	r.mu.Lock()
 	procs := append([]*process(nil), r.procs...)
 	r.mu.Unlock()
@@ -262,7 +262,7 @@
 var errNoStat = errors.New("no such figures")
 
 // ProcessUse reads what a process uses from /proc.
-func ProcessUse(pid int) (u Use, err error) {
+func ProcessUse(pid int) (u Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -20,7 +20,7 @@
 // Sample is the state of all parties at a time.
 type Sample struct {
 	AtS     float64        `json:"at_s"`
-	Routers map[string]Use `json:"routers"`
+	Routers map[string]Usage `json:"routers"`
 	Held    map[string]int `json:"held"` // requests held by each server
 }
 
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -150,7 +150,7 @@
 }
 
 // use makes a series for each router.
-func use(r fleet.Result, of func(before, now fleet.Use, dt float64) float64) (all []series) {
+func use(r fleet.Result, of func(before, now fleet.Usage, dt float64) float64) (all []series) {
 	byName := map[string]*series{}
 	var names []string
 	var last fleet.Sample
@@ -251,9 +251,9 @@
 				return float64(r.AttemptsBy[i]) / float64(secs[i].Asked)
 			})}},
 		{heldTitle(len(servers)), "requests", servers},
-		{"Routers: resident memory", "MB", use(r, func(_, u fleet.Use, _ float64) float64 { return u.RSSMB })},
-		{"Routers: descriptors", "open", use(r, func(_, u fleet.Use, _ float64) float64 { return float64(u.FDs) })},
-		{"Routers: CPU", "share of a core", use(r, func(b, u fleet.Use, dt float64) float64 { return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1) })},
+		{"Routers: resident memory", "MB", use(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
+		{"Routers: descriptors", "open", use(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
+		{"Routers: CPU", "share of a core", use(r, func(b, u fleet.Usage, dt float64) float64 { return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1) })},
 		{"Out, whatever the reason, against the budgets", "routers or servers", out(r)},
 	} {
 		if len(c.lines) == 0 {
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -92,12 +92,12 @@
 }
 
 // peaks are the most that each router used.
-func peaks(r fleet.Result) map[string]fleet.Use {
-	all := map[string]fleet.Use{}
+func peaks(r fleet.Result) map[string]fleet.Usage {
+	all := map[string]fleet.Usage{}
 	for _, s := range r.Samples {
 		for name, u := range s.Routers {
 			p := all[name]
-			all[name] = fleet.Use{RSSMB: max(p.RSSMB, u.RSSMB), FDs: max(p.FDs, u.FDs), CPUMS: max(p.CPUMS, u.CPUMS)}
+			all[name] = fleet.Usage{RSSMB: max(p.RSSMB, u.RSSMB), FDs: max(p.FDs, u.FDs), CPUMS: max(p.CPUMS, u.CPUMS)}
 		}
 	}
 	return all
