--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -18,8 +18,8 @@
 // holderEndTimeout is how long a holder may take to end.
 const holderEndTimeout = 10 * time.Second
 
-// AgreeOptions say how to play coordinators and holders.
-type AgreeOptions struct {
+// CoordinatorOptions say how to play coordinators and holders.
+type CoordinatorOptions struct {
 	Coord    []string // the command of dockhinge-coord, built with the tag faults
 	Lab      []string // that of dockhinge-lab, likewise
 	Dir      string   // for logs and directories; it must be there
@@ -51,7 +51,7 @@
 // agreement is a run of coordinators and holders.
 type agreement struct {
 	scenario scenario.Agreement
-	options  AgreeOptions
+	options  CoordinatorOptions
 	rng      *rand.Rand // of what the schedule leaves to the run: which byte is damaged
 
 	coords         []*coordinator
@@ -67,7 +67,7 @@
 	problems     []string
 }
 
-func newAgreement(f scenario.Agreement, o AgreeOptions, seed uint64) *agreement {
+func newAgreement(f scenario.Agreement, o CoordinatorOptions, seed uint64) *agreement {
 	const stream = 41 // of the seed, for what only this run draws
 	return &agreement{
 		scenario:     f,
@@ -81,7 +81,7 @@
 }
 
 // Agree plays coordinators and holders and judges what came of it. The error tells that it could not be played.
-func Agree(ctx context.Context, f scenario.Agreement, o AgreeOptions) (res AgreeResult, err error) {
+func Agree(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res AgreeResult, err error) {
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -39,13 +39,13 @@
 // plantable is what a test's build with the tag mutants adds to the tags of the programs that it starts.
 var plantable = ""
 
-func agreeOptions(t *testing.T, env ...string) AgreeOptions {
+func agreeOptions(t *testing.T, env ...string) CoordinatorOptions {
 	t.Helper()
 	dir, err := built()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return AgreeOptions{Coord: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
+	return CoordinatorOptions{Coord: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
 }
 
 // Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
@@ -89,7 +89,7 @@
 }
 
 // quiet is a group of coordinators without faults, and a live client of it.
-func quiet(t *testing.T, coordinators int, o AgreeOptions) (*agreement, *client.Client) {
+func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*agreement, *client.Client) {
 	t.Helper()
 	a, err := calm(t.Context(), coordinators, o)
 	if err != nil {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -41,12 +41,12 @@
 }
 
 // calm starts coordinators without faults.
-func calm(ctx context.Context, coordinators int, o AgreeOptions) (*agreement, error) {
+func calm(ctx context.Context, coordinators int, o CoordinatorOptions) (*agreement, error) {
 	return calmWith(ctx, coordinators, 8192, o)
 }
 
 // calmWith starts coordinators that make a snapshot so often.
-func calmWith(ctx context.Context, coordinators, snapshotEach int, o AgreeOptions) (*agreement, error) {
+func calmWith(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*agreement, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 }
 
 // MeasureAgreement plays so many clients that hold so many leases in all before coordinators without faults.
-func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o AgreeOptions) (m AgreeCost, err error) {
+func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m AgreeCost, err error) {
 	m.Clients, m.Leases = clients, leases
 	if err := EnoughDescriptors(clients); err != nil {
 		return m, err
@@ -250,7 +250,7 @@
 }
 
 // FailOver kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
-func FailOver(ctx context.Context, coordinators, kills int, o AgreeOptions) (took []time.Duration, err error) {
+func FailOver(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
@@ -298,7 +298,7 @@
 
 // DeadHolders has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
 // out another one held the lease.
-func DeadHolders(ctx context.Context, coordinators, times int, ttl time.Duration, o AgreeOptions) (took []time.Duration, err error) {
+func DeadHolders(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -74,7 +74,7 @@
 }
 
 // observe starts coordinators, observers and routers.
-func observe(t *testing.T, seed uint64, options AgreeOptions) *observation {
+func observe(t *testing.T, seed uint64, options CoordinatorOptions) *observation {
 	t.Helper()
 	a, puts := quiet(t, rigCoordinators, options)
 	o := &observation{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -40,7 +40,7 @@
 }
 
 // MeasureObservers lets so many routers watch so many observers of so many coordinators, and puts a document again and again.
-func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o AgreeOptions) (cost ObserveCost, err error) {
+func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserveCost, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return cost, err
