--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -30,8 +30,8 @@
 	Say      func(form string, v ...any)
 }
 
-// AgreeResult is what became of a run.
-type AgreeResult struct {
+// LeaseFaultsResult is what became of a run.
+type LeaseFaultsResult struct {
 	Seed      uint64
 	Faults    int
 	Claims    int
@@ -81,7 +81,7 @@
 }
 
 // Agree plays coordinators and holders and judges what came of it. The error tells that it could not be played.
-func Agree(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res AgreeResult, err error) {
+func Agree(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -47,7 +47,7 @@
 }
 
 // judge reads what all saw.
-func (a *agreement) judge(res *AgreeResult) {
+func (a *agreement) judge(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
 	res.Claims, res.Ops, res.Acts = len(claims), len(operations), len(acts)
