--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -78,7 +78,7 @@
 						fmt.Fprintln(os.Stderr, err)
 						return
 					}
-					res, err := fleet.Agree(ctx, g, p)
+					res, err := fleet.RunLeaseFaults(ctx, g, p)
 					mu.Lock()
 					defer mu.Unlock()
 					if ctx.Err() != nil {
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Agree plays coordinators and holders and judges what came of it. The error tells that it could not be played.
-func Agree(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
+// RunLeaseFaults plays coordinators and holders and judges what came of it. The error tells that it could not be played.
+func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine is no verdict
-			res, err := Agree(t.Context(), f, agreeOptions(t))
+			res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +79,7 @@
 	}
 	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
-	res, err := Agree(t.Context(), f, agreeOptions(t))
+	res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
