--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -19,8 +19,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// AgreeCost is what coordinators cost with so many clients.
-type AgreeCost struct {
+// CoordinatorCost is what coordinators cost with so many clients.
+type CoordinatorCost struct {
 	Clients, Leases int
 	Opened          time.Duration // until all had a session
 	Idle            AgreeUse      // while all only keep their sessions
@@ -129,7 +129,7 @@
 }
 
 // MeasureAgreement plays so many clients that hold so many leases in all before coordinators without faults.
-func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m AgreeCost, err error) {
+func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
 	if err := EnoughDescriptors(clients); err != nil {
 		return m, err
@@ -239,7 +239,7 @@
 const opensWithin = 30 * time.Second
 
 // refused counts a client that has no session.
-func (m *AgreeCost) refused(mu *sync.Mutex, err error) {
+func (m *CoordinatorCost) refused(mu *sync.Mutex, err error) {
 	if !errors.Is(err, client.ErrNoSession) {
 		return
 	}
