--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -23,8 +23,8 @@
 type CoordinatorCost struct {
 	Clients, Leases int
 	Opened          time.Duration // until all had a session
-	Idle            AgreeUse      // while all only keep their sessions
-	Busy            AgreeUse      // while a share of them acquires and releases in a closed loop
+	Idle            CoordinatorUsage      // while all only keep their sessions
+	Busy            CoordinatorUsage      // while a share of them acquires and releases in a closed loop
 	PerS            float64       // commands carried out, busy
 	P50, P99        time.Duration // of those
 	IdleBytes       float64       // a second and client, bodies of keep-alives and answers
@@ -33,8 +33,8 @@
 	Why             string // and what one of them was told
 }
 
-// AgreeUse is what the leader and the busiest other use.
-type AgreeUse struct {
+// CoordinatorUsage is what the leader and the busiest other use.
+type CoordinatorUsage struct {
 	LeaderCPU, OtherCPU float64 // of a core
 	LeaderMB, OtherMB   float64
 	FsyncP50, FsyncP99  float64 // ms, the leader's
@@ -91,7 +91,7 @@
 }
 
 // use measures the coordinators over a time.
-func (a *agreement) use(ctx context.Context, over time.Duration) (u AgreeUse, err error) {
+func (a *agreement) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
 		return u, err
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -21,7 +21,7 @@
 type ObserveCost struct {
 	Routers      int
 	Joined       time.Duration // until all held the first document
-	Coordinators AgreeUse      // idle
+	Coordinators CoordinatorUsage      // idle
 	Observer     Usage           // the busiest, idle; CPUMS is for a second
 	P50, Last    time.Duration // from the answer to a put until the last router has it in force: the median, the longest
 }
