--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -35,7 +35,7 @@
 				if err != nil {
 					return err
 				}
-				m, err := fleet.MeasureAgreement(cmd.Context(), coordinators, n, leases, o)
+				m, err := fleet.MeasureCoordinators(cmd.Context(), coordinators, n, leases, o)
 				os.RemoveAll(o.Dir)
 				if err != nil {
 					return err
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -128,8 +128,8 @@
 	return all
 }
 
-// MeasureAgreement plays so many clients that hold so many leases in all before coordinators without faults.
-func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
+// MeasureCoordinators plays so many clients that hold so many leases in all before coordinators without faults.
+func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
 	if err := EnoughDescriptors(clients); err != nil {
 		return m, err
