--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -52,7 +52,7 @@
 				if err != nil {
 					return err
 				}
-				took, err := fleet.FailOver(cmd.Context(), coordinators, kills, o)
+				took, err := fleet.MeasureFailover(cmd.Context(), coordinators, kills, o)
 				os.RemoveAll(o.Dir)
 				tell("leader killed until a lease is acquired again", took)
 				if err != nil {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -249,8 +249,8 @@
 	m.Why = err.Error()
 }
 
-// FailOver kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
-func FailOver(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
+// MeasureFailover kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
+func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
