--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -65,7 +65,7 @@
 					return err
 				}
 				const ttl = 2 * time.Second
-				took, err := fleet.DeadHolders(cmd.Context(), coordinators, deaths, ttl, o)
+				took, err := fleet.MeasureLeaseTakeover(cmd.Context(), coordinators, deaths, ttl, o)
 				os.RemoveAll(o.Dir)
 				tell(fmt.Sprintf("holder cut off until its lease (%v) is held by another", ttl), took)
 				if err != nil {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -296,9 +296,9 @@
 	return took, nil
 }
 
-// DeadHolders has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
+// MeasureLeaseTakeover has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
 // out another one held the lease.
-func DeadHolders(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
+func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
