--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -131,7 +131,7 @@
 // MeasureCoordinators plays so many clients that hold so many leases in all before coordinators without faults.
 func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
-	if err := EnoughDescriptors(clients); err != nil {
+	if err := CheckDescriptorLimit(clients); err != nil {
 		return m, err
 	}
 	a, err := calm(ctx, coordinators, o)
@@ -222,9 +222,9 @@
 // are in this process too, must get theirs.
 const descriptorsPerClient = 3
 
-// EnoughDescriptors tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
+// CheckDescriptorLimit tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
 // one another by the laboratory's fault.
-func EnoughDescriptors(clients int) error {
+func CheckDescriptorLimit(clients int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -84,7 +84,7 @@
 // Play plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
 func Play(ctx context.Context, routers int, o Options) (step Step, err error) {
 	step.Routers, step.Sightings = routers, routers*o.RegionServers
-	if err := fleet.EnoughDescriptors(routers); err != nil {
+	if err := fleet.CheckDescriptorLimit(routers); err != nil {
 		step.Failed = err.Error()
 		return step, err
 	}
