--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -17,8 +17,8 @@
 	observerclient "dockhinge.example/dockhinge/internal/coord/observer/client"
 )
 
-// ObserveCost is what coordinators and observers cost with so many routers that watch, without faults.
-type ObserveCost struct {
+// ObserverCost is what coordinators and observers cost with so many routers that watch, without faults.
+type ObserverCost struct {
 	Routers      int
 	Joined       time.Duration // until all held the first document
 	Coordinators CoordinatorUsage      // idle
@@ -40,7 +40,7 @@
 }
 
 // MeasureObservers lets so many routers watch so many observers of so many coordinators, and puts a document again and again.
-func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserveCost, err error) {
+func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserverCost, err error) {
 	a, err := calm(ctx, coordinators, o)
 	if err != nil {
 		return cost, err
@@ -150,7 +150,7 @@
 }
 
 // measureIdle measures what all use while nothing changes.
-func (r *costRun) measureIdle(ctx context.Context, cost *ObserveCost) (err error) {
+func (r *costRun) measureIdle(ctx context.Context, cost *ObserverCost) (err error) {
 	before := make([]Usage, len(r.observers))
 	for i, p := range r.observers {
 		if before[i], err = ProcessUse(p.cmd.Process.Pid); err != nil {
