--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -180,7 +180,7 @@
 			if err := json.Unmarshal(text, &cfg); err != nil {
 				return err
 			}
-			return fleet.Holder(cmd.Context(), cfg)
+			return fleet.RunHolder(cmd.Context(), cfg)
 		}}
 }
 
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -100,8 +100,8 @@
 	return "", coord.Response{}
 }
 
-// Holder takes leases, acts under them and gives them back, until ctx ends.
-func Holder(ctx context.Context, cfg HolderConfig) error {
+// RunHolder takes leases, acts under them and gives them back, until ctx ends.
+func RunHolder(ctx context.Context, cfg HolderConfig) error {
 	f, err := os.OpenFile(cfg.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
