--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -210,9 +210,9 @@
 	}
 }
 
-// Resource is a stand-in for what leased tasks act on: it takes an act unless it has seen a higher token for the lease, and logs
+// RunResource is a stand-in for what leased tasks act on: it takes an act unless it has seen a higher token for the lease, and logs
 // all with the machine's clock, until ctx ends.
-func Resource(ctx context.Context, addr, log string) error {
+func RunResource(ctx context.Context, addr, log string) error {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
