--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -120,5 +120,5 @@
 	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 }
 
-// StepsPatience is how long a run with a kill at a step may last beyond its load.
-const StepsPatience = 2 * time.Minute
+// StepKillTimeout is how long a run with a kill at a step may last beyond its load.
+const StepKillTimeout = 2 * time.Minute
