--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -33,7 +33,7 @@
 	CoordEnv []string      // of the coordinators
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
 	Lies     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
-	Spoilt   []string      // command of a router in which a fault can be planted, for releases of a bad version
+	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
 	Patience time.Duration // how long planned changes may last beyond the load; 0: not at all
 	Dir      string        // for logs and configurations; it must be there
 	Ready    time.Duration
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -131,13 +131,13 @@
 	command, env := fl.command(r), []string(nil)
 	fl.mu.Lock()
 	if rel := fl.released; rel != nil && r.label == "v2" && plants[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.o.Spoilt), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
+		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
 	}
 	fl.mu.Unlock()
 	if fl.o.Lies != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.o.Spoilt), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.Lies}
+		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.Lies}
 	}
-	if len(command) == 0 || len(env) > 0 && len(fl.o.Spoilt) == 0 {
+	if len(command) == 0 || len(env) > 0 && len(fl.o.MutantCommand) == 0 {
 		return errors.New("a bad version of the router: no build of it is given")
 	}
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
