--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -198,7 +198,7 @@
 	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	o.MutantCommand, o.Lies, o.Patience = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
+	o.MutantCommand, o.FirstRouterMutant, o.Patience = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
 	f, err := scenario.Suspects(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -32,7 +32,7 @@
 	Coord    []string      // of one coordinator, where the scenario has them
 	CoordEnv []string      // of the coordinators
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
-	Lies     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
+	FirstRouterMutant     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
 	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
 	Patience time.Duration // how long planned changes may last beyond the load; 0: not at all
 	Dir      string        // for logs and configurations; it must be there
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -134,8 +134,8 @@
 		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
 	}
 	fl.mu.Unlock()
-	if fl.o.Lies != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.Lies}
+	if fl.o.FirstRouterMutant != "" && r.number == 0 {
+		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.FirstRouterMutant}
 	}
 	if len(command) == 0 || len(env) > 0 && len(fl.o.MutantCommand) == 0 {
 		return errors.New("a bad version of the router: no build of it is given")
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -78,7 +78,7 @@
 	}
 	for _, server := range slices.Sorted(maps.Keys(fl.accused)) {
 		for _, r := range fl.accused[server] {
-			if !asked[r+" "+server] && (fl.o.Lies == "" || r != "r0") {
+			if !asked[r+" "+server] && (fl.o.FirstRouterMutant == "" || r != "r0") {
 				fails = append(fails, fmt.Sprintf("router %s was heard on server %s, and had asked it nothing", r, server))
 			}
 		}
