--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -100,7 +100,7 @@
 	for n, addr := range fl.coords.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.o.Coord[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.o.Dir}
+	return &proc{name: name, command: append([]string{fl.o.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.o.Dir}
 }
 
 func (fl *Fleet) draw(n int) int {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -29,7 +29,7 @@
 // Options say how to play.
 type Options struct {
 	Command  []string      // of one router; GW_CONFIG tells it the rest
-	Coord    []string      // of one coordinator, where the scenario has them
+	CoordinatorCommand    []string      // of one coordinator, where the scenario has them
 	CoordEnv []string      // of the coordinators
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
 	FirstRouterMutant     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
