--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Command  []string      // of one router; GW_CONFIG tells it the rest
 	CoordinatorCommand    []string      // of one coordinator, where the scenario has them
-	CoordEnv []string      // of the coordinators
+	CoordinatorEnv []string      // of the coordinators
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
 	FirstRouterMutant     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
 	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
