--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Command: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), Patience: 3 * time.Minute, Ready: time.Minute}
+	return Options{Command: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, Ready: time.Minute}
 }
 
 // Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
@@ -198,7 +198,7 @@
 	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	o.MutantCommand, o.FirstRouterMutant, o.Patience = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
+	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
 	f, err := scenario.Suspects(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -34,7 +34,7 @@
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
 	FirstRouterMutant     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
 	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
-	Patience time.Duration // how long planned changes may last beyond the load; 0: not at all
+	ChangeTimeout time.Duration // how long planned changes may last beyond the load; 0: not at all
 	Dir      string        // for logs and configurations; it must be there
 	Ready    time.Duration
 	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -38,7 +38,7 @@
 	}
 	endLive := context.CancelFunc(func() {})
 	live := running // planned changes, and the faults beside them, may last longer than the load
-	if fl.o.Patience > 0 {
+	if fl.o.ChangeTimeout > 0 {
 		live, endLive = context.WithCancel(ctx)
 		defer endLive()
 	}
@@ -53,11 +53,11 @@
 	}
 	wg.Go(func() { changing.Wait(); close(changed) })
 	got := l.Run(running)
-	if fl.o.Patience > 0 {
+	if fl.o.ChangeTimeout > 0 {
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(fl.o.Patience):
+		case <-time.After(fl.o.ChangeTimeout):
 		}
 		endLive()
 	}
