--- a/cmd/dockhinge-lab/all.go
+++ b/cmd/dockhinge-lab/all.go
@@ -65,7 +65,7 @@
 						}
 						var res fleet.Result
 						if err == nil {
-							res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, CoordinatorCommand: coordCommand(), Dir: dir})
+							res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir})
 						}
 						mu.Lock()
 						defer mu.Unlock()
--- a/cmd/dockhinge-lab/crash_points.go
+++ b/cmd/dockhinge-lab/crash_points.go
@@ -57,7 +57,7 @@
 					into, err := fleet.LogDir(logs, "steps")
 					var res fleet.Result
 					if err == nil {
-						res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Kill: &k, Dir: into, ChangeTimeout: fleet.StepKillTimeout})
+						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Kill: &k, Dir: into, ChangeTimeout: fleet.StepKillTimeout})
 					}
 					mu.Lock()
 					defer mu.Unlock()
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -63,7 +63,7 @@
 						}
 						var res fleet.Result
 						if err == nil {
-							res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: planted, FirstRouterMutant: v.lies, Dir: dir})
+							res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: planted, FirstRouterMutant: v.lies, Dir: dir})
 						}
 						mu.Lock()
 						defer mu.Unlock()
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -83,7 +83,7 @@
 						if c.logs == "" {
 							defer os.RemoveAll(dir)
 						}
-						res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: spoilt, Dir: dir, ChangeTimeout: 90 * time.Second})
+						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: spoilt, Dir: dir, ChangeTimeout: 90 * time.Second})
 					}
 					if err == nil && page != "" {
 						err = report.Write(strings.TrimSuffix(page, ".html")+fmt.Sprintf("-%d.html", f.Seed), []fleet.Result{res})
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -409,7 +409,7 @@
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
 	o := agreeOptions(t)
-	res, err := Run(t.Context(), f, Options{Command: command, CoordinatorCommand: o.Coord, Dir: o.Dir})
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.Coord, Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -359,7 +359,7 @@
 			if mode == "deaf" {
 				f.Load.DisconnectShare = 0.3
 			}
-			res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -391,7 +391,7 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS = nil, 6
-	res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 		t.Fatal(err)
 	}
 	f.DurationS, f.Faults = 10, []scenario.Fault{{AtS: 0.1, What: "shrink", Count: 1, DrainS: 9}}
-	res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -28,7 +28,7 @@
 
 // Options say how to play.
 type Options struct {
-	Command  []string      // of one router; GW_CONFIG tells it the rest
+	RouterCommand  []string      // of one router; GW_CONFIG tells it the rest
 	CoordinatorCommand    []string      // of one coordinator, where the scenario has them
 	CoordinatorEnv []string      // of the coordinators
 	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 			change(&f)
 			f.DurationS, f.Load.Rate, f.Load.LateShare = 7, 100, 1 // a slow machine is no verdict
 			f.Expect = scenario.Expect{Served: 100, Rude: name == "rude"}
-			res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	res, err := Run(ctx, f, Options{Command: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
+	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
 		if up, all := fl.Up(); up != 6 || all != 6 {
 			t.Errorf("%d of %d up", up, all)
 		}
@@ -114,14 +114,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(t.Context(), f, Options{Command: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"}, Dir: t.TempDir()}); err == nil ||
+	if _, err := Run(t.Context(), f, Options{RouterCommand: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"}, Dir: t.TempDir()}); err == nil ||
 		!strings.Contains(err.Error(), "no can do") {
 		t.Errorf("got %v", err)
 	}
 	command := realRouter(t)
 	f.DurationS, f.Expect = 3, scenario.Expect{}
 	killed := false
-	res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
 		if !killed {
 			killed = true
 			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not by the lab's own hand
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fl := newFleet(f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), Ready: ready})
+	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), Ready: ready})
 	t.Cleanup(fl.close)
 	return fl
 }
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	for script, want := range map[string]string{"exit 0": "exit status 0", "exit 4": "exit status 4", "kill -9 $$": "signal: killed"} {
-		fl := newFleet(f, Options{Command: []string{"/bin/sh", "-c", script}, Dir: t.TempDir()})
+		fl := newFleet(f, Options{RouterCommand: []string{"/bin/sh", "-c", script}, Dir: t.TempDir()})
 		t.Cleanup(fl.close)
 		if err := fl.start(t.Context()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, without %q", script, err, want)
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -99,7 +99,7 @@
 	events, whole := fl.journal.Events()
 	res := Result{
 		Scenario:     fl.File.Name,
-		Command:      strings.Join(fl.o.Command, " "),
+		Command:      strings.Join(fl.o.RouterCommand, " "),
 		Load:         got,
 		Marks:        fl.marks,
 		Samples:      fl.samples,
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -117,12 +117,12 @@
 // command is that of one router, with the operator file that the scenario names.
 func (fl *Fleet) command(r *router) []string {
 	if fl.coords != nil {
-		return append(slices.Clip(fl.o.Command), "--operator", fl.operatorFile(r))
+		return append(slices.Clip(fl.o.RouterCommand), "--operator", fl.operatorFile(r))
 	}
 	if fl.File.Fleet.Operator == "" {
-		return fl.o.Command
+		return fl.o.RouterCommand
 	}
-	return append(slices.Clip(fl.o.Command), "--operator", fl.File.Fleet.Operator)
+	return append(slices.Clip(fl.o.RouterCommand), "--operator", fl.File.Fleet.Operator)
 }
 
 // startRouter starts a process of a router and has the front use it.
@@ -131,11 +131,11 @@
 	command, env := fl.command(r), []string(nil)
 	fl.mu.Lock()
 	if rel := fl.released; rel != nil && r.label == "v2" && plants[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
+		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
 	}
 	fl.mu.Unlock()
 	if fl.o.FirstRouterMutant != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.FirstRouterMutant}
+		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.FirstRouterMutant}
 	}
 	if len(command) == 0 || len(env) > 0 && len(fl.o.MutantCommand) == 0 {
 		return errors.New("a bad version of the router: no build of it is given")
