--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, Ready: time.Minute}
+	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
 }
 
 // Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -36,7 +36,7 @@
 	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
 	ChangeTimeout time.Duration // how long planned changes may last beyond the load; 0: not at all
 	Dir      string        // for logs and configurations; it must be there
-	Ready    time.Duration
+	ReadyTimeout    time.Duration
 	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
 	Progress func(load.Now, *Fleet)
 	Say      func(format string, v ...any) // what happens, a line each
@@ -105,8 +105,8 @@
 }
 
 func newFleet(f scenario.File, o Options) *Fleet {
-	if o.Ready == 0 {
-		o.Ready = defaultReadyTimeout
+	if o.ReadyTimeout == 0 {
+		o.ReadyTimeout = defaultReadyTimeout
 	}
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), Ready: ready})
+	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), ReadyTimeout: ready})
 	t.Cleanup(fl.close)
 	return fl
 }
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -150,7 +150,7 @@
 // startProcess starts a process of a router, and returns once it is ready.
 func (fl *Fleet) startProcess(ctx context.Context, r *router, command, env []string, config map[string]any) error {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterStarted, Router: r.name})
-	if err := r.start(ctx, command, env, config, fl.o.Ready); err != nil {
+	if err := r.start(ctx, command, env, config, fl.o.ReadyTimeout); err != nil {
 		return err
 	}
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterReady, Router: r.name})
