--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	res, err := fleet.Run(ctx, file, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, MustEnd: true})
+	res, err := fleet.Run(ctx, file, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, MustExit: true})
 	if err != nil {
 		return "", false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, dir)
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -37,7 +37,7 @@
 	ChangeTimeout time.Duration // how long planned changes may last beyond the load; 0: not at all
 	Dir      string        // for logs and configurations; it must be there
 	ReadyTimeout    time.Duration
-	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
+	MustExit  bool // each router has to end by itself, with all that it started, when it is told to after the run
 	Progress func(load.Now, *Fleet)
 	Say      func(format string, v ...any) // what happens, a line each
 }
@@ -98,7 +98,7 @@
 		return res, err
 	}
 	res, err = fl.play(ctx)
-	if err == nil && o.MustEnd {
+	if err == nil && o.MustExit {
 		res.Failures = append(res.Failures, fl.endAll()...)
 	}
 	return res, err
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -193,7 +193,7 @@
 		res.Ill = append(res.Ill, x)
 	}
 	res.Failures = append(res.Failures, fl.judgeAccused(events)...)
-	if fl.o.MustEnd {
+	if fl.o.MustExit {
 		res.Failures = append(res.Failures, fl.judgeLimits()...)
 	}
 	res.Released = fl.released
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			options := fleet.Options{RouterCommand: []string{bin, "serve"}, Dir: t.TempDir(), MustEnd: true}
+			options := fleet.Options{RouterCommand: []string{bin, "serve"}, Dir: t.TempDir(), MustExit: true}
 			res, err := fleet.Run(t.Context(), file, options)
 			if err != nil {
 				t.Fatal(err)
