--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -106,7 +106,7 @@
 		fmt.Println("logs in", dir)
 	}
 	return fleet.Run(ctx, f, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, Progress: progress,
-		Say: func(form string, v ...any) { fmt.Printf(form+"\n", v...) }})
+		Logf: func(form string, v ...any) { fmt.Printf(form+"\n", v...) }})
 }
 
 // line prints one second of a run.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -39,7 +39,7 @@
 	ReadyTimeout    time.Duration
 	MustExit  bool // each router has to end by itself, with all that it started, when it is told to after the run
 	Progress func(load.Now, *Fleet)
-	Say      func(format string, v ...any) // what happens, a line each
+	Logf      func(format string, v ...any) // what happens, a line each
 }
 
 // maxEvents bounds the referee's journal.
@@ -108,8 +108,8 @@
 	if o.ReadyTimeout == 0 {
 		o.ReadyTimeout = defaultReadyTimeout
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
 	const stream = 10 // of the seed, for the faults
 	fl := &Fleet{
@@ -188,7 +188,7 @@
 	at := (fl.clock.Now() - fl.began) / 1000
 	fl.marks = append(fl.marks, Mark{at, text})
 	fl.mu.Unlock()
-	fl.o.Say("%6.1f s  %s", at, text)
+	fl.o.Logf("%6.1f s  %s", at, text)
 }
 
 // Routers tells the addresses at which routers can be talked to: clients' and second.
