--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -111,7 +111,7 @@
 
 // line prints one second of a run.
 func line(n load.Now, fl *fleet.Fleet) {
-	up, all := fl.Up()
+	up, all := fl.CountServers()
 	gain := 0.0
 	if n.Worth > 0 {
 		gain = n.Gained / n.Worth
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -203,8 +203,8 @@
 	return all
 }
 
-// Up counts cache servers that run.
-func (fl *Fleet) Up() (up, all int) {
+// CountServers counts cache servers that run.
+func (fl *Fleet) CountServers() (up, all int) {
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
 			all++
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -95,7 +95,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
-		if up, all := fl.Up(); up != 6 || all != 6 {
+		if up, all := fl.CountServers(); up != 6 || all != 6 {
 			t.Errorf("%d of %d up", up, all)
 		}
 		stop()
