--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -158,7 +158,7 @@
 	res, err := play(ctx, f, c, command, func(n load.Now, fl *fleet.Fleet) {
 		if !shown {
 			shown = true
-			fmt.Println(strings.Join(fl.Routers(), "\n"))
+			fmt.Println(strings.Join(fl.RouterAddresses(), "\n"))
 		}
 		if n.Second > 1 {
 			line(n, fl)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -191,8 +191,8 @@
 	fl.o.Logf("%6.1f s  %s", at, text)
 }
 
-// Routers tells the addresses at which routers can be talked to: clients' and second.
-func (fl *Fleet) Routers() (all []string) {
+// RouterAddresses tells the addresses at which routers can be talked to: clients' and second.
+func (fl *Fleet) RouterAddresses() (all []string) {
 	for _, r := range fl.allRouters() {
 		admin := "down"
 		if p := r.newest(); p != nil {
