--- a/cmd/dockhinge-lab/observer_cost.go
+++ b/cmd/dockhinge-lab/observer_cost.go
@@ -26,7 +26,7 @@
 				if err != nil {
 					return err
 				}
-				m, err := fleet.MeasureObservers(cmd.Context(), coordinators, observers, n, puts, fleet.CoordinatorOptions{Coord: []string{dir + "/dockhinge-coord"}, Dir: into})
+				m, err := fleet.MeasureObservers(cmd.Context(), coordinators, observers, n, puts, fleet.CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, Dir: into})
 				os.RemoveAll(into)
 				if err != nil {
 					return err
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -98,7 +98,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	c.command = append(slices.Clone(a.options.Coord), "serve", file)
+	c.command = append(slices.Clone(a.options.CoordinatorCommand), "serve", file)
 	c.env = a.coordinatorEnv(c.number)
 	return nil
 }
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return CoordinatorOptions{Coord: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
+	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
 }
 
 // Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
@@ -257,7 +257,7 @@
 	for name, addr := range a.addresses() {
 		all = append(all, name+"="+addr)
 	}
-	cmd := exec.Command(a.options.Coord[0], args...)
+	cmd := exec.Command(a.options.CoordinatorCommand[0], args...)
 	cmd.Env = append(os.Environ(), "DOCKHINGE_COORDINATORS="+strings.Join(all, ","))
 	return cmd
 }
@@ -409,7 +409,7 @@
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
 	o := agreeOptions(t)
-	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.Coord, Dir: o.Dir})
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand, Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -128,7 +128,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		o.t.Fatal(err)
 	}
-	observer.command = append(slices.Clone(o.agreement.options.Coord), "observe", file)
+	observer.command = append(slices.Clone(o.agreement.options.CoordinatorCommand), "observe", file)
 	if err := observer.start(); err != nil {
 		o.t.Fatal(err)
 	}
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -120,7 +120,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	p := &proc{name: name, dir: dir, env: r.agreement.options.Env, command: append(slices.Clone(r.agreement.options.Coord), "observe", file)}
+	p := &proc{name: name, dir: dir, env: r.agreement.options.Env, command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
 	r.observers, r.addresses = append(r.observers, p), append(r.addresses, api)
 	return p.start()
 }
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -65,7 +65,7 @@
 	if len(fl.o.CoordinatorCommand) == 0 {
 		return errors.New("fleet.coordinators: no command of a coordinator is given")
 	}
-	if fl.coords, err = calm(ctx, n, CoordinatorOptions{Coord: fl.o.CoordinatorCommand, Dir: fl.o.Dir, Env: fl.o.CoordinatorEnv}); err != nil {
+	if fl.coords, err = calm(ctx, n, CoordinatorOptions{CoordinatorCommand: fl.o.CoordinatorCommand, Dir: fl.o.Dir, Env: fl.o.CoordinatorEnv}); err != nil {
 		return err
 	}
 	if fl.File.Fleet.Out.On() {
