--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			o := fleet.CoordinatorOptions{CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Lab: []string{filepath.Join(dir, "dockhinge-lab")}}
+			o := fleet.CoordinatorOptions{CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, LabCommand: []string{filepath.Join(dir, "dockhinge-lab")}}
 			if mutant != "" {
 				o.Env = []string{"DOCKHINGE_MUTANT=" + mutant}
 			}
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -21,7 +21,7 @@
 // CoordinatorOptions say how to play coordinators and holders.
 type CoordinatorOptions struct {
 	CoordinatorCommand    []string // the command of dockhinge-coord, built with the tag faults
-	Lab      []string // that of dockhinge-lab, likewise
+	LabCommand      []string // that of dockhinge-lab, likewise
 	Dir      string   // for logs and directories; it must be there
 	Env      []string // for all processes
 	Patience time.Duration
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	a.resource = &proc{name: "resource", dir: a.options.Dir, env: a.options.Env,
-		command: append(slices.Clone(a.options.Lab), "resource", resourceAddr, a.actsFile())}
+		command: append(slices.Clone(a.options.LabCommand), "resource", resourceAddr, a.actsFile())}
 	for number := range a.scenario.Holders {
 		holder, err := a.newHolder(number, resourceAddr)
 		if err != nil {
@@ -165,7 +165,7 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, err
 	}
-	return &proc{name: name, dir: a.options.Dir, command: append(slices.Clone(a.options.Lab), "holder", file),
+	return &proc{name: name, dir: a.options.Dir, command: append(slices.Clone(a.options.LabCommand), "holder", file),
 		env: append(slices.Clone(a.options.Env), a.clockRate(number+1))}, nil
 }
 
