--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -24,7 +24,7 @@
 	LabCommand      []string // that of dockhinge-lab, likewise
 	Dir      string   // for logs and directories; it must be there
 	Env      []string // for all processes
-	Patience time.Duration
+	CheckTimeout time.Duration
 	Beat     string // of the coordinators; "" = their default
 	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
 	Say      func(form string, v ...any)
@@ -85,8 +85,8 @@
 	if o.Say == nil {
 		o.Say = func(string, ...any) {}
 	}
-	if o.Patience == 0 {
-		o.Patience = defaultLeasePatience
+	if o.CheckTimeout == 0 {
+		o.CheckTimeout = defaultLeasePatience
 	}
 	a := newAgreement(f, o, f.Seed)
 	defer a.close()
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -61,7 +61,7 @@
 			res.Grants++
 		}
 	}
-	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.Patience})
+	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.CheckTimeout})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
+	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
 }
 
 // Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
