--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -25,7 +25,7 @@
 	Dir      string   // for logs and directories; it must be there
 	Env      []string // for all processes
 	CheckTimeout time.Duration
-	Beat     string // of the coordinators; "" = their default
+	HeartbeatInterval     string // of the coordinators; "" = their default
 	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
 	Say      func(form string, v ...any)
 }
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -79,8 +79,8 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nclock_rate = %v\nsnapshot_every = %d\nlog_level = \"debug\"\n",
 		c.name, c.data, c.listen, c.api, a.scenario.ClockRate, a.scenario.SnapshotEach)
-	if a.options.Beat != "" {
-		fmt.Fprintf(&text, "beat = %q\n", a.options.Beat)
+	if a.options.HeartbeatInterval != "" {
+		fmt.Fprintf(&text, "beat = %q\n", a.options.HeartbeatInterval)
 	}
 	text.WriteString("[peers]\n")
 	for _, peer := range a.coords {
