--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -46,7 +46,7 @@
 				o.Env = []string{"DOCKHINGE_MUTANT=" + mutant}
 			}
 			if say {
-				o.Say = func(form string, v ...any) { fmt.Printf(form+"\n", v...) }
+				o.Logf = func(form string, v ...any) { fmt.Printf(form+"\n", v...) }
 			}
 			var mu sync.Mutex
 			var wg sync.WaitGroup
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -27,7 +27,7 @@
 	CheckTimeout time.Duration
 	HeartbeatInterval     string // of the coordinators; "" = their default
 	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
-	Say      func(form string, v ...any)
+	Logf      func(form string, v ...any)
 }
 
 // LeaseFaultsResult is what became of a run.
@@ -82,8 +82,8 @@
 
 // RunLeaseFaults plays coordinators and holders and judges what came of it. The error tells that it could not be played.
 func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
 	if o.CheckTimeout == 0 {
 		o.CheckTimeout = defaultLeasePatience
@@ -120,7 +120,7 @@
 	for _, fault := range schedule {
 		wg.Go(func() {
 			if wait(running, fault.AtS) {
-				a.options.Say("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
+				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
 				a.play(running, fault)
 			}
 		})
