--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -88,7 +88,7 @@
 					if err != nil {
 						res.Failures = append(res.Failures, err.Error())
 					}
-					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Ops, acts+res.Acts,
+					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Operations, acts+res.Acts,
 						refused+res.Refused, grants+res.Grants, undecided+len(res.Undecided)
 					healed = max(healed, res.HealedS)
 					for _, b := range res.Broken {
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -35,7 +35,7 @@
 	Seed      uint64
 	Faults    int
 	Claims    int
-	Ops       int
+	Operations       int
 	Acts      int
 	Refused   int // acts that the resource refused, as their token was old
 	Grants    int
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -50,7 +50,7 @@
 func (a *agreement) judge(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
-	res.Claims, res.Ops, res.Acts = len(claims), len(operations), len(acts)
+	res.Claims, res.Operations, res.Acts = len(claims), len(operations), len(acts)
 	for _, act := range acts {
 		if act.Refused {
 			res.Refused++
