--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -90,7 +90,7 @@
 					}
 					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Operations, acts+res.Acts,
 						refused+res.Refused, grants+res.Grants, undecided+len(res.Undecided)
-					healed = max(healed, res.HealedS)
+					healed = max(healed, res.RecoverySeconds)
 					for _, b := range res.Broken {
 						kinds[b.Rule]++
 					}
@@ -105,7 +105,7 @@
 						}
 					} else if !say {
 						fmt.Fprintf(os.Stderr, "seed %d: %d faults, %d grants, %d claims, %d acts (%d refused), healed after %.1f s, undecided %v\n", seed,
-							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused, res.HealedS, res.Undecided)
+							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused, res.RecoverySeconds, res.Undecided)
 					}
 					if logs == "" && (len(res.Failures) == 0 || mutant != "") {
 						os.RemoveAll(p.Dir)
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -42,7 +42,7 @@
 	Broken    []checker.Breach
 	Undecided []string
 	Failures  []string // what did not hold, the broken rules among them
-	HealedS   float64  // after the last fault until all leases had been taken again
+	RecoverySeconds   float64  // after the last fault until all leases had been taken again
 }
 
 // link is a way between two processes, by their numbers.
@@ -106,7 +106,7 @@
 	if err := a.healed(ctx); err != nil {
 		a.fail("after all was mended: %v", err)
 	}
-	res.HealedS = time.Since(healingSince).Seconds()
+	res.RecoverySeconds = time.Since(healingSince).Seconds()
 	a.endHolders()
 	a.judge(&res)
 	return res, nil
