--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -91,16 +91,16 @@
 					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Operations, acts+res.Acts,
 						refused+res.Refused, grants+res.Grants, undecided+len(res.Undecided)
 					healed = max(healed, res.RecoverySeconds)
-					for _, b := range res.Broken {
+					for _, b := range res.Breaches {
 						kinds[b.Rule]++
 					}
 					if len(res.Failures) > 0 {
 						bad++
-						if len(res.Broken) > 0 {
+						if len(res.Breaches) > 0 {
 							foundBy = append(foundBy, seed)
 						}
 						fmt.Printf("seed %d: %s\n", seed, strings.Join(res.Failures, "; "))
-						if first && len(res.Broken) > 0 {
+						if first && len(res.Breaches) > 0 {
 							stop()
 						}
 					} else if !say {
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -61,12 +61,12 @@
 			res.Grants++
 		}
 	}
-	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.CheckTimeout})
+	res.Breaches, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.CheckTimeout})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
-	if len(res.Broken) > 0 {
-		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Broken), res.Broken[0]))
+	if len(res.Breaches) > 0 {
+		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Breaches), res.Breaches[0]))
 	}
 	if res.Grants == 0 || res.Claims == 0 {
 		res.Failures = append(res.Failures, "nobody ever held a lease: nothing was tried")
