--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -22,7 +22,7 @@
 // CoordinatorCost is what coordinators cost with so many clients.
 type CoordinatorCost struct {
 	Clients, Leases int
-	Opened          time.Duration // until all had a session
+	SessionsOpenAfter          time.Duration // until all had a session
 	Idle            CoordinatorUsage      // while all only keep their sessions
 	Busy            CoordinatorUsage      // while a share of them acquires and releases in a closed loop
 	PerS            float64       // commands carried out, busy
@@ -171,7 +171,7 @@
 		})
 	}
 	held.Wait()
-	m.Opened = time.Since(began)
+	m.SessionsOpenAfter = time.Since(began)
 	sum := func() (n int64) {
 		for _, c := range all {
 			n += c.TransferredBytes()
