--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -25,7 +25,7 @@
 	SessionsOpenAfter          time.Duration // until all had a session
 	Idle            CoordinatorUsage      // while all only keep their sessions
 	Busy            CoordinatorUsage      // while a share of them acquires and releases in a closed loop
-	PerS            float64       // commands carried out, busy
+	CommandsPerSecond            float64       // commands carried out, busy
 	P50, P99        time.Duration // of those
 	IdleBytes       float64       // a second and client, bodies of keep-alives and answers
 	Failed          int
@@ -213,7 +213,7 @@
 	held.Wait()
 	slices.Sort(took)
 	if len(took) > 0 {
-		m.PerS, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
+		m.CommandsPerSecond, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
 	}
 	return m, nil
 }
