--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -42,7 +42,7 @@
 				}
 				fmt.Printf("| %d | %d (%d failed) | %.1f | %.0f | %.1f | %.1f | %.1f, %.1f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.0f |\n", m.Clients, m.Leases, m.Failed, m.SessionsOpenAfter.Seconds(), m.CommandsPerSecond,
 					ms(m.P50), ms(m.P99), m.Busy.FsyncP50, m.Busy.FsyncP99, m.Idle.LeaderCPU, m.Idle.LeaderMB, m.Busy.LeaderCPU, m.Busy.LeaderMB,
-					m.Idle.OtherCPU, m.Idle.OtherMB, m.Busy.OtherCPU, m.Busy.OtherMB, m.IdleBytes)
+					m.Idle.OtherCPU, m.Idle.OtherMB, m.Busy.OtherCPU, m.Busy.OtherMB, m.IdleBytesPerSecond)
 				if m.Refused > 0 {
 					fmt.Printf("%d of %d clients had no session; one was told: %s\n", m.Refused, m.Clients, m.Why)
 				}
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -27,7 +27,7 @@
 	Busy            CoordinatorUsage      // while a share of them acquires and releases in a closed loop
 	CommandsPerSecond            float64       // commands carried out, busy
 	P50, P99        time.Duration // of those
-	IdleBytes       float64       // a second and client, bodies of keep-alives and answers
+	IdleBytesPerSecond       float64       // a second and client, bodies of keep-alives and answers
 	Failed          int
 	Refused         int    // clients that had no session within the patience,
 	Why             string // and what one of them was told
@@ -183,7 +183,7 @@
 	if m.Idle, err = a.use(ctx, over); err != nil {
 		return m, err
 	}
-	m.IdleBytes = float64(sum()-bytes) / over.Seconds() / float64(clients)
+	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
 	var took []time.Duration
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
