--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -44,7 +44,7 @@
 					ms(m.P50), ms(m.P99), m.Busy.FsyncP50, m.Busy.FsyncP99, m.Idle.LeaderCPU, m.Idle.LeaderMB, m.Busy.LeaderCPU, m.Busy.LeaderMB,
 					m.Idle.OtherCPU, m.Idle.OtherMB, m.Busy.OtherCPU, m.Busy.OtherMB, m.IdleBytesPerSecond)
 				if m.Refused > 0 {
-					fmt.Printf("%d of %d clients had no session; one was told: %s\n", m.Refused, m.Clients, m.Why)
+					fmt.Printf("%d of %d clients had no session; one was told: %s\n", m.Refused, m.Clients, m.RefusalReason)
 				}
 			}
 			if kills > 0 {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -30,7 +30,7 @@
 	IdleBytesPerSecond       float64       // a second and client, bodies of keep-alives and answers
 	Failed          int
 	Refused         int    // clients that had no session within the patience,
-	Why             string // and what one of them was told
+	RefusalReason             string // and what one of them was told
 }
 
 // CoordinatorUsage is what the leader and the busiest other use.
@@ -246,7 +246,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	m.Refused++
-	m.Why = err.Error()
+	m.RefusalReason = err.Error()
 }
 
 // MeasureFailover kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
