--- a/cmd/dockhinge-lab/observer_cost.go
+++ b/cmd/dockhinge-lab/observer_cost.go
@@ -31,7 +31,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Printf("| %d | %.1f | %.3f, %.0f | %.3f, %.0f | %.3f, %.0f | %.0f, %.0f |\n", m.Routers, m.Joined.Seconds(), m.Coordinators.LeaderCPU, m.Coordinators.LeaderMB,
+				fmt.Printf("| %d | %.1f | %.3f, %.0f | %.3f, %.0f | %.3f, %.0f | %.0f, %.0f |\n", m.Routers, m.JoinTime.Seconds(), m.Coordinators.LeaderCPU, m.Coordinators.LeaderMB,
 					m.Coordinators.OtherCPU, m.Coordinators.OtherMB, m.Observer.CPUMS/1000, m.Observer.RSSMB, ms(m.P50), ms(m.Last))
 			}
 			return nil
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -20,7 +20,7 @@
 // ObserverCost is what coordinators and observers cost with so many routers that watch, without faults.
 type ObserverCost struct {
 	Routers      int
-	Joined       time.Duration // until all held the first document
+	JoinTime       time.Duration // until all held the first document
 	Coordinators CoordinatorUsage      // idle
 	Observer     Usage           // the busiest, idle; CPUMS is for a second
 	P50, Last    time.Duration // from the answer to a put until the last router has it in force: the median, the longest
@@ -68,7 +68,7 @@
 	if err := run.awaitRevision(ctx, revision); err != nil {
 		return cost, err
 	}
-	cost.Joined = time.Since(began)
+	cost.JoinTime = time.Since(began)
 	if err := run.measureIdle(ctx, &cost); err != nil {
 		return cost, err
 	}
