--- a/cmd/dockhinge-lab/all.go
+++ b/cmd/dockhinge-lab/all.go
@@ -84,7 +84,7 @@
 						r.runs++
 						r.service = append(r.service, res.Service)
 						switch {
-						case len(res.Broken) > 0:
+						case len(res.Breaches) > 0:
 							r.broke++
 						case !res.Load.Valid:
 							r.invalid++
@@ -94,7 +94,7 @@
 						if len(res.Failures) > 0 && r.first == "" {
 							r.first = fmt.Sprintf("seed %d: %s", f.Seed, res.Failures[0])
 						}
-						fmt.Fprintf(os.Stderr, "%s, seed %d: service %.3f, %d breaches%s\n", name, f.Seed, res.Service, len(res.Broken), strings.Join(res.Failures, "; "))
+						fmt.Fprintf(os.Stderr, "%s, seed %d: service %.3f, %d breaches%s\n", name, f.Seed, res.Service, len(res.Breaches), strings.Join(res.Failures, "; "))
 					})
 				}
 			}
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -85,7 +85,7 @@
 								all[i].cpu = append(all[i].cpu, (u.CPUMS-first.Routers[name].CPUMS)/(last.AtS-first.AtS)/10)
 							}
 						}
-						all[i].service, all[i].breaches = append(all[i].service, res.Service), append(all[i].breaches, float64(len(res.Broken)))
+						all[i].service, all[i].breaches = append(all[i].service, res.Service), append(all[i].breaches, float64(len(res.Breaches)))
 					})
 				}
 			}
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -111,7 +111,7 @@
 						n++
 					}
 					faults += n
-					breaches += len(res.Broken)
+					breaches += len(res.Breaches)
 					if r := res.Released; r != nil {
 						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s, %d runs of the tool, %d repeats, %d old tokens refused\n", r.Exposed, r.HaltS, r.Halt, r.TookS, r.Drivers, r.Repeats, r.Refused)
 						last = r.TookS
--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -120,7 +120,7 @@
 	for _, failure := range res.Failures {
 		text += "  " + failure + "\n"
 	}
-	for _, broken := range res.Broken {
+	for _, broken := range res.Breaches {
 		text += "  " + broken.String() + "\n"
 	}
 	for _, mark := range res.Marks {
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -364,7 +364,7 @@
 				t.Fatal(err)
 			}
 			rules := map[string]int{}
-			for _, b := range res.Broken {
+			for _, b := range res.Breaches {
 				rules[b.Rule]++
 			}
 			switch {
@@ -395,8 +395,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Broken) != 1 || res.Broken[0].Rule != "rejecting" {
-		t.Errorf("%v", res.Broken)
+	if len(res.Breaches) != 1 || res.Breaches[0].Rule != "rejecting" {
+		t.Errorf("%v", res.Breaches)
 	}
 }
 
@@ -416,7 +416,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Broken) == 0 || res.Broken[0].Rule != "drain" {
-		t.Errorf("%v", res.Broken)
+	if len(res.Breaches) == 0 || res.Breaches[0].Rule != "drain" {
+		t.Errorf("%v", res.Breaches)
 	}
 }
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -40,7 +40,7 @@
 	Tail         float64                    `json:"tail"`            // in the last fifth
 	Attempts     float64                    `json:"attempts_a_request"`
 	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
-	Broken       []checker.Breach           `json:"broken"`
+	Breaches       []checker.Breach           `json:"broken"`
 	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
 	Marks        []Mark                     `json:"marks"`
 	Samples      []Sample                   `json:"samples"`
@@ -103,7 +103,7 @@
 		Load:         got,
 		Marks:        fl.marks,
 		Samples:      fl.samples,
-		Broken:       checker.Judge(events, fl.rules()),
+		Breaches:       checker.Judge(events, fl.rules()),
 		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
 		Calls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
@@ -116,8 +116,8 @@
 	if !whole {
 		res.fail("the journal is full at %d events: the rules were not judged to the end", maxEvents)
 	}
-	if len(res.Broken) > 0 {
-		res.fail("%d breaches of the rules, the first: %s", len(res.Broken), res.Broken[0])
+	if len(res.Breaches) > 0 {
+		res.fail("%d breaches of the rules, the first: %s", len(res.Breaches), res.Breaches[0])
 	}
 	if !got.Valid {
 		res.fail("the run does not count: %s", got.Why)
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -59,7 +59,7 @@
 		}
 		return float64(n) / math.Max(1, float64(len(r.Load.Seconds)))
 	}},
-	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Broken)) }},
+	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
 func share(r fleet.Result, refused bool) float64 {
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -76,9 +76,9 @@
 	if r.Cut {
 		fmt.Fprintln(w, "stopped before its end")
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Breaches {
 		if i == 10 {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(w, "  and %d more\n", len(r.Breaches)-i)
 			break
 		}
 		fmt.Fprintf(w, "broken: %s\n", b)
