--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -67,7 +67,7 @@
 	stop()
 	wg.Wait()
 	res := fl.result(got, cut)
-	res.Doors = doors
+	res.Admission = doors
 	return res, nil
 }
 
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -35,7 +35,7 @@
 	Scenario     string                     `json:"scenario"`
 	Command      string                     `json:"command"`
 	Load         load.Result                `json:"load"`
-	Doors        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
+	Admission        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
 	Service      float64                    `json:"service"`         // after the warm-up
 	Tail         float64                    `json:"tail"`            // in the last fifth
 	Attempts     float64                    `json:"attempts_a_request"`
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -36,10 +36,10 @@
 	if len(r.Load.Tenants) > 1 {
 		fmt.Fprintf(w, "\nJain's index of what the tenants gained after the warm-up: %.4f\n", r.Load.Jain())
 	}
-	if len(r.Doors) > 0 {
+	if len(r.Admission) > 0 {
 		fmt.Fprintln(t, "\nrouter\tlimit\twaiting\ttakes ms\tcame when told\tlet in\tshare free\tlet in\ttold and real apart, p50 %\tp90 %\t")
-		for _, name := range sorted(r.Doors) {
-			d := r.Doors[name]
+		for _, name := range sorted(r.Admission) {
+			d := r.Admission[name]
 			fmt.Fprintf(t, "%s\t%.0f\t%d\t%.0f\t%d\t%.3f\t%d\t%.3f\t%.0f\t%.0f\t\n", name, d.Limit, d.Waiting, d.LatencyMillis, d.Returned,
 				float64(d.ReturnedAdmitted)/float64(max(1, d.Returned)),
 				d.ReturnedWithinShare, float64(d.AdmittedWithinShare)/float64(max(1, d.ReturnedWithinShare)), 100*d.RetryAfterErrorP50, 100*d.RetryAfterErrorP90)
