--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -46,7 +46,7 @@
 	Samples      []Sample                   `json:"samples"`
 	Servers      []ServerResult             `json:"servers"`
 	Probes       int64                      `json:"probes"` // answered by cache servers
-	Calls        int                        `json:"discovery_calls"`
+	DiscoveryCalls        int                        `json:"discovery_calls"`
 	LateMS       float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
 	Rude         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
@@ -105,7 +105,7 @@
 		Samples:      fl.samples,
 		Breaches:       checker.Judge(events, fl.rules()),
 		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
-		Calls:        fl.discovery.Calls(),
+		DiscoveryCalls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
 		Rude:         fl.rude,
 		Cut:          cut,
