--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -75,8 +75,8 @@
 			if res.Load.Tries < 400 || len(res.Samples) == 0 || res.Samples[0].Routers["r0"].RSSMB == 0 {
 				t.Errorf("%d tries, %d samples", res.Load.Tries, len(res.Samples))
 			}
-			if name == "rude" && res.Rude[1] < 10 {
-				t.Errorf("%d misbehaving clients only", res.Rude[1])
+			if name == "rude" && res.MisbehavingClients[1] < 10 {
+				t.Errorf("%d misbehaving clients only", res.MisbehavingClients[1])
 			}
 		})
 	}
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -48,7 +48,7 @@
 	Probes       int64                      `json:"probes"` // answered by cache servers
 	DiscoveryCalls        int                        `json:"discovery_calls"`
 	LateMS       float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
-	Rude         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
+	MisbehavingClients         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
 	Released     *Released                  `json:"released,omitempty"`
 	Out          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
@@ -107,7 +107,7 @@
 		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
 		DiscoveryCalls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
-		Rude:         fl.rude,
+		MisbehavingClients:         fl.rude,
 		Cut:          cut,
 		Failures:     fl.problem,
 	}
@@ -219,8 +219,8 @@
 	if expect.Tries > 0 && r.Attempts > expect.Tries {
 		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.Attempts, expect.Tries)
 	}
-	if expect.Rude && r.Rude[0] < r.Rude[1] {
-		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.Rude[0], r.Rude[1])
+	if expect.Rude && r.MisbehavingClients[0] < r.MisbehavingClients[1] {
+		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
 }
 
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -70,8 +70,8 @@
 	if r.LateMS > 100 {
 		fmt.Fprintf(w, "the machine was late by up to %.0f ms: mind the figures\n", r.LateMS)
 	}
-	if r.Rude[1] > 0 {
-		fmt.Fprintf(w, "misbehaving clients told or closed on: %d of %d\n", r.Rude[0], r.Rude[1])
+	if r.MisbehavingClients[1] > 0 {
+		fmt.Fprintf(w, "misbehaving clients told or closed on: %d of %d\n", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
 	if r.Cut {
 		fmt.Fprintln(w, "stopped before its end")
