--- a/cmd/dockhinge-lab/all.go
+++ b/cmd/dockhinge-lab/all.go
@@ -73,7 +73,7 @@
 							fails = append(fails, fmt.Errorf("%s, seed %d: %w", name, f.Seed, err))
 							return
 						}
-						if res.Cut {
+						if res.Interrupted {
 							return
 						}
 						r := rows[name]
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -94,7 +94,7 @@
 						fmt.Printf("seed %d could not be played: %v\n", from+uint64(i), err)
 						return
 					}
-					if res.Cut {
+					if res.Interrupted {
 						return
 					}
 					played++
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -100,8 +100,8 @@
 		}
 		stop()
 	}})
-	if err != nil || !res.Cut || res.Load.Tries == 0 {
-		t.Errorf("%v, cut %t, %d tries", err, res.Cut, res.Load.Tries)
+	if err != nil || !res.Interrupted || res.Load.Tries == 0 {
+		t.Errorf("%v, cut %t, %d tries", err, res.Interrupted, res.Load.Tries)
 	}
 	if left := leftOver(t, command[0]); len(left) > 0 {
 		t.Errorf("left over: %v", left)
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -55,7 +55,7 @@
 	Ill          []Ill                      `json:"ill,omitempty"`
 	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
 	Failures     []string                   `json:"failures"`         // what did not hold
-	Cut          bool                       `json:"cut"`              // stopped before its end
+	Interrupted          bool                       `json:"cut"`              // stopped before its end
 }
 
 // Ill is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
@@ -108,7 +108,7 @@
 		DiscoveryCalls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
 		MisbehavingClients:         fl.rude,
-		Cut:          cut,
+		Interrupted:          cut,
 		Failures:     fl.problem,
 	}
 	served := fl.sumUp(&res, events)
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -73,7 +73,7 @@
 	if r.MisbehavingClients[1] > 0 {
 		fmt.Fprintf(w, "misbehaving clients told or closed on: %d of %d\n", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
-	if r.Cut {
+	if r.Interrupted {
 		fmt.Fprintln(w, "stopped before its end")
 	}
 	for i, b := range r.Breaches {
