--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -37,7 +37,7 @@
 	Load         load.Result                `json:"load"`
 	Admission        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
 	Service      float64                    `json:"service"`         // after the warm-up
-	Tail         float64                    `json:"tail"`            // in the last fifth
+	TailService         float64                    `json:"tail"`            // in the last fifth
 	Attempts     float64                    `json:"attempts_a_request"`
 	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
 	Breaches       []checker.Breach           `json:"broken"`
@@ -165,7 +165,7 @@
 		}
 	}
 	res.Service = ratio(gained, worth)
-	res.Tail = ratio(tailGained, tailWorth)
+	res.TailService = ratio(tailGained, tailWorth)
 	res.Attempts = ratio(float64(attempts), float64(asked))
 	return served
 }
@@ -209,7 +209,7 @@
 		measured, atLeast float64
 	}{
 		{"expect.service", r.Service, expect.Service},
-		{"expect.tail", r.Tail, expect.Tail},
+		{"expect.tail", r.TailService, expect.Tail},
 		{"expect.served", float64(served), float64(expect.Served)},
 	} {
 		if expectation.measured < expectation.atLeast {
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -20,7 +20,7 @@
 
 var metrics = []metric{
 	{"service", func(r fleet.Result) float64 { return r.Service }},
-	{"service, last fifth", func(r fleet.Result) float64 { return r.Tail }},
+	{"service, last fifth", func(r fleet.Result) float64 { return r.TailService }},
 	{"attempts a request", func(r fleet.Result) float64 { return r.Attempts }},
 	{"refused, share", func(r fleet.Result) float64 { return share(r, true) }},
 	{"failed, share", func(r fleet.Result) float64 { return share(r, false) }},
