--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -38,7 +38,7 @@
 	Admission        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
 	Service      float64                    `json:"service"`         // after the warm-up
 	TailService         float64                    `json:"tail"`            // in the last fifth
-	Attempts     float64                    `json:"attempts_a_request"`
+	AttemptsPerRequest     float64                    `json:"attempts_a_request"`
 	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
 	Breaches       []checker.Breach           `json:"broken"`
 	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
@@ -166,7 +166,7 @@
 	}
 	res.Service = ratio(gained, worth)
 	res.TailService = ratio(tailGained, tailWorth)
-	res.Attempts = ratio(float64(attempts), float64(asked))
+	res.AttemptsPerRequest = ratio(float64(attempts), float64(asked))
 	return served
 }
 
@@ -216,8 +216,8 @@
 			r.fail("%s: %.3f, and %.3f must hold", expectation.name, expectation.measured, expectation.atLeast)
 		}
 	}
-	if expect.Tries > 0 && r.Attempts > expect.Tries {
-		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.Attempts, expect.Tries)
+	if expect.Tries > 0 && r.AttemptsPerRequest > expect.Tries {
+		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.AttemptsPerRequest, expect.Tries)
 	}
 	if expect.Rude && r.MisbehavingClients[0] < r.MisbehavingClients[1] {
 		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -21,7 +21,7 @@
 var metrics = []metric{
 	{"service", func(r fleet.Result) float64 { return r.Service }},
 	{"service, last fifth", func(r fleet.Result) float64 { return r.TailService }},
-	{"attempts a request", func(r fleet.Result) float64 { return r.Attempts }},
+	{"attempts a request", func(r fleet.Result) float64 { return r.AttemptsPerRequest }},
 	{"refused, share", func(r fleet.Result) float64 { return share(r, true) }},
 	{"failed, share", func(r fleet.Result) float64 { return share(r, false) }},
 	{"p99 of the first class, ms", func(r fleet.Result) float64 { return r.Load.Classes[largest(r)].P99MS }},
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -47,7 +47,7 @@
 
 func TestCompareByPairs(t *testing.T) {
 	run := func(service, attempts float64) fleet.Result {
-		return fleet.Result{Service: service, Attempts: attempts}
+		return fleet.Result{Service: service, AttemptsPerRequest: attempts}
 	}
 	var a, b []fleet.Result
 	for i := range 6 { // B is better by 0.1 in each pair, though the pairs differ by far more
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -62,7 +62,7 @@
 	}
 	fmt.Fprintf(w, "\n%d probes at cache servers\n", r.Probes)
 	fmt.Fprintf(w, "\nservice %.3f (worth answered within its aim over worth asked for), in the last fifth %.3f; %.2f attempts a request; %d tries; %d calls to discovery\n",
-		r.Service, r.TailService, r.Attempts, r.Load.Tries, r.DiscoveryCalls)
+		r.Service, r.TailService, r.AttemptsPerRequest, r.Load.Tries, r.DiscoveryCalls)
 	if hints := r.TimeoutHints; hints.First+hints.Further > 0 {
 		fmt.Fprintf(w, "attempts that told over 150 ms more than was left to the client: %d of %d first ones, %d of %d further ones\n",
 			hints.FirstOverstated, hints.First, hints.FurtherOverstated, hints.Further)
