--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -39,7 +39,7 @@
 	Service      float64                    `json:"service"`         // after the warm-up
 	TailService         float64                    `json:"tail"`            // in the last fifth
 	AttemptsPerRequest     float64                    `json:"attempts_a_request"`
-	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
+	AttemptsBySecond   []int                      `json:"attempts_by_second"` // written whole in each second of the load
 	Breaches       []checker.Breach           `json:"broken"`
 	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
 	Marks        []Mark                     `json:"marks"`
@@ -139,14 +139,14 @@
 func (fl *Fleet) sumUp(res *Result, events []checker.Event) (served int) {
 	seconds := res.Load.Seconds
 	attempts := 0
-	res.AttemptsBy = make([]int, len(seconds))
+	res.AttemptsBySecond = make([]int, len(seconds))
 	for _, e := range events {
 		if e.Kind != checker.Whole {
 			continue
 		}
 		attempts++
 		if second := int((e.At - fl.began) / 1000); second >= 0 && second < len(seconds) {
-			res.AttemptsBy[second]++
+			res.AttemptsBySecond[second]++
 		}
 	}
 	asked := 0
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -245,10 +245,10 @@
 			bySecond(r, "p99", func(i int) float64 { return secs[i].P99MS })}},
 		{"Attempts for each request", "attempts", []series{
 			bySecond(r, "attempts", func(i int) float64 {
-				if i >= len(r.AttemptsBy) || secs[i].Asked == 0 {
+				if i >= len(r.AttemptsBySecond) || secs[i].Asked == 0 {
 					return 0
 				}
-				return float64(r.AttemptsBy[i]) / float64(secs[i].Asked)
+				return float64(r.AttemptsBySecond[i]) / float64(secs[i].Asked)
 			})}},
 		{heldTitle(len(servers)), "requests", servers},
 		{"Routers: resident memory", "MB", use(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
