--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -76,7 +76,7 @@
 						} else {
 							os.RemoveAll(dir)
 						}
-						for _, x := range res.Ill {
+						for _, x := range res.FaultySpells {
 							all[i].attempts, all[i].late, all[i].by = append(all[i].attempts, float64(x.Attempts)), append(all[i].late, float64(x.Late)), append(all[i].by, float64(x.Routers))
 						}
 						if n := len(res.Samples); n > 1 {
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -210,10 +210,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Failures) > 0 || len(res.Ill) != 1 || !res.Ill[0].Accused {
-		t.Errorf("%+v\n%s", res.Ill, strings.Join(res.Failures, "\n"))
+	if len(res.Failures) > 0 || len(res.FaultySpells) != 1 || !res.FaultySpells[0].Accused {
+		t.Errorf("%+v\n%s", res.FaultySpells, strings.Join(res.Failures, "\n"))
 	}
-	t.Logf("%+v", res.Ill)
+	t.Logf("%+v", res.FaultySpells)
 }
 
 // The origin turns all away, so that the fleet refuses what is missing: nothing that operators ask for meanwhile goes out, and all of
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -52,7 +52,7 @@
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
 	Released     *Released                  `json:"released,omitempty"`
 	Out          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
-	Ill          []Ill                      `json:"ill,omitempty"`
+	FaultySpells          []Ill                      `json:"ill,omitempty"`
 	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
 	Failures     []string                   `json:"failures"`         // what did not hold
 	Interrupted          bool                       `json:"cut"`              // stopped before its end
@@ -190,7 +190,7 @@
 	for _, x := range fl.ill {
 		x.count(events)
 		x.Accused = len(fl.accused[x.Server]) > 0
-		res.Ill = append(res.Ill, x)
+		res.FaultySpells = append(res.FaultySpells, x)
 	}
 	res.Failures = append(res.Failures, fl.judgeAccused(events)...)
 	if fl.o.MustExit {
