--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -51,7 +51,7 @@
 	MisbehavingClients         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
 	Released     *Released                  `json:"released,omitempty"`
-	Out          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
+	BudgetUse          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
 	FaultySpells          []Ill                      `json:"ill,omitempty"`
 	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
 	Failures     []string                   `json:"failures"`         // what did not hold
@@ -186,7 +186,7 @@
 		res.Changes = append(res.Changes, *c)
 	}
 	res.Failures = append(res.Failures, fl.judgeChanges(events)...)
-	res.Killed, res.Out = fl.killed, fl.out
+	res.Killed, res.BudgetUse = fl.killed, fl.out
 	for _, x := range fl.ill {
 		x.count(events)
 		x.Accused = len(fl.accused[x.Server]) > 0
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -186,7 +186,7 @@
 func out(r fleet.Result) (all []series) {
 	byName := map[string]*series{}
 	var names []string
-	for _, x := range r.Out {
+	for _, x := range r.BudgetUse {
 		for _, s := range []struct {
 			name string
 			v    int
