--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -62,10 +62,10 @@
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			for _, m := range part {
-				if i := slices.IndexFunc(fl.ill, func(x Ill) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
+				if i := slices.IndexFunc(fl.ill, func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
 					fl.ill[i].To = fl.clock.Now()
 				} else if on {
-					fl.ill = append(fl.ill, Ill{Server: m.ID(), From: fl.clock.Now()})
+					fl.ill = append(fl.ill, FaultySpell{Server: m.ID(), From: fl.clock.Now()})
 				}
 			}
 		})
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -72,7 +72,7 @@
 	problem    []string
 	released   *Released
 	killed     bool // by Options.Kill
-	ill        []Ill
+	ill        []FaultySpell
 	out        []OutAt
 	accused    map[string][]string // servers that were left out by the word of others, and the routers named
 	n          int                 // of ids given
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -52,14 +52,14 @@
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
 	Released     *Released                  `json:"released,omitempty"`
 	BudgetUse          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
-	FaultySpells          []Ill                      `json:"ill,omitempty"`
+	FaultySpells          []FaultySpell                      `json:"ill,omitempty"`
 	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
 	Failures     []string                   `json:"failures"`         // what did not hold
 	Interrupted          bool                       `json:"cut"`              // stopped before its end
 }
 
-// Ill is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
-type Ill struct {
+// FaultySpell is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
+type FaultySpell struct {
 	Server   string  `json:"server"`
 	From     float64 `json:"from_ms"`
 	To       float64 `json:"to_ms"`    // 0 = to the end
@@ -70,7 +70,7 @@
 }
 
 // count books what was sent to it.
-func (x *Ill) count(events []checker.Event) {
+func (x *FaultySpell) count(events []checker.Event) {
 	of, by := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch {
