--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -73,7 +73,7 @@
 	released   *Released
 	killed     bool // by Options.Kill
 	ill        []FaultySpell
-	out        []OutAt
+	out        []BudgetSample
 	accused    map[string][]string // servers that were left out by the word of others, and the routers named
 	n          int                 // of ids given
 	changes    []*Change
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -51,7 +51,7 @@
 	MisbehavingClients         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
 	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
 	Released     *Released                  `json:"released,omitempty"`
-	BudgetUse          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
+	BudgetUse          []BudgetSample                    `json:"out,omitempty"` // as the agreement saw it, at each change
 	FaultySpells          []FaultySpell                      `json:"ill,omitempty"`
 	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
 	Failures     []string                   `json:"failures"`         // what did not hold
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -11,8 +11,8 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// OutAt is how much of a budget was used from a time on.
-type OutAt struct {
+// BudgetSample is how much of a budget was used from a time on.
+type BudgetSample struct {
 	AtS     float64 `json:"at_s"`
 	Budget  string  `json:"budget"`
 	Out     int     `json:"out"`
@@ -33,7 +33,7 @@
 		after = r.Version
 		fl.mu.Lock()
 		for _, b := range r.Budgets {
-			x := OutAt{(fl.clock.Now() - fl.began) / 1000, b.Budget, b.Out, b.Allowed}
+			x := BudgetSample{(fl.clock.Now() - fl.began) / 1000, b.Budget, b.Out, b.Allowed}
 			if len(fl.out) < maxOut && b.Zone == "" {
 				fl.out = append(fl.out, x)
 			}
