--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -25,7 +25,7 @@
 // Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
 // here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
 type Change struct {
-	Thing  string   `json:"thing"`
+	Resource  string   `json:"thing"`
 	Asked  float64  `json:"asked_ms"`
 	Gone   float64  `json:"gone_ms"` // the command was run: it may be stopped
 	Back   float64  `json:"back_ms"` // it runs again
@@ -167,7 +167,7 @@
 // changeOne runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
 // operator would; where it dies after it, the change is under way, and nobody does it twice.
 func (fl *Fleet) changeOne(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
-	c := &Change{Thing: thing, Asked: fl.clock.Now()}
+	c := &Change{Resource: thing, Asked: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
 	fl.changes = append(fl.changes, c)
@@ -382,28 +382,28 @@
 	warm := o.WarmS*1000 - warmedMS
 	for _, c := range fl.changes {
 		if len(c.Tokens) > 1 {
-			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Thing, len(c.Tokens), c.Tokens))
+			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
 		}
 		if c.Back == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Thing, c.Tools))
+			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.Tools))
 		}
 		if c.Gone == 0 {
 			continue
 		}
-		kind, _, _ := strings.Cut(c.Thing, "/")
+		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Thing, "/"); d != c && k == kind && d.Gone > 0 && d.Gone <= c.Gone && (d.Back == 0 || d.Back+warm > c.Gone) {
-				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Thing, d.Gone, d.Back)] = true
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.Gone > 0 && d.Gone <= c.Gone && (d.Back == 0 || d.Back+warm > c.Gone) {
+				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.Gone, d.Back)] = true
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Thing && d.from+noticedMS < c.Gone && (d.to == 0 || d.to > c.Gone) {
+			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Resource && d.from+noticedMS < c.Gone && (d.to == 0 || d.to > c.Gone) {
 				out[d.thing] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Thing, c.Gone, slices.Sorted(maps.Keys(out)), allowed[kind]))
+			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.Gone, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
 	// Nothing begins at a server between the word that it is drained and its return.
@@ -414,7 +414,7 @@
 		}
 	}
 	for _, c := range fl.changes {
-		id, ok := strings.CutPrefix(c.Thing, "server/")
+		id, ok := strings.CutPrefix(c.Resource, "server/")
 		if !ok || c.Gone == 0 {
 			continue
 		}
@@ -432,7 +432,7 @@
 			}
 		}
 		if late > 0 {
-			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Thing, late))
+			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Resource, late))
 		}
 	}
 	return fails
