--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -27,7 +27,7 @@
 type Change struct {
 	Resource  string   `json:"thing"`
 	Asked  float64  `json:"asked_ms"`
-	Gone   float64  `json:"gone_ms"` // the command was run: it may be stopped
+	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
 	Back   float64  `json:"back_ms"` // it runs again
 	Tools  int      `json:"tools"`   // runs of the tool
 	Tokens []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
@@ -215,13 +215,13 @@
 			}
 			token, _ := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 			fl.mu.Lock()
-			c.Gone, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
+			c.StoppedAtMS, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
 			fl.mu.Unlock()
 			busy.Lock()                    // a fault may have it down
 			if up, _ := p.running(); !up { // the command ended with its tool before it did anything
 				busy.Unlock()
 				fl.mu.Lock()
-				c.Gone, c.Tokens = 0, nil
+				c.StoppedAtMS, c.Tokens = 0, nil
 				fl.mu.Unlock()
 				if err := os.Remove(base + ".go"); err != nil {
 					fl.trouble(err)
@@ -387,23 +387,23 @@
 		if c.Back == 0 {
 			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.Tools))
 		}
-		if c.Gone == 0 {
+		if c.StoppedAtMS == 0 {
 			continue
 		}
 		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.Gone > 0 && d.Gone <= c.Gone && (d.Back == 0 || d.Back+warm > c.Gone) {
-				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.Gone, d.Back)] = true
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.Back == 0 || d.Back+warm > c.StoppedAtMS) {
+				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.Back)] = true
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Resource && d.from+noticedMS < c.Gone && (d.to == 0 || d.to > c.Gone) {
+			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Resource && d.from+noticedMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
 				out[d.thing] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.Gone, slices.Sorted(maps.Keys(out)), allowed[kind]))
+			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
 	// Nothing begins at a server between the word that it is drained and its return.
@@ -415,12 +415,12 @@
 	}
 	for _, c := range fl.changes {
 		id, ok := strings.CutPrefix(c.Resource, "server/")
-		if !ok || c.Gone == 0 {
+		if !ok || c.StoppedAtMS == 0 {
 			continue
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.Back > 0 && e.Began >= c.Back {
 				continue
 			}
 			known := true
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -240,9 +240,9 @@
 	if len(res.Failures) > 0 || len(res.Changes) != 4 || over == 0 {
 		t.Errorf("%d changes, %v\n%s", len(res.Changes), res.Marks, strings.Join(res.Failures, "\n"))
 	}
-	first := res.Changes[0].Gone
+	first := res.Changes[0].StoppedAtMS
 	for _, c := range res.Changes {
-		first = min(first, c.Gone-c.Asked)
+		first = min(first, c.StoppedAtMS-c.Asked)
 	}
 	if first < 3000 { // asked three seconds before it is over
 		t.Errorf("a change went out %.0f ms after it was asked for, while the fleet was over its limit: %+v", first, res.Changes)
@@ -258,14 +258,14 @@
 		outages []outage
 		events  []checker.Event
 	}{
-		{"", []*Change{{Resource: "server/a", Gone: 1, Back: 2, Tokens: []uint64{1}}, {Resource: "server/b", Gone: 1002, Back: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Resource: "server/a", Gone: 1, Back: 2}, {Resource: "server/b", Gone: 900, Back: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", Gone: 20000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Resource: "server/b", Gone: 12000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
-		{"was changed 2 times", []*Change{{Resource: "server/a", Gone: 1, Back: 2, Tokens: []uint64{1, 2}}}, nil, nil},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, Back: 1003, Tokens: []uint64{2}}}, nil, nil},
+		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2}, {Resource: "server/b", StoppedAtMS: 900, Back: 1003}}, nil, nil},
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
+		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2, Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Resource: "server/a", Gone: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Resource: "server/a", Gone: 10, Back: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
+		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, Back: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
