--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -101,10 +101,10 @@
 					last := 0.0
 					for _, x := range res.Changes {
 						tools += x.Tools
-						if x.Back > 0 {
+						if x.RunningAtMS > 0 {
 							done++
 						}
-						last = max(last, (x.Back-x.Asked)/1000)
+						last = max(last, (x.RunningAtMS-x.Asked)/1000)
 					}
 					n := len(f.Faults) - 2
 					if release != "" {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -28,7 +28,7 @@
 	Resource  string   `json:"thing"`
 	Asked  float64  `json:"asked_ms"`
 	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
-	Back   float64  `json:"back_ms"` // it runs again
+	RunningAtMS   float64  `json:"back_ms"` // it runs again
 	Tools  int      `json:"tools"`   // runs of the tool
 	Tokens []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
 }
@@ -196,7 +196,7 @@
 		fl.tools[thing] = p
 		fl.mu.Unlock()
 		over, told := false, false
-		for !over && c.Back == 0 {
+		for !over && c.RunningAtMS == 0 {
 			select {
 			case <-p.done:
 				over = true
@@ -231,7 +231,7 @@
 			act()
 			busy.Unlock()
 			fl.mu.Lock()
-			c.Back = fl.clock.Now()
+			c.RunningAtMS = fl.clock.Now()
 			fl.mu.Unlock()
 			_ = os.Rename(base+".go", base+".was")
 			if err := os.WriteFile(base+".done", nil, 0o600); err != nil {
@@ -245,7 +245,7 @@
 		}
 		fl.mu.Lock()
 		delete(fl.tools, thing)
-		done := c.Back > 0
+		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
 		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
 			fl.clear(ctx, thing)
@@ -384,7 +384,7 @@
 		if len(c.Tokens) > 1 {
 			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
 		}
-		if c.Back == 0 {
+		if c.RunningAtMS == 0 {
 			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.Tools))
 		}
 		if c.StoppedAtMS == 0 {
@@ -393,8 +393,8 @@
 		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.Back == 0 || d.Back+warm > c.StoppedAtMS) {
-				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.Back)] = true
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
+				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.RunningAtMS)] = true
 			}
 		}
 		for _, d := range fl.outages {
@@ -420,7 +420,7 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.Back > 0 && e.Began >= c.Back {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
 				continue
 			}
 			known := true
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -258,14 +258,14 @@
 		outages []outage
 		events  []checker.Event
 	}{
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, Back: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2}, {Resource: "server/b", StoppedAtMS: 900, Back: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
-		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, Back: 2, Tokens: []uint64{1, 2}}}, nil, nil},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
+		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2}, {Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
+		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, Back: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
+		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -219,7 +219,7 @@
 	bad := to == "v2" && rel.Spoil != ""
 	if bad && rel.Spoil == "never" {
 		fl.mu.Lock()
-		c.Back = fl.clock.Now() // what is out from here on is the version's doing
+		c.RunningAtMS = fl.clock.Now() // what is out from here on is the version's doing
 		fl.mu.Unlock()
 		return
 	}
@@ -231,7 +231,7 @@
 		fl.trouble(err)
 	}
 	fl.mu.Lock()
-	c.Back = fl.clock.Now()
+	c.RunningAtMS = fl.clock.Now()
 	fl.mu.Unlock()
 	if bad && rel.Spoil == "crash" {
 		go func() { // ends with ctx, or soon
