--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -104,7 +104,7 @@
 						if x.RunningAtMS > 0 {
 							done++
 						}
-						last = max(last, (x.RunningAtMS-x.Asked)/1000)
+						last = max(last, (x.RunningAtMS-x.RequestedAtMS)/1000)
 					}
 					n := len(f.Faults) - 2
 					if release != "" {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -26,7 +26,7 @@
 // here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
 type Change struct {
 	Resource  string   `json:"thing"`
-	Asked  float64  `json:"asked_ms"`
+	RequestedAtMS  float64  `json:"asked_ms"`
 	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
 	RunningAtMS   float64  `json:"back_ms"` // it runs again
 	Tools  int      `json:"tools"`   // runs of the tool
@@ -167,7 +167,7 @@
 // changeOne runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
 // operator would; where it dies after it, the change is under way, and nobody does it twice.
 func (fl *Fleet) changeOne(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
-	c := &Change{Resource: thing, Asked: fl.clock.Now()}
+	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
 	fl.changes = append(fl.changes, c)
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -242,7 +242,7 @@
 	}
 	first := res.Changes[0].StoppedAtMS
 	for _, c := range res.Changes {
-		first = min(first, c.StoppedAtMS-c.Asked)
+		first = min(first, c.StoppedAtMS-c.RequestedAtMS)
 	}
 	if first < 3000 { // asked three seconds before it is over
 		t.Errorf("a change went out %.0f ms after it was asked for, while the fleet was over its limit: %+v", first, res.Changes)
