--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -100,7 +100,7 @@
 					played++
 					last := 0.0
 					for _, x := range res.Changes {
-						tools += x.Tools
+						tools += x.ToolRuns
 						if x.RunningAtMS > 0 {
 							done++
 						}
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -29,7 +29,7 @@
 	RequestedAtMS  float64  `json:"asked_ms"`
 	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
 	RunningAtMS   float64  `json:"back_ms"` // it runs again
-	Tools  int      `json:"tools"`   // runs of the tool
+	ToolRuns  int      `json:"tools"`   // runs of the tool
 	Tokens []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
 }
 
@@ -184,7 +184,7 @@
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
 		p := fl.tool(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
-		if first && c.Tools == 0 {
+		if first && c.ToolRuns == 0 {
 			p.env = append(p.env, fl.o.Kill.env(fl.o.Dir)...)
 		}
 		if err := p.start(); err != nil {
@@ -192,7 +192,7 @@
 			return
 		}
 		fl.mu.Lock()
-		c.Tools++
+		c.ToolRuns++
 		fl.tools[thing] = p
 		fl.mu.Unlock()
 		over, told := false, false
@@ -385,7 +385,7 @@
 			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
 		}
 		if c.RunningAtMS == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.Tools))
+			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.ToolRuns))
 		}
 		if c.StoppedAtMS == 0 {
 			continue
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -203,7 +203,7 @@
 
 // bring restarts a router with a version.
 func (fl *Fleet) bring(ctx context.Context, r *router, to string, rel *Released) {
-	c := &Change{Resource: "router/" + r.name, RequestedAtMS: fl.clock.Now(), StoppedAtMS: fl.clock.Now(), Tools: 1}
+	c := &Change{Resource: "router/" + r.name, RequestedAtMS: fl.clock.Now(), StoppedAtMS: fl.clock.Now(), ToolRuns: 1}
 	fl.mu.Lock()
 	r.label = to
 	fl.changes = append(fl.changes, c)
