--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -186,5 +186,7 @@
 
 func resourceCommand() *cobra.Command {
 	return &cobra.Command{Use: "resource ADDR LOG", Short: "What the rig's holders act on", Args: cobra.ExactArgs(2), Hidden: true,
-		RunE: func(cmd *cobra.Command, args []string) error { return fleet.RunResource(cmd.Context(), args[0], args[1]) }}
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return fleet.RunResource(cmd.Context(), args[0], args[1])
+		}}
 }
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -20,29 +20,29 @@
 
 // CoordinatorOptions say how to play coordinators and holders.
 type CoordinatorOptions struct {
-	CoordinatorCommand    []string // the command of dockhinge-coord, built with the tag faults
-	LabCommand      []string // that of dockhinge-lab, likewise
-	Dir      string   // for logs and directories; it must be there
-	Env      []string // for all processes
-	CheckTimeout time.Duration
-	HeartbeatInterval     string // of the coordinators; "" = their default
-	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
-	Logf      func(form string, v ...any)
+	CoordinatorCommand []string // the command of dockhinge-coord, built with the tag faults
+	LabCommand         []string // that of dockhinge-lab, likewise
+	Dir                string   // for logs and directories; it must be there
+	Env                []string // for all processes
+	CheckTimeout       time.Duration
+	HeartbeatInterval  string // of the coordinators; "" = their default
+	Version            int    // of commands and bounds in force where costs are measured; 0 = this program's
+	Logf               func(form string, v ...any)
 }
 
 // LeaseFaultsResult is what became of a run.
 type LeaseFaultsResult struct {
-	Seed      uint64
-	Faults    int
-	Claims    int
-	Operations       int
-	Acts      int
-	Refused   int // acts that the resource refused, as their token was old
-	Grants    int
-	Breaches    []checker.Breach
-	Undecided []string
-	Failures  []string // what did not hold, the broken rules among them
-	RecoverySeconds   float64  // after the last fault until all leases had been taken again
+	Seed            uint64
+	Faults          int
+	Claims          int
+	Operations      int
+	Acts            int
+	Refused         int // acts that the resource refused, as their token was old
+	Grants          int
+	Breaches        []checker.Breach
+	Undecided       []string
+	Failures        []string // what did not hold, the broken rules among them
+	RecoverySeconds float64  // after the last fault until all leases had been taken again
 }
 
 // link is a way between two processes, by their numbers.
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -21,16 +21,16 @@
 
 // CoordinatorCost is what coordinators cost with so many clients.
 type CoordinatorCost struct {
-	Clients, Leases int
-	SessionsOpenAfter          time.Duration // until all had a session
-	Idle            CoordinatorUsage      // while all only keep their sessions
-	Busy            CoordinatorUsage      // while a share of them acquires and releases in a closed loop
-	CommandsPerSecond            float64       // commands carried out, busy
-	P50, P99        time.Duration // of those
-	IdleBytesPerSecond       float64       // a second and client, bodies of keep-alives and answers
-	Failed          int
-	Refused         int    // clients that had no session within the patience,
-	RefusalReason             string // and what one of them was told
+	Clients, Leases    int
+	SessionsOpenAfter  time.Duration    // until all had a session
+	Idle               CoordinatorUsage // while all only keep their sessions
+	Busy               CoordinatorUsage // while a share of them acquires and releases in a closed loop
+	CommandsPerSecond  float64          // commands carried out, busy
+	P50, P99           time.Duration    // of those
+	IdleBytesPerSecond float64          // a second and client, bodies of keep-alives and answers
+	Failed             int
+	Refused            int    // clients that had no session within the patience,
+	RefusalReason      string // and what one of them was told
 }
 
 // CoordinatorUsage is what the leader and the busiest other use.
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -25,12 +25,12 @@
 // Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
 // here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
 type Change struct {
-	Resource  string   `json:"thing"`
-	RequestedAtMS  float64  `json:"asked_ms"`
+	Resource      string   `json:"thing"`
+	RequestedAtMS float64  `json:"asked_ms"`
 	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
 	RunningAtMS   float64  `json:"back_ms"` // it runs again
-	ToolRuns  int      `json:"tools"`   // runs of the tool
-	Tokens []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
+	ToolRuns      int      `json:"tools"`   // runs of the tool
+	Tokens        []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
 }
 
 // outage is what a fault takes out, whatever is planned.
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -28,18 +28,18 @@
 
 // Options say how to play.
 type Options struct {
-	RouterCommand  []string      // of one router; GW_CONFIG tells it the rest
-	CoordinatorCommand    []string      // of one coordinator, where the scenario has them
-	CoordinatorEnv []string      // of the coordinators
-	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
-	FirstRouterMutant     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
-	MutantCommand   []string      // command of a router in which a fault can be planted, for releases of a bad version
-	ChangeTimeout time.Duration // how long planned changes may last beyond the load; 0: not at all
-	Dir      string        // for logs and configurations; it must be there
-	ReadyTimeout    time.Duration
-	MustExit  bool // each router has to end by itself, with all that it started, when it is told to after the run
-	Progress func(load.Now, *Fleet)
-	Logf      func(format string, v ...any) // what happens, a line each
+	RouterCommand      []string      // of one router; GW_CONFIG tells it the rest
+	CoordinatorCommand []string      // of one coordinator, where the scenario has them
+	CoordinatorEnv     []string      // of the coordinators
+	Kill               *StepKill     // who is killed at which step of the tool; nil = nobody
+	FirstRouterMutant  string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
+	MutantCommand      []string      // command of a router in which a fault can be planted, for releases of a bad version
+	ChangeTimeout      time.Duration // how long planned changes may last beyond the load; 0: not at all
+	Dir                string        // for logs and configurations; it must be there
+	ReadyTimeout       time.Duration
+	MustExit           bool // each router has to end by itself, with all that it started, when it is told to after the run
+	Progress           func(load.Now, *Fleet)
+	Logf               func(format string, v ...any) // what happens, a line each
 }
 
 // maxEvents bounds the referee's journal.
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -20,10 +20,10 @@
 // ObserverCost is what coordinators and observers cost with so many routers that watch, without faults.
 type ObserverCost struct {
 	Routers      int
-	JoinTime       time.Duration // until all held the first document
-	Coordinators CoordinatorUsage      // idle
-	Observer     Usage           // the busiest, idle; CPUMS is for a second
-	P50, Last    time.Duration // from the answer to a put until the last router has it in force: the median, the longest
+	JoinTime     time.Duration    // until all held the first document
+	Coordinators CoordinatorUsage // idle
+	Observer     Usage            // the busiest, idle; CPUMS is for a second
+	P50, Last    time.Duration    // from the answer to a put until the last router has it in force: the median, the longest
 }
 
 // observeIdle is how long the cost at rest is measured.
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -19,9 +19,9 @@
 
 // Sample is the state of all parties at a time.
 type Sample struct {
-	AtS     float64        `json:"at_s"`
+	AtS     float64          `json:"at_s"`
 	Routers map[string]Usage `json:"routers"`
-	Held    map[string]int `json:"held"` // requests held by each server
+	Held    map[string]int   `json:"held"` // requests held by each server
 }
 
 // ServerResult is what a server did.
@@ -32,30 +32,30 @@
 
 // Result is what became of a run.
 type Result struct {
-	Scenario     string                     `json:"scenario"`
-	Command      string                     `json:"command"`
-	Load         load.Result                `json:"load"`
-	Admission        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
-	Service      float64                    `json:"service"`         // after the warm-up
-	TailService         float64                    `json:"tail"`            // in the last fifth
-	AttemptsPerRequest     float64                    `json:"attempts_a_request"`
+	Scenario           string                     `json:"scenario"`
+	Command            string                     `json:"command"`
+	Load               load.Result                `json:"load"`
+	Admission          map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
+	Service            float64                    `json:"service"`         // after the warm-up
+	TailService        float64                    `json:"tail"`            // in the last fifth
+	AttemptsPerRequest float64                    `json:"attempts_a_request"`
 	AttemptsBySecond   []int                      `json:"attempts_by_second"` // written whole in each second of the load
-	Breaches       []checker.Breach           `json:"broken"`
-	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
-	Marks        []Mark                     `json:"marks"`
-	Samples      []Sample                   `json:"samples"`
-	Servers      []ServerResult             `json:"servers"`
-	Probes       int64                      `json:"probes"` // answered by cache servers
-	DiscoveryCalls        int                        `json:"discovery_calls"`
-	LateMS       float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
-	MisbehavingClients         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
-	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
-	Released     *Released                  `json:"released,omitempty"`
-	BudgetUse          []BudgetSample                    `json:"out,omitempty"` // as the agreement saw it, at each change
-	FaultySpells          []FaultySpell                      `json:"ill,omitempty"`
-	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
-	Failures     []string                   `json:"failures"`         // what did not hold
-	Interrupted          bool                       `json:"cut"`              // stopped before its end
+	Breaches           []checker.Breach           `json:"broken"`
+	TimeoutHints       checker.TimeoutHintCounts  `json:"timeout_hints"`
+	Marks              []Mark                     `json:"marks"`
+	Samples            []Sample                   `json:"samples"`
+	Servers            []ServerResult             `json:"servers"`
+	Probes             int64                      `json:"probes"` // answered by cache servers
+	DiscoveryCalls     int                        `json:"discovery_calls"`
+	LateMS             float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
+	MisbehavingClients [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
+	Changes            []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
+	Released           *Released                  `json:"released,omitempty"`
+	BudgetUse          []BudgetSample             `json:"out,omitempty"` // as the agreement saw it, at each change
+	FaultySpells       []FaultySpell              `json:"ill,omitempty"`
+	Killed             bool                       `json:"killed,omitempty"` // whom Options.Kill names
+	Failures           []string                   `json:"failures"`         // what did not hold
+	Interrupted        bool                       `json:"cut"`              // stopped before its end
 }
 
 // FaultySpell is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
@@ -98,18 +98,18 @@
 	defer fl.mu.Unlock()
 	events, whole := fl.journal.Events()
 	res := Result{
-		Scenario:     fl.File.Name,
-		Command:      strings.Join(fl.o.RouterCommand, " "),
-		Load:         got,
-		Marks:        fl.marks,
-		Samples:      fl.samples,
-		Breaches:       checker.Judge(events, fl.rules()),
-		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
-		DiscoveryCalls:        fl.discovery.Calls(),
-		LateMS:       fl.late,
-		MisbehavingClients:         fl.rude,
-		Interrupted:          cut,
-		Failures:     fl.problem,
+		Scenario:           fl.File.Name,
+		Command:            strings.Join(fl.o.RouterCommand, " "),
+		Load:               got,
+		Marks:              fl.marks,
+		Samples:            fl.samples,
+		Breaches:           checker.Judge(events, fl.rules()),
+		TimeoutHints:       checker.CountTimeoutHints(events, fl.rules()),
+		DiscoveryCalls:     fl.discovery.Calls(),
+		LateMS:             fl.late,
+		MisbehavingClients: fl.rude,
+		Interrupted:        cut,
+		Failures:           fl.problem,
 	}
 	served := fl.sumUp(&res, events)
 	fl.addServers(&res)
