--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -49,7 +49,7 @@
 }
 
 // Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
-func TestNoTwoHoldersByProcesses(t *testing.T) {
+func TestLeaseNeverHasTwoHoldersDespiteFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -71,7 +71,7 @@
 }
 
 // Holders that are stopped between their check and their act: the resource refuses what comes after another's.
-func TestStoppedHoldersAreRefused(t *testing.T) {
+func TestResourceRefusesActsOfStaleHolders(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
@@ -131,7 +131,7 @@
 }
 
 // A leader that is stopped, replaced and resumed neither answers for the state that it had nor takes a lease away.
-func TestStoppedLeader(t *testing.T) {
+func TestResumedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t))
 	old := settled(t, a)
@@ -170,7 +170,7 @@
 }
 
 // A wiped disk doesn't come back as the old voter, and neither does yesterday's; each is told what to do.
-func TestDisksThatForget(t *testing.T) {
+func TestCoordinatorWithOldOrWipedDiskIsNoVoter(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
 	lead := settled(t, a)
@@ -264,7 +264,7 @@
 
 // A rolling upgrade of the coordinators to the next version, one after the other, loses no lease; a program that is too old is
 // refused by words once the new version is in force.
-func TestRollingUpgrade(t *testing.T) {
+func TestRollingUpgradeKeepsLeasesAndRejectsOldProgram(t *testing.T) {
 	t.Parallel()
 	o := agreeOptions(t)
 	a, c := quiet(t, 3, o)
@@ -314,7 +314,7 @@
 }
 
 // A command under a lease is ended before the lease's time is out, also when it won't, once no coordinator answers any more.
-func TestCommandEndsWithItsLease(t *testing.T) {
+func TestCommandIsKilledBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	a, _ := quiet(t, 3, agreeOptions(t))
 	settled(t, a)
@@ -363,7 +363,7 @@
 }
 
 // A client whose requests arrive and whose answers don't stops believing in its lease in time, though the coordinators keep it.
-func TestAnswersLost(t *testing.T) {
+func TestClientDropsLeaseWhenResponsesAreLost(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t))
 	settled(t, a)
@@ -398,7 +398,7 @@
 }
 
 // Routers that probe for one another, whose coordinators are all killed and come back: no rule is broken, and all goes on.
-func TestRoutersWithoutCoordinators(t *testing.T) {
+func TestRoutersKeepServingWithoutCoordinators(t *testing.T) {
 	t.Parallel()
 	command := realRouter(t)
 	f, err := scenario.Load("probes")
@@ -422,7 +422,7 @@
 }
 
 // Two coordinators of five that die at a step of a snapshot: nothing that was agreed on is lost, and they come back with their disks.
-func TestKilledAtEachStepOfASnapshot(t *testing.T) {
+func TestCoordinatorsRecoverWhenKilledAtEachSnapshotStep(t *testing.T) {
 	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -30,7 +30,7 @@
 
 // Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
 // the budgets leave, nothing sent to a drained server, each change done once.
-func TestPlannedChangesByProcesses(t *testing.T) {
+func TestPlannedChangesStayWithinBudgets(t *testing.T) {
 	o := changesOptions(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -57,7 +57,7 @@
 
 // Releases of real routers, whose drivers are killed: a good version comes to all, one that doesn't get ready and one that crashes
 // halt by themselves and go back. No router is brought anywhere twice.
-func TestReleasesByProcesses(t *testing.T) {
+func TestBadReleaseHaltsAndRollsBack(t *testing.T) {
 	o := changesOptions(t)
 	for _, spoil := range []string{"", "never", "crash"} {
 		t.Run("spoilt by "+spoil, func(t *testing.T) {
@@ -90,7 +90,7 @@
 }
 
 // A driver killed at each of its steps: the release comes to its end, and no router is brought anywhere twice.
-func TestDriverKilledAtEachStep(t *testing.T) {
+func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
 	o := changesOptions(t)
 	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
 		t.Run(at, func(t *testing.T) {
@@ -117,7 +117,7 @@
 
 // The tool killed at each of its steps, and called again under the same name: it takes over, commands get ever higher tokens, and
 // nothing stays out.
-func TestToolKilledAtEachStep(t *testing.T) {
+func TestPermitIsTakenOverWhenToolIsKilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 7)
 	if err != nil {
@@ -191,7 +191,7 @@
 
 // A cache server breaks off all its answers: two routers find it out, and then all leave it out by their word, while a third tells that
 // all servers are bad and is not believed. No router is heard on what it hasn't asked, and the rules hold.
-func TestSuspectsByProcesses(t *testing.T) {
+func TestFaultyServerIsExcludedAndLyingRouterIsIgnored(t *testing.T) {
 	t.Parallel()
 	o := changesOptions(t)
 	dir := t.TempDir()
@@ -218,7 +218,7 @@
 
 // The origin turns all away, so that the fleet refuses what is missing: nothing that operators ask for meanwhile goes out, and all of
 // it does once it is over.
-func TestNothingNewWhileOverTheLimit(t *testing.T) {
+func TestNoChangeStartsWhileFleetIsOverloaded(t *testing.T) {
 	t.Parallel()
 	o := changesOptions(t)
 	f, err := scenario.Changes(5, 3, 4)
@@ -251,7 +251,7 @@
 }
 
 // The referee finds each kind of fault in what is planned, by what the laboratory did and servers saw.
-func TestJudgeChanges(t *testing.T) {
+func TestJudgeChangesReportsEachViolation(t *testing.T) {
 	for _, x := range []struct {
 		want    string
 		changes []*Change
@@ -279,7 +279,7 @@
 
 // What operators do by hand: drain, look, halt, resume, undrain; a router that starts in the middle knows it before its first
 // client, and coordinators that take calls and never answer keep no router from starting.
-func TestDrainByHand(t *testing.T) {
+func TestManualDrainHaltResumeAndUndrain(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 4)
 	if err != nil {
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -341,7 +341,7 @@
 `
 
 // A router that breaks a rule is caught, and one that keeps them is not.
-func TestWrongRoutersAreCaught(t *testing.T) {
+func TestCheckerReportsEachRuleViolation(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -401,7 +401,7 @@
 }
 
 // A router that never asks for the list is caught where a server drains for longer than any clock allows.
-func TestRouterThatNeverAsksIsCaught(t *testing.T) {
+func TestRouterThatNeverPollsDiscoveryIsCaught(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
 	if err != nil {
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -86,7 +86,7 @@
 }
 
 // A run that is stopped leaves no process behind and still has a result.
-func TestStoppedRunEndsAll(t *testing.T) {
+func TestCanceledRunLeavesNoProcesses(t *testing.T) {
 	command := realRouter(t)
 	f, err := scenario.Load("calm")
 	if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // A router that can't start, or that dies, is told as such, and nothing is left behind.
-func TestRouterThatFails(t *testing.T) {
+func TestFailedStartAndCrashOfRouterAreReported(t *testing.T) {
 	f, err := scenario.Load("calm")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -7,7 +7,7 @@
 )
 
 // A server that is down when it is to leave comes back first, and none comes back once it has left.
-func TestServerLeavesAfterItsCrash(t *testing.T) {
+func TestCrashedServerLeavesOnlyAfterItsRestart(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/fleet/observe_mutants_test.go
+++ b/lab/fleet/observe_mutants_test.go
@@ -21,7 +21,7 @@
 		{"acknowledged-early", "does not have it in force"},
 	} {
 		t.Run(mutant.name, func(t *testing.T) {
-			cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run", "^TestRoutersFollowTheAgreedOrder$", "-test.v")
+			cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run", "^TestRoutersApplyChangesInTheAgreedOrder$", "-test.v")
 			cmd.Env = append(os.Environ(), "DOCKHINGE_MUTANT="+mutant.name)
 			out, err := cmd.CombinedOutput()
 			if err == nil || !strings.Contains(string(out), mutant.says) {
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -32,7 +32,7 @@
 
 // Three seeds of all faults in their own order: each router sees a prefix of the agreed order over any chain of observers, and at
 // the end all agree.
-func TestRoutersFollowTheAgreedOrder(t *testing.T) {
+func TestRoutersApplyChangesInTheAgreedOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -39,7 +39,7 @@
 }
 
 // The referee is told of each start of a router and of when it was ready.
-func TestStartsAreBooked(t *testing.T) {
+func TestRouterStartsAreRecorded(t *testing.T) {
 	fl := fakeFleet(t, "right", 0)
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // A router that is never ready is not said to be.
-func TestStartThatIsNeverReady(t *testing.T) {
+func TestUnreadyRouterIsNotRecordedAsReady(t *testing.T) {
 	fl := fakeFleet(t, "never-ready", 300*time.Millisecond)
 	if err := fl.start(t.Context()); err == nil {
 		t.Error("it started")
@@ -69,7 +69,7 @@
 }
 
 // A router that ends before it is ready is told with how it ended, also where it wrote nothing.
-func TestEndBeforeReadyIsTold(t *testing.T) {
+func TestExitBeforeReadyIsReported(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
 		t.Fatal(err)
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against runs that can't be played again: a seed draws one scenario.
-func TestSeedDrawsOneScenario(t *testing.T) {
+func TestSeedDeterminesTheScenario(t *testing.T) {
 	for seed := range uint64(200) {
 		a, err := Scenario(seed, 12)
 		if err != nil {
