--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -48,8 +48,8 @@
 // link is a way between two processes, by their numbers.
 type link struct{ from, to int }
 
-// agreement is a run of coordinators and holders.
-type agreement struct {
+// coordinatorGroup is a run of coordinators and holders.
+type coordinatorGroup struct {
 	scenario scenario.Agreement
 	options  CoordinatorOptions
 	rng      *rand.Rand // of what the schedule leaves to the run: which byte is damaged
@@ -67,9 +67,9 @@
 	problems     []string
 }
 
-func newAgreement(f scenario.Agreement, o CoordinatorOptions, seed uint64) *agreement {
+func newCoordinatorGroup(f scenario.Agreement, o CoordinatorOptions, seed uint64) *coordinatorGroup {
 	const stream = 41 // of the seed, for what only this run draws
-	return &agreement{
+	return &coordinatorGroup{
 		scenario:     f,
 		options:      o,
 		rng:          rand.New(rand.NewPCG(seed, stream)),
@@ -88,12 +88,12 @@
 	if o.CheckTimeout == 0 {
 		o.CheckTimeout = defaultLeasePatience
 	}
-	a := newAgreement(f, o, f.Seed)
+	a := newCoordinatorGroup(f, o, f.Seed)
 	defer a.close()
 	if err := a.build(); err != nil {
 		return res, err
 	}
-	if err := a.begin(ctx); err != nil {
+	if err := a.start(ctx); err != nil {
 		return res, err
 	}
 	schedule := f.Schedule()
@@ -103,7 +103,7 @@
 		return res, ctx.Err()
 	}
 	healingSince := time.Now()
-	if err := a.healed(ctx); err != nil {
+	if err := a.awaitAllLeasesFree(ctx); err != nil {
 		a.fail("after all was mended: %v", err)
 	}
 	res.RecoverySeconds = time.Since(healingSince).Seconds()
@@ -113,7 +113,7 @@
 }
 
 // playSchedule plays the faults at their times, until the scenario's time is over.
-func (a *agreement) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
+func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
 	defer stop()
@@ -130,7 +130,7 @@
 }
 
 // endHolders has all holders end in order, which they must.
-func (a *agreement) endHolders() {
+func (a *coordinatorGroup) endHolders() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(func() {
@@ -143,14 +143,14 @@
 }
 
 // fail books something that did not hold.
-func (a *agreement) fail(form string, v ...any) {
+func (a *coordinatorGroup) fail(form string, v ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.problems = append(a.problems, fmt.Sprintf(form, v...))
 }
 
 // close ends all that was started.
-func (a *agreement) close() {
+func (a *coordinatorGroup) close() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(holder.kill)
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -21,7 +21,7 @@
 )
 
 // build makes directories, relays and files.
-func (a *agreement) build() error {
+func (a *coordinatorGroup) build() error {
 	for number := range a.scenario.Coordinators {
 		c, err := a.newCoordinator(number)
 		if err != nil {
@@ -51,17 +51,19 @@
 }
 
 // actsFile is where the resource writes what was done with it.
-func (a *agreement) actsFile() string { return filepath.Join(a.options.Dir, "acts") }
+func (a *coordinatorGroup) actsFile() string { return filepath.Join(a.options.Dir, "acts") }
 
 // holderLog is where a holder writes what it claimed and asked for.
-func (a *agreement) holderLog(name string) string { return filepath.Join(a.options.Dir, name+".jsonl") }
+func (a *coordinatorGroup) holderLog(name string) string {
+	return filepath.Join(a.options.Dir, name+".jsonl")
+}
 
 func holderName(number int) string { return fmt.Sprintf("h%d", number) }
 
 func leaseName(number int) string { return fmt.Sprintf("l%d", number) }
 
 // newCoordinator gives a coordinator its addresses.
-func (a *agreement) newCoordinator(number int) (*coordinator, error) {
+func (a *coordinatorGroup) newCoordinator(number int) (*coordinator, error) {
 	name := fmt.Sprintf("c%d", number)
 	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir}, data: filepath.Join(a.options.Dir, name)}
 	var err error
@@ -75,7 +77,7 @@
 }
 
 // configureCoordinator writes a coordinator's settings, with a relay before each of the others, and sets its command.
-func (a *agreement) configureCoordinator(c *coordinator) error {
+func (a *coordinatorGroup) configureCoordinator(c *coordinator) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nclock_rate = %v\nsnapshot_every = %d\nlog_level = \"debug\"\n",
 		c.name, c.data, c.listen, c.api, a.scenario.ClockRate, a.scenario.SnapshotEach)
@@ -104,7 +106,7 @@
 }
 
 // coordinatorEnv gives some coordinators a slow disk or a clock that steps, by the seed.
-func (a *agreement) coordinatorEnv(number int) []string {
+func (a *coordinatorGroup) coordinatorEnv(number int) []string {
 	seed := a.scenario.Seed
 	env := append(slices.Clone(a.options.Env), a.clockRate(number))
 	if (uint64(number)+seed)%5 == 0 {
@@ -118,13 +120,13 @@
 }
 
 // clockRate sets the rate at which a process's clock runs: at an end of the bound, or true.
-func (a *agreement) clockRate(number int) string {
+func (a *coordinatorGroup) clockRate(number int) string {
 	direction := []float64{1, -1, 0}[(number+int(a.scenario.Seed))%3]
 	return fmt.Sprintf("DOCKHINGE_CLOCK_RATE=%v", 1+a.scenario.ClockRate*direction)
 }
 
 // newHolder writes a holder's settings, with a relay before each coordinator and before the resource.
-func (a *agreement) newHolder(number int, resourceAddr string) (*proc, error) {
+func (a *coordinatorGroup) newHolder(number int, resourceAddr string) (*proc, error) {
 	name := holderName(number)
 	cfg := HolderConfig{
 		Name:         name,
@@ -170,7 +172,7 @@
 }
 
 // relay starts one to an address that stays the same over all restarts.
-func (a *agreement) relay(to string) (*fakes.Relay, error) {
+func (a *coordinatorGroup) relay(to string) (*fakes.Relay, error) {
 	relay, err := fakes.NewRelay(func() string { return to })
 	if err == nil {
 		a.relayFaults[relay] = &relayFaults{}
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -46,7 +46,7 @@
 func delayFault(f *relayFaults) *int     { return &f.delay }
 
 // faultLinks has a fault on relays and takes it back after a time.
-func (a *agreement) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
+func (a *coordinatorGroup) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
 	change := func(by int) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // faultProcess has a process down or stopped for a time, by what comes first and last; faults of one process don't overlap.
-func (a *agreement) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
+func (a *coordinatorGroup) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
 	a.mu.Lock()
 	isFaulty := a.processFault[p]
 	a.processFault[p] = true
@@ -79,24 +79,24 @@
 }
 
 // killAndRestart kills a process and starts it again after a time.
-func (a *agreement) killAndRestart(ctx context.Context, p *proc, forS float64) {
-	a.faultProcess(ctx, p, forS, p.kill, func() { a.up(p) })
+func (a *coordinatorGroup) killAndRestart(ctx context.Context, p *proc, forS float64) {
+	a.faultProcess(ctx, p, forS, p.kill, func() { a.restart(p) })
 }
 
 // stopAndContinue stops a process and has it go on after a time.
-func (a *agreement) stopAndContinue(ctx context.Context, p *proc, forS float64) {
+func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *proc, forS float64) {
 	a.faultProcess(ctx, p, forS, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT) })
 }
 
-// up starts a process that was down.
-func (a *agreement) up(p *proc) {
+// restart starts a process that was down.
+func (a *coordinatorGroup) restart(p *proc) {
 	if err := p.start(); err != nil {
 		a.fail("%v", err)
 	}
 }
 
 // play plays one fault of the schedule.
-func (a *agreement) play(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) play(ctx context.Context, t scenario.Trouble) {
 	c := a.coords[t.Who%len(a.coords)]
 	switch t.What {
 	case "kill-coordinator":
@@ -123,7 +123,7 @@
 }
 
 // playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or holders and resource.
-func (a *agreement) playLinkFault(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.Trouble) {
 	switch t.What {
 	case "cut":
 		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
@@ -150,7 +150,7 @@
 }
 
 // someClientRelays are those from a holder to the coordinator that the fault names, or to all, by the number drawn for it.
-func (a *agreement) someClientRelays(t scenario.Trouble) []*fakes.Relay {
+func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
@@ -162,7 +162,7 @@
 }
 
 // slowThenCut has a holder's answers come late, and from a third of the time on its requests not arrive.
-func (a *agreement) slowThenCut(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
 	var relays []*fakes.Relay
 	for coordinator := range a.coords {
 		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
@@ -178,12 +178,12 @@
 }
 
 // fillDisk has a coordinator's disk full for a time. One that says it can't go on is started again then.
-func (a *agreement) fillDisk(ctx context.Context, c *coordinator, forS float64) {
+func (a *coordinatorGroup) fillDisk(ctx context.Context, c *coordinator, forS float64) {
 	a.faultProcess(ctx, c.proc, forS, func() { limitFile(c.proc, fullDiskBytes) }, func() {
 		limitFile(c.proc, unix.RLIM_INFINITY)
 		wait(context.WithoutCancel(ctx), fullDiskEndS)
 		if up, _ := c.running(); !up {
-			a.up(c.proc)
+			a.restart(c.proc)
 		}
 	})
 }
@@ -199,7 +199,7 @@
 
 // replace damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
 // empty directory as a new member, after the old one has been taken out.
-func (a *agreement) replace(ctx context.Context, c *coordinator, t scenario.Trouble) {
+func (a *coordinatorGroup) replace(ctx context.Context, c *coordinator, t scenario.Trouble) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
 		return
@@ -208,21 +208,21 @@
 		a.fail("%v", err)
 		return
 	}
-	a.up(c.proc)
+	a.restart(c.proc)
 	wait(ctx, emptyDiskWaitS)
-	if err := until(ctx, replaceTimeout, func() error { return a.replaceMember(ctx, c) }); err != nil {
+	if err := retryUntil(ctx, replaceTimeout, func() error { return a.replaceMember(ctx, c) }); err != nil {
 		a.fail("%s could not be replaced: %v", c.name, err)
 	}
 }
 
 // survivesDamage damages a coordinator's log and starts it. It tells whether no replacement is wanted: the damage met nothing
 // that is in use, or the file could not be damaged. One that ends must say why.
-func (a *agreement) survivesDamage(ctx context.Context, c *coordinator, u float64) bool {
+func (a *coordinatorGroup) survivesDamage(ctx context.Context, c *coordinator, u float64) bool {
 	if err := a.damage(filepath.Join(c.data, "log.db"), u); err != nil {
 		a.fail("%v", err)
 		return true
 	}
-	a.up(c.proc)
+	a.restart(c.proc)
 	wait(ctx, damagedDiskEndS)
 	if up, _ := c.running(); up {
 		return true
@@ -234,7 +234,7 @@
 }
 
 // replaceMember takes a coordinator out of the group as the member that it was, and adds it as the one that it is.
-func (a *agreement) replaceMember(ctx context.Context, c *coordinator) error {
+func (a *coordinatorGroup) replaceMember(ctx context.Context, c *coordinator) error {
 	s, err := c.status(ctx)
 	if err != nil {
 		return err
@@ -254,7 +254,7 @@
 }
 
 // damage cuts a file off or flips one of its bits.
-func (a *agreement) damage(path string, u float64) error {
+func (a *coordinatorGroup) damage(path string, u float64) error {
 	s, err := os.Stat(path)
 	if err != nil {
 		return err
--- a/lab/fleet/agree_group.go
+++ b/lab/fleet/agree_group.go
@@ -34,8 +34,8 @@
 	return s, err
 }
 
-// until tries again and again until f has no complaint.
-func until(ctx context.Context, within time.Duration, f func() error) error {
+// retryUntil tries again and again retryUntil f has no complaint.
+func retryUntil(ctx context.Context, within time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
@@ -49,8 +49,8 @@
 	}
 }
 
-// begin starts all and has the coordinators form a group.
-func (a *agreement) begin(ctx context.Context) error {
+// start starts all and has the coordinators form a group.
+func (a *coordinatorGroup) start(ctx context.Context) error {
 	if a.resource != nil {
 		if err := a.resource.start(); err != nil {
 			return err
@@ -73,10 +73,10 @@
 }
 
 // formGroup has the first coordinator begin a group of all, and waits until one leads.
-func (a *agreement) formGroup(ctx context.Context) error {
+func (a *coordinatorGroup) formGroup(ctx context.Context) error {
 	var group []node.Member
 	for _, c := range a.coords {
-		if err := until(ctx, formTimeout, func() error {
+		if err := retryUntil(ctx, formTimeout, func() error {
 			s, err := c.status(ctx)
 			if err == nil {
 				group = append(group, node.Member{Name: c.name, Identity: s.Identity, Address: c.listen})
@@ -89,14 +89,14 @@
 	if err := client.Call(ctx, http.MethodPost, a.coords[0].api, "/v1/init", group, nil); err != nil {
 		return err
 	}
-	return until(ctx, formTimeout, func() error {
+	return retryUntil(ctx, formTimeout, func() error {
 		_, err := a.leader(ctx)
 		return err
 	})
 }
 
 // leader finds the coordinator that leads in the highest term.
-func (a *agreement) leader(ctx context.Context) (best *coordinator, err error) {
+func (a *coordinatorGroup) leader(ctx context.Context) (best *coordinator, err error) {
 	term := uint64(0)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -18,8 +18,8 @@
 	healedMargin     = 500 * time.Millisecond
 )
 
-// healed waits until a fresh client has had each lease: nothing stays held by nobody.
-func (a *agreement) healed(ctx context.Context) error {
+// awaitAllLeasesFree waits until a fresh client has had each lease: nothing stays held by nobody.
+func (a *coordinatorGroup) awaitAllLeasesFree(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.scenario.HealS*float64(time.Second)))
 	defer cancel()
 	for _, holder := range a.holders { // they would compete for ever
@@ -47,7 +47,7 @@
 }
 
 // judge reads what all saw.
-func (a *agreement) judge(res *LeaseFaultsResult) {
+func (a *coordinatorGroup) judge(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
 	res.Claims, res.Operations, res.Acts = len(claims), len(operations), len(acts)
@@ -74,7 +74,7 @@
 }
 
 // readHolders reads what the holders claimed and asked for.
-func (a *agreement) readHolders() (claims []checker.Claim, operations []checker.Op) {
+func (a *coordinatorGroup) readHolders() (claims []checker.Claim, operations []checker.Op) {
 	for _, holder := range a.holders {
 		claimed, asked, err := readHolder(a.holderLog(holder.name))
 		if err != nil {
@@ -87,8 +87,8 @@
 }
 
 // readActs reads what was done with the resource.
-func (a *agreement) readActs() (acts []checker.Act) {
-	if err := lines(a.actsFile(), func(text []byte) {
+func (a *coordinatorGroup) readActs() (acts []checker.Act) {
+	if err := forEachLine(a.actsFile(), func(text []byte) {
 		var act checker.Act
 		if json.Unmarshal(text, &act) == nil {
 			acts = append(acts, act)
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -89,9 +89,9 @@
 }
 
 // quiet is a group of coordinators without faults, and a live client of it.
-func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*agreement, *client.Client) {
+func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
 	t.Helper()
-	a, err := calm(t.Context(), coordinators, o)
+	a, err := startCoordinatorGroup(t.Context(), coordinators, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	return a, live(t, a, "test")
 }
 
-func live(t *testing.T, a *agreement, name string) *client.Client {
+func live(t *testing.T, a *coordinatorGroup, name string) *client.Client {
 	t.Helper()
 	c, end := liveClient(context.Background(), a.addresses(), name, 20*time.Second)
 	t.Cleanup(end)
@@ -107,10 +107,10 @@
 }
 
 // settled waits until one leads and all others follow it with all that it has.
-func settled(t *testing.T, a *agreement) *coordinator {
+func settled(t *testing.T, a *coordinatorGroup) *coordinator {
 	t.Helper()
 	var l *coordinator
-	if err := until(t.Context(), time.Minute, func() (err error) {
+	if err := retryUntil(t.Context(), time.Minute, func() (err error) {
 		if l, err = a.leader(t.Context()); err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	old.signal(syscall.SIGSTOP)
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		l, err := a.leader(t.Context())
 		if err == nil && l == old {
 			return errors.New("still the old one")
@@ -189,7 +189,7 @@
 	if err := os.CopyFS(copied, os.DirFS(victim.data)); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
+	a.restart(victim.proc)
 	settled(t, a)
 	for range 10 { // what yesterday's disk doesn't know
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
@@ -200,7 +200,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := until(t.Context(), time.Minute, func() error { // told to the others
+	if err := retryUntil(t.Context(), time.Minute, func() error { // told to the others
 		if s, err := victim.status(t.Context()); err != nil || s.Epoch < before.Epoch+6 {
 			return errors.Join(errors.New("its epoch has not grown yet"), err)
 		}
@@ -212,8 +212,8 @@
 	if err := errors.Join(os.RemoveAll(victim.data), os.CopyFS(victim.data, os.DirFS(copied))); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(victim.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := victim.running(); up {
 			return errors.New("it runs on with yesterday's disk")
 		}
@@ -227,8 +227,8 @@
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(victim.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		s, err := victim.status(t.Context())
 		if err == nil && (s.State != "Waiting" || s.Identity == before.Identity) {
 			return fmt.Errorf("wiped, it is %s as %s", s.State, s.Identity)
@@ -243,7 +243,7 @@
 }
 
 // tool runs the operators' tool, which must not fail, and returns what it printed.
-func tool(t *testing.T, a *agreement, args ...string) string {
+func tool(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
 	if err != nil {
@@ -252,7 +252,7 @@
 	return string(out)
 }
 
-func toolCommand(a *agreement, args ...string) *exec.Cmd {
+func toolCommand(a *coordinatorGroup, args ...string) *exec.Cmd {
 	var all []string
 	for name, addr := range a.addresses() {
 		all = append(all, name+"="+addr)
@@ -284,7 +284,7 @@
 			t.Fatal(err)
 		}
 		x.command[0] = dir + "/next/dockhinge-coord"
-		a.up(x.proc)
+		a.restart(x.proc)
 		settled(t, a)
 	}
 	if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
@@ -299,8 +299,8 @@
 		t.Fatal(err)
 	}
 	back.command[0] = dir + "/dockhinge-coord"
-	a.up(back.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(back.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := back.running(); up {
 			return errors.New("the old program runs on")
 		}
@@ -327,7 +327,7 @@
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	var token, pid int
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		text, err := os.ReadFile(marks)
 		if err == nil {
 			_, err = fmt.Sscan(string(text), &token, &pid)
@@ -339,7 +339,7 @@
 	for _, x := range a.coords {
 		x.signal(syscall.SIGSTOP)
 	}
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if syscall.Kill(pid, 0) == nil {
 			return errors.New("the command runs on")
 		}
@@ -426,7 +426,7 @@
 	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			a, err := calmWith(t.Context(), 5, 16, agreeOptions(t))
+			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, agreeOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -451,7 +451,7 @@
 			work()
 			var dying []*coordinator
 			for _, x := range a.coords[:2] {
-				if err := until(t.Context(), time.Minute, func() error { // a restore needs one to begin from
+				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs one to begin from
 					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*", "state.bin")); len(made) == 0 {
 						return errors.Join(errors.New("no snapshot yet"), err)
 					}
@@ -462,10 +462,10 @@
 				x.kill()
 				x.env = []string{"DOCKHINGE_KILL_AT=" + step}
 				dying = append(dying, x)
-				a.up(x.proc)
+				a.restart(x.proc)
 			}
 			for _, x := range dying {
-				if err := until(t.Context(), time.Minute, func() error {
+				if err := retryUntil(t.Context(), time.Minute, func() error {
 					if up, _ := x.running(); up {
 						l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 						if err == nil {
@@ -480,7 +480,7 @@
 			}
 			for _, x := range dying {
 				x.env = nil
-				a.up(x.proc)
+				a.restart(x.proc)
 			}
 			settled(t, a)
 			rows, err := c.ListLeases(t.Context(), "kept")
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -40,19 +40,19 @@
 	FsyncP50, FsyncP99  float64 // ms, the leader's
 }
 
-// calm starts coordinators without faults.
-func calm(ctx context.Context, coordinators int, o CoordinatorOptions) (*agreement, error) {
-	return calmWith(ctx, coordinators, 8192, o)
+// startCoordinatorGroup starts coordinators without faults.
+func startCoordinatorGroup(ctx context.Context, coordinators int, o CoordinatorOptions) (*coordinatorGroup, error) {
+	return startCoordinatorGroupWithSnapshots(ctx, coordinators, 8192, o)
 }
 
-// calmWith starts coordinators that make a snapshot so often.
-func calmWith(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*agreement, error) {
+// startCoordinatorGroupWithSnapshots starts coordinators that make a snapshot so often.
+func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*coordinatorGroup, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
 	}
 	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // no slow disk, no stepping clock that matters
-	a := newAgreement(f, o, 1)
+	a := newCoordinatorGroup(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
 		return nil, err
@@ -61,7 +61,7 @@
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
-	if err := a.begin(ctx); err != nil {
+	if err := a.start(ctx); err != nil {
 		a.close()
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 }
 
 // upgrade has the commands and bounds of a version in force.
-func (a *agreement) upgrade(ctx context.Context, version int) error {
-	return until(ctx, 20*time.Second, func() error {
+func (a *coordinatorGroup) upgrade(ctx context.Context, version int) error {
+	return retryUntil(ctx, 20*time.Second, func() error {
 		l, err := a.leader(ctx)
 		if err != nil {
 			return err
@@ -91,7 +91,7 @@
 }
 
 // use measures the coordinators over a time.
-func (a *agreement) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
+func (a *coordinatorGroup) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
 		return u, err
@@ -120,7 +120,7 @@
 	return u, err
 }
 
-func (a *agreement) addresses() map[string]string {
+func (a *coordinatorGroup) addresses() map[string]string {
 	all := map[string]string{}
 	for _, c := range a.coords {
 		all[c.name] = c.api
@@ -134,7 +134,7 @@
 	if err := CheckDescriptorLimit(clients); err != nil {
 		return m, err
 	}
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return m, err
 	}
@@ -251,7 +251,7 @@
 
 // MeasureFailover kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
 func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 	c, end := liveClient(ctx, a.addresses(), "f", 20*time.Second)
 	defer end()
 	for n := range kills {
-		if err := until(ctx, 20*time.Second, func() error { // all are there and have what the leader has
+		if err := retryUntil(ctx, 20*time.Second, func() error { // all are there and have what the leader has
 			l, err := a.leader(ctx)
 			if err != nil {
 				return err
@@ -291,7 +291,7 @@
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
-		a.up(l.proc)
+		a.restart(l.proc)
 	}
 	return took, nil
 }
@@ -299,7 +299,7 @@
 // MeasureLeaseTakeover has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
 // out another one held the lease.
 func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -52,7 +52,7 @@
 
 // upgradeCoordinators has the leader of this moment put the newest version in force. It may be repeated.
 func (fl *Fleet) upgradeCoordinators(ctx context.Context) error {
-	leader, err := fl.coords.leader(ctx)
+	leader, err := fl.coordinators.leader(ctx)
 	if err != nil {
 		return err
 	}
@@ -76,11 +76,11 @@
 			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n", kind, kind, n, o.WarmS)
 		}
 	}
-	path := filepath.Join(fl.o.Dir, "budgets.toml")
+	path := filepath.Join(fl.options.Dir, "budgets.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := until(ctx, upgradeWithin, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
+	if err := retryUntil(ctx, upgradeWithin, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
 		return err
 	}
 	p := fl.tool("budgets", "budgets", "set", path)
@@ -97,10 +97,10 @@
 // tool is a run of the operators' tool.
 func (fl *Fleet) tool(name string, args ...string) *proc {
 	var all []string
-	for n, addr := range fl.coords.addresses() {
+	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.o.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.o.Dir}
+	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
 func (fl *Fleet) draw(n int) int {
@@ -121,16 +121,16 @@
 				tell := func() {}
 				if f.DrainS > 0 { // operators tell discovery too, once the step has begun
 					tell = func() {
-						if !m.busy.TryLock() { // a fault has it down, and tells discovery so
+						if !m.downMu.TryLock() { // a fault has it down, and tells discovery so
 							return
 						}
-						defer m.busy.Unlock()
+						defer m.downMu.Unlock()
 						e := m.entry
 						e.State = "leaving"
 						fl.discovery.Happened(e)
 					}
 				}
-				fl.changeOne(ctx, "server/"+m.entry.ID, &m.busy, tell, func() {
+				fl.changeOne(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
 					fl.back(m)
@@ -179,13 +179,13 @@
 		defer end()
 		wg.Go(func() { fl.killAtStep(ctx, inner, thing) })
 	}
-	base := filepath.Join(fl.o.Dir, strings.ReplaceAll(thing, "/", "-"))
+	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(thing, "/", "-"))
 	// The operators' own command: it tells the laboratory its token, and waits until the thing is back.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
 		p := fl.tool(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
 		if first && c.ToolRuns == 0 {
-			p.env = append(p.env, fl.o.Kill.env(fl.o.Dir)...)
+			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
 			fl.trouble(err)
@@ -193,7 +193,7 @@
 		}
 		fl.mu.Lock()
 		c.ToolRuns++
-		fl.tools[thing] = p
+		fl.runningTools[thing] = p
 		fl.mu.Unlock()
 		over, told := false, false
 		for !over && c.RunningAtMS == 0 {
@@ -244,7 +244,7 @@
 			p.kill()
 		}
 		fl.mu.Lock()
-		delete(fl.tools, thing)
+		delete(fl.runningTools, thing)
 		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
 		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
@@ -281,8 +281,8 @@
 	for range f.Count {
 		fl.mu.Lock()
 		var all []*proc
-		for _, name := range slices.Sorted(maps.Keys(fl.tools)) {
-			all = append(all, fl.tools[name])
+		for _, name := range slices.Sorted(maps.Keys(fl.runningTools)) {
+			all = append(all, fl.runningTools[name])
 		}
 		fl.mu.Unlock()
 		if len(all) > 0 {
@@ -331,7 +331,7 @@
 		}
 		o := &outage{thing: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
-			for _, relay := range fl.toCoord[r.name] { // made before the load
+			for _, relay := range fl.coordinatorRelays[r.name] { // made before the load
 				relay.Set(fakes.Net{Cut: true})
 				defer relay.Set(fakes.Net{})
 			}
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -129,8 +129,8 @@
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
-	if err := until(t.Context(), time.Minute, func() error {
+	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (r.Servers < 7 || r.Routers < 2) {
 			err = fmt.Errorf("%d servers and %d routers are known", r.Servers, r.Routers)
@@ -143,13 +143,13 @@
 	for i, at := range []string{"granted", "begun", "drained", "ran", "given-back"} {
 		wg.Go(func() {
 			thing := "server/" + fl.members[i].entry.ID
-			file := filepath.Join(fl.o.Dir, at)
+			file := filepath.Join(fl.options.Dir, at)
 			for run := 0; ; run++ {
 				p := fl.tool(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
 					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
 				}
-				if err := until(t.Context(), time.Minute, p.start); err != nil {
+				if err := retryUntil(t.Context(), time.Minute, p.start); err != nil {
 					t.Error(err)
 					return
 				}
@@ -178,7 +178,7 @@
 		})
 	}
 	wg.Wait()
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (len(r.Permits) > 0 || len(r.Drained) > 0) {
 			err = fmt.Errorf("%d permits and %d drains are left", len(r.Permits), len(r.Drained))
@@ -310,7 +310,7 @@
 	}
 	must := func(want string, args ...string) {
 		t.Helper()
-		if err := until(ctx, time.Minute, func() error {
+		if err := retryUntil(ctx, time.Minute, func() error {
 			out, err := tool(args...)
 			if err == nil && !strings.Contains(out, want) {
 				err = fmt.Errorf("%q is not in it", want)
@@ -333,7 +333,7 @@
 		return n
 	}
 	first, second := fl.members[0].entry.ID, fl.members[1].entry.ID
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if began(first) == 0 {
 			return fmt.Errorf("nothing is sent to %s", first)
 		}
@@ -366,7 +366,7 @@
 		return n
 	}
 	before := sent()
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if sent() < before+50 {
 			return fmt.Errorf("router %s gets no requests", r.name)
 		}
@@ -377,7 +377,7 @@
 	if n := began(first); n != at {
 		t.Errorf("%d attempts began at the drained server, over a router that started in the middle too", n-at)
 	}
-	for _, c := range fl.coords.coords { // stopped, not dead: they take calls and don't answer
+	for _, c := range fl.coordinators.coords { // stopped, not dead: they take calls and don't answer
 		c.signal(19)
 	}
 	r = fl.allRouters()[1]
@@ -387,13 +387,13 @@
 	if err := fl.startRouter(ctx, r); err != nil {
 		t.Errorf("with coordinators that don't answer: %v", err)
 	}
-	for _, c := range fl.coords.coords {
+	for _, c := range fl.coordinators.coords {
 		c.signal(18)
 	}
 	must("", "resume")
 	at = began(first)
 	must("", "undrain", "server/"+first)
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if began(first) == at {
 			return fmt.Errorf("nothing is sent to %s, which is back", first)
 		}
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -62,10 +62,10 @@
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			for _, m := range part {
-				if i := slices.IndexFunc(fl.ill, func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
-					fl.ill[i].To = fl.clock.Now()
+				if i := slices.IndexFunc(fl.faultySpells, func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
+					fl.faultySpells[i].To = fl.clock.Now()
 				} else if on {
-					fl.ill = append(fl.ill, FaultySpell{Server: m.ID(), From: fl.clock.Now()})
+					fl.faultySpells = append(fl.faultySpells, FaultySpell{Server: m.ID(), From: fl.clock.Now()})
 				}
 			}
 		})
@@ -113,28 +113,28 @@
 	case "move-discovery":
 		fl.moveDiscovery(ctx, f)
 	case "coordinators-die":
-		if !fl.coordsBusy.TryLock() {
+		if !fl.coordinatorsDownMu.TryLock() {
 			return
 		}
-		defer fl.coordsBusy.Unlock()
+		defer fl.coordinatorsDownMu.Unlock()
 		fl.mark("all coordinators are killed")
-		for _, c := range fl.coords.coords {
+		for _, c := range fl.coordinators.coords {
 			c.kill()
 		}
 		if over(); ctx.Err() == nil {
 			fl.mark("the coordinators start again")
-			for _, c := range fl.coords.coords {
+			for _, c := range fl.coordinators.coords {
 				if err := c.start(); err != nil {
 					fl.trouble(err)
 				}
 			}
 		}
 	case "coordinator-dies":
-		if !fl.coordsBusy.TryLock() {
+		if !fl.coordinatorsDownMu.TryLock() {
 			return
 		}
-		defer fl.coordsBusy.Unlock()
-		c := fl.coords.coords[fl.draw(len(fl.coords.coords))]
+		defer fl.coordinatorsDownMu.Unlock()
+		c := fl.coordinators.coords[fl.draw(len(fl.coordinators.coords))]
 		fl.mark("coordinator %s is killed", c.name)
 		c.kill()
 		if over(); ctx.Err() == nil {
@@ -161,7 +161,7 @@
 	defer fl.mu.Unlock()
 	var all []*member
 	for _, m := range fl.members {
-		if !m.gone {
+		if !m.isRemoved {
 			all = append(all, m)
 		}
 	}
@@ -194,7 +194,7 @@
 	part := slices.DeleteFunc(fl.pick(f), func(m *member) bool { return !fl.tryOwn(m) })
 	defer func() {
 		for _, m := range part {
-			m.busy.Unlock()
+			m.downMu.Unlock()
 		}
 	}()
 	fl.mark("crash of %s", names(part))
@@ -219,11 +219,11 @@
 
 // tryOwn locks a server's busy for a fault, unless another has it or the server has left since it was picked.
 func (fl *Fleet) tryOwn(m *member) bool {
-	if !m.busy.TryLock() {
+	if !m.downMu.TryLock() {
 		return false
 	}
 	if fl.hasLeft(m) {
-		m.busy.Unlock()
+		m.downMu.Unlock()
 		return false
 	}
 	return true
@@ -233,7 +233,7 @@
 func (fl *Fleet) hasLeft(m *member) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return m.gone
+	return m.isRemoved
 }
 
 // back starts a server again, cold, unless it has left the fleet. The caller has locked the server's busy.
@@ -253,7 +253,7 @@
 func (fl *Fleet) trouble(err error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.problem = append(fl.problem, "the lab: "+err.Error())
+	fl.problems = append(fl.problems, "the lab: "+err.Error())
 }
 
 // leave has servers say that they leave, and end after a time. It returns once all have ended.
@@ -267,8 +267,8 @@
 
 // leaveOne has one server leave, once it is up again where another fault has it down.
 func (fl *Fleet) leaveOne(ctx context.Context, m *member, drainS float64) {
-	m.busy.Lock()
-	defer m.busy.Unlock()
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
 	if fl.hasLeft(m) {
 		return
 	}
@@ -280,7 +280,7 @@
 	fl.discovery.Happened(e)
 	m.Kill()
 	fl.mu.Lock()
-	m.gone = true
+	m.isRemoved = true
 	fl.mu.Unlock()
 }
 
@@ -435,8 +435,8 @@
 		}
 		told := rudeTo(addr, rude[i%len(rude)])
 		fl.mu.Lock()
-		if fl.rude[1]++; told {
-			fl.rude[0]++
+		if fl.misbehavingClients[1]++; told {
+			fl.misbehavingClients[0]++
 		}
 		fl.mu.Unlock()
 		wait(ctx, 0.02)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -47,8 +47,8 @@
 
 // Fleet is a scenario that is being played.
 type Fleet struct {
-	File scenario.File
-	o    Options
+	File    scenario.File
+	options Options
 
 	clock     *fakes.Clock
 	journal   *checker.Journal
@@ -57,37 +57,37 @@
 	origin    *fakes.Server
 	rng       *rand.Rand // of the faults
 
-	mu         sync.Mutex // guards what follows
-	coords     *agreement // nil = none
-	coordsBusy sync.Mutex // whoever has some of them down; not guarded by mu
-	members    []*member
-	missed     *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
-	routers    []*router
-	relays     map[string]*fakes.Relay // router/server
-	marks      []Mark
-	samples    []Sample
-	began      float64
-	late       float64
-	rude       [2]int
-	problem    []string
-	released   *Released
-	killed     bool // by Options.Kill
-	ill        []FaultySpell
-	out        []BudgetSample
-	accused    map[string][]string // servers that were left out by the word of others, and the routers named
-	n          int                 // of ids given
-	changes    []*Change
-	outages    []outage
-	tools      map[string]*proc          // of planned changes that are under way, by thing
-	toCoord    map[string][]*fakes.Relay // by router: to the coordinators
+	mu                 sync.Mutex        // guards what follows
+	coordinators       *coordinatorGroup // nil = none
+	coordinatorsDownMu sync.Mutex        // whoever has some of them down; not guarded by mu
+	members            []*member
+	missedReads        *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
+	routers            []*router
+	relays             map[string]*fakes.Relay // router/server
+	marks              []Mark
+	samples            []Sample
+	loadStartMS        float64
+	maxLateMS          float64
+	misbehavingClients [2]int
+	problems           []string
+	released           *Released
+	isVictimKilled     bool // by Options.Kill
+	faultySpells       []FaultySpell
+	budgetUse          []BudgetSample
+	excludedBy         map[string][]string // servers that were left out by the word of others, and the routers named
+	serversStarted     int                 // of ids given
+	changes            []*Change
+	outages            []outage
+	runningTools       map[string]*proc          // of planned changes that are under way, by thing
+	coordinatorRelays  map[string][]*fakes.Relay // by router: to the coordinators
 }
 
 // member is a cache server's place in the fleet.
 type member struct {
 	*fakes.Server
-	busy  sync.Mutex  // locked by whoever has it down or has it leave
-	entry model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
-	gone  bool        // it has left for good; guarded by the fleet's mu
+	downMu    sync.Mutex  // locked by whoever has it down or has it leave
+	entry     model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
+	isRemoved bool        // it has left for good; guarded by the fleet's mu
 }
 
 // Run plays a scenario. The error tells that it could not be played; what did not hold stands in the result.
@@ -113,16 +113,16 @@
 	}
 	const stream = 10 // of the seed, for the faults
 	fl := &Fleet{
-		File:    f,
-		o:       o,
-		clock:   fakes.NewClock(),
-		journal: checker.NewJournal(maxEvents),
-		relays:  map[string]*fakes.Relay{},
-		tools:   map[string]*proc{},
-		toCoord: map[string][]*fakes.Relay{},
-		rng:     rand.New(rand.NewPCG(f.Seed, stream)),
-	}
-	fl.missed, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
+		File:              f,
+		options:           o,
+		clock:             fakes.NewClock(),
+		journal:           checker.NewJournal(maxEvents),
+		relays:            map[string]*fakes.Relay{},
+		runningTools:      map[string]*proc{},
+		coordinatorRelays: map[string][]*fakes.Relay{},
+		rng:               rand.New(rand.NewPCG(f.Seed, stream)),
+	}
+	fl.missedReads, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
 	fl.front = fakes.NewFront(fl.clock)
 	return fl
 }
@@ -144,13 +144,13 @@
 	for _, r := range fl.allRouters() {
 		wg.Go(func() { r.stop(routerEndTimeout) })
 	}
-	if fl.coords != nil {
-		wg.Go(fl.coords.close)
+	if fl.coordinators != nil {
+		wg.Go(fl.coordinators.close)
 	}
 	wg.Wait()
 	fl.mu.Lock()
 	relays := slices.Collect(maps.Values(fl.relays))
-	for _, more := range fl.toCoord {
+	for _, more := range fl.coordinatorRelays {
 		relays = append(relays, more...)
 	}
 	fl.mu.Unlock()
@@ -185,10 +185,10 @@
 func (fl *Fleet) mark(form string, v ...any) {
 	text := fmt.Sprintf(form, v...)
 	fl.mu.Lock()
-	at := (fl.clock.Now() - fl.began) / 1000
+	at := (fl.clock.Now() - fl.loadStartMS) / 1000
 	fl.marks = append(fl.marks, Mark{at, text})
 	fl.mu.Unlock()
-	fl.o.Logf("%6.1f s  %s", at, text)
+	fl.options.Logf("%6.1f s  %s", at, text)
 }
 
 // RouterAddresses tells the addresses at which routers can be talked to: clients' and second.
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -35,8 +35,8 @@
 	Hold         time.Duration // it acts for so long at most
 }
 
-// entry is a line of a holder's log.
-type entry struct {
+// logEntry is a line of a holder's log.
+type logEntry struct {
 	Claim *checker.Claim `json:"c,omitempty"`
 	Call  *checker.Op    `json:"call,omitempty"` // written before it is sent, so that a killed holder's last one is known
 	ID    int            `json:"id,omitempty"`
@@ -54,7 +54,7 @@
 	next int
 }
 
-func (h *holder) log(e entry) {
+func (h *holder) log(e logEntry) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // plain data
@@ -66,15 +66,15 @@
 	}
 }
 
-// op books a call, makes it and books what came of it.
-func (h *holder) op(o checker.Op, f func() (code string, got uint64, holder string)) {
+// recordOperation books a call, makes it and books what came of it.
+func (h *holder) recordOperation(o checker.Op, f func() (code string, got uint64, holder string)) {
 	h.mu.Lock()
 	h.next++
 	id := h.next
 	h.mu.Unlock()
 	o.Client = h.Name
 	o.From = int64(clock.SinceBoot())
-	h.log(entry{Call: &o, ID: id})
+	h.log(logEntry{Call: &o, ID: id})
 	code, got, who := f()
 	if who != "" {
 		o.Holder = who
@@ -83,7 +83,7 @@
 	if code != "" {
 		o.To = int64(clock.SinceBoot())
 	}
-	h.log(entry{Op: &o, ID: id})
+	h.log(logEntry{Op: &o, ID: id})
 }
 
 // codeOf is an error's code: "" where it isn't known what became of the call.
@@ -113,17 +113,17 @@
 	defer wg.Wait()
 	wg.Go(func() { h.c.Run(ctx) })
 	for ctx.Err() == nil {
-		h.task(ctx)
+		h.holdOneLease(ctx)
 		wait(ctx, h.rng.Float64()*h.Idle.Seconds())
 	}
 	return nil
 }
 
-// task is one lease's life at this holder.
-func (h *holder) task(ctx context.Context) {
+// holdOneLease is one lease's life at this holder.
+func (h *holder) holdOneLease(ctx context.Context) {
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
-		h.op(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
+		h.recordOperation(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
 			rows, err := h.c.ListLeases(ctx, name)
 			if err != nil {
 				return "", 0, ""
@@ -135,7 +135,7 @@
 		})
 	}
 	var l *client.Lease
-	h.op(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
+	h.recordOperation(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
 		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
 		if errors.Is(err, client.ErrLeaseLost) { // it was given, and too late
 			return "", 0, ""
@@ -157,25 +157,25 @@
 		if left <= 0 {
 			break
 		}
-		h.log(entry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.SinceBoot())}})
+		h.log(logEntry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.SinceBoot())}})
 		if h.rng.Float64() < 0.2 {
-			h.act(ctx, l)
+			h.sendAct(ctx, l)
 		}
 		wait(ctx, 0.004)
 	}
 	if h.rng.Float64() < 0.3 {
-		h.write(ctx, l)
+		h.writeRecord(ctx, l)
 	}
 	switch u := h.rng.Float64(); {
 	case u < 0.2 && len(h.Others) > 0:
 		to := h.Others[h.rng.IntN(len(h.Others))]
-		h.op(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
+		h.recordOperation(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
 			token, err := l.Transfer(ctx, to)
 			code, _ := codeOf(err)
 			return code, token, ""
 		})
 	case u < 0.8:
-		h.op(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
+		h.recordOperation(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
 			code, _ := codeOf(l.Release(ctx))
 			return code, 0, ""
 		})
@@ -183,21 +183,21 @@
 		return
 	}
 	if h.rng.Float64() < 0.3 { // one that was stopped before its act, and goes on
-		h.write(ctx, l)
-		h.act(ctx, l)
+		h.writeRecord(ctx, l)
+		h.sendAct(ctx, l)
 	}
 }
 
-// write is an act that the agreed state checks.
-func (h *holder) write(ctx context.Context, l *client.Lease) {
-	h.op(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
+// writeRecord is an act that the agreed state checks.
+func (h *holder) writeRecord(ctx context.Context, l *client.Lease) {
+	h.recordOperation(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
 		code, _ := codeOf(l.WriteRecord(ctx, []byte(h.Name)))
 		return code, 0, ""
 	})
 }
 
-// act is one that the stand-in resource checks; its answer is of no account here.
-func (h *holder) act(ctx context.Context, l *client.Lease) {
+// sendAct is one that the stand-in resource checks; its answer is of no account here.
+func (h *holder) sendAct(ctx context.Context, l *client.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/act?holder=%s&lease=%s&token=%d", h.Resource, h.Name, l.Name, l.Token), nil)
@@ -255,8 +255,8 @@
 // readHolder reads a holder's log, also one whose last line was cut off by a kill.
 func readHolder(path string) (claims []checker.Claim, ops []checker.Op, err error) {
 	open := map[int]checker.Op{}
-	err = lines(path, func(text []byte) {
-		var e entry
+	err = forEachLine(path, func(text []byte) {
+		var e logEntry
 		if json.Unmarshal(text, &e) != nil {
 			return // the last one, cut off
 		}
@@ -276,7 +276,7 @@
 	return claims, ops, err
 }
 
-func lines(path string, f func([]byte)) error {
+func forEachLine(path string, f func([]byte)) error {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -31,7 +31,7 @@
 	if !m.Up() || fl.hasLeft(m) {
 		t.Error("it left while it was down")
 	}
-	m.busy.Unlock()
+	m.downMu.Unlock()
 	<-left
 	if m.Up() || !fl.hasLeft(m) {
 		t.Error("it has not left")
@@ -39,9 +39,9 @@
 	if fl.tryOwn(m) {
 		t.Error("a fault meets a server that has left")
 	}
-	m.busy.Lock()
+	m.downMu.Lock()
 	fl.back(m)
-	m.busy.Unlock()
+	m.downMu.Unlock()
 	if m.Up() {
 		t.Error("it came back after it had left")
 	}
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -62,7 +62,7 @@
 // observation is a run of coordinators, observers and routers.
 type observation struct {
 	t         *testing.T
-	agreement *agreement
+	agreement *coordinatorGroup
 	puts      *client.Client
 	rng       *rand.Rand
 	observers []*observerProcess
@@ -254,7 +254,7 @@
 
 func (o *observation) await(what string, f func() error) {
 	o.t.Helper()
-	if err := until(o.t.Context(), rigPatience, f); err != nil {
+	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
 		o.judge() // it may tell why
 		o.t.Fatalf("%s: %v", what, err)
 	}
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -70,7 +70,7 @@
 		o.routers[i].start()
 	}
 	o.awaitRouters("by the other observer", o.routers)
-	o.agreement.up(observer.proc)
+	o.agreement.restart(observer.proc)
 }
 
 // stopObserver has its routers notice that it is silent, and resumes it while it is behind.
@@ -134,7 +134,7 @@
 	o.change(8)
 	wg.Wait()
 	o.awaitRouters("by the other coordinators", o.routers)
-	o.agreement.up(leader.proc)
+	o.agreement.restart(leader.proc)
 	settled(o.t, o.agreement)
 }
 
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -31,7 +31,7 @@
 
 // costRun is a run of MeasureObservers.
 type costRun struct {
-	agreement *agreement
+	agreement *coordinatorGroup
 	observers []*proc
 	addresses []string
 	clients   []*observerclient.Client
@@ -41,7 +41,7 @@
 
 // MeasureObservers lets so many routers watch so many observers of so many coordinators, and puts a document again and again.
 func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserverCost, err error) {
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return cost, err
 	}
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -16,8 +16,8 @@
 // play runs load and faults, and judges what came of it.
 func (fl *Fleet) play(ctx context.Context) (Result, error) {
 	p := fl.File.Load
-	if fl.o.Progress != nil {
-		p.Progress = func(n load.Now) { fl.o.Progress(n, fl) }
+	if fl.options.Progress != nil {
+		p.Progress = func(n load.Now) { fl.options.Progress(n, fl) }
 	}
 	l, err := load.New(p, fl.front, fl.clock, fl.journal)
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	fl.warm(l)
 	fl.mu.Lock()
-	fl.began = fl.clock.Now()
+	fl.loadStartMS = fl.clock.Now()
 	fl.mu.Unlock()
 	running, stop := context.WithTimeout(ctx, time.Duration(fl.File.DurationS*float64(time.Second)))
 	defer stop()
@@ -38,7 +38,7 @@
 	}
 	endLive := context.CancelFunc(func() {})
 	live := running // planned changes, and the faults beside them, may last longer than the load
-	if fl.o.ChangeTimeout > 0 {
+	if fl.options.ChangeTimeout > 0 {
 		live, endLive = context.WithCancel(ctx)
 		defer endLive()
 	}
@@ -53,11 +53,11 @@
 	}
 	wg.Go(func() { changing.Wait(); close(changed) })
 	got := l.Run(running)
-	if fl.o.ChangeTimeout > 0 {
+	if fl.options.ChangeTimeout > 0 {
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(fl.o.ChangeTimeout):
+		case <-time.After(fl.options.ChangeTimeout):
 		}
 		endLive()
 	}
@@ -99,7 +99,7 @@
 		now := fl.clock.Now()
 		fl.mu.Lock()
 		late := now - last - 10
-		fl.late = max(fl.late, late)
+		fl.maxLateMS = max(fl.maxLateMS, late)
 		fl.mu.Unlock()
 		if late > 100 {
 			fl.mark("the machine was late by %.0f ms", late)
@@ -129,7 +129,7 @@
 		}
 		s.Held["origin"], _ = fl.origin.Busy()
 		fl.mu.Lock()
-		s.AtS = (fl.clock.Now() - fl.began) / 1000
+		s.AtS = (fl.clock.Now() - fl.loadStartMS) / 1000
 		fl.samples = append(fl.samples, s)
 		fl.mu.Unlock()
 	}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -41,9 +41,9 @@
 	fl.mu.Lock()
 	fl.released = rel
 	fl.mu.Unlock()
-	dir := filepath.Join(fl.o.Dir, "agent")
+	dir := filepath.Join(fl.options.Dir, "agent")
 	script := fmt.Sprintf(`f=%s/$1.$2.$DOCKHINGE_TOKEN.$$; echo "$1 $2 $DOCKHINGE_TOKEN" >$f.tmp && mv $f.tmp $f.go; while [ ! -e $f.done ]; do sleep 0.05; done; exit $(cat $f.done)`, dir)
-	file := filepath.Join(fl.o.Dir, "release.toml")
+	file := filepath.Join(fl.options.Dir, "release.toml")
 	text := fmt.Sprintf("version = 1\nname = \"lab\"\nfrom = \"v1\"\nto = \"v2\"\nbake = \"%gs\"\nstep = \"%gs\"\nlearn = \"10s\"\nleast = %d\nkind = \"checked\"\ncommand = [\"sh\", \"-c\", %q, \"sh\", \"{name}\", \"{to}\"]\n",
 		max(1, f.DownS), max(20, f.ForS), f.Count, script)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -64,7 +64,7 @@
 	for i := range 2 {
 		wg.Go(func() { fl.drivers(inner, i, file, rel) })
 	}
-	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
+	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	asked := false
 	for wait(ctx, 0.1) {
 		r, err := reader.RolloutReport(ctx, 0)
@@ -119,7 +119,7 @@
 	for ctx.Err() == nil {
 		p := fl.tool(fmt.Sprintf("driver-%d", i), "release", word, file)
 		if word == "start" {
-			p.env = append(p.env, fl.o.Kill.env(fl.o.Dir)...)
+			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
 			fl.trouble(err)
@@ -127,7 +127,7 @@
 		}
 		fl.mu.Lock()
 		rel.Drivers++
-		fl.tools[p.name] = p
+		fl.runningTools[p.name] = p
 		fl.mu.Unlock()
 		select {
 		case <-p.done:
@@ -135,7 +135,7 @@
 			_ = p.end(10 * time.Second) // whatever it says: the release is over
 		}
 		fl.mu.Lock()
-		delete(fl.tools, p.name)
+		delete(fl.runningTools, p.name)
 		fl.mu.Unlock()
 		if text := p.logTail(1); word == "run" || strings.Contains(text, "is not over") || strings.Contains(text, "towards") {
 			word = "run" // it has begun, or may have: 'start' would be refused
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -91,7 +91,7 @@
 func (fl *Fleet) result(got load.Result, cut bool) Result {
 	for _, r := range fl.allRouters() {
 		r.mu.Lock()
-		fl.problem = append(fl.problem, r.bad...)
+		fl.problems = append(fl.problems, r.bad...)
 		r.mu.Unlock()
 	}
 	fl.mu.Lock()
@@ -99,17 +99,17 @@
 	events, whole := fl.journal.Events()
 	res := Result{
 		Scenario:           fl.File.Name,
-		Command:            strings.Join(fl.o.RouterCommand, " "),
+		Command:            strings.Join(fl.options.RouterCommand, " "),
 		Load:               got,
 		Marks:              fl.marks,
 		Samples:            fl.samples,
 		Breaches:           checker.Judge(events, fl.rules()),
 		TimeoutHints:       checker.CountTimeoutHints(events, fl.rules()),
 		DiscoveryCalls:     fl.discovery.Calls(),
-		LateMS:             fl.late,
-		MisbehavingClients: fl.rude,
+		LateMS:             fl.maxLateMS,
+		MisbehavingClients: fl.misbehavingClients,
 		Interrupted:        cut,
-		Failures:           fl.problem,
+		Failures:           fl.problems,
 	}
 	served := fl.sumUp(&res, events)
 	fl.addServers(&res)
@@ -145,7 +145,7 @@
 			continue
 		}
 		attempts++
-		if second := int((e.At - fl.began) / 1000); second >= 0 && second < len(seconds) {
+		if second := int((e.At - fl.loadStartMS) / 1000); second >= 0 && second < len(seconds) {
 			res.AttemptsBySecond[second]++
 		}
 	}
@@ -186,14 +186,14 @@
 		res.Changes = append(res.Changes, *c)
 	}
 	res.Failures = append(res.Failures, fl.judgeChanges(events)...)
-	res.Killed, res.BudgetUse = fl.killed, fl.out
-	for _, x := range fl.ill {
+	res.Killed, res.BudgetUse = fl.isVictimKilled, fl.budgetUse
+	for _, x := range fl.faultySpells {
 		x.count(events)
-		x.Accused = len(fl.accused[x.Server]) > 0
+		x.Accused = len(fl.excludedBy[x.Server]) > 0
 		res.FaultySpells = append(res.FaultySpells, x)
 	}
 	res.Failures = append(res.Failures, fl.judgeAccused(events)...)
-	if fl.o.MustExit {
+	if fl.options.MustExit {
 		res.Failures = append(res.Failures, fl.judgeLimits()...)
 	}
 	res.Released = fl.released
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -28,7 +28,7 @@
 			return err
 		}
 		r := &router{name: fmt.Sprintf("r%d", i), zone: fl.File.Fleet.Zones[i%len(fl.File.Fleet.Zones)], listen: listen, number: i,
-			dir: filepath.Join(fl.o.Dir, fmt.Sprintf("r%d", i))}
+			dir: filepath.Join(fl.options.Dir, fmt.Sprintf("r%d", i))}
 		addr, err := fl.openDiscovery(r)
 		if err != nil {
 			return err
@@ -54,7 +54,7 @@
 	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.addrFor(r, e) })
 }
 
-func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.o.Dir, r.name+".toml") }
+func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.options.Dir, r.name+".toml") }
 
 // startCoordinators starts those that the scenario has, and writes the operator file that makes routers their clients.
 func (fl *Fleet) startCoordinators(ctx context.Context) (err error) {
@@ -62,10 +62,10 @@
 	if n == 0 {
 		return nil
 	}
-	if len(fl.o.CoordinatorCommand) == 0 {
+	if len(fl.options.CoordinatorCommand) == 0 {
 		return errors.New("fleet.coordinators: no command of a coordinator is given")
 	}
-	if fl.coords, err = calm(ctx, n, CoordinatorOptions{CoordinatorCommand: fl.o.CoordinatorCommand, Dir: fl.o.Dir, Env: fl.o.CoordinatorEnv}); err != nil {
+	if fl.coordinators, err = startCoordinatorGroup(ctx, n, CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir, Env: fl.options.CoordinatorEnv}); err != nil {
 		return err
 	}
 	if fl.File.Fleet.Out.On() {
@@ -77,16 +77,16 @@
 // writeOperator writes a router's operator file, which makes it a client of the coordinators. Where there are planned changes, a
 // relay stands before each of them.
 func (fl *Fleet) writeOperator(r *router) error {
-	if fl.coords == nil {
+	if fl.coordinators == nil {
 		return nil
 	}
 	var words []string
-	all := fl.coords.addresses()
+	all := fl.coordinators.addresses()
 	for i, name := range slices.Sorted(maps.Keys(all)) {
 		addr := all[name]
 		if fl.File.Fleet.Out.On() {
-			if i < len(fl.toCoord[r.name]) { // written before, with another label
-				words = append(words, fmt.Sprintf("%q", name+"="+fl.toCoord[r.name][i].Addr()))
+			if i < len(fl.coordinatorRelays[r.name]) { // written before, with another label
+				words = append(words, fmt.Sprintf("%q", name+"="+fl.coordinatorRelays[r.name][i].Addr()))
 				continue
 			}
 			target := addr
@@ -95,7 +95,7 @@
 				return err
 			}
 			fl.mu.Lock()
-			fl.toCoord[r.name] = append(fl.toCoord[r.name], relay)
+			fl.coordinatorRelays[r.name] = append(fl.coordinatorRelays[r.name], relay)
 			fl.mu.Unlock()
 			addr = relay.Addr()
 		}
@@ -116,13 +116,13 @@
 
 // command is that of one router, with the operator file that the scenario names.
 func (fl *Fleet) command(r *router) []string {
-	if fl.coords != nil {
-		return append(slices.Clip(fl.o.RouterCommand), "--operator", fl.operatorFile(r))
+	if fl.coordinators != nil {
+		return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.operatorFile(r))
 	}
 	if fl.File.Fleet.Operator == "" {
-		return fl.o.RouterCommand
+		return fl.options.RouterCommand
 	}
-	return append(slices.Clip(fl.o.RouterCommand), "--operator", fl.File.Fleet.Operator)
+	return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.File.Fleet.Operator)
 }
 
 // startRouter starts a process of a router and has the front use it.
@@ -131,13 +131,13 @@
 	command, env := fl.command(r), []string(nil)
 	fl.mu.Lock()
 	if rel := fl.released; rel != nil && r.label == "v2" && plants[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
 	}
 	fl.mu.Unlock()
-	if fl.o.FirstRouterMutant != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.o.MutantCommand), command[len(fl.o.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.FirstRouterMutant}
+	if fl.options.FirstRouterMutant != "" && r.number == 0 {
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
 	}
-	if len(command) == 0 || len(env) > 0 && len(fl.o.MutantCommand) == 0 {
+	if len(command) == 0 || len(env) > 0 && len(fl.options.MutantCommand) == 0 {
 		return errors.New("a bad version of the router: no build of it is given")
 	}
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
@@ -150,7 +150,7 @@
 // startProcess starts a process of a router, and returns once it is ready.
 func (fl *Fleet) startProcess(ctx context.Context, r *router, command, env []string, config map[string]any) error {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterStarted, Router: r.name})
-	if err := r.start(ctx, command, env, config, fl.o.ReadyTimeout); err != nil {
+	if err := r.start(ctx, command, env, config, fl.options.ReadyTimeout); err != nil {
 		return err
 	}
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterReady, Router: r.name})
@@ -171,7 +171,7 @@
 	target := e.Addr
 	relay, err := fakes.NewRelay(func() string { return target })
 	if err != nil {
-		fl.problem = append(fl.problem, err.Error())
+		fl.problems = append(fl.problems, err.Error())
 		return e.Addr
 	}
 	fl.relays[key] = relay
--- a/lab/fleet/rules.go
+++ b/lab/fleet/rules.go
@@ -19,7 +19,7 @@
 // rules are those that the referee judges by.
 func (fl *Fleet) rules() checker.Rules {
 	r := checker.Rules{Classes: map[string]checker.Class{}, Group: map[string]map[string]string{"zone": {}, "cell": {}},
-		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.late, MachineLateMS: fl.late, MaxAttempts: fl.File.Fleet.MaxAttempts,
+		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.maxLateMS, MachineLateMS: fl.maxLateMS, MaxAttempts: fl.File.Fleet.MaxAttempts,
 		HasOnlyPlanned: hasOnlyPlanned(fl.File.Faults), HasPushedList: !fl.File.Fleet.AskList}
 	for _, c := range fl.File.Classes {
 		r.Classes[c.Name] = checker.Class{Effect: checker.Effect(c.Effect), Scope: c.Scope, WindowMS: c.WindowMS}
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -40,8 +40,8 @@
 // newMember starts a cache server: one that has run for long, or a new process that is cold.
 func (fl *Fleet) newMember(k scenario.Kind, cold bool) (*member, error) {
 	fl.mu.Lock()
-	n := fl.n
-	fl.n++
+	n := fl.serversStarted
+	fl.serversStarted++
 	fl.mu.Unlock()
 	zones := fl.File.Fleet.Zones
 	if k.Model.MeanWork == 0 {
@@ -94,8 +94,8 @@
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	at, _ := fl.missed.Get(id)
-	fl.missed.Add(id, append(slices.Clip(at), s))
+	at, _ := fl.missedReads.Get(id)
+	fl.missedReads.Add(id, append(slices.Clip(at), s))
 }
 
 // originSaid stores what the origin gave where it was missing, at two servers at most, and voids what a write changed.
@@ -104,8 +104,8 @@
 		return
 	}
 	fl.mu.Lock()
-	at, _ := fl.missed.Get(id)
-	fl.missed.Remove(id)
+	at, _ := fl.missedReads.Get(id)
+	fl.missedReads.Remove(id)
 	if write {
 		at = nil
 		for _, m := range fl.members {
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -38,11 +38,11 @@
 // killAtStep waits until the tool stands at its step, kills the victim, lets the tool go on, and starts the victim again a little
 // later, as what supervises processes would. thing is what is being changed; once its change is over, nobody is killed any more.
 func (fl *Fleet) killAtStep(ctx, change context.Context, thing string) {
-	k := fl.o.Kill
+	k := fl.options.Kill
 	if k == nil || k.Victim == "tool" {
 		return
 	}
-	file := filepath.Join(fl.o.Dir, "at-step")
+	file := filepath.Join(fl.options.Dir, "at-step")
 	for {
 		if _, err := os.Stat(file); err == nil {
 			break
@@ -54,16 +54,16 @@
 	again := func() error { return nil }
 	switch k.Victim {
 	case "leader", "follower":
-		fl.coordsBusy.Lock()
-		defer fl.coordsBusy.Unlock()
-		l, err := fl.coords.leader(ctx)
+		fl.coordinatorsDownMu.Lock()
+		defer fl.coordinatorsDownMu.Unlock()
+		l, err := fl.coordinators.leader(ctx)
 		if err != nil {
 			fl.trouble(err)
 			break
 		}
 		c := l
 		if k.Victim == "follower" {
-			c = fl.coords.coords[(l.number+1)%len(fl.coords.coords)]
+			c = fl.coordinators.coords[(l.number+1)%len(fl.coordinators.coords)]
 		}
 		c.kill()
 		again = c.start
@@ -84,15 +84,15 @@
 		}
 	case "server":
 		for _, m := range fl.allMembers() {
-			if "server/"+m.entry.ID == thing && m.busy.TryLock() { // else it is down already, by the tool's command
-				defer m.busy.Unlock()
+			if "server/"+m.entry.ID == thing && m.downMu.TryLock() { // else it is down already, by the tool's command
+				defer m.downMu.Unlock()
 				m.Kill()
 				again = func() error { fl.back(m); return nil }
 			}
 		}
 	case "other-driver":
 		fl.mu.Lock()
-		p := fl.tools["driver-1"]
+		p := fl.runningTools["driver-1"]
 		fl.mu.Unlock()
 		if p != nil { // whoever started it starts it again
 			p.kill()
@@ -100,7 +100,7 @@
 	}
 	fl.mark("%s is killed at the step %s", k.Victim, k.Step)
 	fl.mu.Lock()
-	fl.killed = true
+	fl.isVictimKilled = true
 	fl.mu.Unlock()
 	if err := os.WriteFile(file+".go", nil, 0o600); err != nil {
 		fl.trouble(err)
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -24,7 +24,7 @@
 
 // hear books how much of the budgets is used, which servers are left out by the word of others, and by whose.
 func (fl *Fleet) hear(ctx context.Context) {
-	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
+	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	for after := uint64(0); wait(ctx, 0.02); {
 		r, err := reader.RolloutReport(ctx, after)
 		if err != nil {
@@ -33,27 +33,27 @@
 		after = r.Version
 		fl.mu.Lock()
 		for _, b := range r.Budgets {
-			x := BudgetSample{(fl.clock.Now() - fl.began) / 1000, b.Budget, b.Out, b.Allowed}
-			if len(fl.out) < maxOut && b.Zone == "" {
-				fl.out = append(fl.out, x)
+			x := BudgetSample{(fl.clock.Now() - fl.loadStartMS) / 1000, b.Budget, b.Out, b.Allowed}
+			if len(fl.budgetUse) < maxOut && b.Zone == "" {
+				fl.budgetUse = append(fl.budgetUse, x)
 			}
 		}
 		for _, x := range r.Unavailable {
 			if len(x.ReportedBy) == 0 {
 				continue
 			}
-			if fl.accused == nil {
-				fl.accused = map[string][]string{}
+			if fl.excludedBy == nil {
+				fl.excludedBy = map[string][]string{}
 			}
-			if fl.accused[x.Name] == nil {
-				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.began) / 1000, fmt.Sprintf("all leave out %s, by the word of %v", x.Name, x.ReportedBy)})
+			if fl.excludedBy[x.Name] == nil {
+				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.loadStartMS) / 1000, fmt.Sprintf("all leave out %s, by the word of %v", x.Name, x.ReportedBy)})
 			}
 			if len(x.ReportedBy) < fl.File.Fleet.Out.Quorum {
-				fl.problem = append(fl.problem, fmt.Sprintf("%s is left out by the word of %v, and %d must say so", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
+				fl.problems = append(fl.problems, fmt.Sprintf("%s is left out by the word of %v, and %d must say so", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
 			}
 			for _, name := range x.ReportedBy {
-				if !slices.Contains(fl.accused[x.Name], name) {
-					fl.accused[x.Name] = append(fl.accused[x.Name], name)
+				if !slices.Contains(fl.excludedBy[x.Name], name) {
+					fl.excludedBy[x.Name] = append(fl.excludedBy[x.Name], name)
 				}
 			}
 		}
@@ -64,7 +64,7 @@
 // judgeAccused tells which routers were heard on a server that they had asked nothing: what they said they can't have found by
 // themselves. The one that lies is known. The caller holds mu.
 func (fl *Fleet) judgeAccused(events []checker.Event) (fails []string) {
-	if len(fl.accused) == 0 {
+	if len(fl.excludedBy) == 0 {
 		return nil
 	}
 	of, asked := map[string]string{}, map[string]bool{}
@@ -76,9 +76,9 @@
 			asked[of[e.Request]+" "+e.Server] = true
 		}
 	}
-	for _, server := range slices.Sorted(maps.Keys(fl.accused)) {
-		for _, r := range fl.accused[server] {
-			if !asked[r+" "+server] && (fl.o.FirstRouterMutant == "" || r != "r0") {
+	for _, server := range slices.Sorted(maps.Keys(fl.excludedBy)) {
+		for _, r := range fl.excludedBy[server] {
+			if !asked[r+" "+server] && (fl.options.FirstRouterMutant == "" || r != "r0") {
 				fails = append(fails, fmt.Sprintf("router %s was heard on server %s, and had asked it nothing", r, server))
 			}
 		}
