--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -35,20 +35,20 @@
 
 // outage is what a fault takes out, whatever is planned.
 type outage struct {
-	thing    string
+	resource string
 	from, to float64 // 0 = it lasts
 	stopped  bool    // the process is there and does nothing: what it then sends it may not have known better
 }
 
-// noticedMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
-const noticedMS = 8000
+// noticeTimeoutMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
+const noticeTimeoutMS = 8000
 
 // warmed takes off what the fleet's clock may be faster, in milliseconds.
-const warmedMS = 100
+const clockToleranceMS = 100
 
-// upgradeWithin bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
+// upgradeTimeout bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
 // replaced at any moment.
-const upgradeWithin = 20 * time.Second
+const upgradeTimeout = 20 * time.Second
 
 // upgradeCoordinators has the leader of this moment put the newest version in force. It may be repeated.
 func (fl *Fleet) upgradeCoordinators(ctx context.Context) error {
@@ -80,10 +80,10 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := retryUntil(ctx, upgradeWithin, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
+	if err := retryUntil(ctx, upgradeTimeout, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
 		return err
 	}
-	p := fl.tool("budgets", "budgets", "set", path)
+	p := fl.newToolProcess("budgets", "budgets", "set", path)
 	if err := p.start(); err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// tool is a run of the operators' tool.
-func (fl *Fleet) tool(name string, args ...string) *proc {
+// newToolProcess is a run of the operators' newToolProcess.
+func (fl *Fleet) newToolProcess(name string, args ...string) *proc {
 	var all []string
 	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
@@ -109,12 +109,12 @@
 	return fl.rng.IntN(n)
 }
 
-// change has operators change servers or routers, all at once as far as they may: each asks for a permit of its own.
-func (fl *Fleet) change(ctx context.Context, f scenario.Fault) {
+// requestChanges has operators requestChanges servers or routers, all at once as far as they may: each asks for a permit of its own.
+func (fl *Fleet) requestChanges(ctx context.Context, f scenario.Fault) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if f.What == "change-servers" {
-		part := fl.pick(f)
+		part := fl.pickServers(f)
 		fl.mark("operators want to change %d cache servers", len(part))
 		for _, m := range part {
 			wg.Go(func() {
@@ -133,7 +133,7 @@
 				fl.changeOne(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
-					fl.back(m)
+					fl.restartServer(m)
 				})
 			})
 		}
@@ -147,7 +147,7 @@
 	fl.mark("operators want to change %d routers", len(routers))
 	for _, r := range routers {
 		wg.Go(func() {
-			fl.changeOne(ctx, "router/"+r.name, &r.busy, func() {}, func() {
+			fl.changeOne(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
 					fl.front.Down(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
@@ -156,7 +156,7 @@
 				wait(ctx, f.DownS)
 				if r.newest() == nil && ctx.Err() == nil {
 					if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-						fl.trouble(err)
+						fl.recordLabError(err)
 					}
 				}
 			})
@@ -183,12 +183,12 @@
 	// The operators' own command: it tells the laboratory its token, and waits until the thing is back.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
-		p := fl.tool(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
+		p := fl.newToolProcess(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
 		if first && c.ToolRuns == 0 {
 			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		fl.mu.Lock()
@@ -224,7 +224,7 @@
 				c.StoppedAtMS, c.Tokens = 0, nil
 				fl.mu.Unlock()
 				if err := os.Remove(base + ".go"); err != nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 				break
 			}
@@ -235,7 +235,7 @@
 			fl.mu.Unlock()
 			_ = os.Rename(base+".go", base+".was")
 			if err := os.WriteFile(base+".done", nil, 0o600); err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		}
 		select { // it gives the permit back
@@ -248,7 +248,7 @@
 		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
 		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
-			fl.clear(ctx, thing)
+			fl.clearPermit(ctx, thing)
 		}
 		if done || !wait(ctx, 0.2) {
 			return
@@ -256,12 +256,12 @@
 	}
 }
 
-// clear has an operator say that a permit whose holder died isn't used any more. Until then it is.
-func (fl *Fleet) clear(ctx context.Context, thing string) {
+// clearPermit has an operator say that a permit whose holder died isn't used any more. Until then it is.
+func (fl *Fleet) clearPermit(ctx context.Context, thing string) {
 	for range 30 {
-		p := fl.tool(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
+		p := fl.newToolProcess(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
 		if err := p.start(); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		select {
@@ -303,8 +303,8 @@
 	}
 }
 
-// hitRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
-func (fl *Fleet) hitRouters(ctx context.Context, f scenario.Fault, over func()) {
+// faultRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
+func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, over func()) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		f.Count = int(math.Round(f.Share * float64(len(routers))))
@@ -323,13 +323,13 @@
 			continue
 		}
 		if f.What == "kill-routers" {
-			if !r.busy.TryLock() {
+			if !r.downMu.TryLock() {
 				continue
 			}
-			defer r.busy.Unlock()
+			defer r.downMu.Unlock()
 			down = append(down, r)
 		}
-		o := &outage{thing: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
+		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
 			for _, relay := range fl.coordinatorRelays[r.name] { // made before the load
 				relay.Set(fakes.Net{Cut: true})
@@ -357,7 +357,7 @@
 					<-p.done
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			})
 		}
@@ -368,7 +368,7 @@
 	for _, o := range hit {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
@@ -379,7 +379,7 @@
 func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
-	warm := o.WarmS*1000 - warmedMS
+	warm := o.WarmS*1000 - clockToleranceMS
 	for _, c := range fl.changes {
 		if len(c.Tokens) > 1 {
 			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
@@ -398,8 +398,8 @@
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Resource && d.from+noticedMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
-				out[d.thing] = true
+			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource && d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
+				out[d.resource] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
@@ -425,7 +425,7 @@
 			}
 			known := true
 			for _, d := range fl.outages { // a process that was stopped hears of it when it goes on
-				known = known && !(d.stopped && d.thing == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
+				known = known && !(d.stopped && d.resource == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
 			if known {
 				late++
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -145,7 +145,7 @@
 			thing := "server/" + fl.members[i].entry.ID
 			file := filepath.Join(fl.options.Dir, at)
 			for run := 0; ; run++ {
-				p := fl.tool(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
+				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
 					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
 				}
@@ -260,12 +260,12 @@
 	}{
 		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
 		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2}, {Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil},
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil}, // not noticed yet
 		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
 		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
@@ -299,7 +299,7 @@
 	t.Cleanup(func() { cancel(); <-over })
 
 	tool := func(args ...string) (string, error) {
-		p := fl.tool(fmt.Sprint(strings.ReplaceAll(strings.Join(args, "-"), "/", "-"), len(args)), args...)
+		p := fl.newToolProcess(fmt.Sprint(strings.ReplaceAll(strings.Join(args, "-"), "/", "-"), len(args)), args...)
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
--- a/lab/fleet/crowd.go
+++ b/lab/fleet/crowd.go
@@ -24,7 +24,7 @@
 	began := fl.clock.Now()
 	var mu sync.Mutex
 	var open []net.Conn
-	fl.sideBySide(fl.allRouters(), func(r *router) {
+	fl.forEachRouter(fl.allRouters(), func(r *router) {
 		for range fl.File.Fleet.Sockets {
 			c, err := net.DialTimeout("tcp", r.listen, crowdDialTimeout)
 			if err != nil {
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -36,8 +36,8 @@
 	routers := fl.pickRouters(f)
 	fl.mark("%d routers are told to end, %d at a time", len(routers), max(1, f.Batch))
 	for batch := range slices.Chunk(routers, max(1, f.Batch)) {
-		fl.sideBySide(batch, func(r *router) {
-			fl.endAndStart(ctx, r, f.DownS, func(p *process) { r.signal(p, syscall.SIGTERM) })
+		fl.forEachRouter(batch, func(r *router) {
+			fl.stopAndRestart(ctx, r, f.DownS, func(p *process) { r.signal(p, syscall.SIGTERM) })
 		})
 		if ctx.Err() != nil {
 			return
@@ -58,14 +58,14 @@
 	return routers[:max(0, min(count, len(routers)))]
 }
 
-// endAndStart has a router's newest process ended by signals, the first of which is SIGTERM or
+// stopAndRestart has a router's newest process ended by signals, the first of which is SIGTERM or
 // followed by it at once, kills it at the earliest time, and starts it again. It does nothing where
 // another fault has the router down.
-func (fl *Fleet) endAndStart(ctx context.Context, r *router, downS float64, end func(p *process)) {
-	if !r.busy.TryLock() {
+func (fl *Fleet) stopAndRestart(ctx context.Context, r *router, downS float64, end func(p *process)) {
+	if !r.downMu.TryLock() {
 		return
 	}
-	defer r.busy.Unlock()
+	defer r.downMu.Unlock()
 	p := r.newest()
 	if p == nil || !p.isReady.Load() {
 		return
@@ -77,7 +77,7 @@
 		return
 	}
 	if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 	}
 }
 
@@ -93,11 +93,11 @@
 	}
 }
 
-// endAll tells all routers to end, without a load, and tells which did not end by themselves before
+// stopAllRouters tells all routers to end, without a load, and tells which did not end by themselves before
 // they may be killed: one that waits for something that it started never does.
-func (fl *Fleet) endAll() (failures []string) {
+func (fl *Fleet) stopAllRouters() (failures []string) {
 	var mu sync.Mutex
-	fl.sideBySide(fl.allRouters(), func(r *router) {
+	fl.forEachRouter(fl.allRouters(), func(r *router) {
 		p := r.newest()
 		if p == nil {
 			return
@@ -106,8 +106,8 @@
 		problem := ""
 		select {
 		case <-p.done:
-			if p.end != nil {
-				problem = "router " + r.name + " ended with " + endOf(p.end)
+			if p.exitErr != nil {
+				problem = "router " + r.name + " ended with " + exitText(p.exitErr)
 			}
 		case <-time.After(fl.killAfter()):
 			problem = "router " + r.name + " did not end by itself before it may be killed"
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -24,8 +24,8 @@
 	return clock.Sleep(ctx, time.Duration(s*float64(time.Second)))
 }
 
-// fault plays one fault of the time line.
-func (fl *Fleet) fault(ctx context.Context, f scenario.Fault) {
+// playFault plays one playFault of the time line.
+func (fl *Fleet) playFault(ctx context.Context, f scenario.Fault) {
 	if !wait(ctx, f.AtS) {
 		return
 	}
@@ -50,7 +50,7 @@
 	case "crash":
 		fl.crash(ctx, f)
 	case "silence", "spoil", "slow":
-		part := fl.pick(f)
+		part := fl.pickServers(f)
 		both(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
 			var faults fakes.Faults
 			if on {
@@ -82,19 +82,19 @@
 		fl.mark("the list's version goes back by %d", f.Versions)
 		fl.discovery.Rewind(f.Versions)
 	case "partition", "partition-there", "partition-back", "delay":
-		part := fl.pick(f)
-		both(f.What+" at "+names(part), func(on bool) { fl.network(f, part, on) })
+		part := fl.pickServers(f)
+		both(f.What+" at "+names(part), func(on bool) { fl.setNetworkFault(f, part, on) })
 	case "shrink":
 		fl.mark("the fleet shrinks")
-		fl.leave(ctx, fl.pick(f), f.DrainS)
+		fl.drainServers(ctx, fl.pickServers(f), f.DrainS)
 	case "deploy":
-		fl.deploy(ctx, f)
+		fl.replaceServers(ctx, f)
 	case "roll":
-		fl.roll(ctx, f)
+		fl.restartInBatches(ctx, f)
 	case "release":
-		fl.release(ctx)
+		fl.restartAllRouters(ctx)
 	case "upgrade":
-		fl.upgrade(ctx)
+		fl.upgradeRouters(ctx)
 	case "reload":
 		fl.mark("all routers read their configuration again")
 		for _, r := range fl.allRouters() {
@@ -125,7 +125,7 @@
 			fl.mark("the coordinators start again")
 			for _, c := range fl.coordinators.coords {
 				if err := c.start(); err != nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			}
 		}
@@ -139,24 +139,24 @@
 		c.kill()
 		if over(); ctx.Err() == nil {
 			if err := c.start(); err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		}
 	case "change-servers", "change-routers":
-		fl.change(ctx, f)
+		fl.requestChanges(ctx, f)
 	case "release-routers":
 		fl.releaseRouters(ctx, f)
 	case "tools-die", "tools-stop":
 		fl.killTools(ctx, f)
 	case "kill-routers", "stop-routers", "cut-routers":
-		fl.hitRouters(ctx, f, over)
+		fl.faultRouters(ctx, f, over)
 	case "rude":
-		fl.rudeClients(ctx, f.ForS)
+		fl.playMisbehavingClients(ctx, f.ForS)
 	}
 }
 
-// pick chooses the cache servers that a fault meets.
-func (fl *Fleet) pick(f scenario.Fault) (part []*member) {
+// pickServers chooses the cache servers that a fault meets.
+func (fl *Fleet) pickServers(f scenario.Fault) (part []*member) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var all []*member
@@ -191,7 +191,7 @@
 
 // crash has servers die and come back cold.
 func (fl *Fleet) crash(ctx context.Context, f scenario.Fault) {
-	part := slices.DeleteFunc(fl.pick(f), func(m *member) bool { return !fl.tryOwn(m) })
+	part := slices.DeleteFunc(fl.pickServers(f), func(m *member) bool { return !fl.tryLockServer(m) })
 	defer func() {
 		for _, m := range part {
 			m.downMu.Unlock()
@@ -210,15 +210,15 @@
 	}
 	fl.mark("they come back cold")
 	for _, m := range part {
-		fl.back(m)
+		fl.restartServer(m)
 		fl.mu.Lock()
-		fl.outages = append(fl.outages, outage{thing: "server/" + m.entry.ID, from: from, to: fl.clock.Now()})
+		fl.outages = append(fl.outages, outage{resource: "server/" + m.entry.ID, from: from, to: fl.clock.Now()})
 		fl.mu.Unlock()
 	}
 }
 
-// tryOwn locks a server's busy for a fault, unless another has it or the server has left since it was picked.
-func (fl *Fleet) tryOwn(m *member) bool {
+// tryLockServer locks a server's busy for a fault, unless another has it or the server has left since it was picked.
+func (fl *Fleet) tryLockServer(m *member) bool {
 	if !m.downMu.TryLock() {
 		return false
 	}
@@ -236,37 +236,37 @@
 	return m.isRemoved
 }
 
-// back starts a server again, cold, unless it has left the fleet. The caller has locked the server's busy.
-func (fl *Fleet) back(m *member) {
+// restartServer starts a server again, cold, unless it has left the fleet. The caller has locked the server's busy.
+func (fl *Fleet) restartServer(m *member) {
 	if fl.hasLeft(m) {
 		return
 	}
 	if err := m.Restart(); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 		return
 	}
 	m.entry.Started, m.entry.State = fl.clock.Unix(fl.clock.Now()), "active"
 	fl.discovery.Happened(m.entry)
 }
 
-// trouble books what the lab could not do: the run does not hold.
-func (fl *Fleet) trouble(err error) {
+// recordLabError books what the lab could not do: the run does not hold.
+func (fl *Fleet) recordLabError(err error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.problems = append(fl.problems, "the lab: "+err.Error())
 }
 
-// leave has servers say that they leave, and end after a time. It returns once all have ended.
-func (fl *Fleet) leave(ctx context.Context, part []*member, drainS float64) {
+// drainServers has servers say that they drainServers, and end after a time. It returns once all have ended.
+func (fl *Fleet) drainServers(ctx context.Context, part []*member, drainS float64) {
 	var wg sync.WaitGroup
 	for _, m := range part {
-		wg.Go(func() { fl.leaveOne(ctx, m, drainS) })
+		wg.Go(func() { fl.drainServer(ctx, m, drainS) })
 	}
 	wg.Wait()
 }
 
-// leaveOne has one server leave, once it is up again where another fault has it down.
-func (fl *Fleet) leaveOne(ctx context.Context, m *member, drainS float64) {
+// drainServer has one server leave, once it is up again where another fault has it down.
+func (fl *Fleet) drainServer(ctx context.Context, m *member, drainS float64) {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
 	if fl.hasLeft(m) {
@@ -284,12 +284,12 @@
 	fl.mu.Unlock()
 }
 
-// deploy replaces servers batch by batch by new ones under new ids, which start cold.
-func (fl *Fleet) deploy(ctx context.Context, f scenario.Fault) {
-	part := fl.pick(f)
+// replaceServers replaces servers batch by batch by new ones under new ids, which start cold.
+func (fl *Fleet) replaceServers(ctx context.Context, f scenario.Fault) {
+	part := fl.pickServers(f)
 	fl.mark("rolling deploy of %d servers, %d at a time", len(part), f.Batch)
 	for batch := range slices.Chunk(part, f.Batch) {
-		fl.leave(ctx, batch, f.DrainS)
+		fl.drainServers(ctx, batch, f.DrainS)
 		if !wait(ctx, f.DownS) {
 			return
 		}
@@ -297,7 +297,7 @@
 			i := slices.IndexFunc(fl.File.Kinds, func(k scenario.Kind) bool { return k.Name == m.entry.Kind })
 			young, err := fl.newMember(fl.File.Kinds[i], true)
 			if err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 				return
 			}
 			fl.discovery.Happened(young.entry)
@@ -306,8 +306,8 @@
 	fl.mark("the deploy is over")
 }
 
-// roll restarts routers batch by batch: SIGTERM, the end, a new start.
-func (fl *Fleet) roll(ctx context.Context, f scenario.Fault) {
+// restartInBatches restarts routers batch by batch: SIGTERM, the end, a new start.
+func (fl *Fleet) restartInBatches(ctx context.Context, f scenario.Fault) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		routers = routers[:int(math.Round(f.Share*float64(len(routers))))]
@@ -328,7 +328,7 @@
 					return
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			})
 		}
@@ -340,8 +340,8 @@
 	fl.mark("all routers are back")
 }
 
-// release kills all routers at once and starts them again.
-func (fl *Fleet) release(ctx context.Context) {
+// restartAllRouters kills all routers at once and starts them again.
+func (fl *Fleet) restartAllRouters(ctx context.Context) {
 	fl.mark("all routers are killed and start at once")
 	var wg sync.WaitGroup
 	for _, r := range fl.allRouters() {
@@ -355,7 +355,7 @@
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
 			if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		})
 	}
@@ -365,17 +365,17 @@
 	}
 }
 
-// upgrade starts a new process beside the old one of each router in turn, and ends the old one once the new is ready.
-func (fl *Fleet) upgrade(ctx context.Context) {
+// upgradeRouters starts a new process beside the old one of each router in turn, and ends the old one once the new is ready.
+func (fl *Fleet) upgradeRouters(ctx context.Context) {
 	for _, r := range fl.allRouters() {
 		old := r.newest()
 		if old == nil || ctx.Err() != nil {
 			continue
 		}
 		fl.mark("upgrade of %s", r.name)
-		if err := fl.startProcess(ctx, r, fl.command(r), nil, fl.config(r)); err != nil {
+		if err := fl.startProcess(ctx, r, fl.routerCommand(r), nil, fl.routerConfig(r)); err != nil {
 			if ctx.Err() == nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 			return
 		}
@@ -383,14 +383,14 @@
 		select {
 		case <-old.done:
 		case <-time.After(10 * time.Second):
-			fl.trouble(errors.New("the old process of " + r.name + " did not end within 10 s"))
+			fl.recordLabError(errors.New("the old process of " + r.name + " did not end within 10 s"))
 		}
 	}
 	fl.mark("all routers are upgraded")
 }
 
-// network sets what is wrong between all routers and some servers, or takes it back.
-func (fl *Fleet) network(f scenario.Fault, part []*member, on bool) {
+// setNetworkFault sets what is wrong between all routers and some servers, or takes it back.
+func (fl *Fleet) setNetworkFault(f scenario.Fault, part []*member, on bool) {
 	for _, r := range fl.allRouters() {
 		for _, m := range part {
 			fl.mu.Lock()
@@ -399,7 +399,7 @@
 			if relay == nil {
 				continue // this router has never heard of it
 			}
-			n := fl.plainNet(r, m.entry.Zone)
+			n := fl.baselineNetwork(r, m.entry.Zone)
 			if on {
 				n.Cut = f.What == "partition"
 				n.DropThere, n.DropBack = f.What == "partition-there", f.What == "partition-back"
@@ -412,16 +412,16 @@
 	}
 }
 
-// rude is what misbehaving clients send. Each is owed an error line or a close.
-var rude = []string{
+// malformedRequests is what misbehaving clients send. Each is owed an error line or a close.
+var malformedRequests = []string{
 	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) + " v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
 	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n", "mg k v O4 Pc=fetch,d=soon\r\n",
 	"mg k v Pc=fetch,d=500\r\n", "get k\r\n", "\x00\x01\x02\xff\r\n", "ms k 3 O5 Pc=publish,d=500\r\nabcdef\r\n", "GET / HTTP/1.1\r\n\r\n",
 	"ms k 60000000 O6 Pc=publish,d=500\r\nhalf", strings.Repeat("mg k v O7 Pc=fetch\r\n", 300),
 }
 
-// rudeClients sends what can't be read, until the fault is over, and counts who was told or closed on within 3 s.
-func (fl *Fleet) rudeClients(ctx context.Context, forS float64) {
+// playMisbehavingClients sends what can't be read, until the fault is over, and counts who was told or closed on within 3 s.
+func (fl *Fleet) playMisbehavingClients(ctx context.Context, forS float64) {
 	fl.mark("misbehaving clients")
 	if forS > 0 {
 		var cancel context.CancelFunc
@@ -433,7 +433,7 @@
 		if err != nil {
 			return
 		}
-		told := rudeTo(addr, rude[i%len(rude)])
+		told := isMalformedRequestRejected(addr, malformedRequests[i%len(malformedRequests)])
 		fl.mu.Lock()
 		if fl.misbehavingClients[1]++; told {
 			fl.misbehavingClients[0]++
@@ -443,7 +443,7 @@
 	}
 }
 
-func rudeTo(addr, text string) bool {
+func isMalformedRequestRejected(addr, text string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return true // the connection was rejected
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -99,7 +99,7 @@
 	}
 	res, err = fl.play(ctx)
 	if err == nil && o.MustExit {
-		res.Failures = append(res.Failures, fl.endAll()...)
+		res.Failures = append(res.Failures, fl.stopAllRouters()...)
 	}
 	return res, err
 }
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -18,16 +18,16 @@
 		t.Fatal(err)
 	}
 	m := fl.allMembers()[0]
-	if !fl.tryOwn(m) {
+	if !fl.tryLockServer(m) {
 		t.Fatal("a server that nothing has happened to is not free")
 	}
 	m.Kill()
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		fl.leave(t.Context(), []*member{m}, 0)
+		fl.drainServers(t.Context(), []*member{m}, 0)
 	}()
-	fl.back(m)
+	fl.restartServer(m)
 	if !m.Up() || fl.hasLeft(m) {
 		t.Error("it left while it was down")
 	}
@@ -36,11 +36,11 @@
 	if m.Up() || !fl.hasLeft(m) {
 		t.Error("it has not left")
 	}
-	if fl.tryOwn(m) {
+	if fl.tryLockServer(m) {
 		t.Error("a fault meets a server that has left")
 	}
 	m.downMu.Lock()
-	fl.back(m)
+	fl.restartServer(m)
 	m.downMu.Unlock()
 	if m.Up() {
 		t.Error("it came back after it had left")
--- a/lab/fleet/move_discovery.go
+++ b/lab/fleet/move_discovery.go
@@ -23,7 +23,7 @@
 	for _, r := range routers {
 		wg.Go(func() {
 			if err := fl.moveDiscoveryOf(ctx, r); err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		})
 		if !wait(ctx, f.ForS/float64(len(routers))) {
@@ -64,7 +64,7 @@
 
 // writeConfigOf writes a new configuration for a process that runs.
 func (fl *Fleet) writeConfigOf(r *router, p *process) error {
-	config := fl.config(r)
+	config := fl.routerConfig(r)
 	config["admin_addr"] = p.admin
 	return r.writeConfig(config)
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	fl.warm(l)
+	fl.warmCaches(l)
 	fl.mu.Lock()
 	fl.loadStartMS = fl.clock.Now()
 	fl.mu.Unlock()
@@ -31,10 +31,10 @@
 	defer stop()
 	var wg sync.WaitGroup
 	over, end := context.WithCancel(context.Background())
-	wg.Go(func() { fl.heartbeat(over) })
-	wg.Go(func() { fl.sample(over) })
+	wg.Go(func() { fl.measureLateness(over) })
+	wg.Go(func() { fl.sampleUsage(over) })
 	if fl.File.Fleet.Out.On() {
-		wg.Go(func() { fl.hear(over) })
+		wg.Go(func() { fl.watchBudgets(over) })
 	}
 	endLive := context.CancelFunc(func() {})
 	live := running // planned changes, and the faults beside them, may last longer than the load
@@ -46,9 +46,9 @@
 	var changing sync.WaitGroup
 	for i, f := range fl.File.Faults {
 		if strings.HasPrefix(f.What, "change-") || f.What == "release-routers" {
-			changing.Go(func() { fl.fault(live, fl.File.Faults[i]) })
+			changing.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
 		} else {
-			wg.Go(func() { fl.fault(live, fl.File.Faults[i]) })
+			wg.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
 		}
 	}
 	wg.Go(func() { changing.Wait(); close(changed) })
@@ -62,7 +62,7 @@
 		endLive()
 	}
 	cut := ctx.Err() != nil
-	doors := fl.doors(ctx)
+	doors := fl.readAdmission(ctx)
 	end()
 	stop()
 	wg.Wait()
@@ -71,8 +71,8 @@
 	return res, nil
 }
 
-// doors asks each router how fair admission stands there; nothing of those where it is off.
-func (fl *Fleet) doors(ctx context.Context) map[string]admission.State {
+// readAdmission asks each router how fair admission stands there; nothing of those where it is off.
+func (fl *Fleet) readAdmission(ctx context.Context) map[string]admission.State {
 	all := map[string]admission.State{}
 	for _, r := range fl.allRouters() {
 		var s admission.State
@@ -85,8 +85,8 @@
 	return all
 }
 
-// heartbeat watches whether the machine lets the lab run when it should.
-func (fl *Fleet) heartbeat(ctx context.Context) {
+// measureLateness watches whether the machine lets the lab run when it should.
+func (fl *Fleet) measureLateness(ctx context.Context) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	last := fl.clock.Now()
@@ -108,8 +108,8 @@
 	}
 }
 
-// sample reads what all use, twice a second.
-func (fl *Fleet) sample(ctx context.Context) {
+// sampleUsage reads what all use, twice a second.
+func (fl *Fleet) sampleUsage(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -27,25 +27,25 @@
 	name, zone, listen string
 	dir                string
 	number             int
-	busy               sync.Mutex // whoever has it down
-	configBusy         sync.Mutex // whoever writes its configuration
+	downMu             sync.Mutex // whoever has it down
+	configMu           sync.Mutex // whoever writes its configuration
 	label              string     // of its program's version, guarded by the fleet's mu
 
-	mu        sync.Mutex
-	discovery string     // its address
-	procs     []*process // the newest last
-	bad       []string   // ends that nobody asked for
+	mu              sync.Mutex
+	discovery       string     // its address
+	processes       []*process // the newest last
+	unexpectedExits []string   // ends that nobody asked for
 }
 
 // process is one run of the router's command.
 type process struct {
-	cmd      *exec.Cmd
-	admin    string
-	expected bool // its end is; guarded by the router's mu
-	done     chan struct{}
-	end      error // how it ended; to be read once done is closed
-	started  time.Time
-	isReady  atomic.Bool
+	cmd            *exec.Cmd
+	admin          string
+	isExitExpected bool // its end is; guarded by the router's mu
+	done           chan struct{}
+	exitErr        error // how it ended; to be read once done is closed
+	started        time.Time
+	isReady        atomic.Bool
 }
 
 // reloadAfter is the time after a start before which no SIGHUP comes.
@@ -54,8 +54,8 @@
 // mayReload reports whether a SIGHUP may come: never before a process is ready, nor in its first second.
 func (p *process) mayReload() bool { return p.isReady.Load() && time.Since(p.started) >= reloadAfter }
 
-// given are the addresses that FreeAddr has given: whoever got one may not have bound it yet, or again.
-var given sync.Map
+// usedAddresses are the addresses that FreeAddr has usedAddresses: whoever got one may not have bound it yet, or again.
+var usedAddresses sync.Map
 
 // FreeAddr finds an address that nobody listens at, on the laboratory's own host and never the same twice, so that neither
 // another laboratory nor another part of this one takes it before it is bound.
@@ -67,7 +67,7 @@
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if _, taken := given.LoadOrStore(addr, true); !taken {
+		if _, taken := usedAddresses.LoadOrStore(addr, true); !taken {
 			return addr, nil
 		}
 	}
@@ -108,25 +108,25 @@
 	}
 	p := &process{cmd: cmd, admin: second, done: make(chan struct{}), started: time.Now()}
 	r.mu.Lock()
-	r.procs = append(r.procs, p)
+	r.processes = append(r.processes, p)
 	r.mu.Unlock()
 	go func() { // ended by the end of the process, which stop waits for
 		err := cmd.Wait()
 		r.mu.Lock()
-		if !p.expected {
-			r.bad = append(r.bad, fmt.Sprintf("router %s ended by itself: %v", r.name, err))
+		if !p.isExitExpected {
+			r.unexpectedExits = append(r.unexpectedExits, fmt.Sprintf("router %s ended by itself: %v", r.name, err))
 		}
-		for i, q := range r.procs {
+		for i, q := range r.processes {
 			if q == p {
-				r.procs = append(r.procs[:i:i], r.procs[i+1:]...)
+				r.processes = append(r.processes[:i:i], r.processes[i+1:]...)
 				break
 			}
 		}
 		r.mu.Unlock()
-		p.end = err
+		p.exitErr = err
 		close(p.done)
 	}()
-	return p.ready(ctx, r, ready)
+	return p.awaitReady(ctx, r, ready)
 }
 
 func (r *router) configFile() string { return filepath.Join(r.dir, "config.json") }
@@ -137,8 +137,8 @@
 	if err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
 	}
-	r.configBusy.Lock()
-	defer r.configBusy.Unlock()
+	r.configMu.Lock()
+	defer r.configMu.Unlock()
 	next := r.configFile() + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
@@ -164,8 +164,8 @@
 	return before
 }
 
-// ready waits until the second address says yes.
-func (p *process) ready(ctx context.Context, r *router, within time.Duration) error {
+// awaitReady waits until the second address says yes.
+func (p *process) awaitReady(ctx context.Context, r *router, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -178,7 +178,7 @@
 		select {
 		case <-p.done:
 			log, _ := os.ReadFile(filepath.Join(r.dir, "log"))
-			return fmt.Errorf("router %s ended before it was ready: %s\n%s", r.name, endOf(p.end), tail(log, 5))
+			return fmt.Errorf("router %s ended before it was ready: %s\n%s", r.name, exitText(p.exitErr), tail(log, 5))
 		case <-ctx.Done():
 			return fmt.Errorf("router %s: not ready within %v", r.name, within)
 		case <-tick.C:
@@ -186,8 +186,8 @@
 	}
 }
 
-// endOf tells how a process ended: its exit status, or the signal that ended it, which leaves no word in its log.
-func endOf(err error) string {
+// exitText tells how a process ended: its exit status, or the signal that ended it, which leaves no word in its log.
+func exitText(err error) string {
 	if err == nil {
 		return "exit status 0"
 	}
@@ -203,10 +203,10 @@
 func (r *router) newest() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.procs) == 0 {
+	if len(r.processes) == 0 {
 		return nil
 	}
-	return r.procs[len(r.procs)-1]
+	return r.processes[len(r.processes)-1]
 }
 
 // signal ends a process as told, and reports whether it was there.
@@ -215,7 +215,7 @@
 		return false
 	}
 	r.mu.Lock()
-	p.expected = p.expected || sig != syscall.SIGHUP
+	p.isExitExpected = p.isExitExpected || sig != syscall.SIGHUP
 	r.mu.Unlock()
 	return p.cmd.Process.Signal(sig) == nil
 }
@@ -223,7 +223,7 @@
 // stop ends all processes of the router: with time to answer what they have, and then without.
 func (r *router) stop(patience time.Duration) {
 	r.mu.Lock()
-	procs := append([]*process(nil), r.procs...)
+	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
 	for _, p := range procs {
 		r.signal(p, syscall.SIGTERM)
@@ -249,7 +249,7 @@
 // use reads what the processes use from /proc; what has ended meanwhile counts nothing.
 func (r *router) use() (u Usage) {
 	r.mu.Lock()
-	procs := append([]*process(nil), r.procs...)
+	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
 	for _, p := range procs {
 		if one, err := ProcessUse(p.cmd.Process.Pid); err == nil {
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -17,8 +17,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// plants are the faults that are planted in a bad version, by what is wrong with it.
-var plants = map[string]string{"fails": "fails-some", "slower": "slower"}
+// mutantOfFault are the faults that are planted in a bad version, by what is wrong with it.
+var mutantOfFault = map[string]string{"fails": "fails-some", "slower": "slower"}
 
 // Released is what became of a release of the routers from v1 to v2.
 type Released struct {
@@ -47,22 +47,22 @@
 	text := fmt.Sprintf("version = 1\nname = \"lab\"\nfrom = \"v1\"\nto = \"v2\"\nbake = \"%gs\"\nstep = \"%gs\"\nlearn = \"10s\"\nleast = %d\nkind = \"checked\"\ncommand = [\"sh\", \"-c\", %q, \"sh\", \"{name}\", \"{to}\"]\n",
 		max(1, f.DownS), max(20, f.ForS), f.Count, script)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 		return
 	}
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 		return
 	}
 	inner, end := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer end()
-	wg.Go(func() { fl.agent(inner, dir, rel) })
+	wg.Go(func() { fl.runAgent(inner, dir, rel) })
 	fl.mark("a release to v2 begins")
 	wg.Go(func() { fl.killAtStep(ctx, inner, "") })
 	for i := range 2 {
-		wg.Go(func() { fl.drivers(inner, i, file, rel) })
+		wg.Go(func() { fl.runDriver(inner, i, file, rel) })
 	}
 	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	asked := false
@@ -79,7 +79,7 @@
 			fl.mark("it halts: %s", r.Halt.Reason)
 		}
 		if rel.Halt != "" && !asked { // an operator has seen it
-			asked = fl.say(ctx, "release", "back")
+			asked = fl.runTool(ctx, "release", "back")
 		}
 		if x.State == rollout.ReleaseDone {
 			fl.mu.Lock()
@@ -91,11 +91,11 @@
 	}
 }
 
-// say runs the operators' tool once, and reports whether it ended well.
-func (fl *Fleet) say(ctx context.Context, args ...string) bool {
-	p := fl.tool("say-"+strings.Join(args, "-"), args...)
+// runTool runs the operators' tool once, and reports whether it ended well.
+func (fl *Fleet) runTool(ctx context.Context, args ...string) bool {
+	p := fl.newToolProcess("say-"+strings.Join(args, "-"), args...)
 	if err := p.start(); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 		return false
 	}
 	select {
@@ -107,8 +107,8 @@
 	return err == nil && ctx.Err() == nil
 }
 
-// drivers runs the tool that drives a release, again whenever it was killed.
-func (fl *Fleet) drivers(ctx context.Context, i int, file string, rel *Released) {
+// runDriver runs the tool that drives a release, again whenever it was killed.
+func (fl *Fleet) runDriver(ctx context.Context, i int, file string, rel *Released) {
 	word := "start"
 	if i > 0 {
 		word = "run"
@@ -117,12 +117,12 @@
 		}
 	}
 	for ctx.Err() == nil {
-		p := fl.tool(fmt.Sprintf("driver-%d", i), "release", word, file)
+		p := fl.newToolProcess(fmt.Sprintf("driver-%d", i), "release", word, file)
 		if word == "start" {
 			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		fl.mu.Lock()
@@ -146,8 +146,8 @@
 	}
 }
 
-// agent is what restarts routers: it refuses a token lower than one that it has seen, and does nothing twice.
-func (fl *Fleet) agent(ctx context.Context, dir string, rel *Released) {
+// runAgent is what restarts routers: it refuses a token lower than one that it has seen, and does nothing twice.
+func (fl *Fleet) runAgent(ctx context.Context, dir string, rel *Released) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	var mu sync.Mutex
@@ -163,7 +163,7 @@
 			text, err := os.ReadFile(file)
 			words := strings.Fields(string(text))
 			if err != nil || len(words) != 3 {
-				fl.trouble(fmt.Errorf("agent: %s: %w", file, err))
+				fl.recordLabError(fmt.Errorf("agent: %s: %w", file, err))
 				return
 			}
 			name, to := words[0], words[1]
@@ -171,8 +171,8 @@
 			i := slices.IndexFunc(fl.allRouters(), func(r *router) bool { return r.name == name })
 			r := fl.allRouters()[i]
 			wg.Go(func() {
-				r.busy.Lock()
-				defer r.busy.Unlock()
+				r.downMu.Lock()
+				defer r.downMu.Unlock()
 				code := "0"
 				mu.Lock()
 				old := token < newest[name]
@@ -191,18 +191,18 @@
 				}
 				fl.mu.Unlock()
 				if !old && !same {
-					fl.bring(ctx, r, to, rel)
+					fl.installVersion(ctx, r, to, rel)
 				}
 				if err := os.WriteFile(strings.TrimSuffix(file, ".go")+".done", []byte(code), 0o600); err != nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			})
 		}
 	}
 }
 
-// bring restarts a router with a version.
-func (fl *Fleet) bring(ctx context.Context, r *router, to string, rel *Released) {
+// installVersion restarts a router with a version.
+func (fl *Fleet) installVersion(ctx context.Context, r *router, to string, rel *Released) {
 	c := &Change{Resource: "router/" + r.name, RequestedAtMS: fl.clock.Now(), StoppedAtMS: fl.clock.Now(), ToolRuns: 1}
 	fl.mu.Lock()
 	r.label = to
@@ -228,7 +228,7 @@
 		err = fl.startRouter(ctx, r)
 	}
 	if err != nil && ctx.Err() == nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 	}
 	fl.mu.Lock()
 	c.RunningAtMS = fl.clock.Now()
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -91,7 +91,7 @@
 func (fl *Fleet) result(got load.Result, cut bool) Result {
 	for _, r := range fl.allRouters() {
 		r.mu.Lock()
-		fl.problems = append(fl.problems, r.bad...)
+		fl.problems = append(fl.problems, r.unexpectedExits...)
 		r.mu.Unlock()
 	}
 	fl.mu.Lock()
@@ -111,7 +111,7 @@
 		Interrupted:        cut,
 		Failures:           fl.problems,
 	}
-	served := fl.sumUp(&res, events)
+	served := fl.summarizeLoad(&res, events)
 	fl.addServers(&res)
 	if !whole {
 		res.fail("the journal is full at %d events: the rules were not judged to the end", maxEvents)
@@ -135,8 +135,8 @@
 	r.Failures = append(r.Failures, fmt.Sprintf(form, v...))
 }
 
-// sumUp sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
-func (fl *Fleet) sumUp(res *Result, events []checker.Event) (served int) {
+// summarizeLoad sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
+func (fl *Fleet) summarizeLoad(res *Result, events []checker.Event) (served int) {
 	seconds := res.Load.Seconds
 	attempts := 0
 	res.AttemptsBySecond = make([]int, len(seconds))
@@ -192,7 +192,7 @@
 		x.Accused = len(fl.excludedBy[x.Server]) > 0
 		res.FaultySpells = append(res.FaultySpells, x)
 	}
-	res.Failures = append(res.Failures, fl.judgeAccused(events)...)
+	res.Failures = append(res.Failures, fl.judgeExclusions(events)...)
 	if fl.options.MustExit {
 		res.Failures = append(res.Failures, fl.judgeLimits()...)
 	}
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// config is what the platform would tell a router. The list in it is as the router had it last.
-func (fl *Fleet) config(r *router) map[string]any {
+// routerConfig is what the platform would tell a router. The list in it is as the router had it last.
+func (fl *Fleet) routerConfig(r *router) map[string]any {
 	f := fl.File
 	known, isTold := fl.discovery.LastTold(r.name)
 	if !isTold {
@@ -14,7 +14,7 @@
 	}
 	kinds := []string{}
 	for i := range known.Servers {
-		known.Servers[i].Addr = fl.addrFor(r, known.Servers[i])
+		known.Servers[i].Addr = fl.serverAddr(r, known.Servers[i])
 	}
 	for _, k := range f.Kinds {
 		kinds = append(kinds, k.Name)
@@ -48,7 +48,7 @@
 		how = "probe"
 	}
 	return map[string]any{
-		"name": r.name, "listen": r.listen, "discovery": r.discoveryAddr(), "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(r.number)+fl.fresh()),
+		"name": r.name, "listen": r.listen, "discovery": r.discoveryAddr(), "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(r.number)+fl.drawSeedOffset()),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": f.Fleet.MemoryMB, "sockets": f.Fleet.Sockets}, "known": known,
 		"settings": map[string]any{"balancers": f.Fleet.Routers, "myNumber": r.number, "zone": r.zone, "zones": f.Fleet.Zones,
 			"categories": classes, "kinds": kinds, "family": "cache", "familyInfo": map[string]any{"mode": "aside", "originKind": len(kinds) - 1},
@@ -60,8 +60,8 @@
 	}
 }
 
-// fresh is a number for the seed of a start: a router that starts again must not draw what it drew before.
-func (fl *Fleet) fresh() uint64 {
+// drawSeedOffset is a number for the seed of a start: a router that starts again must not draw what it drew before.
+func (fl *Fleet) drawSeedOffset() uint64 {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.rng.Uint64() >> 32 << 16
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -51,7 +51,7 @@
 
 // openDiscovery opens a listener of discovery for a router.
 func (fl *Fleet) openDiscovery(r *router) (addr string, err error) {
-	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.addrFor(r, e) })
+	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.serverAddr(r, e) })
 }
 
 func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.options.Dir, r.name+".toml") }
@@ -114,8 +114,8 @@
 	return os.WriteFile(fl.operatorFile(r), []byte(text), 0o600)
 }
 
-// command is that of one router, with the operator file that the scenario names.
-func (fl *Fleet) command(r *router) []string {
+// routerCommand is that of one router, with the operator file that the scenario names.
+func (fl *Fleet) routerCommand(r *router) []string {
 	if fl.coordinators != nil {
 		return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.operatorFile(r))
 	}
@@ -127,11 +127,11 @@
 
 // startRouter starts a process of a router and has the front use it.
 func (fl *Fleet) startRouter(ctx context.Context, r *router) error {
-	config := fl.config(r)
-	command, env := fl.command(r), []string(nil)
+	config := fl.routerConfig(r)
+	command, env := fl.routerCommand(r), []string(nil)
 	fl.mu.Lock()
-	if rel := fl.released; rel != nil && r.label == "v2" && plants[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
+	if rel := fl.released; rel != nil && r.label == "v2" && mutantOfFault[rel.Spoil] != "" {
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + mutantOfFault[rel.Spoil]}
 	}
 	fl.mu.Unlock()
 	if fl.options.FirstRouterMutant != "" && r.number == 0 {
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// addrFor is the address at which a router reaches a server: a relay of its own where the scenario has them.
-func (fl *Fleet) addrFor(r *router, e model.Entry) string {
+// serverAddr is the address at which a router reaches a server: a relay of its own where the scenario has them.
+func (fl *Fleet) serverAddr(r *router, e model.Entry) string {
 	if !fl.File.Fleet.Relays {
 		return e.Addr
 	}
@@ -175,12 +175,12 @@
 		return e.Addr
 	}
 	fl.relays[key] = relay
-	relay.Set(fl.plainNet(r, e.Zone))
+	relay.Set(fl.baselineNetwork(r, e.Zone))
 	return relay.Addr()
 }
 
-// plainNet is the network between a router and a zone when nothing is wrong.
-func (fl *Fleet) plainNet(r *router, zone string) fakes.Net {
+// baselineNetwork is the network between a router and a zone when nothing is wrong.
+func (fl *Fleet) baselineNetwork(r *router, zone string) fakes.Net {
 	if r.zone != zone {
 		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
 	}
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -20,7 +20,7 @@
 func (fl *Fleet) build() (err error) {
 	f := fl.File
 	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
-		Journal: fl.journal, Work: fl.work, Asked: fl.originSaid}); err != nil {
+		Journal: fl.journal, Work: fl.requestWork, Asked: fl.storeOriginAnswer}); err != nil {
 		return err
 	}
 	known := []model.Entry{{ID: fl.origin.ID(), Addr: fl.origin.Addr(), Zone: f.Fleet.Zones[0], Kind: "origin", State: "active", Weight: 1}}
@@ -48,7 +48,7 @@
 		k.Model.MeanWork = fl.meanWork()
 	}
 	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
-		Clock: fl.clock, Journal: fl.journal, Work: fl.work, Asked: fl.cacheSaid, Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
+		Clock: fl.clock, Journal: fl.journal, Work: fl.requestWork, Asked: fl.recordMiss, Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +67,8 @@
 	return m, nil
 }
 
-// work is that of a request: by its class and id, so that each attempt costs the same.
-func (fl *Fleet) work(id, key, class string) (float64, int) {
+// requestWork is that of a request: by its class and id, so that each attempt costs the same.
+func (fl *Fleet) requestWork(id, key, class string) (float64, int) {
 	for _, c := range fl.File.Classes {
 		if c.Name == class {
 			return load.Work(c, id), load.Size(c, key)
@@ -87,8 +87,8 @@
 	return ratio(work, share)
 }
 
-// cacheSaid books where a key was missing.
-func (fl *Fleet) cacheSaid(s *fakes.Server, _, id string, o model.Outcome, _ bool, _ int) {
+// recordMiss books where a key was missing.
+func (fl *Fleet) recordMiss(s *fakes.Server, _, id string, o model.Outcome, _ bool, _ int) {
 	if o != model.Missed && o != model.Fetching {
 		return
 	}
@@ -98,8 +98,8 @@
 	fl.missedReads.Add(id, append(slices.Clip(at), s))
 }
 
-// originSaid stores what the origin gave where it was missing, at two servers at most, and voids what a write changed.
-func (fl *Fleet) originSaid(_ *fakes.Server, key, id string, o model.Outcome, write bool, size int) {
+// storeOriginAnswer stores what the origin gave where it was missing, at two servers at most, and voids what a write changed.
+func (fl *Fleet) storeOriginAnswer(_ *fakes.Server, key, id string, o model.Outcome, write bool, size int) {
 	if o != model.Served {
 		return
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// warm puts the most popular keys where a fleet that has run for long would hold them: spread over all servers.
-func (fl *Fleet) warm(l *load.Load) {
+// warmCaches puts the most popular keys where a fleet that has run for long would hold them: spread over all servers.
+func (fl *Fleet) warmCaches(l *load.Load) {
 	if !fl.File.Fleet.Warm {
 		return
 	}
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -23,8 +23,8 @@
 	maxUpgradeTermDelay = 2 * time.Second
 )
 
-// sideBySide calls f for each router on a goroutine of its own, and waits for all.
-func (fl *Fleet) sideBySide(routers []*router, f func(r *router)) {
+// forEachRouter calls f for each router on a goroutine of its own, and waits for all.
+func (fl *Fleet) forEachRouter(routers []*router, f func(r *router)) {
 	var wg sync.WaitGroup
 	for _, r := range routers {
 		wg.Go(func() { f(r) })
@@ -34,7 +34,7 @@
 
 // signalSeries has some routers get signals in series, each another one.
 func (fl *Fleet) signalSeries(ctx context.Context, f scenario.Fault) {
-	fl.sideBySide(fl.pickRouters(f), func(r *router) {
+	fl.forEachRouter(fl.pickRouters(f), func(r *router) {
 		sequence, gaps := fl.drawSeries()
 		fl.mark("%s gets signals: %s, %v apart", r.name, sequence, gaps)
 		fl.sendSeries(ctx, r, sequence, gaps, f.DownS)
@@ -65,7 +65,7 @@
 		}
 		if s == 't' {
 			var rest sync.WaitGroup
-			fl.endAndStart(ctx, r, downS, func(p *process) {
+			fl.stopAndRestart(ctx, r, downS, func(p *process) {
 				r.signal(p, syscall.SIGTERM)
 				rest.Go(func() { fl.sendRest(ctx, r, p, sequence[i+1:], gaps[i:]) })
 			})
@@ -99,11 +99,11 @@
 	case !p.mayReload():
 	case s == 'm':
 		if err := fl.moveDiscoveryOf(ctx, r); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 		}
 	default:
 		if err := fl.writeConfigOf(r, p); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		r.signal(p, syscall.SIGHUP)
@@ -114,12 +114,12 @@
 // one once the new is ready.
 func (fl *Fleet) upgradeOne(ctx context.Context) {
 	for _, r := range fl.pickRouters(scenario.Fault{Count: 1}) {
-		if !r.busy.TryLock() {
+		if !r.downMu.TryLock() {
 			return
 		}
-		defer r.busy.Unlock()
+		defer r.downMu.Unlock()
 		if err := fl.upgradeWithSignals(ctx, r); err != nil && ctx.Err() == nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		return nil
 	}
 	fl.mark("upgrade of %s, with signals", r.name)
-	if err := fl.startProcess(ctx, r, fl.command(r), nil, fl.config(r)); err != nil {
+	if err := fl.startProcess(ctx, r, fl.routerCommand(r), nil, fl.routerConfig(r)); err != nil {
 		return err
 	}
 	if old.mayReload() {
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -58,7 +58,7 @@
 		defer fl.coordinatorsDownMu.Unlock()
 		l, err := fl.coordinators.leader(ctx)
 		if err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			break
 		}
 		c := l
@@ -75,8 +75,8 @@
 		if k.Victim == "other-router" {
 			r = routers[(max(0, i)+1)%len(routers)]
 		}
-		r.busy.Lock()
-		defer r.busy.Unlock()
+		r.downMu.Lock()
+		defer r.downMu.Unlock()
 		if p := r.newest(); p != nil {
 			fl.kill(r, p)
 			<-p.done
@@ -87,7 +87,7 @@
 			if "server/"+m.entry.ID == thing && m.downMu.TryLock() { // else it is down already, by the tool's command
 				defer m.downMu.Unlock()
 				m.Kill()
-				again = func() error { fl.back(m); return nil }
+				again = func() error { fl.restartServer(m); return nil }
 			}
 		}
 	case "other-driver":
@@ -103,13 +103,13 @@
 	fl.isVictimKilled = true
 	fl.mu.Unlock()
 	if err := os.WriteFile(file+".go", nil, 0o600); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 	}
 	if !wait(ctx, 0.7) {
 		return
 	}
 	if err := again(); err != nil && ctx.Err() == nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 	}
 }
 
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -19,11 +19,11 @@
 	Allowed int     `json:"allowed"`
 }
 
-// maxOut bounds what is kept of that.
-const maxOut = 1 << 14
+// maxBudgetSamples bounds what is kept of that.
+const maxBudgetSamples = 1 << 14
 
-// hear books how much of the budgets is used, which servers are left out by the word of others, and by whose.
-func (fl *Fleet) hear(ctx context.Context) {
+// watchBudgets books how much of the budgets is used, which servers are left out by the word of others, and by whose.
+func (fl *Fleet) watchBudgets(ctx context.Context) {
 	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	for after := uint64(0); wait(ctx, 0.02); {
 		r, err := reader.RolloutReport(ctx, after)
@@ -34,7 +34,7 @@
 		fl.mu.Lock()
 		for _, b := range r.Budgets {
 			x := BudgetSample{(fl.clock.Now() - fl.loadStartMS) / 1000, b.Budget, b.Out, b.Allowed}
-			if len(fl.budgetUse) < maxOut && b.Zone == "" {
+			if len(fl.budgetUse) < maxBudgetSamples && b.Zone == "" {
 				fl.budgetUse = append(fl.budgetUse, x)
 			}
 		}
@@ -61,9 +61,9 @@
 	}
 }
 
-// judgeAccused tells which routers were heard on a server that they had asked nothing: what they said they can't have found by
+// judgeExclusions tells which routers were heard on a server that they had asked nothing: what they said they can't have found by
 // themselves. The one that lies is known. The caller holds mu.
-func (fl *Fleet) judgeAccused(events []checker.Event) (fails []string) {
+func (fl *Fleet) judgeExclusions(events []checker.Event) (fails []string) {
 	if len(fl.excludedBy) == 0 {
 		return nil
 	}
