--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -116,7 +116,7 @@
 		}
 		wg.Wait()
 	case "damage", "wipe":
-		a.faultProcess(ctx, c.proc, t.ForS, c.kill, func() { a.replace(ctx, c, t) })
+		a.faultProcess(ctx, c.proc, t.ForS, c.kill, func() { a.damageOrWipeDisk(ctx, c, t) })
 	default:
 		a.playLinkFault(ctx, t)
 	}
@@ -197,9 +197,9 @@
 	}
 }
 
-// replace damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
+// damageOrWipeDisk damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
 // empty directory as a new member, after the old one has been taken out.
-func (a *coordinatorGroup) replace(ctx context.Context, c *coordinator, t scenario.Trouble) {
+func (a *coordinatorGroup) damageOrWipeDisk(ctx context.Context, c *coordinator, t scenario.Trouble) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
 		return
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -19,14 +19,14 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// built are the programs of the agreement with faults, once for all tests; TestMain removes them.
-var built = sync.OnceValues(func() (string, error) {
+// buildPrograms are the programs of the agreement with faults, once for all tests; TestMain removes them.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "dockhinge-agree-test-")
 	if err != nil {
 		return "", err
 	}
-	builtIn = dir
-	for into, tags := range map[string]string{"": "faults" + plantable, "next/": "faults,nextversion" + plantable} {
+	builtDir = dir
+	for into, tags := range map[string]string{"": "faults" + extraBuildTags, "next/": "faults,nextversion" + extraBuildTags} {
 		if out, err := exec.Command("go", "build", "-tags", tags, "-o", dir+"/"+into, "../../cmd/dockhinge-coord", "../../cmd/dockhinge-lab").CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%w\n%s", err, out)
 		}
@@ -34,14 +34,14 @@
 	return dir, nil
 })
 
-var builtIn string
+var builtDir string
 
-// plantable is what a test's build with the tag mutants adds to the tags of the programs that it starts.
-var plantable = ""
+// extraBuildTags is what a test's build with the tag mutants adds to the tags of the programs that it starts.
+var extraBuildTags = ""
 
-func agreeOptions(t *testing.T, env ...string) CoordinatorOptions {
+func coordinatorOptions(t *testing.T, env ...string) CoordinatorOptions {
 	t.Helper()
-	dir, err := built()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine is no verdict
-			res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
+			res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +79,7 @@
 	}
 	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
-	res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
+	res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,26 +88,26 @@
 	}
 }
 
-// quiet is a group of coordinators without faults, and a live client of it.
-func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
+// startGroupWithClient is a group of coordinators without faults, and a live client of it.
+func startGroupWithClient(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
 	t.Helper()
 	a, err := startCoordinatorGroup(t.Context(), coordinators, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.close)
-	return a, live(t, a, "test")
+	return a, startClient(t, a, "test")
 }
 
-func live(t *testing.T, a *coordinatorGroup, name string) *client.Client {
+func startClient(t *testing.T, a *coordinatorGroup, name string) *client.Client {
 	t.Helper()
 	c, end := liveClient(context.Background(), a.addresses(), name, 20*time.Second)
 	t.Cleanup(end)
 	return c
 }
 
-// settled waits until one leads and all others follow it with all that it has.
-func settled(t *testing.T, a *coordinatorGroup) *coordinator {
+// awaitSettledGroup waits until one leads and all others follow it with all that it has.
+func awaitSettledGroup(t *testing.T, a *coordinatorGroup) *coordinator {
 	t.Helper()
 	var l *coordinator
 	if err := retryUntil(t.Context(), time.Minute, func() (err error) {
@@ -133,8 +133,8 @@
 // A leader that is stopped, replaced and resumed neither answers for the state that it had nor takes a lease away.
 func TestResumedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t))
-	old := settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
+	old := awaitSettledGroup(t, a)
 	first, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 	if err := first.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	other := live(t, a, "other")
+	other := startClient(t, a, "other")
 	second, err := other.Acquire(t.Context(), "x", "", 20*time.Second)
 	if err != nil || second.Token <= first.Token {
 		t.Fatalf("%+v, %v", second, err)
@@ -172,8 +172,8 @@
 // A wiped disk doesn't come back as the old voter, and neither does yesterday's; each is told what to do.
 func TestCoordinatorWithOldOrWipedDiskIsNoVoter(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
-	lead := settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
+	lead := awaitSettledGroup(t, a)
 	var victim *coordinator
 	for _, x := range a.coords {
 		if x != lead {
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	a.restart(victim.proc)
-	settled(t, a)
+	awaitSettledGroup(t, a)
 	for range 10 { // what yesterday's disk doesn't know
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 		if err == nil {
@@ -237,13 +237,13 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	tool(t, a, "members", "remove", victim.name)
-	tool(t, a, "members", "add", victim.name+"="+victim.api)
-	settled(t, a)
+	runToolForOutput(t, a, "members", "remove", victim.name)
+	runToolForOutput(t, a, "members", "add", victim.name+"="+victim.api)
+	awaitSettledGroup(t, a)
 }
 
-// tool runs the operators' tool, which must not fail, and returns what it printed.
-func tool(t *testing.T, a *coordinatorGroup, args ...string) string {
+// runToolForOutput runs the operators' runToolForOutput, which must not fail, and returns what it printed.
+func runToolForOutput(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
 	if err != nil {
@@ -266,17 +266,17 @@
 // refused by words once the new version is in force.
 func TestRollingUpgradeKeepsLeasesAndRejectsOldProgram(t *testing.T) {
 	t.Parallel()
-	o := agreeOptions(t)
-	a, c := quiet(t, 3, o)
-	settled(t, a)
+	o := coordinatorOptions(t)
+	a, c := startGroupWithClient(t, 3, o)
+	awaitSettledGroup(t, a)
 	l, err := c.Acquire(t.Context(), "kept", "", 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, _ := built() // agreeOptions has seen to it
+	dir, _ := buildPrograms() // agreeOptions has seen to it
 	for i, x := range a.coords {
 		if i == 1 { // one is old still
-			if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version)) {
+			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version)) {
 				t.Errorf("%s", out)
 			}
 		}
@@ -285,9 +285,9 @@
 		}
 		x.command[0] = dir + "/next/dockhinge-coord"
 		a.restart(x.proc)
-		settled(t, a)
+		awaitSettledGroup(t, a)
 	}
-	if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
+	if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
 		t.Errorf("%s", out)
 	}
 	rows, err := c.ListLeases(t.Context(), "kept")
@@ -316,8 +316,8 @@
 // A command under a lease is ended before the lease's time is out, also when it won't, once no coordinator answers any more.
 func TestCommandIsKilledBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	a, _ := quiet(t, 3, agreeOptions(t))
-	settled(t, a)
+	a, _ := startGroupWithClient(t, 3, coordinatorOptions(t))
+	awaitSettledGroup(t, a)
 	marks := filepath.Join(t.TempDir(), "marks")
 	cmd := toolCommand(a, "lease", "take", "job", "--kind", "harmless", "--ttl", "4s", "--margin", "2s", "--", "sh", "-c",
 		"trap '' TERM; echo $DOCKHINGE_TOKEN $$ > "+marks+"; while :; do sleep 0.05; done")
@@ -357,7 +357,7 @@
 	if err == nil || !strings.Contains(string(out), "none of checked, harmless") {
 		t.Errorf("a command of no kind was run: %s", out)
 	}
-	if out := tool(t, a, "lease", "take", "job", "--kind", "checked", "--", "sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
+	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--", "sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
 		t.Errorf("%s", out)
 	}
 }
@@ -365,8 +365,8 @@
 // A client whose requests arrive and whose answers don't stops believing in its lease in time, though the coordinators keep it.
 func TestClientDropsLeaseWhenResponsesAreLost(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t))
-	settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
+	awaitSettledGroup(t, a)
 	addrs := map[string]string{}
 	var relays []*fakes.Relay
 	for _, x := range a.coords {
@@ -408,7 +408,7 @@
 	f.Fleet.Routers, f.DurationS, f.Load.Rate, f.Load.LateShare = 6, 9, 120, 1
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
-	o := agreeOptions(t)
+	o := coordinatorOptions(t)
 	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand, Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
@@ -426,13 +426,13 @@
 	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, agreeOptions(t))
+			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, coordinatorOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(a.close)
-			c := live(t, a, "test")
-			settled(t, a)
+			c := startClient(t, a, "test")
+			awaitSettledGroup(t, a)
 			kept, err := c.Acquire(t.Context(), "kept", "", 20*time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -482,7 +482,7 @@
 				x.env = nil
 				a.restart(x.proc)
 			}
-			settled(t, a)
+			awaitSettledGroup(t, a)
 			rows, err := c.ListLeases(t.Context(), "kept")
 			if err != nil || len(rows) != 1 || rows[0].Token != kept.Token || kept.Remaining() <= 0 {
 				t.Errorf("%+v, %v: token %d was held, %v left", rows, err, kept.Token, kept.Remaining())
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -158,14 +158,14 @@
 			for n := i; n < max(leases, clients); n += clients {
 				if n >= leases { // one that holds none waits for its session all the same
 					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // refused: longer than the session
-					m.refused(&mu, err)
+					m.countRefusal(&mu, err)
 					break
 				}
 				if _, err := all[i].Acquire(patience, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
 					mu.Lock()
 					m.Failed++
 					mu.Unlock()
-					m.refused(&mu, err)
+					m.countRefusal(&mu, err)
 				}
 			}
 		})
@@ -238,8 +238,8 @@
 // opensWithin bounds how long clients wait for a session: one over a bound of the coordinators never gets one.
 const opensWithin = 30 * time.Second
 
-// refused counts a client that has no session.
-func (m *CoordinatorCost) refused(mu *sync.Mutex, err error) {
+// countRefusal counts a client that has no session.
+func (m *CoordinatorCost) countRefusal(mu *sync.Mutex, err error) {
 	if !errors.Is(err, client.ErrNoSession) {
 		return
 	}
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -130,7 +130,7 @@
 						fl.discovery.Happened(e)
 					}
 				}
-				fl.changeOne(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
+				fl.runChange(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
 					fl.restartServer(m)
@@ -147,7 +147,7 @@
 	fl.mark("operators want to change %d routers", len(routers))
 	for _, r := range routers {
 		wg.Go(func() {
-			fl.changeOne(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
+			fl.runChange(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
 					fl.front.Down(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
@@ -164,9 +164,9 @@
 	}
 }
 
-// changeOne runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
+// runChange runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
 // operator would; where it dies after it, the change is under way, and nobody does it twice.
-func (fl *Fleet) changeOne(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
+func (fl *Fleet) runChange(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
 	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -18,10 +18,10 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// changesOptions are those of a run with real routers, coordinators and tools.
-func changesOptions(t *testing.T) Options {
+// plannedChangeOptions are those of a run with real routers, coordinators and tools.
+func plannedChangeOptions(t *testing.T) Options {
 	t.Helper()
-	dir, err := built()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 // Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
 // the budgets leave, nothing sent to a drained server, each change done once.
 func TestPlannedChangesStayWithinBudgets(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -58,7 +58,7 @@
 // Releases of real routers, whose drivers are killed: a good version comes to all, one that doesn't get ready and one that crashes
 // halt by themselves and go back. No router is brought anywhere twice.
 func TestBadReleaseHaltsAndRollsBack(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for _, spoil := range []string{"", "never", "crash"} {
 		t.Run("spoilt by "+spoil, func(t *testing.T) {
 			t.Parallel()
@@ -91,7 +91,7 @@
 
 // A driver killed at each of its steps: the release comes to its end, and no router is brought anywhere twice.
 func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
 		t.Run(at, func(t *testing.T) {
 			t.Parallel()
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.Load.Rate, f.Fleet.Out = nil, 20, scenario.Out{Servers: 7, WarmS: 0}
-	fl := newFleet(f, changesOptions(t))
+	fl := newFleet(f, plannedChangeOptions(t))
 	t.Cleanup(fl.close)
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 // all servers are bad and is not believed. No router is heard on what it hasn't asked, and the rules hold.
 func TestFaultyServerIsExcludedAndLyingRouterIsIgnored(t *testing.T) {
 	t.Parallel()
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -220,7 +220,7 @@
 // it does once it is over.
 func TestNoChangeStartsWhileFleetIsOverloaded(t *testing.T) {
 	t.Parallel()
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	f, err := scenario.Changes(5, 3, 4)
 	if err != nil {
 		t.Fatal(err)
@@ -286,7 +286,7 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS, f.Load.Rate, f.Fleet.Out = nil, 600, 100, scenario.Out{Servers: 1, Routers: 1, WarmS: 0}
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	fl := newFleet(f, o)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(fl.close)
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -25,18 +25,18 @@
 // certain one on purpose.
 func TestMain(m *testing.M) {
 	if mode := os.Getenv("FAKE_ROUTER"); mode != "" {
-		if err := fakeRouter(mode); err != nil {
+		if err := runFakeRouter(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
 	code := m.Run()
-	os.RemoveAll(builtIn) // "" where nothing was built
+	os.RemoveAll(builtDir) // "" where nothing was built
 	os.Exit(code)
 }
 
-type fake struct {
+type fakeRouterState struct {
 	mode      string
 	discovery string
 
@@ -45,7 +45,7 @@
 	turn int
 }
 
-func fakeRouter(mode string) error {
+func runFakeRouter(mode string) error {
 	var c struct {
 		Listen, Discovery string
 		Admin             string `json:"admin_addr"`
@@ -58,12 +58,12 @@
 	if err != nil {
 		return err
 	}
-	f := &fake{mode: mode, discovery: c.Discovery, list: c.Known}
+	f := &fakeRouterState{mode: mode, discovery: c.Discovery, list: c.Known}
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
 	}
-	go f.follow()
+	go f.pollList()
 	var accepted atomic.Int64
 	go func() {
 		for {
@@ -86,8 +86,8 @@
 	}))
 }
 
-// follow asks for the whole list again and again; one that ignores drains asks too, and goes on as before.
-func (f *fake) follow() {
+// pollList asks for the whole list again and again; one that ignores drains asks too, and goes on as before.
+func (f *fakeRouterState) pollList() {
 	for ; f.mode != "never-asks"; time.Sleep(50 * time.Millisecond) {
 		resp, err := http.Get("http://" + f.discovery + "/v1/servers")
 		if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // targets are a cache server, in turn, and the origin.
-func (f *fake) targets() (cache []model.Entry, origin model.Entry) {
+func (f *fakeRouterState) targets() (cache []model.Entry, origin model.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn++
@@ -124,7 +124,7 @@
 	return cache, origin
 }
 
-func (f *fake) serve(c net.Conn) {
+func (f *fakeRouterState) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -150,7 +150,7 @@
 			}
 		}
 		isConnected := func() bool { return f.mode == "deaf" || !clientDisconnected(c, r) }
-		answer := f.ask(line, w, id, body, arrived, isConnected)
+		answer := f.answer(line, w, id, body, arrived, isConnected)
 		switch {
 		case f.mode == "no-answer" && n%5 == 4:
 			continue
@@ -165,15 +165,15 @@
 	}
 }
 
-// ask gets a request's answer: from a cache server, and from the origin where that lacks the key, or for a write.
-func (f *fake) ask(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
+// answer gets a request's answer: from a cache server, and from the origin where that lacks the key, or for a write.
+func (f *fakeRouterState) answer(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
 	if f.mode == "rejects" {
 		return "SERVER_ERROR busy\r\n"
 	}
 	cache, origin := f.targets()
 	if f.mode == "cold" {
 		for _, e := range cache {
-			send(e.Addr, strings.Repeat(strings.ReplaceAll(line, "O"+id, "Onone"), 120), false)
+			sendToServer(e.Addr, strings.Repeat(strings.ReplaceAll(line, "O"+id, "Onone"), 120), false)
 		}
 	}
 	if w[0] == "mg" {
@@ -183,9 +183,9 @@
 		}
 		for _, e := range asked {
 			if f.mode == "copies" {
-				send(cache[len(cache)-1].Addr, line, false)
+				sendToServer(cache[len(cache)-1].Addr, line, false)
 			}
-			if got := send(e.Addr, line, true); strings.HasPrefix(got, "VA") && f.mode != "attempts" {
+			if got := sendToServer(e.Addr, line, true); strings.HasPrefix(got, "VA") && f.mode != "attempts" {
 				return got
 			}
 		}
@@ -205,9 +205,9 @@
 	if !isConnected() {
 		return ""
 	}
-	got := fetch(origin.Addr, http)
+	got := fetchFromOrigin(origin.Addr, http)
 	if f.mode == "repeats" && strings.Contains(facts, "c=tag") {
-		got = fetch(origin.Addr, http)
+		got = fetchFromOrigin(origin.Addr, http)
 	}
 	switch {
 	case f.mode == "refuses" && body != nil:
@@ -240,8 +240,8 @@
 	return strings.Join(list, ",")
 }
 
-// send writes to a cache server over a connection of its own, and reads one answer or leaves it open for a while.
-func send(addr, text string, read bool) string {
+// sendToServer writes to a cache server over a connection of its own, and reads one answer or leaves it open for a while.
+func sendToServer(addr, text string, read bool) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
@@ -265,7 +265,7 @@
 	return line + string(value)
 }
 
-func fetch(addr, text string) string {
+func fetchFromOrigin(addr, text string) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -23,8 +23,8 @@
 	return []string{bin, "serve"}
 }
 
-// leftOver lists the processes that still run a program.
-func leftOver(t *testing.T, bin string) (pids []string) {
+// remainingProcesses lists the processes that still run a program.
+func remainingProcesses(t *testing.T, bin string) (pids []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
@@ -80,7 +80,7 @@
 			}
 		})
 	}
-	if left := leftOver(t, command[0]); len(left) > 0 {
+	if left := remainingProcesses(t, command[0]); len(left) > 0 {
 		t.Errorf("left over: %v", left)
 	}
 }
@@ -103,7 +103,7 @@
 	if err != nil || !res.Interrupted || res.Load.Tries == 0 {
 		t.Errorf("%v, cut %t, %d tries", err, res.Interrupted, res.Load.Tries)
 	}
-	if left := leftOver(t, command[0]); len(left) > 0 {
+	if left := remainingProcesses(t, command[0]); len(left) > 0 {
 		t.Errorf("left over: %v", left)
 	}
 }
@@ -130,7 +130,7 @@
 	if err != nil || !slices.ContainsFunc(res.Failures, func(s string) bool { return strings.Contains(s, "router r0 ended by itself") }) {
 		t.Errorf("%v, %v", err, res.Failures)
 	}
-	if left := leftOver(t, command[0]); len(left) > 0 {
+	if left := remainingProcesses(t, command[0]); len(left) > 0 {
 		t.Errorf("left over: %v", left)
 	}
 }
--- a/lab/fleet/observe_mutants_test.go
+++ b/lab/fleet/observe_mutants_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func init() { plantable = ",mutants" }
+func init() { extraBuildTags = ",mutants" }
 
 // Each planted fault is found by the processes with faults, in words of the history checker or of the count. The test runs its
 // own program again with the fault planted there and in all processes that it starts.
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -41,9 +41,9 @@
 // observerProcess is one observer with the relays before it and behind it.
 type observerProcess struct {
 	*proc
-	api      string
-	upstream []*fakes.Relay // to each coordinator
-	regions  []*fakes.Relay // from the routers of each region
+	api          string
+	upstream     []*fakes.Relay // to each coordinator
+	regionRelays []*fakes.Relay // from the routers of each region
 }
 
 // watchingRouter is one router: a client of the observers, and what it was given in each of its lives.
@@ -53,14 +53,14 @@
 	observers []string
 	gate      chan struct{} // not nil: Apply waits until it is closed
 
-	mu     sync.Mutex
-	lives  []*checker.WatchHistory
-	client *observerclient.Client
-	end    func()
+	mu        sync.Mutex
+	histories []*checker.WatchHistory
+	client    *observerclient.Client
+	end       func()
 }
 
-// observation is a run of coordinators, observers and routers.
-type observation struct {
+// observerRun is a run of coordinators, observers and routers.
+type observerRun struct {
 	t         *testing.T
 	agreement *coordinatorGroup
 	puts      *client.Client
@@ -73,13 +73,13 @@
 	revisions map[string]uint64 // of documents that are there
 }
 
-// observe starts coordinators, observers and routers.
-func observe(t *testing.T, seed uint64, options CoordinatorOptions) *observation {
+// startObserverRun starts coordinators, observers and routers.
+func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
-	a, puts := quiet(t, rigCoordinators, options)
-	o := &observation{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
-	settled(t, a)
-	tool(t, a, "members", "upgrade")
+	a, puts := startGroupWithClient(t, rigCoordinators, options)
+	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
+	awaitSettledGroup(t, a)
+	runToolForOutput(t, a, "members", "upgrade")
 	for i := range rigObservers {
 		o.observers = append(o.observers, o.startObserver(fmt.Sprint("o", i)))
 	}
@@ -97,7 +97,7 @@
 	return o
 }
 
-func (o *observation) relay(to string) *fakes.Relay {
+func (o *observerRun) relay(to string) *fakes.Relay {
 	o.t.Helper()
 	relay, err := o.agreement.relay(to)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return relay
 }
 
-func (o *observation) startObserver(name string) *observerProcess {
+func (o *observerRun) startObserver(name string) *observerProcess {
 	o.t.Helper()
 	api, err := FreeAddr()
 	if err != nil {
@@ -122,7 +122,7 @@
 		fmt.Fprintf(&text, "%s = %q\n", c.name, relay.Addr())
 	}
 	for range rigRegions {
-		observer.regions = append(observer.regions, o.relay(api))
+		observer.regionRelays = append(observer.regionRelays, o.relay(api))
 	}
 	file := filepath.Join(dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
@@ -135,10 +135,10 @@
 	return observer
 }
 
-func (o *observation) startRouter(i int) *watchingRouter {
+func (o *observerRun) startRouter(i int) *watchingRouter {
 	router := &watchingRouter{name: fmt.Sprint("r", i), prefix: rigPrefixes[i%len(rigPrefixes)]}
 	for _, observer := range o.observers {
-		router.observers = append(router.observers, observer.regions[i%rigRegions].Addr())
+		router.observers = append(router.observers, observer.regionRelays[i%rigRegions].Addr())
 	}
 	o.routers = append(o.routers, router)
 	router.start()
@@ -155,7 +155,7 @@
 	wg.Go(func() { c.Run(ctx) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives, r.client = append(r.lives, life), c
+	r.histories, r.client = append(r.histories, life), c
 	r.end = func() { cancel(); wg.Wait() }
 }
 
@@ -205,7 +205,7 @@
 }
 
 // put has a document put over the revision that the last put of it had, and books the answer. One caller at once a document.
-func (o *observation) put(name string, value []byte, isDeletion bool) error {
+func (o *observerRun) put(name string, value []byte, isDeletion bool) error {
 	o.mu.Lock()
 	expected := o.revisions[name]
 	o.mu.Unlock()
@@ -225,7 +225,7 @@
 }
 
 // change puts some documents, one after the other.
-func (o *observation) change(count int) {
+func (o *observerRun) change(count int) {
 	o.t.Helper()
 	for range count {
 		name := fmt.Sprintf("%s%d", []string{"a/", "b/"}[o.rng.IntN(2)], o.rng.IntN(4))
@@ -243,7 +243,7 @@
 }
 
 // newest is the revision of the newest change that was agreed on.
-func (o *observation) newest() (revision uint64) {
+func (o *observerRun) newest() (revision uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range o.agreed {
@@ -252,16 +252,16 @@
 	return revision
 }
 
-func (o *observation) await(what string, f func() error) {
+func (o *observerRun) await(what string, f func() error) {
 	o.t.Helper()
 	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
-		o.judge() // it may tell why
+		o.checkHistories() // it may tell why
 		o.t.Fatalf("%s: %v", what, err)
 	}
 }
 
 // awaitRouters waits until routers have the newest revision in force.
-func (o *observation) awaitRouters(what string, routers []*watchingRouter) {
+func (o *observerRun) awaitRouters(what string, routers []*watchingRouter) {
 	o.t.Helper()
 	newest := o.newest()
 	o.await(what, func() error {
@@ -275,7 +275,7 @@
 }
 
 // region are the routers of one.
-func (o *observation) region(number int) (routers []*watchingRouter) {
+func (o *observerRun) region(number int) (routers []*watchingRouter) {
 	for i, router := range o.routers {
 		if i%rigRegions == number {
 			routers = append(routers, router)
@@ -291,8 +291,8 @@
 	return status, err
 }
 
-// judge checks all that every router was given in each life.
-func (o *observation) judge() (deliveries, snapshots int) {
+// checkHistories checks all that every router was given in each life.
+func (o *observerRun) checkHistories() (deliveries, snapshots int) {
 	o.t.Helper()
 	o.mu.Lock()
 	agreed := slices.Clone(o.agreed)
@@ -300,7 +300,7 @@
 	slices.SortFunc(agreed, func(a, b checker.AgreedChange) int { return int(a.Revision) - int(b.Revision) })
 	for _, router := range o.routers {
 		router.mu.Lock()
-		for _, life := range router.lives {
+		for _, life := range router.histories {
 			if text := checker.JudgeChanges(agreed, *life); text != "" {
 				o.t.Error(text)
 			}
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -19,15 +19,15 @@
 // observerFaults are the faults of a run, each of which waits for what must come of it.
 var observerFaults = []struct {
 	name string
-	play func(*observation)
+	play func(*observerRun)
 }{
-	{"an observer is killed, and comes back with nothing", (*observation).killObserver},
-	{"an observer is stopped, and resumed with its old state", (*observation).stopObserver},
-	{"an observer is cut off from the coordinators", (*observation).cutObserver},
-	{"a region is cut off, and what it lacks is compacted", (*observation).cutRegion},
-	{"the leader is killed in mid-batch", (*observation).killLeader},
-	{"all coordinators are stopped", (*observation).stopCoordinators},
-	{"a router is slow to put a state in force, and one lies", (*observation).slowAndLying},
+	{"an observer is killed, and comes back with nothing", (*observerRun).killObserver},
+	{"an observer is stopped, and resumed with its old state", (*observerRun).stopObserver},
+	{"an observer is cut off from the coordinators", (*observerRun).disconnectObserver},
+	{"a region is cut off, and what it lacks is compacted", (*observerRun).disconnectRegion},
+	{"the leader is killed in mid-batch", (*observerRun).killLeader},
+	{"all coordinators are stopped", (*observerRun).stopCoordinators},
+	{"a router is slow to put a state in force, and one lies", (*observerRun).delayApplyAndForgeAck},
 }
 
 // Three seeds of all faults in their own order: each router sees a prefix of the agreed order over any chain of observers, and at
@@ -36,7 +36,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := observe(t, seed, agreeOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", rigHistory)))
+			o := startObserverRun(t, seed, coordinatorOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", rigHistory)))
 			o.change(5)
 			o.awaitRouters("at the start", o.routers)
 			for _, i := range o.rng.Perm(len(observerFaults)) {
@@ -48,7 +48,7 @@
 				t.Logf("%s: %.1f s, and all agreed after %.1f s", observerFaults[i].name, played.Seconds(), (time.Since(began) - played).Seconds())
 			}
 			o.awaitCounted()
-			deliveries, snapshots := o.judge()
+			deliveries, snapshots := o.checkHistories()
 			t.Logf("%d changes, %d deliveries, %d snapshots", len(o.agreed), deliveries, snapshots)
 			if snapshots == 0 {
 				t.Error("no router ever got a snapshot: compaction was not tried")
@@ -57,12 +57,14 @@
 	}
 }
 
-// one is an observer by the seed.
-func (o *observation) one() *observerProcess { return o.observers[o.rng.IntN(len(o.observers))] }
+// drawObserver is an observer by the seed.
+func (o *observerRun) drawObserver() *observerProcess {
+	return o.observers[o.rng.IntN(len(o.observers))]
+}
 
 // killObserver has the other one serve all; some routers are restarted meanwhile.
-func (o *observation) killObserver() {
-	observer := o.one()
+func (o *observerRun) killObserver() {
+	observer := o.drawObserver()
 	observer.kill()
 	o.change(4)
 	for _, i := range o.rng.Perm(len(o.routers))[:4] {
@@ -74,17 +76,17 @@
 }
 
 // stopObserver has its routers notice that it is silent, and resumes it while it is behind.
-func (o *observation) stopObserver() {
-	observer := o.one()
+func (o *observerRun) stopObserver() {
+	observer := o.drawObserver()
 	observer.signal(syscall.SIGSTOP)
 	defer observer.signal(syscall.SIGCONT)
 	o.change(4)
 	o.awaitRouters("by the other observer", o.routers)
 }
 
-// cutObserver has an observer tell that its state grows old, and the routers of the other one, which have newer state, come to it:
+// disconnectObserver has an observer tell that its state grows old, and the routers of the other one, which have newer state, come to it:
 // they must be turned away, and go back.
-func (o *observation) cutObserver() {
+func (o *observerRun) disconnectObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
 	setRelays(stale.upstream, fakes.Net{Cut: true})
@@ -103,7 +105,7 @@
 		}
 		return errNotYet // where all watched the stale one, they have to find that it is
 	})
-	setRelays(other.regions, fakes.Net{Cut: true})
+	setRelays(other.regionRelays, fakes.Net{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
@@ -111,14 +113,14 @@
 		}
 		return err
 	})
-	setRelays(other.regions, fakes.Net{})
+	setRelays(other.regionRelays, fakes.Net{})
 }
 
-// cutRegion has one region lack more than the log holds; all its routers come back at once.
-func (o *observation) cutRegion() {
+// disconnectRegion has one region lack more than the log holds; all its routers come back at once.
+func (o *observerRun) disconnectRegion() {
 	var relays []*fakes.Relay
 	for _, observer := range o.observers {
-		relays = append(relays, observer.regions[0])
+		relays = append(relays, observer.regionRelays[0])
 	}
 	setRelays(relays, fakes.Net{Cut: true})
 	defer setRelays(relays, fakes.Net{})
@@ -127,19 +129,19 @@
 }
 
 // killLeader kills the leader while changes are under way; the others go on.
-func (o *observation) killLeader() {
-	leader := settled(o.t, o.agreement)
+func (o *observerRun) killLeader() {
+	leader := awaitSettledGroup(o.t, o.agreement)
 	var wg sync.WaitGroup
 	wg.Go(leader.kill)
 	o.change(8)
 	wg.Wait()
 	o.awaitRouters("by the other coordinators", o.routers)
 	o.agreement.restart(leader.proc)
-	settled(o.t, o.agreement)
+	awaitSettledGroup(o.t, o.agreement)
 }
 
 // stopCoordinators has observers serve on with what they have, and tell its age; a router that comes then gets all of it.
-func (o *observation) stopCoordinators() {
+func (o *observerRun) stopCoordinators() {
 	for _, c := range o.agreement.coords {
 		c.signal(syscall.SIGSTOP)
 	}
@@ -159,12 +161,12 @@
 	for _, c := range o.agreement.coords {
 		c.signal(syscall.SIGCONT)
 	}
-	settled(o.t, o.agreement)
+	awaitSettledGroup(o.t, o.agreement)
 }
 
-// slowAndLying has one router keep a state from being in force: it must be told as lagging also after it has spoken again. Another
+// delayApplyAndForgeAck has one router keep a state from being in force: it must be told as lagging also after it has spoken again. Another
 // acknowledges what there isn't, which must be refused.
-func (o *observation) slowAndLying() {
+func (o *observerRun) delayApplyAndForgeAck() {
 	router := o.routers[0] // of all documents
 	gate := make(chan struct{})
 	router.setGate(gate)
@@ -187,7 +189,7 @@
 		if err != nil {
 			o.t.Fatal(err)
 		}
-		if status.Acknowledged == status.Watchers && router.current().Observer() == observer.regions[0].Addr() {
+		if status.Acknowledged == status.Watchers && router.current().Observer() == observer.regionRelays[0].Addr() {
 			o.t.Errorf("%s has revision %d acknowledged by all, and %s does not have it in force", observer.name, newest, router.name)
 		}
 	}
@@ -208,7 +210,7 @@
 }
 
 // awaitCounted waits until the observers count every router once, with the newest revision in force.
-func (o *observation) awaitCounted() {
+func (o *observerRun) awaitCounted() {
 	o.t.Helper()
 	newest := o.newest()
 	o.await("the observers' count", func() error {
@@ -233,14 +235,14 @@
 // The operators' tool puts, lists, shows and takes back documents, and tells who has them in force by the observers alone.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
-	o := observe(t, 1, agreeOptions(t))
+	o := startObserverRun(t, 1, coordinatorOptions(t))
 	file := filepath.Join(t.TempDir(), "quota.toml")
 	put := func(text string, words ...string) string {
 		t.Helper()
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return tool(t, o.agreement, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
+		return runToolForOutput(t, o.agreement, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
 	}
 	put("x = 1\n")
 	if out := put("x = 2\n", "--expect", "1"); !strings.Contains(out, "revision 2") {
@@ -256,16 +258,16 @@
 			t.Errorf("%v: %v, %s, want %q", words, err, out, want)
 		}
 	}
-	if out := tool(t, o.agreement, "config", "back", "a/quota.toml", "1"); !strings.Contains(out, "revision 3") {
+	if out := runToolForOutput(t, o.agreement, "config", "back", "a/quota.toml", "1"); !strings.Contains(out, "revision 3") {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
+	if out := runToolForOutput(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
+	if out := runToolForOutput(t, o.agreement, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
+	if out := runToolForOutput(t, o.agreement, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
 		t.Errorf("%s", out)
 	}
 	var observers []string
@@ -274,13 +276,13 @@
 	}
 	want := fmt.Sprintf("revision 3 is in force at %d of %d", rigRouters, rigRouters)
 	o.await("the status", func() error {
-		out := tool(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
+		out := runToolForOutput(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
 		if !strings.Contains(out, want) {
 			return fmt.Errorf("%s", out)
 		}
 		return nil
 	})
-	if out := tool(t, o.agreement, "config", "delete", "a/quota.toml", "--expect", "3"); !strings.Contains(out, "revision 4") {
+	if out := runToolForOutput(t, o.agreement, "config", "delete", "a/quota.toml", "--expect", "3"); !strings.Contains(out, "revision 4") {
 		t.Errorf("%s", out)
 	}
 }
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -11,8 +11,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// startsOf are the events of a router's starts.
-func startsOf(fl *Fleet) (kinds []checker.Kind) {
+// routerStartEvents are the events of a router's starts.
+func routerStartEvents(fl *Fleet) (kinds []checker.Kind) {
 	events, _ := fl.journal.Events()
 	for _, e := range events {
 		if e.Kind == checker.RouterStarted || e.Kind == checker.RouterReady {
@@ -22,8 +22,8 @@
 	return kinds
 }
 
-// fakeFleet is a fleet with one fake router that has not been started.
-func fakeFleet(t *testing.T, mode string, ready time.Duration) *Fleet {
+// newFakeFleet is a fleet with one fake router that has not been started.
+func newFakeFleet(t *testing.T, mode string, ready time.Duration) *Fleet {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -40,7 +40,7 @@
 
 // The referee is told of each start of a router and of when it was ready.
 func TestRouterStartsAreRecorded(t *testing.T) {
-	fl := fakeFleet(t, "right", 0)
+	fl := newFakeFleet(t, "right", 0)
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -52,18 +52,18 @@
 		t.Fatal(err)
 	}
 	want := []checker.Kind{checker.RouterStarted, checker.RouterReady, checker.RouterStarted, checker.RouterReady}
-	if got := startsOf(fl); !slices.Equal(got, want) {
+	if got := routerStartEvents(fl); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
 // A router that is never ready is not said to be.
 func TestUnreadyRouterIsNotRecordedAsReady(t *testing.T) {
-	fl := fakeFleet(t, "never-ready", 300*time.Millisecond)
+	fl := newFakeFleet(t, "never-ready", 300*time.Millisecond)
 	if err := fl.start(t.Context()); err == nil {
 		t.Error("it started")
 	}
-	if got := startsOf(fl); !slices.Equal(got, []checker.Kind{checker.RouterStarted}) {
+	if got := routerStartEvents(fl); !slices.Equal(got, []checker.Kind{checker.RouterStarted}) {
 		t.Errorf("got %v", got)
 	}
 }
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// base is the shipped scenario whose servers, classes and load a seed changes.
-	base = "ten"
-	// stream is that of the random numbers of a seed.
-	stream = 77
+	// baseScenario is the shipped scenario whose servers, classes and load a seed changes.
+	baseScenario = "ten"
+	// randomStream is that of the random numbers of a seed.
+	randomStream = 77
 	// firstFaultS is when the first fault may come, and quietEndS how long before the end the last
 	// one may.
 	firstFaultS = 2.0
@@ -26,8 +26,8 @@
 	crowdEvery = 3
 )
 
-// draw is a seed's random numbers with what has been drawn so far.
-type draw struct {
+// generator is a seed's random numbers with what has been drawn so far.
+type generator struct {
 	rng  *rand.Rand
 	file scenario.File
 }
@@ -37,11 +37,11 @@
 	if !(seconds >= MinSeconds) {
 		return scenario.File{}, fmt.Errorf("soak: %v seconds, at least %v are needed", seconds, MinSeconds)
 	}
-	file, err := scenario.Load(base)
+	file, err := scenario.Load(baseScenario)
 	if err != nil {
 		return scenario.File{}, err
 	}
-	d := draw{rng: rand.New(rand.NewPCG(seed, stream)), file: file}
+	d := generator{rng: rand.New(rand.NewPCG(seed, randomStream)), file: file}
 	d.file.Name = fmt.Sprintf("soak-%d", seed)
 	d.file.About = "Planned ends, signals, moves of discovery, drains and faults, drawn from a seed."
 	d.file.DurationS = seconds
@@ -58,12 +58,12 @@
 }
 
 // between draws a number evenly.
-func (d *draw) between(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
+func (d *generator) between(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
 
 // count draws a whole number, both ends included.
-func (d *draw) count(low, high int) int { return low + d.rng.IntN(high-low+1) }
+func (d *generator) count(low, high int) int { return low + d.rng.IntN(high-low+1) }
 
-func (d *draw) drawFleet() {
+func (d *generator) drawFleet() {
 	f := &d.file.Fleet
 	f.Routers = d.count(3, 8)
 	f.MemoryMB = 64
@@ -85,7 +85,7 @@
 }
 
 // drawClasses draws deadlines, and windows of repeats that may end before them.
-func (d *draw) drawClasses() {
+func (d *generator) drawClasses() {
 	classes := append(d.file.Classes[:0:0], d.file.Classes...)
 	deadlines := d.between(0.5, 2)
 	windows := d.between(0.1, 1.2)
@@ -99,7 +99,7 @@
 
 // drawDiscovery draws how late discovery hears of changes, and how long its calls take: it may be
 // crowded.
-func (d *draw) drawDiscovery() {
+func (d *generator) drawDiscovery() {
 	d.file.Discovery = model.DirectoryParams{LateMS: [2]float64{20, d.between(50, 1500)}, TimeoutMS: 2000}
 	if d.rng.IntN(2) == 0 {
 		d.file.Discovery.CallsPerS = 40
@@ -110,11 +110,11 @@
 }
 
 // drawFaults draws an order of faults; each leaves room for what comes of it.
-func (d *draw) drawFaults() {
+func (d *generator) drawFaults() {
 	d.file.Faults = nil
 	kinds := []func(at float64) scenario.Fault{
-		d.ends, d.ends, d.signals, d.signals, d.move, d.move, d.drains, d.drains,
-		d.coldReturns, d.hung, d.resetting, d.slow, d.discoveryFault, d.upgrade,
+		d.drawRouterStops, d.drawRouterStops, d.drawSignals, d.drawSignals, d.drawDiscoveryMove, d.drawDiscoveryMove, d.drawDrain, d.drawDrain,
+		d.drawCrash, d.drawSilence, d.drawBadAnswers, d.drawSlowServer, d.drawDiscoveryFault, d.drawUpgrade,
 	}
 	last := d.file.DurationS - quietEndS
 	for at := firstFaultS; at < last; at += d.between(0.05, 1.5) {
@@ -122,52 +122,52 @@
 	}
 }
 
-func (d *draw) ends(at float64) scenario.Fault {
+func (d *generator) drawRouterStops(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "end-routers", Count: d.count(1, 2), Batch: d.count(1, 2),
 		DownS: d.between(0, 1)}
 }
 
-func (d *draw) signals(at float64) scenario.Fault {
+func (d *generator) drawSignals(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "signals", Count: d.count(1, 3), DownS: d.between(0, 1)}
 }
 
-func (d *draw) move(at float64) scenario.Fault {
+func (d *generator) drawDiscoveryMove(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "move-discovery", ForS: d.between(0, 1)}
 }
 
-func (d *draw) drains(at float64) scenario.Fault {
+func (d *generator) drawDrain(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "shrink", Count: 1, DrainS: d.between(2, 10)}
 }
 
-func (d *draw) coldReturns(at float64) scenario.Fault {
+func (d *generator) drawCrash(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "crash", Count: d.count(1, 2), ForS: d.between(0.3, 3)}
 }
 
-func (d *draw) hung(at float64) scenario.Fault {
+func (d *generator) drawSilence(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "silence", Count: d.count(1, 2), ForS: d.between(0.5, 6)}
 }
 
-func (d *draw) resetting(at float64) scenario.Fault {
+func (d *generator) drawBadAnswers(at float64) scenario.Fault {
 	how := []string{"reset", "cut", "noise", "wrong-id", "busy"}
 	return scenario.Fault{AtS: at, What: "spoil", Spoil: how[d.rng.IntN(len(how))],
 		Answers: d.between(0.1, 1), Count: 1, ForS: d.between(0.5, 4)}
 }
 
-func (d *draw) slow(at float64) scenario.Fault {
+func (d *generator) drawSlowServer(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "slow", BytesS: d.between(2000, 20000), Count: 1, ForS: d.between(0.5, 4)}
 }
 
-func (d *draw) discoveryFault(at float64) scenario.Fault {
+func (d *generator) drawDiscoveryFault(at float64) scenario.Fault {
 	what := []string{"discovery-down", "discovery-silent", "watches-silent"}
 	return scenario.Fault{AtS: at, What: what[d.rng.IntN(len(what))], ForS: d.between(0.3, 3)}
 }
 
-func (d *draw) upgrade(at float64) scenario.Fault {
+func (d *generator) drawUpgrade(at float64) scenario.Fault {
 	return scenario.Fault{AtS: at, What: "upgrade-one"}
 }
 
 // drawCrowd adds idle clients that take all descriptors, or a burst of requests.
-func (d *draw) drawCrowd() {
+func (d *generator) drawCrowd() {
 	if d.rng.IntN(2) == 0 {
 		d.file.Load.Shape = "bursty"
 		d.file.Load.Burst = 0.9
