--- a/decide/balancer_test.go
+++ b/decide/balancer_test.go
@@ -16,15 +16,16 @@
 				cfg.Routers = routers
 				cfg.CacheAside = true
 				cfg.OriginKind = "origin"
-				balancer, h := start(b, cfg, append(fleet(servers), Endpoint{ID: 77, Kind: "origin"}))
+				balancer, h := newTestBalancer(b, cfg,
+					append(readyEndpoints(servers), Endpoint{ID: 77, Kind: "origin"}))
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					now := 100010 + 50*float64(i) // 20 per second
-					ask(balancer, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
+					sendRequest(balancer, now, uint32(i+1), "read", splitMix64(uint64(i%500)))
 					if n := len(h.sends); n > 0 && h.sends[n-1].id == uint32(i+1) {
-						balancer.AttemptEnded(now+40, withResult(CacheHit,
-							served(uint32(i+1), h.sends[n-1].server, 40)))
+						balancer.AttemptEnded(now+40, withCacheResult(CacheHit,
+							servedOutcome(uint32(i+1), h.sends[n-1].server, 40)))
 					}
 					if i%2 == 0 {
 						balancer.TimerExpired(now+45, housekeepingToken)
@@ -39,11 +40,11 @@
 
 // Guards against duplicate or late events, and events with unknown IDs of requests, attempts and
 // servers: they must have no effect and leave no records behind.
-func TestLateDuplicateAndUnknownIDs(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
-	ask(b, 100010, 1, "read", 9)
-	s := h.last().server
-	ok := withResult(CacheHit, served(1, s, 40))
+func TestDuplicateLateAndUnknownEventsHaveNoEffect(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
+	sendRequest(b, 100010, 1, "read", 9)
+	s := h.lastSend().server
+	ok := withCacheResult(CacheHit, servedOutcome(1, s, 40))
 	b.AttemptEnded(100050, ok)
 	b.AttemptEnded(100051, ok)
 	b.AttemptEnded(100052, Outcome{RequestID: 77, Attempt: 3, ServerID: 5, Status: Failed, Load: NoLoadReport})
@@ -54,8 +55,9 @@
 	b.TimerExpired(100057, 80<<8|1)
 	b.HealthCheckEnded(100058, 81, OK, NoLoadReport)
 	inFlight := b.membership.servers[s].attempts.inFlight
-	if len(h.sends) != 1 || h.answers(1) != 0 || inFlight != 0 || len(b.requests) != 0 {
-		t.Errorf("sends %v, answers %d, in flight %d, requests %d", h.sends, h.answers(1), inFlight, len(b.requests))
+	if len(h.sends) != 1 || h.finalAnswers(1) != 0 || inFlight != 0 || len(b.requests) != 0 {
+		t.Errorf("sends %v, answers %d, in flight %d, requests %d", h.sends, h.finalAnswers(1), inFlight,
+			len(b.requests))
 	}
 }
 
@@ -70,8 +72,8 @@
 		cfg.CancelAllowed = seed%3 != 0
 		cfg.CacheAside = seed%4 > 1
 		cfg.OriginKind = "origin"
-		endpoints := append(fleet(5), Endpoint{ID: 77, Kind: "origin"})
-		b, h := start(t, cfg, endpoints)
+		endpoints := append(readyEndpoints(5), Endpoint{ID: 77, Kind: "origin"})
+		b, h := newTestBalancer(t, cfg, endpoints)
 		type pendingAttempt struct {
 			dueAt   float64
 			outcome Outcome
@@ -81,7 +83,7 @@
 		attempts := map[uint32]int{}
 		deadlines := map[uint32]float64{}
 		h.onSend = func(id uint32) {
-			if answered[id]+h.answers(id) > 0 {
+			if answered[id]+h.finalAnswers(id) > 0 {
 				t.Fatalf("seed %d: request %d sent after its answer", seed, id)
 			}
 		}
@@ -118,7 +120,7 @@
 				if p.dueAt > now {
 					p.outcome.Status = Timeout
 				}
-				if answered[p.outcome.RequestID]+h.answers(p.outcome.RequestID) > 0 {
+				if answered[p.outcome.RequestID]+h.finalAnswers(p.outcome.RequestID) > 0 {
 					p.outcome.IsFinal = true
 				} else if p.outcome.Status == OK {
 					p.outcome.IsFinal = true
@@ -131,7 +133,7 @@
 				s := h.sends[sendsSeen]
 				status := statuses[rng.IntN(len(statuses))]
 				pending = append(pending, pendingAttempt{now + 300*rng.Float64(),
-					ofAttempt(attempts[s.id], ended(s.id, s.server, status, 20))})
+					forAttempt(attempts[s.id], endedOutcome(s.id, s.server, status, 20))})
 				attempts[s.id]++
 			}
 			for _, tm := range h.timers {
@@ -140,7 +142,7 @@
 			h.timers = nil
 		}
 		for id := uint32(1); id <= lastID; id++ {
-			if n := answered[id] + h.answers(id); n != 1 {
+			if n := answered[id] + h.finalAnswers(id); n != 1 {
 				t.Fatalf("seed %d: request %d has %d answers", seed, id, n)
 			}
 		}
@@ -153,12 +155,12 @@
 
 // Guards against new settings that apply to requests in flight: those keep their class and their
 // maximum number of attempts, and only later requests get the new ones.
-func TestReconfigure(t *testing.T) {
+func TestReconfigureKeepsRulesOfRequestsInFlight(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxAttempts = 3
-	b, h := start(t, cfg, fleet(6))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(6))
 	b.retryBudget = 20
-	ask(b, 100000, 1, "read", 77)
+	sendRequest(b, 100000, 1, "read", 77)
 	next := cfg
 	next.MaxAttempts = 1
 	next.Classes = []Class{
@@ -168,11 +170,11 @@
 	if err := b.Reconfigure(100010, next); err != nil {
 		t.Fatal(err)
 	}
-	ask(b, 100020, 2, "read", 78)
+	sendRequest(b, 100020, 2, "read", 78)
 	for id, wantSends := range map[uint32]int{1: 1, 2: 0} {
 		n := len(h.sends)
 		server := h.sends[id-1].server
-		b.AttemptEnded(100030, ended(id, server, Failed, 10))
+		b.AttemptEnded(100030, endedOutcome(id, server, Failed, 10))
 		if got := len(h.sends) - n; got != wantSends {
 			t.Errorf("request %d: %d further attempts, want %d", id, got, wantSends)
 		}
@@ -180,19 +182,19 @@
 	if h.failed[2] != 1 || h.rejected[2] != 0 {
 		t.Errorf("a non-idempotent request that may have run: failed %d, rejected %d", h.failed[2], h.rejected[2])
 	}
-	ask(b, 100040, 3, "important", 79) // a class that was removed
+	sendRequest(b, 100040, 3, "important", 79) // a class that was removed
 	if h.failed[3] != 1 {
 		t.Error("a removed class was served")
 	}
-	ask(b, 100050, 4, "new", 80)
-	if h.answers(4) != 0 {
+	sendRequest(b, 100050, 4, "new", 80)
+	if h.finalAnswers(4) != 0 {
 		t.Error("a new class was not served")
 	}
 }
 
 // Guards against invalid settings, or changes of immutable ones, of which a part is applied.
-func TestBadReconfigurationChangesNothing(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestInvalidReconfigurationChangesNothing(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for _, invalidate := range []func(*Config){
 		func(c *Config) { c.MaxAttempts = 0 },
 		func(c *Config) { c.Classes = nil },
@@ -207,9 +209,9 @@
 			t.Errorf("accepted: %+v", cfg)
 		}
 	}
-	ask(b, 100001, 1, "new", 5)
-	ask(b, 100001, 2, "important", 5)
-	if h.failed[1] != 1 || h.answers(2) != 0 {
+	sendRequest(b, 100001, 1, "new", 5)
+	sendRequest(b, 100001, 2, "important", 5)
+	if h.failed[1] != 1 || h.finalAnswers(2) != 0 {
 		t.Error("a part of a rejected configuration was applied")
 	}
 }
--- a/decide/config_test.go
+++ b/decide/config_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against an error that does not name the invalid setting and its entry in a list.
-func TestNewNamesTheBadSetting(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	negative := []Tenant{{Name: "x", QuotaPerSecond: -1}}
 	for want, invalidate := range map[string]func(*Config){
 		"Routers":                              func(c *Config) { c.Routers = 0 },
@@ -22,7 +22,7 @@
 	} {
 		cfg := testConfig()
 		invalidate(&cfg)
-		if _, err := New(cfg, 1, newHost()); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(cfg, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error that names %s, got %v", want, err)
 		}
 	}
--- a/decide/deadline_test.go
+++ b/decide/deadline_test.go
@@ -7,8 +7,8 @@
 // Guards against an objective that restarts when a client retries with less time left: it must
 // count from the client's first try, and a request that can no longer be in time must be rejected
 // at once.
-func TestTheObjectiveOfALastTryCountsFromTheFirst(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestObjectiveOfARetryCountsFromTheFirstTry(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	now := 100010.0
 	try := func(id uint32, remaining float64, isRetry bool) float64 { // returns the objective, ms from now
 		b.Request(now, Request{ID: id, Class: "read", Key: uint64(id), HasKey: true,
--- a/decide/disable_test.go
+++ b/decide/disable_test.go
@@ -6,10 +6,10 @@
 
 // Guards against requests to a disabled server when the endpoint list contains it, removes it, or
 // adds it again under its ID. One Enable must end two Disable calls.
-func TestDisabledServerGetsNothingWhateverTheListSays(t *testing.T) {
-	endpoints := fleet(6)
-	b, h := start(t, testConfig(), endpoints)
-	disabledID := homeOf(t, b, h, 100000, 1, 77)
+func TestDisabledServerGetsNoRequestsWhateverTheListSays(t *testing.T) {
+	endpoints := readyEndpoints(6)
+	b, h := newTestBalancer(t, testConfig(), endpoints)
+	disabledID := serveRequest(t, b, h, 100000, 1, 77)
 	b.Disable(100100, disabledID)
 	b.Disable(100100, disabledID) // a repeated call has no effect
 	id := uint32(2)
@@ -26,7 +26,7 @@
 		update()
 		for range 20 {
 			id++
-			if got := homeOf(t, b, h, now, id, 77); got == disabledID {
+			if got := serveRequest(t, b, h, now, id, 77); got == disabledID {
 				t.Fatal("sent to a disabled server")
 			}
 		}
@@ -38,20 +38,20 @@
 	if _, avoided := b.CountEndpoints(); avoided != 0 {
 		t.Errorf("after it was enabled: %d avoided", avoided)
 	}
-	if got := homeOf(t, b, h, now+1000, id+1, 77); got != disabledID {
+	if got := serveRequest(t, b, h, now+1000, id+1, 77); got != disabledID {
 		t.Errorf("after it was enabled: sent to %d, want %d", got, disabledID)
 	}
 }
 
 // Guards against disabled servers that are tried as a last resort: if all are disabled, a request
 // must be rejected at once.
-func TestAllDisabledRejects(t *testing.T) {
-	endpoints := fleet(3)
-	b, h := start(t, testConfig(), endpoints)
+func TestRequestIsRejectedWhenAllServersAreDisabled(t *testing.T) {
+	endpoints := readyEndpoints(3)
+	b, h := newTestBalancer(t, testConfig(), endpoints)
 	for _, e := range endpoints {
 		b.Disable(100000, e.ID)
 	}
-	ask(b, 100001, 1, "read", 5)
+	sendRequest(b, 100001, 1, "read", 5)
 	if len(h.sends) != 0 || h.rejected[1] != 1 {
 		t.Errorf("sent %d, rejected %d", len(h.sends), h.rejected[1])
 	}
@@ -60,12 +60,12 @@
 // Guards against too many requests to a server that was restarted while it was disabled: after
 // Enable it must be cold even if the endpoint list does not show the start yet. If the list showed
 // a start long ago, the server must be warm.
-func TestEnabledServerIsCold(t *testing.T) {
+func TestEnabledServerIsColdUnlessItsStartIsListed(t *testing.T) {
 	cfg := testConfig()
 	for _, isListed := range []bool{false, true} {
-		endpoints := fleet(6)
-		b, h := start(t, cfg, endpoints)
-		disabledID := homeOf(t, b, h, 100000, 1, 77)
+		endpoints := readyEndpoints(6)
+		b, h := newTestBalancer(t, cfg, endpoints)
+		disabledID := serveRequest(t, b, h, 100000, 1, 77)
 		id := uint32(10)
 		b.Disable(101000, disabledID)
 		now := 101000 + 2*cfg.SlowStartMillis
@@ -75,7 +75,7 @@
 			b.UpdateEndpoints(102000, ChangedEndpoints, []Endpoint{entry.Endpoint})
 		}
 		b.Enable(now, disabledID)
-		got := sentAtOnce(b, h, now+1000, &id, 77, disabledID)
+		got := countSentAtOnce(b, h, now+1000, &id, 77, disabledID)
 		if cold := now < b.membership.servers[disabledID].slowStart.startedAt+cfg.SlowStartMillis; cold == isListed {
 			t.Errorf("start listed %t: is cold %t", isListed, cold)
 		}
@@ -90,8 +90,8 @@
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
 	cfg.HealthChecksAllowed = true
-	endpoints := fleet(2)
-	b, h := start(t, cfg, endpoints)
+	endpoints := readyEndpoints(2)
+	b, h := newTestBalancer(t, cfg, endpoints)
 	b.Disable(100000, endpoints[0].ID)
 	b.healthChecks.budget = 4
 	for i := range 20 {
--- a/decide/discovery_backoff_test.go
+++ b/decide/discovery_backoff_test.go
@@ -9,10 +9,10 @@
 // Guards against a router that loses its list, polls in a loop or stops polling after a failed
 // call: it must keep the list, poll once more after a while, and not poll at all while its watch is
 // active.
-func TestListIsAskedForAgainAfterARefusal(t *testing.T) {
+func TestDiscoveryIsPolledAgainAfterAFailedCall(t *testing.T) {
 	cfg := testConfig()
 	cfg.PollEndpoints = true
-	b, h := start(t, cfg, fleet(3))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(3))
 	tickTo := func(from, to float64) {
 		for now := from; now <= to; now += 100 {
 			b.TimerExpired(now, housekeepingToken)
@@ -49,12 +49,12 @@
 			cfg.RouterIndex = index
 			cfg.PollEndpoints = true
 			cfg.PollWithinMillis = pollWithinMillis
-			h := newHost()
+			h := newFakeHost()
 			b, err := New(cfg, uint64(index)*977+5, h)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.UpdateEndpoints(100000, RestoredEndpoints, fleet(6))
+			b.UpdateEndpoints(100000, RestoredEndpoints, readyEndpoints(6))
 			first := math.Inf(1)
 			last := 0.0
 			for now := 100000.0; now < 120000; now += 100 {
@@ -99,7 +99,7 @@
 // Guards against calls and pauses that add up to more than the time budget after a configuration
 // that names another discovery: a router whose calls are rejected, or time out, must have made so
 // many calls by the end of the budget that one of them is likely to be accepted.
-func TestCallsAfterAMoveShareItsBudget(t *testing.T) {
+func TestPollsAfterADiscoveryChangeFitItsBudget(t *testing.T) {
 	const movedAt = 100000.0
 	for _, routers := range []int{4, 300, 5100} {
 		cfg := testConfig()
@@ -107,12 +107,12 @@
 		cfg.PollEndpoints = true
 		cfg.PollWithinMillis = pollWithinMillis
 		for seed := range uint64(50) {
-			h := newHost()
+			h := newFakeHost()
 			b, err := New(cfg, seed, h)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.UpdateEndpoints(movedAt-10000, RestoredEndpoints, fleet(6))
+			b.UpdateEndpoints(movedAt-10000, RestoredEndpoints, readyEndpoints(6))
 			b.UpdateEndpoints(movedAt-5000, ChangedEndpoints, nil)
 			before := h.watches
 			b.DiscoveryChanged(movedAt)
@@ -148,7 +148,7 @@
 // Guards against pauses of the usual length after a failure that follows an answer of the new
 // discovery: until the end of the budget, its pauses still apply. After that, the usual backoff
 // must apply again.
-func TestMoveEndsWithItsBudget(t *testing.T) {
+func TestUsualBackoffAppliesAfterTheDiscoveryChangeBudget(t *testing.T) {
 	const movedAt = 100000.0
 	for _, c := range []struct{ failedAt, maxPauseMillis, minPauseMillis float64 }{
 		{movedAt + 1000, DiscoveryChangeBudgetMillis / 3, 100},
@@ -157,7 +157,7 @@
 		cfg := testConfig()
 		cfg.Routers = 300
 		cfg.PollEndpoints = true
-		b, h := start(t, cfg, fleet(3))
+		b, h := newTestBalancer(t, cfg, readyEndpoints(3))
 		b.DiscoveryChanged(movedAt)
 		b.UpdateEndpoints(movedAt+500, ChangedEndpoints, nil)
 		b.UpdateEndpoints(c.failedAt, WatchFailed, nil)
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -7,13 +7,13 @@
 // Guards against different candidates for a key at a router that has followed the changes of the
 // list and at one that started with the resulting list: the key would be cached on twice as many
 // servers.
-func TestListsAgreeAfterRestart(t *testing.T) {
-	endpoints := fleet(10)
-	b1, _ := start(t, testConfig(), endpoints[:8])
+func TestHashListsAgreeAfterRestart(t *testing.T) {
+	endpoints := readyEndpoints(10)
+	b1, _ := newTestBalancer(t, testConfig(), endpoints[:8])
 	b1.UpdateEndpoints(100100, ChangedEndpoints, endpoints[8:])
 	b1.UpdateEndpoints(100200, ChangedEndpoints, []Endpoint{{ID: endpoints[2].ID, State: Removed}})
 	resulting := append(append([]Endpoint{}, endpoints[3:]...), endpoints[:2]...)
-	b2, _ := start(t, testConfig(), resulting)
+	b2, _ := newTestBalancer(t, testConfig(), resulting)
 	for key := range uint64(500) {
 		list1 := b1.membership.hashList(&keyTraffic{id: key})
 		list2 := b2.membership.hashList(&keyTraffic{id: key})
@@ -35,10 +35,10 @@
 
 // Guards against keys that move between unchanged servers when one joins or leaves, and against
 // servers that are home to far too many or too few keys.
-func TestChangeMovesFewKeys(t *testing.T) {
-	endpoints := fleet(11)
+func TestMembershipChangeMovesFewKeys(t *testing.T) {
+	endpoints := readyEndpoints(11)
 	homes := func(endpoints []Endpoint) map[uint64]uint32 {
-		b, _ := start(t, testConfig(), endpoints)
+		b, _ := newTestBalancer(t, testConfig(), endpoints)
 		homeOfKey := map[uint64]uint32{}
 		for key := range uint64(4000) {
 			homeOfKey[key] = b.membership.hashList(&keyTraffic{id: key})[0].ID
@@ -74,8 +74,8 @@
 
 // Guards against keys that move for good when a server is ejected: it keeps its position in the
 // keys' lists, and the next server of the list replaces it until it returns.
-func TestHealthDoesNotMoveTheHash(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(8))
+func TestEjectionKeepsTheHashList(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(8))
 	k := &keyTraffic{id: 42}
 	home := b.membership.hashList(k)[0]
 	home.health.isEjected = true
@@ -90,16 +90,16 @@
 
 // Guards against requests to a draining or a removed server, and against requests that are then not
 // sent at all.
-func TestNothingNewToDrainingOrRemoved(t *testing.T) {
-	endpoints := fleet(4)
-	b, h := start(t, testConfig(), endpoints)
+func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
+	endpoints := readyEndpoints(4)
+	b, h := newTestBalancer(t, testConfig(), endpoints)
 	endpoints[0].State = Draining
 	endpoints[1].State = Removed
 	b.UpdateEndpoints(100005, ChangedEndpoints, endpoints[:2])
 	for i := range uint32(300) {
 		now := 100010 + float64(i)
-		ask(b, now, i+1, "read", uint64(i))
-		b.AttemptEnded(now, served(i+1, h.last().server, 1))
+		sendRequest(b, now, i+1, "read", uint64(i))
+		b.AttemptEnded(now, servedOutcome(i+1, h.lastSend().server, 1))
 	}
 	for _, s := range h.sends {
 		if s.server == endpoints[0].ID || s.server == endpoints[1].ID {
--- a/decide/handover_fixture_test.go
+++ b/decide/handover_fixture_test.go
@@ -31,7 +31,7 @@
 // playFixture sends a request every 20 ms and answers each attempt by rules that depend only on
 // IDs.
 func playFixture(b *Balancer, h *fakeHost, from, to float64, firstID uint32) {
-	servers := fleet(8)
+	servers := readyEndpoints(8)
 	id := firstID
 	answered := 0
 	attempts := map[uint32]int{}
@@ -82,13 +82,13 @@
 // Guards against a field of a handed-over state that changes its meaning between releases: after an
 // upgrade, the new process must send each request to the server that the old release would have
 // chosen, and hand over the same state under the same JSON names.
-func TestStateOfTheEarlierProgramMeansTheSame(t *testing.T) {
+func TestSnapshotOfEarlierReleaseLeadsToTheSameDecisions(t *testing.T) {
 	var state Snapshot
 	readFixture(t, "handover.json", &state)
 	var want fixtureContinuation
 	readFixture(t, "handover_continued.json", &want)
 
-	h := newHost()
+	h := newFakeHost()
 	b, err := New(fixtureConfig(), 8, h)
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 
 // Guards against a state that loses or renames fields, absent ones included, when it is read and
 // written.
-func TestStateOfTheEarlierProgramKeepsItsBytes(t *testing.T) {
+func TestSnapshotOfEarlierReleaseKeepsItsFields(t *testing.T) {
 	var state Snapshot
 	readFixture(t, "handover.json", &state)
 	var want json.RawMessage
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// moved returns a new Balancer that took over a Balancer's state by way of JSON.
-func moved(t *testing.T, b *Balancer, now float64) (*Balancer, *fakeHost) {
+// handOverToNew returns a new Balancer that took over a Balancer's state by way of JSON.
+func handOverToNew(t *testing.T, b *Balancer, now float64) (*Balancer, *fakeHost) {
 	t.Helper()
 	text, err := json.Marshal(b.HandOver(now))
 	if err != nil {
@@ -16,7 +16,7 @@
 	if err := json.Unmarshal(text, &state); err != nil {
 		t.Fatal(err)
 	}
-	h := newHost()
+	h := newFakeHost()
 	successor, err := New(b.cfg, 8, h)
 	if err != nil {
 		t.Fatal(err)
@@ -29,11 +29,11 @@
 
 // Guards against requests from a new process to a server that was disabled, draining or ejected
 // when the old process handed over.
-func TestBansDrainsAndHealthGoOver(t *testing.T) {
-	endpoints := fleet(6)
+func TestDisabledDrainingAndEjectedServersAreHandedOver(t *testing.T) {
+	endpoints := readyEndpoints(6)
 	endpoints[2].State = Draining
-	b, h := start(t, testConfig(), endpoints)
-	disabledID := homeOf(t, b, h, 100000, 1, 77)
+	b, h := newTestBalancer(t, testConfig(), endpoints)
+	disabledID := serveRequest(t, b, h, 100000, 1, 77)
 	b.Disable(100100, disabledID)
 	failing := b.membership.caches[0]
 	if failing.ID == disabledID || failing.ID == endpoints[2].ID {
@@ -42,16 +42,16 @@
 	failing.health.isEjected = true
 	failing.health.probeAt = 1e9
 	failing.health.forcedProbeAt = 1e9
-	successor, successorHost := moved(t, b, 100200)
+	successor, successorHost := handOverToNew(t, b, 100200)
 	for id := range uint32(300) {
-		homeOf(t, successor, successorHost, 100300+float64(id)*20, id+1, uint64(id)*7919)
+		serveRequest(t, successor, successorHost, 100300+float64(id)*20, id+1, uint64(id)*7919)
 	}
 	for _, s := range successorHost.sends {
 		if s.server == disabledID || s.server == endpoints[2].ID || s.server == failing.ID {
 			t.Fatalf("sent to %d", s.server)
 		}
 	}
-	successor.UpdateEndpoints(100400, AllEndpoints, fleet(6)) // this list does not show that a server is disabled
+	successor.UpdateEndpoints(100400, AllEndpoints, readyEndpoints(6)) // a list that shows no disabled server
 	if !successor.membership.servers[disabledID].isDisabled {
 		t.Error("the server is no longer disabled")
 	}
@@ -62,19 +62,19 @@
 
 // Guards against an overloaded cold server during a handover: the old and the new process together
 // must send it no more than one process alone would.
-func TestColdBudgetHoldsOverAHandover(t *testing.T) {
+func TestSlowStartBudgetIsSharedInAHandover(t *testing.T) {
 	cfg := testConfig()
 	cold := func() (*Balancer, *fakeHost, uint32) {
-		endpoints := fleet(6)
-		b, h := start(t, cfg, endpoints)
-		home := homeOf(t, b, h, 100000, 1, 77)
+		endpoints := readyEndpoints(6)
+		b, h := newTestBalancer(t, cfg, endpoints)
+		home := serveRequest(t, b, h, 100000, 1, 77)
 		entry := b.membership.servers[home].Endpoint
 		entry.StartedAt = 101000
 		b.UpdateEndpoints(101000, ChangedEndpoints, []Endpoint{entry})
 		return b, h, home
 	}
 	sends := func(now float64, to uint32, b *Balancer, h *fakeHost, id *uint32) int {
-		return sentAtOnce(b, h, now, id, 77, to)
+		return countSentAtOnce(b, h, now, id, 77, to)
 	}
 	alone, aloneHost, home := cold()
 	id := uint32(1000)
@@ -85,7 +85,7 @@
 	}
 	old, oldHost, _ := cold()
 	both += sends(101200, home, old, oldHost, &id)
-	successor, successorHost := moved(t, old, 101200)
+	successor, successorHost := handOverToNew(t, old, 101200)
 	old.SetProcessCount(101200, 2)
 	successor.SetProcessCount(101200, 2)
 	for now := 101300.0; now < 103200; now += 100 {
@@ -98,9 +98,9 @@
 
 // Guards against invalid snapshots: only the disabled servers may be restored from them. A snapshot
 // after another event must be rejected.
-func TestImpossibleSnapshotRestoresOnlyDisabledServers(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(3))
-	b.Disable(100000, fleet(3)[0].ID)
+func TestInvalidSnapshotRestoresOnlyDisabledServers(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(3))
+	b.Disable(100000, readyEndpoints(3)[0].ID)
 	valid := b.HandOver(100000)
 	for name, invalidate := range map[string]func(*Snapshot){
 		"fetches":        func(s *Snapshot) { s.FetchLimit = -1 },
@@ -109,14 +109,14 @@
 	} {
 		invalid := valid
 		invalidate(&invalid)
-		successor, err := New(testConfig(), 1, newHost())
+		successor, err := New(testConfig(), 1, newFakeHost())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if successor.TakeOver(100000, invalid) == nil || len(successor.membership.servers) != 0 {
 			t.Errorf("%s: accepted", name)
 		}
-		successor.UpdateEndpoints(100000, RestoredEndpoints, fleet(3))
+		successor.UpdateEndpoints(100000, RestoredEndpoints, readyEndpoints(3))
 		if _, avoided := successor.CountEndpoints(); avoided != 1 {
 			t.Errorf("%s: %d avoided, want the disabled one", name, avoided)
 		}
@@ -127,12 +127,12 @@
 }
 
 // Guards against snapshots that differ between two Balancers that handled the same events.
-func TestHandingOverIsDeterministic(t *testing.T) {
+func TestHandOverIsDeterministic(t *testing.T) {
 	var states [2]string
 	for i := range states {
-		b, _ := start(t, testConfig(), fleet(9))
+		b, _ := newTestBalancer(t, testConfig(), readyEndpoints(9))
 		for id := range uint32(50) {
-			ask(b, 100000, id+1, "read", uint64(id%7))
+			sendRequest(b, 100000, id+1, "read", uint64(id%7))
 		}
 		text, err := json.Marshal(b.HandOver(100100))
 		if err != nil {
@@ -146,13 +146,13 @@
 }
 
 // Guards against a restored idle timeout that exceeds the one in the new process's settings.
-func TestStateMeetsOtherSettings(t *testing.T) {
+func TestTakenOverIdleTimeoutIsBoundedBySettings(t *testing.T) {
 	cfg := testConfig()
 	cfg.IdleTimeoutMillis = 10000
-	b, _ := start(t, cfg, fleet(3))
+	b, _ := newTestBalancer(t, cfg, readyEndpoints(3))
 	state := b.HandOver(100000)
 	cfg.IdleTimeoutMillis = 3000
-	successor, err := New(cfg, 1, newHost())
+	successor, err := New(cfg, 1, newFakeHost())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/decide/health_check_test.go
+++ b/decide/health_check_test.go
@@ -6,19 +6,19 @@
 
 // Guards against a router of a large fleet that sends more health checks than requests, or always
 // to the same servers.
-func TestHealthChecksAreAPartOfTheRequests(t *testing.T) {
+func TestHealthChecksAreFewerThanRequests(t *testing.T) {
 	cfg := testConfig()
 	cfg.LoadByHealthCheck = true
 	cfg.HealthChecksAllowed = true
 	cfg.Routers = 600
-	b, h := start(t, cfg, fleet(100))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(100))
 	requests := uint32(0)
 	for now := 100000.0; now < 160000; now += 100 {
 		b.TimerExpired(now, housekeepingToken)
 		if int(now)%400 == 0 { // 2.5 requests per second
 			requests++
-			ask(b, now, requests, "read", uint64(requests))
-			b.AttemptEnded(now, served(requests, h.last().server, 1))
+			sendRequest(b, now, requests, "read", uint64(requests))
+			b.AttemptEnded(now, servedOutcome(requests, h.lastSend().server, 1))
 		}
 	}
 	if maxChecks := 0.2 * float64(requests); float64(len(h.healthChecks)) > maxChecks ||
@@ -37,7 +37,7 @@
 // Guards against useless health checks: a router of a large fleet would get each server's report
 // only once per minute. It must nearly stop its checks once the capacities by kind are known, while
 // a router of a small fleet must continue.
-func TestHealthChecksStopWhereTheyTellLittle(t *testing.T) {
+func TestHealthChecksNearlyStopInALargeFleet(t *testing.T) {
 	for _, c := range []struct {
 		servers, perSecond   int
 		minChecks, maxChecks float64 // health checks per arrival after 15 s
@@ -46,15 +46,15 @@
 		cfg.Routers = 300
 		cfg.LoadByHealthCheck = true
 		cfg.HealthChecksAllowed = true
-		b, h := start(t, cfg, fleet(c.servers))
+		b, h := newTestBalancer(t, cfg, readyEndpoints(c.servers))
 		id := uint32(0)
 		checks := 0
 		for i := range 30 * c.perSecond {
 			now := 100010 + float64(i)*1000/float64(c.perSecond)
 			id++
-			ask(b, now, id, "read", uint64(id%50))
+			sendRequest(b, now, id, "read", uint64(id%50))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == id {
-				b.AttemptEnded(now+1, served(id, h.last().server, 50))
+				b.AttemptEnded(now+1, servedOutcome(id, h.lastSend().server, 50))
 			}
 			b.TimerExpired(now+2, housekeepingToken)
 			for _, s := range h.healthChecks {
--- a/decide/load_report_test.go
+++ b/decide/load_report_test.go
@@ -7,8 +7,8 @@
 
 // Guards against a model with infinite values, or shares outside 0 to 1, after reports with absent,
 // infinite or implausible figures.
-func TestAbsurdReportsLeaveTheModelFinite(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(4))
+func TestImplausibleReportsKeepTheModelFinite(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(4))
 	inf := math.Inf(1)
 	for i, l := range []LoadReport{
 		NoLoadReport,
@@ -21,15 +21,15 @@
 		{RequestsPerSecond: 1e-9, Utilization: 1e8},
 		{RequestsPerSecond: -3, Utilization: 0.5},
 	} {
-		for j, e := range fleet(4) {
+		for j, e := range readyEndpoints(4) {
 			report := l
 			report.RequestsPerSecond += float64(j)
 			b.HealthCheckEnded(100010+float64(i), e.ID, OK, report)
 		}
 		for r := range uint32(40) {
 			id := uint32(i)*100 + r
-			ask(b, 100010+float64(i), id, "read", uint64(r%3))
-			o := served(id, h.last().server, 10)
+			sendRequest(b, 100010+float64(i), id, "read", uint64(r%3))
+			o := servedOutcome(id, h.lastSend().server, 10)
 			o.Load = l
 			b.AttemptEnded(100010+float64(i), o)
 		}
@@ -52,12 +52,12 @@
 
 // Guards against overloaded servers in the first second of a router, when no server has reported
 // its load: of 600 requests at once, each server must get a few and not all.
-func TestUnreportedServersAreNotFlooded(t *testing.T) {
+func TestServersWithoutReportsAreNotOverloaded(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
+	b, h := newTestBalancer(t, cfg, append(readyEndpoints(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.serviceTime.add(100)
 	for i := range uint32(600) {
-		ask(b, 100001, i+1, "important", uint64(i))
+		sendRequest(b, 100001, i+1, "important", uint64(i))
 	}
 	if n := len(h.sends) / 6; n < 3 || n > 12 {
 		t.Errorf("%d requests in flight at each server that has not reported", n)
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -7,9 +7,9 @@
 
 // Guards against a fetch limit that falls because of fetches that were sent too late and time out
 // while the origin answers others quickly. If every fetch is slow, the limit must fall.
-func TestLateFetchIsNoSignOfASlowOrigin(t *testing.T) {
+func TestLateFetchDoesNotLowerFetchLimit(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+	b, _ := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 77, Kind: "origin"}))
 	before := b.originFetches.limit
 	for i := range 20 {
 		b.now += 1000
@@ -34,8 +34,8 @@
 
 // Guards against a floor latency that rises in a long overload and so hides slow fetches: fetches
 // that take nearly the whole objective must still lower the limit.
-func TestRisenFloorDoesNotExcuseUselessFetches(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(2))
+func TestRisenFloorDoesNotHideSlowFetches(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(2))
 	before := b.originFetches.limit
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 	for range 200 {
@@ -49,19 +49,19 @@
 
 // Guards against several fetches of a key at once: two requests miss a key and a third arrives. One
 // fetch must be made, and the other requests must then go to the server that stores the key.
-func TestOwnMissesOfAKeyShareAFetch(t *testing.T) {
+func TestMissesOfAKeyShareAFetch(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
-	ask(b, 100010, 1, "read", 5)
-	home := h.last().server
-	ask(b, 100011, 2, "read", 5)
-	b.AttemptEnded(100020, withResult(CacheMiss, ended(1, home, Miss, 9)))
-	b.AttemptEnded(100021, withResult(CacheMiss, ended(2, home, Miss, 9)))
-	ask(b, 100022, 3, "read", 5)
-	if len(h.sends) != 3 || h.last() != (sent{1, 77}) {
+	b, h := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 77, Kind: "origin"}))
+	sendRequest(b, 100010, 1, "read", 5)
+	home := h.lastSend().server
+	sendRequest(b, 100011, 2, "read", 5)
+	b.AttemptEnded(100020, withCacheResult(CacheMiss, endedOutcome(1, home, Miss, 9)))
+	b.AttemptEnded(100021, withCacheResult(CacheMiss, endedOutcome(2, home, Miss, 9)))
+	sendRequest(b, 100022, 3, "read", 5)
+	if len(h.sends) != 3 || h.lastSend() != (sentAttempt{1, 77}) {
 		t.Fatalf("sends %v, want two to the home and one fetch", h.sends)
 	}
-	b.AttemptEnded(100060, ofAttempt(1, served(1, 77, 40)))
+	b.AttemptEnded(100060, forAttempt(1, servedOutcome(1, 77, 40)))
 	if len(h.sends) != 5 || h.sends[3].server != home || h.sends[4].server != home {
 		t.Errorf("sends %v, want the two waiting requests at the home", h.sends)
 	}
@@ -70,14 +70,14 @@
 // Guards against ejected servers and useless retries if servers fetch by themselves and the origin
 // fails each fetch: no request may be retried elsewhere, which would only ask the origin again, no
 // server may be ejected, and the limit must fall, and rise again once the origin answers.
-func TestFailedFetchIsTheOriginsFault(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestFailedOriginFetchEjectsNoServer(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for i := range uint32(40) { // every 300 ms; the limit falls until there are pauses between fetches
 		now := 100010 + 300*float64(i)
 		sendsBefore := len(h.sends)
-		ask(b, now, i+1, "read", uint64(i))
+		sendRequest(b, now, i+1, "read", uint64(i))
 		if len(h.sends) > sendsBefore {
-			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Failed, 20)))
+			b.AttemptEnded(now+20, withCacheResult(CacheMiss, endedOutcome(i+1, h.lastSend().server, Failed, 20)))
 		}
 		if len(h.sends) > sendsBefore+1 {
 			t.Fatalf("request %d was sent again", i+1)
@@ -89,14 +89,15 @@
 	}
 	n := len(h.sends)
 	for i := range uint32(40) {
-		ask(b, 120000, 100+i, "once", uint64(100+i))
+		sendRequest(b, 120000, 100+i, "once", uint64(100+i))
 	}
 	if fetches := len(h.sends) - n; fetches != 1 {
 		t.Errorf("%d fetches in flight at a limit of %v", fetches, b.originFetches.limit)
 	}
 	for i := range uint32(60) { // answers raise the limit again
-		if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
-			b.AttemptEnded(120020+20*float64(i), withResult(CacheMiss, served(r.ID, h.last().server, 20)))
+		if r := b.requests[h.lastSend().id]; r != nil && r.inFlight > 0 {
+			b.AttemptEnded(120020+20*float64(i),
+				withCacheResult(CacheMiss, servedOutcome(r.ID, h.lastSend().server, 20)))
 		}
 	}
 	if b.originFetches.limit < 2 {
@@ -106,24 +107,24 @@
 
 // Guards against a key that counts as stored although the server's own fetch of it failed: its next
 // request must wait for a fetch slot.
-func TestKeyWhoseFetchFailedTakesAPlace(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
-	ask(b, 100001, 1, "read", 5)
-	b.AttemptEnded(100041, withResult(CacheMiss, served(1, h.last().server, 40)))
-	if ask(b, 101000, 2, "read", 5); b.requests[2].isServerFetch {
+func TestKeyWhoseFetchFailedWaitsForAFetchSlot(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
+	sendRequest(b, 100001, 1, "read", 5)
+	b.AttemptEnded(100041, withCacheResult(CacheMiss, servedOutcome(1, h.lastSend().server, 40)))
+	if sendRequest(b, 101000, 2, "read", 5); b.requests[2].isServerFetch {
 		t.Error("a key stored a second ago counted as missing")
 	}
-	b.AttemptEnded(101200, withResult(CacheMiss, ended(2, h.last().server, Failed, 200)))
-	if ask(b, 102000, 3, "read", 5); !b.requests[3].isServerFetch {
+	b.AttemptEnded(101200, withCacheResult(CacheMiss, endedOutcome(2, h.lastSend().server, Failed, 200)))
+	if sendRequest(b, 102000, 3, "read", 5); !b.requests[3].isServerFetch {
 		t.Error("a key whose fetch failed counted as stored")
 	}
 }
 
 // Guards against a limit that has risen far above the fetches in flight when a queue builds up at
 // the origin: it must fall below them at once. One lost answer must not cut it as far.
-func TestBoundOnFetchesFallsBelowThoseThatQueue(t *testing.T) {
+func TestFetchLimitFallsBelowQueuedFetches(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+	b, _ := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 77, Kind: "origin"}))
 	b.originFetches.limit = 40
 	b.originFetches.latency = trend{value: 80, floor: 80, updatedAt: b.now}
 	b.membership.origin.attempts.inFlight = 12
@@ -147,11 +148,11 @@
 // Guards against many routers that together overload a slow origin: if every fetch is late at each
 // of 300 routers, their limits together must fall to a few fetches, which means pauses at each
 // router.
-func TestFetchesOfManyRoutersAddUpToAFewPlaces(t *testing.T) {
+func TestFetchLimitsOfManyRoutersAddUpToAFew(t *testing.T) {
 	for _, routers := range []int{4, 300} {
 		cfg := cacheAsideConfig()
 		cfg.Routers = routers
-		b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+		b, h := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 77, Kind: "origin"}))
 		r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 		b.fetchEnded(r, OK, 30)
 		for range 60 {
@@ -168,8 +169,8 @@
 			b.now += 100
 			b.Request(b.now, Request{ID: i + 1, Class: "once", Key: uint64(i), HasKey: true, IsWrite: true,
 				RemainingMillis: 600})
-			if r := b.requests[h.last().id]; r != nil && r.inFlight > 0 {
-				b.AttemptEnded(b.now, served(r.ID, 77, 100))
+			if r := b.requests[h.lastSend().id]; r != nil && r.inFlight > 0 {
+				b.AttemptEnded(b.now, servedOutcome(r.ID, 77, 100))
 				b.originFetches.limit = 0.1
 			}
 		}
@@ -182,18 +183,19 @@
 
 // Guards against another fetch after the origin's answer was damaged on its way to the router: the
 // value is stored on the server that missed it and must be read there, and the limit must not fall.
-func TestMalformedFetchIsAskedForWhereItIsStored(t *testing.T) {
+func TestMalformedFetchIsReadFromTheServerThatStoresIt(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, h := start(t, cfg, append(fleet(3), Endpoint{ID: 99, Kind: "origin"}))
+	b, h := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 99, Kind: "origin"}))
 	before := b.originFetches.limit
-	ask(b, 100010, 1, "read", 9)
-	home := h.last().server
-	b.AttemptEnded(100020, ended(1, home, Miss, 10))
-	if h.last().server != 99 {
+	sendRequest(b, 100010, 1, "read", 9)
+	home := h.lastSend().server
+	b.AttemptEnded(100020, endedOutcome(1, home, Miss, 10))
+	if h.lastSend().server != 99 {
 		t.Fatal("no fetch")
 	}
-	b.AttemptEnded(100060, ofAttempt(1, ended(1, 99, MalformedResponse, 40)))
-	if len(h.sends) != 3 || h.last().server != home || b.originFetches.limit < before || b.keys.byID[9].fetch != nil {
+	b.AttemptEnded(100060, forAttempt(1, endedOutcome(1, 99, MalformedResponse, 40)))
+	if len(h.sends) != 3 || h.lastSend().server != home || b.originFetches.limit < before ||
+		b.keys.byID[9].fetch != nil {
 		t.Errorf("sends %v, limit %v", h.sends, b.originFetches.limit)
 	}
 }
@@ -201,11 +203,11 @@
 // Guards against a growth of the fetch limits that depends on the number of routers: during the
 // time of a fast fetch, the limits of all routers together must grow by some fetches, for one
 // router or eighty.
-func TestTheBoundOnFetchesGrowsAlikeOverTheFleet(t *testing.T) {
+func TestFetchLimitGrowthIsIndependentOfRouterCount(t *testing.T) {
 	for _, routers := range []int{1, 4, 80} {
 		cfg := testConfig()
 		cfg.Routers = routers
-		b, _ := start(t, cfg, fleet(6))
+		b, _ := newTestBalancer(t, cfg, readyEndpoints(6))
 		b.originFetches.latency = trend{value: 100, floor: 100, updatedAt: b.now}
 		b.originFetches.limit = 128 / float64(routers)
 		b.originFetches.limit = min(64, b.originFetches.limit)
@@ -223,50 +225,50 @@
 // Guards against fetches that can't be in time: a request that misses its key with less time left
 // than a fetch takes must not be sent to the origin. Once the observed queue at the origin has
 // decayed, the next one must be.
-func TestNoFetchThatCantBeInTime(t *testing.T) {
+func TestFetchThatCannotBeInTimeIsNotSent(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
+	b, h := newTestBalancer(t, cfg, append(readyEndpoints(6), Endpoint{ID: 77, Kind: "origin"}))
 	b.originFetches.latency = trend{value: 280, floor: 100, updatedAt: 100000}
-	ask(b, 100010, 1, "read", 9)
-	b.AttemptEnded(100050, withResult(CacheMiss, ended(1, h.last().server, Miss, 40)))
-	if h.last().server == 77 || h.answers(1) != 1 {
+	sendRequest(b, 100010, 1, "read", 9)
+	b.AttemptEnded(100050, withCacheResult(CacheMiss, endedOutcome(1, h.lastSend().server, Miss, 40)))
+	if h.lastSend().server == 77 || h.finalAnswers(1) != 1 {
 		t.Errorf("sent %v with 260 ms left of the objective and fetches of 280 ms", h.sends)
 	}
 	b.TimerExpired(110000, housekeepingToken) // the observed queue decays
-	ask(b, 110010, 2, "read", 9)
-	b.AttemptEnded(110050, withResult(CacheMiss, ended(2, h.last().server, Miss, 40)))
-	if h.last().server != 77 {
+	sendRequest(b, 110010, 2, "read", 9)
+	b.AttemptEnded(110050, withCacheResult(CacheMiss, endedOutcome(2, h.lastSend().server, Miss, 40)))
+	if h.lastSend().server != 77 {
 		t.Errorf("sent %v, want a fetch once the observed queue has decayed", h.sends)
 	}
 }
 
 // Guards against misses that wait for a fetch slot at a router that has just started: each must be
 // fetched at once, however many routers there are.
-func TestAMissAfterTheStartIsFetchedAtOnce(t *testing.T) {
+func TestMissAfterStartIsFetchedAtOnce(t *testing.T) {
 	for _, routers := range []int{1, 4, 80, 300} {
 		cfg := cacheAsideConfig()
 		cfg.Routers = routers
 		cfg.Classes[0].LatencyObjectiveMillis = 600
 		cfg.Classes[0].DeadlineMillis = 1200
-		b, h := start(t, cfg, append(fleet(6), Endpoint{ID: 77, Kind: "origin"}))
+		b, h := newTestBalancer(t, cfg, append(readyEndpoints(6), Endpoint{ID: 77, Kind: "origin"}))
 		for i := range uint32(12) { // the previous fetch is in flight when the next request misses
 			now := 100010 + 300*float64(i)
-			ask(b, now, i+1, "read", uint64(i))
-			b.AttemptEnded(now+20, withResult(CacheMiss, ended(i+1, h.last().server, Miss, 20)))
-			if h.last() != (sent{i + 1, 77}) {
+			sendRequest(b, now, i+1, "read", uint64(i))
+			b.AttemptEnded(now+20, withCacheResult(CacheMiss, endedOutcome(i+1, h.lastSend().server, Miss, 20)))
+			if h.lastSend() != (sentAttempt{i + 1, 77}) {
 				t.Fatalf("%d routers: request %d is not fetched: sent %v", routers, i+1, h.sends)
 			}
-			b.AttemptEnded(now+270, ofAttempt(1, served(i+1, 77, 250)))
+			b.AttemptEnded(now+270, forAttempt(1, servedOutcome(i+1, 77, 250)))
 		}
 	}
 }
 
 // Guards against a limit that repeated cuts reduce to almost nothing: even if every fetch is late,
 // a tenth of this router's requests must be allowed, as a limit below one only grows with fetches.
-func TestABoundThatWasCutLeavesATenthOfTheRequests(t *testing.T) {
+func TestFetchLimitAfterCutsAllowsATenthOfRequests(t *testing.T) {
 	cfg := cacheAsideConfig()
 	cfg.Routers = 300
-	b, _ := start(t, cfg, append(fleet(3), Endpoint{ID: 77, Kind: "origin"}))
+	b, _ := newTestBalancer(t, cfg, append(readyEndpoints(3), Endpoint{ID: 77, Kind: "origin"}))
 	r := &request{class: &Class{LatencyObjectiveMillis: 300}, key: &keyTraffic{}}
 	b.fetchEnded(r, OK, 100)
 	for range 400 { // twenty per second
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -7,8 +7,8 @@
 
 // Guards against the ejection of a server whose requests time out while they wait for a fetch: it
 // still answers others. A server that answers no request must be ejected.
-func TestTimeOutWhileOthersAreAnsweredIsNoSign(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+func TestTimeoutIsNoEvidenceWhileServerAnswersOthers(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	s := b.membership.caches[0]
 	for range 20 {
 		s.health.lastReplyAt = b.now
@@ -30,13 +30,13 @@
 // ejections when half of the fleet does not answer, and against a server that returns with full
 // load: after its ejection time it is probed, returns with half of its channels, and one failure
 // ejects it again.
-func TestSilentServerIsEjectedAndTakenBackSlowly(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+func TestUnresponsiveServerIsEjectedAndReturnsWithReducedLoad(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	s := b.membership.caches[0]
 	for range maxUnanswered {
 		b.recordOutcome(s, Timeout, b.now+1)
 	}
-	if !s.health.isEjected || b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
+	if !s.health.isEjected || b.isUsableFor(s, newReadRequest(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("three unanswered attempts did not eject the server")
 	}
 	for _, o := range b.membership.caches[1:3] {
@@ -50,7 +50,7 @@
 		t.Error("a server was ejected though half of the fleet does not answer")
 	}
 	b.now = s.health.probeAt + 1
-	if !b.isUsableFor(s, read(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
+	if !b.isUsableFor(s, newReadRequest(b, b.trafficOf(Request{Key: 1, HasKey: true}))) {
 		t.Fatal("no probe after the ejection time")
 	}
 	for _, o := range b.membership.caches {
@@ -69,20 +69,20 @@
 
 // Guards against a server that is ejected, or connections that are closed, because of one damaged
 // answer. A server all of whose answers are damaged must be ejected.
-func TestMalformedAnswersAreNoSignOfADeadServer(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestOneMalformedAnswerDoesNotEject(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	idleTimeout := b.idleTimeoutMillis
 	for id := uint32(1); id <= 8; id++ {
 		now := 100000 + float64(id)*100
-		ask(b, now, id, "read", 9)
-		b.AttemptEnded(now+10, ended(id, h.last().server, MalformedResponse, 10))
+		sendRequest(b, now, id, "read", 9)
+		b.AttemptEnded(now+10, endedOutcome(id, h.lastSend().server, MalformedResponse, 10))
 		health := b.membership.servers[h.sends[0].server].health
 		if id == 1 && (health.isEjected || health.unanswered > 0 || b.idleTimeoutMillis != idleTimeout) {
 			t.Fatalf("after %d: ejected %v, unanswered %d, idle timeout %v", id, health.isEjected,
 				health.unanswered, b.idleTimeoutMillis)
 		}
-		for a := 1; h.answers(id) == 0; a++ {
-			b.AttemptEnded(now+20, ofAttempt(a, ended(id, h.last().server, MalformedResponse, 10)))
+		for a := 1; h.finalAnswers(id) == 0; a++ {
+			b.AttemptEnded(now+20, forAttempt(a, endedOutcome(id, h.lastSend().server, MalformedResponse, 10)))
 		}
 	}
 	if s := b.membership.servers[h.sends[0].server]; !s.health.isEjected {
@@ -93,11 +93,11 @@
 // Guards against an ejected server that is never probed because no queue makes a request try
 // further servers of its list: after the ejection time, a request of its own keys must be sent as a
 // probe.
-func TestProbeComesWithoutAQueue(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
-	ask(b, 100010, 1, "read", 9)
-	home := b.membership.servers[h.last().server]
-	b.AttemptEnded(100015, served(1, home.ID, 5))
+func TestEjectedServerIsProbedWithoutQueues(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
+	sendRequest(b, 100010, 1, "read", 9)
+	home := b.membership.servers[h.lastSend().server]
+	b.AttemptEnded(100015, servedOutcome(1, home.ID, 5))
 	b.recordOutcome(home, Reset, 100020)
 	if home.health.isEjected { // one reset is not enough evidence
 		t.Fatal("ejected after one reset")
@@ -110,15 +110,15 @@
 	for i := range 40 {
 		id := uint32(100 + i)
 		now := 100100 + float64(i)*200
-		ask(b, now, id, "read", 9)
-		s := h.last()
+		sendRequest(b, now, id, "read", 9)
+		s := h.lastSend()
 		if s.server == home.ID && !isProbed {
 			isProbed = true
 			if now < home.health.probeAt {
 				t.Errorf("probed before it was due")
 			}
 		}
-		b.AttemptEnded(now+10, served(id, s.server, 10))
+		b.AttemptEnded(now+10, servedOutcome(id, s.server, 10))
 	}
 	if !isProbed || home.health.isEjected {
 		t.Errorf("probed %v, ejected %v", isProbed, home.health.isEjected)
@@ -128,8 +128,8 @@
 // Guards against the ejection of healthy servers when connections break everywhere, two or three
 // times in a row by chance. A server that fails every second attempt must be ejected soon, and a
 // dead one sooner.
-func TestFailuresCountAgainstTheFleets(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(9))
+func TestFailuresCountRelativeToTheFleet(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(9))
 	rng := rand.New(rand.NewPCG(5, 5))
 	ejectedOutcomes := 0
 	for range 3000 {
@@ -169,8 +169,8 @@
 
 // Guards against attempts that were in flight when their server was ejected and then count as
 // failed probes: the ejection time must not change. When a probe fails, it must double.
-func TestOldAttemptsAreNoFailedProbes(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+func TestAttemptsBeforeEjectionAreNotFailedProbes(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	s := b.membership.caches[2]
 	for range 2 {
 		b.recordOutcome(s, Reset, b.now)
@@ -196,17 +196,17 @@
 // Guards against further attempts at a dead server: one that refuses a connection and has not
 // answered for long must be ejected at once, and the retry must not use the budget. One that has
 // just answered must not be ejected.
-func TestAConnectErrorIsEnough(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestConnectErrorEjectsServerWithoutRecentReply(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	b.retryBudget = 0
-	ask(b, 105000, 1, "read", 9)
-	dead := b.membership.servers[h.last().server]
-	b.AttemptEnded(105001, ended(1, dead.ID, ConnectError, 1))
-	if !dead.health.isEjected || len(h.sends) != 2 || h.last().server == dead.ID {
+	sendRequest(b, 105000, 1, "read", 9)
+	dead := b.membership.servers[h.lastSend().server]
+	b.AttemptEnded(105001, endedOutcome(1, dead.ID, ConnectError, 1))
+	if !dead.health.isEjected || len(h.sends) != 2 || h.lastSend().server == dead.ID {
 		t.Errorf("ejected %v, sent %v", dead.health.isEjected, h.sends)
 	}
-	other := b.membership.servers[h.last().server]
-	b.AttemptEnded(105050, ofAttempt(1, served(1, other.ID, 49)))
+	other := b.membership.servers[h.lastSend().server]
+	b.AttemptEnded(105050, forAttempt(1, servedOutcome(1, other.ID, 49)))
 	b.recordOutcome(other, ConnectError, 105040)
 	if other.health.isEjected {
 		t.Error("a server that has just answered was ejected after one refused connection")
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func models(channelCounts ...int) []*server {
+func modelServers(channelCounts ...int) []*server {
 	var servers []*server
 	for i, n := range channelCounts {
 		model := serverModel{channels: n, servicePerSecond: 10}
@@ -14,7 +14,7 @@
 	return servers
 }
 
-func cost(servers []*server, rates []float64, momentRatio float64) (total float64) {
+func totalWaiting(servers []*server, rates []float64, momentRatio float64) (total float64) {
 	for j, s := range servers {
 		waiting, _, _ := mgmWaiting(s.model.arrivalsPerSecond+rates[j], s.model.channels,
 			s.model.servicePerSecond, momentRatio)
@@ -25,7 +25,7 @@
 
 // Guards against sweeps that do not find the optimum: they must end at rates that add up to the
 // total and whose waiting hardly exceeds the best of a fine grid.
-func TestBalanceFindsTheOptimum(t *testing.T) {
+func TestEqualizeFDLFindsTheOptimum(t *testing.T) {
 	for _, c := range []struct {
 		channels []int
 		load     []float64
@@ -35,7 +35,7 @@
 		{[]int{3, 3, 1}, []float64{29, 0, 0}, 20}, {[]int{1, 1, 1}, []float64{0, 0, 0}, 28.5},
 	} {
 		b := &Balancer{}
-		servers := models(c.channels...)
+		servers := modelServers(c.channels...)
 		for j, l := range c.load {
 			servers[j].model.arrivalsPerSecond = l
 		}
@@ -52,10 +52,10 @@
 				for k := range gridRates {
 					gridRates[k] *= c.total / grid
 				}
-				best = min(best, cost(servers, gridRates, b.serviceTime.ratio()))
+				best = min(best, totalWaiting(servers, gridRates, b.serviceTime.ratio()))
 			}
 		}
-		if got := cost(servers, rates, b.serviceTime.ratio()); got > best*1.02+1e-6 {
+		if got := totalWaiting(servers, rates, b.serviceTime.ratio()); got > best*1.02+1e-6 {
 			t.Errorf("%v: F %v at %v, best of the grid %v", c, got, rates, best)
 		}
 	}
@@ -63,9 +63,9 @@
 
 // Guards against sweeps that leave servers with different first derivative lengths, or that send a
 // server more than it can process.
-func TestBalanceEqualisesFDL(t *testing.T) {
+func TestEqualizeFDLEqualizesSlopes(t *testing.T) {
 	b := &Balancer{}
-	servers := models(2, 3, 5)
+	servers := modelServers(2, 3, 5)
 	rates := []float64{80, 0, 0}
 	b.equalizeFDL(servers, rates)
 	var slopes [3]float64
@@ -84,14 +84,14 @@
 
 // Guards against useless copies: a key is copied to more servers only while that reduces the
 // waiting. A key with few requests, or with expensive fetches, stays at its home.
-func TestSplitWidensOnlyWhileWaitingFalls(t *testing.T) {
+func TestKeyIsCopiedOnlyWhileWaitingDecreases(t *testing.T) {
 	b := &Balancer{}
 	for _, c := range []struct {
 		perSecond, fetchMillis float64
 		want                   int
 	}{{1, 1, 1}, {28, 10, 2}, {55, 10, 3}, {28, 1e6, 1}} {
 		k := &keyTraffic{}
-		servers := models(3, 3, 3, 3)
+		servers := modelServers(3, 3, 3, 3)
 		b.placement.scale = 1
 		b.originFetches.latency.value = c.fetchMillis
 		b.chooseCopies(k, servers, c.perSecond)
@@ -112,14 +112,14 @@
 
 // Guards against requests of a split key that are not distributed by the solved shares.
 func TestPicksMatchShares(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	k := b.trafficOf(Request{Key: 5, HasKey: true})
 	list := b.membership.hashList(k)
 	k.copies = []*server{list[0], list[2]}
 	k.shares = []float64{0.7, 0.3}
 	picks := map[*server]int{}
 	for range 10000 {
-		picks[b.pick(read(b, k))]++
+		picks[b.pick(newReadRequest(b, k))]++
 	}
 	if math.Abs(float64(picks[list[0]])/10000-0.7) > 0.02 || picks[list[0]]+picks[list[2]] != 10000 {
 		t.Errorf("copies with shares 0.7 and 0.3 were picked %d and %d times of 10000", picks[list[0]], picks[list[2]])
@@ -128,8 +128,8 @@
 
 // Guards against cold keys that move when the load of other routers moves between servers: a key
 // with few requests must stay at its home, as each move causes a miss.
-func TestColdKeyStaysHomeWhateverTheSolverFinds(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+func TestColdKeyStaysAtHomeInEachSolution(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for _, s := range b.membership.caches {
 		s.load.capacityPerSecond.update(b.now, 40, 1)
 	}
@@ -143,7 +143,7 @@
 		b.solve()
 		for key := range uint64(300) {
 			k := b.trafficOf(Request{Key: key, HasKey: true})
-			if s := b.pick(read(b, k)); s != b.membership.hashList(k)[0] {
+			if s := b.pick(newReadRequest(b, k)); s != b.membership.hashList(k)[0] {
 				t.Fatalf("round %d: cold key %d left its home", round, key)
 			}
 		}
@@ -152,16 +152,16 @@
 
 // Guards against a request that is queued or rejected because its key's home has a long queue: it
 // must go to the next server of the key's list.
-func TestFullHomeOffersTheRequestAlongTheList(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestRequestGoesToNextServerWhenHomeIsFull(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	k := b.trafficOf(Request{Key: 5, HasKey: true})
 	list := b.membership.hashList(k)
-	fill(b, list[0])
+	overload(b, list[0])
 	b.solve()
 	k.copies = list[:1]
 	k.shares = []float64{1}
-	ask(b, 100001, 1, "read", 5)
-	if len(h.sends) != 1 || h.last().server != list[1].ID {
+	sendRequest(b, 100001, 1, "read", 5)
+	if len(h.sends) != 1 || h.lastSend().server != list[1].ID {
 		t.Errorf("sends %v, want one to the second server of the list", h.sends)
 	}
 }
@@ -170,15 +170,15 @@
 // queue, a request that went to the next server would miss there and wait for the origin. It must
 // be rejected, unless another server is known to store the key.
 func TestSlowOriginKeepsKeysFromSpreading(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	b.originFetches.latency = trend{value: 400, floor: 80, updatedAt: b.now}
 	k := b.trafficOf(Request{Key: 5, HasKey: true})
 	list := b.membership.hashList(k)
-	fill(b, list[0])
-	ask(b, 100001, 1, "read", 5)
+	overload(b, list[0])
+	sendRequest(b, 100001, 1, "read", 5)
 	k.storedOn = list[2]
-	ask(b, 100002, 2, "read", 5)
-	if h.rejected[1] != 1 || len(h.sends) != 1 || h.last() != (sent{2, list[2].ID}) {
+	sendRequest(b, 100002, 2, "read", 5)
+	if h.rejected[1] != 1 || len(h.sends) != 1 || h.lastSend() != (sentAttempt{2, list[2].ID}) {
 		t.Errorf("rejected %v, sends %v: want a rejection, then a send to the key's server", h.rejected, h.sends)
 	}
 }
@@ -186,11 +186,11 @@
 // Guards against a hot key that is copied too late: if it uses four fifths of its home, so that two
 // of its requests wait, it must be copied, as a copy needs few fetches for all of the key's
 // requests.
-func TestAHotKeyIsCopiedBeforeItsHomeIsFull(t *testing.T) {
+func TestHotKeyIsCopiedBeforeItsHomeIsFull(t *testing.T) {
 	b := &Balancer{placement: placementState{scale: 1}}
 	b.originFetches.latency.value = 200
 	k := &keyTraffic{}
-	b.chooseCopies(k, models(3, 3, 3), 24) // 24 of 30 per second: two requests wait
+	b.chooseCopies(k, modelServers(3, 3, 3), 24) // 24 of 30 per second: two requests wait
 	if len(k.copies) < 2 {
 		t.Errorf("%d servers for a key that uses four fifths of one", len(k.copies))
 	}
@@ -199,11 +199,11 @@
 // Guards against copies that only pay off at scaled rates: rates are scaled up to nine tenths of
 // the capacity for the solver, where almost every home looks full. A key that one server can easily
 // serve at the actual rate must not be copied.
-func TestCopiesPayAtRealRates(t *testing.T) {
+func TestKeyIsNotCopiedBecauseOfScaledRates(t *testing.T) {
 	b := &Balancer{placement: placementState{scale: 3}}
 	b.originFetches.latency.value = 50
 	k := &keyTraffic{}
-	servers := models(3, 3)
+	servers := modelServers(3, 3)
 	b.chooseCopies(k, servers, 28) // 28 of 30 per second when scaled, actually 9
 	if len(k.copies) != 1 {
 		t.Errorf("%d servers for a key that one serves easily", len(k.copies))
@@ -214,10 +214,10 @@
 // for a fleet of 300 routers, each of which sees it once in eight seconds. By one router's rate,
 // all of the requests would seem to fit on one other server, and all routers would move them there
 // together.
-func TestKeyHotForTheFleetIsSplitAtTheFleetsRate(t *testing.T) {
+func TestHotKeyIsSplitByFleetRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = 300
-	b, h := start(t, cfg, fleet(40))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(40))
 	hot := b.trafficOf(Request{Key: 1, HasKey: true})
 	for i := range uint32(100) { // 2.5 per second, every 20th for the hot key
 		now := 100010 + 400*float64(i)
@@ -225,9 +225,9 @@
 		if i%20 == 0 {
 			key = 1
 		}
-		ask(b, now, i+1, "read", key)
-		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.AttemptEnded(now+50, served(i+1, h.last().server, 50))
+		sendRequest(b, now, i+1, "read", key)
+		if len(h.sends) > 0 && h.lastSend().id == i+1 {
+			b.AttemptEnded(now+50, servedOutcome(i+1, h.lastSend().server, 50))
 		}
 		for _, s := range b.membership.caches {
 			s.load.capacityPerSecond.value = 40
@@ -245,9 +245,9 @@
 // Guards against homes that are not distributed by capacity: servers with three times the capacity
 // must be home to three times as many keys, two routers with noisy reports must agree on nearly all
 // homes, and a failing or cold server must be home to fewer keys.
-func TestHomesAreSpreadByCapacity(t *testing.T) {
+func TestHomesAreDistributedByCapacity(t *testing.T) {
 	var endpoints []Endpoint
-	for i, e := range fleet(60) {
+	for i, e := range readyEndpoints(60) {
 		e.Kind = []string{"fast", "slow"}[i%2]
 		endpoints = append(endpoints, e)
 	}
@@ -255,7 +255,7 @@
 	moved := 0
 	keys := 4000
 	for router := range 2 {
-		b, _ := start(t, testConfig(), endpoints)
+		b, _ := newTestBalancer(t, testConfig(), endpoints)
 		for i, s := range b.membership.caches {
 			// Reports are noisy, and each router has its own.
 			noise := 1 + 0.1*float64((i+router)%3-1)
@@ -304,10 +304,10 @@
 
 // Guards against a limit on the copies of a key that needs eight servers: it must be split over
 // more.
-func TestTheHottestKeyFindsCapacity(t *testing.T) {
+func TestHottestKeyIsSplitOverEnoughServers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = 100
-	b, _ := start(t, cfg, fleet(60))
+	b, _ := newTestBalancer(t, cfg, readyEndpoints(60))
 	k := b.trafficOf(Request{Key: 9, HasKey: true})
 	k.arrivals = decayingSum{value: 50, updatedAt: b.now} // half of what this router receives
 	b.arrivals = decayingSum{value: 100, updatedAt: b.now}
--- a/decide/queueing_test.go
+++ b/decide/queueing_test.go
@@ -7,7 +7,7 @@
 
 // Guards against wrong waiting formulas: with exponential service times M/G/m is M/M/m, whose
 // waiting is known as a sum. With constant service times half as many requests wait.
-func TestDelayAgainstKnownValues(t *testing.T) {
+func TestWaitingMatchesKnownValues(t *testing.T) {
 	erlangC := func(m int, a float64) float64 { // the textbook sum
 		sum := 0.0
 		term := 1.0
@@ -41,7 +41,7 @@
 
 // Guards against derivatives that do not match the waiting, also beyond the utilization up to which
 // the formulas apply.
-func TestDelayDerivatives(t *testing.T) {
+func TestWaitingDerivatives(t *testing.T) {
 	for _, m := range []int{1, 2, 5, 13} {
 		for _, rho := range []float64{0.05, 0.4, 0.8, 0.97, 1.2} {
 			mu := 8.0
@@ -62,7 +62,7 @@
 }
 
 // Guards against waiting that decreases with the load, and against results that are not finite.
-func TestDelayIsFiniteAndRising(t *testing.T) {
+func TestWaitingIsFiniteAndIncreasing(t *testing.T) {
 	for _, m := range []int{1, 3, 256} {
 		previous := -1.0
 		for lambda := 0.0; lambda < 3*float64(m); lambda += 0.01 * float64(m) {
--- a/decide/rejection_test.go
+++ b/decide/rejection_test.go
@@ -7,14 +7,14 @@
 // Guards against an overloaded fleet that rejects late or without regard to priority: if all
 // servers have a queue of 100 ms, a request of low priority is rejected at once and one of high
 // priority is sent.
-func TestFullFleetRejectsEarlyTheLowestPriorityFirst(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestLowestPriorityIsRejectedFirst(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for _, s := range b.membership.caches {
-		fill(b, s)
+		overload(b, s)
 		s.attempts.inFlight = 1 // a wait of 100 ms
 	}
-	ask(b, 100001, 1, "read", 5)
-	ask(b, 100001, 2, "important", 6)
+	sendRequest(b, 100001, 1, "read", 5)
+	sendRequest(b, 100001, 2, "important", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 || len(h.sends) != 1 {
 		t.Errorf("rejected %v, sends %v: want the first rejected and the important one sent", h.rejected,
 			h.sends)
@@ -29,13 +29,13 @@
 		latencyMillis      float64
 		minShare, maxShare float64
 	}{{20, 0.24, 0.25}, {400, 0, 0.16}} {
-		b, h := start(t, testConfig(), fleet(6))
+		b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 		for i := range uint32(300) {
 			now := 100001 + 500*float64(i)
-			if ask(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.last().id != i+1 {
+			if sendRequest(b, now, i+1, "read", uint64(i)); len(h.sends) == 0 || h.lastSend().id != i+1 {
 				continue // rejected
 			}
-			o := withResult(CacheHit, served(i+1, h.last().server, c.latencyMillis))
+			o := withCacheResult(CacheHit, servedOutcome(i+1, h.lastSend().server, c.latencyMillis))
 			b.AttemptEnded(now+c.latencyMillis, o)
 		}
 		if b.toleratedWaitShare < c.minShare || b.toleratedWaitShare > c.maxShare {
@@ -49,7 +49,7 @@
 // draining, or there is only the origin. Each request, even of an unknown class, must get one final
 // answer at once.
 func TestRequestWithoutCandidatesIsAnswered(t *testing.T) {
-	draining := fleet(2)
+	draining := readyEndpoints(2)
 	draining[0].State = Draining
 	draining[1].State = Draining
 	cfg := testConfig()
@@ -65,10 +65,10 @@
 		"origin only": {cacheAside, []Endpoint{{ID: 9, Kind: "origin"}}},
 	} {
 		for _, class := range []string{"read", "once", "unknown"} {
-			b, h := start(t, c.cfg, c.endpoints)
-			ask(b, 100010, 1, class, 5)
-			if h.answers(1) != 1 || len(h.sends) != 0 {
-				t.Errorf("%s, %s: %d answers, sends %v", name, class, h.answers(1), h.sends)
+			b, h := newTestBalancer(t, c.cfg, c.endpoints)
+			sendRequest(b, 100010, 1, class, 5)
+			if h.finalAnswers(1) != 1 || len(h.sends) != 0 {
+				t.Errorf("%s, %s: %d answers, sends %v", name, class, h.finalAnswers(1), h.sends)
 			}
 		}
 	}
@@ -77,14 +77,14 @@
 // Guards against rejections that never end because an overload has raised the floor latency of
 // servers that are idle now: without requests, no answer would correct it. It must decay within
 // twelve seconds.
-func TestFloorSeenFades(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestObservedFloorLatencyDecays(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for _, s := range b.membership.caches {
 		s.load.capacityPerSecond.update(b.now, 100, 1)
 		s.load.latencyPerWork.update(b.now, 250, 1)
 	}
-	ask(b, 100001, 1, "read", 5)
-	ask(b, 112001, 2, "read", 6)
+	sendRequest(b, 100001, 1, "read", 5)
+	sendRequest(b, 112001, 2, "read", 6)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 {
 		t.Errorf("rejected %v: want only the first", h.rejected)
 	}
@@ -92,20 +92,20 @@
 
 // Guards against a router that does not reject while every attempt at a large fleet times out, as
 // it has sent each server only one or two requests.
-func TestTimeOutsOfTheFleetShedWhereServersAreSeldomAsked(t *testing.T) {
+func TestFleetTimeoutsCauseRejectionsAtLowTraffic(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, h := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
+	b, h := newTestBalancer(t, cfg, append(readyEndpoints(60), Endpoint{ID: 77, Kind: "origin"}))
 	rejected := 0
 	for i := range uint32(120) {
 		now := 100010 + 350*float64(i)
-		ask(b, now, i+1, "read", uint64(i))
-		switch sent := len(h.sends) > 0 && h.last().id == i+1; {
+		sendRequest(b, now, i+1, "read", uint64(i))
+		switch sent := len(h.sends) > 0 && h.lastSend().id == i+1; {
 		case !sent:
 			rejected++
 		case i < 20:
-			b.AttemptEnded(now+40, withResult(CacheHit, served(i+1, h.last().server, 40)))
+			b.AttemptEnded(now+40, withCacheResult(CacheHit, servedOutcome(i+1, h.lastSend().server, 40)))
 		default:
-			b.AttemptEnded(now+600, ended(i+1, h.last().server, Timeout, 600))
+			b.AttemptEnded(now+600, endedOutcome(i+1, h.lastSend().server, Timeout, 600))
 		}
 	}
 	if rejected < 20 {
@@ -115,24 +115,24 @@
 
 // Guards against a rejection with a Retry-After that is missing, out of bounds, or sent although
 // the settings do not allow it.
-func TestRejectionTellsRetryAfter(t *testing.T) {
+func TestRejectionCarriesRetryAfterWithinBounds(t *testing.T) {
 	for _, isSent := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.SendRetryAfter = isSent
 		cfg.MaxRetryAfterMillis = 1500
-		endpoints := fleet(6)
-		b, h := start(t, cfg, endpoints)
+		endpoints := readyEndpoints(6)
+		b, h := newTestBalancer(t, cfg, endpoints)
 		for _, s := range b.membership.caches {
-			fill(b, s)
+			overload(b, s)
 		}
-		ask(b, 100000, 1, "read", 5)
-		if h.rejected[1] != 1 || len(h.waits) != 1 {
+		sendRequest(b, 100000, 1, "read", 5)
+		if h.rejected[1] != 1 || len(h.retryAfters) != 1 {
 			t.Fatalf("rejected %d times", h.rejected[1])
 		}
 		if got := b.cfg.MinRetryAfterMillis(); isSent != (got == minRetryAfterMillis) {
 			t.Errorf("Retry-After sent %t: minimum %v", isSent, got)
 		}
-		if got := h.waits[0]; isSent != (got >= minRetryAfterMillis && got <= 300.0/4) || !isSent && got != 0 {
+		if got := h.retryAfters[0]; isSent != (got >= minRetryAfterMillis && got <= 300.0/4) || !isSent && got != 0 {
 			t.Errorf("Retry-After sent %t: %v", isSent, got)
 		}
 	}
@@ -161,7 +161,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig()
-			servers := fleet(1)
+			servers := readyEndpoints(1)
 			if c.toOrigin {
 				cfg = cacheAsideConfig()
 				servers = append(servers, Endpoint{ID: 1, Kind: cfg.OriginKind, Size: 1})
@@ -170,11 +170,11 @@
 			cfg.MaxAttempts = 1
 			cfg.SendRetryAfter = c.minRetryAfter > 0
 			cfg.MaxRetryAfterMillis = c.minRetryAfter
-			b, h := start(t, cfg, servers)
+			b, h := newTestBalancer(t, cfg, servers)
 			const sentAt = 100010
 			b.Request(sentAt, Request{ID: 1, Class: "keyed", Key: 9, HasKey: true, RemainingMillis: 600,
 				IsWrite: c.toOrigin})
-			b.AttemptEnded(sentAt+c.endedAt, ended(1, h.last().server, c.status, c.endedAt))
+			b.AttemptEnded(sentAt+c.endedAt, endedOutcome(1, h.lastSend().server, c.status, c.endedAt))
 			if len(h.sends) != 1 || h.rejected[1] != c.rejected || h.failed[1] != c.failed {
 				t.Errorf("sends %v, rejected %d, failed %d, want %d and %d",
 					h.sends, h.rejected[1], h.failed[1], c.rejected, c.failed)
--- a/decide/slow_start_test.go
+++ b/decide/slow_start_test.go
@@ -9,23 +9,23 @@
 
 // Guards against a cold server that is overloaded by several routers, each of which has enough
 // requests to overload it many times. All together must stay below its limit, and still use it.
-func TestColdServerIsSparedByEveryRouterAlike(t *testing.T) {
-	endpoints := fleet(3)
+func TestColdServerIsNotOverloadedByAllRouters(t *testing.T) {
+	endpoints := readyEndpoints(3)
 	cfg := testConfig()
 	endpoints[0].StartedAt = 99500
 	total := 0.0
 	capacity := 20.0
 	for router := range cfg.Routers {
 		cfg.RouterIndex = router
-		b, h := start(t, cfg, endpoints)
+		b, h := newTestBalancer(t, cfg, endpoints)
 		for _, e := range endpoints {
 			b.membership.servers[e.ID].load.capacityPerSecond.update(b.now, capacity, 1)
 		}
 		for i := range uint32(4000) { // 2 s at 2000 per second, many times its limit
 			now := 100010 + float64(i)/2
-			ask(b, now, i+1, "read", uint64(i))
+			sendRequest(b, now, i+1, "read", uint64(i))
 			if n := len(h.sends); n > 0 && h.sends[n-1].id == i+1 {
-				b.AttemptEnded(now, served(i+1, h.last().server, 1))
+				b.AttemptEnded(now, servedOutcome(i+1, h.lastSend().server, 1))
 			}
 		}
 		for _, s := range h.sends {
@@ -44,7 +44,7 @@
 // Guards against bursts to a cold server from eighty routers, whose shares of its budget are less
 // than a request each: all together must send evenly from the first second, and no more than a few
 // routers do.
-func TestManyRoutersWarmAServerEvenly(t *testing.T) {
+func TestManyRoutersSendEvenlyToAColdServer(t *testing.T) {
 	const seconds, capacity = 4, 50.0
 	for _, routers := range []int{4, 80} {
 		var sent [seconds]float64
@@ -52,11 +52,11 @@
 			cfg := testConfig()
 			cfg.Routers = routers
 			cfg.RouterIndex = index
-			b, err := New(cfg, uint64(index)*977+5, newHost())
+			b, err := New(cfg, uint64(index)*977+5, newFakeHost())
 			if err != nil {
 				t.Fatal(err)
 			}
-			endpoints := fleet(6)
+			endpoints := readyEndpoints(6)
 			b.UpdateEndpoints(100000, RestoredEndpoints, endpoints)
 			for _, s := range b.membership.caches {
 				s.load.capacityPerSecond.value = capacity
@@ -89,15 +89,15 @@
 	cfg.SlowStartInitialShare = 1
 	cfg.HealthChecksAllowed = true
 	cfg.LoadByHealthCheck = true
-	b, h := start(t, cfg, fleet(6))
+	b, h := newTestBalancer(t, cfg, readyEndpoints(6))
 	for i := range uint32(200) {
 		now := 100000 + 20*float64(i)
-		ask(b, now, i+1, "read", uint64(i%20))
-		for _, s := range fleet(6) {
+		sendRequest(b, now, i+1, "read", uint64(i%20))
+		for _, s := range readyEndpoints(6) {
 			b.HealthCheckEnded(now, s.ID, OK, loadReport(50+float64(i%3), 0.3))
 		}
-		if len(h.sends) > 0 && h.last().id == i+1 {
-			b.AttemptEnded(now+10, served(i+1, h.last().server, 10))
+		if len(h.sends) > 0 && h.lastSend().id == i+1 {
+			b.AttemptEnded(now+10, servedOutcome(i+1, h.lastSend().server, 10))
 		}
 	}
 	b.TimerExpired(104100, housekeepingToken)
@@ -128,12 +128,12 @@
 		cfg.CancelAllowed = false
 		cfg.Classes[0].LatencyObjectiveMillis = 30000 // no wait leads to a rejection
 		cfg.Classes[0].DeadlineMillis = 60000
-		host := newHost()
+		host := newFakeHost()
 		b, err := New(cfg, splitMix64(seed)^uint64(index), host)
 		if err != nil {
 			t.Fatal(err)
 		}
-		entries := fleet(1)
+		entries := readyEndpoints(1)
 		b.UpdateEndpoints(serverStart-100, RestoredEndpoints, entries)
 		s := b.membership.caches[0]
 		s.load.capacityPerSecond.value = warmRequests * 1000 / (cfg.OverloadFactor * cfg.OverloadMillis)
@@ -159,7 +159,7 @@
 	b.Request(now, Request{ID: f.nextID, Class: "read", Key: 5, HasKey: true, RemainingMillis: 60000, WorkHint: hint})
 	sent := len(host.sends) > sendsBefore
 	if sent {
-		b.AttemptEnded(now, served(f.nextID, b.membership.caches[0].ID, 1))
+		b.AttemptEnded(now, servedOutcome(f.nextID, b.membership.caches[0].ID, 1))
 	}
 	host.sends = host.sends[:0]
 	host.timers = nil
@@ -217,7 +217,7 @@
 // window all together may send at most N + 2 sqrt(N) + 2 requests of mean work, for any number of
 // routers, any time without requests before, and any work per request. They must send at least a
 // fifth of N.
-func TestTheFleetsSumInSlowStartIsBounded(t *testing.T) {
+func TestFleetTotalDuringSlowStartIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		listedAfter, quiet float64 // ms from the start until routers see it, and until requests arrive
--- a/decide/tenant_quota_test.go
+++ b/decide/tenant_quota_test.go
@@ -8,13 +8,13 @@
 // Guards against requests that lose their priority by chance: a router gets one request per second
 // of a tenant, its share of the quota, and a few too many must keep their priority. Four times as
 // many must lose it.
-func TestChanceDoesNotPutATenantOverItsQuota(t *testing.T) {
+func TestRandomVariationDoesNotExceedTenantQuota(t *testing.T) {
 	cfg := testConfig()
 	cfg.Routers = 100
 	cfg.OverQuotaWeight = 0.05
 	cfg.Tenants = []Tenant{{Name: "x", QuotaPerSecond: 100}} // one per second at this router
 	for perSecond, want := range map[int]bool{1: false, 4: true} {
-		b, h := start(t, cfg, fleet(6))
+		b, h := newTestBalancer(t, cfg, readyEndpoints(6))
 		over := 0
 		rng := rand.New(rand.NewPCG(3, 4))
 		for i := range uint32(40 * uint32(perSecond)) {
@@ -24,7 +24,7 @@
 			if r := b.requests[i+1]; r != nil && r.priority < 1 {
 				over++
 			}
-			b.AttemptEnded(now, served(i+1, h.last().server, 1))
+			b.AttemptEnded(now, servedOutcome(i+1, h.lastSend().server, 1))
 		}
 		if share := float64(over) / float64(40*perSecond); want != (share > 0.5) || !want && share > 0.15 {
 			t.Errorf("%d requests per second at a quota of 1: share %v counted as over the quota", perSecond, share)
--- a/decide/waiting_time_test.go
+++ b/decide/waiting_time_test.go
@@ -6,15 +6,15 @@
 
 // Guards against rejections that never end because of latencies observed in the past: without
 // requests, no answer would correct them. They must decay within ten seconds.
-func TestWaitSeenFades(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
+func TestObservedLatencyDecays(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	for _, s := range b.membership.caches {
 		s.load.capacityPerSecond.update(b.now, 10, 1)
 		s.load.latencyPerWork.update(b.now, 100, 1)
 		s.load.latencyPerWork.value, s.load.reportedPerSecond = 2000, 20 // others have 40 requests in flight
 	}
-	ask(b, 100001, 1, "read", 5)
-	ask(b, 110001, 2, "read", 5)
+	sendRequest(b, 100001, 1, "read", 5)
+	sendRequest(b, 110001, 2, "read", 5)
 	if h.rejected[1] != 1 || h.rejected[2] != 0 {
 		t.Errorf("rejected %v: want only the first", h.rejected)
 	}
@@ -23,20 +23,20 @@
 // Guards against a router that does not detect the overload of a large fleet because it sends each
 // server a request only every ten seconds: it must use the mean wait of all servers. A router that
 // sends many requests must use each server's own waits.
-func TestSeldomAskedServersAreTakenToBeAsOverloadedAsTheFleet(t *testing.T) {
+func TestMeanWaitOfFleetIsUsedAtLowTraffic(t *testing.T) {
 	wait := func(perSecond int) float64 {
-		b, h := start(t, testConfig(), fleet(40))
+		b, h := newTestBalancer(t, testConfig(), readyEndpoints(40))
 		for i := range uint32(10 * uint32(perSecond)) {
 			now := 100010 + float64(i)*1000/float64(perSecond)
-			ask(b, now, i+1, "read", uint64(i))
-			if len(h.sends) == 0 || h.last().id != i+1 {
+			sendRequest(b, now, i+1, "read", uint64(i))
+			if len(h.sends) == 0 || h.lastSend().id != i+1 {
 				continue
 			}
 			latencyMillis := 40.0
 			if i > 8*uint32(perSecond) {
 				latencyMillis = 400
 			}
-			b.AttemptEnded(now+latencyMillis, served(i+1, h.last().server, latencyMillis))
+			b.AttemptEnded(now+latencyMillis, servedOutcome(i+1, h.lastSend().server, latencyMillis))
 		}
 		s := b.membership.caches[0]
 		s.attempts.inFlight = 0
@@ -52,24 +52,24 @@
 // Guards against an overloaded home that answers some requests in time and the others not at all:
 // the timeouts must raise its expected wait. A timeout after a few milliseconds must not reduce its
 // latency.
-func TestTimeOutsRaiseTheWaitOfAServer(t *testing.T) {
-	b, h := start(t, testConfig(), fleet(6))
-	ask(b, 100010, 1, "read", 9)
-	s := b.membership.servers[h.last().server]
+func TestTimeoutsRaiseExpectedWait(t *testing.T) {
+	b, h := newTestBalancer(t, testConfig(), readyEndpoints(6))
+	sendRequest(b, 100010, 1, "read", 9)
+	s := b.membership.servers[h.lastSend().server]
 	s.load.reportedPerSecond = 40
-	b.AttemptEnded(100050, withResult(CacheHit, served(1, s.ID, 40)))
+	b.AttemptEnded(100050, withCacheResult(CacheHit, servedOutcome(1, s.ID, 40)))
 	idle := b.expectedWaitMillis(s)
 	for i := range uint32(5) {
 		id := i + 2
-		ask(b, 100060, id, "read", 9)
-		b.AttemptEnded(100060+300, ended(id, s.ID, Timeout, 300))
+		sendRequest(b, 100060, id, "read", 9)
+		b.AttemptEnded(100060+300, endedOutcome(id, s.ID, Timeout, 300))
 	}
 	if overloaded := b.expectedWaitMillis(s); overloaded < idle+10 {
 		t.Errorf("wait %v after five timeouts, %v before", overloaded, idle)
 	}
 	before := s.load.latencyPerWork.value
-	ask(b, 100400, 10, "read", 9)
-	b.AttemptEnded(100405, ended(10, s.ID, Timeout, 5))
+	sendRequest(b, 100400, 10, "read", 9)
+	b.AttemptEnded(100405, endedOutcome(10, s.ID, Timeout, 5))
 	if s.load.latencyPerWork.value < before {
 		t.Errorf("a timeout after 5 ms reduced the latency from %v to %v", before, s.load.latencyPerWork.value)
 	}
@@ -77,8 +77,8 @@
 
 // Guards against useless attempts at an ejected server as a last resort while all servers of a busy
 // router have long waits: its expected wait must be the mean of all.
-func TestLastResortIsTakenToBeAsOverloadedAsTheFleet(t *testing.T) {
-	b, _ := start(t, testConfig(), fleet(6))
+func TestEjectedServerIsExpectedToHaveMeanWait(t *testing.T) {
+	b, _ := newTestBalancer(t, testConfig(), readyEndpoints(6))
 	s := b.membership.caches[0]
 	b.arrivals.add(b.now, trafficTimeConstantMillis, 2000)
 	for _, s := range b.membership.caches {
@@ -93,9 +93,9 @@
 }
 
 // Guards against one server's long waits that raise the expected wait of all other servers.
-func TestAnOverloadIsOfTheServerThatShowsIt(t *testing.T) {
+func TestLongWaitsOfOneServerDoNotAffectOthers(t *testing.T) {
 	cfg := cacheAsideConfig()
-	b, _ := start(t, cfg, append(fleet(60), Endpoint{ID: 77, Kind: "origin"}))
+	b, _ := newTestBalancer(t, cfg, append(readyEndpoints(60), Endpoint{ID: 77, Kind: "origin"}))
 	for range 20 {
 		b.now += 50
 		b.recordWait(b.membership.caches[0], 300)
