--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -19,7 +19,7 @@
 	maxDraws = 4 << hashTableBits
 )
 
-// membership holds the servers that a router knows.
+// membership holds the servers that are listed or have attempts in flight.
 type membership struct {
 	// servers are those listed and those with attempts in flight, by ID.
 	servers map[uint32]*server
--- a/decide/hedge.go
+++ b/decide/hedge.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if isFetch || a.server.health.lastReplyAt >= a.sentAt {
-		b.overtakenTimeoutExpired(r, number)
+		b.overtakenSoftTimeoutExpired(r, number)
 		return
 	}
 	if !r.isServerFetch {
@@ -101,10 +101,10 @@
 	}
 }
 
-// overtakenTimeoutExpired handles an expired soft timeout of a fetch, or of an attempt whose server
-// has answered other attempts since. The attempt is either lost or heavy. It gets half as much time
-// again, unless most overtaken attempts were lost recently.
-func (b *Balancer) overtakenTimeoutExpired(r *request, number int) {
+// overtakenSoftTimeoutExpired handles an expired soft timeout of a fetch, or of an attempt whose
+// server has answered other attempts since. The attempt is either lost or heavy. It gets half as
+// much time again, unless most overtaken attempts were lost recently.
+func (b *Balancer) overtakenSoftTimeoutExpired(r *request, number int) {
 	a := &r.attempts[number]
 	mayRetry := !b.cfg.HedgingAllowed && b.mayCancel(r) && b.retryBudget >= 1
 	if mayRetry && a.server.health.latestAnsweredSentAt > a.sentAt && b.recordOvertaken(a) {
--- a/decide/origin_fetch.go
+++ b/decide/origin_fetch.go
@@ -52,17 +52,17 @@
 	fleetFetchGrowth = 4
 	// minFetchCutIntervalMillis is the shortest time between two cuts of the limit.
 	minFetchCutIntervalMillis = 500
-	// fetchCutFactor is the factor of a cut.
+	// fetchCutFactor is the factor by which a cut multiplies the limit.
 	fetchCutFactor = 0.8
-	// failedFetchCutFactor is the factor of a cut after a failure. The origin is down, or processes
+	// failedFetchCutFactor is that factor after a failure. The origin is down, or processes
 	// a queue of requests that have already timed out, and needs time to recover.
 	failedFetchCutFactor = 0.4
 	// minFleetFetchLimit is the smallest sum of the limits of all routers after cuts.
 	minFleetFetchLimit = 8
 	// maxMinFetchLimit bounds the smallest limit of one router after cuts.
 	maxMinFetchLimit = 2
-	// minFetchedShare is the share of this router's requests that the limit allows to fetch after
-	// cuts, as any origin has capacity for that.
+	// minFetchedShare is the share of this router's requests that the limit still allows to be
+	// fetched after cuts, as any origin has capacity for that.
 	minFetchedShare = 0.1
 	// failedMinLimitDivisor divides the smallest limit after a failure.
 	failedMinLimitDivisor = 40
@@ -93,8 +93,8 @@
 	return !b.cfg.CacheAside && b.now > r.key.storedAt+assumedStoredMillis
 }
 
-// waitForOrigin queues a request for the origin or for a fetch of its key, as long as its answer
-// can be in time.
+// waitForOrigin queues a request for the origin or for a fetch of its key, until its answer can no
+// longer be in time.
 func (b *Balancer) waitForOrigin(r *request) {
 	waitUntil := r.deadlineAt - originWaitMarginMillis
 	if r.class.LateWeight == 0 {
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -15,9 +15,9 @@
 	// 1.25, as many routers eject a server at the same time and should not probe it together.
 	ejectionJitterFrom  = 0.75
 	ejectionJitterRange = 0.5
-	// silentProbeDelayMillis delays the forced probe of a server that was ejected for not
+	// unresponsiveProbeDelayMillis delays the forced probe of a server that was ejected for not
 	// responding, as the probe costs a request all its time.
-	silentProbeDelayMillis = 8000
+	unresponsiveProbeDelayMillis = 8000
 	// ejectionDecay is the factor by which an answer shortens the next ejection.
 	ejectionDecay = 0.8
 
@@ -129,9 +129,10 @@
 	}
 }
 
-// addEvidence adds an outcome to the evidence. The evidence is Page's test (CUSUM) of a server that
-// fails every second attempt against one that fails at the usual rate. No other test detects such a
-// change faster at the same rate of false alarms.
+// addEvidence adds an outcome to the failure share and to the evidence. The evidence is the
+// statistic of Page's test (CUSUM) for a server that fails every second attempt, compared with one
+// that fails at the usual rate. No other test detects such a change faster at the same rate of
+// false alarms.
 func (h *serverHealth) addEvidence(hasFailed bool, usualShare float64) {
 	usualShare = min(maxUsualFailureShare, max(minUsualFailureShare, usualShare))
 	if hasFailed {
@@ -158,9 +159,9 @@
 }
 
 // eject ejects a server, or schedules the next probe after one that failed.
-func (b *Balancer) eject(s *server, isSilent bool) {
+func (b *Balancer) eject(s *server, isUnresponsive bool) {
 	h := &s.health
-	if !h.isEjected && isSilent && (h.unanswered < maxUnanswered || b.isFleetSilent()) {
+	if !h.isEjected && isUnresponsive && (h.unanswered < maxUnanswered || b.isFleetUnresponsive()) {
 		return
 	}
 	if h.isEjected && b.now < h.probeAt {
@@ -169,8 +170,8 @@
 	h.ejectionMillis = min(maxEjectionMillis, max(minEjectionMillis, 2*h.ejectionMillis))
 	h.probeAt = b.now + h.ejectionMillis*(ejectionJitterFrom+ejectionJitterRange*b.rng.Float64())
 	h.forcedProbeAt = h.probeAt
-	if isSilent {
-		h.forcedProbeAt += silentProbeDelayMillis
+	if isUnresponsive {
+		h.forcedProbeAt += unresponsiveProbeDelayMillis
 	}
 	if !h.isEjected {
 		b.placement.isStale = true
@@ -178,9 +179,9 @@
 	h.isEjected = true
 }
 
-// isFleetSilent reports whether another ejection would remove half of the servers or more from use.
-// If so many servers do not respond, this router's network or the origin is at fault.
-func (b *Balancer) isFleetSilent() bool {
+// isFleetUnresponsive reports whether another ejection would remove half of the servers or more
+// from use. If so many servers do not respond, this router's network or the origin is at fault.
+func (b *Balancer) isFleetUnresponsive() bool {
 	return 2*countEjected(b.membership.caches)+2 > len(b.membership.caches)
 }
 
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// prepareModel sets the channels n_j of a server and the share of keys that it is home to. Rejected
+// prepareModel sets the channels n_j of a server and the share of keys that it is home to. Failed
 // attempts and a slow start lower both.
 func (b *Balancer) prepareModel(s *server, servicePerSecond, largestCapacity float64) {
 	accepted := s.health.acceptedShare
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -15,7 +15,7 @@
 	causeQueue    rejectionCause = "queue"     // all queues are too long
 	causeWaited   rejectionCause = "held"      // it waited for the origin until its time was over
 	causeOrigin   rejectionCause = "origin"    // the origin may not be asked, or its answer would be late
-	causeAttempt  rejectionCause = "attempt"   // its last attempt failed
+	causeAttempt  rejectionCause = "attempt"   // its last attempt ended without an answer
 	causeNoRetry  rejectionCause = "no retry"  // the retry budget is empty
 )
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -77,7 +77,7 @@
 	endOriginFailed
 )
 
-// attemptEnd is the end of an attempt, with what the decisions need to know about it.
+// attemptEnd is the end of an attempt, with the input of the decisions about it.
 type attemptEnd struct {
 	Outcome
 	// kind is the class of the outcome.
