--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -7,8 +7,9 @@
 // discovery had it and was reachable, or DiscoveryChangeBudgetMillis after a configuration that
 // names another discovery. The pauses and the calls of a router have to fit in that time:
 //
-//   - After a failed call, the next one follows within MaxPollBackoffMillis. A call that discovery has
-//     accepted is answered, or is abandoned, within MaxPollCallMillis. Both together are discoveryBudgetMillis.
+//   - After a failed call, the next one follows within MaxPollBackoffMillis. A call that discovery
+//     has accepted is answered, or is abandoned, within MaxPollCallMillis. Both together are
+//     discoveryBudgetMillis.
 //   - A restarted router polls like one whose calls have been failing: its list is as old as the
 //     restart took, and the calls of a fleet that starts at the same time are spread evenly.
 //   - After a change of the discovery, the first call is made at once, and each pause is a share of
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// closeIfIdle closes the connections to a server that have exceeded the idle timeout. A timeout
-// that has not been shortened is left to the connections themselves.
+// closeIfIdle closes the connections to a server that have exceeded the idle timeout. Unless
+// the timeout has been shortened, connections are left to close by themselves.
 func (b *Balancer) closeIfIdle(s *server) {
 	if !s.connection.mayBeOpen || s.attempts.inFlight > 0 || b.idleTimeoutMillis >= b.cfg.IdleTimeoutMillis {
 		return
