--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -13,44 +13,44 @@
 	"dockhinge.example/dockhinge/internal/admission"
 )
 
-// AdmissionConfig is what an operator file sets for fair admission.
+// AdmissionConfig is the configuration of fair admission from an operator file.
 type AdmissionConfig struct {
-	// Rules lacks the classes, which are the platform's.
+	// Rules are the admission rules. Classes is empty here; it comes from the platform's settings.
 	Rules admission.Config
-	// Tenants tell whose a request is.
+	// Tenants are the rules that assign a request to a tenant.
 	Tenants admission.TenantRules
 }
 
-// admissionControl has requests pass admission before the Balancer, where the operator file enables
-// it. It is owned by the loop. A nil *admissionControl stands for admission that is not enabled.
+// admissionControl passes requests through admission before the Balancer, if the operator file
+// enables it. It belongs to the loop. A nil *admissionControl means that admission is disabled.
 type admissionControl struct {
 	loop      *loop
 	admission *admission.Admission
 	tenants   admission.TenantRules
-	// classIndex finds a class of the settings that the process has started with.
+	// classIndex maps the class names of the initial settings to admission's indices.
 	classIndex map[string]int
-	// otherClass is the index of all classes that a reload has added since.
-	otherClass int
-	// timer fires when a queued request has to be looked at.
+	// otherClassIndex is the common index of all classes added by a reload.
+	otherClassIndex int
+	// timer fires at the next deadline of a queued request.
 	timer *timer
-	// processes is how many processes are this router now, and share its limit; 0 = not known yet.
+	// processes is the number of processes that share the router's limit; 0 = not known yet.
 	processes int
 }
 
-// admissionStage is where a request stands in admission.
+// admissionStage is the state of a request in admission.
 type admissionStage int
 
 const (
-	// admissionNone: the request has not reached admission, or admission has forgotten it.
+	// admissionNone: the request has not reached admission or has left it.
 	admissionNone admissionStage = iota
 	admissionQueued
 	admissionAdmitted
 )
 
-// otherClassName is the class in admission's answers for all that a reload has added.
+// otherClassName is the name that admission reports for all classes added by a reload.
 const otherClassName = "(others)"
 
-// newAdmission builds admission from the operator's rules and the platform's classes.
+// newAdmission creates admission from the operator's rules and the platform's classes.
 func newAdmission(l *loop, cfg *Config) (*admissionControl, error) {
 	ad := &admissionControl{loop: l, tenants: cfg.Admission.Tenants, classIndex: map[string]int{}}
 	rules := cfg.Admission.Rules
@@ -60,19 +60,19 @@
 		ad.classIndex[c.Name] = len(rules.Classes)
 		rules.Classes = append(rules.Classes, admission.Class{
 			Name:        c.Name,
-			CostMillis:  c.LatencyObjectiveMillis, // of the classes' work, nothing else is known before it is measured
+			CostMillis:  c.LatencyObjectiveMillis, // the only known estimate of the cost before any measurement
 			HasPriority: c.Effect != decide.Idempotent,
 		})
 		longestMillis = max(longestMillis, c.LatencyObjectiveMillis)
 	}
-	ad.otherClass = len(rules.Classes)
+	ad.otherClassIndex = len(rules.Classes)
 	rules.Classes = append(rules.Classes, admission.Class{Name: otherClassName, CostMillis: longestMillis})
 	var err error
 	ad.admission, err = admission.New(withPlatformBounds(rules, cfg), cfg.seed, ad)
 	return ad, err
 }
 
-// withPlatformBounds puts the platform's bound on retry-after in place of the operator's.
+// withPlatformBounds replaces the operator's limit on Retry-After by the platform's, if it has one.
 func withPlatformBounds(rules admission.Config, cfg *Config) admission.Config {
 	if bound := cfg.settings.Config.MaxRetryAfterMillis; bound > 0 {
 		rules.MaxRetryAfterMillis = bound
@@ -80,7 +80,7 @@
 	return rules
 }
 
-// check returns a *admission.SettingError for a setting that can't take effect in this process.
+// check returns a *admission.SettingError for a setting that can't be changed in this process.
 func (ad *admissionControl) check(cfg *Config) error {
 	switch {
 	case ad == nil && cfg.Admission == nil:
@@ -91,29 +91,29 @@
 	return ad.admission.Check(withPlatformBounds(cfg.Admission.Rules, cfg))
 }
 
-// reconfigure applies the rules of a configuration, which check has accepted.
+// reconfigure applies the rules of a configuration that check has accepted.
 func (ad *admissionControl) reconfigure(cfg *Config) {
 	if ad == nil {
 		return
 	}
 	rules := withPlatformBounds(cfg.Admission.Rules, cfg)
 	if err := ad.admission.Reconfigure(ad.loop.now(), rules); err != nil {
-		slog.Warn("admission: the rules are kept", "error", err)
+		slog.Warn("admission: the new rules were rejected, the previous ones stay in force", "error", err)
 		return
 	}
 	ad.tenants = cfg.Admission.Tenants
-	ad.arm()
+	ad.setTimer()
 }
 
-// arrive passes a new request to admission, which admits, queues or rejects it.
-func (ad *admissionControl) arrive(r *request, remainingMillis float64) {
+// handleArrival passes a new request to admission, which admits, queues or rejects it.
+func (ad *admissionControl) handleArrival(r *request, remainingMillis float64) {
 	var client netip.Addr
 	if ad.tenants.UsesNetwork() {
 		client = clientAddr(r.response.conn.Conn)
 	}
 	class, ok := ad.classIndex[r.command.class]
 	if !ok {
-		class = ad.otherClass
+		class = ad.otherClassIndex
 	}
 	r.admissionStage = admissionQueued
 	ad.admission.Arrive(ad.loop.now(), admission.Request{
@@ -125,13 +125,13 @@
 		RemainingMillis: remainingMillis,
 		IsRetry:         r.command.isRetry,
 	})
-	ad.arm()
+	ad.setTimer()
 }
 
-// ended notifies admission of a request's end: whether it was served, whether the Balancer rejected
-// it, and the size of the answer. A request that ends while it is queued has lost its client, or was
-// rejected at its deadline.
-func (ad *admissionControl) ended(r *request, served, rejected bool, responseBytes int) {
+// handleEnd notifies admission of a request's end: whether it was served, whether the Balancer
+// rejected it, and the size of the answer. If a request ends while it is queued, its client has
+// disconnected or it was rejected at its deadline.
+func (ad *admissionControl) handleEnd(r *request, served, rejected bool, responseBytes int) {
 	if ad == nil {
 		return
 	}
@@ -154,14 +154,14 @@
 	default:
 		return
 	}
-	ad.arm()
+	ad.setTimer()
 }
 
-// arm sets the timer to the next deadline of a queued request.
-func (ad *admissionControl) arm() {
+// setTimer sets the timer for the next deadline of a queued request.
+func (ad *admissionControl) setTimer() {
 	next := ad.admission.NextDeadline()
 	if ad.timer != nil && ad.timer.heapIndex >= 0 && ad.timer.at <= next {
-		return // the timer fires sooner, and is armed again then
+		return // the timer fires earlier and is then set again
 	}
 	ad.loop.timers.stop(ad.timer)
 	if math.IsInf(next, 1) {
@@ -169,11 +169,11 @@
 	}
 	ad.timer = ad.loop.after(next-ad.loop.now(), func() {
 		ad.admission.Tick(ad.loop.now())
-		ad.arm()
+		ad.setTimer()
 	})
 }
 
-// Admit forwards a request to the Balancer, once the call that led to it is over.
+// Admit passes an admitted request to the Balancer, deferred until the current call has returned.
 func (ad *admissionControl) Admit(id uint32) {
 	r := ad.loop.requests[id]
 	if r == nil {
@@ -183,30 +183,30 @@
 	r.admittedAt = ad.loop.now()
 	ad.loop.deferred = append(ad.loop.deferred, func() {
 		if !r.isDone {
-			ad.loop.decide(ad.loop.now(), r)
+			ad.loop.passToBalancer(ad.loop.now(), r)
 		}
 	})
 }
 
-// Reject answers a request that admission rejects. The answer has a retry-after where the platform
-// wants one.
+// Reject answers a request that admission has rejected, with a Retry-After if the platform's
+// settings ask for it.
 func (ad *admissionControl) Reject(id uint32, retryAfterMillis float64) {
 	r := ad.loop.requests[id]
 	if r == nil {
 		return
 	}
 	r.admissionStage = admissionNone
-	if !ad.loop.rules.Load().tellsRetryAfter {
+	if !ad.loop.rules.Load().sendsRetryAfter {
 		retryAfterMillis = 0
 	}
 	ad.loop.Reject(id, math.Ceil(retryAfterMillis))
 }
 
-// shownTenants is how many tenants AdmissionState shows by name.
+// shownTenants limits how many tenants AdmissionState lists by name.
 const shownTenants = 100
 
-// AdmissionState returns how admission stands, as the JSON of admission.State. The error is
-// admin.ErrNotEnabled where admission is not enabled.
+// AdmissionState returns the state of admission as JSON of admission.State, or admin.ErrNotEnabled
+// if admission is not enabled.
 func (r *Router) AdmissionState(ctx context.Context) ([]byte, error) {
 	if r.loop.admission == nil {
 		return nil, admin.ErrNotEnabled
@@ -222,7 +222,7 @@
 	return json.Marshal(state)
 }
 
-// clientAddr is the address of a client, without the port.
+// clientAddr returns a client's IP address.
 func clientAddr(c net.Conn) netip.Addr {
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr().Unmap()
--- a/internal/router/command_test.go
+++ b/internal/router/command_test.go
@@ -9,7 +9,8 @@
 )
 
 func TestMalformedClientInput(t *testing.T) {
-	r, _ := serving(t, box("s-0000000b", startFake(t, hit).addr), originAt(startFake(t, originOK).addr))
+	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
+		originEntry(startFakeServer(t, originAnswer).addr))
 	for _, in := range []string{
 		"\r\n",
 		"mg\r\n",
@@ -41,16 +42,16 @@
 		"mg k\x00 v Oa1 Pc=read,d=9\r\n",
 		strings.Repeat("x", 5000),
 	} {
-		c := dial(t, r.addr)
+		c := dialClient(t, r.addr)
 		c.send(readCommandOf("ok", 2000) + "\r\n" + in)
-		if got := c.line(); got != "VA 5 Ook hello" {
+		if got := c.nextAnswer(); got != "VA 5 Ook hello" {
 			t.Errorf("before %.20q: got %q", in, got)
 		}
-		if got := c.line(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
+		if got := c.nextAnswer(); !strings.HasPrefix(got, "CLIENT_ERROR ") {
 			t.Errorf("%.20q: got %q", in, got)
 		}
-		if got := c.line(); got != "EOF" {
-			t.Errorf("%.20q: then %q", in, got)
+		if got := c.nextAnswer(); got != "EOF" {
+			t.Errorf("%.20q: after the error: got %q", in, got)
 		}
 	}
 }
@@ -63,7 +64,7 @@
 		t.Errorf("key %#x", got)
 	}
 	if serverID("cache-east") == serverID("cache-west") || keyID("a") == keyID("b") {
-		t.Error("other forms clash")
+		t.Error("different names have the same id")
 	}
 }
 
@@ -103,7 +104,7 @@
 		}
 		again, err := read(c.append(nil, hintFor(c.remainingMillis)))
 		if err != nil || again.key != c.key || again.id != c.id || !bytes.Equal(again.value, c.value) {
-			t.Errorf("%q came back as %+v, %v", in, again, err)
+			t.Errorf("%q was encoded and parsed as %+v, %v", in, again, err)
 		}
 	})
 }
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// gate is something that waits until it is let go.
+// gate blocks goroutines until it is opened.
 type gate struct {
 	opened chan struct{}
 	open   func()
@@ -30,11 +30,11 @@
 	return g
 }
 
-// holdDials has each dial tell and wait.
-func (u *upstreams) holdDials(dialing chan<- struct{}, up gate) {
+// blockDials makes each dial report its start on dialing and block until the gate up is opened.
+func (u *upstreams) blockDials(dialing chan<- struct{}, up gate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dialer.Timeout = wait
+	u.dialer.Timeout = testTimeout
 	u.dialer.Control = func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
 		<-up.opened
@@ -42,21 +42,23 @@
 	}
 }
 
-// slowClose is a connection whose close tells and waits.
-type slowClose struct {
+// blockingCloseConn is a connection whose Close reports its start on closing and blocks until let
+// is opened.
+type blockingCloseConn struct {
 	*net.TCPConn
-	closing chan<- struct{}
-	let     gate
+	closing    chan<- struct{}
+	allowClose gate
 }
 
-func (c slowClose) Close() error {
+func (c blockingCloseConn) Close() error {
 	c.closing <- struct{}{}
-	<-c.let.opened
+	<-c.allowClose.opened
 	return c.TCPConn.Close()
 }
 
-// once answers the first request with the given text and later ones with then.
-func once(first string, then func(string) string) func(string) string {
+// answerOnce returns an answer function that answers the first request with first and later ones
+// with then.
+func answerOnce(first string, then func(string) string) func(string) string {
 	var mu sync.Mutex
 	asked := false
 	return func(line string) string {
@@ -70,24 +72,27 @@
 	}
 }
 
-// fake is a server on a loopback socket. Each connection is handed to serve, which sees the lines
-// and bodies sent.
-type fake struct {
-	addr  string
-	seen  chan string // first lines of the requests
-	conns atomic.Int32
-	ended chan struct{} // one for each connection that the other side has closed
+// fakeServer is a server on a loopback socket. serve handles each connection and records the lines
+// and bodies received.
+type fakeServer struct {
+	addr       string
+	received   chan string // the first line and body of each request
+	connCount  atomic.Int32
+	peerCloses chan struct{} // an element for each connection closed by the other side
 
-	connected, closed chan struct{} // one for each connection, and for each that this side has closed
+	// accepts has an element for each accepted connection, ownCloses for each ownCloses by this
+	// side.
+	accepts, ownCloses chan struct{}
 }
 
-// startFake answers each request with the text of answer: "" says nothing, "close" closes, and
-// "{cut}" ends the connection behind what stands before it.
-func startFake(t testing.TB, answer func(line string) string) *fake {
+// startFakeServer starts a server that answers each request with the text returned by answer: ""
+// means no answer, "close" closes the connection, and the suffix "{cut}" closes it after the text.
+func startFakeServer(t testing.TB, answer func(line string) string) *fakeServer {
 	t.Helper()
 	ln := listenLocal(t)
-	f := &fake{addr: ln.Addr().String(), seen: make(chan string, 10000), ended: make(chan struct{}, 10000),
-		connected: make(chan struct{}, 10000), closed: make(chan struct{}, 10000)}
+	f := &fakeServer{addr: ln.Addr().String(), received: make(chan string, 10000),
+		peerCloses: make(chan struct{}, 10000),
+		accepts:    make(chan struct{}, 10000), ownCloses: make(chan struct{}, 10000)}
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var open []net.Conn
@@ -106,13 +111,13 @@
 			if err != nil {
 				return
 			}
-			f.conns.Add(1)
-			f.connected <- struct{}{}
+			f.connCount.Add(1)
+			f.accepts <- struct{}{}
 			mu.Lock()
 			open = append(open, c)
 			mu.Unlock()
 			wg.Go(func() {
-				defer func() { c.Close(); f.closed <- struct{}{} }()
+				defer func() { c.Close(); f.ownCloses <- struct{}{} }()
 				f.serve(c, answer)
 			})
 		}
@@ -120,16 +125,16 @@
 	return f
 }
 
-func (f *fake) serve(c net.Conn, answer func(string) string) {
+func (f *fakeServer) serve(c net.Conn, answer func(string) string) {
 	r := bufio.NewReader(c)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			f.ended <- struct{}{}
+			f.peerCloses <- struct{}{}
 			return
 		}
 		line = strings.TrimSpace(line)
-		for strings.HasSuffix(line, "HTTP/1.1") { // its headers, of which the id and the facts count
+		for strings.HasSuffix(line, "HTTP/1.1") { // headers; the id, the metadata and the length are kept
 			h, err := r.ReadString('\n')
 			if err != nil {
 				return
@@ -151,13 +156,13 @@
 		if _, err := io.ReadFull(r, body); err != nil {
 			return
 		}
-		f.seen <- line + " " + strings.TrimSpace(string(body))
+		f.received <- line + " " + strings.TrimSpace(string(body))
 		switch a := answer(line); a {
 		case "":
 		case "close":
 			return
 		default:
-			text := strings.TrimSuffix(strings.ReplaceAll(a, "{id}", idOf(line)), "{cut}")
+			text := strings.TrimSuffix(strings.ReplaceAll(a, "{id}", requestIDOf(line)), "{cut}")
 			if _, err := io.WriteString(c, text); err != nil {
 				return
 			}
@@ -168,8 +173,8 @@
 	}
 }
 
-// idOf finds the request's id in either protocol.
-func idOf(line string) string {
+// requestIDOf returns the request's id in either protocol.
+func requestIDOf(line string) string {
 	for f := range strings.FieldsSeq(line) {
 		if f[0] == 'O' && len(f) > 1 {
 			return f[1:]
@@ -185,29 +190,29 @@
 		strings.Join(append(headers, ""), "\r\n"), body)
 }
 
-func hit(string) string { return "VA 5 O{id} h1 Lqps=3,util=0.1\r\nhello\r\n" }
+func hitAnswer(string) string { return "VA 5 O{id} h1 Lqps=3,util=0.1\r\nhello\r\n" }
 
-func miss(string) string { return "EN O{id} h0\r\n" }
+func missAnswer(string) string { return "EN O{id} h0\r\n" }
 
-func originOK(line string) string {
+func originAnswer(line string) string {
 	if strings.HasPrefix(line, "PUT") {
 		return httpAnswer("200 OK", "5c0f")
 	}
 	return httpAnswer("200 OK", "fresh")
 }
 
-// directory is a discovery service.
-type directory struct {
+// fakeDiscovery is a fake discovery service.
+type fakeDiscovery struct {
 	*httptest.Server
 	mu      sync.Mutex
-	lists   []endpointList // the whole list first, then changes
+	lists   []endpointList // the complete list first, then changes
 	changed chan struct{}
 	calls   chan string
 }
 
-func startDirectory(t testing.TB, first endpointList) *directory {
+func startFakeDiscovery(t testing.TB, first endpointList) *fakeDiscovery {
 	t.Helper()
-	d := &directory{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
+	d := &fakeDiscovery{lists: []endpointList{first}, changed: make(chan struct{}), calls: make(chan string, 1000)}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls <- r.URL.RawQuery
 		after := r.URL.Query().Get("after")
@@ -226,7 +231,7 @@
 			select {
 			case <-changed:
 			case <-time.After(time.Duration(ms) * time.Millisecond):
-				json.NewEncoder(w).Encode(endpointList{Version: watchedVersion(after)})
+				json.NewEncoder(w).Encode(endpointList{Version: parseVersion(after)})
 				return
 			case <-r.Context().Done():
 				return
@@ -237,14 +242,14 @@
 	return d
 }
 
-// watchedVersion is the version that a watch has seen.
-func watchedVersion(after string) int64 {
+// parseVersion parses the version in a watch call.
+func parseVersion(after string) int64 {
 	v, _ := strconv.ParseInt(after, 10, 64)
 	return v
 }
 
-// change tells of a change.
-func (d *directory) change(entries ...listEntry) {
+// publishChange publishes changes to the list.
+func (d *fakeDiscovery) publishChange(entries ...listEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	last := d.lists[len(d.lists)-1]
@@ -253,16 +258,16 @@
 	d.changed = make(chan struct{})
 }
 
-func box(id, addr string) listEntry {
+func cacheEntry(id, addr string) listEntry {
 	return listEntry{ID: id, Addr: addr, Zone: "a", Kind: "box", State: "active", Weight: 1}
 }
 
-func originAt(addr string) listEntry {
-	e := box("s-00000063", addr)
+func originEntry(addr string) listEntry {
+	e := cacheEntry("s-00000063", addr)
 	e.Kind = "origin"
 	return e
 }
 
-func full(entries ...listEntry) endpointList {
+func completeList(entries ...listEntry) endpointList {
 	return endpointList{Version: 1, IsComplete: true, Servers: entries}
 }
