--- a/decide/placement.go
+++ b/decide/placement.go
@@ -13,7 +13,8 @@
 //  1. candidates and home: the servers of the key's memento-hash list that are in use.
 //  2. prepareModels: each server as an M/G/m queue with the load that other routers send it.
 //  3. solve: all keys, in descending order of λ_i/μ_i.
-//  4. chooseCopies: copies of a hot key, in ascending order of their FDL, while waiting decreases.
+//  4. chooseCopies: copies of a hot key, in ascending order of their first derivative length (FDL),
+//     while waiting decreases.
 //  5. equalizeFDL: the shares of the copies.
 //  6. pick: a server for a request, drawn by the shares and subject to the queues.
 
