--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -12,7 +12,7 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-var drawnOps = []Op{
+var randomOps = []Op{
 	OpTick, OpOpenSession, OpKeepAlive, OpCloseSession, OpAcquire, OpAcquire, OpRelease, OpTransfer,
 	OpWriteRecord, OpRaiseTokens, OpSetClockRate, "none",
 }
@@ -27,7 +27,7 @@
 	return Command{
 		Version:             Version,
 		Term:                rapid.Uint64Range(1, 2).Draw(t, "term"),
-		Op:                  rapid.SampledFrom(drawnOps).Draw(t, "op"),
+		Op:                  rapid.SampledFrom(randomOps).Draw(t, "op"),
 		Elapsed:             seconds(-1, 3, "advance"),
 		SessionID:           rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "session"),
 		Sequence:            rapid.Uint64Range(0, 40).Draw(t, "seq"),
@@ -70,7 +70,7 @@
 			}
 			lastToken = a.LastToken
 			checkHoldersHaveSessions(t, a)
-			checkNothingTakenBackEarly(t, c, before, a)
+			checkNoEarlyExpiry(t, c, before, a)
 		}
 	})
 }
@@ -99,17 +99,17 @@
 	}
 }
 
-// checkNothingTakenBackEarly checks the leases that a command freed or transferred: the holder gave the
+// checkNoEarlyExpiry checks the leases that a command freed or transferred: the holder gave the
 // lease up itself, or the lease's TTL has passed even on a slow holder's clock.
-func checkNothingTakenBackEarly(t *rapid.T, c Command, before, after *State) {
+func checkNoEarlyExpiry(t *rapid.T, c Command, before, after *State) {
 	t.Helper()
 	for name, lease := range before.Leases {
 		now := after.Leases[name]
 		if now != nil && now.Token == lease.Token {
 			continue
 		}
-		isGivenBack := c.Op == OpRelease || c.Op == OpTransfer || c.Op == OpCloseSession
-		if isGivenBack && c.SessionID == lease.SessionID {
+		isReleased := c.Op == OpRelease || c.Op == OpTransfer || c.Op == OpCloseSession
+		if isReleased && c.SessionID == lease.SessionID {
 			continue
 		}
 		sinceKeptAlive := float64(after.Clock - before.Sessions[lease.SessionID].KeptAliveAt)
@@ -121,8 +121,8 @@
 	}
 }
 
-// must applies a command and fails unless the response has the code.
-func must(t *testing.T, s *State, c Command, want Code) Response {
+// mustApply applies a command and fails unless the response has the code.
+func mustApply(t *testing.T, s *State, c Command, want Code) Response {
 	t.Helper()
 	c.Version = 1
 	response := s.Apply(c, 1)
@@ -149,34 +149,34 @@
 // During a rolling upgrade some coordinators run an older program with smaller tables. Until 'members
 // upgrade', all coordinators must reject a session or router beyond the older limits; otherwise the
 // states of the two programs diverge.
-func TestBoundsBeforeUpgrade(t *testing.T) {
+func TestEarlierLimitsHoldUntilUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
-		must(t, s, openCommand(fmt.Sprint(i), rollout.RouterClientPrefix+fmt.Sprint(i), time.Minute), CodeOK)
+		mustApply(t, s, openCommand(fmt.Sprint(i), rollout.RouterClientPrefix+fmt.Sprint(i), time.Minute), CodeOK)
 	}
 	more := openCommand("more", "c", time.Minute)
-	if response := must(t, s, more, CodeLimitReached); response.Text != "sessions: 4096 at most" {
+	if response := mustApply(t, s, more, CodeLimitReached); response.Text != "sessions: 4096 at most" {
 		t.Errorf("%s", response.Text)
 	}
-	must(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
+	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
 	for i := range rollout.EarlierMaxRouters {
-		must(t, s, reportCommand(i), CodeOK)
+		mustApply(t, s, reportCommand(i), CodeOK)
 	}
-	beyond := must(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
+	beyond := mustApply(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
 	if beyond.Text != "routers: 1024 at most" {
 		t.Errorf("%s", beyond.Text)
 	}
 	large := reportCommand(0)
 	large.Sequence = 2
 	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)
-	if response := must(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
+	if response := mustApply(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
 		t.Errorf("%s", response.Text)
 	}
 	if n := s.RouterDrains().MaxReportedServers; n != 0 {
 		t.Errorf("routers are notified of reports of %d servers", n)
 	}
-	must(t, s, Command{Op: OpUpgrade, TargetVersion: fleetLimitsVersion}, CodeOK)
-	must(t, s, more, CodeOK)
+	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: fleetLimitsVersion}, CodeOK)
+	mustApply(t, s, more, CodeOK)
 	if n := s.RouterDrains().MaxReportedServers; n != rollout.MaxReportedServers {
 		t.Errorf("routers are notified of reports of %d servers", n)
 	}
@@ -203,31 +203,31 @@
 // filled, rejects one more entry with the limit's text, and accepts an entry again once one is freed.
 func TestTablesRejectBeyondTheirLimits(t *testing.T) {
 	s := New()
-	must(t, s, Command{Op: OpUpgrade, TargetVersion: Version}, CodeOK)
+	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: Version}, CodeOK)
 	for i := range MaxSessions {
-		must(t, s, openCommand(fmt.Sprint(i), "c", time.Minute), CodeOK)
+		mustApply(t, s, openCommand(fmt.Sprint(i), "c", time.Minute), CodeOK)
 	}
-	full := must(t, s, openCommand("more", "c", time.Minute), CodeLimitReached)
+	full := mustApply(t, s, openCommand("more", "c", time.Minute), CodeLimitReached)
 	if !strings.Contains(full.Text, fmt.Sprint(MaxSessions)) {
 		t.Errorf("%s", full.Text)
 	}
 	for i := range MaxLeases {
-		must(t, s, acquireCommand(i), CodeOK)
+		mustApply(t, s, acquireCommand(i), CodeOK)
 	}
-	must(t, s, acquireCommand(MaxLeases), CodeLimitReached)
+	mustApply(t, s, acquireCommand(MaxLeases), CodeLimitReached)
 	for i := range MaxTotalRecordBytes / MaxRecordBytes {
-		must(t, s, writeCommand(i), CodeOK)
+		mustApply(t, s, writeCommand(i), CodeOK)
 	}
 	oneByte := Command{
 		Op: OpWriteRecord, SessionID: "511", Sequence: 25, AcknowledgedThrough: 24,
 		Lease: "l8191", Token: 8192, Record: []byte{1},
 	}
-	must(t, s, oneByte, CodeLimitReached)
-	must(t, s, Command{Op: OpCloseSession, SessionID: "0"}, CodeOK) // 16 leases and 4 records
+	mustApply(t, s, oneByte, CodeLimitReached)
+	mustApply(t, s, Command{Op: OpCloseSession, SessionID: "0"}, CodeOK) // 16 leases and 4 records
 	oneByte.Sequence = 26
 	oneByte.AcknowledgedThrough = 25
-	must(t, s, oneByte, CodeOK)
-	must(t, s, openCommand("more", "c", time.Minute), CodeOK)
+	mustApply(t, s, oneByte, CodeOK)
+	mustApply(t, s, openCommand("more", "c", time.Minute), CodeOK)
 	checkResponseWindow(t, s)
 	checkInvalidCommands(t, s)
 	unknown := Command{Version: Version + 1, Op: OpTick}
@@ -246,11 +246,11 @@
 		}
 	}
 	for sequence := range uint64(MaxCachedResponses) {
-		must(t, s, acquire(sequence+1, 0), CodeOK)
+		mustApply(t, s, acquire(sequence+1, 0), CodeOK)
 	}
-	must(t, s, acquire(MaxCachedResponses+1, 0), CodeLimitReached)
-	must(t, s, acquire(MaxCachedResponses+1, 1), CodeOK)
-	must(t, s, acquire(1, 0), CodeSuperseded)
+	mustApply(t, s, acquire(MaxCachedResponses+1, 0), CodeLimitReached)
+	mustApply(t, s, acquire(MaxCachedResponses+1, 1), CodeOK)
+	mustApply(t, s, acquire(1, 0), CodeSuperseded)
 }
 
 // checkInvalidCommands applies commands whose fields are out of bounds.
@@ -271,28 +271,28 @@
 		longTTL,
 		longPurpose,
 	} {
-		must(t, s, c, CodeInvalid)
+		mustApply(t, s, c, CodeInvalid)
 	}
 }
 
 // 300 sessions become silent at the same time, as in a network partition. One command expires all of
 // them with their leases, but not before their time. Time measured by a leader of another term does not
 // count.
-func TestManyEndAtOnce(t *testing.T) {
+func TestSilentSessionsExpireTogetherAndNotEarly(t *testing.T) {
 	s := New()
 	const sessions = 300
 	const ttl = 10 * time.Second
 	for i := range sessions {
 		id := fmt.Sprint(i)
-		must(t, s, openCommand(id, id, ttl), CodeOK)
-		must(t, s, Command{Op: OpAcquire, SessionID: id, Sequence: 1, Lease: "l" + id, TTL: ttl}, CodeOK)
+		mustApply(t, s, openCommand(id, id, ttl), CodeOK)
+		mustApply(t, s, Command{Op: OpAcquire, SessionID: id, Sequence: 1, Lease: "l" + id, TTL: ttl}, CodeOK)
 	}
-	must(t, s, tickCommand(s.ExpiryDelay(ttl)-1), CodeOK)
+	mustApply(t, s, tickCommand(s.ExpiryDelay(ttl)-1), CodeOK)
 	if len(s.Leases) != sessions {
 		t.Fatalf("%d leases before the time", len(s.Leases))
 	}
-	must(t, s, Command{Op: OpTick, Term: 2, Elapsed: time.Hour}, CodeOK)
-	must(t, s, tickCommand(1), CodeOK)
+	mustApply(t, s, Command{Op: OpTick, Term: 2, Elapsed: time.Hour}, CodeOK)
+	mustApply(t, s, tickCommand(1), CodeOK)
 	if len(s.Leases)+len(s.Sessions) != 0 || len(s.ChangedLeases()) != sessions {
 		t.Errorf("%d leases, %d sessions, %d changed", len(s.Leases), len(s.Sessions), len(s.ChangedLeases()))
 	}
@@ -302,29 +302,29 @@
 // A transfer to a client without a session, or to one silent for longer than the lease's TTL, is
 // rejected and the holder keeps the lease. A transfer to a live successor gets a higher token; when
 // the successor then dies, the lease expires by the successor's last keep-alive.
-func TestHandOverToTheDead(t *testing.T) {
+func TestLeaseIsNotTransferredToDeadClient(t *testing.T) {
 	s := New()
 	const leaseTTL = 5 * time.Second
-	must(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
-	must(t, s, openCommand("b", "b", 30*time.Second), CodeOK)
+	mustApply(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
+	mustApply(t, s, openCommand("b", "b", 30*time.Second), CodeOK)
 	acquire := Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: leaseTTL}
-	token := must(t, s, acquire, CodeOK).Token
+	token := mustApply(t, s, acquire, CodeOK).Token
 	transfer := func(sequence uint64, successor string, want Code) Response {
 		c := Command{
 			Op: OpTransfer, SessionID: "a", Sequence: sequence, Lease: "l", Token: token, Successor: successor,
 		}
-		return must(t, s, c, want)
+		return mustApply(t, s, c, want)
 	}
 	transfer(2, "nobody", CodeNoClient)
-	must(t, s, tickCommand(4*time.Second), CodeOK)
-	must(t, s, Command{Op: OpKeepAlive, SessionID: "a"}, CodeOK)
-	must(t, s, tickCommand(2*time.Second), CodeOK)
+	mustApply(t, s, tickCommand(4*time.Second), CodeOK)
+	mustApply(t, s, Command{Op: OpKeepAlive, SessionID: "a"}, CodeOK)
+	mustApply(t, s, tickCommand(2*time.Second), CodeOK)
 	transfer(3, "b", CodeNoClient) // silent for longer than the lease lasts
-	must(t, s, Command{Op: OpKeepAlive, SessionID: "b"}, CodeOK)
+	mustApply(t, s, Command{Op: OpKeepAlive, SessionID: "b"}, CodeOK)
 	if got := transfer(4, "b", CodeOK).Token; got <= token {
 		t.Errorf("token %d after token %d", got, token)
 	}
-	must(t, s, tickCommand(s.ExpiryDelay(leaseTTL)), CodeOK)
+	mustApply(t, s, tickCommand(s.ExpiryDelay(leaseTTL)), CodeOK)
 	if len(s.Leases) != 0 {
 		t.Error("a dead successor keeps the lease")
 	}
@@ -332,10 +332,10 @@
 
 // A snapshot file has one bit flipped or is truncated, at any byte, or a newer program wrote it.
 // Unmarshal must reject it, or the coordinator's state would diverge from the others'.
-func TestSnapshotRefused(t *testing.T) {
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	s := New()
-	must(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
-	must(t, s, Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: 5 * time.Second}, CodeOK)
+	mustApply(t, s, openCommand("a", "a", 30*time.Second), CodeOK)
+	mustApply(t, s, Command{Op: OpAcquire, SessionID: "a", Sequence: 1, Lease: "l", TTL: 5 * time.Second}, CodeOK)
 	text, err := s.Marshal()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -65,15 +65,15 @@
 
 // putDocument executes a change of a document.
 func (s *State) putDocument(c Command) Response {
-	if response, awaits := s.AwaitsUpgrade(c); awaits {
+	if response, isRequired := s.RequiresUpgrade(c); isRequired {
 		return response
 	}
 	put := c.Document
 	if put == nil {
-		return invalid("document: empty")
+		return invalidResponse("document: empty")
 	}
 	if err := put.check(); err != nil {
-		return invalid("%v", err)
+		return invalidResponse("%v", err)
 	}
 	current, exists := s.Documents.Document(put.Name)
 	if current.Revision != put.Expected {
@@ -82,7 +82,7 @@
 		return Response{Code: CodeConflict, Revision: current.Revision, Text: text}
 	}
 	if put.Delete && !exists {
-		return invalid("document %s: there is none", put.Name)
+		return invalidResponse("document %s: there is none", put.Name)
 	}
 	change := watchlog.Change{
 		Revision: s.Documents.NewestRevision() + 1,
@@ -95,7 +95,7 @@
 		return Response{Code: CodeLimitReached, Text: limit}
 	}
 	if err := s.Documents.Append(change); err != nil {
-		return invalid("%v", err)
+		return invalidResponse("%v", err)
 	}
 	s.documentBytes += growth
 	return Response{Code: CodeOK, Revision: change.Revision}
--- a/internal/coord/document_test.go
+++ b/internal/coord/document_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// agreed returns a state at DocumentVersion with one session, "s".
-func agreed(t *testing.T) *State {
+// newDocumentState returns a state at DocumentVersion with one session, "s".
+func newDocumentState(t *testing.T) *State {
 	t.Helper()
 	s := New()
-	must(t, s, Command{Op: OpUpgrade, TargetVersion: DocumentVersion}, CodeOK)
-	must(t, s, Command{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, CodeOK)
+	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: DocumentVersion}, CodeOK)
+	mustApply(t, s, Command{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, CodeOK)
 	return s
 }
 
@@ -27,7 +27,7 @@
 func (p *putter) put(t *testing.T, put DocumentPut, want Code) Response {
 	t.Helper()
 	p.sequence++
-	return must(t, p.state, p.command(put), want)
+	return mustApply(t, p.state, p.command(put), want)
 }
 
 // command returns the put as the session's most recent command.
@@ -41,8 +41,8 @@
 // Guards against a lost update when two operators put the same document. The second put expects a
 // revision that has been replaced and gets a conflict with the current one. Revisions count the changes
 // to all documents, and a retried command changes nothing.
-func TestCompareAndSet(t *testing.T) {
-	p := putter{state: agreed(t)}
+func TestPutWithOldRevisionConflicts(t *testing.T) {
+	p := putter{state: newDocumentState(t)}
 	first := p.put(t, DocumentPut{Name: "a", Value: []byte("1")}, CodeOK)
 	other := p.put(t, DocumentPut{Name: "b", Value: []byte("1")}, CodeOK)
 	if first.Revision != 1 || other.Revision != 2 {
@@ -53,7 +53,7 @@
 	}
 	p.put(t, DocumentPut{Name: "a", Value: []byte("2"), Expected: 2}, CodeConflict)
 	second := p.put(t, DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}, CodeOK)
-	again := must(t, p.state, p.command(DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}), CodeOK)
+	again := mustApply(t, p.state, p.command(DocumentPut{Name: "a", Value: []byte("2"), Expected: 1}), CodeOK)
 	if second != again || p.state.Revision() != 3 {
 		t.Errorf("%+v, repeated %+v, newest %d", second, again, p.state.Revision())
 	}
@@ -68,8 +68,8 @@
 
 // An invalid put is rejected with the reason. Every put is rejected while an older coordinator may not
 // support documents, as the states would diverge.
-func TestDocumentRefused(t *testing.T) {
-	p := putter{state: agreed(t)}
+func TestInvalidPutIsRejected(t *testing.T) {
+	p := putter{state: newDocumentState(t)}
 	for text, put := range map[string]DocumentPut{
 		"name: empty":       {},
 		"name: 129 bytes":   {Name: strings.Repeat("n", MaxNameBytes+1)},
@@ -83,10 +83,10 @@
 		}
 	}
 	old := New()
-	must(t, old, Command{Op: OpUpgrade, TargetVersion: DocumentVersion - 1}, CodeOK)
-	must(t, old, Command{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, CodeOK)
+	mustApply(t, old, Command{Op: OpUpgrade, TargetVersion: DocumentVersion - 1}, CodeOK)
+	mustApply(t, old, Command{Op: OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, CodeOK)
 	put := Command{Op: OpPutDocument, SessionID: "s", Sequence: 1, Document: &DocumentPut{Name: "a"}}
-	a := must(t, old, put, CodeInvalid)
+	a := mustApply(t, old, put, CodeInvalid)
 	if !strings.Contains(a.Text, "members upgrade") || old.Revision() != 0 {
 		t.Errorf("%+v", a)
 	}
@@ -95,8 +95,8 @@
 // Documents are limited in number and in total bytes: a put beyond a limit is rejected with the limit's
 // text, and accepted again once a document is deleted. The history is limited without rejecting puts:
 // the oldest changes are compacted, and a watcher that is behind gets a snapshot.
-func TestDocumentBounds(t *testing.T) {
-	p := putter{state: agreed(t)}
+func TestDocumentLimitsRejectPutsAndCompactHistory(t *testing.T) {
+	p := putter{state: newDocumentState(t)}
 	for i := range MaxDocuments {
 		p.put(t, DocumentPut{Name: fmt.Sprint(i)}, CodeOK)
 	}
@@ -106,7 +106,7 @@
 	p.put(t, DocumentPut{Name: "0", Delete: true, Expected: 1}, CodeOK)
 	p.put(t, DocumentPut{Name: "more"}, CodeOK)
 
-	p = putter{state: agreed(t)}
+	p = putter{state: newDocumentState(t)}
 	large := make([]byte, MaxDocumentBytes)
 	count := MaxTotalDocumentBytes / (MaxDocumentBytes + 128)
 	for i := range count {
@@ -123,7 +123,7 @@
 		t.Error("the history has no bound in bytes")
 	}
 
-	p = putter{state: agreed(t)}
+	p = putter{state: newDocumentState(t)}
 	revision := uint64(0)
 	for range MaxHistoryChanges + 1 {
 		revision = p.put(t, DocumentPut{Name: "a", Expected: revision}, CodeOK).Revision
@@ -139,9 +139,9 @@
 // Two replicas apply the same random puts and deletions; one is now and then restored from its own
 // snapshot, and now and then the revision is raised as after the loss of a majority. Checks that both
 // always have the same bytes and that the revision never decreases.
-func TestAnyDocuments(t *testing.T) {
+func TestReplicasAgreeOnRandomDocuments(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		a, b := agreed(t), agreed(t)
+		a, b := newDocumentState(t), newDocumentState(t)
 		revision := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(r, "commands") {
 			c := drawDocumentCommand(r, uint64(i+1), revision)
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -30,10 +30,10 @@
 
 func (s *State) acquire(c Command, session *Session) Response {
 	if c.TTL < MinTTL || c.TTL > session.TTL {
-		return invalid("ttl: %v is not between %v and the session's %v", c.TTL, MinTTL, session.TTL)
+		return invalidResponse("ttl: %v is not between %v and the session's %v", c.TTL, MinTTL, session.TTL)
 	}
 	if len(c.Purpose) > MaxPurposeBytes {
-		return invalid("purpose: %d bytes, at most %d", len(c.Purpose), MaxPurposeBytes)
+		return invalidResponse("purpose: %d bytes, at most %d", len(c.Purpose), MaxPurposeBytes)
 	}
 	if lease := s.Leases[c.Lease]; lease != nil {
 		return s.acquireHeld(c, lease)
@@ -132,7 +132,7 @@
 
 func (s *State) writeRecord(c Command, lease *Lease) Response {
 	if len(c.Record) > MaxRecordBytes {
-		return invalid("record: %d bytes, at most %d", len(c.Record), MaxRecordBytes)
+		return invalidResponse("record: %d bytes, at most %d", len(c.Record), MaxRecordBytes)
 	}
 	growth := len(c.Record) - len(lease.Record)
 	if s.recordBytes+growth > MaxTotalRecordBytes {
@@ -154,7 +154,7 @@
 		return Response{Code: CodeNoClient, Text: text}
 	}
 	if lease.TTL > successor.TTL {
-		return invalid("ttl: the session of %s lasts %v, and lease %s %v",
+		return invalidResponse("ttl: the session of %s lasts %v, and lease %s %v",
 			c.Successor, successor.TTL, c.Lease, lease.TTL)
 	}
 	if s.expiresAt(successor, lease.TTL) <= s.Clock {
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -32,12 +32,12 @@
 	minRetryAfter = time.Second
 
 	// Clients rejected by a full table retry 5 ms apart, as the table may stay full for long.
-	tableReturnsPerSecond = 200
+	tableRetriesPerSecond = 200
 	maxTableRetryAfter    = time.Minute
 
 	// Clients rejected by too many commands in flight retry 0.5 ms apart, as the commands are executed
 	// within seconds.
-	commandReturnsPerSecond = 2000
+	commandRetriesPerSecond = 2000
 	maxCommandRetryAfter    = 5 * time.Second
 )
 
@@ -57,55 +57,55 @@
 	return MaxOtherCommandsInFlight
 }
 
-// returnSchedule assigns rejected clients evenly spaced times to retry, so that the rate of retries does
+// retrySchedule assigns rejected clients evenly spaced times to retry, so that the rate of retries does
 // not depend on the number of clients.
-type returnSchedule struct {
+type retrySchedule struct {
 	perSecond     int
 	maxRetryAfter time.Duration
 
-	mu           sync.Mutex
-	nextReturnAt time.Duration // assigned last, on clock.Now
+	mu          sync.Mutex
+	lastRetryAt time.Duration // retry time assigned last, on clock.Now
 }
 
-// newTableReturns returns the schedule for clients that are rejected by a full table.
-func newTableReturns() *returnSchedule {
-	return &returnSchedule{perSecond: tableReturnsPerSecond, maxRetryAfter: maxTableRetryAfter}
+// newTableRetrySchedule returns the schedule for clients that are rejected by a full table.
+func newTableRetrySchedule() *retrySchedule {
+	return &retrySchedule{perSecond: tableRetriesPerSecond, maxRetryAfter: maxTableRetryAfter}
 }
 
-// newCommandReturns returns the schedule for clients that are rejected by too many commands in flight.
-func newCommandReturns() *returnSchedule {
-	return &returnSchedule{perSecond: commandReturnsPerSecond, maxRetryAfter: maxCommandRetryAfter}
+// newCommandRetrySchedule returns the schedule for clients that are rejected by too many commands in flight.
+func newCommandRetrySchedule() *retrySchedule {
+	return &retrySchedule{perSecond: commandRetriesPerSecond, maxRetryAfter: maxCommandRetryAfter}
 }
 
 // nextRetryAfter assigns the next time to retry and returns how long after now it is.
-func (r *returnSchedule) nextRetryAfter(now time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	gap := time.Second / time.Duration(r.perSecond)
+func (s *retrySchedule) nextRetryAfter(now time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	gap := time.Second / time.Duration(s.perSecond)
 	earliest := now + minRetryAfter
-	latest := now + r.maxRetryAfter
-	r.nextReturnAt = min(max(r.nextReturnAt+gap, earliest), latest)
-	return r.nextReturnAt - now
+	latest := now + s.maxRetryAfter
+	s.lastRetryAt = min(max(s.lastRetryAt+gap, earliest), latest)
+	return s.lastRetryAt - now
 }
 
 // withRetryAfter counts a rejection by a limit and sets its RetryAfter.
-func (n *Node) withRetryAfter(response coord.Response, returns *returnSchedule) coord.Response {
+func (n *Node) withRetryAfter(response coord.Response, schedule *retrySchedule) coord.Response {
 	n.rejected.Add(1)
-	response.RetryAfter = returns.nextRetryAfter(clock.Now())
+	response.RetryAfter = schedule.nextRetryAfter(clock.Now())
 	return response
 }
 
-// awaitsUpgrade returns the response to a command that requires a later version than the one in force.
+// requiresUpgrade returns the response to a command that requires a later version than the one in force.
 // A coordinator that has just started may have an outdated version, so only a linearizable read at the
 // leader is decisive.
-func (n *Node) awaitsUpgrade(c coord.Command) (response coord.Response, awaits bool, err error) {
+func (n *Node) requiresUpgrade(c coord.Command) (response coord.Response, isRequired bool, err error) {
 	n.mu.Lock()
-	response, awaits = n.state.AwaitsUpgrade(c)
+	response, isRequired = n.state.RequiresUpgrade(c)
 	n.mu.Unlock()
-	if awaits {
-		err = n.LinearizableRead(func(s *coord.State) { response, awaits = s.AwaitsUpgrade(c) })
+	if isRequired {
+		err = n.LinearizableRead(func(s *coord.State) { response, isRequired = s.RequiresUpgrade(c) })
 	}
-	return response, awaits, err
+	return response, isRequired, err
 }
 
 // rejectsSession rejects a new session that exceeds the limit before it is written to the log: retries
@@ -139,31 +139,31 @@
 // connectionLimit answers requests on connections beyond the limit with a Retry-After and closes these
 // connections.
 type connectionLimit struct {
-	bound   int
-	returns *returnSchedule
+	bound    int
+	schedule *retrySchedule
 
-	mu   sync.Mutex
-	open map[net.Conn]bool // open connections; true if the connection counts towards the bound
-	used int               // connections that count towards the bound
+	mu      sync.Mutex
+	open    map[net.Conn]bool // open connections; true if the connection counts towards the bound
+	counted int               // connections that count towards the bound
 }
 
 func newConnectionLimit(bound int) *connectionLimit {
-	return &connectionLimit{bound: bound, returns: newTableReturns(), open: map[net.Conn]bool{}}
+	return &connectionLimit{bound: bound, schedule: newTableRetrySchedule(), open: map[net.Conn]bool{}}
 }
 
-// overBound is the context key that says whether the connection exceeds the bound.
-type overBound struct{}
+// overLimitKey is the context key that says whether the connection exceeds the bound.
+type overLimitKey struct{}
 
 // opened registers a new connection. It is the server's ConnContext.
 func (l *connectionLimit) opened(ctx context.Context, c net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isWithin := l.used < l.bound
+	isWithin := l.counted < l.bound
 	if isWithin {
-		l.used++
+		l.counted++
 	}
 	l.open[c] = isWithin
-	return context.WithValue(ctx, overBound{}, !isWithin)
+	return context.WithValue(ctx, overLimitKey{}, !isWithin)
 }
 
 // changed unregisters a connection that has ended. It is the server's ConnState.
@@ -174,7 +174,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[c] {
-		l.used--
+		l.counted--
 	}
 	delete(l.open, c)
 }
@@ -182,14 +182,14 @@
 // handler returns a handler that passes requests within the bound to another handler.
 func (l *connectionLimit) handler(within http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if isOver, _ := r.Context().Value(overBound{}).(bool); !isOver {
+		if isOver, _ := r.Context().Value(overLimitKey{}).(bool); !isOver {
 			within.ServeHTTP(w, r)
 			return
 		}
 		w.Header().Set("Connection", "close")
 		writeLimitReached(w, &LimitError{
 			Text:       "connections: " + strconv.Itoa(l.bound) + " at most",
-			RetryAfter: l.returns.nextRetryAfter(clock.Now()),
+			RetryAfter: l.schedule.nextRetryAfter(clock.Now()),
 		})
 	})
 }
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -17,8 +17,8 @@
 // The session table is full, and 500 clients each open one more session. Each is rejected with the
 // limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a fleet
 // over the limit would keep the leader busy with rejections.
-func TestSessionsFull(t *testing.T) {
-	n := single(t)
+func TestFullSessionTableRejectsWithSpreadRetries(t *testing.T) {
+	n := startUpgradedLeader(t)
 	n.mu.Lock()
 	for i := range coord.MaxSessions {
 		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{
@@ -43,7 +43,7 @@
 	if grown := n.raft.LastIndex() - before; grown > attempts/4 { // ticks are written to the log meanwhile
 		t.Errorf("%d rejections wrote %d entries of the log", attempts, grown)
 	}
-	if last < minRetryAfter+attempts*time.Second/tableReturnsPerSecond/2 {
+	if last < minRetryAfter+attempts*time.Second/tableRetriesPerSecond/2 {
 		t.Errorf("the last of %d is to retry after %v, too close to the first", attempts, last)
 	}
 	if got := n.Status().Rejected; got != attempts {
@@ -58,8 +58,8 @@
 // The limits of watchers and of commands in flight are reached. One more is rejected with the limit's
 // text and a Retry-After. A keep-alive is still accepted where other commands are rejected; otherwise
 // sessions would expire at a busy leader.
-func TestWatchersAndCommandsFull(t *testing.T) {
-	n := single(t)
+func TestKeepAliveIsAcceptedWhenOtherCommandsAreRejected(t *testing.T) {
+	n := startUpgradedLeader(t)
 	n.mu.Lock()
 	n.watchers = MaxWatchers
 	n.mu.Unlock()
@@ -89,14 +89,14 @@
 
 // Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds, as
 // otherwise all would retry at the same time. After an idle hour the schedule starts from now again.
-func TestReturnSchedule(t *testing.T) {
-	r := newTableReturns()
+func TestRejectedClientsGetDistinctRetryTimes(t *testing.T) {
+	r := newTableRetrySchedule()
 	first := r.nextRetryAfter(0)
 	second := r.nextRetryAfter(0)
-	if first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
+	if first != minRetryAfter || second != first+time.Second/tableRetriesPerSecond {
 		t.Errorf("%v, %v", first, second)
 	}
-	for range 2 * tableReturnsPerSecond * int(maxTableRetryAfter/time.Second) {
+	for range 2 * tableRetriesPerSecond * int(maxTableRetryAfter/time.Second) {
 		r.nextRetryAfter(0)
 	}
 	if d := r.nextRetryAfter(0); d != maxTableRetryAfter {
@@ -110,7 +110,7 @@
 // A server with capacity for one connection gets two. The second one gets a response with Retry-After
 // and is closed; once the first connection has ended, the second client is served. If the connection
 // were only queued, the client would not learn the reason.
-func TestConnectionsFull(t *testing.T) {
+func TestConnectionBeyondLimitGetsRetryAfter(t *testing.T) {
 	limit := newConnectionLimit(1)
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
 	s := httptest.NewUnstartedServer(limit.handler(served))
@@ -149,8 +149,8 @@
 // A router watches the drains before the first drain. With wait=true it waits for the first version;
 // without, it gets a response immediately. If wait=true didn't wait, every router would poll in a loop
 // until the first drain.
-func TestWatchFromNothing(t *testing.T) {
-	n := single(t)
+func TestDrainWatchWaitsForFirstVersion(t *testing.T) {
+	n := startUpgradedLeader(t)
 	answered := make(chan int, 1)
 	go func() { // ends with the watch, after its maximum duration at the latest
 		answered <- serve(n.Handler(), http.MethodGet, "/v1/drains?after=0&wait=true", nil).Code
@@ -181,7 +181,7 @@
 // Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead, a
 // command still requires an upgrade. It must redirect to the leader; if it rejected the command, the
 // client would give up a command that the group supports.
-func TestOldStateRefusesNothing(t *testing.T) {
+func TestFollowerRedirectsCommandThatRequiresUpgrade(t *testing.T) {
 	n := startNode(t, 100)
 	acknowledge := &rollout.Command{Op: rollout.OpAcknowledgeDrains}
 	c := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: acknowledge}
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -88,8 +88,8 @@
 		http.Error(w, fmt.Sprintf("op: %s is the coordinators' own", c.Op), http.StatusBadRequest)
 		return
 	}
-	response, awaits, err := n.awaitsUpgrade(c)
-	if !awaits && err == nil {
+	response, isUpgradeRequired, err := n.requiresUpgrade(c)
+	if !isUpgradeRequired && err == nil {
 		response, err = n.Propose(c)
 	}
 	n.writeResponse(w, response, err)
--- a/internal/coord/node/api_test.go
+++ b/internal/coord/node/api_test.go
@@ -8,7 +8,7 @@
 
 // The metrics address serves the status and the readiness of a coordinator, before and after it belongs
 // to a group. It must accept no commands, as it may be reachable by more clients than the API.
-func TestFigures(t *testing.T) {
+func TestMetricsAddressAcceptsNoCommands(t *testing.T) {
 	n := startNode(t, 100)
 	h := n.MetricsHandler()
 	w := serve(h, http.MethodGet, "/-/metrics", nil)
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -25,11 +25,11 @@
 	maxChangesBytes = 256 << 10
 )
 
-// Changes waits until there are changes of documents after a revision or ctx ends, and returns them.
+// WaitForChanges waits until there are changes of documents after a revision or ctx ends, and returns them.
 // Any coordinator responds from its own state, so observers don't load the leader more than other
 // coordinators. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a
 // LimitError.
-func (n *Node) Changes(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
+func (n *Node) WaitForChanges(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
 	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
 		return protocol.Update{}, err
@@ -71,7 +71,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxPollDuration)
 	defer cancel()
-	update, err := n.Changes(ctx, after, r.URL.Query().Get("prefix"))
+	update, err := n.WaitForChanges(ctx, after, r.URL.Query().Get("prefix"))
 	var behind *watchlog.BehindError
 	var rejection *protocol.Rejection
 	switch {
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// do proposes a command and fails unless the response has the code.
-func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
+// mustPropose proposes a command and fails unless the response has the code.
+func mustPropose(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
 	t.Helper()
 	a, err := n.Propose(c)
 	if err != nil || a.Code != want {
@@ -40,13 +40,13 @@
 // none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
 // coordinator is behind the observer. If a coordinator that is behind sent its older state, routers
 // would return to old documents.
-func TestChanges(t *testing.T) {
-	n := leading(t)
-	do(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
-	do(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
+func TestObserverPollsForChanges(t *testing.T) {
+	n := startLeader(t)
+	mustPropose(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
+	mustPropose(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
 	put := func(sequence uint64, name string) {
 		document := &coord.DocumentPut{Name: name, Value: []byte(name)}
-		do(t, n, coord.Command{
+		mustPropose(t, n, coord.Command{
 			Op: coord.OpPutDocument, SessionID: "s", Document: document,
 			Sequence: sequence, AcknowledgedThrough: sequence - 1,
 		}, coord.CodeOK)
@@ -99,8 +99,8 @@
 // A document is put while an older coordinator may not support documents. The leader must reject the
 // put without a log entry: an older coordinator would reject the entry with another text, and its state
 // would diverge.
-func TestPutBeforeUpgrade(t *testing.T) {
-	n := leading(t)
+func TestPutBeforeUpgradeIsNotLogged(t *testing.T) {
+	n := startLeader(t)
 	readAll := func() {
 		t.Helper()
 		if err := n.LinearizableRead(func(*coord.State) {}); err != nil {
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -39,7 +39,7 @@
 // diverge from that of coordinators that are not upgraded yet.
 func TestReplayOfEarlierDirectory(t *testing.T) {
 	directory := copyFixture(t)
-	snapshots, floor, err := openSnapshots(directory, hclog.NewNullLogger())
+	snapshots, snapshotIndex, err := openSnapshots(directory, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	if err := machine.Restore(from); err != nil {
 		t.Fatal(err)
 	}
-	replayLog(t, machine, directory, floor)
+	replayLog(t, machine, directory, snapshotIndex)
 	want, err := os.ReadFile(fixtureState)
 	if err != nil {
 		t.Fatal(err)
@@ -123,9 +123,9 @@
 		t.Errorf("changes after revision 8: %d %+v", code, rejection)
 	}
 	open := coord.Command{Op: coord.OpOpenSession, SessionID: "new", Client: "c", TTL: time.Minute}
-	do(t, n, open, coord.CodeOK)
+	mustPropose(t, n, open, coord.CodeOK)
 	acquire := coord.Command{Op: coord.OpAcquire, SessionID: "new", Sequence: 1, Lease: "sweep", TTL: time.Minute}
-	if held := do(t, n, acquire, coord.CodeHeld); held.Holder != "router/r2" || held.Token != 2 {
+	if held := mustPropose(t, n, acquire, coord.CodeHeld); held.Holder != "router/r2" || held.Token != 2 {
 		t.Errorf("%+v", held)
 	}
 }
--- a/internal/coord/node/duplicates.go
+++ b/internal/coord/node/duplicates.go
@@ -20,8 +20,8 @@
 
 // commandKey identifies a command that has a sequence number.
 type commandKey struct {
-	session string
-	seq     uint64
+	session  string
+	sequence uint64
 }
 
 // pendingCommand is a command whose response is outstanding.
@@ -31,28 +31,28 @@
 	err      error
 }
 
-// do calls carryOut for a command, or waits for the result of a pending call for the same command.
-func (r *duplicateCommands) do(c coord.Command, carryOut func() (coord.Response, error)) (coord.Response, error) {
+// do calls execute for a command, or waits for the result of a pending call for the same command.
+func (d *duplicateCommands) do(c coord.Command, execute func() (coord.Response, error)) (coord.Response, error) {
 	if c.Sequence == 0 {
-		return carryOut()
+		return execute()
 	}
 	key := commandKey{c.SessionID, c.Sequence}
-	r.mu.Lock()
-	if first := r.pending[key]; first != nil {
-		r.mu.Unlock()
-		<-first.done
-		return first.response, first.err
+	d.mu.Lock()
+	if inProgress := d.pending[key]; inProgress != nil {
+		d.mu.Unlock()
+		<-inProgress.done
+		return inProgress.response, inProgress.err
 	}
-	if r.pending == nil {
-		r.pending = map[commandKey]*pendingCommand{}
+	if d.pending == nil {
+		d.pending = map[commandKey]*pendingCommand{}
 	}
-	first := &pendingCommand{done: make(chan struct{})}
-	r.pending[key] = first // at most MaxCommandsInFlight entries, one per command in flight
-	r.mu.Unlock()
-	first.response, first.err = carryOut()
-	r.mu.Lock()
-	delete(r.pending, key)
-	r.mu.Unlock()
-	close(first.done)
-	return first.response, first.err
+	inProgress := &pendingCommand{done: make(chan struct{})}
+	d.pending[key] = inProgress // at most MaxCommandsInFlight entries, one per command in flight
+	d.mu.Unlock()
+	inProgress.response, inProgress.err = execute()
+	d.mu.Lock()
+	delete(d.pending, key)
+	d.mu.Unlock()
+	close(inProgress.done)
+	return inProgress.response, inProgress.err
 }
--- a/internal/coord/node/identity.go
+++ b/internal/coord/node/identity.go
@@ -36,7 +36,7 @@
 	epoch      uint64 // the directory's epoch now
 }
 
-func (n *Node) run() processRun {
+func (n *Node) currentRun() processRun {
 	return processRun{nonce: n.nonce, startEpoch: n.startEpoch, epoch: n.epoch.Load()}
 }
 
@@ -141,12 +141,12 @@
 			return // OnFatal has been called
 		}
 		n.epoch.Store(next)
-		n.greetPeers()
+		n.exchangeHandshakes()
 	}
 }
 
-// greetPeers exchanges handshakes with all peers.
-func (n *Node) greetPeers() {
+// exchangeHandshakes exchanges handshakes with all peers.
+func (n *Node) exchangeHandshakes() {
 	for _, server := range n.servers() {
 		if string(server.ID) == n.identity {
 			continue
--- a/internal/coord/node/membership_test.go
+++ b/internal/coord/node/membership_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// lead bootstraps a group of this coordinator alone, at the latest version of commands.
-func lead(t *testing.T, n *Node) {
+// bootstrapAndUpgrade bootstraps a group of this coordinator alone, at the latest version of commands.
+func bootstrapAndUpgrade(t *testing.T, n *Node) {
 	t.Helper()
 	if err := n.Bootstrap([]Member{n.asMember()}); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 		t.Run(name, func(t *testing.T) {
 			directory := t.TempDir()
 			c1 := startMember(t, "c1", directory)
-			lead(t, c1)
+			bootstrapAndUpgrade(t, c1)
 			if isRecovered {
 				address := c1.options.ListenAddress
 				if err := c1.Close(); err != nil {
@@ -127,7 +127,7 @@
 // the coordinator runs it can be added.
 func TestDeadCoordinatorGetsNoVote(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
-	lead(t, c1)
+	bootstrapAndUpgrade(t, c1)
 	directory := t.TempDir()
 	c2 := startMember(t, "c2", directory)
 	member := c2.asMember()
@@ -151,7 +151,7 @@
 // it is added again.
 func TestMemberWithoutVoteIsAddedAgain(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
-	lead(t, c1)
+	bootstrapAndUpgrade(t, c1)
 	c2 := startMember(t, "c2", t.TempDir())
 	added := c2.asMember().server()
 	if err := c1.raft.AddNonvoter(added.ID, added.Address, 0, proposeTimeout).Error(); err != nil {
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -88,9 +88,9 @@
 
 	leaderClock      leaderClock
 	commandsInFlight atomic.Int64
-	rejected         atomic.Int64    // requests rejected because of a limit
-	tableReturns     *returnSchedule // retry times of clients rejected by a full table
-	commandReturns   *returnSchedule // retry times of clients rejected by too many commands in flight
+	rejected         atomic.Int64   // requests rejected because of a limit
+	tableRetries     *retrySchedule // retry times of clients rejected by a full table
+	commandRetries   *retrySchedule // retry times of clients rejected by too many commands in flight
 	readBarrier      sharedBarrier
 	duplicates       duplicateCommands
 
@@ -107,8 +107,8 @@
 		state:          coord.New(),
 		watches:        map[string]chan struct{}{},
 		commitLatency:  newLatencyHistogram(),
-		tableReturns:   newTableReturns(),
-		commandReturns: newCommandReturns(),
+		tableRetries:   newTableRetrySchedule(),
+		commandRetries: newCommandRetrySchedule(),
 	}
 }
 
@@ -139,11 +139,11 @@
 		Output:      logWriter{o.Log},
 		DisableTime: true,
 	})
-	snapshots, floor, err := openSnapshots(o.Directory, log)
+	snapshots, snapshotIndex, err := openSnapshots(o.Directory, log)
 	if err != nil {
 		return nil, err
 	}
-	n.store, err = openStore(o.Directory, floor, o.OnFatal)
+	n.store, err = openStore(o.Directory, snapshotIndex, o.OnFatal)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coord/node/peers.go
+++ b/internal/coord/node/peers.go
@@ -79,7 +79,7 @@
 }
 
 func (p *peerLayer) writeHandshake(c net.Conn, wantedIdentity string) error {
-	run := p.node.run()
+	run := p.node.currentRun()
 	line := fmt.Sprintf(handshakeFormat+"\n", p.node.identity, cmp.Or(wantedIdentity, noWantedIdentity),
 		run.nonce, run.startEpoch, run.epoch)
 	_, err := c.Write([]byte(line))
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -37,11 +37,11 @@
 	if n.commandsInFlight.Add(1) > int64(limit) {
 		n.commandsInFlight.Add(-1)
 		text := fmt.Sprintf("commands under way: %d at most", limit)
-		return n.withRetryAfter(coord.Response{Code: coord.CodeLimitReached, Text: text}, n.commandReturns), nil
+		return n.withRetryAfter(coord.Response{Code: coord.CodeLimitReached, Text: text}, n.commandRetries), nil
 	}
 	defer n.commandsInFlight.Add(-1)
 	if response, rejected := n.rejectsSession(c); rejected {
-		return n.withRetryAfter(response, n.tableReturns), nil
+		return n.withRetryAfter(response, n.tableRetries), nil
 	}
 	return n.duplicates.do(c, func() (coord.Response, error) { return n.proposeAndWait(c) })
 }
@@ -64,7 +64,7 @@
 		return response, fmt.Errorf("no answer: %v", future.Response())
 	}
 	if response.Code == coord.CodeLimitReached {
-		response = n.withRetryAfter(response, n.tableReturns)
+		response = n.withRetryAfter(response, n.tableRetries)
 	}
 	n.latencyMu.Lock()
 	recordLatency(n.commitLatency, began)
--- a/internal/coord/node/recovery.go
+++ b/internal/coord/node/recovery.go
@@ -20,11 +20,11 @@
 // committed and this coordinator has not received are lost.
 func Recover(o Options) error {
 	n := newNode(o)
-	snapshots, floor, err := openSnapshots(o.Directory, hclog.NewNullLogger())
+	snapshots, snapshotIndex, err := openSnapshots(o.Directory, hclog.NewNullLogger())
 	if err != nil {
 		return err
 	}
-	n.store, err = openStore(o.Directory, floor, o.OnFatal)
+	n.store, err = openStore(o.Directory, snapshotIndex, o.OnFatal)
 	if err != nil {
 		return err
 	}
--- a/internal/coord/node/start_test.go
+++ b/internal/coord/node/start_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// leading starts a coordinator that leads a group of one.
-func leading(t *testing.T) *Node {
+// startLeader starts a coordinator that leads a group of one.
+func startLeader(t *testing.T) *Node {
 	t.Helper()
 	n := startNode(t, 100)
 	bootstrapAlone(t, n)
@@ -72,8 +72,8 @@
 	return n
 }
 
-// single starts a coordinator that leads a group of one at the latest version and takes no snapshots.
-func single(t *testing.T) *Node {
+// startUpgradedLeader starts a coordinator that leads a group of one at the latest version and takes no snapshots.
+func startUpgradedLeader(t *testing.T) *Node {
 	t.Helper()
 	n := startNode(t, 1<<20)
 	bootstrapAlone(t, n)
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -41,9 +41,9 @@
 	unsyncedLogs []*raft.Log             // used by the mutant "unsynced" only
 }
 
-// openStore opens the log of a directory and verifies all of it. A snapshot covers the entries up to
-// index floor; these may be missing. The error wraps errDamaged if the file's content is corrupt.
-func openStore(directory string, floor uint64, onFatal func(error)) (d *diskStore, err error) {
+// openStore opens the log of a directory and verifies all of it. Entries up to snapshotIndex may be
+// missing, as a snapshot covers them. The error wraps errDamaged if the content of the file is corrupt.
+func openStore(directory string, snapshotIndex uint64, onFatal func(error)) (d *diskStore, err error) {
 	path := filepath.Join(directory, logFileName)
 	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns the
 	// fault into a panic, and the recover below turns the panic into an error.
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	d = &diskStore{BoltStore: store, onFatal: onFatal, syncLatency: newLatencyHistogram()}
-	if err := d.verify(floor); err != nil {
+	if err := d.verify(snapshotIndex); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), store.Close())
 	}
 	return d, nil
@@ -80,7 +80,7 @@
 
 // verify reads all entries and values. A snapshot received from the leader leaves a gap between the
 // entries before it and those after it.
-func (d *diskStore) verify(floor uint64) error {
+func (d *diskStore) verify(snapshotIndex uint64) error {
 	first, err := d.FirstIndex()
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	var entry raft.Log
 	for i := first; i <= last && last > 0; i++ {
 		err := d.GetLog(i, &entry)
-		isCovered := errors.Is(err, raft.ErrLogNotFound) && i <= floor
+		isCovered := errors.Is(err, raft.ErrLogNotFound) && i <= snapshotIndex
 		if err != nil && !isCovered {
 			return fmt.Errorf("entry %d: %w: %v", i, errDamaged, err)
 		}
--- a/internal/coord/node/store_test.go
+++ b/internal/coord/node/store_test.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// written returns a directory with a closed log of some entries, votes and an identity.
-func written(t *testing.T) (directory string, want map[string]string) {
+// writeClosedStore returns a directory with a closed log of some entries, votes and an identity.
+func writeClosedStore(t *testing.T) (directory string, want map[string]string) {
 	t.Helper()
 	directory = t.TempDir()
 	d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
@@ -48,8 +48,8 @@
 // A log file is truncated, or has one bit flipped, at a random place. Opening it must either report
 // damage or find everything that was written. If a vote were lost silently, the coordinator could vote
 // twice in one term.
-func TestDamageIsNeverSilent(t *testing.T) {
-	dir, want := written(t)
+func TestDamagedLogIsReported(t *testing.T) {
+	dir, want := writeClosedStore(t)
 	intact, err := os.ReadFile(filepath.Join(dir, "log.db"))
 	if err != nil {
 		t.Fatal(err)
@@ -99,8 +99,8 @@
 
 // Entries are missing in the middle of a log. This is damage, unless a snapshot covers them: a snapshot
 // received from the leader leaves such a gap. Otherwise a store could silently skip commands.
-func TestHole(t *testing.T) {
-	directory, _ := written(t)
+func TestGapInLogIsDamageUnlessSnapshotCoversIt(t *testing.T) {
+	directory, _ := writeClosedStore(t)
 	d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coord/node/watch.go
+++ b/internal/coord/node/watch.go
@@ -58,7 +58,7 @@
 		n.mu.Unlock()
 		n.rejected.Add(1)
 		text := fmt.Sprintf("watchers: %d at most", MaxWatchers)
-		return &LimitError{Text: text, RetryAfter: n.tableReturns.nextRetryAfter(clock.Now())}
+		return &LimitError{Text: text, RetryAfter: n.tableRetries.nextRetryAfter(clock.Now())}
 	}
 	changed := n.watches[key]
 	if changed == nil {
--- a/internal/coord/response.go
+++ b/internal/coord/response.go
@@ -55,6 +55,6 @@
 	return text
 }
 
-func invalid(format string, arguments ...any) Response {
+func invalidResponse(format string, arguments ...any) Response {
 	return Response{Code: CodeInvalid, Text: fmt.Sprintf(format, arguments...)}
 }
--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -31,31 +31,31 @@
 // at the version in force.
 func (s *State) rejectRollout(c Command) (response Response, rejected bool) {
 	if s.Version < rolloutVersion {
-		return RequiresVersion(s.Version, rolloutVersion), true
+		return upgradeRequiredResponse(s.Version, rolloutVersion), true
 	}
 	if c.Rollout == nil {
-		return invalid("roll: empty"), true
+		return invalidResponse("roll: empty"), true
 	}
 	if s.Version < rolloutSignalVersion {
 		report := c.Rollout.Report
 		plan := c.Rollout.Plan
 		if report != nil && len(report.LatencyCounts) > 0 {
-			return invalid("version: %d is in force, and the speed wants 3", s.Version), true
+			return invalidResponse("version: %d is in force, and the speed wants 3", s.Version), true
 		}
 		if plan != nil && plan.LearnTime > 0 {
-			return requiresSignalVersion(s.Version, "learn wants"), true
+			return signalVersionResponse(s.Version, "learn wants"), true
 		}
 		if c.Rollout.EjectionQuorum > 0 || c.Rollout.OverloadShare > 0 {
-			return requiresSignalVersion(s.Version, "quorum and busy want"), true
+			return signalVersionResponse(s.Version, "quorum and busy want"), true
 		}
 	}
-	return s.AwaitsUpgrade(c)
+	return s.RequiresUpgrade(c)
 }
 
-// requiresSignalVersion returns the response to a command whose fields (what) require a later version.
+// signalVersionResponse returns the response to a command whose fields (what) require a later version.
 // The text is part of the replicated state and must equal that of older coordinators.
-func requiresSignalVersion(inForce int, what string) Response {
-	return invalid("version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
+func signalVersionResponse(inForce int, what string) Response {
+	return invalidResponse("version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
 		inForce, what, rolloutSignalVersion)
 }
 
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -64,13 +64,13 @@
 
 func (s *State) openSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	if problem := checkName("client", c.Client); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	if c.TTL < MinTTL || c.TTL > MaxTTL {
-		return invalid("ttl: %v is not between %v and %v", c.TTL, MinTTL, MaxTTL)
+		return invalidResponse("ttl: %v is not between %v and %v", c.TTL, MinTTL, MaxTTL)
 	}
 	if session := s.Sessions[c.SessionID]; session != nil { // the command is a retry
 		session.KeptAliveAt = s.Clock
@@ -134,8 +134,8 @@
 	}
 }
 
-// forgetAcknowledged drops the responses that the client has received.
-func (session *Session) forgetAcknowledged(through uint64) {
+// discardAcknowledged drops the responses that the client has received.
+func (session *Session) discardAcknowledged(through uint64) {
 	session.AcknowledgedThrough = max(session.AcknowledgedThrough, min(through, session.LastSequence))
 	maps.DeleteFunc(session.Responses, func(sequence uint64, _ Response) bool {
 		return sequence <= session.AcknowledgedThrough
@@ -163,8 +163,8 @@
 	return Response{}, false
 }
 
-// remember stores a response until the client acknowledges it.
-func (session *Session) remember(sequence uint64, response Response) {
+// storeResponse stores a response until the client acknowledges it.
+func (session *Session) storeResponse(sequence uint64, response Response) {
 	if session.Responses == nil {
 		session.Responses = map[uint64]Response{}
 	}
--- a/internal/coord/state.go
+++ b/internal/coord/state.go
@@ -98,7 +98,7 @@
 
 func (s *State) setClockRate(bound float64) Response {
 	if !(bound >= 0 && bound <= MaxClockRateBound) { // also rejects NaN
-		return invalid("rate: %v is not between 0 and %v", bound, MaxClockRateBound)
+		return invalidResponse("rate: %v is not between 0 and %v", bound, MaxClockRateBound)
 	}
 	s.ClockRateBound = bound
 	s.nextExpiry = 0 // every ExpiryDelay has changed
@@ -107,7 +107,7 @@
 
 func (s *State) upgrade(target int) Response {
 	if target < s.Version || target > Version {
-		return invalid("version: %d is not from %d, which is in force, to %d", target, s.Version, Version)
+		return invalidResponse("version: %d is not from %d, which is in force, to %d", target, s.Version, Version)
 	}
 	s.Version = target
 	return Response{Code: CodeOK}
@@ -127,7 +127,7 @@
 // executeInSession executes a command of an existing session. Every command keeps its session alive.
 func (s *State) executeInSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	session := s.Sessions[c.SessionID]
 	if session == nil {
@@ -141,12 +141,12 @@
 		s.endSession(c.SessionID)
 		return Response{Code: CodeOK}
 	}
-	session.forgetAcknowledged(c.AcknowledgedThrough)
+	session.discardAcknowledged(c.AcknowledgedThrough)
 	if response, ok := session.rejectDuplicate(c.Sequence); ok {
 		return response
 	}
 	response := s.executeNumbered(c, session)
-	session.remember(c.Sequence, response)
+	session.storeResponse(c.Sequence, response)
 	return response
 }
 
@@ -159,7 +159,7 @@
 		return s.putDocument(c)
 	}
 	if problem := checkName("lease", c.Lease); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	switch c.Op {
 	case OpAcquire:
@@ -167,7 +167,7 @@
 	case OpRelease, OpTransfer, OpWriteRecord:
 		return s.executeAsHolder(c)
 	}
-	return invalid("op: %q is none", c.Op)
+	return invalidResponse("op: %q is none", c.Op)
 }
 
 // Clone returns a copy that shares no mutable data.
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -15,19 +15,19 @@
 // hasEarlierLimits reports whether the limits of an older program are in force.
 func (s *State) hasEarlierLimits() bool { return s.Version < fleetLimitsVersion }
 
-// AwaitsUpgrade reports whether a command requires a later version than the one in force, because an
+// RequiresUpgrade reports whether a command requires a later version than the one in force, because an
 // older program doesn't support it or has lower limits, and returns the response to it. A leader
 // keeps such a command out of the log, as an older coordinator would reject it with another text.
-func (s *State) AwaitsUpgrade(c Command) (response Response, awaits bool) {
-	needed := s.neededVersion(c)
+func (s *State) RequiresUpgrade(c Command) (response Response, isRequired bool) {
+	needed := s.requiredVersion(c)
 	if s.Version >= needed {
 		return Response{}, false
 	}
-	return RequiresVersion(s.Version, needed), true
+	return upgradeRequiredResponse(s.Version, needed), true
 }
 
-// neededVersion returns the lowest version at which every coordinator applies the command alike.
-func (s *State) neededVersion(c Command) int {
+// requiredVersion returns the lowest version at which every coordinator applies the command alike.
+func (s *State) requiredVersion(c Command) int {
 	if c.Op == OpPutDocument {
 		return DocumentVersion
 	}
@@ -41,8 +41,8 @@
 	return rolloutVersion
 }
 
-// RequiresVersion returns the response to a command that not all coordinators support yet.
-func RequiresVersion(inForce, needed int) Response {
-	return invalid("version: %d is in force, and this wants %d: "+
+// upgradeRequiredResponse returns the response to a command that not all coordinators support yet.
+func upgradeRequiredResponse(inForce, needed int) Response {
+	return invalidResponse("version: %d is in force, and this wants %d: "+
 		"once all coordinators run this program, 'members upgrade'", inForce, needed)
 }
