--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -1,6 +1,7 @@
-// Package client maintains a session and leases with the coordinators, for routers and tools. Whether a
-// holder may act under a lease is decided by Lease.Remaining, which uses the local LeaseTable at the
-// time of the call. No function here is meant to be waited for while serving a request.
+// Package client maintains a session and leases with the coordinators, for routers and tools.
+// Whether a holder may act under a lease is decided by Lease.Remaining, which uses the local
+// LeaseTable at the time of the call. No function here is meant to be waited for while serving a
+// request.
 package client
 
 import (
@@ -33,8 +34,8 @@
 }
 
 const (
-	// maxCommandsInFlight is half of the coordinators' window per session: the other half is left for
-	// commands whose responses are late.
+	// maxCommandsInFlight is half of the coordinators' window per session: the other half is left
+	// for commands whose responses are late.
 	maxCommandsInFlight = coord.MaxCachedResponses / 2
 
 	dialTimeout               = time.Second
@@ -60,7 +61,8 @@
 	lastSequence   uint64
 	// pending has the sequence numbers of commands without a response yet.
 	pending map[uint64]bool
-	// windowMoved is closed and replaced when a pending command gets a response or a session starts.
+	// windowMoved is closed and replaced when a pending command gets a response or a session
+	// starts.
 	windowMoved chan struct{}
 	// leader is the coordinator that responded last, or "" if none did.
 	leader string
@@ -101,8 +103,8 @@
 	}
 }
 
-// Run opens a session and keeps it alive, and opens another one when it is lost, until ctx ends. It then
-// closes the session and waits for the commands in flight.
+// Run opens a session and keeps it alive, and opens another one when it is lost, until ctx ends. It
+// then closes the session and waits for the commands in flight.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	defer c.wg.Wait()
--- a/internal/coord/client/command.go
+++ b/internal/coord/client/command.go
@@ -16,9 +16,10 @@
 	err         error
 }
 
-// execute numbers a command, sends it until it is answered, and waits for its response until ctx ends.
-// The coordinators execute it once, however often it is sent. If the caller stops waiting, the command
-// is still repeated until its outcome is known, and onLateOutcome, if not nil, is called with it.
+// execute numbers a command, sends it until it is answered, and waits for its response until ctx
+// ends. The coordinators execute it once, however often it is sent. If the caller stops waiting,
+// the command is still repeated until its outcome is known, and onLateOutcome, if not nil, is
+// called with it.
 //
 // A command that names a session is executed in that session or not at all (ErrLeaseLost).
 func (c *Client) execute(ctx context.Context, command coord.Command, onLateOutcome func(outcome)) outcome {
@@ -41,14 +42,14 @@
 		return outcome{err: err}
 	}
 	result := make(chan outcome)
-	callerLeft := make(chan struct{})
+	callerStopped := make(chan struct{})
 	go func() { // ends with the session at the latest; Run waits for it
 		defer c.wg.Done()
 		o := c.repeatUntilAnswered(sessionContext, command)
 		<-c.commandSlots
 		select {
 		case result <- o:
-		case <-callerLeft:
+		case <-callerStopped:
 			if onLateOutcome != nil {
 				onLateOutcome(o)
 			}
@@ -58,7 +59,7 @@
 	case o := <-result:
 		return o
 	case <-ctx.Done():
-		close(callerLeft)
+		close(callerStopped)
 		return outcome{err: ctx.Err()}
 	}
 }
@@ -83,10 +84,10 @@
 	return command, c.sessionContext, nil
 }
 
-// lockWindow locks mu once the next sequence number is within the coordinators' window of remembered
-// responses. The window begins at the oldest command without a response: while that one is repeated,
-// many others may be answered, and the coordinators reject a command beyond the window. If it returns
-// an error, mu isn't locked.
+// lockWindow locks mu once the next sequence number is within the coordinators' window of
+// remembered responses. The window begins at the oldest command without a response: while that one
+// is repeated, many others may be answered, and the coordinators reject a command beyond the
+// window. If it returns an error, mu isn't locked.
 func (c *Client) lockWindow(ctx context.Context) error {
 	for {
 		c.mu.Lock()
@@ -119,8 +120,8 @@
 	c.windowMoved = make(chan struct{})
 }
 
-// repeatUntilAnswered sends a command until it is answered or the session ends. The coordinators execute
-// it once, by its sequence number.
+// repeatUntilAnswered sends a command until it is answered or the session ends. The coordinators
+// execute it once, by its sequence number.
 func (c *Client) repeatUntilAnswered(sessionContext context.Context, command coord.Command) outcome {
 	o := outcome{firstSentAt: c.options.Clock(), sessionID: command.SessionID}
 	timeout := c.newRequestTimeout()
--- a/internal/coord/client/errors.go
+++ b/internal/coord/client/errors.go
@@ -17,9 +17,9 @@
 	ErrNotLeader = errors.New("not the leader")
 )
 
-// RejectedError is a response of the coordinators other than CodeOK. With CodeNoSession it is unknown
-// whether the command was executed: an earlier attempt may have been, and the responses of a session are
-// discarded when it ends.
+// RejectedError is a response of the coordinators other than CodeOK. With CodeNoSession it is
+// unknown whether the command was executed: an earlier attempt may have been, and the responses of
+// a session are discarded when it ends.
 type RejectedError struct{ coord.Response }
 
 // RetryLaterError means that a coordinator has reached a limit, such as of connections or watchers.
--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -9,7 +9,8 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// leaseCheckInterval is how often Lease.Context checks whether the lease was lost before its expiry.
+// leaseCheckInterval is how often Lease.Context checks whether the lease was lost before its
+// expiry.
 const leaseCheckInterval = 100 * time.Millisecond
 
 // Lease is an acquired lease.
@@ -20,13 +21,15 @@
 	Token     uint64 // fencing token; the protected resource rejects a lower token than the highest it has seen
 }
 
-// Remaining returns for how long the holder may still act under the lease unless a keep-alive extends
-// it; 0 means that it must stop now. It is 0 once the lease or the session has expired (counted from when
-// the most recent successful request was sent), the coordinators have reported the end of the session,
-// or the lease was released, transferred, or acquired again with another token.
+// Remaining returns for how long the holder may still act under the lease unless a keep-alive
+// extends it; 0 means that it must stop now. It is 0 once the lease or the session has expired
+// (counted from when the most recent successful request was sent), the coordinators have reported
+// the end of the session, or the lease was released, transferred, or acquired again with another
+// token.
 //
-// Callers check it before an act. The process may be paused between the check and the act for longer
-// than any lease lasts, so the act itself must be checked by its token or be harmless if repeated.
+// Callers check it before an act. The process may be paused between the check and the act for
+// longer than any lease lasts, so the act itself must be checked by its token or be harmless if
+// repeated.
 func (l *Lease) Remaining() time.Duration {
 	l.client.mu.Lock()
 	defer l.client.mu.Unlock()
@@ -37,8 +40,9 @@
 	return remaining
 }
 
-// Context returns a context that ends when less than margin of the lease remains or the lease is lost,
-// with ErrLeaseLost as its cause. The returned function cancels it and waits for its goroutine.
+// Context returns a context that ends when less than margin of the lease remains or the lease is
+// lost, with ErrLeaseLost as its cause. The returned function cancels it and waits for its
+// goroutine.
 func (l *Lease) Context(parent context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	done := make(chan struct{})
@@ -95,15 +99,16 @@
 	c.execute(sessionContext, release, nil)
 }
 
-// Release releases the lease. The holder must not act under it from the call on, whatever the error.
+// Release releases the lease. The holder must not act under it from the call on, whatever the
+// error.
 func (l *Lease) Release(ctx context.Context) error {
 	l.stopActing()
 	return l.client.execute(ctx, l.command(coord.OpRelease), nil).err
 }
 
-// Transfer gives the lease to another client, by name, and returns the successor's token. The holder
-// must not act under the lease from the call on. After a rejected transfer, a client that still holds
-// the lease gets it back with Acquire.
+// Transfer gives the lease to another client, by name, and returns the successor's token. The
+// holder must not act under the lease from the call on. After a rejected transfer, a client that
+// still holds the lease gets it back with Acquire.
 func (l *Lease) Transfer(ctx context.Context, successor string) (token uint64, err error) {
 	l.stopActing()
 	command := l.command(coord.OpTransfer)
@@ -131,9 +136,9 @@
 	l.client.mu.Unlock()
 }
 
-// RunWithLease waits until it holds the lease, runs f under it, and releases it. The context of f ends
-// when less than margin of the lease remains. It returns f's error, or, once ctx has ended, why the
-// lease could not be acquired.
+// RunWithLease waits until it holds the lease, runs f under it, and releases it. The context of f
+// ends when less than margin of the lease remains. It returns f's error, or, once ctx has ended,
+// why the lease could not be acquired.
 func (c *Client) RunWithLease(
 	ctx context.Context, name, purpose string, ttl, margin time.Duration, f func(context.Context, *Lease) error,
 ) error {
--- a/internal/coord/client/lease_table.go
+++ b/internal/coord/client/lease_table.go
@@ -9,10 +9,11 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// LeaseTable is a client's local record of its session and leases, which decides whether it may act. It
-// has no I/O and no clock: the caller passes all times, which must be of one clock. Expiry is counted
-// from when a request was sent, never from when its response arrived: the coordinators start counting
-// before they respond, so a holder that counts from the response would act beyond its lease.
+// LeaseTable is a client's local record of its session and leases, which decides whether it may
+// act. It has no I/O and no clock: the caller passes all times, which must be of one clock. Expiry
+// is counted from when a request was sent, never from when its response arrived: the coordinators
+// start counting before they respond, so a holder that counts from the response would act beyond
+// its lease.
 type LeaseTable struct {
 	sessionTTL       time.Duration
 	sessionExpiresAt time.Duration
@@ -30,28 +31,29 @@
 func (t *LeaseTable) RecordSessionOpened(ttl, sentAt, now time.Duration) {
 	*t = LeaseTable{
 		sessionTTL:       ttl,
-		sessionExpiresAt: countedFrom(sentAt, now) + ttl,
+		sessionExpiresAt: countingStart(sentAt, now) + ttl,
 		hasSession:       true,
 		leases:           map[string]*heldLease{},
 	}
 }
 
-// countedFrom returns the instant from which expiry is counted for a request that was sent at sentAt.
-func countedFrom(sentAt, now time.Duration) time.Duration {
+// countingStart returns the instant from which expiry is counted for a request that was sent at
+// sentAt.
+func countingStart(sentAt, now time.Duration) time.Duration {
 	if failpoint.IsInjected("time-from-answer") {
 		return now
 	}
 	return sentAt
 }
 
-// RecordKeepAlive records a keep-alive that was sent at sentAt and whose response arrived at now. Leases that
-// had expired by then stay expired: the coordinators may have granted them to another holder before the
-// keep-alive reached them.
+// RecordKeepAlive records a keep-alive that was sent at sentAt and whose response arrived at now.
+// Leases that had expired by then stay expired: the coordinators may have granted them to another
+// holder before the keep-alive reached them.
 func (t *LeaseTable) RecordKeepAlive(sentAt, now time.Duration) {
 	if !t.HasSession(now) {
 		return
 	}
-	from := countedFrom(sentAt, now)
+	from := countingStart(sentAt, now)
 	t.sessionExpiresAt = max(t.sessionExpiresAt, from+t.sessionTTL)
 	for name, lease := range t.leases {
 		if now >= lease.expiresAt {
@@ -62,9 +64,10 @@
 	}
 }
 
-// RecordGrant records a granted lease. It returns false if the lease or the session has expired already.
+// RecordGrant records a granted lease. It returns false if the lease or the session has expired
+// already.
 func (t *LeaseTable) RecordGrant(name string, token uint64, ttl, sentAt, now time.Duration) bool {
-	expiresAt := countedFrom(sentAt, now) + ttl
+	expiresAt := countingStart(sentAt, now) + ttl
 	if !t.HasSession(now) || now >= expiresAt {
 		return false
 	}
@@ -92,7 +95,8 @@
 	return t.hasSession && now < t.sessionExpiresAt
 }
 
-// HeldLease returns a held lease's token and the time until it expires, or false if the client must not act.
+// HeldLease returns a held lease's token and the time until it expires, or false if the client must
+// not act.
 func (t *LeaseTable) HeldLease(name string, now time.Duration) (token uint64, remaining time.Duration, ok bool) {
 	lease := t.leases[name]
 	if lease == nil || !t.HasSession(now) || now >= lease.expiresAt {
--- a/internal/coord/client/request.go
+++ b/internal/coord/client/request.go
@@ -19,8 +19,8 @@
 const (
 	maxResponseBytes = 8 << 20
 
-	// watchDuration is how long a coordinator may delay the response to a GET until there is a change,
-	// beyond the request timeout.
+	// watchDuration is how long a coordinator may delay the response to a GET until there is a
+	// change, beyond the request timeout.
 	watchDuration = 10 * time.Second
 )
 
@@ -37,8 +37,8 @@
 	return c.sendWithin(ctx, c.baseRequestTimeout(), command)
 }
 
-// sendWithin sends a command to the known leader, or follows redirects to it, until one coordinator has
-// executed the command or all have been asked.
+// sendWithin sends a command to the known leader, or follows redirects to it, until one coordinator
+// has executed the command or all have been asked.
 func (c *Client) sendWithin(ctx context.Context, timeout time.Duration, command coord.Command) (coord.Response, error) {
 	var response coord.Response
 	body, err := json.Marshal(command)
@@ -54,8 +54,8 @@
 	return c.call(ctx, request{http.MethodGet, path, nil, c.baseRequestTimeout()}, into)
 }
 
-// call asks the coordinators one after another, the leader first, until one responds. The error joins
-// their errors.
+// call asks the coordinators one after another, the leader first, until one responds. The error
+// joins their errors.
 func (c *Client) call(ctx context.Context, r request, into any) error {
 	c.mu.Lock()
 	next := c.leader
@@ -64,7 +64,8 @@
 	rand.Shuffle(len(unasked), func(i, j int) { unasked[i], unasked[j] = unasked[j], unasked[i] })
 	var errs []error
 	// A coordinator that failed to respond or has reached a limit isn't asked again, even if others
-	// name it as the leader: the command may still wait there, and a retry would only lengthen the queue.
+	// name it as the leader: the command may still wait there, and a retry would only lengthen the
+	// queue.
 	failed := map[string]bool{}
 	for attempt := 0; attempt < 2*len(c.options.Coordinators) && ctx.Err() == nil; attempt++ {
 		if c.options.Coordinators[next] == "" {
@@ -144,8 +145,8 @@
 	return "", fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(body))
 }
 
-// Call asks the coordinator at an address, for operators' tools. Request and response bodies are JSON;
-// body and into may be nil. The error is ErrNotLeader, or the coordinator's text.
+// Call asks the coordinator at an address, for operators' tools. Request and response bodies are
+// JSON; body and into may be nil. The error is ErrNotLeader, or the coordinator's text.
 func Call(ctx context.Context, method, address, path string, body, into any) error {
 	var text []byte
 	if body != nil {
--- a/internal/coord/client/request_timeout.go
+++ b/internal/coord/client/request_timeout.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// requestTimeout is how long one coordinator is given to respond to a command that is sent repeatedly.
-// It doubles after each timeout: a leader with a queue responds late, and retrying sooner would only
-// lengthen the queue.
+// requestTimeout is how long one coordinator is given to respond to a command that is sent
+// repeatedly. It doubles after each timeout: a leader with a queue responds late, and retrying
+// sooner would only lengthen the queue.
 type requestTimeout struct {
 	current time.Duration
 	longest time.Duration
--- a/internal/coord/client/request_timeout_test.go
+++ b/internal/coord/client/request_timeout_test.go
@@ -13,30 +13,31 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// The timeout doubles only after a timeout, up to half of the session's TTL, not after other errors such
-// as a refused connection. If it doubled after every error, clients would wait too long for a restarted
-// coordinator; if it never doubled, they would lengthen a slow leader's queue.
-func TestRequestTimeoutBackoff(t *testing.T) {
-	p := New(Options{TTL: 10 * time.Second}).newRequestTimeout()
-	if p.current != time.Second {
-		t.Errorf("the initial timeout is %v", p.current)
+// The timeout doubles only after a timeout, up to half of the session's TTL, not after other errors
+// such as a refused connection. If it doubled after every error, clients would wait too long for a
+// restarted coordinator; if it never doubled, they would lengthen a slow leader's queue.
+func TestTimeoutDoublesOnlyAfterTimeouts(t *testing.T) {
+	timeout := New(Options{TTL: 10 * time.Second}).newRequestTimeout()
+	if timeout.current != time.Second {
+		t.Errorf("the initial timeout is %v", timeout.current)
 	}
-	p.observe(nil)
-	p.observe(errors.New("connection refused"))
-	if p.current != time.Second {
-		t.Errorf("%v after errors other than timeouts", p.current)
+	timeout.observe(nil)
+	timeout.observe(errors.New("connection refused"))
+	if timeout.current != time.Second {
+		t.Errorf("%v after errors other than timeouts", timeout.current)
 	}
 	for range 5 {
-		p.observe(errors.Join(context.DeadlineExceeded))
+		timeout.observe(errors.Join(context.DeadlineExceeded))
 	}
-	if p.current != 5*time.Second {
-		t.Errorf("%v after five timeouts", p.current)
+	if timeout.current != 5*time.Second {
+		t.Errorf("%v after five timeouts", timeout.current)
 	}
 }
 
-// The leader takes 300 ms for each response, and the client's first timeout is 50 ms. The timeout must
-// grow until a response arrives in time; with a fixed timeout the client would never get a session.
-func TestSlowLeader(t *testing.T) {
+// The leader takes 300 ms for each response, and the client's first timeout is 50 ms. The timeout
+// must grow until a response arrives in time; with a fixed timeout the client would never get a
+// session.
+func TestTimeoutGrowsUntilSlowLeaderResponds(t *testing.T) {
 	const slow = 300 * time.Millisecond
 	var mu sync.Mutex
 	opens := 0
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -17,8 +17,9 @@
 	maxRetryAfter = 5 * time.Minute
 )
 
-// retryLater returns the error for a coordinator that has reached a limit. If the body is malformed, the
-// header's whole seconds are used. A RetryAfter of 0 means the same pause as after any other error.
+// retryLater returns the error for a coordinator that has reached a limit. If the body is
+// malformed, the header's whole seconds are used. A RetryAfter of 0 means the same pause as after
+// any other error.
 func retryLater(header http.Header, body []byte) error {
 	var rejection struct {
 		Text       string        `json:"text"`
@@ -31,13 +32,13 @@
 	return &RetryLaterError{Text: rejection.Text, RetryAfter: rejection.RetryAfter}
 }
 
-// RetryDelay returns how long to wait after an error: at least the coordinators' Retry-After and up to
-// half of it longer, so that clients with the same Retry-After don't retry at the same time. Without a
-// Retry-After it returns otherwise.
-func RetryDelay(err error, otherwise time.Duration) time.Duration {
+// RetryDelay returns how long to wait after an error: at least the coordinators' Retry-After and up
+// to half of it longer, so that clients with the same Retry-After don't retry at the same time.
+// Without a Retry-After it returns otherwise.
+func RetryDelay(err error, fallback time.Duration) time.Duration {
 	retryAfter := min(retryAfterOf(err), maxRetryAfter)
 	if retryAfter <= 0 {
-		return otherwise
+		return fallback
 	}
 	return retryAfter + rand.N(retryAfter/2+1)
 }
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -15,8 +15,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A hundred clients get the same Retry-After. None retries sooner, and their retries are spread over half
-// of it. Otherwise they would overload the coordinator again.
+// A hundred clients get the same Retry-After. None retries sooner, and their retries are spread
+// over half of it. Otherwise they would overload the coordinator again.
 func TestRetryDelayIsSpread(t *testing.T) {
 	const asked = time.Second
 	for _, err := range []error{
@@ -47,10 +47,10 @@
 	}
 }
 
-// The session table is full. The client retries no sooner than the Retry-After, and a caller that waits
-// for the session gets the coordinators' reason. Otherwise the client would add load to an overloaded
-// coordinator, and an operator would not learn why there is no lease.
-func TestSessionRefused(t *testing.T) {
+// The session table is full. The client retries no sooner than the Retry-After, and a caller that
+// waits for the session gets the coordinators' reason. Otherwise the client would add load to an
+// overloaded coordinator, and an operator would not learn why there is no lease.
+func TestRejectedClientWaitsForRetryAfter(t *testing.T) {
 	const asked = 200 * time.Millisecond
 	var mu sync.Mutex
 	var attemptTimes []time.Time
@@ -83,9 +83,9 @@
 	}
 }
 
-// The leader has reached its limit of watchers, and four followers redirect to it. It must be asked once;
-// a client that followed each redirect would ask it five times in one call.
-func TestFullLeaderAskedOnce(t *testing.T) {
+// The leader has reached its limit of watchers, and four followers redirect to it. It must be asked
+// once; a client that followed each redirect would ask it five times in one call.
+func TestFullLeaderIsAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		asked.Add(1)
@@ -113,9 +113,9 @@
 	}
 }
 
-// The leader doesn't respond in time, and four followers redirect to it. It must be asked once per call:
-// the command waits there already, and a retry would lengthen its queue.
-func TestSilentLeaderAskedOnce(t *testing.T) {
+// The leader doesn't respond in time, and four followers redirect to it. It must be asked once per
+// call: the command waits there already, and a retry would lengthen its queue.
+func TestSilentLeaderIsAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	ended := make(chan struct{})
 	leader := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/coord/client/session.go
+++ b/internal/coord/client/session.go
@@ -48,7 +48,8 @@
 	return id
 }
 
-// openSession tries to open a session with a new id until it succeeds. It returns false once ctx ends.
+// openSession tries to open a session with a new id until it succeeds. It returns false once ctx
+// ends.
 func (c *Client) openSession(ctx context.Context) bool {
 	open := coord.Command{
 		Op:        coord.OpOpenSession,
@@ -59,7 +60,8 @@
 	timeout := c.newRequestTimeout()
 	for pause := minRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		// Expiry is counted from when this attempt was sent. The coordinators count from the latest
-		// attempt that they executed, and the session must not appear to last longer here than there.
+		// attempt that they executed, and the session must not appear to last longer here than
+		// there.
 		sentAt := c.options.Clock()
 		response, err := c.sendWithin(ctx, timeout.current, open)
 		timeout.observe(err)
@@ -95,8 +97,8 @@
 	return true
 }
 
-// keepSessionAlive sends keep-alives until the session is lost or ctx ends; in the latter case it closes
-// the session.
+// keepSessionAlive sends keep-alives until the session is lost or ctx ends; in the latter case it
+// closes the session.
 func (c *Client) keepSessionAlive(ctx context.Context) {
 	interval := c.options.TTL / 3
 	retryPause := time.Duration(0)
@@ -137,8 +139,8 @@
 	return response, c.leases.HasSession(now), err
 }
 
-// closeSession closes the session at the coordinators after ctx has ended. If that fails, the session
-// expires.
+// closeSession closes the session at the coordinators after ctx has ended. If that fails, the
+// session expires.
 func (c *Client) closeSession(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.baseRequestTimeout())
 	defer cancel()
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -13,7 +13,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// lateCoordinator executes commands by itself, but those for the late lease only once released is closed.
+// lateCoordinator executes commands by itself, but those for the late lease only once released is
+// closed.
 type lateCoordinator struct {
 	mu       sync.Mutex
 	state    *coord.State
@@ -41,9 +42,9 @@
 }
 
 // One command's response is late while the client sends others. The coordinators remember
-// MaxCachedResponses from it on and reject commands beyond that window. The client must hold back such
-// commands until the late response has arrived.
-func TestLateCommandHoldsTheWindow(t *testing.T) {
+// MaxCachedResponses from it on and reject commands beyond that window. The client must hold back
+// such commands until the late response has arrived.
+func TestCommandsBeyondTheWindowAreHeldBack(t *testing.T) {
 	late := &lateCoordinator{state: coord.New(), late: "late", released: make(chan struct{})}
 	server := httptest.NewServer(late)
 	defer server.Close()
--- a/internal/coord/clock/clock.go
+++ b/internal/coord/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock provides the clock for leases. It neither steps with the wall clock nor stops while the
-// machine is suspended: a holder whose clock excluded the suspended time would act on a lease that
-// another client holds by then. The clock's origin is arbitrary; only differences are meaningful.
+// Package clock provides the clock for leases. It neither steps with the wall clock nor stops while
+// the machine is suspended: a holder whose clock excluded the suspended time would act on a lease
+// that another client holds by then. The clock's origin is arbitrary; only differences are
+// meaningful.
 package clock
 
 import (
@@ -10,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot returns the time since the machine started, including suspended time (Linux CLOCK_BOOTTIME).
+// SinceBoot returns the time since the machine started, including suspended time (Linux
+// CLOCK_BOOTTIME).
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/coord/clock/faults.go
+++ b/internal/coord/clock/faults.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// In a build with the tag faults, tests can set the clock's rate (DOCKHINGE_CLOCK_RATE, such as 1.01)
-// and a step of the wall clock at some time after the start (DOCKHINGE_WALL_STEP, such as -1h@5s).
+// In a build with the tag faults, tests can set the clock's rate (DOCKHINGE_CLOCK_RATE, such as
+// 1.01) and a step of the wall clock at some time after the start (DOCKHINGE_WALL_STEP, such as
+// -1h@5s).
 var (
 	rate      = 1.0
 	start     = SinceBoot()
--- a/internal/coord/command.go
+++ b/internal/coord/command.go
@@ -9,8 +9,8 @@
 // Op is the operation that a command carries out.
 type Op string
 
-// Operations, with the fields of Command that each uses. Coordinators propose OpTick, OpSetClockRate,
-// OpUpgrade and OpRaiseTokens; all other operations come from a client's session.
+// Operations, with the fields of Command that each uses. Coordinators propose OpTick,
+// OpSetClockRate, OpUpgrade and OpRaiseTokens; all other operations come from a client's session.
 const (
 	OpTick         Op = "tick"      // Elapsed only
 	OpSetClockRate Op = "configure" // ClockRateBound
@@ -48,7 +48,8 @@
 	Elapsed time.Duration `json:"advance,omitempty"`
 
 	SessionID string `json:"session,omitempty"`
-	// Sequence numbers the session's commands from 1. Open, keep-alive and close commands have none.
+	// Sequence numbers the session's commands from 1. Open, keep-alive and close commands have
+	// none.
 	Sequence uint64 `json:"seq,omitempty"`
 	// AcknowledgedThrough is the sequence number up to which the client has received all responses.
 	AcknowledgedThrough uint64 `json:"acked,omitempty"`
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -13,13 +13,14 @@
 	Version int `toml:"version"`
 	// Grace must be longer than the TTL of routers' sessions, from 1s to 1h.
 	Grace string `toml:"grace"`
-	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the check.
+	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the
+	// check.
 	ExpectedRouters int `toml:"routers"`
 	// EjectionQuorum is how many routers must find a server failing before all of them eject it; 0
 	// disables shared ejection.
 	EjectionQuorum int `toml:"quorum"`
-	// OverloadShare is the fraction of rejected or failed requests above which no further drain or permit
-	// starts; 0 disables the check.
+	// OverloadShare is the fraction of rejected or failed requests above which no further drain or
+	// permit starts; 0 disables the check.
 	OverloadShare float64 `toml:"busy"`
 	// Budgets limit how many routers or servers may be out of service at the same time.
 	Budgets []budgetEntry `toml:"budget"`
--- a/internal/coord/config/check.go
+++ b/internal/coord/config/check.go
@@ -103,10 +103,10 @@
 }
 
 // durationWithin parses a duration and records a problem if it is invalid or out of bounds.
-func (c *checker) durationWithin(setting, text string, least, most time.Duration) time.Duration {
+func (c *checker) durationWithin(setting, text string, minimum, maximum time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least || d > most {
-		c.add(setting, "%q is no duration from %v to %v", text, least, most)
+	if err != nil || d < minimum || d > maximum {
+		c.add(setting, "%q is no duration from %v to %v", text, minimum, maximum)
 	}
 	return d
 }
@@ -116,8 +116,8 @@
 	return err == nil
 }
 
-// CheckName returns an error unless the name of a coordinator or observer has 1 to 64 letters, digits,
-// dots, dashes and underscores.
+// CheckName returns an error unless the name of a coordinator or observer has 1 to 64 letters,
+// digits, dots, dashes and underscores.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.Trim(name, nameCharacters) != "" {
 		return fmt.Errorf("%q is no name of 1 to %d letters, digits, dots, dashes and underscores", name, maxNameBytes)
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the TOML files that operators write for coordinators, observers, budgets and
-// releases. Each problem in a file is a configerror.Problem that names the file and the setting; the
-// returned error joins all problems of the file.
+// releases. Each problem in a file is a configerror.Problem that names the file and the setting;
+// the returned error joins all problems of the file.
 package config
 
 import (
@@ -42,7 +42,8 @@
 	// SnapshotEvery is the number of log entries between two snapshots, 16 to 1,000,000; 8192 by
 	// default.
 	SnapshotEvery uint64 `toml:"snapshot_every"`
-	// Heartbeat is how long a leader may be silent before another is elected, 100ms to 10s; 250ms by default.
+	// Heartbeat is how long a leader may be silent before another is elected, 100ms to 10s; 250ms
+	// by default.
 	Heartbeat string `toml:"beat"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -37,7 +37,7 @@
 `
 
 // Valid files are read with the defaults; each problem is reported with the file and the setting.
-func TestFiles(t *testing.T) {
+func TestMistakesInFilesAreReported(t *testing.T) {
 	t.Run("coordinator", func(t *testing.T) {
 		text := "version = 1\nname = \"c1\"\ndir = \"d\"\nlisten = \"a:1\"\napi = \"a:2\"\nbeat = \"300ms\"\n"
 		f, err := ParseCoordinator("c.toml", []byte(text))
@@ -92,8 +92,9 @@
 	}
 }
 
-// A valid release file is read with the defaults; each problem is reported with the file and the setting.
-func TestReleaseFile(t *testing.T) {
+// A valid release file is read with the defaults; each problem is reported with the file and the
+// setting.
+func TestMistakesInReleaseFileAreReported(t *testing.T) {
 	t.Run("defaults", func(t *testing.T) {
 		f, plan, err := ParseRelease("r.toml", []byte(goodRelease))
 		want := rollout.ReleasePlan{
--- a/internal/coord/config/fixture_test.go
+++ b/internal/coord/config/fixture_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// expectStored compares the JSON form of a value with the one that an earlier version of the program
-// wrote for the same file.
-func expectStored(t *testing.T, value any, name string) {
+// expectStoredForm compares the JSON form of a value with the one that an earlier version of the
+// program wrote for the same file.
+func expectStoredForm(t *testing.T, value any, name string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -27,24 +27,24 @@
 	}
 }
 
-// Operators keep their files across upgrades. A budgets file with every key must give the command that
-// an earlier version sent to the coordinators.
+// Operators keep their files across upgrades. A budgets file with every key must give the command
+// that an earlier version sent to the coordinators.
 func TestBudgetsFileOfEarlierProgram(t *testing.T) {
 	command, err := LoadBudgets("testdata/budgets.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectStored(t, command, "budgets.command.json")
+	expectStoredForm(t, command, "budgets.command.json")
 }
 
-// A release file with every key must give the plan that an earlier version sent, and the same settings
-// of the release driver.
+// A release file with every key must give the plan that an earlier version sent, and the same
+// settings of the release driver.
 func TestReleaseFileOfEarlierProgram(t *testing.T) {
 	file, plan, err := LoadRelease("testdata/release.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectStored(t, plan, "release.plan.json")
+	expectStoredForm(t, plan, "release.plan.json")
 	want := Release{
 		Version: 1, Name: "7.2", Match: "r*", FromVersion: "a", ToVersion: "b", FirstWave: 2, GrowthFactor: 1.5,
 		BakeTime: "3m", MinRequests: 250, StepTimeout: "90s", LearnTime: "15s",
--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -2,19 +2,21 @@
 
 // Limits of an observer's file.
 const (
-	// MaxObserverWatchers is the highest limit on the watchers of one observer. Each watcher has two
-	// connections.
+	// MaxObserverWatchers is the highest limit on the watchers of one observer. Each watcher has
+	// two connections.
 	MaxObserverWatchers = 8192
 	// MaxJoinsPerSecond is the highest limit on new watches per second.
 	MaxJoinsPerSecond = 10_000
-	// MinWatcherBytesPerSecond and MaxWatcherBytes bound the limit on bytes per second to each watcher.
+	// MinWatcherBytesPerSecond and MaxWatcherBytes bound the limit on bytes per second to each
+	// watcher.
 	MinWatcherBytesPerSecond = 16 << 10
 	MaxWatcherBytesPerSecond = 1 << 30
 )
 
 // Defaults of an observer's file.
 const (
-	// defaultWatchers is several times the number of routers per observer in a fleet with 12 observers.
+	// defaultWatchers is several times the number of routers per observer in a fleet with 12
+	// observers.
 	defaultWatchers     = 2048
 	defaultJoins        = 200
 	defaultWatcherBytes = 256 << 10
@@ -34,8 +36,8 @@
 	MaxWatchers int `toml:"max_watchers"`
 	// JoinsPerSecond is the maximum number of new watches per second, 1 to 10,000; 200 by default.
 	JoinsPerSecond float64 `toml:"joins_per_second"`
-	// WatcherBytesPerSecond is the maximum number of bytes per second to each watcher, 16 KiB to 1 GiB; 256 KiB
-	// by default.
+	// WatcherBytesPerSecond is the maximum number of bytes per second to each watcher, 16 KiB to 1
+	// GiB; 256 KiB by default.
 	WatcherBytesPerSecond int `toml:"watcher_bytes"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `toml:"log_level"`
@@ -78,7 +80,8 @@
 		c.add("joins_per_second", "%v is not from 1 to %d", f.JoinsPerSecond, MaxJoinsPerSecond)
 	}
 	if f.WatcherBytesPerSecond < MinWatcherBytesPerSecond || f.WatcherBytesPerSecond > MaxWatcherBytesPerSecond {
-		c.add("watcher_bytes", "%d is not from %d to %d", f.WatcherBytesPerSecond, MinWatcherBytesPerSecond, MaxWatcherBytesPerSecond)
+		c.add("watcher_bytes", "%d is not from %d to %d",
+			f.WatcherBytesPerSecond, MinWatcherBytesPerSecond, MaxWatcherBytesPerSecond)
 	}
 	c.logLevel(f.LogLevel)
 	if err := c.err(); err != nil {
--- a/internal/coord/config/observer_test.go
+++ b/internal/coord/config/observer_test.go
@@ -7,7 +7,7 @@
 
 // A valid observer file is read with the defaults; each problem is reported with the file and the
 // setting.
-func TestObserverFile(t *testing.T) {
+func TestMistakesInObserverFileAreReported(t *testing.T) {
 	good := "version = 1\nname = \"o1\"\napi = \"a:1\"\n[coordinators]\nc1 = \"b:2\"\n"
 	t.Run("defaults", func(t *testing.T) {
 		f, err := ParseObserver("o.toml", []byte(good))
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -7,9 +7,9 @@
 	"dockhinge.example/dockhinge/internal/rollout"
 )
 
-// RerunKinds are the reasons why a command may run twice at the same time: "checked" if the resource
-// that it changes rejects a token lower than the highest it has seen, "harmless" if a second run does no
-// harm. A command for which neither holds must not run under a lease or permit.
+// RerunKinds are the reasons why a command may run twice at the same time: "checked" if the
+// resource that it changes rejects a token lower than the highest it has seen, "harmless" if a
+// second run does no harm. A command for which neither holds must not run under a lease or permit.
 var RerunKinds = []string{"checked", "harmless"}
 
 // Limits of a release file.
@@ -36,11 +36,13 @@
 	ToVersion string `toml:"to"`
 	// FirstWave is the number of routers in the first wave; 1 by default.
 	FirstWave int `toml:"first"`
-	// GrowthFactor is the ratio of a wave's size to the total size of all waves before it; 2 by default.
+	// GrowthFactor is the ratio of a wave's size to the total size of all waves before it; 2 by
+	// default.
 	GrowthFactor float64 `toml:"grow"`
 	// BakeTime is how long a complete wave is observed; 2m by default.
 	BakeTime string `toml:"bake"`
-	// MinRequests is how many requests the new version must have answered in a wave; 100 by default.
+	// MinRequests is how many requests the new version must have answered in a wave; 100 by
+	// default.
 	MinRequests int64 `toml:"least"`
 	// StepTimeout is how long a router may take to return to service; 2m by default.
 	StepTimeout string `toml:"step"`
@@ -49,19 +51,19 @@
 
 	// The following fields configure the release driver.
 
-	// FalseHaltShare is the accepted fraction of releases that are halted although both versions perform
-	// alike, 1e-9 to 0.1; 0.001 by default.
+	// FalseHaltShare is the accepted fraction of releases that are halted although both versions
+	// perform alike, 1e-9 to 0.1; 0.001 by default.
 	FalseHaltShare float64 `toml:"alpha"`
-	// MinServedShare is the fraction of requests served, over 10 s, below which the release is halted,
-	// whichever version causes it, 0 to 1; 0.8 by default.
+	// MinServedShare is the fraction of requests served, over 10 s, below which the release is
+	// halted, whichever version causes it, 0 to 1; 0.8 by default.
 	MinServedShare float64 `toml:"floor"`
 	// RerunKind is the one of RerunKinds that holds for Command.
 	RerunKind string `toml:"kind"`
-	// MaxAttempts is how many times Command is run for a router before the router counts as failed, 1 to
-	// 10; 2 by default.
+	// MaxAttempts is how many times Command is run for a router before the router counts as failed,
+	// 1 to 10; 2 by default.
 	MaxAttempts int `toml:"tries"`
-	// Command installs a version on one router. The placeholders {name}, {to} and {from} are replaced;
-	// {to} is the version to install, also during a rollback.
+	// Command installs a version on one router. The placeholders {name}, {to} and {from} are
+	// replaced; {to} is the version to install, also during a rollback.
 	Command []string `toml:"command"`
 }
 
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -44,8 +44,9 @@
 
 // Two replicas apply the same random commands; one of them is now and then restored from its own
 // snapshot, as after a restart. Checks that both always give the same responses and the same bytes,
-// that tokens never decrease, that no lease is held without a session, and that no lease expires early
-// by any clock within the bound. Otherwise replicas could diverge, or two holders act at once.
+// that tokens never decrease, that no lease is held without a session, and that no lease expires
+// early by any clock within the bound. Otherwise replicas could diverge, or two holders act at
+// once.
 func TestReplicasAgreeOnRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -146,9 +147,9 @@
 	return Command{Op: OpRollout, SessionID: fmt.Sprint(i), Sequence: 1, Rollout: report}
 }
 
-// During a rolling upgrade some coordinators run an older program with smaller tables. Until 'members
-// upgrade', all coordinators must reject a session or router beyond the older limits; otherwise the
-// states of the two programs diverge.
+// During a rolling upgrade some coordinators run an older program with smaller tables. Until
+// 'members upgrade', all coordinators must reject a session or router beyond the older limits;
+// otherwise the states of the two programs diverge.
 func TestEarlierLimitsHoldUntilUpgrade(t *testing.T) {
 	s := New()
 	for i := range earlierMaxSessions {
@@ -199,8 +200,9 @@
 	}
 }
 
-// Guards against a table without a limit, which could use up the coordinator's memory. Each table is
-// filled, rejects one more entry with the limit's text, and accepts an entry again once one is freed.
+// Guards against a table without a limit, which could use up the coordinator's memory. Each table
+// is filled, rejects one more entry with the limit's text, and accepts an entry again once one is
+// freed.
 func TestTablesRejectBeyondTheirLimits(t *testing.T) {
 	s := New()
 	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: Version}, CodeOK)
@@ -275,9 +277,9 @@
 	}
 }
 
-// 300 sessions become silent at the same time, as in a network partition. One command expires all of
-// them with their leases, but not before their time. Time measured by a leader of another term does not
-// count.
+// 300 sessions become silent at the same time, as in a network partition. One command expires all
+// of them with their leases, but not before their time. Time measured by a leader of another term
+// does not count.
 func TestSilentSessionsExpireTogetherAndNotEarly(t *testing.T) {
 	s := New()
 	const sessions = 300
@@ -298,10 +300,10 @@
 	}
 }
 
-// Guards against a lease that is handed over to a dead process, which would block all other clients.
-// A transfer to a client without a session, or to one silent for longer than the lease's TTL, is
-// rejected and the holder keeps the lease. A transfer to a live successor gets a higher token; when
-// the successor then dies, the lease expires by the successor's last keep-alive.
+// Guards against a lease that is handed over to a dead process, which would block all other
+// clients. A transfer to a client without a session, or to one silent for longer than the lease's
+// TTL, is rejected and the holder keeps the lease. A transfer to a live successor gets a higher
+// token; when the successor then dies, the lease expires by the successor's last keep-alive.
 func TestLeaseIsNotTransferredToDeadClient(t *testing.T) {
 	s := New()
 	const leaseTTL = 5 * time.Second
--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -18,8 +18,8 @@
 )
 
 // recoveryRevisionGap is how much the revision rises after the permanent loss of a majority: above
-// every change that the lost coordinators may have committed. Without the gap a watcher could already
-// hold a lost change and never receive the new change with the same revision.
+// every change that the lost coordinators may have committed. Without the gap a watcher could
+// already hold a lost change and never receive the new change with the same revision.
 const recoveryRevisionGap = 1 << 32
 
 const documentNameCharacters = "abcdefghijklmnopqrstuvwxyz" + "ABCDEFGHIJKLMNOPQRSTUVWXYZ" + "0123456789" + ".-_/"
@@ -37,8 +37,8 @@
 	return watchlog.NewLog(watchlog.Limits{Changes: HistoryLimit(), Bytes: MaxHistoryBytes})
 }
 
-// CheckDocumentName returns an error unless the name is 1 to MaxNameBytes letters, digits, dots, dashes,
-// underscores and slashes.
+// CheckDocumentName returns an error unless the name is 1 to MaxNameBytes letters, digits, dots,
+// dashes, underscores and slashes.
 func CheckDocumentName(name string) error {
 	if problem := checkName("name", name); problem != "" {
 		return errors.New(problem)
@@ -54,8 +54,8 @@
 	return s.Documents.NewestRevision()
 }
 
-// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or a
-// snapshot if they are compacted.
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or
+// a snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
 	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
--- a/internal/coord/document_test.go
+++ b/internal/coord/document_test.go
@@ -39,8 +39,8 @@
 }
 
 // Guards against a lost update when two operators put the same document. The second put expects a
-// revision that has been replaced and gets a conflict with the current one. Revisions count the changes
-// to all documents, and a retried command changes nothing.
+// revision that has been replaced and gets a conflict with the current one. Revisions count the
+// changes to all documents, and a retried command changes nothing.
 func TestPutWithOldRevisionConflicts(t *testing.T) {
 	p := putter{state: newDocumentState(t)}
 	first := p.put(t, DocumentPut{Name: "a", Value: []byte("1")}, CodeOK)
@@ -66,8 +66,8 @@
 	}
 }
 
-// An invalid put is rejected with the reason. Every put is rejected while an older coordinator may not
-// support documents, as the states would diverge.
+// An invalid put is rejected with the reason. Every put is rejected while an older coordinator may
+// not support documents, as the states would diverge.
 func TestInvalidPutIsRejected(t *testing.T) {
 	p := putter{state: newDocumentState(t)}
 	for text, put := range map[string]DocumentPut{
@@ -92,9 +92,9 @@
 	}
 }
 
-// Documents are limited in number and in total bytes: a put beyond a limit is rejected with the limit's
-// text, and accepted again once a document is deleted. The history is limited without rejecting puts:
-// the oldest changes are compacted, and a watcher that is behind gets a snapshot.
+// Documents are limited in number and in total bytes: a put beyond a limit is rejected with the
+// limit's text, and accepted again once a document is deleted. The history is limited without
+// rejecting puts: the oldest changes are compacted, and a watcher that is behind gets a snapshot.
 func TestDocumentLimitsRejectPutsAndCompactHistory(t *testing.T) {
 	p := putter{state: newDocumentState(t)}
 	for i := range MaxDocuments {
@@ -137,8 +137,8 @@
 }
 
 // Two replicas apply the same random puts and deletions; one is now and then restored from its own
-// snapshot, and now and then the revision is raised as after the loss of a majority. Checks that both
-// always have the same bytes and that the revision never decreases.
+// snapshot, and now and then the revision is raised as after the loss of a majority. Checks that
+// both always have the same bytes and that the revision never decreases.
 func TestReplicasAgreeOnRandomDocuments(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, b := newDocumentState(t), newDocumentState(t)
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -109,8 +109,8 @@
 	if c.Op == OpWriteRecord {
 		return s.writeRecord(c, lease)
 	}
-	// A release may be overtaken on the network by an acquire of the same session. It would free the
-	// lease that the acquire confirmed while the client still acts on it.
+	// A release may be overtaken on the network by an acquire of the same session. It would free
+	// the lease that the acquire confirmed while the client still acts on it.
 	if c.Sequence < lease.AcquireSequence && !failpoint.IsInjected("release-overtaken") {
 		return Response{Code: CodeSuperseded, Text: fmt.Sprintf("lease %s was asked for again since", c.Lease)}
 	}
@@ -190,7 +190,8 @@
 	Holder string        `json:"holder"` // client name
 	Token  uint64        `json:"token"`
 	TTL    time.Duration `json:"ttl"`
-	// Remaining is the time on the coordinators' clock until the lease expires unless it is kept alive.
+	// Remaining is the time on the coordinators' clock until the lease expires unless it is kept
+	// alive.
 	Remaining time.Duration `json:"left"`
 	Purpose   string        `json:"purpose,omitempty"`
 	Record    []byte        `json:"record,omitempty"`
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -7,13 +7,13 @@
 
 // Limits of all tables and fields.
 const (
-	// MaxSessions allows for 5,100 routers and over half as many again: tools, and replaced processes
-	// whose sessions have not expired yet.
+	// MaxSessions allows for 5,100 routers and over half as many again: tools, and replaced
+	// processes whose sessions have not expired yet.
 	MaxSessions = 8192
 	MaxLeases   = 8192
 
-	// MaxCachedResponses is the number of responses kept per session for retried commands, and thereby
-	// the maximum number of commands that a client has in flight.
+	// MaxCachedResponses is the number of responses kept per session for retried commands, and
+	// thereby the maximum number of commands that a client has in flight.
 	MaxCachedResponses = 32
 
 	MaxNameBytes        = 128     // of the name of a session, client or lease
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -18,11 +18,12 @@
 
 // Limits on commands in flight.
 const (
-	// MaxCommandsInFlight is the maximum number of sessions: all may send keep-alives at the same time.
+	// MaxCommandsInFlight is the maximum number of sessions: all may send keep-alives at the same
+	// time.
 	MaxCommandsInFlight = 8192
 
-	// MaxOtherCommandsInFlight bounds commands other than keep-alives. It is about the number that a
-	// busy leader executes in one second, the time for which clients wait. Commands beyond it are
+	// MaxOtherCommandsInFlight bounds commands other than keep-alives. It is about the number that
+	// a busy leader executes in one second, the time for which clients wait. Commands beyond it are
 	// rejected with a Retry-After, so that existing sessions can still be kept alive.
 	MaxOtherCommandsInFlight = 4096
 )
@@ -35,15 +36,16 @@
 	tableRetriesPerSecond = 200
 	maxTableRetryAfter    = time.Minute
 
-	// Clients rejected by too many commands in flight retry 0.5 ms apart, as the commands are executed
-	// within seconds.
+	// Clients rejected by too many commands in flight retry 0.5 ms apart, as the commands are
+	// executed within seconds.
 	commandRetriesPerSecond = 2000
 	maxCommandRetryAfter    = 5 * time.Second
 )
 
 // Limits on connections.
 const (
-	// maxRejectedConnections is how many connections over the limit are accepted to send a Retry-After.
+	// maxRejectedConnections is how many connections over the limit are accepted to send a
+	// Retry-After.
 	maxRejectedConnections = 256
 	// reservedDescriptors are kept for the process's log, snapshots and the other coordinators.
 	reservedDescriptors = 1024
@@ -57,8 +59,8 @@
 	return MaxOtherCommandsInFlight
 }
 
-// retrySchedule assigns rejected clients evenly spaced times to retry, so that the rate of retries does
-// not depend on the number of clients.
+// retrySchedule assigns rejected clients evenly spaced times to retry, so that the rate of retries
+// does not depend on the number of clients.
 type retrySchedule struct {
 	perSecond     int
 	maxRetryAfter time.Duration
@@ -72,7 +74,8 @@
 	return &retrySchedule{perSecond: tableRetriesPerSecond, maxRetryAfter: maxTableRetryAfter}
 }
 
-// newCommandRetrySchedule returns the schedule for clients that are rejected by too many commands in flight.
+// newCommandRetrySchedule returns the schedule for clients that are rejected by too many commands
+// in flight.
 func newCommandRetrySchedule() *retrySchedule {
 	return &retrySchedule{perSecond: commandRetriesPerSecond, maxRetryAfter: maxCommandRetryAfter}
 }
@@ -95,9 +98,9 @@
 	return response
 }
 
-// requiresUpgrade returns the response to a command that requires a later version than the one in force.
-// A coordinator that has just started may have an outdated version, so only a linearizable read at the
-// leader is decisive.
+// requiresUpgrade returns the response to a command that requires a later version than the one in
+// force. A coordinator that has just started may have an outdated version, so only a linearizable
+// read at the leader is decisive.
 func (n *Node) requiresUpgrade(c coord.Command) (response coord.Response, isRequired bool, err error) {
 	n.mu.Lock()
 	response, isRequired = n.state.RequiresUpgrade(c)
@@ -108,9 +111,9 @@
 	return response, isRequired, err
 }
 
-// rejectsSession rejects a new session that exceeds the limit before it is written to the log: retries
-// of a fleet over the limit must not load the other coordinators. Only the leader's state is recent
-// enough to decide that.
+// rejectsSession rejects a new session that exceeds the limit before it is written to the log:
+// retries of a fleet over the limit must not load the other coordinators. Only the leader's state
+// is recent enough to decide that.
 func (n *Node) rejectsSession(c coord.Command) (coord.Response, bool) {
 	if c.Op != coord.OpOpenSession || n.raft.State() != raft.Leader {
 		return coord.Response{}, false
@@ -136,8 +139,8 @@
 	return max(1, min(MaxConnections, available))
 }
 
-// connectionLimit answers requests on connections beyond the limit with a Retry-After and closes these
-// connections.
+// connectionLimit answers requests on connections beyond the limit with a Retry-After and closes
+// these connections.
 type connectionLimit struct {
 	bound    int
 	schedule *retrySchedule
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -15,8 +15,8 @@
 )
 
 // The session table is full, and 500 clients each open one more session. Each is rejected with the
-// limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a fleet
-// over the limit would keep the leader busy with rejections.
+// limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a
+// fleet over the limit would keep the leader busy with rejections.
 func TestFullSessionTableRejectsWithSpreadRetries(t *testing.T) {
 	n := startUpgradedLeader(t)
 	n.mu.Lock()
@@ -55,9 +55,9 @@
 	}
 }
 
-// The limits of watchers and of commands in flight are reached. One more is rejected with the limit's
-// text and a Retry-After. A keep-alive is still accepted where other commands are rejected; otherwise
-// sessions would expire at a busy leader.
+// The limits of watchers and of commands in flight are reached. One more is rejected with the
+// limit's text and a Retry-After. A keep-alive is still accepted where other commands are rejected;
+// otherwise sessions would expire at a busy leader.
 func TestKeepAliveIsAcceptedWhenOtherCommandsAreRejected(t *testing.T) {
 	n := startUpgradedLeader(t)
 	n.mu.Lock()
@@ -87,8 +87,9 @@
 	n.commandsInFlight.Store(0)
 }
 
-// Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds, as
-// otherwise all would retry at the same time. After an idle hour the schedule starts from now again.
+// Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds,
+// as otherwise all would retry at the same time. After an idle hour the schedule starts from now
+// again.
 func TestRejectedClientsGetDistinctRetryTimes(t *testing.T) {
 	r := newTableRetrySchedule()
 	first := r.nextRetryAfter(0)
@@ -107,9 +108,9 @@
 	}
 }
 
-// A server with capacity for one connection gets two. The second one gets a response with Retry-After
-// and is closed; once the first connection has ended, the second client is served. If the connection
-// were only queued, the client would not learn the reason.
+// A server with capacity for one connection gets two. The second one gets a response with
+// Retry-After and is closed; once the first connection has ended, the second client is served. If
+// the connection were only queued, the client would not learn the reason.
 func TestConnectionBeyondLimitGetsRetryAfter(t *testing.T) {
 	limit := newConnectionLimit(1)
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
@@ -146,9 +147,9 @@
 	}
 }
 
-// A router watches the drains before the first drain. With wait=true it waits for the first version;
-// without, it gets a response immediately. If wait=true didn't wait, every router would poll in a loop
-// until the first drain.
+// A router watches the drains before the first drain. With wait=true it waits for the first
+// version; without, it gets a response immediately. If wait=true didn't wait, every router would
+// poll in a loop until the first drain.
 func TestDrainWatchWaitsForFirstVersion(t *testing.T) {
 	n := startUpgradedLeader(t)
 	answered := make(chan int, 1)
@@ -178,9 +179,9 @@
 	}
 }
 
-// Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead, a
-// command still requires an upgrade. It must redirect to the leader; if it rejected the command, the
-// client would give up a command that the group supports.
+// Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead,
+// a command still requires an upgrade. It must redirect to the leader; if it rejected the command,
+// the client would give up a command that the group supports.
 func TestFollowerRedirectsCommandThatRequiresUpgrade(t *testing.T) {
 	n := startNode(t, 100)
 	acknowledge := &rollout.Command{Op: rollout.OpAcknowledgeDrains}
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -22,11 +22,12 @@
 
 // Limits and timeouts of the HTTP API for clients.
 const (
-	// MaxConnections is the number of client connections served at the same time: three per session.
-	// It is lower if the process may open fewer descriptors.
+	// MaxConnections is the number of client connections served at the same time: three per
+	// session. It is lower if the process may open fewer descriptors.
 	MaxConnections = 24576
 
-	// maxBodyBytes allows for a report of rollout.MaxReportedServers servers with the longest names.
+	// maxBodyBytes allows for a report of rollout.MaxReportedServers servers with the longest
+	// names.
 	maxBodyBytes = 256 << 10
 
 	maxHeaderBytes          = 16 << 10
@@ -65,8 +66,9 @@
 	return mux
 }
 
-// MetricsHandler returns a handler for monitoring, which accepts no commands. GET /-/metrics returns the
-// Status. GET /-/ready returns 200 if the coordinator belongs to a group and knows its leader, else 503.
+// MetricsHandler returns a handler for monitoring, which accepts no commands. GET /-/metrics
+// returns the Status. GET /-/ready returns 200 if the coordinator belongs to a group and knows its
+// leader, else 503.
 func (n *Node) MetricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/metrics", n.serveStatus)
@@ -125,8 +127,9 @@
 	n.writeResponse(w, coord.Response{Code: coord.CodeOK}, err)
 }
 
-// awaitNewer waits until there is a version newer than the query's "after", if this coordinator leads.
-// For after=0 it waits only with wait=true. It returns false if it has sent an error response.
+// awaitNewer waits until there is a version newer than the query's "after", if this coordinator
+// leads. For after=0 it waits only with wait=true. It returns false if it has sent an error
+// response.
 func (n *Node) awaitNewer(
 	w http.ResponseWriter, r *http.Request, watch func(ctx context.Context, after uint64) error,
 ) bool {
@@ -218,8 +221,8 @@
 	return true
 }
 
-// writeResponse sends a value, or an error with the status code of its type. Write errors are ignored,
-// as they mean that the client has disconnected.
+// writeResponse sends a value, or an error with the status code of its type. Write errors are
+// ignored, as they mean that the client has disconnected.
 func (n *Node) writeResponse(w http.ResponseWriter, value any, err error) {
 	var limit *LimitError
 	if errors.As(err, &limit) {
--- a/internal/coord/node/api_test.go
+++ b/internal/coord/node/api_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The metrics address serves the status and the readiness of a coordinator, before and after it belongs
-// to a group. It must accept no commands, as it may be reachable by more clients than the API.
+// The metrics address serves the status and the readiness of a coordinator, before and after it
+// belongs to a group. It must accept no commands, as it may be reachable by more clients than the
+// API.
 func TestMetricsAddressAcceptsNoCommands(t *testing.T) {
 	n := startNode(t, 100)
 	h := n.MetricsHandler()
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// maxPollDuration limits a long poll. It is short, so that an observer knows how old its state is.
+	// maxPollDuration limits a long poll. It is short, so that an observer knows how old its state
+	// is.
 	maxPollDuration = time.Second
 
 	// maxChangesBytes limits the changes in one response, except for a snapshot.
 	maxChangesBytes = 256 << 10
 )
 
-// WaitForChanges waits until there are changes of documents after a revision or ctx ends, and returns them.
-// Any coordinator responds from its own state, so observers don't load the leader more than other
-// coordinators. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a
-// LimitError.
+// WaitForChanges waits until there are changes of documents after a revision or ctx ends, and
+// returns them. Any coordinator responds from its own state, so observers don't load the leader
+// more than other coordinators. The error may be a watchlog.BehindError, a protocol.Rejection,
+// ErrNotLeader or a LimitError.
 func (n *Node) WaitForChanges(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
 	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
@@ -45,8 +46,9 @@
 	return protocol.Update{Batch: batch, Newest: newest, AgeMillis: age.Milliseconds()}, err
 }
 
-// stateAge returns an upper bound on how long ago this coordinator's state was complete: 0 at a leader
-// that a majority confirms, and the time since the last contact with the leader at a follower.
+// stateAge returns an upper bound on how long ago this coordinator's state was complete: 0 at a
+// leader that a majority confirms, and the time since the last contact with the leader at a
+// follower.
 func (n *Node) stateAge() (time.Duration, error) {
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -36,14 +36,16 @@
 	return w.Code, update, rejection
 }
 
-// An observer polls for changes. It gets the changes after its revision, a progress notice if there are
-// none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
+// An observer polls for changes. It gets the changes after its revision, a progress notice if there
+// are none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
 // coordinator is behind the observer. If a coordinator that is behind sent its older state, routers
 // would return to old documents.
 func TestObserverPollsForChanges(t *testing.T) {
 	n := startLeader(t)
 	mustPropose(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
-	mustPropose(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
+	mustPropose(t, n, coord.Command{
+		Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute,
+	}, coord.CodeOK)
 	put := func(sequence uint64, name string) {
 		document := &coord.DocumentPut{Name: name, Value: []byte(name)}
 		mustPropose(t, n, coord.Command{
@@ -96,9 +98,9 @@
 	}
 }
 
-// A document is put while an older coordinator may not support documents. The leader must reject the
-// put without a log entry: an older coordinator would reject the entry with another text, and its state
-// would diverge.
+// A document is put while an older coordinator may not support documents. The leader must reject
+// the put without a log entry: an older coordinator would reject the entry with another text, and
+// its state would diverge.
 func TestPutBeforeUpgradeIsNotLogged(t *testing.T) {
 	n := startLeader(t)
 	readAll := func() {
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -15,9 +15,10 @@
 )
 
 // The fixture testdata/coordinator is the directory of a coordinator of an earlier version that was
-// killed. It has a snapshot through log index 160 and a log through index 173, with sessions, leases, a
-// record, a budget, a waiting and a started permit, a release in progress, and documents including a
-// deletion. testdata/coordinator-state.json is the state that the earlier version computed from it.
+// killed. It has a snapshot through log index 160 and a log through index 173, with sessions,
+// leases, a record, a budget, a waiting and a started permit, a release in progress, and documents
+// including a deletion. testdata/coordinator-state.json is the state that the earlier version
+// computed from it.
 const (
 	fixtureDirectory = "testdata/coordinator"
 	fixtureState     = "testdata/coordinator-state.json"
@@ -34,9 +35,9 @@
 	return directory
 }
 
-// In a rolling upgrade the new program starts on the directory of the old one, restores the snapshot and
-// applies the rest of the log. If it decoded a field or executed a command differently, its state would
-// diverge from that of coordinators that are not upgraded yet.
+// In a rolling upgrade the new program starts on the directory of the old one, restores the
+// snapshot and applies the rest of the log. If it decoded a field or executed a command
+// differently, its state would diverge from that of coordinators that are not upgraded yet.
 func TestReplayOfEarlierDirectory(t *testing.T) {
 	directory := copyFixture(t)
 	snapshots, snapshotIndex, err := openSnapshots(directory, hclog.NewNullLogger())
@@ -89,9 +90,9 @@
 	}
 }
 
-// A coordinator starts on the directory of an earlier version. It must keep the identity, become leader
-// of its group of one, and keep all holders, tokens and revisions. If it lost any of them, it could
-// grant a held lease to a second holder.
+// A coordinator starts on the directory of an earlier version. It must keep the identity, become
+// leader of its group of one, and keep all holders, tokens and revisions. If it lost any of them,
+// it could grant a held lease to a second holder.
 func TestStartOnEarlierDirectory(t *testing.T) {
 	n, err := Start(Options{Name: "c1", Directory: copyFixture(t), ListenAddress: "127.0.0.1:0",
 		ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound,
--- a/internal/coord/node/duplicates.go
+++ b/internal/coord/node/duplicates.go
@@ -6,13 +6,13 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// duplicateCommands joins a retried command that has a sequence number with its first attempt while that
-// attempt waits for its commit: the state machine would return the same response anyway. Without this a
-// leader that takes longer than the clients' timeout would execute each command several times and become
-// even slower.
+// duplicateCommands joins a retried command that has a sequence number with its first attempt while
+// that attempt waits for its commit: the state machine would return the same response anyway.
+// Without this a leader that takes longer than the clients' timeout would execute each command
+// several times and become even slower.
 //
-// Commands without a sequence number are not joined: the time that a keep-alive gains is counted from
-// when that keep-alive was sent.
+// Commands without a sequence number are not joined: the time that a keep-alive gains is counted
+// from when that keep-alive was sent.
 type duplicateCommands struct {
 	mu      sync.Mutex
 	pending map[commandKey]*pendingCommand
--- a/internal/coord/node/duplicates_test.go
+++ b/internal/coord/node/duplicates_test.go
@@ -10,9 +10,9 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A slow leader gets the same numbered command ten times. It must execute the command once and send all
-// the same response; executing each retry would make it even slower. A later retry, a command with
-// another number and commands without a number are executed separately.
+// A slow leader gets the same numbered command ten times. It must execute the command once and send
+// all the same response; executing each retry would make it even slower. A later retry, a command
+// with another number and commands without a number are executed separately.
 func TestRetriedCommandIsExecutedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r duplicateCommands
--- a/internal/coord/node/errors.go
+++ b/internal/coord/node/errors.go
@@ -7,8 +7,8 @@
 
 // Errors that callers distinguish.
 var (
-	// ErrNotLeader means that another coordinator must be asked, or that the outcome of the command is
-	// unknown. The command may be retried with the same sequence number.
+	// ErrNotLeader means that another coordinator must be asked, or that the outcome of the command
+	// is unknown. The command may be retried with the same sequence number.
 	ErrNotLeader = errors.New("not the leader")
 
 	// errDamaged means that the stored data is not what was written.
--- a/internal/coord/node/faults.go
+++ b/internal/coord/node/faults.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// In a build with the tag faults, tests can slow down each sync (DOCKHINGE_SLOW_SYNC, such as 50ms),
-// shorten the interval of the directory's epoch (DOCKHINGE_EPOCH_EVERY) and kill the process at a crash
-// point (DOCKHINGE_KILL_AT).
+// In a build with the tag faults, tests can slow down each sync (DOCKHINGE_SLOW_SYNC, such as
+// 50ms), shorten the interval of the directory's epoch (DOCKHINGE_EPOCH_EVERY) and kill the process
+// at a crash point (DOCKHINGE_KILL_AT).
 var (
 	syncTakes     = duration("DOCKHINGE_SLOW_SYNC", 0)
 	epochInterval = duration("DOCKHINGE_EPOCH_EVERY", defaultEpochInterval)
--- a/internal/coord/node/identity.go
+++ b/internal/coord/node/identity.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// defaultEpochInterval is how often the directory's epoch increases. An old copy of the directory
-	// that is restored after at least this time is recognized.
+	// defaultEpochInterval is how often the directory's epoch increases. An old copy of the
+	// directory that is restored after at least this time is recognized.
 	defaultEpochInterval = 10 * time.Second
 
 	identityBytes = 8
@@ -40,8 +40,8 @@
 	return processRun{nonce: n.nonce, startEpoch: n.startEpoch, epoch: n.epoch.Load()}
 }
 
-// loadIdentity reads the directory's identity and increments its epoch. An empty directory gets a new
-// identity.
+// loadIdentity reads the directory's identity and increments its epoch. An empty directory gets a
+// new identity.
 func (n *Node) loadIdentity() error {
 	identity, err := n.store.Get([]byte(identityKey))
 	if errors.Is(err, raftboltdb.ErrKeyNotFound) {
@@ -70,13 +70,13 @@
 	return identity, n.store.Set([]byte(identityKey), identity)
 }
 
-// checkPeerRun records the run of another coordinator. It returns an outdatedDiskError if the peer's
-// disk was restored from an old copy, which lacks recent votes; this coordinator must then not
-// communicate with the peer.
+// checkPeerRun records the run of another coordinator. It returns an outdatedDiskError if the
+// peer's disk was restored from an old copy, which lacks recent votes; this coordinator must then
+// not communicate with the peer.
 //
-// Each start of a process on its own disk gets an epoch above all those that earlier runs sent; a start
-// on an old copy doesn't. A delayed handshake, of the same run or of one that has ended, proves nothing
-// about the disk.
+// Each start of a process on its own disk gets an epoch above all those that earlier runs sent; a
+// start on an old copy doesn't. A delayed handshake, of the same run or of one that has ended,
+// proves nothing about the disk.
 func (n *Node) checkPeerRun(identity string, run processRun) error {
 	n.peerRunsMu.Lock()
 	defer n.peerRunsMu.Unlock()
@@ -111,8 +111,8 @@
 	}
 }
 
-// outdatedDiskPrefix begins the rejection text for an outdated disk. The peer recognizes it and must
-// exit. Programs of different versions exchange it.
+// outdatedDiskPrefix begins the rejection text for an outdated disk. The peer recognizes it and
+// must exit. Programs of different versions exchange it.
 const outdatedDiskPrefix = "your disk is older than one that was seen of you"
 
 // outdatedDiskError is the error for a peer whose disk is older than in an earlier run of the peer.
@@ -125,8 +125,8 @@
 	return fmt.Sprintf("%s (it started at epoch %d, and %d was seen)", outdatedDiskPrefix, e.startEpoch, e.knownEpoch)
 }
 
-// advanceEpoch periodically increments the directory's epoch and sends it to all peers, so that they
-// recognize an old copy that is restored later. Start starts it; it ends with ctx.
+// advanceEpoch periodically increments the directory's epoch and sends it to all peers, so that
+// they recognize an old copy that is restored later. Start starts it; it ends with ctx.
 func (n *Node) advanceEpoch(ctx context.Context) {
 	ticker := time.NewTicker(epochInterval)
 	defer ticker.Stop()
--- a/internal/coord/node/membership.go
+++ b/internal/coord/node/membership.go
@@ -21,7 +21,8 @@
 	// SupportedVersion is the latest version of commands that its program supports. It is set in a
 	// request to add the coordinator.
 	SupportedVersion int `json:"newest,omitempty"`
-	// IsReachable reports, in a list of members, whether the coordinator that made the list reached it.
+	// IsReachable reports, in a list of members, whether the coordinator that made the list reached
+	// it.
 	IsReachable bool `json:"answers"`
 }
 
@@ -39,8 +40,8 @@
 	return future.Configuration().Servers
 }
 
-// listMembers lists the group. With probe set it checks whether each member responds, which takes up
-// to the timeout if one doesn't.
+// listMembers lists the group. With probe set it checks whether each member responds, which takes
+// up to the timeout if one doesn't.
 func (n *Node) listMembers(probe bool) []Member {
 	isLeader := n.raft.State() == raft.Leader
 	reachable := map[raft.ServerID]bool{}
@@ -110,9 +111,9 @@
 	return n.raft.BootstrapCluster(group).Error()
 }
 
-// AddMember adds a coordinator with an empty directory to the group. The coordinator first receives the
-// log without a vote and is then made a voter. If it stops responding in between, it stays a member
-// without a vote and can be added again.
+// AddMember adds a coordinator with an empty directory to the group. The coordinator first receives
+// the log without a vote and is then made a voter. If it stops responding in between, it stays a
+// member without a vote and can be added again.
 func (n *Node) AddMember(m Member) error {
 	if n.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -148,8 +149,8 @@
 	return n.raft.AddVoter(added.ID, added.Address, 0, proposeTimeout).Error()
 }
 
-// checkAddition returns an error if the new coordinator doesn't respond, or if no majority of the group
-// including it would respond.
+// checkAddition returns an error if the new coordinator doesn't respond, or if no majority of the
+// group including it would respond.
 func (n *Node) checkAddition(added raft.Server) error {
 	if !n.probeMembers([]raft.Server{added})[added.ID] {
 		return fmt.Errorf("members: %s does not respond, or is not the one that is meant: it gets no vote",
@@ -159,8 +160,9 @@
 	return n.checkQuorum(append(others, added))
 }
 
-// RemoveMember removes a coordinator from the group, whether it runs or not. A leader that is to remove
-// itself first transfers the leadership and returns ErrNotLeader, as it couldn't report its own removal.
+// RemoveMember removes a coordinator from the group, whether it runs or not. A leader that is to
+// remove itself first transfers the leadership and returns ErrNotLeader, as it couldn't report its
+// own removal.
 func (n *Node) RemoveMember(name string) error {
 	if n.raft.State() != raft.Leader {
 		return ErrNotLeader
@@ -188,8 +190,8 @@
 	return n.raft.RemoveServer(servers[i].ID, 0, proposeTimeout).Error()
 }
 
-// checkQuorum returns an error if no majority of the voters after a change responds now: no change of
-// the membership may stop the group.
+// checkQuorum returns an error if no majority of the voters after a change responds now: no change
+// of the membership may stop the group.
 func (n *Node) checkQuorum(after []raft.Server) error {
 	reachable := n.probeMembers(after)
 	reachable[raft.ServerID(n.identity)] = true
--- a/internal/coord/node/membership_test.go
+++ b/internal/coord/node/membership_test.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// startMember starts a coordinator with this name on a directory. It is closed at the end of the test
-// unless the test closes it earlier.
+// startMember starts a coordinator with this name on a directory. It is closed at the end of the
+// test unless the test closes it earlier.
 func startMember(t *testing.T, name, directory string) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,8 @@
 	}
 }
 
-// bootstrapAndUpgrade bootstraps a group of this coordinator alone, at the latest version of commands.
+// bootstrapAndUpgrade bootstraps a group of this coordinator alone, at the latest version of
+// commands.
 func bootstrapAndUpgrade(t *testing.T, n *Node) {
 	t.Helper()
 	if err := n.Bootstrap([]Member{n.asMember()}); err != nil {
@@ -90,8 +91,8 @@
 	return voters
 }
 
-// Guards against a group of one that can never grow because the new coordinator counts as unreachable:
-// after a bootstrap, and after a recovery.
+// Guards against a group of one that can never grow because the new coordinator counts as
+// unreachable: after a bootstrap, and after a recovery.
 func TestGroupOfOneGrowsToThree(t *testing.T) {
 	for name, isRecovered := range map[string]bool{"after init": false, "after recover": true} {
 		t.Run(name, func(t *testing.T) {
@@ -123,8 +124,8 @@
 	}
 }
 
-// Guards against giving a vote to a dead coordinator, which would stop a group of one for good. Once
-// the coordinator runs it can be added.
+// Guards against giving a vote to a dead coordinator, which would stop a group of one for good.
+// Once the coordinator runs it can be added.
 func TestDeadCoordinatorGetsNoVote(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
 	bootstrapAndUpgrade(t, c1)
@@ -147,8 +148,8 @@
 	}
 }
 
-// Guards against an interrupted addition that can't be repeated: a member without a vote gets one when
-// it is added again.
+// Guards against an interrupted addition that can't be repeated: a member without a vote gets one
+// when it is added again.
 func TestMemberWithoutVoteIsAddedAgain(t *testing.T) {
 	c1 := startMember(t, "c1", t.TempDir())
 	bootstrapAndUpgrade(t, c1)
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one coordinator: it drives the state machine of package coord with the consensus
-// library hashicorp/raft, which has its log in bbolt, its snapshots in files and a transport to the
-// other coordinators. Clients send commands over HTTP (see Node.Handler).
+// Package node runs one coordinator: it drives the state machine of package coord with the
+// consensus library hashicorp/raft, which has its log in bbolt, its snapshots in files and a
+// transport to the other coordinators. Clients send commands over HTTP (see Node.Handler).
 package node
 
 import (
@@ -30,8 +30,8 @@
 	ListenAddress string // host:port for the other coordinators
 	ClientAddress string // host:port for clients
 
-	// PeerAddresses override, by coordinator name, the addresses at which this coordinator connects to
-	// the others.
+	// PeerAddresses override, by coordinator name, the addresses at which this coordinator connects
+	// to the others.
 	PeerAddresses map[string]string
 
 	// ClockRateBound is the maximum fraction by which any clock may run fast or slow.
@@ -118,7 +118,7 @@
 
 // recordLatency records the time since began. The caller must hold the lock of the histogram.
 func recordLatency(histogram *hdrhistogram.Histogram, began time.Time) {
-	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // can't fail: the value is within range
+	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // can't fail: within range
 }
 
 // Start opens the directory and starts the coordinator. Close stops it.
--- a/internal/coord/node/peers.go
+++ b/internal/coord/node/peers.go
@@ -27,11 +27,11 @@
 	noWantedIdentity = "-"
 )
 
-// peerLayer is the transport's stream layer between coordinators. On each connection both sides first
-// send a line with their identity, which an empty directory is given once, and their directory's epoch.
-// Two kinds of coordinator are rejected: one with an empty disk in place of a voter's, and one whose
-// disk was restored from an old copy. Such a disk lacks recent votes, and its coordinator could vote
-// twice in a term.
+// peerLayer is the transport's stream layer between coordinators. On each connection both sides
+// first send a line with their identity, which an empty directory is given once, and their
+// directory's epoch. Two kinds of coordinator are rejected: one with an empty disk in place of a
+// voter's, and one whose disk was restored from an old copy. Such a disk lacks recent votes, and
+// its coordinator could vote twice in a term.
 type peerLayer struct {
 	net.Listener
 	node *Node
@@ -51,7 +51,8 @@
 func (a networkAddress) Network() string { return "tcp" }
 func (a networkAddress) String() string  { return string(a) }
 
-// peerAddress is a coordinator's address in the form that the library stores: NAME/IDENTITY@HOST:PORT.
+// peerAddress is a coordinator's address in the form that the library stores:
+// NAME/IDENTITY@HOST:PORT.
 type peerAddress struct {
 	name     string
 	identity string
@@ -86,8 +87,8 @@
 	return err
 }
 
-// readHandshake reads the other side's line. It reads no byte beyond the line, as those belong to the
-// library.
+// readHandshake reads the other side's line. It reads no byte beyond the line, as those belong to
+// the library.
 func readHandshake(c net.Conn) (peerHandshake, error) {
 	var line []byte
 	next := make([]byte, 1)
@@ -163,8 +164,8 @@
 	return c.SetDeadline(time.Time{})
 }
 
-// endIfOutdated calls OnFatal if the peer rejected this side's disk as outdated: the disk lacks recent
-// votes, so the process must not rejoin the group.
+// endIfOutdated calls OnFatal if the peer rejected this side's disk as outdated: the disk lacks
+// recent votes, so the process must not rejoin the group.
 func (p *peerLayer) endIfOutdated(err error) {
 	var rejected *rejectedByPeerError
 	if errors.As(err, &rejected) && rejected.isOutdatedDisk() {
@@ -198,8 +199,8 @@
 	return true
 }
 
-// incomingConnection verifies the handshake at the first Read, which happens on the connection's own
-// goroutine, so a silent peer doesn't block Accept.
+// incomingConnection verifies the handshake at the first Read, which happens on the connection's
+// own goroutine, so a silent peer doesn't block Accept.
 type incomingConnection struct {
 	net.Conn
 	layer          *peerLayer
@@ -224,7 +225,7 @@
 	}
 	if err := c.checkPeer(peer); err != nil {
 		reason := strings.ReplaceAll(err.Error(), "\n", " ")
-		_, _ = c.Conn.Write([]byte(rejectionPrefix + reason + "\n")) // an error doesn't matter: the connection is closed anyway
+		_, _ = c.Conn.Write([]byte(rejectionPrefix + reason + "\n")) // best effort: it is closed anyway
 		return err
 	}
 	if err := c.layer.writeHandshake(c.Conn, noWantedIdentity); err != nil {
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -18,8 +18,8 @@
 	// tickInterval bounds how far the state's clock lags behind the leader's clock.
 	tickInterval = 200 * time.Millisecond
 
-	// maxElapsedPerCommand bounds the time that one command may add. A leader that was paused for long
-	// must not expire all sessions with its first command afterwards.
+	// maxElapsedPerCommand bounds the time that one command may add. A leader that was paused for
+	// long must not expire all sessions with its first command afterwards.
 	maxElapsedPerCommand = time.Second
 )
 
@@ -30,8 +30,8 @@
 	last time.Duration // reading of clock.Now
 }
 
-// Propose commits a command to the log, waits until it is applied, and returns its response. The error
-// is ErrNotLeader if the caller must ask another coordinator.
+// Propose commits a command to the log, waits until it is applied, and returns its response. The
+// error is ErrNotLeader if the caller must ask another coordinator.
 func (n *Node) Propose(c coord.Command) (coord.Response, error) {
 	limit := maxCommands(c.Op)
 	if n.commandsInFlight.Add(1) > int64(limit) {
@@ -77,8 +77,9 @@
 func (n *Node) submit(c coord.Command) (raft.ApplyFuture, error) {
 	n.leaderClock.Lock()
 	defer n.leaderClock.Unlock()
-	// The clock is read after the term. Time that another leader measured before this term began can't
-	// be included, and the state machine ignores Elapsed if the entry is committed under another term.
+	// The clock is read after the term. Time that another leader measured before this term began
+	// can't be included, and the state machine ignores Elapsed if the entry is committed under
+	// another term.
 	c.Term = n.raft.CurrentTerm()
 	now := clock.Now()
 	if c.Term == n.leaderClock.term {
@@ -102,8 +103,9 @@
 	return n.raft.Apply(entry, proposeTimeout), nil
 }
 
-// advanceTime proposes ticks while this coordinator leads, and its configured clock rate bound if the
-// state has another one. The next tick repeats a failed proposal. Start starts it; it ends with ctx.
+// advanceTime proposes ticks while this coordinator leads, and its configured clock rate bound if
+// the state has another one. The next tick repeats a failed proposal. Start starts it; it ends with
+// ctx.
 func (n *Node) advanceTime(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -134,8 +136,8 @@
 	}
 }
 
-// LinearizableRead calls f with a state that is not older than the call. The error is ErrNotLeader if
-// the caller must ask another coordinator. f must not retain the state.
+// LinearizableRead calls f with a state that is not older than the call. The error is ErrNotLeader
+// if the caller must ask another coordinator. f must not retain the state.
 func (n *Node) LinearizableRead(f func(*coord.State)) error {
 	if !failpoint.IsInjected("stale-read") {
 		if n.raft.State() != raft.Leader {
--- a/internal/coord/node/read_barrier.go
+++ b/internal/coord/node/read_barrier.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// sharedBarrier makes readers that arrive while a barrier is in progress share the next one, so that one
-// log entry serves all of them. A change wakes thousands of watchers at the same time, and each of them
-// reads. A barrier that was proposed before a reader arrived must not serve it: the state could be older
-// than the reader's call.
+// sharedBarrier makes readers that arrive while a barrier is in progress share the next one, so
+// that one log entry serves all of them. A change wakes thousands of watchers at the same time, and
+// each of them reads. A barrier that was proposed before a reader arrived must not serve it: the
+// state could be older than the reader's call.
 type sharedBarrier struct {
 	propose func() error // proposes one barrier and waits until it is applied
 
--- a/internal/coord/node/read_barrier_test.go
+++ b/internal/coord/node/read_barrier_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 )
 
-// A thousand readers arrive while a barrier is in progress. They must share the next one: the current
-// one was proposed before they arrived, and they could read a state older than their call.
+// A thousand readers arrive while a barrier is in progress. They must share the next one: the
+// current one was proposed before they arrived, and they could read a state older than their call.
 func TestReadersNeverShareAnEarlierBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var proposed atomic.Int64
--- a/internal/coord/node/recovery.go
+++ b/internal/coord/node/recovery.go
@@ -10,14 +10,14 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// recoveryTokenGap is how much tokens rise after the permanent loss of a majority: above any token that
-// the lost coordinators may have issued.
+// recoveryTokenGap is how much tokens rise after the permanent loss of a majority: above any token
+// that the lost coordinators may have issued.
 const recoveryTokenGap = 1 << 40
 
-// Recover makes the coordinator of a directory the only voter of its group, after the permanent loss of
-// a majority. It raises all tokens above any that the lost coordinators may have issued: otherwise a
-// holder could act with a token of theirs that is newer than its successor's. Commands that they
-// committed and this coordinator has not received are lost.
+// Recover makes the coordinator of a directory the only voter of its group, after the permanent
+// loss of a majority. It raises all tokens above any that the lost coordinators may have issued:
+// otherwise a holder could act with a token of theirs that is newer than its successor's. Commands
+// that they committed and this coordinator has not received are lost.
 func Recover(o Options) error {
 	n := newNode(o)
 	snapshots, snapshotIndex, err := openSnapshots(o.Directory, hclog.NewNullLogger())
--- a/internal/coord/node/start_test.go
+++ b/internal/coord/node/start_test.go
@@ -12,8 +12,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// startNode starts a coordinator that belongs to no group, on an empty directory. It is closed at the
-// end of the test.
+// startNode starts a coordinator that belongs to no group, on an empty directory. It is closed at
+// the end of the test.
 func startNode(t *testing.T, snapshotEntries uint64) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,8 @@
 	return n
 }
 
-// startUpgradedLeader starts a coordinator that leads a group of one at the latest version and takes no snapshots.
+// startUpgradedLeader starts a coordinator that leads a group of one at the latest version and
+// takes no snapshots.
 func startUpgradedLeader(t *testing.T) *Node {
 	t.Helper()
 	n := startNode(t, 1<<20)
--- a/internal/coord/node/state_machine.go
+++ b/internal/coord/node/state_machine.go
@@ -80,8 +80,8 @@
 // stateSnapshot is an encoded state.
 type stateSnapshot []byte
 
-// Persist writes the snapshot; the library syncs and renames the file. The crash points lie between the
-// two writes and before and after the renaming: a partly written snapshot must never be read.
+// Persist writes the snapshot; the library syncs and renames the file. The crash points lie between
+// the two writes and before and after the renaming: a partly written snapshot must never be read.
 func (s stateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s[:len(s)/2]); err != nil {
 		return errors.Join(err, sink.Cancel())
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -30,8 +30,8 @@
 	unsyncedEntries = 50
 )
 
-// diskStore stores the log and the votes in one file, each entry and value with a checksum: otherwise a
-// bit flipped on disk would be replicated.
+// diskStore stores the log and the votes in one file, each entry and value with a checksum:
+// otherwise a bit flipped on disk would be replicated.
 type diskStore struct {
 	*raftboltdb.BoltStore
 	onFatal func(error) // called when a value can't be stored: the process must exit
@@ -42,11 +42,12 @@
 }
 
 // openStore opens the log of a directory and verifies all of it. Entries up to snapshotIndex may be
-// missing, as a snapshot covers them. The error wraps errDamaged if the content of the file is corrupt.
+// missing, as a snapshot covers them. The error wraps errDamaged if the content of the file is
+// corrupt.
 func openStore(directory string, snapshotIndex uint64, onFatal func(error)) (d *diskStore, err error) {
 	path := filepath.Join(directory, logFileName)
-	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns the
-	// fault into a panic, and the recover below turns the panic into an error.
+	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns
+	// the fault into a panic, and the recover below turns the panic into an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -190,7 +191,8 @@
 	return err
 }
 
-// storeUnsynced keeps the most recent entries in memory only, like a disk that loses unsynced writes.
+// storeUnsynced keeps the most recent entries in memory only, like a disk that loses unsynced
+// writes.
 func (d *diskStore) storeUnsynced(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,8 +237,8 @@
 	return d.BoltStore.DeleteRange(low, high)
 }
 
-// Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could vote
-// twice in one term.
+// Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could
+// vote twice in one term.
 func (d *diskStore) Set(key, value []byte) error {
 	summed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
 	err := d.BoltStore.Set(key, summed)
@@ -246,8 +248,8 @@
 	return err
 }
 
-// Get reads a value and verifies its checksum. For a missing key it returns raftboltdb.ErrKeyNotFound
-// unwrapped, which the consensus library recognizes by its text.
+// Get reads a value and verifies its checksum. For a missing key it returns
+// raftboltdb.ErrKeyNotFound unwrapped, which the consensus library recognizes by its text.
 func (d *diskStore) Get(key []byte) ([]byte, error) {
 	stored, err := d.BoltStore.Get(key)
 	if err != nil {
--- a/internal/coord/node/store_inspect.go
+++ b/internal/coord/node/store_inspect.go
@@ -13,9 +13,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// The layout of the two meta pages of a bbolt file, from bbolt's documentation of the format: a page
-// header of 16 bytes; magic, version, page size and flags (4 bytes each); root (16); freelist, number
-// of pages and transaction (8 each); and an FNV-1a checksum of the content after the header.
+// The layout of the two meta pages of a bbolt file, from bbolt's documentation of the format: a
+// page header of 16 bytes; magic, version, page size and flags (4 bytes each); root (16); freelist,
+// number of pages and transaction (8 each); and an FNV-1a checksum of the content after the header.
 const (
 	pageHeaderBytes   = 16
 	metaBytes         = 56
@@ -39,9 +39,9 @@
 	lastVoteCandidateKey = "LastVoteCand"
 )
 
-// inspectFile detects damage that bbolt ignores. If a meta page is damaged, bbolt silently falls back to
-// the older one and loses the last transaction, which may include a vote. A damaged key looks like a
-// key that was never written.
+// inspectFile detects damage that bbolt ignores. If a meta page is damaged, bbolt silently falls
+// back to the older one and loses the last transaction, which may include a vote. A damaged key
+// looks like a key that was never written.
 func inspectFile(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -88,7 +88,8 @@
 	if !hasMagic || binary.LittleEndian.Uint64(meta[metaBytes:]) != checksum.Sum64() {
 		return fmt.Errorf("%w: a meta page is invalid, and the other one may lack the last transaction", errDamaged)
 	}
-	// Free pages are written and read later: if the file is truncated within them, the fault comes then.
+	// Free pages are written and read later: if the file is truncated within them, the fault comes
+	// then.
 	size, err := file.Stat()
 	if err != nil {
 		return err
@@ -100,9 +101,9 @@
 	return nil
 }
 
-// inspectBuckets reads every byte of all keys and values in order: if a page points outside the file,
-// the fault happens now, while openStore reports it as damage. It doesn't use tx.Check, which reads on
-// its own goroutine, where a fault would terminate the process.
+// inspectBuckets reads every byte of all keys and values in order: if a page points outside the
+// file, the fault happens now, while openStore reports it as damage. It doesn't use tx.Check, which
+// reads on its own goroutine, where a fault would terminate the process.
 func inspectBuckets(tx *bbolt.Tx) error {
 	return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
 		if err := inspectOrder(bucket); err != nil {
--- a/internal/coord/node/store_test.go
+++ b/internal/coord/node/store_test.go
@@ -46,8 +46,8 @@
 }
 
 // A log file is truncated, or has one bit flipped, at a random place. Opening it must either report
-// damage or find everything that was written. If a vote were lost silently, the coordinator could vote
-// twice in one term.
+// damage or find everything that was written. If a vote were lost silently, the coordinator could
+// vote twice in one term.
 func TestDamagedLogIsReported(t *testing.T) {
 	dir, want := writeClosedStore(t)
 	intact, err := os.ReadFile(filepath.Join(dir, "log.db"))
@@ -97,8 +97,9 @@
 	}
 }
 
-// Entries are missing in the middle of a log. This is damage, unless a snapshot covers them: a snapshot
-// received from the leader leaves such a gap. Otherwise a store could silently skip commands.
+// Entries are missing in the middle of a log. This is damage, unless a snapshot covers them: a
+// snapshot received from the leader leaves such a gap. Otherwise a store could silently skip
+// commands.
 func TestGapInLogIsDamageUnlessSnapshotCoversIt(t *testing.T) {
 	directory, _ := writeClosedStore(t)
 	d, err := openStore(directory, 0, func(err error) { t.Fatal(err) })
--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -13,9 +13,9 @@
 )
 
 // acknowledge sends the applied revision to the current observer when it changes and at least every
-// maxAcknowledgeInterval, until ctx ends; Run waits for it. The client derives the age of its state from
-// the responses: a line of the watch may have been in transit for any time, but a response can't be older
-// than its request.
+// maxAcknowledgeInterval, until ctx ends; Run waits for it. The client derives the age of its state
+// from the responses: a line of the watch may have been in transit for any time, but a response
+// can't be older than its request.
 func (c *Client) acknowledge(ctx context.Context) {
 	ticker := time.NewTicker(maxAcknowledgeInterval)
 	defer ticker.Stop()
@@ -65,12 +65,13 @@
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxRejectionBytes)).Decode(&answer); err != nil {
 		return err
 	}
-	c.confirmed(answer, sent)
+	c.recordAge(answer, sent)
 	return nil
 }
 
-// confirmed updates the age of the state from the response to an acknowledgement that was sent at sent.
-func (c *Client) confirmed(answer protocol.AcknowledgementResponse, sent time.Duration) {
+// recordAge updates the age of the state from the response to an acknowledgement that was sent at
+// sent.
+func (c *Client) recordAge(answer protocol.AcknowledgementResponse, sent time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.AgeMillis < 0 || c.replica.Revision() < answer.Newest {
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -1,6 +1,6 @@
-// Package client watches the agreed documents for a router. It uses one observer of a list and switches
-// to another when that one fails, becomes silent or is stale. Its revision never decreases. It is not
-// meant to be waited for while serving a request.
+// Package client watches the agreed documents for a router. It uses one observer of a list and
+// switches to another when that one fails, becomes silent or is stale. Its revision never
+// decreases. It is not meant to be waited for while serving a request.
 package client
 
 import (
@@ -32,9 +32,9 @@
 	WatcherName string   // name of the router, by which its acknowledgements are counted
 	Prefix      string   // of the names of the documents to watch
 
-	// Apply applies a state completely or not at all. If it fails, the previous state stays applied and
-	// nothing is acknowledged until a later state is applied. It is called from one goroutine, for
-	// updates that have changes. It must be set.
+	// Apply applies a state completely or not at all. If it fails, the previous state stays applied
+	// and nothing is acknowledged until a later state is applied. It is called from one goroutine,
+	// for updates that have changes. It must be set.
 	Apply func(context.Context, State) error
 
 	Log *slog.Logger // nil: nothing is logged
@@ -42,22 +42,23 @@
 
 // Timeouts and delays of the client.
 const (
-	minPause = 50 * time.Millisecond // after an observer failed; doubles for each further one
-	maxPause = 2 * time.Second
+	minReconnectPause = 50 * time.Millisecond // after an observer failed; doubles for each further one
+	maxReconnectPause = 2 * time.Second
 
-	// silenceTimeout is how long an observer may send nothing; it sends two progress notices per second.
+	// silenceTimeout is how long an observer may send nothing; it sends two progress notices per
+	// second.
 	silenceTimeout = 2 * time.Second
 
-	// minStaleAge is the age of the state at which the client switches to another observer. It doubles
-	// each time in a row, as all observers may be stale.
+	// minStaleAge is the age of the state at which the client switches to another observer. It
+	// doubles each time in a row, as all observers may be stale.
 	minStaleAge = 5 * time.Second
 	maxStaleAge = time.Minute
 
 	minAcknowledgeInterval = 200 * time.Millisecond
 	maxAcknowledgeInterval = 2 * time.Second
 
-	// A Retry-After is lengthened by a random amount of up to 1/retryJitter, so that clients that were
-	// rejected together don't retry at the same time.
+	// A Retry-After is lengthened by a random amount of up to 1/retryJitter, so that clients that
+	// were rejected together don't retry at the same time.
 	retryJitter = 4
 
 	dialTimeout           = time.Second
@@ -75,7 +76,8 @@
 	observer       string // address of the observer that is watched; "" if none is
 	isApplyFailing bool   // the most recent call of Apply failed
 	isComplete     bool   // whether completeAt is set
-	// completeAt is the latest instant of clock.Now at which the replica is known to have been complete.
+	// completeAt is the latest instant of clock.Now at which the replica is known to have been
+	// complete.
 	completeAt time.Duration
 }
 
@@ -98,7 +100,8 @@
 	}
 }
 
-// Revisions returns the revision up to which the replica is complete, and the one that was applied last.
+// Revisions returns the revision up to which the replica is complete, and the one that was applied
+// last.
 func (c *Client) Revisions() (complete, applied uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +130,7 @@
 	wg.Go(func() { c.acknowledge(ctx) })
 	order := slices.Clone(c.options.Observers)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	pause, stale := minPause, minStaleAge
+	pause, stale := minReconnectPause, minStaleAge
 	for i := 0; ctx.Err() == nil && len(order) > 0; i++ {
 		address := order[i%len(order)]
 		updates, err := c.watch(ctx, address, stale)
@@ -137,7 +140,7 @@
 		}
 		c.options.Log.Info("switching to another observer", "before", address, "error", err)
 		if updates > 0 {
-			pause = minPause
+			pause = minReconnectPause
 		}
 		if errors.Is(err, errStale) {
 			stale = min(2*stale, maxStaleAge)
@@ -147,13 +150,13 @@
 		if !clock.Sleep(ctx, reconnectDelay(err, pause)) {
 			return
 		}
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxReconnectPause)
 	}
 }
 
 // reconnectDelay returns how long to wait after a watch ended: the observer's Retry-After and up to
-// 1/retryJitter of it longer, or else a random duration between half of the pause and one and a half
-// times the pause.
+// 1/retryJitter of it longer, or else a random duration between half of the pause and one and a
+// half times the pause.
 func reconnectDelay(err error, pause time.Duration) time.Duration {
 	var rejection *protocol.Rejection
 	if errors.As(err, &rejection) && rejection.RetryAfterMillis > 0 {
@@ -167,7 +170,7 @@
 	c.mu.Lock()
 	c.observer = address
 	c.mu.Unlock()
-	c.wake()
+	c.signalAcknowledgement()
 }
 
 // receive adds an update to the replica and applies the new state.
@@ -179,7 +182,8 @@
 	if update.Snapshot || len(update.Changes) > 0 {
 		err = c.options.Apply(ctx, state)
 		if err != nil {
-			c.options.Log.Warn("state not applied; the previous state stays in force", "revision", state.Revision, "error", err)
+			c.options.Log.Warn("state not applied; the previous state stays in force",
+				"revision", state.Revision, "error", err)
 		}
 		c.recordApplyResult(err)
 	}
@@ -213,15 +217,15 @@
 	if !c.isApplyFailing {
 		c.replica.MarkApplied(revision)
 	}
-	hasNews := c.replica.Acknowledged() != before
+	hasAdvanced := c.replica.Acknowledged() != before
 	c.mu.Unlock()
-	if hasNews {
-		c.wake()
+	if hasAdvanced {
+		c.signalAcknowledgement()
 	}
 }
 
-// wake signals that there may be something to acknowledge.
-func (c *Client) wake() {
+// signalAcknowledgement signals that there may be something to acknowledge.
+func (c *Client) signalAcknowledgement() {
 	select {
 	case c.acknowledgeDue <- struct{}{}:
 	default: // a signal is pending already
--- a/internal/coord/observer/client/client_test.go
+++ b/internal/coord/observer/client/client_test.go
@@ -17,12 +17,12 @@
 
 // fakeObserver sends each watch the configured updates and then ends the watch or keeps it open.
 type fakeObserver struct {
-	mu           sync.Mutex
-	updates      []protocol.Update
-	staysOpen    bool
-	asked        []string // revisions from which watches were started
-	acknowledged []uint64
-	answer       protocol.AcknowledgementResponse
+	mu                 sync.Mutex
+	updates            []protocol.Update
+	staysOpen          bool
+	requestedRevisions []string // revisions from which watches were started
+	acknowledged       []uint64
+	answer             protocol.AcknowledgementResponse
 }
 
 func (f *fakeObserver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,7 @@
 		return
 	}
 	f.mu.Lock()
-	f.asked = append(f.asked, r.URL.Query().Get("after"))
+	f.requestedRevisions = append(f.requestedRevisions, r.URL.Query().Get("after"))
 	f.mu.Unlock()
 	for _, update := range updates {
 		_ = json.NewEncoder(w).Encode(update)
@@ -50,7 +50,7 @@
 	}
 }
 
-func (f *fakeObserver) script(staysOpen bool, updates ...protocol.Update) {
+func (f *fakeObserver) setUpdates(staysOpen bool, updates ...protocol.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.updates, f.staysOpen = updates, staysOpen
@@ -64,8 +64,8 @@
 	reject func(State) bool
 }
 
-// run starts a client of observers with these handlers, until the end of the test.
-func run(t *testing.T, reject func(State) bool, observers ...http.Handler) *router {
+// startRouter starts a client of observers with these handlers, until the end of the test.
+func startRouter(t *testing.T, reject func(State) bool, observers ...http.Handler) *router {
 	t.Helper()
 	r := &router{reject: reject}
 	var addresses []string
@@ -113,7 +113,7 @@
 	}
 }
 
-func held(r *router, want uint64) func() error {
+func hasRevision(r *router, want uint64) func() error {
 	return func() error {
 		if got, _ := r.Revisions(); got != want {
 			return fmt.Errorf("revision %d, want %d", got, want)
@@ -130,33 +130,33 @@
 	return update
 }
 
-func differences(after, through uint64, names ...string) protocol.Update {
+func changesBetween(after, through uint64, names ...string) protocol.Update {
 	update := snapshot(through, names...)
 	update.Snapshot, update.After = false, after
 	return update
 }
 
-// A client's observer fails, and others are stale or send changes that don't follow the client's revision.
-// The client must switch until an observer continues from its revision and never apply an older state;
-// otherwise an old configuration could return.
-func TestNeverGoesBack(t *testing.T) {
+// A client's observer fails, and others are stale or send changes that don't follow the client's
+// revision. The client must switch until an observer continues from its revision and never apply an
+// older state; otherwise an old configuration could return.
+func TestRevisionNeverDecreases(t *testing.T) {
 	first, second := &fakeObserver{}, &fakeObserver{}
-	first.script(false, snapshot(5, "a", "b"))
-	second.script(false, snapshot(5, "a", "b"))
-	r := run(t, nil, first, second)
-	eventually(t, held(r, 5))
-	first.script(false, snapshot(3, "a"))        // stale
-	second.script(false, differences(6, 7, "c")) // doesn't follow revision 5
-	before := watches(first) + watches(second)
+	first.setUpdates(false, snapshot(5, "a", "b"))
+	second.setUpdates(false, snapshot(5, "a", "b"))
+	r := startRouter(t, nil, first, second)
+	eventually(t, hasRevision(r, 5))
+	first.setUpdates(false, snapshot(3, "a"))           // stale
+	second.setUpdates(false, changesBetween(6, 7, "c")) // doesn't follow revision 5
+	before := countWatches(first) + countWatches(second)
 	eventually(t, func() error {
-		if watches(first)+watches(second) < before+3 {
+		if countWatches(first)+countWatches(second) < before+3 {
 			return errors.New("the client doesn't switch observers")
 		}
-		return held(r, 5)()
+		return hasRevision(r, 5)()
 	})
-	second.script(true, differences(5, 6, "c"), differences(6, 7, "d"))
-	first.script(false)
-	eventually(t, held(r, 7))
+	second.setUpdates(true, changesBetween(5, 6, "c"), changesBetween(6, 7, "d"))
+	first.setUpdates(false)
+	eventually(t, hasRevision(r, 7))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := uint64(0)
@@ -171,19 +171,20 @@
 	}
 }
 
-func watches(f *fakeObserver) int {
+func countWatches(f *fakeObserver) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.asked)
+	return len(f.requestedRevisions)
 }
 
-// A state can't be applied. Neither it nor the following progress notice may be acknowledged, but the next
-// state that is applied must be. Otherwise operators could conclude that the change is applied.
-func TestRefusedStateIsNotAcknowledged(t *testing.T) {
+// A state can't be applied. Neither it nor the following progress notice may be acknowledged, but
+// the next state that is applied must be. Otherwise operators could conclude that the change is
+// applied.
+func TestStateThatFailsToApplyIsNotAcknowledged(t *testing.T) {
 	observer := &fakeObserver{}
-	observer.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6))
-	r := run(t, func(s State) bool { return s.Revision == 5 }, observer)
-	eventually(t, held(r, 6))
+	observer.setUpdates(true, snapshot(4, "a"), changesBetween(4, 5, "bad"), changesBetween(5, 6))
+	r := startRouter(t, func(s State) bool { return s.Revision == 5 }, observer)
+	eventually(t, hasRevision(r, 6))
 	if _, applied := r.Revisions(); applied != 4 {
 		t.Errorf("revision %d is reported as applied, want 4", applied)
 	}
@@ -196,8 +197,9 @@
 		return nil
 	})
 	other := &fakeObserver{}
-	other.script(true, snapshot(4, "a"), differences(4, 5, "bad"), differences(5, 6), differences(6, 7, "good"))
-	r = run(t, func(s State) bool { return s.Revision == 5 }, other)
+	other.setUpdates(true, snapshot(4, "a"),
+		changesBetween(4, 5, "bad"), changesBetween(5, 6), changesBetween(6, 7, "good"))
+	r = startRouter(t, func(s State) bool { return s.Revision == 5 }, other)
 	eventually(t, func() error {
 		if _, applied := r.Revisions(); applied != 7 {
 			return fmt.Errorf("revision %d is applied", applied)
@@ -206,30 +208,31 @@
 	})
 }
 
-// The response to an acknowledgement has the observer's newest revision and age. The client's age must be
-// unknown until such a response has no newer revision than its replica, and then be counted from when the
-// acknowledgement was sent. Otherwise a lagging client could appear to be complete.
-func TestAge(t *testing.T) {
+// The response to an acknowledgement has the observer's newest revision and age. The client's age
+// must be unknown until such a response has no newer revision than its replica, and then be counted
+// from when the acknowledgement was sent. Otherwise a lagging client could appear to be complete.
+func TestAgeIsUnknownWhileClientLags(t *testing.T) {
 	c := New(Options{})
 	if err := c.replica.Apply(snapshot(5).Batch); err != nil {
 		t.Fatal(err)
 	}
 	for _, answer := range []protocol.AcknowledgementResponse{{Newest: 6}, {Newest: 5, AgeMillis: -1}} {
-		c.confirmed(answer, 0)
+		c.recordAge(answer, 0)
 		if _, ok := c.Age(); ok {
 			t.Errorf("%+v: an age is known", answer)
 		}
 	}
-	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 1000}, time.Hour)
-	c.confirmed(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 9000}, time.Hour) // older: completeAt must not decrease
+	c.recordAge(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 1000}, time.Hour)
+	c.recordAge(protocol.AcknowledgementResponse{Newest: 5, AgeMillis: 9000}, time.Hour) // older: ignored
 	if c.completeAt != time.Hour-time.Second {
 		t.Errorf("complete at %v", c.completeAt)
 	}
 }
 
-// An observer rejects many clients with the same Retry-After. Each must wait at least that long and up to a
-// quarter longer, so that they don't retry at the same time. Without a Retry-After the pause is spread.
-func TestComeBack(t *testing.T) {
+// An observer rejects many clients with the same Retry-After. Each must wait at least that long and
+// up to a quarter longer, so that they don't retry at the same time. Without a Retry-After the
+// pause is spread.
+func TestReconnectDelayIsSpread(t *testing.T) {
 	rejection := &protocol.Rejection{Code: protocol.CodeOverloaded, RetryAfterMillis: 8000}
 	delays := map[time.Duration]bool{}
 	for range 100 {
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -46,10 +46,11 @@
 	}
 }
 
-// Routers and observers are upgraded one after another, so a new client must read the stream of an older
-// observer. The recorded stream has the changes through revision 5, a progress notice, a change of
-// routers/a at revision 6 and the deletion of routers/b at 7. If the client decoded a field under another
-// name, it would stay at an older revision, keep the deleted document or never know the age of its state.
+// Routers and observers are upgraded one after another, so a new client must read the stream of an
+// older observer. The recorded stream has the changes through revision 5, a progress notice, a
+// change of routers/a at revision 6 and the deletion of routers/b at 7. If the client decoded a
+// field under another name, it would stay at an older revision, keep the deleted document or never
+// know the age of its state.
 func TestClientReadsEarlierObserver(t *testing.T) {
 	watch := fixture(t, "watch-from-start.jsonl")
 	_, changes, _ := bytes.Cut(fixture(t, "watch-changes.jsonl"), []byte("\n")) // its first line starts at revision 3
@@ -59,7 +60,7 @@
 		watch:           watch,
 		acknowledgement: fixture(t, "acknowledgement.json"),
 	}
-	r := run(t, nil, observer)
+	r := startRouter(t, nil, observer)
 	eventually(t, func() error {
 		held, applied := r.Revisions()
 		if held != 7 || applied != 7 {
@@ -82,10 +83,11 @@
 	}
 }
 
-// A client whose revision the observer has compacted is sent a snapshot. It must replace the client's state.
+// A client whose revision the observer has compacted is sent a snapshot. It must replace the
+// client's state.
 func TestClientReadsEarlierSnapshot(t *testing.T) {
 	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
-	r := run(t, nil, observer)
+	r := startRouter(t, nil, observer)
 	eventually(t, func() error {
 		if held, _ := r.Revisions(); held != 7 {
 			return fmt.Errorf("revision %d", held)
@@ -94,8 +96,8 @@
 	})
 }
 
-// An observer of an earlier version rejects watches. The client must decode the code, which distinguishes
-// an observer that is behind from an overloaded one, and the time to retry.
+// An observer of an earlier version rejects watches. The client must decode the code, which
+// distinguishes an observer that is behind from an overloaded one, and the time to retry.
 func TestClientReadsEarlierRejections(t *testing.T) {
 	for name, want := range map[string]protocol.Rejection{
 		"watch-behind.json":     {Code: protocol.CodeBehind},
@@ -107,7 +109,7 @@
 			server := httptest.NewServer(observer)
 			defer server.Close()
 			c := New(Options{WatcherName: "w"})
-			_, err := c.open(t.Context(), server.Listener.Addr().String())
+			_, err := c.openWatch(t.Context(), server.Listener.Addr().String())
 			var got *protocol.Rejection
 			if !errors.As(err, &got) || got.Code != want.Code || got.RetryAfterMillis != want.RetryAfterMillis {
 				t.Errorf("%v, want %+v", err, want)
@@ -116,8 +118,9 @@
 	}
 }
 
-// Messages of this version must have the same bytes as those of the earlier one, as older routers read them.
-func TestMessagesHaveTheEarlierBytes(t *testing.T) {
+// Messages of this version must have the same bytes as those of the earlier one, as older routers
+// read them.
+func TestMessagesHaveSameBytesAsEarlierVersion(t *testing.T) {
 	for name, message := range map[string]any{
 		"acknowledgement.json":            protocol.AcknowledgementResponse{},
 		"acknowledgement-rejected.json":   protocol.Rejection{},
--- a/internal/coord/observer/client/watch.go
+++ b/internal/coord/observer/client/watch.go
@@ -23,12 +23,12 @@
 // errStale means that the watch works but the observer's state is too old.
 var errStale = errors.New("the observer's state is too old")
 
-// watch watches through one observer until it fails, sends nothing for silenceTimeout, or the replica is
-// older than staleAfter. It returns the number of updates received.
+// watch watches through one observer until it fails, sends nothing for silenceTimeout, or the
+// replica is older than staleAfter. It returns the number of updates received.
 func (c *Client) watch(ctx context.Context, address string, staleAfter time.Duration) (updates int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	response, err := c.open(ctx, address)
+	response, err := c.openWatch(ctx, address)
 	if err != nil {
 		return 0, err
 	}
@@ -61,8 +61,8 @@
 	return updates, io.ErrUnexpectedEOF
 }
 
-// open starts a watch from the replica's revision.
-func (c *Client) open(ctx context.Context, address string) (*http.Response, error) {
+// openWatch starts a watch from the replica's revision.
+func (c *Client) openWatch(ctx context.Context, address string) (*http.Response, error) {
 	revision, _ := c.Revisions()
 	query := url.Values{
 		"watcher": {c.options.WatcherName},
@@ -98,7 +98,8 @@
 	return &rejection
 }
 
-// watchdogReader resets the watchdog after each read, as a snapshot may take longer than silenceTimeout.
+// watchdogReader resets the watchdog after each read, as a snapshot may take longer than
+// silenceTimeout.
 type watchdogReader struct {
 	from     io.Reader
 	watchdog *time.Timer
--- a/internal/coord/observer/follow.go
+++ b/internal/coord/observer/follow.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	pollTimeout    = 5 * time.Second        // a coordinator answers a poll within one second
-	maxUpstreamAge = 3 * time.Second        // the observer leaves a coordinator whose state is older
-	minPause       = 50 * time.Millisecond  // after a coordinator failed; doubles each time
-	maxPause       = 500 * time.Millisecond // short, as there are only a few observers
-	maxAnswerBytes = 16 << 20               // twice the size of a snapshot of all documents in base64
+	pollTimeout       = 5 * time.Second        // a coordinator answers a poll within one second
+	maxUpstreamAge    = 3 * time.Second        // the observer leaves a coordinator whose state is older
+	minReconnectPause = 50 * time.Millisecond  // after a coordinator failed; doubles each time
+	maxReconnectPause = 500 * time.Millisecond // short, as there are only a few observers
+	maxAnswerBytes    = 16 << 20               // twice the size of a snapshot of all documents in base64
 )
 
 // follow polls one coordinator after another, each for as long as it responds with recent state.
@@ -30,7 +30,7 @@
 	}
 	slices.Sort(names)
 	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	pause := minPause
+	pause := minReconnectPause
 	for i := 0; ctx.Err() == nil; i++ {
 		name := names[i%len(names)]
 		answered, err := o.followOne(ctx, name)
@@ -39,16 +39,17 @@
 		}
 		o.options.Log.Warn("switching to another coordinator", "before", name, "error", err)
 		if answered {
-			pause = minPause
+			pause = minReconnectPause
 		}
 		if !clock.Sleep(ctx, jitter(pause)) {
 			return
 		}
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxReconnectPause)
 	}
 }
 
-// followOne polls a coordinator until it fails. It reports whether the coordinator responded at least once.
+// followOne polls a coordinator until it fails. It reports whether the coordinator responded at
+// least once.
 func (o *Observer) followOne(ctx context.Context, name string) (answered bool, err error) {
 	for {
 		o.mu.Lock()
@@ -66,7 +67,7 @@
 			return answered, fmt.Errorf("coordinator state is %v old", update.Age())
 		}
 		o.mu.Lock()
-		o.following = name
+		o.upstreamName = name
 		o.mu.Unlock()
 		answered = true
 	}
--- a/internal/coord/observer/join_limiter.go
+++ b/internal/coord/observer/join_limiter.go
@@ -5,18 +5,18 @@
 const (
 	joinBurst = 32 // watches that may start at the same time
 
-	// maxRetryAfter bounds the Retry-After of a join. If a larger fleet needs longer, the jitter of the
-	// clients spreads the retries.
+	// maxRetryAfter bounds the Retry-After of a join. If a larger fleet needs longer, the jitter of
+	// the clients spreads the retries.
 	maxRetryAfter = 60 * time.Second
 )
 
-// joinLimiter admits new watches at a limited rate. It assigns each rejected join its own time to retry,
-// so that rejected watchers don't all retry at the same time. It has no clock.
+// joinLimiter admits new watches at a limited rate. It assigns each rejected join its own time to
+// retry, so that rejected watchers don't all retry at the same time. It has no clock.
 type joinLimiter struct {
-	perSecond    float64
-	tokens       float64
-	tokensAt     time.Duration // when tokens was updated
-	lastReturnAt time.Duration // the time to retry that was assigned last
+	perSecond   float64
+	tokens      float64
+	tokensAt    time.Duration // when tokens was updated
+	lastRetryAt time.Duration // the time to retry that was assigned last
 }
 
 func newJoinLimiter(perSecond float64) *joinLimiter {
@@ -32,7 +32,7 @@
 		return 0, true
 	}
 	gap := time.Duration(float64(time.Second) / l.perSecond)
-	l.lastReturnAt = max(l.lastReturnAt, now) + gap
-	l.lastReturnAt = min(l.lastReturnAt, now+maxRetryAfter)
-	return l.lastReturnAt - now, false
+	l.lastRetryAt = max(l.lastRetryAt, now) + gap
+	l.lastRetryAt = min(l.lastRetryAt, now+maxRetryAfter)
+	return l.lastRetryAt - now, false
 }
--- a/internal/coord/observer/join_limiter_test.go
+++ b/internal/coord/observer/join_limiter_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A thousand routers join at the same time, as after an observer's restart. Joins are admitted at the
-// rate, and a rejected router that retries at its assigned time is admitted. If all had the same time to
-// retry, most would be rejected again.
-func TestHerdIsAdmittedAtTheRate(t *testing.T) {
+// A thousand routers join at the same time, as after an observer's restart. Joins are admitted at
+// the rate, and a rejected router that retries at its assigned time is admitted. If all had the
+// same time to retry, most would be rejected again.
+func TestJoinsAreAdmittedAtTheRate(t *testing.T) {
 	const joins, perSecond = 1000, 100
 	limiter := newJoinLimiter(perSecond)
 	retryTimes := []time.Duration{}
--- a/internal/coord/observer/observer.go
+++ b/internal/coord/observer/observer.go
@@ -1,6 +1,7 @@
-// Package observer is a read-only replica of the agreed documents. It follows the coordinators without
-// a vote and serves watches to hundreds of routers, so that the load on the coordinators depends only on
-// the number of observers. Its state is in memory; after a restart it takes a snapshot.
+// Package observer is a read-only replica of the agreed documents. It follows the coordinators
+// without a vote and serves watches to hundreds of routers, so that the load on the coordinators
+// depends only on the number of observers. Its state is in memory; after a restart it takes a
+// snapshot.
 package observer
 
 import (
@@ -33,18 +34,18 @@
 	options  Options
 	upstream *http.Client
 
-	mu         sync.Mutex // guards the fields below
-	log        *watchlog.Log
-	isReady    bool
-	completeAt time.Duration // latest instant of clock.Now at which the state is known to have been complete
-	following  string        // the coordinator that is polled
-	changed    chan struct{} // closed and replaced when the log changes
-	watchers   *watcherTable
-	joins      *joinLimiter
+	mu           sync.Mutex // guards the fields below
+	log          *watchlog.Log
+	isReady      bool
+	completeAt   time.Duration // latest instant of clock.Now at which the state is known to have been complete
+	upstreamName string        // the coordinator that is polled
+	changed      chan struct{} // closed and replaced when the log changes
+	watchers     *watcherTable
+	joins        *joinLimiter
 }
 
-// logLimits equal the limits of the coordinators' log, so that an observer sends a snapshot only where a
-// coordinator would have to send one too.
+// logLimits equal the limits of the coordinators' log, so that an observer sends a snapshot only
+// where a coordinator would have to send one too.
 var logLimits = watchlog.Limits{Changes: coord.HistoryLimit(), Bytes: coord.MaxHistoryBytes}
 
 // New returns an observer. Run starts following the coordinators.
@@ -86,15 +87,15 @@
 		o.isReady = true
 	}
 	if o.log.NewestRevision() != before {
-		o.watchers.changed(o.log.NewestRevision(), clock.Now())
+		o.watchers.recordChange(o.log.NewestRevision(), clock.Now())
 		close(o.changed)
 		o.changed = make(chan struct{})
 	}
 	return nil
 }
 
-// ageMillis returns an upper bound on how long ago the state was complete; -1 if it never was. The caller
-// must hold mu.
+// ageMillis returns an upper bound on how long ago the state was complete; -1 if it never was. The
+// caller must hold mu.
 func (o *Observer) ageMillis() int64 {
 	if !o.isReady {
 		return -1
@@ -125,7 +126,7 @@
 	defer o.mu.Unlock()
 	status := o.watchers.status(o.log.NewestRevision(), clock.Now())
 	status.Name = o.options.Name
-	status.Upstream = o.following
+	status.Upstream = o.upstreamName
 	status.AgeMillis = o.ageMillis()
 	return status
 }
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -19,14 +19,14 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// coordinator is a fake coordinator that answers polls from its own log.
-type coordinator struct {
+// fakeCoordinator is a fake fakeCoordinator that answers polls from its own log.
+type fakeCoordinator struct {
 	mu      sync.Mutex
 	log     *watchlog.Log
 	changed chan struct{} // closed and replaced at each change
 }
 
-func (c *coordinator) put(t *testing.T, name string, size int) {
+func (c *fakeCoordinator) put(t *testing.T, name string, size int) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 }
 
 // wait waits for a change after a revision, but no longer than a poll lasts.
-func (c *coordinator) wait(ctx context.Context, after uint64) {
+func (c *fakeCoordinator) wait(ctx context.Context, after uint64) {
 	c.mu.Lock()
 	newest, changed := c.log.NewestRevision(), c.changed
 	c.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *coordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeCoordinator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	c.wait(r.Context(), after)
 	c.mu.Lock()
@@ -70,10 +70,10 @@
 	_ = json.NewEncoder(w).Encode(protocol.Update{Batch: batch, Newest: c.log.NewestRevision()})
 }
 
-// started runs an observer of a fake coordinator until the end of the test.
-func started(t *testing.T, options Options) (*Observer, *coordinator, *httptest.Server) {
+// startObserver runs an observer of a fake coordinator until the end of the test.
+func startObserver(t *testing.T, options Options) (*Observer, *fakeCoordinator, *httptest.Server) {
 	t.Helper()
-	upstream := &coordinator{log: watchlog.NewLog(logLimits), changed: make(chan struct{})}
+	upstream := &fakeCoordinator{log: watchlog.NewLog(logLimits), changed: make(chan struct{})}
 	coordinators := httptest.NewServer(upstream)
 	options.Name, options.Coordinators = "o1", map[string]string{"c1": coordinators.Listener.Addr().String()}
 	o := New(options)
@@ -104,7 +104,8 @@
 	return o, upstream, routers
 }
 
-// socketBytes limits the socket buffers of a watch, so that a watcher that doesn't read is soon detected.
+// socketBytes limits the socket buffers of a watch, so that a watcher that doesn't read is soon
+// detected.
 const socketBytes = 64 << 10
 
 // routerClient is a router's HTTP client.
@@ -118,7 +119,7 @@
 	return conn, conn.(*net.TCPConn).SetReadBuffer(socketBytes)
 }
 
-var plenty = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 30}
+var highLimits = Options{MaxWatchers: 100, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 30}
 
 // eventually waits until f returns no error.
 func eventually(t *testing.T, f func() error) {
@@ -136,8 +137,8 @@
 	}
 }
 
-// watch opens a watch as a router does.
-func watch(t *testing.T, routers *httptest.Server, query string) *http.Response {
+// openWatch opens a openWatch as a router does.
+func openWatch(t *testing.T, routers *httptest.Server, query string) *http.Response {
 	t.Helper()
 	url := routers.URL + protocol.WatchPath + "?" + query
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -152,24 +153,24 @@
 	return response
 }
 
-func scanner(response *http.Response) *bufio.Scanner {
+func newLineScanner(response *http.Response) *bufio.Scanner {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, maxAnswerBytes)
 	return lines
 }
 
-// next applies the watch's next update to a replica.
-func next(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) protocol.Update {
+// nextUpdate applies the watch's nextUpdate update to a replica.
+func nextUpdate(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) protocol.Update {
 	t.Helper()
-	update, ok := tryNext(t, lines, replica)
+	update, ok := tryNextUpdate(t, lines, replica)
 	if !ok {
 		t.Fatalf("the watch ended: %v", lines.Err())
 	}
 	return update
 }
 
-// tryNext is like next, but returns false if the watch has ended, possibly within a line.
-func tryNext(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) (update protocol.Update, ok bool) {
+// tryNextUpdate is like next, but returns false if the watch has ended, possibly within a line.
+func tryNextUpdate(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) (update protocol.Update, ok bool) {
 	t.Helper()
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &update) != nil {
 		return protocol.Update{}, false
@@ -180,18 +181,19 @@
 	return update, true
 }
 
-// Documents change under a watcher's prefix and outside it. The watch gets the changes under its prefix
-// and progress notices for the others, and the watcher can acknowledge the newest revision after either.
-func TestWatch(t *testing.T) {
-	o, upstream, routers := started(t, plenty)
-	lines, replica := scanner(watch(t, routers, "watcher=w1&prefix=a/")), watchlog.NewReplica()
-	if first := next(t, lines, replica); first.Through != 0 || len(first.Changes) != 0 {
+// Documents change under a watcher's prefix and outside it. The watch gets the changes under its
+// prefix and progress notices for the others, and the watcher can acknowledge the newest revision
+// after either.
+func TestWatchGetsOnlyChangesUnderItsPrefix(t *testing.T) {
+	o, upstream, routers := startObserver(t, highLimits)
+	lines, replica := newLineScanner(openWatch(t, routers, "watcher=w1&prefix=a/")), watchlog.NewReplica()
+	if first := nextUpdate(t, lines, replica); first.Through != 0 || len(first.Changes) != 0 {
 		t.Errorf("%+v", first)
 	}
 	upstream.put(t, "a/1", 10)
 	upstream.put(t, "b/1", 10)
 	for replica.Revision() < 2 {
-		next(t, lines, replica)
+		nextUpdate(t, lines, replica)
 	}
 	if documents := replica.Documents(); len(documents) != 1 || documents[0].Name != "a/1" {
 		t.Errorf("%+v", documents)
@@ -209,15 +211,15 @@
 	}
 }
 
-// Watches that can't be served (no state yet, a revision ahead of the observer's, too many watchers, an
-// invalid request) and an acknowledgement of a revision that was not sent must be rejected with the right
-// code: by it a client moves to another observer or waits.
-func TestRefusals(t *testing.T) {
+// Watches that can't be served (no state yet, a revision ahead of the observer's, too many
+// watchers, an invalid request) and an acknowledgement of a revision that was not sent must be
+// rejected with the right code: by it a client moves to another observer or waits.
+func TestRejectionsHaveTheRightCode(t *testing.T) {
 	stateless := New(Options{Name: "o2", MaxWatchers: 1, JoinsPerSecond: 1, WatcherBytesPerSecond: 1 << 20})
 	unready := httptest.NewServer(stateless.Handler())
 	defer unready.Close()
-	_, _, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 20})
-	next(t, scanner(watch(t, routers, "watcher=first")), watchlog.NewReplica())
+	_, _, routers := startObserver(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: 1 << 20})
+	nextUpdate(t, newLineScanner(openWatch(t, routers, "watcher=first")), watchlog.NewReplica())
 	for _, want := range []struct {
 		server *httptest.Server
 		query  string
@@ -230,7 +232,7 @@
 		{routers, "watcher=w&after=x", protocol.CodeInvalid},
 		{routers, "watcher=w&prefix=" + string(bytes.Repeat([]byte("p"), 129)), protocol.CodeInvalid},
 	} {
-		response := watch(t, want.server, want.query)
+		response := openWatch(t, want.server, want.query)
 		var rejection protocol.Rejection
 		if err := json.NewDecoder(response.Body).Decode(&rejection); err != nil || rejection.Code != want.code {
 			t.Errorf("%s: %+v, %v, want %s", want.query, rejection, err, want.code)
@@ -253,9 +255,9 @@
 // More watchers join than the rate allows. They must be rejected with a time to retry; otherwise an
 // observer would send hundreds of snapshots at the same time.
 func TestJoinsAreLimited(t *testing.T) {
-	o, _, routers := started(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytesPerSecond: 1 << 20})
+	o, _, routers := startObserver(t, Options{MaxWatchers: 1000, JoinsPerSecond: 1, WatcherBytesPerSecond: 1 << 20})
 	for i := range 10 * joinBurst { // the rate admits one more each second meanwhile
-		response := watch(t, routers, fmt.Sprint("watcher=w", i))
+		response := openWatch(t, routers, fmt.Sprint("watcher=w", i))
 		if response.StatusCode == http.StatusServiceUnavailable {
 			var rejection protocol.Rejection
 			err := json.NewDecoder(response.Body).Decode(&rejection)
@@ -271,34 +273,34 @@
 	t.Errorf("%d joins were admitted", 10*joinBurst)
 }
 
-// One watcher doesn't read its connection while documents change. Another one must keep up without a
-// snapshot, and the slow one must get a snapshot once the log is compacted beyond its revision. With a
-// queue for each watcher the observer would run out of memory or delay the others.
-func TestSlowWatcher(t *testing.T) {
-	o, upstream, routers := started(t, plenty)
-	slow := watch(t, routers, "watcher=slow") // the response header is read, the body isn't
-	fast, replica := scanner(watch(t, routers, "watcher=fast")), watchlog.NewReplica()
+// One watcher doesn't read its connection while documents change. Another one must keep up without
+// a snapshot, and the slow one must get a snapshot once the log is compacted beyond its revision.
+// With a queue for each watcher the observer would run out of memory or delay the others.
+func TestSlowWatcherDelaysNoOtherAndGetsSnapshot(t *testing.T) {
+	o, upstream, routers := startObserver(t, highLimits)
+	slow := openWatch(t, routers, "watcher=slow") // the response header is read, the body isn't
+	fast, replica := newLineScanner(openWatch(t, routers, "watcher=fast")), watchlog.NewReplica()
 	const documents, rounds, size = 20, 12, 32 << 10 // 7.5 MiB: more than the sockets and the log can hold
 	for i := range documents * rounds {
 		upstream.put(t, fmt.Sprint("d", i%documents), size)
 		if i%8 == 7 { // the fast watcher keeps up
 			for replica.Revision() < uint64(i+1) {
-				next(t, fast, replica)
+				nextUpdate(t, fast, replica)
 			}
 		}
 	}
 	for replica.Revision() < documents*rounds {
-		next(t, fast, replica)
+		nextUpdate(t, fast, replica)
 	}
 	if o.Status().Snapshots != 0 {
 		t.Errorf("%d snapshots, want none for the fast watcher", o.Status().Snapshots)
 	}
-	late, lines := watchlog.NewReplica(), scanner(slow)
+	late, lines := watchlog.NewReplica(), newLineScanner(slow)
 	snapshots := 0
 	for late.Revision() < documents*rounds {
-		update, ok := tryNext(t, lines, late)
+		update, ok := tryNextUpdate(t, lines, late)
 		if !ok { // a slow machine may have disconnected it: watch again from its revision
-			lines = scanner(watch(t, routers, fmt.Sprint("watcher=slow&after=", late.Revision())))
+			lines = newLineScanner(openWatch(t, routers, fmt.Sprint("watcher=slow&after=", late.Revision())))
 		}
 		if update.Snapshot {
 			snapshots++
@@ -312,18 +314,18 @@
 	}
 }
 
-// A watcher is sent more bytes than its rate allows per second. Sending must take as long as the rate
-// requires; without the limit one snapshot could take the bandwidth of all watchers.
-func TestPace(t *testing.T) {
+// A watcher is sent more bytes than its rate allows per second. Sending must take as long as the
+// rate requires; without the limit one snapshot could take the bandwidth of all watchers.
+func TestWatchIsLimitedToItsByteRate(t *testing.T) {
 	const rate = 160 << 10
-	_, upstream, routers := started(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: rate})
+	_, upstream, routers := startObserver(t, Options{MaxWatchers: 1, JoinsPerSecond: 1000, WatcherBytesPerSecond: rate})
 	for i := range 4 {
 		upstream.put(t, fmt.Sprint("d", i), 32<<10)
 	}
 	began := time.Now()
-	lines, replica, bytes := scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica(), 0
+	lines, replica, bytes := newLineScanner(openWatch(t, routers, "watcher=w")), watchlog.NewReplica(), 0
 	for replica.Revision() < 4 {
-		next(t, lines, replica)
+		nextUpdate(t, lines, replica)
 		bytes += len(lines.Bytes())
 	}
 	if least := time.Duration(bytes-2*pieceBytes) * time.Second / rate; time.Since(began) < least {
@@ -331,13 +333,13 @@
 	}
 }
 
-// A router's connection breaks without the observer noticing, and the router watches again. The previous
-// watch must end; otherwise the router would be counted twice.
-func TestComeAgain(t *testing.T) {
-	o, _, routers := started(t, plenty)
-	first, replica := scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica()
-	next(t, first, replica)
-	next(t, scanner(watch(t, routers, "watcher=w")), watchlog.NewReplica())
+// A router's connection breaks without the observer noticing, and the router watches again. The
+// previous watch must end; otherwise the router would be counted twice.
+func TestReconnectingWatcherIsCountedOnce(t *testing.T) {
+	o, _, routers := startObserver(t, highLimits)
+	first, replica := newLineScanner(openWatch(t, routers, "watcher=w")), watchlog.NewReplica()
+	nextUpdate(t, first, replica)
+	nextUpdate(t, newLineScanner(openWatch(t, routers, "watcher=w")), watchlog.NewReplica())
 	for first.Scan() { // the previous watch may still have a line in transit
 	}
 	if o.Status().Watchers != 1 {
--- a/internal/coord/observer/paced_writer.go
+++ b/internal/coord/observer/paced_writer.go
@@ -28,7 +28,8 @@
 	return &pacedWriter{to: to, control: http.NewResponseController(to), bytesPerSecond: bytesPerSecond}
 }
 
-// begin removes the server's read deadline, which would end the watch, and sends the response header.
+// begin removes the server's read deadline, which would end the watch, and sends the response
+// header.
 func (p *pacedWriter) begin() error {
 	if err := p.control.SetReadDeadline(time.Time{}); err != nil {
 		return fmt.Errorf("remove the read deadline: %w", err)
--- a/internal/coord/observer/protocol/protocol.go
+++ b/internal/coord/observer/protocol/protocol.go
@@ -63,8 +63,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// AcknowledgementResponse answers an Acknowledgement. A watcher that has everything up to Newest learns
-// the age of its state from it.
+// AcknowledgementResponse answers an Acknowledgement. A watcher that has everything up to Newest
+// learns the age of its state from it.
 type AcknowledgementResponse struct {
 	Newest    uint64 `json:"newest"`
 	AgeMillis int64  `json:"ageMillis"` // see Status
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -62,8 +62,8 @@
 	return request, nil
 }
 
-// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with one line of JSON per
-// update, until the router disconnects, doesn't read for writeTimeout, or starts another watch.
+// serveWatch answers GET /v1/watch?watcher=NAME&after=REVISION&prefix=PREFIX with one line of JSON
+// per update, until the router disconnects, doesn't read for writeTimeout, or starts another watch.
 func (o *Observer) serveWatch(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatch(r)
 	if err != nil {
@@ -130,8 +130,9 @@
 	}
 }
 
-// stream sends updates until the watch ends. A watcher has no queue of its own but only a revision in the
-// log. So a slow watcher uses no memory, and gets a snapshot once the log is compacted beyond its revision.
+// stream sends updates until the watch ends. A watcher has no queue of its own but only a revision
+// in the log. So a slow watcher uses no memory, and gets a snapshot once the log is compacted
+// beyond its revision.
 func (o *Observer) stream(ctx context.Context, out *pacedWriter, request watchRequest, watch *watcher) error {
 	if err := out.begin(); err != nil {
 		return err
@@ -192,8 +193,8 @@
 	_ = json.NewEncoder(w).Encode(answer) // an error means that the client has disconnected
 }
 
-// reject sends a rejection. If it has a time to retry, it also sets Retry-After, in whole seconds, rounded
-// up.
+// reject sends a rejection. If it has a time to retry, it also sets Retry-After, in whole seconds,
+// rounded up.
 func reject(w http.ResponseWriter, status int, rejection *protocol.Rejection) {
 	if rejection.RetryAfterMillis > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((rejection.RetryAfterMillis+999)/1000, 10))
--- a/internal/coord/observer/watchers.go
+++ b/internal/coord/observer/watchers.go
@@ -8,8 +8,8 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// watcherTable has the watchers, and for each what it was sent and what it has acknowledged. It has no
-// clock. The Observer's mu guards it.
+// watcherTable has the watchers, and for each what it was sent and what it has acknowledged. It has
+// no clock. The Observer's mu guards it.
 type watcherTable struct {
 	limit  int
 	byName map[string]*watcher
@@ -48,7 +48,7 @@
 	}
 	t.byName[name] = w
 	if newest > 0 {
-		w.lag(now)
+		w.markLagging(now)
 	}
 	return w
 }
@@ -60,22 +60,22 @@
 	}
 }
 
-// changed records that there is a newer revision, which no watcher has acknowledged yet.
-func (t *watcherTable) changed(newest uint64, now time.Duration) {
+// recordChange records that there is a newer revision, which no watcher has acknowledged yet.
+func (t *watcherTable) recordChange(newest uint64, now time.Duration) {
 	for _, w := range t.byName {
 		if !w.isLagging && w.acknowledged < newest {
-			w.lag(now)
+			w.markLagging(now)
 		}
 	}
 }
 
-func (w *watcher) lag(now time.Duration) {
+func (w *watcher) markLagging(now time.Duration) {
 	w.isLagging = true
 	w.laggingSince = now
 }
 
-// acknowledge records that a watcher has applied a revision. It returns false if there is no such watcher
-// or if it wasn't sent the revision.
+// acknowledge records that a watcher has applied a revision. It returns false if there is no such
+// watcher or if it wasn't sent the revision.
 func (t *watcherTable) acknowledge(a protocol.Acknowledgement, newest uint64) bool {
 	w := t.byName[a.Watcher]
 	if w == nil {
--- a/internal/coord/observer/watchers_test.go
+++ b/internal/coord/observer/watchers_test.go
@@ -8,8 +8,9 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// The table is full. A third watcher is rejected. A watcher that reconnects under the same name must be
-// admitted, and its previous watch ends; otherwise a router could not reconnect after its connection broke.
+// The table is full. A third watcher is rejected. A watcher that reconnects under the same name
+// must be admitted, and its previous watch ends; otherwise a router could not reconnect after its
+// connection broke.
 func TestWatcherTableIsBounded(t *testing.T) {
 	table := newWatcherTable(2)
 	ended := ""
@@ -27,16 +28,16 @@
 	}
 }
 
-// The status must list the watchers that lag behind the newest revision, the longest-lagging first, and a
-// revision that was not sent must not be acknowledged. Otherwise an operator could conclude that a change
-// is applied everywhere.
-func TestLagging(t *testing.T) {
+// The status must list the watchers that lag behind the newest revision, the longest-lagging first,
+// and a revision that was not sent must not be acknowledged. Otherwise an operator could conclude
+// that a change is applied everywhere.
+func TestStatusListsLaggingWatchers(t *testing.T) {
 	table := newWatcherTable(1000)
 	for i := range protocol.MaxLagging + 2 {
 		w := table.join(fmt.Sprint("w", i), 0, 0, 0, nil)
 		w.sentThrough = 7
 	}
-	table.changed(7, time.Second)
+	table.recordChange(7, time.Second)
 	acknowledge := func(name string, revision uint64) bool {
 		return table.acknowledge(protocol.Acknowledgement{Watcher: name, Revision: revision}, 7)
 	}
@@ -58,7 +59,7 @@
 	if status.Watchers != protocol.MaxLagging+3 || last.SinceMillis != 3000 {
 		t.Errorf("%+v", last)
 	}
-	table.changed(8, 5*time.Second) // a lagging watcher keeps its start time
+	table.recordChange(8, 5*time.Second) // a lagging watcher keeps its start time
 	if first := table.status(8, 6*time.Second).Lagging[0]; first.SinceMillis != 5000 {
 		t.Errorf("%+v", first)
 	}
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Sizes of the property check. They are small, so that the events, compaction and limits coincide often.
+// Sizes of the property check. They are small, so that the events, compaction and limits coincide
+// often.
 const (
 	checkObservers = 3
 	checkWatchers  = 4
@@ -30,17 +31,17 @@
 	applied   uint64            // the revision that the router has applied
 }
 
-// world is the agreed sequence of changes with observers and watchers.
-type world struct {
-	rng       *rand.Rand
-	agreed    []Change // agreed[i] has revision i+1
-	voters    *Log
-	observers []*Log
-	watchers  []*watcher
+// simulation is the agreed sequence of changes with observers and watchers.
+type simulation struct {
+	rng           *rand.Rand
+	agreedChanges []Change // agreed[i] has revision i+1
+	voters        *Log
+	observers     []*Log
+	watchers      []*watcher
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 34)), voters: NewLog(checkLimits)}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 34)), voters: NewLog(checkLimits)}
 	for range checkObservers {
 		w.observers = append(w.observers, NewLog(checkLimits))
 	}
@@ -57,9 +58,9 @@
 }
 
 // state returns the documents under a prefix at a revision, according to the agreed sequence.
-func (w *world) state(prefix string, through uint64) map[string]Change {
+func (w *simulation) state(prefix string, through uint64) map[string]Change {
 	documents := map[string]Change{}
-	for _, c := range w.agreed[:through] {
+	for _, c := range w.agreedChanges[:through] {
 		switch {
 		case !strings.HasPrefix(c.Name, prefix):
 		case c.Deleted:
@@ -72,7 +73,7 @@
 }
 
 // step simulates one random event. It returns an error if an invariant is violated.
-func (w *world) step() error {
+func (w *simulation) step() error {
 	switch w.rng.IntN(16) {
 	case 0, 1, 2, 3:
 		return w.change()
@@ -101,20 +102,20 @@
 	return nil
 }
 
-func (w *world) change() error {
+func (w *simulation) change() error {
 	name := fmt.Sprintf("%s/%d", []string{"a", "b"}[w.rng.IntN(2)], w.rng.IntN(3))
-	c := Change{Revision: uint64(len(w.agreed) + 1), Name: name}
+	c := Change{Revision: uint64(len(w.agreedChanges) + 1), Name: name}
 	if w.rng.IntN(5) == 0 {
 		c.Deleted = true
 	} else {
-		c.Value = bytes.Repeat([]byte{byte(len(w.agreed))}, w.rng.IntN(200))
+		c.Value = bytes.Repeat([]byte{byte(len(w.agreedChanges))}, w.rng.IntN(200))
 	}
-	w.agreed = append(w.agreed, c)
+	w.agreedChanges = append(w.agreedChanges, c)
 	return w.voters.Append(c)
 }
 
 // pull makes an observer poll the voters for a batch.
-func (w *world) pull(i int) error {
+func (w *simulation) pull(i int) error {
 	batch, err := w.voters.ReadAfter(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
@@ -123,14 +124,15 @@
 	if err != nil {
 		return fmt.Errorf("observer %d pulls: %w", i, err)
 	}
-	if err := w.observers[i].Extend(overTheWire(batch)); err != nil {
+	if err := w.observers[i].Extend(encodeAndDecode(batch)); err != nil {
 		return fmt.Errorf("observer %d extends: %w", i, err)
 	}
 	return nil
 }
 
-// deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed sequence.
-func (w *world) deliver(x *watcher) error {
+// deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed
+// sequence.
+func (w *simulation) deliver(x *watcher) error {
 	log := w.observers[x.observer]
 	batch, err := log.ReadAfter(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
 	var compacted *CompactedError
@@ -139,14 +141,14 @@
 	case errors.As(err, &compacted):
 		batch = log.Snapshot(x.prefix)
 	case errors.As(err, &behind):
-		if !w.staleSnapshot() {
+		if !w.servesStaleSnapshot() {
 			return nil
 		}
 		batch = log.Snapshot(x.prefix) // a faulty observer's response: the replica must reject it
 	case err != nil:
 		return err
 	}
-	batch = overTheWire(batch)
+	batch = encodeAndDecode(batch)
 	if err := x.replica.Apply(batch); err != nil {
 		var stale *StaleError
 		if batch.Snapshot && batch.Through < x.delivered && errors.As(err, &stale) {
@@ -154,14 +156,15 @@
 		}
 		return fmt.Errorf("a batch that follows the replica was rejected: %w", err)
 	}
-	return w.judge(x, batch)
+	return w.checkDelivery(x, batch)
 }
 
-// staleSnapshot decides randomly whether a stale observer serves its snapshot although it must not.
-func (w *world) staleSnapshot() bool { return w.rng.IntN(2) == 0 }
+// servesStaleSnapshot decides randomly whether a stale observer serves its snapshot although it
+// must not.
+func (w *simulation) servesStaleSnapshot() bool { return w.rng.IntN(2) == 0 }
 
-// judge checks a delivery against the agreed sequence.
-func (w *world) judge(x *watcher, batch Batch) error {
+// checkDelivery checks a delivery against the agreed sequence.
+func (w *simulation) checkDelivery(x *watcher, batch Batch) error {
 	if batch.Through < x.delivered {
 		return fmt.Errorf("revision decreased from %d to %d", x.delivered, batch.Through)
 	}
@@ -183,10 +186,10 @@
 		}
 	}
 	x.delivered = batch.Through
-	if err := sameDocuments(x.documents, w.state(x.prefix, x.delivered)); err != nil {
+	if err := compareDocuments(x.documents, w.state(x.prefix, x.delivered)); err != nil {
 		return fmt.Errorf("at revision %d: %w", x.delivered, err)
 	}
-	if err := w.deliveredAll(x.prefix, batch); err != nil {
+	if err := w.checkAllDelivered(x.prefix, batch); err != nil {
 		return err
 	}
 	if got := x.replica.Acknowledged(); got > x.applied {
@@ -195,14 +198,14 @@
 	return nil
 }
 
-// deliveredAll checks that a batch has exactly the changes of the agreed sequence, including changes that a
-// later change in the batch replaces.
-func (w *world) deliveredAll(prefix string, batch Batch) error {
+// checkAllDelivered checks that a batch has exactly the changes of the agreed sequence, including
+// changes that a later change in the batch replaces.
+func (w *simulation) checkAllDelivered(prefix string, batch Batch) error {
 	if batch.Snapshot {
 		return nil
 	}
 	var want []Change
-	for _, c := range w.agreed[batch.After:batch.Through] {
+	for _, c := range w.agreedChanges[batch.After:batch.Through] {
 		if strings.HasPrefix(c.Name, prefix) {
 			want = append(want, c)
 		}
@@ -219,7 +222,7 @@
 	return nil
 }
 
-func sameDocuments(got, want map[string]Change) error {
+func compareDocuments(got, want map[string]Change) error {
 	if len(got) != len(want) {
 		return fmt.Errorf("%d documents, want %d", len(got), len(want))
 	}
@@ -231,9 +234,10 @@
 	return nil
 }
 
-// heal lets all observers and watchers catch up, and checks their documents against the agreed sequence.
-func (w *world) heal() error {
-	newest := uint64(len(w.agreed))
+// catchUp lets all observers and watchers catch up, and checks their documents against the agreed
+// sequence.
+func (w *simulation) catchUp() error {
+	newest := uint64(len(w.agreedChanges))
 	for i, log := range w.observers {
 		for log.NewestRevision() < newest {
 			if err := w.pull(i); err != nil {
@@ -254,15 +258,15 @@
 		for _, c := range x.replica.Documents() {
 			held[c.Name] = c
 		}
-		if err := sameDocuments(held, w.state(x.prefix, newest)); err != nil {
+		if err := compareDocuments(held, w.state(x.prefix, newest)); err != nil {
 			return fmt.Errorf("watcher %d at the end: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// overTheWire returns the batch as the receiver decodes it.
-func overTheWire(batch Batch) (got Batch) {
+// encodeAndDecode returns the batch as the receiver decodes it.
+func encodeAndDecode(batch Batch) (got Batch) {
 	text, err := json.Marshal(batch)
 	if err == nil {
 		err = json.Unmarshal(text, &got)
@@ -273,27 +277,27 @@
 	return got
 }
 
-// play simulates the random walk of a seed. It returns an error if an invariant is violated.
-func play(seed uint64) error {
-	w := newWorld(seed)
+// runWalk simulates the random walk of a seed. It returns an error if an invariant is violated.
+func runWalk(seed uint64) error {
+	w := newSimulation(seed)
 	for i := range checkEvents {
 		if err := w.step(); err != nil {
 			return fmt.Errorf("seed %d, event %d: %w", seed, i, err)
 		}
 	}
-	if err := w.heal(); err != nil {
+	if err := w.catchUp(); err != nil {
 		return fmt.Errorf("seed %d, healed: %w", seed, err)
 	}
 	return nil
 }
 
-// Watchers switch between observers, and observers are killed, restarted, compacted or stale, in random
-// order. Each watcher must get the agreed sequence: no change twice, none skipped, no older revision, and no
-// acknowledgement before a revision is applied. At the end all must agree; otherwise a router could have
-// other documents than the rest of the fleet.
-func TestAnyInterleaving(t *testing.T) {
+// Watchers switch between observers, and observers are killed, restarted, compacted or stale, in
+// random order. Each watcher must get the agreed sequence: no change twice, none skipped, no older
+// revision, and no acknowledgement before a revision is applied. At the end all must agree;
+// otherwise a router could have other documents than the rest of the fleet.
+func TestWatchersGetAgreedSequenceInAnyOrderOfEvents(t *testing.T) {
 	for seed := range uint64(checkWalks) {
-		if err := play(seed); err != nil {
+		if err := runWalk(seed); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/coord/observer/watchlog/errors.go
+++ b/internal/coord/observer/watchlog/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// CompactedError means that the log no longer has the changes after a revision: a snapshot is required.
+// CompactedError means that the log no longer has the changes after a revision: a snapshot is
+// required.
 type CompactedError struct{ After, Compacted uint64 }
 
 func (e *CompactedError) Error() string {
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -17,9 +17,9 @@
 	Bytes   int // maximum total Change.Size; the newest change is kept even if it is larger
 }
 
-// Log is the state of all documents with the most recent changes that led to it. It keeps no state per
-// watcher: a watcher is a revision after which it reads with ReadAfter. Use NewLog to create a Log. Its methods
-// must not be called concurrently.
+// Log is the state of all documents with the most recent changes that led to it. It keeps no state
+// per watcher: a watcher is a revision after which it reads with ReadAfter. Use NewLog to create a
+// Log. Its methods must not be called concurrently.
 type Log struct {
 	limits    Limits
 	documents map[string]Change // nil until the first change
@@ -50,8 +50,8 @@
 	return c, ok
 }
 
-// History returns the retained changes of a document, the oldest first. It includes the current change even
-// if the log has compacted it.
+// History returns the retained changes of a document, the oldest first. It includes the current
+// change even if the log has compacted it.
 func (l *Log) History(name string) []Change {
 	var history []Change
 	for _, c := range l.changes {
@@ -65,7 +65,8 @@
 	return history
 }
 
-// Append adds the next change. Its revision must be one above the newest, or the error is a GapError.
+// Append adds the next change. Its revision must be one above the newest, or the error is a
+// GapError.
 func (l *Log) Append(c Change) error {
 	if c.Revision != l.newest+1 {
 		return &GapError{Current: l.newest, Got: c.Revision}
@@ -116,8 +117,8 @@
 	l.compacted = through
 }
 
-// SkipRevisions raises the newest revision after a permanent loss of changes, above all revisions that the
-// lost changes may have. Every watcher then gets a snapshot.
+// SkipRevisions raises the newest revision after a permanent loss of changes, above all revisions
+// that the lost changes may have. Every watcher then gets a snapshot.
 func (l *Log) SkipRevisions(by uint64) {
 	l.newest += by
 	l.changes = nil
@@ -125,9 +126,10 @@
 	l.compacted = l.newest
 }
 
-// ReadAfter returns the changes after a revision to documents whose names begin with prefix. The batch has at
-// most maxBytes of changes, but at least one change if there is any. The error is a CompactedError, after
-// which the caller must send a Snapshot, or a BehindError, if the watcher's revision is newer than the log's.
+// ReadAfter returns the changes after a revision to documents whose names begin with prefix. The
+// batch has at most maxBytes of changes, but at least one change if there is any. The error is a
+// CompactedError, after which the caller must send a Snapshot, or a BehindError, if the watcher's
+// revision is newer than the log's.
 func (l *Log) ReadAfter(revision uint64, prefix string, maxBytes int) (Batch, error) {
 	switch {
 	case revision > l.newest:
@@ -152,8 +154,9 @@
 	return batch, nil
 }
 
-// injectFault moves the first change that ReadAfter returns, for the mutants of delivery. They only affect
-// batches with a prefix: Extend, which takes batches without one, would reject a gap or a repeated change.
+// injectFault moves the first change that ReadAfter returns, for the mutants of delivery. They only
+// affect batches with a prefix: Extend, which takes batches without one, would reject a gap or a
+// repeated change.
 func (l *Log) injectFault(first int, prefix string) int {
 	if prefix == "" {
 		return first
@@ -179,8 +182,8 @@
 	return batch
 }
 
-// Extend appends a batch of another log, completely or not at all. The batch must have been read without a
-// prefix. The error is a GapError or a StaleError.
+// Extend appends a batch of another log, completely or not at all. The batch must have been read
+// without a prefix. The error is a GapError or a StaleError.
 func (l *Log) Extend(batch Batch) error {
 	if batch.Snapshot {
 		return l.restore(batch)
@@ -231,8 +234,8 @@
 	return &c
 }
 
-// stored is the stored form of a Log.
-type stored struct {
+// storedLog is the storedLog form of a Log.
+type storedLog struct {
 	Compacted uint64            `json:"compacted"`
 	Newest    uint64            `json:"newest"`
 	Documents map[string]Change `json:"documents"`
@@ -245,12 +248,12 @@
 	if documents == nil {
 		documents = map[string]Change{}
 	}
-	return json.Marshal(stored{l.compacted, l.newest, documents, l.changes})
+	return json.Marshal(storedLog{l.compacted, l.newest, documents, l.changes})
 }
 
 // UnmarshalJSON decodes a log and rejects one whose changes have a gap. The limits are not changed.
 func (l *Log) UnmarshalJSON(text []byte) error {
-	var s stored
+	var s storedLog
 	if err := json.Unmarshal(text, &s); err != nil {
 		return err
 	}
--- a/internal/coord/observer/watchlog/log_test.go
+++ b/internal/coord/observer/watchlog/log_test.go
@@ -14,9 +14,10 @@
 	}
 }
 
-// A log exceeds its limit of changes, then that of bytes. The oldest changes must be compacted, and a watcher
-// that requests them gets a CompactedError. Without the limits a log would use up the memory.
-func TestLimits(t *testing.T) {
+// A log exceeds its limit of changes, then that of bytes. The oldest changes must be compacted, and
+// a watcher that requests them gets a CompactedError. Without the limits a log would use up the
+// memory.
+func TestLogCompactsBeyondItsLimits(t *testing.T) {
 	l := NewLog(Limits{Changes: 3, Bytes: 1000})
 	for range 5 {
 		put(t, l, "a", 1)
@@ -46,9 +47,10 @@
 	}
 }
 
-// A watcher with a prefix reads more changes than fit into a batch. Batches are limited in bytes, and the next
-// one must continue where the previous one ended, even if the prefix excludes changes in between.
-func TestBatches(t *testing.T) {
+// A watcher with a prefix reads more changes than fit into a batch. Batches are limited in bytes,
+// and the next one must continue where the previous one ended, even if the prefix excludes changes
+// in between.
+func TestBatchesSkipNoChange(t *testing.T) {
 	l := NewLog(Limits{Changes: 100, Bytes: 1 << 20})
 	for _, name := range []string{"a/1", "b/1", "a/2", "b/2", "a/3"} {
 		put(t, l, name, 100)
@@ -67,9 +69,9 @@
 	}
 }
 
-// A stored log is decoded to an equal log, byte for byte, as in a coordinator's snapshot. A log with a gap
-// must be rejected; otherwise a coordinator could send watchers an incomplete history.
-func TestStored(t *testing.T) {
+// A stored log is decoded to an equal log, byte for byte, as in a coordinator's snapshot. A log
+// with a gap must be rejected; otherwise a coordinator could send watchers an incomplete history.
+func TestStoredLogIsDecodedUnchanged(t *testing.T) {
 	l := NewLog(Limits{Changes: 2, Bytes: 1000})
 	for _, name := range []string{"a", "b", "c"} {
 		put(t, l, name, 1)
@@ -95,9 +97,10 @@
 	}
 }
 
-// Revisions are skipped after the permanent loss of a majority. Every watcher must get a snapshot, as a
-// revision number could otherwise stand for a lost change at a watcher and for a new one in the log.
-func TestRaise(t *testing.T) {
+// Revisions are skipped after the permanent loss of a majority. Every watcher must get a snapshot,
+// as a revision number could otherwise stand for a lost change at a watcher and for a new one in
+// the log.
+func TestSkippedRevisionsForceSnapshot(t *testing.T) {
 	l := NewLog(Limits{Changes: 10, Bytes: 1000})
 	put(t, l, "a", 1)
 	l.SkipRevisions(100)
@@ -111,9 +114,9 @@
 	}
 }
 
-// A batch that doesn't follow (with a gap, a repeated change, or an older snapshot) must change nothing. If a
-// part of it were applied, the documents would be in a state that never existed.
-func TestRefusedWhole(t *testing.T) {
+// A batch that doesn't follow (with a gap, a repeated change, or an older snapshot) must change
+// nothing. If a part of it were applied, the documents would be in a state that never existed.
+func TestBatchThatDoesNotFollowChangesNothing(t *testing.T) {
 	r, l := NewReplica(), NewLog(Limits{Changes: 10, Bytes: 1000})
 	good := Batch{Through: 2, Changes: []Change{{Revision: 1, Name: "a"}, {Revision: 2, Name: "b"}}}
 	if err := errors.Join(r.Apply(good), l.Extend(good)); err != nil {
--- a/internal/coord/observer/watchlog/replica.go
+++ b/internal/coord/observer/watchlog/replica.go
@@ -8,8 +8,8 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Replica has a router's copy of the documents under one prefix. It applies batches of any observers' logs.
-// Its revision never decreases. Its methods must not be called concurrently.
+// Replica has a router's copy of the documents under one prefix. It applies batches of any
+// observers' logs. Its revision never decreases. Its methods must not be called concurrently.
 type Replica struct {
 	documents map[string]Change // by name
 	revision  uint64            // up to which it is complete
@@ -29,9 +29,9 @@
 	return documents
 }
 
-// Apply applies a batch completely or not at all. The error is a StaleError for a snapshot that is older than
-// the replica, or a GapError for changes that don't follow it. After either the watcher must ask another
-// observer for what follows Revision.
+// Apply applies a batch completely or not at all. The error is a StaleError for a snapshot that is
+// older than the replica, or a GapError for changes that don't follow it. After either the watcher
+// must ask another observer for what follows Revision.
 func (r *Replica) Apply(batch Batch) error {
 	if batch.Snapshot {
 		return r.restore(batch)
--- a/internal/coord/response.go
+++ b/internal/coord/response.go
@@ -19,7 +19,7 @@
 	CodeNoClient       Code = "no-client"  // the successor has no live session
 	CodeLimitReached   Code = "full"       // a limit is reached; Text names it
 	CodeInvalid        Code = "bad"        // the command is invalid; Text says why
-	CodeSuperseded     Code = "old"        // a late duplicate: its response is discarded, or the lease was acquired again
+	CodeSuperseded     Code = "old"        // a late duplicate, or the lease was acquired again since
 	CodeConflict       Code = "conflict"   // the document's revision is not the expected one; see Revision
 	CodeUnknownVersion Code = "newer"      // this program doesn't support the command's version and must stop
 )
--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// rejectRollout returns the response to a command that is empty or that not all coordinators support
-// at the version in force.
+// rejectRollout returns the response to a command that is empty or that not all coordinators
+// support at the version in force.
 func (s *State) rejectRollout(c Command) (response Response, rejected bool) {
 	if s.Version < rolloutVersion {
 		return upgradeRequiredResponse(s.Version, rolloutVersion), true
@@ -52,15 +52,16 @@
 	return s.RequiresUpgrade(c)
 }
 
-// signalVersionResponse returns the response to a command whose fields (what) require a later version.
-// The text is part of the replicated state and must equal that of older coordinators.
+// signalVersionResponse returns the response to a command whose fields (what) require a later
+// version. The text is part of the replicated state and must equal that of older coordinators.
 func signalVersionResponse(inForce int, what string) Response {
-	return invalidResponse("version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
+	return invalidResponse(
+		"version: %d is in force, and %s %d: once all coordinators run this program, 'members upgrade'",
 		inForce, what, rolloutSignalVersion)
 }
 
-// RouterDrains returns the set of drained servers and the other settings that routers follow, in the
-// fields that all coordinators support. It is empty until the first rollout command.
+// RouterDrains returns the set of drained servers and the other settings that routers follow, in
+// the fields that all coordinators support. It is empty until the first rollout command.
 func (s *State) RouterDrains() rollout.DrainSet {
 	if s.Rollout == nil {
 		return rollout.DrainSet{}
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -35,10 +35,10 @@
 	return &c
 }
 
-// ExpiryDelay returns how long, on State.Clock, the coordinators wait before a session or lease with
-// this TTL expires. The holder's clock may be slow and the coordinators' clock fast by the bound:
-// after this delay the TTL has passed on the holder's clock too, and the holder has stopped acting.
-// With a shorter delay a slow holder and its successor could act at the same time.
+// ExpiryDelay returns how long, on State.Clock, the coordinators wait before a session or lease
+// with this TTL expires. The holder's clock may be slow and the coordinators' clock fast by the
+// bound: after this delay the TTL has passed on the holder's clock too, and the holder has stopped
+// acting. With a shorter delay a slow holder and its successor could act at the same time.
 func (s *State) ExpiryDelay(ttl time.Duration) time.Duration {
 	if failpoint.IsInjected("rate-ignored") {
 		return ttl
@@ -46,8 +46,8 @@
 	return time.Duration(math.Ceil(float64(ttl)*(1+s.ClockRateBound)/(1-s.ClockRateBound))) + 1
 }
 
-// expiresAt returns the instant of State.Clock at which the session, or a lease of it, with this TTL
-// expires unless it is kept alive.
+// expiresAt returns the instant of State.Clock at which the session, or a lease of it, with this
+// TTL expires unless it is kept alive.
 func (s *State) expiresAt(session *Session, ttl time.Duration) time.Duration {
 	return session.KeptAliveAt + s.ExpiryDelay(ttl)
 }
@@ -103,8 +103,9 @@
 }
 
 // expire ends the sessions and leases that were not kept alive in time. It scans all sessions only
-// after nextExpiry. Each keep-alive defers its session's expiry by at least a third of a TTL, so the
-// number of keep-alives bounds the cost. The order is by name, as tokens and reports depend on it.
+// after nextExpiry. Each keep-alive defers its session's expiry by at least a third of a TTL, so
+// the number of keep-alives bounds the cost. The order is by name, as tokens and reports depend on
+// it.
 func (s *State) expire() {
 	if s.Clock < s.nextExpiry {
 		return
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -34,8 +34,8 @@
 	return json.Marshal(snapshot{Version: s.Version, Checksum: xxhash.Sum64(body), State: body})
 }
 
-// Unmarshal decodes a state of this version or an older one. It returns an error if the data is damaged
-// or its version is unknown; a coordinator must not start from such a snapshot.
+// Unmarshal decodes a state of this version or an older one. It returns an error if the data is
+// damaged or its version is unknown; a coordinator must not start from such a snapshot.
 func Unmarshal(text []byte) (*State, error) {
 	var stored snapshot
 	if err := json.Unmarshal(text, &stored); err != nil {
@@ -63,8 +63,8 @@
 	return s, nil
 }
 
-// linkLeases checks that sessions and leases refer to each other, and counts the record bytes. A lease
-// without a session would never expire.
+// linkLeases checks that sessions and leases refer to each other, and counts the record bytes. A
+// lease without a session would never expire.
 func (s *State) linkLeases() error {
 	s.recordBytes = 0
 	for name, lease := range s.Leases {
--- a/internal/coord/state.go
+++ b/internal/coord/state.go
@@ -14,7 +14,8 @@
 type State struct {
 	// Version is the version of commands that all coordinators support.
 	Version int `json:"v"`
-	// ClockRateBound is the maximum fraction by which clocks of holders and coordinators run fast or slow.
+	// ClockRateBound is the maximum fraction by which clocks of holders and coordinators run fast
+	// or slow.
 	ClockRateBound float64 `json:"rate"`
 	// Clock is the sum of the times that leaders have measured. It never runs ahead of real time by
 	// more than the bound, so no lease expires early.
@@ -66,9 +67,9 @@
 	return response
 }
 
-// advanceClock adds the time that the leader has measured. A leader that is replaced after measuring
-// may have its entry committed under a later term. The new leader has counted the same time itself,
-// and counting it twice would end leases early.
+// advanceClock adds the time that the leader has measured. A leader that is replaced after
+// measuring may have its entry committed under a later term. The new leader has counted the same
+// time itself, and counting it twice would end leases early.
 func (s *State) advanceClock(c Command, term uint64) {
 	if c.Term == term && c.Elapsed > 0 {
 		s.Clock += c.Elapsed
@@ -76,8 +77,8 @@
 }
 
 // ChangedLeases returns the names of the leases that were granted, transferred or freed, or whose
-// record was written, by the most recently applied command, sorted. The slice is valid until the next
-// Apply.
+// record was written, by the most recently applied command, sorted. The slice is valid until the
+// next Apply.
 func (s *State) ChangedLeases() []string { return s.changedLeases }
 
 func (s *State) execute(c Command) Response {
@@ -124,7 +125,8 @@
 	return s.LastToken
 }
 
-// executeInSession executes a command of an existing session. Every command keeps its session alive.
+// executeInSession executes a command of an existing session. Every command keeps its session
+// alive.
 func (s *State) executeInSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
 		return invalidResponse("%s", problem)
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -15,8 +15,8 @@
 // hasEarlierLimits reports whether the limits of an older program are in force.
 func (s *State) hasEarlierLimits() bool { return s.Version < fleetLimitsVersion }
 
-// RequiresUpgrade reports whether a command requires a later version than the one in force, because an
-// older program doesn't support it or has lower limits, and returns the response to it. A leader
+// RequiresUpgrade reports whether a command requires a later version than the one in force, because
+// an older program doesn't support it or has lower limits, and returns the response to it. A leader
 // keeps such a command out of the log, as an older coordinator would reject it with another text.
 func (s *State) RequiresUpgrade(c Command) (response Response, isRequired bool) {
 	needed := s.requiredVersion(c)
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -1,13 +1,13 @@
 //go:build mutants
 
-// Package failpoint injects faults by name in a build with the tag mutants, to verify that the checks
-// detect them.
+// Package failpoint injects faults by name in a build with the tag mutants, to verify that the
+// checks detect them.
 package failpoint
 
 import "os"
 
-// injected is the name of the injected fault, or "" for none. It is read once from DOCKHINGE_MUTANT at
-// the start; in-process tests set it with Inject.
+// injected is the name of the injected fault, or "" for none. It is read once from DOCKHINGE_MUTANT
+// at the start; in-process tests set it with Inject.
 var injected = os.Getenv("DOCKHINGE_MUTANT")
 
 // IsInjected reports whether the named fault is injected.
