--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -160,16 +160,16 @@
 		t.Errorf("%s", response.Text)
 	}
 	mustApply(t, s, Command{Op: OpUpgrade, TargetVersion: 3}, CodeOK)
-	for i := range rollout.EarlierMaxRouters {
+	for i := range rollout.LegacyMaxRouters {
 		mustApply(t, s, reportCommand(i), CodeOK)
 	}
-	beyond := mustApply(t, s, reportCommand(rollout.EarlierMaxRouters), CodeLimitReached)
+	beyond := mustApply(t, s, reportCommand(rollout.LegacyMaxRouters), CodeLimitReached)
 	if beyond.Text != "routers: 1024 at most" {
 		t.Errorf("%s", beyond.Text)
 	}
 	large := reportCommand(0)
 	large.Sequence = 2
-	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.EarlierMaxReportedServers+1)
+	large.Rollout.Report.Servers = make([]rollout.ServerObservation, rollout.LegacyMaxReportedServers+1)
 	if response := mustApply(t, s, large, CodeInvalid); !strings.Contains(response.Text, "members upgrade") {
 		t.Errorf("%s", response.Text)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -16,7 +16,7 @@
 
 // A mistake in the file must be reported with its line and key, so that the operator finds it. If a
 // misspelled key passed for an omitted one, the default would silently be used.
-func TestMistakesNameLineAndSetting(t *testing.T) {
+func TestMistakesAreReportedWithLineAndSetting(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{
 			"misspelled key", "version = 1\n\n[log]\nlevle = \"info\"\n",
@@ -54,13 +54,19 @@
 			"f.toml:4: log.repeat_burst: 5000 is not from 1 to 1000",
 		},
 		{
-			"unknown tenant source", identify(`by = "name"`),
+			"unknown tenant source", fileWithIdentifyRule(`by = "name"`),
 			`admission.identify[0]: by: "name" is none of fact, key, network`,
 		},
-		{"key without a tenant", identify(`by = "key"`, `prefix = "x"`), "identify[0]: by key needs prefix and tenant"},
-		{"key without a prefix", identify(`by = "key"`, `tenant = "x"`), "identify[0]: by key needs prefix and tenant"},
 		{
-			"invalid network", identify(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
+			"key without a tenant", fileWithIdentifyRule(`by = "key"`, `prefix = "x"`),
+			"identify[0]: by key needs prefix and tenant",
+		},
+		{
+			"key without a prefix", fileWithIdentifyRule(`by = "key"`, `tenant = "x"`),
+			"identify[0]: by key needs prefix and tenant",
+		},
+		{
+			"invalid network", fileWithIdentifyRule(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
 			"identify[0]: by network needs network: ",
 		},
 	} {
@@ -80,13 +86,13 @@
 	}
 }
 
-// identify returns an operator file with one rule that assigns a tenant.
-func identify(lines ...string) string {
+// fileWithIdentifyRule returns an operator file with one rule that assigns a tenant.
+func fileWithIdentifyRule(lines ...string) string {
 	return "version = 1\n[[admission.identify]]\n" + strings.Join(lines, "\n") + "\n"
 }
 
 // The program must accept each operator file that is shipped as an example.
-func TestShippedFilesPass(t *testing.T) {
+func TestShippedFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +114,7 @@
 
 // Operators write their files from docs/configuration.md, so each key must have a row there with
 // its default, and each row must be a key.
-func TestPageAndStructAgree(t *testing.T) {
+func TestDocumentedKeysMatchProgram(t *testing.T) {
 	text, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -181,7 +181,7 @@
 
 func init() {
 	for st, name := range map[decide.AttemptStatus]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
-		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Cancelled: "cancelled",
+		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Canceled: "cancelled",
 		decide.Unprocessed: "ignored", decide.Miss: "miss", decide.MalformedResponse: "spoilt"} {
 		statuses[strconv.Itoa(int(st))] = name
 	}
@@ -413,7 +413,7 @@
 		fmt.Fprintf(w, "%s %6d %8.1f %5d  %s%s\n", v.ID, v.Sent, v.MS/float64(max(1, v.Sent)), v.ColdPeak, strings.Join(outcomes, " "), what)
 	}
 	if t.Total.Dropped > 0 {
-		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n", t.Total.Dropped, trace.MaxPerFlush)
+		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n", t.Total.Dropped, trace.MaxEventsPerFlush)
 	}
 }
 
