--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -150,9 +150,9 @@
 // During a rolling upgrade some coordinators run an older program with smaller tables. Until
 // 'members upgrade', all coordinators must reject a session or router beyond the older limits;
 // otherwise the states of the two programs diverge.
-func TestEarlierLimitsHoldUntilUpgrade(t *testing.T) {
+func TestLegacyLimitsHoldUntilUpgrade(t *testing.T) {
 	s := New()
-	for i := range earlierMaxSessions {
+	for i := range legacyMaxSessions {
 		mustApply(t, s, openCommand(fmt.Sprint(i), rollout.RouterClientPrefix+fmt.Sprint(i), time.Minute), CodeOK)
 	}
 	more := openCommand("more", "c", time.Minute)
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -28,8 +28,8 @@
 	DefaultClockRateBound = 0.01 // fraction of the rate
 )
 
-// earlierMaxSessions is the limit before fleetLimitsVersion is in force.
-const earlierMaxSessions = 4096
+// legacyMaxSessions is the limit before fleetLimitsVersion is in force.
+const legacyMaxSessions = 4096
 
 // checkName returns what is wrong with the name in a command's field, or "".
 func checkName(field, name string) string {
@@ -44,8 +44,8 @@
 
 // maxSessions returns the limit in force.
 func (s *State) maxSessions() int {
-	if s.hasEarlierLimits() {
-		return earlierMaxSessions
+	if s.hasLegacyLimits() {
+		return legacyMaxSessions
 	}
 	return MaxSessions
 }
--- a/internal/coord/rollout.go
+++ b/internal/coord/rollout.go
@@ -16,7 +16,7 @@
 		Client:           session.Client,
 		SessionOrder:     session.OpenedIndex,
 		NextToken:        s.newToken,
-		UsesLegacyLimits: s.hasEarlierLimits(),
+		UsesLegacyLimits: s.hasLegacyLimits(),
 	})
 	return Response{
 		Code:      Code(result.Code),
@@ -67,7 +67,7 @@
 		return rollout.DrainSet{}
 	}
 	drains := s.Rollout.DrainSet(s.Clock, s.Version >= rolloutSignalVersion)
-	if !s.hasEarlierLimits() {
+	if !s.hasLegacyLimits() {
 		drains.MaxReportedServers = rollout.MaxReportedServers
 	}
 	return drains
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -12,8 +12,8 @@
 	DocumentVersion = 4
 )
 
-// hasEarlierLimits reports whether the limits of an older program are in force.
-func (s *State) hasEarlierLimits() bool { return s.Version < fleetLimitsVersion }
+// hasLegacyLimits reports whether the limits of an older program are in force.
+func (s *State) hasLegacyLimits() bool { return s.Version < fleetLimitsVersion }
 
 // RequiresUpgrade reports whether a command requires a later version than the one in force, because
 // an older program doesn't support it or has lower limits, and returns the response to it. A leader
@@ -35,7 +35,7 @@
 		return 1
 	}
 	isRolloutKnown := s.Version >= rolloutVersion
-	if isRolloutKnown && s.hasEarlierLimits() && c.Rollout.ExceedsLegacyLimits() {
+	if isRolloutKnown && s.hasLegacyLimits() && c.Rollout.ExceedsLegacyLimits() {
 		return fleetLimitsVersion
 	}
 	return rolloutVersion
