--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -146,7 +146,7 @@
 	for {
 		lease, err := c.Acquire(ctx, name, purpose, ttl)
 		if err == nil {
-			return c.runUnder(ctx, lease, margin, f)
+			return c.runAndRelease(ctx, lease, margin, f)
 		}
 		if ctx.Err() != nil {
 			return errors.Join(err, ctx.Err())
@@ -170,8 +170,8 @@
 	}
 }
 
-// runUnder runs f and releases the lease. If the release fails, the lease expires.
-func (c *Client) runUnder(
+// runAndRelease runs f and releases the lease. If the release fails, the lease expires.
+func (c *Client) runAndRelease(
 	ctx context.Context, lease *Lease, margin time.Duration, f func(context.Context, *Lease) error,
 ) error {
 	leaseContext, end := lease.Context(ctx, margin)
--- a/internal/coord/client/request.go
+++ b/internal/coord/client/request.go
@@ -140,7 +140,7 @@
 		_ = json.Unmarshal(body, &redirect) // a malformed body names no leader
 		return redirect.Leader, &redirectError{redirect.Text}
 	case http.StatusServiceUnavailable:
-		return "", retryLater(response.Header, body)
+		return "", newRetryLaterError(response.Header, body)
 	}
 	return "", fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(body))
 }
--- a/internal/coord/client/request_timeout.go
+++ b/internal/coord/client/request_timeout.go
@@ -16,8 +16,8 @@
 
 // newRequestTimeout returns the base timeout, which can grow to half of the session's TTL.
 func (c *Client) newRequestTimeout() requestTimeout {
-	usual := c.baseRequestTimeout()
-	return requestTimeout{current: usual, longest: max(usual, c.options.TTL/2)}
+	base := c.baseRequestTimeout()
+	return requestTimeout{current: base, longest: max(base, c.options.TTL/2)}
 }
 
 // observe doubles the timeout if the error is a timeout.
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -17,10 +17,10 @@
 	maxRetryAfter = 5 * time.Minute
 )
 
-// retryLater returns the error for a coordinator that has reached a limit. If the body is
+// newRetryLaterError returns the error for a coordinator that has reached a limit. If the body is
 // malformed, the header's whole seconds are used. A RetryAfter of 0 means the same pause as after
 // any other error.
-func retryLater(header http.Header, body []byte) error {
+func newRetryLaterError(header http.Header, body []byte) error {
 	var rejection struct {
 		Text       string        `json:"text"`
 		RetryAfter time.Duration `json:"retry_after"`
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -18,16 +18,16 @@
 // A hundred clients get the same Retry-After. None retries sooner, and their retries are spread
 // over half of it. Otherwise they would overload the coordinator again.
 func TestRetryDelayIsSpread(t *testing.T) {
-	const asked = time.Second
+	const retryAfter = time.Second
 	for _, err := range []error{
-		&RetryLaterError{"full", asked},
-		errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
-		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}},
+		&RetryLaterError{"full", retryAfter},
+		errors.Join(errors.New("another"), &RetryLaterError{"full", retryAfter}),
+		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: retryAfter}},
 	} {
 		delays := map[time.Duration]bool{}
 		for range 100 {
 			d := RetryDelay(err, time.Millisecond)
-			if d < asked || d > asked*3/2 {
+			if d < retryAfter || d > retryAfter*3/2 {
 				t.Fatalf("%v: %v", err, d)
 			}
 			delays[d] = true
@@ -42,7 +42,7 @@
 	if d := RetryDelay(&RetryLaterError{"full", time.Hour}, 0); d > maxRetryAfter*3/2 {
 		t.Errorf("a Retry-After of an hour gives a delay of %v", d)
 	}
-	if d := RetryDelay(retryLater(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
+	if d := RetryDelay(newRetryLaterError(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
 		t.Errorf("a delay of %v from the header alone", d)
 	}
 }
--- a/internal/coord/client/session.go
+++ b/internal/coord/client/session.go
@@ -66,7 +66,7 @@
 		response, err := c.sendWithin(ctx, timeout.current, open)
 		timeout.observe(err)
 		if err == nil && response.Code == coord.CodeOK {
-			if c.sessionOpened(sentAt) {
+			if c.recordSessionOpened(sentAt) {
 				return true
 			}
 		} else if err == nil {
@@ -84,8 +84,8 @@
 	return false
 }
 
-// sessionOpened records the session. It returns false if the session has expired already.
-func (c *Client) sessionOpened(sentAt time.Duration) bool {
+// recordSessionOpened records the session. It returns false if the session has expired already.
+func (c *Client) recordSessionOpened(sentAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leases.RecordSessionOpened(c.options.TTL, sentAt, c.options.Clock())
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -11,8 +11,8 @@
 type budgetsFile struct {
 	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
-	// Grace must be longer than the TTL of routers' sessions, from 1s to 1h.
-	Grace string `toml:"grace"`
+	// GracePeriod must be longer than the TTL of routers' sessions, from 1s to 1h.
+	GracePeriod string `toml:"grace"`
 	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the
 	// check.
 	ExpectedRouters int `toml:"routers"`
@@ -48,7 +48,7 @@
 
 // ParseBudgets parses the content of the budgets file at path.
 func ParseBudgets(path string, text []byte) (rollout.Command, error) {
-	file := budgetsFile{Grace: rollout.DefaultGracePeriod.String()}
+	file := budgetsFile{GracePeriod: rollout.DefaultGracePeriod.String()}
 	if err := decode(path, text, &file); err != nil {
 		return rollout.Command{Op: rollout.OpSetBudgets}, err
 	}
@@ -56,7 +56,7 @@
 	c.version(file.Version)
 	command := rollout.Command{
 		Op:              rollout.OpSetBudgets,
-		GracePeriod:     c.durationWithin("grace", file.Grace, rollout.MinGracePeriod, rollout.MaxDuration),
+		GracePeriod:     c.durationWithin("grace", file.GracePeriod, rollout.MinGracePeriod, rollout.MaxDuration),
 		ExpectedRouters: file.ExpectedRouters,
 		EjectionQuorum:  file.EjectionQuorum,
 		OverloadShare:   file.OverloadShare,
--- a/internal/coord/coord_test.go
+++ b/internal/coord/coord_test.go
@@ -116,7 +116,7 @@
 		sinceKeptAlive := float64(after.Clock - before.Sessions[lease.SessionID].KeptAliveAt)
 		onSlowClock := sinceKeptAlive / (1 + before.ClockRateBound) * (1 - before.ClockRateBound)
 		if onSlowClock < float64(lease.TTL) {
-			t.Fatalf("%+v: lease %s was taken back %v after it was kept alive, of %v",
+			t.Fatalf("%+v: lease %s expired %v after its last keep-alive, TTL %v",
 				c, name, time.Duration(onSlowClock), lease.TTL)
 		}
 	}
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -157,8 +157,8 @@
 // overLimitKey is the context key that says whether the connection exceeds the bound.
 type overLimitKey struct{}
 
-// opened registers a new connection. It is the server's ConnContext.
-func (l *connectionLimit) opened(ctx context.Context, c net.Conn) context.Context {
+// registerConnection registers a new connection. It is the server's ConnContext.
+func (l *connectionLimit) registerConnection(ctx context.Context, c net.Conn) context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	isWithin := l.counted < l.bound
@@ -169,8 +169,8 @@
 	return context.WithValue(ctx, overLimitKey{}, !isWithin)
 }
 
-// changed unregisters a connection that has ended. It is the server's ConnState.
-func (l *connectionLimit) changed(c net.Conn, state http.ConnState) {
+// unregisterConnection unregisters a connection that has ended. It is the server's ConnState.
+func (l *connectionLimit) unregisterConnection(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
@@ -182,8 +182,8 @@
 	delete(l.open, c)
 }
 
-// handler returns a handler that passes requests within the bound to another handler.
-func (l *connectionLimit) handler(within http.Handler) http.Handler {
+// wrapHandler returns a wrapHandler that passes requests within the bound to another wrapHandler.
+func (l *connectionLimit) wrapHandler(within http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if isOver, _ := r.Context().Value(overLimitKey{}).(bool); !isOver {
 			within.ServeHTTP(w, r)
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -114,9 +114,9 @@
 func TestConnectionBeyondLimitGetsRetryAfter(t *testing.T) {
 	limit := newConnectionLimit(1)
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
-	s := httptest.NewUnstartedServer(limit.handler(served))
-	s.Config.ConnContext = limit.opened
-	s.Config.ConnState = limit.changed
+	s := httptest.NewUnstartedServer(limit.wrapHandler(served))
+	s.Config.ConnContext = limit.registerConnection
+	s.Config.ConnState = limit.unregisterConnection
 	s.Start()
 	defer s.Close()
 	ask := func(c *http.Client) (int, string, http.Header) {
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -138,8 +138,8 @@
 		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
-	isWanted := after > 0 || r.URL.Query().Get("wait") == "true"
-	if !isWanted || n.raft.State() != raft.Leader {
+	mustWait := after > 0 || r.URL.Query().Get("wait") == "true"
+	if !mustWait || n.raft.State() != raft.Leader {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxRolloutWatchDuration)
@@ -252,14 +252,14 @@
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	limit := newConnectionLimit(connectionLimitForProcess())
 	server := &http.Server{
-		Handler:           limit.handler(handler),
+		Handler:           limit.wrapHandler(handler),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ConnContext:       limit.opened,
-		ConnState:         limit.changed,
+		ConnContext:       limit.registerConnection,
+		ConnState:         limit.unregisterConnection,
 	}
 	done := make(chan error, 1)
 	go func() { // ends with the server; done is received below
--- a/internal/coord/node/faults.go
+++ b/internal/coord/node/faults.go
@@ -12,15 +12,15 @@
 // 50ms), shorten the interval of the directory's epoch (DOCKHINGE_EPOCH_EVERY) and kill the process
 // at a crash point (DOCKHINGE_KILL_AT).
 var (
-	syncTakes     = duration("DOCKHINGE_SLOW_SYNC", 0)
-	epochInterval = duration("DOCKHINGE_EPOCH_EVERY", defaultEpochInterval)
+	syncDelay     = durationFromEnvironment("DOCKHINGE_SLOW_SYNC", 0)
+	epochInterval = durationFromEnvironment("DOCKHINGE_EPOCH_EVERY", defaultEpochInterval)
 )
 
-func duration(name string, otherwise time.Duration) time.Duration {
+func durationFromEnvironment(name string, fallback time.Duration) time.Duration {
 	if d, err := time.ParseDuration(os.Getenv(name)); err == nil && d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
 
 // crashPoint kills the process with SIGKILL if this is the configured crash point.
@@ -31,4 +31,4 @@
 	}
 }
 
-func slowSync() { time.Sleep(syncTakes) }
+func slowSync() { time.Sleep(syncDelay) }
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -135,13 +135,13 @@
 
 // withChecksums returns copies of the entries with their checksums as extensions.
 func withChecksums(logs []*raft.Log) []*raft.Log {
-	summed := make([]*raft.Log, len(logs))
+	checksummed := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		c := *l
 		c.Extensions = entryChecksum(l)
-		summed[i] = &c
+		checksummed[i] = &c
 	}
-	return summed
+	return checksummed
 }
 
 // GetLog reads an entry and verifies its checksum.
@@ -181,10 +181,10 @@
 	if failpoint.IsInjected("unsynced") {
 		return d.storeUnsynced(logs)
 	}
-	summed := withChecksums(logs)
+	checksummed := withChecksums(logs)
 	began := time.Now()
 	slowSync()
-	err := d.BoltStore.StoreLogs(summed)
+	err := d.BoltStore.StoreLogs(checksummed)
 	d.mu.Lock()
 	recordLatency(d.syncLatency, began)
 	d.mu.Unlock()
@@ -201,9 +201,9 @@
 	if written <= 0 {
 		return nil
 	}
-	summed := withChecksums(d.unsyncedLogs[:written])
+	checksummed := withChecksums(d.unsyncedLogs[:written])
 	d.unsyncedLogs = slices.Clone(d.unsyncedLogs[written:])
-	return d.BoltStore.StoreLogs(summed)
+	return d.BoltStore.StoreLogs(checksummed)
 }
 
 // LastIndex returns the index of the most recent entry, or 0.
@@ -240,8 +240,8 @@
 // Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could
 // vote twice in one term.
 func (d *diskStore) Set(key, value []byte) error {
-	summed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
-	err := d.BoltStore.Set(key, summed)
+	checksummed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
+	err := d.BoltStore.Set(key, checksummed)
 	if err != nil {
 		d.onFatal(fmt.Errorf("%s can't be written: %w", key, err))
 	}
--- a/internal/coord/observer/client/compatibility_test.go
+++ b/internal/coord/observer/client/compatibility_test.go
@@ -16,8 +16,8 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// fixture returns a recorded response of an observer of an earlier version.
-func fixture(t *testing.T, name string) []byte {
+// readFixture returns a recorded response of an observer of an earlier version.
+func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "testdata", name))
 	if err != nil {
@@ -52,13 +52,14 @@
 // field under another name, it would stay at an older revision, keep the deleted document or never
 // know the age of its state.
 func TestClientReadsEarlierObserver(t *testing.T) {
-	watch := fixture(t, "watch-from-start.jsonl")
-	_, changes, _ := bytes.Cut(fixture(t, "watch-changes.jsonl"), []byte("\n")) // its first line starts at revision 3
+	watch := readFixture(t, "watch-from-start.jsonl")
+	// The first line of the second recording starts at revision 3.
+	_, changes, _ := bytes.Cut(readFixture(t, "watch-changes.jsonl"), []byte("\n"))
 	watch = append(watch, changes...)
 	observer := &recordedObserver{
 		status:          http.StatusOK,
 		watch:           watch,
-		acknowledgement: fixture(t, "acknowledgement.json"),
+		acknowledgement: readFixture(t, "acknowledgement.json"),
 	}
 	r := startRouter(t, nil, observer)
 	eventually(t, func() error {
@@ -86,7 +87,7 @@
 // A client whose revision the observer has compacted is sent a snapshot. It must replace the
 // client's state.
 func TestClientReadsEarlierSnapshot(t *testing.T) {
-	observer := &recordedObserver{status: http.StatusOK, watch: fixture(t, "watch-snapshot.jsonl")}
+	observer := &recordedObserver{status: http.StatusOK, watch: readFixture(t, "watch-snapshot.jsonl")}
 	r := startRouter(t, nil, observer)
 	eventually(t, func() error {
 		if held, _ := r.Revisions(); held != 7 {
@@ -105,7 +106,7 @@
 		"watch-invalid.json":    {Code: protocol.CodeInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
-			observer := &recordedObserver{status: http.StatusServiceUnavailable, watch: fixture(t, name)}
+			observer := &recordedObserver{status: http.StatusServiceUnavailable, watch: readFixture(t, name)}
 			server := httptest.NewServer(observer)
 			defer server.Close()
 			c := New(Options{WatcherName: "w"})
@@ -135,7 +136,7 @@
 		"watch-snapshot.jsonl":            protocol.Update{},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := fixture(t, name)
+			text := readFixture(t, name)
 			var again bytes.Buffer
 			for line := range bytes.Lines(text) {
 				pointer := reflect.New(reflect.TypeOf(message))
--- a/internal/coord/observer/serve.go
+++ b/internal/coord/observer/serve.go
@@ -79,7 +79,7 @@
 	}
 	defer func() {
 		o.mu.Lock()
-		o.watchers.leave(watch)
+		o.watchers.remove(watch)
 		o.mu.Unlock()
 	}()
 	w.Header().Set("Content-Type", "application/jsonl")
@@ -110,19 +110,19 @@
 	if retryAfter, ok := o.joins.admit(now); !ok {
 		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("joins: %v a second at most", o.options.JoinsPerSecond)
-		return nil, overloaded(text, retryAfter)
+		return nil, newOverloadedRejection(text, retryAfter)
 	}
 	watch := o.watchers.join(request.watcher, request.after, newest, now, end)
 	if watch == nil {
 		o.watchers.rejectedJoins++
 		text := fmt.Sprintf("watchers: %d at most", o.options.MaxWatchers)
-		return nil, overloaded(text, watcherLimitRetryAfter)
+		return nil, newOverloadedRejection(text, watcherLimitRetryAfter)
 	}
 	return watch, nil
 }
 
-// overloaded returns a rejection because of a limit.
-func overloaded(text string, retryAfter time.Duration) *protocol.Rejection {
+// newOverloadedRejection returns a rejection because of a limit.
+func newOverloadedRejection(text string, retryAfter time.Duration) *protocol.Rejection {
 	return &protocol.Rejection{
 		Code:             protocol.CodeOverloaded,
 		Text:             text,
--- a/internal/coord/observer/watchers.go
+++ b/internal/coord/observer/watchers.go
@@ -38,13 +38,13 @@
 // join adds a watch from a revision. It ends an existing watch of the same name: the router has
 // reconnected, and the previous connection may be half open. It returns nil if the table is full.
 func (t *watcherTable) join(name string, revision, newest uint64, now time.Duration, end func()) *watcher {
-	before := t.byName[name]
-	if before == nil && len(t.byName) >= t.limit {
+	previous := t.byName[name]
+	if previous == nil && len(t.byName) >= t.limit {
 		return nil
 	}
 	w := &watcher{name: name, sentThrough: revision, end: end}
-	if before != nil {
-		before.end()
+	if previous != nil {
+		previous.end()
 	}
 	t.byName[name] = w
 	if newest > 0 {
@@ -53,8 +53,8 @@
 	return w
 }
 
-// leave removes a watch unless another one of the same name has replaced it.
-func (t *watcherTable) leave(w *watcher) {
+// remove removes a watch unless another one of the same name has replaced it.
+func (t *watcherTable) remove(w *watcher) {
 	if t.byName[w.name] == w {
 		delete(t.byName, w.name)
 	}
--- a/internal/coord/observer/watchers_test.go
+++ b/internal/coord/observer/watchers_test.go
@@ -22,7 +22,7 @@
 	if table.join("a", 0, 0, 0, nil) == nil || ended != "a" {
 		t.Errorf("a reconnecting watcher was rejected, or %q ended", ended)
 	}
-	table.leave(first) // the watcher has joined again meanwhile
+	table.remove(first) // the watcher has joined again meanwhile
 	if len(table.byName) != 2 {
 		t.Errorf("%d watchers", len(table.byName))
 	}
