--- a/internal/coord/client/request_timeout_test.go
+++ b/internal/coord/client/request_timeout_test.go
@@ -61,6 +61,6 @@
 		t.Error("no session")
 	}
 	if opens > 5 { // 50, 100, 200, 400 ms
-		t.Errorf("asked %d times", opens)
+		t.Errorf("%d open commands, want 5 at most", opens)
 	}
 }
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -68,7 +68,7 @@
 	}
 	for i := range coord.MaxCachedResponses - 1 {
 		if _, err := c.Acquire(ctx, fmt.Sprint("l", i), "", 10*time.Second); err != nil {
-			t.Fatalf("number %d: %v", i, err)
+			t.Fatalf("acquire %d: %v", i, err)
 		}
 	}
 	next := make(chan error, 1)
@@ -79,7 +79,7 @@
 	shortContext, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
 	if _, err := c.Acquire(shortContext, "beyond too", "", 10*time.Second); err == nil {
-		t.Error("a command beyond the window was carried out")
+		t.Error("a command beyond the window was executed")
 	}
 	close(late.released)
 	for what, c := range map[string]chan error{"late": errs, "beyond": next} {
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -19,8 +19,8 @@
 	// EjectionQuorum is how many routers must find a server failing before all of them eject it; 0
 	// disables shared ejection.
 	EjectionQuorum int `toml:"quorum"`
-	// OverloadShare is the fraction of rejected or failed requests above which no further drain or
-	// permit starts; 0 disables the check.
+	// OverloadShare is the fraction of rejected or failed requests above which no outage may start
+	// except in an emergency; 0 disables the check.
 	OverloadShare float64 `toml:"busy"`
 	// Budgets limit how many routers or servers may be out of service at the same time.
 	Budgets []budgetEntry `toml:"budget"`
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -95,16 +95,16 @@
 	first := r.nextRetryAfter(0)
 	second := r.nextRetryAfter(0)
 	if first != minRetryAfter || second != first+time.Second/tableRetriesPerSecond {
-		t.Errorf("%v, %v", first, second)
+		t.Errorf("Retry-After %v, then %v", first, second)
 	}
 	for range 2 * tableRetriesPerSecond * int(maxTableRetryAfter/time.Second) {
 		r.nextRetryAfter(0)
 	}
 	if d := r.nextRetryAfter(0); d != maxTableRetryAfter {
-		t.Errorf("%v after many", d)
+		t.Errorf("Retry-After %v after many rejections", d)
 	}
 	if d := r.nextRetryAfter(time.Hour); d != minRetryAfter {
-		t.Errorf("%v after an hour", d)
+		t.Errorf("Retry-After %v after an hour", d)
 	}
 }
 
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -75,7 +75,7 @@
 	put(2, "b/1")
 	code, update, _ := poll(t, n, "after=1&prefix=a/")
 	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 || update.Newest != 2 {
-		t.Errorf("%d %+v: what lies outside the prefix is progress alone", code, update)
+		t.Errorf("%d %+v: changes outside the prefix must only give progress", code, update)
 	}
 	code, update, _ = poll(t, n, "after=2")
 	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 {
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -157,6 +157,6 @@
 		t.Errorf("routers/a: %+v", document)
 	}
 	if s.Rollout == nil {
-		t.Fatal("no state of rollouts")
+		t.Fatal("the rollout state is missing")
 	}
 }
