--- a/internal/coord/client/client.go
+++ b/internal/coord/client/client.go
@@ -1,7 +1,6 @@
 // Package client maintains a session and leases with the coordinators, for routers and tools.
 // Whether a holder may act under a lease is decided by Lease.Remaining, which uses the local
-// LeaseTable at the time of the call. No function here is meant to be waited for while serving a
-// request.
+// LeaseTable at the time of the call. Serving a request never waits for this package.
 package client
 
 import (
--- a/internal/coord/client/lease.go
+++ b/internal/coord/client/lease.go
@@ -99,7 +99,7 @@
 	c.execute(sessionContext, release, nil)
 }
 
-// Release releases the lease. The holder must not act under it from the call on, whatever the
+// Release releases the lease. The holder must not act under it after calling Release, whatever the
 // error.
 func (l *Lease) Release(ctx context.Context) error {
 	l.stopActing()
@@ -107,8 +107,8 @@
 }
 
 // Transfer gives the lease to another client, by name, and returns the successor's token. The
-// holder must not act under the lease from the call on. After a rejected transfer, a client that
-// still holds the lease gets it back with Acquire.
+// holder must not act under the lease after calling Transfer. After a rejected transfer, a client
+// that still holds the lease gets it back with Acquire.
 func (l *Lease) Transfer(ctx context.Context, successor string) (token uint64, err error) {
 	l.stopActing()
 	command := l.command(coord.OpTransfer)
--- a/internal/coord/client/retry.go
+++ b/internal/coord/client/retry.go
@@ -34,7 +34,7 @@
 
 // RetryDelay returns how long to wait after an error: at least the coordinators' Retry-After and up
 // to half of it longer, so that clients with the same Retry-After don't retry at the same time.
-// Without a Retry-After it returns otherwise.
+// Without a Retry-After it returns fallback.
 func RetryDelay(err error, fallback time.Duration) time.Duration {
 	retryAfter := min(retryAfterOf(err), maxRetryAfter)
 	if retryAfter <= 0 {
--- a/internal/coord/observer/client/client.go
+++ b/internal/coord/observer/client/client.go
@@ -1,6 +1,6 @@
 // Package client watches the agreed documents for a router. It uses one observer of a list and
 // switches to another when that one fails, becomes silent or is stale. Its revision never
-// decreases. It is not meant to be waited for while serving a request.
+// decreases. Serving a request never waits for this package.
 package client
 
 import (
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -1,6 +1,6 @@
 package coord
 
-// Each part of the state machine exists from one of these command versions on. During a rolling
+// The command versions that introduced parts of the state machine. During a rolling
 // upgrade, older coordinators apply the same log: all coordinators must reject a command that an
 // older program doesn't support, or their states diverge.
 const (
@@ -8,7 +8,7 @@
 	rolloutSignalVersion = 3 // its response times, learning periods, ejection quorum and load limit
 	fleetLimitsVersion   = 4 // the current limits of all tables; older programs have lower ones
 
-	// DocumentVersion is the version from which on there are agreed documents.
+	// DocumentVersion is the version that introduced agreed documents.
 	DocumentVersion = 4
 )
 
