--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -18,8 +18,8 @@
 	healedMargin     = 500 * time.Millisecond
 )
 
-// healed waits until a fresh client has had each lease: nothing stays held by nobody.
-func (a *agreement) healed(ctx context.Context) error {
+// awaitAllLeasesFree waits until a fresh client has had each lease: nothing stays held by nobody.
+func (a *coordinatorGroup) awaitAllLeasesFree(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.scenario.HealS*float64(time.Second)))
 	defer cancel()
 	for _, holder := range a.holders { // they would compete for ever
@@ -47,10 +47,10 @@
 }
 
 // judge reads what all saw.
-func (a *agreement) judge(res *AgreeResult) {
+func (a *coordinatorGroup) judge(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
-	res.Claims, res.Ops, res.Acts = len(claims), len(operations), len(acts)
+	res.Claims, res.Operations, res.Acts = len(claims), len(operations), len(acts)
 	for _, act := range acts {
 		if act.Refused {
 			res.Refused++
@@ -61,12 +61,12 @@
 			res.Grants++
 		}
 	}
-	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.Patience})
+	res.Breaches, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.CheckTimeout})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
-	if len(res.Broken) > 0 {
-		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Broken), res.Broken[0]))
+	if len(res.Breaches) > 0 {
+		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Breaches), res.Breaches[0]))
 	}
 	if res.Grants == 0 || res.Claims == 0 {
 		res.Failures = append(res.Failures, "nobody ever held a lease: nothing was tried")
@@ -74,7 +74,7 @@
 }
 
 // readHolders reads what the holders claimed and asked for.
-func (a *agreement) readHolders() (claims []checker.Claim, operations []checker.Op) {
+func (a *coordinatorGroup) readHolders() (claims []checker.Claim, operations []checker.Op) {
 	for _, holder := range a.holders {
 		claimed, asked, err := readHolder(a.holderLog(holder.name))
 		if err != nil {
@@ -87,8 +87,8 @@
 }
 
 // readActs reads what was done with the resource.
-func (a *agreement) readActs() (acts []checker.Act) {
-	if err := lines(a.actsFile(), func(text []byte) {
+func (a *coordinatorGroup) readActs() (acts []checker.Act) {
+	if err := forEachLine(a.actsFile(), func(text []byte) {
 		var act checker.Act
 		if json.Unmarshal(text, &act) == nil {
 			acts = append(acts, act)
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -25,34 +25,34 @@
 // Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
 // here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
 type Change struct {
-	Thing  string   `json:"thing"`
-	Asked  float64  `json:"asked_ms"`
-	Gone   float64  `json:"gone_ms"` // the command was run: it may be stopped
-	Back   float64  `json:"back_ms"` // it runs again
-	Tools  int      `json:"tools"`   // runs of the tool
-	Tokens []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
+	Resource      string   `json:"thing"`
+	RequestedAtMS float64  `json:"asked_ms"`
+	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
+	RunningAtMS   float64  `json:"back_ms"` // it runs again
+	ToolRuns      int      `json:"tools"`   // runs of the tool
+	Tokens        []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
 }
 
 // outage is what a fault takes out, whatever is planned.
 type outage struct {
-	thing    string
+	resource string
 	from, to float64 // 0 = it lasts
 	stopped  bool    // the process is there and does nothing: what it then sends it may not have known better
 }
 
-// noticedMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
-const noticedMS = 8000
+// noticeTimeoutMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
+const noticeTimeoutMS = 8000
 
 // warmed takes off what the fleet's clock may be faster, in milliseconds.
-const warmedMS = 100
+const clockToleranceMS = 100
 
-// upgradeWithin bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
+// upgradeTimeout bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
 // replaced at any moment.
-const upgradeWithin = 20 * time.Second
+const upgradeTimeout = 20 * time.Second
 
 // upgradeCoordinators has the leader of this moment put the newest version in force. It may be repeated.
 func (fl *Fleet) upgradeCoordinators(ctx context.Context) error {
-	leader, err := fl.coords.leader(ctx)
+	leader, err := fl.coordinators.leader(ctx)
 	if err != nil {
 		return err
 	}
@@ -76,14 +76,14 @@
 			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n", kind, kind, n, o.WarmS)
 		}
 	}
-	path := filepath.Join(fl.o.Dir, "budgets.toml")
+	path := filepath.Join(fl.options.Dir, "budgets.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := until(ctx, upgradeWithin, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
+	if err := retryUntil(ctx, upgradeTimeout, func() error { return fl.upgradeCoordinators(ctx) }); err != nil {
 		return err
 	}
-	p := fl.tool("budgets", "budgets", "set", path)
+	p := fl.newToolProcess("budgets", "budgets", "set", path)
 	if err := p.start(); err != nil {
 		return err
 	}
@@ -94,13 +94,13 @@
 	return nil
 }
 
-// tool is a run of the operators' tool.
-func (fl *Fleet) tool(name string, args ...string) *proc {
+// newToolProcess is a run of the operators' newToolProcess.
+func (fl *Fleet) newToolProcess(name string, args ...string) *proc {
 	var all []string
-	for n, addr := range fl.coords.addresses() {
+	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.o.Coord[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.o.Dir}
+	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
 func (fl *Fleet) draw(n int) int {
@@ -109,31 +109,31 @@
 	return fl.rng.IntN(n)
 }
 
-// change has operators change servers or routers, all at once as far as they may: each asks for a permit of its own.
-func (fl *Fleet) change(ctx context.Context, f scenario.Fault) {
+// requestChanges has operators requestChanges servers or routers, all at once as far as they may: each asks for a permit of its own.
+func (fl *Fleet) requestChanges(ctx context.Context, f scenario.Fault) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if f.What == "change-servers" {
-		part := fl.pick(f)
+		part := fl.pickServers(f)
 		fl.mark("operators want to change %d cache servers", len(part))
 		for _, m := range part {
 			wg.Go(func() {
 				tell := func() {}
 				if f.DrainS > 0 { // operators tell discovery too, once the step has begun
 					tell = func() {
-						if !m.busy.TryLock() { // a fault has it down, and tells discovery so
+						if !m.downMu.TryLock() { // a fault has it down, and tells discovery so
 							return
 						}
-						defer m.busy.Unlock()
+						defer m.downMu.Unlock()
 						e := m.entry
 						e.State = "leaving"
 						fl.discovery.Happened(e)
 					}
 				}
-				fl.changeOne(ctx, "server/"+m.entry.ID, &m.busy, tell, func() {
+				fl.changeOne(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
-					fl.back(m)
+					fl.restartServer(m)
 				})
 			})
 		}
@@ -147,7 +147,7 @@
 	fl.mark("operators want to change %d routers", len(routers))
 	for _, r := range routers {
 		wg.Go(func() {
-			fl.changeOne(ctx, "router/"+r.name, &r.busy, func() {}, func() {
+			fl.changeOne(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
 					fl.front.Down(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
@@ -156,7 +156,7 @@
 				wait(ctx, f.DownS)
 				if r.newest() == nil && ctx.Err() == nil {
 					if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-						fl.trouble(err)
+						fl.recordLabError(err)
 					}
 				}
 			})
@@ -167,7 +167,7 @@
 // changeOne runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
 // operator would; where it dies after it, the change is under way, and nobody does it twice.
 func (fl *Fleet) changeOne(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
-	c := &Change{Thing: thing, Asked: fl.clock.Now()}
+	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
 	fl.changes = append(fl.changes, c)
@@ -179,24 +179,24 @@
 		defer end()
 		wg.Go(func() { fl.killAtStep(ctx, inner, thing) })
 	}
-	base := filepath.Join(fl.o.Dir, strings.ReplaceAll(thing, "/", "-"))
+	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(thing, "/", "-"))
 	// The operators' own command: it tells the laboratory its token, and waits until the thing is back.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
-		p := fl.tool(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
-		if first && c.Tools == 0 {
-			p.env = append(p.env, fl.o.Kill.env(fl.o.Dir)...)
+		p := fl.newToolProcess(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
+		if first && c.ToolRuns == 0 {
+			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		fl.mu.Lock()
-		c.Tools++
-		fl.tools[thing] = p
+		c.ToolRuns++
+		fl.runningTools[thing] = p
 		fl.mu.Unlock()
 		over, told := false, false
-		for !over && c.Back == 0 {
+		for !over && c.RunningAtMS == 0 {
 			select {
 			case <-p.done:
 				over = true
@@ -215,27 +215,27 @@
 			}
 			token, _ := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 			fl.mu.Lock()
-			c.Gone, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
+			c.StoppedAtMS, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
 			fl.mu.Unlock()
 			busy.Lock()                    // a fault may have it down
 			if up, _ := p.running(); !up { // the command ended with its tool before it did anything
 				busy.Unlock()
 				fl.mu.Lock()
-				c.Gone, c.Tokens = 0, nil
+				c.StoppedAtMS, c.Tokens = 0, nil
 				fl.mu.Unlock()
 				if err := os.Remove(base + ".go"); err != nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 				break
 			}
 			act()
 			busy.Unlock()
 			fl.mu.Lock()
-			c.Back = fl.clock.Now()
+			c.RunningAtMS = fl.clock.Now()
 			fl.mu.Unlock()
 			_ = os.Rename(base+".go", base+".was")
 			if err := os.WriteFile(base+".done", nil, 0o600); err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		}
 		select { // it gives the permit back
@@ -244,11 +244,11 @@
 			p.kill()
 		}
 		fl.mu.Lock()
-		delete(fl.tools, thing)
-		done := c.Back > 0
+		delete(fl.runningTools, thing)
+		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
 		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
-			fl.clear(ctx, thing)
+			fl.clearPermit(ctx, thing)
 		}
 		if done || !wait(ctx, 0.2) {
 			return
@@ -256,12 +256,12 @@
 	}
 }
 
-// clear has an operator say that a permit whose holder died isn't used any more. Until then it is.
-func (fl *Fleet) clear(ctx context.Context, thing string) {
+// clearPermit has an operator say that a permit whose holder died isn't used any more. Until then it is.
+func (fl *Fleet) clearPermit(ctx context.Context, thing string) {
 	for range 30 {
-		p := fl.tool(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
+		p := fl.newToolProcess(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
 		if err := p.start(); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		select {
@@ -281,8 +281,8 @@
 	for range f.Count {
 		fl.mu.Lock()
 		var all []*proc
-		for _, name := range slices.Sorted(maps.Keys(fl.tools)) {
-			all = append(all, fl.tools[name])
+		for _, name := range slices.Sorted(maps.Keys(fl.runningTools)) {
+			all = append(all, fl.runningTools[name])
 		}
 		fl.mu.Unlock()
 		if len(all) > 0 {
@@ -303,8 +303,8 @@
 	}
 }
 
-// hitRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
-func (fl *Fleet) hitRouters(ctx context.Context, f scenario.Fault, over func()) {
+// faultRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
+func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, over func()) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		f.Count = int(math.Round(f.Share * float64(len(routers))))
@@ -323,15 +323,15 @@
 			continue
 		}
 		if f.What == "kill-routers" {
-			if !r.busy.TryLock() {
+			if !r.downMu.TryLock() {
 				continue
 			}
-			defer r.busy.Unlock()
+			defer r.downMu.Unlock()
 			down = append(down, r)
 		}
-		o := &outage{thing: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
+		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
-			for _, relay := range fl.toCoord[r.name] { // made before the load
+			for _, relay := range fl.coordinatorRelays[r.name] { // made before the load
 				relay.Set(fakes.Net{Cut: true})
 				defer relay.Set(fakes.Net{})
 			}
@@ -357,7 +357,7 @@
 					<-p.done
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			})
 		}
@@ -368,7 +368,7 @@
 	for _, o := range hit {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
@@ -379,31 +379,31 @@
 func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
-	warm := o.WarmS*1000 - warmedMS
+	warm := o.WarmS*1000 - clockToleranceMS
 	for _, c := range fl.changes {
 		if len(c.Tokens) > 1 {
-			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Thing, len(c.Tokens), c.Tokens))
+			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
 		}
-		if c.Back == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Thing, c.Tools))
+		if c.RunningAtMS == 0 {
+			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.ToolRuns))
 		}
-		if c.Gone == 0 {
+		if c.StoppedAtMS == 0 {
 			continue
 		}
-		kind, _, _ := strings.Cut(c.Thing, "/")
+		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Thing, "/"); d != c && k == kind && d.Gone > 0 && d.Gone <= c.Gone && (d.Back == 0 || d.Back+warm > c.Gone) {
-				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Thing, d.Gone, d.Back)] = true
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
+				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.RunningAtMS)] = true
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.thing, "/"); k == kind && d.thing != c.Thing && d.from+noticedMS < c.Gone && (d.to == 0 || d.to > c.Gone) {
-				out[d.thing] = true
+			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource && d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
+				out[d.resource] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Thing, c.Gone, slices.Sorted(maps.Keys(out)), allowed[kind]))
+			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
 	// Nothing begins at a server between the word that it is drained and its return.
@@ -414,25 +414,25 @@
 		}
 	}
 	for _, c := range fl.changes {
-		id, ok := strings.CutPrefix(c.Thing, "server/")
-		if !ok || c.Gone == 0 {
+		id, ok := strings.CutPrefix(c.Resource, "server/")
+		if !ok || c.StoppedAtMS == 0 {
 			continue
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
 				continue
 			}
 			known := true
 			for _, d := range fl.outages { // a process that was stopped hears of it when it goes on
-				known = known && !(d.stopped && d.thing == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
+				known = known && !(d.stopped && d.resource == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
 			if known {
 				late++
 			}
 		}
 		if late > 0 {
-			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Thing, late))
+			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Resource, late))
 		}
 	}
 	return fails
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{Command: realRouter(t), Coord: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), Patience: 3 * time.Minute, Ready: time.Minute}
+	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
 }
 
 // Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
 // the budgets leave, nothing sent to a drained server, each change done once.
-func TestPlannedChangesByProcesses(t *testing.T) {
+func TestPlannedChangesStayWithinBudgets(t *testing.T) {
 	o := changesOptions(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -57,7 +57,7 @@
 
 // Releases of real routers, whose drivers are killed: a good version comes to all, one that doesn't get ready and one that crashes
 // halt by themselves and go back. No router is brought anywhere twice.
-func TestReleasesByProcesses(t *testing.T) {
+func TestBadReleaseHaltsAndRollsBack(t *testing.T) {
 	o := changesOptions(t)
 	for _, spoil := range []string{"", "never", "crash"} {
 		t.Run("spoilt by "+spoil, func(t *testing.T) {
@@ -90,7 +90,7 @@
 }
 
 // A driver killed at each of its steps: the release comes to its end, and no router is brought anywhere twice.
-func TestDriverKilledAtEachStep(t *testing.T) {
+func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
 	o := changesOptions(t)
 	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
 		t.Run(at, func(t *testing.T) {
@@ -117,7 +117,7 @@
 
 // The tool killed at each of its steps, and called again under the same name: it takes over, commands get ever higher tokens, and
 // nothing stays out.
-func TestToolKilledAtEachStep(t *testing.T) {
+func TestPermitIsTakenOverWhenToolIsKilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 7)
 	if err != nil {
@@ -129,8 +129,8 @@
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	reader := client.New(client.Options{Coordinators: fl.coords.addresses(), TTL: 20 * time.Second})
-	if err := until(t.Context(), time.Minute, func() error {
+	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (r.Servers < 7 || r.Routers < 2) {
 			err = fmt.Errorf("%d servers and %d routers are known", r.Servers, r.Routers)
@@ -143,13 +143,13 @@
 	for i, at := range []string{"granted", "begun", "drained", "ran", "given-back"} {
 		wg.Go(func() {
 			thing := "server/" + fl.members[i].entry.ID
-			file := filepath.Join(fl.o.Dir, at)
+			file := filepath.Join(fl.options.Dir, at)
 			for run := 0; ; run++ {
-				p := fl.tool(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
+				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
 					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
 				}
-				if err := until(t.Context(), time.Minute, p.start); err != nil {
+				if err := retryUntil(t.Context(), time.Minute, p.start); err != nil {
 					t.Error(err)
 					return
 				}
@@ -178,7 +178,7 @@
 		})
 	}
 	wg.Wait()
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		r, err := reader.RolloutReport(t.Context(), 0)
 		if err == nil && (len(r.Permits) > 0 || len(r.Drained) > 0) {
 			err = fmt.Errorf("%d permits and %d drains are left", len(r.Permits), len(r.Drained))
@@ -191,14 +191,14 @@
 
 // A cache server breaks off all its answers: two routers find it out, and then all leave it out by their word, while a third tells that
 // all servers are bad and is not believed. No router is heard on what it hasn't asked, and the rules hold.
-func TestSuspectsByProcesses(t *testing.T) {
+func TestFaultyServerIsExcludedAndLyingRouterIsIgnored(t *testing.T) {
 	t.Parallel()
 	o := changesOptions(t)
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	o.Spoilt, o.Lies, o.Patience = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
+	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
 	f, err := scenario.Suspects(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -210,15 +210,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Failures) > 0 || len(res.Ill) != 1 || !res.Ill[0].Accused {
-		t.Errorf("%+v\n%s", res.Ill, strings.Join(res.Failures, "\n"))
+	if len(res.Failures) > 0 || len(res.FaultySpells) != 1 || !res.FaultySpells[0].Accused {
+		t.Errorf("%+v\n%s", res.FaultySpells, strings.Join(res.Failures, "\n"))
 	}
-	t.Logf("%+v", res.Ill)
+	t.Logf("%+v", res.FaultySpells)
 }
 
 // The origin turns all away, so that the fleet refuses what is missing: nothing that operators ask for meanwhile goes out, and all of
 // it does once it is over.
-func TestNothingNewWhileOverTheLimit(t *testing.T) {
+func TestNoChangeStartsWhileFleetIsOverloaded(t *testing.T) {
 	t.Parallel()
 	o := changesOptions(t)
 	f, err := scenario.Changes(5, 3, 4)
@@ -240,9 +240,9 @@
 	if len(res.Failures) > 0 || len(res.Changes) != 4 || over == 0 {
 		t.Errorf("%d changes, %v\n%s", len(res.Changes), res.Marks, strings.Join(res.Failures, "\n"))
 	}
-	first := res.Changes[0].Gone
+	first := res.Changes[0].StoppedAtMS
 	for _, c := range res.Changes {
-		first = min(first, c.Gone-c.Asked)
+		first = min(first, c.StoppedAtMS-c.RequestedAtMS)
 	}
 	if first < 3000 { // asked three seconds before it is over
 		t.Errorf("a change went out %.0f ms after it was asked for, while the fleet was over its limit: %+v", first, res.Changes)
@@ -251,21 +251,21 @@
 }
 
 // The referee finds each kind of fault in what is planned, by what the laboratory did and servers saw.
-func TestJudgeChanges(t *testing.T) {
+func TestJudgeChangesReportsEachViolation(t *testing.T) {
 	for _, x := range []struct {
 		want    string
 		changes []*Change
 		outages []outage
 		events  []checker.Event
 	}{
-		{"", []*Change{{Thing: "server/a", Gone: 1, Back: 2, Tokens: []uint64{1}}, {Thing: "server/b", Gone: 1002, Back: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Thing: "server/a", Gone: 1, Back: 2}, {Thing: "server/b", Gone: 900, Back: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Thing: "server/b", Gone: 20000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Thing: "server/b", Gone: 12000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
-		{"was changed 2 times", []*Change{{Thing: "server/a", Gone: 1, Back: 2, Tokens: []uint64{1, 2}}}, nil, nil},
-		{"was not changed to the end", []*Change{{Thing: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Thing: "server/a", Gone: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Thing: "server/a", Gone: 10, Back: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
+		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2}, {Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil},
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil}, // not noticed yet
+		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1, 2}}}, nil, nil},
+		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
+		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
@@ -279,7 +279,7 @@
 
 // What operators do by hand: drain, look, halt, resume, undrain; a router that starts in the middle knows it before its first
 // client, and coordinators that take calls and never answer keep no router from starting.
-func TestDrainByHand(t *testing.T) {
+func TestManualDrainHaltResumeAndUndrain(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 4)
 	if err != nil {
@@ -299,7 +299,7 @@
 	t.Cleanup(func() { cancel(); <-over })
 
 	tool := func(args ...string) (string, error) {
-		p := fl.tool(fmt.Sprint(strings.ReplaceAll(strings.Join(args, "-"), "/", "-"), len(args)), args...)
+		p := fl.newToolProcess(fmt.Sprint(strings.ReplaceAll(strings.Join(args, "-"), "/", "-"), len(args)), args...)
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
@@ -310,7 +310,7 @@
 	}
 	must := func(want string, args ...string) {
 		t.Helper()
-		if err := until(ctx, time.Minute, func() error {
+		if err := retryUntil(ctx, time.Minute, func() error {
 			out, err := tool(args...)
 			if err == nil && !strings.Contains(out, want) {
 				err = fmt.Errorf("%q is not in it", want)
@@ -333,7 +333,7 @@
 		return n
 	}
 	first, second := fl.members[0].entry.ID, fl.members[1].entry.ID
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if began(first) == 0 {
 			return fmt.Errorf("nothing is sent to %s", first)
 		}
@@ -366,7 +366,7 @@
 		return n
 	}
 	before := sent()
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if sent() < before+50 {
 			return fmt.Errorf("router %s gets no requests", r.name)
 		}
@@ -377,7 +377,7 @@
 	if n := began(first); n != at {
 		t.Errorf("%d attempts began at the drained server, over a router that started in the middle too", n-at)
 	}
-	for _, c := range fl.coords.coords { // stopped, not dead: they take calls and don't answer
+	for _, c := range fl.coordinators.coords { // stopped, not dead: they take calls and don't answer
 		c.signal(19)
 	}
 	r = fl.allRouters()[1]
@@ -387,13 +387,13 @@
 	if err := fl.startRouter(ctx, r); err != nil {
 		t.Errorf("with coordinators that don't answer: %v", err)
 	}
-	for _, c := range fl.coords.coords {
+	for _, c := range fl.coordinators.coords {
 		c.signal(18)
 	}
 	must("", "resume")
 	at = began(first)
 	must("", "undrain", "server/"+first)
-	if err := until(ctx, time.Minute, func() error {
+	if err := retryUntil(ctx, time.Minute, func() error {
 		if began(first) == at {
 			return fmt.Errorf("nothing is sent to %s, which is back", first)
 		}
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -17,13 +17,13 @@
 	observerclient "dockhinge.example/dockhinge/internal/coord/observer/client"
 )
 
-// ObserveCost is what coordinators and observers cost with so many routers that watch, without faults.
-type ObserveCost struct {
+// ObserverCost is what coordinators and observers cost with so many routers that watch, without faults.
+type ObserverCost struct {
 	Routers      int
-	Joined       time.Duration // until all held the first document
-	Coordinators AgreeUse      // idle
-	Observer     Use           // the busiest, idle; CPUMS is for a second
-	P50, Last    time.Duration // from the answer to a put until the last router has it in force: the median, the longest
+	JoinTime     time.Duration    // until all held the first document
+	Coordinators CoordinatorUsage // idle
+	Observer     Usage            // the busiest, idle; CPUMS is for a second
+	P50, Last    time.Duration    // from the answer to a put until the last router has it in force: the median, the longest
 }
 
 // observeIdle is how long the cost at rest is measured.
@@ -31,7 +31,7 @@
 
 // costRun is a run of MeasureObservers.
 type costRun struct {
-	agreement *agreement
+	agreement *coordinatorGroup
 	observers []*proc
 	addresses []string
 	clients   []*observerclient.Client
@@ -40,8 +40,8 @@
 }
 
 // MeasureObservers lets so many routers watch so many observers of so many coordinators, and puts a document again and again.
-func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o AgreeOptions) (cost ObserveCost, err error) {
-	a, err := calm(ctx, coordinators, o)
+func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserverCost, err error) {
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return cost, err
 	}
@@ -68,7 +68,7 @@
 	if err := run.awaitRevision(ctx, revision); err != nil {
 		return cost, err
 	}
-	cost.Joined = time.Since(began)
+	cost.JoinTime = time.Since(began)
 	if err := run.measureIdle(ctx, &cost); err != nil {
 		return cost, err
 	}
@@ -120,7 +120,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	p := &proc{name: name, dir: dir, env: r.agreement.options.Env, command: append(slices.Clone(r.agreement.options.Coord), "observe", file)}
+	p := &proc{name: name, dir: dir, env: r.agreement.options.Env, command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
 	r.observers, r.addresses = append(r.observers, p), append(r.addresses, api)
 	return p.start()
 }
@@ -150,8 +150,8 @@
 }
 
 // measureIdle measures what all use while nothing changes.
-func (r *costRun) measureIdle(ctx context.Context, cost *ObserveCost) (err error) {
-	before := make([]Use, len(r.observers))
+func (r *costRun) measureIdle(ctx context.Context, cost *ObserverCost) (err error) {
+	before := make([]Usage, len(r.observers))
 	for i, p := range r.observers {
 		if before[i], err = ProcessUse(p.cmd.Process.Pid); err != nil {
 			return err
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -19,9 +19,9 @@
 
 // Sample is the state of all parties at a time.
 type Sample struct {
-	AtS     float64        `json:"at_s"`
-	Routers map[string]Use `json:"routers"`
-	Held    map[string]int `json:"held"` // requests held by each server
+	AtS     float64          `json:"at_s"`
+	Routers map[string]Usage `json:"routers"`
+	Held    map[string]int   `json:"held"` // requests held by each server
 }
 
 // ServerResult is what a server did.
@@ -32,34 +32,34 @@
 
 // Result is what became of a run.
 type Result struct {
-	Scenario     string                     `json:"scenario"`
-	Command      string                     `json:"command"`
-	Load         load.Result                `json:"load"`
-	Doors        map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
-	Service      float64                    `json:"service"`         // after the warm-up
-	Tail         float64                    `json:"tail"`            // in the last fifth
-	Attempts     float64                    `json:"attempts_a_request"`
-	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
-	Broken       []checker.Breach           `json:"broken"`
-	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
-	Marks        []Mark                     `json:"marks"`
-	Samples      []Sample                   `json:"samples"`
-	Servers      []ServerResult             `json:"servers"`
-	Probes       int64                      `json:"probes"` // answered by cache servers
-	Calls        int                        `json:"discovery_calls"`
-	LateMS       float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
-	Rude         [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
-	Changes      []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
-	Released     *Released                  `json:"released,omitempty"`
-	Out          []OutAt                    `json:"out,omitempty"` // as the agreement saw it, at each change
-	Ill          []Ill                      `json:"ill,omitempty"`
-	Killed       bool                       `json:"killed,omitempty"` // whom Options.Kill names
-	Failures     []string                   `json:"failures"`         // what did not hold
-	Cut          bool                       `json:"cut"`              // stopped before its end
+	Scenario           string                     `json:"scenario"`
+	Command            string                     `json:"command"`
+	Load               load.Result                `json:"load"`
+	Admission          map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
+	Service            float64                    `json:"service"`         // after the warm-up
+	TailService        float64                    `json:"tail"`            // in the last fifth
+	AttemptsPerRequest float64                    `json:"attempts_a_request"`
+	AttemptsBySecond   []int                      `json:"attempts_by_second"` // written whole in each second of the load
+	Breaches           []checker.Breach           `json:"broken"`
+	TimeoutHints       checker.TimeoutHintCounts  `json:"timeout_hints"`
+	Marks              []Mark                     `json:"marks"`
+	Samples            []Sample                   `json:"samples"`
+	Servers            []ServerResult             `json:"servers"`
+	Probes             int64                      `json:"probes"` // answered by cache servers
+	DiscoveryCalls     int                        `json:"discovery_calls"`
+	LateMS             float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
+	MisbehavingClients [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
+	Changes            []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
+	Released           *Released                  `json:"released,omitempty"`
+	BudgetUse          []BudgetSample             `json:"out,omitempty"` // as the agreement saw it, at each change
+	FaultySpells       []FaultySpell              `json:"ill,omitempty"`
+	Killed             bool                       `json:"killed,omitempty"` // whom Options.Kill names
+	Failures           []string                   `json:"failures"`         // what did not hold
+	Interrupted        bool                       `json:"cut"`              // stopped before its end
 }
 
-// Ill is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
-type Ill struct {
+// FaultySpell is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
+type FaultySpell struct {
 	Server   string  `json:"server"`
 	From     float64 `json:"from_ms"`
 	To       float64 `json:"to_ms"`    // 0 = to the end
@@ -70,7 +70,7 @@
 }
 
 // count books what was sent to it.
-func (x *Ill) count(events []checker.Event) {
+func (x *FaultySpell) count(events []checker.Event) {
 	of, by := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch {
@@ -91,33 +91,33 @@
 func (fl *Fleet) result(got load.Result, cut bool) Result {
 	for _, r := range fl.allRouters() {
 		r.mu.Lock()
-		fl.problem = append(fl.problem, r.bad...)
+		fl.problems = append(fl.problems, r.unexpectedExits...)
 		r.mu.Unlock()
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	events, whole := fl.journal.Events()
 	res := Result{
-		Scenario:     fl.File.Name,
-		Command:      strings.Join(fl.o.Command, " "),
-		Load:         got,
-		Marks:        fl.marks,
-		Samples:      fl.samples,
-		Broken:       checker.Judge(events, fl.rules()),
-		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
-		Calls:        fl.discovery.Calls(),
-		LateMS:       fl.late,
-		Rude:         fl.rude,
-		Cut:          cut,
-		Failures:     fl.problem,
-	}
-	served := fl.sumUp(&res, events)
+		Scenario:           fl.File.Name,
+		Command:            strings.Join(fl.options.RouterCommand, " "),
+		Load:               got,
+		Marks:              fl.marks,
+		Samples:            fl.samples,
+		Breaches:           checker.Judge(events, fl.rules()),
+		TimeoutHints:       checker.CountTimeoutHints(events, fl.rules()),
+		DiscoveryCalls:     fl.discovery.Calls(),
+		LateMS:             fl.maxLateMS,
+		MisbehavingClients: fl.misbehavingClients,
+		Interrupted:        cut,
+		Failures:           fl.problems,
+	}
+	served := fl.summarizeLoad(&res, events)
 	fl.addServers(&res)
 	if !whole {
 		res.fail("the journal is full at %d events: the rules were not judged to the end", maxEvents)
 	}
-	if len(res.Broken) > 0 {
-		res.fail("%d breaches of the rules, the first: %s", len(res.Broken), res.Broken[0])
+	if len(res.Breaches) > 0 {
+		res.fail("%d breaches of the rules, the first: %s", len(res.Breaches), res.Breaches[0])
 	}
 	if !got.Valid {
 		res.fail("the run does not count: %s", got.Why)
@@ -135,18 +135,18 @@
 	r.Failures = append(r.Failures, fmt.Sprintf(form, v...))
 }
 
-// sumUp sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
-func (fl *Fleet) sumUp(res *Result, events []checker.Event) (served int) {
+// summarizeLoad sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
+func (fl *Fleet) summarizeLoad(res *Result, events []checker.Event) (served int) {
 	seconds := res.Load.Seconds
 	attempts := 0
-	res.AttemptsBy = make([]int, len(seconds))
+	res.AttemptsBySecond = make([]int, len(seconds))
 	for _, e := range events {
 		if e.Kind != checker.Whole {
 			continue
 		}
 		attempts++
-		if second := int((e.At - fl.began) / 1000); second >= 0 && second < len(seconds) {
-			res.AttemptsBy[second]++
+		if second := int((e.At - fl.loadStartMS) / 1000); second >= 0 && second < len(seconds) {
+			res.AttemptsBySecond[second]++
 		}
 	}
 	asked := 0
@@ -165,8 +165,8 @@
 		}
 	}
 	res.Service = ratio(gained, worth)
-	res.Tail = ratio(tailGained, tailWorth)
-	res.Attempts = ratio(float64(attempts), float64(asked))
+	res.TailService = ratio(tailGained, tailWorth)
+	res.AttemptsPerRequest = ratio(float64(attempts), float64(asked))
 	return served
 }
 
@@ -186,14 +186,14 @@
 		res.Changes = append(res.Changes, *c)
 	}
 	res.Failures = append(res.Failures, fl.judgeChanges(events)...)
-	res.Killed, res.Out = fl.killed, fl.out
-	for _, x := range fl.ill {
+	res.Killed, res.BudgetUse = fl.isVictimKilled, fl.budgetUse
+	for _, x := range fl.faultySpells {
 		x.count(events)
-		x.Accused = len(fl.accused[x.Server]) > 0
-		res.Ill = append(res.Ill, x)
+		x.Accused = len(fl.excludedBy[x.Server]) > 0
+		res.FaultySpells = append(res.FaultySpells, x)
 	}
-	res.Failures = append(res.Failures, fl.judgeAccused(events)...)
-	if fl.o.MustEnd {
+	res.Failures = append(res.Failures, fl.judgeExclusions(events)...)
+	if fl.options.MustExit {
 		res.Failures = append(res.Failures, fl.judgeLimits()...)
 	}
 	res.Released = fl.released
@@ -209,18 +209,18 @@
 		measured, atLeast float64
 	}{
 		{"expect.service", r.Service, expect.Service},
-		{"expect.tail", r.Tail, expect.Tail},
+		{"expect.tail", r.TailService, expect.Tail},
 		{"expect.served", float64(served), float64(expect.Served)},
 	} {
 		if expectation.measured < expectation.atLeast {
 			r.fail("%s: %.3f, and %.3f must hold", expectation.name, expectation.measured, expectation.atLeast)
 		}
 	}
-	if expect.Tries > 0 && r.Attempts > expect.Tries {
-		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.Attempts, expect.Tries)
+	if expect.Tries > 0 && r.AttemptsPerRequest > expect.Tries {
+		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.AttemptsPerRequest, expect.Tries)
 	}
-	if expect.Rude && r.Rude[0] < r.Rude[1] {
-		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.Rude[0], r.Rude[1])
+	if expect.Rude && r.MisbehavingClients[0] < r.MisbehavingClients[1] {
+		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
 }
 
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -20,8 +20,8 @@
 
 var metrics = []metric{
 	{"service", func(r fleet.Result) float64 { return r.Service }},
-	{"service, last fifth", func(r fleet.Result) float64 { return r.Tail }},
-	{"attempts a request", func(r fleet.Result) float64 { return r.Attempts }},
+	{"service, last fifth", func(r fleet.Result) float64 { return r.TailService }},
+	{"attempts a request", func(r fleet.Result) float64 { return r.AttemptsPerRequest }},
 	{"refused, share", func(r fleet.Result) float64 { return share(r, true) }},
 	{"failed, share", func(r fleet.Result) float64 { return share(r, false) }},
 	{"p99 of the first class, ms", func(r fleet.Result) float64 { return r.Load.Classes[largest(r)].P99MS }},
@@ -59,7 +59,7 @@
 		}
 		return float64(n) / math.Max(1, float64(len(r.Load.Seconds)))
 	}},
-	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Broken)) }},
+	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
 func share(r fleet.Result, refused bool) float64 {
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against runs that can't be played again: a seed draws one scenario.
-func TestSeedDrawsOneScenario(t *testing.T) {
+func TestSeedDeterminesTheScenario(t *testing.T) {
 	for seed := range uint64(200) {
 		a, err := Scenario(seed, 12)
 		if err != nil {
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			options := fleet.Options{Command: []string{bin, "serve"}, Dir: t.TempDir(), MustEnd: true}
+			options := fleet.Options{RouterCommand: []string{bin, "serve"}, Dir: t.TempDir(), MustExit: true}
 			res, err := fleet.Run(t.Context(), file, options)
 			if err != nil {
 				t.Fatal(err)
