--- a/cmd/dockhinge/config.go
+++ b/cmd/dockhinge/config.go
@@ -34,14 +34,14 @@
 		return cfg, err
 	}
 	if a := file.Agreement; len(a.Coordinators) > 0 {
-		cfg.Agreement = &router.Agreement{
-			Coordinators: a.CoordinatorAddrs(),
-			TTL:          operator.Duration(a.TTL),
-			Probes:       a.Probes,
-			ProbeEvery:   operator.Duration(a.ProbeEvery),
-			ProbeStale:   operator.Duration(a.ProbeStale),
-			Drains:       a.Drains,
-			Label:        cmp.Or(a.Label, revision()),
+		cfg.Coordination = &router.CoordinationConfig{
+			Coordinators:        a.CoordinatorAddrs(),
+			SessionTTL:          operator.Duration(a.TTL),
+			SharesHealthChecks:  a.Probes,
+			HealthCheckInterval: operator.Duration(a.ProbeEvery),
+			MaxHealthReportAge:  operator.Duration(a.ProbeStale),
+			FollowsDrains:       a.Drains,
+			VersionLabel:        cmp.Or(a.Label, revision()),
 		}
 	}
 	if !file.Admission.Enabled {
--- a/internal/coord/node/admission_test.go
+++ b/internal/coord/node/admission_test.go
@@ -15,10 +15,10 @@
 )
 
 // The session table is full, and 500 clients each open one more session. Each is rejected with the
-// limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a fleet
-// over the limit would keep the leader busy with rejections.
-func TestSessionsFull(t *testing.T) {
-	n := single(t)
+// limit's text and a Retry-After of its own, and the rejections add no log entries. Otherwise a
+// fleet over the limit would keep the leader busy with rejections.
+func TestFullSessionTableRejectsWithSpreadRetries(t *testing.T) {
+	n := startUpgradedLeader(t)
 	n.mu.Lock()
 	for i := range coord.MaxSessions {
 		n.state.Sessions[fmt.Sprint("s", i)] = &coord.Session{
@@ -43,7 +43,7 @@
 	if grown := n.raft.LastIndex() - before; grown > attempts/4 { // ticks are written to the log meanwhile
 		t.Errorf("%d rejections wrote %d entries of the log", attempts, grown)
 	}
-	if last < minRetryAfter+attempts*time.Second/tableReturnsPerSecond/2 {
+	if last < minRetryAfter+attempts*time.Second/tableRetriesPerSecond/2 {
 		t.Errorf("the last of %d is to retry after %v, too close to the first", attempts, last)
 	}
 	if got := n.Status().Rejected; got != attempts {
@@ -55,11 +55,11 @@
 	}
 }
 
-// The limits of watchers and of commands in flight are reached. One more is rejected with the limit's
-// text and a Retry-After. A keep-alive is still accepted where other commands are rejected; otherwise
-// sessions would expire at a busy leader.
-func TestWatchersAndCommandsFull(t *testing.T) {
-	n := single(t)
+// The limits of watchers and of commands in flight are reached. One more is rejected with the
+// limit's text and a Retry-After. A keep-alive is still accepted where other commands are rejected;
+// otherwise sessions would expire at a busy leader.
+func TestKeepAliveIsAcceptedWhenOtherCommandsAreRejected(t *testing.T) {
+	n := startUpgradedLeader(t)
 	n.mu.Lock()
 	n.watchers = MaxWatchers
 	n.mu.Unlock()
@@ -87,35 +87,36 @@
 	n.commandsInFlight.Store(0)
 }
 
-// Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds, as
-// otherwise all would retry at the same time. After an idle hour the schedule starts from now again.
-func TestReturnSchedule(t *testing.T) {
-	r := newTableReturns()
+// Thousands of clients are rejected in a row. Each gets its own time to retry, within the bounds,
+// as otherwise all would retry at the same time. After an idle hour the schedule starts from now
+// again.
+func TestRejectedClientsGetDistinctRetryTimes(t *testing.T) {
+	r := newTableRetrySchedule()
 	first := r.nextRetryAfter(0)
 	second := r.nextRetryAfter(0)
-	if first != minRetryAfter || second != first+time.Second/tableReturnsPerSecond {
-		t.Errorf("%v, %v", first, second)
+	if first != minRetryAfter || second != first+time.Second/tableRetriesPerSecond {
+		t.Errorf("Retry-After %v, then %v", first, second)
 	}
-	for range 2 * tableReturnsPerSecond * int(maxTableRetryAfter/time.Second) {
+	for range 2 * tableRetriesPerSecond * int(maxTableRetryAfter/time.Second) {
 		r.nextRetryAfter(0)
 	}
 	if d := r.nextRetryAfter(0); d != maxTableRetryAfter {
-		t.Errorf("%v after many", d)
+		t.Errorf("Retry-After %v after many rejections", d)
 	}
 	if d := r.nextRetryAfter(time.Hour); d != minRetryAfter {
-		t.Errorf("%v after an hour", d)
+		t.Errorf("Retry-After %v after an hour", d)
 	}
 }
 
-// A server with capacity for one connection gets two. The second one gets a response with Retry-After
-// and is closed; once the first connection has ended, the second client is served. If the connection
-// were only queued, the client would not learn the reason.
-func TestConnectionsFull(t *testing.T) {
+// A server with capacity for one connection gets two. The second one gets a response with
+// Retry-After and is closed; once the first connection has ended, the second client is served. If
+// the connection were only queued, the client would not learn the reason.
+func TestConnectionBeyondLimitGetsRetryAfter(t *testing.T) {
 	limit := newConnectionLimit(1)
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
-	s := httptest.NewUnstartedServer(limit.handler(served))
-	s.Config.ConnContext = limit.opened
-	s.Config.ConnState = limit.changed
+	s := httptest.NewUnstartedServer(limit.wrapHandler(served))
+	s.Config.ConnContext = limit.registerConnection
+	s.Config.ConnState = limit.unregisterConnection
 	s.Start()
 	defer s.Close()
 	ask := func(c *http.Client) (int, string, http.Header) {
@@ -146,11 +147,11 @@
 	}
 }
 
-// A router watches the drains before the first drain. With wait=true it waits for the first version;
-// without, it gets a response immediately. If wait=true didn't wait, every router would poll in a loop
-// until the first drain.
-func TestWatchFromNothing(t *testing.T) {
-	n := single(t)
+// A router watches the drains before the first drain. With wait=true it waits for the first
+// version; without, it gets a response immediately. If wait=true didn't wait, every router would
+// poll in a loop until the first drain.
+func TestDrainWatchWaitsForFirstVersion(t *testing.T) {
+	n := startUpgradedLeader(t)
 	answered := make(chan int, 1)
 	go func() { // ends with the watch, after its maximum duration at the latest
 		answered <- serve(n.Handler(), http.MethodGet, "/v1/drains?after=0&wait=true", nil).Code
@@ -178,10 +179,10 @@
 	}
 }
 
-// Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead, a
-// command still requires an upgrade. It must redirect to the leader; if it rejected the command, the
-// client would give up a command that the group supports.
-func TestOldStateRefusesNothing(t *testing.T) {
+// Guards against a rejection by an outdated state. By the state of a coordinator that doesn't lead,
+// a command still requires an upgrade. It must redirect to the leader; if it rejected the command,
+// the client would give up a command that the group supports.
+func TestFollowerRedirectsCommandThatRequiresUpgrade(t *testing.T) {
 	n := startNode(t, 100)
 	acknowledge := &rollout.Command{Op: rollout.OpAcknowledgeDrains}
 	c := coord.Command{Op: coord.OpRollout, SessionID: "s", Sequence: 1, Rollout: acknowledge}
--- a/internal/coord/node/changes_test.go
+++ b/internal/coord/node/changes_test.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/protocol"
 )
 
-// do proposes a command and fails unless the response has the code.
-func do(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
+// mustPropose proposes a command and fails unless the response has the code.
+func mustPropose(t *testing.T, n *Node, c coord.Command, want coord.Code) coord.Response {
 	t.Helper()
 	a, err := n.Propose(c)
 	if err != nil || a.Code != want {
@@ -36,17 +36,19 @@
 	return w.Code, update, rejection
 }
 
-// An observer polls for changes. It gets the changes after its revision, a progress notice if there are
-// none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
+// An observer polls for changes. It gets the changes after its revision, a progress notice if there
+// are none under its prefix, a snapshot if the changes are compacted, and a typed rejection if the
 // coordinator is behind the observer. If a coordinator that is behind sent its older state, routers
 // would return to old documents.
-func TestChanges(t *testing.T) {
-	n := leading(t)
-	do(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
-	do(t, n, coord.Command{Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute}, coord.CodeOK)
+func TestObserverPollsForChanges(t *testing.T) {
+	n := startLeader(t)
+	mustPropose(t, n, coord.Command{Op: coord.OpUpgrade, TargetVersion: coord.DocumentVersion}, coord.CodeOK)
+	mustPropose(t, n, coord.Command{
+		Op: coord.OpOpenSession, SessionID: "s", Client: "c", TTL: time.Minute,
+	}, coord.CodeOK)
 	put := func(sequence uint64, name string) {
 		document := &coord.DocumentPut{Name: name, Value: []byte(name)}
-		do(t, n, coord.Command{
+		mustPropose(t, n, coord.Command{
 			Op: coord.OpPutDocument, SessionID: "s", Document: document,
 			Sequence: sequence, AcknowledgedThrough: sequence - 1,
 		}, coord.CodeOK)
@@ -73,7 +75,7 @@
 	put(2, "b/1")
 	code, update, _ := poll(t, n, "after=1&prefix=a/")
 	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 || update.Newest != 2 {
-		t.Errorf("%d %+v: what lies outside the prefix is progress alone", code, update)
+		t.Errorf("%d %+v: changes outside the prefix must only give progress", code, update)
 	}
 	code, update, _ = poll(t, n, "after=2")
 	if code != http.StatusOK || len(update.Changes) != 0 || update.Through != 2 {
@@ -96,11 +98,11 @@
 	}
 }
 
-// A document is put while an older coordinator may not support documents. The leader must reject the
-// put without a log entry: an older coordinator would reject the entry with another text, and its state
-// would diverge.
-func TestPutBeforeUpgrade(t *testing.T) {
-	n := leading(t)
+// A document is put while an older coordinator may not support documents. The leader must reject
+// the put without a log entry: an older coordinator would reject the entry with another text, and
+// its state would diverge.
+func TestPutBeforeUpgradeIsNotLogged(t *testing.T) {
+	n := startLeader(t)
 	readAll := func() {
 		t.Helper()
 		if err := n.LinearizableRead(func(*coord.State) {}); err != nil {
--- a/internal/coord/node/compatibility_test.go
+++ b/internal/coord/node/compatibility_test.go
@@ -15,9 +15,10 @@
 )
 
 // The fixture testdata/coordinator is the directory of a coordinator of an earlier version that was
-// killed. It has a snapshot through log index 160 and a log through index 173, with sessions, leases, a
-// record, a budget, a waiting and a started permit, a release in progress, and documents including a
-// deletion. testdata/coordinator-state.json is the state that the earlier version computed from it.
+// killed. It has a snapshot through log index 160 and a log through index 173, with sessions,
+// leases, a record, a budget, a waiting and a started permit, a release in progress, and documents
+// including a deletion. testdata/coordinator-state.json is the state that the earlier version
+// computed from it.
 const (
 	fixtureDirectory = "testdata/coordinator"
 	fixtureState     = "testdata/coordinator-state.json"
@@ -34,12 +35,12 @@
 	return directory
 }
 
-// In a rolling upgrade the new program starts on the directory of the old one, restores the snapshot and
-// applies the rest of the log. If it decoded a field or executed a command differently, its state would
-// diverge from that of coordinators that are not upgraded yet.
+// In a rolling upgrade the new program starts on the directory of the old one, restores the
+// snapshot and applies the rest of the log. If it decoded a field or executed a command
+// differently, its state would diverge from that of coordinators that are not upgraded yet.
 func TestReplayOfEarlierDirectory(t *testing.T) {
 	directory := copyFixture(t)
-	snapshots, floor, err := openSnapshots(directory, hclog.NewNullLogger())
+	snapshots, snapshotIndex, err := openSnapshots(directory, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +57,7 @@
 	if err := machine.Restore(from); err != nil {
 		t.Fatal(err)
 	}
-	replayLog(t, machine, directory, floor)
+	replayLog(t, machine, directory, snapshotIndex)
 	want, err := os.ReadFile(fixtureState)
 	if err != nil {
 		t.Fatal(err)
@@ -89,9 +90,9 @@
 	}
 }
 
-// A coordinator starts on the directory of an earlier version. It must keep the identity, become leader
-// of its group of one, and keep all holders, tokens and revisions. If it lost any of them, it could
-// grant a held lease to a second holder.
+// A coordinator starts on the directory of an earlier version. It must keep the identity, become
+// leader of its group of one, and keep all holders, tokens and revisions. If it lost any of them,
+// it could grant a held lease to a second holder.
 func TestStartOnEarlierDirectory(t *testing.T) {
 	n, err := Start(Options{Name: "c1", Directory: copyFixture(t), ListenAddress: "127.0.0.1:0",
 		ClientAddress: "127.0.0.1:1", ClockRateBound: coord.DefaultClockRateBound,
@@ -123,9 +124,9 @@
 		t.Errorf("changes after revision 8: %d %+v", code, rejection)
 	}
 	open := coord.Command{Op: coord.OpOpenSession, SessionID: "new", Client: "c", TTL: time.Minute}
-	do(t, n, open, coord.CodeOK)
+	mustPropose(t, n, open, coord.CodeOK)
 	acquire := coord.Command{Op: coord.OpAcquire, SessionID: "new", Sequence: 1, Lease: "sweep", TTL: time.Minute}
-	if held := do(t, n, acquire, coord.CodeHeld); held.Holder != "router/r2" || held.Token != 2 {
+	if held := mustPropose(t, n, acquire, coord.CodeHeld); held.Holder != "router/r2" || held.Token != 2 {
 		t.Errorf("%+v", held)
 	}
 }
@@ -156,6 +157,6 @@
 		t.Errorf("routers/a: %+v", document)
 	}
 	if s.Rollout == nil {
-		t.Fatal("no state of rollouts")
+		t.Fatal("the rollout state is missing")
 	}
 }
--- a/internal/coord/versions.go
+++ b/internal/coord/versions.go
@@ -1,6 +1,6 @@
 package coord
 
-// Each part of the state machine exists from one of these command versions on. During a rolling
+// The command versions that introduced parts of the state machine. During a rolling
 // upgrade, older coordinators apply the same log: all coordinators must reject a command that an
 // older program doesn't support, or their states diverge.
 const (
@@ -8,26 +8,26 @@
 	rolloutSignalVersion = 3 // its response times, learning periods, ejection quorum and load limit
 	fleetLimitsVersion   = 4 // the current limits of all tables; older programs have lower ones
 
-	// DocumentVersion is the version from which on there are agreed documents.
+	// DocumentVersion is the version that introduced agreed documents.
 	DocumentVersion = 4
 )
 
-// hasEarlierLimits reports whether the limits of an older program are in force.
-func (s *State) hasEarlierLimits() bool { return s.Version < fleetLimitsVersion }
+// hasLegacyLimits reports whether the limits of an older program are in force.
+func (s *State) hasLegacyLimits() bool { return s.Version < fleetLimitsVersion }
 
-// AwaitsUpgrade reports whether a command requires a later version than the one in force, because an
-// older program doesn't support it or has lower limits, and returns the response to it. A leader
+// RequiresUpgrade reports whether a command requires a later version than the one in force, because
+// an older program doesn't support it or has lower limits, and returns the response to it. A leader
 // keeps such a command out of the log, as an older coordinator would reject it with another text.
-func (s *State) AwaitsUpgrade(c Command) (response Response, awaits bool) {
-	needed := s.neededVersion(c)
+func (s *State) RequiresUpgrade(c Command) (response Response, isRequired bool) {
+	needed := s.requiredVersion(c)
 	if s.Version >= needed {
 		return Response{}, false
 	}
-	return RequiresVersion(s.Version, needed), true
+	return upgradeRequiredResponse(s.Version, needed), true
 }
 
-// neededVersion returns the lowest version at which every coordinator applies the command alike.
-func (s *State) neededVersion(c Command) int {
+// requiredVersion returns the lowest version at which every coordinator applies the command alike.
+func (s *State) requiredVersion(c Command) int {
 	if c.Op == OpPutDocument {
 		return DocumentVersion
 	}
@@ -35,14 +35,14 @@
 		return 1
 	}
 	isRolloutKnown := s.Version >= rolloutVersion
-	if isRolloutKnown && s.hasEarlierLimits() && c.Rollout.ExceedsLegacyLimits() {
+	if isRolloutKnown && s.hasLegacyLimits() && c.Rollout.ExceedsLegacyLimits() {
 		return fleetLimitsVersion
 	}
 	return rolloutVersion
 }
 
-// RequiresVersion returns the response to a command that not all coordinators support yet.
-func RequiresVersion(inForce, needed int) Response {
-	return invalid("version: %d is in force, and this wants %d: "+
+// upgradeRequiredResponse returns the response to a command that not all coordinators support yet.
+func upgradeRequiredResponse(inForce, needed int) Response {
+	return invalidResponse("version: %d is in force, and this wants %d: "+
 		"once all coordinators run this program, 'members upgrade'", inForce, needed)
 }
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -12,12 +12,12 @@
 	"dockhinge.example/dockhinge/decide"
 )
 
-func getCommand() *command {
+func newReadCommand() *command {
 	return &command{verb: "mg", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=read,t=t,d=480", class: "read",
 		remainingMillis: 480}
 }
 
-func putCommand() *command {
+func newWriteCommand() *command {
 	return &command{verb: "ms", key: "7f3a9c21e0b4d655", id: "a1", metadata: "c=put,t=t,d=480,k=7", class: "put",
 		remainingMillis: 480, value: []byte("abc")}
 }
@@ -25,9 +25,10 @@
 func noHook()                     {}
 func noStream(reply) *valueStream { return nil }
 
-var writeAlways = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
+var unconditionalHooks = attemptHooks{false, func() timeoutHint { return 400 }, noHook, noStream}
 
-// Each row of the outcome table, for both protocols.
+// Checks the outcome of an attempt, and whether its connection is reused, for each kind of answer
+// in both protocols.
 func TestOutcomeTable(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
@@ -43,12 +44,12 @@
 		"value without flag": {answer: "VA 0 O{id}\r\n\r\n", want: decide.OK, reused: true},
 		"receipt":            {answer: "HD O{id} c77\r\n", write: true, want: decide.OK, reused: true},
 		"miss":               {answer: "EN O{id}\r\n", want: decide.Miss, reused: true},
-		"miss, told": {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss,
+		"miss with flag": {answer: "EN O{id} h0\r\n", want: decide.Miss, cacheResult: decide.CacheMiss,
 			reused: true},
-		"miss, fetch is out": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss,
+		"miss during fetch": {answer: "EN O{id} h0 Z\r\n", want: decide.Miss,
 			cacheResult: decide.CacheMissDuringFetch, reused: true},
 		"error":             {answer: "SERVER_ERROR failed\r\n", want: decide.Failed, reused: true},
-		"turned away":       {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
+		"rejected":          {answer: "SERVER_ERROR busy Lqps=1,util=2\r\n", want: decide.QueueFull, reused: true},
 		"closed":            {answer: "close", want: decide.Reset},
 		"value cut":         {answer: "VA 50 O{id}\r\nhel{cut}", want: decide.MalformedResponse},
 		"value without end": {answer: "VA 3 O{id}\r\nhello\r\n", want: decide.MalformedResponse},
@@ -63,8 +64,8 @@
 		"no protocol":       {answer: "\x00\x01\r\n", want: decide.MalformedResponse},
 		"endless line":      {answer: long, want: decide.MalformedResponse},
 		"noise without end": {answer: "\x07\x01\x02", want: decide.MalformedResponse},
-		"value stops short": {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
-		"line stops short":  {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
+		"value incomplete":  {answer: "VA 50 O{id}\r\nhel", want: decide.MalformedResponse},
+		"line incomplete":   {answer: "VA 50 O{id} h1", want: decide.MalformedResponse},
 		"value of 3 GB":     {answer: "VA 3000000000 O{id}\r\nhel", want: decide.MalformedResponse},
 		"two ids":           {answer: "VA 5 Ozz O{id}\r\nhello\r\n", want: decide.MalformedResponse},
 		"value and a copy": {answer: "VA 5 O{id} h1\r\nhello\r\nVA 5 O{id} h1\r\nhello\r\n", want: decide.OK,
@@ -92,9 +93,9 @@
 			want: decide.MalformedResponse},
 		"origin 500 of 3 GB": {answer: "HTTP/1.1 500 Oh\r\nContent-Length: 3000000000\r\n\r\nfre", origin: true,
 			want: decide.MalformedResponse},
-		"origin stops short": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true,
+		"origin incomplete": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nfre", origin: true,
 			want: decide.MalformedResponse},
-		"origin head stops": {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
+		"origin head incomplete": {answer: "HTTP/1.1 200 OK\r\nContent-", origin: true, want: decide.MalformedResponse},
 		"origin in chunks": {
 			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfresh\r\n0\r\n\r\n",
 			origin: true, want: decide.OK, reused: true},
@@ -137,70 +138,72 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startFake(t, func(string) string { return c.answer })
-			u := testUpstreams(t, 10*time.Second, 10)
-			target, cmd := u.add(f.addr, c.origin), getCommand()
+			f := startFakeServer(t, func(string) string { return c.answer })
+			u := newTestUpstreams(t, 10*time.Second, 10)
+			target, cmd := u.add(f.addr, c.origin), newReadCommand()
 			if c.write {
-				cmd = putCommand()
+				cmd = newWriteCommand()
 			}
-			got := u.roundTrip(t.Context(), target, cmd, writeAlways)
+			got := u.roundTrip(t.Context(), target, cmd, unconditionalHooks)
 			if got.status != c.want || got.cacheResult != c.cacheResult {
-				t.Errorf("got status %v, note %d; want %v, %d", got.status, got.cacheResult, c.want, c.cacheResult)
+				t.Errorf("got status %v, cache result %d; want %v, %d",
+					got.status, got.cacheResult, c.want, c.cacheResult)
 			}
-			receive(t, f.seen, "request")
-			if len(f.seen) > 0 {
-				t.Error("sent twice")
+			receive(t, f.received, "request")
+			if len(f.received) > 0 {
+				t.Error("the request was sent twice")
 			}
 			if kept := len(idleConns(u, target)) == 1; kept != c.reused {
-				t.Errorf("connection kept: %v", kept)
+				t.Errorf("connection kept: %v, want %v", kept, c.reused)
 			}
 		})
 	}
 }
 
 func TestNoConnectionIsNeverRan(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), false)
 	ln.Close()
-	if got := u.roundTrip(t.Context(), refusing, getCommand(), writeAlways); got.status != decide.ConnectError {
-		t.Errorf("refused: got %v", got.status)
+	if got := u.roundTrip(t.Context(), refusing, newReadCommand(),
+		unconditionalHooks); got.status != decide.ConnectError {
+		t.Errorf("refused connection: got %v", got.status)
 	}
 }
 
-// An attempt that is called off before its first byte leaves none.
+// An attempt abandoned before its first byte leaves nothing on the connection, which is reused.
 func TestCalledOffAttemptIsNotWritten(t *testing.T) {
-	f := startFake(t, hit)
-	u := testUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, hitAnswer)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
-	u.roundTrip(t.Context(), target, getCommand(),
+	u.roundTrip(t.Context(), target, newReadCommand(),
 		attemptHooks{false, func() timeoutHint { return 0 }, noHook, noStream})
-	if got := u.roundTrip(t.Context(), target, getCommand(), writeAlways); got.status != decide.OK {
+	if got := u.roundTrip(t.Context(), target, newReadCommand(), unconditionalHooks); got.status != decide.OK {
 		t.Errorf("got %v", got.status)
 	}
-	receive(t, f.seen, "request")
-	if len(f.seen) > 0 || f.conns.Load() != 1 {
-		t.Error("the attempt that was called off was written")
+	receive(t, f.received, "request")
+	if len(f.received) > 0 || f.connCount.Load() != 1 {
+		t.Error("the abandoned attempt was written")
 	}
 }
 
 func TestProbe(t *testing.T) {
-	u := testUpstreams(t, 10*time.Second, 10)
-	f := startFake(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
-	o := startFake(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
+	u := newTestUpstreams(t, 10*time.Second, 10)
+	f := startFakeServer(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
+	o := startFakeServer(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
 	for _, target := range []*target{u.add(f.addr, false), u.add(o.addr, true)} {
 		status, load := u.checkHealth(t.Context(), target)
 		if status != decide.OK || load.RequestsPerSecond != 12 || load.Utilization != 0.5 {
 			t.Errorf("origin %v: got %v, %+v", target.isOrigin, status, load)
 		}
 	}
-	if st, _ := u.checkHealth(t.Context(), u.add(startFake(t, func(string) string { return "ERROR\r\n" }).addr,
+	if st, _ := u.checkHealth(t.Context(), u.add(startFakeServer(t, func(string) string { return "ERROR\r\n" }).addr,
 		false)); st == decide.OK {
-		t.Error("an error passed for a report")
+		t.Error("an error was accepted as a load report")
 	}
 }
 
-// A report with a figure that can't be read, or that no load can have, is absent.
+// A load report with an invalid number is ignored completely.
 func TestUnreadableReportIsAbsent(t *testing.T) {
 	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1",
 		"qps=0x1p3,util=1", "qps=1_0"} {
@@ -213,8 +216,9 @@
 	}
 }
 
-// A second copy of an origin's answer that comes a moment later carries no id: the connection rests
-// until it would be there, and is then found not to be quiet.
+// Guards against taking a late duplicate of the origin's answer for the answer to the next request,
+// as HTTP answers carry no request id. The connection is not used until the duplicate would have
+// arrived, and is then closed because it has input.
 func TestLateCopyIsNotTheNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
@@ -237,15 +241,15 @@
 			}()
 		}
 	}()
-	u := testUpstreams(t, 10*time.Second, 10)
+	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(ln.Addr().String(), true)
 	for n := range 5 {
-		cmd := getCommand()
+		cmd := newReadCommand()
 		cmd.id = fmt.Sprint("a", n)
-		if got := u.roundTrip(t.Context(), target, cmd, writeAlways); string(got.body) != cmd.id {
+		if got := u.roundTrip(t.Context(), target, cmd, unconditionalHooks); string(got.body) != cmd.id {
 			t.Errorf("request %s: got status %v, %q", cmd.id, got.status, got.body)
 		}
-		if n == 2 { // the copies are there now
+		if n == 2 { // wait until the duplicates have arrived
 			for kept := idleConns(u, target); len(kept) > 0 &&
 				(kept[0].isQuiet() || time.Since(kept[0].idleSince) < originIdleMinimum); kept = idleConns(u, target) {
 				time.Sleep(time.Millisecond)
