--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -12,47 +12,48 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// defaultLeasePatience is how long the checker of the leases' history may take, where AgreeOptions doesn't say.
+// defaultLeasePatience is the default of CoordinatorOptions.CheckTimeout.
 const defaultLeasePatience = 20 * time.Second
 
-// holderEndTimeout is how long a holder may take to end.
+// holderEndTimeout is how long a holder may take to exit.
 const holderEndTimeout = 10 * time.Second
 
-// CoordinatorOptions say how to play coordinators and holders.
+// CoordinatorOptions configures a run of coordinators and leaseholders.
 type CoordinatorOptions struct {
 	CoordinatorCommand []string // the command of dockhinge-coord, built with the tag faults
-	LabCommand         []string // that of dockhinge-lab, likewise
-	Dir                string   // for logs and directories; it must be there
+	LabCommand         []string // the command of dockhinge-lab, built with the tag faults
+	Dir                string   // for logs and data directories; must exist
 	Env                []string // for all processes
 	CheckTimeout       time.Duration
 	HeartbeatInterval  string // of the coordinators; "" = their default
-	Version            int    // of commands and bounds in force where costs are measured; 0 = this program's
+	Version            int    // version of commands and limits to put in force; 0 = this program's
 	Logf               func(form string, v ...any)
 }
 
-// LeaseFaultsResult is what became of a run.
+// LeaseFaultsResult is the outcome of a run of RunLeaseFaults.
 type LeaseFaultsResult struct {
 	Seed            uint64
 	Faults          int
 	Claims          int
 	Operations      int
 	Acts            int
-	Refused         int // acts that the resource refused, as their token was old
+	Refused         int // acts that the resource refused for their old token
 	Grants          int
 	Breaches        []checker.Breach
 	Undecided       []string
-	Failures        []string // what did not hold, the broken rules among them
-	RecoverySeconds float64  // after the last fault until all leases had been taken again
+	Failures        []string // all failures, including breaches of the rules
+	RecoverySeconds float64  // from the end of the faults until each lease had been acquired again
 }
 
-// link is a way between two processes, by their numbers.
+// link is a connection between two processes, identified by their numbers.
 type link struct{ from, to int }
 
-// coordinatorGroup is a run of coordinators and holders.
+// coordinatorGroup is a group of coordinator processes, and the leaseholders and the resource that
+// use it.
 type coordinatorGroup struct {
 	scenario scenario.Agreement
 	options  CoordinatorOptions
-	rng      *rand.Rand // of what the schedule leaves to the run: which byte is damaged
+	rng      *rand.Rand // chooses what the schedule leaves open: which byte is damaged
 
 	coords         []*coordinator
 	holders        []*proc
@@ -68,7 +69,7 @@
 }
 
 func newCoordinatorGroup(f scenario.Agreement, o CoordinatorOptions, seed uint64) *coordinatorGroup {
-	const stream = 41 // of the seed, for what only this run draws
+	const stream = 41 // random stream for rng
 	return &coordinatorGroup{
 		scenario:     f,
 		options:      o,
@@ -80,7 +81,8 @@
 	}
 }
 
-// RunLeaseFaults plays coordinators and holders and judges what came of it. The error tells that it could not be played.
+// RunLeaseFaults runs coordinators and leaseholders with faults and checks the history of the
+// leases. It returns an error if the scenario could not be run.
 func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
@@ -93,7 +95,7 @@
 	if err := a.build(); err != nil {
 		return res, err
 	}
-	if err := a.start(ctx); err != nil {
+	if err := a.startAll(ctx); err != nil {
 		return res, err
 	}
 	schedule := f.Schedule()
@@ -104,7 +106,7 @@
 	}
 	healingSince := time.Now()
 	if err := a.awaitAllLeasesFree(ctx); err != nil {
-		a.fail("after all was mended: %v", err)
+		a.fail("after the faults: %v", err)
 	}
 	res.RecoverySeconds = time.Since(healingSince).Seconds()
 	a.endHolders()
@@ -112,7 +114,7 @@
 	return res, nil
 }
 
-// playSchedule plays the faults at their times, until the scenario's time is over.
+// playSchedule plays the faults at their times, until the scenario's duration is over.
 func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
@@ -129,7 +131,7 @@
 	wg.Wait()
 }
 
-// endHolders has all holders end in order, which they must.
+// endHolders stops all holders. Each must exit without an error.
 func (a *coordinatorGroup) endHolders() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
@@ -142,14 +144,14 @@
 	wg.Wait()
 }
 
-// fail books something that did not hold.
+// fail records a failure.
 func (a *coordinatorGroup) fail(form string, v ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.problems = append(a.problems, fmt.Sprintf(form, v...))
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (a *coordinatorGroup) close() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// holderIdle and holderHold are how long a holder waits between two tasks, and how long it holds a lease, at most.
+	// holderIdle is the longest pause of a holder between two tasks, holderHold the longest time
+	// for which it uses a lease.
 	holderIdle = 300 * time.Millisecond
 	holderHold = 1500 * time.Millisecond
 
-	slowSyncEnv = "DOCKHINGE_SLOW_SYNC=20ms" // of every fifth coordinator
+	slowSyncEnv = "DOCKHINGE_SLOW_SYNC=20ms" // for every fifth coordinator
 )
 
-// build makes directories, relays and files.
+// build starts the relays, writes the configuration files and sets the commands of all processes.
 func (a *coordinatorGroup) build() error {
 	for number := range a.scenario.Coordinators {
 		c, err := a.newCoordinator(number)
@@ -50,10 +51,10 @@
 	return nil
 }
 
-// actsFile is where the resource writes what was done with it.
+// actsFile returns the path of the resource's log of acts.
 func (a *coordinatorGroup) actsFile() string { return filepath.Join(a.options.Dir, "acts") }
 
-// holderLog is where a holder writes what it claimed and asked for.
+// holderLog returns the path of a holder's log of claims and calls.
 func (a *coordinatorGroup) holderLog(name string) string {
 	return filepath.Join(a.options.Dir, name+".jsonl")
 }
@@ -62,7 +63,7 @@
 
 func leaseName(number int) string { return fmt.Sprintf("l%d", number) }
 
-// newCoordinator gives a coordinator its addresses.
+// newCoordinator returns a coordinator with addresses of its own.
 func (a *coordinatorGroup) newCoordinator(number int) (*coordinator, error) {
 	name := fmt.Sprintf("c%d", number)
 	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir}, data: filepath.Join(a.options.Dir, name)}
@@ -76,7 +77,8 @@
 	return c, nil
 }
 
-// configureCoordinator writes a coordinator's settings, with a relay before each of the others, and sets its command.
+// configureCoordinator writes a coordinator's settings, with a relay to each of the others, and
+// sets its command.
 func (a *coordinatorGroup) configureCoordinator(c *coordinator) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nclock_rate = %v\nsnapshot_every = %d\nlog_level = \"debug\"\n",
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// coordinatorEnv gives some coordinators a slow disk or a clock that steps, by the seed.
+// coordinatorEnv returns a coordinator's environment. Depending on the seed it sets a slow disk or
+// a step of the wall clock.
 func (a *coordinatorGroup) coordinatorEnv(number int) []string {
 	seed := a.scenario.Seed
 	env := append(slices.Clone(a.options.Env), a.clockRate(number))
@@ -119,13 +122,14 @@
 	return env
 }
 
-// clockRate sets the rate at which a process's clock runs: at an end of the bound, or true.
+// clockRate returns the setting of the rate of a process's clock: the upper bound, the lower bound
+// or the true rate.
 func (a *coordinatorGroup) clockRate(number int) string {
 	direction := []float64{1, -1, 0}[(number+int(a.scenario.Seed))%3]
 	return fmt.Sprintf("DOCKHINGE_CLOCK_RATE=%v", 1+a.scenario.ClockRate*direction)
 }
 
-// newHolder writes a holder's settings, with a relay before each coordinator and before the resource.
+// newHolder writes a holder's settings, with relays to each coordinator and to the resource.
 func (a *coordinatorGroup) newHolder(number int, resourceAddr string) (*proc, error) {
 	name := holderName(number)
 	cfg := HolderConfig{
@@ -171,7 +175,7 @@
 		env: append(slices.Clone(a.options.Env), a.clockRate(number+1))}, nil
 }
 
-// relay starts one to an address that stays the same over all restarts.
+// relay starts a relay to an address, which must not change when the process restarts.
 func (a *coordinatorGroup) relay(to string) (*fakes.Relay, error) {
 	relay, err := fakes.NewRelay(func() string { return to })
 	if err == nil {
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	relayDelayMillis = 60   // one way, of a link with a delay
-	fullDiskBytes    = 4096 // size of a file beyond which a full disk takes no more
+	relayDelayMillis = 60   // one-way delay of a delayed link
+	fullDiskBytes    = 4096 // file size at which the simulated disk is full
 
-	fullDiskEndS      = 0.3 // until a coordinator that can't go on has ended
-	damagedDiskEndS   = 1.0 // until one that finds its disk damaged has
-	emptyDiskWaitS    = 0.5 // in which one with an empty disk must not pass for the voter that it was
+	fullDiskEndS      = 0.3 // time for a coordinator that can't continue to exit
+	damagedDiskEndS   = 1.0 // time for a coordinator that finds its disk damaged to exit
+	emptyDiskWaitS    = 0.5 // time in which a coordinator with an empty disk must not act as its former voter
 	replaceTimeout    = 60 * time.Second
 	memberCallTimeout = 5 * time.Second
 )
 
-// relayFaults counts what is wrong on a relay, as faults may lie over one another.
+// relayFaults counts the faults in force on a relay, since faults may overlap.
 type relayFaults struct{ cut, dropThere, dropBack, delay int }
 
-// network is what the relay does while these faults last.
+// network returns the relay's settings for these faults.
 func (f *relayFaults) network() fakes.Net {
 	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
-// relayFault picks the count of one kind of fault.
+// relayFault selects the counter of one kind of fault.
 type relayFault func(*relayFaults) *int
 
 func cutFault(f *relayFaults) *int       { return &f.cut }
@@ -45,7 +45,7 @@
 func dropBackFault(f *relayFaults) *int  { return &f.dropBack }
 func delayFault(f *relayFaults) *int     { return &f.delay }
 
-// faultLinks has a fault on relays and takes it back after a time.
+// faultLinks puts a fault on relays and removes it after forS seconds.
 func (a *coordinatorGroup) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
 	change := func(by int) {
 		a.mu.Lock()
@@ -61,7 +61,8 @@
 	change(-1)
 }
 
-// faultProcess has a process down or stopped for a time, by what comes first and last; faults of one process don't overlap.
+// faultProcess calls first, waits forS seconds and calls last. Faults of one process don't overlap:
+// it does nothing while another fault of the process is in force.
 func (a *coordinatorGroup) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
 	a.mu.Lock()
 	isFaulty := a.processFault[p]
@@ -83,12 +84,12 @@
 	a.faultProcess(ctx, p, forS, p.kill, func() { a.restart(p) })
 }
 
-// stopAndContinue stops a process and has it go on after a time.
+// stopAndContinue pauses a process and resumes it after a time.
 func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *proc, forS float64) {
 	a.faultProcess(ctx, p, forS, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT) })
 }
 
-// restart starts a process that was down.
+// restart starts a process that is down.
 func (a *coordinatorGroup) restart(p *proc) {
 	if err := p.start(); err != nil {
 		a.fail("%v", err)
@@ -122,7 +123,8 @@
 	}
 }
 
-// playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or holders and resource.
+// playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or
+// holders and resource.
 func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.Trouble) {
 	switch t.What {
 	case "cut":
@@ -149,7 +151,8 @@
 	}
 }
 
-// someClientRelays are those from a holder to the coordinator that the fault names, or to all, by the number drawn for it.
+// someClientRelays returns the relays from a holder to the coordinator that the fault names or,
+// depending on the fault's random number, to all coordinators.
 func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
@@ -161,7 +164,7 @@
 	return relays
 }
 
-// slowThenCut has a holder's answers come late, and from a third of the time on its requests not arrive.
+// slowThenCut delays a holder's answers, and drops its requests after a third of the time.
 func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
 	var relays []*fakes.Relay
 	for coordinator := range a.coords {
@@ -177,7 +180,8 @@
 	both.Wait()
 }
 
-// fillDisk has a coordinator's disk full for a time. One that says it can't go on is started again then.
+// fillDisk makes a coordinator's disk full for a time. A coordinator that exits because of that is
+// restarted afterwards.
 func (a *coordinatorGroup) fillDisk(ctx context.Context, c *coordinator, forS float64) {
 	a.faultProcess(ctx, c.proc, forS, func() { limitFile(c.proc, fullDiskBytes) }, func() {
 		limitFile(c.proc, unix.RLIM_INFINITY)
@@ -188,7 +192,7 @@
 	})
 }
 
-// limitFile bounds the size of the files that a process may write, as a full disk does.
+// limitFile limits the size of the files that a process may write, to simulate a full disk.
 func limitFile(p *proc, bytes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,8 +201,9 @@
 	}
 }
 
-// damageOrWipeDisk damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
-// empty directory as a new member, after the old one has been taken out.
+// damageOrWipeDisk damages or empties a stopped coordinator's disk and starts it. A coordinator
+// that rejects its disk, or has lost it, returns with an empty directory as a new member, after
+// the old member has been removed.
 func (a *coordinatorGroup) damageOrWipeDisk(ctx context.Context, c *coordinator, t scenario.Trouble) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
@@ -215,8 +220,9 @@
 	}
 }
 
-// survivesDamage damages a coordinator's log and starts it. It tells whether no replacement is wanted: the damage met nothing
-// that is in use, or the file could not be damaged. One that ends must say why.
+// survivesDamage damages a coordinator's log and starts it. It returns true if the coordinator need
+// not be replaced: the damage hit nothing in use, or the file could not be damaged. A coordinator
+// that exits must log the reason.
 func (a *coordinatorGroup) survivesDamage(ctx context.Context, c *coordinator, u float64) bool {
 	if err := a.damage(filepath.Join(c.data, "log.db"), u); err != nil {
 		a.fail("%v", err)
@@ -228,12 +234,12 @@
 		return true
 	}
 	if !strings.Contains(c.logTail(20), "damaged") {
-		a.fail("%s with a damaged disk ended without a word of it:\n%s", c.name, c.logTail(10))
+		a.fail("%s with a damaged disk exited without logging the damage:\n%s", c.name, c.logTail(10))
 	}
 	return false
 }
 
-// replaceMember takes a coordinator out of the group as the member that it was, and adds it as the one that it is.
+// replaceMember removes a coordinator's old member from the group and adds its new one.
 func (a *coordinatorGroup) replaceMember(ctx context.Context, c *coordinator) error {
 	s, err := c.status(ctx)
 	if err != nil {
@@ -253,7 +259,7 @@
 	return client.Call(ctx, http.MethodPost, leader.api, "/v1/members", member, nil)
 }
 
-// damage cuts a file off or flips one of its bits.
+// damage truncates a file or flips one of its bits.
 func (a *coordinatorGroup) damage(path string, u float64) error {
 	s, err := os.Stat(path)
 	if err != nil {
--- a/lab/fleet/agree_group.go
+++ b/lab/fleet/agree_group.go
@@ -14,11 +14,11 @@
 
 const (
 	statusTimeout = 2 * time.Second
-	formTimeout   = 20 * time.Second // until coordinators answer, and until one of them leads
-	retryPauseS   = 0.05             // between two tries of until
+	formTimeout   = 20 * time.Second // for coordinators to answer, and for one of them to lead
+	retryPauseS   = 0.05             // between two calls by retryUntil
 )
 
-// coordinator is the process of one.
+// coordinator is a coordinator process.
 type coordinator struct {
 	*proc
 	number      int
@@ -26,7 +26,7 @@
 	data        string // its directory
 }
 
-// status asks a coordinator past all relays.
+// status requests a coordinator's status directly, not through a relay.
 func (c *coordinator) status(ctx context.Context) (s node.Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	return s, err
 }
 
-// retryUntil tries again and again retryUntil f has no complaint.
+// retryUntil calls f until it returns nil. After the timeout it returns f's last error.
 func retryUntil(ctx context.Context, within time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -49,8 +49,8 @@
 	}
 }
 
-// start starts all and has the coordinators form a group.
-func (a *coordinatorGroup) start(ctx context.Context) error {
+// startAll starts all processes and forms the group of coordinators.
+func (a *coordinatorGroup) startAll(ctx context.Context) error {
 	if a.resource != nil {
 		if err := a.resource.start(); err != nil {
 			return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// formGroup has the first coordinator begin a group of all, and waits until one leads.
+// formGroup initializes the group through its first coordinator and waits until there is a leader.
 func (a *coordinatorGroup) formGroup(ctx context.Context) error {
 	var group []node.Member
 	for _, c := range a.coords {
@@ -95,7 +95,7 @@
 	})
 }
 
-// leader finds the coordinator that leads in the highest term.
+// leader returns the coordinator that leads in the highest term.
 func (a *coordinatorGroup) leader(ctx context.Context) (best *coordinator, err error) {
 	term := uint64(0)
 	var mu sync.Mutex
@@ -117,7 +117,7 @@
 	return best, nil
 }
 
-// liveClient runs a client until end is called, which waits for it.
+// liveClient runs a client until end is called. end waits until the client has stopped.
 func liveClient(ctx context.Context, coordinators map[string]string, name string, ttl time.Duration) (c *client.Client, end func()) {
 	c = client.New(client.Options{Coordinators: coordinators, ClientName: name, TTL: ttl})
 	ctx, cancel := context.WithCancel(ctx)
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -11,18 +11,19 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// Sessions and leases of the client that looks whether all leases can be had again.
+// Times of the client that checks whether each lease can be acquired again.
 const (
 	healedSessionTTL = 3 * time.Second
 	healedLeaseTTL   = 2 * time.Second
 	healedMargin     = 500 * time.Millisecond
 )
 
-// awaitAllLeasesFree waits until a fresh client has had each lease: nothing stays held by nobody.
+// awaitAllLeasesFree waits until a new client has acquired each lease: none may stay held after its
+// holder is lost.
 func (a *coordinatorGroup) awaitAllLeasesFree(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.scenario.HealS*float64(time.Second)))
 	defer cancel()
-	for _, holder := range a.holders { // they would compete for ever
+	for _, holder := range a.holders { // they would go on competing for the leases
 		holder.signal(syscall.SIGSTOP)
 	}
 	defer func() {
@@ -40,13 +41,13 @@
 	for number := range a.scenario.Leases {
 		nothing := func(context.Context, *client.Lease) error { return nil }
 		if err := last.RunWithLease(ctx, leaseName(number), "healed", healedLeaseTTL, healedMargin, nothing); err != nil {
-			return fmt.Errorf("lease %s can't be had: %w", leaseName(number), err)
+			return fmt.Errorf("lease %s can't be acquired: %w", leaseName(number), err)
 		}
 	}
 	return nil
 }
 
-// judge reads what all saw.
+// judge reads the logs of the holders and of the resource and checks them.
 func (a *coordinatorGroup) judge(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
@@ -69,11 +70,11 @@
 		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Breaches), res.Breaches[0]))
 	}
 	if res.Grants == 0 || res.Claims == 0 {
-		res.Failures = append(res.Failures, "nobody ever held a lease: nothing was tried")
+		res.Failures = append(res.Failures, "no lease was ever held: the run tested nothing")
 	}
 }
 
-// readHolders reads what the holders claimed and asked for.
+// readHolders reads the claims and calls of all holders.
 func (a *coordinatorGroup) readHolders() (claims []checker.Claim, operations []checker.Op) {
 	for _, holder := range a.holders {
 		claimed, asked, err := readHolder(a.holderLog(holder.name))
@@ -86,7 +87,7 @@
 	return claims, operations
 }
 
-// readActs reads what was done with the resource.
+// readActs reads the acts on the resource.
 func (a *coordinatorGroup) readActs() (acts []checker.Act) {
 	if err := forEachLine(a.actsFile(), func(text []byte) {
 		var act checker.Act
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -19,7 +19,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// buildPrograms are the programs of the agreement with faults, once for all tests; TestMain removes them.
+// buildPrograms builds the lab and the coordinator with faults, once for all tests, and returns
+// their directory. TestMain removes it.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "dockhinge-agree-test-")
 	if err != nil {
@@ -36,7 +37,8 @@
 
 var builtDir string
 
-// extraBuildTags is what a test's build with the tag mutants adds to the tags of the programs that it starts.
+// extraBuildTags are added to the build tags of the programs that the tests start. A build of
+// the tests with the tag mutants sets them.
 var extraBuildTags = ""
 
 func coordinatorOptions(t *testing.T, env ...string) CoordinatorOptions {
@@ -48,7 +50,8 @@
 	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
 }
 
-// Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
+// Runs three seeds of all faults with real processes: a lease must never have two holders at a
+// time, and each lease must be available again afterwards.
 func TestLeaseNeverHasTwoHoldersDespiteFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -57,7 +60,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine is no verdict
+			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine must not fail the test
 			res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 			if err != nil {
 				t.Fatal(err)
@@ -70,7 +73,8 @@
 	}
 }
 
-// Holders that are stopped between their check and their act: the resource refuses what comes after another's.
+// Pauses holders between their check of the lease and their act, and delays acts: the resource must
+// refuse an act that comes after one with a higher token.
 func TestResourceRefusesActsOfStaleHolders(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.LoadAgreement("leases")
@@ -88,7 +92,7 @@
 	}
 }
 
-// startGroupWithClient is a group of coordinators without faults, and a live client of it.
+// startGroupWithClient starts a group of coordinators without faults and a client of it.
 func startGroupWithClient(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
 	t.Helper()
 	a, err := startCoordinatorGroup(t.Context(), coordinators, o)
@@ -106,7 +110,8 @@
 	return c
 }
 
-// awaitSettledGroup waits until one leads and all others follow it with all that it has.
+// awaitSettledGroup waits until all coordinators follow one leader and have nearly all its
+// entries. It returns the leader.
 func awaitSettledGroup(t *testing.T, a *coordinatorGroup) *coordinator {
 	t.Helper()
 	var l *coordinator
@@ -130,7 +135,8 @@
 	return l
 }
 
-// A leader that is stopped, replaced and resumed neither answers for the state that it had nor takes a lease away.
+// Pauses the leader until another one leads, and resumes it: it must not serve its old state or
+// revoke a lease.
 func TestResumedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
 	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
@@ -143,7 +149,7 @@
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		l, err := a.leader(t.Context())
 		if err == nil && l == old {
-			return errors.New("still the old one")
+			return errors.New("the old leader still leads")
 		}
 		return err
 	}); err != nil {
@@ -159,9 +165,9 @@
 	}
 	old.signal(syscall.SIGCONT)
 	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api}, ClientName: "reader", TTL: 20 * time.Second})
-	for range 20 { // through the old one alone: the truth or nothing
+	for range 20 { // through the old leader only: it may fail, but not return old state
 		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil && (len(rows) != 1 || rows[0].Token != second.Token) {
-			t.Fatalf("the old leader tells %+v", rows)
+			t.Fatalf("the old leader returns %+v", rows)
 		}
 	}
 	if second.Remaining() <= 0 {
@@ -169,7 +175,9 @@
 	}
 }
 
-// A wiped disk doesn't come back as the old voter, and neither does yesterday's; each is told what to do.
+// A coordinator whose disk was restored from an old copy or wiped has forgotten its votes, and must
+// not act as the old voter. After a restore it must exit with an error, after a wipe wait to be
+// added.
 func TestCoordinatorWithOldOrWipedDiskIsNoVoter(t *testing.T) {
 	t.Parallel()
 	a, c := startGroupWithClient(t, 3, coordinatorOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
@@ -191,7 +199,7 @@
 	}
 	a.restart(victim.proc)
 	awaitSettledGroup(t, a)
-	for range 10 { // what yesterday's disk doesn't know
+	for range 10 { // changes that the old copy of the disk lacks
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 		if err == nil {
 			err = l.Release(t.Context())
@@ -200,7 +208,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := retryUntil(t.Context(), time.Minute, func() error { // told to the others
+	if err := retryUntil(t.Context(), time.Minute, func() error { // the epoch must have reached the others
 		if s, err := victim.status(t.Context()); err != nil || s.Epoch < before.Epoch+6 {
 			return errors.Join(errors.New("its epoch has not grown yet"), err)
 		}
@@ -215,14 +223,14 @@
 	a.restart(victim.proc)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := victim.running(); up {
-			return errors.New("it runs on with yesterday's disk")
+			return errors.New("it keeps running with the old copy of its disk")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if said := victim.logTail(3); !strings.Contains(said, "put back from an old copy") {
-		t.Errorf("it said:\n%s", said)
+		t.Errorf("it logged:\n%s", said)
 	}
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
@@ -231,7 +239,7 @@
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		s, err := victim.status(t.Context())
 		if err == nil && (s.State != "Waiting" || s.Identity == before.Identity) {
-			return fmt.Errorf("wiped, it is %s as %s", s.State, s.Identity)
+			return fmt.Errorf("with a wiped disk it is in state %s with identity %s", s.State, s.Identity)
 		}
 		return err
 	}); err != nil {
@@ -242,7 +250,8 @@
 	awaitSettledGroup(t, a)
 }
 
-// runToolForOutput runs the operators' runToolForOutput, which must not fail, and returns what it printed.
+// runToolForOutput runs the operators' runToolForOutput, which must not fail, and returns what it
+// printed.
 func runToolForOutput(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
@@ -262,8 +271,8 @@
 	return cmd
 }
 
-// A rolling upgrade of the coordinators to the next version, one after the other, loses no lease; a program that is too old is
-// refused by words once the new version is in force.
+// Upgrades the coordinators to the next version one after the other: no lease may be lost, and a
+// program that is too old must exit with an error once the new version is in force.
 func TestRollingUpgradeKeepsLeasesAndRejectsOldProgram(t *testing.T) {
 	t.Parallel()
 	o := coordinatorOptions(t)
@@ -273,9 +282,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, _ := buildPrograms() // agreeOptions has seen to it
+	dir, _ := buildPrograms() // agreeOptions has checked the error
 	for i, x := range a.coords {
-		if i == 1 { // one is old still
+		if i == 1 { // some still run the old version
 			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version)) {
 				t.Errorf("%s", out)
 			}
@@ -302,18 +311,19 @@
 	a.restart(back.proc)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := back.running(); up {
-			return errors.New("the old program runs on")
+			return errors.New("the old program keeps running")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if said := back.logTail(3); !strings.Contains(said, "too old") {
-		t.Errorf("it said:\n%s", said)
+		t.Errorf("it logged:\n%s", said)
 	}
 }
 
-// A command under a lease is ended before the lease's time is out, also when it won't, once no coordinator answers any more.
+// A command that ignores SIGTERM must be killed before its lease expires when no coordinator
+// answers.
 func TestCommandIsKilledBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	a, _ := startGroupWithClient(t, 3, coordinatorOptions(t))
@@ -341,28 +351,29 @@
 	}
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if syscall.Kill(pid, 0) == nil {
-			return errors.New("the command runs on")
+			return errors.New("the command keeps running")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range a.coords { // nobody can have had the lease meanwhile: none of them ran
+	for _, x := range a.coords { // the lease can't have been granted again while all were paused
 		x.signal(syscall.SIGCONT)
 	}
 	if err := <-done; err == nil {
-		t.Error("the tool didn't say that the command was ended")
+		t.Error("the tool reported success for a killed command")
 	}
 	out, err := toolCommand(a, "lease", "take", "job", "--", "true").CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "none of checked, harmless") {
-		t.Errorf("a command of no kind was run: %s", out)
+		t.Errorf("a command without --kind was run: %s", out)
 	}
 	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--", "sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
 		t.Errorf("%s", out)
 	}
 }
 
-// A client whose requests arrive and whose answers don't stops believing in its lease in time, though the coordinators keep it.
+// A client whose requests arrive but whose answers are lost must treat its lease as lost in time,
+// even though the coordinators renew it.
 func TestClientDropsLeaseWhenResponsesAreLost(t *testing.T) {
 	t.Parallel()
 	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
@@ -386,10 +397,10 @@
 	for _, r := range relays {
 		r.Set(fakes.Net{DropBack: true})
 	}
-	// The referee's own client takes it, and at that moment the deaf one must know that it has lost it.
+	// When the other client acquires the lease, the deaf one must already treat it as lost.
 	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
 		if left := l.Remaining(); left > 0 {
-			return fmt.Errorf("two hold it: the deaf one has %v left", left)
+			return fmt.Errorf("two clients hold the lease: the deaf one has %v left", left)
 		}
 		return nil
 	}); err != nil {
@@ -397,7 +408,8 @@
 	}
 }
 
-// Routers that probe for one another, whose coordinators are all killed and come back: no rule is broken, and all goes on.
+// Kills and restarts all coordinators of routers that share their probes: no rule may be broken,
+// and the routers must keep serving.
 func TestRoutersKeepServingWithoutCoordinators(t *testing.T) {
 	t.Parallel()
 	command := realRouter(t)
@@ -417,11 +429,12 @@
 		t.Errorf("%s", strings.Join(res.Failures, "\n"))
 	}
 	if res.Probes == 0 {
-		t.Error("nobody probed")
+		t.Error("no router probed")
 	}
 }
 
-// Two coordinators of five that die at a step of a snapshot: nothing that was agreed on is lost, and they come back with their disks.
+// Kills two coordinators of five at a step of a snapshot: no committed entry may be lost, and both
+// must restart with their disks.
 func TestCoordinatorsRecoverWhenKilledAtEachSnapshotStep(t *testing.T) {
 	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
@@ -451,7 +464,7 @@
 			work()
 			var dying []*coordinator
 			for _, x := range a.coords[:2] {
-				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs one to begin from
+				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs a snapshot
 					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*", "state.bin")); len(made) == 0 {
 						return errors.Join(errors.New("no snapshot yet"), err)
 					}
@@ -471,7 +484,7 @@
 						if err == nil {
 							err = l.Release(t.Context())
 						}
-						return errors.Join(errors.New("it lives"), err)
+						return errors.Join(errors.New("it keeps running"), err)
 					}
 					return nil
 				}); err != nil {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -19,25 +19,25 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// CoordinatorCost is what coordinators cost with so many clients.
+// CoordinatorCost is the measured cost of coordinators with a number of clients.
 type CoordinatorCost struct {
 	Clients, Leases    int
 	SessionsOpenAfter  time.Duration    // until all had a session
-	Idle               CoordinatorUsage // while all only keep their sessions
-	Busy               CoordinatorUsage // while a share of them acquires and releases in a closed loop
-	CommandsPerSecond  float64          // commands carried out, busy
-	P50, P99           time.Duration    // of those
-	IdleBytesPerSecond float64          // a second and client, bodies of keep-alives and answers
+	Idle               CoordinatorUsage // while the clients only keep their sessions
+	Busy               CoordinatorUsage // while up to 64 clients acquire and release leases in a closed loop
+	CommandsPerSecond  float64          // carried out while busy
+	P50, P99           time.Duration    // of these commands
+	IdleBytesPerSecond float64          // per client, bodies of keep-alives and answers
 	Failed             int
-	Refused            int    // clients that had no session within the patience,
-	RefusalReason      string // and what one of them was told
+	Refused            int    // clients that got no session in time
+	RefusalReason      string // error that one of these clients got
 }
 
-// CoordinatorUsage is what the leader and the busiest other use.
+// CoordinatorUsage is the usage of the leader and of the busiest follower.
 type CoordinatorUsage struct {
-	LeaderCPU, OtherCPU float64 // of a core
+	LeaderCPU, OtherCPU float64 // cores
 	LeaderMB, OtherMB   float64
-	FsyncP50, FsyncP99  float64 // ms, the leader's
+	FsyncP50, FsyncP99  float64 // of the leader, in milliseconds
 }
 
 // startCoordinatorGroup starts coordinators without faults.
@@ -45,13 +45,14 @@
 	return startCoordinatorGroupWithSnapshots(ctx, coordinators, 8192, o)
 }
 
-// startCoordinatorGroupWithSnapshots starts coordinators that make a snapshot so often.
+// startCoordinatorGroupWithSnapshots starts coordinators without faults that take a snapshot every
+// snapshotEach entries.
 func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*coordinatorGroup, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
 	}
-	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // no slow disk, no stepping clock that matters
+	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // the environment is reset below
 	a := newCoordinatorGroup(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
@@ -61,7 +62,7 @@
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
-	if err := a.start(ctx); err != nil {
+	if err := a.startAll(ctx); err != nil {
 		a.close()
 		return nil, err
 	}
@@ -72,7 +73,7 @@
 	return a, nil
 }
 
-// upgrade has the commands and bounds of a version in force.
+// upgrade puts the commands and limits of a version in force.
 func (a *coordinatorGroup) upgrade(ctx context.Context, version int) error {
 	return retryUntil(ctx, 20*time.Second, func() error {
 		l, err := a.leader(ctx)
@@ -90,7 +91,7 @@
 	})
 }
 
-// use measures the coordinators over a time.
+// use measures the usage of the coordinators over a time.
 func (a *coordinatorGroup) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
@@ -128,7 +129,8 @@
 	return all
 }
 
-// MeasureCoordinators plays so many clients that hold so many leases in all before coordinators without faults.
+// MeasureCoordinators measures coordinators without faults, with a number of clients that hold a
+// number of leases in all.
 func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
 	if err := CheckDescriptorLimit(clients); err != nil {
@@ -156,8 +158,8 @@
 	for i := range clients { // each takes its share of the leases
 		held.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
-				if n >= leases { // one that holds none waits for its session all the same
-					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // refused: longer than the session
+				if n >= leases { // a client without a lease also waits for its session
+					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // rejected: longer than the session
 					m.countRefusal(&mu, err)
 					break
 				}
@@ -218,12 +220,13 @@
 	return m, nil
 }
 
-// descriptorsPerClient are those that a client may open while all of them look for the leader; the relays between coordinators, which
-// are in this process too, must get theirs.
+// descriptorsPerClient is how many descriptors a client may open while all clients look for the
+// leader. The relays between coordinators run in this process too and must not run out of
+// descriptors.
 const descriptorsPerClient = 3
 
-// CheckDescriptorLimit tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
-// one another by the laboratory's fault.
+// CheckDescriptorLimit returns an error if this process may not open the descriptors that so many
+// clients need. The lab itself would then interrupt the connections between coordinators.
 func CheckDescriptorLimit(clients int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
@@ -235,10 +238,11 @@
 	return nil
 }
 
-// opensWithin bounds how long clients wait for a session: one over a bound of the coordinators never gets one.
+// opensWithin bounds how long clients wait for a session. A client beyond a limit of the
+// coordinators never gets one.
 const opensWithin = 30 * time.Second
 
-// countRefusal counts a client that has no session.
+// countRefusal counts a client that got no session.
 func (m *CoordinatorCost) countRefusal(mu *sync.Mutex, err error) {
 	if !errors.Is(err, client.ErrNoSession) {
 		return
@@ -249,7 +253,8 @@
 	m.RefusalReason = err.Error()
 }
 
-// MeasureFailover kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
+// MeasureFailover kills the leader a number of times and returns how long it took each time until a
+// client acquired a lease.
 func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
@@ -259,7 +264,7 @@
 	c, end := liveClient(ctx, a.addresses(), "f", 20*time.Second)
 	defer end()
 	for n := range kills {
-		if err := retryUntil(ctx, 20*time.Second, func() error { // all are there and have what the leader has
+		if err := retryUntil(ctx, 20*time.Second, func() error { // all follow the leader and are up to date
 			l, err := a.leader(ctx)
 			if err != nil {
 				return err
@@ -270,7 +275,7 @@
 			}
 			for _, x := range a.coords {
 				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < top.LastLogIndex || s.Leader != l.name {
-					return errors.Join(errors.New("not all are there"), err)
+					return errors.Join(errors.New("not all coordinators follow the leader"), err)
 				}
 			}
 			return nil
@@ -296,8 +301,9 @@
 	return took, nil
 }
 
-// MeasureLeaseTakeover has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
-// out another one held the lease.
+// MeasureLeaseTakeover cuts a number of holders off from all coordinators and returns, for each
+// one, how long after the cut another client held its lease. No keep-alive can arrive after the
+// cut.
 func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -22,35 +22,38 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
-// here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
+// Change is one planned change of a router or cache server: the operators' tool waits for the
+// permit and runs a command, which here is the lab's own. Times are milliseconds on the lab's
+// clock; 0 = not yet.
 type Change struct {
 	Resource      string   `json:"thing"`
 	RequestedAtMS float64  `json:"asked_ms"`
-	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
-	RunningAtMS   float64  `json:"back_ms"` // it runs again
+	StoppedAtMS   float64  `json:"gone_ms"` // the command ran: the process may be stopped
+	RunningAtMS   float64  `json:"back_ms"` // the process runs again
 	ToolRuns      int      `json:"tools"`   // runs of the tool
-	Tokens        []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
+	Tokens        []uint64 `json:"tokens"`  // of the command's runs; more than one means that the change was made twice
 }
 
-// outage is what a fault takes out, whatever is planned.
+// outage is the time in which a fault has a router or cache server down or paused.
 type outage struct {
 	resource string
-	from, to float64 // 0 = it lasts
-	stopped  bool    // the process is there and does nothing: what it then sends it may not have known better
+	from, to float64 // to is 0 while it lasts
+	stopped  bool    // the process was paused: when it resumes it may act on old state
 }
 
-// noticeTimeoutMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
+// noticeTimeoutMS is how long the fleet may take to notice an outage: the time of a session, a
+// report and a probe.
 const noticeTimeoutMS = 8000
 
-// warmed takes off what the fleet's clock may be faster, in milliseconds.
+// clockToleranceMS is taken off the warm-up time, since the fleet's clock may run faster.
 const clockToleranceMS = 100
 
-// upgradeTimeout bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
-// replaced at any moment.
+// upgradeTimeout bounds the wait for a leader that puts the newest version in force. On a busy
+// machine the first leader may be replaced at any moment.
 const upgradeTimeout = 20 * time.Second
 
-// upgradeCoordinators has the leader of this moment put the newest version in force. It may be repeated.
+// upgradeCoordinators requests the current leader to put the newest version in force. It may be
+// called again.
 func (fl *Fleet) upgradeCoordinators(ctx context.Context) error {
 	leader, err := fl.coordinators.leader(ctx)
 	if err != nil {
@@ -94,7 +97,7 @@
 	return nil
 }
 
-// newToolProcess is a run of the operators' newToolProcess.
+// newToolProcess returns a process of the operators' tool that has not been started.
 func (fl *Fleet) newToolProcess(name string, args ...string) *proc {
 	var all []string
 	for n, addr := range fl.coordinators.addresses() {
@@ -109,7 +112,8 @@
 	return fl.rng.IntN(n)
 }
 
-// requestChanges has operators requestChanges servers or routers, all at once as far as they may: each asks for a permit of its own.
+// requestChanges starts planned changes of servers or routers, all at the same time. Each waits
+// for a permit of its own.
 func (fl *Fleet) requestChanges(ctx context.Context, f scenario.Fault) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -119,9 +123,9 @@
 		for _, m := range part {
 			wg.Go(func() {
 				tell := func() {}
-				if f.DrainS > 0 { // operators tell discovery too, once the step has begun
+				if f.DrainS > 0 { // operators update discovery too, once the change has begun
 					tell = func() {
-						if !m.downMu.TryLock() { // a fault has it down, and tells discovery so
+						if !m.downMu.TryLock() { // a fault has the server down and updates discovery
 							return
 						}
 						defer m.downMu.Unlock()
@@ -164,12 +168,13 @@
 	}
 }
 
-// runChange runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
-// operator would; where it dies after it, the change is under way, and nobody does it twice.
+// runChange runs the tool until the change is done. If the tool dies before its command has
+// run, it is run again, as an operator would do. If it dies later, the change is already being
+// made and is not repeated.
 func (fl *Fleet) runChange(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
 	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
-	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
+	first := len(fl.changes) == 0 // Options.Kill refers to the steps of the first change
 	fl.changes = append(fl.changes, c)
 	fl.mu.Unlock()
 	if first {
@@ -180,7 +185,8 @@
 		wg.Go(func() { fl.killAtStep(ctx, inner, thing) })
 	}
 	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(thing, "/", "-"))
-	// The operators' own command: it tells the laboratory its token, and waits until the thing is back.
+	// The command writes its token to a file for the lab, and waits until the lab has made the
+	// change.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
 		p := fl.newToolProcess(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
@@ -217,8 +223,8 @@
 			fl.mu.Lock()
 			c.StoppedAtMS, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
 			fl.mu.Unlock()
-			busy.Lock()                    // a fault may have it down
-			if up, _ := p.running(); !up { // the command ended with its tool before it did anything
+			busy.Lock()                    // a fault may have the process down
+			if up, _ := p.running(); !up { // the command ended with its tool before the change began
 				busy.Unlock()
 				fl.mu.Lock()
 				c.StoppedAtMS, c.Tokens = 0, nil
@@ -238,7 +244,7 @@
 				fl.recordLabError(err)
 			}
 		}
-		select { // it gives the permit back
+		select { // the tool gives the permit back
 		case <-p.done:
 		case <-ctx.Done():
 			p.kill()
@@ -247,7 +253,7 @@
 		delete(fl.runningTools, thing)
 		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
-		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
+		if _, err := p.running(); done && err != nil { // the tool died during the change: its operator clears the permit
 			fl.clearPermit(ctx, thing)
 		}
 		if done || !wait(ctx, 0.2) {
@@ -256,7 +262,8 @@
 	}
 }
 
-// clearPermit has an operator say that a permit whose holder died isn't used any more. Until then it is.
+// clearPermit clears a permit whose holder died, as an operator would. Until then the permit counts
+// as used.
 func (fl *Fleet) clearPermit(ctx context.Context, thing string) {
 	for range 30 {
 		p := fl.newToolProcess(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
@@ -276,7 +283,7 @@
 	}
 }
 
-// killTools kills one of the tools that are under way, again and again, or stops one for a time.
+// killTools kills a running tool f.Count times, or pauses one for a time.
 func (fl *Fleet) killTools(ctx context.Context, f scenario.Fault) {
 	for range f.Count {
 		fl.mu.Lock()
@@ -303,7 +310,8 @@
 	}
 }
 
-// faultRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
+// faultRouters kills or pauses routers or cuts them off from the coordinators, and reverts that
+// when the fault is over.
 func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, over func()) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
@@ -331,7 +339,7 @@
 		}
 		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
-			for _, relay := range fl.coordinatorRelays[r.name] { // made before the load
+			for _, relay := range fl.coordinatorRelays[r.name] { // all relays were made before the load
 				relay.Set(fakes.Net{Cut: true})
 				defer relay.Set(fakes.Net{})
 			}
@@ -347,13 +355,13 @@
 	}
 	over()
 	for _, p := range resume {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // likewise
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may have ended
 	}
 	var wg sync.WaitGroup
 	for _, r := range down {
 		if ctx.Err() == nil {
 			wg.Go(func() {
-				if p := r.newest(); p != nil { // killed, and its end not booked yet
+				if p := r.newest(); p != nil { // killed, but its exit is not recorded yet
 					<-p.done
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
@@ -374,8 +382,8 @@
 	}
 }
 
-// judgeChanges tells what did not hold of planned changes. It goes by what the laboratory did and by what servers saw: the words
-// of neither routers nor coordinators count. The caller holds mu.
+// judgeChanges returns the failures of planned changes. It uses what the lab did and what the
+// servers saw, not what routers or coordinators report. The caller holds mu.
 func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
@@ -406,7 +414,7 @@
 			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
-	// Nothing begins at a server between the word that it is drained and its return.
+	// No attempt may begin at a server between the report that it is drained and its return.
 	of := map[string]string{} // router of a request
 	for _, e := range events {
 		if e.Kind == checker.Sent {
@@ -424,7 +432,7 @@
 				continue
 			}
 			known := true
-			for _, d := range fl.outages { // a process that was stopped hears of it when it goes on
+			for _, d := range fl.outages { // a paused process learns of the drain when it resumes
 				known = known && !(d.stopped && d.resource == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
 			if known {
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -18,7 +18,7 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// plannedChangeOptions are those of a run with real routers, coordinators and tools.
+// plannedChangeOptions returns options for a run with real routers, coordinators and tools.
 func plannedChangeOptions(t *testing.T) Options {
 	t.Helper()
 	dir, err := buildPrograms()
@@ -28,8 +28,9 @@
 	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
 }
 
-// Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
-// the budgets leave, nothing sent to a drained server, each change done once.
+// Runs three seeds of planned changes of all servers and most routers, with faults between all
+// processes: planned outages must stay within the budgets, nothing may be sent to a drained server,
+// and each change must be made once.
 func TestPlannedChangesStayWithinBudgets(t *testing.T) {
 	o := plannedChangeOptions(t)
 	for seed := uint64(1); seed <= 3; seed++ {
@@ -55,8 +56,9 @@
 	}
 }
 
-// Releases of real routers, whose drivers are killed: a good version comes to all, one that doesn't get ready and one that crashes
-// halt by themselves and go back. No router is brought anywhere twice.
+// Releases a version to real routers and kills the drivers: a good version must reach all routers,
+// and one that never gets ready or crashes must halt the release and be rolled back. No version may
+// be installed twice on a router.
 func TestBadReleaseHaltsAndRollsBack(t *testing.T) {
 	o := plannedChangeOptions(t)
 	for _, spoil := range []string{"", "never", "crash"} {
@@ -67,11 +69,11 @@
 				t.Fatal(err)
 			}
 			f.DurationS, f.Load.Rate, f.Fleet.Out, f.Fleet.Coordinators = 8, 60, scenario.Out{Routers: 1, WarmS: 0.5}, 3
-			f.Faults[0].ForS, f.Faults[0].Count = 60, 0 // a slow machine is no bad version
+			f.Faults[0].ForS, f.Faults[0].Count = 60, 0 // a slow machine must not count as a bad version
 			switch spoil {
 			case "never":
 				f.Faults[0].ForS = 20
-			case "crash": // seen once the session of the router that has crashed is over
+			case "crash": // a crash is noticed when the router's session expires
 				f.Faults[0].DownS = 8
 			}
 			f.Faults = append(f.Faults, scenario.Fault{AtS: 3, What: "tools-die", Count: 4, ForS: 8})
@@ -89,7 +91,8 @@
 	}
 }
 
-// A driver killed at each of its steps: the release comes to its end, and no router is brought anywhere twice.
+// Kills a release's driver at each of its steps: the release must complete, and no version may be
+// installed twice on a router.
 func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
 	o := plannedChangeOptions(t)
 	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
@@ -115,8 +118,8 @@
 	}
 }
 
-// The tool killed at each of its steps, and called again under the same name: it takes over, commands get ever higher tokens, and
-// nothing stays out.
+// Kills the tool at each of its steps and runs it again under the same name: it must take over the
+// permit, each run of the command must get a higher token, and no permit or drain may be left.
 func TestPermitIsTakenOverWhenToolIsKilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 7)
@@ -189,8 +192,9 @@
 	}
 }
 
-// A cache server breaks off all its answers: two routers find it out, and then all leave it out by their word, while a third tells that
-// all servers are bad and is not believed. No router is heard on what it hasn't asked, and the rules hold.
+// A cache server cuts off all its answers: two routers notice it, and then all must exclude the
+// server on their reports. Another router falsely reports all servers, which must have no effect.
+// No report on a server may count if its router has sent the server nothing.
 func TestFaultyServerIsExcludedAndLyingRouterIsIgnored(t *testing.T) {
 	t.Parallel()
 	o := plannedChangeOptions(t)
@@ -216,8 +220,8 @@
 	t.Logf("%+v", res.FaultySpells)
 }
 
-// The origin turns all away, so that the fleet refuses what is missing: nothing that operators ask for meanwhile goes out, and all of
-// it does once it is over.
+// The origin rejects all requests, so that the fleet rejects reads that miss: no planned change may
+// start meanwhile, and all must be made afterwards.
 func TestNoChangeStartsWhileFleetIsOverloaded(t *testing.T) {
 	t.Parallel()
 	o := plannedChangeOptions(t)
@@ -244,13 +248,13 @@
 	for _, c := range res.Changes {
 		first = min(first, c.StoppedAtMS-c.RequestedAtMS)
 	}
-	if first < 3000 { // asked three seconds before it is over
-		t.Errorf("a change went out %.0f ms after it was asked for, while the fleet was over its limit: %+v", first, res.Changes)
+	if first < 3000 { // requested three seconds before the fault is over
+		t.Errorf("a change started %.0f ms after it was requested, while the fleet was over its limit: %+v", first, res.Changes)
 	}
-	t.Logf("the first went %.1f s after it was asked for", first/1000)
+	t.Logf("the first change started %.1f s after it was requested", first/1000)
 }
 
-// The referee finds each kind of fault in what is planned, by what the laboratory did and servers saw.
+// judgeChanges must report each kind of violation by planned changes.
 func TestJudgeChangesReportsEachViolation(t *testing.T) {
 	for _, x := range []struct {
 		want    string
@@ -277,8 +281,9 @@
 	}
 }
 
-// What operators do by hand: drain, look, halt, resume, undrain; a router that starts in the middle knows it before its first
-// client, and coordinators that take calls and never answer keep no router from starting.
+// An operator drains a server, halts, resumes and undrains it. A router that starts meanwhile must
+// apply the drain before it serves its first client, and must also start when the coordinators
+// accept calls but never answer.
 func TestManualDrainHaltResumeAndUndrain(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 4)
@@ -295,7 +300,7 @@
 		t.Fatal(err)
 	}
 	over := make(chan struct{})
-	go func() { defer close(over); fl.play(ctx) }() //nolint:errcheck // cut short, and judged here
+	go func() { defer close(over); fl.play(ctx) }() //nolint:errcheck // canceled, and checked below
 	t.Cleanup(func() { cancel(); <-over })
 
 	tool := func(args ...string) (string, error) {
@@ -345,7 +350,7 @@
 	at := began(first)
 	must("by plan", "fleet")
 	if out, err := tool("drain", "server/"+second, "--within", "2s"); err == nil || !strings.Contains(out, "1 of at most 1 out: "+first+" (by plan)") {
-		t.Errorf("a second one: %v\n%s", err, out)
+		t.Errorf("a second drain: %v\n%s", err, out)
 	}
 	must("", "halt", "--why", "enough")
 	must("HALTED by", "fleet")
@@ -375,9 +380,9 @@
 		t.Fatal(err)
 	}
 	if n := began(first); n != at {
-		t.Errorf("%d attempts began at the drained server, over a router that started in the middle too", n-at)
+		t.Errorf("%d attempts began at the drained server, also counting the router that started meanwhile", n-at)
 	}
-	for _, c := range fl.coordinators.coords { // stopped, not dead: they take calls and don't answer
+	for _, c := range fl.coordinators.coords { // paused, so that they accept calls but don't answer
 		c.signal(19)
 	}
 	r = fl.allRouters()[1]
@@ -395,7 +400,7 @@
 	must("", "undrain", "server/"+first)
 	if err := retryUntil(ctx, time.Minute, func() error {
 		if began(first) == at {
-			return fmt.Errorf("nothing is sent to %s, which is back", first)
+			return fmt.Errorf("nothing is sent to %s, which was undrained", first)
 		}
 		return nil
 	}); err != nil {
--- a/lab/fleet/crowd.go
+++ b/lab/fleet/crowd.go
@@ -13,12 +13,12 @@
 const (
 	// crowdDialTimeout is how long an idle client waits for its connection.
 	crowdDialTimeout = 500 * time.Millisecond
-	// crowdEndMS is how long after idle clients have left a router may be crowded still.
+	// crowdEndMS is how long a router may stay out of descriptors after the idle clients have left.
 	crowdEndMS = 1000.0
 )
 
-// crowd has idle clients open as many connections to each router as it may have descriptors, and
-// keep them until the fault is over.
+// crowd opens as many idle connections to each router as it may have descriptors, and keeps them
+// until the fault is over.
 func (fl *Fleet) crowd(ctx context.Context, f scenario.Fault) {
 	fl.mark("idle clients crowd all routers")
 	began := fl.clock.Now()
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// killAfterDeadline is the time from the longest deadline after SIGTERM to SIGKILL, and
-	// killDeadlineMS bounds that deadline.
+	// SIGKILL follows SIGTERM after the longest deadline of a request, at most killDeadlineMS, and
+	// another killAfterDeadline.
 	killAfterDeadline = 700 * time.Millisecond
 	killDeadlineMS    = 3000.0
-	// noticeEndMS is how long new connections go on coming to a router that was told to end.
+	// noticeEndMS is how long a router gets new connections after it was sent SIGTERM.
 	noticeEndMS = 300.0
 )
 
-// killAfter is the time between SIGTERM and SIGKILL at the earliest.
+// killAfter returns the shortest time between SIGTERM and SIGKILL.
 func (fl *Fleet) killAfter() time.Duration {
 	longest := 0.0
 	for _, c := range fl.File.Classes {
@@ -30,11 +30,11 @@
 	return time.Duration(min(longest, killDeadlineMS)*float64(time.Millisecond)) + killAfterDeadline
 }
 
-// endRouters has some routers told to end, a batch at a time, killed at the earliest time where
-// they still run, and started again.
+// endRouters sends SIGTERM to some routers, a batch at a time, kills those that still run after
+// killAfter, and starts them again.
 func (fl *Fleet) endRouters(ctx context.Context, f scenario.Fault) {
 	routers := fl.pickRouters(f)
-	fl.mark("%d routers are told to end, %d at a time", len(routers), max(1, f.Batch))
+	fl.mark("%d routers are sent SIGTERM, %d at a time", len(routers), max(1, f.Batch))
 	for batch := range slices.Chunk(routers, max(1, f.Batch)) {
 		fl.forEachRouter(batch, func(r *router) {
 			fl.stopAndRestart(ctx, r, f.DownS, func(p *process) { r.signal(p, syscall.SIGTERM) })
@@ -45,7 +45,7 @@
 	}
 }
 
-// pickRouters draws the routers that a fault meets.
+// pickRouters draws the routers that a fault affects.
 func (fl *Fleet) pickRouters(f scenario.Fault) []*router {
 	routers := fl.allRouters()
 	count := f.Count
@@ -58,9 +58,9 @@
 	return routers[:max(0, min(count, len(routers)))]
 }
 
-// stopAndRestart has a router's newest process ended by signals, the first of which is SIGTERM or
-// followed by it at once, kills it at the earliest time, and starts it again. It does nothing where
-// another fault has the router down.
+// stopAndRestart stops a router's newest process by calling end, which sends SIGTERM, kills the
+// process after killAfter if it still runs, and starts it again. It does nothing if another fault
+// has the router down.
 func (fl *Fleet) stopAndRestart(ctx context.Context, r *router, downS float64, end func(p *process)) {
 	if !r.downMu.TryLock() {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-// awaitEnd waits for the end of a process that was sent SIGTERM just now, and kills it once it may
-// be.
+// awaitEnd waits until a process that was just sent SIGTERM has exited, and kills it after
+// killAfter.
 func (fl *Fleet) awaitEnd(r *router, p *process) {
 	select {
 	case <-p.done:
@@ -93,8 +93,9 @@
 	}
 }
 
-// stopAllRouters tells all routers to end, without a load, and tells which did not end by themselves before
-// they may be killed: one that waits for something that it started never does.
+// stopAllRouters sends SIGTERM to all routers, without a load, and returns a failure for each that
+// does not exit within killAfter: a router that waits for a goroutine or process that it started
+// never exits.
 func (fl *Fleet) stopAllRouters() (failures []string) {
 	var mu sync.Mutex
 	fl.forEachRouter(fl.allRouters(), func(r *router) {
@@ -110,7 +111,7 @@
 				problem = "router " + r.name + " ended with " + exitText(p.exitErr)
 			}
 		case <-time.After(fl.killAfter()):
-			problem = "router " + r.name + " did not end by itself before it may be killed"
+			problem = "router " + r.name + " did not exit by itself before it was due to be killed"
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -121,7 +122,8 @@
 	return failures
 }
 
-// judgeLimits tells which routers went over their limits, all processes of a router together.
+// judgeLimits returns a failure for each router that exceeded a limit, counting all processes of
+// the router together.
 func (fl *Fleet) judgeLimits() (failures []string) {
 	for _, r := range fl.routers {
 		most := Usage{}
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -21,8 +21,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// TestMain lets the test's own program stand in for a router: a simple one that keeps the rules, or one that breaks a
-// certain one on purpose.
+// TestMain runs the test binary as a fake router if FAKE_ROUTER is set: a simple router that keeps
+// the rules, or one that breaks the rule of its mode.
 func TestMain(m *testing.M) {
 	if mode := os.Getenv("FAKE_ROUTER"); mode != "" {
 		if err := runFakeRouter(mode); err != nil {
@@ -86,7 +86,7 @@
 	}))
 }
 
-// pollList asks for the whole list again and again; one that ignores drains asks too, and goes on as before.
+// pollList polls the endpoint list. In mode "drained" it ignores the answers.
 func (f *fakeRouterState) pollList() {
 	for ; f.mode != "never-asks"; time.Sleep(50 * time.Millisecond) {
 		resp, err := http.Get("http://" + f.discovery + "/v1/servers")
@@ -104,7 +104,7 @@
 	}
 }
 
-// targets are a cache server, in turn, and the origin.
+// targets returns the active cache servers, rotated by one at each call, and the origin.
 func (f *fakeRouterState) targets() (cache []model.Entry, origin model.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,7 +150,7 @@
 			}
 		}
 		isConnected := func() bool { return f.mode == "deaf" || !clientDisconnected(c, r) }
-		answer := f.answer(line, w, id, body, arrived, isConnected)
+		answer := f.fetchAnswer(line, w, id, body, arrived, isConnected)
 		switch {
 		case f.mode == "no-answer" && n%5 == 4:
 			continue
@@ -165,8 +165,9 @@
 	}
 }
 
-// answer gets a request's answer: from a cache server, and from the origin where that lacks the key, or for a write.
-func (f *fakeRouterState) answer(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
+// fetchAnswer returns a request's fetchAnswer: that of a cache server, or of the origin after a miss and
+// for a write.
+func (f *fakeRouterState) fetchAnswer(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
 	if f.mode == "rejects" {
 		return "SERVER_ERROR busy\r\n"
 	}
@@ -220,7 +221,7 @@
 	return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(got), id, got)
 }
 
-// clientDisconnected reports whether the client has closed its connection, as far as is known by now.
+// clientDisconnected reports whether the client is known to have closed its connection.
 func clientDisconnected(c net.Conn, r *bufio.Reader) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	defer c.SetReadDeadline(time.Time{})
@@ -228,19 +229,20 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// withRemaining has a list of names and values tell what is left of the client's time by now.
+// withRemaining replaces the deadline in a list of names and values by the time that is left of it.
 func withRemaining(facts string, arrived time.Time) string {
 	list := strings.Split(facts, ",")
 	for i, fact := range list {
 		if millis, ok := strings.CutPrefix(fact, "d="); ok {
-			atFirst, _ := strconv.ParseInt(millis, 10, 64) // the laboratory's clients tell numbers
+			atFirst, _ := strconv.ParseInt(millis, 10, 64) // the lab's clients send numbers
 			list[i] = fmt.Sprintf("d=%d", max(0, atFirst-time.Since(arrived).Milliseconds()))
 		}
 	}
 	return strings.Join(list, ",")
 }
 
-// sendToServer writes to a cache server over a connection of its own, and reads one answer or leaves it open for a while.
+// sendToServer writes to a cache server over a connection of its own, and reads one answer or
+// leaves it open for a while.
 func sendToServer(addr, text string, read bool) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -340,7 +342,7 @@
 drain_s = 1.3
 `
 
-// A router that breaks a rule is caught, and one that keeps them is not.
+// The checker must report a router that breaks a rule, and none that keeps the rules.
 func TestCheckerReportsEachRuleViolation(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -380,7 +382,7 @@
 	}
 }
 
-// A router that rejects all that it gets is caught where nothing has gone wrong.
+// The checker must report a router that rejects all requests although there is no fault.
 func TestRouterThatRejectsAllIsCaught(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -400,7 +402,7 @@
 	}
 }
 
-// A router that never asks for the list is caught where a server drains for longer than any clock allows.
+// The checker must report a router that never polls the endpoint list and so misses a long drain.
 func TestRouterThatNeverPollsDiscoveryIsCaught(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -19,12 +19,12 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// wait lets so many seconds pass, and reports whether the run goes on.
+// wait sleeps for s seconds. It returns false if ctx was canceled.
 func wait(ctx context.Context, s float64) bool {
 	return clock.Sleep(ctx, time.Duration(s*float64(time.Second)))
 }
 
-// playFault plays one playFault of the time line.
+// playFault plays one fault of the timeline.
 func (fl *Fleet) playFault(ctx context.Context, f scenario.Fault) {
 	if !wait(ctx, f.AtS) {
 		return
@@ -36,7 +36,7 @@
 			<-ctx.Done()
 		}
 	}
-	// both sets a state, waits until the fault is over and takes it back.
+	// playAndRevert turns a fault on, waits until it is over and turns it off.
 	both := func(text string, set func(on bool)) {
 		fl.mark("%s", text)
 		set(true)
@@ -155,7 +155,7 @@
 	}
 }
 
-// pickServers chooses the cache servers that a fault meets.
+// pickServers chooses the cache servers that a fault affects.
 func (fl *Fleet) pickServers(f scenario.Fault) (part []*member) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -189,7 +189,7 @@
 	return strings.Join(ids, " ")
 }
 
-// crash has servers die and come back cold.
+// crash kills servers and restarts them cold.
 func (fl *Fleet) crash(ctx context.Context, f scenario.Fault) {
 	part := slices.DeleteFunc(fl.pickServers(f), func(m *member) bool { return !fl.tryLockServer(m) })
 	defer func() {
@@ -208,7 +208,7 @@
 	if f.ForS <= 0 || !wait(ctx, f.ForS) {
 		return
 	}
-	fl.mark("they come back cold")
+	fl.mark("the crashed servers restart cold")
 	for _, m := range part {
 		fl.restartServer(m)
 		fl.mu.Lock()
@@ -217,7 +217,8 @@
 	}
 }
 
-// tryLockServer locks a server's busy for a fault, unless another has it or the server has left since it was picked.
+// tryLockServer locks a server's downMu for a fault. It fails if another fault holds it or the
+// server has left since it was picked.
 func (fl *Fleet) tryLockServer(m *member) bool {
 	if !m.downMu.TryLock() {
 		return false
@@ -236,7 +237,8 @@
 	return m.isRemoved
 }
 
-// restartServer starts a server again, cold, unless it has left the fleet. The caller has locked the server's busy.
+// restartServer restarts a server, cold, unless it has left the fleet. The caller holds the
+// server's downMu.
 func (fl *Fleet) restartServer(m *member) {
 	if fl.hasLeft(m) {
 		return
@@ -249,14 +251,15 @@
 	fl.discovery.Happened(m.entry)
 }
 
-// recordLabError books what the lab could not do: the run does not hold.
+// recordLabError records an error of the lab itself. The run then fails.
 func (fl *Fleet) recordLabError(err error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.problems = append(fl.problems, "the lab: "+err.Error())
 }
 
-// drainServers has servers say that they drainServers, and end after a time. It returns once all have ended.
+// drainServers lists servers as leaving and stops them after drainS seconds. It returns once
+// all have stopped.
 func (fl *Fleet) drainServers(ctx context.Context, part []*member, drainS float64) {
 	var wg sync.WaitGroup
 	for _, m := range part {
@@ -265,7 +268,8 @@
 	wg.Wait()
 }
 
-// drainServer has one server leave, once it is up again where another fault has it down.
+// drainServer drains and stops one server. If another fault has the server down, it first waits for
+// its restart.
 func (fl *Fleet) drainServer(ctx context.Context, m *member, drainS float64) {
 	m.downMu.Lock()
 	defer m.downMu.Unlock()
@@ -284,7 +288,7 @@
 	fl.mu.Unlock()
 }
 
-// replaceServers replaces servers batch by batch by new ones under new ids, which start cold.
+// replaceServers replaces servers in batches by new ones, which have new IDs and start cold.
 func (fl *Fleet) replaceServers(ctx context.Context, f scenario.Fault) {
 	part := fl.pickServers(f)
 	fl.mark("rolling deploy of %d servers, %d at a time", len(part), f.Batch)
@@ -306,7 +310,8 @@
 	fl.mark("the deploy is over")
 }
 
-// restartInBatches restarts routers batch by batch: SIGTERM, the end, a new start.
+// restartInBatches restarts routers in batches: it sends SIGTERM, waits for the exit and starts
+// them again.
 func (fl *Fleet) restartInBatches(ctx context.Context, f scenario.Fault) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
@@ -321,7 +326,7 @@
 				if p == nil {
 					return
 				}
-				fl.front.Down(r.name, 300) // planned: the front is told
+				fl.front.Down(r.name, 300) // planned: the front is notified
 				r.signal(p, syscall.SIGTERM)
 				<-p.done
 				if !wait(ctx, f.DownS) {
@@ -340,7 +345,7 @@
 	fl.mark("all routers are back")
 }
 
-// restartAllRouters kills all routers at once and starts them again.
+// restartAllRouters kills all routers at the same time and starts them again.
 func (fl *Fleet) restartAllRouters(ctx context.Context) {
 	fl.mark("all routers are killed and start at once")
 	var wg sync.WaitGroup
@@ -365,7 +370,8 @@
 	}
 }
 
-// upgradeRouters starts a new process beside the old one of each router in turn, and ends the old one once the new is ready.
+// upgradeRouters starts a new process beside the old one of each router in turn, and stops the old
+// one once the new one is ready.
 func (fl *Fleet) upgradeRouters(ctx context.Context) {
 	for _, r := range fl.allRouters() {
 		old := r.newest()
@@ -389,7 +395,7 @@
 	fl.mark("all routers are upgraded")
 }
 
-// setNetworkFault sets what is wrong between all routers and some servers, or takes it back.
+// setNetworkFault turns a network fault between all routers and some servers on or off.
 func (fl *Fleet) setNetworkFault(f scenario.Fault, part []*member, on bool) {
 	for _, r := range fl.allRouters() {
 		for _, m := range part {
@@ -397,7 +403,7 @@
 			relay := fl.relays[r.name+"/"+m.ID()]
 			fl.mu.Unlock()
 			if relay == nil {
-				continue // this router has never heard of it
+				continue // this router was never given the server
 			}
 			n := fl.baselineNetwork(r, m.entry.Zone)
 			if on {
@@ -412,7 +418,8 @@
 	}
 }
 
-// malformedRequests is what misbehaving clients send. Each is owed an error line or a close.
+// malformedRequests are what misbehaving clients send. A router must answer each with an error line
+// or close the connection.
 var malformedRequests = []string{
 	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) + " v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
 	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n", "mg k v O4 Pc=fetch,d=soon\r\n",
@@ -420,7 +427,8 @@
 	"ms k 60000000 O6 Pc=publish,d=500\r\nhalf", strings.Repeat("mg k v O7 Pc=fetch\r\n", 300),
 }
 
-// playMisbehavingClients sends what can't be read, until the fault is over, and counts who was told or closed on within 3 s.
+// playMisbehavingClients sends malformed requests until the fault is over, and counts those that
+// were rejected within 3 s, by an error line or a closed connection.
 func (fl *Fleet) playMisbehavingClients(ctx context.Context, forS float64) {
 	fl.mark("misbehaving clients")
 	if forS > 0 {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet plays a scenario on loopback: stand-ins for cache servers, origin, discovery and network, real router
-// processes, a load, and faults on a time line. Whatever ends it, it leaves no process and no port behind.
+// Package fleet runs a scenario on loopback: fake cache servers, origin, discovery and network,
+// real router processes, a load, and faults on a timeline. However a run ends, it leaves no process
+// and no open port behind.
 package fleet
 
 import (
@@ -22,30 +23,30 @@
 )
 
 const (
-	defaultReadyTimeout = 20 * time.Second // of a router, where Options doesn't say
+	defaultReadyTimeout = 20 * time.Second // of a router, if Options sets none
 	routerEndTimeout    = 5 * time.Second
 )
 
-// Options say how to play.
+// Options configure a run.
 type Options struct {
-	RouterCommand      []string      // of one router; GW_CONFIG tells it the rest
-	CoordinatorCommand []string      // of one coordinator, where the scenario has them
-	CoordinatorEnv     []string      // of the coordinators
-	Kill               *StepKill     // who is killed at which step of the tool; nil = nobody
-	FirstRouterMutant  string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
-	MutantCommand      []string      // command of a router in which a fault can be planted, for releases of a bad version
-	ChangeTimeout      time.Duration // how long planned changes may last beyond the load; 0: not at all
-	Dir                string        // for logs and configurations; it must be there
+	RouterCommand      []string      // of one router; GW_CONFIG names its configuration
+	CoordinatorCommand []string      // of one coordinator, if the scenario has any
+	CoordinatorEnv     []string      // added to the coordinators' environment
+	Kill               *StepKill     // the process to kill at a step of the tool; nil = none
+	FirstRouterMutant  string        // mutant that makes the first router report false facts on servers; "" = none
+	MutantCommand      []string      // of a router built with mutants, for bad versions and lying routers
+	ChangeTimeout      time.Duration // time for planned changes after the end of the load; 0 = none
+	Dir                string        // for logs and configurations; must exist
 	ReadyTimeout       time.Duration
-	MustExit           bool // each router has to end by itself, with all that it started, when it is told to after the run
+	MustExit           bool // after the run, each router must exit on SIGTERM, with all that it started
 	Progress           func(load.Now, *Fleet)
-	Logf               func(format string, v ...any) // what happens, a line each
+	Logf               func(format string, v ...any) // reports events, one line each
 }
 
-// maxEvents bounds the referee's journal.
+// maxEvents bounds the checker's journal.
 const maxEvents = 2_000_000
 
-// Fleet is a scenario that is being played.
+// Fleet is a running scenario.
 type Fleet struct {
 	File    scenario.File
 	options Options
@@ -55,13 +56,13 @@
 	front     *fakes.Front
 	discovery *fakes.Discovery
 	origin    *fakes.Server
-	rng       *rand.Rand // of the faults
+	rng       *rand.Rand // for the faults
 
 	mu                 sync.Mutex        // guards what follows
 	coordinators       *coordinatorGroup // nil = none
-	coordinatorsDownMu sync.Mutex        // whoever has some of them down; not guarded by mu
+	coordinatorsDownMu sync.Mutex        // held while a fault has coordinators down; not guarded by mu
 	members            []*member
-	missedReads        *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
+	missedReads        *simplelru.LRU[string, []*fakes.Server] // by request ID: the servers at which the read missed
 	routers            []*router
 	relays             map[string]*fakes.Relay // router/server
 	marks              []Mark
@@ -71,26 +72,27 @@
 	misbehavingClients [2]int
 	problems           []string
 	released           *Released
-	isVictimKilled     bool // by Options.Kill
+	isVictimKilled     bool // the victim of Options.Kill was killed
 	faultySpells       []FaultySpell
 	budgetUse          []BudgetSample
-	excludedBy         map[string][]string // servers that were left out by the word of others, and the routers named
-	serversStarted     int                 // of ids given
+	excludedBy         map[string][]string // by server excluded on routers' reports: those routers
+	serversStarted     int                 // from which the servers' IDs are made
 	changes            []*Change
 	outages            []outage
-	runningTools       map[string]*proc          // of planned changes that are under way, by thing
-	coordinatorRelays  map[string][]*fakes.Relay // by router: to the coordinators
+	runningTools       map[string]*proc          // in progress, by resource or process name
+	coordinatorRelays  map[string][]*fakes.Relay // from each router to the coordinators
 }
 
-// member is a cache server's place in the fleet.
+// member is a cache server and its entry in the endpoint list.
 type member struct {
 	*fakes.Server
-	downMu    sync.Mutex  // locked by whoever has it down or has it leave
-	entry     model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
-	isRemoved bool        // it has left for good; guarded by the fleet's mu
+	downMu    sync.Mutex  // held by a fault or planned change that has the server down or drains it
+	entry     model.Entry // downMu guards Started and State; the rest never changes
+	isRemoved bool        // it has left for good; guarded by Fleet.mu
 }
 
-// Run plays a scenario. The error tells that it could not be played; what did not hold stands in the result.
+// Run runs a scenario. It returns an error if the scenario could not be run; violated rules and
+// expectations are listed in Result.Failures.
 func Run(ctx context.Context, f scenario.File, o Options) (res Result, err error) {
 	fl := newFleet(f, o)
 	defer fl.close()
@@ -111,7 +113,7 @@
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
 	}
-	const stream = 10 // of the seed, for the faults
+	const stream = 10 // random stream for the faults
 	fl := &Fleet{
 		File:              f,
 		options:           o,
@@ -127,7 +129,7 @@
 	return fl
 }
 
-// start starts all parties but the load; close ends them.
+// start starts all processes and fakes, but not the load; close stops them.
 func (fl *Fleet) start(ctx context.Context) error {
 	if err := fl.build(); err != nil {
 		return err
@@ -138,7 +140,7 @@
 	return fl.startRouters(ctx)
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (fl *Fleet) close() {
 	var wg sync.WaitGroup
 	for _, r := range fl.allRouters() {
@@ -181,7 +183,7 @@
 	return slices.Clone(fl.members)
 }
 
-// mark books what happened.
+// mark records and logs an event.
 func (fl *Fleet) mark(form string, v ...any) {
 	text := fmt.Sprintf(form, v...)
 	fl.mu.Lock()
@@ -191,19 +193,20 @@
 	fl.options.Logf("%6.1f s  %s", at, text)
 }
 
-// RouterAddresses tells the addresses at which routers can be talked to: clients' and second.
+// RouterAddresses returns a line for each router with its client address and its admin address.
 func (fl *Fleet) RouterAddresses() (all []string) {
 	for _, r := range fl.allRouters() {
 		admin := "down"
 		if p := r.newest(); p != nil {
 			admin = p.admin
 		}
-		all = append(all, fmt.Sprintf("%s (%s): clients at %s, second address %s", r.name, r.zone, r.listen, admin))
+		all = append(all, fmt.Sprintf("%s (%s): clients at %s, admin address %s", r.name, r.zone, r.listen, admin))
 	}
 	return all
 }
 
-// CountServers counts cache servers that run.
+// CountServers returns how many cache servers are up and how many there are, without those that
+// have left.
 func (fl *Fleet) CountServers() (up, all int) {
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
@@ -216,7 +219,7 @@
 	return up, all
 }
 
-// LogDir makes a directory for a run's logs under a parent.
+// LogDir creates a directory for a run's logs under parent, which it creates too if needed.
 func LogDir(parent, name string) (string, error) {
 	if err := os.MkdirAll(parent, 0o755); err != nil {
 		return "", fmt.Errorf("logs: %w", err)
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -38,7 +38,8 @@
 	return pids
 }
 
-// Five short scenarios with the real router, in one of which all routers are killed: the verdict is on counts and rules, never on times.
+// Runs five short scenarios with the real router, in one of which all routers are killed. The test
+// checks counts and rules, never times.
 func TestRealRouterKeepsTheRules(t *testing.T) {
 	command := realRouter(t)
 	for name, change := range map[string]func(*scenario.File){
@@ -63,7 +64,7 @@
 				t.Fatal(err)
 			}
 			change(&f)
-			f.DurationS, f.Load.Rate, f.Load.LateShare = 7, 100, 1 // a slow machine is no verdict
+			f.DurationS, f.Load.Rate, f.Load.LateShare = 7, 100, 1 // a slow machine must not fail the test
 			f.Expect = scenario.Expect{Served: 100, Rude: name == "rude"}
 			res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir()})
 			if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// A run that is stopped leaves no process behind and still has a result.
+// A canceled run must leave no process behind and still return a result.
 func TestCanceledRunLeavesNoProcesses(t *testing.T) {
 	command := realRouter(t)
 	f, err := scenario.Load("calm")
@@ -108,7 +109,7 @@
 	}
 }
 
-// A router that can't start, or that dies, is told as such, and nothing is left behind.
+// A router that can't start or that crashes must be reported, and no process may be left behind.
 func TestFailedStartAndCrashOfRouterAreReported(t *testing.T) {
 	f, err := scenario.Load("calm")
 	if err != nil {
@@ -124,7 +125,7 @@
 	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
 		if !killed {
 			killed = true
-			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not by the lab's own hand
+			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not through the lab, which would expect the exit
 		}
 	}})
 	if err != nil || !slices.ContainsFunc(res.Failures, func(s string) bool { return strings.Contains(s, "router r0 ended by itself") }) {
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -21,29 +21,29 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// HolderConfig is a leaseholder's, a process of the rig.
+// HolderConfig configures a leaseholder process. It is passed as JSON under the fields' names.
 type HolderConfig struct {
 	Name         string
 	Coordinators map[string]string
 	Resource     string // address
 	Leases       []string
-	Others       []string // to whom it hands leases over
+	Others       []string // holders to which it hands leases over
 	TTL          time.Duration
 	Seed         uint64
-	Log          string        // what it saw, a JSON line each
-	Idle         time.Duration // between two tasks at most
-	Hold         time.Duration // it acts for so long at most
+	Log          string        // path of the log of claims and calls, one JSON line each
+	Idle         time.Duration // longest pause between two tasks
+	Hold         time.Duration // longest time for which it uses a lease
 }
 
 // logEntry is a line of a holder's log.
 type logEntry struct {
 	Claim *checker.Claim `json:"c,omitempty"`
-	Call  *checker.Op    `json:"call,omitempty"` // written before it is sent, so that a killed holder's last one is known
+	Call  *checker.Op    `json:"call,omitempty"` // written before the call, so that the last call of a killed holder is known
 	ID    int            `json:"id,omitempty"`
 	Op    *checker.Op    `json:"op,omitempty"`
 }
 
-// holder is the process while it runs.
+// holder is the state of a running leaseholder process.
 type holder struct {
 	HolderConfig
 	c   *client.Client
@@ -57,7 +57,7 @@
 func (h *holder) log(e logEntry) {
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // plain data can always be encoded
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// recordOperation books a call, makes it and books what came of it.
+// recordOperation logs a call, makes it and logs its result.
 func (h *holder) recordOperation(o checker.Op, f func() (code string, got uint64, holder string)) {
 	h.mu.Lock()
 	h.next++
@@ -86,7 +86,8 @@
 	h.log(logEntry{Op: &o, ID: id})
 }
 
-// codeOf is an error's code: "" where it isn't known what became of the call.
+// codeOf returns the code and the response of a failed call. The code is "" if its outcome is
+// unknown.
 func codeOf(err error) (string, coord.Response) {
 	var r *client.RejectedError
 	switch {
@@ -100,7 +101,7 @@
 	return "", coord.Response{}
 }
 
-// RunHolder takes leases, acts under them and gives them back, until ctx ends.
+// RunHolder acquires leases, acts under them and gives them back, until ctx is canceled.
 func RunHolder(ctx context.Context, cfg HolderConfig) error {
 	f, err := os.OpenFile(cfg.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// holdOneLease is one lease's life at this holder.
+// holdOneLease acquires a lease, acts under it, and then gives it back, hands it over or keeps it.
 func (h *holder) holdOneLease(ctx context.Context) {
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
@@ -137,7 +138,7 @@
 	var l *client.Lease
 	h.recordOperation(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
 		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
-		if errors.Is(err, client.ErrLeaseLost) { // it was given, and too late
+		if errors.Is(err, client.ErrLeaseLost) { // it was granted, but too late
 			return "", 0, ""
 		}
 		code, a := codeOf(err)
@@ -179,16 +180,16 @@
 			code, _ := codeOf(l.Release(ctx))
 			return code, 0, ""
 		})
-	default: // it goes on holding and doesn't act, as one that hangs
+	default: // keeps the lease without acting, as a holder that hangs
 		return
 	}
-	if h.rng.Float64() < 0.3 { // one that was stopped before its act, and goes on
+	if h.rng.Float64() < 0.3 { // acts too late, as a holder that was paused before its act
 		h.writeRecord(ctx, l)
 		h.sendAct(ctx, l)
 	}
 }
 
-// writeRecord is an act that the agreed state checks.
+// writeRecord writes a record whose token the coordinators check.
 func (h *holder) writeRecord(ctx context.Context, l *client.Lease) {
 	h.recordOperation(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
 		code, _ := codeOf(l.WriteRecord(ctx, []byte(h.Name)))
@@ -196,7 +197,7 @@
 	})
 }
 
-// sendAct is one that the stand-in resource checks; its answer is of no account here.
+// sendAct sends an act to the fake resource, which checks the token. The answer is ignored.
 func (h *holder) sendAct(ctx context.Context, l *client.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -205,13 +206,13 @@
 		return
 	}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
-		_, _ = io.Copy(io.Discard, resp.Body) // the status says it
+		_, _ = io.Copy(io.Discard, resp.Body) // the answer is ignored
 		resp.Body.Close()
 	}
 }
 
-// RunResource is a stand-in for what leased tasks act on: it takes an act unless it has seen a higher token for the lease, and logs
-// all with the machine's clock, until ctx ends.
+// RunResource serves a fake resource for leased tasks until ctx is canceled. It accepts an act
+// unless it has seen a higher token for the lease, and logs all acts with the machine's clock.
 func RunResource(ctx context.Context, addr, log string) error {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -252,7 +253,7 @@
 	return nil
 }
 
-// readHolder reads a holder's log, also one whose last line was cut off by a kill.
+// readHolder reads a holder's log, whose last line may have been cut off by a kill.
 func readHolder(path string) (claims []checker.Claim, ops []checker.Op, err error) {
 	open := map[int]checker.Op{}
 	err = forEachLine(path, func(text []byte) {
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -6,7 +6,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// A server that is down when it is to leave comes back first, and none comes back once it has left.
+// A server that is down when it is to leave must be restarted first, and must not be restarted once
+// it has left.
 func TestCrashedServerLeavesOnlyAfterItsRestart(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
@@ -19,7 +20,7 @@
 	}
 	m := fl.allMembers()[0]
 	if !fl.tryLockServer(m) {
-		t.Fatal("a server that nothing has happened to is not free")
+		t.Fatal("a server without a fault is locked")
 	}
 	m.Kill()
 	left := make(chan struct{})
@@ -37,7 +38,7 @@
 		t.Error("it has not left")
 	}
 	if fl.tryLockServer(m) {
-		t.Error("a fault meets a server that has left")
+		t.Error("a fault can lock a server that has left")
 	}
 	m.downMu.Lock()
 	fl.restartServer(m)
--- a/lab/fleet/move_discovery.go
+++ b/lab/fleet/move_discovery.go
@@ -9,12 +9,12 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// reloadPollS is the time between two looks whether a process may be sent a SIGHUP.
+// reloadPollS is the time between two checks whether a process may be sent a SIGHUP.
 const reloadPollS = 0.05
 
-// moveDiscovery has discovery move to other addresses: each router gets a configuration that names
-// its new one and a SIGHUP, one router after the other over the fault's time. The old address
-// accepts no new connection from then on.
+// moveDiscovery moves discovery to other addresses. Spread over the fault's time, each router gets
+// a configuration with its new address and a SIGHUP; its old address then accepts no new
+// connections.
 func (fl *Fleet) moveDiscovery(ctx context.Context, f scenario.Fault) {
 	routers := fl.allRouters()
 	fl.mark("discovery moves")
@@ -33,9 +33,9 @@
 	fl.mark("discovery has moved for all routers")
 }
 
-// moveDiscoveryOf moves it for one router, once its process may be sent a SIGHUP. A router that is
-// down finds the new address at its start; the old one stays then, as a process may just be
-// starting with it.
+// moveDiscoveryOf moves discovery for one router, once its process may be sent a SIGHUP. A router
+// that is down reads the new address at its start. The old address then stays open, since a process
+// may be starting with it.
 func (fl *Fleet) moveDiscoveryOf(ctx context.Context, r *router) error {
 	p := r.newest()
 	for p != nil && !p.mayReload() {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// writeConfigOf writes a new configuration for a process that runs.
+// writeConfigOf writes a new configuration for a running process.
 func (fl *Fleet) writeConfigOf(r *router, p *process) error {
 	config := fl.routerConfig(r)
 	config["admin_addr"] = p.admin
--- a/lab/fleet/observe_mutants_test.go
+++ b/lab/fleet/observe_mutants_test.go
@@ -11,11 +11,12 @@
 
 func init() { extraBuildTags = ",mutants" }
 
-// Each planted fault is found by the processes with faults, in words of the history checker or of the count. The test runs its
-// own program again with the fault planted there and in all processes that it starts.
+// The run with faults must fail for each mutant, with a message of the history checker or of the
+// count of acknowledgements. The test runs its own binary again with the mutant set for that binary
+// and all processes that it starts.
 func TestObserverMutantsAreFound(t *testing.T) {
 	for _, mutant := range []struct{ name, says string }{
-		{"change-skipped", "was given in place of"}, // or left out, where it was the last
+		{"change-skipped", "was given in place of"}, // or no message if the skipped change was the last
 		{"change-delivered-twice", "was given in place of"},
 		{"snapshot-older", "went back"},
 		{"acknowledged-early", "does not have it in force"},
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -25,20 +25,20 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// The size of a run.
+// Sizes and limits of a run.
 const (
 	rigCoordinators = 3
 	rigObservers    = 2
 	rigRouters      = 24
 	rigRegions      = 2
-	rigHistory      = 16          // changes that coordinators and observers keep, so that compaction is met often
-	rigPatience     = time.Minute // a slow machine is no verdict
+	rigHistory      = 16          // changes that coordinators and observers keep; few, so that compaction is frequent
+	rigPatience     = time.Minute // long, so that a slow machine does not fail the test
 )
 
 // rigPrefixes are what routers watch, in turn.
 var rigPrefixes = []string{"", "a/", "b/"}
 
-// observerProcess is one observer with the relays before it and behind it.
+// observerProcess is an observer with the relays of its connections.
 type observerProcess struct {
 	*proc
 	api          string
@@ -46,7 +46,8 @@
 	regionRelays []*fakes.Relay // from the routers of each region
 }
 
-// watchingRouter is one router: a client of the observers, and what it was given in each of its lives.
+// watchingRouter is a router: a client of the observers, and the updates that it got between each
+// of its restarts.
 type watchingRouter struct {
 	name      string
 	prefix    string
@@ -73,7 +74,8 @@
 	revisions map[string]uint64 // of documents that are there
 }
 
-// startObserverRun starts coordinators, observers and routers.
+// startObserverRun starts coordinators, observers and routers, and stops them at the end of the
+// test.
 func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
 	a, puts := startGroupWithClient(t, rigCoordinators, options)
@@ -145,7 +147,7 @@
 	return router
 }
 
-// start begins a life of the router, which holds nothing.
+// start starts the router with no state, as after a restart.
 func (r *watchingRouter) start() {
 	life := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -204,7 +206,8 @@
 	return all
 }
 
-// put has a document put over the revision that the last put of it had, and books the answer. One caller at once a document.
+// put puts a document, expecting the revision of its last put, and records the answer. There must
+// be only one caller at a time for a document.
 func (o *observerRun) put(name string, value []byte, isDeletion bool) error {
 	o.mu.Lock()
 	expected := o.revisions[name]
@@ -242,7 +245,7 @@
 	}
 }
 
-// newest is the revision of the newest change that was agreed on.
+// newest returns the newest revision that was agreed on.
 func (o *observerRun) newest() (revision uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -255,7 +258,7 @@
 func (o *observerRun) await(what string, f func() error) {
 	o.t.Helper()
 	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
-		o.checkHistories() // it may tell why
+		o.checkHistories() // it may report the reason
 		o.t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -274,7 +277,7 @@
 	})
 }
 
-// region are the routers of one.
+// region returns the routers of a region.
 func (o *observerRun) region(number int) (routers []*watchingRouter) {
 	for i, router := range o.routers {
 		if i%rigRegions == number {
@@ -291,7 +294,7 @@
 	return status, err
 }
 
-// checkHistories checks all that every router was given in each life.
+// checkHistories checks all updates that each router got between its restarts.
 func (o *observerRun) checkHistories() (deliveries, snapshots int) {
 	o.t.Helper()
 	o.mu.Lock()
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -16,22 +16,23 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// observerFaults are the faults of a run, each of which waits for what must come of it.
+// observerFaults are the faults of a run. Each one waits for its expected effect.
 var observerFaults = []struct {
 	name string
 	play func(*observerRun)
 }{
-	{"an observer is killed, and comes back with nothing", (*observerRun).killObserver},
-	{"an observer is stopped, and resumed with its old state", (*observerRun).stopObserver},
+	{"an observer is killed and restarted without state", (*observerRun).killObserver},
+	{"an observer is paused and resumed with its old state", (*observerRun).stopObserver},
 	{"an observer is cut off from the coordinators", (*observerRun).disconnectObserver},
-	{"a region is cut off, and what it lacks is compacted", (*observerRun).disconnectRegion},
-	{"the leader is killed in mid-batch", (*observerRun).killLeader},
-	{"all coordinators are stopped", (*observerRun).stopCoordinators},
-	{"a router is slow to put a state in force, and one lies", (*observerRun).delayApplyAndForgeAck},
+	{"a region is cut off, and the changes that it misses are compacted", (*observerRun).disconnectRegion},
+	{"the leader is killed during a batch of changes", (*observerRun).killLeader},
+	{"all coordinators are paused", (*observerRun).stopCoordinators},
+	{"a router is slow to apply a state, and a false acknowledgement is sent", (*observerRun).delayApplyAndForgeAck},
 }
 
-// Three seeds of all faults in their own order: each router sees a prefix of the agreed order over any chain of observers, and at
-// the end all agree.
+// Runs three seeds of all faults, each in its own order: over any sequence of observers each router
+// must get a prefix of the agreed order of changes, and at the end all routers must have the same
+// state.
 func TestRoutersApplyChangesInTheAgreedOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -51,18 +52,19 @@
 			deliveries, snapshots := o.checkHistories()
 			t.Logf("%d changes, %d deliveries, %d snapshots", len(o.agreed), deliveries, snapshots)
 			if snapshots == 0 {
-				t.Error("no router ever got a snapshot: compaction was not tried")
+				t.Error("no router ever got a snapshot: compaction was not tested")
 			}
 		})
 	}
 }
 
-// drawObserver is an observer by the seed.
+// drawObserver draws an observer.
 func (o *observerRun) drawObserver() *observerProcess {
 	return o.observers[o.rng.IntN(len(o.observers))]
 }
 
-// killObserver has the other one serve all; some routers are restarted meanwhile.
+// killObserver kills an observer, so that the other one must serve all routers, and restarts some
+// routers meanwhile.
 func (o *observerRun) killObserver() {
 	observer := o.drawObserver()
 	observer.kill()
@@ -75,7 +77,8 @@
 	o.agreement.restart(observer.proc)
 }
 
-// stopObserver has its routers notice that it is silent, and resumes it while it is behind.
+// stopObserver pauses an observer, whose routers must notice that it is silent, and resumes it
+// while it is behind.
 func (o *observerRun) stopObserver() {
 	observer := o.drawObserver()
 	observer.signal(syscall.SIGSTOP)
@@ -84,8 +87,9 @@
 	o.awaitRouters("by the other observer", o.routers)
 }
 
-// disconnectObserver has an observer tell that its state grows old, and the routers of the other one, which have newer state, come to it:
-// they must be turned away, and go back.
+// disconnectObserver cuts an observer off from the coordinators, then the routers off from the
+// other observer: the first one must report the age of its state and turn away routers with
+// newer state.
 func (o *observerRun) disconnectObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
@@ -103,20 +107,21 @@
 				return nil
 			}
 		}
-		return errNotYet // where all watched the stale one, they have to find that it is
+		return errNotYet // if all routers watch the stale observer, they must notice that first
 	})
 	setRelays(other.regionRelays, fakes.Net{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
-			err = fmt.Errorf("it tells %d ms, and turned %d away", status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
+			err = fmt.Errorf("it reports an age of %d ms and turned %d routers away", status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
 		}
 		return err
 	})
 	setRelays(other.regionRelays, fakes.Net{})
 }
 
-// disconnectRegion has one region lack more than the log holds; all its routers come back at once.
+// disconnectRegion cuts a region off for more changes than the log keeps. All its routers
+// reconnect at the same time.
 func (o *observerRun) disconnectRegion() {
 	var relays []*fakes.Relay
 	for _, observer := range o.observers {
@@ -128,7 +133,7 @@
 	o.awaitRouters("in the other region", o.region(1))
 }
 
-// killLeader kills the leader while changes are under way; the others go on.
+// killLeader kills the leader while changes are in progress; the others must go on.
 func (o *observerRun) killLeader() {
 	leader := awaitSettledGroup(o.t, o.agreement)
 	var wg sync.WaitGroup
@@ -140,7 +145,8 @@
 	awaitSettledGroup(o.t, o.agreement)
 }
 
-// stopCoordinators has observers serve on with what they have, and tell its age; a router that comes then gets all of it.
+// stopCoordinators pauses all coordinators: the observers must keep serving their state, also to a
+// router that starts then, and must report its age.
 func (o *observerRun) stopCoordinators() {
 	for _, c := range o.agreement.coords {
 		c.signal(syscall.SIGSTOP)
@@ -153,7 +159,7 @@
 		o.await("its age", func() error {
 			status, err := observer.status(o.t.Context())
 			if err == nil && status.AgeMillis < 2000 {
-				err = fmt.Errorf("it tells %d ms", status.AgeMillis)
+				err = fmt.Errorf("it reports an age of %d ms", status.AgeMillis)
 			}
 			return err
 		})
@@ -164,10 +170,11 @@
 	awaitSettledGroup(o.t, o.agreement)
 }
 
-// delayApplyAndForgeAck has one router keep a state from being in force: it must be told as lagging also after it has spoken again. Another
-// acknowledges what there isn't, which must be refused.
+// delayApplyAndForgeAck makes one router slow to apply a state: it must be counted as lagging
+// even after its next heartbeat. An acknowledgement of a revision that does not exist must be
+// rejected.
 func (o *observerRun) delayApplyAndForgeAck() {
-	router := o.routers[0] // of all documents
+	router := o.routers[0] // it watches all documents
 	gate := make(chan struct{})
 	router.setGate(gate)
 	o.change(1)
@@ -196,7 +203,7 @@
 	lie := protocol.Acknowledgement{Watcher: router.name, Revision: newest + 1000}
 	for _, observer := range o.observers {
 		if err := client.Call(o.t.Context(), http.MethodPost, observer.api, protocol.AcknowledgePath, lie, nil); err == nil {
-			o.t.Errorf("%s took the acknowledgement of revision %d, which there isn't", observer.name, lie.Revision)
+			o.t.Errorf("%s accepted the acknowledgement of revision %d, which does not exist", observer.name, lie.Revision)
 		}
 	}
 	router.setGate(nil)
@@ -209,7 +216,8 @@
 	}
 }
 
-// awaitCounted waits until the observers count every router once, with the newest revision in force.
+// awaitCounted waits until the observers count every router once, with the newest revision in
+// force.
 func (o *observerRun) awaitCounted() {
 	o.t.Helper()
 	newest := o.newest()
@@ -232,7 +240,8 @@
 	})
 }
 
-// The operators' tool puts, lists, shows and takes back documents, and tells who has them in force by the observers alone.
+// The operators' tool must put, list, show, roll back and delete documents, and report from the
+// observers at how many routers a revision is in force.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
 	o := startObserverRun(t, 1, coordinatorOptions(t))
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -17,16 +17,17 @@
 	observerclient "dockhinge.example/dockhinge/internal/coord/observer/client"
 )
 
-// ObserverCost is what coordinators and observers cost with so many routers that watch, without faults.
+// ObserverCost is the measured cost of coordinators and observers with a number of watching
+// routers, without faults.
 type ObserverCost struct {
 	Routers      int
 	JoinTime     time.Duration    // until all held the first document
 	Coordinators CoordinatorUsage // idle
-	Observer     Usage            // the busiest, idle; CPUMS is for a second
-	P50, Last    time.Duration    // from the answer to a put until the last router has it in force: the median, the longest
+	Observer     Usage            // the busiest observer, idle; CPUMS is per second
+	P50, Last    time.Duration    // from the answer to a put until the last router has it in force: median and maximum
 }
 
-// observeIdle is how long the cost at rest is measured.
+// observeIdle is how long the idle cost is measured.
 const observeIdle = 5 * time.Second
 
 // costRun is a run of MeasureObservers.
@@ -39,7 +40,8 @@
 	cancel    context.CancelFunc
 }
 
-// MeasureObservers lets so many routers watch so many observers of so many coordinators, and puts a document again and again.
+// MeasureObservers measures observers that a number of routers watch, idle and while a document is
+// put a number of times.
 func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserverCost, err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// startObserver starts one that has room for all routers.
+// startObserver starts an observer that accepts all routers as watchers.
 func (r *costRun) startObserver(name string, routers int) error {
 	api, err := FreeAddr()
 	if err != nil {
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// measureIdle measures what all use while nothing changes.
+// measureIdle measures the usage of coordinators and observers while nothing changes.
 func (r *costRun) measureIdle(ctx context.Context, cost *ObserverCost) (err error) {
 	before := make([]Usage, len(r.observers))
 	for i, p := range r.observers {
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -13,7 +13,7 @@
 	"dockhinge.example/dockhinge/lab/load"
 )
 
-// play runs load and faults, and judges what came of it.
+// play runs the load and the faults and returns the checked result.
 func (fl *Fleet) play(ctx context.Context) (Result, error) {
 	p := fl.File.Load
 	if fl.options.Progress != nil {
@@ -37,7 +37,7 @@
 		wg.Go(func() { fl.watchBudgets(over) })
 	}
 	endLive := context.CancelFunc(func() {})
-	live := running // planned changes, and the faults beside them, may last longer than the load
+	live := running // planned changes, and the faults beside them, may outlast the load
 	if fl.options.ChangeTimeout > 0 {
 		live, endLive = context.WithCancel(ctx)
 		defer endLive()
@@ -71,7 +71,7 @@
 	return res, nil
 }
 
-// readAdmission asks each router how fair admission stands there; nothing of those where it is off.
+// readAdmission returns the admission state of each router that has fair admission enabled.
 func (fl *Fleet) readAdmission(ctx context.Context) map[string]admission.State {
 	all := map[string]admission.State{}
 	for _, r := range fl.allRouters() {
@@ -85,7 +85,7 @@
 	return all
 }
 
-// measureLateness watches whether the machine lets the lab run when it should.
+// measureLateness measures how late the machine runs the lab's timers.
 func (fl *Fleet) measureLateness(ctx context.Context) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-// sampleUsage reads what all use, twice a second.
+// sampleUsage samples the routers' usage and the servers' requests in flight twice a second.
 func (fl *Fleet) sampleUsage(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -22,48 +22,51 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// router is one router: a name and an address, and the processes that are it, two of them during an upgrade.
+// router is one router: its name, its address and its processes, of which there are two during an
+// upgrade.
 type router struct {
 	name, zone, listen string
 	dir                string
 	number             int
-	downMu             sync.Mutex // whoever has it down
-	configMu           sync.Mutex // whoever writes its configuration
-	label              string     // of its program's version, guarded by the fleet's mu
+	downMu             sync.Mutex // held by a fault or planned change that has the router down
+	configMu           sync.Mutex // held while its configuration is written
+	label              string     // version of its program; guarded by Fleet.mu
 
 	mu              sync.Mutex
-	discovery       string     // its address
+	discovery       string     // address
 	processes       []*process // the newest last
-	unexpectedExits []string   // ends that nobody asked for
+	unexpectedExits []string   // messages on exits that the lab did not cause
 }
 
 // process is one run of the router's command.
 type process struct {
 	cmd            *exec.Cmd
 	admin          string
-	isExitExpected bool // its end is; guarded by the router's mu
+	isExitExpected bool // the lab has caused the exit; guarded by router.mu
 	done           chan struct{}
-	exitErr        error // how it ended; to be read once done is closed
+	exitErr        error // valid once done is closed
 	started        time.Time
 	isReady        atomic.Bool
 }
 
-// reloadAfter is the time after a start before which no SIGHUP comes.
+// reloadAfter is the time after a process's start before which the lab sends it no SIGHUP.
 const reloadAfter = time.Second
 
-// mayReload reports whether a SIGHUP may come: never before a process is ready, nor in its first second.
+// mayReload reports whether the lab may send a SIGHUP: not before the process is ready, and not in
+// its first second.
 func (p *process) mayReload() bool { return p.isReady.Load() && time.Since(p.started) >= reloadAfter }
 
-// usedAddresses are the addresses that FreeAddr has usedAddresses: whoever got one may not have bound it yet, or again.
+// usedAddresses holds the addresses that FreeAddr has returned. A caller may not have bound its
+// address yet, or may have closed it to bind it again.
 var usedAddresses sync.Map
 
-// FreeAddr finds an address that nobody listens at, on the laboratory's own host and never the same twice, so that neither
-// another laboratory nor another part of this one takes it before it is bound.
+// FreeAddr returns a free TCP address on the lab's own loopback host. It never returns an address
+// twice, so that no other lab and no other part of this one binds it before the caller does.
 func FreeAddr() (string, error) {
 	for range 100 {
 		ln, err := net.Listen("tcp", fakes.Host(fakes.Processes)+":0")
 		if err != nil {
-			return "", fmt.Errorf("no address: %w", err)
+			return "", fmt.Errorf("free address: %w", err)
 		}
 		addr := ln.Addr().String()
 		ln.Close()
@@ -71,24 +74,24 @@
 			return addr, nil
 		}
 	}
-	return "", errors.New("no address: all are given")
+	return "", errors.New("free address: each one that was found is in use by this process")
 }
 
-// Spawn starts a command in a process group of its own, as Ctrl-C is for the laboratory, which ends its processes in order.
-// What it writes goes to the end of the file log.
+// Spawn starts a command in a process group of its own, so that Ctrl-C reaches only the lab, which
+// then stops its processes in order. The command's output is appended to the file log.
 func Spawn(command, env []string, log string) (*exec.Cmd, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close() // the process has its own
+	defer f.Close() // the process has its own descriptor
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), env...), f, f
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd, cmd.Start()
 }
 
-// start runs the router's command with a configuration, and returns once the process is ready.
+// start runs the router's command with a configuration and returns once the process is ready.
 func (r *router) start(ctx context.Context, command, env []string, config map[string]any, ready time.Duration) error {
 	second, err := FreeAddr()
 	if err != nil {
@@ -110,7 +113,7 @@
 	r.mu.Lock()
 	r.processes = append(r.processes, p)
 	r.mu.Unlock()
-	go func() { // ended by the end of the process, which stop waits for
+	go func() { // ends when the process exits; stop waits for that
 		err := cmd.Wait()
 		r.mu.Lock()
 		if !p.isExitExpected {
@@ -131,7 +134,7 @@
 
 func (r *router) configFile() string { return filepath.Join(r.dir, "config.json") }
 
-// writeConfig writes the configuration file, whole at any moment.
+// writeConfig replaces the configuration file atomically.
 func (r *router) writeConfig(config map[string]any) error {
 	text, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
@@ -155,7 +158,7 @@
 	return r.discovery
 }
 
-// setDiscovery sets the address of discovery for configurations from now on, and returns the one before.
+// setDiscovery sets the address of discovery for later configurations and returns the previous one.
 func (r *router) setDiscovery(addr string) (before string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +167,7 @@
 	return before
 }
 
-// awaitReady waits until the second address says yes.
+// awaitReady waits until the admin address reports that the process is ready.
 func (p *process) awaitReady(ctx context.Context, r *router, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -186,7 +189,8 @@
 	}
 }
 
-// exitText tells how a process ended: its exit status, or the signal that ended it, which leaves no word in its log.
+// exitText returns a process's exit status or the signal that killed it, which its log doesn't
+// show.
 func exitText(err error) string {
 	if err == nil {
 		return "exit status 0"
@@ -199,7 +203,7 @@
 	return bytes.Join(all[max(0, len(all)-lines):], []byte("\n"))
 }
 
-// newest is the process that was started last; nil where none runs.
+// newest returns the process that was started last; nil if none runs.
 func (r *router) newest() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +213,8 @@
 	return r.processes[len(r.processes)-1]
 }
 
-// signal ends a process as told, and reports whether it was there.
+// signal sends a signal to a process and reports whether that succeeded. After any signal but
+// SIGHUP the process's exit is expected.
 func (r *router) signal(p *process, sig syscall.Signal) bool {
 	if p == nil {
 		return false
@@ -220,7 +225,8 @@
 	return p.cmd.Process.Signal(sig) == nil
 }
 
-// stop ends all processes of the router: with time to answer what they have, and then without.
+// stop sends SIGTERM to all processes of the router, and SIGKILL to those that still run after
+// patience.
 func (r *router) stop(patience time.Duration) {
 	r.mu.Lock()
 	procs := append([]*process(nil), r.processes...)
@@ -239,14 +245,15 @@
 	}
 }
 
-// Usage is what a router's processes use together.
+// Usage is the memory, descriptors and CPU time that one or more processes use.
 type Usage struct {
 	RSSMB float64 `json:"rss_mb"`
 	FDs   int     `json:"fds"`
 	CPUMS float64 `json:"cpu_ms"` // since their start
 }
 
-// use reads what the processes use from /proc; what has ended meanwhile counts nothing.
+// use returns the total usage of the router's processes, read from /proc. It skips processes that
+// have exited.
 func (r *router) use() (u Usage) {
 	r.mu.Lock()
 	procs := append([]*process(nil), r.processes...)
@@ -259,16 +266,16 @@
 	return u
 }
 
-var errNoStat = errors.New("no such figures")
+var errNoStat = errors.New("malformed /proc/PID/stat")
 
-// ProcessUse reads what a process uses from /proc.
+// ProcessUse reads a process's usage from /proc.
 func ProcessUse(pid int) (u Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return u, err
 	}
-	_, rest, ok := strings.Cut(string(stat), ") ") // behind the name, which may hold anything
+	_, rest, ok := strings.Cut(string(stat), ") ") // skips the name, which may contain any character
 	f := strings.Fields(rest)
 	if !ok || len(f) < 22 {
 		return u, errNoStat
--- a/lab/fleet/procs.go
+++ b/lab/fleet/procs.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// proc is one process of a rig that may die and start again under the same name.
+// proc is a process that can be killed and started again under the same name.
 type proc struct {
 	name    string
 	command []string
@@ -20,12 +20,12 @@
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
-	done chan struct{} // closed at the process's end
-	err  error         // of that end
+	done chan struct{} // closed when the process exits
+	err  error         // of that exit
 	runs int
 }
 
-// start runs the process; it must not run already.
+// start starts the process, which must not be running.
 func (p *proc) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,7 +36,7 @@
 	p.runs++
 	done := make(chan struct{})
 	p.cmd, p.done = cmd, done
-	go func() { // ended by the end of the process, which kill and end wait for
+	go func() { // ends when the process exits; kill and end wait for that
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.err = err
@@ -54,7 +54,7 @@
 	}
 }
 
-// running reports whether the process is there, and else how it ended.
+// running reports whether the process runs. If not, the error tells how it exited.
 func (p *proc) running() (bool, error) {
 	p.mu.Lock()
 	done := p.done
@@ -72,7 +72,7 @@
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *proc) kill() {
 	p.mu.Lock()
 	done := p.done
@@ -83,7 +83,7 @@
 	}
 }
 
-// end asks the process to end, and kills it if it doesn't in time. It reports how it ended.
+// end sends SIGTERM, and kills the process if it doesn't exit in time. It returns the exit error.
 func (p *proc) end(within time.Duration) error {
 	p.mu.Lock()
 	done := p.done
@@ -105,7 +105,7 @@
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		if s, ok := exit.Sys().(syscall.WaitStatus); ok && s.Signaled() && s.Signal() == syscall.SIGTERM {
-			return nil // it had just been started, and didn't listen yet
+			return nil // it had just started and did not handle signals yet
 		}
 	}
 	return err
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -11,7 +11,7 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// routerStartEvents are the events of a router's starts.
+// routerStartEvents returns the kinds of the recorded events of routers' starts.
 func routerStartEvents(fl *Fleet) (kinds []checker.Kind) {
 	events, _ := fl.journal.Events()
 	for _, e := range events {
@@ -22,7 +22,7 @@
 	return kinds
 }
 
-// newFakeFleet is a fleet with one fake router that has not been started.
+// newFakeFleet returns a fleet with one fake router that has not been started.
 func newFakeFleet(t *testing.T, mode string, ready time.Duration) *Fleet {
 	t.Helper()
 	self, err := os.Executable()
@@ -38,7 +38,7 @@
 	return fl
 }
 
-// The referee is told of each start of a router and of when it was ready.
+// The journal must record each start of a router and when it was ready.
 func TestRouterStartsAreRecorded(t *testing.T) {
 	fl := newFakeFleet(t, "right", 0)
 	if err := fl.start(t.Context()); err != nil {
@@ -57,18 +57,19 @@
 	}
 }
 
-// A router that is never ready is not said to be.
+// A router that never gets ready must not be recorded as ready.
 func TestUnreadyRouterIsNotRecordedAsReady(t *testing.T) {
 	fl := newFakeFleet(t, "never-ready", 300*time.Millisecond)
 	if err := fl.start(t.Context()); err == nil {
-		t.Error("it started")
+		t.Error("the fleet started")
 	}
 	if got := routerStartEvents(fl); !slices.Equal(got, []checker.Kind{checker.RouterStarted}) {
 		t.Errorf("got %v", got)
 	}
 }
 
-// A router that ends before it is ready is told with how it ended, also where it wrote nothing.
+// The exit of a router before it is ready must be reported with its exit status or signal, even if
+// the router logged nothing.
 func TestExitBeforeReadyIsReported(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -17,24 +17,25 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// mutantOfFault are the faults that are planted in a bad version, by what is wrong with it.
+// mutantOfFault maps the fault of a bad version to the mutant that causes it.
 var mutantOfFault = map[string]string{"fails": "fails-some", "slower": "slower"}
 
-// Released is what became of a release of the routers from v1 to v2.
+// Released is the outcome of a release of the routers from v1 to v2.
 type Released struct {
-	Spoil   string         `json:"spoil"`   // what is wrong with v2: never (it isn't ready), crash, fails
-	TookS   float64        `json:"took_s"`  // until all had v2, or v1 again
-	HaltS   float64        `json:"halt_s"`  // until it halted by itself; 0 = it didn't
-	Halt    string         `json:"halt"`    // why
+	Spoil   string         `json:"spoil"`   // fault of v2: never (it never gets ready), crash, fails, slower; "" = none
+	TookS   float64        `json:"took_s"`  // until all routers had v2, or v1 again
+	HaltS   float64        `json:"halt_s"`  // until the release halted by itself; 0 = it did not
+	Halt    string         `json:"halt"`    // reason of the halt
 	Exposed int            `json:"exposed"` // routers that ever ran v2
-	Actions map[string]int `json:"actions"` // by router and version: how often one was brought to it
-	Repeats int            `json:"repeats"` // times that one was asked to be brought to what it had
-	Refused int            `json:"refused"` // commands with an old token
+	Actions map[string]int `json:"actions"` // by router and version: how often the version was installed
+	Repeats int            `json:"repeats"` // requests to install a version that already ran
+	Refused int            `json:"refused"` // commands rejected for an old token
 	Drivers int            `json:"drivers"` // runs of the tool
 }
 
-// release has operators bring all routers from v1 to v2 by two processes of the tool, of which one drives and one waits, and which
-// are started again whenever they die. Where v2 is bad, the release must halt by itself; then an operator says 'release back'.
+// releaseRouters releases v2 to all routers by two processes of the operators' tool, of which one
+// drives and one waits. They are restarted whenever they exit. If v2 is bad, the release must halt
+// by itself; then an operator runs 'release back'.
 func (fl *Fleet) releaseRouters(ctx context.Context, f scenario.Fault) {
 	began := fl.clock.Now()
 	rel := &Released{Spoil: f.Spoil, Actions: map[string]int{}}
@@ -76,9 +77,9 @@
 			fl.mu.Lock()
 			rel.Halt, rel.HaltS = r.Halt.Reason, (fl.clock.Now()-began)/1000
 			fl.mu.Unlock()
-			fl.mark("it halts: %s", r.Halt.Reason)
+			fl.mark("the release halts: %s", r.Halt.Reason)
 		}
-		if rel.Halt != "" && !asked { // an operator has seen it
+		if rel.Halt != "" && !asked { // the operator reacts to the halt
 			asked = fl.runTool(ctx, "release", "back")
 		}
 		if x.State == rollout.ReleaseDone {
@@ -91,7 +92,7 @@
 	}
 }
 
-// runTool runs the operators' tool once, and reports whether it ended well.
+// runTool runs the operators' tool once and reports whether it succeeded.
 func (fl *Fleet) runTool(ctx context.Context, args ...string) bool {
 	p := fl.newToolProcess("say-"+strings.Join(args, "-"), args...)
 	if err := p.start(); err != nil {
@@ -107,7 +108,7 @@
 	return err == nil && ctx.Err() == nil
 }
 
-// runDriver runs the tool that drives a release, again whenever it was killed.
+// runDriver runs the tool that drives a release, and runs it again whenever it exits.
 func (fl *Fleet) runDriver(ctx context.Context, i int, file string, rel *Released) {
 	word := "start"
 	if i > 0 {
@@ -132,13 +133,13 @@
 		select {
 		case <-p.done:
 		case <-ctx.Done():
-			_ = p.end(10 * time.Second) // whatever it says: the release is over
+			_ = p.end(10 * time.Second) // its result doesn't matter: the release is over
 		}
 		fl.mu.Lock()
 		delete(fl.runningTools, p.name)
 		fl.mu.Unlock()
 		if text := p.logTail(1); word == "run" || strings.Contains(text, "is not over") || strings.Contains(text, "towards") {
-			word = "run" // it has begun, or may have: 'start' would be refused
+			word = "run" // the release has started, or may have: 'start' would be rejected
 		}
 		if !wait(ctx, 0.3) {
 			return
@@ -146,7 +147,8 @@
 	}
 }
 
-// runAgent is what restarts routers: it refuses a token lower than one that it has seen, and does nothing twice.
+// runAgent plays the agent that installs versions on routers: it rejects a token lower than one
+// that it has seen, and does nothing twice.
 func (fl *Fleet) runAgent(ctx context.Context, dir string, rel *Released) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -201,7 +203,7 @@
 	}
 }
 
-// installVersion restarts a router with a version.
+// installVersion restarts a router with a version of its program.
 func (fl *Fleet) installVersion(ctx context.Context, r *router, to string, rel *Released) {
 	c := &Change{Resource: "router/" + r.name, RequestedAtMS: fl.clock.Now(), StoppedAtMS: fl.clock.Now(), ToolRuns: 1}
 	fl.mu.Lock()
@@ -219,7 +221,7 @@
 	bad := to == "v2" && rel.Spoil != ""
 	if bad && rel.Spoil == "never" {
 		fl.mu.Lock()
-		c.RunningAtMS = fl.clock.Now() // what is out from here on is the version's doing
+		c.RunningAtMS = fl.clock.Now() // from here on the version itself causes the outage
 		fl.mu.Unlock()
 		return
 	}
@@ -242,12 +244,12 @@
 	}
 }
 
-// judgeRelease tells what did not hold of a release. The caller holds mu.
+// judge returns the failures of a release. The caller holds Fleet.mu.
 func (rel *Released) judge(routers []*router) (fails []string) {
 	fail := func(form string, v ...any) { fails = append(fails, fmt.Sprintf(form, v...)) }
 	for what, n := range rel.Actions {
-		if n > 1 && rel.Spoil == "" { // a bad one is down by itself, and whoever takes over tries again
-			fail("router %s was brought there %d times", what, n)
+		if n > 1 && rel.Spoil == "" { // a bad version goes down by itself, and the driver that takes over tries again
+			fail("router and version %s: installed %d times", what, n)
 		}
 	}
 	want := "v2"
@@ -260,7 +262,7 @@
 		fail("v2 is as good as v1, and the release halted: %s", rel.Halt)
 	}
 	if rel.TookS == 0 {
-		fail("the release did not come to its end")
+		fail("the release did not complete")
 	}
 	for _, r := range routers {
 		if r.label != want {
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -11,35 +11,35 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// Mark is something that happened, for the report.
+// Mark is an event of the run, for the report.
 type Mark struct {
-	AtS  float64 `json:"at_s"` // from the beginning of the load
+	AtS  float64 `json:"at_s"` // since the start of the load
 	Text string  `json:"text"`
 }
 
-// Sample is the state of all parties at a time.
+// Sample is the load on all routers and servers at one time.
 type Sample struct {
 	AtS     float64          `json:"at_s"`
 	Routers map[string]Usage `json:"routers"`
-	Held    map[string]int   `json:"held"` // requests held by each server
+	Held    map[string]int   `json:"held"` // requests in flight at each server
 }
 
-// ServerResult is what a server did.
+// ServerResult holds the counts of a server.
 type ServerResult struct {
 	ID, Zone, Kind string
 	fakes.Stats
 }
 
-// Result is what became of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Scenario           string                     `json:"scenario"`
 	Command            string                     `json:"command"`
 	Load               load.Result                `json:"load"`
 	Admission          map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
-	Service            float64                    `json:"service"`         // after the warm-up
-	TailService        float64                    `json:"tail"`            // in the last fifth
+	Service            float64                    `json:"service"`         // gained share of the requests' worth, after the warm-up
+	TailService        float64                    `json:"tail"`            // the same in the last fifth
 	AttemptsPerRequest float64                    `json:"attempts_a_request"`
-	AttemptsBySecond   []int                      `json:"attempts_by_second"` // written whole in each second of the load
+	AttemptsBySecond   []int                      `json:"attempts_by_second"` // completely written, by second of the load
 	Breaches           []checker.Breach           `json:"broken"`
 	TimeoutHints       checker.TimeoutHintCounts  `json:"timeout_hints"`
 	Marks              []Mark                     `json:"marks"`
@@ -47,29 +47,30 @@
 	Servers            []ServerResult             `json:"servers"`
 	Probes             int64                      `json:"probes"` // answered by cache servers
 	DiscoveryCalls     int                        `json:"discovery_calls"`
-	LateMS             float64                    `json:"machine_late_ms"`   // the longest time by which the machine was late
-	MisbehavingClients [2]int                     `json:"rude"`              // misbehaving clients: told or closed on in time, of all
-	Changes            []Change                   `json:"changes,omitempty"` // planned, by the fleet's agreement
+	LateMS             float64                    `json:"machine_late_ms"`   // longest delay of a timer of the lab
+	MisbehavingClients [2]int                     `json:"rude"`              // misbehaving clients: those that were rejected in time, and all
+	Changes            []Change                   `json:"changes,omitempty"` // planned changes
 	Released           *Released                  `json:"released,omitempty"`
-	BudgetUse          []BudgetSample             `json:"out,omitempty"` // as the agreement saw it, at each change
+	BudgetUse          []BudgetSample             `json:"out,omitempty"` // as the coordinators reported it, at each change
 	FaultySpells       []FaultySpell              `json:"ill,omitempty"`
-	Killed             bool                       `json:"killed,omitempty"` // whom Options.Kill names
-	Failures           []string                   `json:"failures"`         // what did not hold
+	Killed             bool                       `json:"killed,omitempty"` // the victim of Options.Kill was killed
+	Failures           []string                   `json:"failures"`         // violated rules and expectations, errors of the lab
 	Interrupted        bool                       `json:"cut"`              // stopped before its end
 }
 
-// FaultySpell is a cache server that was silent, spoilt or slow for a time, and what the routers asked of it meanwhile.
+// FaultySpell is a time in which a cache server was silent, malfunctioning or slow, with the
+// attempts that it got.
 type FaultySpell struct {
 	Server   string  `json:"server"`
 	From     float64 `json:"from_ms"`
 	To       float64 `json:"to_ms"`    // 0 = to the end
-	Attempts int     `json:"attempts"` // that were written whole to it,
-	Routers  int     `json:"routers"`  // by so many routers
-	Late     int     `json:"late"`     // and of these later than a second after it began
-	Accused  bool    `json:"accused"`  // it was left out by the word of others
+	Attempts int     `json:"attempts"` // completely written to the server
+	Routers  int     `json:"routers"`  // that made these attempts
+	Late     int     `json:"late"`     // attempts later than a second after From
+	Accused  bool    `json:"accused"`  // it was excluded on routers' reports
 }
 
-// count books what was sent to it.
+// count counts the attempts that were sent to the server.
 func (x *FaultySpell) count(events []checker.Event) {
 	of, by := map[string]string{}, map[string]bool{}
 	for _, e := range events {
@@ -87,7 +88,7 @@
 	x.Routers = len(by)
 }
 
-// result judges.
+// result collects the run's results and checks them.
 func (fl *Fleet) result(got load.Result, cut bool) Result {
 	for _, r := range fl.allRouters() {
 		r.mu.Lock()
@@ -114,7 +115,7 @@
 	served := fl.summarizeLoad(&res, events)
 	fl.addServers(&res)
 	if !whole {
-		res.fail("the journal is full at %d events: the rules were not judged to the end", maxEvents)
+		res.fail("the journal is full at %d events: the rules were checked on the first part of the run only", maxEvents)
 	}
 	if len(res.Breaches) > 0 {
 		res.fail("%d breaches of the rules, the first: %s", len(res.Breaches), res.Breaches[0])
@@ -130,12 +131,13 @@
 	return res
 }
 
-// fail books something that did not hold.
+// fail records a failure.
 func (r *Result) fail(form string, v ...any) {
 	r.Failures = append(r.Failures, fmt.Sprintf(form, v...))
 }
 
-// summarizeLoad sums up the seconds of the load and the attempts that were written whole, and returns how many requests were served.
+// summarizeLoad sets the result's service, tail and attempts, and returns how many requests were
+// served.
 func (fl *Fleet) summarizeLoad(res *Result, events []checker.Event) (served int) {
 	seconds := res.Load.Seconds
 	attempts := 0
@@ -170,7 +172,7 @@
 	return served
 }
 
-// addServers adds what cache servers and origin did.
+// addServers adds the counts of the cache servers and the origin.
 func (fl *Fleet) addServers(res *Result) {
 	for _, m := range fl.members {
 		stats := m.Stats()
@@ -180,7 +182,7 @@
 	res.Servers = append(res.Servers, ServerResult{fl.origin.ID(), "", "origin", fl.origin.Stats()})
 }
 
-// judgeEvents adds planned changes, releases and servers that were left out, and judges these.
+// judgeEvents adds planned changes, releases and excluded servers, and checks them.
 func (fl *Fleet) judgeEvents(res *Result, events []checker.Event) {
 	for _, c := range fl.changes {
 		res.Changes = append(res.Changes, *c)
@@ -202,7 +204,7 @@
 	}
 }
 
-// judgeExpectations compares with what the scenario expects.
+// judgeExpectations compares the result with the scenario's expectations.
 func (r *Result) judgeExpectations(expect scenario.Expect, served int) {
 	for _, expectation := range []struct {
 		name              string
@@ -213,14 +215,14 @@
 		{"expect.served", float64(served), float64(expect.Served)},
 	} {
 		if expectation.measured < expectation.atLeast {
-			r.fail("%s: %.3f, and %.3f must hold", expectation.name, expectation.measured, expectation.atLeast)
+			r.fail("%s: %.3f, must be at least %.3f", expectation.name, expectation.measured, expectation.atLeast)
 		}
 	}
 	if expect.Tries > 0 && r.AttemptsPerRequest > expect.Tries {
-		r.fail("expect.attempts: %.2f attempts a request, and at most %.2f must hold", r.AttemptsPerRequest, expect.Tries)
+		r.fail("expect.attempts: %.2f attempts per request, must be at most %.2f", r.AttemptsPerRequest, expect.Tries)
 	}
 	if expect.Rude && r.MisbehavingClients[0] < r.MisbehavingClients[1] {
-		r.fail("expect.rude_told: %d of %d misbehaving clients were told or closed on in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
+		r.fail("expect.rude_told: %d of %d misbehaving clients got an error line or a closed connection in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
 }
 
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// routerConfig is what the platform would tell a router. The list in it is as the router had it last.
+// routerConfig returns the configuration that the platform would give a router. It contains the
+// last endpoint list that the router received.
 func (fl *Fleet) routerConfig(r *router) map[string]any {
 	f := fl.File
 	known, isTold := fl.discovery.LastTold(r.name)
@@ -31,7 +32,7 @@
 	}
 	fall, over := 3.0, 2000.0
 	cold, from := 1.0, 1.0
-	for _, k := range f.Kinds { // the rules are told as loosely as the weakest kind is
+	for _, k := range f.Kinds { // one set of rules for all kinds: take the weakest one's
 		if k.Model.FallMultiple > 0 {
 			fall, over = min(fall, k.Model.FallMultiple), k.Model.FallForMS
 		}
@@ -60,7 +61,8 @@
 	}
 }
 
-// drawSeedOffset is a number for the seed of a start: a router that starts again must not draw what it drew before.
+// drawSeedOffset returns a random number to add to a router's seed, so that a restarted router does
+// not repeat its random draws.
 func (fl *Fleet) drawSeedOffset() uint64 {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -56,14 +56,14 @@
 
 func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.options.Dir, r.name+".toml") }
 
-// startCoordinators starts those that the scenario has, and writes the operator file that makes routers their clients.
+// startCoordinators starts the scenario's coordinators and puts its budgets in force.
 func (fl *Fleet) startCoordinators(ctx context.Context) (err error) {
 	n := fl.File.Fleet.Coordinators
 	if n == 0 {
 		return nil
 	}
 	if len(fl.options.CoordinatorCommand) == 0 {
-		return errors.New("fleet.coordinators: no command of a coordinator is given")
+		return errors.New("fleet.coordinators: Options has no command of a coordinator")
 	}
 	if fl.coordinators, err = startCoordinatorGroup(ctx, n, CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir, Env: fl.options.CoordinatorEnv}); err != nil {
 		return err
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// writeOperator writes a router's operator file, which makes it a client of the coordinators. Where there are planned changes, a
-// relay stands before each of them.
+// writeOperator writes a router's operator file, which makes it a client of the coordinators. If
+// the scenario has budgets, the router reaches each coordinator through a relay.
 func (fl *Fleet) writeOperator(r *router) error {
 	if fl.coordinators == nil {
 		return nil
@@ -85,7 +85,7 @@
 	for i, name := range slices.Sorted(maps.Keys(all)) {
 		addr := all[name]
 		if fl.File.Fleet.Out.On() {
-			if i < len(fl.coordinatorRelays[r.name]) { // written before, with another label
+			if i < len(fl.coordinatorRelays[r.name]) { // the relay exists from an earlier call with another label
 				words = append(words, fmt.Sprintf("%q", name+"="+fl.coordinatorRelays[r.name][i].Addr()))
 				continue
 			}
@@ -114,7 +114,7 @@
 	return os.WriteFile(fl.operatorFile(r), []byte(text), 0o600)
 }
 
-// routerCommand is that of one router, with the operator file that the scenario names.
+// routerCommand returns the command of a router, with its operator file if it has one.
 func (fl *Fleet) routerCommand(r *router) []string {
 	if fl.coordinators != nil {
 		return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.operatorFile(r))
@@ -125,7 +125,7 @@
 	return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.File.Fleet.Operator)
 }
 
-// startRouter starts a process of a router and has the front use it.
+// startRouter starts a process of a router and adds the router to the front.
 func (fl *Fleet) startRouter(ctx context.Context, r *router) error {
 	config := fl.routerConfig(r)
 	command, env := fl.routerCommand(r), []string(nil)
@@ -138,7 +138,7 @@
 		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
 	}
 	if len(command) == 0 || len(env) > 0 && len(fl.options.MutantCommand) == 0 {
-		return errors.New("a bad version of the router: no build of it is given")
+		return errors.New("a bad version of the router is needed, and Options has no command of a build with mutants")
 	}
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
 		return err
@@ -157,7 +157,8 @@
 	return nil
 }
 
-// serverAddr is the address at which a router reaches a server: a relay of its own where the scenario has them.
+// serverAddr returns the address at which a router reaches a server: that of a relay of the
+// router's own if the scenario has relays.
 func (fl *Fleet) serverAddr(r *router, e model.Entry) string {
 	if !fl.File.Fleet.Relays {
 		return e.Addr
@@ -179,7 +180,7 @@
 	return relay.Addr()
 }
 
-// baselineNetwork is the network between a router and a zone when nothing is wrong.
+// baselineNetwork returns the network conditions between a router and a zone without faults.
 func (fl *Fleet) baselineNetwork(r *router, zone string) fakes.Net {
 	if r.zone != zone {
 		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
--- a/lab/fleet/rules.go
+++ b/lab/fleet/rules.go
@@ -8,15 +8,16 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// plannedFaults are those that operators bring about by themselves: routers have to go on serving through them.
+// plannedFaults are the faults that operators cause on purpose. Routers must keep serving during
+// them.
 var plannedFaults = []string{"roll", "deploy", "shrink", "upgrade", "reload", "move-discovery", "end-routers", "signals", "upgrade-one", "change-servers", "change-routers", "release-routers"}
 
-// hasOnlyPlanned reports whether a time line holds nothing else.
+// hasOnlyPlanned reports whether all faults are planned ones.
 func hasOnlyPlanned(faults []scenario.Fault) bool {
 	return !slices.ContainsFunc(faults, func(f scenario.Fault) bool { return !slices.Contains(plannedFaults, f.What) })
 }
 
-// rules are those that the referee judges by.
+// rules returns the rules that the checker applies to the run.
 func (fl *Fleet) rules() checker.Rules {
 	r := checker.Rules{Classes: map[string]checker.Class{}, Group: map[string]map[string]string{"zone": {}, "cell": {}},
 		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.maxLateMS, MachineLateMS: fl.maxLateMS, MaxAttempts: fl.File.Fleet.MaxAttempts,
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -10,13 +10,13 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// maxMissed bounds the reads of which it is known where they were missing.
+// maxMissed bounds the reads whose misses are remembered.
 const maxMissed = 1 << 14
 
 // connIdleMS is how long a cache server keeps an idle connection.
 const connIdleMS = 10000
 
-// build starts the stand-ins.
+// build starts the fake origin, cache servers and discovery.
 func (fl *Fleet) build() (err error) {
 	f := fl.File
 	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// newMember starts a cache server: one that has run for long, or a new process that is cold.
+// newMember starts a cache server, as one that has run for a long time or as a cold new process.
 func (fl *Fleet) newMember(k scenario.Kind, cold bool) (*member, error) {
 	fl.mu.Lock()
 	n := fl.serversStarted
@@ -67,7 +67,8 @@
 	return m, nil
 }
 
-// requestWork is that of a request: by its class and id, so that each attempt costs the same.
+// requestWork returns the work and the size of a request. The work depends only on class and ID, so
+// that each attempt costs the same.
 func (fl *Fleet) requestWork(id, key, class string) (float64, int) {
 	for _, c := range fl.File.Classes {
 		if c.Name == class {
@@ -77,7 +78,7 @@
 	return 1, 1
 }
 
-// meanWork is that of a request, over all classes.
+// meanWork returns the mean work of a request over all classes, in milliseconds.
 func (fl *Fleet) meanWork() float64 {
 	work, share := 0.0, 0.0
 	for _, c := range fl.File.Classes {
@@ -87,7 +88,7 @@
 	return ratio(work, share)
 }
 
-// recordMiss books where a key was missing.
+// recordMiss remembers the servers at which a read missed.
 func (fl *Fleet) recordMiss(s *fakes.Server, _, id string, o model.Outcome, _ bool, _ int) {
 	if o != model.Missed && o != model.Fetching {
 		return
@@ -98,7 +99,8 @@
 	fl.missedReads.Add(id, append(slices.Clip(at), s))
 }
 
-// storeOriginAnswer stores what the origin gave where it was missing, at two servers at most, and voids what a write changed.
+// storeOriginAnswer stores the origin's answer to a read at up to two of the servers that missed
+// it. After a write, it deletes the key from all servers.
 func (fl *Fleet) storeOriginAnswer(_ *fakes.Server, key, id string, o model.Outcome, write bool, size int) {
 	if o != model.Served {
 		return
@@ -122,13 +124,14 @@
 	}
 }
 
-// warmCaches puts the most popular keys where a fleet that has run for long would hold them: spread over all servers.
+// warmCaches fills the caches as in a fleet that has run for a long time: each key at two random
+// servers.
 func (fl *Fleet) warmCaches(l *load.Load) {
 	if !fl.File.Fleet.Warm {
 		return
 	}
 	reads := fl.File.Classes[0]
-	for _, key := range slices.Backward(l.Keys()) { // the most popular last, as the most lately used
+	for _, key := range slices.Backward(l.Keys()) { // the most popular keys last, as the most recently used
 		for range 2 {
 			fl.members[fl.rng.IntN(len(fl.members))].Store(key, load.Size(reads, key))
 		}
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// signal sequences: h is a SIGHUP with the same discovery, m one that moves it, t a SIGTERM. After
-// the first t the time to SIGKILL runs.
+// signalSequences are series of signals: h is a SIGHUP without a new address of discovery, m one
+// with a new address, t a SIGTERM. The time until SIGKILL begins with the first t.
 var signalSequences = []string{"hhh", "hm", "mh", "mmm", "ht", "mt", "tt", "th", "tm", "hth", "mtt", "hmhm"}
 
 const (
@@ -32,7 +32,7 @@
 	wg.Wait()
 }
 
-// signalSeries has some routers get signals in series, each another one.
+// signalSeries sends a series of signals, drawn for each router, to some routers.
 func (fl *Fleet) signalSeries(ctx context.Context, f scenario.Fault) {
 	fl.forEachRouter(fl.pickRouters(f), func(r *router) {
 		sequence, gaps := fl.drawSeries()
@@ -41,7 +41,7 @@
 	})
 }
 
-// drawSeries draws a sequence and the gaps behind its signals.
+// drawSeries draws a sequence and the gaps after its signals.
 func (fl *Fleet) drawSeries() (sequence string, gaps []time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -56,7 +56,7 @@
 	return sequence, gaps
 }
 
-// sendSeries sends a series. A router that ends by it is started again.
+// sendSeries sends a series. A router that exits because of it is started again.
 func (fl *Fleet) sendSeries(ctx context.Context, r *router, sequence string, gaps []time.Duration, downS float64) {
 	for i, s := range sequence {
 		p := r.newest()
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendRest sends what follows a SIGTERM to the process that ends.
+// sendRest sends the signals that follow a SIGTERM while the process is shutting down.
 func (fl *Fleet) sendRest(ctx context.Context, r *router, p *process, sequence string, gaps []time.Duration) {
 	for i, s := range sequence {
 		select {
@@ -110,8 +110,8 @@
 	}
 }
 
-// upgradeOne starts a new process beside the old one of a router, signals both, and ends the old
-// one once the new is ready.
+// upgradeOne starts a new process beside the old one of a router and, once the new one is ready,
+// sends the old one SIGHUP and SIGTERM.
 func (fl *Fleet) upgradeOne(ctx context.Context) {
 	for _, r := range fl.pickRouters(scenario.Fault{Count: 1}) {
 		if !r.downMu.TryLock() {
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -12,11 +12,13 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// StepKill has a process killed just while the operators' tool stands at one of its steps (a build with the tag faults names them).
+// StepKill names a process to kill while the operators' tool is paused at one of its steps. Only
+// builds with the tag faults can pause.
 type StepKill struct{ Step, Victim string }
 
-// The steps of a driver of a release, those of the tool that changes one thing, and who is killed there. The router, or the cache
-// server, is the one that is being changed.
+// Steps of the driver of a release and of the tool that changes one resource, and the processes
+// that can be killed at them. The victims "router" and "server" are the ones that are being
+// changed.
 var (
 	DriverSteps   = []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"}
 	DriverVictims = []string{"tool", "leader", "follower", "router", "other-router", "other-driver"}
@@ -24,7 +26,8 @@
 	ToolVictims   = []string{"tool", "leader", "follower", "other-router", "server"}
 )
 
-// env has the tool wait at the step, or die there.
+// env returns the environment that makes the tool pause at the step, or exit there if it is the
+// victim.
 func (k *StepKill) env(dir string) []string {
 	switch {
 	case k == nil:
@@ -35,8 +38,9 @@
 	return []string{"DOCKHINGE_PAUSE_AT=" + k.Step, "DOCKHINGE_PAUSE_FILE=" + filepath.Join(dir, "at-step")}
 }
 
-// killAtStep waits until the tool stands at its step, kills the victim, lets the tool go on, and starts the victim again a little
-// later, as what supervises processes would. thing is what is being changed; once its change is over, nobody is killed any more.
+// killAtStep waits until the tool is paused at its step, kills the victim, lets the tool continue,
+// and restarts the victim a little later, as a process supervisor would. resource is what is being
+// changed; once the context change is done, no process is killed any more.
 func (fl *Fleet) killAtStep(ctx, change context.Context, thing string) {
 	k := fl.options.Kill
 	if k == nil || k.Victim == "tool" {
@@ -84,7 +88,7 @@
 		}
 	case "server":
 		for _, m := range fl.allMembers() {
-			if "server/"+m.entry.ID == thing && m.downMu.TryLock() { // else it is down already, by the tool's command
+			if "server/"+m.entry.ID == thing && m.downMu.TryLock() { // otherwise the tool's command already has it down
 				defer m.downMu.Unlock()
 				m.Kill()
 				again = func() error { fl.restartServer(m); return nil }
@@ -94,7 +98,7 @@
 		fl.mu.Lock()
 		p := fl.runningTools["driver-1"]
 		fl.mu.Unlock()
-		if p != nil { // whoever started it starts it again
+		if p != nil { // runDriver restarts it
 			p.kill()
 		}
 	}
@@ -113,12 +117,12 @@
 	}
 }
 
-// kill ends a router's process at once.
+// kill sends SIGKILL to a router's process and takes the router out of the front.
 func (fl *Fleet) kill(r *router, p *process) {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
 	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 }
 
-// StepKillTimeout is how long a run with a kill at a step may last beyond its load.
+// StepKillTimeout is the time that a run with a kill at a step may take after the end of its load.
 const StepKillTimeout = 2 * time.Minute
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -11,7 +11,7 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// BudgetSample is how much of a budget was used from a time on.
+// BudgetSample is the use of a budget from a time on.
 type BudgetSample struct {
 	AtS     float64 `json:"at_s"`
 	Budget  string  `json:"budget"`
@@ -19,10 +19,11 @@
 	Allowed int     `json:"allowed"`
 }
 
-// maxBudgetSamples bounds what is kept of that.
+// maxBudgetSamples bounds the samples that are kept.
 const maxBudgetSamples = 1 << 14
 
-// watchBudgets books how much of the budgets is used, which servers are left out by the word of others, and by whose.
+// watchBudgets records the use of the budgets, the servers that all routers exclude on other
+// routers' reports, and those routers.
 func (fl *Fleet) watchBudgets(ctx context.Context) {
 	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	for after := uint64(0); wait(ctx, 0.02); {
@@ -46,10 +47,10 @@
 				fl.excludedBy = map[string][]string{}
 			}
 			if fl.excludedBy[x.Name] == nil {
-				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.loadStartMS) / 1000, fmt.Sprintf("all leave out %s, by the word of %v", x.Name, x.ReportedBy)})
+				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.loadStartMS) / 1000, fmt.Sprintf("all routers exclude %s, reported by %v", x.Name, x.ReportedBy)})
 			}
 			if len(x.ReportedBy) < fl.File.Fleet.Out.Quorum {
-				fl.problems = append(fl.problems, fmt.Sprintf("%s is left out by the word of %v, and %d must say so", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
+				fl.problems = append(fl.problems, fmt.Sprintf("%s is excluded on reports of %v, and %d routers must report it", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
 			}
 			for _, name := range x.ReportedBy {
 				if !slices.Contains(fl.excludedBy[x.Name], name) {
@@ -61,8 +62,9 @@
 	}
 }
 
-// judgeExclusions tells which routers were heard on a server that they had asked nothing: what they said they can't have found by
-// themselves. The one that lies is known. The caller holds mu.
+// judgeExclusions returns a failure for each router whose report on a server counted although the
+// router had sent that server nothing, and so can't have seen it fail. The router that runs a
+// mutant is exempt. The caller holds mu.
 func (fl *Fleet) judgeExclusions(events []checker.Event) (fails []string) {
 	if len(fl.excludedBy) == 0 {
 		return nil
@@ -79,7 +81,7 @@
 	for _, server := range slices.Sorted(maps.Keys(fl.excludedBy)) {
 		for _, r := range fl.excludedBy[server] {
 			if !asked[r+" "+server] && (fl.options.FirstRouterMutant == "" || r != "r0") {
-				fails = append(fails, fmt.Sprintf("router %s was heard on server %s, and had asked it nothing", r, server))
+				fails = append(fails, fmt.Sprintf("the report of router %s on server %s counted, and the router had sent it nothing", r, server))
 			}
 		}
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak draws scenarios from seeds: fleets of a few routers whose planned ends, signals,
-// moves of discovery, drains, cold returns, faults of cache servers and crowds fall together. The
-// same seed draws the same scenario.
+// Package soak draws scenarios from seeds: fleets of a few routers in which planned stops, signals,
+// moves of discovery, drains, cold restarts, faults of cache servers and crowds of idle clients
+// coincide. The same seed draws the same scenario.
 package soak
 
 import (
@@ -12,27 +12,28 @@
 )
 
 const (
-	// baseScenario is the shipped scenario whose servers, classes and load a seed changes.
+	// baseScenario is the shipped scenario whose servers, classes and load a seed varies.
 	baseScenario = "ten"
-	// randomStream is that of the random numbers of a seed.
+	// randomStream selects the stream of a seed's random numbers.
 	randomStream = 77
-	// firstFaultS is when the first fault may come, and quietEndS how long before the end the last
-	// one may.
+	// The faults begin at firstFaultS at the earliest and quietEndS before the end of the load at
+	// the latest.
 	firstFaultS = 2.0
 	quietEndS   = 5.0
-	// MinSeconds is the shortest load in which faults have room.
+	// MinSeconds is the shortest load that leaves time for faults, in seconds.
 	MinSeconds = 9.0
-	// crowdEvery is in how many runs one has a crowd.
+	// One run in crowdEvery, on average, has a crowd.
 	crowdEvery = 3
 )
 
-// generator is a seed's random numbers with what has been drawn so far.
+// generator holds a seed's random numbers and the scenario drawn so far.
 type generator struct {
 	rng  *rand.Rand
 	file scenario.File
 }
 
-// Scenario draws the scenario of a seed, with a load of so many seconds.
+// Scenario draws the scenario of a seed with a load of the given duration. It returns an error if
+// seconds is less than MinSeconds.
 func Scenario(seed uint64, seconds float64) (scenario.File, error) {
 	if !(seconds >= MinSeconds) {
 		return scenario.File{}, fmt.Errorf("soak: %v seconds, at least %v are needed", seconds, MinSeconds)
@@ -57,7 +58,7 @@
 	return d.file.With("seed", fmt.Sprint(seed))
 }
 
-// between draws a number evenly.
+// between draws a uniformly distributed number.
 func (d *generator) between(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
 
 // count draws a whole number, both ends included.
@@ -78,13 +79,13 @@
 	d.file.Kinds = kinds
 	d.file.Load.Rate = d.between(80, 500)
 	d.file.Load.Reconnect = d.between(0, 0.1)
-	d.file.Load.LateShare = 1 // a slow machine is no verdict
+	d.file.Load.LateShare = 1 // a slow machine must not fail the run
 	if d.rng.IntN(2) == 0 {
 		d.file.Load.DisconnectShare = 0.05
 	}
 }
 
-// drawClasses draws deadlines, and windows of repeats that may end before them.
+// drawClasses draws deadlines, and idempotency windows that may end before them.
 func (d *generator) drawClasses() {
 	classes := append(d.file.Classes[:0:0], d.file.Classes...)
 	deadlines := d.between(0.5, 2)
@@ -97,8 +98,8 @@
 	d.file.Classes = classes
 }
 
-// drawDiscovery draws how late discovery hears of changes, and how long its calls take: it may be
-// crowded.
+// drawDiscovery draws how late discovery learns of changes, and limits its calls or lines per
+// second.
 func (d *generator) drawDiscovery() {
 	d.file.Discovery = model.DirectoryParams{LateMS: [2]float64{20, d.between(50, 1500)}, TimeoutMS: 2000}
 	if d.rng.IntN(2) == 0 {
@@ -109,7 +110,7 @@
 	d.file.Discovery.CallLines = 10
 }
 
-// drawFaults draws an order of faults; each leaves room for what comes of it.
+// drawFaults draws a series of faults, with gaps between them.
 func (d *generator) drawFaults() {
 	d.file.Faults = nil
 	kinds := []func(at float64) scenario.Fault{
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Guards against runs that can't be played again: a seed draws one scenario.
+// Guards against runs that can't be repeated: the same seed must draw the same scenario.
 func TestSeedDeterminesTheScenario(t *testing.T) {
 	for seed := range uint64(200) {
 		a, err := Scenario(seed, 12)
@@ -31,21 +31,23 @@
 		}
 	}
 	if _, err := Scenario(1, MinSeconds-1); err == nil {
-		t.Error("too short a run was drawn")
+		t.Error("a run shorter than MinSeconds was drawn")
 	}
 }
 
-// Guards against rules that break where planned ends, signals, moves of discovery and faults fall together.
+// Guards against breaches of the rules when planned stops, signals, moves of discovery and faults
+// coincide.
 func TestSoakKeepsTheRules(t *testing.T) {
 	playSeeds(t, 37, 1042)
 }
 
-// Guards against the same at a high rate, with a discovery that is crowded after a move.
+// Guards against the same at a high rate, with a discovery that is overloaded after a move.
 func TestSoakKeepsTheRulesAtAHighRate(t *testing.T) {
 	playSeeds(t, 14)
 }
 
-// playSeeds plays seeds side by side with real routers; each has to keep all rules.
+// playSeeds runs the scenarios of some seeds in parallel with real routers. No run may break a
+// rule.
 func playSeeds(t *testing.T, seeds ...uint64) {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "dockhinge")
