--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -83,7 +83,8 @@
 
 // RunLeaseFaults runs coordinators and leaseholders with faults and checks the history of the
 // leases. It returns an error if the scenario could not be run.
-func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
+func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult,
+	err error) {
 	if o.Logf == nil {
 		o.Logf = func(string, ...any) {}
 	}
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -66,7 +66,8 @@
 // newCoordinator returns a coordinator with addresses of its own.
 func (a *coordinatorGroup) newCoordinator(number int) (*coordinator, error) {
 	name := fmt.Sprintf("c%d", number)
-	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir}, data: filepath.Join(a.options.Dir, name)}
+	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir},
+		data: filepath.Join(a.options.Dir, name)}
 	var err error
 	if c.listen, err = FreeAddr(); err != nil {
 		return nil, err
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -34,7 +34,8 @@
 
 // network returns the relay's settings for these faults.
 func (f *relayFaults) network() fakes.Net {
-	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
+	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0,
+		DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
 // relayFault selects the counter of one kind of fault.
@@ -197,7 +198,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil) // it may have ended
+		// it may have ended
+		_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
--- a/lab/fleet/agree_group.go
+++ b/lab/fleet/agree_group.go
@@ -118,7 +118,8 @@
 }
 
 // liveClient runs a client until end is called. end waits until the client has stopped.
-func liveClient(ctx context.Context, coordinators map[string]string, name string, ttl time.Duration) (c *client.Client, end func()) {
+func liveClient(ctx context.Context, coordinators map[string]string, name string,
+	ttl time.Duration) (c *client.Client, end func()) {
 	c = client.New(client.Options{Coordinators: coordinators, ClientName: name, TTL: ttl})
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -36,11 +36,12 @@
 			return fmt.Errorf("%s has ended: %v\n%s", c.name, err, c.logTail(8))
 		}
 	}
-	last, end := liveClient(ctx, a.addresses(), "last", healedSessionTTL)
+	newClient, end := liveClient(ctx, a.addresses(), "last", healedSessionTTL)
 	defer end()
 	for number := range a.scenario.Leases {
-		nothing := func(context.Context, *client.Lease) error { return nil }
-		if err := last.RunWithLease(ctx, leaseName(number), "healed", healedLeaseTTL, healedMargin, nothing); err != nil {
+		noWork := func(context.Context, *client.Lease) error { return nil }
+		if err := newClient.RunWithLease(ctx, leaseName(number), "healed", healedLeaseTTL,
+			healedMargin, noWork); err != nil {
 			return fmt.Errorf("lease %s can't be acquired: %w", leaseName(number), err)
 		}
 	}
@@ -62,12 +63,14 @@
 			res.Grants++
 		}
 	}
-	res.Breaches, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.CheckTimeout})
+	res.Breaches, res.Undecided = checker.JudgeLeases(claims, operations, acts,
+		checker.LeaseRules{Patience: a.options.CheckTimeout})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
 	if len(res.Breaches) > 0 {
-		res.Failures = append(res.Failures, fmt.Sprintf("%d breaches, the first: %s", len(res.Breaches), res.Breaches[0]))
+		res.Failures = append(res.Failures,
+			fmt.Sprintf("%d breaches, the first: %s", len(res.Breaches), res.Breaches[0]))
 	}
 	if res.Grants == 0 || res.Claims == 0 {
 		res.Failures = append(res.Failures, "no lease was ever held: the run tested nothing")
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -27,8 +27,10 @@
 		return "", err
 	}
 	builtDir = dir
-	for into, tags := range map[string]string{"": "faults" + extraBuildTags, "next/": "faults,nextversion" + extraBuildTags} {
-		if out, err := exec.Command("go", "build", "-tags", tags, "-o", dir+"/"+into, "../../cmd/dockhinge-coord", "../../cmd/dockhinge-lab").CombinedOutput(); err != nil {
+	for into, tags := range map[string]string{"": "faults" + extraBuildTags,
+		"next/": "faults,nextversion" + extraBuildTags} {
+		if out, err := exec.Command("go", "build", "-tags", tags, "-o", dir+"/"+into,
+			"../../cmd/dockhinge-coord", "../../cmd/dockhinge-lab").CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%w\n%s", err, out)
 		}
 	}
@@ -47,7 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
+	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"},
+		LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
 }
 
 // Runs three seeds of all faults with real processes: a lease must never have two holders at a
@@ -81,7 +84,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
+	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}},
+		{What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
 	res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 	if err != nil {
@@ -124,7 +128,8 @@
 			return err
 		}
 		for _, c := range a.coords {
-			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex || s.Leader != l.name {
+			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex ||
+				s.Leader != l.name {
 				return errors.Join(fmt.Errorf("%s is behind", c.name), err)
 			}
 		}
@@ -164,9 +169,11 @@
 		t.Fatalf("%+v, %v", second, err)
 	}
 	old.signal(syscall.SIGCONT)
-	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api}, ClientName: "reader", TTL: 20 * time.Second})
+	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api},
+		ClientName: "reader", TTL: 20 * time.Second})
 	for range 20 { // through the old leader only: it may fail, but not return old state
-		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil && (len(rows) != 1 || rows[0].Token != second.Token) {
+		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil &&
+			(len(rows) != 1 || rows[0].Token != second.Token) {
 			t.Fatalf("the old leader returns %+v", rows)
 		}
 	}
@@ -229,8 +236,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if said := victim.logTail(3); !strings.Contains(said, "put back from an old copy") {
-		t.Errorf("it logged:\n%s", said)
+	if logged := victim.logTail(3); !strings.Contains(logged, "put back from an old copy") {
+		t.Errorf("it logged:\n%s", logged)
 	}
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
@@ -285,7 +292,8 @@
 	dir, _ := buildPrograms() // agreeOptions has checked the error
 	for i, x := range a.coords {
 		if i == 1 { // some still run the old version
-			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version)) {
+			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
+				fmt.Sprintf("version %d", coord.Version)) {
 				t.Errorf("%s", out)
 			}
 		}
@@ -296,7 +304,8 @@
 		a.restart(x.proc)
 		awaitSettledGroup(t, a)
 	}
-	if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
+	if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
+		fmt.Sprintf("version %d", coord.Version+1)) {
 		t.Errorf("%s", out)
 	}
 	rows, err := c.ListLeases(t.Context(), "kept")
@@ -317,8 +326,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if said := back.logTail(3); !strings.Contains(said, "too old") {
-		t.Errorf("it logged:\n%s", said)
+	if logged := back.logTail(3); !strings.Contains(logged, "too old") {
+		t.Errorf("it logged:\n%s", logged)
 	}
 }
 
@@ -329,7 +338,8 @@
 	a, _ := startGroupWithClient(t, 3, coordinatorOptions(t))
 	awaitSettledGroup(t, a)
 	marks := filepath.Join(t.TempDir(), "marks")
-	cmd := toolCommand(a, "lease", "take", "job", "--kind", "harmless", "--ttl", "4s", "--margin", "2s", "--", "sh", "-c",
+	cmd := toolCommand(a, "lease", "take", "job", "--kind", "harmless", "--ttl", "4s",
+		"--margin", "2s", "--", "sh", "-c",
 		"trap '' TERM; echo $DOCKHINGE_TOKEN $$ > "+marks+"; while :; do sleep 0.05; done")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -367,7 +377,8 @@
 	if err == nil || !strings.Contains(string(out), "none of checked, harmless") {
 		t.Errorf("a command without --kind was run: %s", out)
 	}
-	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--", "sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
+	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--",
+		"sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
 		t.Errorf("%s", out)
 	}
 }
@@ -388,22 +399,23 @@
 		t.Cleanup(r.Close)
 		relays, addrs[x.name] = append(relays, r), r.Addr()
 	}
-	deaf, end := liveClient(context.Background(), addrs, "deaf", 3*time.Second)
+	cutOff, end := liveClient(context.Background(), addrs, "deaf", 3*time.Second)
 	t.Cleanup(end)
-	l, err := deaf.Acquire(t.Context(), "x", "", 2*time.Second)
+	l, err := cutOff.Acquire(t.Context(), "x", "", 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range relays {
 		r.Set(fakes.Net{DropBack: true})
 	}
-	// When the other client acquires the lease, the deaf one must already treat it as lost.
-	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
-		if left := l.Remaining(); left > 0 {
-			return fmt.Errorf("two clients hold the lease: the deaf one has %v left", left)
-		}
-		return nil
-	}); err != nil {
+	// When the other client acquires the lease, the client without answers must treat it as lost.
+	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second,
+		func(context.Context, *client.Lease) error {
+			if left := l.Remaining(); left > 0 {
+				return fmt.Errorf("two clients hold the lease: the client without answers has %v left", left)
+			}
+			return nil
+		}); err != nil {
 		t.Error(err)
 	}
 }
@@ -421,7 +433,8 @@
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
 	o := coordinatorOptions(t)
-	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand, Dir: o.Dir})
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand,
+		Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -436,7 +449,8 @@
 // Kills two coordinators of five at a step of a snapshot: no committed entry may be lost, and both
 // must restart with their disks.
 func TestCoordinatorsRecoverWhenKilledAtEachSnapshotStep(t *testing.T) {
-	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
+	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written",
+		"snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, coordinatorOptions(t))
@@ -462,10 +476,11 @@
 				}
 			}
 			work()
-			var dying []*coordinator
+			var victims []*coordinator
 			for _, x := range a.coords[:2] {
 				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs a snapshot
-					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*", "state.bin")); len(made) == 0 {
+					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*",
+						"state.bin")); len(made) == 0 {
 						return errors.Join(errors.New("no snapshot yet"), err)
 					}
 					return nil
@@ -474,10 +489,10 @@
 				}
 				x.kill()
 				x.env = []string{"DOCKHINGE_KILL_AT=" + step}
-				dying = append(dying, x)
+				victims = append(victims, x)
 				a.restart(x.proc)
 			}
-			for _, x := range dying {
+			for _, x := range victims {
 				if err := retryUntil(t.Context(), time.Minute, func() error {
 					if up, _ := x.running(); up {
 						l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
@@ -491,7 +506,7 @@
 					t.Fatal(err)
 				}
 			}
-			for _, x := range dying {
+			for _, x := range victims {
 				x.env = nil
 				a.restart(x.proc)
 			}
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -47,12 +47,15 @@
 
 // startCoordinatorGroupWithSnapshots starts coordinators without faults that take a snapshot every
 // snapshotEach entries.
-func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*coordinatorGroup, error) {
+func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int,
+	o CoordinatorOptions) (*coordinatorGroup, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
 	}
-	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // the environment is reset below
+	// the environment is reset below
+	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3,
+		coord.DefaultClockRateBound, snapshotEach
 	a := newCoordinatorGroup(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
@@ -81,7 +84,8 @@
 			return err
 		}
 		var answer coord.Response
-		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: version}, &answer); err != nil {
+		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade",
+			coord.Command{TargetVersion: version}, &answer); err != nil {
 			return err
 		}
 		if answer.Code != coord.CodeOK {
@@ -131,7 +135,8 @@
 
 // MeasureCoordinators measures coordinators without faults, with a number of clients that hold a
 // number of leases in all.
-func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
+func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int,
+	o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
 	if err := CheckDescriptorLimit(clients); err != nil {
 		return m, err
@@ -143,20 +148,21 @@
 	defer a.close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	run, end := context.WithCancel(ctx)
+	clientsCtx, end := context.WithCancel(ctx)
 	defer end()
 	all := make([]*client.Client, clients)
 	for i := range all {
-		all[i] = client.New(client.Options{Coordinators: a.addresses(), ClientName: fmt.Sprintf("r%d", i), TTL: 10 * time.Second})
-		wg.Go(func() { all[i].Run(run) })
+		all[i] = client.New(client.Options{Coordinators: a.addresses(), ClientName: fmt.Sprintf("r%d", i),
+			TTL: 10 * time.Second})
+		wg.Go(func() { all[i].Run(clientsCtx) })
 	}
 	began := time.Now()
 	var mu sync.Mutex
-	var held sync.WaitGroup
+	var waiting sync.WaitGroup
 	patience, endPatience := context.WithTimeout(ctx, opensWithin)
 	defer endPatience()
 	for i := range clients { // each takes its share of the leases
-		held.Go(func() {
+		waiting.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
 				if n >= leases { // a client without a lease also waits for its session
 					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // rejected: longer than the session
@@ -172,7 +178,7 @@
 			}
 		})
 	}
-	held.Wait()
+	waiting.Wait()
 	m.SessionsOpenAfter = time.Since(began)
 	sum := func() (n int64) {
 		for _, c := range all {
@@ -190,20 +196,20 @@
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range min(clients, 64) {
-		held.Go(func() {
+		waiting.Go(func() {
 			name := fmt.Sprintf("busy-%d", i)
 			for busy.Err() == nil {
-				at := time.Now()
+				startedAt := time.Now()
 				l, err := all[i].Acquire(busy, name, "", 10*time.Second)
 				if err != nil {
 					continue
 				}
-				mid := time.Now()
+				acquiredAt := time.Now()
 				if l.Release(busy) != nil {
 					continue
 				}
 				mu.Lock()
-				took = append(took, mid.Sub(at), time.Since(mid))
+				took = append(took, acquiredAt.Sub(startedAt), time.Since(acquiredAt))
 				mu.Unlock()
 			}
 		})
@@ -212,7 +218,7 @@
 		return m, err
 	}
 	stop()
-	held.Wait()
+	waiting.Wait()
 	slices.Sort(took)
 	if len(took) > 0 {
 		m.CommandsPerSecond, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
@@ -233,7 +239,8 @@
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	if want := uint64(clients * descriptorsPerClient); want > limit.Cur {
-		return fmt.Errorf("%d clients may need %d descriptors, and this process may open %d (ulimit -n)", clients, want, limit.Cur)
+		return fmt.Errorf("%d clients may need %d descriptors, and this process may open %d (ulimit -n)",
+			clients, want, limit.Cur)
 	}
 	return nil
 }
@@ -255,7 +262,8 @@
 
 // MeasureFailover kills the leader a number of times and returns how long it took each time until a
 // client acquired a lease.
-func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
+func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration,
+	err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
@@ -269,12 +277,13 @@
 			if err != nil {
 				return err
 			}
-			top, err := l.status(ctx)
+			leaderStatus, err := l.status(ctx)
 			if err != nil {
 				return err
 			}
 			for _, x := range a.coords {
-				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < top.LastLogIndex || s.Leader != l.name {
+				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < leaderStatus.LastLogIndex ||
+					s.Leader != l.name {
 					return errors.Join(errors.New("not all coordinators follow the leader"), err)
 				}
 			}
@@ -286,13 +295,13 @@
 		if err != nil {
 			return took, err
 		}
-		at := time.Now()
+		killedAt := time.Now()
 		l.kill()
 		lease, err := c.Acquire(ctx, fmt.Sprintf("k%d", n), "", 10*time.Second)
 		if err != nil {
 			return took, err
 		}
-		took = append(took, time.Since(at))
+		took = append(took, time.Since(killedAt))
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
@@ -304,7 +313,8 @@
 // MeasureLeaseTakeover cuts a number of holders off from all coordinators and returns, for each
 // one, how long after the cut another client held its lease. No keep-alive can arrive after the
 // cut.
-func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
+func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration,
+	o CoordinatorOptions) (took []time.Duration, err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
@@ -313,13 +323,13 @@
 	next, end := liveClient(ctx, a.addresses(), "next", ttl)
 	defer end()
 	var mu sync.Mutex
-	var fails []error
+	var errs []error
 	var each sync.WaitGroup
-	room := make(chan struct{}, 10)
+	slots := make(chan struct{}, 10)
 	for n := range times {
-		room <- struct{}{}
+		slots <- struct{}{}
 		each.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			name := fmt.Sprintf("d%d", n)
 			var relays []*fakes.Relay
 			addrs := map[string]string{}
@@ -335,8 +345,8 @@
 				}
 				relays, addrs[x.name] = append(relays, r), r.Addr()
 			}
-			c, die := liveClient(ctx, addrs, name, ttl)
-			defer die()
+			c, endClient := liveClient(ctx, addrs, name, ttl)
+			defer endClient()
 			_, err := c.Acquire(ctx, name, "", ttl)
 			if err == nil {
 				wait(ctx, rand.Float64()*ttl.Seconds())
@@ -352,10 +362,10 @@
 				})
 			}
 			mu.Lock()
-			fails = append(fails, err)
+			errs = append(errs, err)
 			mu.Unlock()
 		})
 	}
 	each.Wait()
-	return took, errors.Join(fails...)
+	return took, errors.Join(errs...)
 }
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -76,7 +76,8 @@
 	text := fmt.Sprintf("version = 1\ngrace = \"8s\"\nquorum = %d\nbusy = %v\n", o.Quorum, o.Busy)
 	for kind, n := range map[string]int{"router": o.Routers, "server": o.Servers} {
 		if n > 0 {
-			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n", kind, kind, n, o.WarmS)
+			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n",
+				kind, kind, n, o.WarmS)
 		}
 	}
 	path := filepath.Join(fl.options.Dir, "budgets.toml")
@@ -103,7 +104,8 @@
 	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
+	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...),
+		env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
 func (fl *Fleet) draw(n int) int {
@@ -122,9 +124,9 @@
 		fl.mark("operators want to change %d cache servers", len(part))
 		for _, m := range part {
 			wg.Go(func() {
-				tell := func() {}
+				notifyDiscovery := func() {}
 				if f.DrainS > 0 { // operators update discovery too, once the change has begun
-					tell = func() {
+					notifyDiscovery = func() {
 						if !m.downMu.TryLock() { // a fault has the server down and updates discovery
 							return
 						}
@@ -134,7 +136,7 @@
 						fl.discovery.Happened(e)
 					}
 				}
-				fl.runChange(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
+				fl.runChange(ctx, "server/"+m.entry.ID, &m.downMu, notifyDiscovery, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
 					fl.restartServer(m)
@@ -171,8 +173,8 @@
 // runChange runs the tool until the change is done. If the tool dies before its command has
 // run, it is run again, as an operator would do. If it dies later, the change is already being
 // made and is not repeated.
-func (fl *Fleet) runChange(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
-	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
+func (fl *Fleet) runChange(ctx context.Context, resource string, busy *sync.Mutex, notifyDiscovery, makeChange func()) {
+	c := &Change{Resource: resource, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // Options.Kill refers to the steps of the first change
 	fl.changes = append(fl.changes, c)
@@ -182,14 +184,15 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer end()
-		wg.Go(func() { fl.killAtStep(ctx, inner, thing) })
+		wg.Go(func() { fl.killAtStep(ctx, inner, resource) })
 	}
-	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(thing, "/", "-"))
+	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(resource, "/", "-"))
 	// The command writes its token to a file for the lab, and waits until the lab has made the
 	// change.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
-		p := fl.newToolProcess(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
+		p := fl.newToolProcess(filepath.Base(base), "permit", "take", resource, "--as",
+			"operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
 		if first && c.ToolRuns == 0 {
 			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
@@ -199,21 +202,21 @@
 		}
 		fl.mu.Lock()
 		c.ToolRuns++
-		fl.runningTools[thing] = p
+		fl.runningTools[resource] = p
 		fl.mu.Unlock()
-		over, told := false, false
-		for !over && c.RunningAtMS == 0 {
+		hasExited, isNotified := false, false
+		for !hasExited && c.RunningAtMS == 0 {
 			select {
 			case <-p.done:
-				over = true
+				hasExited = true
 			case <-ctx.Done():
 				p.kill()
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			if !told && strings.Contains(p.logTail(1), "until nothing more is sent to it") {
-				told = true
-				tell()
+			if !isNotified && strings.Contains(p.logTail(1), "until nothing more is sent to it") {
+				isNotified = true
+				notifyDiscovery()
 			}
 			text, err := os.ReadFile(base + ".go")
 			if err != nil {
@@ -234,7 +237,7 @@
 				}
 				break
 			}
-			act()
+			makeChange()
 			busy.Unlock()
 			fl.mu.Lock()
 			c.RunningAtMS = fl.clock.Now()
@@ -250,11 +253,12 @@
 			p.kill()
 		}
 		fl.mu.Lock()
-		delete(fl.runningTools, thing)
+		delete(fl.runningTools, resource)
 		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
-		if _, err := p.running(); done && err != nil { // the tool died during the change: its operator clears the permit
-			fl.clearPermit(ctx, thing)
+		// the tool died during the change: its operator clears the permit
+		if _, err := p.running(); done && err != nil {
+			fl.clearPermit(ctx, resource)
 		}
 		if done || !wait(ctx, 0.2) {
 			return
@@ -264,9 +268,9 @@
 
 // clearPermit clears a permit whose holder died, as an operator would. Until then the permit counts
 // as used.
-func (fl *Fleet) clearPermit(ctx context.Context, thing string) {
+func (fl *Fleet) clearPermit(ctx context.Context, resource string) {
 	for range 30 {
-		p := fl.newToolProcess(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
+		p := fl.newToolProcess(strings.ReplaceAll(resource, "/", "-")+"-clear", "permit", "clear", resource)
 		if err := p.start(); err != nil {
 			fl.recordLabError(err)
 			return
@@ -277,7 +281,8 @@
 			p.kill()
 			return
 		}
-		if _, err := p.running(); err == nil || strings.Contains(p.logTail(1), "no permit of it is used") || !wait(ctx, 0.5) {
+		if _, err := p.running(); err == nil || strings.Contains(p.logTail(1), "no permit of it is used") ||
+			!wait(ctx, 0.5) {
 			return
 		}
 	}
@@ -312,7 +317,7 @@
 
 // faultRouters kills or pauses routers or cuts them off from the coordinators, and reverts that
 // when the fault is over.
-func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, over func()) {
+func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, waitUntilOver func()) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		f.Count = int(math.Round(f.Share * float64(len(routers))))
@@ -322,9 +327,9 @@
 	fl.mu.Unlock()
 	routers = routers[:min(f.Count, len(routers))]
 	fl.mark("%s: %d", f.What, len(routers))
-	var hit []*outage
-	var down []*router
-	var resume []*process
+	var faultOutages []*outage
+	var killed []*router
+	var paused []*process
 	for _, r := range routers {
 		p := r.newest()
 		if p == nil {
@@ -335,7 +340,7 @@
 				continue
 			}
 			defer r.downMu.Unlock()
-			down = append(down, r)
+			killed = append(killed, r)
 		}
 		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
@@ -345,20 +350,20 @@
 			}
 			continue
 		}
-		hit = append(hit, o)
+		faultOutages = append(faultOutages, o)
 		if o.stopped {
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended
-			resume = append(resume, p)
+			paused = append(paused, p)
 			continue
 		}
 		fl.kill(r, p)
 	}
-	over()
-	for _, p := range resume {
+	waitUntilOver()
+	for _, p := range paused {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may have ended
 	}
 	var wg sync.WaitGroup
-	for _, r := range down {
+	for _, r := range killed {
 		if ctx.Err() == nil {
 			wg.Go(func() {
 				if p := r.newest(); p != nil { // killed, but its exit is not recorded yet
@@ -373,10 +378,11 @@
 	wg.Wait()
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	for _, o := range hit {
+	for _, o := range faultOutages {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused,
+				Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
@@ -390,10 +396,12 @@
 	warm := o.WarmS*1000 - clockToleranceMS
 	for _, c := range fl.changes {
 		if len(c.Tokens) > 1 {
-			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
+			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v",
+				c.Resource, len(c.Tokens), c.Tokens))
 		}
 		if c.RunningAtMS == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.ToolRuns))
+			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)",
+				c.Resource, c.ToolRuns))
 		}
 		if c.StoppedAtMS == 0 {
 			continue
@@ -401,24 +409,27 @@
 		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 &&
+				d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
 				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.RunningAtMS)] = true
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource && d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
+			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource &&
+				d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
 				out[d.resource] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
+			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be",
+				c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
 	// No attempt may begin at a server between the report that it is drained and its return.
-	of := map[string]string{} // router of a request
+	routerOf := map[string]string{} // router of a request
 	for _, e := range events {
 		if e.Kind == checker.Sent {
-			of[e.Request] = e.Router
+			routerOf[e.Request] = e.Router
 		}
 	}
 	for _, c := range fl.changes {
@@ -428,19 +439,22 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS ||
+				c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
 				continue
 			}
-			known := true
+			isKnown := true
 			for _, d := range fl.outages { // a paused process learns of the drain when it resumes
-				known = known && !(d.stopped && d.resource == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
+				isKnown = isKnown && !(d.stopped && d.resource == "router/"+routerOf[e.Request] &&
+					e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
-			if known {
+			if isKnown {
 				late++
 			}
 		}
 		if late > 0 {
-			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Resource, late))
+			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was reported as drained",
+				c.Resource, late))
 		}
 	}
 	return fails
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -25,7 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
+	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")},
+		Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
 }
 
 // Runs three seeds of planned changes of all servers and most routers, with faults between all
@@ -148,7 +149,8 @@
 			thing := "server/" + fl.members[i].entry.ID
 			file := filepath.Join(fl.options.Dir, at)
 			for run := 0; ; run++ {
-				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
+				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing,
+					"--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
 					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
 				}
@@ -199,10 +201,12 @@
 	t.Parallel()
 	o := plannedChangeOptions(t)
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/",
+		"../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
+	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"},
+		"lies-all", 0
 	f, err := scenario.Suspects(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -229,8 +233,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.DurationS, f.Load.Rate, f.Fleet.Coordinators, f.Fleet.Out = 18, 150, 3, scenario.Out{Servers: 2, Routers: 1, WarmS: 0.5, Busy: 0.1}
-	f.Faults = []scenario.Fault{{AtS: 2, What: "origin-busy", ForS: 10}, {AtS: 9, What: "change-servers", Share: 1, DownS: 0.2}}
+	f.DurationS, f.Load.Rate, f.Fleet.Coordinators, f.Fleet.Out = 18, 150, 3,
+		scenario.Out{Servers: 2, Routers: 1, WarmS: 0.5, Busy: 0.1}
+	f.Faults = []scenario.Fault{{AtS: 2, What: "origin-busy", ForS: 10},
+		{AtS: 9, What: "change-servers", Share: 1, DownS: 0.2}}
 	res, err := Run(t.Context(), f, o)
 	if err != nil {
 		t.Fatal(err)
@@ -249,7 +255,8 @@
 		first = min(first, c.StoppedAtMS-c.RequestedAtMS)
 	}
 	if first < 3000 { // requested three seconds before the fault is over
-		t.Errorf("a change started %.0f ms after it was requested, while the fleet was over its limit: %+v", first, res.Changes)
+		t.Errorf("a change started %.0f ms after it was requested, while the fleet was over its limit: %+v",
+			first, res.Changes)
 	}
 	t.Logf("the first change started %.1f s after it was requested", first/1000)
 }
@@ -262,15 +269,25 @@
 		outages []outage
 		events  []checker.Event
 	}{
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2}, {Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil}, // not noticed yet
-		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1, 2}}}, nil, nil},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}},
+			{Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
+		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2},
+			{Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}},
+			[]outage{{resource: "server/a", from: 5000}}, nil},
+		// not noticed yet
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}},
+			[]outage{{resource: "server/a", from: 5000}}, nil},
+		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2,
+			Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
-			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
+		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
+			nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15},
+				{Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
+			[]outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
+			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"},
+				{Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
 		fl.File.Fleet.Out = scenario.Out{Servers: 1, Routers: 1, WarmS: 1}
@@ -313,7 +330,7 @@
 		text, _ := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 		return string(text), err
 	}
-	must := func(want string, args ...string) {
+	mustPrint := func(want string, args ...string) {
 		t.Helper()
 		if err := retryUntil(ctx, time.Minute, func() error {
 			out, err := tool(args...)
@@ -328,7 +345,7 @@
 			t.Fatal(err)
 		}
 	}
-	began := func(server string) (n int) {
+	countAttempts := func(server string) (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
 			if e.Kind == checker.Whole && e.Server == server {
@@ -339,21 +356,22 @@
 	}
 	first, second := fl.members[0].entry.ID, fl.members[1].entry.ID
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if began(first) == 0 {
+		if countAttempts(first) == 0 {
 			return fmt.Errorf("nothing is sent to %s", first)
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	must("drained", "drain", "server/"+first)
-	at := began(first)
-	must("by plan", "fleet")
-	if out, err := tool("drain", "server/"+second, "--within", "2s"); err == nil || !strings.Contains(out, "1 of at most 1 out: "+first+" (by plan)") {
+	mustPrint("drained", "drain", "server/"+first)
+	at := countAttempts(first)
+	mustPrint("by plan", "fleet")
+	if out, err := tool("drain", "server/"+second, "--within", "2s"); err == nil ||
+		!strings.Contains(out, "1 of at most 1 out: "+first+" (by plan)") {
 		t.Errorf("a second drain: %v\n%s", err, out)
 	}
-	must("", "halt", "--why", "enough")
-	must("HALTED by", "fleet")
+	mustPrint("", "halt", "--why", "enough")
+	mustPrint("HALTED by", "fleet")
 	r := fl.allRouters()[0]
 	p := r.newest()
 	r.signal(p, 15)
@@ -361,7 +379,7 @@
 	if err := fl.startRouter(ctx, r); err != nil {
 		t.Fatal(err)
 	}
-	sent := func() (n int) {
+	countRequests := func() (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
 			if e.Kind == checker.Sent && e.Router == r.name {
@@ -370,16 +388,16 @@
 		}
 		return n
 	}
-	before := sent()
+	before := countRequests()
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if sent() < before+50 {
+		if countRequests() < before+50 {
 			return fmt.Errorf("router %s gets no requests", r.name)
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if n := began(first); n != at {
+	if n := countAttempts(first); n != at {
 		t.Errorf("%d attempts began at the drained server, also counting the router that started meanwhile", n-at)
 	}
 	for _, c := range fl.coordinators.coords { // paused, so that they accept calls but don't answer
@@ -395,11 +413,11 @@
 	for _, c := range fl.coordinators.coords {
 		c.signal(18)
 	}
-	must("", "resume")
-	at = began(first)
-	must("", "undrain", "server/"+first)
+	mustPrint("", "resume")
+	at = countAttempts(first)
+	mustPrint("", "undrain", "server/"+first)
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if began(first) == at {
+		if countAttempts(first) == at {
 			return fmt.Errorf("nothing is sent to %s, which was undrained", first)
 		}
 		return nil
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -126,18 +126,18 @@
 // the router together.
 func (fl *Fleet) judgeLimits() (failures []string) {
 	for _, r := range fl.routers {
-		most := Usage{}
+		peak := Usage{}
 		for _, s := range fl.samples {
-			most.RSSMB = max(most.RSSMB, s.Routers[r.name].RSSMB)
-			most.FDs = max(most.FDs, s.Routers[r.name].FDs)
+			peak.RSSMB = max(peak.RSSMB, s.Routers[r.name].RSSMB)
+			peak.FDs = max(peak.FDs, s.Routers[r.name].FDs)
 		}
-		if most.RSSMB > float64(fl.File.Fleet.MemoryMB) {
+		if peak.RSSMB > float64(fl.File.Fleet.MemoryMB) {
 			failures = append(failures,
-				fmt.Sprintf("router %s had %.0f MB of %d", r.name, most.RSSMB, fl.File.Fleet.MemoryMB))
+				fmt.Sprintf("router %s had %.0f MB of %d", r.name, peak.RSSMB, fl.File.Fleet.MemoryMB))
 		}
-		if most.FDs > fl.File.Fleet.Sockets {
+		if peak.FDs > fl.File.Fleet.Sockets {
 			failures = append(failures,
-				fmt.Sprintf("router %s had %d descriptors of %d", r.name, most.FDs, fl.File.Fleet.Sockets))
+				fmt.Sprintf("router %s had %d descriptors of %d", r.name, peak.FDs, fl.File.Fleet.Sockets))
 		}
 	}
 	return failures
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -167,7 +167,8 @@
 
 // fetchAnswer returns a request's fetchAnswer: that of a cache server, or of the origin after a miss and
 // for a write.
-func (f *fakeRouterState) fetchAnswer(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
+func (f *fakeRouterState) fetchAnswer(line string, w []string, id string, body []byte,
+	arrived time.Time, isConnected func() bool) string {
 	if f.mode == "rejects" {
 		return "SERVER_ERROR busy\r\n"
 	}
@@ -352,7 +353,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for mode, rule := range map[string]string{"right": "", "two-answers": "answer", "no-answer": "answer", "altered": "value", "copies": "copies",
+	for mode, rule := range map[string]string{"right": "", "two-answers": "answer",
+		"no-answer": "answer", "altered": "value", "copies": "copies",
 		"repeats": "effect", "refuses": "effect", "drained": "drain", "cold": "cold", "attempts": "attempts",
 		"long-hint": "timeout-hint", "deaf": "lost", "slams": "lost"} {
 		t.Run(mode, func(t *testing.T) {
@@ -361,7 +363,8 @@
 			if mode == "deaf" {
 				f.Load.DisconnectShare = 0.3
 			}
-			res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f,
+				Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -393,7 +396,8 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS = nil, 6
-	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self},
+		Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -414,7 +418,8 @@
 		t.Fatal(err)
 	}
 	f.DurationS, f.Faults = 10, []scenario.Fault{{AtS: 0.1, What: "shrink", Count: 1, DrainS: 9}}
-	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self},
+		Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -29,7 +29,7 @@
 	if !wait(ctx, f.AtS) {
 		return
 	}
-	over := func() {
+	waitUntilOver := func() {
 		if f.ForS > 0 {
 			wait(ctx, f.ForS)
 		} else {
@@ -37,10 +37,10 @@
 		}
 	}
 	// playAndRevert turns a fault on, waits until it is over and turns it off.
-	both := func(text string, set func(on bool)) {
+	playAndRevert := func(text string, set func(on bool)) {
 		fl.mark("%s", text)
 		set(true)
-		over()
+		waitUntilOver()
 		set(false)
 		if ctx.Err() == nil {
 			fl.mark("%s: over", text)
@@ -51,10 +51,11 @@
 		fl.crash(ctx, f)
 	case "silence", "spoil", "slow":
 		part := fl.pickServers(f)
-		both(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
+		playAndRevert(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
 			var faults fakes.Faults
 			if on {
-				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
+				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil,
+					Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
 				m.Set(faults)
@@ -62,7 +63,8 @@
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			for _, m := range part {
-				if i := slices.IndexFunc(fl.faultySpells, func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
+				if i := slices.IndexFunc(fl.faultySpells,
+					func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
 					fl.faultySpells[i].To = fl.clock.Now()
 				} else if on {
 					fl.faultySpells = append(fl.faultySpells, FaultySpell{Server: m.ID(), From: fl.clock.Now()})
@@ -70,11 +72,11 @@
 			}
 		})
 	case "origin-busy":
-		both("the origin turns all away", func(on bool) {
+		playAndRevert("the origin turns all away", func(on bool) {
 			fl.origin.Set(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
-		both("discovery is down", fl.discovery.SetDown)
+		playAndRevert("discovery is down", fl.discovery.SetDown)
 	case "watches-silent":
 		fl.mark("all open watches fall silent")
 		fl.discovery.SilenceWatches()
@@ -83,7 +85,7 @@
 		fl.discovery.Rewind(f.Versions)
 	case "partition", "partition-there", "partition-back", "delay":
 		part := fl.pickServers(f)
-		both(f.What+" at "+names(part), func(on bool) { fl.setNetworkFault(f, part, on) })
+		playAndRevert(f.What+" at "+names(part), func(on bool) { fl.setNetworkFault(f, part, on) })
 	case "shrink":
 		fl.mark("the fleet shrinks")
 		fl.drainServers(ctx, fl.pickServers(f), f.DrainS)
@@ -101,7 +103,7 @@
 			r.signal(r.newest(), syscall.SIGHUP)
 		}
 	case "discovery-silent":
-		both("discovery is silent", fl.discovery.SetSilent)
+		playAndRevert("discovery is silent", fl.discovery.SetSilent)
 	case "end-routers":
 		fl.endRouters(ctx, f)
 	case "signals":
@@ -121,7 +123,7 @@
 		for _, c := range fl.coordinators.coords {
 			c.kill()
 		}
-		if over(); ctx.Err() == nil {
+		if waitUntilOver(); ctx.Err() == nil {
 			fl.mark("the coordinators start again")
 			for _, c := range fl.coordinators.coords {
 				if err := c.start(); err != nil {
@@ -137,7 +139,7 @@
 		c := fl.coordinators.coords[fl.draw(len(fl.coordinators.coords))]
 		fl.mark("coordinator %s is killed", c.name)
 		c.kill()
-		if over(); ctx.Err() == nil {
+		if waitUntilOver(); ctx.Err() == nil {
 			if err := c.start(); err != nil {
 				fl.recordLabError(err)
 			}
@@ -149,7 +151,7 @@
 	case "tools-die", "tools-stop":
 		fl.killTools(ctx, f)
 	case "kill-routers", "stop-routers", "cut-routers":
-		fl.faultRouters(ctx, f, over)
+		fl.faultRouters(ctx, f, waitUntilOver)
 	case "rude":
 		fl.playMisbehavingClients(ctx, f.ForS)
 	}
@@ -299,12 +301,12 @@
 		}
 		for _, m := range batch {
 			i := slices.IndexFunc(fl.File.Kinds, func(k scenario.Kind) bool { return k.Name == m.entry.Kind })
-			young, err := fl.newMember(fl.File.Kinds[i], true)
+			replacement, err := fl.newMember(fl.File.Kinds[i], true)
 			if err != nil {
 				fl.recordLabError(err)
 				return
 			}
-			fl.discovery.Happened(young.entry)
+			fl.discovery.Happened(replacement.entry)
 		}
 	}
 	fl.mark("the deploy is over")
@@ -421,9 +423,12 @@
 // malformedRequests are what misbehaving clients send. A router must answer each with an error line
 // or close the connection.
 var malformedRequests = []string{
-	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) + " v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
-	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n", "mg k v O4 Pc=fetch,d=soon\r\n",
-	"mg k v Pc=fetch,d=500\r\n", "get k\r\n", "\x00\x01\x02\xff\r\n", "ms k 3 O5 Pc=publish,d=500\r\nabcdef\r\n", "GET / HTTP/1.1\r\n\r\n",
+	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) +
+		" v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
+	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n",
+	"mg k v O4 Pc=fetch,d=soon\r\n",
+	"mg k v Pc=fetch,d=500\r\n", "get k\r\n", "\x00\x01\x02\xff\r\n",
+	"ms k 3 O5 Pc=publish,d=500\r\nabcdef\r\n", "GET / HTTP/1.1\r\n\r\n",
 	"ms k 60000000 O6 Pc=publish,d=500\r\nhalf", strings.Repeat("mg k v O7 Pc=fetch\r\n", 300),
 }
 
@@ -441,9 +446,9 @@
 		if err != nil {
 			return
 		}
-		told := isMalformedRequestRejected(addr, malformedRequests[i%len(malformedRequests)])
+		isRejected := isMalformedRequestRejected(addr, malformedRequests[i%len(malformedRequests)])
 		fl.mu.Lock()
-		if fl.misbehavingClients[1]++; told {
+		if fl.misbehavingClients[1]++; isRejected {
 			fl.misbehavingClients[0]++
 		}
 		fl.mu.Unlock()
@@ -466,5 +471,6 @@
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return false
 	}
-	return err != nil || strings.HasPrefix(line, "CLIENT_ERROR") || strings.HasPrefix(line, "SERVER_ERROR") || strings.HasPrefix(line, "ERROR")
+	return err != nil || strings.HasPrefix(line, "CLIENT_ERROR") || strings.HasPrefix(line, "SERVER_ERROR") ||
+		strings.HasPrefix(line, "ERROR")
 }
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -115,20 +115,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(t.Context(), f, Options{RouterCommand: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"}, Dir: t.TempDir()}); err == nil ||
+	if _, err := Run(t.Context(), f, Options{RouterCommand: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"},
+		Dir: t.TempDir()}); err == nil ||
 		!strings.Contains(err.Error(), "no can do") {
 		t.Errorf("got %v", err)
 	}
 	command := realRouter(t)
 	f.DurationS, f.Expect = 3, scenario.Expect{}
 	killed := false
-	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
-		if !killed {
-			killed = true
-			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not through the lab, which would expect the exit
-		}
-	}})
-	if err != nil || !slices.ContainsFunc(res.Failures, func(s string) bool { return strings.Contains(s, "router r0 ended by itself") }) {
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(),
+		Progress: func(_ load.Now, fl *Fleet) {
+			if !killed {
+				killed = true
+				_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not through the lab, which would expect the exit
+			}
+		}})
+	if err != nil || !slices.ContainsFunc(res.Failures,
+		func(s string) bool { return strings.Contains(s, "router r0 ended by itself") }) {
 		t.Errorf("%v, %v", err, res.Failures)
 	}
 	if left := remainingProcesses(t, command[0]); len(left) > 0 {
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -38,9 +38,10 @@
 // logEntry is a line of a holder's log.
 type logEntry struct {
 	Claim *checker.Claim `json:"c,omitempty"`
-	Call  *checker.Op    `json:"call,omitempty"` // written before the call, so that the last call of a killed holder is known
-	ID    int            `json:"id,omitempty"`
-	Op    *checker.Op    `json:"op,omitempty"`
+	// written before the call, so that the last call of a killed holder is known
+	Call *checker.Op `json:"call,omitempty"`
+	ID   int         `json:"id,omitempty"`
+	Op   *checker.Op `json:"op,omitempty"`
 }
 
 // holder is the state of a running leaseholder process.
@@ -108,8 +109,9 @@
 		return err
 	}
 	defer f.Close()
-	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)), next: int(clock.SinceBoot()/time.Millisecond) << 12,
-		c: client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
+	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)),
+		next: int(clock.SinceBoot()/time.Millisecond) << 12,
+		c:    client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { h.c.Run(ctx) })
@@ -158,7 +160,8 @@
 		if left <= 0 {
 			break
 		}
-		h.log(logEntry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.SinceBoot())}})
+		h.log(logEntry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token,
+			From: int64(from), To: int64(clock.SinceBoot())}})
 		if h.rng.Float64() < 0.2 {
 			h.sendAct(ctx, l)
 		}
@@ -170,11 +173,12 @@
 	switch u := h.rng.Float64(); {
 	case u < 0.2 && len(h.Others) > 0:
 		to := h.Others[h.rng.IntN(len(h.Others))]
-		h.recordOperation(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
-			token, err := l.Transfer(ctx, to)
-			code, _ := codeOf(err)
-			return code, token, ""
-		})
+		h.recordOperation(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to},
+			func() (string, uint64, string) {
+				token, err := l.Transfer(ctx, to)
+				code, _ := codeOf(err)
+				return code, token, ""
+			})
 	case u < 0.8:
 		h.recordOperation(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
 			code, _ := codeOf(l.Release(ctx))
@@ -201,7 +205,8 @@
 func (h *holder) sendAct(ctx context.Context, l *client.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/act?holder=%s&lease=%s&token=%d", h.Resource, h.Name, l.Name, l.Token), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		fmt.Sprintf("http://%s/act?holder=%s&lease=%s&token=%d", h.Resource, h.Name, l.Name, l.Token), nil)
 	if err != nil {
 		return
 	}
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -79,7 +79,8 @@
 func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
 	a, puts := startGroupWithClient(t, rigCoordinators, options)
-	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
+	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)),
+		revisions: map[string]uint64{}}
 	awaitSettledGroup(t, a)
 	runToolForOutput(t, a, "members", "upgrade")
 	for i := range rigObservers {
@@ -178,8 +179,9 @@
 	r.mu.Lock()
 	gate := r.gate
 	update := state.Update
-	life.Deliveries = append(life.Deliveries, checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
-		Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
+	life.Deliveries = append(life.Deliveries,
+		checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
+			Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
 	r.mu.Unlock()
 	if gate == nil {
 		return nil
@@ -201,7 +203,8 @@
 func agreedChanges(changes []watchlog.Change) []checker.AgreedChange {
 	var all []checker.AgreedChange
 	for _, c := range changes {
-		all = append(all, checker.AgreedChange{Revision: c.Revision, Name: c.Name, Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
+		all = append(all, checker.AgreedChange{Revision: c.Revision, Name: c.Name,
+			Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
 	}
 	return all
 }
@@ -219,7 +222,8 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.agreed = append(o.agreed, checker.AgreedChange{Revision: revision, Name: name, Sum: xxhash.Sum64(value), Deleted: isDeletion})
+	o.agreed = append(o.agreed, checker.AgreedChange{Revision: revision, Name: name,
+		Sum: xxhash.Sum64(value), Deleted: isDeletion})
 	o.revisions[name] = revision
 	if isDeletion {
 		delete(o.revisions, name)
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -46,7 +46,8 @@
 				played := time.Since(began)
 				o.change(2)
 				o.awaitRouters("after it: "+observerFaults[i].name, o.routers)
-				t.Logf("%s: %.1f s, and all agreed after %.1f s", observerFaults[i].name, played.Seconds(), (time.Since(began) - played).Seconds())
+				t.Logf("%s: %.1f s, and all agreed after %.1f s", observerFaults[i].name,
+					played.Seconds(), (time.Since(began) - played).Seconds())
 			}
 			o.awaitCounted()
 			deliveries, snapshots := o.checkHistories()
@@ -113,7 +114,8 @@
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
-			err = fmt.Errorf("it reports an age of %d ms and turned %d routers away", status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
+			err = fmt.Errorf("it reports an age of %d ms and turned %d routers away",
+				status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
 		}
 		return err
 	})
@@ -197,13 +199,16 @@
 			o.t.Fatal(err)
 		}
 		if status.Acknowledged == status.Watchers && router.current().Observer() == observer.regionRelays[0].Addr() {
-			o.t.Errorf("%s has revision %d acknowledged by all, and %s does not have it in force", observer.name, newest, router.name)
+			o.t.Errorf("%s has revision %d acknowledged by all, and %s does not have it in force",
+				observer.name, newest, router.name)
 		}
 	}
-	lie := protocol.Acknowledgement{Watcher: router.name, Revision: newest + 1000}
+	forged := protocol.Acknowledgement{Watcher: router.name, Revision: newest + 1000}
 	for _, observer := range o.observers {
-		if err := client.Call(o.t.Context(), http.MethodPost, observer.api, protocol.AcknowledgePath, lie, nil); err == nil {
-			o.t.Errorf("%s accepted the acknowledgement of revision %d, which does not exist", observer.name, lie.Revision)
+		if err := client.Call(o.t.Context(), http.MethodPost, observer.api, protocol.AcknowledgePath,
+			forged, nil); err == nil {
+			o.t.Errorf("%s accepted the acknowledgement of revision %d, which does not exist",
+				observer.name, forged.Revision)
 		}
 	}
 	router.setGate(nil)
@@ -234,7 +239,8 @@
 			watchers, acknowledged = watchers+status.Watchers, acknowledged+status.Acknowledged
 		}
 		if watchers != len(o.routers) || acknowledged != len(o.routers) {
-			return fmt.Errorf("%d of %d routers are counted, %d of them with the newest revision", watchers, len(o.routers), acknowledged)
+			return fmt.Errorf("%d of %d routers are counted, %d of them with the newest revision",
+				watchers, len(o.routers), acknowledged)
 		}
 		return nil
 	})
@@ -267,7 +273,8 @@
 			t.Errorf("%v: %v, %s, want %q", words, err, out, want)
 		}
 	}
-	if out := runToolForOutput(t, o.agreement, "config", "back", "a/quota.toml", "1"); !strings.Contains(out, "revision 3") {
+	if out := runToolForOutput(t, o.agreement, "config", "back", "a/quota.toml",
+		"1"); !strings.Contains(out, "revision 3") {
 		t.Errorf("%s", out)
 	}
 	if out := runToolForOutput(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
@@ -291,7 +298,8 @@
 		}
 		return nil
 	})
-	if out := runToolForOutput(t, o.agreement, "config", "delete", "a/quota.toml", "--expect", "3"); !strings.Contains(out, "revision 4") {
+	if out := runToolForOutput(t, o.agreement, "config", "delete", "a/quota.toml", "--expect",
+		"3"); !strings.Contains(out, "revision 4") {
 		t.Errorf("%s", out)
 	}
 }
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observecost.go
@@ -42,7 +42,8 @@
 
 // MeasureObservers measures observers that a number of routers watch, idle and while a document is
 // put a number of times.
-func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int, o CoordinatorOptions) (cost ObserverCost, err error) {
+func MeasureObservers(ctx context.Context, coordinators, observers, routers, puts int,
+	o CoordinatorOptions) (cost ObserverCost, err error) {
 	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return cost, err
@@ -76,7 +77,8 @@
 	}
 	var took []time.Duration
 	for i := range puts {
-		revision, err = operator.PutDocument(ctx, coord.DocumentPut{Name: "measure", Value: fmt.Appendf(nil, "%0100d", i), Expected: revision})
+		revision, err = operator.PutDocument(ctx,
+			coord.DocumentPut{Name: "measure", Value: fmt.Appendf(nil, "%0100d", i), Expected: revision})
 		if err != nil {
 			return cost, err
 		}
@@ -97,7 +99,8 @@
 		return err
 	}
 	var answer coord.Response
-	if err := client.Call(ctx, http.MethodPost, leader.api, "/v1/upgrade", coord.Command{TargetVersion: coord.Version}, &answer); err != nil {
+	if err := client.Call(ctx, http.MethodPost, leader.api, "/v1/upgrade",
+		coord.Command{TargetVersion: coord.Version}, &answer); err != nil {
 		return err
 	}
 	if answer.Code != coord.CodeOK {
@@ -113,7 +116,8 @@
 		return err
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "version = 1\nname = %q\napi = %q\nmax_watchers = %d\n[coordinators]\n", name, api, max(routers, 1))
+	fmt.Fprintf(&text, "version = 1\nname = %q\napi = %q\nmax_watchers = %d\n[coordinators]\n",
+		name, api, max(routers, 1))
 	for coordinator, address := range r.agreement.addresses() {
 		fmt.Fprintf(&text, "%s = %q\n", coordinator, address)
 	}
@@ -122,7 +126,8 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	p := &proc{name: name, dir: dir, env: r.agreement.options.Env, command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
+	p := &proc{name: name, dir: dir, env: r.agreement.options.Env,
+		command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
 	r.observers, r.addresses = append(r.observers, p), append(r.addresses, api)
 	return p.start()
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -77,7 +77,8 @@
 	for _, r := range fl.allRouters() {
 		var s admission.State
 		if p := r.newest(); p != nil {
-			if text, err := admin.Call(ctx, p.admin, http.MethodGet, "/-/admission"); err == nil && json.Unmarshal(text, &s) == nil {
+			if text, err := admin.Call(ctx, p.admin, http.MethodGet, "/-/admission"); err == nil &&
+				json.Unmarshal(text, &s) == nil {
 				all[r.name] = s
 			}
 		}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -93,11 +93,11 @@
 
 // start runs the router's command with a configuration and returns once the process is ready.
 func (r *router) start(ctx context.Context, command, env []string, config map[string]any, ready time.Duration) error {
-	second, err := FreeAddr()
+	adminAddr, err := FreeAddr()
 	if err != nil {
 		return err
 	}
-	config["admin_addr"] = second
+	config["admin_addr"] = adminAddr
 	tmp := filepath.Join(r.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
@@ -105,11 +105,12 @@
 	if err := r.writeConfig(config); err != nil {
 		return err
 	}
-	cmd, err := Spawn(command, append([]string{"GW_CONFIG=" + r.configFile(), "TMPDIR=" + tmp}, env...), filepath.Join(r.dir, "log"))
+	cmd, err := Spawn(command, append([]string{"GW_CONFIG=" + r.configFile(), "TMPDIR=" + tmp}, env...),
+		filepath.Join(r.dir, "log"))
 	if err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
 	}
-	p := &process{cmd: cmd, admin: second, done: make(chan struct{}), started: time.Now()}
+	p := &process{cmd: cmd, admin: adminAddr, done: make(chan struct{}), started: time.Now()}
 	r.mu.Lock()
 	r.processes = append(r.processes, p)
 	r.mu.Unlock()
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -33,7 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), ReadyTimeout: ready})
+	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self},
+		Dir: t.TempDir(), ReadyTimeout: ready})
 	t.Cleanup(fl.close)
 	return fl
 }
@@ -75,7 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for script, want := range map[string]string{"exit 0": "exit status 0", "exit 4": "exit status 4", "kill -9 $$": "signal: killed"} {
+	for script, want := range map[string]string{"exit 0": "exit status 0", "exit 4": "exit status 4",
+		"kill -9 $$": "signal: killed"} {
 		fl := newFleet(f, Options{RouterCommand: []string{"/bin/sh", "-c", script}, Dir: t.TempDir()})
 		t.Cleanup(fl.close)
 		if err := fl.start(t.Context()); err == nil || !strings.Contains(err.Error(), want) {
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -66,7 +66,7 @@
 		wg.Go(func() { fl.runDriver(inner, i, file, rel) })
 	}
 	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
-	asked := false
+	isRollbackRequested := false
 	for wait(ctx, 0.1) {
 		r, err := reader.RolloutReport(ctx, 0)
 		if err != nil || r.Release == nil {
@@ -79,8 +79,8 @@
 			fl.mu.Unlock()
 			fl.mark("the release halts: %s", r.Halt.Reason)
 		}
-		if rel.Halt != "" && !asked { // the operator reacts to the halt
-			asked = fl.runTool(ctx, "release", "back")
+		if rel.Halt != "" && !isRollbackRequested { // the operator reacts to the halt
+			isRollbackRequested = fl.runTool(ctx, "release", "back")
 		}
 		if x.State == rollout.ReleaseDone {
 			fl.mu.Lock()
@@ -110,16 +110,16 @@
 
 // runDriver runs the tool that drives a release, and runs it again whenever it exits.
 func (fl *Fleet) runDriver(ctx context.Context, i int, file string, rel *Released) {
-	word := "start"
+	subcommand := "start"
 	if i > 0 {
-		word = "run"
+		subcommand = "run"
 		if !wait(ctx, 2) {
 			return
 		}
 	}
 	for ctx.Err() == nil {
-		p := fl.newToolProcess(fmt.Sprintf("driver-%d", i), "release", word, file)
-		if word == "start" {
+		p := fl.newToolProcess(fmt.Sprintf("driver-%d", i), "release", subcommand, file)
+		if subcommand == "start" {
 			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
 		if err := p.start(); err != nil {
@@ -138,8 +138,9 @@
 		fl.mu.Lock()
 		delete(fl.runningTools, p.name)
 		fl.mu.Unlock()
-		if text := p.logTail(1); word == "run" || strings.Contains(text, "is not over") || strings.Contains(text, "towards") {
-			word = "run" // the release has started, or may have: 'start' would be rejected
+		if text := p.logTail(1); subcommand == "run" || strings.Contains(text, "is not over") ||
+			strings.Contains(text, "towards") {
+			subcommand = "run" // the release has started, or may have: 'start' would be rejected
 		}
 		if !wait(ctx, 0.3) {
 			return
@@ -177,22 +178,22 @@
 				defer r.downMu.Unlock()
 				code := "0"
 				mu.Lock()
-				old := token < newest[name]
+				isOldToken := token < newest[name]
 				newest[name] = max(newest[name], token)
 				mu.Unlock()
 				fl.mu.Lock()
-				same := r.label == to && r.newest() != nil
+				isInstalled := r.label == to && r.newest() != nil
 				switch {
-				case old:
+				case isOldToken:
 					rel.Refused++
 					code = "1"
-				case same:
+				case isInstalled:
 					rel.Repeats++
 				default:
 					rel.Actions[name+" "+to]++
 				}
 				fl.mu.Unlock()
-				if !old && !same {
+				if !isOldToken && !isInstalled {
 					fl.installVersion(ctx, r, to, rel)
 				}
 				if err := os.WriteFile(strings.TrimSuffix(file, ".go")+".done", []byte(code), 0o600); err != nil {
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -32,30 +32,36 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Scenario           string                     `json:"scenario"`
-	Command            string                     `json:"command"`
-	Load               load.Result                `json:"load"`
-	Admission          map[string]admission.State `json:"doors,omitempty"` // fair admission at the end of the load, by router
-	Service            float64                    `json:"service"`         // gained share of the requests' worth, after the warm-up
-	TailService        float64                    `json:"tail"`            // the same in the last fifth
-	AttemptsPerRequest float64                    `json:"attempts_a_request"`
-	AttemptsBySecond   []int                      `json:"attempts_by_second"` // completely written, by second of the load
-	Breaches           []checker.Breach           `json:"broken"`
-	TimeoutHints       checker.TimeoutHintCounts  `json:"timeout_hints"`
-	Marks              []Mark                     `json:"marks"`
-	Samples            []Sample                   `json:"samples"`
-	Servers            []ServerResult             `json:"servers"`
-	Probes             int64                      `json:"probes"` // answered by cache servers
-	DiscoveryCalls     int                        `json:"discovery_calls"`
-	LateMS             float64                    `json:"machine_late_ms"`   // longest delay of a timer of the lab
-	MisbehavingClients [2]int                     `json:"rude"`              // misbehaving clients: those that were rejected in time, and all
-	Changes            []Change                   `json:"changes,omitempty"` // planned changes
-	Released           *Released                  `json:"released,omitempty"`
-	BudgetUse          []BudgetSample             `json:"out,omitempty"` // as the coordinators reported it, at each change
-	FaultySpells       []FaultySpell              `json:"ill,omitempty"`
-	Killed             bool                       `json:"killed,omitempty"` // the victim of Options.Kill was killed
-	Failures           []string                   `json:"failures"`         // violated rules and expectations, errors of the lab
-	Interrupted        bool                       `json:"cut"`              // stopped before its end
+	Scenario string      `json:"scenario"`
+	Command  string      `json:"command"`
+	Load     load.Result `json:"load"`
+	// fair admission at the end of the load, by router
+	Admission map[string]admission.State `json:"doors,omitempty"`
+	// gained share of the requests' worth, after the warm-up
+	Service            float64 `json:"service"`
+	TailService        float64 `json:"tail"` // the same in the last fifth
+	AttemptsPerRequest float64 `json:"attempts_a_request"`
+	// completely written, by second of the load
+	AttemptsBySecond []int                     `json:"attempts_by_second"`
+	Breaches         []checker.Breach          `json:"broken"`
+	TimeoutHints     checker.TimeoutHintCounts `json:"timeout_hints"`
+	Marks            []Mark                    `json:"marks"`
+	Samples          []Sample                  `json:"samples"`
+	Servers          []ServerResult            `json:"servers"`
+	Probes           int64                     `json:"probes"` // answered by cache servers
+	DiscoveryCalls   int                       `json:"discovery_calls"`
+	LateMS           float64                   `json:"machine_late_ms"` // longest delay of a timer of the lab
+	// misbehaving clients: those that were rejected in time, and all
+	MisbehavingClients [2]int    `json:"rude"`
+	Changes            []Change  `json:"changes,omitempty"` // planned changes
+	Released           *Released `json:"released,omitempty"`
+	// as the coordinators reported it, at each change
+	BudgetUse    []BudgetSample `json:"out,omitempty"`
+	FaultySpells []FaultySpell  `json:"ill,omitempty"`
+	Killed       bool           `json:"killed,omitempty"` // the victim of Options.Kill was killed
+	// violated rules and expectations, errors of the lab
+	Failures    []string `json:"failures"`
+	Interrupted bool     `json:"cut"` // stopped before its end
 }
 
 // FaultySpell is a time in which a cache server was silent, malfunctioning or slow, with the
@@ -72,20 +78,20 @@
 
 // count counts the attempts that were sent to the server.
 func (x *FaultySpell) count(events []checker.Event) {
-	of, by := map[string]string{}, map[string]bool{}
+	routerOf, routers := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch {
 		case e.Kind == checker.Sent:
-			of[e.Request] = e.Router
+			routerOf[e.Request] = e.Router
 		case e.Kind == checker.Whole && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
 			x.Attempts++
-			by[of[e.Request]] = true
+			routers[routerOf[e.Request]] = true
 			if e.Began > x.From+1000 {
 				x.Late++
 			}
 		}
 	}
-	x.Routers = len(by)
+	x.Routers = len(routers)
 }
 
 // result collects the run's results and checks them.
@@ -115,7 +121,8 @@
 	served := fl.summarizeLoad(&res, events)
 	fl.addServers(&res)
 	if !whole {
-		res.fail("the journal is full at %d events: the rules were checked on the first part of the run only", maxEvents)
+		res.fail("the journal is full at %d events: the rules were checked on the first part of the run only",
+			maxEvents)
 	}
 	if len(res.Breaches) > 0 {
 		res.fail("%d breaches of the rules, the first: %s", len(res.Breaches), res.Breaches[0])
@@ -222,7 +229,8 @@
 		r.fail("expect.attempts: %.2f attempts per request, must be at most %.2f", r.AttemptsPerRequest, expect.Tries)
 	}
 	if expect.Rude && r.MisbehavingClients[0] < r.MisbehavingClients[1] {
-		r.fail("expect.rude_told: %d of %d misbehaving clients got an error line or a closed connection in time", r.MisbehavingClients[0], r.MisbehavingClients[1])
+		r.fail("expect.rude_told: %d of %d misbehaving clients got an error line or a closed connection in time",
+			r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
 }
 
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -8,8 +8,8 @@
 // last endpoint list that the router received.
 func (fl *Fleet) routerConfig(r *router) map[string]any {
 	f := fl.File
-	known, isTold := fl.discovery.LastTold(r.name)
-	if !isTold {
+	known, isKnown := fl.discovery.LastTold(r.name)
+	if !isKnown {
 		fl.discovery.BookKnown(r.name)
 		known, _ = fl.discovery.LastTold(r.name)
 	}
@@ -27,7 +27,8 @@
 		if scope == "" {
 			scope = "all"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect, "keyScope": scope, "window": c.WindowMS,
+		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect,
+			"keyScope": scope, "window": c.WindowMS,
 			"target": c.AimMS, "hardLimit": c.LimitMS, "gain": c.Worth, "lateWorth": 0, "stream": false})
 	}
 	fall, over := 3.0, 2000.0
@@ -49,14 +50,22 @@
 		how = "probe"
 	}
 	return map[string]any{
-		"name": r.name, "listen": r.listen, "discovery": r.discoveryAddr(), "seed": fmt.Sprintf("%016x", f.Seed*1000+uint64(r.number)+fl.drawSeedOffset()),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": f.Fleet.MemoryMB, "sockets": f.Fleet.Sockets}, "known": known,
-		"settings": map[string]any{"balancers": f.Fleet.Routers, "myNumber": r.number, "zone": r.zone, "zones": f.Fleet.Zones,
-			"categories": classes, "kinds": kinds, "family": "cache", "familyInfo": map[string]any{"mode": "aside", "originKind": len(kinds) - 1},
-			"discovery": discovery, "weights": "rough", "projects": []any{}, "loadInfo": map[string]any{"columns": []string{"rps", "cpu", "x0"}, "how": how},
-			"caps": map[string]any{"cancel": f.Fleet.Cancel, "connIdle": connIdleMS, "connectTimeout": 250, "cpuUsPerS": 500000, "maxAttempts": f.Fleet.MaxAttempts,
-				"maxRetryAfter": f.Load.MaxAfterMS, "mayProbe": f.Fleet.Probes, "retryAfter": f.Fleet.RetryAfter, "peers": false, "secondCopies": false},
-			"rules": map[string]any{"cold": cold, "coldFrom": from, "drainGrace": f.Fleet.DrainGrace * 1000, "graceToAnswer": 20, "mustAskIn": 10000,
+		"name": r.name, "listen": r.listen, "discovery": r.discoveryAddr(),
+		"seed":   fmt.Sprintf("%016x", f.Seed*1000+uint64(r.number)+fl.drawSeedOffset()),
+		"limits": map[string]any{"cores": 1.0, "memory_mb": f.Fleet.MemoryMB, "sockets": f.Fleet.Sockets},
+		"known":  known,
+		"settings": map[string]any{"balancers": f.Fleet.Routers, "myNumber": r.number,
+			"zone": r.zone, "zones": f.Fleet.Zones,
+			"categories": classes, "kinds": kinds, "family": "cache",
+			"familyInfo": map[string]any{"mode": "aside", "originKind": len(kinds) - 1},
+			"discovery":  discovery, "weights": "rough", "projects": []any{},
+			"loadInfo": map[string]any{"columns": []string{"rps", "cpu", "x0"}, "how": how},
+			"caps": map[string]any{"cancel": f.Fleet.Cancel, "connIdle": connIdleMS,
+				"connectTimeout": 250, "cpuUsPerS": 500000, "maxAttempts": f.Fleet.MaxAttempts,
+				"maxRetryAfter": f.Load.MaxAfterMS, "mayProbe": f.Fleet.Probes,
+				"retryAfter": f.Fleet.RetryAfter, "peers": false, "secondCopies": false},
+			"rules": map[string]any{"cold": cold, "coldFrom": from, "drainGrace": f.Fleet.DrainGrace * 1000,
+				"graceToAnswer": 20, "mustAskIn": 10000,
 				"overloadFactor": fall, "overloadFor": over}},
 	}
 }
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -27,7 +27,8 @@
 		if err != nil {
 			return err
 		}
-		r := &router{name: fmt.Sprintf("r%d", i), zone: fl.File.Fleet.Zones[i%len(fl.File.Fleet.Zones)], listen: listen, number: i,
+		r := &router{name: fmt.Sprintf("r%d", i), zone: fl.File.Fleet.Zones[i%len(fl.File.Fleet.Zones)],
+			listen: listen, number: i,
 			dir: filepath.Join(fl.options.Dir, fmt.Sprintf("r%d", i))}
 		addr, err := fl.openDiscovery(r)
 		if err != nil {
@@ -65,7 +66,9 @@
 	if len(fl.options.CoordinatorCommand) == 0 {
 		return errors.New("fleet.coordinators: Options has no command of a coordinator")
 	}
-	if fl.coordinators, err = startCoordinatorGroup(ctx, n, CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir, Env: fl.options.CoordinatorEnv}); err != nil {
+	if fl.coordinators, err = startCoordinatorGroup(ctx, n,
+		CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir,
+			Env: fl.options.CoordinatorEnv}); err != nil {
 		return err
 	}
 	if fl.File.Fleet.Out.On() {
@@ -101,7 +104,8 @@
 		}
 		words = append(words, fmt.Sprintf("%q", name+"="+addr))
 	}
-	text := fmt.Sprintf("version = 1\n[agreement]\ncoordinators = [%s]\nttl = \"5s\"\nprobes = true\n", strings.Join(words, ", "))
+	text := fmt.Sprintf("version = 1\n[agreement]\ncoordinators = [%s]\nttl = \"5s\"\nprobes = true\n",
+		strings.Join(words, ", "))
 	if fl.File.Fleet.Out.On() {
 		text += "drains = true\n"
 	}
@@ -131,11 +135,13 @@
 	command, env := fl.routerCommand(r), []string(nil)
 	fl.mu.Lock()
 	if rel := fl.released; rel != nil && r.label == "v2" && mutantOfFault[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + mutantOfFault[rel.Spoil]}
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...),
+			[]string{"DOCKHINGE_MUTANT=" + mutantOfFault[rel.Spoil]}
 	}
 	fl.mu.Unlock()
 	if fl.options.FirstRouterMutant != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...), []string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...),
+			[]string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
 	}
 	if len(command) == 0 || len(env) > 0 && len(fl.options.MutantCommand) == 0 {
 		return errors.New("a bad version of the router is needed, and Options has no command of a build with mutants")
--- a/lab/fleet/rules.go
+++ b/lab/fleet/rules.go
@@ -10,7 +10,8 @@
 
 // plannedFaults are the faults that operators cause on purpose. Routers must keep serving during
 // them.
-var plannedFaults = []string{"roll", "deploy", "shrink", "upgrade", "reload", "move-discovery", "end-routers", "signals", "upgrade-one", "change-servers", "change-routers", "release-routers"}
+var plannedFaults = []string{"roll", "deploy", "shrink", "upgrade", "reload", "move-discovery",
+	"end-routers", "signals", "upgrade-one", "change-servers", "change-routers", "release-routers"}
 
 // hasOnlyPlanned reports whether all faults are planned ones.
 func hasOnlyPlanned(faults []scenario.Fault) bool {
@@ -20,7 +21,8 @@
 // rules returns the rules that the checker applies to the run.
 func (fl *Fleet) rules() checker.Rules {
 	r := checker.Rules{Classes: map[string]checker.Class{}, Group: map[string]map[string]string{"zone": {}, "cell": {}},
-		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.maxLateMS, MachineLateMS: fl.maxLateMS, MaxAttempts: fl.File.Fleet.MaxAttempts,
+		GraceMS: fl.File.Fleet.DrainGrace * 1000, SlackMS: 50 + fl.maxLateMS,
+		MachineLateMS: fl.maxLateMS, MaxAttempts: fl.File.Fleet.MaxAttempts,
 		HasOnlyPlanned: hasOnlyPlanned(fl.File.Faults), HasPushedList: !fl.File.Fleet.AskList}
 	for _, c := range fl.File.Classes {
 		r.Classes[c.Name] = checker.Class{Effect: checker.Effect(c.Effect), Scope: c.Scope, WindowMS: c.WindowMS}
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -19,11 +19,13 @@
 // build starts the fake origin, cache servers and discovery.
 func (fl *Fleet) build() (err error) {
 	f := fl.File
-	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
-		Journal: fl.journal, Work: fl.requestWork, Asked: fl.storeOriginAnswer}); err != nil {
+	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0",
+		fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
+			Journal: fl.journal, Work: fl.requestWork, Asked: fl.storeOriginAnswer}); err != nil {
 		return err
 	}
-	known := []model.Entry{{ID: fl.origin.ID(), Addr: fl.origin.Addr(), Zone: f.Fleet.Zones[0], Kind: "origin", State: "active", Weight: 1}}
+	known := []model.Entry{{ID: fl.origin.ID(), Addr: fl.origin.Addr(), Zone: f.Fleet.Zones[0],
+		Kind: "origin", State: "active", Weight: 1}}
 	for _, k := range f.Kinds {
 		for range k.Count {
 			m, err := fl.newMember(k, false)
@@ -47,8 +49,11 @@
 	if k.Model.MeanWork == 0 {
 		k.Model.MeanWork = fl.meanWork()
 	}
-	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
-		Clock: fl.clock, Journal: fl.journal, Work: fl.requestWork, Asked: fl.recordMiss, Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
+	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0",
+		fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model,
+			Seed:  fl.File.Seed + uint64(n)*7 + 100,
+			Clock: fl.clock, Journal: fl.journal, Work: fl.requestWork, Asked: fl.recordMiss,
+			Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -41,7 +41,7 @@
 // killAtStep waits until the tool is paused at its step, kills the victim, lets the tool continue,
 // and restarts the victim a little later, as a process supervisor would. resource is what is being
 // changed; once the context change is done, no process is killed any more.
-func (fl *Fleet) killAtStep(ctx, change context.Context, thing string) {
+func (fl *Fleet) killAtStep(ctx, change context.Context, resource string) {
 	k := fl.options.Kill
 	if k == nil || k.Victim == "tool" {
 		return
@@ -55,7 +55,7 @@
 			return
 		}
 	}
-	again := func() error { return nil }
+	restartVictim := func() error { return nil }
 	switch k.Victim {
 	case "leader", "follower":
 		fl.coordinatorsDownMu.Lock()
@@ -70,11 +70,14 @@
 			c = fl.coordinators.coords[(l.number+1)%len(fl.coordinators.coords)]
 		}
 		c.kill()
-		again = c.start
+		restartVictim = c.start
 	case "router", "other-router":
 		routers := fl.allRouters()
-		slices.SortFunc(routers, func(a, b *router) int { return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.name, b.name)) })
-		i := slices.IndexFunc(routers, func(r *router) bool { return "router/"+r.name == thing })
+		slices.SortFunc(routers, func(a,
+			b *router) int {
+			return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.name, b.name))
+		})
+		i := slices.IndexFunc(routers, func(r *router) bool { return "router/"+r.name == resource })
 		r := routers[max(0, i)]
 		if k.Victim == "other-router" {
 			r = routers[(max(0, i)+1)%len(routers)]
@@ -84,14 +87,15 @@
 		if p := r.newest(); p != nil {
 			fl.kill(r, p)
 			<-p.done
-			again = func() error { return fl.startRouter(ctx, r) }
+			restartVictim = func() error { return fl.startRouter(ctx, r) }
 		}
 	case "server":
 		for _, m := range fl.allMembers() {
-			if "server/"+m.entry.ID == thing && m.downMu.TryLock() { // otherwise the tool's command already has it down
+			// otherwise the tool's command already has it down
+			if "server/"+m.entry.ID == resource && m.downMu.TryLock() {
 				defer m.downMu.Unlock()
 				m.Kill()
-				again = func() error { fl.restartServer(m); return nil }
+				restartVictim = func() error { fl.restartServer(m); return nil }
 			}
 		}
 	case "other-driver":
@@ -112,7 +116,7 @@
 	if !wait(ctx, 0.7) {
 		return
 	}
-	if err := again(); err != nil && ctx.Err() == nil {
+	if err := restartVictim(); err != nil && ctx.Err() == nil {
 		fl.recordLabError(err)
 	}
 }
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -47,10 +47,14 @@
 				fl.excludedBy = map[string][]string{}
 			}
 			if fl.excludedBy[x.Name] == nil {
-				fl.marks = append(fl.marks, Mark{(fl.clock.Now() - fl.loadStartMS) / 1000, fmt.Sprintf("all routers exclude %s, reported by %v", x.Name, x.ReportedBy)})
+				fl.marks = append(fl.marks,
+					Mark{(fl.clock.Now() - fl.loadStartMS) / 1000,
+						fmt.Sprintf("all routers exclude %s, reported by %v", x.Name, x.ReportedBy)})
 			}
 			if len(x.ReportedBy) < fl.File.Fleet.Out.Quorum {
-				fl.problems = append(fl.problems, fmt.Sprintf("%s is excluded on reports of %v, and %d routers must report it", x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
+				fl.problems = append(fl.problems,
+					fmt.Sprintf("%s is excluded on reports of %v, and %d routers must report it",
+						x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
 			}
 			for _, name := range x.ReportedBy {
 				if !slices.Contains(fl.excludedBy[x.Name], name) {
@@ -69,19 +73,21 @@
 	if len(fl.excludedBy) == 0 {
 		return nil
 	}
-	of, asked := map[string]string{}, map[string]bool{}
+	routerOf, hasSent := map[string]string{}, map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
 		case checker.Sent:
-			of[e.Request] = e.Router
+			routerOf[e.Request] = e.Router
 		case checker.Whole:
-			asked[of[e.Request]+" "+e.Server] = true
+			hasSent[routerOf[e.Request]+" "+e.Server] = true
 		}
 	}
 	for _, server := range slices.Sorted(maps.Keys(fl.excludedBy)) {
 		for _, r := range fl.excludedBy[server] {
-			if !asked[r+" "+server] && (fl.options.FirstRouterMutant == "" || r != "r0") {
-				fails = append(fails, fmt.Sprintf("the report of router %s on server %s counted, and the router had sent it nothing", r, server))
+			if !hasSent[r+" "+server] && (fl.options.FirstRouterMutant == "" || r != "r0") {
+				fails = append(fails,
+					fmt.Sprintf("the report of router %s on server %s counted, and the router had sent it nothing",
+						r, server))
 			}
 		}
 	}
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -114,7 +114,8 @@
 func (d *generator) drawFaults() {
 	d.file.Faults = nil
 	kinds := []func(at float64) scenario.Fault{
-		d.drawRouterStops, d.drawRouterStops, d.drawSignals, d.drawSignals, d.drawDiscoveryMove, d.drawDiscoveryMove, d.drawDrain, d.drawDrain,
+		d.drawRouterStops, d.drawRouterStops, d.drawSignals, d.drawSignals, d.drawDiscoveryMove,
+		d.drawDiscoveryMove, d.drawDrain, d.drawDrain,
 		d.drawCrash, d.drawSilence, d.drawBadAnswers, d.drawSlowServer, d.drawDiscoveryFault, d.drawUpgrade,
 	}
 	last := d.file.DurationS - quietEndS
