--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -21,22 +21,22 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// TestMain lets the test's own program stand in for a router: a simple one that keeps the rules, or one that breaks a
-// certain one on purpose.
+// TestMain runs the test binary as a fake router if FAKE_ROUTER is set: a simple router that keeps
+// the rules, or one that breaks the rule of its mode.
 func TestMain(m *testing.M) {
 	if mode := os.Getenv("FAKE_ROUTER"); mode != "" {
-		if err := fakeRouter(mode); err != nil {
+		if err := runFakeRouter(mode); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
 	code := m.Run()
-	os.RemoveAll(builtIn) // "" where nothing was built
+	os.RemoveAll(builtDir) // "" where nothing was built
 	os.Exit(code)
 }
 
-type fake struct {
+type fakeRouterState struct {
 	mode      string
 	discovery string
 
@@ -45,7 +45,7 @@
 	turn int
 }
 
-func fakeRouter(mode string) error {
+func runFakeRouter(mode string) error {
 	var c struct {
 		Listen, Discovery string
 		Admin             string `json:"admin_addr"`
@@ -58,12 +58,12 @@
 	if err != nil {
 		return err
 	}
-	f := &fake{mode: mode, discovery: c.Discovery, list: c.Known}
+	f := &fakeRouterState{mode: mode, discovery: c.Discovery, list: c.Known}
 	ln, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
 	}
-	go f.follow()
+	go f.pollList()
 	var accepted atomic.Int64
 	go func() {
 		for {
@@ -86,8 +86,8 @@
 	}))
 }
 
-// follow asks for the whole list again and again; one that ignores drains asks too, and goes on as before.
-func (f *fake) follow() {
+// pollList polls the endpoint list. In mode "drained" it ignores the answers.
+func (f *fakeRouterState) pollList() {
 	for ; f.mode != "never-asks"; time.Sleep(50 * time.Millisecond) {
 		resp, err := http.Get("http://" + f.discovery + "/v1/servers")
 		if err != nil {
@@ -104,8 +104,8 @@
 	}
 }
 
-// targets are a cache server, in turn, and the origin.
-func (f *fake) targets() (cache []model.Entry, origin model.Entry) {
+// targets returns the active cache servers, rotated by one at each call, and the origin.
+func (f *fakeRouterState) targets() (cache []model.Entry, origin model.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn++
@@ -124,7 +124,7 @@
 	return cache, origin
 }
 
-func (f *fake) serve(c net.Conn) {
+func (f *fakeRouterState) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -150,7 +150,7 @@
 			}
 		}
 		isConnected := func() bool { return f.mode == "deaf" || !clientDisconnected(c, r) }
-		answer := f.ask(line, w, id, body, arrived, isConnected)
+		answer := f.fetchAnswer(line, w, id, body, arrived, isConnected)
 		switch {
 		case f.mode == "no-answer" && n%5 == 4:
 			continue
@@ -165,15 +165,17 @@
 	}
 }
 
-// ask gets a request's answer: from a cache server, and from the origin where that lacks the key, or for a write.
-func (f *fake) ask(line string, w []string, id string, body []byte, arrived time.Time, isConnected func() bool) string {
+// fetchAnswer returns a request's fetchAnswer: that of a cache server, or of the origin after a miss and
+// for a write.
+func (f *fakeRouterState) fetchAnswer(line string, w []string, id string, body []byte,
+	arrived time.Time, isConnected func() bool) string {
 	if f.mode == "rejects" {
 		return "SERVER_ERROR busy\r\n"
 	}
 	cache, origin := f.targets()
 	if f.mode == "cold" {
 		for _, e := range cache {
-			send(e.Addr, strings.Repeat(strings.ReplaceAll(line, "O"+id, "Onone"), 120), false)
+			sendToServer(e.Addr, strings.Repeat(strings.ReplaceAll(line, "O"+id, "Onone"), 120), false)
 		}
 	}
 	if w[0] == "mg" {
@@ -183,9 +185,9 @@
 		}
 		for _, e := range asked {
 			if f.mode == "copies" {
-				send(cache[len(cache)-1].Addr, line, false)
+				sendToServer(cache[len(cache)-1].Addr, line, false)
 			}
-			if got := send(e.Addr, line, true); strings.HasPrefix(got, "VA") && f.mode != "attempts" {
+			if got := sendToServer(e.Addr, line, true); strings.HasPrefix(got, "VA") && f.mode != "attempts" {
 				return got
 			}
 		}
@@ -205,9 +207,9 @@
 	if !isConnected() {
 		return ""
 	}
-	got := fetch(origin.Addr, http)
+	got := fetchFromOrigin(origin.Addr, http)
 	if f.mode == "repeats" && strings.Contains(facts, "c=tag") {
-		got = fetch(origin.Addr, http)
+		got = fetchFromOrigin(origin.Addr, http)
 	}
 	switch {
 	case f.mode == "refuses" && body != nil:
@@ -220,7 +222,7 @@
 	return fmt.Sprintf("VA %d O%s\r\n%s\r\n", len(got), id, got)
 }
 
-// clientDisconnected reports whether the client has closed its connection, as far as is known by now.
+// clientDisconnected reports whether the client is known to have closed its connection.
 func clientDisconnected(c net.Conn, r *bufio.Reader) bool {
 	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	defer c.SetReadDeadline(time.Time{})
@@ -228,20 +230,21 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// withRemaining has a list of names and values tell what is left of the client's time by now.
+// withRemaining replaces the deadline in a list of names and values by the time that is left of it.
 func withRemaining(facts string, arrived time.Time) string {
 	list := strings.Split(facts, ",")
 	for i, fact := range list {
 		if millis, ok := strings.CutPrefix(fact, "d="); ok {
-			atFirst, _ := strconv.ParseInt(millis, 10, 64) // the laboratory's clients tell numbers
+			atFirst, _ := strconv.ParseInt(millis, 10, 64) // the lab's clients send numbers
 			list[i] = fmt.Sprintf("d=%d", max(0, atFirst-time.Since(arrived).Milliseconds()))
 		}
 	}
 	return strings.Join(list, ",")
 }
 
-// send writes to a cache server over a connection of its own, and reads one answer or leaves it open for a while.
-func send(addr, text string, read bool) string {
+// sendToServer writes to a cache server over a connection of its own, and reads one answer or
+// leaves it open for a while.
+func sendToServer(addr, text string, read bool) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
@@ -265,7 +268,7 @@
 	return line + string(value)
 }
 
-func fetch(addr, text string) string {
+func fetchFromOrigin(addr, text string) string {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return ""
@@ -340,7 +343,7 @@
 drain_s = 1.3
 `
 
-// A router that breaks a rule is caught, and one that keeps them is not.
+// The checker must report a router that breaks a rule, and none that keeps the rules.
 func TestCheckerReportsEachRuleViolation(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -350,7 +353,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for mode, rule := range map[string]string{"right": "", "two-answers": "answer", "no-answer": "answer", "altered": "value", "copies": "copies",
+	for mode, rule := range map[string]string{"right": "", "two-answers": "answer",
+		"no-answer": "answer", "altered": "value", "copies": "copies",
 		"repeats": "effect", "refuses": "effect", "drained": "drain", "cold": "cold", "attempts": "attempts",
 		"long-hint": "timeout-hint", "deaf": "lost", "slams": "lost"} {
 		t.Run(mode, func(t *testing.T) {
@@ -359,7 +363,8 @@
 			if mode == "deaf" {
 				f.Load.DisconnectShare = 0.3
 			}
-			res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f,
+				Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -380,7 +385,7 @@
 	}
 }
 
-// A router that rejects all that it gets is caught where nothing has gone wrong.
+// The checker must report a router that rejects all requests although there is no fault.
 func TestRouterThatRejectsAllIsCaught(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -391,7 +396,8 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS = nil, 6
-	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self},
+		Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -400,7 +406,7 @@
 	}
 }
 
-// A router that never asks for the list is caught where a server drains for longer than any clock allows.
+// The checker must report a router that never polls the endpoint list and so misses a long drain.
 func TestRouterThatNeverPollsDiscoveryIsCaught(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
@@ -412,7 +418,8 @@
 		t.Fatal(err)
 	}
 	f.DurationS, f.Faults = 10, []scenario.Fault{{AtS: 0.1, What: "shrink", Count: 1, DrainS: 9}}
-	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self},
+		Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -16,27 +16,28 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// observerFaults are the faults of a run, each of which waits for what must come of it.
+// observerFaults are the faults of a run. Each one waits for its expected effect.
 var observerFaults = []struct {
 	name string
-	play func(*observation)
+	play func(*observerRun)
 }{
-	{"an observer is killed, and comes back with nothing", (*observation).killObserver},
-	{"an observer is stopped, and resumed with its old state", (*observation).stopObserver},
-	{"an observer is cut off from the coordinators", (*observation).cutObserver},
-	{"a region is cut off, and what it lacks is compacted", (*observation).cutRegion},
-	{"the leader is killed in mid-batch", (*observation).killLeader},
-	{"all coordinators are stopped", (*observation).stopCoordinators},
-	{"a router is slow to put a state in force, and one lies", (*observation).slowAndLying},
+	{"an observer is killed and restarted without state", (*observerRun).killObserver},
+	{"an observer is paused and resumed with its old state", (*observerRun).stopObserver},
+	{"an observer is cut off from the coordinators", (*observerRun).disconnectObserver},
+	{"a region is cut off, and the changes that it misses are compacted", (*observerRun).disconnectRegion},
+	{"the leader is killed during a batch of changes", (*observerRun).killLeader},
+	{"all coordinators are paused", (*observerRun).stopCoordinators},
+	{"a router is slow to apply a state, and a false acknowledgement is sent", (*observerRun).delayApplyAndForgeAck},
 }
 
-// Three seeds of all faults in their own order: each router sees a prefix of the agreed order over any chain of observers, and at
-// the end all agree.
+// Runs three seeds of all faults, each in its own order: over any sequence of observers each router
+// must get a prefix of the agreed order of changes, and at the end all routers must have the same
+// state.
 func TestRoutersApplyChangesInTheAgreedOrder(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := observe(t, seed, agreeOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", rigHistory)))
+			o := startObserverRun(t, seed, coordinatorOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", rigHistory)))
 			o.change(5)
 			o.awaitRouters("at the start", o.routers)
 			for _, i := range o.rng.Perm(len(observerFaults)) {
@@ -45,24 +46,28 @@
 				played := time.Since(began)
 				o.change(2)
 				o.awaitRouters("after it: "+observerFaults[i].name, o.routers)
-				t.Logf("%s: %.1f s, and all agreed after %.1f s", observerFaults[i].name, played.Seconds(), (time.Since(began) - played).Seconds())
+				t.Logf("%s: %.1f s, and all agreed after %.1f s", observerFaults[i].name,
+					played.Seconds(), (time.Since(began) - played).Seconds())
 			}
 			o.awaitCounted()
-			deliveries, snapshots := o.judge()
+			deliveries, snapshots := o.checkHistories()
 			t.Logf("%d changes, %d deliveries, %d snapshots", len(o.agreed), deliveries, snapshots)
 			if snapshots == 0 {
-				t.Error("no router ever got a snapshot: compaction was not tried")
+				t.Error("no router ever got a snapshot: compaction was not tested")
 			}
 		})
 	}
 }
 
-// one is an observer by the seed.
-func (o *observation) one() *observerProcess { return o.observers[o.rng.IntN(len(o.observers))] }
+// drawObserver draws an observer.
+func (o *observerRun) drawObserver() *observerProcess {
+	return o.observers[o.rng.IntN(len(o.observers))]
+}
 
-// killObserver has the other one serve all; some routers are restarted meanwhile.
-func (o *observation) killObserver() {
-	observer := o.one()
+// killObserver kills an observer, so that the other one must serve all routers, and restarts some
+// routers meanwhile.
+func (o *observerRun) killObserver() {
+	observer := o.drawObserver()
 	observer.kill()
 	o.change(4)
 	for _, i := range o.rng.Perm(len(o.routers))[:4] {
@@ -73,18 +78,20 @@
 	o.agreement.restart(observer.proc)
 }
 
-// stopObserver has its routers notice that it is silent, and resumes it while it is behind.
-func (o *observation) stopObserver() {
-	observer := o.one()
+// stopObserver pauses an observer, whose routers must notice that it is silent, and resumes it
+// while it is behind.
+func (o *observerRun) stopObserver() {
+	observer := o.drawObserver()
 	observer.signal(syscall.SIGSTOP)
 	defer observer.signal(syscall.SIGCONT)
 	o.change(4)
 	o.awaitRouters("by the other observer", o.routers)
 }
 
-// cutObserver has an observer tell that its state grows old, and the routers of the other one, which have newer state, come to it:
-// they must be turned away, and go back.
-func (o *observation) cutObserver() {
+// disconnectObserver cuts an observer off from the coordinators, then the routers off from the
+// other observer: the first one must report the age of its state and turn away routers with
+// newer state.
+func (o *observerRun) disconnectObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
 	setRelays(stale.upstream, fakes.Net{Cut: true})
@@ -101,24 +108,26 @@
 				return nil
 			}
 		}
-		return errNotYet // where all watched the stale one, they have to find that it is
+		return errNotYet // if all routers watch the stale observer, they must notice that first
 	})
-	setRelays(other.regions, fakes.Net{Cut: true})
+	setRelays(other.regionRelays, fakes.Net{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
-			err = fmt.Errorf("it tells %d ms, and turned %d away", status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
+			err = fmt.Errorf("it reports an age of %d ms and turned %d routers away",
+				status.AgeMillis, status.RejectedAhead-before.RejectedAhead)
 		}
 		return err
 	})
-	setRelays(other.regions, fakes.Net{})
+	setRelays(other.regionRelays, fakes.Net{})
 }
 
-// cutRegion has one region lack more than the log holds; all its routers come back at once.
-func (o *observation) cutRegion() {
+// disconnectRegion cuts a region off for more changes than the log keeps. All its routers
+// reconnect at the same time.
+func (o *observerRun) disconnectRegion() {
 	var relays []*fakes.Relay
 	for _, observer := range o.observers {
-		relays = append(relays, observer.regions[0])
+		relays = append(relays, observer.regionRelays[0])
 	}
 	setRelays(relays, fakes.Net{Cut: true})
 	defer setRelays(relays, fakes.Net{})
@@ -126,20 +135,21 @@
 	o.awaitRouters("in the other region", o.region(1))
 }
 
-// killLeader kills the leader while changes are under way; the others go on.
-func (o *observation) killLeader() {
-	leader := settled(o.t, o.agreement)
+// killLeader kills the leader while changes are in progress; the others must go on.
+func (o *observerRun) killLeader() {
+	leader := awaitSettledGroup(o.t, o.agreement)
 	var wg sync.WaitGroup
 	wg.Go(leader.kill)
 	o.change(8)
 	wg.Wait()
 	o.awaitRouters("by the other coordinators", o.routers)
 	o.agreement.restart(leader.proc)
-	settled(o.t, o.agreement)
+	awaitSettledGroup(o.t, o.agreement)
 }
 
-// stopCoordinators has observers serve on with what they have, and tell its age; a router that comes then gets all of it.
-func (o *observation) stopCoordinators() {
+// stopCoordinators pauses all coordinators: the observers must keep serving their state, also to a
+// router that starts then, and must report its age.
+func (o *observerRun) stopCoordinators() {
 	for _, c := range o.agreement.coords {
 		c.signal(syscall.SIGSTOP)
 	}
@@ -151,7 +161,7 @@
 		o.await("its age", func() error {
 			status, err := observer.status(o.t.Context())
 			if err == nil && status.AgeMillis < 2000 {
-				err = fmt.Errorf("it tells %d ms", status.AgeMillis)
+				err = fmt.Errorf("it reports an age of %d ms", status.AgeMillis)
 			}
 			return err
 		})
@@ -159,13 +169,14 @@
 	for _, c := range o.agreement.coords {
 		c.signal(syscall.SIGCONT)
 	}
-	settled(o.t, o.agreement)
+	awaitSettledGroup(o.t, o.agreement)
 }
 
-// slowAndLying has one router keep a state from being in force: it must be told as lagging also after it has spoken again. Another
-// acknowledges what there isn't, which must be refused.
-func (o *observation) slowAndLying() {
-	router := o.routers[0] // of all documents
+// delayApplyAndForgeAck makes one router slow to apply a state: it must be counted as lagging
+// even after its next heartbeat. An acknowledgement of a revision that does not exist must be
+// rejected.
+func (o *observerRun) delayApplyAndForgeAck() {
+	router := o.routers[0] // it watches all documents
 	gate := make(chan struct{})
 	router.setGate(gate)
 	o.change(1)
@@ -187,14 +198,17 @@
 		if err != nil {
 			o.t.Fatal(err)
 		}
-		if status.Acknowledged == status.Watchers && router.current().Observer() == observer.regions[0].Addr() {
-			o.t.Errorf("%s has revision %d acknowledged by all, and %s does not have it in force", observer.name, newest, router.name)
+		if status.Acknowledged == status.Watchers && router.current().Observer() == observer.regionRelays[0].Addr() {
+			o.t.Errorf("%s has revision %d acknowledged by all, and %s does not have it in force",
+				observer.name, newest, router.name)
 		}
 	}
-	lie := protocol.Acknowledgement{Watcher: router.name, Revision: newest + 1000}
+	forged := protocol.Acknowledgement{Watcher: router.name, Revision: newest + 1000}
 	for _, observer := range o.observers {
-		if err := client.Call(o.t.Context(), http.MethodPost, observer.api, protocol.AcknowledgePath, lie, nil); err == nil {
-			o.t.Errorf("%s took the acknowledgement of revision %d, which there isn't", observer.name, lie.Revision)
+		if err := client.Call(o.t.Context(), http.MethodPost, observer.api, protocol.AcknowledgePath,
+			forged, nil); err == nil {
+			o.t.Errorf("%s accepted the acknowledgement of revision %d, which does not exist",
+				observer.name, forged.Revision)
 		}
 	}
 	router.setGate(nil)
@@ -207,8 +221,9 @@
 	}
 }
 
-// awaitCounted waits until the observers count every router once, with the newest revision in force.
-func (o *observation) awaitCounted() {
+// awaitCounted waits until the observers count every router once, with the newest revision in
+// force.
+func (o *observerRun) awaitCounted() {
 	o.t.Helper()
 	newest := o.newest()
 	o.await("the observers' count", func() error {
@@ -224,23 +239,25 @@
 			watchers, acknowledged = watchers+status.Watchers, acknowledged+status.Acknowledged
 		}
 		if watchers != len(o.routers) || acknowledged != len(o.routers) {
-			return fmt.Errorf("%d of %d routers are counted, %d of them with the newest revision", watchers, len(o.routers), acknowledged)
+			return fmt.Errorf("%d of %d routers are counted, %d of them with the newest revision",
+				watchers, len(o.routers), acknowledged)
 		}
 		return nil
 	})
 }
 
-// The operators' tool puts, lists, shows and takes back documents, and tells who has them in force by the observers alone.
+// The operators' tool must put, list, show, roll back and delete documents, and report from the
+// observers at how many routers a revision is in force.
 func TestConfigCommands(t *testing.T) {
 	t.Parallel()
-	o := observe(t, 1, agreeOptions(t))
+	o := startObserverRun(t, 1, coordinatorOptions(t))
 	file := filepath.Join(t.TempDir(), "quota.toml")
 	put := func(text string, words ...string) string {
 		t.Helper()
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return tool(t, o.agreement, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
+		return runToolForOutput(t, o.agreement, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
 	}
 	put("x = 1\n")
 	if out := put("x = 2\n", "--expect", "1"); !strings.Contains(out, "revision 2") {
@@ -256,16 +273,17 @@
 			t.Errorf("%v: %v, %s, want %q", words, err, out, want)
 		}
 	}
-	if out := tool(t, o.agreement, "config", "back", "a/quota.toml", "1"); !strings.Contains(out, "revision 3") {
+	if out := runToolForOutput(t, o.agreement, "config", "back", "a/quota.toml",
+		"1"); !strings.Contains(out, "revision 3") {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
+	if out := runToolForOutput(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
+	if out := runToolForOutput(t, o.agreement, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
 		t.Errorf("%s", out)
 	}
-	if out := tool(t, o.agreement, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
+	if out := runToolForOutput(t, o.agreement, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
 		t.Errorf("%s", out)
 	}
 	var observers []string
@@ -274,13 +292,14 @@
 	}
 	want := fmt.Sprintf("revision 3 is in force at %d of %d", rigRouters, rigRouters)
 	o.await("the status", func() error {
-		out := tool(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
+		out := runToolForOutput(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
 		if !strings.Contains(out, want) {
 			return fmt.Errorf("%s", out)
 		}
 		return nil
 	})
-	if out := tool(t, o.agreement, "config", "delete", "a/quota.toml", "--expect", "3"); !strings.Contains(out, "revision 4") {
+	if out := runToolForOutput(t, o.agreement, "config", "delete", "a/quota.toml", "--expect",
+		"3"); !strings.Contains(out, "revision 4") {
 		t.Errorf("%s", out)
 	}
 }
