--- a/internal/router/admission_test.go
+++ b/internal/router/admission_test.go
@@ -37,7 +37,7 @@
 // its client disconnects, which frees its place. The third is queued and served once the first is
 // answered. The fourth can't get capacity in time and is rejected, at once or when its wait is
 // over. Each outcome is counted once.
-func TestAdmissionStandsBeforeTheBalancer(t *testing.T) {
+func TestAdmissionQueuesAndRejectsRequests(t *testing.T) {
 	release := make(chan struct{}, 10)
 	cache := startFakeServer(t, func(line string) string {
 		if !strings.HasPrefix(line, "mg") { // a health check
@@ -119,7 +119,7 @@
 // Guards against a reload that is applied in part. New rules with another tenant are applied. Rules
 // that need a new process (another table size, or admission disabled) are rejected with the name of
 // the setting, and nothing of that configuration is applied.
-func TestAdmissionRulesAtReload(t *testing.T) {
+func TestReloadOfAdmissionRulesIsAllOrNothing(t *testing.T) {
 	with := func(rules admission.Config) *Config {
 		cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 		cfg.Admission = &AdmissionConfig{Rules: rules}
@@ -152,7 +152,7 @@
 
 // Guards against a successor that starts with the initial limit, which the fleet may have no
 // capacity for, instead of the limit that the old process had reached.
-func TestAdmissionIsHandedOver(t *testing.T) {
+func TestSuccessorInheritsAdmissionLimit(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:9", endpointList{})
 	rules := singleSlotRules()
 	rules.InitialLimit = 7
--- a/internal/router/agreement_test.go
+++ b/internal/router/agreement_test.go
@@ -10,7 +10,7 @@
 // Guards against routers that repeat each other's reports of failing servers. A server ejected by
 // other routers is avoided, is not reported as this router's own evidence, and is used again when
 // the ejection expires by this router's clock.
-func TestGossipIsNotForwarded(t *testing.T) {
+func TestPeerEjectionIsNotReportedAsOwnEvidence(t *testing.T) {
 	_, entries := startFlakyFleet(t, 6, func(int, int) bool { return false })
 	run, _ := startReadyRouter(t, append(entries, originEntry(startFakeServer(t, originAnswer).addr))...)
 	r := run.router
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -14,7 +14,7 @@
 // Guards against a request that is written after a drain's grace period. If a server starts to
 // drain, is removed, changes its address or is disabled while a connection to it is being opened,
 // nothing is written to it and the request goes elsewhere.
-func TestNothingIsSentOverAConnectionThatCameUpAfterADrain(t *testing.T) {
+func TestAttemptIsNotWrittenIfServerDrainsDuringDial(t *testing.T) {
 	moved := func(e listEntry) listEntry { e.Addr = "127.0.0.1:1"; return e }
 	in := func(e listEntry, state string) listEntry { e.State = state; return e }
 	for name, event := range map[string]func(l *loop, e, other listEntry){
@@ -61,7 +61,7 @@
 
 // Guards against two attempts in flight at once. After a cancel or a timeout, the next attempt is
 // not written before the connection of the previous one is closed.
-func TestNextAttemptWaitsForTheCloseOfTheOneBefore(t *testing.T) {
+func TestNextAttemptWaitsUntilPreviousConnectionIsClosed(t *testing.T) {
 	for _, how := range []string{"cancel", "time-out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -121,7 +121,7 @@
 
 // Guards against a retry after the idempotency window. The Balancer decides on the retry within the
 // window, but its connection is opened only after the window has ended.
-func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
+func TestRetryIsNotWrittenAfterIdempotencyWindow(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late ", late), func(t *testing.T) {
 			t.Parallel()
@@ -167,7 +167,7 @@
 
 // An attempt that the Balancer cancels ends at once and its connection is closed. The client gets
 // exactly one answer.
-func TestCanceledAttemptIsGivenUp(t *testing.T) {
+func TestCanceledAttemptClosesItsConnection(t *testing.T) {
 	s, o := startFakeServer(t, func(string) string { return "" }), startFakeServer(t, originAnswer)
 	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -11,7 +11,7 @@
 // Guards against clients that hold connections without sending requests. A connection without a
 // complete command is closed in time, even if part of a command was sent. A connection with an open
 // request stays.
-func TestSilentClientsAreClosed(t *testing.T) {
+func TestSilentConnectionsAreClosed(t *testing.T) {
 	release := make(chan struct{})
 	o := startFakeServer(t, func(line string) string { <-release; return originAnswer(line) })
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, missAnswer).addr), originEntry(o.addr))
@@ -38,7 +38,7 @@
 
 // Guards against silent clients that use up all descriptors: idle connections are evicted, other
 // clients get theirs, and no connection with an open request is closed.
-func TestPlacesAreTakenFromTheIdle(t *testing.T) {
+func TestSilentConnectionsAreEvictedForNewClients(t *testing.T) {
 	release := make(chan struct{})
 	s := startFakeServer(t, func(line string) string {
 		if strings.Contains(line, "Oslow ") {
@@ -65,7 +65,7 @@
 }
 
 // A few unknown commands are answered with an error, then the connection is closed.
-func TestUnknownCommandsAreBounded(t *testing.T) {
+func TestConnectionIsClosedAfterUnknownCommands(t *testing.T) {
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
 		originEntry(startFakeServer(t, originAnswer).addr))
 	c := dialClient(t, r.addr)
@@ -83,7 +83,7 @@
 // Guards against clients that send one request and then keep their connections. Such connections
 // hold at most half of the descriptors: when another client sends a request, the one idle for
 // longest is evicted, long before its idle timeout.
-func TestClientsThatAskOnceGiveWay(t *testing.T) {
+func TestUsedIdleConnectionsHoldAtMostHalfTheDescriptors(t *testing.T) {
 	s := startFakeServer(t, hitAnswer)
 	_, addr := startLoop(t, 192, 8, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	startedAt := time.Now()
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestAnswersComeInTheOrderOfCommands(t *testing.T) {
+func TestAnswersAreWrittenInCommandOrder(t *testing.T) {
 	first := make(chan struct{})
 	s := startFakeServer(t, func(line string) string {
 		if strings.Contains(line, "Oa1 ") {
@@ -132,7 +132,7 @@
 }
 
 // With more clients than descriptors, idle connections are evicted and all clients are served.
-func TestIdleClientsMakeRoom(t *testing.T) {
+func TestIdleConnectionsAreEvictedAtDescriptorLimit(t *testing.T) {
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
 		originEntry(startFakeServer(t, originAnswer).addr))
 	for i := range 300 {
--- a/internal/router/command_test.go
+++ b/internal/router/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestMalformedClientInput(t *testing.T) {
+func TestMalformedCommandIsRejected(t *testing.T) {
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
 		originEntry(startFakeServer(t, originAnswer).addr))
 	for _, in := range []string{
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestIdsMapAsOnTheSimulatorsWire(t *testing.T) {
+func TestIDsMatchSimulatorProtocol(t *testing.T) {
 	if got := serverID("s-5be2a07c"); got != 0x5be2a07c {
 		t.Errorf("server %#x", got)
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestCommandIsRead(t *testing.T) {
+func TestReadCommandParsesAllFields(t *testing.T) {
 	in := "ms 7f3a9c21e0b4d655 3 Oa1 Pc=put,t=acme,d=480.5,k=7,r=1,h=52000,size=3,zz=1\r\nabc\r\n"
 	r := bufio.NewReaderSize(strings.NewReader(in), maxLineBytes)
 	got, err := readCommand(r)
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestBadConfigurationIsNamed(t *testing.T) {
+func TestInvalidSettingIsNamedInError(t *testing.T) {
 	good := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
 		"limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "settings": json.RawMessage(testSettings)}
 	for name, c := range map[string]struct {
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a connection reset that destroys answers: the answers before an error reach the
 // client, however much input it continues to send.
-func TestAnswersSurviveRejectedInput(t *testing.T) {
+func TestAnswersBeforeRejectedInputAreDelivered(t *testing.T) {
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
 		originEntry(startFakeServer(t, originAnswer).addr))
 	for range 20 {
@@ -39,7 +39,7 @@
 }
 
 // Guards against clients that send input forever: reading is limited in time and bytes.
-func TestEndlessInputIsCutOff(t *testing.T) {
+func TestReadingOfOversizedInputIsLimited(t *testing.T) {
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", startFakeServer(t, hitAnswer).addr),
 		originEntry(startFakeServer(t, originAnswer).addr))
 	c := dialClient(t, r.addr)
@@ -61,7 +61,7 @@
 
 // Guards against losing a command that arrives just as the connection's read deadline passes:
 // hasInput reports it even though a read only returns the deadline error.
-func TestInputIsSeenWhenTheTimeIsUp(t *testing.T) {
+func TestHasInputIgnoresReadDeadline(t *testing.T) {
 	ln := listenLocal(t)
 	c := dialClient(t, ln.Addr().String())
 	s, err := ln.Accept()
@@ -116,7 +116,7 @@
 }
 
 // Guards against dropping a command whose last part arrives while its connection is being evicted.
-func TestCommandThatCrossesItsConnectionsEndIsTaken(t *testing.T) {
+func TestCommandReceivedDuringEvictionIsAnswered(t *testing.T) {
 	s := startFakeServer(t, hitAnswer)
 	l, _, _ := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	secondReads, expire := make(chan *expiringConn, 10), newGate(t)
@@ -148,7 +148,7 @@
 
 // Guards against requests and reserved answer bytes that remain after a failed write: if an answer
 // can't be written, the requests and answers queued after it end too.
-func TestWhatStandsBehindABrokenAnswerEnds(t *testing.T) {
+func TestFailedWriteEndsPendingRequestsAndAnswers(t *testing.T) {
 	first, second := newGate(t), newGate(t)
 	s := startFakeServer(t, missAnswer)
 	o := startFakeServer(t, func(line string) string {
@@ -185,7 +185,7 @@
 
 // Guards against a command that arrives just before its connection is closed: closing would reset
 // the connection and destroy the answer before it.
-func TestCommandThatCrossesTheCloseDestroysNoAnswer(t *testing.T) {
+func TestLateCommandDoesNotDestroyAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	client := dialClient(t, ln.Addr().String())
 	nc, err := ln.Accept()
@@ -211,7 +211,7 @@
 
 // Guards against repeating a request that may have run: a server may close an idle connection just
 // as a request is written to it. The outcome is a reset, and the request is sent once.
-func TestCloseThatCrossesAWriteIsAReset(t *testing.T) {
+func TestServerCloseDuringWriteIsReset(t *testing.T) {
 	closeConn := newGate(t)
 	var armed atomic.Bool
 	o := startFakeServer(t, func(line string) string {
@@ -254,7 +254,7 @@
 // Guards against a close just after an answer, while the client's next command may be in transit:
 // the connection would be reset, and the reset could destroy the answer. The answers are ended
 // first.
-func TestAnswerThatHasJustGoneOutArrivesBeforeTheClose(t *testing.T) {
+func TestConnectionLingersAfterRecentAnswer(t *testing.T) {
 	for name, offset := range map[string]time.Duration{"just answered": time.Hour, "answered long ago": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -10,7 +10,7 @@
 // Guards against sending a waiting request to a server after its client has disconnected, in each
 // state of the connection. Here the request waits for a fetch of the same key by another client;
 // the cache server then has the value and would be asked.
-func TestRequestOfAClientThatLeftIsNotSentOn(t *testing.T) {
+func TestWaitingRequestIsNotSentAfterDisconnect(t *testing.T) {
 	for _, how := range []string{"close", "reset"} {
 		for _, c := range []struct {
 			where string
@@ -89,7 +89,7 @@
 
 // Guards against sending a command whose client closes right after it: the disconnect is noticed
 // before the loop processes the command.
-func TestCommandWithTheClientsEndBehindItIsNotSentOn(t *testing.T) {
+func TestCommandIsNotSentIfClientClosesRightAfterIt(t *testing.T) {
 	for _, command := range []string{readCommandOfKey(1, "w0", 60000) + "\r\n",
 		"ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=60000,k=7\r\nabc\r\n"} {
 		t.Run(command[:2], func(t *testing.T) {
@@ -123,7 +123,7 @@
 
 // Guards against sending a request whose client disconnects while the connection to the server is
 // being opened. The dial is blocked until the client has disconnected.
-func TestRequestWhoseConnectionComesUpLateIsNotSentOn(t *testing.T) {
+func TestRequestIsNotSentIfClientDisconnectsDuringDial(t *testing.T) {
 	for _, how := range []string{"close", "reset"} {
 		for _, busy := range []bool{false, true} {
 			t.Run(fmt.Sprint(how, " loop busy ", busy), func(t *testing.T) {
@@ -157,7 +157,7 @@
 }
 
 // Guards against a retry for a client that disconnects just as its first attempt fails.
-func TestRetryIsNotMadeForAClientThatLeft(t *testing.T) {
+func TestNoRetryAfterClientDisconnect(t *testing.T) {
 	for _, how := range []string{"close", "reset"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -232,7 +232,7 @@
 // Guards against the old process of an upgrade sending a waiting request whose client has
 // disconnected. The old process drains at once, because the new one accepts its clients; requests
 // that it has accepted are still answered.
-func TestOldProcessOfAnUpgradeSendsNothingForAClientThatLeft(t *testing.T) {
+func TestOldProcessDropsWaitingRequestOfDisconnectedClient(t *testing.T) {
 	fetch := newGate(t)
 	s := startFakeServer(t, answerOnce("EN O{id} h0\r\n", hitAnswer))
 	o := startFakeServer(t, func(line string) string { <-fetch.opened; return originAnswer(line) })
@@ -269,7 +269,7 @@
 
 // Guards against awaitDisconnect looping forever: it must return when this side closes the
 // connection, and must not report an expired read deadline as a disconnect.
-func TestWaitForAClientEndsWithItsConnection(t *testing.T) {
+func TestAwaitDisconnectReturnsWhenConnectionIsClosed(t *testing.T) {
 	ln := listenLocal(t)
 	client := dialClient(t, ln.Addr().String())
 	c, err := ln.Accept()
@@ -297,7 +297,7 @@
 // When a client disconnects, its attempt is canceled if the settings allow it. Otherwise the
 // attempt runs to its end, which is not reported to any client and is not a timeout, and its
 // connection is reused.
-func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
+func TestDisconnectCancelsAttemptIfAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		t.Run(fmt.Sprint("cancel ", allowed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -21,7 +21,7 @@
 // Guards against a polled watch that stops answering, at any point of its answer, and is not
 // replaced soon. Once its wait is over, it is replaced over another connection at once, without a
 // request from the Balancer and without its backoff.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestUnansweredWatchIsReplacedOverNewConnection(t *testing.T) {
 	for name, sent := range map[string]string{"from the start": "", "in the headers": "HTTP/1.1 200 OK\r\nContent-",
 		"before the body": "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n",
 		"in the body":     "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":2,",
@@ -75,7 +75,7 @@
 }
 
 // An invalid list is ignored, and the error names the reason.
-func TestWhatIsNoListIsTurnedDown(t *testing.T) {
+func TestInvalidListIsRejected(t *testing.T) {
 	for answer, want := range map[string]string{
 		`{}`:                        "without version",
 		`null`:                      "without version",
@@ -104,7 +104,7 @@
 // Guards against a watch that stops answering after a failure and is detected too late. The first
 // call after a failure waits only briefly for changes. Backoff, wait and slack together stay below
 // the time after which a change counts as received.
-func TestFirstWatchAfterAFailureIsShort(t *testing.T) {
+func TestFirstWatchAfterFailureIsShort(t *testing.T) {
 	const receivedWithin = 6 * time.Second
 	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.firstWatchWait +
 		sharedTiming.watchSlack; sum > receivedWithin {
@@ -157,7 +157,7 @@
 
 // Guards against a burst of calls after a failure: a watch requested before a failure is not made
 // up for after it. The Balancer requests the next one after a random backoff.
-func TestCallAskedForBeforeAFailureIsNotMade(t *testing.T) {
+func TestWatchRequestedBeforeFailureIsDropped(t *testing.T) {
 	var calls atomic.Int32
 	arrived, fail := make(chan struct{}, 10), newGate(t)
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -190,7 +190,7 @@
 
 // When an agent is back, its changes count as received at once. It is therefore called again within
 // a fraction of a drain's grace period.
-func TestAgentIsCalledAgainSoon(t *testing.T) {
+func TestAgentBackoffIsShort(t *testing.T) {
 	d := newDiscovery("127.0.0.1:1", false, 300, nil, nil)
 	for range 100 {
 		if p := d.backoff(false); p > 100*time.Millisecond {
@@ -203,7 +203,7 @@
 }
 
 // A router that restarts while discovery is unavailable serves from the list that it last held.
-func TestRestartServesFromTheKnownList(t *testing.T) {
+func TestRestartWithoutDiscoveryServesFromKnownList(t *testing.T) {
 	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	ln := listenLocal(t)
 	ln.Close() // connections are refused
@@ -234,7 +234,7 @@
 
 // The next call of a watch follows within 200 ms, even if the agent answers at once without
 // changes. An invalid list, a failure and an invalid entry end neither the watch nor the router.
-func TestDiscoveryIsFollowed(t *testing.T) {
+func TestInvalidAnswersDoNotEndTheWatch(t *testing.T) {
 	answers := []string{`{"version":1,"full":true,"servers":[]}`, `{"version":1,"servers":[]}`,
 		`{"version":2,"servers":[{"id":"s-1"`, "503",
 		`{"version":3,"full":true,"servers":[{"id":"s-0000000b","addr":"nowhere","state":"active"},` +
@@ -280,7 +280,7 @@
 
 // Guards against a watch that stops answering, so that changes sent on it are lost. It is replaced
 // soon, repeatedly if necessary, and a drain arrives with the complete list.
-func TestSilentWatchIsGivenUp(t *testing.T) {
+func TestUnansweredWatchIsReplacedByCompleteList(t *testing.T) {
 	s1, s2, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	servers := completeList(cacheEntry("s-0000000b", s1.addr), cacheEntry("s-0000000c", s2.addr), originEntry(o.addr))
 	drained := completeList(servers.Servers...)
@@ -324,7 +324,7 @@
 
 // Guards against a call that times out in an overloaded discovery's queue just before its turn: its
 // place in the queue is lost, and the next call waits as long again.
-func TestCallThatWaitsItsTurnIsNotGivenUp(t *testing.T) {
+func TestQueuedDiscoveryCallDoesNotTimeOut(t *testing.T) {
 	for name, isFirst := range map[string]bool{"complete list": true, "changes after a failure": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -46,7 +46,7 @@
 	return slices.Sorted(maps.Keys(paths))
 }
 
-func TestStateOfTheUntouchedProgramIsReadAndWritten(t *testing.T) {
+func TestHandoverStateOfEarlierVersionIsReadAndWritten(t *testing.T) {
 	text, err := os.ReadFile("testdata/handover_state.json")
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 }
 
 // A router that inherits the fixture and is asked for its own state must write the same keys.
-func TestInheritedStateIsHandedOnWithTheSameKeys(t *testing.T) {
+func TestInheritedStateIsHandedOverWithTheSameKeys(t *testing.T) {
 	text, err := os.ReadFile("testdata/handover_state.json")
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestMessagesOfTheUntouchedProgramAreReadAndWritten(t *testing.T) {
+func TestHandoverMessagesOfEarlierVersionAreReadAndWritten(t *testing.T) {
 	text, err := os.ReadFile("testdata/handover_messages.jsonl")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTwoProcessesAreOneRouter(t *testing.T) {
+func TestOldAndNewProcessShareListsCallsAndLimits(t *testing.T) {
 	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", a.addr), cacheEntry("s-0000000c", b.addr),
 		originEntry(o.addr)))
@@ -124,7 +124,7 @@
 
 // Guards against losing a list that the old process has received from discovery, but not yet
 // processed when its state is handed over.
-func TestListThatCrossesTheHandOverReachesTheNewProcess(t *testing.T) {
+func TestListReceivedDuringHandOverReachesNewProcess(t *testing.T) {
 	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", s.addr), originEntry(o.addr)))
 	old := startRouter(t, testConfig(t, d.Listener.Addr().String(), endpointList{}))
--- a/internal/router/health_test.go
+++ b/internal/router/health_test.go
@@ -56,12 +56,12 @@
 
 // Guards against keys that move to another server because connections fail at every server alike,
 // before the placement is solved for the first time.
-func TestConnectionsThatEndEverywhereMoveNoKeysAtFirst(t *testing.T) {
+func TestKeysStayHomeBeforeFirstSolveIfConnectionsFailEverywhere(t *testing.T) {
 	checkKeysStayHome(t, firstSolveDelay)
 }
 
 // Guards against the same at any time: failures that are as frequent everywhere must move no keys.
-func TestConnectionsThatEndEverywhereMoveNoKeys(t *testing.T) {
+func TestKeysStayHomeIfConnectionsFailEverywhere(t *testing.T) {
 	checkKeysStayHome(t, testTimeout)
 }
 
@@ -124,7 +124,7 @@
 
 // Guards against a retry at another server after an incomplete answer: the value is still cached at
 // the key's home, so the read is retried there. Another server would miss and fetch it.
-func TestReadThatWasCutOffIsAskedForWhereItIsKept(t *testing.T) {
+func TestReadWithIncompleteAnswerIsRetriedAtHome(t *testing.T) {
 	for name, cut := range map[string]string{"value": "VA 50 O{id} h1\r\nhel{cut}", "line": "VA 5{cut}"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -144,7 +144,7 @@
 }
 
 // A fetch whose connection ends is retried for a read, but not for a write, which may have run.
-func TestFetchThatWasCutOffIsMadeAgain(t *testing.T) {
+func TestFetchIsRetriedAfterResetButWriteIsNot(t *testing.T) {
 	s, o := startFakeServer(t, missAnswer), startFakeServer(t, answerOnce("close", originAnswer))
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
 	c := dialClient(t, r.addr)
@@ -165,7 +165,7 @@
 // Guards against a read that waits until its deadline for a lost answer, although the server works
 // and answers later requests. It is retried at the same server, and a lost fetch is retried, well
 // before the deadline.
-func TestLostAnswerIsAskedForAgain(t *testing.T) {
+func TestUnansweredReadIsRetriedBeforeDeadline(t *testing.T) {
 	lose := func(answer func(string) string) func(string) string {
 		var lost sync.Once
 		return func(line string) (got string) {
@@ -235,7 +235,7 @@
 
 // The first answer of a server may take long, over a new connection to another zone. The server
 // must not get the request twice or be ejected.
-func TestFirstAnswersAreWaitedFor(t *testing.T) {
+func TestSlowFirstAnswerIsNotRetried(t *testing.T) {
 	far := func(string) string {
 		time.Sleep(80 * time.Millisecond) // network latency
 		return "VA 5 O{id} h1 Lqps=3000,util=0.1\r\nhello\r\n"
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestForgottenIDsAreTheOldest(t *testing.T) {
+func TestLeastRecentlyListedIDIsForgotten(t *testing.T) {
 	var n serverIDs
 	n.add("first", 1)
 	for i := range maxServerIDs - 1 {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, state := range []string{"leaving", "left"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func TestFiguresCountEachEndOnce(t *testing.T) {
+func TestMetricsCountEachOutcomeOnce(t *testing.T) {
 	a, o := startFakeServer(t, func(line string) string {
 		return map[string]string{"a": hitAnswer(line), "b": "SERVER_ERROR failed\r\n"}[requestIDOf(line)[:1]]
 	}), startFakeServer(t, func(string) string { return httpAnswer("500 Internal Server Error", "") })
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestDisableOverTheList(t *testing.T) {
+func TestDisabledServerStaysDisabledAfterListUpdate(t *testing.T) {
 	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	r, d := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
 	if err := r.router.SetDisabled(t.Context(), "s-000000bb", true); !errors.Is(err, admin.ErrUnknownServer) {
@@ -79,7 +79,7 @@
 }
 
 // A call that the loop can't run in time returns an error.
-func TestCallToABusyLoop(t *testing.T) {
+func TestCallToBusyLoopReturnsError(t *testing.T) {
 	r, err := New(testConfig(t, "127.0.0.1:1", endpointList{}), listenLocal(t), metrics.New())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/overflow_test.go
+++ b/internal/router/overflow_test.go
@@ -9,7 +9,7 @@
 
 // Guards against requests that stay unread until after their deadline while every allowed
 // connection waits for an answer: requests on further connections are rejected at once.
-func TestRequestBeyondAllBusyConnectionsIsRejected(t *testing.T) {
+func TestRequestIsRejectedIfAllConnectionsAreBusy(t *testing.T) {
 	const maxConns = 3
 	silent := startFakeServer(t, func(string) string { return "" })
 	l, _, addr := startLoopAndClients(t, 192, maxConns, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
@@ -36,7 +36,7 @@
 }
 
 // Guards against silent clients whose overflow connections keep all other clients out.
-func TestSilentOverflowConnectionsEndSoon(t *testing.T) {
+func TestSilentOverflowConnectionsAreClosedSoon(t *testing.T) {
 	silent := startFakeServer(t, func(string) string { return "" })
 	_, _, addr := startLoopAndClients(t, 192, 1, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
 	busy := dialClient(t, addr)
--- a/internal/router/pool_test.go
+++ b/internal/router/pool_test.go
@@ -12,7 +12,7 @@
 
 // Guards against use of a connection that its server is about to close: a connection that was
 // acquired and not written to keeps its idle time.
-func TestUnusedConnectionKeepsItsAge(t *testing.T) {
+func TestUnusedConnectionKeepsItsIdleTime(t *testing.T) {
 	f := startFakeServer(t, hitAnswer)
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
@@ -64,7 +64,7 @@
 
 // Guards against a request on an idle connection that the server has closed: it would end with a
 // reset and might have run.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
+func TestIdleConnectionClosedByServerIsNotUsed(t *testing.T) {
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	f := startFakeServer(t, func(line string) string {
 		if strings.HasPrefix(line, "PUT") { // answers without announcing a close, and closes the connection
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestIdleConnectionsAreClosedAheadOfTheServer(t *testing.T) {
+func TestIdleConnectionsAreClosedBeforeServerTimeout(t *testing.T) {
 	f := startFakeServer(t, hitAnswer)
 	u := newTestUpstreams(t, 400*time.Millisecond, 10)
 	target, startedAt := u.add(f.addr, false), time.Now()
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestSocketLimit(t *testing.T) {
+func TestUpstreamConnectionLimit(t *testing.T) {
 	u := newTestUpstreams(t, 10*time.Second, 1)
 	f, silent := startFakeServer(t, hitAnswer), startFakeServer(t, func(string) string { return "" })
 	a, b := u.add(f.addr, false), u.add(silent.addr, false)
@@ -125,7 +125,7 @@
 
 // Guards against repeated handshakes: connections opened during a peak are used in turn. Otherwise
 // all but one would expire and be opened again at the next peak.
-func TestKeptConnectionsTakeTurns(t *testing.T) {
+func TestIdleConnectionsAreUsedInTurn(t *testing.T) {
 	f := startFakeServer(t, hitAnswer)
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -14,7 +14,7 @@
 
 // When a configuration names another discovery, the held list stays in use until the new discovery
 // provides a complete one, the old watch ends, and later changes of the old discovery are ignored.
-func TestNewDiscoveryTakesOver(t *testing.T) {
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	r, old := startReadyRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
 	c := dialClient(t, r.addr)
@@ -56,7 +56,7 @@
 
 // Guards against applying an answer of the old discovery that arrives after the change to a new
 // one.
-func TestLateAnswerOfTheOldDiscoveryIsPassedOver(t *testing.T) {
+func TestLateAnswerOfOldDiscoveryIsIgnored(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	l, err := newLoop(cfg, newUpstreams(time.Second, time.Second, 10), metrics.New())
 	if err != nil {
@@ -88,7 +88,7 @@
 	return [2]int64{s.ReloadSuccess, s.ReloadFailure}
 }
 
-func TestNewClassesAtReload(t *testing.T) {
+func TestReloadReplacesClasses(t *testing.T) {
 	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	d := startFakeDiscovery(t, completeList(cacheEntry("s-0000000b", a.addr), originEntry(o.addr)))
 	cfg := testConfig(t, d.Listener.Addr().String(), endpointList{})
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestFileThatLacksAKeyReplacesNothing(t *testing.T) {
+func TestReloadRejectsMissingKey(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	for text, key := range map[string]string{`"connIdle":10000,`: "settings.caps.connIdle",
 		`"cancel":false,`:      "settings.caps.cancel",
@@ -135,7 +135,7 @@
 
 // With a held list, one call for the changes since its version replaces the calls for the complete
 // list and the first watch, also after a failure.
-func TestHeldListIsWatchedFromItsVersion(t *testing.T) {
+func TestWatchBeginsAtVersionOfHeldList(t *testing.T) {
 	queries := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.Query().Get("after")
@@ -165,7 +165,7 @@
 
 // Guards against a request that loses its rules when its class is removed while it is queued in
 // admission.
-func TestQueuedRequestKeepsItsClassOverReload(t *testing.T) {
+func TestQueuedRequestKeepsItsRulesAfterReload(t *testing.T) {
 	r, _, answer, first, second, cfg := startWithQueuedRequest(t)
 	l := r.router.loop
 	updated := withLongDeadlines(withSettings(t, cfg, `"name":"read"`, `"name":"fetch"`))
@@ -204,7 +204,7 @@
 // Guards against a fleet that requests complete lists from another discovery, which take many times
 // as long as changes. The new discovery is asked for the changes to the list in the configuration;
 // the two together replace the held list, whose versions are unrelated.
-func TestAnotherDiscoveryIsAskedForChangesToItsConfigurationsList(t *testing.T) {
+func TestNewDiscoveryIsAskedForChangesToConfiguredList(t *testing.T) {
 	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	r := startPollingRouter(t, cacheEntry("s-0000000b", a.addr), originEntry(o.addr))
 	c := dialClient(t, r.addr)
@@ -239,7 +239,7 @@
 // Guards against a watch that stops answering just after the change to another discovery and is
 // replaced only after its usual long wait. What discovery has 4 s after the change counts as
 // received then.
-func TestSilentWatchAfterAMoveIsGivenUpSoon(t *testing.T) {
+func TestUnansweredWatchOfNewDiscoveryIsReplacedSoon(t *testing.T) {
 	a, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	entries := []listEntry{cacheEntry("s-0000000b", a.addr), originEntry(o.addr)}
 	r := startPollingRouter(t, entries...)
@@ -266,7 +266,7 @@
 
 // Guards against a router that waits long before it calls a newly configured discovery again. If
 // that is overloaded and rejects the first calls, a drain must still be applied in time.
-func TestDrainIsLearntFromACrowdedDiscovery(t *testing.T) {
+func TestDrainIsAppliedAfterRejectedDiscoveryCalls(t *testing.T) {
 	const rejectedCalls = 3
 	a, b, o := startFakeServer(t, hitAnswer), startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	entries := []listEntry{cacheEntry("s-0000000b", a.addr), cacheEntry("s-0000000c", b.addr), originEntry(o.addr)}
--- a/internal/router/requests_test.go
+++ b/internal/router/requests_test.go
@@ -10,7 +10,7 @@
 
 // Guards against records, timers and reserved memory that outlive an answered request, on a
 // connection that stays open and with deadlines far in the future.
-func TestNothingIsKeptOfAnsweredRequests(t *testing.T) {
+func TestAnsweredRequestReleasesAllResources(t *testing.T) {
 	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	l, addr := startLoop(t, 192, 10, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
 	c := dialClient(t, addr)
@@ -40,7 +40,7 @@
 }
 
 // Guards against two open requests with the same id, which cache servers could not distinguish.
-func TestIDOfAnOpenRequest(t *testing.T) {
+func TestIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	s := startFakeServer(t, func(line string) string { <-release; return hitAnswer(line) })
 	l, addr := startLoop(t, 192, 10, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
@@ -66,7 +66,7 @@
 
 // Guards against running out of memory: values being held are limited by the configured memory. A
 // write beyond that is rejected and has not run.
-func TestHeldValuesAreBounded(t *testing.T) {
+func TestWriteBeyondValueMemoryIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	o := startFakeServer(t, func(line string) string { <-release; return originAnswer(line) })
 	l, addr := startLoop(t, 16, 100, originEntry(o.addr)) // a budget of 1 MiB
@@ -101,7 +101,7 @@
 
 // Answers that clients have not received are limited too: a request beyond that is rejected before
 // it reaches the Balancer.
-func TestUntakenAnswersAreBounded(t *testing.T) {
+func TestRequestIsRejectedIfAnswerMemoryIsExhausted(t *testing.T) {
 	l, addr := startLoop(t, 16, 10, originEntry("127.0.0.1:1"))
 	l.answerBytes.reserve(int(l.answerBytes.limit.Load()))
 	c := dialClient(t, addr)
@@ -115,7 +115,7 @@
 	})
 }
 
-func TestHitIsServedAndPassedOnAsItCame(t *testing.T) {
+func TestHitIsServedAndForwardedUnchanged(t *testing.T) {
 	s, o := startFakeServer(t, hitAnswer), startFakeServer(t, originAnswer)
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
 	c := dialClient(t, r.addr)
@@ -167,7 +167,7 @@
 
 // A write that may have run fails, and is neither rejected nor repeated. One that has not run is
 // rejected.
-func TestUnsafeWriteIsNeverRepeated(t *testing.T) {
+func TestNonIdempotentWriteIsNeverRepeated(t *testing.T) {
 	for name, c := range map[string]struct{ answer, want string }{
 		"broken":      {"close", "SERVER_ERROR failed"},
 		"cut":         {"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{cut}", "SERVER_ERROR failed"},
@@ -236,7 +236,7 @@
 
 // If a cache server does not answer, the client gets one answer by its deadline, and the attempt is
 // canceled.
-func TestSilentServerIsGivenUpAtTheDeadline(t *testing.T) {
+func TestUnansweredRequestIsRejectedAtDeadline(t *testing.T) {
 	s, o := startFakeServer(t, func(string) string { return "" }), startFakeServer(t, originAnswer)
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", s.addr), originEntry(o.addr))
 	c, sentAt := dialClient(t, r.addr), time.Now()
@@ -252,7 +252,7 @@
 
 // Start times of servers are compared with the router's clock, which counts from 1970, so that no
 // start time is 0.
-func TestStartsLieOnTheClock(t *testing.T) {
+func TestClockCountsFromUnixEpoch(t *testing.T) {
 	c := clock{time.Now()}
 	if d := c.now() - float64(time.Now().UnixMilli()); d < -1000 || d > 1000 {
 		t.Errorf("the clock differs from Unix time by %v ms", d)
--- a/internal/router/shutdown_test.go
+++ b/internal/router/shutdown_test.go
@@ -12,7 +12,7 @@
 
 // A command sent on a draining connection that is still open is answered. Closing the connection
 // destroys no answer, even if part of another command was received.
-func TestCommandBehindAnOpenOneIsAnsweredWhileDraining(t *testing.T) {
+func TestPipelinedCommandIsAnsweredWhileDraining(t *testing.T) {
 	fetch := newGate(t)
 	s := startFakeServer(t, missAnswer)
 	o := startFakeServer(t, func(line string) string { <-fetch.opened; return originAnswer(line) })
@@ -36,7 +36,7 @@
 
 // Guards against requests without an answer when the process exits: all open requests, whatever
 // their deadlines, and those that arrive later are answered, even if no server answers.
-func TestAllIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestAllRequestsAreAnsweredBeforeExit(t *testing.T) {
 	silent := startFakeServer(t, func(string) string { return "" })
 	l, clients, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
 	var open []*client
@@ -63,7 +63,7 @@
 }
 
 // Guards against resetting connections that are in the listener's queue when accepting ends.
-func TestConnectionsInTheListenersQueueAreTaken(t *testing.T) {
+func TestQueuedConnectionsAreAcceptedAtShutdown(t *testing.T) {
 	s := startFakeServer(t, hitAnswer)
 	l, _, _ := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	ln := listenLocal(t)
@@ -89,7 +89,7 @@
 
 // Guards against a connection that is never idle because its client always has an open request.
 // Before the process exits, no further command is accepted on it, so none is left unanswered.
-func TestConnectionThatIsNeverIdleEndsBeforeTheProcess(t *testing.T) {
+func TestBusyConnectionIsClosedBeforeExit(t *testing.T) {
 	silent := startFakeServer(t, func(string) string { return "" })
 	l, clients, addr := startLoopAndClients(t, 192, 40, cacheEntry("s-0000000b", silent.addr), originEntry(silent.addr))
 	c := dialClient(t, addr)
@@ -126,7 +126,7 @@
 
 // At a planned restart, new connections are accepted for a while, and accepted requests are
 // answered before the exit.
-func TestStopAnswersWhatWasTaken(t *testing.T) {
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	s := startFakeServer(t, hitAnswer)
 	o := startFakeServer(t, func(line string) string {
--- a/internal/router/size_test.go
+++ b/internal/router/size_test.go
@@ -24,7 +24,7 @@
 
 // Guards against limits on list or hand-over sizes that are below a fleet of 2,500 servers: an
 // indented list of them is read, and a successor receives all of it.
-func TestListsOfALargeFleetFit(t *testing.T) {
+func TestListOfLargeFleetIsReadAndHandedOver(t *testing.T) {
 	const servers = 2500
 	want := largeFleet(servers)
 	indented, err := json.MarshalIndent(want, "", "    ")
--- a/internal/router/streaming_test.go
+++ b/internal/router/streaming_test.go
@@ -32,7 +32,7 @@
 	return string(b[:min(m, n)]), err == nil && string(b[n:]) == "\r\n"
 }
 
-func TestLargeValuesArePassedThrough(t *testing.T) {
+func TestLargeValuesAreStreamed(t *testing.T) {
 	const n = 3 << 20
 	value := distinctValue(n)
 	a, o := startFakeServer(t, func(line string) string {
@@ -65,7 +65,7 @@
 
 // Guards against a client that takes an incomplete value for complete: the value ends early, or its
 // line end is not where its length says.
-func TestLargeValueThatIsNotWhole(t *testing.T) {
+func TestIncompleteLargeValueIsDetectable(t *testing.T) {
 	const n = 300 << 10
 	for name, answer := range map[string]string{
 		"cut":    fmt.Sprintf("VA %d O{id} h1\r\n%s{cut}", n, strings.Repeat("v", n/2)),
@@ -90,7 +90,7 @@
 
 // Guards against buffering a value for a client that does not read: the server is not read either,
 // and the bytes in between are limited.
-func TestClientThatDoesNotReadHoldsBackTheServer(t *testing.T) {
+func TestSlowClientAppliesBackpressureToServer(t *testing.T) {
 	const n, step = 1 << 20, 1 << 10
 	server, up := net.Pipe() // pipes have no buffers of their own
 	down, reader := net.Pipe()
@@ -139,7 +139,7 @@
 	return fmt.Sprintf("ms 7f3a9c21e0b4d655 %d O%s Pc=bill,t=t,d=2000\r\n%s\r\n", len(value), id, value)
 }
 
-func TestLargeWritesArePassedOnWhileTheyCome(t *testing.T) {
+func TestLargeWritesAreForwardedWhileReceived(t *testing.T) {
 	value := distinctValue(3<<20 + 7)
 	o := startFakeServer(t, originAnswer)
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(o.addr))
@@ -169,7 +169,7 @@
 
 // A large write whose last chunk was not sent has not run, even if the rest was sent: it is
 // rejected and not failed.
-func TestLargeWriteThatCantBePassedOn(t *testing.T) {
+func TestUndeliverableLargeWriteIsRejected(t *testing.T) {
 	value := distinctValue(1 << 20)
 	ln := listenLocal(t) // an origin that closes each connection in the middle of a value
 	closed := make(chan struct{}, 10)
@@ -207,7 +207,7 @@
 
 // Guards against a partial write that runs, and against resources left behind by a client that
 // disconnects in the middle of a value.
-func TestLargeWriteThatBreaksOff(t *testing.T) {
+func TestIncompleteLargeWriteNeverRuns(t *testing.T) {
 	o := startFakeServer(t, originAnswer)
 	r, _ := startReadyRouter(t, cacheEntry("s-0000000b", "127.0.0.1:1"), originEntry(o.addr))
 	for _, cut := range []int{100 << 10, 1<<20 + 30} { // in the middle, and within the last chunk
--- a/internal/router/timeout_hint_test.go
+++ b/internal/router/timeout_hint_test.go
@@ -53,7 +53,7 @@
 
 const clientWaitMillis = 50000 // milliseconds that the clients of these tests wait
 
-func TestHintOfAFetchAfterAMiss(t *testing.T) {
+func TestHintOfFetchIsRemainingTime(t *testing.T) {
 	answer := newGate(t)
 	s := startFakeServer(t, func(line string) string { <-answer.opened; return missAnswer(line) })
 	o := startFakeServer(t, originAnswer)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestHintOfARetry(t *testing.T) {
+func TestHintOfRetryIsRemainingTime(t *testing.T) {
 	for _, how := range []string{"reset", "time-out"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -112,7 +112,7 @@
 
 // Guards against a hint computed before the connection is opened: the time spent connecting must be
 // subtracted.
-func TestHintOverAConnectionThatComesUpLate(t *testing.T) {
+func TestHintExcludesTimeSpentConnecting(t *testing.T) {
 	for name, command := range map[string]string{
 		"read at a cache server": readCommandOfKey(1, "w0", clientWaitMillis) + "\r\n",
 		"write at the origin": fmt.Sprintf("ms 7f3a9c21e0b4d655 3 Ow0 Pc=put,t=t,d=%d,k=7\r\nabc\r\n",
@@ -143,7 +143,7 @@
 
 // Guards against writing a request when less than a millisecond remains, even if the loop is too
 // busy to end the attempt.
-func TestNothingIsSentWithNothingLeft(t *testing.T) {
+func TestAttemptIsNotWrittenWithoutRemainingTime(t *testing.T) {
 	s, allowDial := startFakeServer(t, hitAnswer), newGate(t)
 	cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.settings.Config.HealthChecksAllowed = false // their dials would be blocked too
@@ -171,7 +171,7 @@
 
 // The head of a large write is sent before its value is complete, which is when the client's time
 // begins. Like that of other attempts, its hint is limited by the class and by the shutdown.
-func TestHintOfALargeWrite(t *testing.T) {
+func TestHintOfLargeWriteIsLimitedByClassAndShutdown(t *testing.T) {
 	const allowed = 2000 // milliseconds, by the class
 	for _, isShuttingDown := range []bool{false, true} {
 		t.Run(fmt.Sprint("shutdown ", isShuttingDown), func(t *testing.T) {
@@ -197,7 +197,7 @@
 }
 
 // Guards against a hint that ignores the time spent in admission's queue.
-func TestHintAfterAdmission(t *testing.T) {
+func TestHintExcludesTimeSpentInAdmission(t *testing.T) {
 	_, s, answer, _, second, _ := startWithQueuedRequest(t)
 	receivedAt := time.Now()
 	time.Sleep(holdTime)
@@ -211,7 +211,7 @@
 
 // Guards against a hint beyond the time by which a process that is shutting down must have answered
 // all requests, as for the old process of an upgrade.
-func TestHintBeforeTheEndOfTheProcess(t *testing.T) {
+func TestHintIsLimitedByShutdown(t *testing.T) {
 	for _, upgrade := range []bool{false, true} {
 		t.Run(fmt.Sprint("upgrade ", upgrade), func(t *testing.T) {
 			t.Parallel()
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestHintIsNeverMoreThanRemains(t *testing.T) {
+func TestHintIsRemainingTimeRoundedDown(t *testing.T) {
 	for _, c := range []struct {
 		remaining float64
 		want      timeoutHint
--- a/internal/router/upstream_test.go
+++ b/internal/router/upstream_test.go
@@ -29,7 +29,7 @@
 
 // Checks the outcome of an attempt, and whether its connection is reused, for each kind of answer
 // in both protocols.
-func TestOutcomeTable(t *testing.T) {
+func TestOutcomeOfEachKindOfAnswer(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
 		answer      string
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestNoConnectionIsNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectError(t *testing.T) {
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	ln := listenLocal(t)
 	refusing := u.add(ln.Addr().String(), false)
@@ -172,7 +172,7 @@
 }
 
 // An attempt abandoned before its first byte leaves nothing on the connection, which is reused.
-func TestCalledOffAttemptIsNotWritten(t *testing.T) {
+func TestAbandonedAttemptIsNotWritten(t *testing.T) {
 	f := startFakeServer(t, hitAnswer)
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	target := u.add(f.addr, false)
@@ -187,7 +187,7 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestHealthCheckReadsLoad(t *testing.T) {
 	u := newTestUpstreams(t, 10*time.Second, 10)
 	f := startFakeServer(t, func(string) string { return "STAT qps 12\r\nSTAT util 0.5\r\nEND\r\n" })
 	o := startFakeServer(t, func(string) string { return httpAnswer("200 OK", "", "X-Backend-Load: qps=12,util=0.5") })
@@ -204,7 +204,7 @@
 }
 
 // A load report with an invalid number is ignored completely.
-func TestUnreadableReportIsAbsent(t *testing.T) {
+func TestInvalidLoadReportIsIgnored(t *testing.T) {
 	for _, text := range []string{"", "qps", "qps=x,util=1", "qps=NaN,util=1", "qps=1,util=+Inf", "qps=-1,util=1",
 		"qps=0x1p3,util=1", "qps=1_0"} {
 		if got := readLoad(text); got != decide.NoLoadReport {
@@ -219,7 +219,7 @@
 // Guards against taking a late duplicate of the origin's answer for the answer to the next request,
 // as HTTP answers carry no request id. The connection is not used until the duplicate would have
 // arrived, and is then closed because it has input.
-func TestLateCopyIsNotTheNextAnswer(t *testing.T) {
+func TestLateDuplicateIsNotTakenForNextAnswer(t *testing.T) {
 	ln := listenLocal(t)
 	go func() {
 		for {
