--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -48,7 +48,7 @@
 	mayHaveRun bool
 	// isCanceled is set when a written attempt is canceled or times out.
 	isCanceled bool
-	// cancelStatus is the outcome if isCancelled is set, unless the attempt succeeded just before.
+	// cancelStatus is the outcome if isCanceled is set, unless the attempt succeeded just before.
 	cancelStatus decide.AttemptStatus
 	// cancelContext closes the attempt's connection.
 	cancelContext context.CancelFunc
--- a/internal/router/client_test.go
+++ b/internal/router/client_test.go
@@ -87,20 +87,20 @@
 	s := startFakeServer(t, hitAnswer)
 	_, addr := startLoop(t, 192, 8, cacheEntry("s-0000000b", s.addr), originEntry(s.addr))
 	startedAt := time.Now()
-	var kept []*client
+	var conns []*client
 	for i := range 5 {
 		c := dialClient(t, addr)
 		c.exchange(readCommandOf(fmt.Sprint("a", i), 2000))
-		kept = append(kept, c)
+		conns = append(conns, c)
 		time.Sleep(lingerAfterAnswer + 20*time.Millisecond) // idle times must differ
 	}
-	if got := kept[0].nextAnswer(); got != "EOF" {
+	if got := conns[0].nextAnswer(); got != "EOF" {
 		t.Errorf("got %q", got)
 	}
 	if took := time.Since(startedAt); took > idleTimeout {
 		t.Errorf("closed by timeout after %v", took)
 	}
-	if got := kept[4].exchange(readCommandOf("b", 2000)); got != "VA 5 Ob hello" {
+	if got := conns[4].exchange(readCommandOf("b", 2000)); got != "VA 5 Ob hello" {
 		t.Errorf("the last connection got %q", got)
 	}
 }
--- a/internal/router/connection_end_test.go
+++ b/internal/router/connection_end_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// expiringListener is a listener whose connections block in their second read until let is opened;
-// that read then returns a deadline error.
+// expiringListener is a listener whose connections block in their second read until expire is
+// opened; that read then returns a deadline error.
 type expiringListener struct {
 	net.Listener
 	secondReads chan<- *expiringConn
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -113,8 +113,8 @@
 	// dialTimeout is the timeout for connecting to discovery.
 	dialTimeout = time.Second
 	// minWatchInterval is the minimum time between watch calls that are answered without changes,
-	// so that an agent that does not wait isn't called in a tight loop. A watch may be interrupted
-	// for 200 ms.
+	// so that an agent that does not wait isn't called in a tight loop. The next call must follow
+	// within 200 ms.
 	minWatchInterval = 50 * time.Millisecond
 	// maxListBytes limits an answer. An indented list of 2,500 servers takes 0.7 MB.
 	maxListBytes = 2 << 20
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -30,20 +30,20 @@
 	return g
 }
 
-// blockDials makes each dial report its start on dialing and block until the gate up is opened.
-func (u *upstreams) blockDials(dialing chan<- struct{}, up gate) {
+// blockDials makes each dial report its start on dialing and block until allowDial is opened.
+func (u *upstreams) blockDials(dialing chan<- struct{}, allowDial gate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dialer.Timeout = testTimeout
 	u.dialer.Control = func(string, string, syscall.RawConn) error {
 		dialing <- struct{}{}
-		<-up.opened
+		<-allowDial.opened
 		return nil
 	}
 }
 
-// blockingCloseConn is a connection whose Close reports its start on closing and blocks until let
-// is opened.
+// blockingCloseConn is a connection whose Close reports its start on closing and blocks until
+// allowClose is opened.
 type blockingCloseConn struct {
 	*net.TCPConn
 	closing    chan<- struct{}
@@ -60,14 +60,14 @@
 // with then.
 func answerOnce(first string, then func(string) string) func(string) string {
 	var mu sync.Mutex
-	asked := false
+	isAnswered := false
 	return func(line string) string {
 		mu.Lock()
 		defer mu.Unlock()
-		if asked {
+		if isAnswered {
 			return then(line)
 		}
-		asked = true
+		isAnswered = true
 		return first
 	}
 }
@@ -80,7 +80,7 @@
 	connCount  atomic.Int32
 	peerCloses chan struct{} // an element for each connection closed by the other side
 
-	// accepts has an element for each accepted connection, ownCloses for each ownCloses by this
+	// accepts has an element for each accepted connection, ownCloses for each closed by this
 	// side.
 	accepts, ownCloses chan struct{}
 }
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// RunLink runs the link to another process of this router until it closes.
+// RunLink records another process of this router as joined and runs the link to it until it closes.
 func (r *Router) RunLink(ctx context.Context, link *handover.Link) {
 	r.peers.add(link, true)
 	r.splitLimits()
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -19,7 +19,7 @@
 )
 
 // startLoop starts a loop and its clients, and returns the loop and the clients' address.
-func startLoop(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, string) {
+func startLoop(t *testing.T, memoryMB int64, maxConns int, entries ...listEntry) (*loop, string) {
 	t.Helper()
 	cfg := testConfig(t, "127.0.0.1:1", endpointList{})
 	cfg.Limits.MemoryMB = memoryMB
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	ln := listenLocal(t)
-	s := newClients(l, ln, places)
+	s := newClients(l, ln, maxConns)
 	s.wg.Go(func() { l.run(t.Context()) })
 	s.wg.Go(s.accept)
 	l.post(func() { l.updateEndpoints(0, completeList(entries...)) })
@@ -52,7 +52,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("timeout after %v waiting for %s", testTimeout, what)
 		}
 	}
 }
@@ -79,22 +79,22 @@
 }
 
 // startLoopAndClients is startLoop with long deadlines; it also returns the clients.
-func startLoopAndClients(t *testing.T, memoryMB int64, places int, entries ...listEntry) (*loop, *clients, string) {
+func startLoopAndClients(t *testing.T, memoryMB int64, maxConns int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
 	cfg := withLongDeadlines(testConfig(t, "127.0.0.1:1", endpointList{}))
 	cfg.Limits.MemoryMB = memoryMB
-	return startLoopWith(t, cfg, places, entries...)
+	return startLoopWith(t, cfg, maxConns, entries...)
 }
 
 // startLoopWith is startLoopAndClients with a given configuration.
-func startLoopWith(t *testing.T, cfg *Config, places int, entries ...listEntry) (*loop, *clients, string) {
+func startLoopWith(t *testing.T, cfg *Config, maxConns int, entries ...listEntry) (*loop, *clients, string) {
 	t.Helper()
 	l, err := newLoop(cfg, newUpstreams(10*time.Second, time.Second, 100), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln := listenLocal(t)
-	s := newClients(l, ln, places)
+	s := newClients(l, ln, maxConns)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); l.run(ctx) }()
@@ -176,7 +176,7 @@
 	return ln
 }
 
-// receive returns the next element of a channel, or fails the test after wait.
+// receive returns the next element of a channel, or fails the test after testTimeout.
 func receive[T any](t testing.TB, ch <-chan T, what string) T {
 	t.Helper()
 	select {
