--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -22,9 +22,9 @@
 			if err != nil {
 				return err
 			}
-			options := func() (fleet.AgreeOptions, error) {
+			options := func() (fleet.CoordinatorOptions, error) {
 				into, err := fleet.LogDir(os.TempDir(), "agree-cost")
-				return fleet.AgreeOptions{Coord: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: into, Beat: beat, Version: version}, err
+				return fleet.CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: into, HeartbeatInterval: beat, Version: version}, err
 			}
 			if len(clients) > 0 {
 				fmt.Println("| clients | leases | all held after s | commands a s | p50 ms | p99 ms | fsync p50, p99 ms | leader: cores, MB (idle) | (busy) | other: cores, MB (idle) | (busy) | keep-alive bytes a s and client |")
@@ -35,16 +35,16 @@
 				if err != nil {
 					return err
 				}
-				m, err := fleet.MeasureAgreement(cmd.Context(), coordinators, n, leases, o)
+				m, err := fleet.MeasureCoordinators(cmd.Context(), coordinators, n, leases, o)
 				os.RemoveAll(o.Dir)
 				if err != nil {
 					return err
 				}
-				fmt.Printf("| %d | %d (%d failed) | %.1f | %.0f | %.1f | %.1f | %.1f, %.1f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.0f |\n", m.Clients, m.Leases, m.Failed, m.Opened.Seconds(), m.PerS,
+				fmt.Printf("| %d | %d (%d failed) | %.1f | %.0f | %.1f | %.1f | %.1f, %.1f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.2f, %.0f | %.0f |\n", m.Clients, m.Leases, m.Failed, m.SessionsOpenAfter.Seconds(), m.CommandsPerSecond,
 					ms(m.P50), ms(m.P99), m.Busy.FsyncP50, m.Busy.FsyncP99, m.Idle.LeaderCPU, m.Idle.LeaderMB, m.Busy.LeaderCPU, m.Busy.LeaderMB,
-					m.Idle.OtherCPU, m.Idle.OtherMB, m.Busy.OtherCPU, m.Busy.OtherMB, m.IdleBytes)
+					m.Idle.OtherCPU, m.Idle.OtherMB, m.Busy.OtherCPU, m.Busy.OtherMB, m.IdleBytesPerSecond)
 				if m.Refused > 0 {
-					fmt.Printf("%d of %d clients had no session; one was told: %s\n", m.Refused, m.Clients, m.Why)
+					fmt.Printf("%d of %d clients had no session; one was told: %s\n", m.Refused, m.Clients, m.RefusalReason)
 				}
 			}
 			if kills > 0 {
@@ -52,7 +52,7 @@
 				if err != nil {
 					return err
 				}
-				took, err := fleet.FailOver(cmd.Context(), coordinators, kills, o)
+				took, err := fleet.MeasureFailover(cmd.Context(), coordinators, kills, o)
 				os.RemoveAll(o.Dir)
 				tell("leader killed until a lease is acquired again", took)
 				if err != nil {
@@ -65,7 +65,7 @@
 					return err
 				}
 				const ttl = 2 * time.Second
-				took, err := fleet.DeadHolders(cmd.Context(), coordinators, deaths, ttl, o)
+				took, err := fleet.MeasureLeaseTakeover(cmd.Context(), coordinators, deaths, ttl, o)
 				os.RemoveAll(o.Dir)
 				tell(fmt.Sprintf("holder cut off until its lease (%v) is held by another", ttl), took)
 				if err != nil {
--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	res, err := fleet.Run(ctx, file, fleet.Options{Command: command, Coord: coordCommand(), Dir: dir, MustEnd: true})
+	res, err := fleet.Run(ctx, file, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, MustExit: true})
 	if err != nil {
 		return "", false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, dir)
 	}
@@ -120,7 +120,7 @@
 	for _, failure := range res.Failures {
 		text += "  " + failure + "\n"
 	}
-	for _, broken := range res.Broken {
+	for _, broken := range res.Breaches {
 		text += "  " + broken.String() + "\n"
 	}
 	for _, mark := range res.Marks {
--- a/internal/coord/client/retry_test.go
+++ b/internal/coord/client/retry_test.go
@@ -15,19 +15,19 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// A hundred clients get the same Retry-After. None retries sooner, and their retries are spread over half
-// of it. Otherwise they would overload the coordinator again.
+// A hundred clients get the same Retry-After. None retries sooner, and their retries are spread
+// over half of it. Otherwise they would overload the coordinator again.
 func TestRetryDelayIsSpread(t *testing.T) {
-	const asked = time.Second
+	const retryAfter = time.Second
 	for _, err := range []error{
-		&RetryLaterError{"full", asked},
-		errors.Join(errors.New("another"), &RetryLaterError{"full", asked}),
-		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: asked}},
+		&RetryLaterError{"full", retryAfter},
+		errors.Join(errors.New("another"), &RetryLaterError{"full", retryAfter}),
+		&RejectedError{coord.Response{Code: coord.CodeLimitReached, RetryAfter: retryAfter}},
 	} {
 		delays := map[time.Duration]bool{}
 		for range 100 {
 			d := RetryDelay(err, time.Millisecond)
-			if d < asked || d > asked*3/2 {
+			if d < retryAfter || d > retryAfter*3/2 {
 				t.Fatalf("%v: %v", err, d)
 			}
 			delays[d] = true
@@ -42,15 +42,15 @@
 	if d := RetryDelay(&RetryLaterError{"full", time.Hour}, 0); d > maxRetryAfter*3/2 {
 		t.Errorf("a Retry-After of an hour gives a delay of %v", d)
 	}
-	if d := RetryDelay(retryLater(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
+	if d := RetryDelay(newRetryLaterError(http.Header{"Retry-After": {"2"}}, []byte("no JSON")), 0); d < 2*time.Second {
 		t.Errorf("a delay of %v from the header alone", d)
 	}
 }
 
-// The session table is full. The client retries no sooner than the Retry-After, and a caller that waits
-// for the session gets the coordinators' reason. Otherwise the client would add load to an overloaded
-// coordinator, and an operator would not learn why there is no lease.
-func TestSessionRefused(t *testing.T) {
+// The session table is full. The client retries no sooner than the Retry-After, and a caller that
+// waits for the session gets the coordinators' reason. Otherwise the client would add load to an
+// overloaded coordinator, and an operator would not learn why there is no lease.
+func TestRejectedClientWaitsForRetryAfter(t *testing.T) {
 	const asked = 200 * time.Millisecond
 	var mu sync.Mutex
 	var attemptTimes []time.Time
@@ -83,9 +83,9 @@
 	}
 }
 
-// The leader has reached its limit of watchers, and four followers redirect to it. It must be asked once;
-// a client that followed each redirect would ask it five times in one call.
-func TestFullLeaderAskedOnce(t *testing.T) {
+// The leader has reached its limit of watchers, and four followers redirect to it. It must be asked
+// once; a client that followed each redirect would ask it five times in one call.
+func TestFullLeaderIsAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	leader := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		asked.Add(1)
@@ -113,9 +113,9 @@
 	}
 }
 
-// The leader doesn't respond in time, and four followers redirect to it. It must be asked once per call:
-// the command waits there already, and a retry would lengthen its queue.
-func TestSilentLeaderAskedOnce(t *testing.T) {
+// The leader doesn't respond in time, and four followers redirect to it. It must be asked once per
+// call: the command waits there already, and a retry would lengthen its queue.
+func TestSilentLeaderIsAskedOnce(t *testing.T) {
 	var asked atomic.Int64
 	ended := make(chan struct{})
 	leader := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -7,13 +7,13 @@
 
 // Limits of all tables and fields.
 const (
-	// MaxSessions allows for 5,100 routers and over half as many again: tools, and replaced processes
-	// whose sessions have not expired yet.
+	// MaxSessions allows for 5,100 routers and over half as many again: tools, and replaced
+	// processes whose sessions have not expired yet.
 	MaxSessions = 8192
 	MaxLeases   = 8192
 
-	// MaxCachedResponses is the number of responses kept per session for retried commands, and thereby
-	// the maximum number of commands that a client has in flight.
+	// MaxCachedResponses is the number of responses kept per session for retried commands, and
+	// thereby the maximum number of commands that a client has in flight.
 	MaxCachedResponses = 32
 
 	MaxNameBytes        = 128     // of the name of a session, client or lease
@@ -28,8 +28,8 @@
 	DefaultClockRateBound = 0.01 // fraction of the rate
 )
 
-// earlierMaxSessions is the limit before fleetLimitsVersion is in force.
-const earlierMaxSessions = 4096
+// legacyMaxSessions is the limit before fleetLimitsVersion is in force.
+const legacyMaxSessions = 4096
 
 // checkName returns what is wrong with the name in a command's field, or "".
 func checkName(field, name string) string {
@@ -44,8 +44,8 @@
 
 // maxSessions returns the limit in force.
 func (s *State) maxSessions() int {
-	if s.hasEarlierLimits() {
-		return earlierMaxSessions
+	if s.hasLegacyLimits() {
+		return legacyMaxSessions
 	}
 	return MaxSessions
 }
--- a/internal/coord/state.go
+++ b/internal/coord/state.go
@@ -14,7 +14,8 @@
 type State struct {
 	// Version is the version of commands that all coordinators support.
 	Version int `json:"v"`
-	// ClockRateBound is the maximum fraction by which clocks of holders and coordinators run fast or slow.
+	// ClockRateBound is the maximum fraction by which clocks of holders and coordinators run fast
+	// or slow.
 	ClockRateBound float64 `json:"rate"`
 	// Clock is the sum of the times that leaders have measured. It never runs ahead of real time by
 	// more than the bound, so no lease expires early.
@@ -66,9 +67,9 @@
 	return response
 }
 
-// advanceClock adds the time that the leader has measured. A leader that is replaced after measuring
-// may have its entry committed under a later term. The new leader has counted the same time itself,
-// and counting it twice would end leases early.
+// advanceClock adds the time that the leader has measured. A leader that is replaced after
+// measuring may have its entry committed under a later term. The new leader has counted the same
+// time itself, and counting it twice would end leases early.
 func (s *State) advanceClock(c Command, term uint64) {
 	if c.Term == term && c.Elapsed > 0 {
 		s.Clock += c.Elapsed
@@ -76,8 +77,8 @@
 }
 
 // ChangedLeases returns the names of the leases that were granted, transferred or freed, or whose
-// record was written, by the most recently applied command, sorted. The slice is valid until the next
-// Apply.
+// record was written, by the most recently applied command, sorted. The slice is valid until the
+// next Apply.
 func (s *State) ChangedLeases() []string { return s.changedLeases }
 
 func (s *State) execute(c Command) Response {
@@ -98,7 +99,7 @@
 
 func (s *State) setClockRate(bound float64) Response {
 	if !(bound >= 0 && bound <= MaxClockRateBound) { // also rejects NaN
-		return invalid("rate: %v is not between 0 and %v", bound, MaxClockRateBound)
+		return invalidResponse("rate: %v is not between 0 and %v", bound, MaxClockRateBound)
 	}
 	s.ClockRateBound = bound
 	s.nextExpiry = 0 // every ExpiryDelay has changed
@@ -107,7 +108,7 @@
 
 func (s *State) upgrade(target int) Response {
 	if target < s.Version || target > Version {
-		return invalid("version: %d is not from %d, which is in force, to %d", target, s.Version, Version)
+		return invalidResponse("version: %d is not from %d, which is in force, to %d", target, s.Version, Version)
 	}
 	s.Version = target
 	return Response{Code: CodeOK}
@@ -124,10 +125,11 @@
 	return s.LastToken
 }
 
-// executeInSession executes a command of an existing session. Every command keeps its session alive.
+// executeInSession executes a command of an existing session. Every command keeps its session
+// alive.
 func (s *State) executeInSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	session := s.Sessions[c.SessionID]
 	if session == nil {
@@ -141,12 +143,12 @@
 		s.endSession(c.SessionID)
 		return Response{Code: CodeOK}
 	}
-	session.forgetAcknowledged(c.AcknowledgedThrough)
+	session.discardAcknowledged(c.AcknowledgedThrough)
 	if response, ok := session.rejectDuplicate(c.Sequence); ok {
 		return response
 	}
 	response := s.executeNumbered(c, session)
-	session.remember(c.Sequence, response)
+	session.storeResponse(c.Sequence, response)
 	return response
 }
 
@@ -159,7 +161,7 @@
 		return s.putDocument(c)
 	}
 	if problem := checkName("lease", c.Lease); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	switch c.Op {
 	case OpAcquire:
@@ -167,7 +169,7 @@
 	case OpRelease, OpTransfer, OpWriteRecord:
 		return s.executeAsHolder(c)
 	}
-	return invalid("op: %q is none", c.Op)
+	return invalidResponse("op: %q is none", c.Op)
 }
 
 // Clone returns a copy that shares no mutable data.
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -18,40 +18,40 @@
 // holderEndTimeout is how long a holder may take to end.
 const holderEndTimeout = 10 * time.Second
 
-// AgreeOptions say how to play coordinators and holders.
-type AgreeOptions struct {
-	Coord    []string // the command of dockhinge-coord, built with the tag faults
-	Lab      []string // that of dockhinge-lab, likewise
-	Dir      string   // for logs and directories; it must be there
-	Env      []string // for all processes
-	Patience time.Duration
-	Beat     string // of the coordinators; "" = their default
-	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
-	Say      func(form string, v ...any)
+// CoordinatorOptions say how to play coordinators and holders.
+type CoordinatorOptions struct {
+	CoordinatorCommand []string // the command of dockhinge-coord, built with the tag faults
+	LabCommand         []string // that of dockhinge-lab, likewise
+	Dir                string   // for logs and directories; it must be there
+	Env                []string // for all processes
+	CheckTimeout       time.Duration
+	HeartbeatInterval  string // of the coordinators; "" = their default
+	Version            int    // of commands and bounds in force where costs are measured; 0 = this program's
+	Logf               func(form string, v ...any)
 }
 
-// AgreeResult is what became of a run.
-type AgreeResult struct {
-	Seed      uint64
-	Faults    int
-	Claims    int
-	Ops       int
-	Acts      int
-	Refused   int // acts that the resource refused, as their token was old
-	Grants    int
-	Broken    []checker.Breach
-	Undecided []string
-	Failures  []string // what did not hold, the broken rules among them
-	HealedS   float64  // after the last fault until all leases had been taken again
+// LeaseFaultsResult is what became of a run.
+type LeaseFaultsResult struct {
+	Seed            uint64
+	Faults          int
+	Claims          int
+	Operations      int
+	Acts            int
+	Refused         int // acts that the resource refused, as their token was old
+	Grants          int
+	Breaches        []checker.Breach
+	Undecided       []string
+	Failures        []string // what did not hold, the broken rules among them
+	RecoverySeconds float64  // after the last fault until all leases had been taken again
 }
 
 // link is a way between two processes, by their numbers.
 type link struct{ from, to int }
 
-// agreement is a run of coordinators and holders.
-type agreement struct {
+// coordinatorGroup is a run of coordinators and holders.
+type coordinatorGroup struct {
 	scenario scenario.Agreement
-	options  AgreeOptions
+	options  CoordinatorOptions
 	rng      *rand.Rand // of what the schedule leaves to the run: which byte is damaged
 
 	coords         []*coordinator
@@ -67,9 +67,9 @@
 	problems     []string
 }
 
-func newAgreement(f scenario.Agreement, o AgreeOptions, seed uint64) *agreement {
+func newCoordinatorGroup(f scenario.Agreement, o CoordinatorOptions, seed uint64) *coordinatorGroup {
 	const stream = 41 // of the seed, for what only this run draws
-	return &agreement{
+	return &coordinatorGroup{
 		scenario:     f,
 		options:      o,
 		rng:          rand.New(rand.NewPCG(seed, stream)),
@@ -80,20 +80,20 @@
 	}
 }
 
-// Agree plays coordinators and holders and judges what came of it. The error tells that it could not be played.
-func Agree(ctx context.Context, f scenario.Agreement, o AgreeOptions) (res AgreeResult, err error) {
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+// RunLeaseFaults plays coordinators and holders and judges what came of it. The error tells that it could not be played.
+func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult, err error) {
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
-	if o.Patience == 0 {
-		o.Patience = defaultLeasePatience
+	if o.CheckTimeout == 0 {
+		o.CheckTimeout = defaultLeasePatience
 	}
-	a := newAgreement(f, o, f.Seed)
+	a := newCoordinatorGroup(f, o, f.Seed)
 	defer a.close()
 	if err := a.build(); err != nil {
 		return res, err
 	}
-	if err := a.begin(ctx); err != nil {
+	if err := a.start(ctx); err != nil {
 		return res, err
 	}
 	schedule := f.Schedule()
@@ -103,24 +103,24 @@
 		return res, ctx.Err()
 	}
 	healingSince := time.Now()
-	if err := a.healed(ctx); err != nil {
+	if err := a.awaitAllLeasesFree(ctx); err != nil {
 		a.fail("after all was mended: %v", err)
 	}
-	res.HealedS = time.Since(healingSince).Seconds()
+	res.RecoverySeconds = time.Since(healingSince).Seconds()
 	a.endHolders()
 	a.judge(&res)
 	return res, nil
 }
 
 // playSchedule plays the faults at their times, until the scenario's time is over.
-func (a *agreement) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
+func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
 	defer stop()
 	for _, fault := range schedule {
 		wg.Go(func() {
 			if wait(running, fault.AtS) {
-				a.options.Say("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
+				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
 				a.play(running, fault)
 			}
 		})
@@ -130,7 +130,7 @@
 }
 
 // endHolders has all holders end in order, which they must.
-func (a *agreement) endHolders() {
+func (a *coordinatorGroup) endHolders() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(func() {
@@ -143,14 +143,14 @@
 }
 
 // fail books something that did not hold.
-func (a *agreement) fail(form string, v ...any) {
+func (a *coordinatorGroup) fail(form string, v ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.problems = append(a.problems, fmt.Sprintf(form, v...))
 }
 
 // close ends all that was started.
-func (a *agreement) close() {
+func (a *coordinatorGroup) close() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(holder.kill)
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -39,17 +39,17 @@
 // plantable is what a test's build with the tag mutants adds to the tags of the programs that it starts.
 var plantable = ""
 
-func agreeOptions(t *testing.T, env ...string) AgreeOptions {
+func agreeOptions(t *testing.T, env ...string) CoordinatorOptions {
 	t.Helper()
 	dir, err := built()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return AgreeOptions{Coord: []string{dir + "/dockhinge-coord"}, Lab: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, Patience: time.Minute}
+	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
 }
 
 // Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
-func TestNoTwoHoldersByProcesses(t *testing.T) {
+func TestLeaseNeverHasTwoHoldersDespiteFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine is no verdict
-			res, err := Agree(t.Context(), f, agreeOptions(t))
+			res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,7 +71,7 @@
 }
 
 // Holders that are stopped between their check and their act: the resource refuses what comes after another's.
-func TestStoppedHoldersAreRefused(t *testing.T) {
+func TestResourceRefusesActsOfStaleHolders(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
-	res, err := Agree(t.Context(), f, agreeOptions(t))
+	res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,9 +89,9 @@
 }
 
 // quiet is a group of coordinators without faults, and a live client of it.
-func quiet(t *testing.T, coordinators int, o AgreeOptions) (*agreement, *client.Client) {
+func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
 	t.Helper()
-	a, err := calm(t.Context(), coordinators, o)
+	a, err := startCoordinatorGroup(t.Context(), coordinators, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	return a, live(t, a, "test")
 }
 
-func live(t *testing.T, a *agreement, name string) *client.Client {
+func live(t *testing.T, a *coordinatorGroup, name string) *client.Client {
 	t.Helper()
 	c, end := liveClient(context.Background(), a.addresses(), name, 20*time.Second)
 	t.Cleanup(end)
@@ -107,10 +107,10 @@
 }
 
 // settled waits until one leads and all others follow it with all that it has.
-func settled(t *testing.T, a *agreement) *coordinator {
+func settled(t *testing.T, a *coordinatorGroup) *coordinator {
 	t.Helper()
 	var l *coordinator
-	if err := until(t.Context(), time.Minute, func() (err error) {
+	if err := retryUntil(t.Context(), time.Minute, func() (err error) {
 		if l, err = a.leader(t.Context()); err != nil {
 			return err
 		}
@@ -131,7 +131,7 @@
 }
 
 // A leader that is stopped, replaced and resumed neither answers for the state that it had nor takes a lease away.
-func TestStoppedLeader(t *testing.T) {
+func TestResumedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t))
 	old := settled(t, a)
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	old.signal(syscall.SIGSTOP)
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		l, err := a.leader(t.Context())
 		if err == nil && l == old {
 			return errors.New("still the old one")
@@ -170,7 +170,7 @@
 }
 
 // A wiped disk doesn't come back as the old voter, and neither does yesterday's; each is told what to do.
-func TestDisksThatForget(t *testing.T) {
+func TestCoordinatorWithOldOrWipedDiskIsNoVoter(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
 	lead := settled(t, a)
@@ -189,7 +189,7 @@
 	if err := os.CopyFS(copied, os.DirFS(victim.data)); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
+	a.restart(victim.proc)
 	settled(t, a)
 	for range 10 { // what yesterday's disk doesn't know
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
@@ -200,7 +200,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := until(t.Context(), time.Minute, func() error { // told to the others
+	if err := retryUntil(t.Context(), time.Minute, func() error { // told to the others
 		if s, err := victim.status(t.Context()); err != nil || s.Epoch < before.Epoch+6 {
 			return errors.Join(errors.New("its epoch has not grown yet"), err)
 		}
@@ -212,8 +212,8 @@
 	if err := errors.Join(os.RemoveAll(victim.data), os.CopyFS(victim.data, os.DirFS(copied))); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(victim.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := victim.running(); up {
 			return errors.New("it runs on with yesterday's disk")
 		}
@@ -227,8 +227,8 @@
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
 	}
-	a.up(victim.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(victim.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		s, err := victim.status(t.Context())
 		if err == nil && (s.State != "Waiting" || s.Identity == before.Identity) {
 			return fmt.Errorf("wiped, it is %s as %s", s.State, s.Identity)
@@ -243,7 +243,7 @@
 }
 
 // tool runs the operators' tool, which must not fail, and returns what it printed.
-func tool(t *testing.T, a *agreement, args ...string) string {
+func tool(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
 	if err != nil {
@@ -252,19 +252,19 @@
 	return string(out)
 }
 
-func toolCommand(a *agreement, args ...string) *exec.Cmd {
+func toolCommand(a *coordinatorGroup, args ...string) *exec.Cmd {
 	var all []string
 	for name, addr := range a.addresses() {
 		all = append(all, name+"="+addr)
 	}
-	cmd := exec.Command(a.options.Coord[0], args...)
+	cmd := exec.Command(a.options.CoordinatorCommand[0], args...)
 	cmd.Env = append(os.Environ(), "DOCKHINGE_COORDINATORS="+strings.Join(all, ","))
 	return cmd
 }
 
 // A rolling upgrade of the coordinators to the next version, one after the other, loses no lease; a program that is too old is
 // refused by words once the new version is in force.
-func TestRollingUpgrade(t *testing.T) {
+func TestRollingUpgradeKeepsLeasesAndRejectsOldProgram(t *testing.T) {
 	t.Parallel()
 	o := agreeOptions(t)
 	a, c := quiet(t, 3, o)
@@ -284,7 +284,7 @@
 			t.Fatal(err)
 		}
 		x.command[0] = dir + "/next/dockhinge-coord"
-		a.up(x.proc)
+		a.restart(x.proc)
 		settled(t, a)
 	}
 	if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
@@ -299,8 +299,8 @@
 		t.Fatal(err)
 	}
 	back.command[0] = dir + "/dockhinge-coord"
-	a.up(back.proc)
-	if err := until(t.Context(), time.Minute, func() error {
+	a.restart(back.proc)
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := back.running(); up {
 			return errors.New("the old program runs on")
 		}
@@ -314,7 +314,7 @@
 }
 
 // A command under a lease is ended before the lease's time is out, also when it won't, once no coordinator answers any more.
-func TestCommandEndsWithItsLease(t *testing.T) {
+func TestCommandIsKilledBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
 	a, _ := quiet(t, 3, agreeOptions(t))
 	settled(t, a)
@@ -327,7 +327,7 @@
 	done := make(chan error, 1)
 	go func() { done <- cmd.Wait() }()
 	var token, pid int
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		text, err := os.ReadFile(marks)
 		if err == nil {
 			_, err = fmt.Sscan(string(text), &token, &pid)
@@ -339,7 +339,7 @@
 	for _, x := range a.coords {
 		x.signal(syscall.SIGSTOP)
 	}
-	if err := until(t.Context(), time.Minute, func() error {
+	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if syscall.Kill(pid, 0) == nil {
 			return errors.New("the command runs on")
 		}
@@ -363,7 +363,7 @@
 }
 
 // A client whose requests arrive and whose answers don't stops believing in its lease in time, though the coordinators keep it.
-func TestAnswersLost(t *testing.T) {
+func TestClientDropsLeaseWhenResponsesAreLost(t *testing.T) {
 	t.Parallel()
 	a, c := quiet(t, 3, agreeOptions(t))
 	settled(t, a)
@@ -398,7 +398,7 @@
 }
 
 // Routers that probe for one another, whose coordinators are all killed and come back: no rule is broken, and all goes on.
-func TestRoutersWithoutCoordinators(t *testing.T) {
+func TestRoutersKeepServingWithoutCoordinators(t *testing.T) {
 	t.Parallel()
 	command := realRouter(t)
 	f, err := scenario.Load("probes")
@@ -409,7 +409,7 @@
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
 	o := agreeOptions(t)
-	res, err := Run(t.Context(), f, Options{Command: command, Coord: o.Coord, Dir: o.Dir})
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand, Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,11 +422,11 @@
 }
 
 // Two coordinators of five that die at a step of a snapshot: nothing that was agreed on is lost, and they come back with their disks.
-func TestKilledAtEachStepOfASnapshot(t *testing.T) {
+func TestCoordinatorsRecoverWhenKilledAtEachSnapshotStep(t *testing.T) {
 	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			a, err := calmWith(t.Context(), 5, 16, agreeOptions(t))
+			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, agreeOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -451,7 +451,7 @@
 			work()
 			var dying []*coordinator
 			for _, x := range a.coords[:2] {
-				if err := until(t.Context(), time.Minute, func() error { // a restore needs one to begin from
+				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs one to begin from
 					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*", "state.bin")); len(made) == 0 {
 						return errors.Join(errors.New("no snapshot yet"), err)
 					}
@@ -462,10 +462,10 @@
 				x.kill()
 				x.env = []string{"DOCKHINGE_KILL_AT=" + step}
 				dying = append(dying, x)
-				a.up(x.proc)
+				a.restart(x.proc)
 			}
 			for _, x := range dying {
-				if err := until(t.Context(), time.Minute, func() error {
+				if err := retryUntil(t.Context(), time.Minute, func() error {
 					if up, _ := x.running(); up {
 						l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 						if err == nil {
@@ -480,7 +480,7 @@
 			}
 			for _, x := range dying {
 				x.env = nil
-				a.up(x.proc)
+				a.restart(x.proc)
 			}
 			settled(t, a)
 			rows, err := c.ListLeases(t.Context(), "kept")
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -19,40 +19,40 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// AgreeCost is what coordinators cost with so many clients.
-type AgreeCost struct {
-	Clients, Leases int
-	Opened          time.Duration // until all had a session
-	Idle            AgreeUse      // while all only keep their sessions
-	Busy            AgreeUse      // while a share of them acquires and releases in a closed loop
-	PerS            float64       // commands carried out, busy
-	P50, P99        time.Duration // of those
-	IdleBytes       float64       // a second and client, bodies of keep-alives and answers
-	Failed          int
-	Refused         int    // clients that had no session within the patience,
-	Why             string // and what one of them was told
+// CoordinatorCost is what coordinators cost with so many clients.
+type CoordinatorCost struct {
+	Clients, Leases    int
+	SessionsOpenAfter  time.Duration    // until all had a session
+	Idle               CoordinatorUsage // while all only keep their sessions
+	Busy               CoordinatorUsage // while a share of them acquires and releases in a closed loop
+	CommandsPerSecond  float64          // commands carried out, busy
+	P50, P99           time.Duration    // of those
+	IdleBytesPerSecond float64          // a second and client, bodies of keep-alives and answers
+	Failed             int
+	Refused            int    // clients that had no session within the patience,
+	RefusalReason      string // and what one of them was told
 }
 
-// AgreeUse is what the leader and the busiest other use.
-type AgreeUse struct {
+// CoordinatorUsage is what the leader and the busiest other use.
+type CoordinatorUsage struct {
 	LeaderCPU, OtherCPU float64 // of a core
 	LeaderMB, OtherMB   float64
 	FsyncP50, FsyncP99  float64 // ms, the leader's
 }
 
-// calm starts coordinators without faults.
-func calm(ctx context.Context, coordinators int, o AgreeOptions) (*agreement, error) {
-	return calmWith(ctx, coordinators, 8192, o)
+// startCoordinatorGroup starts coordinators without faults.
+func startCoordinatorGroup(ctx context.Context, coordinators int, o CoordinatorOptions) (*coordinatorGroup, error) {
+	return startCoordinatorGroupWithSnapshots(ctx, coordinators, 8192, o)
 }
 
-// calmWith starts coordinators that make a snapshot so often.
-func calmWith(ctx context.Context, coordinators, snapshotEach int, o AgreeOptions) (*agreement, error) {
+// startCoordinatorGroupWithSnapshots starts coordinators that make a snapshot so often.
+func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int, o CoordinatorOptions) (*coordinatorGroup, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
 	}
 	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // no slow disk, no stepping clock that matters
-	a := newAgreement(f, o, 1)
+	a := newCoordinatorGroup(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
 		return nil, err
@@ -61,7 +61,7 @@
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
-	if err := a.begin(ctx); err != nil {
+	if err := a.start(ctx); err != nil {
 		a.close()
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 }
 
 // upgrade has the commands and bounds of a version in force.
-func (a *agreement) upgrade(ctx context.Context, version int) error {
-	return until(ctx, 20*time.Second, func() error {
+func (a *coordinatorGroup) upgrade(ctx context.Context, version int) error {
+	return retryUntil(ctx, 20*time.Second, func() error {
 		l, err := a.leader(ctx)
 		if err != nil {
 			return err
@@ -91,12 +91,12 @@
 }
 
 // use measures the coordinators over a time.
-func (a *agreement) use(ctx context.Context, over time.Duration) (u AgreeUse, err error) {
+func (a *coordinatorGroup) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
 		return u, err
 	}
-	before := map[string]Use{}
+	before := map[string]Usage{}
 	for _, c := range a.coords {
 		if before[c.name], err = ProcessUse(c.cmd.Process.Pid); err != nil {
 			return u, err
@@ -120,7 +120,7 @@
 	return u, err
 }
 
-func (a *agreement) addresses() map[string]string {
+func (a *coordinatorGroup) addresses() map[string]string {
 	all := map[string]string{}
 	for _, c := range a.coords {
 		all[c.name] = c.api
@@ -128,13 +128,13 @@
 	return all
 }
 
-// MeasureAgreement plays so many clients that hold so many leases in all before coordinators without faults.
-func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o AgreeOptions) (m AgreeCost, err error) {
+// MeasureCoordinators plays so many clients that hold so many leases in all before coordinators without faults.
+func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int, o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
-	if err := EnoughDescriptors(clients); err != nil {
+	if err := CheckDescriptorLimit(clients); err != nil {
 		return m, err
 	}
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return m, err
 	}
@@ -171,7 +171,7 @@
 		})
 	}
 	held.Wait()
-	m.Opened = time.Since(began)
+	m.SessionsOpenAfter = time.Since(began)
 	sum := func() (n int64) {
 		for _, c := range all {
 			n += c.TransferredBytes()
@@ -183,7 +183,7 @@
 	if m.Idle, err = a.use(ctx, over); err != nil {
 		return m, err
 	}
-	m.IdleBytes = float64(sum()-bytes) / over.Seconds() / float64(clients)
+	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
 	var took []time.Duration
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
@@ -213,7 +213,7 @@
 	held.Wait()
 	slices.Sort(took)
 	if len(took) > 0 {
-		m.PerS, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
+		m.CommandsPerSecond, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
 	}
 	return m, nil
 }
@@ -222,9 +222,9 @@
 // are in this process too, must get theirs.
 const descriptorsPerClient = 3
 
-// EnoughDescriptors tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
+// CheckDescriptorLimit tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
 // one another by the laboratory's fault.
-func EnoughDescriptors(clients int) error {
+func CheckDescriptorLimit(clients int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
@@ -239,19 +239,19 @@
 const opensWithin = 30 * time.Second
 
 // refused counts a client that has no session.
-func (m *AgreeCost) refused(mu *sync.Mutex, err error) {
+func (m *CoordinatorCost) refused(mu *sync.Mutex, err error) {
 	if !errors.Is(err, client.ErrNoSession) {
 		return
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	m.Refused++
-	m.Why = err.Error()
+	m.RefusalReason = err.Error()
 }
 
-// FailOver kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
-func FailOver(ctx context.Context, coordinators, kills int, o AgreeOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+// MeasureFailover kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
+func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration, err error) {
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 	c, end := liveClient(ctx, a.addresses(), "f", 20*time.Second)
 	defer end()
 	for n := range kills {
-		if err := until(ctx, 20*time.Second, func() error { // all are there and have what the leader has
+		if err := retryUntil(ctx, 20*time.Second, func() error { // all are there and have what the leader has
 			l, err := a.leader(ctx)
 			if err != nil {
 				return err
@@ -291,15 +291,15 @@
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
-		a.up(l.proc)
+		a.restart(l.proc)
 	}
 	return took, nil
 }
 
-// DeadHolders has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
+// MeasureLeaseTakeover has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
 // out another one held the lease.
-func DeadHolders(ctx context.Context, coordinators, times int, ttl time.Duration, o AgreeOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration, o CoordinatorOptions) (took []time.Duration, err error) {
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
--- a/lab/fleet/fake_test.go
+++ b/lab/fleet/fake_test.go
@@ -341,7 +341,7 @@
 `
 
 // A router that breaks a rule is caught, and one that keeps them is not.
-func TestWrongRoutersAreCaught(t *testing.T) {
+func TestCheckerReportsEachRuleViolation(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -359,12 +359,12 @@
 			if mode == "deaf" {
 				f.Load.DisconnectShare = 0.3
 			}
-			res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			rules := map[string]int{}
-			for _, b := range res.Broken {
+			for _, b := range res.Breaches {
 				rules[b.Rule]++
 			}
 			switch {
@@ -391,17 +391,17 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS = nil, 6
-	res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=rejects", self}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Broken) != 1 || res.Broken[0].Rule != "rejecting" {
-		t.Errorf("%v", res.Broken)
+	if len(res.Breaches) != 1 || res.Breaches[0].Rule != "rejecting" {
+		t.Errorf("%v", res.Breaches)
 	}
 }
 
 // A router that never asks for the list is caught where a server drains for longer than any clock allows.
-func TestRouterThatNeverAsksIsCaught(t *testing.T) {
+func TestRouterThatNeverPollsDiscoveryIsCaught(t *testing.T) {
 	t.Parallel()
 	self, err := os.Executable()
 	if err != nil {
@@ -412,11 +412,11 @@
 		t.Fatal(err)
 	}
 	f.DurationS, f.Faults = 10, []scenario.Fault{{AtS: 0.1, What: "shrink", Count: 1, DrainS: 9}}
-	res, err := Run(t.Context(), f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
+	res, err := Run(t.Context(), f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=never-asks", self}, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Broken) == 0 || res.Broken[0].Rule != "drain" {
-		t.Errorf("%v", res.Broken)
+	if len(res.Breaches) == 0 || res.Breaches[0].Rule != "drain" {
+		t.Errorf("%v", res.Breaches)
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -28,18 +28,18 @@
 
 // Options say how to play.
 type Options struct {
-	Command  []string      // of one router; GW_CONFIG tells it the rest
-	Coord    []string      // of one coordinator, where the scenario has them
-	CoordEnv []string      // of the coordinators
-	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
-	Lies     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
-	Spoilt   []string      // command of a router in which a fault can be planted, for releases of a bad version
-	Patience time.Duration // how long planned changes may last beyond the load; 0: not at all
-	Dir      string        // for logs and configurations; it must be there
-	Ready    time.Duration
-	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
-	Progress func(load.Now, *Fleet)
-	Say      func(format string, v ...any) // what happens, a line each
+	RouterCommand      []string      // of one router; GW_CONFIG tells it the rest
+	CoordinatorCommand []string      // of one coordinator, where the scenario has them
+	CoordinatorEnv     []string      // of the coordinators
+	Kill               *StepKill     // who is killed at which step of the tool; nil = nobody
+	FirstRouterMutant  string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
+	MutantCommand      []string      // command of a router in which a fault can be planted, for releases of a bad version
+	ChangeTimeout      time.Duration // how long planned changes may last beyond the load; 0: not at all
+	Dir                string        // for logs and configurations; it must be there
+	ReadyTimeout       time.Duration
+	MustExit           bool // each router has to end by itself, with all that it started, when it is told to after the run
+	Progress           func(load.Now, *Fleet)
+	Logf               func(format string, v ...any) // what happens, a line each
 }
 
 // maxEvents bounds the referee's journal.
@@ -47,8 +47,8 @@
 
 // Fleet is a scenario that is being played.
 type Fleet struct {
-	File scenario.File
-	o    Options
+	File    scenario.File
+	options Options
 
 	clock     *fakes.Clock
 	journal   *checker.Journal
@@ -57,37 +57,37 @@
 	origin    *fakes.Server
 	rng       *rand.Rand // of the faults
 
-	mu         sync.Mutex // guards what follows
-	coords     *agreement // nil = none
-	coordsBusy sync.Mutex // whoever has some of them down; not guarded by mu
-	members    []*member
-	missed     *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
-	routers    []*router
-	relays     map[string]*fakes.Relay // router/server
-	marks      []Mark
-	samples    []Sample
-	began      float64
-	late       float64
-	rude       [2]int
-	problem    []string
-	released   *Released
-	killed     bool // by Options.Kill
-	ill        []Ill
-	out        []OutAt
-	accused    map[string][]string // servers that were left out by the word of others, and the routers named
-	n          int                 // of ids given
-	changes    []*Change
-	outages    []outage
-	tools      map[string]*proc          // of planned changes that are under way, by thing
-	toCoord    map[string][]*fakes.Relay // by router: to the coordinators
+	mu                 sync.Mutex        // guards what follows
+	coordinators       *coordinatorGroup // nil = none
+	coordinatorsDownMu sync.Mutex        // whoever has some of them down; not guarded by mu
+	members            []*member
+	missedReads        *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
+	routers            []*router
+	relays             map[string]*fakes.Relay // router/server
+	marks              []Mark
+	samples            []Sample
+	loadStartMS        float64
+	maxLateMS          float64
+	misbehavingClients [2]int
+	problems           []string
+	released           *Released
+	isVictimKilled     bool // by Options.Kill
+	faultySpells       []FaultySpell
+	budgetUse          []BudgetSample
+	excludedBy         map[string][]string // servers that were left out by the word of others, and the routers named
+	serversStarted     int                 // of ids given
+	changes            []*Change
+	outages            []outage
+	runningTools       map[string]*proc          // of planned changes that are under way, by thing
+	coordinatorRelays  map[string][]*fakes.Relay // by router: to the coordinators
 }
 
 // member is a cache server's place in the fleet.
 type member struct {
 	*fakes.Server
-	busy  sync.Mutex  // locked by whoever has it down or has it leave
-	entry model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
-	gone  bool        // it has left for good; guarded by the fleet's mu
+	downMu    sync.Mutex  // locked by whoever has it down or has it leave
+	entry     model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
+	isRemoved bool        // it has left for good; guarded by the fleet's mu
 }
 
 // Run plays a scenario. The error tells that it could not be played; what did not hold stands in the result.
@@ -98,31 +98,31 @@
 		return res, err
 	}
 	res, err = fl.play(ctx)
-	if err == nil && o.MustEnd {
-		res.Failures = append(res.Failures, fl.endAll()...)
+	if err == nil && o.MustExit {
+		res.Failures = append(res.Failures, fl.stopAllRouters()...)
 	}
 	return res, err
 }
 
 func newFleet(f scenario.File, o Options) *Fleet {
-	if o.Ready == 0 {
-		o.Ready = defaultReadyTimeout
+	if o.ReadyTimeout == 0 {
+		o.ReadyTimeout = defaultReadyTimeout
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
 	const stream = 10 // of the seed, for the faults
 	fl := &Fleet{
-		File:    f,
-		o:       o,
-		clock:   fakes.NewClock(),
-		journal: checker.NewJournal(maxEvents),
-		relays:  map[string]*fakes.Relay{},
-		tools:   map[string]*proc{},
-		toCoord: map[string][]*fakes.Relay{},
-		rng:     rand.New(rand.NewPCG(f.Seed, stream)),
-	}
-	fl.missed, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
+		File:              f,
+		options:           o,
+		clock:             fakes.NewClock(),
+		journal:           checker.NewJournal(maxEvents),
+		relays:            map[string]*fakes.Relay{},
+		runningTools:      map[string]*proc{},
+		coordinatorRelays: map[string][]*fakes.Relay{},
+		rng:               rand.New(rand.NewPCG(f.Seed, stream)),
+	}
+	fl.missedReads, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
 	fl.front = fakes.NewFront(fl.clock)
 	return fl
 }
@@ -144,13 +144,13 @@
 	for _, r := range fl.allRouters() {
 		wg.Go(func() { r.stop(routerEndTimeout) })
 	}
-	if fl.coords != nil {
-		wg.Go(fl.coords.close)
+	if fl.coordinators != nil {
+		wg.Go(fl.coordinators.close)
 	}
 	wg.Wait()
 	fl.mu.Lock()
 	relays := slices.Collect(maps.Values(fl.relays))
-	for _, more := range fl.toCoord {
+	for _, more := range fl.coordinatorRelays {
 		relays = append(relays, more...)
 	}
 	fl.mu.Unlock()
@@ -185,14 +185,14 @@
 func (fl *Fleet) mark(form string, v ...any) {
 	text := fmt.Sprintf(form, v...)
 	fl.mu.Lock()
-	at := (fl.clock.Now() - fl.began) / 1000
+	at := (fl.clock.Now() - fl.loadStartMS) / 1000
 	fl.marks = append(fl.marks, Mark{at, text})
 	fl.mu.Unlock()
-	fl.o.Say("%6.1f s  %s", at, text)
+	fl.options.Logf("%6.1f s  %s", at, text)
 }
 
-// Routers tells the addresses at which routers can be talked to: clients' and second.
-func (fl *Fleet) Routers() (all []string) {
+// RouterAddresses tells the addresses at which routers can be talked to: clients' and second.
+func (fl *Fleet) RouterAddresses() (all []string) {
 	for _, r := range fl.allRouters() {
 		admin := "down"
 		if p := r.newest(); p != nil {
@@ -203,8 +203,8 @@
 	return all
 }
 
-// Up counts cache servers that run.
-func (fl *Fleet) Up() (up, all int) {
+// CountServers counts cache servers that run.
+func (fl *Fleet) CountServers() (up, all int) {
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
 			all++
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 			change(&f)
 			f.DurationS, f.Load.Rate, f.Load.LateShare = 7, 100, 1 // a slow machine is no verdict
 			f.Expect = scenario.Expect{Served: 100, Rude: name == "rude"}
-			res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir()})
+			res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -75,8 +75,8 @@
 			if res.Load.Tries < 400 || len(res.Samples) == 0 || res.Samples[0].Routers["r0"].RSSMB == 0 {
 				t.Errorf("%d tries, %d samples", res.Load.Tries, len(res.Samples))
 			}
-			if name == "rude" && res.Rude[1] < 10 {
-				t.Errorf("%d misbehaving clients only", res.Rude[1])
+			if name == "rude" && res.MisbehavingClients[1] < 10 {
+				t.Errorf("%d misbehaving clients only", res.MisbehavingClients[1])
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 }
 
 // A run that is stopped leaves no process behind and still has a result.
-func TestStoppedRunEndsAll(t *testing.T) {
+func TestCanceledRunLeavesNoProcesses(t *testing.T) {
 	command := realRouter(t)
 	f, err := scenario.Load("calm")
 	if err != nil {
@@ -94,14 +94,14 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	res, err := Run(ctx, f, Options{Command: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
-		if up, all := fl.Up(); up != 6 || all != 6 {
+	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
+		if up, all := fl.CountServers(); up != 6 || all != 6 {
 			t.Errorf("%d of %d up", up, all)
 		}
 		stop()
 	}})
-	if err != nil || !res.Cut || res.Load.Tries == 0 {
-		t.Errorf("%v, cut %t, %d tries", err, res.Cut, res.Load.Tries)
+	if err != nil || !res.Interrupted || res.Load.Tries == 0 {
+		t.Errorf("%v, cut %t, %d tries", err, res.Interrupted, res.Load.Tries)
 	}
 	if left := leftOver(t, command[0]); len(left) > 0 {
 		t.Errorf("left over: %v", left)
@@ -109,19 +109,19 @@
 }
 
 // A router that can't start, or that dies, is told as such, and nothing is left behind.
-func TestRouterThatFails(t *testing.T) {
+func TestFailedStartAndCrashOfRouterAreReported(t *testing.T) {
 	f, err := scenario.Load("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Run(t.Context(), f, Options{Command: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"}, Dir: t.TempDir()}); err == nil ||
+	if _, err := Run(t.Context(), f, Options{RouterCommand: []string{"/bin/sh", "-c", "echo no can do >&2; exit 4"}, Dir: t.TempDir()}); err == nil ||
 		!strings.Contains(err.Error(), "no can do") {
 		t.Errorf("got %v", err)
 	}
 	command := realRouter(t)
 	f.DurationS, f.Expect = 3, scenario.Expect{}
 	killed := false
-	res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
 		if !killed {
 			killed = true
 			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not by the lab's own hand
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -7,7 +7,7 @@
 )
 
 // A server that is down when it is to leave comes back first, and none comes back once it has left.
-func TestServerLeavesAfterItsCrash(t *testing.T) {
+func TestCrashedServerLeavesOnlyAfterItsRestart(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
 		t.Fatal(err)
@@ -18,30 +18,30 @@
 		t.Fatal(err)
 	}
 	m := fl.allMembers()[0]
-	if !fl.tryOwn(m) {
+	if !fl.tryLockServer(m) {
 		t.Fatal("a server that nothing has happened to is not free")
 	}
 	m.Kill()
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		fl.leave(t.Context(), []*member{m}, 0)
+		fl.drainServers(t.Context(), []*member{m}, 0)
 	}()
-	fl.back(m)
+	fl.restartServer(m)
 	if !m.Up() || fl.hasLeft(m) {
 		t.Error("it left while it was down")
 	}
-	m.busy.Unlock()
+	m.downMu.Unlock()
 	<-left
 	if m.Up() || !fl.hasLeft(m) {
 		t.Error("it has not left")
 	}
-	if fl.tryOwn(m) {
+	if fl.tryLockServer(m) {
 		t.Error("a fault meets a server that has left")
 	}
-	m.busy.Lock()
-	fl.back(m)
-	m.busy.Unlock()
+	m.downMu.Lock()
+	fl.restartServer(m)
+	m.downMu.Unlock()
 	if m.Up() {
 		t.Error("it came back after it had left")
 	}
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -62,7 +62,7 @@
 // observation is a run of coordinators, observers and routers.
 type observation struct {
 	t         *testing.T
-	agreement *agreement
+	agreement *coordinatorGroup
 	puts      *client.Client
 	rng       *rand.Rand
 	observers []*observerProcess
@@ -74,7 +74,7 @@
 }
 
 // observe starts coordinators, observers and routers.
-func observe(t *testing.T, seed uint64, options AgreeOptions) *observation {
+func observe(t *testing.T, seed uint64, options CoordinatorOptions) *observation {
 	t.Helper()
 	a, puts := quiet(t, rigCoordinators, options)
 	o := &observation{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
@@ -128,7 +128,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		o.t.Fatal(err)
 	}
-	observer.command = append(slices.Clone(o.agreement.options.Coord), "observe", file)
+	observer.command = append(slices.Clone(o.agreement.options.CoordinatorCommand), "observe", file)
 	if err := observer.start(); err != nil {
 		o.t.Fatal(err)
 	}
@@ -254,7 +254,7 @@
 
 func (o *observation) await(what string, f func() error) {
 	o.t.Helper()
-	if err := until(o.t.Context(), rigPatience, f); err != nil {
+	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
 		o.judge() // it may tell why
 		o.t.Fatalf("%s: %v", what, err)
 	}
--- a/lab/fleet/readiness_test.go
+++ b/lab/fleet/readiness_test.go
@@ -33,13 +33,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fl := newFleet(f, Options{Command: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), Ready: ready})
+	fl := newFleet(f, Options{RouterCommand: []string{"/usr/bin/env", "FAKE_ROUTER=" + mode, self}, Dir: t.TempDir(), ReadyTimeout: ready})
 	t.Cleanup(fl.close)
 	return fl
 }
 
 // The referee is told of each start of a router and of when it was ready.
-func TestStartsAreBooked(t *testing.T) {
+func TestRouterStartsAreRecorded(t *testing.T) {
 	fl := fakeFleet(t, "right", 0)
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 }
 
 // A router that is never ready is not said to be.
-func TestStartThatIsNeverReady(t *testing.T) {
+func TestUnreadyRouterIsNotRecordedAsReady(t *testing.T) {
 	fl := fakeFleet(t, "never-ready", 300*time.Millisecond)
 	if err := fl.start(t.Context()); err == nil {
 		t.Error("it started")
@@ -69,13 +69,13 @@
 }
 
 // A router that ends before it is ready is told with how it ended, also where it wrote nothing.
-func TestEndBeforeReadyIsTold(t *testing.T) {
+func TestExitBeforeReadyIsReported(t *testing.T) {
 	f, err := scenario.Parse("fake", []byte(fakeScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for script, want := range map[string]string{"exit 0": "exit status 0", "exit 4": "exit status 4", "kill -9 $$": "signal: killed"} {
-		fl := newFleet(f, Options{Command: []string{"/bin/sh", "-c", script}, Dir: t.TempDir()})
+		fl := newFleet(f, Options{RouterCommand: []string{"/bin/sh", "-c", script}, Dir: t.TempDir()})
 		t.Cleanup(fl.close)
 		if err := fl.start(t.Context()); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, without %q", script, err, want)
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -36,10 +36,10 @@
 	if len(r.Load.Tenants) > 1 {
 		fmt.Fprintf(w, "\nJain's index of what the tenants gained after the warm-up: %.4f\n", r.Load.Jain())
 	}
-	if len(r.Doors) > 0 {
+	if len(r.Admission) > 0 {
 		fmt.Fprintln(t, "\nrouter\tlimit\twaiting\ttakes ms\tcame when told\tlet in\tshare free\tlet in\ttold and real apart, p50 %\tp90 %\t")
-		for _, name := range sorted(r.Doors) {
-			d := r.Doors[name]
+		for _, name := range sorted(r.Admission) {
+			d := r.Admission[name]
 			fmt.Fprintf(t, "%s\t%.0f\t%d\t%.0f\t%d\t%.3f\t%d\t%.3f\t%.0f\t%.0f\t\n", name, d.Limit, d.Waiting, d.LatencyMillis, d.Returned,
 				float64(d.ReturnedAdmitted)/float64(max(1, d.Returned)),
 				d.ReturnedWithinShare, float64(d.AdmittedWithinShare)/float64(max(1, d.ReturnedWithinShare)), 100*d.RetryAfterErrorP50, 100*d.RetryAfterErrorP90)
@@ -62,7 +62,7 @@
 	}
 	fmt.Fprintf(w, "\n%d probes at cache servers\n", r.Probes)
 	fmt.Fprintf(w, "\nservice %.3f (worth answered within its aim over worth asked for), in the last fifth %.3f; %.2f attempts a request; %d tries; %d calls to discovery\n",
-		r.Service, r.Tail, r.Attempts, r.Load.Tries, r.Calls)
+		r.Service, r.TailService, r.AttemptsPerRequest, r.Load.Tries, r.DiscoveryCalls)
 	if hints := r.TimeoutHints; hints.First+hints.Further > 0 {
 		fmt.Fprintf(w, "attempts that told over 150 ms more than was left to the client: %d of %d first ones, %d of %d further ones\n",
 			hints.FirstOverstated, hints.First, hints.FurtherOverstated, hints.Further)
@@ -70,15 +70,15 @@
 	if r.LateMS > 100 {
 		fmt.Fprintf(w, "the machine was late by up to %.0f ms: mind the figures\n", r.LateMS)
 	}
-	if r.Rude[1] > 0 {
-		fmt.Fprintf(w, "misbehaving clients told or closed on: %d of %d\n", r.Rude[0], r.Rude[1])
+	if r.MisbehavingClients[1] > 0 {
+		fmt.Fprintf(w, "misbehaving clients told or closed on: %d of %d\n", r.MisbehavingClients[0], r.MisbehavingClients[1])
 	}
-	if r.Cut {
+	if r.Interrupted {
 		fmt.Fprintln(w, "stopped before its end")
 	}
-	for i, b := range r.Broken {
+	for i, b := range r.Breaches {
 		if i == 10 {
-			fmt.Fprintf(w, "  and %d more\n", len(r.Broken)-i)
+			fmt.Fprintf(w, "  and %d more\n", len(r.Breaches)-i)
 			break
 		}
 		fmt.Fprintf(w, "broken: %s\n", b)
@@ -92,12 +92,12 @@
 }
 
 // peaks are the most that each router used.
-func peaks(r fleet.Result) map[string]fleet.Use {
-	all := map[string]fleet.Use{}
+func peaks(r fleet.Result) map[string]fleet.Usage {
+	all := map[string]fleet.Usage{}
 	for _, s := range r.Samples {
 		for name, u := range s.Routers {
 			p := all[name]
-			all[name] = fleet.Use{RSSMB: max(p.RSSMB, u.RSSMB), FDs: max(p.FDs, u.FDs), CPUMS: max(p.CPUMS, u.CPUMS)}
+			all[name] = fleet.Usage{RSSMB: max(p.RSSMB, u.RSSMB), FDs: max(p.FDs, u.FDs), CPUMS: max(p.CPUMS, u.CPUMS)}
 		}
 	}
 	return all
