--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -31,7 +31,7 @@
 		case "sent":
 			e.Kind, e.Class, e.Deadline = Sent, word(2), 1000
 		case "whole":
-			e.Kind, e.Server, e.Began = Whole, word(2), e.At
+			e.Kind, e.Server, e.Began = AttemptReceived, word(2), e.At
 		case "over":
 			e.Kind, e.Server, e.End = Over, word(2), ends[word(3)]
 		case "answer":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -96,7 +96,7 @@
 	}
 	h.endAt = max(h.endAt, e.At)
 	switch e.Kind {
-	case Sent, Answered, Extra, Closed, Left, Disconnected, Whole, Over:
+	case Sent, Answered, Extra, Closed, Left, Disconnected, AttemptReceived, Over:
 		h.request(e.Request).add(e)
 	case Ran:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
@@ -148,7 +148,7 @@
 		q.left = &e
 	case Disconnected:
 		q.disconnected = &e
-	case Whole:
+	case AttemptReceived:
 		q.attempts = append(q.attempts, &attempt{began: e.Began, whole: e.At, over: math.Inf(1), server: e.Server, hint: e.TimeoutHint, work: e.Work})
 	case Over:
 		for _, a := range q.attempts {
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -245,7 +245,7 @@
 	s.Store("k", 5)
 	p := connect(t, s.Addr())
 	p.send("mg k v O1 Pc=read\r\n")
-	r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.Whole })
+	r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived })
 	p.Close()
 	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.Over }); e.End != checker.Dropped {
 		t.Errorf("ended as %v", e.End)
@@ -346,7 +346,7 @@
 	if fall.Began != fall.At-100 {
 		t.Errorf("it counts what came since %v, and fell at %v", fall.Began, fall.At)
 	}
-	if e := r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.Whole }); e.Work != 100 {
+	if e := r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived }); e.Work != 100 {
 		t.Errorf("an attempt's work is %v", e.Work)
 	}
 	for end := time.Now().Add(patience); s.Up(); time.Sleep(time.Millisecond) {
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -445,7 +445,7 @@
 			close(sl.ready)
 		default:
 			work, size := s.o.Work(sl.req.id, sl.req.key, sl.req.class)
-			s.o.Journal.Add(checker.Event{At: now, Kind: checker.Whole, Request: sl.req.id, Server: s.o.ID, Began: sl.began,
+			s.o.Journal.Add(checker.Event{At: now, Kind: checker.AttemptReceived, Request: sl.req.id, Server: s.o.ID, Began: sl.began,
 				TimeoutHint: sl.req.hint, Work: work})
 			if sl.req.kind == "set" {
 				size = sl.req.size
--- a/lab/fakes/timeout_hint_test.go
+++ b/lab/fakes/timeout_hint_test.go
@@ -24,7 +24,7 @@
 		"fetched": {Millis: 123.5, IsTold: true}, "written": {Millis: 77, IsTold: true},
 	} {
 		e := r.until(t, fmt.Sprintf("attempt of request %s", id), func(e checker.Event) bool {
-			return e.Kind == checker.Whole && e.Request == id
+			return e.Kind == checker.AttemptReceived && e.Request == id
 		})
 		if e.TimeoutHint != want {
 			t.Errorf("request %s: got %+v, want %+v", id, e.TimeoutHint, want)
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -420,7 +420,7 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
+			if e.Kind != checker.AttemptReceived || e.Server != id || e.Began <= c.Gone || c.Back > 0 && e.Began >= c.Back {
 				continue
 			}
 			known := true
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -264,9 +264,9 @@
 		{"", []*Change{{Thing: "server/b", Gone: 12000, Back: 21000}}, []outage{{thing: "server/a", from: 5000}}, nil}, // not noticed yet
 		{"was changed 2 times", []*Change{{Thing: "server/a", Gone: 1, Back: 2, Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Thing: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Thing: "server/a", Gone: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"1 attempts began after", []*Change{{Thing: "server/a", Gone: 10, Back: 20}}, nil, []checker.Event{{Kind: checker.AttemptReceived, Server: "a", Began: 15}, {Kind: checker.AttemptReceived, Server: "a", Began: 9}}},
 		{"", []*Change{{Thing: "server/a", Gone: 10, Back: 20}}, []outage{{thing: "router/r", from: 5, to: 12, stopped: true}},
-			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
+			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.AttemptReceived, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
 		fl.File.Fleet.Out = scenario.Out{Servers: 1, Routers: 1, WarmS: 1}
@@ -326,7 +326,7 @@
 	began := func(server string) (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
-			if e.Kind == checker.Whole && e.Server == server {
+			if e.Kind == checker.AttemptReceived && e.Server == server {
 				n++
 			}
 		}
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -76,7 +76,7 @@
 		switch {
 		case e.Kind == checker.Sent:
 			of[e.Request] = e.Router
-		case e.Kind == checker.Whole && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
+		case e.Kind == checker.AttemptReceived && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
 			x.Attempts++
 			by[of[e.Request]] = true
 			if e.Began > x.From+1000 {
@@ -141,7 +141,7 @@
 	attempts := 0
 	res.AttemptsBy = make([]int, len(seconds))
 	for _, e := range events {
-		if e.Kind != checker.Whole {
+		if e.Kind != checker.AttemptReceived {
 			continue
 		}
 		attempts++
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -72,7 +72,7 @@
 		switch e.Kind {
 		case checker.Sent:
 			of[e.Request] = e.Router
-		case checker.Whole:
+		case checker.AttemptReceived:
 			asked[of[e.Request]+" "+e.Server] = true
 		}
 	}
