--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -21,7 +21,7 @@
 	Left                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
 	Disconnected               // a client: it closed its connection before its deadline, without an answer (Request)
 	AttemptReceived                      // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
-	Over                       // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
+	AttemptEnded                       // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
 	Malformed                  // a server: it was sent a command in a form that no client sends (Server)
 	Ran                        // a server: an effect was carried out (Request, Server, Idem)
 	Started                    // a server: its process started (Server)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -33,7 +33,7 @@
 		case "whole":
 			e.Kind, e.Server, e.Began = AttemptReceived, word(2), e.At
 		case "over":
-			e.Kind, e.Server, e.End = Over, word(2), ends[word(3)]
+			e.Kind, e.Server, e.End = AttemptEnded, word(2), ends[word(3)]
 		case "answer":
 			e.Kind, e.Answer = Answered, answers[word(2)]
 		case "extra":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -96,7 +96,7 @@
 	}
 	h.endAt = max(h.endAt, e.At)
 	switch e.Kind {
-	case Sent, Answered, Extra, Closed, Left, Disconnected, AttemptReceived, Over:
+	case Sent, Answered, Extra, Closed, Left, Disconnected, AttemptReceived, AttemptEnded:
 		h.request(e.Request).add(e)
 	case Ran:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
@@ -150,7 +150,7 @@
 		q.disconnected = &e
 	case AttemptReceived:
 		q.attempts = append(q.attempts, &attempt{began: e.Began, whole: e.At, over: math.Inf(1), server: e.Server, hint: e.TimeoutHint, work: e.Work})
-	case Over:
+	case AttemptEnded:
 		for _, a := range q.attempts {
 			if a.server == e.Server && math.IsInf(a.over, 1) {
 				a.over, a.end, a.sum = e.At, e.End, e.Sum
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -148,7 +148,7 @@
 		}
 	}
 	events, _ := r.journal.Events() // the second was begun beside the first, and over before it
-	if events[2].Kind != checker.Over || events[2].Request != "2" {
+	if events[2].Kind != checker.AttemptEnded || events[2].Request != "2" {
 		t.Errorf("got %+v", events)
 	}
 }
@@ -231,7 +231,7 @@
 					t.Errorf("got %q", got)
 				}
 			}
-			e := r.until(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.Over })
+			e := r.until(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded })
 			if want := map[bool]checker.End{true: checker.Turned, false: checker.Made}[spoil == "busy"]; e.End != want {
 				t.Errorf("it ended as %v", e.End)
 			}
@@ -247,7 +247,7 @@
 	p.send("mg k v O1 Pc=read\r\n")
 	r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived })
 	p.Close()
-	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.Over }); e.End != checker.Dropped {
+	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded }); e.End != checker.Dropped {
 		t.Errorf("ended as %v", e.End)
 	}
 	if held, _ := s.Busy(); held != 0 {
@@ -420,7 +420,7 @@
 	}
 	relay.Set(Net{DropBack: true}) // it arrives, and the answer does not come back
 	p.send("mg k v O2 Pc=read\r\n")
-	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.Over && e.Request == "2" })
+	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded && e.Request == "2" })
 	relay.Set(Net{})
 	if got := p.line(); got != "EN O2 h0" {
 		t.Errorf("once it has healed: %q", got)
