--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -23,7 +23,7 @@
 	AttemptReceived                      // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
 	AttemptEnded                       // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
 	Malformed                  // a server: it was sent a command in a form that no client sends (Server)
-	Ran                        // a server: an effect was carried out (Request, Server, Idem)
+	EffectExecuted                        // a server: an effect was carried out (Request, Server, Idem)
 	Started                    // a server: its process started (Server)
 	Fell                       // a server: it was cold and has been pushed over (Server), by what came since Began
 	Told                       // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -78,7 +78,7 @@
 		case "server-started":
 			e.Kind, e.Server = Started, word(2)
 		case "ran":
-			e.Kind, e.Server = Ran, word(2)
+			e.Kind, e.Server = EffectExecuted, word(2)
 		default:
 			t.Fatalf("%q", line)
 		}
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -98,7 +98,7 @@
 	switch e.Kind {
 	case Sent, Answered, Extra, Closed, Left, Disconnected, AttemptReceived, AttemptEnded:
 		h.request(e.Request).add(e)
-	case Ran:
+	case EffectExecuted:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
 	case Killed:
 		h.killed[e.Router] = append(h.killed[e.Router], e.At)
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -187,7 +187,7 @@
 	ran := 0
 	events, _ := r.journal.Events()
 	for _, e := range events {
-		if e.Kind == checker.Ran {
+		if e.Kind == checker.EffectExecuted {
 			ran++
 		}
 	}
