--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -25,7 +25,7 @@
 	Malformed                  // a server: it was sent a command in a form that no client sends (Server)
 	EffectExecuted                        // a server: an effect was carried out (Request, Server, Idem)
 	Started                    // a server: its process started (Server)
-	Fell                       // a server: it was cold and has been pushed over (Server), by what came since Began
+	ServerCollapsed                       // a server: it was cold and has been pushed over (Server), by what came since Began
 	Told                       // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
 	Listed                     // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
 	DiscoveryDown              // discovery: it can't be reached any more
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -72,7 +72,7 @@
 		case "killed":
 			e.Kind = Killed
 		case "fell":
-			e.Kind, e.Server = Fell, word(2)
+			e.Kind, e.Server = ServerCollapsed, word(2)
 		case "malformed":
 			e.Kind, e.Server = Malformed, word(2)
 		case "server-started":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -119,7 +119,7 @@
 		h.toldStarts[k] = append(h.toldStarts[k], toldStart{e.At, e.ServerStartedAt})
 	case Malformed:
 		h.malformed = append(h.malformed, e)
-	case Fell:
+	case ServerCollapsed:
 		h.falls = append(h.falls, e)
 	case Started:
 		h.serverStarts[e.Server] = append(h.serverStarts[e.Server], e.At)
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -342,7 +342,7 @@
 			break // it is down
 		}
 	}
-	fall := r.until(t, "fall", func(e checker.Event) bool { return e.Kind == checker.Fell })
+	fall := r.until(t, "fall", func(e checker.Event) bool { return e.Kind == checker.ServerCollapsed })
 	if fall.Began != fall.At-100 {
 		t.Errorf("it counts what came since %v, and fell at %v", fall.Began, fall.At)
 	}
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -257,7 +257,7 @@
 	}
 	if s.m.Fallen() && !s.fell {
 		s.fell = true
-		s.o.Journal.Add(checker.Event{At: now, Kind: checker.Fell, Server: s.o.ID, Began: now - s.o.Model.FallForMS})
+		s.o.Journal.Add(checker.Event{At: now, Kind: checker.ServerCollapsed, Server: s.o.ID, Began: now - s.o.Model.FallForMS})
 		s.kill()
 	}
 	return told
