--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -113,7 +113,7 @@
 		h.paused[e.Router] = append(h.paused[e.Router], span{e.At, e.At + e.Deadline})
 	case Crowded:
 		h.crowded[e.Router] = append(h.crowded[e.Router], span{e.At, e.At + e.Deadline})
-	case Told:
+	case ServerStateSent:
 		k := routerServer{e.Router, e.Server}
 		h.drains[k] = drainSpans(h.drains[k], e)
 		h.toldStarts[k] = append(h.toldStarts[k], toldStart{e.At, e.ServerStartedAt})
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -117,7 +117,7 @@
 func (d *Discovery) bookTold(router string, servers []model.Entry) {
 	now := d.clock.Now()
 	for _, e := range servers {
-		d.journal.Add(checker.Event{At: now, Kind: checker.Told, Router: router, Server: e.ID, State: e.State,
+		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateSent, Router: router, Server: e.ID, State: e.State,
 			ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -26,9 +26,9 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	asked := r.until(t, "word to who asks", func(e checker.Event) bool { return e.Kind == checker.Told && e.Router == "asks" })
+	asked := r.until(t, "word to who asks", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "asks" })
 	d.BookKnown("configured")
-	known := r.until(t, "word by configuration", func(e checker.Event) bool { return e.Kind == checker.Told && e.Router == "configured" })
+	known := r.until(t, "word by configuration", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "configured" })
 	for _, e := range []checker.Event{listed, asked, known} {
 		if e.Server != "s1" || math.Abs(e.ServerStartedAt-startedAt) > 0.01 {
 			t.Errorf("%+v", e)
