--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -27,7 +27,7 @@
 	Started                    // a server: its process started (Server)
 	ServerCollapsed                       // a server: it was cold and has been pushed over (Server), by what came since Began
 	ServerStateSent                       // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
-	Listed                     // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
+	ServerStateListed                     // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
 	DiscoveryDown              // discovery: it can't be reached any more
 	DiscoveryUp                // discovery: it can be reached again
 	ListCalled                 // discovery: a router called for the list or for what is new (Router)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -49,7 +49,7 @@
 		case "told":
 			e.Kind, e.Server, e.State = ServerStateSent, word(2), word(3)
 		case "listed":
-			e.Kind, e.Server, e.State = Listed, word(2), word(3)
+			e.Kind, e.Server, e.State = ServerStateListed, word(2), word(3)
 		case "down":
 			e.Kind = DiscoveryDown
 		case "up":
--- a/lab/checker/discovery_clock.go
+++ b/lab/checker/discovery_clock.go
@@ -35,7 +35,7 @@
 
 func (d *discoveryHistory) add(e Event) {
 	switch e.Kind {
-	case Listed:
+	case ServerStateListed:
 		d.listed[e.Server] = append(d.listed[e.Server], e)
 	case DiscoveryDown:
 		d.down = append(d.down, span{e.At, math.Inf(1)})
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -103,7 +103,7 @@
 	case Killed:
 		h.killed[e.Router] = append(h.killed[e.Router], e.At)
 		h.killStarts(e.Router)
-	case Listed, DiscoveryDown, DiscoveryUp, ListCalled, WatchSilent, DiscoveryMoved:
+	case ServerStateListed, DiscoveryDown, DiscoveryUp, ListCalled, WatchSilent, DiscoveryMoved:
 		h.discovery.add(e)
 	case RouterStarted:
 		h.starts = append(h.starts, &start{router: e.Router, at: e.At, isRestart: h.hasStarted(e.Router)})
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -109,7 +109,7 @@
 // bookListed tells the referee of what the list has from now on.
 func (d *Discovery) bookListed(now float64, changes model.List) {
 	for _, e := range changes.Servers {
-		d.journal.Add(checker.Event{At: now, Kind: checker.Listed, Server: e.ID, State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
+		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateListed, Server: e.ID, State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
 
--- a/lab/fakes/silent_watch_test.go
+++ b/lab/fakes/silent_watch_test.go
@@ -38,7 +38,7 @@
 	s1.State = "leaving"
 	d.Happened(s1)
 	r.until(t, "change of the list", func(e checker.Event) bool {
-		return e.Kind == checker.Listed && e.Server == "s1" && e.State == "leaving"
+		return e.Kind == checker.ServerStateListed && e.Server == "s1" && e.State == "leaving"
 	})
 	resp, err := http.Get(url + "?after=1&wait_ms=60000")
 	if err != nil {
