--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -18,7 +18,7 @@
 	Answered                   // a client: a whole answer (Request, Answer, Sum)
 	Extra                      // a client: an answer to what it has an answer for already (Request)
 	Closed                     // a client: the router ended the connection before a whole answer (Request, NewConnection)
-	Left                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
+	ClientTimedOut                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
 	Disconnected               // a client: it closed its connection before its deadline, without an answer (Request)
 	AttemptReceived                      // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
 	AttemptEnded                       // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -43,7 +43,7 @@
 		case "closed":
 			e.Kind = Closed
 		case "left":
-			e.Kind = Left
+			e.Kind = ClientTimedOut
 		case "disconnected":
 			e.Kind = Disconnected
 		case "told":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -96,7 +96,7 @@
 	}
 	h.endAt = max(h.endAt, e.At)
 	switch e.Kind {
-	case Sent, Answered, Extra, Closed, Left, Disconnected, AttemptReceived, AttemptEnded:
+	case Sent, Answered, Extra, Closed, ClientTimedOut, Disconnected, AttemptReceived, AttemptEnded:
 		h.request(e.Request).add(e)
 	case EffectExecuted:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
@@ -144,7 +144,7 @@
 		q.answers = append(q.answers, e)
 	case Closed:
 		q.closed = &e
-	case Left:
+	case ClientTimedOut:
 		q.left = &e
 	case Disconnected:
 		q.disconnected = &e
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -189,7 +189,7 @@
 		return attempt{end: checker.Failed, reached: true, disconnected: true}
 	case errors.As(err, &timeout) && timeout.Timeout():
 		conn.Close()
-		book(sent, checker.Left, false)
+		book(sent, checker.ClientTimedOut, false)
 		return attempt{end: checker.Failed, reached: true}
 	case err != nil:
 		conn.Close()
--- a/lab/load/disconnect_test.go
+++ b/lab/load/disconnect_test.go
@@ -33,7 +33,7 @@
 	} {
 		addr := answers(t, func(string) string { return "" })
 		_, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 50; change(p) }, addr)
-		if len(events) != 2 || events[1].Kind != checker.Left {
+		if len(events) != 2 || events[1].Kind != checker.ClientTimedOut {
 			t.Errorf("%s: %+v", name, events)
 		}
 	}
