--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -16,7 +16,7 @@
 const (
 	Sent           Kind = iota // a client: a request's last byte is written (Request, Router, Class, Deadline, Idem)
 	Answered                   // a client: a whole answer (Request, Answer, Sum)
-	Extra                      // a client: an answer to what it has an answer for already (Request)
+	ExtraAnswer                      // a client: an answer to what it has an answer for already (Request)
 	Closed                     // a client: the router ended the connection before a whole answer (Request, NewConnection)
 	ClientTimedOut                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
 	Disconnected               // a client: it closed its connection before its deadline, without an answer (Request)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -37,7 +37,7 @@
 		case "answer":
 			e.Kind, e.Answer = Answered, answers[word(2)]
 		case "extra":
-			e.Kind = Extra
+			e.Kind = ExtraAnswer
 		case "other":
 			e.Kind, e.Answer, e.Sum = Answered, Served, 2
 		case "closed":
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -200,7 +200,7 @@
 	now := l.clock.Now()
 	l.journal.Add(checker.Event{At: now, Kind: checker.Answered, Request: id, Router: router, Answer: end, Sum: sum})
 	if conn.r.Buffered() > 0 { // more than one answer
-		l.journal.Add(checker.Event{At: now, Kind: checker.Extra, Request: id, Router: router})
+		l.journal.Add(checker.Event{At: now, Kind: checker.ExtraAnswer, Request: id, Router: router})
 		conn.Close()
 	} else if l.again() {
 		l.pool.put(addr, conn)
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -203,7 +203,7 @@
 
 func TestWhatTheRefereeIsTold(t *testing.T) {
 	for answer, want := range map[string]checker.Kind{
-		fine: checker.Answered, fine + fine: checker.Extra, "": checker.ClientTimedOut, "VA 5 O{id}\r\nhe": checker.ClientTimedOut, "nonsense\r\n": checker.Answered,
+		fine: checker.Answered, fine + fine: checker.ExtraAnswer, "": checker.ClientTimedOut, "VA 5 O{id}\r\nhe": checker.ClientTimedOut, "nonsense\r\n": checker.Answered,
 	} {
 		addr := answers(t, func(string) string { return answer })
 		res, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 200 }, addr)
