--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -17,7 +17,7 @@
 	Sent           Kind = iota // a client: a request's last byte is written (Request, Router, Class, Deadline, Idem)
 	Answered                   // a client: a whole answer (Request, Answer, Sum)
 	ExtraAnswer                      // a client: an answer to what it has an answer for already (Request)
-	Closed                     // a client: the router ended the connection before a whole answer (Request, NewConnection)
+	ClosedByRouter                     // a client: the router ended the connection before a whole answer (Request, NewConnection)
 	ClientTimedOut                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
 	Disconnected               // a client: it closed its connection before its deadline, without an answer (Request)
 	AttemptReceived                      // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -41,7 +41,7 @@
 		case "other":
 			e.Kind, e.Answer, e.Sum = Answered, Served, 2
 		case "closed":
-			e.Kind = Closed
+			e.Kind = ClosedByRouter
 		case "left":
 			e.Kind = ClientTimedOut
 		case "disconnected":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -96,7 +96,7 @@
 	}
 	h.endAt = max(h.endAt, e.At)
 	switch e.Kind {
-	case Sent, Answered, ExtraAnswer, Closed, ClientTimedOut, Disconnected, AttemptReceived, AttemptEnded:
+	case Sent, Answered, ExtraAnswer, ClosedByRouter, ClientTimedOut, Disconnected, AttemptReceived, AttemptEnded:
 		h.request(e.Request).add(e)
 	case EffectExecuted:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
@@ -142,7 +142,7 @@
 		q.sent, q.has = e, true
 	case Answered, ExtraAnswer:
 		q.answers = append(q.answers, e)
-	case Closed:
+	case ClosedByRouter:
 		q.closed = &e
 	case ClientTimedOut:
 		q.left = &e
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -173,11 +173,11 @@
 		conn.Close()
 		if n == 0 { // nothing of it has left
 			if !used {
-				book(sent, checker.Closed, true)
+				book(sent, checker.ClosedByRouter, true)
 			}
 			return attempt{end: checker.Failed, crossed: used}
 		}
-		book(sent, checker.Closed, !used)
+		book(sent, checker.ClosedByRouter, !used)
 		return attempt{end: checker.Failed, reached: true, crossed: used}
 	}
 	end, after, sum, err := readAnswer(conn.r)
@@ -193,7 +193,7 @@
 		return attempt{end: checker.Failed, reached: true}
 	case err != nil:
 		conn.Close()
-		book(sent, checker.Closed, !used && errors.Is(err, errNothing))
+		book(sent, checker.ClosedByRouter, !used && errors.Is(err, errNothing))
 		return attempt{end: checker.Failed, reached: true, crossed: used && errors.Is(err, errNothing)}
 	}
 	l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -215,11 +215,11 @@
 		}
 	}
 	addr := answers(t, func(string) string { return "close" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.Closed || !events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || !events[1].NewConnection {
 		t.Errorf("%+v", events)
 	}
 	addr = answers(t, func(string) string { return "close after VA" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.Closed || events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || events[1].NewConnection {
 		t.Errorf("a connection closed after some bytes: %+v", events)
 	}
 	asked := 0
@@ -230,7 +230,7 @@
 		return "close"
 	})
 	_, events := sendAll(t, 2, func(p *Params) { p.Shape, p.Workers = "closed", 1 }, addr)
-	if len(events) != 4 || events[3].Kind != checker.Closed || events[3].NewConnection {
+	if len(events) != 4 || events[3].Kind != checker.ClosedByRouter || events[3].NewConnection {
 		t.Errorf("a connection closed that had been used: %+v", events)
 	}
 }
