--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -36,7 +36,7 @@
 	RouterReady                // the lab: the process that was started last is ready (Router)
 	Killed                     // the lab: a router was killed or has crashed (Router)
 	DiscoveryMoved             // the lab: a router was sent a configuration that names another discovery (Router)
-	Crowded                    // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
+	DescriptorsExhausted                    // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
 	Paused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
 )
 
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -57,7 +57,7 @@
 		case "called":
 			e.Kind = ListCalled
 		case "crowded":
-			e.Kind, e.Deadline = Crowded, 500
+			e.Kind, e.Deadline = DescriptorsExhausted, 500
 		case "moved":
 			e.Kind = DiscoveryMoved
 		case "silent":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -111,7 +111,7 @@
 		h.readyStart(e)
 	case Paused:
 		h.paused[e.Router] = append(h.paused[e.Router], span{e.At, e.At + e.Deadline})
-	case Crowded:
+	case DescriptorsExhausted:
 		h.crowded[e.Router] = append(h.crowded[e.Router], span{e.At, e.At + e.Deadline})
 	case ServerStateSent:
 		k := routerServer{e.Router, e.Server}
--- a/lab/fleet/crowd.go
+++ b/lab/fleet/crowd.go
@@ -41,7 +41,7 @@
 	}
 	lasted := fl.clock.Now() - began + crowdEndMS
 	for _, r := range fl.allRouters() {
-		fl.journal.Add(checker.Event{At: began, Kind: checker.Crowded, Router: r.name, Deadline: lasted})
+		fl.journal.Add(checker.Event{At: began, Kind: checker.DescriptorsExhausted, Router: r.name, Deadline: lasted})
 	}
 	fl.mark("the crowd has left")
 }
