--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -55,7 +55,7 @@
 
 // The ends of an attempt.
 const (
-	Made    End = iota // an answer was made for it
+	Completed    End = iota // an answer was made for it
 	Missed             // the key was not kept; nothing has run
 	Turned             // turned away; nothing has run
 	Erred              // an error; it may have run
@@ -241,7 +241,7 @@
 func judgeAnswer(q *request, a Event, class Class, r Rules, add report) {
 	mayHaveRun := slices.ContainsFunc(q.attempts, func(t *attempt) bool { return t.mayHaveRunBy(a.At) })
 	switch {
-	case a.Answer == Served && !slices.ContainsFunc(q.attempts, func(t *attempt) bool { return t.end == Made && t.sum == a.Sum }):
+	case a.Answer == Served && !slices.ContainsFunc(q.attempts, func(t *attempt) bool { return t.end == Completed && t.sum == a.Sum }):
 		add("value", a.At, "request %s: served what no server made for it", a.Request)
 	case a.Answer == Refused && mayHaveRun && (class.Effect == Once || class.Effect == Keyed && class.Scope != "all"):
 		add("effect", a.At, "request %s of class %s: refused as harmless to repeat, and it may have run", a.Request, q.sent.Class)
