--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -57,7 +57,7 @@
 const (
 	Completed    End = iota // an answer was made for it
 	Missed             // the key was not kept; nothing has run
-	Turned             // turned away; nothing has run
+	Rejected             // turned away; nothing has run
 	Erred              // an error; it may have run
 	Dropped            // its connection ended; it may have run
 )
@@ -259,7 +259,7 @@
 
 // mayHaveRunBy reports whether an attempt may have run by a time.
 func (t *attempt) mayHaveRunBy(at float64) bool {
-	return t.whole <= at && t.end != Missed && t.end != Turned
+	return t.whole <= at && t.end != Missed && t.end != Rejected
 }
 
 // judgePair holds an attempt against one before it.
@@ -267,7 +267,7 @@
 	if before.over > a.whole+r.SlackMS {
 		add("copies", a.whole, "request %s: sent to server %s while an attempt was out at server %s", id, a.server, before.server)
 	}
-	if before.end == Missed || before.end == Turned {
+	if before.end == Missed || before.end == Rejected {
 		return
 	}
 	switch class.Effect {
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -232,7 +232,7 @@
 				}
 			}
 			e := r.until(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded })
-			if want := map[bool]checker.End{true: checker.Turned, false: checker.Completed}[spoil == "busy"]; e.End != want {
+			if want := map[bool]checker.End{true: checker.Rejected, false: checker.Completed}[spoil == "busy"]; e.End != want {
 				t.Errorf("it ended as %v", e.End)
 			}
 		})
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -275,7 +275,7 @@
 // complete gives a slot its answer. The caller holds mu.
 func (s *Server) complete(sl *slot, now float64, o model.Outcome, size int) {
 	sl.a.Outcome, sl.a.id = o, sl.req.id
-	end := map[model.Outcome]checker.End{model.Busy: checker.Turned, model.Missed: checker.Missed,
+	end := map[model.Outcome]checker.End{model.Busy: checker.Rejected, model.Missed: checker.Missed,
 		model.Fetching: checker.Missed, model.Failed: checker.Erred}[o]
 	switch o {
 	case model.Served, model.Repeated:
