--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -58,7 +58,7 @@
 	Completed    End = iota // an answer was made for it
 	Missed             // the key was not kept; nothing has run
 	Rejected             // turned away; nothing has run
-	Erred              // an error; it may have run
+	Errored              // an error; it may have run
 	Dropped            // its connection ended; it may have run
 )
 
@@ -234,7 +234,7 @@
 // spoilt reports whether a server broke off or erred while it answered: a value that can't be passed on whole has
 // failed, and the end of the client's connection is how the client can tell.
 func spoilt(q *request) bool {
-	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.end == Erred || a.end == Dropped })
+	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.end == Errored || a.end == Dropped })
 }
 
 // judgeAnswer holds an answer against what servers made, and a refusal against what may have run.
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -17,7 +17,7 @@
 // script reads events, one a line: TIME KIND WORDS, and NAME=VALUE for further fields. It puts them in the order of time.
 func script(t *testing.T, text string) (events []Event) {
 	t.Helper()
-	ends := map[string]End{"made": Completed, "missed": Missed, "turned": Rejected, "erred": Erred, "dropped": Dropped}
+	ends := map[string]End{"made": Completed, "missed": Missed, "turned": Rejected, "erred": Errored, "dropped": Dropped}
 	answers := map[string]Answer{"served": Served, "refused": Refused, "failed": Failed}
 	for line := range strings.Lines(text) {
 		w := strings.Fields(line)
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -276,7 +276,7 @@
 func (s *Server) complete(sl *slot, now float64, o model.Outcome, size int) {
 	sl.a.Outcome, sl.a.id = o, sl.req.id
 	end := map[model.Outcome]checker.End{model.Busy: checker.Rejected, model.Missed: checker.Missed,
-		model.Fetching: checker.Missed, model.Failed: checker.Erred}[o]
+		model.Fetching: checker.Missed, model.Failed: checker.Errored}[o]
 	switch o {
 	case model.Served, model.Repeated:
 		s.served.Add(1)
