--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -117,7 +117,7 @@
 	case "router":
 		e.Router = value
 	case "hint":
-		e.TimeoutHint = TimeoutHint{Millis: number(), IsTold: true}
+		e.TimeoutHint = TimeoutHint{Millis: number(), IsPresent: true}
 	default:
 		t.Fatalf("field %q", name)
 	}
--- a/lab/checker/timeout_hint.go
+++ b/lab/checker/timeout_hint.go
@@ -10,7 +10,7 @@
 // TimeoutHint is the time for which the router says that it will wait, as an attempt tells it to its server.
 type TimeoutHint struct {
 	Millis float64
-	IsTold bool
+	IsPresent bool
 }
 
 // TimeoutHintCounts count attempts, and those whose hint said more than was left to the client when their first byte came.
@@ -53,7 +53,7 @@
 // isOverstated reports whether an attempt told its server more than was left to the client.
 func isOverstated(q *request, a *attempt, r Rules) bool {
 	remainingMillis := q.deadline() - a.began
-	return a.hint.IsTold && a.hint.Millis > remainingMillis+timeoutHintSlackMillis+r.MachineLateMS
+	return a.hint.IsPresent && a.hint.Millis > remainingMillis+timeoutHintSlackMillis+r.MachineLateMS
 }
 
 // judgeTimeoutHints finds routers that tell servers of more time than clients have. First attempts are only counted.
--- a/lab/fakes/codec.go
+++ b/lab/fakes/codec.go
@@ -78,7 +78,7 @@
 // timeoutHint is how long the router says that it will wait; what is no number tells nothing.
 func timeoutHint(named map[string]string) checker.TimeoutHint {
 	millis, err := strconv.ParseFloat(named["d"], 64)
-	return checker.TimeoutHint{Millis: millis, IsTold: err == nil}
+	return checker.TimeoutHint{Millis: millis, IsPresent: err == nil}
 }
 
 func load(r *model.Report) string {
--- a/lab/fakes/timeout_hint_test.go
+++ b/lab/fakes/timeout_hint_test.go
@@ -20,8 +20,8 @@
 	connect(t, origin.Addr()).send("GET /k HTTP/1.1\r\nHost: o\r\nX-Correlation-Id: fetched\r\nX-Facts: c=read,d=123.5\r\n\r\n")
 	connect(t, origin.Addr()).send("PUT /k HTTP/1.1\r\nHost: o\r\nContent-Length: 2\r\nX-Correlation-Id: written\r\nX-Facts: c=put,d=77\r\n\r\nab")
 	for id, want := range map[string]checker.TimeoutHint{
-		"cached": {Millis: 480, IsTold: true}, "silent": {}, "spoilt": {},
-		"fetched": {Millis: 123.5, IsTold: true}, "written": {Millis: 77, IsTold: true},
+		"cached": {Millis: 480, IsPresent: true}, "silent": {}, "spoilt": {},
+		"fetched": {Millis: 123.5, IsPresent: true}, "written": {Millis: 77, IsPresent: true},
 	} {
 		e := r.until(t, fmt.Sprintf("attempt of request %s", id), func(e checker.Event) bool {
 			return e.Kind == checker.AttemptReceived && e.Request == id
