--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -66,7 +66,7 @@
 	if got := ask("b"); got != Served {
 		t.Errorf("a value over the memory pushed another out: %v", got)
 	}
-	s.Void("b")
+	s.Invalidate("b")
 	if s.Keeps() != 0 {
 		t.Errorf("%d bytes after a void", s.Keeps())
 	}
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -344,8 +344,8 @@
 	s.told.Remove(key)
 }
 
-// Void drops the copy of a key.
-func (s *Server) Void(key string) { s.memory.Remove(key) }
+// Invalidate drops the copy of a key.
+func (s *Server) Invalidate(key string) { s.memory.Remove(key) }
 
 // Keeps is how many bytes of values are kept.
 func (s *Server) Keeps() int { return s.bytes }
