--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -187,8 +187,8 @@
 // Store keeps a value, as a fetch that came back does.
 func (s *Server) Store(key string, size int) { s.with(func(now float64) { s.m.Store(now, key, size) }) }
 
-// Void drops the copy of a key.
-func (s *Server) Void(key string) { s.with(func(float64) { s.m.Invalidate(key) }) }
+// Invalidate drops the copy of a key.
+func (s *Server) Invalidate(key string) { s.with(func(float64) { s.m.Invalidate(key) }) }
 
 // Busy tells how many requests are held and how warm the server is.
 func (s *Server) Busy() (held int, warmth float64) {
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -115,7 +115,7 @@
 	fl.mu.Unlock()
 	for i, s := range at {
 		if write {
-			s.Void(key)
+			s.Invalidate(key)
 		} else if i < 2 {
 			s.Store(key, size)
 		}
