--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -37,7 +37,7 @@
 	Killed                     // the lab: a router was killed or has crashed (Router)
 	DiscoveryMoved             // the lab: a router was sent a configuration that names another discovery (Router)
 	DescriptorsExhausted                    // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
-	Paused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
+	RouterPaused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
 )
 
 // Answer is what a client was given.
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -68,7 +68,7 @@
 		case "ready":
 			e.Kind = RouterReady
 		case "paused":
-			e.Kind, e.Deadline = Paused, 100
+			e.Kind, e.Deadline = RouterPaused, 100
 		case "killed":
 			e.Kind = Killed
 		case "fell":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -109,7 +109,7 @@
 		h.starts = append(h.starts, &start{router: e.Router, at: e.At, isRestart: h.hasStarted(e.Router)})
 	case RouterReady:
 		h.readyStart(e)
-	case Paused:
+	case RouterPaused:
 		h.paused[e.Router] = append(h.paused[e.Router], span{e.At, e.At + e.Deadline})
 	case DescriptorsExhausted:
 		h.crowded[e.Router] = append(h.crowded[e.Router], span{e.At, e.At + e.Deadline})
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -368,7 +368,7 @@
 	for _, o := range hit {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.RouterPaused, Router: strings.TrimPrefix(o.thing, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
