--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -34,7 +34,7 @@
 	WatchSilent                // discovery: a router's watch fell silent (Router), with Deadline ms of its wait left
 	RouterStarted              // the lab: a router's process was started (Router)
 	RouterReady                // the lab: the process that was started last is ready (Router)
-	Killed                     // the lab: a router was killed or has crashed (Router)
+	RouterKilled                     // the lab: a router was killed or has crashed (Router)
 	DiscoveryMoved             // the lab: a router was sent a configuration that names another discovery (Router)
 	DescriptorsExhausted                    // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
 	RouterPaused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -70,7 +70,7 @@
 		case "paused":
 			e.Kind, e.Deadline = RouterPaused, 100
 		case "killed":
-			e.Kind = Killed
+			e.Kind = RouterKilled
 		case "fell":
 			e.Kind, e.Server = ServerCollapsed, word(2)
 		case "malformed":
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -100,7 +100,7 @@
 		h.request(e.Request).add(e)
 	case EffectExecuted:
 		h.ran[e.Request] = append(h.ran[e.Request], e)
-	case Killed:
+	case RouterKilled:
 		h.killed[e.Router] = append(h.killed[e.Router], e.At)
 		h.killStarts(e.Router)
 	case ServerStateListed, DiscoveryDown, DiscoveryUp, ListCalled, WatchSilent, DiscoveryMoved:
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -350,7 +350,7 @@
 			if p == nil {
 				return
 			}
-			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
+			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 			fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -115,7 +115,7 @@
 
 // kill ends a router's process at once.
 func (fl *Fleet) kill(r *router, p *process) {
-	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
 	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
 }
