--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -166,8 +166,8 @@
 
 func (b Breach) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", b.At, b.Rule, b.Text) }
 
-// Judge lists what broke a rule, in the order of time. The events are in that order too.
-func Judge(events []Event, r Rules) (broken []Breach) {
+// CheckRun lists what broke a rule, in the order of time. The events are in that order too.
+func CheckRun(events []Event, r Rules) (broken []Breach) {
 	h := newHistory(events, r)
 	add := func(rule string, at float64, form string, v ...any) {
 		broken = append(broken, Breach{rule, at, fmt.Sprintf(form, v...)})
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -139,7 +139,7 @@
 func checkCases(t *testing.T, r Rules, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
-		broken := Judge(script(t, c.text), r)
+		broken := CheckRun(script(t, c.text), r)
 		if c.rule == "" && len(broken) > 0 {
 			t.Errorf("%s: %v", c.name, broken)
 		}
@@ -190,7 +190,7 @@
 		{"a command that can't be read", "form", "5 malformed s1"},
 		{"four attempts", "attempts", "0 sent read\n 1 whole s1\n 2 over s1 missed\n 3 whole s2\n 4 over s2 missed\n 5 whole s3\n 6 over s3 missed\n 7 whole o\n 8 over o made\n 9 answer served"},
 	} {
-		broken := Judge(script(t, c.text), rules)
+		broken := CheckRun(script(t, c.text), rules)
 		switch {
 		case c.want == "" && len(broken) > 0:
 			t.Errorf("%s: %v", c.name, broken)
@@ -226,7 +226,7 @@
 func brokenRules(t *testing.T, r Rules, text string) map[string]int {
 	t.Helper()
 	rules := map[string]int{}
-	for _, b := range Judge(script(t, text), r) {
+	for _, b := range CheckRun(script(t, text), r) {
 		rules[b.Rule]++
 	}
 	return rules
--- a/lab/checker/timeout_hint_test.go
+++ b/lab/checker/timeout_hint_test.go
@@ -43,7 +43,7 @@
 510 over s1 made request=q{n}
 511 answer served request=q{n}`) + "\n" + rename(repeat(3, fetchWithHint("999")), "q", "x")
 	events := script(t, text)
-	if broken := Judge(events, rules); len(broken) > 0 {
+	if broken := CheckRun(events, rules); len(broken) > 0 {
 		t.Errorf("%v", broken)
 	}
 	want := TimeoutHintCounts{First: 23, FirstOverstated: 20, Further: 3, FurtherOverstated: 3}
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -103,7 +103,7 @@
 		Load:         got,
 		Marks:        fl.marks,
 		Samples:      fl.samples,
-		Broken:       checker.Judge(events, fl.rules()),
+		Broken:       checker.CheckRun(events, fl.rules()),
 		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
 		Calls:        fl.discovery.Calls(),
 		LateMS:       fl.late,
