--- a/lab/checker/leases.go
+++ b/lab/checker/leases.go
@@ -45,7 +45,7 @@
 	Patience time.Duration // of the linearizability check, for each lease
 }
 
-// JudgeLeases lists what broke a rule of leases:
+// CheckLeases lists what broke a rule of leases:
 //
 //	overlap       an older token was acted on after a newer one was
 //	token         one token was used by two holders, or given twice, or tokens fell
@@ -53,7 +53,7 @@
 //	linear        no order of the commands explains the answers
 //
 // undecided names leases whose order could not be decided within the patience.
-func JudgeLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Breach, undecided []string) {
+func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Breach, undecided []string) {
 	add := func(rule string, at int64, form string, v ...any) {
 		if len(broken) < maxBreaches {
 			broken = append(broken, Breach{rule, float64(at) / 1e6, fmt.Sprintf(form, v...)})
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -61,7 +61,7 @@
 			res.Grants++
 		}
 	}
-	res.Broken, res.Undecided = checker.JudgeLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.Patience})
+	res.Broken, res.Undecided = checker.CheckLeases(claims, operations, acts, checker.LeaseRules{Patience: a.options.Patience})
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	res.Failures = a.problems
