--- a/lab/checker/changes.go
+++ b/lab/checker/changes.go
@@ -28,10 +28,10 @@
 	Deliveries []Delivery
 }
 
-// JudgeChanges checks that a watcher saw a prefix of the agreed order, whatever chain of observers gave it: nothing twice, nothing
+// CheckDeliveries checks that a watcher saw a prefix of the agreed order, whatever chain of observers gave it: nothing twice, nothing
 // left out, never back; and that what it held was the agreed state each time. The agreed order must have no gap; it tells the
 // first breach, or "".
-func JudgeChanges(agreed []AgreedChange, history WatchHistory) string {
+func CheckDeliveries(agreed []AgreedChange, history WatchHistory) string {
 	for i, change := range agreed {
 		if change.Revision != uint64(i+1) {
 			return fmt.Sprintf("the agreed order has revision %d in place of %d", change.Revision, i+1)
--- a/lab/checker/changes_test.go
+++ b/lab/checker/changes_test.go
@@ -42,12 +42,12 @@
 		{"was held, and", []Delivery{broken(snapshot, func(d *Delivery) { d.Documents = []AgreedChange{agreedA1, agreedA4} })}},
 		{"documents were held", []Delivery{broken(snapshot, func(d *Delivery) { d.Documents = nil })}},
 	} {
-		got := JudgeChanges(agreed, WatchHistory{Watcher: "w", Prefix: "a/", Deliveries: one.deliveries})
+		got := CheckDeliveries(agreed, WatchHistory{Watcher: "w", Prefix: "a/", Deliveries: one.deliveries})
 		if (got == "") != (one.want == "") || !strings.Contains(got, one.want) {
 			t.Errorf("%q, want %q", got, one.want)
 		}
 	}
-	if got := JudgeChanges(agreed[1:], WatchHistory{}); !strings.Contains(got, "in place of") {
+	if got := CheckDeliveries(agreed[1:], WatchHistory{}); !strings.Contains(got, "in place of") {
 		t.Errorf("%q: a gap in the agreed order", got)
 	}
 }
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -301,7 +301,7 @@
 	for _, router := range o.routers {
 		router.mu.Lock()
 		for _, life := range router.lives {
-			if text := checker.JudgeChanges(agreed, *life); text != "" {
+			if text := checker.CheckDeliveries(agreed, *life); text != "" {
 				o.t.Error(text)
 			}
 			deliveries += len(life.Deliveries)
