--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -157,20 +157,20 @@
 	MachineLateMS float64 // the longest time by which the machine was late; it is slack of the rules that name a slack of their own
 }
 
-// Breach is one broken rule.
-type Breach struct {
+// Violation is one broken rule.
+type Violation struct {
 	Rule string  `json:"rule"` // answer, effect, copies, drain, cold, value, attempts, timeout-hint, lost, disconnected, rejecting, unanswered, ready or form
 	At   float64 `json:"at_ms"`
 	Text string  `json:"text"`
 }
 
-func (b Breach) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", b.At, b.Rule, b.Text) }
+func (b Violation) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", b.At, b.Rule, b.Text) }
 
 // CheckRun lists what broke a rule, in the order of time. The events are in that order too.
-func CheckRun(events []Event, r Rules) (broken []Breach) {
+func CheckRun(events []Event, r Rules) (broken []Violation) {
 	h := newHistory(events, r)
 	add := func(rule string, at float64, form string, v ...any) {
-		broken = append(broken, Breach{rule, at, fmt.Sprintf(form, v...)})
+		broken = append(broken, Violation{rule, at, fmt.Sprintf(form, v...)})
 	}
 	for _, q := range h.requests {
 		if q.has {
@@ -187,7 +187,7 @@
 	judgeReadiness(h, r, add)
 	judgeFalls(h, r, add)
 	judgeMalformed(h, add)
-	slices.SortStableFunc(broken, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(broken, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return broken
 }
 
--- a/lab/checker/leases.go
+++ b/lab/checker/leases.go
@@ -53,10 +53,10 @@
 //	linear        no order of the commands explains the answers
 //
 // undecided names leases whose order could not be decided within the patience.
-func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Breach, undecided []string) {
+func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Violation, undecided []string) {
 	add := func(rule string, at int64, form string, v ...any) {
 		if len(broken) < maxBreaches {
-			broken = append(broken, Breach{rule, float64(at) / 1e6, fmt.Sprintf(form, v...)})
+			broken = append(broken, Violation{rule, float64(at) / 1e6, fmt.Sprintf(form, v...)})
 		}
 	}
 	judgeClaims(claims, add)
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -39,7 +39,7 @@
 	Acts      int
 	Refused   int // acts that the resource refused, as their token was old
 	Grants    int
-	Broken    []checker.Breach
+	Broken    []checker.Violation
 	Undecided []string
 	Failures  []string // what did not hold, the broken rules among them
 	HealedS   float64  // after the last fault until all leases had been taken again
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -17,7 +17,7 @@
 		Classes: map[string]load.ClassResult{"read": {Asked: 5}}}, AttemptsBy: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
 		Samples: []fleet.Sample{{AtS: 0.5, Routers: map[string]fleet.Use{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
 			{AtS: 1, Routers: map[string]fleet.Use{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}}, Held: map[string]int{"s1": 4}}},
-		Broken: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"}}
+		Broken: []checker.Violation{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"}}
 	path := filepath.Join(t.TempDir(), "x.html")
 	if err := Write(path, []fleet.Result{r}); err != nil {
 		t.Fatal(err)
