--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -163,8 +163,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Happened tells discovery of an event, which it tells routers later.
-func (d *Discovery) Happened(e model.Entry) {
+// ScheduleChange tells discovery of an event, which it tells routers later.
+func (d *Discovery) ScheduleChange(e model.Entry) {
 	d.mu.Lock()
 	d.d.Happened(d.clock.Now(), e)
 	d.mu.Unlock()
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -386,7 +386,7 @@
 			t.Errorf("a watch: %+v", l)
 		}
 	})
-	d.Happened(model.Entry{ID: "s1", State: "leaving"})
+	d.ScheduleChange(model.Entry{ID: "s1", State: "leaving"})
 	wg.Wait()
 	r.until(t, "word to the router", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.State == "leaving" && e.Router == "r0" })
 	wg.Go(func() {
--- a/lab/fakes/silent_watch_test.go
+++ b/lab/fakes/silent_watch_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("%+v", silent)
 	}
 	s1.State = "leaving"
-	d.Happened(s1)
+	d.ScheduleChange(s1)
 	r.until(t, "change of the list", func(e checker.Event) bool {
 		return e.Kind == checker.ServerStateListed && e.Server == "s1" && e.State == "leaving"
 	})
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Happened(model.Entry{ID: "s1", State: "active", Started: r.clock.Unix(startedAt)})
+	d.ScheduleChange(model.Entry{ID: "s1", State: "active", Started: r.clock.Unix(startedAt)})
 	listed := r.until(t, "change of the list", func(e checker.Event) bool { return e.Kind == checker.ServerStateListed })
 	resp, err := http.Get("http://" + addr + "/v1/servers")
 	if err != nil {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -127,7 +127,7 @@
 						defer m.busy.Unlock()
 						e := m.entry
 						e.State = "leaving"
-						fl.discovery.Happened(e)
+						fl.discovery.ScheduleChange(e)
 					}
 				}
 				fl.changeOne(ctx, "server/"+m.entry.ID, &m.busy, tell, func() {
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -203,7 +203,7 @@
 		m.Kill()
 		e := m.entry
 		e.State = "left"
-		fl.discovery.Happened(e)
+		fl.discovery.ScheduleChange(e)
 	}
 	if f.ForS <= 0 || !wait(ctx, f.ForS) {
 		return
@@ -246,7 +246,7 @@
 		return
 	}
 	m.entry.Started, m.entry.State = fl.clock.Unix(fl.clock.Now()), "active"
-	fl.discovery.Happened(m.entry)
+	fl.discovery.ScheduleChange(m.entry)
 }
 
 // trouble books what the lab could not do: the run does not hold.
@@ -274,10 +274,10 @@
 	}
 	e := m.entry
 	e.State = "leaving"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	wait(ctx, drainS)
 	e.State = "left"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	m.Kill()
 	fl.mu.Lock()
 	m.gone = true
@@ -300,7 +300,7 @@
 				fl.trouble(err)
 				return
 			}
-			fl.discovery.Happened(young.entry)
+			fl.discovery.ScheduleChange(young.entry)
 		}
 	}
 	fl.mark("the deploy is over")
