--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -233,8 +233,8 @@
 	return d.calls
 }
 
-// Door opens a listener for a router; address maps each server's address to the one that this router is told.
-func (d *Discovery) Door(router string, address func(e model.Entry) string) (addr string, err error) {
+// OpenListener opens a listener for a router; address maps each server's address to the one that this router is told.
+func (d *Discovery) OpenListener(router string, address func(e model.Entry) string) (addr string, err error) {
 	ln, err := net.Listen("tcp", Host(AnyPort)+":0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -360,7 +360,7 @@
 	r := newRig()
 	d := NewDiscovery(model.DirectoryParams{}, 1, []model.Entry{{ID: "s1", Addr: "1.1.1.1:1", State: "active"}}, r.clock, r.journal)
 	t.Cleanup(d.Close)
-	addr, err := d.Door("r0", func(e model.Entry) string { return "via " + e.Addr })
+	addr, err := d.OpenListener("r0", func(e model.Entry) string { return "via " + e.Addr })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fakes/silent_watch_test.go
+++ b/lab/fakes/silent_watch_test.go
@@ -17,7 +17,7 @@
 	s1 := model.Entry{ID: "s1", Addr: "x", State: "active"}
 	d := NewDiscovery(model.DirectoryParams{}, 1, []model.Entry{s1}, r.clock, r.journal)
 	t.Cleanup(d.Close)
-	addr, err := d.Door("r0", func(e model.Entry) string { return e.Addr })
+	addr, err := d.OpenListener("r0", func(e model.Entry) string { return e.Addr })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -15,7 +15,7 @@
 	r := newRig()
 	d := NewDiscovery(model.DirectoryParams{}, 1, nil, r.clock, r.journal)
 	t.Cleanup(d.Close)
-	addr, err := d.Door("asks", func(e model.Entry) string { return e.Addr })
+	addr, err := d.OpenListener("asks", func(e model.Entry) string { return e.Addr })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -51,7 +51,7 @@
 
 // openDiscovery opens a listener of discovery for a router.
 func (fl *Fleet) openDiscovery(r *router) (addr string, err error) {
-	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.addrFor(r, e) })
+	return fl.discovery.OpenListener(r.name, func(e model.Entry) string { return fl.addrFor(r, e) })
 }
 
 func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.o.Dir, r.name+".toml") }
