--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -255,8 +255,8 @@
 	return ln.Addr().String(), nil
 }
 
-// Retire has a door accept no new connection, and close those that are open after retiredDoorTime.
-func (d *Discovery) Retire(addr string) {
+// RetireListener has a door accept no new connection, and close those that are open after retiredDoorTime.
+func (d *Discovery) RetireListener(addr string) {
 	d.mu.Lock()
 	retired := d.doors[addr]
 	delete(d.doors, addr)
--- a/lab/fleet/move_discovery.go
+++ b/lab/fleet/move_discovery.go
@@ -57,7 +57,7 @@
 	}
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.DiscoveryMoved, Router: r.name})
 	if r.signal(p, syscall.SIGHUP) && r.newest() == p {
-		fl.discovery.Retire(before)
+		fl.discovery.RetireListener(before)
 	}
 	return nil
 }
