--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// BookKnown tells the referee that a router knows the whole list as it is now: its configuration tells it.
-func (d *Discovery) BookKnown(router string) { d.tell(router, d.List()) }
+// RecordConfiguredList tells the referee that a router knows the whole list as it is now: its configuration tells it.
+func (d *Discovery) RecordConfiguredList(router string) { d.tell(router, d.List()) }
 
 // tell books a list, or changes, that a router was told.
 func (d *Discovery) tell(router string, list model.List) {
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -27,7 +27,7 @@
 	}
 	resp.Body.Close()
 	asked := r.until(t, "word to who asks", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "asks" })
-	d.BookKnown("configured")
+	d.RecordConfiguredList("configured")
 	known := r.until(t, "word by configuration", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "configured" })
 	for _, e := range []checker.Event{listed, asked, known} {
 		if e.Server != "s1" || math.Abs(e.ServerStartedAt-startedAt) > 0.01 {
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -9,7 +9,7 @@
 	f := fl.File
 	known, isTold := fl.discovery.LastTold(r.name)
 	if !isTold {
-		fl.discovery.BookKnown(r.name)
+		fl.discovery.RecordConfiguredList(r.name)
 		known, _ = fl.discovery.LastTold(r.name)
 	}
 	kinds := []string{}
