--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -145,8 +145,8 @@
 	d.bookTold(router, list.Servers)
 }
 
-// LastTold is the list as a router was told it last, and whether it was told any.
-func (d *Discovery) LastTold(router string) (list model.List, isTold bool) {
+// LastSentList is the list as a router was told it last, and whether it was told any.
+func (d *Discovery) LastSentList(router string) (list model.List, isTold bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	entries, isTold := d.told[router]
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -7,10 +7,10 @@
 // config is what the platform would tell a router. The list in it is as the router had it last.
 func (fl *Fleet) config(r *router) map[string]any {
 	f := fl.File
-	known, isTold := fl.discovery.LastTold(r.name)
+	known, isTold := fl.discovery.LastSentList(r.name)
 	if !isTold {
 		fl.discovery.RecordConfiguredList(r.name)
-		known, _ = fl.discovery.LastTold(r.name)
+		known, _ = fl.discovery.LastSentList(r.name)
 	}
 	kinds := []string{}
 	for i := range known.Servers {
