--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -226,8 +226,8 @@
 	return d.d.Whole()
 }
 
-// Calls counts calls so far.
-func (d *Discovery) Calls() int {
+// CallCount counts calls so far.
+func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -105,7 +105,7 @@
 		Samples:      fl.samples,
 		Broken:       checker.CheckRun(events, fl.rules()),
 		TimeoutHints: checker.CountTimeoutHints(events, fl.rules()),
-		Calls:        fl.discovery.Calls(),
+		Calls:        fl.discovery.CallCount(),
 		LateMS:       fl.late,
 		Rude:         fl.rude,
 		Cut:          cut,
