--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -37,7 +37,7 @@
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 			return fmt.Errorf("%q is no loopback address", a)
 		}
-		front.Up(a, "", a)
+		front.AddRouter(a, "", a)
 	}
 	f.Load.Rate, f.Load.Shape, f.Load.Workers, f.Load.Zones = o.rate, o.shape, o.workers, nil
 	f.Load.Progress = func(n load.Now) {
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -460,8 +460,8 @@
 	if _, _, err := f.Pick(""); !errors.Is(err, ErrNoRouter) {
 		t.Error(err)
 	}
-	f.Up("r0", "a", "x:0")
-	f.Up("r1", "b", "x:1")
+	f.AddRouter("r0", "a", "x:0")
+	f.AddRouter("r1", "b", "x:1")
 	for range 4 {
 		if name, _, _ := f.Pick("b"); name != "r1" {
 			t.Errorf("a client of zone b is dealt to %s", name)
@@ -475,7 +475,7 @@
 	if name, _, _ := f.Pick("b"); name != "r0" {
 		t.Errorf("not noticed: %s", name)
 	}
-	f.Up("r1", "b", "x:2")
+	f.AddRouter("r1", "b", "x:2")
 	if _, addr, _ := f.Pick("b"); addr != "x:2" {
 		t.Errorf("back at %s", addr)
 	}
--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -36,8 +36,8 @@
 // NewFront returns a front without routers.
 func NewFront(clock *Clock) *Front { return &Front{clock: clock} }
 
-// Up has a router used from now on.
-func (f *Front) Up(name, zone, addr string) {
+// AddRouter has a router used from now on.
+func (f *Front) AddRouter(name, zone, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -143,7 +143,7 @@
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
 		return err
 	}
-	fl.front.Up(r.name, r.zone, r.listen)
+	fl.front.AddRouter(r.name, r.zone, r.listen)
 	return nil
 }
 
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -113,7 +113,7 @@
 	clock := fakes.NewClock()
 	front := fakes.NewFront(clock)
 	for i, a := range addrs {
-		front.Up(fmt.Sprintf("r%d", i), "", a)
+		front.AddRouter(fmt.Sprintf("r%d", i), "", a)
 	}
 	p := Defaults()
 	p.Classes = []Class{{Name: "read", Share: 1, Effect: "repeatable", AimMS: 300, LimitMS: 600, Worth: 1, WorkMS: 1, Bytes: [2]float64{10, 100}}}
