--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -467,11 +467,11 @@
 			t.Errorf("a client of zone b is dealt to %s", name)
 		}
 	}
-	f.Down("r1", 1e6)
+	f.ReportRouterDeath("r1", 1e6)
 	if name, _, _ := f.Pick("b"); name != "r1" {
 		t.Errorf("noticed at once: %s", name)
 	}
-	f.Down("r1", -1)
+	f.ReportRouterDeath("r1", -1)
 	if name, _, _ := f.Pick("b"); name != "r0" {
 		t.Errorf("not noticed: %s", name)
 	}
--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -49,8 +49,8 @@
 	f.routers = append(f.routers, &fronted{name: name, zone: zone, addr: addr, from: f.clock.Now(), until: forever})
 }
 
-// Down tells that a router has died, which is noticed noticeMS later.
-func (f *Front) Down(name string, noticeMS float64) {
+// ReportRouterDeath tells that a router has died, which is noticed noticeMS later.
+func (f *Front) ReportRouterDeath(name string, noticeMS float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
@@ -63,7 +63,7 @@
 // End tells that a router was told to end: new connections go on coming for noticeMS, and clients
 // use those that they have for as long as they stay open.
 func (f *Front) End(name string, noticeMS float64) {
-	f.Down(name, noticeMS)
+	f.ReportRouterDeath(name, noticeMS)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -149,7 +149,7 @@
 		wg.Go(func() {
 			fl.changeOne(ctx, "router/"+r.name, &r.busy, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
-					fl.front.Down(r.name, 300)
+					fl.front.ReportRouterDeath(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
 					<-p.done
 				}
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -321,7 +321,7 @@
 				if p == nil {
 					return
 				}
-				fl.front.Down(r.name, 300) // planned: the front is told
+				fl.front.ReportRouterDeath(r.name, 300) // planned: the front is told
 				r.signal(p, syscall.SIGTERM)
 				<-p.done
 				if !wait(ctx, f.DownS) {
@@ -351,7 +351,7 @@
 				return
 			}
 			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
-			fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+			fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
 			if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -212,7 +212,7 @@
 	}
 	fl.mu.Unlock()
 	if p := r.newest(); p != nil {
-		fl.front.Down(r.name, 300)
+		fl.front.ReportRouterDeath(r.name, 300)
 		r.signal(p, syscall.SIGTERM)
 		<-p.done
 	}
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -117,7 +117,7 @@
 func (fl *Fleet) kill(r *router, p *process) {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
-	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+	fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 }
 
 // StepsPatience is how long a run with a kill at a step may last beyond its load.
