--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// End tells that a router was told to end: new connections go on coming for noticeMS, and clients
+// ReportRouterEnding tells that a router was told to end: new connections go on coming for noticeMS, and clients
 // use those that they have for as long as they stay open.
-func (f *Front) End(name string, noticeMS float64) {
+func (f *Front) ReportRouterEnding(name string, noticeMS float64) {
 	f.ReportRouterDeath(name, noticeMS)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -70,7 +70,7 @@
 	if p == nil || !p.isReady.Load() {
 		return
 	}
-	fl.front.End(r.name, noticeEndMS)
+	fl.front.ReportRouterEnding(r.name, noticeEndMS)
 	end(p)
 	fl.awaitEnd(r, p)
 	if !wait(ctx, downS) {
