--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Endings lists the routers that were told to end and have not come back.
-func (f *Front) Endings() (all []Ending) {
+// EndingRouters lists the routers that were told to end and have not come back.
+func (f *Front) EndingRouters() (all []Ending) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -213,7 +213,7 @@
 // pick chooses a router for a client of a zone. A client of a router that was told to end stays on its connection while that is
 // open: it is returned too.
 func (l *Load) pick(zone string) (router, addr string, kept *conn, err error) {
-	for _, ending := range l.front.Endings() {
+	for _, ending := range l.front.EndingRouters() {
 		if l.uniform() >= ending.Share {
 			continue
 		}
