--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -21,8 +21,8 @@
 	isEnding         bool    // it was told to end, and clients go on using the connections that they have
 }
 
-// Ending is a router that was told to end.
-type Ending struct {
+// EndingRouter is a router that was told to end.
+type EndingRouter struct {
 	Name, Addr string
 	// Share is that of the requests that its clients have.
 	Share float64
@@ -74,12 +74,12 @@
 }
 
 // EndingRouters lists the routers that were told to end and have not come back.
-func (f *Front) EndingRouters() (all []Ending) {
+func (f *Front) EndingRouters() (all []EndingRouter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
 		if r.isEnding {
-			all = append(all, Ending{Name: r.name, Addr: r.addr, Share: 1 / float64(len(f.routers))})
+			all = append(all, EndingRouter{Name: r.name, Addr: r.addr, Share: 1 / float64(len(f.routers))})
 		}
 	}
 	return all
