--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// Net is how the network between two parties behaves.
-type Net struct {
+// NetworkConditions is how the network between two parties behaves.
+type NetworkConditions struct {
 	DelayMS   float64 // one way
 	DropThere bool    // what goes to the server is held back, as by a partition one way
 	DropBack  bool    // what comes from it is
@@ -28,7 +28,7 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	net     Net
+	net     NetworkConditions
 	changed chan struct{}
 	pairs   map[*pair]struct{}
 }
@@ -54,7 +54,7 @@
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
 // Set changes how the network behaves. The end of a cut resets the connections that lived through it.
-func (r *Relay) Set(n Net) {
+func (r *Relay) Set(n NetworkConditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.net.Cut && !n.Cut {
@@ -68,7 +68,7 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *Relay) state() (Net, chan struct{}) {
+func (r *Relay) state() (NetworkConditions, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.net, r.changed
@@ -108,8 +108,8 @@
 	stop := context.AfterFunc(ctx, func() { near.Close(); far.Close() })
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { r.copy(ctx, far, near, func(n Net) bool { return n.Cut || n.DropThere }); closeWrite(far) })
-	wg.Go(func() { r.copy(ctx, near, far, func(n Net) bool { return n.Cut || n.DropBack }); end() })
+	wg.Go(func() { r.copy(ctx, far, near, func(n NetworkConditions) bool { return n.Cut || n.DropThere }); closeWrite(far) })
+	wg.Go(func() { r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.DropBack }); end() })
 	wg.Wait()
 }
 
@@ -126,7 +126,7 @@
 }
 
 // copy carries bytes from one side to the other, late, slowly or not at all, as the network has it.
-func (r *Relay) copy(ctx context.Context, to, from net.Conn, held func(Net) bool) {
+func (r *Relay) copy(ctx context.Context, to, from net.Conn, held func(NetworkConditions) bool) {
 	chunks := make(chan chunk, relayChunks)
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -159,7 +159,7 @@
 }
 
 // pass writes one chunk when its time has come and nothing holds it back.
-func (r *Relay) pass(ctx context.Context, to net.Conn, c chunk, held func(Net) bool) bool {
+func (r *Relay) pass(ctx context.Context, to net.Conn, c chunk, held func(NetworkConditions) bool) bool {
 	for {
 		n, changed := r.state()
 		if held(n) {
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -33,8 +33,8 @@
 type relayFaults struct{ cut, dropThere, dropBack, delay int }
 
 // network is what the relay does while these faults last.
-func (f *relayFaults) network() fakes.Net {
-	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
+func (f *relayFaults) network() fakes.NetworkConditions {
+	return fakes.NetworkConditions{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
 // relayFault picks the count of one kind of fault.
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -87,8 +87,8 @@
 func (o *observation) cutObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
-	setRelays(stale.upstream, fakes.Net{Cut: true})
-	defer setRelays(stale.upstream, fakes.Net{})
+	setRelays(stale.upstream, fakes.NetworkConditions{Cut: true})
+	defer setRelays(stale.upstream, fakes.NetworkConditions{})
 	before, err := stale.status(o.t.Context())
 	if err != nil {
 		o.t.Fatal(err)
@@ -103,7 +103,7 @@
 		}
 		return errNotYet // where all watched the stale one, they have to find that it is
 	})
-	setRelays(other.regions, fakes.Net{Cut: true})
+	setRelays(other.regions, fakes.NetworkConditions{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
@@ -111,7 +111,7 @@
 		}
 		return err
 	})
-	setRelays(other.regions, fakes.Net{})
+	setRelays(other.regions, fakes.NetworkConditions{})
 }
 
 // cutRegion has one region lack more than the log holds; all its routers come back at once.
@@ -120,8 +120,8 @@
 	for _, observer := range o.observers {
 		relays = append(relays, observer.regions[0])
 	}
-	setRelays(relays, fakes.Net{Cut: true})
-	defer setRelays(relays, fakes.Net{})
+	setRelays(relays, fakes.NetworkConditions{Cut: true})
+	defer setRelays(relays, fakes.NetworkConditions{})
 	o.change(2 * rigHistory)
 	o.awaitRouters("in the other region", o.region(1))
 }
@@ -201,7 +201,7 @@
 	close(gate)
 }
 
-func setRelays(relays []*fakes.Relay, net fakes.Net) {
+func setRelays(relays []*fakes.Relay, net fakes.NetworkConditions) {
 	for _, relay := range relays {
 		relay.Set(net)
 	}
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -180,9 +180,9 @@
 }
 
 // plainNet is the network between a router and a zone when nothing is wrong.
-func (fl *Fleet) plainNet(r *router, zone string) fakes.Net {
+func (fl *Fleet) plainNet(r *router, zone string) fakes.NetworkConditions {
 	if r.zone != zone {
-		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
+		return fakes.NetworkConditions{DelayMS: fl.File.Fleet.ZoneDelayMS}
 	}
-	return fakes.Net{}
+	return fakes.NetworkConditions{}
 }
