--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -425,7 +425,7 @@
 	if got := p.line(); got != "EN O2 h0" {
 		t.Errorf("once it has healed: %q", got)
 	}
-	relay.Set(NetworkConditions{DropThere: true})
+	relay.Set(NetworkConditions{HoldToTarget: true})
 	p.send("mg k v O3 Pc=read\r\n")
 	relay.Set(NetworkConditions{Cut: true})
 	// The reset may come before the dialler has looked whether it is connected: the dial fails then.
