--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -418,7 +418,7 @@
 	if got := p.get("k", "1"); got != "EN O1 h0" {
 		t.Errorf("got %q", got)
 	}
-	relay.Set(NetworkConditions{DropBack: true}) // it arrives, and the answer does not come back
+	relay.Set(NetworkConditions{HoldFromTarget: true}) // it arrives, and the answer does not come back
 	p.send("mg k v O2 Pc=read\r\n")
 	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded && e.Request == "2" })
 	relay.Set(NetworkConditions{})
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -14,7 +14,7 @@
 type NetworkConditions struct {
 	DelayMS   float64 // one way
 	HoldToTarget bool    // what goes to the server is held back, as by a partition one way
-	DropBack  bool    // what comes from it is
+	HoldFromTarget  bool    // what comes from it is
 	Cut       bool    // both, and new connections are reset at once
 	BytesPerS float64 // in each direction; 0 = no bound
 }
@@ -109,7 +109,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	wg.Go(func() { r.copy(ctx, far, near, func(n NetworkConditions) bool { return n.Cut || n.HoldToTarget }); closeWrite(far) })
-	wg.Go(func() { r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.DropBack }); end() })
+	wg.Go(func() { r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.HoldFromTarget }); end() })
 	wg.Wait()
 }
 
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -34,7 +34,7 @@
 
 // network is what the relay does while these faults last.
 func (f *relayFaults) network() fakes.NetworkConditions {
-	return fakes.NetworkConditions{Cut: f.cut > 0, HoldToTarget: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
+	return fakes.NetworkConditions{Cut: f.cut > 0, HoldToTarget: f.dropThere > 0, HoldFromTarget: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
 // relayFault picks the count of one kind of fault.
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -402,7 +402,7 @@
 			n := fl.plainNet(r, m.entry.Zone)
 			if on {
 				n.Cut = f.What == "partition"
-				n.HoldToTarget, n.DropBack = f.What == "partition-there", f.What == "partition-back"
+				n.HoldToTarget, n.HoldFromTarget = f.What == "partition-there", f.What == "partition-back"
 				if f.What == "delay" {
 					n.DelayMS = f.DelayMS
 				}
