--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -418,16 +418,16 @@
 	if got := p.get("k", "1"); got != "EN O1 h0" {
 		t.Errorf("got %q", got)
 	}
-	relay.Set(NetworkConditions{HoldFromTarget: true}) // it arrives, and the answer does not come back
+	relay.SetConditions(NetworkConditions{HoldFromTarget: true}) // it arrives, and the answer does not come back
 	p.send("mg k v O2 Pc=read\r\n")
 	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded && e.Request == "2" })
-	relay.Set(NetworkConditions{})
+	relay.SetConditions(NetworkConditions{})
 	if got := p.line(); got != "EN O2 h0" {
 		t.Errorf("once it has healed: %q", got)
 	}
-	relay.Set(NetworkConditions{HoldToTarget: true})
+	relay.SetConditions(NetworkConditions{HoldToTarget: true})
 	p.send("mg k v O3 Pc=read\r\n")
-	relay.Set(NetworkConditions{Cut: true})
+	relay.SetConditions(NetworkConditions{Cut: true})
 	// The reset may come before the dialler has looked whether it is connected: the dial fails then.
 	if c, err := net.Dial("tcp", relay.Addr()); err == nil {
 		fresh := &peer{c, bufio.NewReader(c), t}
@@ -438,7 +438,7 @@
 	} else if !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a new connection over a cut: %v", err)
 	}
-	relay.Set(NetworkConditions{}) // resets what lived through it
+	relay.SetConditions(NetworkConditions{}) // resets what lived through it
 	if got := p.line(); got != "closed" {
 		t.Errorf("after the cut: %q", got)
 	}
@@ -448,7 +448,7 @@
 			t.Error("what was held back arrived")
 		}
 	}
-	relay.Set(NetworkConditions{DelayMS: 30})
+	relay.SetConditions(NetworkConditions{DelayMS: 30})
 	began := r.clock.Now()
 	if got := connect(t, relay.Addr()).get("k", "4"); got != "EN O4 h0" || r.clock.Now()-began < 60 {
 		t.Errorf("a delay of 30 ms each way: %q after %.0f ms", got, r.clock.Now()-began)
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -53,8 +53,8 @@
 // Addr is where the relay listens.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Set changes how the network behaves. The end of a cut resets the connections that lived through it.
-func (r *Relay) Set(n NetworkConditions) {
+// SetConditions changes how the network behaves. The end of a cut resets the connections that lived through it.
+func (r *Relay) SetConditions(n NetworkConditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.net.Cut && !n.Cut {
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -53,7 +53,7 @@
 		for _, relay := range relays {
 			faults := a.relayFaults[relay]
 			*fault(faults) += by
-			relay.Set(faults.network())
+			relay.SetConditions(faults.network())
 		}
 	}
 	change(1)
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -384,7 +384,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range relays {
-		r.Set(fakes.NetworkConditions{HoldFromTarget: true})
+		r.SetConditions(fakes.NetworkConditions{HoldFromTarget: true})
 	}
 	// The referee's own client takes it, and at that moment the deaf one must know that it has lost it.
 	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -335,7 +335,7 @@
 			if err == nil {
 				wait(ctx, rand.Float64()*ttl.Seconds())
 				for _, r := range relays {
-					r.Set(fakes.NetworkConditions{Cut: true})
+					r.SetConditions(fakes.NetworkConditions{Cut: true})
 				}
 				at := time.Now()
 				err = next.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -332,8 +332,8 @@
 		o := &outage{thing: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
 			for _, relay := range fl.toCoord[r.name] { // made before the load
-				relay.Set(fakes.NetworkConditions{Cut: true})
-				defer relay.Set(fakes.NetworkConditions{})
+				relay.SetConditions(fakes.NetworkConditions{Cut: true})
+				defer relay.SetConditions(fakes.NetworkConditions{})
 			}
 			continue
 		}
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -407,7 +407,7 @@
 					n.DelayMS = f.DelayMS
 				}
 			}
-			relay.Set(n)
+			relay.SetConditions(n)
 		}
 	}
 }
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observe_test.go
@@ -203,7 +203,7 @@
 
 func setRelays(relays []*fakes.Relay, net fakes.NetworkConditions) {
 	for _, relay := range relays {
-		relay.Set(net)
+		relay.SetConditions(net)
 	}
 }
 
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -175,7 +175,7 @@
 		return e.Addr
 	}
 	fl.relays[key] = relay
-	relay.Set(fl.plainNet(r, e.Zone))
+	relay.SetConditions(fl.plainNet(r, e.Zone))
 	return relay.Addr()
 }
 
