--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -194,7 +194,7 @@
 	if ran != 1 {
 		t.Errorf("the keyed write ran %d times", ran)
 	}
-	s.Set(Faults{Spoil: "busy", Share: 1})
+	s.SetFaults(Faults{Spoil: "busy", Share: 1})
 	if code, _ := do("GET", "k", "9", "c=read", ""); code != 503 {
 		t.Errorf("turned away: %d", code)
 	}
@@ -209,7 +209,7 @@
 			r := newRig()
 			s := r.server(t, "s1", quick, Options{})
 			s.Store("k", 5)
-			s.Set(Faults{Spoil: spoil, Share: 1})
+			s.SetFaults(Faults{Spoil: spoil, Share: 1})
 			p := connect(t, s.Addr())
 			got := p.get("k", "1")
 			whole := got == "VA 5 O1 h1" && p.line() == "1 k s"
@@ -261,7 +261,7 @@
 	p.ColdFrom, p.ColdMS = 0.3, 60000
 	s := r.server(t, "s1", p, Options{Work: func(string, string, string) (float64, int) { return 1, MaxValue }})
 	s.Store("k", MaxValue)
-	s.Set(Faults{BytesPerS: 100_000})
+	s.SetFaults(Faults{BytesPerS: 100_000})
 	c := connect(t, s.Addr())
 	if got := c.get("k", "1"); got != fmt.Sprintf("VA %d O1 h1", MaxValue) {
 		t.Fatalf("got %q", got)
@@ -279,7 +279,7 @@
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	s.Set(Faults{})
+	s.SetFaults(Faults{})
 	if got := connect(t, s.Addr()).get("k", "2"); got != "EN O2 h0" {
 		t.Errorf("after its return: %q", got)
 	}
@@ -293,7 +293,7 @@
 	s := r.server(t, "s1", quick, Options{})
 	p := connect(t, s.Addr())
 	p.get("k", "1")
-	s.Set(Faults{Silent: true})
+	s.SetFaults(Faults{Silent: true})
 	p.send("mg k v O2 Pc=read\r\n")
 	half := connect(t, s.Addr()) // it comes up, and nobody answers
 	half.send("mn\r\n")
@@ -304,7 +304,7 @@
 	if _, err := half.r.ReadByte(); !errors.As(err, &timeout) || !timeout.Timeout() {
 		t.Errorf("a silent server says something: %v", err)
 	}
-	s.Set(Faults{})
+	s.SetFaults(Faults{})
 	if got := p.line(); got != "closed" {
 		t.Errorf("got %q", got)
 	}
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -172,8 +172,8 @@
 	return s.ln != nil
 }
 
-// Set sets the faults. The end of silence resets the connections that lived through it.
-func (s *Server) Set(f Faults) {
+// SetFaults sets the faults. The end of silence resets the connections that lived through it.
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Silent && !f.Silent {
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -57,7 +57,7 @@
 				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
-				m.Set(faults)
+				m.SetFaults(faults)
 			}
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
@@ -71,7 +71,7 @@
 		})
 	case "origin-busy":
 		both("the origin turns all away", func(on bool) {
-			fl.origin.Set(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
+			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
 		both("discovery is down", fl.discovery.SetDown)
