--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -33,9 +33,9 @@
 	Reports  bool    // answers hold load reports
 	Pipeline int     // commands on a connection that are begun before those ahead are answered; 0 = 128
 	IdleMS   float64 // a connection idle for this long is closed; 0 = never
-	// Asked is told of each request that ended well or missed, from the server's own goroutine: the fleet stores what
+	// OnComplete is told of each request that ended well or missed, from the server's own goroutine: the fleet stores what
 	// the origin made where it was missing, and voids what a write changed.
-	Asked func(s *Server, key, id string, o model.Outcome, write bool, size int)
+	OnComplete func(s *Server, key, id string, o model.Outcome, write bool, size int)
 }
 
 // Faults are what goes wrong at a server, beside what its model does.
@@ -264,11 +264,11 @@
 }
 
 func (s *Server) tell(done []*slot) {
-	if s.o.Asked == nil {
+	if s.o.OnComplete == nil {
 		return
 	}
 	for _, sl := range done {
-		s.o.Asked(s, sl.req.key, sl.req.id, sl.a.Outcome, sl.req.kind == "set", len(sl.a.value))
+		s.o.OnComplete(s, sl.req.key, sl.req.id, sl.a.Outcome, sl.req.kind == "set", len(sl.a.value))
 	}
 }
 
