--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -18,8 +18,8 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// WorkOf gives the work of a request at a server and the size of its value. It must be safe for concurrent use.
-type WorkOf func(id, key, class string) (work float64, size int)
+// WorkFunc gives the work of a request at a server and the size of its value. It must be safe for concurrent use.
+type WorkFunc func(id, key, class string) (work float64, size int)
 
 // Options describe a server's stand-in.
 type Options struct {
@@ -28,7 +28,7 @@
 	Seed     uint64
 	Clock    *Clock
 	Journal  *checker.Journal
-	Work     WorkOf
+	Work     WorkFunc
 	Probes   bool    // `stats load` is answered
 	Reports  bool    // answers hold load reports
 	Pipeline int     // commands on a connection that are begun before those ahead are answered; 0 = 128
