--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -194,7 +194,7 @@
 	if ran != 1 {
 		t.Errorf("the keyed write ran %d times", ran)
 	}
-	s.SetFaults(Faults{Spoil: "busy", Share: 1})
+	s.SetFaults(Faults{Corruption: "busy", Share: 1})
 	if code, _ := do("GET", "k", "9", "c=read", ""); code != 503 {
 		t.Errorf("turned away: %d", code)
 	}
@@ -209,7 +209,7 @@
 			r := newRig()
 			s := r.server(t, "s1", quick, Options{})
 			s.Store("k", 5)
-			s.SetFaults(Faults{Spoil: spoil, Share: 1})
+			s.SetFaults(Faults{Corruption: spoil, Share: 1})
 			p := connect(t, s.Addr())
 			got := p.get("k", "1")
 			whole := got == "VA 5 O1 h1" && p.line() == "1 k s"
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -42,7 +42,7 @@
 type Faults struct {
 	Silent    bool    // it takes connections and says nothing; what it has to say is lost. The end of it resets all connections
 	BytesPerS float64 // answers go out this slowly; 0 = as fast as they can
-	Spoil     string  // how answers are spoilt: see Spoils
+	Corruption     string  // how answers are spoilt: see Spoils
 	Share     float64 // of the answers
 }
 
@@ -453,7 +453,7 @@
 			s.next++
 			sl.job = s.next
 			c.held[sl] = struct{}{}
-			if s.faults.Spoil == "busy" && s.rng.Float64() < s.faults.Share {
+			if s.faults.Corruption == "busy" && s.rng.Float64() < s.faults.Share {
 				s.complete(sl, now, model.Busy, 0)
 			} else if s.m.Arrive(now, model.Job{ID: sl.job, Key: sl.req.key, Idem: sl.req.idem, Work: work, Size: size, Write: sl.req.kind == "set"}) {
 				s.pending[sl.job] = sl
@@ -491,7 +491,7 @@
 	s.mu.Lock()
 	f := s.faults
 	plain := sl.req.kind != "get" && sl.req.kind != "set"
-	spoil := f.Spoil != "" && !plain && s.rng.Float64() < f.Share
+	spoil := f.Corruption != "" && !plain && s.rng.Float64() < f.Share
 	cut, n := s.rng.Float64(), s.rng.Uint64()
 	s.mu.Unlock()
 	if f.Silent {
@@ -502,7 +502,7 @@
 	if !spoil {
 		return c.put(text, f.BytesPerS) == nil
 	}
-	switch f.Spoil {
+	switch f.Corruption {
 	case "cut":
 		_ = c.put(text[:int(cut*float64(len(text)))], f.BytesPerS)
 		return false
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -54,7 +54,7 @@
 		both(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
 			var faults fakes.Faults
 			if on {
-				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
+				faults = fakes.Faults{Silent: f.What == "silence", Corruption: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
 				m.SetFaults(faults)
@@ -71,7 +71,7 @@
 		})
 	case "origin-busy":
 		both("the origin turns all away", func(on bool) {
-			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
+			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Corruption: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
 		both("discovery is down", fl.discovery.SetDown)
