--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -204,7 +204,7 @@
 }
 
 func TestSpoiltAnswers(t *testing.T) {
-	for _, spoil := range Spoils {
+	for _, spoil := range Corruptions {
 		t.Run(spoil, func(t *testing.T) {
 			r := newRig()
 			s := r.server(t, "s1", quick, Options{})
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -46,10 +46,10 @@
 	Share     float64 // of the answers
 }
 
-// Spoils are the ways to spoil an answer: cut (broken off anywhere), noise, wrong-id, twice (a second copy behind it),
+// Corruptions are the ways to spoil an answer: cut (broken off anywhere), noise, wrong-id, twice (a second copy behind it),
 // long (a length of 3 GB), endless (a line without an end), busy (turned away though nothing is full), reset (the
 // connection is reset in place of an answer). In all but busy the request has run.
-var Spoils = []string{"cut", "noise", "wrong-id", "twice", "long", "endless", "busy", "reset"}
+var Corruptions = []string{"cut", "noise", "wrong-id", "twice", "long", "endless", "busy", "reset"}
 
 // Stats count what a server did.
 type Stats struct{ Served, Missed, Turned, Failed, Conns, Probes int64 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -283,11 +283,11 @@
 			return fmt.Errorf("%swhat: %q is none of %s", at, t.What, strings.Join(What(), ", "))
 		}
 		for _, n := range needs {
-			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(fakes.Spoils, t.Spoil) || t.Answers <= 0,
+			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(fakes.Corruptions, t.Spoil) || t.Answers <= 0,
 				"bytes_s": t.BytesS <= 0, "batch": t.Batch < 1, "relays": !f.Fleet.Relays, "coordinators": f.Fleet.Coordinators == 0, "versions": t.Versions < 1, "count": t.Count < 1, "out": !f.Fleet.Out.On() || f.Fleet.Coordinators == 0, "delay_ms": t.DelayMS <= 0}[n]
 			if lacks {
 				return fmt.Errorf("%swhat: %s needs %s", at, t.What, map[string]string{"part": "share, count or servers",
-					"spoil": "spoil (" + strings.Join(fakes.Spoils, ", ") + ") and answers", "relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
+					"spoil": "spoil (" + strings.Join(fakes.Corruptions, ", ") + ") and answers", "relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
 					map[bool]string{true: n}[n != "part" && n != "spoil" && n != "relays"])
 			}
 		}
