--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -250,7 +250,7 @@
 	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded }); e.End != checker.Dropped {
 		t.Errorf("ended as %v", e.End)
 	}
-	if held, _ := s.Busy(); held != 0 {
+	if held, _ := s.Load(); held != 0 {
 		t.Errorf("%d held", held)
 	}
 }
@@ -283,7 +283,7 @@
 	if got := connect(t, s.Addr()).get("k", "2"); got != "EN O2 h0" {
 		t.Errorf("after its return: %q", got)
 	}
-	if _, warmth := s.Busy(); warmth > 0.9 {
+	if _, warmth := s.Load(); warmth > 0.9 {
 		t.Errorf("warmth %v after the return", warmth)
 	}
 }
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -190,8 +190,8 @@
 // Invalidate drops the copy of a key.
 func (s *Server) Invalidate(key string) { s.with(func(float64) { s.m.Invalidate(key) }) }
 
-// Busy tells how many requests are held and how warm the server is.
-func (s *Server) Busy() (held int, warmth float64) {
+// Load tells how many requests are held and how warm the server is.
+func (s *Server) Load() (held int, warmth float64) {
 	s.with(func(float64) { held, warmth = s.m.Held(), s.m.Warmth() })
 	return held, warmth
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -124,10 +124,10 @@
 		}
 		for _, m := range fl.allMembers() {
 			if m.Up() {
-				s.Held[m.ID()], _ = m.Busy()
+				s.Held[m.ID()], _ = m.Load()
 			}
 		}
-		s.Held["origin"], _ = fl.origin.Busy()
+		s.Held["origin"], _ = fl.origin.Load()
 		fl.mu.Lock()
 		s.AtS = (fl.clock.Now() - fl.began) / 1000
 		fl.samples = append(fl.samples, s)
