--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -273,7 +273,7 @@
 	if n, err := io.Copy(io.Discard, c.r); err == nil || n >= MaxValue {
 		t.Errorf("%d further bytes, %v: want a reset", n, err)
 	}
-	if _, err := net.Dial("tcp", s.Addr()); err == nil || s.Up() {
+	if _, err := net.Dial("tcp", s.Addr()); err == nil || s.IsUp() {
 		t.Error("a dead server takes connections")
 	}
 	if err := s.Restart(); err != nil {
@@ -349,7 +349,7 @@
 	if e := r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived }); e.Work != 100 {
 		t.Errorf("an attempt's work is %v", e.Work)
 	}
-	for end := time.Now().Add(patience); s.Up(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); s.IsUp(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("still up")
 		}
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -165,8 +165,8 @@
 	return s.listen()
 }
 
-// Up reports whether the process runs.
-func (s *Server) Up() bool {
+// IsUp reports whether the process runs.
+func (s *Server) IsUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ln != nil
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -208,7 +208,7 @@
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
 			all++
-			if m.Up() {
+			if m.IsUp() {
 				up++
 			}
 		}
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -28,12 +28,12 @@
 		fl.leave(t.Context(), []*member{m}, 0)
 	}()
 	fl.back(m)
-	if !m.Up() || fl.hasLeft(m) {
+	if !m.IsUp() || fl.hasLeft(m) {
 		t.Error("it left while it was down")
 	}
 	m.busy.Unlock()
 	<-left
-	if m.Up() || !fl.hasLeft(m) {
+	if m.IsUp() || !fl.hasLeft(m) {
 		t.Error("it has not left")
 	}
 	if fl.tryOwn(m) {
@@ -42,7 +42,7 @@
 	m.busy.Lock()
 	fl.back(m)
 	m.busy.Unlock()
-	if m.Up() {
+	if m.IsUp() {
 		t.Error("it came back after it had left")
 	}
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -123,7 +123,7 @@
 			s.Routers[r.name] = r.use()
 		}
 		for _, m := range fl.allMembers() {
-			if m.Up() {
+			if m.IsUp() {
 				s.Held[m.ID()], _ = m.Load()
 			}
 		}
