--- a/lab/fakes/codec.go
+++ b/lab/fakes/codec.go
@@ -49,8 +49,8 @@
 
 var table = crc64.MakeTable(crc64.ECMA)
 
-// Sum is the checksum by which the referee tells values apart.
-func Sum(value []byte) uint64 { return crc64.Checksum(value, table) }
+// Checksum is the checksum by which the referee tells values apart.
+func Checksum(value []byte) uint64 { return crc64.Checksum(value, table) }
 
 // Value is what a server gives for a request: size bytes that begin with who made it, for what and for whom, as far as
 // there is room, so that no two requests are given the same.
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -316,7 +316,7 @@
 	}
 	sl.over = true
 	delete(sl.conn.held, sl)
-	s.o.Journal.Add(checker.Event{At: now, Kind: checker.AttemptEnded, Request: sl.req.id, Server: s.o.ID, End: end, Sum: Sum(sl.a.value)})
+	s.o.Journal.Add(checker.Event{At: now, Kind: checker.AttemptEnded, Request: sl.req.id, Server: s.o.ID, End: end, Sum: Checksum(sl.a.value)})
 }
 
 // accept takes connections of one process.
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -47,7 +47,7 @@
 // Size is that of a key's value in a class: the same each time.
 func Size(c Class, key string) int {
 	low, high := max(c.Bytes[0], 1), max(c.Bytes[1], c.Bytes[0], 1)
-	u := rand.New(rand.NewPCG(fakes.Sum([]byte(key)), 8)).Float64()
+	u := rand.New(rand.NewPCG(fakes.Checksum([]byte(key)), 8)).Float64()
 	return int(low * math.Pow(high/low, u))
 }
 
@@ -57,7 +57,7 @@
 		return c.WorkMS
 	}
 	s2 := math.Log(1 + c.WorkCV*c.WorkCV)
-	z := rand.New(rand.NewPCG(fakes.Sum([]byte(id)), 9)).NormFloat64()
+	z := rand.New(rand.NewPCG(fakes.Checksum([]byte(id)), 9)).NormFloat64()
 	return c.WorkMS * math.Exp(math.Sqrt(s2)*z-s2/2)
 }
 
@@ -266,7 +266,7 @@
 		if _, err := io.ReadFull(r, value); err != nil {
 			return checker.Failed, 0, 0, err
 		}
-		return checker.Served, 0, fakes.Sum(value[:n]), nil
+		return checker.Served, 0, fakes.Checksum(value[:n]), nil
 	case len(w) >= 1 && w[0] == "HD":
 		receipt := ""
 		for _, f := range w[1:] {
@@ -274,7 +274,7 @@
 				receipt = f[1:]
 			}
 		}
-		return checker.Served, 0, fakes.Sum([]byte(receipt)), nil
+		return checker.Served, 0, fakes.Checksum([]byte(receipt)), nil
 	case len(w) >= 2 && w[0] == "SERVER_ERROR" && w[1] == "busy":
 		if len(w) > 2 {
 			after, _ = strconv.ParseFloat(w[2], 64) // 0 where it is no number
