--- a/lab/fakes/codec.go
+++ b/lab/fakes/codec.go
@@ -52,9 +52,9 @@
 // Checksum is the checksum by which the referee tells values apart.
 func Checksum(value []byte) uint64 { return crc64.Checksum(value, table) }
 
-// Value is what a server gives for a request: size bytes that begin with who made it, for what and for whom, as far as
+// NewValue is what a server gives for a request: size bytes that begin with who made it, for what and for whom, as far as
 // there is room, so that no two requests are given the same.
-func Value(by, key, id string, size int) []byte {
+func NewValue(by, key, id string, size int) []byte {
 	head := id + " " + key + " " + by + " "
 	v := make([]byte, max(size, 1))
 	n := copy(v, head)
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -287,7 +287,7 @@
 			}
 			sl.a.value = []byte(receipt)
 		} else {
-			sl.a.value = Value(s.o.ID, sl.req.key, sl.req.id, size)
+			sl.a.value = NewValue(s.o.ID, sl.req.key, sl.req.id, size)
 		}
 		if o == model.Served && sl.req.kind == "set" {
 			s.o.Journal.Add(checker.Event{At: now, Kind: checker.EffectExecuted, Request: sl.req.id, Server: s.o.ID, Idem: sl.req.idem})
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -150,7 +150,7 @@
 	}
 	if c.Write {
 		fmt.Fprintf(&wire, "ms %s %d O%s P%s\r\n", key, size, id, facts)
-		wire.Write(fakes.Value("client", key, id, size))
+		wire.Write(fakes.NewValue("client", key, id, size))
 		wire.WriteString("\r\n")
 	} else {
 		fmt.Fprintf(&wire, "mg %s v O%s P%s\r\n", key, id, facts)
