--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -235,7 +235,7 @@
 
 // OpenListener opens a listener for a router; address maps each server's address to the one that this router is told.
 func (d *Discovery) OpenListener(router string, address func(e model.Entry) string) (addr string, err error) {
-	ln, err := net.Listen("tcp", Host(AnyPort)+":0")
+	ln, err := net.Listen("tcp", LoopbackHost(AnyPort)+":0")
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
 	}
--- a/lab/fakes/host.go
+++ b/lab/fakes/host.go
@@ -17,8 +17,8 @@
 	Processes              // real processes, which bind what was found free
 )
 
-// Host is the address for a use.
-func Host(use HostUse) string {
+// LoopbackHost is the address for a use.
+func LoopbackHost(use HostUse) string {
 	id := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64*(int(use)+1)+id>>16&63, id>>8&255, id&255)
 }
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -40,7 +40,7 @@
 
 // NewRelay starts a relay to a target. Close ends it.
 func NewRelay(target func() string) (*Relay, error) {
-	ln, err := net.Listen("tcp", Host(AnyPort)+":0")
+	ln, err := net.Listen("tcp", LoopbackHost(AnyPort)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -61,7 +61,7 @@
 // another laboratory nor another part of this one takes it before it is bound.
 func FreeAddr() (string, error) {
 	for range 100 {
-		ln, err := net.Listen("tcp", fakes.Host(fakes.Processes)+":0")
+		ln, err := net.Listen("tcp", fakes.LoopbackHost(fakes.Processes)+":0")
 		if err != nil {
 			return "", fmt.Errorf("no address: %w", err)
 		}
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -19,7 +19,7 @@
 // build starts the stand-ins.
 func (fl *Fleet) build() (err error) {
 	f := fl.File
-	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
+	if fl.origin, err = fakes.Start(fakes.LoopbackHost(fakes.Servers)+":0", fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
 		Journal: fl.journal, Work: fl.work, OnComplete: fl.originSaid}); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	if k.Model.MeanWork == 0 {
 		k.Model.MeanWork = fl.meanWork()
 	}
-	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0", fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
+	s, err := fakes.Start(fakes.LoopbackHost(fakes.Servers)+":0", fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model, Seed: fl.File.Seed + uint64(n)*7 + 100,
 		Clock: fl.clock, Journal: fl.journal, Work: fl.work, OnComplete: fl.cacheSaid, Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
 	if err != nil {
 		return nil, err
