--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -166,7 +166,7 @@
 // ScheduleChange tells discovery of an event, which it tells routers later.
 func (d *Discovery) ScheduleChange(e model.Entry) {
 	d.mu.Lock()
-	d.d.Happened(d.clock.Now(), e)
+	d.d.ScheduleChange(d.clock.Now(), e)
 	d.mu.Unlock()
 	select {
 	case d.kick <- struct{}{}:
--- a/lab/model/directory.go
+++ b/lab/model/directory.go
@@ -72,8 +72,8 @@
 	return d
 }
 
-// Happened books news at now; it is told later. News of one server is told in the order in which it happened.
-func (d *Directory) Happened(now float64, e Entry) {
+// ScheduleChange books news at now; it is told later. News of one server is told in the order in which it happened.
+func (d *Directory) ScheduleChange(now float64, e Entry) {
 	at := now + d.p.LateMS[0] + d.rng.Float64()*max(0, d.p.LateMS[1]-d.p.LateMS[0])
 	for _, p := range d.news {
 		if p.e.ID == e.ID {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -291,8 +291,8 @@
 
 func TestDirectoryIsLateAndInOrder(t *testing.T) {
 	d := NewDirectory(DirectoryParams{LateMS: [2]float64{100, 500}}, 1, []Entry{{ID: "a", State: "active"}, {ID: "b", State: "active"}})
-	d.Happened(0, Entry{ID: "a", State: "leaving"})
-	d.Happened(1, Entry{ID: "a", State: "left"})
+	d.ScheduleChange(0, Entry{ID: "a", State: "leaving"})
+	d.ScheduleChange(1, Entry{ID: "a", State: "left"})
 	if d.Advance(99) || d.Version() != 1 {
 		t.Error("news before its time")
 	}
@@ -310,7 +310,7 @@
 		t.Errorf("after a restore: %+v", l)
 	}
 	for i := range 2 * maxChanges {
-		d.Happened(1000, Entry{ID: fmt.Sprint(i % 7), State: "active"})
+		d.ScheduleChange(1000, Entry{ID: fmt.Sprint(i % 7), State: "active"})
 		d.Advance(2000)
 	}
 	if l := d.After(2); !l.Full || len(d.log) != maxChanges {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -278,7 +278,7 @@
 }
 
 func (d *day) happened(e model.Entry) {
-	d.list.Happened(d.now, e)
+	d.list.ScheduleChange(d.now, e)
 	d.after(d.list.Next()-d.now, func() { d.list.Advance(d.now) })
 }
 
