--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -223,7 +223,7 @@
 func (d *Discovery) List() model.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.d.Whole()
+	return d.d.FullList()
 }
 
 // CallCount counts calls so far.
@@ -346,7 +346,7 @@
 		return d.d.Call(now)
 	}
 	if err != nil {
-		return d.d.CallFor(now, len(d.d.Whole().Servers))
+		return d.d.CallFor(now, len(d.d.FullList().Servers))
 	}
 	if last := d.toldTo[router]; last.version == version && now-last.at < watchContinuesMillis {
 		return 0, true
--- a/lab/model/directory.go
+++ b/lab/model/directory.go
@@ -129,8 +129,8 @@
 	d.floor, d.log = d.version, nil
 }
 
-// Whole is the whole list.
-func (d *Directory) Whole() List {
+// FullList is the whole list.
+func (d *Directory) FullList() List {
 	l := List{Version: d.version, Full: true, Servers: []Entry{}}
 	for _, id := range d.ids {
 		l.Servers = append(l.Servers, d.now[id])
@@ -141,7 +141,7 @@
 // After gives what changed after a version, the last state of each server; the whole list where that is not known.
 func (d *Directory) After(version int64) List {
 	if version < d.floor || version > d.version {
-		return d.Whole()
+		return d.FullList()
 	}
 	l := List{Version: d.version, Servers: []Entry{}}
 	seen := map[string]bool{}
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -296,8 +296,8 @@
 	if d.Advance(99) || d.Version() != 1 {
 		t.Error("news before its time")
 	}
-	if !d.Advance(502) || d.Version() != 3 || len(d.Whole().Servers) != 1 {
-		t.Errorf("got %+v", d.Whole())
+	if !d.Advance(502) || d.Version() != 3 || len(d.FullList().Servers) != 1 {
+		t.Errorf("got %+v", d.FullList())
 	}
 	if l := d.After(1); l.Full || len(l.Servers) != 1 || l.Servers[0].State != "left" {
 		t.Errorf("changes: %+v", l)
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -93,7 +93,7 @@
 		known = append(known, d.entry(v, "active", 0))
 	}
 	d.list = model.NewDirectory(p.List, p.Seed, known)
-	d.first = d.list.Whole()
+	d.first = d.list.FullList()
 	total := 0.0
 	for i := range p.Config.Routers {
 		r, err := d.router(i, d.first)
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	b.UpdateEndpoints(begin, decide.RestoredEndpoints, decided(d.list.Whole()))
+	b.UpdateEndpoints(begin, decide.RestoredEndpoints, decided(d.list.FullList()))
 	c := cfg.Classes[0]
 	for i := len(d.key) - 1; i >= 0; i-- {
 		id := uint32(i + 1)
@@ -230,7 +230,7 @@
 	for _, i := range f.Routers {
 		d.routers[i].die()
 		if f.Kind == Start {
-			known := d.list.Whole()
+			known := d.list.FullList()
 			if f.Stale {
 				known = d.first
 			}
