--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -87,7 +87,7 @@
 		d.mu.Lock()
 		known := d.d.Version()
 		if now := d.clock.Now(); d.d.Advance(now) {
-			d.bookListed(now, d.d.After(known))
+			d.bookListed(now, d.d.ChangesAfter(known))
 			d.turn()
 		}
 		next := d.d.Next()
@@ -351,7 +351,7 @@
 	if last := d.toldTo[router]; last.version == version && now-last.at < watchContinuesMillis {
 		return 0, true
 	}
-	return d.d.CallFor(now, len(d.d.After(version).Servers))
+	return d.d.CallFor(now, len(d.d.ChangesAfter(version).Servers))
 }
 
 // watch waits for what is newer than a version.
@@ -364,7 +364,7 @@
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		l, changed, down := d.d.After(version), d.changed, d.down
+		l, changed, down := d.d.ChangesAfter(version), d.changed, d.down
 		d.mu.Unlock()
 		if down {
 			return l, false
--- a/lab/model/directory.go
+++ b/lab/model/directory.go
@@ -138,8 +138,8 @@
 	return l
 }
 
-// After gives what changed after a version, the last state of each server; the whole list where that is not known.
-func (d *Directory) After(version int64) List {
+// ChangesAfter gives what changed after a version, the last state of each server; the whole list where that is not known.
+func (d *Directory) ChangesAfter(version int64) List {
 	if version < d.floor || version > d.version {
 		return d.FullList()
 	}
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -299,21 +299,21 @@
 	if !d.Advance(502) || d.Version() != 3 || len(d.FullList().Servers) != 1 {
 		t.Errorf("got %+v", d.FullList())
 	}
-	if l := d.After(1); l.Full || len(l.Servers) != 1 || l.Servers[0].State != "left" {
+	if l := d.ChangesAfter(1); l.Full || len(l.Servers) != 1 || l.Servers[0].State != "left" {
 		t.Errorf("changes: %+v", l)
 	}
-	if l := d.After(3); l.Full || len(l.Servers) != 0 {
+	if l := d.ChangesAfter(3); l.Full || len(l.Servers) != 0 {
 		t.Errorf("nothing new: %+v", l)
 	}
 	d.Rewind(2)
-	if l := d.After(3); !l.Full || l.Version != 1 {
+	if l := d.ChangesAfter(3); !l.Full || l.Version != 1 {
 		t.Errorf("after a restore: %+v", l)
 	}
 	for i := range 2 * maxChanges {
 		d.ScheduleChange(1000, Entry{ID: fmt.Sprint(i % 7), State: "active"})
 		d.Advance(2000)
 	}
-	if l := d.After(2); !l.Full || len(d.log) != maxChanges {
+	if l := d.ChangesAfter(2); !l.Full || len(d.log) != maxChanges {
 		t.Errorf("changes that are forgotten: full %t, %d remembered", l.Full, len(d.log))
 	}
 }
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -502,7 +502,7 @@
 			r.b.UpdateEndpoints(d.now, decide.WatchFailed, nil)
 			return
 		}
-		l := d.list.After(r.version)
+		l := d.list.ChangesAfter(r.version)
 		r.version = l.Version
 		kind := decide.ChangedEndpoints
 		if l.Full {
