--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -342,7 +342,7 @@
 func (d *Discovery) queue(router, after string) (wait float64, ok bool) {
 	now := d.clock.Now()
 	version, err := strconv.ParseInt(after, 10, 64)
-	if !d.d.CostsByLines() {
+	if !d.d.HasCostPerServer() {
 		return d.d.Call(now)
 	}
 	if err != nil {
--- a/lab/model/directory.go
+++ b/lab/model/directory.go
@@ -172,8 +172,8 @@
 	return d.p.TimeoutMS, false
 }
 
-// CostsByLines reports whether a call takes longer the more servers its answer has.
-func (d *Directory) CostsByLines() bool { return d.p.LinesPerS > 0 }
+// HasCostPerServer reports whether a call takes longer the more servers its answer has.
+func (d *Directory) HasCostPerServer() bool { return d.p.LinesPerS > 0 }
 
 // callMillis is the time that a call takes discovery; 0 = none.
 func (d *Directory) callMillis(servers int) float64 {
