--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -59,16 +59,16 @@
 		t.Errorf("kept: %v", got)
 	}
 	s.Store(at, "b", 600) // both are over the memory
-	if got := ask("a"); got != Missed || s.Keeps() != 600 {
-		t.Errorf("pushed out: %v, %d bytes", got, s.Keeps())
+	if got := ask("a"); got != Missed || s.StoredBytes() != 600 {
+		t.Errorf("pushed out: %v, %d bytes", got, s.StoredBytes())
 	}
 	s.Store(at, "c", 1001)
 	if got := ask("b"); got != Served {
 		t.Errorf("a value over the memory pushed another out: %v", got)
 	}
 	s.Invalidate("b")
-	if s.Keeps() != 0 {
-		t.Errorf("%d bytes after a void", s.Keeps())
+	if s.StoredBytes() != 0 {
+		t.Errorf("%d bytes after a void", s.StoredBytes())
 	}
 	s.p.TTLMS = 5
 	s.Store(at, "d", 1)
@@ -265,8 +265,8 @@
 				case s.Arrive(now, Job{ID: id, Key: fmt.Sprint(st.Key), Work: st.Work}):
 					taken[id] = true
 				}
-				if s.Keeps() > p.Memory || len(s.wait) > p.Queue || len(s.busy) > s.p.Slots {
-					t.Fatalf("over a bound: %d bytes, %d wait, %d in work", s.Keeps(), len(s.wait), len(s.busy))
+				if s.StoredBytes() > p.Memory || len(s.wait) > p.Queue || len(s.busy) > s.p.Slots {
+					t.Fatalf("over a bound: %d bytes, %d wait, %d in work", s.StoredBytes(), len(s.wait), len(s.busy))
 				}
 			}
 			return append(all, s.Advance(now+1e6)...), taken
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -347,8 +347,8 @@
 // Invalidate drops the copy of a key.
 func (s *Server) Invalidate(key string) { s.memory.Remove(key) }
 
-// Keeps is how many bytes of values are kept.
-func (s *Server) Keeps() int { return s.bytes }
+// StoredBytes is how many bytes of values are kept.
+func (s *Server) StoredBytes() int { return s.bytes }
 
 // Connect takes a connection, and reports false where the server holds all that it may. Taking one is work, which is
 // done ahead of the jobs in service.
