--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -255,7 +255,7 @@
 		s.complete(sl, now, d.Outcome, d.Size)
 		told = append(told, sl)
 	}
-	if s.m.Fallen() && !s.fell {
+	if s.m.HasCollapsed() && !s.fell {
 		s.fell = true
 		s.o.Journal.Add(checker.Event{At: now, Kind: checker.ServerCollapsed, Server: s.o.ID, Began: now - s.o.Model.FallForMS})
 		s.kill()
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -114,11 +114,11 @@
 	for i := range uint64(77) {
 		s.Arrive(1500, Job{ID: i, Work: 10})
 	}
-	if s.Fallen() {
+	if s.HasCollapsed() {
 		t.Fatal("fell within its budget")
 	}
 	s.Arrive(1500, Job{ID: 100, Work: 11})
-	if !s.Fallen() || s.Arrive(1501, Job{ID: 101}) || s.Connect() || !math.IsInf(s.Next(), 1) {
+	if !s.HasCollapsed() || s.Arrive(1501, Job{ID: 101}) || s.Connect() || !math.IsInf(s.Next(), 1) {
 		t.Error("it does not stay down")
 	}
 	s.Restart(3000)
@@ -126,7 +126,7 @@
 	for i := range uint64(200) {
 		s.Arrive(5000, Job{ID: i, Work: 10})
 	}
-	if s.Fallen() {
+	if s.HasCollapsed() {
 		t.Error("a warm server fell")
 	}
 }
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -221,8 +221,8 @@
 // Capacity is the work that the server can do in a millisecond, neither crowded nor choked.
 func (s *Server) Capacity() float64 { return float64(s.p.Cores) * s.p.Speed * s.Warmth() }
 
-// Fallen reports whether a cold server has been pushed over: it does nothing until it is started again.
-func (s *Server) Fallen() bool { return s.fallen }
+// HasCollapsed reports whether a cold server has been pushed over: it does nothing until it is started again.
+func (s *Server) HasCollapsed() bool { return s.fallen }
 
 // Held is how many requests are in work or wait.
 func (s *Server) Held() int { return len(s.busy) + len(s.wait) }
--- a/lab/model/slow_start_test.go
+++ b/lab/model/slow_start_test.go
@@ -23,11 +23,11 @@
 		for i := range c.bears {
 			s.Arrive(0, Job{ID: uint64(i), Work: c.work})
 		}
-		if s.Fallen() {
+		if s.HasCollapsed() {
 			t.Errorf("%s: it fell at %d requests", c.name, c.bears)
 		}
 		s.Arrive(0, Job{ID: 1 << 20, Work: c.work})
-		if !s.Fallen() {
+		if !s.HasCollapsed() {
 			t.Errorf("%s: it bore %d requests", c.name, c.bears+1)
 		}
 	}
@@ -43,7 +43,7 @@
 		for j := range 122 {
 			s.Arrive(now, Job{ID: uint64(1000*i + j), Work: 1})
 		}
-		if s.Fallen() {
+		if s.HasCollapsed() {
 			t.Fatalf("it fell in window %d", i)
 		}
 	}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -127,7 +127,7 @@
 		return d.sums, fmt.Errorf("virtual: over %d attempts", MaxAttempts)
 	}
 	for _, v := range d.servers {
-		if v.m.Fallen() {
+		if v.m.HasCollapsed() {
 			d.sums.Fallen++
 		}
 	}
