--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -152,11 +152,11 @@
 		s.Arrive(0, Job{ID: i, Work: 20})
 	}
 	s.Advance(49)
-	if s.Choked() {
+	if s.IsChoked() {
 		t.Error("choked too soon")
 	}
 	s.Advance(51)
-	if !s.Choked() {
+	if !s.IsChoked() {
 		t.Error("not choked")
 	}
 	done := play(s, 2000)
@@ -164,7 +164,7 @@
 	if last < 400 {
 		t.Errorf("all done at %v, although slower", last)
 	}
-	if s.Choked() {
+	if s.IsChoked() {
 		t.Error("choked after a rest")
 	}
 }
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -227,8 +227,8 @@
 // Held is how many requests are in work or wait.
 func (s *Server) Held() int { return len(s.busy) + len(s.wait) }
 
-// Choked reports whether the server has turned slower from crowding.
-func (s *Server) Choked() bool { return s.now < s.chokedTo }
+// IsChoked reports whether the server has turned slower from crowding.
+func (s *Server) IsChoked() bool { return s.now < s.chokedTo }
 
 // rate is the work that one job in service gets in a millisecond.
 func (s *Server) rate() float64 {
@@ -239,7 +239,7 @@
 	if over := float64(s.Held())/float64(s.p.Cores) - s.p.ThrashAt; s.p.Thrash > 0 && over > 0 {
 		r /= 1 + s.p.Thrash*over
 	}
-	if s.Choked() {
+	if s.IsChoked() {
 		r /= s.p.ChokeSlower
 	}
 	return r
@@ -397,7 +397,7 @@
 	} else {
 		s.overSince = math.Inf(1)
 	}
-	if s.Choked() && float64(s.Held()) < s.p.ChokeBelow*float64(s.p.Cores) {
+	if s.IsChoked() && float64(s.Held()) < s.p.ChokeBelow*float64(s.p.Cores) {
 		s.underSince = min(s.underSince, s.now)
 	} else {
 		s.underSince = math.Inf(1)
@@ -416,7 +416,7 @@
 	if s.now < s.pauseTo {
 		at = min(at, s.pauseTo)
 	}
-	if s.Choked() {
+	if s.IsChoked() {
 		at = min(at, s.chokedTo, s.underSince+s.p.ChokeRestMS)
 	} else {
 		at = min(at, s.overSince+s.p.ChokeOverMS)
