--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -272,8 +272,8 @@
 	return false
 }
 
-// Spent is the work that has gone into a job in service; 0 for one that waits or is not there.
-func (s *Server) Spent(id uint64) float64 {
+// WorkDone is the work that has gone into a job in service; 0 for one that waits or is not there.
+func (s *Server) WorkDone(id uint64) float64 {
 	for _, j := range s.busy {
 		if j.ID == id {
 			return max(0, j.Work-j.left)
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -128,7 +128,7 @@
 	r.d.after(r.net(a.to), func() {
 		if r.d.out[a.job] == a && a.to.up {
 			r.d.look(a.to)
-			r.d.sums.Wasted += a.to.m.Spent(a.job)
+			r.d.sums.Wasted += a.to.m.WorkDone(a.job)
 			delete(r.d.out, a.job)
 			a.to.m.Cancel(a.job)
 			r.d.look(a.to)
