--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -14,7 +14,7 @@
 }
 
 // play carries a server on to now in steps of its own events.
-func play(s *Server, now float64) (done []Done) { return s.Advance(now) }
+func play(s *Server, now float64) (done []Completion) { return s.Advance(now) }
 
 func TestServiceTimes(t *testing.T) {
 	s := New(params(), 1, 0)
@@ -211,7 +211,7 @@
 	for i := range uint64(100) {
 		s.Advance(last)
 		s.Arrive(last, Job{ID: i, Work: 10})
-		var done []Done
+		var done []Completion
 		for len(done) == 0 {
 			done = s.Advance(s.Next())
 		}
@@ -247,7 +247,7 @@
 			return step{rapid.Float64Range(0, 30).Draw(t, "gap"), rapid.Float64Range(0, 40).Draw(t, "work"),
 				rapid.IntRange(0, 5).Draw(t, "key"), rapid.IntRange(0, 9).Draw(t, "kind")}
 		}), 1, 60).Draw(t, "steps")
-		run := func() (all []Done, taken map[uint64]bool) {
+		run := func() (all []Completion, taken map[uint64]bool) {
 			s, now := New(p, 9, 0), 0.0
 			s.Restart(0)
 			taken = map[uint64]bool{}
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -107,8 +107,8 @@
 	return [...]string{"busy", "served", "missed", "fetching", "repeated", "failed"}[o]
 }
 
-// Done is the end of a job.
-type Done struct {
+// Completion is the end of a job.
+type Completion struct {
 	Job
 	At      float64
 	Outcome Outcome
@@ -433,7 +433,7 @@
 }
 
 // Advance carries the server on to now and returns what was done by then, in order.
-func (s *Server) Advance(now float64) (done []Done) {
+func (s *Server) Advance(now float64) (done []Completion) {
 	for s.now < now || s.Next() <= now {
 		to := min(now, s.Next())
 		if s.fallen {
@@ -464,7 +464,7 @@
 }
 
 // finish ends the jobs whose work is done.
-func (s *Server) finish(done []Done) []Done {
+func (s *Server) finish(done []Completion) []Completion {
 	var on []*job
 	for _, j := range s.busy {
 		if j.left > 1e-9 {
@@ -472,7 +472,7 @@
 			continue
 		}
 		s.did++
-		done = append(done, Done{j.Job, s.now, j.outcome})
+		done = append(done, Completion{j.Job, s.now, j.outcome})
 	}
 	if len(on) < len(s.busy) {
 		s.busy = on
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -332,7 +332,7 @@
 }
 
 // done sends a machine's answer back.
-func (d *day) done(v *machine, done model.Done) {
+func (d *day) done(v *machine, done model.Completion) {
 	a := d.out[done.ID]
 	if a == nil {
 		return
