--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -40,7 +40,7 @@
 		front.AddRouter(a, "", a)
 	}
 	f.Load.Rate, f.Load.Shape, f.Load.Workers, f.Load.Zones = o.rate, o.shape, o.workers, nil
-	f.Load.Progress = func(n load.Now) {
+	f.Load.Progress = func(n load.ProgressReport) {
 		fmt.Printf("%6d s  asked %5d  served %5d  refused %4d  failed %4d  p50 %6.1f ms  p99 %6.1f ms  open %d\n",
 			n.Second-1, n.Asked, n.Served, n.Refused, n.Failed, n.P50MS, n.P99MS, n.Open)
 	}
--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -89,7 +89,7 @@
 }
 
 // play plays a scenario with one router command.
-func play(ctx context.Context, f scenario.File, c common, command []string, progress func(load.Now, *fleet.Fleet)) (fleet.Result, error) {
+func play(ctx context.Context, f scenario.File, c common, command []string, progress func(load.ProgressReport, *fleet.Fleet)) (fleet.Result, error) {
 	dir := c.logs
 	if dir == "" {
 		tmp, err := fleet.LogDir(os.TempDir(), "dockhinge-lab")
@@ -110,7 +110,7 @@
 }
 
 // line prints one second of a run.
-func line(n load.Now, fl *fleet.Fleet) {
+func line(n load.ProgressReport, fl *fleet.Fleet) {
 	up, all := fl.Up()
 	gain := 0.0
 	if n.Worth > 0 {
@@ -155,7 +155,7 @@
 	fmt.Printf("%s: %s\n%d routers, %.0f requests a second for %.0f s; Ctrl-C ends it\n", f.Name, f.About, f.Fleet.Routers, f.Load.Rate, f.DurationS)
 	shown := !addresses
 	began := time.Now()
-	res, err := play(ctx, f, c, command, func(n load.Now, fl *fleet.Fleet) {
+	res, err := play(ctx, f, c, command, func(n load.ProgressReport, fl *fleet.Fleet) {
 		if !shown {
 			shown = true
 			fmt.Println(strings.Join(fl.Routers(), "\n"))
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -38,7 +38,7 @@
 	Dir      string        // for logs and configurations; it must be there
 	Ready    time.Duration
 	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
-	Progress func(load.Now, *Fleet)
+	Progress func(load.ProgressReport, *Fleet)
 	Say      func(format string, v ...any) // what happens, a line each
 }
 
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -94,7 +94,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	res, err := Run(ctx, f, Options{Command: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
+	res, err := Run(ctx, f, Options{Command: command, Dir: t.TempDir(), Progress: func(n load.ProgressReport, fl *Fleet) {
 		if up, all := fl.Up(); up != 6 || all != 6 {
 			t.Errorf("%d of %d up", up, all)
 		}
@@ -121,7 +121,7 @@
 	command := realRouter(t)
 	f.DurationS, f.Expect = 3, scenario.Expect{}
 	killed := false
-	res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir(), Progress: func(_ load.Now, fl *Fleet) {
+	res, err := Run(t.Context(), f, Options{Command: command, Dir: t.TempDir(), Progress: func(_ load.ProgressReport, fl *Fleet) {
 		if !killed {
 			killed = true
 			_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not by the lab's own hand
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -17,7 +17,7 @@
 func (fl *Fleet) play(ctx context.Context) (Result, error) {
 	p := fl.File.Load
 	if fl.o.Progress != nil {
-		p.Progress = func(n load.Now) { fl.o.Progress(n, fl) }
+		p.Progress = func(n load.ProgressReport) { fl.o.Progress(n, fl) }
 	}
 	l, err := load.New(p, fl.front, fl.clock, fl.journal)
 	if err != nil {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -65,7 +65,7 @@
 	Classes         []Class    `toml:"-"`             // the scenario's
 	Zones           []Zone     `toml:"-"`             // of the clients; none = any
 	Seed            uint64     `toml:"-"`             // the scenario's
-	Progress        func(Now)  `toml:"-" json:"-"`    // called each second
+	Progress        func(ProgressReport)  `toml:"-" json:"-"`    // called each second
 	FromMS          float64    `toml:"-"`             // what was meant to be sent before counts for no tenant: the scenario's warm-up
 	Marks           bool       `toml:"marks_retry"`   // a further try says r=1
 }
@@ -76,8 +76,8 @@
 	Share float64
 }
 
-// Now is the state of a run while it lasts.
-type Now struct {
+// ProgressReport is the state of a run while it lasts.
+type ProgressReport struct {
 	Second                                int
 	Asked, Served, Refused, Failed, Tries int // first tries and their ends in this second
 	Open                                  int
@@ -348,7 +348,7 @@
 		for range int(math.Round(l.p.Drift * float64(l.p.Keys))) {
 			l.names[l.rng.IntN(len(l.names))] = fmt.Sprintf("%016x", l.rng.Uint64())
 		}
-		now := Now{Second: n, Tries: l.tries, Open: l.open}
+		now := ProgressReport{Second: n, Tries: l.tries, Open: l.open}
 		if i := n - 2; i >= 0 && i < len(l.seconds) { // the one before: most of its requests have ended
 			s := l.seconds[i]
 			now.Asked, now.Served, now.Refused, now.Failed, now.Worth, now.Gained = s.Asked, s.Served, s.Refused, s.Failed, s.Worth, s.Gained
