--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -71,7 +71,7 @@
 func (fl *Fleet) work(id, key, class string) (float64, int) {
 	for _, c := range fl.File.Classes {
 		if c.Name == class {
-			return load.Work(c, id), load.Size(c, key)
+			return load.Work(c, id), load.ValueBytes(c, key)
 		}
 	}
 	return 1, 1
@@ -130,7 +130,7 @@
 	reads := fl.File.Classes[0]
 	for _, key := range slices.Backward(l.Keys()) { // the most popular last, as the most lately used
 		for range 2 {
-			fl.members[fl.rng.IntN(len(fl.members))].Store(key, load.Size(reads, key))
+			fl.members[fl.rng.IntN(len(fl.members))].Store(key, load.ValueBytes(reads, key))
 		}
 	}
 }
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -41,11 +41,11 @@
 		}
 		tenant = fmt.Sprintf("tenant-%d", n)
 	}
-	return c, key, zone, tenant, Size(c, key), l.rng.Float64()
+	return c, key, zone, tenant, ValueBytes(c, key), l.rng.Float64()
 }
 
-// Size is that of a key's value in a class: the same each time.
-func Size(c Class, key string) int {
+// ValueBytes is that of a key's value in a class: the same each time.
+func ValueBytes(c Class, key string) int {
 	low, high := max(c.Bytes[0], 1), max(c.Bytes[1], c.Bytes[0], 1)
 	u := rand.New(rand.NewPCG(fakes.Checksum([]byte(key)), 8)).Float64()
 	return int(low * math.Pow(high/low, u))
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -256,7 +256,7 @@
 	sum := 0.0
 	for i := range 5000 {
 		id := fmt.Sprint(i)
-		if s := Size(c, id); s != Size(c, id) || s < 10 || s > 1000 {
+		if s := ValueBytes(c, id); s != ValueBytes(c, id) || s < 10 || s > 1000 {
 			t.Fatalf("size %d", s)
 		}
 		if Work(c, id) != Work(c, id) {
