--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -71,7 +71,7 @@
 func (fl *Fleet) work(id, key, class string) (float64, int) {
 	for _, c := range fl.File.Classes {
 		if c.Name == class {
-			return load.Work(c, id), load.ValueBytes(c, key)
+			return load.RequestWorkMillis(c, id), load.ValueBytes(c, key)
 		}
 	}
 	return 1, 1
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -51,8 +51,8 @@
 	return int(low * math.Pow(high/low, u))
 }
 
-// Work is that of a request of a class, by its id: lognormal around the mean.
-func Work(c Class, id string) float64 {
+// RequestWorkMillis is that of a request of a class, by its id: lognormal around the mean.
+func RequestWorkMillis(c Class, id string) float64 {
 	if c.WorkCV <= 0 {
 		return c.WorkMS
 	}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -259,10 +259,10 @@
 		if s := ValueBytes(c, id); s != ValueBytes(c, id) || s < 10 || s > 1000 {
 			t.Fatalf("size %d", s)
 		}
-		if Work(c, id) != Work(c, id) {
+		if RequestWorkMillis(c, id) != RequestWorkMillis(c, id) {
 			t.Fatal("work varies")
 		}
-		sum += Work(c, id)
+		sum += RequestWorkMillis(c, id)
 	}
 	if mean := sum / 5000; mean < 90 || mean > 110 {
 		t.Errorf("mean work %v", mean)
