--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -51,7 +51,7 @@
 	ctx, stop := context.WithTimeout(ctx, time.Duration(o.seconds*float64(time.Second)))
 	defer stop()
 	got := l.Run(ctx)
-	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got, Service: got.Service(), Tail: got.Service()}
+	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got, Service: got.ServiceShare(), Tail: got.ServiceShare()}
 	if !got.Valid {
 		res.Failures = append(res.Failures, "the run does not count: "+got.Why)
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -137,8 +137,8 @@
 // maxTenants bounds the tenants that are told apart.
 const maxTenants = 1000
 
-// Service is the share of the worth asked for that was answered within the aim.
-func (r Result) Service() float64 {
+// ServiceShare is the share of the worth asked for that was answered within the aim.
+func (r Result) ServiceShare() float64 {
 	if r.Worth == 0 {
 		return 0
 	}
