--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -122,8 +122,8 @@
 // Share is what one tenant asked for and got, in worth.
 type Share struct{ Worth, Gained float64 }
 
-// Jain is Jain's index of fairness over what tenants gained: 1 where all gained the same, 1/n where one gained all.
-func (r Result) Jain() float64 {
+// JainIndex is JainIndex's index of fairness over what tenants gained: 1 where all gained the same, 1/n where one gained all.
+func (r Result) JainIndex() float64 {
 	sum, squares := 0.0, 0.0
 	for _, t := range r.Tenants {
 		sum, squares = sum+t.Gained, squares+t.Gained*t.Gained
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -51,7 +51,7 @@
 		}
 		return gained / math.Max(worth, 1)
 	}},
-	{"Jain's index over tenants", func(r fleet.Result) float64 { return r.Load.Jain() }},
+	{"Jain's index over tenants", func(r fleet.Result) float64 { return r.Load.JainIndex() }},
 	{"requests served in their aim, a second", func(r fleet.Result) float64 {
 		n := 0
 		for _, s := range r.Load.Seconds {
--- a/lab/report/table.go
+++ b/lab/report/table.go
@@ -34,7 +34,7 @@
 		t.Flush()
 	}
 	if len(r.Load.Tenants) > 1 {
-		fmt.Fprintf(w, "\nJain's index of what the tenants gained after the warm-up: %.4f\n", r.Load.Jain())
+		fmt.Fprintf(w, "\nJain's index of what the tenants gained after the warm-up: %.4f\n", r.Load.JainIndex())
 	}
 	if len(r.Doors) > 0 {
 		fmt.Fprintln(t, "\nrouter\tlimit\twaiting\ttakes ms\tcame when told\tlet in\tshare free\tlet in\ttold and real apart, p50 %\tp90 %\t")
