--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -14,29 +14,29 @@
 
 // The events, by who sees them.
 const (
-	Sent           Kind = iota // a client: a request's last byte is written (Request, Router, Class, Deadline, Idem)
-	Answered                   // a client: a whole answer (Request, Answer, Sum)
+	Sent                 Kind = iota // a client: a request's last byte is written (Request, Router, Class, Deadline, Idem)
+	Answered                         // a client: a whole answer (Request, Answer, Sum)
 	ExtraAnswer                      // a client: an answer to what it has an answer for already (Request)
-	ClosedByRouter                     // a client: the router ended the connection before a whole answer (Request, NewConnection)
-	ClientTimedOut                       // a client: it waited past the deadline and the slack, and closed its connection (Request)
-	Disconnected               // a client: it closed its connection before its deadline, without an answer (Request)
-	AttemptReceived                      // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
-	AttemptEnded                       // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
-	Malformed                  // a server: it was sent a command in a form that no client sends (Server)
-	EffectExecuted                        // a server: an effect was carried out (Request, Server, Idem)
-	Started                    // a server: its process started (Server)
-	ServerCollapsed                       // a server: it was cold and has been pushed over (Server), by what came since Began
-	ServerStateSent                       // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
-	ServerStateListed                     // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
-	DiscoveryDown              // discovery: it can't be reached any more
-	DiscoveryUp                // discovery: it can be reached again
-	ListCalled                 // discovery: a router called for the list or for what is new (Router)
-	WatchSilent                // discovery: a router's watch fell silent (Router), with Deadline ms of its wait left
-	RouterStarted              // the lab: a router's process was started (Router)
-	RouterReady                // the lab: the process that was started last is ready (Router)
+	ClosedByRouter                   // a client: the router ended the connection before a whole answer (Request, NewConnection)
+	ClientTimedOut                   // a client: it waited past the deadline and the slack, and closed its connection (Request)
+	Disconnected                     // a client: it closed its connection before its deadline, without an answer (Request)
+	AttemptReceived                  // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
+	AttemptEnded                     // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
+	Malformed                        // a server: it was sent a command in a form that no client sends (Server)
+	EffectExecuted                   // a server: an effect was carried out (Request, Server, Idem)
+	Started                          // a server: its process started (Server)
+	ServerCollapsed                  // a server: it was cold and has been pushed over (Server), by what came since Began
+	ServerStateSent                  // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
+	ServerStateListed                // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
+	DiscoveryDown                    // discovery: it can't be reached any more
+	DiscoveryUp                      // discovery: it can be reached again
+	ListCalled                       // discovery: a router called for the list or for what is new (Router)
+	WatchSilent                      // discovery: a router's watch fell silent (Router), with Deadline ms of its wait left
+	RouterStarted                    // the lab: a router's process was started (Router)
+	RouterReady                      // the lab: the process that was started last is ready (Router)
 	RouterKilled                     // the lab: a router was killed or has crashed (Router)
-	DiscoveryMoved             // the lab: a router was sent a configuration that names another discovery (Router)
-	DescriptorsExhausted                    // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
+	DiscoveryMoved                   // the lab: a router was sent a configuration that names another discovery (Router)
+	DescriptorsExhausted             // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
 	RouterPaused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
 )
 
@@ -55,11 +55,11 @@
 
 // The ends of an attempt.
 const (
-	Completed    End = iota // an answer was made for it
-	Missed             // the key was not kept; nothing has run
+	Completed End = iota // an answer was made for it
+	Missed               // the key was not kept; nothing has run
 	Rejected             // turned away; nothing has run
 	Errored              // an error; it may have run
-	Dropped            // its connection ended; it may have run
+	Dropped              // its connection ended; it may have run
 )
 
 // Event is one thing that a party saw.
--- a/lab/checker/timeout_hint.go
+++ b/lab/checker/timeout_hint.go
@@ -9,7 +9,7 @@
 
 // TimeoutHint is the time for which the router says that it will wait, as an attempt tells it to its server.
 type TimeoutHint struct {
-	Millis float64
+	Millis    float64
 	IsPresent bool
 }
 
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -388,7 +388,9 @@
 	})
 	d.ScheduleChange(model.Entry{ID: "s1", State: "leaving"})
 	wg.Wait()
-	r.until(t, "word to the router", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.State == "leaving" && e.Router == "r0" })
+	r.until(t, "word to the router", func(e checker.Event) bool {
+		return e.Kind == checker.ServerStateSent && e.State == "leaving" && e.Router == "r0"
+	})
 	wg.Go(func() {
 		if _, code := ask("?after=2&wait_ms=20000"); code != http.StatusServiceUnavailable {
 			t.Errorf("a watch when discovery goes down: %d", code)
--- a/lab/fakes/host.go
+++ b/lab/fakes/host.go
@@ -13,8 +13,8 @@
 // The addresses.
 const (
 	AnyPort   HostUse = iota // relays and doors: a port is bound once
-	Servers                // stand-ins for servers, which die and come back at the same port
-	Processes              // real processes, which bind what was found free
+	Servers                  // stand-ins for servers, which die and come back at the same port
+	Processes                // real processes, which bind what was found free
 )
 
 // LoopbackHost is the address for a use.
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -12,11 +12,11 @@
 
 // NetworkConditions is how the network between two parties behaves.
 type NetworkConditions struct {
-	DelayMS   float64 // one way
-	HoldToTarget bool    // what goes to the server is held back, as by a partition one way
-	HoldFromTarget  bool    // what comes from it is
-	Cut       bool    // both, and new connections are reset at once
-	BytesPerS float64 // in each direction; 0 = no bound
+	DelayMS        float64 // one way
+	HoldToTarget   bool    // what goes to the server is held back, as by a partition one way
+	HoldFromTarget bool    // what comes from it is
+	Cut            bool    // both, and new connections are reset at once
+	BytesPerS      float64 // in each direction; 0 = no bound
 }
 
 // Relay is a stretch of network that the lab owns: a byte relay between whoever connects and a target.
@@ -108,8 +108,14 @@
 	stop := context.AfterFunc(ctx, func() { near.Close(); far.Close() })
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { r.copy(ctx, far, near, func(n NetworkConditions) bool { return n.Cut || n.HoldToTarget }); closeWrite(far) })
-	wg.Go(func() { r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.HoldFromTarget }); end() })
+	wg.Go(func() {
+		r.copy(ctx, far, near, func(n NetworkConditions) bool { return n.Cut || n.HoldToTarget })
+		closeWrite(far)
+	})
+	wg.Go(func() {
+		r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.HoldFromTarget })
+		end()
+	})
 	wg.Wait()
 }
 
--- a/lab/fakes/server.go
+++ b/lab/fakes/server.go
@@ -40,10 +40,10 @@
 
 // Faults are what goes wrong at a server, beside what its model does.
 type Faults struct {
-	Silent    bool    // it takes connections and says nothing; what it has to say is lost. The end of it resets all connections
-	BytesPerS float64 // answers go out this slowly; 0 = as fast as they can
-	Corruption     string  // how answers are spoilt: see Spoils
-	Share     float64 // of the answers
+	Silent     bool    // it takes connections and says nothing; what it has to say is lost. The end of it resets all connections
+	BytesPerS  float64 // answers go out this slowly; 0 = as fast as they can
+	Corruption string  // how answers are spoilt: see Spoils
+	Share      float64 // of the answers
 }
 
 // Corruptions are the ways to spoil an answer: cut (broken off anywhere), noise, wrong-id, twice (a second copy behind it),
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -40,7 +40,7 @@
 	Tail         float64                    `json:"tail"`            // in the last fifth
 	Attempts     float64                    `json:"attempts_a_request"`
 	AttemptsBy   []int                      `json:"attempts_by_second"` // written whole in each second of the load
-	Broken       []checker.Violation           `json:"broken"`
+	Broken       []checker.Violation        `json:"broken"`
 	TimeoutHints checker.TimeoutHintCounts  `json:"timeout_hints"`
 	Marks        []Mark                     `json:"marks"`
 	Samples      []Sample                   `json:"samples"`
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -58,16 +58,16 @@
 	Connections int       `toml:"connections"`  // idle ones kept to each router at most
 	Reconnect   float64   `toml:"reconnect"`    // share of requests after which the connection is closed
 	// DisconnectShare is the share of tries whose client closes its connection after a time within DisconnectMS, and never comes again.
-	DisconnectShare float64    `toml:"disconnect_share"`
-	DisconnectMS    [2]float64 `toml:"disconnect_ms"` // evenly spread between
-	LateMS          float64    `toml:"late_ms"`       // a request sent this much after its time makes the load tool the bottleneck
-	LateShare       float64    `toml:"late_share"`    // where more than this share of them is
-	Classes         []Class    `toml:"-"`             // the scenario's
-	Zones           []Zone     `toml:"-"`             // of the clients; none = any
-	Seed            uint64     `toml:"-"`             // the scenario's
-	Progress        func(ProgressReport)  `toml:"-" json:"-"`    // called each second
-	FromMS          float64    `toml:"-"`             // what was meant to be sent before counts for no tenant: the scenario's warm-up
-	Marks           bool       `toml:"marks_retry"`   // a further try says r=1
+	DisconnectShare float64              `toml:"disconnect_share"`
+	DisconnectMS    [2]float64           `toml:"disconnect_ms"` // evenly spread between
+	LateMS          float64              `toml:"late_ms"`       // a request sent this much after its time makes the load tool the bottleneck
+	LateShare       float64              `toml:"late_share"`    // where more than this share of them is
+	Classes         []Class              `toml:"-"`             // the scenario's
+	Zones           []Zone               `toml:"-"`             // of the clients; none = any
+	Seed            uint64               `toml:"-"`             // the scenario's
+	Progress        func(ProgressReport) `toml:"-" json:"-"`    // called each second
+	FromMS          float64              `toml:"-"`             // what was meant to be sent before counts for no tenant: the scenario's warm-up
+	Marks           bool                 `toml:"marks_retry"`   // a further try says r=1
 }
 
 // Zone is where clients are.
