--- a/lab/checker/changes.go
+++ b/lab/checker/changes.go
@@ -5,32 +5,33 @@
 	"strings"
 )
 
-// AgreedChange is one change of the agreed order, as the coordinators answered it.
+// AgreedChange is one change in the agreed order of the coordinators.
 type AgreedChange struct {
 	Revision uint64
 	Name     string
-	Sum      uint64 // of the value
+	Sum      uint64 // checksum of the value
 	Deleted  bool
 }
 
-// Delivery is what a watcher was given at once, as it saw it.
+// Delivery is one batch of changes that a watcher received.
 type Delivery struct {
 	After, Through uint64
 	Snapshot       bool
 	Changes        []AgreedChange
-	Documents      []AgreedChange // all that it held afterwards, by name
+	Documents      []AgreedChange // the watcher's complete state after the batch
 }
 
-// WatchHistory is all that one watcher was given, in order. Its life began with nothing.
+// WatchHistory holds all deliveries to one watcher, in order. The watcher started with an empty state.
 type WatchHistory struct {
 	Watcher    string
 	Prefix     string
 	Deliveries []Delivery
 }
 
-// CheckDeliveries checks that a watcher saw a prefix of the agreed order, whatever chain of observers gave it: nothing twice, nothing
-// left out, never back; and that what it held was the agreed state each time. The agreed order must have no gap; it tells the
-// first breach, or "".
+// CheckDeliveries checks that a watcher received a prefix of the agreed order through any chain of
+// observers: no change twice, none left out and no step back. It also checks that the watcher's state
+// was the agreed state after each delivery. The agreed order must have no gap. CheckDeliveries returns
+// a description of the first violation, or "".
 func CheckDeliveries(agreed []AgreedChange, history WatchHistory) string {
 	for i, change := range agreed {
 		if change.Revision != uint64(i+1) {
@@ -39,15 +40,16 @@
 	}
 	through := uint64(0)
 	for i, delivery := range history.Deliveries {
-		if text := judgeDelivery(agreed, history.Prefix, through, delivery); text != "" {
-			return fmt.Sprintf("%s, delivery %d (after %d through %d, snapshot %t): %s", history.Watcher, i, delivery.After, delivery.Through, delivery.Snapshot, text)
+		if text := checkDelivery(agreed, history.Prefix, through, delivery); text != "" {
+			return fmt.Sprintf("%s, delivery %d (after %d through %d, snapshot %t): %s",
+				history.Watcher, i, delivery.After, delivery.Through, delivery.Snapshot, text)
 		}
 		through = delivery.Through
 	}
 	return ""
 }
 
-func judgeDelivery(agreed []AgreedChange, prefix string, through uint64, delivery Delivery) string {
+func checkDelivery(agreed []AgreedChange, prefix string, through uint64, delivery Delivery) string {
 	switch {
 	case delivery.Through < through:
 		return fmt.Sprintf("it went back from revision %d", through)
@@ -55,17 +57,18 @@
 		return fmt.Sprintf("nothing beyond revision %d was agreed on", len(agreed))
 	}
 	if !delivery.Snapshot {
-		want := between(agreed, prefix, through, delivery.Through)
-		if text := sameChanges(delivery.Changes, want); text != "" {
+		want := changesBetween(agreed, prefix, through, delivery.Through)
+		if text := compareChanges(delivery.Changes, want); text != "" {
 			return text
 		}
 	}
-	return sameState(delivery.Documents, stateAt(agreed, prefix, delivery.Through))
+	return compareState(delivery.Documents, stateAt(agreed, prefix, delivery.Through))
 }
 
-// between are the agreed changes after one revision through another. What a watcher wasn't told of between two deliveries, as it
-// was progress alone, lies in it too.
-func between(agreed []AgreedChange, prefix string, after, through uint64) (changes []AgreedChange) {
+// changesBetween returns the agreed changes of a prefix after one revision through another. The range
+// may include revisions for which the watcher got no delivery, because they changed no document of its
+// prefix.
+func changesBetween(agreed []AgreedChange, prefix string, after, through uint64) (changes []AgreedChange) {
 	for _, change := range agreed[after:through] {
 		if strings.HasPrefix(change.Name, prefix) {
 			changes = append(changes, change)
@@ -74,7 +77,7 @@
 	return changes
 }
 
-func sameChanges(got, want []AgreedChange) string {
+func compareChanges(got, want []AgreedChange) string {
 	for i := range max(len(got), len(want)) {
 		switch {
 		case i >= len(got):
@@ -90,7 +93,7 @@
 
 func stateAt(agreed []AgreedChange, prefix string, through uint64) map[string]AgreedChange {
 	state := map[string]AgreedChange{}
-	for _, change := range between(agreed, prefix, 0, through) {
+	for _, change := range changesBetween(agreed, prefix, 0, through) {
 		if change.Deleted {
 			delete(state, change.Name)
 		} else {
@@ -100,7 +103,7 @@
 	return state
 }
 
-func sameState(got []AgreedChange, want map[string]AgreedChange) string {
+func compareState(got []AgreedChange, want map[string]AgreedChange) string {
 	if len(got) != len(want) {
 		return fmt.Sprintf("%d documents were held, and %d agreed on", len(got), len(want))
 	}
--- a/lab/checker/changes_test.go
+++ b/lab/checker/changes_test.go
@@ -14,18 +14,19 @@
 	agreed   = []AgreedChange{agreedA1, agreedB2, agreedA3, agreedA4, agreedA5}
 )
 
-// What follows the agreed order holds, and each way of leaving it is told.
-func TestJudgeChanges(t *testing.T) {
+// Deliveries that follow the agreed order pass, and each way to deviate from it is reported.
+func TestDeliveriesMustFollowTheAgreedOrder(t *testing.T) {
 	first := Delivery{Through: 1, Changes: []AgreedChange{agreedA1}, Documents: []AgreedChange{agreedA1}}
 	third := Delivery{After: 2, Through: 3, Changes: []AgreedChange{agreedA3}, Documents: []AgreedChange{agreedA3}}
 	rest := Delivery{After: 3, Through: 5, Changes: []AgreedChange{agreedA4, agreedA5}, Documents: []AgreedChange{agreedA4}}
-	snapshot := Delivery{Through: 4, Snapshot: true, Changes: []AgreedChange{agreedA3, agreedA4}, Documents: []AgreedChange{agreedA3, agreedA4}}
+	snapshot := Delivery{Through: 4, Snapshot: true, Changes: []AgreedChange{agreedA3, agreedA4},
+		Documents: []AgreedChange{agreedA3, agreedA4}}
 	last := Delivery{After: 4, Through: 5, Changes: []AgreedChange{agreedA5}, Documents: []AgreedChange{agreedA4}}
 	broken := func(d Delivery, change func(*Delivery)) Delivery {
 		change(&d)
 		return d
 	}
-	for _, one := range []struct {
+	for _, c := range []struct {
 		want       string
 		deliveries []Delivery
 	}{
@@ -39,15 +40,17 @@
 		{"doesn't follow", []Delivery{first, third, broken(third, func(d *Delivery) {})}},
 		{"left out", []Delivery{first, third, broken(rest, func(d *Delivery) { d.Changes = d.Changes[:1] })}},
 		{"nothing beyond", []Delivery{broken(first, func(d *Delivery) { d.Through = 6 })}},
-		{"was held, and", []Delivery{broken(snapshot, func(d *Delivery) { d.Documents = []AgreedChange{agreedA1, agreedA4} })}},
+		{"was held, and", []Delivery{broken(snapshot, func(d *Delivery) {
+			d.Documents = []AgreedChange{agreedA1, agreedA4}
+		})}},
 		{"documents were held", []Delivery{broken(snapshot, func(d *Delivery) { d.Documents = nil })}},
 	} {
-		got := CheckDeliveries(agreed, WatchHistory{Watcher: "w", Prefix: "a/", Deliveries: one.deliveries})
-		if (got == "") != (one.want == "") || !strings.Contains(got, one.want) {
-			t.Errorf("%q, want %q", got, one.want)
+		got := CheckDeliveries(agreed, WatchHistory{Watcher: "w", Prefix: "a/", Deliveries: c.deliveries})
+		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
+			t.Errorf("got violation %q, want %q", got, c.want)
 		}
 	}
 	if got := CheckDeliveries(agreed[1:], WatchHistory{}); !strings.Contains(got, "in place of") {
-		t.Errorf("%q: a gap in the agreed order", got)
+		t.Errorf("got %q for an agreed order with a gap", got)
 	}
 }
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run by the rules. It reads what clients, servers and discovery saw and knows nothing of the
-// router: neither its log nor its figures. It does no I/O.
+// Package checker checks the events of a run against the rules. It uses only what clients, servers,
+// discovery and the lab recorded, and neither the log nor the metrics of the router. It does no I/O.
 package checker
 
 import (
@@ -9,60 +9,60 @@
 	"sync"
 )
 
-// Kind says what an event is.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The events, by who sees them.
+// The kinds of events: who records each, what happened, and the fields of Event that are set.
 const (
-	Sent                 Kind = iota // a client: a request's last byte is written (Request, Router, Class, Deadline, Idem)
-	Answered                         // a client: a whole answer (Request, Answer, Sum)
-	ExtraAnswer                      // a client: an answer to what it has an answer for already (Request)
-	ClosedByRouter                   // a client: the router ended the connection before a whole answer (Request, NewConnection)
-	ClientTimedOut                   // a client: it waited past the deadline and the slack, and closed its connection (Request)
-	Disconnected                     // a client: it closed its connection before its deadline, without an answer (Request)
-	AttemptReceived                  // a server: an attempt's last byte has come (Request, Server, Began, TimeoutHint, Work)
-	AttemptEnded                     // a server: an attempt is over, before its answer is written (Request, Server, End, Sum)
-	Malformed                        // a server: it was sent a command in a form that no client sends (Server)
-	EffectExecuted                   // a server: an effect was carried out (Request, Server, Idem)
-	Started                          // a server: its process started (Server)
-	ServerCollapsed                  // a server: it was cold and has been pushed over (Server), by what came since Began
-	ServerStateSent                  // discovery: a router was told a server's state (Router, Server, State, ServerStartedAt)
-	ServerStateListed                // discovery: its list has a new state of a server from now on (Server, State, ServerStartedAt)
-	DiscoveryDown                    // discovery: it can't be reached any more
-	DiscoveryUp                      // discovery: it can be reached again
-	ListCalled                       // discovery: a router called for the list or for what is new (Router)
-	WatchSilent                      // discovery: a router's watch fell silent (Router), with Deadline ms of its wait left
-	RouterStarted                    // the lab: a router's process was started (Router)
-	RouterReady                      // the lab: the process that was started last is ready (Router)
-	RouterKilled                     // the lab: a router was killed or has crashed (Router)
-	DiscoveryMoved                   // the lab: a router was sent a configuration that names another discovery (Router)
-	DescriptorsExhausted             // the lab: idle clients fill a router's descriptors (Router) for Deadline ms
-	RouterPaused                     // the lab: a router's process was stopped (Router), and went on after Deadline ms
+	Sent                 Kind = iota // client: wrote a complete request (Request, Router, Class, Deadline, Idem)
+	Answered                         // client: received a complete answer (Request, Answer, Sum)
+	ExtraAnswer                      // client: received a further answer to an answered request (Request)
+	ClosedByRouter                   // client: the router closed it without a complete answer (Request, NewConnection)
+	ClientTimedOut                   // client: gave up after the deadline and the slack, and disconnected (Request)
+	Disconnected                     // client: closed its connection before its deadline, without an answer (Request)
+	AttemptReceived                  // server: received a complete attempt (Request, Server, Began, TimeoutHint, Work)
+	AttemptEnded                     // server: ended an attempt, before writing the answer (Request, Server, End, Sum)
+	Malformed                        // server: received a command that no client sends in this form (Server)
+	EffectExecuted                   // server: executed the effect of a request (Request, Server, Idem)
+	Started                          // server: its process started (Server)
+	ServerCollapsed                  // server: collapsed while cold (Server), from the work that arrived since Began
+	ServerStateSent                  // discovery: sent a server's state (Router, Server, State, ServerStartedAt)
+	ServerStateListed                // discovery: listed a new state of a server (Server, State, ServerStartedAt)
+	DiscoveryDown                    // discovery: became unreachable
+	DiscoveryUp                      // discovery: became reachable again
+	ListCalled                       // discovery: received a router's call for the list or its changes (Router)
+	WatchSilent                      // discovery: silenced a router's watch (Router) with Deadline ms of its wait left
+	RouterStarted                    // lab: started a router's process (Router)
+	RouterReady                      // lab: the router's last started process became ready (Router)
+	RouterKilled                     // lab: a router was killed or crashed (Router)
+	DiscoveryMoved                   // lab: sent a router a configuration with another discovery address (Router)
+	DescriptorsExhausted             // lab: idle clients use up a router's file descriptors (Router) for Deadline ms
+	RouterPaused                     // lab: suspended a router's process (Router) for Deadline ms
 )
 
-// Answer is what a client was given.
+// Answer is the outcome of a request as its client saw it.
 type Answer uint8
 
-// The final answers.
+// The outcomes of a request.
 const (
 	Served Answer = iota
 	Refused
 	Failed
 )
 
-// End is how an attempt ended.
+// End is the outcome of an attempt at a server.
 type End uint8
 
-// The ends of an attempt.
+// The outcomes of an attempt.
 const (
-	Completed End = iota // an answer was made for it
-	Missed               // the key was not kept; nothing has run
-	Rejected             // turned away; nothing has run
-	Errored              // an error; it may have run
-	Dropped              // its connection ended; it may have run
+	Completed End = iota // the server produced an answer
+	Missed               // the key was not stored; the request did not run
+	Rejected             // rejected; the request did not run
+	Errored              // an error; the request may have run
+	Dropped              // its connection ended; the request may have run
 )
 
-// Event is one thing that a party saw.
+// Event is one observation of a client, a server, discovery or the lab.
 type Event struct {
 	At       float64 // milliseconds on the lab's clock
 	Kind     Kind
@@ -75,47 +75,50 @@
 	Idem     string
 	State    string
 	Deadline float64 // milliseconds from At
-	Began    float64 // when the attempt's first byte came; of a fall, the beginning of its window
-	Sum      uint64  // of the value
+	Began    float64 // arrival of the attempt's first byte; of a collapse, the start of its window
+	Sum      uint64  // checksum of the value
 
-	// ServerStartedAt is when the server's process started, as the list says it, in milliseconds on the lab's clock.
+	// ServerStartedAt is the start of the server's process according to the list, in milliseconds
+	// on the lab's clock.
 	ServerStartedAt float64
 
-	Work float64 // of an attempt at its server, in milliseconds on a core of speed 1
+	Work float64 // work of an attempt at its server, in milliseconds on a core of speed 1
 
-	// NewConnection tells that a connection which the router ended was opened for this request, and brought not a byte.
+	// NewConnection reports that the connection which the router closed had been opened for this
+	// request, and that not one byte of an answer arrived on it.
 	NewConnection bool
 
-	TimeoutHint TimeoutHint // Whole: what the attempt told its server
+	TimeoutHint TimeoutHint // AttemptReceived: the timeout hint of the attempt
 }
 
-// Journal takes events from any goroutine, up to a bound.
+// Journal records events up to a limit. Its methods may be called concurrently.
 type Journal struct {
-	mu     sync.Mutex
-	most   int
-	events []Event
-	full   bool
+	mu        sync.Mutex
+	maxEvents int
+	events    []Event
+	full      bool
 }
 
-// NewJournal returns a journal for at most that many events.
-func NewJournal(most int) *Journal { return &Journal{most: most} }
+// NewJournal returns a journal for at most maxEvents events.
+func NewJournal(maxEvents int) *Journal { return &Journal{maxEvents: maxEvents} }
 
-// Add books an event; beyond the bound it is dropped, and the run can't be judged.
+// Add records an event. An event beyond the limit is dropped, and the run can't be checked. A nil
+// journal ignores all events.
 func (j *Journal) Add(e Event) {
-	if j == nil { // nobody judges
+	if j == nil {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if len(j.events) >= j.most {
+	if len(j.events) >= j.maxEvents {
 		j.full = true
 		return
 	}
 	j.events = append(j.events, e)
 }
 
-// Events are the events so far, in the order of their time, and whether all of them are there.
-func (j *Journal) Events() (events []Event, whole bool) {
+// Events returns the recorded events in the order of time, and whether none was dropped.
+func (j *Journal) Events() (events []Event, isComplete bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	events = slices.Clone(j.events)
@@ -123,7 +126,7 @@
 	return events, !j.full
 }
 
-// Effect says whether a class may run more than once, in the words of the settings.
+// Effect tells whether a request of a class may run more than once, in the words of the settings.
 type Effect string
 
 // The effects.
@@ -140,145 +143,166 @@
 	WindowMS float64
 }
 
-// Rules are the figures by which a run is judged.
+// Rules are the limits that a run is checked against.
 type Rules struct {
 	Classes     map[string]Class
-	Group       map[string]map[string]string // scope -> server -> its group; of scope all there is one
-	GraceMS     float64                      // nothing new to a server this much later than the router was told that it drains
-	SlackMS     float64                      // of every limit in time, and of the order of what two parties saw
+	Group       map[string]map[string]string // scope -> server -> group; the scope "all" has one group
+	GraceMS     float64                      // time for a router to stop sending after a drain notice
+	SlackMS     float64                      // tolerance of time limits and of the order of events of two observers
 	MaxAttempts int
 
-	// HasOnlyPlanned tells that nothing goes wrong in the run but what operators planned, if anything: routers have to go on serving.
+	// HasOnlyPlanned reports that the run has no faults other than planned operator actions:
+	// routers have to go on serving.
 	HasOnlyPlanned bool
 
-	// HasPushedList tells that routers are pushed the list by an agent: what it has counts as told at once, whether or not it was asked.
+	// HasPushedList reports that an agent pushes the list to the routers: a change counts as received
+	// at once, without a call of the router.
 	HasPushedList bool
 
-	MachineLateMS float64 // the longest time by which the machine was late; it is slack of the rules that name a slack of their own
+	// MachineLateMS is the longest scheduling delay of the machine. Rules with a tolerance of their own add it.
+	MachineLateMS float64
 }
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
-	Rule string  `json:"rule"` // answer, effect, copies, drain, cold, value, attempts, timeout-hint, lost, disconnected, rejecting, unanswered, ready or form
+	// Rule is answer, effect, copies, drain, cold, value, attempts, timeout-hint, lost, disconnected,
+	// rejecting, unanswered, ready or form; CheckLeases has rules of its own.
+	Rule string  `json:"rule"`
 	At   float64 `json:"at_ms"`
 	Text string  `json:"text"`
 }
 
 func (b Violation) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", b.At, b.Rule, b.Text) }
 
-// CheckRun lists what broke a rule, in the order of time. The events are in that order too.
+// CheckRun returns the violations of the rules in the order of time. The events must be in that
+// order too.
 func CheckRun(events []Event, r Rules) (broken []Violation) {
 	h := newHistory(events, r)
 	add := func(rule string, at float64, form string, v ...any) {
 		broken = append(broken, Violation{rule, at, fmt.Sprintf(form, v...)})
 	}
 	for _, q := range h.requests {
-		if q.has {
-			judgeRequest(h, q, r, add)
+		if q.isSent {
+			checkRequest(h, q, r, add)
 		} else if len(q.attempts) > 0 {
-			add("value", q.attempts[0].whole, "server %s was sent a request that no client sent", q.attempts[0].server)
+			add("value", q.attempts[0].receivedAt, "server %s was sent a request that no client sent",
+				q.attempts[0].server)
 		}
 	}
-	judgeTimeoutHints(h, r, add)
-	judgeDisconnected(h, r, add)
-	judgeRejecting(h, r, add)
-	judgeUnanswered(h, r, add)
-	judgeRefusedConnections(h, r, add)
-	judgeReadiness(h, r, add)
-	judgeFalls(h, r, add)
-	judgeMalformed(h, add)
+	checkTimeoutHints(h, r, add)
+	checkDisconnected(h, r, add)
+	checkRejecting(h, r, add)
+	checkUnanswered(h, r, add)
+	checkRefusedConnections(h, r, add)
+	checkReadiness(h, r, add)
+	checkCollapses(h, r, add)
+	checkMalformed(h, add)
 	slices.SortStableFunc(broken, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return broken
 }
 
-// judgeRequest holds one request's answers and attempts against the rules.
-func judgeRequest(h *history, q *request, r Rules, add report) {
+// checkRequest checks the answers and the attempts of one request.
+func checkRequest(h *history, q *request, r Rules, add reportFunc) {
 	id, class := q.sent.Request, r.Classes[q.sent.Class]
 	until := q.deadline() + r.SlackMS
-	stood := h.wasPaused(q, r)
-	died := stood || h.wasKilled(q, r)
+	paused := h.wasPaused(q, r)
+	pausedOrKilled := paused || h.wasKilled(q, r)
 	switch {
 	case len(q.answers) > 1:
 		add("answer", q.answers[1].At, "request %s: %d final answers", id, len(q.answers))
-	case len(q.answers) == 1 && q.answers[0].At > until+lateAnswerMillis && !stood:
-		add("answer", q.answers[0].At, "request %s: answered by router %s %.0f ms after its deadline", id, q.sent.Router, q.answers[0].At-until+r.SlackMS)
-	case len(q.answers) == 0 && died: // what a killed router held is nobody's fault
-	case len(q.answers) == 0 && q.closed != nil && len(q.attempts) > 0 && q.closed.At < until && !spoilt(q):
+	case len(q.answers) == 1 && q.answers[0].At > until+lateAnswerMillis && !paused:
+		add("answer", q.answers[0].At, "request %s: answered by router %s %.0f ms after its deadline",
+			id, q.sent.Router, q.answers[0].At-until+r.SlackMS)
+	case len(q.answers) == 0 && pausedOrKilled: // a killed or paused router can't answer
+	case len(q.answers) == 0 && q.closed != nil && len(q.attempts) > 0 && q.closed.At < until && !hasBrokenAttempt(q):
 		add("answer", q.closed.At, "request %s: router %s ended the connection without an answer", id, q.sent.Router)
-	case len(q.answers) == 0 && q.left != nil:
+	case len(q.answers) == 0 && q.timedOut != nil:
 		add("answer", until, "request %s: no final answer of router %s by its deadline", id, q.sent.Router)
 	}
 	for _, a := range q.answers[:min(1, len(q.answers))] {
-		judgeAnswer(q, a, class, r, add)
+		checkAnswer(q, a, class, r, add)
 	}
 	if len(q.attempts) > r.MaxAttempts && r.MaxAttempts > 0 {
-		add("attempts", q.attempts[r.MaxAttempts].whole, "request %s: %d attempts, %d at most", id, len(q.attempts), r.MaxAttempts)
+		add("attempts", q.attempts[r.MaxAttempts].receivedAt, "request %s: %d attempts, %d at most",
+			id, len(q.attempts), r.MaxAttempts)
 	}
 	for i, a := range q.attempts {
-		for _, b := range q.attempts[:i] {
-			judgePair(id, b, a, class, r, add)
+		for _, before := range q.attempts[:i] {
+			checkAttemptPair(id, before, a, class, r, add)
 		}
-		for _, s := range h.drains[routerServer{q.sent.Router, a.server}] { // one breach is enough
-			if at := s.from + r.GraceMS + r.SlackMS; a.began > at && a.began < s.to && !stood {
-				add("drain", a.began, "request %s: sent to server %s %.0f ms after router %s was told that it drains",
-					id, a.server, a.began-s.from, q.sent.Router)
+		for _, s := range h.drains[routerServer{q.sent.Router, a.server}] { // one violation per attempt is enough
+			if at := s.from + r.GraceMS + r.SlackMS; a.beganAt > at && a.beganAt < s.to && !paused {
+				add("drain", a.beganAt,
+					"request %s: sent to server %s %.0f ms after router %s was notified that it drains",
+					id, a.server, a.beganAt-s.from, q.sent.Router)
 				break
 			}
 		}
 	}
-	if n := len(h.ran[id]); class.Effect == Once && n > 1 {
-		add("effect", h.ran[id][1].At, "request %s of class %s was carried out %d times", id, q.sent.Class, n)
+	if n := len(h.effects[id]); class.Effect == Once && n > 1 {
+		add("effect", h.effects[id][1].At, "request %s of class %s was carried out %d times", id, q.sent.Class, n)
 	}
 }
 
-// spoilt reports whether a server broke off or erred while it answered: a value that can't be passed on whole has
-// failed, and the end of the client's connection is how the client can tell.
-func spoilt(q *request) bool {
+// hasBrokenAttempt reports whether an attempt failed or lost its connection. A value that is cut off
+// at the server can't be completed, and closing the connection is the only way to signal that to the
+// client.
+func hasBrokenAttempt(q *request) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.end == Errored || a.end == Dropped })
 }
 
-// judgeAnswer holds an answer against what servers made, and a refusal against what may have run.
-func judgeAnswer(q *request, a Event, class Class, r Rules, add report) {
+// checkAnswer checks that a served value is one that a server produced for the request, and that a
+// refused request can safely be repeated.
+func checkAnswer(q *request, a Event, class Class, r Rules, add reportFunc) {
 	mayHaveRun := slices.ContainsFunc(q.attempts, func(t *attempt) bool { return t.mayHaveRunBy(a.At) })
 	switch {
-	case a.Answer == Served && !slices.ContainsFunc(q.attempts, func(t *attempt) bool { return t.end == Completed && t.sum == a.Sum }):
-		add("value", a.At, "request %s: served what no server made for it", a.Request)
+	case a.Answer == Served && !slices.ContainsFunc(q.attempts, func(t *attempt) bool {
+		return t.end == Completed && t.sum == a.Sum
+	}):
+		add("value", a.At, "request %s: served a value that no server produced for it", a.Request)
 	case a.Answer == Refused && mayHaveRun && (class.Effect == Once || class.Effect == Keyed && class.Scope != "all"):
-		add("effect", a.At, "request %s of class %s: refused as harmless to repeat, and it may have run", a.Request, q.sent.Class)
+		add("effect", a.At, "request %s of class %s: refused as harmless to repeat, but it may have run",
+			a.Request, q.sent.Class)
 	case a.Answer == Refused && class.Effect == Keyed && isRefusedPastWindow(q, a, class, r):
-		add("effect", a.At, "request %s of class %s: refused as harmless to repeat after its window, and it may have run", a.Request, q.sent.Class)
+		add("effect", a.At,
+			"request %s of class %s: refused as harmless to repeat after its window, but it may have run",
+			a.Request, q.sent.Class)
 	}
 }
 
-// isRefusedPastWindow reports whether a refusal came when servers no longer dropped a repeat of an attempt that may have run.
+// isRefusedPastWindow reports whether a request was refused after the idempotency window of an
+// attempt that may have run: servers then execute a repeat again.
 func isRefusedPastWindow(q *request, a Event, class Class, r Rules) bool {
 	return slices.ContainsFunc(q.attempts, func(t *attempt) bool {
-		return t.mayHaveRunBy(a.At) && a.At-t.began > class.WindowMS+r.SlackMS
+		return t.mayHaveRunBy(a.At) && a.At-t.beganAt > class.WindowMS+r.SlackMS
 	})
 }
 
-// mayHaveRunBy reports whether an attempt may have run by a time.
+// mayHaveRunBy reports whether the attempt may have run before a time.
 func (t *attempt) mayHaveRunBy(at float64) bool {
-	return t.whole <= at && t.end != Missed && t.end != Rejected
+	return t.receivedAt <= at && t.end != Missed && t.end != Rejected
 }
 
-// judgePair holds an attempt against one before it.
-func judgePair(id string, before, a *attempt, class Class, r Rules, add report) {
-	if before.over > a.whole+r.SlackMS {
-		add("copies", a.whole, "request %s: sent to server %s while an attempt was out at server %s", id, a.server, before.server)
+// checkAttemptPair checks an attempt against an earlier one of the same request.
+func checkAttemptPair(id string, before, a *attempt, class Class, r Rules, add reportFunc) {
+	if before.endedAt > a.receivedAt+r.SlackMS {
+		add("copies", a.receivedAt, "request %s: sent to server %s while an attempt was in progress at server %s",
+			id, a.server, before.server)
 	}
 	if before.end == Missed || before.end == Rejected {
 		return
 	}
 	switch class.Effect {
 	case Once:
-		add("effect", a.whole, "request %s: sent again to server %s, and the attempt at server %s may have run", id, a.server, before.server)
+		add("effect", a.receivedAt, "request %s: sent again to server %s, but the attempt at server %s may have run",
+			id, a.server, before.server)
 	case Keyed:
-		if late := a.began - before.began - class.WindowMS; late > r.SlackMS {
-			add("effect", a.whole, "request %s: repeated %.0f ms after its window", id, late)
+		if late := a.beganAt - before.beganAt - class.WindowMS; late > r.SlackMS {
+			add("effect", a.receivedAt, "request %s: repeated %.0f ms after its window", id, late)
 		}
 		if g := r.Group[class.Scope]; class.Scope != "all" && g[before.server] != g[a.server] {
-			add("effect", a.whole, "request %s: repeated at server %s, outside the %s of server %s", id, a.server, class.Scope, before.server)
+			add("effect", a.receivedAt, "request %s: repeated at server %s, outside the %s of server %s",
+				id, a.server, class.Scope, before.server)
 		}
 	}
 }
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -9,25 +9,27 @@
 	"testing"
 )
 
-var rules = Rules{Classes: map[string]Class{"read": {Effect: Repeatable}, "put": {Effect: Keyed, Scope: "all", WindowMS: 1000},
+var rules = Rules{Classes: map[string]Class{"read": {Effect: Repeatable},
+	"put":  {Effect: Keyed, Scope: "all", WindowMS: 1000},
 	"zput": {Effect: Keyed, Scope: "zone", WindowMS: 1000}, "tag": {Effect: Once}},
 	Group:   map[string]map[string]string{"zone": {"s1": "a", "s2": "a", "s3": "b"}},
 	GraceMS: 2000, SlackMS: 50, MaxAttempts: 3}
 
-// script reads events, one a line: TIME KIND WORDS, and NAME=VALUE for further fields. It puts them in the order of time.
+// script parses events, one per line: TIME KIND WORDS, and NAME=VALUE for further fields. It returns
+// them in the order of time.
 func script(t *testing.T, text string) (events []Event) {
 	t.Helper()
 	ends := map[string]End{"made": Completed, "missed": Missed, "turned": Rejected, "erred": Errored, "dropped": Dropped}
 	answers := map[string]Answer{"served": Served, "refused": Refused, "failed": Failed}
 	for line := range strings.Lines(text) {
-		w := strings.Fields(line)
-		if len(w) == 0 {
+		words := strings.Fields(line)
+		if len(words) == 0 {
 			continue
 		}
 		e := Event{Request: "q", Router: "r", Sum: 1}
-		fmt.Sscan(w[0], &e.At)
-		word := func(i int) string { return w[i] }
-		switch w[1] {
+		fmt.Sscan(words[0], &e.At)
+		word := func(i int) string { return words[i] }
+		switch words[1] {
 		case "sent":
 			e.Kind, e.Class, e.Deadline = Sent, word(2), 1000
 		case "whole":
@@ -80,10 +82,10 @@
 		case "ran":
 			e.Kind, e.Server = EffectExecuted, word(2)
 		default:
-			t.Fatalf("%q", line)
+			t.Fatalf("script line %q has an unknown kind", line)
 		}
-		for _, x := range w[2:] {
-			if name, value, ok := strings.Cut(x, "="); ok {
+		for _, field := range words[2:] {
+			if name, value, ok := strings.Cut(field, "="); ok {
 				setField(t, &e, name, value)
 			}
 		}
@@ -93,7 +95,7 @@
 	return events
 }
 
-// setField sets a further field of an event, by its name in a script.
+// setField sets a field of an event by its name in a script.
 func setField(t *testing.T, e *Event, name, value string) {
 	t.Helper()
 	number := func() float64 {
@@ -119,11 +121,11 @@
 	case "hint":
 		e.TimeoutHint = TimeoutHint{Millis: number(), IsPresent: true}
 	default:
-		t.Fatalf("field %q", name)
+		t.Fatalf("unknown field %q", name)
 	}
 }
 
-// repeat writes a script n times, with the number of each in place of {n}.
+// repeat repeats a script n times, with {n} replaced by the number of the copy.
 func repeat(n int, text string) string {
 	var all strings.Builder
 	for i := range n {
@@ -132,11 +134,11 @@
 	return all.String()
 }
 
-// ruleCase is a script and the rule that it breaks, "" for none.
+// ruleCase is a script and the rule that it violates; "" for none.
 type ruleCase struct{ name, rule, text string }
 
-// checkCases judges scripts; each breaks its own rule and no other.
-func checkCases(t *testing.T, r Rules, cases []ruleCase) {
+// expectRules checks that each script violates its own rule and no other.
+func expectRules(t *testing.T, r Rules, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
 		broken := CheckRun(script(t, c.text), r)
@@ -144,17 +146,17 @@
 			t.Errorf("%s: %v", c.name, broken)
 		}
 		if c.rule != "" && len(broken) == 0 {
-			t.Errorf("%s: nothing was broken, want a breach of %s", c.name, c.rule)
+			t.Errorf("%s: no violation, want one of %s", c.name, c.rule)
 		}
 		for _, b := range broken {
 			if c.rule != "" && b.Rule != c.rule {
-				t.Errorf("%s: got %v, want breaches of %s alone", c.name, b, c.rule)
+				t.Errorf("%s: got %v, want only violations of %s", c.name, b, c.rule)
 			}
 		}
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestEachViolationIsReportedUnderItsRule(t *testing.T) {
 	for _, c := range []struct{ name, want, text string }{
 		{"served", "", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 answer served"},
 		{"miss, then the origin", "", "0 sent read\n 1 whole s1\n 3 over s1 missed\n 4 whole o\n 9 over o made\n 10 answer served"},
@@ -195,34 +197,34 @@
 		case c.want == "" && len(broken) > 0:
 			t.Errorf("%s: %v", c.name, broken)
 		case c.want != "" && (len(broken) == 0 || broken[0].Rule != c.want):
-			t.Errorf("%s: got %v, want a breach of %s", c.name, broken, c.want)
+			t.Errorf("%s: got %v, want a violation of %s", c.name, broken, c.want)
 		}
 	}
 }
 
-func TestJournalHasABound(t *testing.T) {
+func TestJournalDropsEventsBeyondItsLimit(t *testing.T) {
 	j := NewJournal(3)
 	for i := range 3 {
 		j.Add(Event{At: float64(3 - i)})
 	}
-	if ev, whole := j.Events(); !whole || ev[0].At != 1 {
-		t.Errorf("%v, whole %t", ev, whole)
+	if events, isComplete := j.Events(); !isComplete || events[0].At != 1 {
+		t.Errorf("got %v, complete %t", events, isComplete)
 	}
 	j.Add(Event{})
-	if ev, whole := j.Events(); whole || len(ev) != 3 {
-		t.Errorf("%d events, whole %t", len(ev), whole)
+	if events, isComplete := j.Events(); isComplete || len(events) != 3 {
+		t.Errorf("got %d events, complete %t", len(events), isComplete)
 	}
 }
 
-// rename gives the requests of a script another prefix.
-func rename(text, from, to string) string {
+// renameRequests replaces the prefix of the request ids in a script.
+func renameRequests(text, from, to string) string {
 	return strings.ReplaceAll(text, "request="+from, "request="+to)
 }
 
-// at puts a time into a script.
-func at(text, time string) string { return strings.ReplaceAll(text, "%AT", time) }
+// withTime replaces %AT in a script by a time.
+func withTime(text, time string) string { return strings.ReplaceAll(text, "%AT", time) }
 
-// brokenRules counts the breaches of a script by rule.
+// brokenRules returns the number of violations of a script by rule.
 func brokenRules(t *testing.T, r Rules, text string) map[string]int {
 	t.Helper()
 	rules := map[string]int{}
--- a/lab/checker/disconnect_test.go
+++ b/lab/checker/disconnect_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAttemptsAfterTheClientDisconnected(t *testing.T) {
+func TestAttemptsAfterDisconnectAreReported(t *testing.T) {
 	const (
 		first = `0 sent read request=q{n}
 200 disconnected request=q{n}
@@ -18,21 +18,21 @@
 1250 left request=q{n}
 %AT whole s2 request=q{n}`
 	)
-	answered := at(hung, "1400") // and no answer in time: that is another rule
-	checkCases(t, rules, []ruleCase{
+	answered := withTime(hung, "1400") // it also has no answer in time, which violates another rule
+	expectRules(t, rules, []ruleCase{
 		{"none after the close", "", repeat(20, "0 sent read request=q{n}\n200 disconnected request=q{n}")},
-		{"it crosses the close", "", repeat(20, at(first, "290"))},
-		{"a further one crosses the close", "", repeat(20, at(further, "290"))},
-		{"two first ones", "", repeat(2, at(first, "310"))},
-		{"three first ones", "lost", repeat(3, at(first, "310"))},
-		{"three further ones", "lost", repeat(3, at(further, "310"))},
+		{"it crosses the close", "", repeat(20, withTime(first, "290"))},
+		{"a further one crosses the close", "", repeat(20, withTime(further, "290"))},
+		{"two first ones", "", repeat(2, withTime(first, "310"))},
+		{"three first ones", "lost", repeat(3, withTime(first, "310"))},
+		{"three further ones", "lost", repeat(3, withTime(further, "310"))},
 	})
 	if got := brokenRules(t, rules, repeat(3, answered)); got["lost"] != 1 {
-		t.Errorf("after the client had waited past its deadline: %v", got)
+		t.Errorf("attempts after a client waited past its deadline: got %v", got)
 	}
 	late := rules
 	late.MachineLateMS = 50
-	checkCases(t, late, []ruleCase{{"the machine was late", "", repeat(20, at(first, "310"))}})
+	expectRules(t, late, []ruleCase{{"the machine was late", "", repeat(20, withTime(first, "310"))}})
 }
 
 func TestRequestsThatWaitedWhenTheClientDisconnected(t *testing.T) {
@@ -44,15 +44,15 @@
 		name, text   string
 		disconnected int
 	}{
-		{"four of four", repeat(4, at(sent, "510")), 0},
-		{"five of five", repeat(5, at(sent, "510")), 1},
-		{"five of twenty", repeat(5, at(sent, "510")) + repeat(15, never), 0},
-		{"six of twenty", repeat(6, at(sent, "510")) + repeat(14, never), 1},
-		{"within the time", repeat(6, at(sent, "490")) + repeat(14, never), 0},
+		{"four of four", repeat(4, withTime(sent, "510")), 0},
+		{"five of five", repeat(5, withTime(sent, "510")), 1},
+		{"five of twenty", repeat(5, withTime(sent, "510")) + repeat(15, never), 0},
+		{"six of twenty", repeat(6, withTime(sent, "510")) + repeat(14, never), 1},
+		{"within the time", repeat(6, withTime(sent, "490")) + repeat(14, never), 0},
 		{"the first attempt was before", repeat(9, "0 sent read request=q{n}\n1 whole s1 request=q{n}\n5 over s1 missed request=q{n}\n200 disconnected request=q{n}\n510 whole o request=q{n}"), 0},
 	} {
 		if got := brokenRules(t, rules, c.text); got["disconnected"] != c.disconnected {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: got violations %v", c.name, got)
 		}
 	}
 }
--- a/lab/checker/discovery_clock.go
+++ b/lab/checker/discovery_clock.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// A change of the list counts as told to a router, whether it arrived or not,
+// A change of the list counts as received by a router at these times, whether it arrived or not.
 const (
-	listClockMillis    = 6000 // this long after discovery had it and could be reached, or after a watch fell silent;
-	waitEndClockMillis = 2000 // for a watch that fell silent also no sooner than this after the end of its wait
-	moveClockMillis    = 4000 // this long after a configuration that names another discovery, for what discovery has by then
+	maxListDelayMillis      = 6000 // after discovery listed it and was reachable, or after a watch fell silent
+	maxDelayAfterWaitMillis = 2000 // with a silent watch: not before this long after the end of its wait
+	maxMoveDelayMillis      = 4000 // after a configuration with another discovery address, for changes listed by then
 )
 
-// silentWatch is a router's watch that fell silent.
+// silentWatch is a watch of a router that discovery stopped answering.
 type silentWatch struct{ at, waitEndAt float64 }
 
-// discoveryHistory is what discovery did, whatever routers heard of it.
+// discoveryHistory holds the events of discovery, whether or not routers received its answers.
 type discoveryHistory struct {
 	listed  map[string][]Event // by server
 	down    []span
 	calls   map[string][]float64     // by router
 	silence map[string][]silentWatch // by router
-	moves   map[string][]float64     // by router: to another discovery
+	moves   map[string][]float64     // by router: switches to another discovery
 }
 
 func newDiscoveryHistory() discoveryHistory {
@@ -52,7 +52,7 @@
 	}
 }
 
-// reachableAt is when discovery can first be reached from a time on; +Inf where it never can.
+// reachableAt returns the first time from at on at which discovery is reachable; +Inf if there is none.
 func (d *discoveryHistory) reachableAt(at float64) float64 {
 	for _, s := range d.down {
 		if s.from <= at && at < s.to {
@@ -62,43 +62,46 @@
 	return at
 }
 
-// toldByClock is when a change of the list counts as told to a router at the latest. Of several times
-// the earliest holds; only what is pushed counts no sooner than moveClockMillis after a move that came
-// before the change. A move says nothing of what discovery could tell nobody within that time.
-func (d *discoveryHistory) toldByClock(router string, listedAt float64, isPushed bool) float64 {
-	told := d.toldByWatch(router, listedAt, isPushed)
+// assumedReceivedAt returns the latest time at which a change of the list counts as received by a
+// router. Of several such times the earliest applies, with one exception: a pushed change that follows
+// a move to another discovery counts as received no sooner than maxMoveDelayMillis after the move. A
+// move sets no time for changes that discovery was unreachable to deliver within that delay.
+func (d *discoveryHistory) assumedReceivedAt(router string, listedAt float64, isPushed bool) float64 {
+	receivedAt := d.assumedReceivedByWatch(router, listedAt, isPushed)
 	for _, movedAt := range d.moves[router] {
-		byMove := movedAt + moveClockMillis
+		byMove := movedAt + maxMoveDelayMillis
 		switch {
 		case d.reachableAt(max(movedAt, listedAt)) > byMove:
 		case isPushed && listedAt >= movedAt:
-			told = max(told, byMove)
+			receivedAt = max(receivedAt, byMove)
 		default:
-			told = min(told, byMove)
+			receivedAt = min(receivedAt, byMove)
 		}
 	}
-	return told
+	return receivedAt
 }
 
-// toldByWatch is the same for a router that stays with its discovery.
-func (d *discoveryHistory) toldByWatch(router string, listedAt float64, isPushed bool) float64 {
+// assumedReceivedByWatch returns the same for a router whose discovery address does not change.
+func (d *discoveryHistory) assumedReceivedByWatch(router string, listedAt float64, isPushed bool) float64 {
 	reachableAt := d.reachableAt(listedAt)
-	told := reachableAt + listClockMillis
+	receivedAt := reachableAt + maxListDelayMillis
 	if isPushed {
-		told = reachableAt
+		receivedAt = reachableAt
 	}
 	watch, isSilent := d.silentWatchAt(router, listedAt)
 	if !isSilent {
-		return told
+		return receivedAt
 	}
-	bySilence := max(watch.at+listClockMillis, watch.waitEndAt+waitEndClockMillis, reachableAt)
-	if calledAt := d.nextCall(router, watch.at); calledAt < bySilence { // a new call: the silent watch is no excuse any more
-		return min(bySilence, max(told, calledAt))
+	bySilence := max(watch.at+maxListDelayMillis, watch.waitEndAt+maxDelayAfterWaitMillis, reachableAt)
+	if calledAt := d.nextCall(router, watch.at); calledAt < bySilence {
+		// After a new call the silent watch justifies no further delay.
+		return min(bySilence, max(receivedAt, calledAt))
 	}
 	return bySilence
 }
 
-// silentWatchAt is the watch of a router that had fallen silent by then, and after which it had not called again.
+// silentWatchAt returns a router's watch that was silent at a time, with no later call of the router
+// until then.
 func (d *discoveryHistory) silentWatchAt(router string, at float64) (newest silentWatch, found bool) {
 	for _, watch := range d.silence[router] {
 		if watch.at <= at && d.nextCall(router, watch.at) > at {
@@ -108,7 +111,7 @@
 	return newest, found
 }
 
-// nextCall is when a router next calls after a time; +Inf where it does not.
+// nextCall returns the time of a router's first call after a time; +Inf if there is none.
 func (d *discoveryHistory) nextCall(router string, after float64) float64 {
 	for _, at := range d.calls[router] {
 		if at > after {
@@ -118,9 +121,10 @@
 	return math.Inf(1)
 }
 
-// addClockDrains adds for each router the spans in which a server counts as draining by the clock alone. Such a span ends when the
-// list has the server as active again: a router may hear of it at once.
-func (h *history) addClockDrains(r Rules) {
+// addAssumedDrains adds for each router the intervals in which a server counts as draining because the
+// router is assumed to have received the change. An interval ends when the list shows the server as
+// active again, because a router may receive that at once.
+func (h *history) addAssumedDrains(r Rules) {
 	for server, changes := range h.discovery.listed {
 		for i, change := range changes {
 			if change.State == "active" || i > 0 && changes[i-1].State != "active" {
@@ -131,9 +135,9 @@
 				activeAt = changes[i+next].At
 			}
 			for router := range h.routers {
-				if told := h.discovery.toldByClock(router, change.At, r.HasPushedList); told < activeAt {
+				if at := h.discovery.assumedReceivedAt(router, change.At, r.HasPushedList); at < activeAt {
 					key := routerServer{router, server}
-					h.drains[key] = append(h.drains[key], span{told, activeAt})
+					h.drains[key] = append(h.drains[key], span{at, activeAt})
 				}
 			}
 		}
--- a/lab/checker/leases.go
+++ b/lab/checker/leases.go
@@ -9,7 +9,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Claim is a moment at which a holder's own check said that it may act: somewhere between From and To on the machine's clock.
+// Claim is one check by a lease holder that allowed it to act. The check took place between From and
+// To on the machine's clock.
 type Claim struct {
 	Holder string
 	Lease  string
@@ -18,58 +19,59 @@
 	To     int64
 }
 
-// Op is what a client asked the coordinators, and what it was told.
+// Op is a command that a client sent to the coordinators, and its answer.
 type Op struct {
 	Client string
 	Kind   string // acquire, release, handover, read, write
 	Lease  string
-	Token  uint64 // of release, handover, write
+	Token  uint64 // sent with release, handover and write
 	From   int64
-	To     int64  // 0 = no answer ever came
-	Code   string // as coord.Code; "" = no answer
-	Got    uint64 // token: given, read (0 = free) or held by another
-	Holder string // held, read, handed over to
+	To     int64  // 0 = no answer
+	Code   string // a value of coord.Code; "" = no answer
+	Got    uint64 // the token in the answer: granted, read (0 = free) or held by another client
+	Holder string // the holder in the answer to acquire and read; the successor of a handover
 }
 
-// Act is what reached the stand-in resource, in the order in which it came.
+// Act is one access to the test resource. The accesses are in the order of arrival.
 type Act struct {
 	Holder  string
 	Lease   string
 	Token   uint64
 	At      int64
-	Refused bool // its token was lower than one seen
+	Refused bool // its token was lower than an earlier one
 }
 
-// LeaseRules are what JudgeLeases goes by.
+// LeaseRules are the limits of CheckLeases.
 type LeaseRules struct {
-	Patience time.Duration // of the linearizability check, for each lease
+	Patience time.Duration // time limit of the linearizability check for each lease
 }
 
-// CheckLeases lists what broke a rule of leases:
+// CheckLeases returns the violations of the lease rules:
 //
-//	overlap       an older token was acted on after a newer one was
-//	token         one token was used by two holders, or given twice, or tokens fell
-//	fence         the resource or the agreed state took an older token after a newer holder was named
-//	linear        no order of the commands explains the answers
+//	overlap       a holder was allowed to act with an older token after another with a newer one
+//	token         two holders used one token, a token was granted twice, or tokens decreased
+//	fence         the resource or the replicated state accepted an older token after a newer grant
+//	linear        no order of the commands explains the answers (not linearizable)
 //
-// undecided names leases whose order could not be decided within the patience.
+// undecided names the leases whose linearizability check exceeded r.Patience.
 func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Violation, undecided []string) {
 	add := func(rule string, at int64, form string, v ...any) {
-		if len(broken) < maxBreaches {
+		if len(broken) < maxLeaseViolations {
 			broken = append(broken, Violation{rule, float64(at) / 1e6, fmt.Sprintf(form, v...)})
 		}
 	}
-	judgeClaims(claims, add)
-	judgeActs(acts, add)
-	judgeTokens(ops, add)
-	by := map[string][]Op{}
+	checkClaims(claims, add)
+	checkActs(acts, add)
+	checkTokens(ops, add)
+	byLease := map[string][]Op{}
 	for _, o := range ops {
-		by[o.Lease] = append(by[o.Lease], o)
+		byLease[o.Lease] = append(byLease[o.Lease], o)
 	}
-	for lease, part := range by {
-		switch linear(part, r.Patience) {
+	for lease, leaseOps := range byLease {
+		switch checkLinearizable(leaseOps, r.Patience) {
 		case porcupine.Illegal:
-			add("linear", part[0].From, "lease %s: no order of the %d commands explains the answers", lease, len(part))
+			add("linear", leaseOps[0].From, "lease %s: no order of the %d commands explains the answers",
+				lease, len(leaseOps))
 		case porcupine.Unknown:
 			undecided = append(undecided, lease)
 		}
@@ -78,14 +80,15 @@
 	return broken, undecided
 }
 
-// maxBreaches bounds what is told; one is enough to fail.
-const maxBreaches = 100
+// maxLeaseViolations limits the reported violations; one is enough to fail a run.
+const maxLeaseViolations = 100
 
-// judgeClaims finds a claim of an older token that lies wholly after a claim of a newer one.
-func judgeClaims(claims []Claim, add func(string, int64, string, ...any)) {
+// checkClaims finds claims with an older token that began after the end of a claim with a newer one,
+// and tokens that two holders used.
+func checkClaims(claims []Claim, add func(string, int64, string, ...any)) {
 	type newest struct {
 		token uint64
-		to    int64 // the end of the earliest claim of a token at least this high
+		to    int64 // the end of the claim that ended first, of those with this token or a higher one
 		who   string
 	}
 	byLease := map[string][]Claim{}
@@ -97,14 +100,14 @@
 			owner[k] = c.Holder
 		}
 		if owner[k] != c.Holder {
-			add("token", c.From, "lease %s: token %d was acted on by %s and by %s", c.Lease, c.Token, owner[k], c.Holder)
+			add("token", c.From, "lease %s: token %d was used by %s and by %s", c.Lease, c.Token, owner[k], c.Holder)
 		}
 	}
-	for lease, part := range byLease {
-		// By falling token: the earliest end of any claim with a higher one must not lie before a claim's beginning.
-		slices.SortFunc(part, func(a, b Claim) int { return cmp.Compare(b.Token, a.Token) })
+	for lease, leaseClaims := range byLease {
+		// Highest token first: no claim may begin after the end of a claim with a higher token.
+		slices.SortFunc(leaseClaims, func(a, b Claim) int { return cmp.Compare(b.Token, a.Token) })
 		var best, same newest
-		for i, c := range part {
+		for i, c := range leaseClaims {
 			if i == 0 || c.Token != same.token {
 				if same.to != 0 && (best.to == 0 || same.to < best.to) {
 					best = same
@@ -114,15 +117,15 @@
 				same.to, same.who = c.To, c.Holder
 			}
 			if best.to != 0 && c.From > best.to {
-				add("overlap", c.From, "lease %s: %s might act with token %d, %.1f ms after %s did with token %d", lease, c.Holder, c.Token,
-					float64(c.From-best.to)/1e6, best.who, best.token)
+				add("overlap", c.From, "lease %s: %s was allowed to act with token %d, %.1f ms after %s with token %d",
+					lease, c.Holder, c.Token, float64(c.From-best.to)/1e6, best.who, best.token)
 			}
 		}
 	}
 }
 
-// judgeActs holds what the resource took against the tokens' order.
-func judgeActs(acts []Act, add func(string, int64, string, ...any)) {
+// checkActs checks that the resource accepted tokens in increasing order, and each from one holder.
+func checkActs(acts []Act, add func(string, int64, string, ...any)) {
 	top := map[string]uint64{}
 	owner := map[string]string{}
 	for _, a := range acts {
@@ -130,7 +133,8 @@
 			continue
 		}
 		if a.Token < top[a.Lease] {
-			add("fence", a.At, "lease %s: %s acted with token %d after one with token %d", a.Lease, a.Holder, a.Token, top[a.Lease])
+			add("fence", a.At, "lease %s: %s acted with token %d after an act with token %d",
+				a.Lease, a.Holder, a.Token, top[a.Lease])
 		}
 		top[a.Lease] = max(top[a.Lease], a.Token)
 		k := fmt.Sprint(a.Lease, " ", a.Token)
@@ -143,17 +147,18 @@
 	}
 }
 
-// judgeTokens holds grants and writes against each other by time: a grant that began after another had been answered has the
-// higher token, and a write that began after a newer grant had been answered is refused.
-func judgeTokens(ops []Op, add func(string, int64, string, ...any)) {
+// checkTokens compares grants and writes by time: a grant that was requested after the answer to
+// another grant must have the higher token, and a write that was sent after the answer to a newer
+// grant must be refused.
+func checkTokens(ops []Op, add func(string, int64, string, ...any)) {
 	type grant struct {
 		at    int64
 		token uint64
 	}
-	grants := map[string][]grant{} // by when they were answered, tokens rising
-	part := slices.Clone(ops)
-	slices.SortFunc(part, func(a, b Op) int { return cmp.Compare(a.To, b.To) })
-	for _, o := range part {
+	grants := map[string][]grant{} // in the order of their answers, with increasing tokens
+	answered := slices.Clone(ops)
+	slices.SortFunc(answered, func(a, b Op) int { return cmp.Compare(a.To, b.To) })
+	for _, o := range answered {
 		if o.To != 0 && o.Code == "ok" && (o.Kind == "acquire" || o.Kind == "handover") {
 			g := grants[o.Lease]
 			if len(g) == 0 || g[len(g)-1].token < o.Got {
@@ -161,7 +166,7 @@
 			}
 		}
 	}
-	before := func(lease string, at int64) uint64 { // the highest token that had been given by then
+	before := func(lease string, at int64) uint64 { // the highest token granted before that time
 		g := grants[lease]
 		i, _ := slices.BinarySearchFunc(g, at, func(g grant, at int64) int { return cmp.Compare(g.at, at) })
 		if i == 0 {
@@ -169,7 +174,7 @@
 		}
 		return g[i-1].token
 	}
-	for _, o := range part {
+	for _, o := range answered {
 		if o.To == 0 || o.Code != "ok" {
 			continue
 		}
@@ -177,32 +182,34 @@
 		switch o.Kind {
 		case "acquire", "handover":
 			if o.Got < top {
-				add("token", o.To, "lease %s: token %d was given after token %d", o.Lease, o.Got, top)
+				add("token", o.To, "lease %s: token %d was granted after token %d", o.Lease, o.Got, top)
 			}
 		case "write":
 			if o.Token < top {
-				add("fence", o.To, "lease %s: %s wrote with token %d after token %d was given", o.Lease, o.Client, o.Token, top)
+				add("fence", o.To, "lease %s: %s wrote with token %d after token %d was granted",
+					o.Lease, o.Client, o.Token, top)
 			}
 		}
 	}
 }
 
-// leaseState is one lease in the model: who holds it with which token (0: not known yet), and the highest token given.
+// leaseState is the model of one lease: its holder, its token (0 = not known yet) and the highest
+// token granted.
 type leaseState struct {
 	holder string // "" = free
 	token  uint64
 	top    uint64
 }
 
-// leaseModel is the sequential lease. Its time to live is left out: a lease may end by itself at any moment, which claims are held
-// against elsewhere. So a step may lead to several states.
+// leaseModel is the sequential specification of a lease. It does not model the time to live: a lease
+// may expire at any moment, so a step may lead to several states. checkClaims covers the expiry.
 var leaseModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, output any) []any {
 		s, in, out := state.(leaseState), input.(Op), output.(Op)
 		free := leaseState{top: max(s.top, s.token)}
 		var next []any
-		// is returns the state in which h holds token t, if s can be that one.
+		// is returns the state in which h holds token t, and whether s may be that state.
 		is := func(h string, t uint64) (leaseState, bool) {
 			if s.holder != h || h == "" {
 				return s, false
@@ -215,7 +222,7 @@
 		switch in.Kind {
 		case "acquire":
 			switch out.Code {
-			case "": // never answered: carried out or not, by the holder too where its lease had ended by itself
+			case "": // no answer: executed or not; the client may be the holder whose lease expired
 				next = append(next, s, leaseState{in.Client, 0, free.top})
 			case "ok":
 				if same, ok := is(in.Client, out.Got); ok {
@@ -227,7 +234,7 @@
 				if same, ok := is(out.Holder, out.Got); ok {
 					next = append(next, same)
 				}
-			case "no-session": // a repeat came after the session's end: the first sending may have been carried out before
+			case "no-session": // a repeat arrived after the session's end; the first copy may have been executed
 				next = append(next, s, free, leaseState{in.Client, 0, free.top})
 			default:
 				next = append(next, s, free)
@@ -250,8 +257,8 @@
 				}
 			case "no-client", "old", "full", "bad", "lost":
 				next = append(next, s)
-			default: // not held: it may have ended
-				if ok && in.Kind == "handover" && out.Code == "no-session" { // as of acquire
+			default: // not held: the lease may have expired
+				if ok && in.Kind == "handover" && out.Code == "no-session" { // see acquire
 					next = append(next, after)
 				}
 				if ok {
@@ -288,8 +295,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// linear reports whether some order of a lease's commands, each between its sending and its answer, explains all answers.
-func linear(ops []Op, patience time.Duration) porcupine.CheckResult {
+// checkLinearizable reports whether some order of a lease's commands explains all answers, with each
+// command executed between its sending and its answer.
+func checkLinearizable(ops []Op, patience time.Duration) porcupine.CheckResult {
 	var history []porcupine.Operation
 	clients := map[string]int{}
 	end := int64(0)
@@ -298,7 +306,7 @@
 	}
 	for _, o := range ops {
 		if o.To == 0 && (o.Kind == "read" || o.Kind == "write") {
-			continue // it tells nothing and changes nothing that the model knows
+			continue // it has no answer to check, and no effect in the model
 		}
 		if _, ok := clients[o.Client]; !ok {
 			clients[o.Client] = len(clients)
@@ -307,7 +315,9 @@
 		if to == 0 {
 			to = end + 1
 		}
-		history = append(history, porcupine.Operation{ClientId: clients[o.Client], Input: o, Output: o, Call: o.From, Return: to})
+		history = append(history, porcupine.Operation{
+			ClientId: clients[o.Client], Input: o, Output: o, Call: o.From, Return: to,
+		})
 	}
 	m := leaseModel.ToModel()
 	return porcupine.CheckOperationsTimeout(m, history, patience)
--- a/lab/checker/leases_test.go
+++ b/lab/checker/leases_test.go
@@ -7,7 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// inTurn gives operations that follow one another their times; one without an answer keeps To at 0.
+// inTurn sets the times of operations that follow one another. An operation without an answer keeps To
+// at 0.
 func inTurn(ops ...Op) []Op {
 	for i := range ops {
 		ops[i].Lease, ops[i].From = "l", int64(10*i+1)
@@ -24,7 +25,7 @@
 
 func unanswered(client string) Op { return Op{Client: client, Kind: "acquire"} }
 
-// noSession is an operation that was sent again until the session had ended.
+// noSession returns an operation that was repeated until the session had ended.
 func noSession(o Op) Op {
 	o.Code, o.Got = "no-session", 0
 	return o
@@ -34,7 +35,7 @@
 	return Op{Client: client, Kind: "handover", Code: "ok", Token: token, Holder: to, Got: got}
 }
 
-// during gives the first operation a time that spans the others.
+// during extends the first operation over the time of the others.
 func during(ops []Op) []Op {
 	ops[0].To = ops[len(ops)-1].To + 1
 	return ops
@@ -52,7 +53,7 @@
 	return Op{Client: client, Kind: "release", Code: "ok", Token: token}
 }
 
-func TestOrderOfLeaseOperations(t *testing.T) {
+func TestLeaseAnswersMustBeLinearizable(t *testing.T) {
 	for name, c := range map[string]struct {
 		want porcupine.CheckResult
 		ops  []Op
@@ -95,8 +96,8 @@
 			inTurn(acquired("a", 1), noSession(handedOver("a", "b", 1, 0)), acquired("c", 2))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := linear(c.ops, time.Minute); got != c.want {
-				t.Errorf("%v, not %v", got, c.want)
+			if got := checkLinearizable(c.ops, time.Minute); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/lab/checker/malformed.go
+++ b/lab/checker/malformed.go
@@ -1,8 +1,9 @@
 package checker
 
-// judgeMalformed finds commands that servers could not read: a router passes on what a client sent.
-func judgeMalformed(h *history, add report) {
+// checkMalformed reports commands that servers could not parse. Clients send only well-formed commands,
+// so the router must have corrupted them.
+func checkMalformed(h *history, add reportFunc) {
 	for _, e := range h.malformed {
-		add("form", e.At, "server %s was sent a command in a form that no client sends", e.Server)
+		add("form", e.At, "server %s received a malformed command", e.Server)
 	}
 }
--- a/lab/checker/readiness.go
+++ b/lab/checker/readiness.go
@@ -1,11 +1,11 @@
 package checker
 
-// Bounds of the rule on routers that start.
+// Limits of the rule on starting routers.
 const (
-	readyMillis         = 10_000 // within which a restarted router is ready,
-	readyAtEndMillis    = 6_000  // or within this, where the run ends sooner
-	maxSlowRestartShare = 0.1    // of the restarts may take longer
-	maxReadyMillis      = 30_000 // no start may
+	readyMillis         = 10_000 // a restarted router has to be ready within this time,
+	readyAtEndMillis    = 6_000  // or within this, if the run ends sooner
+	maxSlowRestartShare = 0.1    // share of the restarts that may take longer
+	maxReadyMillis      = 30_000 // no start may take longer
 )
 
 // start is one start of a router's process.
@@ -15,13 +15,13 @@
 	readyAt   float64
 	isRestart bool // the router had a process before
 	isReady   bool
-	isKilled  bool // before it was ready
+	isKilled  bool // killed before it was ready
 }
 
 // hasStarted reports whether a process of the router was started before.
 func (h *history) hasStarted(router string) bool { return h.newestStart(router) != nil }
 
-// newestStart is the last start of a router; nil where there was none.
+// newestStart returns the last start of a router; nil if there is none.
 func (h *history) newestStart(router string) (newest *start) {
 	for _, s := range h.starts {
 		if s.router == router {
@@ -31,15 +31,15 @@
 	return newest
 }
 
-// readyStart books that the newest process of a router is ready.
-func (h *history) readyStart(e Event) {
+// markStartReady marks the newest process of a router as ready.
+func (h *history) markStartReady(e Event) {
 	if s := h.newestStart(e.Router); s != nil {
 		s.isReady, s.readyAt = true, e.At
 	}
 }
 
-// killStarts books that the processes of a router that were not ready yet never will be.
-func (h *history) killStarts(router string) {
+// markStartsKilled marks the processes of a router that were not ready yet as killed.
+func (h *history) markStartsKilled(router string) {
 	for _, s := range h.starts {
 		if s.router == router && !s.isReady {
 			s.isKilled = true
@@ -47,8 +47,8 @@
 	}
 }
 
-// judgeReadiness finds starts that took too long, and restarts of which too many were slow.
-func judgeReadiness(h *history, r Rules, add report) {
+// checkReadiness reports starts that took too long, and a run with too many slow restarts.
+func checkReadiness(h *history, r Rules, add reportFunc) {
 	restarts, slow, lastAt := 0, 0, 0.0
 	for _, s := range h.starts {
 		if s.isKilled {
@@ -58,7 +58,7 @@
 		if took > maxReadyMillis+r.MachineLateMS {
 			add("ready", s.at+took, "router %s was not ready %d s after its start", s.router, maxReadyMillis/1000)
 		}
-		if !s.isRestart || !s.isReady && took <= readyAtEndMillis { // the run ended too soon to tell
+		if !s.isRestart || !s.isReady && took <= readyAtEndMillis { // the run ended too soon to decide
 			continue
 		}
 		restarts++
@@ -72,7 +72,7 @@
 	}
 }
 
-// startMillis is how long a start took, up to the end of the run where the process was not ready before.
+// startMillis returns the duration of a start, up to the end of the run if the process was not ready.
 func (h *history) startMillis(s *start) float64 {
 	if s.isReady {
 		return s.readyAt - s.at
--- a/lab/checker/refused_connection_test.go
+++ b/lab/checker/refused_connection_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-func TestRefusedConnections(t *testing.T) {
+func TestTooManyRefusedConnectionsAreReported(t *testing.T) {
 	const (
 		served  = "0 sent read request=q{n}\n1 whole s1 request=q{n}\n9 over s1 made request=q{n}\n10 answer served request=q{n}"
 		refused = "0 sent read request=x{n}\n5 closed connection=new request=x{n}"
 		crossed = "0 sent read request=x{n}\n5 closed request=x{n}"
 	)
-	checkCases(t, rules, []ruleCase{
+	expectRules(t, rules, []ruleCase{
 		{"one in 200", "", repeat(199, served) + repeat(1, refused)},
 		{"two in 200", "lost", repeat(198, served) + repeat(2, refused)},
 		{"closes that crossed requests on used connections", "", repeat(10, crossed)},
 		{"the router was killed", "", repeat(10, refused) + "4 killed"},
-		{"the router had been killed just before", "", "100 killed\n" + repeat(10, "120 sent read request=x{n}\n121 closed connection=new request=x{n}")},
+		{"the router had been killed just before", "", "100 killed\n" +
+			repeat(10, "120 sent read request=x{n}\n121 closed connection=new request=x{n}")},
 		{"it had been killed long before", "lost", "100 killed\n" + repeat(10, "900 sent read request=x{n}\n901 closed connection=new request=x{n}")},
 		{"idle clients filled its descriptors", "", repeat(10, refused) + "0 crowded"},
 		{"idle clients had left", "lost", "0 crowded\n" + repeat(10, "900 sent read request=x{n}\n901 closed connection=new request=x{n}")},
@@ -25,7 +26,8 @@
 	})
 }
 
-// A router that closes all new connections serves nobody.
+// A router that closes all new connections violates both the rule on refused connections and the rule on
+// routers that reject everything.
 func TestRefusedConnectionsAreRejections(t *testing.T) {
 	calm := rules
 	calm.HasOnlyPlanned = true
@@ -34,6 +36,6 @@
 		text += fmt.Sprintf("%d sent read request=x%d\n%d closed connection=new request=x%d\n", 150*i, i, 150*i+1, i)
 	}
 	if got := brokenRules(t, calm, text); got["rejecting"] != 1 || got["lost"] != 1 {
-		t.Errorf("%v", got)
+		t.Errorf("got violations %v", got)
 	}
 }
--- a/lab/checker/rejecting.go
+++ b/lab/checker/rejecting.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// Bounds of the rule on routers that serve nobody.
+// Limits of the rule on routers that reject all requests.
 const (
-	maxRejectingShare    = 0.1  // of the routers may reject all that they get
-	minRejections        = 15   // one after the other, for it to count
-	rejectingSpellMillis = 4000 // from the first of them to the last
-	maxReportedRejecting = 5    // routers that a breach names
+	maxRejectingShare    = 0.1  // share of the routers that may reject all their requests
+	minRejections        = 15   // consecutive rejections that count as a rejecting period
+	minRejectingMillis   = 4000 // least time from the first of them to the last
+	maxReportedRejecting = 5    // routers listed in a violation
 )
 
-// step is one thing that a router did: a request rejected, or something that shows that it serves.
+// step is one action of a router: a rejected request, or one that shows that the router serves.
 type step struct {
 	at         float64
 	isRejected bool
 }
 
-// judgeRejecting finds fleets of which too many routers reject all that they get, though nothing has gone wrong.
-func judgeRejecting(h *history, r Rules, add report) {
+// checkRejecting reports a run without faults in which too many routers rejected all their requests.
+func checkRejecting(h *history, r Rules, add reportFunc) {
 	if !r.HasOnlyPlanned {
 		return
 	}
@@ -29,33 +29,33 @@
 	var rejecting []string
 	foundAt := 0.0
 	for _, router := range slices.Sorted(maps.Keys(steps)) {
-		if at, found := rejectingSpell(steps[router]); found {
+		if at, found := findRejectingPeriod(steps[router]); found {
 			rejecting = append(rejecting, router)
 			foundAt = max(foundAt, at)
 		}
 	}
 	if float64(len(rejecting)) > maxRejectingShare*float64(len(h.routers)) {
-		add("rejecting", foundAt, "%d of %d routers rejected all that they got for %d ms, %v among them",
-			len(rejecting), len(h.routers), rejectingSpellMillis, rejecting[:min(maxReportedRejecting, len(rejecting))])
+		add("rejecting", foundAt, "%d of %d routers rejected all their requests for %d ms, %v among them",
+			len(rejecting), len(h.routers), minRejectingMillis, rejecting[:min(maxReportedRejecting, len(rejecting))])
 	}
 }
 
-// stepsByRouter are what each router did, in the order of time.
+// stepsByRouter returns the steps of each router, in the order of time.
 func stepsByRouter(h *history) map[string][]step {
 	steps := map[string][]step{}
 	for _, q := range h.requests {
-		if !q.has {
+		if !q.isSent {
 			continue
 		}
 		router := q.sent.Router
 		for _, a := range q.attempts {
-			steps[router] = append(steps[router], step{a.began, false})
+			steps[router] = append(steps[router], step{a.beganAt, false})
 		}
 		if at, ok := q.rejectedAt(); ok {
 			steps[router] = append(steps[router], step{at, true})
 		}
 	}
-	for router, times := range h.killed { // a new process begins anew
+	for router, times := range h.killed { // a new process starts a new period
 		for _, at := range times {
 			steps[router] = append(steps[router], step{at, false})
 		}
@@ -66,7 +66,8 @@
 	return steps
 }
 
-// rejectedAt is when a request was rejected: refused or failed without any attempt, or its new connection closed.
+// rejectedAt returns the time at which a request was rejected: refused or failed without any attempt,
+// or its new connection closed.
 func (q *request) rejectedAt() (at float64, ok bool) {
 	if q.isConnectionRefused() {
 		return q.closed.At, true
@@ -77,8 +78,9 @@
 	return q.answers[0].At, true
 }
 
-// rejectingSpell finds a spell of rejections alone that is long enough, and when it was.
-func rejectingSpell(steps []step) (at float64, found bool) {
+// findRejectingPeriod finds a long enough period with only rejections, and returns the time at
+// which it became long enough.
+func findRejectingPeriod(steps []step) (at float64, found bool) {
 	rejections, firstAt := 0, 0.0
 	for _, s := range steps {
 		if !s.isRejected {
@@ -88,7 +90,7 @@
 		if rejections++; rejections == 1 {
 			firstAt = s.at
 		}
-		if rejections >= minRejections && s.at-firstAt >= rejectingSpellMillis {
+		if rejections >= minRejections && s.at-firstAt >= minRejectingMillis {
 			return s.at, true
 		}
 	}
--- a/lab/checker/rejecting_test.go
+++ b/lab/checker/rejecting_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// rejections are n requests to a router, each answered without an attempt, so many milliseconds apart.
+// rejections returns a script of n requests to a router, each answered without an attempt, at intervals
+// of apart milliseconds.
 func rejections(router, answer string, n, apart int) (text string) {
 	for i := range n {
 		text += fmt.Sprintf("%d sent read request=%s%d router=%s\n%d answer %s request=%s%d router=%s\n",
@@ -14,7 +15,7 @@
 	return text
 }
 
-func TestRoutersThatServeNobody(t *testing.T) {
+func TestRoutersThatRejectEverythingAreReported(t *testing.T) {
 	calm := rules
 	calm.HasOnlyPlanned = true
 	const attemptBetween = "\n2050 sent read request=x router=r0\n2051 whole s1 request=x\n2060 over s1 made request=x\n2061 answer served request=x router=r0"
@@ -26,7 +27,7 @@
 		return text
 	}
 	all := rejections("r0", "refused", 30, 150)
-	checkCases(t, calm, []ruleCase{
+	expectRules(t, calm, []ruleCase{
 		{"one of ten", "", all + others(9)},
 		{"one of nine", "rejecting", all + others(8)},
 		{"two of twenty", "", all + rejections("r1", "refused", 30, 150) + others(18)},
@@ -38,5 +39,5 @@
 		{"an attempt that was turned away", "", all + refusedAfterAttempt},
 		{"a new process", "", all + "\n2050 killed router=r0"},
 	})
-	checkCases(t, rules, []ruleCase{{"where something went wrong", "", all}})
+	expectRules(t, rules, []ruleCase{{"where something went wrong", "", all}})
 }
--- a/lab/checker/slow_start.go
+++ b/lab/checker/slow_start.go
@@ -2,37 +2,40 @@
 
 // Bounds of the rule on cold servers.
 const (
-	maxInformedShare     = 2.0 / 3 // of the work that pushed a server over may come from routers that had been told of its start
-	startToleranceMillis = 1000    // by which the start that the list tells may lie before the one that the server booked
+	maxInformedShare     = 2.0 / 3 // share of the work before a collapse that may come from informed routers
+	startToleranceMillis = 1000    // the list may give a start this much before the one that the server recorded
 )
 
-// toldStart is the word of a server's start to a router.
-type toldStart struct{ at, startedAt float64 }
+// sentStart is a server's start time as discovery sent it to a router, and the time of sending.
+type sentStart struct{ at, startedAt float64 }
 
-// judgeFalls finds cold servers that were pushed over mostly by routers that knew that they were cold.
-func judgeFalls(h *history, r Rules, add report) {
-	for _, fall := range h.falls {
-		informed, total := h.workBeforeFall(fall, r)
+// checkCollapses finds cold servers that collapsed mostly from the work of routers that had been
+// informed of the server's start.
+func checkCollapses(h *history, r Rules, add reportFunc) {
+	for _, collapse := range h.collapses {
+		informed, total := h.workBeforeCollapse(collapse, r)
 		switch {
 		case total == 0:
-			add("cold", fall.At, "server %s was pushed over while it was cold", fall.Server)
+			add("cold", collapse.At, "server %s collapsed while cold", collapse.Server)
 		case informed > maxInformedShare*total:
-			add("cold", fall.At, "server %s was pushed over while it was cold, by %.0f ms of work, %.0f%% of it from routers that had been told of its start",
-				fall.Server, total, 100*informed/total)
+			add("cold", collapse.At,
+				"server %s collapsed while cold, from %.0f ms of work, %.0f%% of it from routers informed of its start",
+				collapse.Server, total, 100*informed/total)
 		}
 	}
 }
 
-// workBeforeFall is the work that came to a server in the window before it fell, and how much of that came from routers that had been
-// told of its start. Work that no client asked for comes from a router all the same, and which one can't be known: none is excused by it.
-func (h *history) workBeforeFall(fall Event, r Rules) (informed, total float64) {
+// workBeforeCollapse returns the work that arrived at a server in the window before its collapse, and
+// the part of it from routers that had been informed of the server's start. Work that no client asked
+// for counts as informed, because the router that sent it is unknown.
+func (h *history) workBeforeCollapse(collapse Event, r Rules) (informed, total float64) {
 	for _, q := range h.requests {
 		for _, a := range q.attempts {
-			if a.server != fall.Server || a.whole < fall.Began || a.whole > fall.At {
+			if a.server != collapse.Server || a.receivedAt < collapse.Began || a.receivedAt > collapse.At {
 				continue
 			}
 			total += a.work
-			if !q.has || h.knowsStart(q.sent.Router, fall, a.began, r) {
+			if !q.isSent || h.wasInformedOfStart(q.sent.Router, collapse, a.beganAt, r) {
 				informed += a.work
 			}
 		}
@@ -40,30 +43,32 @@
 	return informed, total
 }
 
-// knowsStart reports whether a router had been told by then of the start after which a server fell, by discovery or by the clock.
-func (h *history) knowsStart(router string, fall Event, by float64, r Rules) bool {
-	startedAt, found := h.lastServerStart(fall)
-	if !found { // nobody says when it started: it has been cold for long
+// wasInformedOfStart reports whether a router had been informed, before a time, of the start that
+// preceded a server's collapse: discovery sent it, or it counts as received (assumedReceivedAt).
+func (h *history) wasInformedOfStart(router string, collapse Event, by float64, r Rules) bool {
+	startedAt, found := h.lastServerStart(collapse)
+	if !found { // no start is recorded: the server has been cold for long
 		return true
 	}
 	isOfStart := func(at float64) bool { return at >= startedAt-startToleranceMillis }
-	for _, told := range h.toldStarts[routerServer{router, fall.Server}] {
-		if told.at <= by && isOfStart(told.startedAt) {
+	for _, sent := range h.sentStarts[routerServer{router, collapse.Server}] {
+		if sent.at <= by && isOfStart(sent.startedAt) {
 			return true
 		}
 	}
-	for _, change := range h.discovery.listed[fall.Server] {
-		if isOfStart(change.ServerStartedAt) && h.discovery.toldByClock(router, change.At, r.HasPushedList) <= by {
+	for _, change := range h.discovery.listed[collapse.Server] {
+		if isOfStart(change.ServerStartedAt) &&
+			h.discovery.assumedReceivedAt(router, change.At, r.HasPushedList) <= by {
 			return true
 		}
 	}
 	return false
 }
 
-// lastServerStart is when a server's process had started that fell.
-func (h *history) lastServerStart(fall Event) (at float64, found bool) {
-	for _, startedAt := range h.serverStarts[fall.Server] {
-		if startedAt <= fall.At {
+// lastServerStart returns the last start of a server's process before its collapse.
+func (h *history) lastServerStart(collapse Event) (at float64, found bool) {
+	for _, startedAt := range h.serverStarts[collapse.Server] {
+		if startedAt <= collapse.At {
 			at, found = startedAt, true
 		}
 	}
--- a/lab/checker/slow_start_test.go
+++ b/lab/checker/slow_start_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestColdServersThatArePushedOver(t *testing.T) {
+func TestCollapseCausedByInformedRoutersIsReported(t *testing.T) {
 	const (
 		restarted = "1000 server-started s1\n1500 told s1 active router=informed start=1000.5\n"
 		informed  = "2000 sent read request=i{n} router=informed\n2000 whole s1 request=i{n} router=informed work=10\n2010 over s1 dropped request=i{n}\n2010 disconnected request=i{n}"
@@ -10,7 +10,7 @@
 		heavy     = "2000 sent read request=h{n} router=unaware\n2000 whole s1 request=h{n} router=unaware work=60\n2010 over s1 dropped request=h{n}\n2010 disconnected request=h{n}"
 		fell      = "2005 fell s1 since=1005\n"
 	)
-	checkCases(t, rules, []ruleCase{
+	expectRules(t, rules, []ruleCase{
 		{"two thirds of informed routers", "", restarted + repeat(4, informed) + repeat(2, unaware) + fell},
 		{"over two thirds", "cold", restarted + repeat(5, informed) + repeat(2, unaware) + fell},
 		{"by work, not by number", "", restarted + repeat(5, informed) + repeat(1, heavy) + fell},
@@ -24,6 +24,6 @@
 			"1003 over s1 made request=x\n1004 answer served request=x\n" + repeat(6, unaware) + fell},
 	})
 	if got := brokenRules(t, rules, restarted+repeat(6, unaware)+"2000 whole s1 request=nobody work=1000\n"+fell); got["cold"] != 1 {
-		t.Errorf("work that no client asked for: %v", got)
+		t.Errorf("work that no client requested: got violations %v", got)
 	}
 }
--- a/lab/checker/unanswered.go
+++ b/lab/checker/unanswered.go
@@ -1,18 +1,19 @@
 package checker
 
-// Bounds of the rule on requests that have no answer when their time is up.
+// Limits of the rule on requests without an answer at their deadline.
 const (
-	lateAnswerMillis       = 500       // an answer that is late by no more only earns nothing; one that is later has been lost
-	unansweredAllowance    = 5         // so many requests,
-	unansweredRequestShare = 1.0 / 500 // and this share of all, may be without an answer when their time is up
+	lateAnswerMillis       = 500       // an answer up to this late counts only as worthless; a later one counts as lost
+	unansweredAllowance    = 5         // this many requests,
+	unansweredRequestShare = 1.0 / 500 // plus this share of all, may have no answer at their deadline
 )
 
-// judgeUnanswered bounds the requests that had no answer when their time was up, whether it came later or never.
-func judgeUnanswered(h *history, r Rules, add report) {
+// checkUnanswered limits the requests without an answer at their deadline, whether the answer came
+// later or never.
+func checkUnanswered(h *history, r Rules, add reportFunc) {
 	all, unanswered, lastAt := 0, 0, 0.0
 	byRouter := map[string]int{}
 	for _, q := range h.requests {
-		if !q.has {
+		if !q.isSent {
 			continue
 		}
 		all++
@@ -25,14 +26,15 @@
 	}
 	limit := unansweredAllowance + unansweredRequestShare*float64(all)
 	if float64(unanswered) > limit {
-		add("unanswered", lastAt, "%d of %d requests had no answer when their time was up; by router: %v", unanswered, all, byRouter)
+		add("unanswered", lastAt, "%d of %d requests had no answer at their deadline; by router: %v",
+			unanswered, all, byRouter)
 	}
 }
 
-// isUnanswered reports whether a client that was still there had no answer when its time was up.
+// isUnanswered reports whether a client that had not disconnected got no answer by its deadline.
 func (q *request) isUnanswered(r Rules) bool {
 	if len(q.answers) > 0 {
 		return q.answers[0].At > q.deadline()+r.SlackMS
 	}
-	return q.left != nil
+	return q.timedOut != nil
 }
--- a/lab/checker/unanswered_test.go
+++ b/lab/checker/unanswered_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestUnansweredWhenTimeIsUp(t *testing.T) {
+func TestTooManyUnansweredRequestsAreReported(t *testing.T) {
 	const (
 		inTime = `0 sent read request=q{n}
 1 whole s1 request=q{n}
@@ -16,7 +16,7 @@
 		disconnected = "0 sent read request=late{n}\n900 disconnected request=late{n}"
 		paused       = "\n500 paused"
 	)
-	checkCases(t, rules, []ruleCase{
+	expectRules(t, rules, []ruleCase{
 		{"within the slack", "", repeat(100, inTime)},
 		{"five late", "", repeat(5, late)},
 		{"six late", "unanswered", repeat(6, late)},
@@ -28,6 +28,6 @@
 		{"their router was stopped", "", repeat(6, late) + paused},
 	})
 	if got := brokenRules(t, rules, repeat(6, "0 sent read request=q{n}\n1600 left request=q{n}")); got["unanswered"] != 1 || got["answer"] != 6 {
-		t.Errorf("six that never had an answer: %v", got)
+		t.Errorf("six requests that never got an answer: got violations %v", got)
 	}
 }
