--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -1,7 +1,8 @@
-// Package model holds what a router meets as models: cache servers, the origin, discovery. They do no I/O and have no
-// clock: whoever drives them says what time it is, in milliseconds on one clock that never runs backwards, asks when
-// something happens next and collects what is done by then. So the same models stand behind sockets and in virtual time.
-// All randomness comes from a seed: the same calls lead to the same results.
+// Package model contains models of the systems around a router: cache servers, the origin and discovery.
+// The models do no I/O and have no clock. The caller passes the time in milliseconds on one clock that
+// never runs backwards, asks for the time of the next event, and collects the jobs completed by then.
+// So the same models work behind sockets and in virtual time. All randomness comes from a seed: the same
+// calls lead to the same results.
 package model
 
 import (
@@ -12,53 +13,58 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Params describe a cache server or the origin. Work is measured in milliseconds on a core of speed 1.
+// Params describes a cache server or the origin. Work is measured in milliseconds on a core of speed 1.
 type Params struct {
-	Cores    int     `toml:"cores"`     // that work at once
-	Speed    float64 `toml:"speed"`     // of a core
-	Slots    int     `toml:"slots"`     // requests in work at once; 0 = one for each core
-	Queue    int     `toml:"queue"`     // requests that may wait; one more is turned away unseen
-	Thrash   float64 `toml:"thrash"`    // efficiency is 1/(1+thrash*(held/cores-thrash_at)) where more are held
+	Cores    int     `toml:"cores"`     // number of cores
+	Speed    float64 `toml:"speed"`     // of each core
+	Slots    int     `toml:"slots"`     // requests in service at once; 0 = one for each core
+	Queue    int     `toml:"queue"`     // requests that may wait; further ones are rejected
+	Thrash   float64 `toml:"thrash"`    // efficiency is 1/(1+thrash*(held/cores-thrash_at)) above thrash_at
 	ThrashAt float64 `toml:"thrash_at"` // requests held for each core
 
-	ColdFrom float64 `toml:"cold_from"` // share of its capacity that a server has at its start; 0 or 1 = it starts warm
-	ColdMS   float64 `toml:"cold_ms"`   // it rises evenly to the whole in this time,
-	WarmWork float64 `toml:"warm_work"` // or with this much work, whichever is sooner; 0 = with time only
+	ColdFrom float64 `toml:"cold_from"` // share of the full capacity at the server's start; 0 or 1 = it starts warm
+	ColdMS   float64 `toml:"cold_ms"`   // capacity rises linearly to full within this time,
+	WarmWork float64 `toml:"warm_work"` // or with this much work, whichever is sooner; 0 = by time only
 
-	ChokeAt     float64 `toml:"choke_at"`      // more than this many waiting for each core; 0 = never
-	ChokeOverMS float64 `toml:"choke_over_ms"` // for this long choke the server:
-	ChokeSlower float64 `toml:"choke_slower"`  // it turns this many times slower,
-	ChokeBelow  float64 `toml:"choke_below"`   // until fewer than this many are held for each core
-	ChokeRestMS float64 `toml:"choke_rest_ms"` // for this long,
-	ChokeMostMS float64 `toml:"choke_most_ms"` // or this time is over
+	// A server chokes, that is, slows down, after its queue has been long for some time.
+	ChokeAt     float64 `toml:"choke_at"`      // queue length per core that chokes the server if exceeded; 0 = never
+	ChokeOverMS float64 `toml:"choke_over_ms"` // time for which the queue has to exceed it
+	ChokeSlower float64 `toml:"choke_slower"`  // factor by which a choked server is slower
+	ChokeBelow  float64 `toml:"choke_below"`   // requests held per core below which the server recovers
+	ChokeRestMS float64 `toml:"choke_rest_ms"` // time for which fewer have to be held for the recovery
+	ChokeMostMS float64 `toml:"choke_most_ms"` // longest time choked; 0 = no limit
 
 	PauseEveryMS float64 `toml:"pause_every_ms"` // mean time between pauses; 0 = none
-	PauseMS      float64 `toml:"pause_ms"`       // mean length of one
-	ErrorRate    float64 `toml:"error_rate"`     // share of requests that end as errors, run or not
+	PauseMS      float64 `toml:"pause_ms"`       // mean length of a pause
+	ErrorRate    float64 `toml:"error_rate"`     // share of requests that fail, whether they ran or not
 
-	Memory   int     `toml:"memory"`    // bytes of values kept, those used longest ago go first
-	TTLMS    float64 `toml:"ttl_ms"`    // a kept value is void after this; 0 = never
-	MissWork float64 `toml:"miss_work"` // work of finding that a key is not kept
-	FetchMS  float64 `toml:"fetch_ms"`  // a miss says that another fetch of the key is out for this long after the first
-	Origin   bool    `toml:"origin"`    // it has every value, and carries out writes
+	Memory   int     `toml:"memory"`    // bytes of values stored; the least recently used are evicted first
+	TTLMS    float64 `toml:"ttl_ms"`    // a stored value expires after this time; 0 = never
+	MissWork float64 `toml:"miss_work"` // work of a lookup that misses
+	FetchMS  float64 `toml:"fetch_ms"`  // for this long after a miss, further misses of the key are Fetching
+	Origin   bool    `toml:"origin"`    // the origin: it has every value, and executes writes
 
-	Conns    int     `toml:"conns"`     // connections held at most; 0 = no bound
-	ConnWork float64 `toml:"conn_work"` // work of taking one
+	Conns    int     `toml:"conns"`     // maximum number of connections; 0 = no limit
+	ConnWork float64 `toml:"conn_work"` // work of accepting a connection
 
 	ProbeWork     float64 `toml:"probe_work"`
-	ReportEveryMS float64 `toml:"report_every_ms"` // load reports are refreshed this often,
-	ReportDelayMS float64 `toml:"report_delay_ms"` // are this old,
-	ReportNoise   float64 `toml:"report_noise"`    // and off by a normal factor of this deviation
-
-	KeyedMS      float64 `toml:"keyed_ms"`      // a repeat of a keyed write is dropped for this long
-	FallMultiple float64 `toml:"fall_multiple"` // a cold server that is sent more than this multiple of what it can do now; 0 = never falls
-	FallForMS    float64 `toml:"fall_for_ms"`   // within a window of this length falls over and stays down
-	// MeanWork is that of a request. With it a cold server bears N + 2*sqrt(N) + 2 requests of mean work in the window, N being those that
-	// the multiple allows; 0 = what the multiple allows and no more.
+	ReportEveryMS float64 `toml:"report_every_ms"` // load reports are refreshed at this interval,
+	ReportDelayMS float64 `toml:"report_delay_ms"` // are delayed by this time,
+	ReportNoise   float64 `toml:"report_noise"`    // and have a relative error with this standard deviation
+
+	KeyedMS float64 `toml:"keyed_ms"` // idempotency window: a repeat of a keyed write is dropped for this long
+	// A cold server collapses, and stays down until a restart, if the work that arrives within a window
+	// exceeds a multiple of the work that it can do in the window at its present capacity.
+	FallMultiple float64 `toml:"fall_multiple"` // the multiple; 0 = the server never collapses
+	FallForMS    float64 `toml:"fall_for_ms"`   // length of the window
+	// MeanWork is the mean work of a request. If it is set, a cold server tolerates N + 2*sqrt(N) + 2
+	// requests of mean work in the window, N being the number that the multiple allows; 0 = exactly what
+	// the multiple allows.
 	MeanWork float64 `toml:"mean_work"`
 }
 
-// Check names the first parameter that is missing or impossible, by its name in a scenario file.
+// Check returns an error for the first missing or impossible parameter, with its name in a scenario
+// file.
 func (p Params) Check() error {
 	for _, v := range []struct {
 		name string
@@ -80,34 +86,34 @@
 	return nil
 }
 
-// Job is one request at a server. The driver picks IDs; two that are there at once differ.
+// Job is one request at a server. The caller chooses the IDs; concurrent jobs must have different ones.
 type Job struct {
 	ID    uint64
 	Key   string
 	Idem  string  // idempotency key of a keyed write
-	Work  float64 // of serving it
-	Size  int     // bytes of the value
+	Work  float64 // work of serving the request
+	Size  int     // size of the value in bytes
 	Write bool
 }
 
-// Outcome is how a job ended.
+// Outcome is the result of a job.
 type Outcome int
 
-// The outcomes. Busy comes at once, the others when the work is done.
+// The outcomes. A Busy job ends at once, the others end when their work is done.
 const (
-	Busy     Outcome = iota // turned away, never ran
-	Served                  // a read: the value; a write: carried out
-	Missed                  // the key is not kept
-	Fetching                // nor is it, and another has been told so lately
-	Repeated                // a keyed write that ran before within the window: nothing was done again
-	Failed                  // it may have run
+	Busy     Outcome = iota // rejected, not run
+	Served                  // a read got its value, or a write was executed
+	Missed                  // the key is not stored
+	Fetching                // the key is not stored, and another request missed it recently
+	Repeated                // a keyed write that was executed before within the window; it was not executed again
+	Failed                  // an error; the job may have run
 )
 
 func (o Outcome) String() string {
 	return [...]string{"busy", "served", "missed", "fetching", "repeated", "failed"}[o]
 }
 
-// Completion is the end of a job.
+// Completion is a finished job with its time and outcome.
 type Completion struct {
 	Job
 	At      float64
@@ -116,59 +122,60 @@
 
 // Report is a load report.
 type Report struct {
-	QPS  float64 // requests done a second
-	Util float64 // how busy the cores are, 0 to 1
-	Hits float64 // share of reads that found their key, lately
+	QPS  float64 // requests completed per second
+	Util float64 // utilization of the cores, 0 to 1
+	Hits float64 // share of reads that hit, in the last interval
 }
 
 type job struct {
 	Job
-	left    float64 // work
-	outcome Outcome
+	remainingWork float64
+	outcome       Outcome
 }
 
-type kept struct {
-	size  int
-	until float64
+type storedValue struct {
+	size      int
+	expiresAt float64
 }
 
-// sent is work that arrived at a cold server.
-type sent struct{ at, work float64 }
+// arrival is work that arrived at a cold server at a time.
+type arrival struct{ at, work float64 }
 
 // Server is one cache server, or the origin.
 type Server struct {
-	p       Params
-	rng     *rand.Rand
-	now     float64
-	started float64 // of the process; -Inf = long ago
-	worked  float64 // since
-	busy    []*job
-	wait    []*job
-	memory  *simplelru.LRU[string, kept]
-	bytes   int
-	told    *simplelru.LRU[string, float64] // keys that another was told to fetch, until when
-	ran     *simplelru.LRU[string, float64] // idempotency keys of writes, until when they are known
-	conns   int
-	fallen  bool
-	lately  []sent // at a cold server, within the window
-
-	pauseAt, pauseTo         float64
-	overSince, underSince    float64 // for the choke; +Inf = not so
-	chokedTo                 float64 // -Inf = not choked
-	sampleAt                 float64
-	did, coreTime, hit, read float64 // since the last sample
-	samples                  []stamped
+	p              Params
+	rng            *rand.Rand
+	now            float64
+	startedAt      float64 // start of the process; -Inf = long ago
+	workSinceStart float64 // work done since the start
+	busy           []*job
+	wait           []*job
+	memory         *simplelru.LRU[string, storedValue]
+	bytes          int
+	fetches        *simplelru.LRU[string, float64] // missed keys -> end of the time in which misses are Fetching
+	keyedWrites    *simplelru.LRU[string, float64] // idempotency keys of writes -> end of their window
+	conns          int
+	collapsed      bool
+	recentArrivals []arrival // at a cold server, within the last FallForMS
+
+	pauseAt, pauseEndAt                float64
+	aboveChokeSince, belowChokeSince   float64 // of the conditions that begin and end a choke; +Inf = not met
+	chokedUntil                        float64 // -Inf = not choked
+	sampleAt                           float64
+	completed, coreMillis, hits, reads float64 // since the last load report
+	samples                            []timedReport
 }
 
-type stamped struct {
+type timedReport struct {
 	at float64
 	Report
 }
 
-// maxTold bounds each of the tables of fetches and of idempotency keys; the oldest entry goes when one is full.
-const maxTold = 1 << 16
+// maxTableEntries limits each of the tables of fetches and of idempotency keys; a full table evicts the
+// least recently used entry.
+const maxTableEntries = 1 << 16
 
-// New returns a server that runs since long ago at now, warm and empty.
+// New returns a server whose process started long before now: warm, with no values stored.
 func New(p Params, seed uint64, now float64) *Server {
 	if p.Slots == 0 {
 		p.Slots = p.Cores
@@ -177,94 +184,99 @@
 		p.ReportEveryMS = 250
 	}
 	s := &Server{p: p, rng: rand.New(rand.NewPCG(seed, 2)), now: now}
-	s.boot(now, math.Inf(-1))
+	s.startProcess(now, math.Inf(-1))
 	return s
 }
 
-func (s *Server) boot(now, started float64) {
-	s.now, s.started, s.worked, s.fallen = now, started, 0, false
-	s.busy, s.wait, s.lately, s.samples = nil, nil, nil, nil
-	s.memory, _ = simplelru.NewLRU(math.MaxInt32, func(_ string, k kept) { s.bytes -= k.size }) // the size is positive
+func (s *Server) startProcess(now, started float64) {
+	s.now, s.startedAt, s.workSinceStart, s.collapsed = now, started, 0, false
+	s.busy, s.wait, s.recentArrivals, s.samples = nil, nil, nil, nil
+	// NewLRU fails only for a size that is not positive.
+	s.memory, _ = simplelru.NewLRU(math.MaxInt32, func(_ string, v storedValue) { s.bytes -= v.size })
 	s.bytes, s.conns = 0, 0
-	s.told, _ = simplelru.NewLRU[string, float64](maxTold, nil)
-	s.ran, _ = simplelru.NewLRU[string, float64](maxTold, nil)
-	s.pauseTo, s.overSince, s.underSince, s.chokedTo = now, math.Inf(1), math.Inf(1), math.Inf(-1)
-	s.pauseAt, s.sampleAt = s.pause(now), now+s.p.ReportEveryMS
-	s.did, s.coreTime, s.hit, s.read = 0, 0, 0, 0
+	s.fetches, _ = simplelru.NewLRU[string, float64](maxTableEntries, nil)
+	s.keyedWrites, _ = simplelru.NewLRU[string, float64](maxTableEntries, nil)
+	s.pauseEndAt, s.aboveChokeSince, s.belowChokeSince, s.chokedUntil = now, math.Inf(1), math.Inf(1), math.Inf(-1)
+	s.pauseAt, s.sampleAt = s.nextPauseAt(now), now+s.p.ReportEveryMS
+	s.completed, s.coreMillis, s.hits, s.reads = 0, 0, 0, 0
 }
 
-// Restart is a new process on the same machine: cold and empty, and what was there is gone without a word.
-func (s *Server) Restart(now float64) { s.boot(now, now) }
+// Restart starts a new process on the same machine, cold and empty. The jobs of the old process are
+// dropped without a completion.
+func (s *Server) Restart(now float64) { s.startProcess(now, now) }
 
-func (s *Server) pause(now float64) float64 {
+func (s *Server) nextPauseAt(now float64) float64 {
 	if s.p.PauseEveryMS <= 0 {
 		return math.Inf(1)
 	}
 	return now + s.rng.ExpFloat64()*s.p.PauseEveryMS
 }
 
-// Warmth is the share of its capacity that the server has by now.
+// Warmth returns the share of its full capacity that the server has by now.
 func (s *Server) Warmth() float64 {
-	if s.p.ColdFrom <= 0 || s.p.ColdFrom >= 1 || math.IsInf(s.started, -1) {
+	if s.p.ColdFrom <= 0 || s.p.ColdFrom >= 1 || math.IsInf(s.startedAt, -1) {
 		return 1
 	}
-	part := 1.0
+	progress := 1.0
 	if s.p.ColdMS > 0 {
-		part = (s.now - s.started) / s.p.ColdMS
+		progress = (s.now - s.startedAt) / s.p.ColdMS
 	}
 	if s.p.WarmWork > 0 {
-		part = max(part, s.worked/s.p.WarmWork)
+		progress = max(progress, s.workSinceStart/s.p.WarmWork)
 	}
-	return min(1, s.p.ColdFrom+(1-s.p.ColdFrom)*part)
+	return min(1, s.p.ColdFrom+(1-s.p.ColdFrom)*progress)
 }
 
-// Capacity is the work that the server can do in a millisecond, neither crowded nor choked.
+// Capacity returns the work that the server can do per millisecond while it neither thrashes nor is
+// choked.
 func (s *Server) Capacity() float64 { return float64(s.p.Cores) * s.p.Speed * s.Warmth() }
 
-// HasCollapsed reports whether a cold server has been pushed over: it does nothing until it is started again.
-func (s *Server) HasCollapsed() bool { return s.fallen }
+// HasCollapsed reports whether the server collapsed while cold. It serves nothing until Restart.
+func (s *Server) HasCollapsed() bool { return s.collapsed }
 
-// Held is how many requests are in work or wait.
+// Held returns the number of requests in service or waiting.
 func (s *Server) Held() int { return len(s.busy) + len(s.wait) }
 
-// IsChoked reports whether the server has turned slower from crowding.
-func (s *Server) IsChoked() bool { return s.now < s.chokedTo }
+// IsChoked reports whether the server is slowed down after its queue was too long.
+func (s *Server) IsChoked() bool { return s.now < s.chokedUntil }
 
-// rate is the work that one job in service gets in a millisecond.
-func (s *Server) rate() float64 {
-	if len(s.busy) == 0 || s.now < s.pauseTo || s.fallen {
+// workRate returns the work done per millisecond on each job in service.
+func (s *Server) workRate() float64 {
+	if len(s.busy) == 0 || s.now < s.pauseEndAt || s.collapsed {
 		return 0
 	}
-	r := s.p.Speed * s.Warmth() * min(1, float64(s.p.Cores)/float64(len(s.busy)))
+	rate := s.p.Speed * s.Warmth() * min(1, float64(s.p.Cores)/float64(len(s.busy)))
 	if over := float64(s.Held())/float64(s.p.Cores) - s.p.ThrashAt; s.p.Thrash > 0 && over > 0 {
-		r /= 1 + s.p.Thrash*over
+		rate /= 1 + s.p.Thrash*over
 	}
 	if s.IsChoked() {
-		r /= s.p.ChokeSlower
+		rate /= s.p.ChokeSlower
 	}
-	return r
+	return rate
 }
 
-// Arrive takes a job at now, and reports false where it is turned away. Advance(now) must have been called.
+// Arrive accepts a job at now, and returns false if the job is rejected. Advance(now) must have been
+// called.
 func (s *Server) Arrive(now float64, j Job) bool {
-	s.pressed(now, j.Work)
-	if s.fallen || len(s.busy) >= s.p.Slots && len(s.wait) >= s.p.Queue {
+	s.recordArrival(now, j.Work)
+	if s.collapsed || len(s.busy) >= s.p.Slots && len(s.wait) >= s.p.Queue {
 		return false
 	}
 	s.wait = append(s.wait, &job{Job: j})
-	s.fill()
-	s.crowd()
+	s.startWaitingJobs()
+	s.trackChoke()
 	return true
 }
 
-// Cancel drops a job that has not ended, and reports whether there was one. What it has cost is lost.
+// Cancel drops a job that has not ended, and reports whether there was one. The work already done for
+// it is lost.
 func (s *Server) Cancel(id uint64) bool {
 	for _, list := range []*[]*job{&s.busy, &s.wait} {
 		for i, j := range *list {
 			if j.ID == id {
 				*list = append((*list)[:i:i], (*list)[i+1:]...)
-				s.fill()
-				s.crowd()
+				s.startWaitingJobs()
+				s.trackChoke()
 				return true
 			}
 		}
@@ -272,64 +284,65 @@
 	return false
 }
 
-// WorkDone is the work that has gone into a job in service; 0 for one that waits or is not there.
+// WorkDone returns the work already done for a job in service; 0 for a waiting or unknown job.
 func (s *Server) WorkDone(id uint64) float64 {
 	for _, j := range s.busy {
 		if j.ID == id {
-			return max(0, j.Work-j.left)
+			return max(0, j.Work-j.remainingWork)
 		}
 	}
 	return 0
 }
 
-// fill puts waiting jobs into free slots. What a job will find is decided when its work begins.
-func (s *Server) fill() {
+// startWaitingJobs moves waiting jobs to free slots. The outcome of a job is decided when its
+// service begins.
+func (s *Server) startWaitingJobs() {
 	for len(s.busy) < s.p.Slots && len(s.wait) > 0 {
 		j := s.wait[0]
 		s.wait = s.wait[1:]
-		j.outcome, j.left = s.begin(j.Job)
+		j.outcome, j.remainingWork = s.beginJob(j.Job)
 		s.busy = append(s.busy, j)
 	}
 }
 
-func (s *Server) begin(j Job) (Outcome, float64) {
+func (s *Server) beginJob(j Job) (Outcome, float64) {
 	switch {
 	case s.rng.Float64() < s.p.ErrorRate:
 		return Failed, j.Work * s.rng.Float64()
-	case j.Write && !s.p.Origin: // a cache server carries out no write
+	case j.Write && !s.p.Origin: // cache servers execute no writes
 		return Missed, s.p.MissWork
-	case j.Write && j.Idem != "" && s.knows(s.ran, j.Idem):
+	case j.Write && j.Idem != "" && s.isUnexpired(s.keyedWrites, j.Idem):
 		return Repeated, s.p.MissWork
 	case j.Write || s.p.Origin:
 		if j.Idem != "" {
-			s.ran.Add(j.Idem, s.now+s.p.KeyedMS)
+			s.keyedWrites.Add(j.Idem, s.now+s.p.KeyedMS)
 		}
 		return Served, j.Work
 	}
-	s.read++
-	if k, ok := s.memory.Get(j.Key); ok && k.until > s.now {
-		s.hit++
+	s.reads++
+	if k, ok := s.memory.Get(j.Key); ok && k.expiresAt > s.now {
+		s.hits++
 		return Served, j.Work
 	}
-	if s.knows(s.told, j.Key) {
+	if s.isUnexpired(s.fetches, j.Key) {
 		return Fetching, s.p.MissWork
 	}
 	if s.p.FetchMS > 0 {
-		s.told.Add(j.Key, s.now+s.p.FetchMS)
+		s.fetches.Add(j.Key, s.now+s.p.FetchMS)
 	}
 	return Missed, s.p.MissWork
 }
 
-// knows tells whether a key stands in a table and is not over.
-func (s *Server) knows(table *simplelru.LRU[string, float64], key string) bool {
+// isUnexpired reports whether a table has an unexpired entry of a key.
+func (s *Server) isUnexpired(table *simplelru.LRU[string, float64], key string) bool {
 	until, ok := table.Get(key)
 	return ok && until > s.now
 }
 
-// Store keeps a value, as far as there is memory for it.
+// Store stores a value of size bytes if it fits the server's memory, and evicts others as needed.
 func (s *Server) Store(now float64, key string, size int) {
 	size = max(size, 1)
-	if size > s.p.Memory || s.fallen {
+	if size > s.p.Memory || s.collapsed {
 		return
 	}
 	until := math.Inf(1)
@@ -337,48 +350,49 @@
 		until = now + s.p.TTLMS
 	}
 	s.memory.Remove(key)
-	s.memory.Add(key, kept{size, until})
+	s.memory.Add(key, storedValue{size, until})
 	for s.bytes += size; s.bytes > s.p.Memory; {
 		s.memory.RemoveOldest()
 	}
-	s.told.Remove(key)
+	s.fetches.Remove(key)
 }
 
-// Invalidate drops the copy of a key.
+// Invalidate removes the stored value of a key.
 func (s *Server) Invalidate(key string) { s.memory.Remove(key) }
 
-// StoredBytes is how many bytes of values are kept.
+// StoredBytes returns the total size of the stored values in bytes.
 func (s *Server) StoredBytes() int { return s.bytes }
 
-// Connect takes a connection, and reports false where the server holds all that it may. Taking one is work, which is
-// done ahead of the jobs in service.
+// Connect accepts a connection, and returns false at the connection limit. Accepting costs work, which
+// delays the jobs in service.
 func (s *Server) Connect() bool {
-	if s.fallen || s.p.Conns > 0 && s.conns >= s.p.Conns {
+	if s.collapsed || s.p.Conns > 0 && s.conns >= s.p.Conns {
 		return false
 	}
 	s.conns++
-	s.burden(s.p.ConnWork)
+	s.addOverhead(s.p.ConnWork)
 	return true
 }
 
-// Disconnect ends a connection.
+// Disconnect closes a connection.
 func (s *Server) Disconnect() { s.conns = max(0, s.conns-1) }
 
-// burden is work beside the jobs: it takes its time from those in service.
-func (s *Server) burden(work float64) {
+// addOverhead accounts for work outside the jobs, which delays the jobs in service.
+func (s *Server) addOverhead(work float64) {
 	for _, j := range s.busy {
-		j.left += work / float64(s.p.Cores)
+		j.remainingWork += work / float64(s.p.Cores)
 	}
-	s.coreTime += work / s.p.Speed
+	s.coreMillis += work / s.p.Speed
 }
 
-// Probe gives the load report: late, noisy, refreshed now and then. It costs work.
+// Probe returns the load report, delayed and with an error as Params specify, and false after a
+// collapse. A probe costs work.
 func (s *Server) Probe(now float64) (r Report, ok bool) {
-	if s.fallen {
+	if s.collapsed {
 		return Report{}, false
 	}
-	s.burden(s.p.ProbeWork)
-	for _, x := range s.samples { // the newest that is old enough; before the first all is 0
+	s.addOverhead(s.p.ProbeWork)
+	for _, x := range s.samples { // the newest one that is old enough; zero before the first
 		if x.at <= now-s.p.ReportDelayMS {
 			r = x.Report
 		}
@@ -387,62 +401,62 @@
 	return Report{noise(r.QPS), min(1, noise(r.Util)), min(1, noise(r.Hits))}, true
 }
 
-// crowd follows what leads into a choke and out of it.
-func (s *Server) crowd() {
+// trackChoke records since when the conditions that begin and end a choke have been met.
+func (s *Server) trackChoke() {
 	if s.p.ChokeAt <= 0 {
 		return
 	}
 	if float64(len(s.wait)) > s.p.ChokeAt*float64(s.p.Cores) {
-		s.overSince = min(s.overSince, s.now)
+		s.aboveChokeSince = min(s.aboveChokeSince, s.now)
 	} else {
-		s.overSince = math.Inf(1)
+		s.aboveChokeSince = math.Inf(1)
 	}
 	if s.IsChoked() && float64(s.Held()) < s.p.ChokeBelow*float64(s.p.Cores) {
-		s.underSince = min(s.underSince, s.now)
+		s.belowChokeSince = min(s.belowChokeSince, s.now)
 	} else {
-		s.underSince = math.Inf(1)
+		s.belowChokeSince = math.Inf(1)
 	}
 }
 
-// recheck is how often what changes with time alone is brought up to date while there is work, in milliseconds.
-const recheck = 20
+// recheckMillis is the interval at which a warming server with work updates its rate, in milliseconds.
+const recheckMillis = 20
 
-// Next is when something next happens by itself; +Inf where nothing does.
+// Next returns the time of the next event without further calls; +Inf if there is none.
 func (s *Server) Next() float64 {
-	if s.fallen {
+	if s.collapsed {
 		return math.Inf(1)
 	}
 	at := min(s.sampleAt, s.pauseAt)
-	if s.now < s.pauseTo {
-		at = min(at, s.pauseTo)
+	if s.now < s.pauseEndAt {
+		at = min(at, s.pauseEndAt)
 	}
 	if s.IsChoked() {
-		at = min(at, s.chokedTo, s.underSince+s.p.ChokeRestMS)
+		at = min(at, s.chokedUntil, s.belowChokeSince+s.p.ChokeRestMS)
 	} else {
-		at = min(at, s.overSince+s.p.ChokeOverMS)
+		at = min(at, s.aboveChokeSince+s.p.ChokeOverMS)
 	}
-	if r := s.rate(); r > 0 {
+	if rate := s.workRate(); rate > 0 {
 		for _, j := range s.busy {
-			at = min(at, s.now+j.left/r)
+			at = min(at, s.now+j.remainingWork/rate)
 		}
 		if s.Warmth() < 1 {
-			at = min(at, s.now+recheck)
+			at = min(at, s.now+recheckMillis)
 		}
 	}
 	return max(at, s.now)
 }
 
-// Advance carries the server on to now and returns what was done by then, in order.
+// Advance advances the server to now, and returns the jobs completed by then in the order of time.
 func (s *Server) Advance(now float64) (done []Completion) {
 	for s.now < now || s.Next() <= now {
 		to := min(now, s.Next())
-		if s.fallen {
+		if s.collapsed {
 			s.now = now
 			return done
 		}
-		s.spend(to)
-		done = s.finish(done)
-		s.turn()
+		s.workUntil(to)
+		done = s.finishJobs(done)
+		s.applyTimedChanges()
 		if to >= now && s.Next() > now {
 			break
 		}
@@ -450,67 +464,71 @@
 	return done
 }
 
-// spend lets the jobs in service work until to.
-func (s *Server) spend(to float64) {
-	if r := s.rate(); r > 0 {
-		work := r * (to - s.now)
+// workUntil does the work of the jobs in service until to.
+func (s *Server) workUntil(to float64) {
+	if rate := s.workRate(); rate > 0 {
+		work := rate * (to - s.now)
 		for _, j := range s.busy {
-			j.left -= work
+			j.remainingWork -= work
 		}
-		s.worked += work * float64(len(s.busy))
-		s.coreTime += (to - s.now) * min(float64(len(s.busy)), float64(s.p.Cores))
+		s.workSinceStart += work * float64(len(s.busy))
+		s.coreMillis += (to - s.now) * min(float64(len(s.busy)), float64(s.p.Cores))
 	}
 	s.now = to
 }
 
-// finish ends the jobs whose work is done.
-func (s *Server) finish(done []Completion) []Completion {
-	var on []*job
+// finishJobs completes the jobs whose work is done.
+func (s *Server) finishJobs(done []Completion) []Completion {
+	var unfinished []*job
 	for _, j := range s.busy {
-		if j.left > 1e-9 {
-			on = append(on, j)
+		if j.remainingWork > 1e-9 {
+			unfinished = append(unfinished, j)
 			continue
 		}
-		s.did++
+		s.completed++
 		done = append(done, Completion{j.Job, s.now, j.outcome})
 	}
-	if len(on) < len(s.busy) {
-		s.busy = on
-		s.fill()
-		s.crowd()
+	if len(unfinished) < len(s.busy) {
+		s.busy = unfinished
+		s.startWaitingJobs()
+		s.trackChoke()
 	}
 	return done
 }
 
-// turn carries out what is due by the time alone.
-func (s *Server) turn() {
+// applyTimedChanges begins and ends pauses and chokes, and takes load reports, when their time has come.
+func (s *Server) applyTimedChanges() {
 	if s.now >= s.pauseAt {
-		s.pauseTo = s.now + s.rng.ExpFloat64()*s.p.PauseMS
-		s.pauseAt = s.pause(s.pauseTo)
+		s.pauseEndAt = s.now + s.rng.ExpFloat64()*s.p.PauseMS
+		s.pauseAt = s.nextPauseAt(s.pauseEndAt)
 	}
 	switch {
 	case s.p.ChokeAt <= 0:
-	case s.now < s.chokedTo && s.now >= s.underSince+s.p.ChokeRestMS:
-		s.chokedTo, s.underSince = math.Inf(-1), math.Inf(1)
-	case s.now >= s.chokedTo && s.now >= s.overSince+s.p.ChokeOverMS:
-		s.chokedTo = s.now + s.p.ChokeMostMS
-		if s.overSince = math.Inf(1); s.p.ChokeMostMS <= 0 {
-			s.chokedTo = math.Inf(1)
+	case s.now < s.chokedUntil && s.now >= s.belowChokeSince+s.p.ChokeRestMS:
+		s.chokedUntil, s.belowChokeSince = math.Inf(-1), math.Inf(1)
+	case s.now >= s.chokedUntil && s.now >= s.aboveChokeSince+s.p.ChokeOverMS:
+		s.chokedUntil = s.now + s.p.ChokeMostMS
+		if s.aboveChokeSince = math.Inf(1); s.p.ChokeMostMS <= 0 {
+			s.chokedUntil = math.Inf(1)
 		}
 	}
 	if s.now >= s.sampleAt {
-		r := Report{QPS: s.did / s.p.ReportEveryMS * 1000, Util: min(1, s.coreTime/float64(s.p.Cores)/s.p.ReportEveryMS)}
-		if s.read > 0 {
-			r.Hits = s.hit / s.read
+		r := Report{
+			QPS:  s.completed / s.p.ReportEveryMS * 1000,
+			Util: min(1, s.coreMillis/float64(s.p.Cores)/s.p.ReportEveryMS),
 		}
-		keep := 1 + int(s.p.ReportDelayMS/s.p.ReportEveryMS) // older ones are never told
-		if s.samples = append(s.samples, stamped{s.now, r}); len(s.samples) > keep+1 {
+		if s.reads > 0 {
+			r.Hits = s.hits / s.reads
+		}
+		keep := 1 + int(s.p.ReportDelayMS/s.p.ReportEveryMS) // older ones are never returned
+		if s.samples = append(s.samples, timedReport{s.now, r}); len(s.samples) > keep+1 {
 			s.samples = s.samples[1:]
 		}
-		s.did, s.coreTime, s.hit, s.read = 0, 0, 0, 0
+		s.completed, s.coreMillis, s.hits, s.reads = 0, 0, 0, 0
 		s.sampleAt = s.now + s.p.ReportEveryMS
 	}
 }
 
-// SetSpeed changes the speed of a core from now on; Advance to now must have been called.
+// SetSpeed changes the speed of each core from now on. Advance must have been called with the present
+// time.
 func (s *Server) SetSpeed(speed float64) { s.p.Speed = speed }
--- a/lab/model/slow_start.go
+++ b/lab/model/slow_start.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// pressed books work that arrives, served or not: a cold server that is sent too much falls over.
-func (s *Server) pressed(now, work float64) {
-	if s.p.FallMultiple <= 0 || s.fallen || s.Warmth() >= 1 {
-		s.lately = nil
+// recordArrival records arriving work, whether it is served or rejected, and lets a cold server with too
+// much of it collapse.
+func (s *Server) recordArrival(now, work float64) {
+	if s.p.FallMultiple <= 0 || s.collapsed || s.Warmth() >= 1 {
+		s.recentArrivals = nil
 		return
 	}
-	s.lately = append(s.lately, sent{now, work})
-	for len(s.lately) > 0 && s.lately[0].at <= now-s.p.FallForMS {
-		s.lately = s.lately[1:]
+	s.recentArrivals = append(s.recentArrivals, arrival{now, work})
+	for len(s.recentArrivals) > 0 && s.recentArrivals[0].at <= now-s.p.FallForMS {
+		s.recentArrivals = s.recentArrivals[1:]
 	}
-	sum := 0.0
-	for _, l := range s.lately {
-		sum += l.work
+	recentWork := 0.0
+	for _, a := range s.recentArrivals {
+		recentWork += a.work
 	}
-	if sum > s.slowStartBudget() {
-		s.fallen, s.busy, s.wait, s.lately = true, nil, nil, nil
+	if recentWork > s.slowStartBudget() {
+		s.collapsed, s.busy, s.wait, s.recentArrivals = true, nil, nil, nil
 	}
 }
 
-// slowStartBudget is the work that a cold server bears within its window as warm as it is now.
+// slowStartBudget returns the work that a cold server tolerates within a window at its present warmth.
 func (s *Server) slowStartBudget() float64 {
 	allowedWork := s.p.FallMultiple * s.Capacity() * s.p.FallForMS
 	if s.p.MeanWork <= 0 {
--- a/lab/model/slow_start_test.go
+++ b/lab/model/slow_start_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// A cold server bears N + 2*sqrt(N) + 2 requests of mean work within its window, and falls at one more.
-func TestSlowStartBudget(t *testing.T) {
+// A cold server tolerates N + 2*sqrt(N) + 2 requests of mean work within its window, and collapses at
+// one more.
+func TestColdServerCollapsesBeyondSlowStartBudget(t *testing.T) {
 	p := Params{Cores: 1, Speed: 1, Queue: 10000, ColdFrom: 0.5, ColdMS: 1e12, FallMultiple: 2, FallForMS: 100}
 	for _, c := range []struct {
 		name           string
 		meanWork, work float64 // of a request
-		bears          int
+		tolerated      int
 	}{
 		{"no mean work is known", 0, 1, 100},
 		{"requests of mean work", 1, 1, 122},     // N = 100
@@ -20,21 +21,21 @@
 		p.MeanWork = c.meanWork
 		s := New(p, 1, 0)
 		s.Restart(0)
-		for i := range c.bears {
+		for i := range c.tolerated {
 			s.Arrive(0, Job{ID: uint64(i), Work: c.work})
 		}
 		if s.HasCollapsed() {
-			t.Errorf("%s: it fell at %d requests", c.name, c.bears)
+			t.Errorf("%s: collapsed at %d requests", c.name, c.tolerated)
 		}
 		s.Arrive(0, Job{ID: 1 << 20, Work: c.work})
 		if !s.HasCollapsed() {
-			t.Errorf("%s: it bore %d requests", c.name, c.bears+1)
+			t.Errorf("%s: did not collapse at %d requests", c.name, c.tolerated+1)
 		}
 	}
 }
 
-// What came before the window does not count.
-func TestSlowStartBudgetIsOfItsWindow(t *testing.T) {
+// Work that arrived before the window does not count.
+func TestSlowStartBudgetIgnoresWorkBeforeWindow(t *testing.T) {
 	s := New(Params{Cores: 1, Speed: 1, Queue: 10000, ColdFrom: 0.5, ColdMS: 1e12, FallMultiple: 2, FallForMS: 100, MeanWork: 1}, 1, 0)
 	s.Restart(0)
 	for i := range 10 {
@@ -44,7 +45,7 @@
 			s.Arrive(now, Job{ID: uint64(1000*i + j), Work: 1})
 		}
 		if s.HasCollapsed() {
-			t.Fatalf("it fell in window %d", i)
+			t.Fatalf("collapsed in window %d", i)
 		}
 	}
 }
