--- a/lab/checker/discovery_clock_test.go
+++ b/lab/checker/discovery_clock_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestChangesCountAsToldByTheClock(t *testing.T) {
+func TestListChangesCountAsReceivedAfterMaximumDelay(t *testing.T) {
 	const (
 		// GraceMS is 2000, SlackMS 50.
 		sent   = "\n%AT sent read\n%AT whole s1\n%AT over s1 made\n%AT answer served"
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -19,16 +19,16 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// slackMS is how long after its deadline a client still reads, so that a late answer is seen as late and not as none: an answer that
-// is late by half a second only earns nothing.
-const slackMS = 700
+// readSlackMillis is how long a client reads after its deadline, so that a late answer is recorded as late
+// and not as missing: an answer that is up to half a second late only counts as worthless.
+const readSlackMillis = 700
 
-// draw picks what a request asks for.
-func (l *Load) draw() (c Class, key, zone, tenant string, size int, u float64) {
+// drawRequest draws the class, key, zone, tenant, value size and a uniform random number of a request.
+func (l *Load) drawRequest() (c Class, key, zone, tenant string, size int, u float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c = l.p.Classes[int(l.classes.Rand())]
-	key = l.names[int(l.keys.Rand())]
+	key = l.keyNames[int(l.keys.Rand())]
 	if len(l.p.Zones) > 0 {
 		zone = l.p.Zones[int(l.zones.Rand())].Name
 	}
@@ -44,21 +44,22 @@
 	return c, key, zone, tenant, ValueBytes(c, key), l.rng.Float64()
 }
 
-// ValueBytes is that of a key's value in a class: the same each time.
+// ValueBytes returns the size of a key's value in a class, which is the same at each call.
 func ValueBytes(c Class, key string) int {
 	low, high := max(c.Bytes[0], 1), max(c.Bytes[1], c.Bytes[0], 1)
 	u := rand.New(rand.NewPCG(fakes.Checksum([]byte(key)), 8)).Float64()
 	return int(low * math.Pow(high/low, u))
 }
 
-// RequestWorkMillis is that of a request of a class, by its id: lognormal around the mean.
+// RequestWorkMillis returns the work of a request in a class, derived from its id: lognormal with the
+// class's mean, in milliseconds on a core of speed 1.
 func RequestWorkMillis(c Class, id string) float64 {
 	if c.WorkCV <= 0 {
 		return c.WorkMS
 	}
-	s2 := math.Log(1 + c.WorkCV*c.WorkCV)
+	variance := math.Log(1 + c.WorkCV*c.WorkCV)
 	z := rand.New(rand.NewPCG(fakes.Checksum([]byte(id)), 9)).NormFloat64()
-	return c.WorkMS * math.Exp(math.Sqrt(s2)*z-s2/2)
+	return c.WorkMS * math.Exp(math.Sqrt(variance)*z-variance/2)
 }
 
 func (l *Load) newID() string {
@@ -69,17 +70,17 @@
 	return fmt.Sprintf("%08x%08x", uint32(l.p.Seed), l.next)
 }
 
-// request is one client's request with its further tries.
+// request sends one client's request with its further tries, and records the outcome.
 func (l *Load) request(intended float64) {
-	c, key, zone, tenant, size, honours := l.draw()
+	c, key, zone, tenant, size, honours := l.drawRequest()
 	idem := ""
 	if c.Effect == "by_key" {
 		idem = l.newID()
 	}
-	until, end, answered := intended+c.LimitMS, checker.Failed, false
+	deadline, end, answered := intended+c.LimitMS, checker.Failed, false
 	for try := 0; ; try++ {
 		now := l.clock.Now()
-		patience := until - now
+		patience := deadline - now
 		if try < l.p.Retries {
 			patience *= l.p.TryShare
 		}
@@ -92,14 +93,14 @@
 		if t.disconnected || try >= l.p.Retries || !mayRepeat(c, t) {
 			break
 		}
-		if t.crossed {
-			continue // once more at once, on a connection that is open
+		if t.isIdleClose {
+			continue // retry at once on an open connection
 		}
 		pause := l.p.BackoffMS * math.Pow(2, float64(try)) * (0.5 + honours)
-		if answered && t.after > 0 && honours < l.p.Honour && t.after <= l.p.MaxAfterMS {
-			pause = t.after
+		if answered && t.retryAfterMillis > 0 && honours < l.p.Honour && t.retryAfterMillis <= l.p.MaxAfterMS {
+			pause = t.retryAfterMillis
 		}
-		if l.clock.Now()+pause >= until {
+		if l.clock.Now()+pause >= deadline {
 			break
 		}
 		time.Sleep(time.Duration(pause * float64(time.Millisecond)))
@@ -107,33 +108,35 @@
 	l.record(c, tenant, intended, end, answered)
 }
 
-// mayRepeat reports whether an honest client asks again: what was refused, what no router can have read, and what does no harm
-// when it runs twice.
+// mayRepeat reports whether a well-behaved client retries: after a refusal, if no router can have read
+// the request, or if the request may run twice.
 func mayRepeat(c Class, t attempt) bool {
 	switch {
 	case t.answered && t.end == checker.Served:
 		return false
-	case t.answered && t.end == checker.Refused, !t.reached:
+	case t.answered && t.end == checker.Refused, !t.mayHaveArrived:
 		return true
 	}
 	return c.Effect == "repeatable" || c.Effect == "by_key" && c.Scope == "all"
 }
 
-// attempt is how one try ended.
+// attempt is the result of one try.
 type attempt struct {
-	end      checker.Answer
-	after    float64 // come again in so many milliseconds; 0 = not told
-	answered bool
-	reached  bool // a router may have read it
-	crossed  bool // a connection that had stood idle was closed as it was sent
+	end              checker.Answer
+	retryAfterMillis float64 // retry delay that the refusal asked for; 0 = none
+	answered         bool
+	mayHaveArrived   bool // a router may have read the request
+	isIdleClose      bool // the router closed an idle connection while the request was sent on it
 
-	disconnected bool // the client closed its connection before its time was up
+	disconnected bool // the client closed its connection before its deadline
 }
 
-// try sends a request once, under an id that was never sent before. A client can't tell whether a router that closed the
-// connection, or was killed, had read the request: it never sends the same one again, and request decides by its class whether
-// there is a further try.
-func (l *Load) try(id string, c Class, key, zone, tenant, idem string, size int, patience float64, again bool) attempt {
+// try sends a request once, under an id that was not used before. A client can't tell whether a router
+// that closed the connection, or was killed, had read the request. So it never sends the same id again,
+// and the method request decides by the class whether to make a further try.
+func (l *Load) try(
+	id string, c Class, key, zone, tenant, idem string, size int, patience float64, isRetry bool,
+) attempt {
 	router, addr, kept, err := l.pick(zone)
 	if err != nil {
 		return attempt{end: checker.Failed}
@@ -145,7 +148,7 @@
 			facts += "," + f.k + "=" + f.v
 		}
 	}
-	if again && l.p.Marks {
+	if isRetry && l.p.Marks {
 		facts += ",r=1"
 	}
 	if c.Write {
@@ -155,9 +158,12 @@
 	} else {
 		fmt.Fprintf(&wire, "mg %s v O%s P%s\r\n", key, id, facts)
 	}
-	book := func(sent float64, k checker.Kind, newConnection bool) { // a request that reached a router, and what else came of it than an answer
-		l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
-		l.journal.Add(checker.Event{At: l.clock.Now(), Kind: k, Request: id, Router: router, NewConnection: newConnection})
+	// record adds the events of a request that was sent, and ended without an answer.
+	record := func(sent float64, k checker.Kind, newConnection bool) {
+		l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name,
+			Idem: idem, Deadline: patience})
+		l.journal.Add(checker.Event{At: l.clock.Now(), Kind: k, Request: id, Router: router,
+			NewConnection: newConnection})
 	}
 	conn, used := kept, true
 	if conn == nil {
@@ -171,47 +177,48 @@
 	_ = conn.SetDeadline(time.Now().Add(time.Duration(waitMillis * float64(time.Millisecond))))
 	if n, err := io.WriteString(conn, wire.String()); err != nil {
 		conn.Close()
-		if n == 0 { // nothing of it has left
+		if n == 0 { // no byte was written
 			if !used {
-				book(sent, checker.ClosedByRouter, true)
+				record(sent, checker.ClosedByRouter, true)
 			}
-			return attempt{end: checker.Failed, crossed: used}
+			return attempt{end: checker.Failed, isIdleClose: used}
 		}
-		book(sent, checker.ClosedByRouter, !used)
-		return attempt{end: checker.Failed, reached: true, crossed: used}
+		record(sent, checker.ClosedByRouter, !used)
+		return attempt{end: checker.Failed, mayHaveArrived: true, isIdleClose: used}
 	}
 	end, after, sum, err := readAnswer(conn.r)
 	var timeout net.Error
 	switch {
 	case disconnects && errors.As(err, &timeout) && timeout.Timeout():
 		conn.Close()
-		book(sent, checker.Disconnected, false)
-		return attempt{end: checker.Failed, reached: true, disconnected: true}
+		record(sent, checker.Disconnected, false)
+		return attempt{end: checker.Failed, mayHaveArrived: true, disconnected: true}
 	case errors.As(err, &timeout) && timeout.Timeout():
 		conn.Close()
-		book(sent, checker.ClientTimedOut, false)
-		return attempt{end: checker.Failed, reached: true}
+		record(sent, checker.ClientTimedOut, false)
+		return attempt{end: checker.Failed, mayHaveArrived: true}
 	case err != nil:
 		conn.Close()
-		book(sent, checker.ClosedByRouter, !used && errors.Is(err, errNothing))
-		return attempt{end: checker.Failed, reached: true, crossed: used && errors.Is(err, errNothing)}
+		record(sent, checker.ClosedByRouter, !used && errors.Is(err, errNoAnswer))
+		return attempt{end: checker.Failed, mayHaveArrived: true, isIdleClose: used && errors.Is(err, errNoAnswer)}
 	}
-	l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name, Idem: idem, Deadline: patience})
+	l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name,
+		Idem: idem, Deadline: patience})
 	now := l.clock.Now()
 	l.journal.Add(checker.Event{At: now, Kind: checker.Answered, Request: id, Router: router, Answer: end, Sum: sum})
 	if conn.r.Buffered() > 0 { // more than one answer
 		l.journal.Add(checker.Event{At: now, Kind: checker.ExtraAnswer, Request: id, Router: router})
 		conn.Close()
-	} else if l.again() {
+	} else if l.keepsConnection() {
 		l.pool.put(addr, conn)
 	} else {
 		conn.Close()
 	}
-	return attempt{end: end, after: after, answered: true, reached: true}
+	return attempt{end: end, retryAfterMillis: after, answered: true, mayHaveArrived: true}
 }
 
-// pick chooses a router for a client of a zone. A client of a router that was told to end stays on its connection while that is
-// open: it is returned too.
+// pick chooses a router for a client of a zone. A client of a router that is shutting down keeps using
+// its open connection, which pick returns as kept.
 func (l *Load) pick(zone string) (router, addr string, kept *conn, err error) {
 	for _, ending := range l.front.EndingRouters() {
 		if l.uniform() >= ending.Share {
@@ -225,31 +232,31 @@
 	return router, addr, nil, err
 }
 
-// uniform draws a number from 0 to 1.
+// uniform returns a random number from 0 to 1.
 func (l *Load) uniform() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// again draws whether a connection is kept.
-func (l *Load) again() bool {
+// keepsConnection draws whether the client keeps its connection after a request.
+func (l *Load) keepsConnection() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64() >= l.p.Reconnect
 }
 
-// errNothing tells that a connection ended before the first byte of an answer.
-var errNothing = errors.New("closed without an answer")
+// errNoAnswer is returned for a connection that ended before the first byte of an answer.
+var errNoAnswer = errors.New("closed without an answer")
 
-// readAnswer reads a router's answer. Any line that is no value, receipt or refusal is a failure.
+// readAnswer reads a router's answer. Any line that is not a value, a receipt or a refusal is a failure.
 func readAnswer(r *bufio.Reader) (end checker.Answer, after float64, sum uint64, err error) {
 	if _, err := r.Peek(1); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			return checker.Failed, 0, 0, err
 		}
-		return checker.Failed, 0, 0, errNothing
+		return checker.Failed, 0, 0, errNoAnswer
 	}
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -277,7 +284,7 @@
 		return checker.Served, 0, fakes.Checksum([]byte(receipt)), nil
 	case len(w) >= 2 && w[0] == "SERVER_ERROR" && w[1] == "busy":
 		if len(w) > 2 {
-			after, _ = strconv.ParseFloat(w[2], 64) // 0 where it is no number
+			after, _ = strconv.ParseFloat(w[2], 64) // 0 if it is not a number
 		}
 		return checker.Refused, after, 0, nil
 	}
@@ -286,12 +293,12 @@
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	since float64
+	r         *bufio.Reader
+	idleSince float64
 }
 
-// alive reports whether the other side has not closed an idle connection yet, as far as is known here.
-func (c *conn) alive() bool {
+// isOpen reports whether an idle connection is open, as far as the client's kernel knows.
+func (c *conn) isOpen() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
@@ -305,24 +312,24 @@
 	return open && err == nil
 }
 
-// pool keeps idle connections by address, up to a bound for each.
+// pool keeps idle connections by address, up to maxIdle for each.
 type pool struct {
-	most  int
-	clock *fakes.Clock
+	maxIdle int
+	clock   *fakes.Clock
 
-	mu    sync.Mutex
-	idle  map[string][]*conn
-	fails int
+	mu           sync.Mutex
+	idle         map[string][]*conn
+	dialFailures int
 }
 
-func newPool(most int, clock *fakes.Clock) *pool {
-	return &pool{most: most, clock: clock, idle: map[string][]*conn{}}
+func newPool(maxIdle int, clock *fakes.Clock) *pool {
+	return &pool{maxIdle: maxIdle, clock: clock, idle: map[string][]*conn{}}
 }
 
-// keepMS is how long an idle connection is used again: a router may close it after 2 s.
-const keepMS = 1500
+// maxIdleMillis is how long an idle connection may be reused: a router may close it after 2 s.
+const maxIdleMillis = 1500
 
-// take gives a connection, and whether it has been used before.
+// take returns an idle or a new connection, and whether it has been used before.
 func (p *pool) take(addr string, withinMS float64) (c *conn, used bool, err error) {
 	if c := p.takeIdle(addr); c != nil {
 		return c, true, nil
@@ -330,21 +337,21 @@
 	raw, err := net.DialTimeout("tcp", addr, time.Duration(withinMS*float64(time.Millisecond)))
 	if err != nil {
 		p.mu.Lock()
-		p.fails++
+		p.dialFailures++
 		p.mu.Unlock()
 		return nil, false, err
 	}
 	return &conn{Conn: raw, r: bufio.NewReaderSize(raw, 4096)}, false, nil
 }
 
-// takeIdle gives an idle connection that is still open as far as is known; nil = there is none.
+// takeIdle returns an idle connection that is open as far as known; nil if there is none.
 func (p *pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for list := p.idle[addr]; len(list) > 0; list = p.idle[addr] {
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
-		if p.clock.Now()-c.since < keepMS && c.alive() {
+		if p.clock.Now()-c.idleSince < maxIdleMillis && c.isOpen() {
 			return c
 		}
 		c.Close()
@@ -354,20 +361,20 @@
 
 func (p *pool) put(addr string, c *conn) {
 	_ = c.SetDeadline(time.Time{})
-	c.since = p.clock.Now()
+	c.idleSince = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[addr]) >= p.most {
+	if len(p.idle[addr]) >= p.maxIdle {
 		c.Close()
 		return
 	}
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-func (p *pool) failed() int {
+func (p *pool) dialFailureCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fails
+	return p.dialFailures
 }
 
 func (p *pool) close() {
--- a/lab/load/disconnect_test.go
+++ b/lab/load/disconnect_test.go
@@ -6,9 +6,9 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// A client that disconnects closes its connection, says so to the referee, and does not come again.
-func TestClientsDisconnect(t *testing.T) {
-	addr := answers(t, func(string) string { return "" })
+// A client that disconnects closes its connection, records the event, and does not retry.
+func TestDisconnectingClientsDoNotRetry(t *testing.T) {
+	addr := startRouter(t, func(string) string { return "" })
 	res, events := sendAll(t, 20, func(p *Params) {
 		p.Retries, p.Classes[0].LimitMS = 2, 60_000
 		p.DisconnectShare, p.DisconnectMS = 1, [2]float64{1, 20}
@@ -18,23 +18,23 @@
 		kinds[e.Kind]++
 	}
 	if n := kinds[checker.Disconnected]; n != 20 || kinds[checker.Sent] != n || len(events) != 2*n {
-		t.Errorf("events by kind: %v", kinds)
+		t.Errorf("got events by kind: %v", kinds)
 	}
 	if c := res.Classes["read"]; c.Asked != 20 || c.Failed != 20 {
-		t.Errorf("%+v", c)
+		t.Errorf("got result %+v", c)
 	}
 }
 
-// Without the knob, and for clients whose time is up first, there is none.
-func TestClientsStay(t *testing.T) {
+// Clients don't disconnect if the share is 0, or if their deadline comes before the drawn time.
+func TestClientsDoNotDisconnectWithoutReason(t *testing.T) {
 	for name, change := range map[string]func(*Params){
 		"share 0":    func(p *Params) { p.DisconnectShare, p.DisconnectMS = 0, [2]float64{1, 1} },
 		"time is up": func(p *Params) { p.DisconnectShare, p.DisconnectMS = 1, [2]float64{500, 500} },
 	} {
-		addr := answers(t, func(string) string { return "" })
+		addr := startRouter(t, func(string) string { return "" })
 		_, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 50; change(p) }, addr)
 		if len(events) != 2 || events[1].Kind != checker.ClientTimedOut {
-			t.Errorf("%s: %+v", name, events)
+			t.Errorf("%s: got events %+v", name, events)
 		}
 	}
 }
--- a/lab/load/fuzz_test.go
+++ b/lab/load/fuzz_test.go
@@ -8,9 +8,10 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// Whatever a router answers, it is an answer, a failure or an error; a value is served only where it came whole.
+// Any bytes from a router parse as an answer, a failure or an error, and a request counts as served only
+// with a complete value or receipt.
 func FuzzAnswers(f *testing.F) {
-	for _, s := range []string{fine, "HD O1 cabc\r\n", "SERVER_ERROR busy\r\n", "SERVER_ERROR busy 250\r\n", "SERVER_ERROR busy x\r\n", "VA -1 O1\r\n",
+	for _, s := range []string{validAnswer, "HD O1 cabc\r\n", "SERVER_ERROR busy\r\n", "SERVER_ERROR busy 250\r\n", "SERVER_ERROR busy x\r\n", "VA -1 O1\r\n",
 		"VA 99999999999 O1\r\n", "VA 5\r\nhel", "\r\n", ""} {
 		f.Add([]byte(s))
 	}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load is the laboratory's clients: requests at a rate of their own (open loop) or one after the other (closed
-// loop), counted from the time at which they were meant to be sent, so that a router that is slow can't hide it by slowing
-// the clients down.
+// Package load generates the clients' requests, at a given rate (open loop) or one after the other
+// (closed loop). Latency counts from the intended send time, so that a slow router can't hide its
+// latency by slowing down the clients.
 package load
 
 import (
@@ -19,110 +19,112 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// Class is one class of requests.
+// Class describes one class of requests.
 type Class struct {
 	Name     string     `toml:"name"`
-	Share    float64    `toml:"share"`     // of the requests; shares need not sum to 1
+	Share    float64    `toml:"share"`     // share of the requests; shares need not sum to 1
 	Effect   string     `toml:"effect"`    // repeatable, by_key or once
 	Scope    string     `toml:"scope"`     // by_key: all, zone or cell
 	WindowMS float64    `toml:"window_ms"` // by_key
 	Write    bool       `toml:"write"`
 	AimMS    float64    `toml:"aim_ms"`
-	LimitMS  float64    `toml:"deadline_ms"` // over all tries of a client
+	LimitMS  float64    `toml:"deadline_ms"` // deadline over all tries of a request
 	Worth    float64    `toml:"worth"`
-	WorkMS   float64    `toml:"work_ms"` // mean, on a core of speed 1
-	WorkCV   float64    `toml:"work_cv"` // standard deviation over mean, of a lognormal distribution
-	Bytes    [2]float64 `toml:"bytes"`   // of a value, spread evenly over the magnitudes between
+	WorkMS   float64    `toml:"work_ms"` // mean work, on a core of speed 1
+	WorkCV   float64    `toml:"work_cv"` // coefficient of variation of the lognormal work
+	Bytes    [2]float64 `toml:"bytes"`   // range of value sizes, log-uniformly distributed
 }
 
-// Params describe a load.
+// Params describes a load.
 type Params struct {
 	Shape       string    `toml:"shape"`        // poisson, bursty, trace or closed
-	Rate        float64   `toml:"rate"`         // requests a second; of a trace, its mean
-	Burst       float64   `toml:"burst"`        // bursty: the rate goes up and down by this share
-	BurstMS     float64   `toml:"burst_ms"`     // in turns of this length
-	Trace       []float64 `toml:"trace"`        // rates, one a second, over and over
-	Workers     int       `toml:"workers"`      // closed: clients, each with one request at a time
-	MaxOpen     int       `toml:"max_open"`     // requests open at once at most: beyond it the load tool is the bottleneck
-	MaxRequests int       `toml:"max_requests"` // first tries at most
-	Keys        int       `toml:"keys"`         // different keys at a time,
-	Zipf        float64   `toml:"zipf"`         // asked for by this exponent,
-	Drift       float64   `toml:"drift"`        // of which this share turns into new ones each second
-	Retries     int       `toml:"retries"`      // tries after the first
-	TryShare    float64   `toml:"try_share"`    // a try is given up after this share of what is left of the client's time
-	BackoffMS   float64   `toml:"backoff_ms"`   // before a further try, doubled each time, spread by half
-	Honour      float64   `toml:"honour"`       // share of clients that come back when they are told to
-	MaxAfterMS  float64   `toml:"max_after_ms"` // unless it is longer than this
-	Tenants     int       `toml:"tenants"`      // 0 = none are named
-	Bully       float64   `toml:"bully"`        // share of the requests that are of the first tenant; the rest is spread evenly over the others
-	Connections int       `toml:"connections"`  // idle ones kept to each router at most
+	Rate        float64   `toml:"rate"`         // requests per second; of a trace, its mean
+	Burst       float64   `toml:"burst"`        // bursty: share by which the rate alternates above and below Rate,
+	BurstMS     float64   `toml:"burst_ms"`     // for this long each
+	Trace       []float64 `toml:"trace"`        // rates for each second, repeated
+	Workers     int       `toml:"workers"`      // closed: number of clients, each with one request at a time
+	MaxOpen     int       `toml:"max_open"`     // maximum number of open requests; more make the run invalid
+	MaxRequests int       `toml:"max_requests"` // maximum number of first tries
+	Keys        int       `toml:"keys"`         // number of keys at a time,
+	Zipf        float64   `toml:"zipf"`         // requested with this Zipf exponent,
+	Drift       float64   `toml:"drift"`        // of which this share is replaced each second
+	Retries     int       `toml:"retries"`      // maximum number of tries after the first
+	TryShare    float64   `toml:"try_share"`    // timeout of a try but the last, as a share of the remaining time
+	BackoffMS   float64   `toml:"backoff_ms"`   // pause before a further try, doubled each time, jittered by half
+	Honour      float64   `toml:"honour"`       // share of clients that obey the retry delay in a refusal,
+	MaxAfterMS  float64   `toml:"max_after_ms"` // if it is no longer than this
+	Tenants     int       `toml:"tenants"`      // number of tenants; 0 = requests name no tenant
+	Bully       float64   `toml:"bully"`        // share of the first tenant's requests; the others share the rest
+	Connections int       `toml:"connections"`  // maximum number of idle connections to each router
 	Reconnect   float64   `toml:"reconnect"`    // share of requests after which the connection is closed
-	// DisconnectShare is the share of tries whose client closes its connection after a time within DisconnectMS, and never comes again.
+	// DisconnectShare is the share of tries whose client closes its connection after a time within
+	// DisconnectMS, and does not retry.
 	DisconnectShare float64              `toml:"disconnect_share"`
-	DisconnectMS    [2]float64           `toml:"disconnect_ms"` // evenly spread between
-	LateMS          float64              `toml:"late_ms"`       // a request sent this much after its time makes the load tool the bottleneck
-	LateShare       float64              `toml:"late_share"`    // where more than this share of them is
+	DisconnectMS    [2]float64           `toml:"disconnect_ms"` // range, uniformly distributed
+	LateMS          float64              `toml:"late_ms"`       // delay after the intended time that makes a request late;
+	LateShare       float64              `toml:"late_share"`    // a larger share of late ones makes the run invalid
 	Classes         []Class              `toml:"-"`             // the scenario's
-	Zones           []Zone               `toml:"-"`             // of the clients; none = any
+	Zones           []Zone               `toml:"-"`             // zones of the clients; none = any router
 	Seed            uint64               `toml:"-"`             // the scenario's
 	Progress        func(ProgressReport) `toml:"-" json:"-"`    // called each second
-	FromMS          float64              `toml:"-"`             // what was meant to be sent before counts for no tenant: the scenario's warm-up
-	Marks           bool                 `toml:"marks_retry"`   // a further try says r=1
+	FromMS          float64              `toml:"-"`             // end of the warm-up, which doesn't count for tenants
+	Marks           bool                 `toml:"marks_retry"`   // further tries carry r=1
 }
 
-// Zone is where clients are.
+// Zone is a zone of clients with its share of the requests.
 type Zone struct {
 	Name  string
 	Share float64
 }
 
-// ProgressReport is the state of a run while it lasts.
+// ProgressReport is the state of a running load.
 type ProgressReport struct {
 	Second                                int
-	Asked, Served, Refused, Failed, Tries int // first tries and their ends in this second
+	Asked, Served, Refused, Failed, Tries int // first tries in this second, and their outcomes
 	Open                                  int
 	Worth, Gained                         float64
 	P50MS, P99MS                          float64
 }
 
-// Second is what ended in one second, by when it was meant to be sent.
+// Second counts the requests whose intended send time is in one second.
 type Second struct {
 	Asked   int     `json:"asked"`
-	Served  int     `json:"served"`  // within the aim or not
-	InAim   int     `json:"in_aim"`  // within it
-	Refused int     `json:"refused"` // at the last try
+	Served  int     `json:"served"`  // within the latency aim or not
+	InAim   int     `json:"in_aim"`  // within the latency aim
+	Refused int     `json:"refused"` // refused at the last try
 	Failed  int     `json:"failed"`
-	Worth   float64 `json:"worth"`  // asked for
-	Gained  float64 `json:"gained"` // answered within the aim
-	P50MS   float64 `json:"p50_ms"` // of those served
+	Worth   float64 `json:"worth"`  // total worth of the requests
+	Gained  float64 `json:"gained"` // worth of the requests answered within the aim
+	P50MS   float64 `json:"p50_ms"` // of the served requests
 	P99MS   float64 `json:"p99_ms"`
 }
 
-// ClassResult is what became of a class.
+// ClassResult counts the requests of a class by outcome.
 type ClassResult struct {
 	Asked, Served, InAim, Refused, Failed int
-	P50MS, P90MS, P99MS, MaxMS            float64 // of those served, from the intended time
+	P50MS, P90MS, P99MS, MaxMS            float64 // latency of the served requests, from the intended time
 }
 
-// Result is what became of a load.
+// Result is the result of a load.
 type Result struct {
 	Seconds  []Second               `json:"seconds"`
 	Classes  map[string]ClassResult `json:"classes"`
-	Tenants  map[string]Share       `json:"tenants,omitempty"` // up to maxTenants of them, after the warm-up
+	Tenants  map[string]Share       `json:"tenants,omitempty"` // up to maxTenants, after the warm-up
 	Tries    int                    `json:"tries"`
 	Worth    float64                `json:"worth"`
 	Gained   float64                `json:"gained"`
-	Late     int                    `json:"late"`       // sent late by the load tool's own fault
-	Over     int                    `json:"over_bound"` // not sent, as too many were open
-	Valid    bool                   `json:"valid"`
-	Why      string                 `json:"why,omitempty"` // it is not
+	Late     int                    `json:"late"`          // requests that the load tool sent late
+	Over     int                    `json:"over_bound"`    // requests not sent because MaxOpen were open
+	Valid    bool                   `json:"valid"`         // false where the load tool was the bottleneck
+	Why      string                 `json:"why,omitempty"` // the reason if it is not valid
 	DialFail int                    `json:"connect_failed"`
 }
 
-// Share is what one tenant asked for and got, in worth.
+// Share is the worth that one tenant requested and gained.
 type Share struct{ Worth, Gained float64 }
 
-// JainIndex is JainIndex's index of fairness over what tenants gained: 1 where all gained the same, 1/n where one gained all.
+// JainIndex returns Jain's fairness index over the tenants' gained worth: 1 if all gained the same, 1/n
+// if one gained all.
 func (r Result) JainIndex() float64 {
 	sum, squares := 0.0, 0.0
 	for _, t := range r.Tenants {
@@ -134,10 +136,10 @@
 	return sum * sum / float64(len(r.Tenants)) / squares
 }
 
-// maxTenants bounds the tenants that are told apart.
+// maxTenants limits the tenants that are counted separately.
 const maxTenants = 1000
 
-// ServiceShare is the share of the worth asked for that was answered within the aim.
+// ServiceShare returns the share of the requested worth that was answered within the aim.
 func (r Result) ServiceShare() float64 {
 	if r.Worth == 0 {
 		return 0
@@ -145,14 +147,15 @@
 	return r.Gained / r.Worth
 }
 
-// Defaults are what a scenario leaves out.
+// Defaults returns the parameters that apply where a scenario sets none.
 func Defaults() Params {
-	return Params{Shape: "poisson", Rate: 100, Burst: 0.3, BurstMS: 2000, MaxOpen: 4000, MaxRequests: 1 << 20, Keys: 2000, Zipf: 1,
+	return Params{Shape: "poisson", Rate: 100, Burst: 0.3, BurstMS: 2000,
+		MaxOpen: 4000, MaxRequests: 1 << 20, Keys: 2000, Zipf: 1,
 		Drift: 0.005, Retries: 2, TryShare: 0.65, BackoffMS: 100, Honour: 0.85, MaxAfterMS: 1500, Connections: 64,
 		DisconnectMS: [2]float64{20, 400}, LateMS: 20, LateShare: 0.02, Workers: 8, Marks: true}
 }
 
-// Check names the first parameter that is impossible, by its name in a scenario file.
+// Check returns an error for the first impossible parameter, with its name in a scenario file.
 func (p Params) Check() error {
 	bad := func(name string, v any) error { return fmt.Errorf("load.%s: impossible value %v", name, v) }
 	switch {
@@ -184,7 +187,7 @@
 	return nil
 }
 
-// Load sends requests.
+// Load sends requests and counts their outcomes.
 type Load struct {
 	p       Params
 	front   *fakes.Front
@@ -192,26 +195,26 @@
 	journal *checker.Journal
 	pool    *pool
 
-	mu      sync.Mutex // guards what follows
-	rng     *rand.Rand
-	keys    distuv.Categorical
-	names   []string // of the keys, by rank
-	classes distuv.Categorical
-	zones   distuv.Categorical
-	next    uint64
-	seconds []Second
-	hists   []*hdrhistogram.Histogram // by second; those of old seconds are folded into figures
-	byClass map[string]*hdrhistogram.Histogram
-	results map[string]ClassResult
-	tenants map[string]Share
-	tries   int
-	late    int
-	over    int
-	began   float64
-	open    int
+	mu         sync.Mutex // guards what follows
+	rng        *rand.Rand
+	keys       distuv.Categorical
+	keyNames   []string // the keys by rank
+	classes    distuv.Categorical
+	zones      distuv.Categorical
+	next       uint64
+	seconds    []Second
+	histograms []*hdrhistogram.Histogram // latencies by second
+	byClass    map[string]*hdrhistogram.Histogram
+	results    map[string]ClassResult
+	tenants    map[string]Share
+	tries      int
+	late       int
+	notSent    int
+	beganAt    float64
+	open       int
 }
 
-// New prepares a load through a front.
+// New returns a load that sends its requests through a front. Run starts it.
 func New(p Params, front *fakes.Front, clock *fakes.Clock, journal *checker.Journal) (*Load, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -220,66 +223,67 @@
 		return nil, fmt.Errorf("class: none")
 	}
 	l := &Load{p: p, front: front, clock: clock, journal: journal, pool: newPool(p.Connections, clock),
-		rng: rand.New(rand.NewPCG(p.Seed, 5)), byClass: map[string]*hdrhistogram.Histogram{}, results: map[string]ClassResult{}, tenants: map[string]Share{}}
-	src := rand.NewPCG(p.Seed, 6)
+		rng: rand.New(rand.NewPCG(p.Seed, 5)), byClass: map[string]*hdrhistogram.Histogram{},
+		results: map[string]ClassResult{}, tenants: map[string]Share{}}
+	source := rand.NewPCG(p.Seed, 6)
 	weights := make([]float64, p.Keys)
-	l.names = make([]string, p.Keys)
+	l.keyNames = make([]string, p.Keys)
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -p.Zipf)
-		l.names[i] = fmt.Sprintf("%016x", l.rng.Uint64())
+		l.keyNames[i] = fmt.Sprintf("%016x", l.rng.Uint64())
 	}
-	l.keys = distuv.NewCategorical(weights, src)
+	l.keys = distuv.NewCategorical(weights, source)
 	weights = nil
 	for _, c := range p.Classes {
 		weights = append(weights, c.Share)
-		l.byClass[c.Name] = newHist()
+		l.byClass[c.Name] = newHistogram()
 	}
-	l.classes = distuv.NewCategorical(weights, src)
+	l.classes = distuv.NewCategorical(weights, source)
 	if len(p.Zones) > 0 {
 		weights = nil
 		for _, z := range p.Zones {
 			weights = append(weights, z.Share)
 		}
-		l.zones = distuv.NewCategorical(weights, src)
+		l.zones = distuv.NewCategorical(weights, source)
 	}
 	return l, nil
 }
 
-func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) } // microseconds
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) } // microseconds
 
-// Run sends until ctx ends, then waits for what is open, and tells what became of all.
+// Run sends requests until ctx ends, waits for the open ones, and returns the result.
 func (l *Load) Run(ctx context.Context) Result {
-	l.began = l.clock.Now()
+	l.beganAt = l.clock.Now()
 	var wg sync.WaitGroup
 	done, stop := context.WithCancel(context.Background())
-	var side sync.WaitGroup
-	side.Go(func() { l.eachSecond(done) })
+	var background sync.WaitGroup
+	background.Go(func() { l.eachSecond(done) })
 	if l.p.Shape == "closed" {
 		for range l.p.Workers {
 			wg.Go(func() {
-				for ctx.Err() == nil && l.more() {
+				for ctx.Err() == nil && l.hasTriesLeft() {
 					l.request(l.clock.Now())
 				}
 			})
 		}
 	} else {
-		l.arrivals(ctx, &wg)
+		l.sendOpenLoop(ctx, &wg)
 	}
 	wg.Wait() // each request ends by its deadline
 	stop()
-	side.Wait()
+	background.Wait()
 	l.pool.close()
 	return l.result()
 }
 
-// more counts a first try, and reports false where there were enough.
-func (l *Load) more() bool {
+// hasTriesLeft reports whether fewer tries than MaxRequests were made.
+func (l *Load) hasTriesLeft() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries < l.p.MaxRequests
 }
 
-// rate is the rate at a time from the beginning, in requests a millisecond.
+// rate returns the rate at a time since the start, in requests per millisecond.
 func (l *Load) rate(at float64) float64 {
 	switch l.p.Shape {
 	case "bursty":
@@ -293,14 +297,14 @@
 	return l.p.Rate / 1000
 }
 
-// arrivals starts requests at their times, whatever becomes of those before.
-func (l *Load) arrivals(ctx context.Context, wg *sync.WaitGroup) {
+// sendOpenLoop starts each request at its intended time, whether or not earlier ones have ended.
+func (l *Load) sendOpenLoop(ctx context.Context, wg *sync.WaitGroup) {
 	rng := rand.New(rand.NewPCG(l.p.Seed, 7))
 	at, timer := 0.0, time.NewTimer(0)
 	defer timer.Stop()
 	for n := 0; n < l.p.MaxRequests; n++ {
 		at += rng.ExpFloat64() / l.rate(at)
-		if wait := l.began + at - l.clock.Now(); wait > 0 {
+		if wait := l.beganAt + at - l.clock.Now(); wait > 0 {
 			timer.Reset(time.Duration(wait * float64(time.Millisecond)))
 			select {
 			case <-timer.C:
@@ -313,16 +317,16 @@
 		l.mu.Lock()
 		full := l.open >= l.p.MaxOpen
 		if full {
-			l.over++
+			l.notSent++
 		} else {
 			l.open++
 		}
-		if l.clock.Now()-l.began-at > l.p.LateMS {
+		if l.clock.Now()-l.beganAt-at > l.p.LateMS {
 			l.late++
 		}
 		l.mu.Unlock()
 		if !full {
-			intended := l.began + at
+			intended := l.beganAt + at
 			wg.Go(func() {
 				l.request(intended)
 				l.mu.Lock()
@@ -334,7 +338,7 @@
 	<-ctx.Done()
 }
 
-// eachSecond tells of the progress and lets keys drift.
+// eachSecond reports the progress and replaces a share of the keys each second.
 func (l *Load) eachSecond(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -346,13 +350,14 @@
 		}
 		l.mu.Lock()
 		for range int(math.Round(l.p.Drift * float64(l.p.Keys))) {
-			l.names[l.rng.IntN(len(l.names))] = fmt.Sprintf("%016x", l.rng.Uint64())
+			l.keyNames[l.rng.IntN(len(l.keyNames))] = fmt.Sprintf("%016x", l.rng.Uint64())
 		}
 		now := ProgressReport{Second: n, Tries: l.tries, Open: l.open}
-		if i := n - 2; i >= 0 && i < len(l.seconds) { // the one before: most of its requests have ended
+		if i := n - 2; i >= 0 && i < len(l.seconds) { // the second before: most of its requests have ended
 			s := l.seconds[i]
-			now.Asked, now.Served, now.Refused, now.Failed, now.Worth, now.Gained = s.Asked, s.Served, s.Refused, s.Failed, s.Worth, s.Gained
-			now.P50MS, now.P99MS = quantiles(l.hists[i])
+			now.Asked, now.Served, now.Refused, now.Failed, now.Worth, now.Gained =
+				s.Asked, s.Served, s.Refused, s.Failed, s.Worth, s.Gained
+			now.P50MS, now.P99MS = quantiles(l.histograms[i])
 		}
 		l.mu.Unlock()
 		if l.p.Progress != nil {
@@ -368,26 +373,26 @@
 	return float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(99)) / 1000
 }
 
-// maxSeconds bounds the seconds that are told apart; what comes later counts in the last.
+// maxSeconds limits the seconds that are counted separately; later requests count in the last one.
 const maxSeconds = 7200
 
-// record books the end of a request.
+// record counts a request with its outcome.
 func (l *Load) record(c Class, tenant string, intended float64, end checker.Answer, answered bool) {
 	took := l.clock.Now() - intended
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i := max(0, min(int((intended-l.began)/1000), maxSeconds-1))
+	i := max(0, min(int((intended-l.beganAt)/1000), maxSeconds-1))
 	for len(l.seconds) <= i {
-		l.seconds, l.hists = append(l.seconds, Second{}), append(l.hists, nil)
+		l.seconds, l.histograms = append(l.seconds, Second{}), append(l.histograms, nil)
 	}
-	if l.hists[i] == nil {
-		l.hists[i] = hdrhistogram.New(1, 120_000_000, 2)
+	if l.histograms[i] == nil {
+		l.histograms[i] = hdrhistogram.New(1, 120_000_000, 2)
 	}
 	s, r := &l.seconds[i], l.results[c.Name]
 	share, known := l.tenants[tenant]
 	share.Worth += c.Worth
 	defer func() {
-		if intended-l.began >= l.p.FromMS && (known || tenant != "" && len(l.tenants) < maxTenants) {
+		if intended-l.beganAt >= l.p.FromMS && (known || tenant != "" && len(l.tenants) < maxTenants) {
 			l.tenants[tenant] = share
 		}
 	}()
@@ -395,9 +400,9 @@
 	switch {
 	case answered && end == checker.Served:
 		s.Served, r.Served = s.Served+1, r.Served+1
-		us := int64(min(took*1000, 119e6))
-		_ = l.hists[i].RecordValue(us) // within the bound
-		_ = l.byClass[c.Name].RecordValue(us)
+		micros := int64(min(took*1000, 119e6))
+		_ = l.histograms[i].RecordValue(micros) // within the histogram's range
+		_ = l.byClass[c.Name].RecordValue(micros)
 		if took <= c.AimMS {
 			s.InAim, r.InAim, s.Gained = s.InAim+1, r.InAim+1, s.Gained+c.Worth
 			share.Gained += c.Worth
@@ -413,11 +418,12 @@
 func (l *Load) result() Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	res := Result{Seconds: l.seconds, Classes: l.results, Tenants: l.tenants, Tries: l.tries, Late: l.late, Over: l.over, Valid: true, DialFail: l.pool.failed()}
+	res := Result{Seconds: l.seconds, Classes: l.results, Tenants: l.tenants, Tries: l.tries,
+		Late: l.late, Over: l.notSent, Valid: true, DialFail: l.pool.dialFailureCount()}
 	asked := 0
 	for i := range res.Seconds {
 		s := &res.Seconds[i]
-		s.P50MS, s.P99MS = quantiles(l.hists[i])
+		s.P50MS, s.P99MS = quantiles(l.histograms[i])
 		res.Worth, res.Gained, asked = res.Worth+s.Worth, res.Gained+s.Gained, asked+s.Asked
 	}
 	for name, r := range res.Classes {
@@ -427,17 +433,20 @@
 		res.Classes[name] = r
 	}
 	switch {
-	case l.over > 0:
-		res.Valid, res.Why = false, fmt.Sprintf("%d requests were not sent: load.max_open = %d were open", l.over, l.p.MaxOpen)
+	case l.notSent > 0:
+		res.Valid, res.Why = false, fmt.Sprintf("%d requests were not sent: load.max_open = %d were open",
+			l.notSent, l.p.MaxOpen)
 	case asked > 0 && float64(l.late) > l.p.LateShare*float64(asked):
-		res.Valid, res.Why = false, fmt.Sprintf("the load tool was the bottleneck: %d of %d requests were sent over %.0f ms late", l.late, asked, l.p.LateMS)
+		res.Valid, res.Why = false, fmt.Sprintf(
+			"the load tool was the bottleneck: %d of %d requests were sent over %.0f ms late",
+			l.late, asked, l.p.LateMS)
 	}
 	return res
 }
 
-// Keys are the keys asked for, the most popular first.
+// Keys returns the present keys, the most popular first.
 func (l *Load) Keys() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.names)
+	return slices.Clone(l.keyNames)
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -16,8 +16,9 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// answers starts a router that gives to each read what say gives for its line: "" = nothing, "close" = the end, "close after X" = the end after these bytes.
-func answers(t *testing.T, say func(line string) string) string {
+// startRouter starts a fake router that answers each line with the result of answerTo: "" = no answer,
+// "close" = closes the connection, "close after X" = closes it after sending X.
+func startRouter(t *testing.T, answerTo func(line string) string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,12 +39,12 @@
 					if err != nil {
 						return
 					}
-					text := say(line)
+					text := answerTo(line)
 					if part, closes := strings.CutPrefix(text, "close"); closes {
 						_, _ = io.WriteString(c, strings.TrimPrefix(part, " after "))
 						return
 					}
-					if _, err := c.Write([]byte(strings.ReplaceAll(text, "{id}", idOf(line)))); err != nil {
+					if _, err := c.Write([]byte(strings.ReplaceAll(text, "{id}", requestID(line)))); err != nil {
 						return
 					}
 				}
@@ -53,7 +54,7 @@
 	return ln.Addr().String()
 }
 
-func idOf(line string) string {
+func requestID(line string) string {
 	for f := range strings.FieldsSeq(line) {
 		if f[0] == 'O' {
 			return f[1:]
@@ -62,10 +63,10 @@
 	return ""
 }
 
-// maxWait bounds what must come; a test that passes does not wait for it.
+// maxWait is the timeout for expected events; a test that passes does not wait for it.
 const maxWait = 20 * time.Second
 
-// sendUntil sends requests until what the referee knows is enough.
+// sendUntil sends requests until isEnough accepts the recorded events.
 func sendUntil(t *testing.T, isEnough func([]checker.Event) bool, change func(*Params), addr string) (Result, []checker.Event) {
 	t.Helper()
 	journal := checker.NewJournal(1 << 16)
@@ -82,7 +83,7 @@
 	return run(ctx, t, change, journal, addr)
 }
 
-// sendAll sends so many requests, and ends once the referee knows what became of each.
+// sendAll sends a number of requests, and ends once each of them has its events.
 func sendAll(t *testing.T, requests int, change func(*Params), addr string) (Result, []checker.Event) {
 	t.Helper()
 	isEnough := func(events []checker.Event) bool {
@@ -91,16 +92,16 @@
 	return sendUntil(t, isEnough, func(p *Params) { p.MaxRequests = requests; change(p) }, addr)
 }
 
-func count(events []checker.Event, is func(checker.Event) bool) (n int) {
+func count(events []checker.Event, matches func(checker.Event) bool) (n int) {
 	for _, e := range events {
-		if is(e) {
+		if matches(e) {
 			n++
 		}
 	}
 	return n
 }
 
-// send runs a load of reads against addresses, for a time or a number of requests.
+// send runs a load of reads against router addresses, for a time or a number of requests.
 func send(t *testing.T, change func(*Params), during time.Duration, addrs ...string) (Result, []checker.Event) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), during)
@@ -116,7 +117,8 @@
 		front.AddRouter(fmt.Sprintf("r%d", i), "", a)
 	}
 	p := Defaults()
-	p.Classes = []Class{{Name: "read", Share: 1, Effect: "repeatable", AimMS: 300, LimitMS: 600, Worth: 1, WorkMS: 1, Bytes: [2]float64{10, 100}}}
+	p.Classes = []Class{{Name: "read", Share: 1, Effect: "repeatable", AimMS: 300, LimitMS: 600, Worth: 1, WorkMS: 1,
+		Bytes: [2]float64{10, 100}}}
 	p.Rate, p.Seed, p.Retries = 200, 3, 0
 	change(&p)
 	l, err := New(p, front, clock, journal)
@@ -128,44 +130,44 @@
 	return res, events
 }
 
-const fine = "VA 5 O{id}\r\nhello\r\n"
+const validAnswer = "VA 5 O{id}\r\nhello\r\n"
 
-func TestOpenLoopCountsFromTheIntendedTime(t *testing.T) {
-	// A router that stops once, for half a second. A closed loop would see it once; those that were meant to be sent
-	// meanwhile all waited.
+func TestOpenLoopLatencyCountsFromIntendedTime(t *testing.T) {
+	// The router pauses once for half a second. A closed loop would measure the pause in one request only;
+	// with an open loop, all requests intended to be sent during the pause count as slow.
 	var mu sync.Mutex
 	var stopped atomic.Bool
-	addr := answers(t, func(string) string {
+	addr := startRouter(t, func(string) string {
 		mu.Lock()
 		defer mu.Unlock()
 		if stopped.CompareAndSwap(false, true) {
 			time.Sleep(500 * time.Millisecond)
 		}
-		return fine
+		return validAnswer
 	})
 	res, _ := send(t, func(p *Params) { p.MaxRequests, p.Classes[0].LimitMS, p.TryShare = 200, 5000, 1 }, 1200*time.Millisecond, addr)
 	c := res.Classes["read"]
 	if c.Served != c.Asked || c.Asked < 100 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("got result %+v", c)
 	}
 	if waited := c.Served - c.InAim; waited < 10 {
-		t.Errorf("%d requests felt a stop of 500 ms at 200 a second", waited)
+		t.Errorf("only %d requests were delayed by a pause of 500 ms at 200 requests/s", waited)
 	}
 }
 
-func TestBottleneckIsTold(t *testing.T) {
-	addr := answers(t, func(string) string { return "" })
+func TestRunIsInvalidWhenLoadToolIsBottleneck(t *testing.T) {
+	addr := startRouter(t, func(string) string { return "" })
 	res, _ := send(t, func(p *Params) { p.MaxOpen = 5 }, 500*time.Millisecond, addr)
 	if res.Valid || !strings.Contains(res.Why, "max_open") || res.Over == 0 {
-		t.Errorf("%+v", res)
+		t.Errorf("got result %+v", res)
 	}
 }
 
-func TestRefusedClientsComeBackWhenTold(t *testing.T) {
+func TestRefusedClientsRetryAfterTheRequestedDelay(t *testing.T) {
 	var mu sync.Mutex
 	first := map[string]time.Time{} // by key
 	var early, marked atomic.Int64
-	addr := answers(t, func(line string) string {
+	addr := startRouter(t, func(line string) string {
 		key := strings.Fields(line)[1]
 		mu.Lock()
 		defer mu.Unlock()
@@ -177,7 +179,7 @@
 				marked.Add(1)
 			}
 			delete(first, key)
-			return fine
+			return validAnswer
 		}
 		first[key] = time.Now()
 		return "SERVER_ERROR busy 100\r\n"
@@ -188,7 +190,7 @@
 	}, addr)
 	c := res.Classes["read"]
 	if early.Load() > 0 || marked.Load() < 20 || c.Served < 20 {
-		t.Errorf("%d early, %d marked, %+v", early.Load(), marked.Load(), c)
+		t.Errorf("%d early retries, %d marked retries, result %+v", early.Load(), marked.Load(), c)
 	}
 	ids := map[string]bool{}
 	for _, e := range events {
@@ -201,70 +203,71 @@
 	}
 }
 
-func TestWhatTheRefereeIsTold(t *testing.T) {
+func TestClientEventsAreRecorded(t *testing.T) {
 	for answer, want := range map[string]checker.Kind{
-		fine: checker.Answered, fine + fine: checker.ExtraAnswer, "": checker.ClientTimedOut, "VA 5 O{id}\r\nhe": checker.ClientTimedOut, "nonsense\r\n": checker.Answered,
+		validAnswer: checker.Answered, validAnswer + validAnswer: checker.ExtraAnswer, "": checker.ClientTimedOut,
+		"VA 5 O{id}\r\nhe": checker.ClientTimedOut, "nonsense\r\n": checker.Answered,
 	} {
-		addr := answers(t, func(string) string { return answer })
+		addr := startRouter(t, func(string) string { return answer })
 		res, events := sendAll(t, 1, func(p *Params) { p.Classes[0].LimitMS = 200 }, addr)
 		if len(events) < 2 || events[len(events)-1].Kind != want {
-			t.Errorf("%q: %+v", answer, events)
+			t.Errorf("answer %q: got events %+v", answer, events)
 		}
-		if served := res.Classes["read"].Served == 1; served != strings.HasPrefix(answer, fine) {
-			t.Errorf("%q: served %t", answer, served)
+		if served := res.Classes["read"].Served == 1; served != strings.HasPrefix(answer, validAnswer) {
+			t.Errorf("answer %q: served %t", answer, served)
 		}
 	}
-	addr := answers(t, func(string) string { return "close" })
+	addr := startRouter(t, func(string) string { return "close" })
 	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || !events[1].NewConnection {
-		t.Errorf("%+v", events)
+		t.Errorf("new connection closed without an answer: got events %+v", events)
 	}
-	addr = answers(t, func(string) string { return "close after VA" })
+	addr = startRouter(t, func(string) string { return "close after VA" })
 	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || events[1].NewConnection {
-		t.Errorf("a connection closed after some bytes: %+v", events)
+		t.Errorf("connection closed after some bytes: got events %+v", events)
 	}
 	asked := 0
-	addr = answers(t, func(string) string { // one after the other, on one connection
+	addr = startRouter(t, func(string) string { // the requests come one after the other on one connection
 		if asked++; asked == 1 {
-			return fine
+			return validAnswer
 		}
 		return "close"
 	})
 	_, events := sendAll(t, 2, func(p *Params) { p.Shape, p.Workers = "closed", 1 }, addr)
 	if len(events) != 4 || events[3].Kind != checker.ClosedByRouter || events[3].NewConnection {
-		t.Errorf("a connection closed that had been used: %+v", events)
+		t.Errorf("used connection closed: got events %+v", events)
 	}
 }
 
-func TestClosedLoopHasOneOpenEach(t *testing.T) {
-	var open, most atomic.Int64
-	addr := answers(t, func(string) string {
+func TestClosedLoopKeepsOneRequestOpenPerWorker(t *testing.T) {
+	var open, maxOpen atomic.Int64
+	addr := startRouter(t, func(string) string {
 		n := open.Add(1)
-		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+		for m := maxOpen.Load(); n > m && !maxOpen.CompareAndSwap(m, n); m = maxOpen.Load() {
 		}
 		time.Sleep(2 * time.Millisecond)
 		open.Add(-1)
-		return fine
+		return validAnswer
 	})
 	res, _ := send(t, func(p *Params) { p.Shape, p.Workers = "closed", 4 }, 300*time.Millisecond, addr)
-	if most.Load() > 4 || res.Classes["read"].Served < 20 {
-		t.Errorf("%d at once, %+v", most.Load(), res.Classes)
+	if maxOpen.Load() > 4 || res.Classes["read"].Served < 20 {
+		t.Errorf("%d requests open at once, result %+v", maxOpen.Load(), res.Classes)
 	}
 }
 
-func TestSizesAndWorkAreTheSameEachTime(t *testing.T) {
+func TestSizesAndWorkAreDeterministic(t *testing.T) {
 	c := Class{WorkMS: 100, WorkCV: 1, Bytes: [2]float64{10, 1000}}
 	sum := 0.0
 	for i := range 5000 {
 		id := fmt.Sprint(i)
 		if s := ValueBytes(c, id); s != ValueBytes(c, id) || s < 10 || s > 1000 {
-			t.Fatalf("size %d", s)
+			t.Fatalf("got a size of %d bytes", s)
 		}
 		if RequestWorkMillis(c, id) != RequestWorkMillis(c, id) {
-			t.Fatal("work varies")
+			t.Fatal("the work of a request varies between calls")
 		}
 		sum += RequestWorkMillis(c, id)
 	}
 	if mean := sum / 5000; mean < 90 || mean > 110 {
-		t.Errorf("mean work %v", mean)
+		t.Errorf("got mean work %v, want about 100", mean)
 	}
 }
