--- a/lab/fakes/codec.go
+++ b/lab/fakes/codec.go
@@ -15,18 +15,18 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// request is a command as a server reads it.
+// request is a parsed command.
 type request struct {
-	kind  string // get, set, ready, load, or bad: a line that can't be used
+	kind  string // get, set, ready, load, or bad for a malformed command
 	id    string
 	key   string
 	class string
 	idem  string
-	size  int // bytes of the value that came with it
+	size  int // size in bytes of the value sent with the command
 	hint  checker.TimeoutHint
 }
 
-// answer is what a server has to say to a request.
+// answer is a server's answer to a request.
 type answer struct {
 	model.Outcome
 	id     string
@@ -34,28 +34,28 @@
 	report *model.Report
 }
 
-// codec is the language of a server.
+// codec is the protocol of a server.
 type codec interface {
 	read(r *bufio.Reader) (request, error)
 	write(req request, a answer) []byte
 }
 
-// MaxValue is the largest value a stand-in takes or gives, in bytes.
+// MaxValue is the largest value that a fake server accepts or returns, in bytes.
 const MaxValue = 4 << 20
 
-const maxLine = 8 << 10
+const maxLineBytes = 8 << 10
 
-var errLine = errors.New("line too long")
+var errLineTooLong = errors.New("line too long")
 
-var table = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// Checksum is the checksum by which the referee tells values apart.
-func Checksum(value []byte) uint64 { return crc64.Checksum(value, table) }
+// Checksum returns the checksum of a value that events carry.
+func Checksum(value []byte) uint64 { return crc64.Checksum(value, crcTable) }
 
-// NewValue is what a server gives for a request: size bytes that begin with who made it, for what and for whom, as far as
-// there is room, so that no two requests are given the same.
-func NewValue(by, key, id string, size int) []byte {
-	head := id + " " + key + " " + by + " "
+// NewValue returns a server's value for a request. Its size bytes begin with the request's id, the key
+// and the producer, as far as they fit, so that the values of different requests differ.
+func NewValue(producer, key, id string, size int) []byte {
+	head := id + " " + key + " " + producer + " "
 	v := make([]byte, max(size, 1))
 	n := copy(v, head)
 	for i := n; i < len(v); i++ {
@@ -64,8 +64,8 @@
 	return v
 }
 
-// facts reads a list of names and values.
-func facts(text string) map[string]string {
+// parseFacts parses a comma-separated list of name=value pairs.
+func parseFacts(text string) map[string]string {
 	m := map[string]string{}
 	for f := range strings.SplitSeq(text, ",") {
 		if k, v, ok := strings.Cut(f, "="); ok {
@@ -75,32 +75,33 @@
 	return m
 }
 
-// timeoutHint is how long the router says that it will wait; what is no number tells nothing.
-func timeoutHint(named map[string]string) checker.TimeoutHint {
+// parseTimeoutHint returns the time for which the router will wait; a value that is not a number counts as
+// no hint.
+func parseTimeoutHint(named map[string]string) checker.TimeoutHint {
 	millis, err := strconv.ParseFloat(named["d"], 64)
 	return checker.TimeoutHint{Millis: millis, IsPresent: err == nil}
 }
 
-func load(r *model.Report) string {
+func formatLoad(r *model.Report) string {
 	return fmt.Sprintf("qps=%.2f,util=%.4f,x0=%.4f", r.QPS, r.Util, r.Hits)
 }
 
-// meta is the meta protocol, as cache servers speak it.
-type meta struct {
+// metaCodec implements the meta protocol of cache servers.
+type metaCodec struct {
 	probes  bool // answers `stats load`
-	reports bool // puts a report into each answer
+	reports bool // adds a load report to each answer
 }
 
-func (meta) line(r *bufio.Reader) (string, error) {
+func (metaCodec) readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return "", errLine
+		return "", errLineTooLong
 	}
 	return strings.TrimRight(string(line), "\r\n"), err
 }
 
-func (m meta) read(r *bufio.Reader) (request, error) {
-	line, err := m.line(r)
+func (m metaCodec) read(r *bufio.Reader) (request, error) {
+	line, err := m.readLine(r)
 	if err != nil {
 		return request{}, err
 	}
@@ -119,8 +120,8 @@
 		case 'O':
 			q.id = f[1:]
 		case 'P':
-			named := facts(f[1:])
-			q.class, q.idem, q.hint = named["c"], named["k"], timeoutHint(named)
+			named := parseFacts(f[1:])
+			q.class, q.idem, q.hint = named["c"], named["k"], parseTimeoutHint(named)
 		}
 	}
 	if w[0] == "ms" {
@@ -138,7 +139,7 @@
 	return q, nil
 }
 
-func (m meta) write(q request, a answer) []byte {
+func (m metaCodec) write(q request, a answer) []byte {
 	switch q.kind {
 	case "bad":
 		return []byte("CLIENT_ERROR bad command\r\n")
@@ -148,7 +149,8 @@
 		if !m.probes || a.report == nil {
 			return []byte("ERROR\r\n")
 		}
-		return fmt.Appendf(nil, "STAT qps %.2f\r\nSTAT util %.4f\r\nSTAT x0 %.4f\r\nEND\r\n", a.report.QPS, a.report.Util, a.report.Hits)
+		return fmt.Appendf(nil, "STAT qps %.2f\r\nSTAT util %.4f\r\nSTAT x0 %.4f\r\nEND\r\n",
+			a.report.QPS, a.report.Util, a.report.Hits)
 	}
 	flags := " O" + a.id
 	note := map[model.Outcome]string{model.Served: " h1", model.Missed: " h0", model.Fetching: " h0 Z"}[a.Outcome]
@@ -156,7 +158,7 @@
 		note = ""
 	}
 	if flags += note; m.reports && a.report != nil {
-		flags += " L" + load(a.report)
+		flags += " L" + formatLoad(a.report)
 	}
 	switch a.Outcome {
 	case model.Busy:
@@ -172,10 +174,10 @@
 	return append(append(fmt.Appendf(nil, "VA %d%s\r\n", len(a.value), flags), a.value...), "\r\n"...)
 }
 
-// origin is the origin's HTTP/1.1.
-type origin struct{}
+// originCodec implements the origin's protocol, HTTP/1.1.
+type originCodec struct{}
 
-func (origin) read(r *bufio.Reader) (request, error) {
+func (originCodec) read(r *bufio.Reader) (request, error) {
 	h, err := http.ReadRequest(r)
 	if err != nil {
 		return request{}, err
@@ -184,9 +186,9 @@
 	if err != nil || n > MaxValue {
 		return request{kind: "bad"}, fmt.Errorf("body of %d bytes: %w", n, err)
 	}
-	named := facts(h.Header.Get("X-Facts"))
+	named := parseFacts(h.Header.Get("X-Facts"))
 	q := request{kind: "get", id: h.Header.Get("X-Correlation-Id"), key: strings.TrimPrefix(h.URL.Path, "/"),
-		class: named["c"], idem: named["k"], hint: timeoutHint(named), size: int(n)}
+		class: named["c"], idem: named["k"], hint: parseTimeoutHint(named), size: int(n)}
 	switch {
 	case h.Method == http.MethodPut:
 		q.kind = "set"
@@ -201,7 +203,7 @@
 	return q, nil
 }
 
-func (origin) write(q request, a answer) []byte {
+func (originCodec) write(q request, a answer) []byte {
 	resp := http.Response{StatusCode: http.StatusOK, ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}}
 	body := a.value
 	switch {
@@ -215,10 +217,10 @@
 		resp.StatusCode = http.StatusInternalServerError
 	}
 	if a.report != nil {
-		resp.Header.Set("X-Backend-Load", load(a.report))
+		resp.Header.Set("X-Backend-Load", formatLoad(a.report))
 	}
 	resp.ContentLength, resp.Body = int64(len(body)), io.NopCloser(bytes.NewReader(body))
-	if len(body) == 0 { // else the library says nothing of a length, and the body would end with the connection
+	if len(body) == 0 { // otherwise net/http writes no length, and the body would end with the connection
 		resp.Body, resp.TransferEncoding = http.NoBody, nil
 		resp.Header.Set("Content-Length", "0")
 	}
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -20,118 +20,122 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// Discovery answers calls for the list. It is one service for all routers, but each router reaches it at a listener of
-// its own, by which it is known, and may be told other addresses than the others.
+// Discovery is a fake discovery service. All routers share one list, but each router calls at a listener
+// of its own, which identifies it and may map the servers' addresses to others.
 type Discovery struct {
 	clock   *Clock
 	journal *checker.Journal
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wg      sync.WaitGroup
-	kick    chan struct{}
+	wakeup  chan struct{}
 
-	mu      sync.Mutex
-	d       *model.Directory
-	changed chan struct{} // closed at each change of the list and of down
-	silence chan struct{} // closed when open watches fall silent
-	down    bool
-	silent  bool
-	calls   int
-	doors   map[string]*door                  // by address
-	told    map[string]map[string]model.Entry // by router: the list as it was told last
-	toldTo  map[string]toldVersion            // by router
+	mu           sync.Mutex
+	directory    *model.Directory
+	changed      chan struct{} // closed and replaced at each change of the list or of down
+	silence      chan struct{} // closed and replaced when open watches are silenced
+	down         bool
+	silent       bool
+	calls        int
+	listeners    map[string]*routerListener        // by address
+	sentEntries  map[string]map[string]model.Entry // by router: the list as last sent
+	sentVersions map[string]sentVersion            // by router
 }
 
-// door is a listener for one router.
-type door struct {
+// routerListener is a listener for one router.
+type routerListener struct {
 	server   *http.Server
 	listener net.Listener
 	retired  atomic.Bool
 }
 
-// toldVersion is the version of the list that a router was told last, and when.
-type toldVersion struct {
+// sentVersion is the list version last sent to a router, and the time of sending.
+type sentVersion struct {
 	version int64
 	at      float64
 }
 
-// watchContinuesMillis is the time within which the next call of a watch continues it.
+// watchContinuesMillis is the time after an answer within which a call for the next changes counts as
+// the same watch.
 const watchContinuesMillis = 200
 
-// retiredDoorTime is how long connections of a retired door stay open.
-const retiredDoorTime = 1500 * time.Millisecond
+// retiredListenerTimeout is how long the connections of a retired listener stay open.
+const retiredListenerTimeout = 1500 * time.Millisecond
 
-// NewDiscovery starts discovery with a list that holds since long ago. Close ends it.
-func NewDiscovery(p model.DirectoryParams, seed uint64, known []model.Entry, clock *Clock, journal *checker.Journal) *Discovery {
+// NewDiscovery starts discovery with an initial list. Close stops it.
+func NewDiscovery(
+	p model.DirectoryParams, seed uint64, initial []model.Entry, clock *Clock, journal *checker.Journal,
+) *Discovery {
 	d := &Discovery{
-		clock:   clock,
-		journal: journal,
-		d:       model.NewDirectory(p, seed, known),
-		changed: make(chan struct{}),
-		silence: make(chan struct{}),
-		kick:    make(chan struct{}, 1),
-		doors:   map[string]*door{},
-		told:    map[string]map[string]model.Entry{},
-		toldTo:  map[string]toldVersion{},
+		clock:        clock,
+		journal:      journal,
+		directory:    model.NewDirectory(p, seed, initial),
+		changed:      make(chan struct{}),
+		silence:      make(chan struct{}),
+		wakeup:       make(chan struct{}, 1),
+		listeners:    map[string]*routerListener{},
+		sentEntries:  map[string]map[string]model.Entry{},
+		sentVersions: map[string]sentVersion{},
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.wg.Go(d.run)
 	return d
 }
 
-// run lets news become known.
+// run publishes scheduled changes at their times.
 func (d *Discovery) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
-		known := d.d.Version()
-		if now := d.clock.Now(); d.d.Advance(now) {
-			d.bookListed(now, d.d.ChangesAfter(known))
-			d.turn()
+		previous := d.directory.Version()
+		if now := d.clock.Now(); d.directory.Advance(now) {
+			d.recordListed(now, d.directory.ChangesAfter(previous))
+			d.wakeWatches()
 		}
-		next := d.d.Next()
+		next := d.directory.Next()
 		d.mu.Unlock()
 		wait := time.Hour
 		if !math.IsInf(next, 1) {
-			wait = ms(max(0, next-d.clock.Now()))
+			wait = millis(max(0, next-d.clock.Now()))
 		}
 		timer.Reset(wait)
 		select {
 		case <-d.ctx.Done():
 			return
 		case <-timer.C:
-		case <-d.kick:
+		case <-d.wakeup:
 		}
 	}
 }
 
-// bookListed tells the referee of what the list has from now on.
-func (d *Discovery) bookListed(now float64, changes model.List) {
+// recordListed records the states that the list shows from now on.
+func (d *Discovery) recordListed(now float64, changes model.List) {
 	for _, e := range changes.Servers {
-		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateListed, Server: e.ID, State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
+		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateListed, Server: e.ID, State: e.State,
+			ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
 
-// bookTold tells the referee that a router was told of servers.
-func (d *Discovery) bookTold(router string, servers []model.Entry) {
+// recordStatesSent records the server states that were sent to a router.
+func (d *Discovery) recordStatesSent(router string, servers []model.Entry) {
 	now := d.clock.Now()
 	for _, e := range servers {
-		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateSent, Router: router, Server: e.ID, State: e.State,
-			ServerStartedAt: d.clock.FromUnix(e.Started)})
+		d.journal.Add(checker.Event{At: now, Kind: checker.ServerStateSent, Router: router, Server: e.ID,
+			State: e.State, ServerStartedAt: d.clock.FromUnix(e.Started)})
 	}
 }
 
-// RecordConfiguredList tells the referee that a router knows the whole list as it is now: its configuration tells it.
-func (d *Discovery) RecordConfiguredList(router string) { d.tell(router, d.List()) }
+// RecordConfiguredList records that a router received the present list in its configuration.
+func (d *Discovery) RecordConfiguredList(router string) { d.recordSent(router, d.List()) }
 
-// tell books a list, or changes, that a router was told.
-func (d *Discovery) tell(router string, list model.List) {
+// recordSent records a list, or changes to it, that was sent to a router.
+func (d *Discovery) recordSent(router string, list model.List) {
 	d.mu.Lock()
-	entries := d.told[router]
+	entries := d.sentEntries[router]
 	if list.Full || entries == nil {
 		entries = map[string]model.Entry{}
-		d.told[router] = entries
+		d.sentEntries[router] = entries
 	}
 	for _, e := range list.Servers {
 		if e.State == "left" {
@@ -140,41 +144,41 @@
 			entries[e.ID] = e
 		}
 	}
-	d.toldTo[router] = toldVersion{list.Version, d.clock.Now()}
+	d.sentVersions[router] = sentVersion{list.Version, d.clock.Now()}
 	d.mu.Unlock()
-	d.bookTold(router, list.Servers)
+	d.recordStatesSent(router, list.Servers)
 }
 
-// LastSentList is the list as a router was told it last, and whether it was told any.
-func (d *Discovery) LastSentList(router string) (list model.List, isTold bool) {
+// LastSentList returns the list as last sent to a router, and whether any was sent.
+func (d *Discovery) LastSentList(router string) (list model.List, isSent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	entries, isTold := d.told[router]
-	list = model.List{Version: d.toldTo[router].version, Full: true, Servers: []model.Entry{}}
+	entries, isSent := d.sentEntries[router]
+	list = model.List{Version: d.sentVersions[router].version, Full: true, Servers: []model.Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(entries)) {
 		list.Servers = append(list.Servers, entries[id])
 	}
-	return list, isTold
+	return list, isSent
 }
 
-// turn wakes those who wait. The caller holds mu.
-func (d *Discovery) turn() {
+// wakeWatches wakes the open watches. The caller holds mu.
+func (d *Discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// ScheduleChange tells discovery of an event, which it tells routers later.
+// ScheduleChange schedules the publication of an event that happened now.
 func (d *Discovery) ScheduleChange(e model.Entry) {
 	d.mu.Lock()
-	d.d.ScheduleChange(d.clock.Now(), e)
+	d.directory.ScheduleChange(d.clock.Now(), e)
 	d.mu.Unlock()
 	select {
-	case d.kick <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// SetDown has discovery turn all calls away, watches included, or answer them again.
+// SetDown makes discovery reject all calls, open watches included, or answer them again.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,10 +187,11 @@
 		d.journal.Add(checker.Event{At: d.clock.Now(), Kind: kind})
 	}
 	d.down = down
-	d.turn()
+	d.wakeWatches()
 }
 
-// SetSilent has discovery leave all calls without an answer, watches included, or answer those that come from then on.
+// SetSilent makes discovery leave all calls unanswered, open watches included, or answer the calls that
+// arrive from then on.
 func (d *Discovery) SetSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,7 +208,8 @@
 	d.journal.Add(checker.Event{At: d.clock.Now(), Kind: kind})
 }
 
-// SilenceWatches has all watches that are open now fall silent: they are never answered, and their connections stay open.
+// SilenceWatches makes discovery never answer the watches that are open now. Their connections stay
+// open.
 func (d *Discovery) SilenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,29 +217,30 @@
 	d.silence = make(chan struct{})
 }
 
-// Rewind has the list's version go backwards by n.
+// Rewind decreases the version of the list by n.
 func (d *Discovery) Rewind(n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.d.Rewind(n)
-	d.turn()
+	d.directory.Rewind(n)
+	d.wakeWatches()
 }
 
-// List is the list as it is told now.
+// List returns the present full list.
 func (d *Discovery) List() model.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.d.FullList()
+	return d.directory.FullList()
 }
 
-// CallCount counts calls so far.
+// CallCount returns the number of calls so far.
 func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
-// OpenListener opens a listener for a router; address maps each server's address to the one that this router is told.
+// OpenListener opens a listener for a router. address maps each server to the address that this router
+// gets for it.
 func (d *Discovery) OpenListener(router string, address func(e model.Entry) string) (addr string, err error) {
 	ln, err := net.Listen("tcp", LoopbackHost(AnyPort)+":0")
 	if err != nil {
@@ -241,11 +248,11 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/servers", func(w http.ResponseWriter, r *http.Request) { d.serve(w, r, router, address) })
-	opened := &door{listener: ln, server: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second,
+	opened := &routerListener{listener: ln, server: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second,
 		BaseContext: func(net.Listener) context.Context { return d.ctx },
 		ErrorLog:    slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}}
 	d.mu.Lock()
-	d.doors[ln.Addr().String()] = opened
+	d.listeners[ln.Addr().String()] = opened
 	d.mu.Unlock()
 	d.wg.Go(func() {
 		if err := opened.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !opened.retired.Load() {
@@ -255,11 +262,12 @@
 	return ln.Addr().String(), nil
 }
 
-// RetireListener has a door accept no new connection, and close those that are open after retiredDoorTime.
+// RetireListener closes a listener to new connections, and closes its open connections after
+// retiredListenerTimeout.
 func (d *Discovery) RetireListener(addr string) {
 	d.mu.Lock()
-	retired := d.doors[addr]
-	delete(d.doors, addr)
+	retired := d.listeners[addr]
+	delete(d.listeners, addr)
 	d.mu.Unlock()
 	if retired == nil {
 		return
@@ -268,7 +276,7 @@
 	retired.listener.Close()
 	d.wg.Go(func() {
 		select {
-		case <-time.After(retiredDoorTime):
+		case <-time.After(retiredListenerTimeout):
 		case <-d.ctx.Done():
 		}
 		retired.server.Close()
@@ -286,12 +294,12 @@
 		<-r.Context().Done()
 		return
 	}
-	wait, ok := d.queue(router, q.Get("after"))
+	wait, ok := d.queueDelay(router, q.Get("after"))
 	down := d.down
 	d.mu.Unlock()
 	if !down && wait > 0 {
 		select {
-		case <-time.After(ms(wait)):
+		case <-time.After(millis(wait)):
 		case <-r.Context().Done():
 			return
 		}
@@ -300,7 +308,7 @@
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 		return
 	}
-	l, ok := d.answer(w, r, router)
+	l, ok := d.listFor(w, r, router)
 	if !ok {
 		return
 	}
@@ -316,11 +324,12 @@
 	if _, err := w.Write(text); err != nil {
 		return
 	}
-	d.tell(router, l)
+	d.recordSent(router, l)
 }
 
-// answer is the list, or the changes to it, that a call is answered with. It is false where the call failed, which is answered.
-func (d *Discovery) answer(w http.ResponseWriter, r *http.Request, router string) (l model.List, ok bool) {
+// listFor returns the list, or the changes to it, for the answer to a call. If the call failed, it writes
+// the error to w and returns false.
+func (d *Discovery) listFor(w http.ResponseWriter, r *http.Request, router string) (l model.List, ok bool) {
 	q := r.URL.Query()
 	after := q.Get("after")
 	if after == "" {
@@ -338,25 +347,27 @@
 	return l, ok
 }
 
-// queue is how long a call waits for its turn. A call that continues a watch does not, where calls cost by lines. The caller holds mu.
-func (d *Discovery) queue(router, after string) (wait float64, ok bool) {
+// queueDelay returns how long a call waits for its answer, and false if it is rejected. Where the cost of a
+// call depends on its servers, a call that continues a watch does not wait. The caller holds mu.
+func (d *Discovery) queueDelay(router, after string) (wait float64, ok bool) {
 	now := d.clock.Now()
 	version, err := strconv.ParseInt(after, 10, 64)
-	if !d.d.HasCostPerServer() {
-		return d.d.Call(now)
+	if !d.directory.HasCostPerServer() {
+		return d.directory.Call(now)
 	}
 	if err != nil {
-		return d.d.CallFor(now, len(d.d.FullList().Servers))
+		return d.directory.CallFor(now, len(d.directory.FullList().Servers))
 	}
-	if last := d.toldTo[router]; last.version == version && now-last.at < watchContinuesMillis {
+	if last := d.sentVersions[router]; last.version == version && now-last.at < watchContinuesMillis {
 		return 0, true
 	}
-	return d.d.CallFor(now, len(d.d.ChangesAfter(version).Servers))
+	return d.directory.CallFor(now, len(d.directory.ChangesAfter(version).Servers))
 }
 
-// watch waits for what is newer than a version.
+// watch waits up to patience milliseconds for changes after a version. It returns false if the watch
+// gets no answer.
 func (d *Discovery) watch(ctx context.Context, router string, version int64, patience float64) (model.List, bool) {
-	over := time.NewTimer(ms(patience))
+	over := time.NewTimer(millis(patience))
 	defer over.Stop()
 	waitEndAt := d.clock.Now() + patience
 	d.mu.Lock()
@@ -364,7 +375,7 @@
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		l, changed, down := d.d.ChangesAfter(version), d.changed, d.down
+		l, changed, down := d.directory.ChangesAfter(version), d.changed, d.down
 		d.mu.Unlock()
 		if down {
 			return l, false
@@ -378,7 +389,8 @@
 			return l, true
 		case <-silence:
 			now := d.clock.Now()
-			d.journal.Add(checker.Event{At: now, Kind: checker.WatchSilent, Router: router, Deadline: max(0, waitEndAt-now)})
+			d.journal.Add(checker.Event{At: now, Kind: checker.WatchSilent, Router: router,
+				Deadline: max(0, waitEndAt-now)})
 			<-ctx.Done()
 			return l, false
 		case <-ctx.Done():
@@ -387,13 +399,13 @@
 	}
 }
 
-// Close ends discovery and waits for all that it started.
+// Close stops discovery and waits for its goroutines.
 func (d *Discovery) Close() {
 	d.cancel()
 	d.mu.Lock()
-	doors := d.doors
+	listeners := d.listeners
 	d.mu.Unlock()
-	for _, opened := range doors {
+	for _, opened := range listeners {
 		opened.server.Close()
 	}
 	d.wg.Wait()
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -18,7 +18,7 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-const patience = 20 * time.Second // for what must come; a test that passes does not wait for it
+const maxWait = 20 * time.Second // timeout for expected events; a test that passes does not wait for it
 
 type rig struct {
 	clock   *Clock
@@ -27,9 +27,10 @@
 
 func newRig() rig { return rig{NewClock(), checker.NewJournal(1 << 16)} }
 
-var quick = model.Params{Cores: 4, Speed: 1, Queue: 50, Memory: 16 << 20, KeyedMS: 1000}
+var fastModel = model.Params{Cores: 4, Speed: 1, Queue: 50, Memory: 16 << 20, KeyedMS: 1000}
 
-// server starts a stand-in whose requests are each a millisecond of work and 5 bytes long.
+// server starts a fake server. By default each request costs a millisecond of work and has a value of 5
+// bytes.
 func (r rig) server(t testing.TB, id string, p model.Params, o Options) *Server {
 	t.Helper()
 	o.ID, o.Model, o.Clock, o.Journal = id, p, r.clock, r.journal
@@ -44,7 +45,7 @@
 	return s
 }
 
-// peer is a plain connection.
+// peer is a client connection.
 type peer struct {
 	net.Conn
 	r *bufio.Reader
@@ -58,7 +59,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(maxWait)); err != nil {
 		t.Fatal(err)
 	}
 	return &peer{c, bufio.NewReader(c), t}
@@ -71,13 +72,13 @@
 	}
 }
 
-// line reads one line, or gives "closed".
+// line reads one line; it returns "closed" if the connection has ended.
 func (p *peer) line() string {
-	l, err := p.r.ReadString('\n')
+	text, err := p.r.ReadString('\n')
 	if err != nil {
 		return "closed"
 	}
-	return strings.TrimRight(l, "\r\n")
+	return strings.TrimRight(text, "\r\n")
 }
 
 func (p *peer) get(key, id string) string {
@@ -85,58 +86,58 @@
 	return p.line()
 }
 
-// until waits for an event of the journal.
-func (r rig) until(t testing.TB, what string, is func(checker.Event) bool) checker.Event {
+// waitForEvent waits for an event in the journal that matches.
+func (r rig) waitForEvent(t testing.TB, what string, matches func(checker.Event) bool) checker.Event {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		events, _ := r.journal.Events()
 		for _, e := range events {
-			if is(e) {
+			if matches(e) {
 				return e
 			}
 		}
 	}
-	t.Fatalf("no %s", what)
+	t.Fatalf("no %s was recorded", what)
 	panic("unreachable")
 }
 
-func TestMetaProtocol(t *testing.T) {
+func TestServerAnswersMetaCommands(t *testing.T) {
 	r := newRig()
-	s := r.server(t, "s1", quick, Options{Probes: true})
+	s := r.server(t, "s1", fastModel, Options{Probes: true})
 	p := connect(t, s.Addr())
 	p.send("mn\r\n")
 	if got := p.line(); got != "MN" {
-		t.Errorf("mn: %q", got)
+		t.Errorf("mn: got %q", got)
 	}
 	if got := p.get("k", "1"); got != "EN O1 h0" {
-		t.Errorf("a key not kept: %q", got)
+		t.Errorf("read of a missing key: got %q", got)
 	}
 	s.Store("k", 5)
 	if got := p.get("k", "2"); got != "VA 5 O2 h1" {
-		t.Errorf("a key kept: %q", got)
+		t.Errorf("read of a stored key: got %q", got)
 	}
 	if got := p.line(); got != "2 k s" {
-		t.Errorf("its value: %q", got)
+		t.Errorf("value of the stored key: got %q", got)
 	}
-	p.send("ms k 3 O3 Pc=put,d=500\r\nabc\r\n") // writes are the origin's
+	p.send("ms k 3 O3 Pc=put,d=500\r\nabc\r\n") // cache servers execute no writes
 	if got := p.line(); got != "EN O3" {
-		t.Errorf("a write: %q", got)
+		t.Errorf("write: got %q", got)
 	}
 	p.send("stats load\r\n")
 	if got := p.line(); !strings.HasPrefix(got, "STAT qps ") {
-		t.Errorf("stats: %q", got)
+		t.Errorf("stats load: got %q", got)
 	}
 	for p.line() != "END" {
 	}
 	p.send("mg k\r\n")
 	if got := p.line(); !strings.HasPrefix(got, "CLIENT_ERROR") || p.line() != "closed" {
-		t.Errorf("a bad command: %q", got)
+		t.Errorf("malformed command: got %q", got)
 	}
 }
 
-func TestAnswersComeInOrder(t *testing.T) {
+func TestPipelinedAnswersKeepRequestOrder(t *testing.T) {
 	r := newRig()
-	s := r.server(t, "s1", quick, Options{Work: func(id, _, _ string) (float64, int) {
+	s := r.server(t, "s1", fastModel, Options{Work: func(id, _, _ string) (float64, int) {
 		return map[string]float64{"1": 40}[id] + 1, 5
 	}})
 	s.Store("k", 5)
@@ -147,15 +148,15 @@
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
-	events, _ := r.journal.Events() // the second was begun beside the first, and over before it
+	events, _ := r.journal.Events() // the second request ran concurrently with the first, and ended before it
 	if events[2].Kind != checker.AttemptEnded || events[2].Request != "2" {
-		t.Errorf("got %+v", events)
+		t.Errorf("got events %+v", events)
 	}
 }
 
-func TestOriginInHTTP(t *testing.T) {
+func TestOriginAnswersHTTPAndDropsRepeats(t *testing.T) {
 	r := newRig()
-	p := quick
+	p := fastModel
 	p.Origin = true
 	s := r.server(t, "o", p, Options{})
 	do := func(method, key, id, facts, body string) (int, string) {
@@ -177,87 +178,87 @@
 		return resp.StatusCode, string(text)
 	}
 	if code, body := do("GET", "k", "1", "c=read,d=500", ""); code != 200 || body != "1 k o" {
-		t.Errorf("a read: %d %q", code, body)
+		t.Errorf("read: got %d %q", code, body)
 	}
-	for i, want := range []string{"w", "w"} { // the repeat has the same receipt, and ran once
+	for i, want := range []string{"w", "w"} { // the repeat gets the same receipt, and is not executed again
 		if code, body := do("PUT", "k", fmt.Sprint(2+i), "c=put,d=500,k=w", "abc"); code != 200 || body != want {
-			t.Errorf("a write: %d %q", code, body)
+			t.Errorf("write: got %d %q", code, body)
 		}
 	}
-	ran := 0
+	executed := 0
 	events, _ := r.journal.Events()
 	for _, e := range events {
 		if e.Kind == checker.EffectExecuted {
-			ran++
+			executed++
 		}
 	}
-	if ran != 1 {
-		t.Errorf("the keyed write ran %d times", ran)
+	if executed != 1 {
+		t.Errorf("the keyed write was executed %d times", executed)
 	}
 	s.SetFaults(Faults{Corruption: "busy", Share: 1})
 	if code, _ := do("GET", "k", "9", "c=read", ""); code != 503 {
-		t.Errorf("turned away: %d", code)
+		t.Errorf("rejected request: got status %d", code)
 	}
 	if code, _ := do("GET", "k", "", "c=read", ""); code != 400 {
-		t.Errorf("without an id: %d", code)
+		t.Errorf("request without an id: got status %d", code)
 	}
 }
 
-func TestSpoiltAnswers(t *testing.T) {
-	for _, spoil := range Corruptions {
-		t.Run(spoil, func(t *testing.T) {
+func TestEachCorruptionReachesTheClient(t *testing.T) {
+	for _, corruption := range Corruptions {
+		t.Run(corruption, func(t *testing.T) {
 			r := newRig()
-			s := r.server(t, "s1", quick, Options{})
+			s := r.server(t, "s1", fastModel, Options{})
 			s.Store("k", 5)
-			s.SetFaults(Faults{Corruption: spoil, Share: 1})
+			s.SetFaults(Faults{Corruption: corruption, Share: 1})
 			p := connect(t, s.Addr())
 			got := p.get("k", "1")
-			whole := got == "VA 5 O1 h1" && p.line() == "1 k s"
-			switch spoil {
+			isComplete := got == "VA 5 O1 h1" && p.line() == "1 k s"
+			switch corruption {
 			case "twice":
-				if !whole || p.line() != "VA 5 O1 h1" {
-					t.Errorf("no second copy behind %q", got)
+				if !isComplete || p.line() != "VA 5 O1 h1" {
+					t.Errorf("no second copy after %q", got)
 				}
 			case "busy":
 				if got != "SERVER_ERROR busy" {
 					t.Errorf("got %q", got)
 				}
 			case "cut", "reset", "endless":
-				if whole {
-					t.Errorf("whole: %q", got)
+				if isComplete {
+					t.Errorf("got a complete answer: %q", got)
 				}
 			default:
-				if whole || got == "closed" {
+				if isComplete || got == "closed" {
 					t.Errorf("got %q", got)
 				}
 			}
-			e := r.until(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded })
-			if want := map[bool]checker.End{true: checker.Rejected, false: checker.Completed}[spoil == "busy"]; e.End != want {
-				t.Errorf("it ended as %v", e.End)
+			e := r.waitForEvent(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded })
+			if want := map[bool]checker.End{true: checker.Rejected, false: checker.Completed}[corruption == "busy"]; e.End != want {
+				t.Errorf("the attempt ended as %v", e.End)
 			}
 		})
 	}
 }
 
-func TestGivingUpCancels(t *testing.T) {
+func TestClosedConnectionCancelsItsRequests(t *testing.T) {
 	r := newRig()
-	s := r.server(t, "s1", quick, Options{Work: func(string, string, string) (float64, int) { return 1e6, 5 }})
+	s := r.server(t, "s1", fastModel, Options{Work: func(string, string, string) (float64, int) { return 1e6, 5 }})
 	s.Store("k", 5)
 	p := connect(t, s.Addr())
 	p.send("mg k v O1 Pc=read\r\n")
-	r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived })
+	r.waitForEvent(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived })
 	p.Close()
-	if e := r.until(t, "end", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded }); e.End != checker.Dropped {
-		t.Errorf("ended as %v", e.End)
+	if e := r.waitForEvent(t, "end", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded }); e.End != checker.Dropped {
+		t.Errorf("the attempt ended as %v, want Dropped", e.End)
 	}
 	if held, _ := s.Load(); held != 0 {
-		t.Errorf("%d held", held)
+		t.Errorf("%d requests held after the close", held)
 	}
 }
 
-func TestDeathMidValueAndColdReturn(t *testing.T) {
+func TestKilledServerResetsConnectionsAndRestartsCold(t *testing.T) {
 	r := newRig()
-	p := quick
+	p := fastModel
 	p.ColdFrom, p.ColdMS = 0.3, 60000
 	s := r.server(t, "s1", p, Options{Work: func(string, string, string) (float64, int) { return 1, MaxValue }})
 	s.Store("k", MaxValue)
@@ -274,35 +275,35 @@
 		t.Errorf("%d further bytes, %v: want a reset", n, err)
 	}
 	if _, err := net.Dial("tcp", s.Addr()); err == nil || s.IsUp() {
-		t.Error("a dead server takes connections")
+		t.Error("a killed server accepts connections")
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	s.SetFaults(Faults{})
 	if got := connect(t, s.Addr()).get("k", "2"); got != "EN O2 h0" {
-		t.Errorf("after its return: %q", got)
+		t.Errorf("read after the restart: got %q", got)
 	}
 	if _, warmth := s.Load(); warmth > 0.9 {
-		t.Errorf("warmth %v after the return", warmth)
+		t.Errorf("warmth %v after the restart", warmth)
 	}
 }
 
-func TestSilenceEndsInAReset(t *testing.T) {
+func TestEndOfSilenceResetsConnections(t *testing.T) {
 	r := newRig()
-	s := r.server(t, "s1", quick, Options{})
+	s := r.server(t, "s1", fastModel, Options{})
 	p := connect(t, s.Addr())
 	p.get("k", "1")
 	s.SetFaults(Faults{Silent: true})
 	p.send("mg k v O2 Pc=read\r\n")
-	half := connect(t, s.Addr()) // it comes up, and nobody answers
-	half.send("mn\r\n")
-	if err := half.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+	unanswered := connect(t, s.Addr()) // it connects, and gets no answer
+	unanswered.send("mn\r\n")
+	if err := unanswered.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	var timeout net.Error
-	if _, err := half.r.ReadByte(); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("a silent server says something: %v", err)
+	if _, err := unanswered.r.ReadByte(); !errors.As(err, &timeout) || !timeout.Timeout() {
+		t.Errorf("read from a silent server: got %v, want a timeout", err)
 	}
 	s.SetFaults(Faults{})
 	if got := p.line(); got != "closed" {
@@ -310,53 +311,53 @@
 	}
 }
 
-func TestBoundsOnConnectionsAndIdleness(t *testing.T) {
+func TestConnectionLimitAndIdleTimeout(t *testing.T) {
 	r := newRig()
-	p := quick
+	p := fastModel
 	p.Conns = 1
 	s := r.server(t, "s1", p, Options{IdleMS: 80})
 	first := connect(t, s.Addr())
 	first.get("k", "1")
-	if c, err := net.Dial("tcp", s.Addr()); err == nil { // it may be reset before it is up
+	if c, err := net.Dial("tcp", s.Addr()); err == nil { // it may be reset before the dial returns
 		defer c.Close()
 		if got, err := bufio.NewReader(c).ReadString('\n'); err == nil {
-			t.Errorf("a connection over the bound: %q", got)
+			t.Errorf("a connection over the limit got %q", got)
 		}
 	}
 	if got := first.line(); got != "closed" {
-		t.Errorf("an idle one: %q", got)
+		t.Errorf("idle connection: got %q, want it closed", got)
 	}
 }
 
-func TestFallenServerStaysDown(t *testing.T) {
+func TestCollapsedServerStaysDown(t *testing.T) {
 	r := newRig()
-	p := quick
+	p := fastModel
 	p.ColdFrom, p.ColdMS, p.Queue, p.FallMultiple, p.FallForMS = 0.3, 60000, 10000, 3, 100
 	s := r.server(t, "s1", p, Options{Work: func(string, string, string) (float64, int) { return 100, 5 }})
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	c := connect(t, s.Addr())
-	for i := range 50 { // 3 x 1.2 x 100 ms = 360 of work in a window
+	for i := range 50 { // the budget of a window is 3 * 1.2 work/ms * 100 ms = 360
 		if _, err := fmt.Fprintf(c, "mg k v O%d Pc=read\r\n", i); err != nil {
-			break // it is down
+			break // the server is down
 		}
 	}
-	fall := r.until(t, "fall", func(e checker.Event) bool { return e.Kind == checker.ServerCollapsed })
-	if fall.Began != fall.At-100 {
-		t.Errorf("it counts what came since %v, and fell at %v", fall.Began, fall.At)
+	collapse := r.waitForEvent(t, "collapse", func(e checker.Event) bool { return e.Kind == checker.ServerCollapsed })
+	if collapse.Began != collapse.At-100 {
+		t.Errorf("the window began at %v, and the server collapsed at %v", collapse.Began, collapse.At)
 	}
-	if e := r.until(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived }); e.Work != 100 {
-		t.Errorf("an attempt's work is %v", e.Work)
+	if e := r.waitForEvent(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived }); e.Work != 100 {
+		t.Errorf("got work %v of an attempt, want 100", e.Work)
 	}
-	for end := time.Now().Add(patience); s.IsUp(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxWait); s.IsUp(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still up")
+			t.Fatal("the collapsed server is still up")
 		}
 	}
 }
 
-func TestDiscoveryListsWatchesAndFails(t *testing.T) {
+func TestDiscoveryAnswersListsAndWatchesUntilDown(t *testing.T) {
 	r := newRig()
 	d := NewDiscovery(model.DirectoryParams{}, 1, []model.Entry{{ID: "s1", Addr: "1.1.1.1:1", State: "active"}}, r.clock, r.journal)
 	t.Cleanup(d.Close)
@@ -364,53 +365,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := func(query string) (l model.List, code int) {
+	call := func(query string) (l model.List, code int) {
 		resp, err := http.Get("http://" + addr + "/v1/servers" + query)
 		if err != nil {
 			t.Error(err)
 			return l, 0
 		}
 		defer resp.Body.Close()
-		_ = json.NewDecoder(resp.Body).Decode(&l) // refusals are no JSON
+		_ = json.NewDecoder(resp.Body).Decode(&l) // errors are not JSON
 		return l, resp.StatusCode
 	}
-	if l, _ := ask(""); !l.Full || l.Servers[0].Addr != "via 1.1.1.1:1" {
-		t.Errorf("got %+v", l)
+	if l, _ := call(""); !l.Full || l.Servers[0].Addr != "via 1.1.1.1:1" {
+		t.Errorf("full list: got %+v", l)
 	}
-	if l, _ := ask("?after=1&wait_ms=1"); l.Full || len(l.Servers) != 0 || l.Version != 1 {
-		t.Errorf("nothing new: %+v", l)
+	if l, _ := call("?after=1&wait_ms=1"); l.Full || len(l.Servers) != 0 || l.Version != 1 {
+		t.Errorf("watch without changes: got %+v", l)
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		if l, _ := ask("?after=1&wait_ms=20000"); len(l.Servers) != 1 || l.Servers[0].State != "leaving" {
-			t.Errorf("a watch: %+v", l)
+		if l, _ := call("?after=1&wait_ms=20000"); len(l.Servers) != 1 || l.Servers[0].State != "leaving" {
+			t.Errorf("watch with a change: got %+v", l)
 		}
 	})
 	d.ScheduleChange(model.Entry{ID: "s1", State: "leaving"})
 	wg.Wait()
-	r.until(t, "word to the router", func(e checker.Event) bool {
+	r.waitForEvent(t, "state sent to the router", func(e checker.Event) bool {
 		return e.Kind == checker.ServerStateSent && e.State == "leaving" && e.Router == "r0"
 	})
 	wg.Go(func() {
-		if _, code := ask("?after=2&wait_ms=20000"); code != http.StatusServiceUnavailable {
-			t.Errorf("a watch when discovery goes down: %d", code)
+		if _, code := call("?after=2&wait_ms=20000"); code != http.StatusServiceUnavailable {
+			t.Errorf("watch when discovery goes down: got status %d", code)
 		}
 	})
 	d.SetDown(true)
 	wg.Wait()
 	d.SetDown(false)
 	d.Rewind(1)
-	if l, _ := ask("?after=2&wait_ms=20000"); !l.Full || l.Version != 1 {
-		t.Errorf("after the version went back: %+v", l)
+	if l, _ := call("?after=2&wait_ms=20000"); !l.Full || l.Version != 1 {
+		t.Errorf("call after a rewind: got %+v", l)
 	}
-	if _, code := ask("?after=x&wait_ms=1"); code != http.StatusBadRequest {
-		t.Errorf("a bad call: %d", code)
+	if _, code := call("?after=x&wait_ms=1"); code != http.StatusBadRequest {
+		t.Errorf("malformed call: got status %d", code)
 	}
 }
 
-func TestRelay(t *testing.T) {
+func TestRelayHoldsCutsAndDelaysTraffic(t *testing.T) {
 	r := newRig()
-	s := r.server(t, "s1", quick, Options{})
+	s := r.server(t, "s1", fastModel, Options{})
 	relay, err := NewRelay(s.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -420,44 +421,46 @@
 	if got := p.get("k", "1"); got != "EN O1 h0" {
 		t.Errorf("got %q", got)
 	}
-	relay.SetConditions(NetworkConditions{HoldFromTarget: true}) // it arrives, and the answer does not come back
+	relay.SetConditions(NetworkConditions{HoldFromTarget: true}) // the request arrives, and its answer is held back
 	p.send("mg k v O2 Pc=read\r\n")
-	r.until(t, "attempt behind a one-way partition", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded && e.Request == "2" })
+	r.waitForEvent(t, "attempt behind a one-way partition", func(e checker.Event) bool {
+		return e.Kind == checker.AttemptEnded && e.Request == "2"
+	})
 	relay.SetConditions(NetworkConditions{})
 	if got := p.line(); got != "EN O2 h0" {
-		t.Errorf("once it has healed: %q", got)
+		t.Errorf("after the partition: got %q", got)
 	}
 	relay.SetConditions(NetworkConditions{HoldToTarget: true})
 	p.send("mg k v O3 Pc=read\r\n")
 	relay.SetConditions(NetworkConditions{Cut: true})
-	// The reset may come before the dialler has looked whether it is connected: the dial fails then.
+	// The reset may arrive before the dial has completed: the dial fails then.
 	if c, err := net.Dial("tcp", relay.Addr()); err == nil {
-		fresh := &peer{c, bufio.NewReader(c), t}
-		if got := fresh.line(); got != "closed" {
-			t.Errorf("a new connection over a cut: %q", got)
+		refused := &peer{c, bufio.NewReader(c), t}
+		if got := refused.line(); got != "closed" {
+			t.Errorf("new connection during a cut: got %q", got)
 		}
 		c.Close()
 	} else if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a new connection over a cut: %v", err)
+		t.Errorf("new connection during a cut: got %v", err)
 	}
-	relay.SetConditions(NetworkConditions{}) // resets what lived through it
+	relay.SetConditions(NetworkConditions{}) // resets the connections open during the cut
 	if got := p.line(); got != "closed" {
-		t.Errorf("after the cut: %q", got)
+		t.Errorf("connection after the cut: got %q", got)
 	}
 	events, _ := r.journal.Events()
 	for _, e := range events {
 		if e.Request == "3" {
-			t.Error("what was held back arrived")
+			t.Error("a request that was held back arrived")
 		}
 	}
 	relay.SetConditions(NetworkConditions{DelayMS: 30})
 	began := r.clock.Now()
 	if got := connect(t, relay.Addr()).get("k", "4"); got != "EN O4 h0" || r.clock.Now()-began < 60 {
-		t.Errorf("a delay of 30 ms each way: %q after %.0f ms", got, r.clock.Now()-began)
+		t.Errorf("delay of 30 ms each way: got %q after %.0f ms", got, r.clock.Now()-began)
 	}
 }
 
-func TestFrontNoticesLate(t *testing.T) {
+func TestFrontNoticesRouterDeathLate(t *testing.T) {
 	f := NewFront(NewClock())
 	if _, _, err := f.Pick(""); !errors.Is(err, ErrNoRouter) {
 		t.Error(err)
@@ -466,19 +469,19 @@
 	f.AddRouter("r1", "b", "x:1")
 	for range 4 {
 		if name, _, _ := f.Pick("b"); name != "r1" {
-			t.Errorf("a client of zone b is dealt to %s", name)
+			t.Errorf("a client of zone b got router %s", name)
 		}
 	}
 	f.ReportRouterDeath("r1", 1e6)
 	if name, _, _ := f.Pick("b"); name != "r1" {
-		t.Errorf("noticed at once: %s", name)
+		t.Errorf("the death was noticed at once: got router %s", name)
 	}
 	f.ReportRouterDeath("r1", -1)
 	if name, _, _ := f.Pick("b"); name != "r0" {
-		t.Errorf("not noticed: %s", name)
+		t.Errorf("the death was not noticed: got router %s", name)
 	}
 	f.AddRouter("r1", "b", "x:2")
 	if _, addr, _ := f.Pick("b"); addr != "x:2" {
-		t.Errorf("back at %s", addr)
+		t.Errorf("the restarted router has address %s", addr)
 	}
 }
--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -5,30 +5,30 @@
 	"sync"
 )
 
-// Front deals out clients' connections over routers in turn, those of the client's zone first, and
-// notices late that a router has died.
+// Front distributes clients' connections over routers round robin, those of the client's zone first. It
+// notices the death of a router late. Its methods may be called concurrently.
 type Front struct {
 	clock *Clock
 
-	mu      sync.Mutex
-	routers []*fronted
-	turn    int
+	mu        sync.Mutex
+	routers   []*frontRouter
+	nextIndex int
 }
 
-type fronted struct {
+type frontRouter struct {
 	name, zone, addr string
-	from, until      float64 // when it is used; until is when its death is noticed
-	isEnding         bool    // it was told to end, and clients go on using the connections that they have
+	from, usedUntil  float64 // the time in which it is used; usedUntil is when its death is noticed
+	isEnding         bool    // it is shutting down, and clients go on using their open connections
 }
 
-// EndingRouter is a router that was told to end.
+// EndingRouter is a router that is shutting down.
 type EndingRouter struct {
 	Name, Addr string
-	// Share is that of the requests that its clients have.
+	// Share is the share of all requests that come from its clients.
 	Share float64
 }
 
-// ErrNoRouter tells that no router is known to live.
+// ErrNoRouter is returned when no router is in use.
 var ErrNoRouter = errors.New("no router")
 
 const forever = 1e18
@@ -36,32 +36,33 @@
 // NewFront returns a front without routers.
 func NewFront(clock *Clock) *Front { return &Front{clock: clock} }
 
-// AddRouter has a router used from now on.
+// AddRouter adds a router, or updates the one with that name, for use from now on.
 func (f *Front) AddRouter(name, zone, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
 		if r.name == name {
-			r.zone, r.addr, r.until, r.isEnding = zone, addr, forever, false
+			r.zone, r.addr, r.usedUntil, r.isEnding = zone, addr, forever, false
 			return
 		}
 	}
-	f.routers = append(f.routers, &fronted{name: name, zone: zone, addr: addr, from: f.clock.Now(), until: forever})
+	f.routers = append(f.routers, &frontRouter{name: name, zone: zone, addr: addr,
+		from: f.clock.Now(), usedUntil: forever})
 }
 
-// ReportRouterDeath tells that a router has died, which is noticed noticeMS later.
+// ReportRouterDeath reports that a router died. The front notices it noticeMS later.
 func (f *Front) ReportRouterDeath(name string, noticeMS float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.routers {
 		if r.name == name {
-			r.until = f.clock.Now() + noticeMS
+			r.usedUntil = f.clock.Now() + noticeMS
 		}
 	}
 }
 
-// ReportRouterEnding tells that a router was told to end: new connections go on coming for noticeMS, and clients
-// use those that they have for as long as they stay open.
+// ReportRouterEnding reports that a router is shutting down. It gets new connections for noticeMS more,
+// and clients use their connections to it for as long as these stay open.
 func (f *Front) ReportRouterEnding(name string, noticeMS float64) {
 	f.ReportRouterDeath(name, noticeMS)
 	f.mu.Lock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// EndingRouters lists the routers that were told to end and have not come back.
+// EndingRouters returns the routers that are shutting down and were not added again.
 func (f *Front) EndingRouters() (all []EndingRouter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,15 +86,17 @@
 	return all
 }
 
-// Pick chooses a router for a client of a zone.
+// Pick returns a router for a client of a zone, from another zone if the client's has none. It returns
+// ErrNoRouter if none is in use.
 func (f *Front) Pick(zone string) (name, addr string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
-	for _, any := range []bool{false, true} {
+	for _, anyZone := range []bool{false, true} {
 		for range f.routers {
-			f.turn++
-			if r := f.routers[f.turn%len(f.routers)]; now < r.until && (any || zone == "" || r.zone == zone) {
+			f.nextIndex++
+			if r := f.routers[f.nextIndex%len(f.routers)]; now < r.usedUntil &&
+				(anyZone || zone == "" || r.zone == zone) {
 				return r.name, r.addr, nil
 			}
 		}
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -10,16 +10,17 @@
 	"dockhinge.example/dockhinge/internal/coord/clock"
 )
 
-// NetworkConditions is how the network between two parties behaves.
+// NetworkConditions describes the behavior of the network between two endpoints.
 type NetworkConditions struct {
-	DelayMS        float64 // one way
-	HoldToTarget   bool    // what goes to the server is held back, as by a partition one way
-	HoldFromTarget bool    // what comes from it is
-	Cut            bool    // both, and new connections are reset at once
-	BytesPerS      float64 // in each direction; 0 = no bound
+	DelayMS        float64 // delay in each direction
+	HoldToTarget   bool    // data to the target is held back, as in a one-way partition
+	HoldFromTarget bool    // data from the target is held back
+	Cut            bool    // data in both directions is held back, and new connections are reset at once
+	BytesPerS      float64 // rate in each direction; 0 = no limit
 }
 
-// Relay is a stretch of network that the lab owns: a byte relay between whoever connects and a target.
+// Relay forwards bytes between the clients that connect to it and a target, under network conditions
+// that the lab sets.
 type Relay struct {
 	ln     net.Listener
 	target func() string
@@ -27,43 +28,44 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	net     NetworkConditions
-	changed chan struct{}
-	pairs   map[*pair]struct{}
+	mu         sync.Mutex
+	conditions NetworkConditions
+	changed    chan struct{}
+	pairs      map[*connPair]struct{}
 }
 
-type pair struct{ near, far net.Conn }
+type connPair struct{ client, target net.Conn }
 
-// relayChunks bounds what is under way in one direction of a connection, in chunks of up to 32 KiB.
+// relayChunks limits the chunks of up to 32 KiB in transit in one direction of a connection.
 const relayChunks = 32
 
-// NewRelay starts a relay to a target. Close ends it.
+// NewRelay starts a relay to a target. Close stops it.
 func NewRelay(target func() string) (*Relay, error) {
 	ln, err := net.Listen("tcp", LoopbackHost(AnyPort)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{ln: ln, target: target, changed: make(chan struct{}), pairs: map[*pair]struct{}{}}
+	r := &Relay{ln: ln, target: target, changed: make(chan struct{}), pairs: map[*connPair]struct{}{}}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	r.wg.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// SetConditions changes how the network behaves. The end of a cut resets the connections that lived through it.
+// SetConditions replaces the network conditions. When a cut ends, the connections that were open during
+// it are reset.
 func (r *Relay) SetConditions(n NetworkConditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.net.Cut && !n.Cut {
+	if r.conditions.Cut && !n.Cut {
 		for p := range r.pairs {
-			reset(p.near)
-			reset(p.far)
+			reset(p.client)
+			reset(p.target)
 		}
 	}
-	r.net = n
+	r.conditions = n
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -71,30 +73,30 @@
 func (r *Relay) state() (NetworkConditions, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.net, r.changed
+	return r.conditions, r.changed
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.ln.Accept()
+		client, err := r.ln.Accept()
 		if err != nil {
 			return
 		}
-		r.wg.Go(func() { r.serve(near) })
+		r.wg.Go(func() { r.serve(client) })
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
-	defer reset(near)
+func (r *Relay) serve(client net.Conn) {
+	defer reset(client)
 	if n, _ := r.state(); n.Cut {
 		return
 	}
-	far, err := (&net.Dialer{Timeout: 5 * time.Second}).DialContext(r.ctx, "tcp", r.target())
+	target, err := (&net.Dialer{Timeout: 5 * time.Second}).DialContext(r.ctx, "tcp", r.target())
 	if err != nil {
 		return
 	}
-	defer reset(far)
-	p := &pair{near, far}
+	defer reset(target)
+	p := &connPair{client, target}
 	r.mu.Lock()
 	r.pairs[p] = struct{}{}
 	r.mu.Unlock()
@@ -105,21 +107,21 @@
 	}()
 	ctx, end := context.WithCancel(r.ctx)
 	defer end()
-	stop := context.AfterFunc(ctx, func() { near.Close(); far.Close() })
+	stop := context.AfterFunc(ctx, func() { client.Close(); target.Close() })
 	defer stop()
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		r.copy(ctx, far, near, func(n NetworkConditions) bool { return n.Cut || n.HoldToTarget })
-		closeWrite(far)
+		r.copy(ctx, target, client, func(n NetworkConditions) bool { return n.Cut || n.HoldToTarget })
+		closeWrite(target)
 	})
 	wg.Go(func() {
-		r.copy(ctx, near, far, func(n NetworkConditions) bool { return n.Cut || n.HoldFromTarget })
+		r.copy(ctx, client, target, func(n NetworkConditions) bool { return n.Cut || n.HoldFromTarget })
 		end()
 	})
 	wg.Wait()
 }
 
-// closeWrite passes on that one side has no more to say: to a server that is how an attempt is given up.
+// closeWrite forwards the end of one side's data: to a server it means that an attempt is canceled.
 func closeWrite(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
@@ -128,10 +130,10 @@
 
 type chunk struct {
 	due  time.Time
-	text []byte
+	data []byte
 }
 
-// copy carries bytes from one side to the other, late, slowly or not at all, as the network has it.
+// copy forwards bytes in one direction under the current network conditions.
 func (r *Relay) copy(ctx context.Context, to, from net.Conn, held func(NetworkConditions) bool) {
 	chunks := make(chan chunk, relayChunks)
 	var wg sync.WaitGroup
@@ -144,7 +146,7 @@
 			if n > 0 {
 				net, _ := r.state()
 				select {
-				case chunks <- chunk{time.Now().Add(ms(net.DelayMS)), b[:n]}:
+				case chunks <- chunk{time.Now().Add(millis(net.DelayMS)), b[:n]}:
 				case <-ctx.Done():
 					return
 				}
@@ -155,7 +157,7 @@
 		}
 	})
 	for c := range chunks {
-		if !r.pass(ctx, to, c, held) {
+		if !r.deliver(ctx, to, c, held) {
 			from.Close() // ends the reader
 			for range chunks {
 			}
@@ -164,8 +166,9 @@
 	}
 }
 
-// pass writes one chunk when its time has come and nothing holds it back.
-func (r *Relay) pass(ctx context.Context, to net.Conn, c chunk, held func(NetworkConditions) bool) bool {
+// deliver writes one chunk after its delay, once data is not held back. It returns false when the
+// connection has ended.
+func (r *Relay) deliver(ctx context.Context, to net.Conn, c chunk, held func(NetworkConditions) bool) bool {
 	for {
 		n, changed := r.state()
 		if held(n) {
@@ -179,15 +182,15 @@
 		if wait := time.Until(c.due); wait > 0 && !clock.Sleep(ctx, wait) {
 			return false
 		}
-		if n.BytesPerS > 0 && !clock.Sleep(ctx, time.Duration(float64(len(c.text))/n.BytesPerS*float64(time.Second))) {
+		if n.BytesPerS > 0 && !clock.Sleep(ctx, time.Duration(float64(len(c.data))/n.BytesPerS*float64(time.Second))) {
 			return false
 		}
-		_, err := to.Write(c.text)
+		_, err := to.Write(c.data)
 		return err == nil
 	}
 }
 
-// Close ends the relay and waits for all that it started.
+// Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.cancel()
 	r.ln.Close()
--- a/lab/fakes/silent_watch_test.go
+++ b/lab/fakes/silent_watch_test.go
@@ -10,9 +10,9 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// A watch that falls silent is never answered, and the referee is told of it and of what the list has meanwhile; the next call is
-// answered at once.
-func TestWatchesFallSilent(t *testing.T) {
+// A silenced watch is never answered. The journal has the silence and the changes of the list during it,
+// and the next call is answered at once.
+func TestSilencedWatchIsNeverAnswered(t *testing.T) {
 	r := newRig()
 	s1 := model.Entry{ID: "s1", Addr: "x", State: "active"}
 	d := NewDiscovery(model.DirectoryParams{}, 1, []model.Entry{s1}, r.clock, r.journal)
@@ -24,7 +24,7 @@
 	url := "http://" + addr + "/v1/servers"
 	watch := connect(t, addr)
 	watch.send("GET /v1/servers?after=1&wait_ms=60000 HTTP/1.1\r\nHost: d\r\n\r\n")
-	r.until(t, "call", func(e checker.Event) bool { return e.Kind == checker.ListCalled && e.Router == "r0" })
+	r.waitForEvent(t, "call", func(e checker.Event) bool { return e.Kind == checker.ListCalled && e.Router == "r0" })
 	var silent checker.Event
 	for silent.Kind != checker.WatchSilent { // the watch may not be open yet
 		d.SilenceWatches()
@@ -33,11 +33,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	if silent.Router != "r0" || silent.Deadline <= 0 || silent.Deadline > 60000 {
-		t.Errorf("%+v", silent)
+		t.Errorf("got event %+v", silent)
 	}
 	s1.State = "leaving"
 	d.ScheduleChange(s1)
-	r.until(t, "change of the list", func(e checker.Event) bool {
+	r.waitForEvent(t, "change of the list", func(e checker.Event) bool {
 		return e.Kind == checker.ServerStateListed && e.Server == "s1" && e.State == "leaving"
 	})
 	resp, err := http.Get(url + "?after=1&wait_ms=60000")
@@ -47,7 +47,7 @@
 	defer resp.Body.Close()
 	var l model.List
 	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil || len(l.Servers) != 1 {
-		t.Errorf("the call after it: %+v, %v", l, err)
+		t.Errorf("next call: got list %+v, error %v", l, err)
 	}
 	if err := watch.SetReadDeadline(time.Now().Add(10 * time.Millisecond)); err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 	}
 }
 
-// The referee is told when discovery can't be reached, once for each change.
-func TestDiscoveryBooksThatItIsDown(t *testing.T) {
+// The journal has one event for each time that discovery becomes unreachable or reachable.
+func TestDiscoveryOutageIsRecordedOnce(t *testing.T) {
 	r := newRig()
 	d := NewDiscovery(model.DirectoryParams{}, 1, nil, r.clock, r.journal)
 	t.Cleanup(d.Close)
@@ -67,6 +67,6 @@
 	}
 	events, _ := r.journal.Events()
 	if len(events) != 2 || events[0].Kind != checker.DiscoveryDown || events[1].Kind != checker.DiscoveryUp {
-		t.Errorf("%+v", events)
+		t.Errorf("got events %+v", events)
 	}
 }
--- a/lab/fakes/timeout_hint_test.go
+++ b/lab/fakes/timeout_hint_test.go
@@ -7,11 +7,11 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// What an attempt tells its server of its timeout stands in the journal, from a cache server as from the origin.
+// Cache servers and the origin record the timeout hint of each attempt.
 func TestServersRecordTimeoutHints(t *testing.T) {
 	r := newRig()
-	cache := r.server(t, "s1", quick, Options{})
-	originModel := quick
+	cache := r.server(t, "s1", fastModel, Options{})
+	originModel := fastModel
 	originModel.Origin = true
 	origin := r.server(t, "o", originModel, Options{})
 	connect(t, cache.Addr()).send("mg k v Ocached Pc=read,d=480\r\n")
@@ -23,7 +23,7 @@
 		"cached": {Millis: 480, IsPresent: true}, "silent": {}, "spoilt": {},
 		"fetched": {Millis: 123.5, IsPresent: true}, "written": {Millis: 77, IsPresent: true},
 	} {
-		e := r.until(t, fmt.Sprintf("attempt of request %s", id), func(e checker.Event) bool {
+		e := r.waitForEvent(t, fmt.Sprintf("attempt of request %s", id), func(e checker.Event) bool {
 			return e.Kind == checker.AttemptReceived && e.Request == id
 		})
 		if e.TimeoutHint != want {
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/told_start_test.go
@@ -9,8 +9,9 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// The referee is told when a server started, as the list says it: with the change, with each answer, and with what a configuration tells.
-func TestStartsOfServersAreTold(t *testing.T) {
+// The journal has the start time of a server as on the list: with the change of the list, with each
+// answer to a router, and with the list in a router's configuration.
+func TestServerStartsAreRecordedWithTheList(t *testing.T) {
 	const startedAt = 5.0
 	r := newRig()
 	d := NewDiscovery(model.DirectoryParams{}, 1, nil, r.clock, r.journal)
@@ -20,18 +21,22 @@
 		t.Fatal(err)
 	}
 	d.ScheduleChange(model.Entry{ID: "s1", State: "active", Started: r.clock.Unix(startedAt)})
-	listed := r.until(t, "change of the list", func(e checker.Event) bool { return e.Kind == checker.ServerStateListed })
+	listed := r.waitForEvent(t, "change of the list", func(e checker.Event) bool { return e.Kind == checker.ServerStateListed })
 	resp, err := http.Get("http://" + addr + "/v1/servers")
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	asked := r.until(t, "word to who asks", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "asks" })
+	asked := r.waitForEvent(t, "state sent to the calling router", func(e checker.Event) bool {
+		return e.Kind == checker.ServerStateSent && e.Router == "asks"
+	})
 	d.RecordConfiguredList("configured")
-	known := r.until(t, "word by configuration", func(e checker.Event) bool { return e.Kind == checker.ServerStateSent && e.Router == "configured" })
+	known := r.waitForEvent(t, "state sent with the configuration", func(e checker.Event) bool {
+		return e.Kind == checker.ServerStateSent && e.Router == "configured"
+	})
 	for _, e := range []checker.Event{listed, asked, known} {
 		if e.Server != "s1" || math.Abs(e.ServerStartedAt-startedAt) > 0.01 {
-			t.Errorf("%+v", e)
+			t.Errorf("got event %+v, want the start of s1 at %v", e, startedAt)
 		}
 	}
 }
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -61,7 +61,7 @@
 	// DisconnectMS, and does not retry.
 	DisconnectShare float64              `toml:"disconnect_share"`
 	DisconnectMS    [2]float64           `toml:"disconnect_ms"` // range, uniformly distributed
-	LateMS          float64              `toml:"late_ms"`       // delay after the intended time that makes a request late;
+	LateMS          float64              `toml:"late_ms"`       // delay of a send that makes a request late;
 	LateShare       float64              `toml:"late_share"`    // a larger share of late ones makes the run invalid
 	Classes         []Class              `toml:"-"`             // the scenario's
 	Zones           []Zone               `toml:"-"`             // zones of the clients; none = any router
