--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -41,12 +41,12 @@
 			if err != nil {
 				return err
 			}
-			o := fleet.AgreeOptions{Coord: []string{filepath.Join(dir, "dockhinge-coord")}, Lab: []string{filepath.Join(dir, "dockhinge-lab")}}
+			o := fleet.CoordinatorOptions{CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, LabCommand: []string{filepath.Join(dir, "dockhinge-lab")}}
 			if mutant != "" {
 				o.Env = []string{"DOCKHINGE_MUTANT=" + mutant}
 			}
 			if say {
-				o.Say = func(form string, v ...any) { fmt.Printf(form+"\n", v...) }
+				o.Logf = func(form string, v ...any) { fmt.Printf(form+"\n", v...) }
 			}
 			var mu sync.Mutex
 			var wg sync.WaitGroup
@@ -78,7 +78,7 @@
 						fmt.Fprintln(os.Stderr, err)
 						return
 					}
-					res, err := fleet.Agree(ctx, g, p)
+					res, err := fleet.RunLeaseFaults(ctx, g, p)
 					mu.Lock()
 					defer mu.Unlock()
 					if ctx.Err() != nil {
@@ -88,24 +88,24 @@
 					if err != nil {
 						res.Failures = append(res.Failures, err.Error())
 					}
-					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Ops, acts+res.Acts,
+					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims, ops+res.Operations, acts+res.Acts,
 						refused+res.Refused, grants+res.Grants, undecided+len(res.Undecided)
-					healed = max(healed, res.HealedS)
-					for _, b := range res.Broken {
+					healed = max(healed, res.RecoverySeconds)
+					for _, b := range res.Breaches {
 						kinds[b.Rule]++
 					}
 					if len(res.Failures) > 0 {
 						bad++
-						if len(res.Broken) > 0 {
+						if len(res.Breaches) > 0 {
 							foundBy = append(foundBy, seed)
 						}
 						fmt.Printf("seed %d: %s\n", seed, strings.Join(res.Failures, "; "))
-						if first && len(res.Broken) > 0 {
+						if first && len(res.Breaches) > 0 {
 							stop()
 						}
 					} else if !say {
 						fmt.Fprintf(os.Stderr, "seed %d: %d faults, %d grants, %d claims, %d acts (%d refused), healed after %.1f s, undecided %v\n", seed,
-							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused, res.HealedS, res.Undecided)
+							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused, res.RecoverySeconds, res.Undecided)
 					}
 					if logs == "" && (len(res.Failures) == 0 || mutant != "") {
 						os.RemoveAll(p.Dir)
@@ -180,11 +180,13 @@
 			if err := json.Unmarshal(text, &cfg); err != nil {
 				return err
 			}
-			return fleet.Holder(cmd.Context(), cfg)
+			return fleet.RunHolder(cmd.Context(), cfg)
 		}}
 }
 
 func resourceCommand() *cobra.Command {
 	return &cobra.Command{Use: "resource ADDR LOG", Short: "What the rig's holders act on", Args: cobra.ExactArgs(2), Hidden: true,
-		RunE: func(cmd *cobra.Command, args []string) error { return fleet.Resource(cmd.Context(), args[0], args[1]) }}
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return fleet.RunResource(cmd.Context(), args[0], args[1])
+		}}
 }
--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -105,13 +105,13 @@
 		}
 		fmt.Println("logs in", dir)
 	}
-	return fleet.Run(ctx, f, fleet.Options{Command: command, Coord: coordCommand(), Dir: dir, Progress: progress,
-		Say: func(form string, v ...any) { fmt.Printf(form+"\n", v...) }})
+	return fleet.Run(ctx, f, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, Progress: progress,
+		Logf: func(form string, v ...any) { fmt.Printf(form+"\n", v...) }})
 }
 
 // line prints one second of a run.
 func line(n load.ProgressReport, fl *fleet.Fleet) {
-	up, all := fl.Up()
+	up, all := fl.CountServers()
 	gain := 0.0
 	if n.Worth > 0 {
 		gain = n.Gained / n.Worth
@@ -158,7 +158,7 @@
 	res, err := play(ctx, f, c, command, func(n load.ProgressReport, fl *fleet.Fleet) {
 		if !shown {
 			shown = true
-			fmt.Println(strings.Join(fl.Routers(), "\n"))
+			fmt.Println(strings.Join(fl.RouterAddresses(), "\n"))
 		}
 		if n.Second > 1 {
 			line(n, fl)
--- a/internal/coord/document.go
+++ b/internal/coord/document.go
@@ -18,8 +18,8 @@
 )
 
 // recoveryRevisionGap is how much the revision rises after the permanent loss of a majority: above
-// every change that the lost coordinators may have committed. Without the gap a watcher could already
-// hold a lost change and never receive the new change with the same revision.
+// every change that the lost coordinators may have committed. Without the gap a watcher could
+// already hold a lost change and never receive the new change with the same revision.
 const recoveryRevisionGap = 1 << 32
 
 const documentNameCharacters = "abcdefghijklmnopqrstuvwxyz" + "ABCDEFGHIJKLMNOPQRSTUVWXYZ" + "0123456789" + ".-_/"
@@ -37,8 +37,8 @@
 	return watchlog.NewLog(watchlog.Limits{Changes: HistoryLimit(), Bytes: MaxHistoryBytes})
 }
 
-// CheckDocumentName returns an error unless the name is 1 to MaxNameBytes letters, digits, dots, dashes,
-// underscores and slashes.
+// CheckDocumentName returns an error unless the name is 1 to MaxNameBytes letters, digits, dots,
+// dashes, underscores and slashes.
 func CheckDocumentName(name string) error {
 	if problem := checkName("name", name); problem != "" {
 		return errors.New(problem)
@@ -54,8 +54,8 @@
 	return s.Documents.NewestRevision()
 }
 
-// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or a
-// snapshot if they are compacted.
+// ChangesAfter returns the changes after a revision for a watcher (see watchlog.Log.ReadAfter), or
+// a snapshot if they are compacted.
 func (s *State) ChangesAfter(revision uint64, prefix string, maxBytes int) (watchlog.Batch, error) {
 	if revision < s.Documents.CompactedRevision() {
 		return s.Documents.Snapshot(prefix), nil
@@ -65,15 +65,15 @@
 
 // putDocument executes a change of a document.
 func (s *State) putDocument(c Command) Response {
-	if response, awaits := s.AwaitsUpgrade(c); awaits {
+	if response, isRequired := s.RequiresUpgrade(c); isRequired {
 		return response
 	}
 	put := c.Document
 	if put == nil {
-		return invalid("document: empty")
+		return invalidResponse("document: empty")
 	}
 	if err := put.check(); err != nil {
-		return invalid("%v", err)
+		return invalidResponse("%v", err)
 	}
 	current, exists := s.Documents.Document(put.Name)
 	if current.Revision != put.Expected {
@@ -82,7 +82,7 @@
 		return Response{Code: CodeConflict, Revision: current.Revision, Text: text}
 	}
 	if put.Delete && !exists {
-		return invalid("document %s: there is none", put.Name)
+		return invalidResponse("document %s: there is none", put.Name)
 	}
 	change := watchlog.Change{
 		Revision: s.Documents.NewestRevision() + 1,
@@ -95,7 +95,7 @@
 		return Response{Code: CodeLimitReached, Text: limit}
 	}
 	if err := s.Documents.Append(change); err != nil {
-		return invalid("%v", err)
+		return invalidResponse("%v", err)
 	}
 	s.documentBytes += growth
 	return Response{Code: CodeOK, Revision: change.Revision}
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// maxPollDuration limits a long poll. It is short, so that an observer knows how old its state is.
+	// maxPollDuration limits a long poll. It is short, so that an observer knows how old its state
+	// is.
 	maxPollDuration = time.Second
 
 	// maxChangesBytes limits the changes in one response, except for a snapshot.
 	maxChangesBytes = 256 << 10
 )
 
-// Changes waits until there are changes of documents after a revision or ctx ends, and returns them.
-// Any coordinator responds from its own state, so observers don't load the leader more than other
-// coordinators. The error may be a watchlog.BehindError, a protocol.Rejection, ErrNotLeader or a
-// LimitError.
-func (n *Node) Changes(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
+// WaitForChanges waits until there are changes of documents after a revision or ctx ends, and
+// returns them. Any coordinator responds from its own state, so observers don't load the leader
+// more than other coordinators. The error may be a watchlog.BehindError, a protocol.Rejection,
+// ErrNotLeader or a LimitError.
+func (n *Node) WaitForChanges(ctx context.Context, after uint64, prefix string) (protocol.Update, error) {
 	err := n.watch(ctx, documentsWatchKey, func(s *coord.State) bool { return s.Revision() > after })
 	if err != nil {
 		return protocol.Update{}, err
@@ -45,8 +46,9 @@
 	return protocol.Update{Batch: batch, Newest: newest, AgeMillis: age.Milliseconds()}, err
 }
 
-// stateAge returns an upper bound on how long ago this coordinator's state was complete: 0 at a leader
-// that a majority confirms, and the time since the last contact with the leader at a follower.
+// stateAge returns an upper bound on how long ago this coordinator's state was complete: 0 at a
+// leader that a majority confirms, and the time since the last contact with the leader at a
+// follower.
 func (n *Node) stateAge() (time.Duration, error) {
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
@@ -71,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxPollDuration)
 	defer cancel()
-	update, err := n.Changes(ctx, after, r.URL.Query().Get("prefix"))
+	update, err := n.WaitForChanges(ctx, after, r.URL.Query().Get("prefix"))
 	var behind *watchlog.BehindError
 	var rejection *protocol.Rejection
 	switch {
--- a/internal/coord/node/store.go
+++ b/internal/coord/node/store.go
@@ -30,8 +30,8 @@
 	unsyncedEntries = 50
 )
 
-// diskStore stores the log and the votes in one file, each entry and value with a checksum: otherwise a
-// bit flipped on disk would be replicated.
+// diskStore stores the log and the votes in one file, each entry and value with a checksum:
+// otherwise a bit flipped on disk would be replicated.
 type diskStore struct {
 	*raftboltdb.BoltStore
 	onFatal func(error) // called when a value can't be stored: the process must exit
@@ -41,12 +41,13 @@
 	unsyncedLogs []*raft.Log             // used by the mutant "unsynced" only
 }
 
-// openStore opens the log of a directory and verifies all of it. A snapshot covers the entries up to
-// index floor; these may be missing. The error wraps errDamaged if the file's content is corrupt.
-func openStore(directory string, floor uint64, onFatal func(error)) (d *diskStore, err error) {
+// openStore opens the log of a directory and verifies all of it. Entries up to snapshotIndex may be
+// missing, as a snapshot covers them. The error wraps errDamaged if the content of the file is
+// corrupt.
+func openStore(directory string, snapshotIndex uint64, onFatal func(error)) (d *diskStore, err error) {
 	path := filepath.Join(directory, logFileName)
-	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns the
-	// fault into a panic, and the recover below turns the panic into an error.
+	// Reading a memory-mapped file that was truncated faults beyond its end. SetPanicOnFault turns
+	// the fault into a panic, and the recover below turns the panic into an error.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -72,7 +73,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	d = &diskStore{BoltStore: store, onFatal: onFatal, syncLatency: newLatencyHistogram()}
-	if err := d.verify(floor); err != nil {
+	if err := d.verify(snapshotIndex); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), store.Close())
 	}
 	return d, nil
@@ -80,7 +81,7 @@
 
 // verify reads all entries and values. A snapshot received from the leader leaves a gap between the
 // entries before it and those after it.
-func (d *diskStore) verify(floor uint64) error {
+func (d *diskStore) verify(snapshotIndex uint64) error {
 	first, err := d.FirstIndex()
 	if err != nil {
 		return err
@@ -92,7 +93,7 @@
 	var entry raft.Log
 	for i := first; i <= last && last > 0; i++ {
 		err := d.GetLog(i, &entry)
-		isCovered := errors.Is(err, raft.ErrLogNotFound) && i <= floor
+		isCovered := errors.Is(err, raft.ErrLogNotFound) && i <= snapshotIndex
 		if err != nil && !isCovered {
 			return fmt.Errorf("entry %d: %w: %v", i, errDamaged, err)
 		}
@@ -134,13 +135,13 @@
 
 // withChecksums returns copies of the entries with their checksums as extensions.
 func withChecksums(logs []*raft.Log) []*raft.Log {
-	summed := make([]*raft.Log, len(logs))
+	checksummed := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		c := *l
 		c.Extensions = entryChecksum(l)
-		summed[i] = &c
+		checksummed[i] = &c
 	}
-	return summed
+	return checksummed
 }
 
 // GetLog reads an entry and verifies its checksum.
@@ -180,17 +181,18 @@
 	if failpoint.IsInjected("unsynced") {
 		return d.storeUnsynced(logs)
 	}
-	summed := withChecksums(logs)
+	checksummed := withChecksums(logs)
 	began := time.Now()
 	slowSync()
-	err := d.BoltStore.StoreLogs(summed)
+	err := d.BoltStore.StoreLogs(checksummed)
 	d.mu.Lock()
 	recordLatency(d.syncLatency, began)
 	d.mu.Unlock()
 	return err
 }
 
-// storeUnsynced keeps the most recent entries in memory only, like a disk that loses unsynced writes.
+// storeUnsynced keeps the most recent entries in memory only, like a disk that loses unsynced
+// writes.
 func (d *diskStore) storeUnsynced(logs []*raft.Log) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,9 +201,9 @@
 	if written <= 0 {
 		return nil
 	}
-	summed := withChecksums(d.unsyncedLogs[:written])
+	checksummed := withChecksums(d.unsyncedLogs[:written])
 	d.unsyncedLogs = slices.Clone(d.unsyncedLogs[written:])
-	return d.BoltStore.StoreLogs(summed)
+	return d.BoltStore.StoreLogs(checksummed)
 }
 
 // LastIndex returns the index of the most recent entry, or 0.
@@ -235,19 +237,19 @@
 	return d.BoltStore.DeleteRange(low, high)
 }
 
-// Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could vote
-// twice in one term.
+// Set stores a value with its checksum. If a vote can't be stored, the process must exit: it could
+// vote twice in one term.
 func (d *diskStore) Set(key, value []byte) error {
-	summed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
-	err := d.BoltStore.Set(key, summed)
+	checksummed := binary.LittleEndian.AppendUint64(slices.Clone(value), xxhash.Sum64(value))
+	err := d.BoltStore.Set(key, checksummed)
 	if err != nil {
 		d.onFatal(fmt.Errorf("%s can't be written: %w", key, err))
 	}
 	return err
 }
 
-// Get reads a value and verifies its checksum. For a missing key it returns raftboltdb.ErrKeyNotFound
-// unwrapped, which the consensus library recognizes by its text.
+// Get reads a value and verifies its checksum. For a missing key it returns
+// raftboltdb.ErrKeyNotFound unwrapped, which the consensus library recognizes by its text.
 func (d *diskStore) Get(key []byte) ([]byte, error) {
 	stored, err := d.BoltStore.Get(key)
 	if err != nil {
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -12,47 +12,48 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// defaultLeasePatience is how long the checker of the leases' history may take, where AgreeOptions doesn't say.
+// defaultLeasePatience is the default of CoordinatorOptions.CheckTimeout.
 const defaultLeasePatience = 20 * time.Second
 
-// holderEndTimeout is how long a holder may take to end.
+// holderEndTimeout is how long a holder may take to exit.
 const holderEndTimeout = 10 * time.Second
 
-// AgreeOptions say how to play coordinators and holders.
-type AgreeOptions struct {
-	Coord    []string // the command of dockhinge-coord, built with the tag faults
-	Lab      []string // that of dockhinge-lab, likewise
-	Dir      string   // for logs and directories; it must be there
-	Env      []string // for all processes
-	Patience time.Duration
-	Beat     string // of the coordinators; "" = their default
-	Version  int    // of commands and bounds in force where costs are measured; 0 = this program's
-	Say      func(form string, v ...any)
+// CoordinatorOptions configures a run of coordinators and leaseholders.
+type CoordinatorOptions struct {
+	CoordinatorCommand []string // the command of dockhinge-coord, built with the tag faults
+	LabCommand         []string // the command of dockhinge-lab, built with the tag faults
+	Dir                string   // for logs and data directories; must exist
+	Env                []string // for all processes
+	CheckTimeout       time.Duration
+	HeartbeatInterval  string // of the coordinators; "" = their default
+	Version            int    // version of commands and limits to put in force; 0 = this program's
+	Logf               func(form string, v ...any)
 }
 
-// AgreeResult is what became of a run.
-type AgreeResult struct {
-	Seed      uint64
-	Faults    int
-	Claims    int
-	Ops       int
-	Acts      int
-	Refused   int // acts that the resource refused, as their token was old
-	Grants    int
-	Broken    []checker.Violation
-	Undecided []string
-	Failures  []string // what did not hold, the broken rules among them
-	HealedS   float64  // after the last fault until all leases had been taken again
+// LeaseFaultsResult is the outcome of a run of RunLeaseFaults.
+type LeaseFaultsResult struct {
+	Seed            uint64
+	Faults          int
+	Claims          int
+	Operations      int
+	Acts            int
+	Refused         int // acts that the resource refused for their old token
+	Grants          int
+	Breaches        []checker.Violation
+	Undecided       []string
+	Failures        []string // all failures, including breaches of the rules
+	RecoverySeconds float64  // from the end of the faults until each lease had been acquired again
 }
 
-// link is a way between two processes, by their numbers.
+// link is a connection between two processes, identified by their numbers.
 type link struct{ from, to int }
 
-// agreement is a run of coordinators and holders.
-type agreement struct {
+// coordinatorGroup is a group of coordinator processes, and the leaseholders and the resource that
+// use it.
+type coordinatorGroup struct {
 	scenario scenario.Agreement
-	options  AgreeOptions
-	rng      *rand.Rand // of what the schedule leaves to the run: which byte is damaged
+	options  CoordinatorOptions
+	rng      *rand.Rand // chooses what the schedule leaves open: which byte is damaged
 
 	coords         []*coordinator
 	holders        []*proc
@@ -67,9 +68,9 @@
 	problems     []string
 }
 
-func newAgreement(f scenario.Agreement, o AgreeOptions, seed uint64) *agreement {
-	const stream = 41 // of the seed, for what only this run draws
-	return &agreement{
+func newCoordinatorGroup(f scenario.Agreement, o CoordinatorOptions, seed uint64) *coordinatorGroup {
+	const stream = 41 // random stream for rng
+	return &coordinatorGroup{
 		scenario:     f,
 		options:      o,
 		rng:          rand.New(rand.NewPCG(seed, stream)),
@@ -80,20 +81,22 @@
 	}
 }
 
-// Agree plays coordinators and holders and judges what came of it. The error tells that it could not be played.
-func Agree(ctx context.Context, f scenario.Agreement, o AgreeOptions) (res AgreeResult, err error) {
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+// RunLeaseFaults runs coordinators and leaseholders with faults and checks the history of the
+// leases. It returns an error if the scenario could not be run.
+func RunLeaseFaults(ctx context.Context, f scenario.Agreement, o CoordinatorOptions) (res LeaseFaultsResult,
+	err error) {
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
-	if o.Patience == 0 {
-		o.Patience = defaultLeasePatience
+	if o.CheckTimeout == 0 {
+		o.CheckTimeout = defaultLeasePatience
 	}
-	a := newAgreement(f, o, f.Seed)
+	a := newCoordinatorGroup(f, o, f.Seed)
 	defer a.close()
 	if err := a.build(); err != nil {
 		return res, err
 	}
-	if err := a.begin(ctx); err != nil {
+	if err := a.startAll(ctx); err != nil {
 		return res, err
 	}
 	schedule := f.Schedule()
@@ -103,24 +106,24 @@
 		return res, ctx.Err()
 	}
 	healingSince := time.Now()
-	if err := a.healed(ctx); err != nil {
-		a.fail("after all was mended: %v", err)
+	if err := a.awaitAllLeasesFree(ctx); err != nil {
+		a.fail("after the faults: %v", err)
 	}
-	res.HealedS = time.Since(healingSince).Seconds()
+	res.RecoverySeconds = time.Since(healingSince).Seconds()
 	a.endHolders()
 	a.judge(&res)
 	return res, nil
 }
 
-// playSchedule plays the faults at their times, until the scenario's time is over.
-func (a *agreement) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
+// playSchedule plays the faults at their times, until the scenario's duration is over.
+func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
 	defer stop()
 	for _, fault := range schedule {
 		wg.Go(func() {
 			if wait(running, fault.AtS) {
-				a.options.Say("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
+				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
 				a.play(running, fault)
 			}
 		})
@@ -129,8 +132,8 @@
 	wg.Wait()
 }
 
-// endHolders has all holders end in order, which they must.
-func (a *agreement) endHolders() {
+// endHolders stops all holders. Each must exit without an error.
+func (a *coordinatorGroup) endHolders() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(func() {
@@ -142,15 +145,15 @@
 	wg.Wait()
 }
 
-// fail books something that did not hold.
-func (a *agreement) fail(form string, v ...any) {
+// fail records a failure.
+func (a *coordinatorGroup) fail(form string, v ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.problems = append(a.problems, fmt.Sprintf(form, v...))
 }
 
-// close ends all that was started.
-func (a *agreement) close() {
+// close stops everything that was started.
+func (a *coordinatorGroup) close() {
 	var wg sync.WaitGroup
 	for _, holder := range a.holders {
 		wg.Go(holder.kill)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet plays a scenario on loopback: stand-ins for cache servers, origin, discovery and network, real router
-// processes, a load, and faults on a time line. Whatever ends it, it leaves no process and no port behind.
+// Package fleet runs a scenario on loopback: fake cache servers, origin, discovery and network,
+// real router processes, a load, and faults on a timeline. However a run ends, it leaves no process
+// and no open port behind.
 package fleet
 
 import (
@@ -22,75 +23,76 @@
 )
 
 const (
-	defaultReadyTimeout = 20 * time.Second // of a router, where Options doesn't say
+	defaultReadyTimeout = 20 * time.Second // of a router, if Options sets none
 	routerEndTimeout    = 5 * time.Second
 )
 
-// Options say how to play.
+// Options configure a run.
 type Options struct {
-	Command  []string      // of one router; GW_CONFIG tells it the rest
-	Coord    []string      // of one coordinator, where the scenario has them
-	CoordEnv []string      // of the coordinators
-	Kill     *StepKill     // who is killed at which step of the tool; nil = nobody
-	Lies     string        // what the first router tells of servers that is not true: a fault planted in Spoilt; "" = nothing
-	Spoilt   []string      // command of a router in which a fault can be planted, for releases of a bad version
-	Patience time.Duration // how long planned changes may last beyond the load; 0: not at all
-	Dir      string        // for logs and configurations; it must be there
-	Ready    time.Duration
-	MustEnd  bool // each router has to end by itself, with all that it started, when it is told to after the run
-	Progress func(load.ProgressReport, *Fleet)
-	Say      func(format string, v ...any) // what happens, a line each
+	RouterCommand      []string      // of one router; GW_CONFIG names its configuration
+	CoordinatorCommand []string      // of one coordinator, if the scenario has any
+	CoordinatorEnv     []string      // added to the coordinators' environment
+	Kill               *StepKill     // the process to kill at a step of the tool; nil = none
+	FirstRouterMutant  string        // mutant that makes the first router report false facts on servers; "" = none
+	MutantCommand      []string      // of a router built with mutants, for bad versions and lying routers
+	ChangeTimeout      time.Duration // time for planned changes after the end of the load; 0 = none
+	Dir                string        // for logs and configurations; must exist
+	ReadyTimeout       time.Duration
+	MustExit           bool // after the run, each router must exit on SIGTERM, with all that it started
+	Progress           func(load.ProgressReport, *Fleet)
+	Logf               func(format string, v ...any) // reports events, one line each
 }
 
-// maxEvents bounds the referee's journal.
+// maxEvents bounds the checker's journal.
 const maxEvents = 2_000_000
 
-// Fleet is a scenario that is being played.
+// Fleet is a running scenario.
 type Fleet struct {
-	File scenario.File
-	o    Options
+	File    scenario.File
+	options Options
 
 	clock     *fakes.Clock
 	journal   *checker.Journal
 	front     *fakes.Front
 	discovery *fakes.Discovery
 	origin    *fakes.Server
-	rng       *rand.Rand // of the faults
-
-	mu         sync.Mutex // guards what follows
-	coords     *agreement // nil = none
-	coordsBusy sync.Mutex // whoever has some of them down; not guarded by mu
-	members    []*member
-	missed     *simplelru.LRU[string, []*fakes.Server] // by request: where a read was missing
-	routers    []*router
-	relays     map[string]*fakes.Relay // router/server
-	marks      []Mark
-	samples    []Sample
-	began      float64
-	late       float64
-	rude       [2]int
-	problem    []string
-	released   *Released
-	killed     bool // by Options.Kill
-	ill        []Ill
-	out        []OutAt
-	accused    map[string][]string // servers that were left out by the word of others, and the routers named
-	n          int                 // of ids given
-	changes    []*Change
-	outages    []outage
-	tools      map[string]*proc          // of planned changes that are under way, by thing
-	toCoord    map[string][]*fakes.Relay // by router: to the coordinators
+	rng       *rand.Rand // for the faults
+
+	mu                 sync.Mutex        // guards what follows
+	coordinators       *coordinatorGroup // nil = none
+	coordinatorsDownMu sync.Mutex        // held while a fault has coordinators down; not guarded by mu
+	members            []*member
+	missedReads        *simplelru.LRU[string, []*fakes.Server] // by request ID: the servers at which the read missed
+	routers            []*router
+	relays             map[string]*fakes.Relay // router/server
+	marks              []Mark
+	samples            []Sample
+	loadStartMS        float64
+	maxLateMS          float64
+	misbehavingClients [2]int
+	problems           []string
+	released           *Released
+	isVictimKilled     bool // the victim of Options.Kill was killed
+	faultySpells       []FaultySpell
+	budgetUse          []BudgetSample
+	excludedBy         map[string][]string // by server excluded on routers' reports: those routers
+	serversStarted     int                 // from which the servers' IDs are made
+	changes            []*Change
+	outages            []outage
+	runningTools       map[string]*proc          // in progress, by resource or process name
+	coordinatorRelays  map[string][]*fakes.Relay // from each router to the coordinators
 }
 
-// member is a cache server's place in the fleet.
+// member is a cache server and its entry in the endpoint list.
 type member struct {
 	*fakes.Server
-	busy  sync.Mutex  // locked by whoever has it down or has it leave
-	entry model.Entry // its Started and State belong to whoever has locked busy; the rest never changes
-	gone  bool        // it has left for good; guarded by the fleet's mu
+	downMu    sync.Mutex  // held by a fault or planned change that has the server down or drains it
+	entry     model.Entry // downMu guards Started and State; the rest never changes
+	isRemoved bool        // it has left for good; guarded by Fleet.mu
 }
 
-// Run plays a scenario. The error tells that it could not be played; what did not hold stands in the result.
+// Run runs a scenario. It returns an error if the scenario could not be run; violated rules and
+// expectations are listed in Result.Failures.
 func Run(ctx context.Context, f scenario.File, o Options) (res Result, err error) {
 	fl := newFleet(f, o)
 	defer fl.close()
@@ -98,36 +100,36 @@
 		return res, err
 	}
 	res, err = fl.play(ctx)
-	if err == nil && o.MustEnd {
-		res.Failures = append(res.Failures, fl.endAll()...)
+	if err == nil && o.MustExit {
+		res.Failures = append(res.Failures, fl.stopAllRouters()...)
 	}
 	return res, err
 }
 
 func newFleet(f scenario.File, o Options) *Fleet {
-	if o.Ready == 0 {
-		o.Ready = defaultReadyTimeout
+	if o.ReadyTimeout == 0 {
+		o.ReadyTimeout = defaultReadyTimeout
 	}
-	if o.Say == nil {
-		o.Say = func(string, ...any) {}
+	if o.Logf == nil {
+		o.Logf = func(string, ...any) {}
 	}
-	const stream = 10 // of the seed, for the faults
+	const stream = 10 // random stream for the faults
 	fl := &Fleet{
-		File:    f,
-		o:       o,
-		clock:   fakes.NewClock(),
-		journal: checker.NewJournal(maxEvents),
-		relays:  map[string]*fakes.Relay{},
-		tools:   map[string]*proc{},
-		toCoord: map[string][]*fakes.Relay{},
-		rng:     rand.New(rand.NewPCG(f.Seed, stream)),
-	}
-	fl.missed, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
+		File:              f,
+		options:           o,
+		clock:             fakes.NewClock(),
+		journal:           checker.NewJournal(maxEvents),
+		relays:            map[string]*fakes.Relay{},
+		runningTools:      map[string]*proc{},
+		coordinatorRelays: map[string][]*fakes.Relay{},
+		rng:               rand.New(rand.NewPCG(f.Seed, stream)),
+	}
+	fl.missedReads, _ = simplelru.NewLRU[string, []*fakes.Server](maxMissed, nil) // the size is positive
 	fl.front = fakes.NewFront(fl.clock)
 	return fl
 }
 
-// start starts all parties but the load; close ends them.
+// start starts all processes and fakes, but not the load; close stops them.
 func (fl *Fleet) start(ctx context.Context) error {
 	if err := fl.build(); err != nil {
 		return err
@@ -138,19 +140,19 @@
 	return fl.startRouters(ctx)
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (fl *Fleet) close() {
 	var wg sync.WaitGroup
 	for _, r := range fl.allRouters() {
 		wg.Go(func() { r.stop(routerEndTimeout) })
 	}
-	if fl.coords != nil {
-		wg.Go(fl.coords.close)
+	if fl.coordinators != nil {
+		wg.Go(fl.coordinators.close)
 	}
 	wg.Wait()
 	fl.mu.Lock()
 	relays := slices.Collect(maps.Values(fl.relays))
-	for _, more := range fl.toCoord {
+	for _, more := range fl.coordinatorRelays {
 		relays = append(relays, more...)
 	}
 	fl.mu.Unlock()
@@ -181,30 +183,31 @@
 	return slices.Clone(fl.members)
 }
 
-// mark books what happened.
+// mark records and logs an event.
 func (fl *Fleet) mark(form string, v ...any) {
 	text := fmt.Sprintf(form, v...)
 	fl.mu.Lock()
-	at := (fl.clock.Now() - fl.began) / 1000
+	at := (fl.clock.Now() - fl.loadStartMS) / 1000
 	fl.marks = append(fl.marks, Mark{at, text})
 	fl.mu.Unlock()
-	fl.o.Say("%6.1f s  %s", at, text)
+	fl.options.Logf("%6.1f s  %s", at, text)
 }
 
-// Routers tells the addresses at which routers can be talked to: clients' and second.
-func (fl *Fleet) Routers() (all []string) {
+// RouterAddresses returns a line for each router with its client address and its admin address.
+func (fl *Fleet) RouterAddresses() (all []string) {
 	for _, r := range fl.allRouters() {
 		admin := "down"
 		if p := r.newest(); p != nil {
 			admin = p.admin
 		}
-		all = append(all, fmt.Sprintf("%s (%s): clients at %s, second address %s", r.name, r.zone, r.listen, admin))
+		all = append(all, fmt.Sprintf("%s (%s): clients at %s, admin address %s", r.name, r.zone, r.listen, admin))
 	}
 	return all
 }
 
-// Up counts cache servers that run.
-func (fl *Fleet) Up() (up, all int) {
+// CountServers returns how many cache servers are up and how many there are, without those that
+// have left.
+func (fl *Fleet) CountServers() (up, all int) {
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
 			all++
@@ -216,7 +219,7 @@
 	return up, all
 }
 
-// LogDir makes a directory for a run's logs under a parent.
+// LogDir creates a directory for a run's logs under parent, which it creates too if needed.
 func LogDir(parent, name string) (string, error) {
 	if err := os.MkdirAll(parent, 0o755); err != nil {
 		return "", fmt.Errorf("logs: %w", err)
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -21,29 +21,30 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// HolderConfig is a leaseholder's, a process of the rig.
+// HolderConfig configures a leaseholder process. It is passed as JSON under the fields' names.
 type HolderConfig struct {
 	Name         string
 	Coordinators map[string]string
 	Resource     string // address
 	Leases       []string
-	Others       []string // to whom it hands leases over
+	Others       []string // holders to which it hands leases over
 	TTL          time.Duration
 	Seed         uint64
-	Log          string        // what it saw, a JSON line each
-	Idle         time.Duration // between two tasks at most
-	Hold         time.Duration // it acts for so long at most
+	Log          string        // path of the log of claims and calls, one JSON line each
+	Idle         time.Duration // longest pause between two tasks
+	Hold         time.Duration // longest time for which it uses a lease
 }
 
-// entry is a line of a holder's log.
-type entry struct {
+// logEntry is a line of a holder's log.
+type logEntry struct {
 	Claim *checker.Claim `json:"c,omitempty"`
-	Call  *checker.Op    `json:"call,omitempty"` // written before it is sent, so that a killed holder's last one is known
-	ID    int            `json:"id,omitempty"`
-	Op    *checker.Op    `json:"op,omitempty"`
+	// written before the call, so that the last call of a killed holder is known
+	Call *checker.Op `json:"call,omitempty"`
+	ID   int         `json:"id,omitempty"`
+	Op   *checker.Op `json:"op,omitempty"`
 }
 
-// holder is the process while it runs.
+// holder is the state of a running leaseholder process.
 type holder struct {
 	HolderConfig
 	c   *client.Client
@@ -54,10 +55,10 @@
 	next int
 }
 
-func (h *holder) log(e entry) {
+func (h *holder) log(e logEntry) {
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // plain data
+		panic(err) // plain data can always be encoded
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,15 +67,15 @@
 	}
 }
 
-// op books a call, makes it and books what came of it.
-func (h *holder) op(o checker.Op, f func() (code string, got uint64, holder string)) {
+// recordOperation logs a call, makes it and logs its result.
+func (h *holder) recordOperation(o checker.Op, f func() (code string, got uint64, holder string)) {
 	h.mu.Lock()
 	h.next++
 	id := h.next
 	h.mu.Unlock()
 	o.Client = h.Name
 	o.From = int64(clock.SinceBoot())
-	h.log(entry{Call: &o, ID: id})
+	h.log(logEntry{Call: &o, ID: id})
 	code, got, who := f()
 	if who != "" {
 		o.Holder = who
@@ -83,10 +84,11 @@
 	if code != "" {
 		o.To = int64(clock.SinceBoot())
 	}
-	h.log(entry{Op: &o, ID: id})
+	h.log(logEntry{Op: &o, ID: id})
 }
 
-// codeOf is an error's code: "" where it isn't known what became of the call.
+// codeOf returns the code and the response of a failed call. The code is "" if its outcome is
+// unknown.
 func codeOf(err error) (string, coord.Response) {
 	var r *client.RejectedError
 	switch {
@@ -100,30 +102,31 @@
 	return "", coord.Response{}
 }
 
-// Holder takes leases, acts under them and gives them back, until ctx ends.
-func Holder(ctx context.Context, cfg HolderConfig) error {
+// RunHolder acquires leases, acts under them and gives them back, until ctx is canceled.
+func RunHolder(ctx context.Context, cfg HolderConfig) error {
 	f, err := os.OpenFile(cfg.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)), next: int(clock.SinceBoot()/time.Millisecond) << 12,
-		c: client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
+	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)),
+		next: int(clock.SinceBoot()/time.Millisecond) << 12,
+		c:    client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { h.c.Run(ctx) })
 	for ctx.Err() == nil {
-		h.task(ctx)
+		h.holdOneLease(ctx)
 		wait(ctx, h.rng.Float64()*h.Idle.Seconds())
 	}
 	return nil
 }
 
-// task is one lease's life at this holder.
-func (h *holder) task(ctx context.Context) {
+// holdOneLease acquires a lease, acts under it, and then gives it back, hands it over or keeps it.
+func (h *holder) holdOneLease(ctx context.Context) {
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
-		h.op(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
+		h.recordOperation(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
 			rows, err := h.c.ListLeases(ctx, name)
 			if err != nil {
 				return "", 0, ""
@@ -135,9 +138,9 @@
 		})
 	}
 	var l *client.Lease
-	h.op(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
+	h.recordOperation(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
 		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
-		if errors.Is(err, client.ErrLeaseLost) { // it was given, and too late
+		if errors.Is(err, client.ErrLeaseLost) { // it was granted, but too late
 			return "", 0, ""
 		}
 		code, a := codeOf(err)
@@ -157,62 +160,65 @@
 		if left <= 0 {
 			break
 		}
-		h.log(entry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token, From: int64(from), To: int64(clock.SinceBoot())}})
+		h.log(logEntry{Claim: &checker.Claim{Holder: h.Name, Lease: name, Token: l.Token,
+			From: int64(from), To: int64(clock.SinceBoot())}})
 		if h.rng.Float64() < 0.2 {
-			h.act(ctx, l)
+			h.sendAct(ctx, l)
 		}
 		wait(ctx, 0.004)
 	}
 	if h.rng.Float64() < 0.3 {
-		h.write(ctx, l)
+		h.writeRecord(ctx, l)
 	}
 	switch u := h.rng.Float64(); {
 	case u < 0.2 && len(h.Others) > 0:
 		to := h.Others[h.rng.IntN(len(h.Others))]
-		h.op(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to}, func() (string, uint64, string) {
-			token, err := l.Transfer(ctx, to)
-			code, _ := codeOf(err)
-			return code, token, ""
-		})
+		h.recordOperation(checker.Op{Kind: "handover", Lease: name, Token: l.Token, Holder: to},
+			func() (string, uint64, string) {
+				token, err := l.Transfer(ctx, to)
+				code, _ := codeOf(err)
+				return code, token, ""
+			})
 	case u < 0.8:
-		h.op(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
+		h.recordOperation(checker.Op{Kind: "release", Lease: name, Token: l.Token}, func() (string, uint64, string) {
 			code, _ := codeOf(l.Release(ctx))
 			return code, 0, ""
 		})
-	default: // it goes on holding and doesn't act, as one that hangs
+	default: // keeps the lease without acting, as a holder that hangs
 		return
 	}
-	if h.rng.Float64() < 0.3 { // one that was stopped before its act, and goes on
-		h.write(ctx, l)
-		h.act(ctx, l)
+	if h.rng.Float64() < 0.3 { // acts too late, as a holder that was paused before its act
+		h.writeRecord(ctx, l)
+		h.sendAct(ctx, l)
 	}
 }
 
-// write is an act that the agreed state checks.
-func (h *holder) write(ctx context.Context, l *client.Lease) {
-	h.op(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
+// writeRecord writes a record whose token the coordinators check.
+func (h *holder) writeRecord(ctx context.Context, l *client.Lease) {
+	h.recordOperation(checker.Op{Kind: "write", Lease: l.Name, Token: l.Token}, func() (string, uint64, string) {
 		code, _ := codeOf(l.WriteRecord(ctx, []byte(h.Name)))
 		return code, 0, ""
 	})
 }
 
-// act is one that the stand-in resource checks; its answer is of no account here.
-func (h *holder) act(ctx context.Context, l *client.Lease) {
+// sendAct sends an act to the fake resource, which checks the token. The answer is ignored.
+func (h *holder) sendAct(ctx context.Context, l *client.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/act?holder=%s&lease=%s&token=%d", h.Resource, h.Name, l.Name, l.Token), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		fmt.Sprintf("http://%s/act?holder=%s&lease=%s&token=%d", h.Resource, h.Name, l.Name, l.Token), nil)
 	if err != nil {
 		return
 	}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
-		_, _ = io.Copy(io.Discard, resp.Body) // the status says it
+		_, _ = io.Copy(io.Discard, resp.Body) // the answer is ignored
 		resp.Body.Close()
 	}
 }
 
-// Resource is a stand-in for what leased tasks act on: it takes an act unless it has seen a higher token for the lease, and logs
-// all with the machine's clock, until ctx ends.
-func Resource(ctx context.Context, addr, log string) error {
+// RunResource serves a fake resource for leased tasks until ctx is canceled. It accepts an act
+// unless it has seen a higher token for the lease, and logs all acts with the machine's clock.
+func RunResource(ctx context.Context, addr, log string) error {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -252,11 +258,11 @@
 	return nil
 }
 
-// readHolder reads a holder's log, also one whose last line was cut off by a kill.
+// readHolder reads a holder's log, whose last line may have been cut off by a kill.
 func readHolder(path string) (claims []checker.Claim, ops []checker.Op, err error) {
 	open := map[int]checker.Op{}
-	err = lines(path, func(text []byte) {
-		var e entry
+	err = forEachLine(path, func(text []byte) {
+		var e logEntry
 		if json.Unmarshal(text, &e) != nil {
 			return // the last one, cut off
 		}
@@ -276,7 +282,7 @@
 	return claims, ops, err
 }
 
-func lines(path string, f func([]byte)) error {
+func forEachLine(path string, f func([]byte)) error {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observe_rig_test.go
@@ -25,44 +25,45 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// The size of a run.
+// Sizes and limits of a run.
 const (
 	rigCoordinators = 3
 	rigObservers    = 2
 	rigRouters      = 24
 	rigRegions      = 2
-	rigHistory      = 16          // changes that coordinators and observers keep, so that compaction is met often
-	rigPatience     = time.Minute // a slow machine is no verdict
+	rigHistory      = 16          // changes that coordinators and observers keep; few, so that compaction is frequent
+	rigPatience     = time.Minute // long, so that a slow machine does not fail the test
 )
 
 // rigPrefixes are what routers watch, in turn.
 var rigPrefixes = []string{"", "a/", "b/"}
 
-// observerProcess is one observer with the relays before it and behind it.
+// observerProcess is an observer with the relays of its connections.
 type observerProcess struct {
 	*proc
-	api      string
-	upstream []*fakes.Relay // to each coordinator
-	regions  []*fakes.Relay // from the routers of each region
+	api          string
+	upstream     []*fakes.Relay // to each coordinator
+	regionRelays []*fakes.Relay // from the routers of each region
 }
 
-// watchingRouter is one router: a client of the observers, and what it was given in each of its lives.
+// watchingRouter is a router: a client of the observers, and the updates that it got between each
+// of its restarts.
 type watchingRouter struct {
 	name      string
 	prefix    string
 	observers []string
 	gate      chan struct{} // not nil: Apply waits until it is closed
 
-	mu     sync.Mutex
-	lives  []*checker.WatchHistory
-	client *observerclient.Client
-	end    func()
+	mu        sync.Mutex
+	histories []*checker.WatchHistory
+	client    *observerclient.Client
+	end       func()
 }
 
-// observation is a run of coordinators, observers and routers.
-type observation struct {
+// observerRun is a run of coordinators, observers and routers.
+type observerRun struct {
 	t         *testing.T
-	agreement *agreement
+	agreement *coordinatorGroup
 	puts      *client.Client
 	rng       *rand.Rand
 	observers []*observerProcess
@@ -73,13 +74,15 @@
 	revisions map[string]uint64 // of documents that are there
 }
 
-// observe starts coordinators, observers and routers.
-func observe(t *testing.T, seed uint64, options AgreeOptions) *observation {
+// startObserverRun starts coordinators, observers and routers, and stops them at the end of the
+// test.
+func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
-	a, puts := quiet(t, rigCoordinators, options)
-	o := &observation{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)), revisions: map[string]uint64{}}
-	settled(t, a)
-	tool(t, a, "members", "upgrade")
+	a, puts := startGroupWithClient(t, rigCoordinators, options)
+	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)),
+		revisions: map[string]uint64{}}
+	awaitSettledGroup(t, a)
+	runToolForOutput(t, a, "members", "upgrade")
 	for i := range rigObservers {
 		o.observers = append(o.observers, o.startObserver(fmt.Sprint("o", i)))
 	}
@@ -97,7 +100,7 @@
 	return o
 }
 
-func (o *observation) relay(to string) *fakes.Relay {
+func (o *observerRun) relay(to string) *fakes.Relay {
 	o.t.Helper()
 	relay, err := o.agreement.relay(to)
 	if err != nil {
@@ -106,7 +109,7 @@
 	return relay
 }
 
-func (o *observation) startObserver(name string) *observerProcess {
+func (o *observerRun) startObserver(name string) *observerProcess {
 	o.t.Helper()
 	api, err := FreeAddr()
 	if err != nil {
@@ -122,30 +125,30 @@
 		fmt.Fprintf(&text, "%s = %q\n", c.name, relay.Addr())
 	}
 	for range rigRegions {
-		observer.regions = append(observer.regions, o.relay(api))
+		observer.regionRelays = append(observer.regionRelays, o.relay(api))
 	}
 	file := filepath.Join(dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		o.t.Fatal(err)
 	}
-	observer.command = append(slices.Clone(o.agreement.options.Coord), "observe", file)
+	observer.command = append(slices.Clone(o.agreement.options.CoordinatorCommand), "observe", file)
 	if err := observer.start(); err != nil {
 		o.t.Fatal(err)
 	}
 	return observer
 }
 
-func (o *observation) startRouter(i int) *watchingRouter {
+func (o *observerRun) startRouter(i int) *watchingRouter {
 	router := &watchingRouter{name: fmt.Sprint("r", i), prefix: rigPrefixes[i%len(rigPrefixes)]}
 	for _, observer := range o.observers {
-		router.observers = append(router.observers, observer.regions[i%rigRegions].Addr())
+		router.observers = append(router.observers, observer.regionRelays[i%rigRegions].Addr())
 	}
 	o.routers = append(o.routers, router)
 	router.start()
 	return router
 }
 
-// start begins a life of the router, which holds nothing.
+// start starts the router with no state, as after a restart.
 func (r *watchingRouter) start() {
 	life := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -155,7 +158,7 @@
 	wg.Go(func() { c.Run(ctx) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives, r.client = append(r.lives, life), c
+	r.histories, r.client = append(r.histories, life), c
 	r.end = func() { cancel(); wg.Wait() }
 }
 
@@ -176,8 +179,9 @@
 	r.mu.Lock()
 	gate := r.gate
 	update := state.Update
-	life.Deliveries = append(life.Deliveries, checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
-		Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
+	life.Deliveries = append(life.Deliveries,
+		checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
+			Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
 	r.mu.Unlock()
 	if gate == nil {
 		return nil
@@ -199,13 +203,15 @@
 func agreedChanges(changes []watchlog.Change) []checker.AgreedChange {
 	var all []checker.AgreedChange
 	for _, c := range changes {
-		all = append(all, checker.AgreedChange{Revision: c.Revision, Name: c.Name, Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
+		all = append(all, checker.AgreedChange{Revision: c.Revision, Name: c.Name,
+			Sum: xxhash.Sum64(c.Value), Deleted: c.Deleted})
 	}
 	return all
 }
 
-// put has a document put over the revision that the last put of it had, and books the answer. One caller at once a document.
-func (o *observation) put(name string, value []byte, isDeletion bool) error {
+// put puts a document, expecting the revision of its last put, and records the answer. There must
+// be only one caller at a time for a document.
+func (o *observerRun) put(name string, value []byte, isDeletion bool) error {
 	o.mu.Lock()
 	expected := o.revisions[name]
 	o.mu.Unlock()
@@ -216,7 +222,8 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.agreed = append(o.agreed, checker.AgreedChange{Revision: revision, Name: name, Sum: xxhash.Sum64(value), Deleted: isDeletion})
+	o.agreed = append(o.agreed, checker.AgreedChange{Revision: revision, Name: name,
+		Sum: xxhash.Sum64(value), Deleted: isDeletion})
 	o.revisions[name] = revision
 	if isDeletion {
 		delete(o.revisions, name)
@@ -225,7 +232,7 @@
 }
 
 // change puts some documents, one after the other.
-func (o *observation) change(count int) {
+func (o *observerRun) change(count int) {
 	o.t.Helper()
 	for range count {
 		name := fmt.Sprintf("%s%d", []string{"a/", "b/"}[o.rng.IntN(2)], o.rng.IntN(4))
@@ -242,8 +249,8 @@
 	}
 }
 
-// newest is the revision of the newest change that was agreed on.
-func (o *observation) newest() (revision uint64) {
+// newest returns the newest revision that was agreed on.
+func (o *observerRun) newest() (revision uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, c := range o.agreed {
@@ -252,16 +259,16 @@
 	return revision
 }
 
-func (o *observation) await(what string, f func() error) {
+func (o *observerRun) await(what string, f func() error) {
 	o.t.Helper()
-	if err := until(o.t.Context(), rigPatience, f); err != nil {
-		o.judge() // it may tell why
+	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
+		o.checkHistories() // it may report the reason
 		o.t.Fatalf("%s: %v", what, err)
 	}
 }
 
 // awaitRouters waits until routers have the newest revision in force.
-func (o *observation) awaitRouters(what string, routers []*watchingRouter) {
+func (o *observerRun) awaitRouters(what string, routers []*watchingRouter) {
 	o.t.Helper()
 	newest := o.newest()
 	o.await(what, func() error {
@@ -274,8 +281,8 @@
 	})
 }
 
-// region are the routers of one.
-func (o *observation) region(number int) (routers []*watchingRouter) {
+// region returns the routers of a region.
+func (o *observerRun) region(number int) (routers []*watchingRouter) {
 	for i, router := range o.routers {
 		if i%rigRegions == number {
 			routers = append(routers, router)
@@ -291,8 +298,8 @@
 	return status, err
 }
 
-// judge checks all that every router was given in each life.
-func (o *observation) judge() (deliveries, snapshots int) {
+// checkHistories checks all updates that each router got between its restarts.
+func (o *observerRun) checkHistories() (deliveries, snapshots int) {
 	o.t.Helper()
 	o.mu.Lock()
 	agreed := slices.Clone(o.agreed)
@@ -300,7 +307,7 @@
 	slices.SortFunc(agreed, func(a, b checker.AgreedChange) int { return int(a.Revision) - int(b.Revision) })
 	for _, router := range o.routers {
 		router.mu.Lock()
-		for _, life := range router.lives {
+		for _, life := range router.histories {
 			if text := checker.CheckDeliveries(agreed, *life); text != "" {
 				o.t.Error(text)
 			}
