--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -9,47 +9,49 @@
 	"testing"
 )
 
-var rules = Rules{Classes: map[string]Class{"read": {Effect: Repeatable}, "put": {Effect: Keyed, Scope: "all", WindowMS: 1000},
+var rules = Rules{Classes: map[string]Class{"read": {Effect: Repeatable},
+	"put":  {Effect: Keyed, Scope: "all", WindowMS: 1000},
 	"zput": {Effect: Keyed, Scope: "zone", WindowMS: 1000}, "tag": {Effect: Once}},
 	Group:   map[string]map[string]string{"zone": {"s1": "a", "s2": "a", "s3": "b"}},
 	GraceMS: 2000, SlackMS: 50, MaxAttempts: 3}
 
-// script reads events, one a line: TIME KIND WORDS, and NAME=VALUE for further fields. It puts them in the order of time.
+// script parses events, one per line: TIME KIND WORDS, and NAME=VALUE for further fields. It returns
+// them in the order of time.
 func script(t *testing.T, text string) (events []Event) {
 	t.Helper()
-	ends := map[string]End{"made": Made, "missed": Missed, "turned": Turned, "erred": Erred, "dropped": Dropped}
+	ends := map[string]End{"made": Completed, "missed": Missed, "turned": Rejected, "erred": Errored, "dropped": Dropped}
 	answers := map[string]Answer{"served": Served, "refused": Refused, "failed": Failed}
 	for line := range strings.Lines(text) {
-		w := strings.Fields(line)
-		if len(w) == 0 {
+		words := strings.Fields(line)
+		if len(words) == 0 {
 			continue
 		}
 		e := Event{Request: "q", Router: "r", Sum: 1}
-		fmt.Sscan(w[0], &e.At)
-		word := func(i int) string { return w[i] }
-		switch w[1] {
+		fmt.Sscan(words[0], &e.At)
+		word := func(i int) string { return words[i] }
+		switch words[1] {
 		case "sent":
 			e.Kind, e.Class, e.Deadline = Sent, word(2), 1000
 		case "whole":
-			e.Kind, e.Server, e.Began = Whole, word(2), e.At
+			e.Kind, e.Server, e.Began = AttemptReceived, word(2), e.At
 		case "over":
-			e.Kind, e.Server, e.End = Over, word(2), ends[word(3)]
+			e.Kind, e.Server, e.End = AttemptEnded, word(2), ends[word(3)]
 		case "answer":
 			e.Kind, e.Answer = Answered, answers[word(2)]
 		case "extra":
-			e.Kind = Extra
+			e.Kind = ExtraAnswer
 		case "other":
 			e.Kind, e.Answer, e.Sum = Answered, Served, 2
 		case "closed":
-			e.Kind = Closed
+			e.Kind = ClosedByRouter
 		case "left":
-			e.Kind = Left
+			e.Kind = ClientTimedOut
 		case "disconnected":
 			e.Kind = Disconnected
 		case "told":
-			e.Kind, e.Server, e.State = Told, word(2), word(3)
+			e.Kind, e.Server, e.State = ServerStateSent, word(2), word(3)
 		case "listed":
-			e.Kind, e.Server, e.State = Listed, word(2), word(3)
+			e.Kind, e.Server, e.State = ServerStateListed, word(2), word(3)
 		case "down":
 			e.Kind = DiscoveryDown
 		case "up":
@@ -57,7 +59,7 @@
 		case "called":
 			e.Kind = ListCalled
 		case "crowded":
-			e.Kind, e.Deadline = Crowded, 500
+			e.Kind, e.Deadline = DescriptorsExhausted, 500
 		case "moved":
 			e.Kind = DiscoveryMoved
 		case "silent":
@@ -68,22 +70,22 @@
 		case "ready":
 			e.Kind = RouterReady
 		case "paused":
-			e.Kind, e.Deadline = Paused, 100
+			e.Kind, e.Deadline = RouterPaused, 100
 		case "killed":
-			e.Kind = Killed
+			e.Kind = RouterKilled
 		case "fell":
-			e.Kind, e.Server = Fell, word(2)
+			e.Kind, e.Server = ServerCollapsed, word(2)
 		case "malformed":
 			e.Kind, e.Server = Malformed, word(2)
 		case "server-started":
 			e.Kind, e.Server = Started, word(2)
 		case "ran":
-			e.Kind, e.Server = Ran, word(2)
+			e.Kind, e.Server = EffectExecuted, word(2)
 		default:
-			t.Fatalf("%q", line)
+			t.Fatalf("script line %q has an unknown kind", line)
 		}
-		for _, x := range w[2:] {
-			if name, value, ok := strings.Cut(x, "="); ok {
+		for _, field := range words[2:] {
+			if name, value, ok := strings.Cut(field, "="); ok {
 				setField(t, &e, name, value)
 			}
 		}
@@ -93,7 +95,7 @@
 	return events
 }
 
-// setField sets a further field of an event, by its name in a script.
+// setField sets a field of an event by its name in a script.
 func setField(t *testing.T, e *Event, name, value string) {
 	t.Helper()
 	number := func() float64 {
@@ -117,13 +119,13 @@
 	case "router":
 		e.Router = value
 	case "hint":
-		e.TimeoutHint = TimeoutHint{Millis: number(), IsTold: true}
+		e.TimeoutHint = TimeoutHint{Millis: number(), IsPresent: true}
 	default:
-		t.Fatalf("field %q", name)
+		t.Fatalf("unknown field %q", name)
 	}
 }
 
-// repeat writes a script n times, with the number of each in place of {n}.
+// repeat repeats a script n times, with {n} replaced by the number of the copy.
 func repeat(n int, text string) string {
 	var all strings.Builder
 	for i := range n {
@@ -132,29 +134,29 @@
 	return all.String()
 }
 
-// ruleCase is a script and the rule that it breaks, "" for none.
+// ruleCase is a script and the rule that it violates; "" for none.
 type ruleCase struct{ name, rule, text string }
 
-// checkCases judges scripts; each breaks its own rule and no other.
-func checkCases(t *testing.T, r Rules, cases []ruleCase) {
+// expectRules checks that each script violates its own rule and no other.
+func expectRules(t *testing.T, r Rules, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
-		broken := Judge(script(t, c.text), r)
+		broken := CheckRun(script(t, c.text), r)
 		if c.rule == "" && len(broken) > 0 {
 			t.Errorf("%s: %v", c.name, broken)
 		}
 		if c.rule != "" && len(broken) == 0 {
-			t.Errorf("%s: nothing was broken, want a breach of %s", c.name, c.rule)
+			t.Errorf("%s: no violation, want one of %s", c.name, c.rule)
 		}
 		for _, b := range broken {
 			if c.rule != "" && b.Rule != c.rule {
-				t.Errorf("%s: got %v, want breaches of %s alone", c.name, b, c.rule)
+				t.Errorf("%s: got %v, want only violations of %s", c.name, b, c.rule)
 			}
 		}
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestEachViolationIsReportedUnderItsRule(t *testing.T) {
 	for _, c := range []struct{ name, want, text string }{
 		{"served", "", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 answer served"},
 		{"miss, then the origin", "", "0 sent read\n 1 whole s1\n 3 over s1 missed\n 4 whole o\n 9 over o made\n 10 answer served"},
@@ -190,43 +192,43 @@
 		{"a command that can't be read", "form", "5 malformed s1"},
 		{"four attempts", "attempts", "0 sent read\n 1 whole s1\n 2 over s1 missed\n 3 whole s2\n 4 over s2 missed\n 5 whole s3\n 6 over s3 missed\n 7 whole o\n 8 over o made\n 9 answer served"},
 	} {
-		broken := Judge(script(t, c.text), rules)
+		broken := CheckRun(script(t, c.text), rules)
 		switch {
 		case c.want == "" && len(broken) > 0:
 			t.Errorf("%s: %v", c.name, broken)
 		case c.want != "" && (len(broken) == 0 || broken[0].Rule != c.want):
-			t.Errorf("%s: got %v, want a breach of %s", c.name, broken, c.want)
+			t.Errorf("%s: got %v, want a violation of %s", c.name, broken, c.want)
 		}
 	}
 }
 
-func TestJournalHasABound(t *testing.T) {
+func TestJournalDropsEventsBeyondItsLimit(t *testing.T) {
 	j := NewJournal(3)
 	for i := range 3 {
 		j.Add(Event{At: float64(3 - i)})
 	}
-	if ev, whole := j.Events(); !whole || ev[0].At != 1 {
-		t.Errorf("%v, whole %t", ev, whole)
+	if events, isComplete := j.Events(); !isComplete || events[0].At != 1 {
+		t.Errorf("got %v, complete %t", events, isComplete)
 	}
 	j.Add(Event{})
-	if ev, whole := j.Events(); whole || len(ev) != 3 {
-		t.Errorf("%d events, whole %t", len(ev), whole)
+	if events, isComplete := j.Events(); isComplete || len(events) != 3 {
+		t.Errorf("got %d events, complete %t", len(events), isComplete)
 	}
 }
 
-// rename gives the requests of a script another prefix.
-func rename(text, from, to string) string {
+// renameRequests replaces the prefix of the request ids in a script.
+func renameRequests(text, from, to string) string {
 	return strings.ReplaceAll(text, "request="+from, "request="+to)
 }
 
-// at puts a time into a script.
-func at(text, time string) string { return strings.ReplaceAll(text, "%AT", time) }
+// withTime replaces %AT in a script by a time.
+func withTime(text, time string) string { return strings.ReplaceAll(text, "%AT", time) }
 
-// brokenRules counts the breaches of a script by rule.
+// brokenRules returns the number of violations of a script by rule.
 func brokenRules(t *testing.T, r Rules, text string) map[string]int {
 	t.Helper()
 	rules := map[string]int{}
-	for _, b := range Judge(script(t, text), r) {
+	for _, b := range CheckRun(script(t, text), r) {
 		rules[b.Rule]++
 	}
 	return rules
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -54,11 +54,11 @@
 		playAndRevert(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
 			var faults fakes.Faults
 			if on {
-				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil,
+				faults = fakes.Faults{Silent: f.What == "silence", Corruption: f.Spoil,
 					Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
-				m.Set(faults)
+				m.SetFaults(faults)
 			}
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
@@ -73,7 +73,7 @@
 		})
 	case "origin-busy":
 		playAndRevert("the origin turns all away", func(on bool) {
-			fl.origin.Set(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
+			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Corruption: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
 		playAndRevert("discovery is down", fl.discovery.SetDown)
@@ -205,7 +205,7 @@
 		m.Kill()
 		e := m.entry
 		e.State = "left"
-		fl.discovery.Happened(e)
+		fl.discovery.ScheduleChange(e)
 	}
 	if f.ForS <= 0 || !wait(ctx, f.ForS) {
 		return
@@ -250,7 +250,7 @@
 		return
 	}
 	m.entry.Started, m.entry.State = fl.clock.Unix(fl.clock.Now()), "active"
-	fl.discovery.Happened(m.entry)
+	fl.discovery.ScheduleChange(m.entry)
 }
 
 // recordLabError records an error of the lab itself. The run then fails.
@@ -280,10 +280,10 @@
 	}
 	e := m.entry
 	e.State = "leaving"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	wait(ctx, drainS)
 	e.State = "left"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	m.Kill()
 	fl.mu.Lock()
 	m.isRemoved = true
@@ -306,7 +306,7 @@
 				fl.recordLabError(err)
 				return
 			}
-			fl.discovery.Happened(replacement.entry)
+			fl.discovery.ScheduleChange(replacement.entry)
 		}
 	}
 	fl.mark("the deploy is over")
@@ -328,7 +328,7 @@
 				if p == nil {
 					return
 				}
-				fl.front.Down(r.name, 300) // planned: the front is notified
+				fl.front.ReportRouterDeath(r.name, 300) // planned: the front is notified
 				r.signal(p, syscall.SIGTERM)
 				<-p.done
 				if !wait(ctx, f.DownS) {
@@ -357,8 +357,8 @@
 			if p == nil {
 				return
 			}
-			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
-			fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
+			fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
 			if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
@@ -410,12 +410,12 @@
 			n := fl.baselineNetwork(r, m.entry.Zone)
 			if on {
 				n.Cut = f.What == "partition"
-				n.DropThere, n.DropBack = f.What == "partition-there", f.What == "partition-back"
+				n.HoldToTarget, n.HoldFromTarget = f.What == "partition-there", f.What == "partition-back"
 				if f.What == "delay" {
 					n.DelayMS = f.DelayMS
 				}
 			}
-			relay.Set(n)
+			relay.SetConditions(n)
 		}
 	}
 }
--- a/lab/fleet/leave_test.go
+++ b/lab/fleet/leave_test.go
@@ -29,12 +29,12 @@
 		fl.drainServers(t.Context(), []*member{m}, 0)
 	}()
 	fl.restartServer(m)
-	if !m.Up() || fl.hasLeft(m) {
+	if !m.IsUp() || fl.hasLeft(m) {
 		t.Error("it left while it was down")
 	}
 	m.downMu.Unlock()
 	<-left
-	if m.Up() || !fl.hasLeft(m) {
+	if m.IsUp() || !fl.hasLeft(m) {
 		t.Error("it has not left")
 	}
 	if fl.tryLockServer(m) {
@@ -43,7 +43,7 @@
 	m.downMu.Lock()
 	fl.restartServer(m)
 	m.downMu.Unlock()
-	if m.Up() {
+	if m.IsUp() {
 		t.Error("it came back after it had left")
 	}
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -17,7 +17,7 @@
 func (fl *Fleet) play(ctx context.Context) (Result, error) {
 	p := fl.File.Load
 	if fl.options.Progress != nil {
-		p.Progress = func(n load.Now) { fl.options.Progress(n, fl) }
+		p.Progress = func(n load.ProgressReport) { fl.options.Progress(n, fl) }
 	}
 	l, err := load.New(p, fl.front, fl.clock, fl.journal)
 	if err != nil {
@@ -124,11 +124,11 @@
 			s.Routers[r.name] = r.use()
 		}
 		for _, m := range fl.allMembers() {
-			if m.Up() {
-				s.Held[m.ID()], _ = m.Busy()
+			if m.IsUp() {
+				s.Held[m.ID()], _ = m.Load()
 			}
 		}
-		s.Held["origin"], _ = fl.origin.Busy()
+		s.Held["origin"], _ = fl.origin.Load()
 		fl.mu.Lock()
 		s.AtS = (fl.clock.Now() - fl.loadStartMS) / 1000
 		fl.samples = append(fl.samples, s)
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -43,7 +43,7 @@
 	AttemptsPerRequest float64 `json:"attempts_a_request"`
 	// completely written, by second of the load
 	AttemptsBySecond []int                     `json:"attempts_by_second"`
-	Breaches         []checker.Breach          `json:"broken"`
+	Breaches         []checker.Violation       `json:"broken"`
 	TimeoutHints     checker.TimeoutHintCounts `json:"timeout_hints"`
 	Marks            []Mark                    `json:"marks"`
 	Samples          []Sample                  `json:"samples"`
@@ -83,7 +83,7 @@
 		switch {
 		case e.Kind == checker.Sent:
 			routerOf[e.Request] = e.Router
-		case e.Kind == checker.Whole && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
+		case e.Kind == checker.AttemptReceived && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
 			x.Attempts++
 			routers[routerOf[e.Request]] = true
 			if e.Began > x.From+1000 {
@@ -110,9 +110,9 @@
 		Load:               got,
 		Marks:              fl.marks,
 		Samples:            fl.samples,
-		Breaches:           checker.Judge(events, fl.rules()),
+		Breaches:           checker.CheckRun(events, fl.rules()),
 		TimeoutHints:       checker.CountTimeoutHints(events, fl.rules()),
-		DiscoveryCalls:     fl.discovery.Calls(),
+		DiscoveryCalls:     fl.discovery.CallCount(),
 		LateMS:             fl.maxLateMS,
 		MisbehavingClients: fl.misbehavingClients,
 		Interrupted:        cut,
@@ -150,7 +150,7 @@
 	attempts := 0
 	res.AttemptsBySecond = make([]int, len(seconds))
 	for _, e := range events {
-		if e.Kind != checker.Whole {
+		if e.Kind != checker.AttemptReceived {
 			continue
 		}
 		attempts++
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -8,10 +8,10 @@
 // last endpoint list that the router received.
 func (fl *Fleet) routerConfig(r *router) map[string]any {
 	f := fl.File
-	known, isKnown := fl.discovery.LastTold(r.name)
+	known, isKnown := fl.discovery.LastSentList(r.name)
 	if !isKnown {
-		fl.discovery.BookKnown(r.name)
-		known, _ = fl.discovery.LastTold(r.name)
+		fl.discovery.RecordConfiguredList(r.name)
+		known, _ = fl.discovery.LastSentList(r.name)
 	}
 	kinds := []string{}
 	for i := range known.Servers {
--- a/lab/fleet/suspects.go
+++ b/lab/fleet/suspects.go
@@ -78,7 +78,7 @@
 		switch e.Kind {
 		case checker.Sent:
 			routerOf[e.Request] = e.Router
-		case checker.Whole:
+		case checker.AttemptReceived:
 			hasSent[routerOf[e.Request]+" "+e.Server] = true
 		}
 	}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -93,7 +93,7 @@
 		known = append(known, d.entry(v, "active", 0))
 	}
 	d.list = model.NewDirectory(p.List, p.Seed, known)
-	d.first = d.list.Whole()
+	d.first = d.list.FullList()
 	total := 0.0
 	for i := range p.Config.Routers {
 		r, err := d.router(i, d.first)
@@ -127,7 +127,7 @@
 		return d.sums, fmt.Errorf("virtual: over %d attempts", MaxAttempts)
 	}
 	for _, v := range d.servers {
-		if v.m.Fallen() {
+		if v.m.HasCollapsed() {
 			d.sums.Fallen++
 		}
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	b.UpdateEndpoints(begin, decide.RestoredEndpoints, decided(d.list.Whole()))
+	b.UpdateEndpoints(begin, decide.RestoredEndpoints, decided(d.list.FullList()))
 	c := cfg.Classes[0]
 	for i := len(d.key) - 1; i >= 0; i-- {
 		id := uint32(i + 1)
@@ -230,7 +230,7 @@
 	for _, i := range f.Routers {
 		d.routers[i].die()
 		if f.Kind == Start {
-			known := d.list.Whole()
+			known := d.list.FullList()
 			if f.Stale {
 				known = d.first
 			}
@@ -278,7 +278,7 @@
 }
 
 func (d *day) happened(e model.Entry) {
-	d.list.Happened(d.now, e)
+	d.list.ScheduleChange(d.now, e)
 	d.after(d.list.Next()-d.now, func() { d.list.Advance(d.now) })
 }
 
@@ -332,7 +332,7 @@
 }
 
 // done sends a machine's answer back.
-func (d *day) done(v *machine, done model.Done) {
+func (d *day) done(v *machine, done model.Completion) {
 	a := d.out[done.ID]
 	if a == nil {
 		return
