--- a/internal/router/disconnect_test.go
+++ b/internal/router/disconnect_test.go
@@ -42,16 +42,16 @@
 			}},
 			{"part of a command after it", func(t *testing.T, l *loop, s *clients, c *client) {
 				c.send(readCommandOfKey(1, "w0", 60000) + "\r\nmg 00")
-				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
+				eventually(t, l, "the arrival of the request", func() bool { return len(l.unanswered) == 2 })
 			}},
 			{"draining", func(t *testing.T, l *loop, s *clients, c *client) {
 				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
-				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
+				eventually(t, l, "the arrival of the request", func() bool { return len(l.unanswered) == 2 })
 				s.startDrain()
 			}},
 			{"draining with input unread", func(t *testing.T, l *loop, s *clients, c *client) {
 				c.send(readCommandOfKey(1, "w0", 60000) + "\r\n")
-				eventually(t, l, "its arrival", func() bool { return len(l.unanswered) == 2 })
+				eventually(t, l, "the arrival of the request", func() bool { return len(l.unanswered) == 2 })
 				s.startDrain()
 				c.send("mg 00")
 			}},
--- a/internal/router/handover_test.go
+++ b/internal/router/handover_test.go
@@ -14,7 +14,7 @@
 
 // startSuccessor starts a router that takes over from old, and returns it with a function that ends
 // the old router's hand-over service.
-func startSuccessor(t *testing.T, old *runningRouter, cfg *Config) (young *runningRouter, end context.CancelFunc) {
+func startSuccessor(t *testing.T, old *runningRouter, cfg *Config) (successor *runningRouter, end context.CancelFunc) {
 	t.Helper()
 	dir := t.TempDir()
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -18,7 +18,7 @@
 		t.Errorf("%d ids", len(n.IDs))
 	}
 	if _, kept := n.IDs["s-0"]; kept {
-		t.Error("the one that was listed longest ago is kept")
+		t.Error("the least recently listed id is kept")
 	}
 }
 
