--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -19,36 +19,42 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// built are the programs of the agreement with faults, once for all tests; TestMain removes them.
-var built = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the lab and the coordinator with faults, once for all tests, and returns
+// their directory. TestMain removes it.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "dockhinge-agree-test-")
 	if err != nil {
 		return "", err
 	}
-	builtIn = dir
-	for into, tags := range map[string]string{"": "faults" + plantable, "next/": "faults,nextversion" + plantable} {
-		if out, err := exec.Command("go", "build", "-tags", tags, "-o", dir+"/"+into, "../../cmd/dockhinge-coord", "../../cmd/dockhinge-lab").CombinedOutput(); err != nil {
+	builtDir = dir
+	for into, tags := range map[string]string{"": "faults" + extraBuildTags,
+		"next/": "faults,nextversion" + extraBuildTags} {
+		if out, err := exec.Command("go", "build", "-tags", tags, "-o", dir+"/"+into,
+			"../../cmd/dockhinge-coord", "../../cmd/dockhinge-lab").CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%w\n%s", err, out)
 		}
 	}
 	return dir, nil
 })
 
-var builtIn string
+var builtDir string
 
-// plantable is what a test's build with the tag mutants adds to the tags of the programs that it starts.
-var plantable = ""
+// extraBuildTags are added to the build tags of the programs that the tests start. A build of
+// the tests with the tag mutants sets them.
+var extraBuildTags = ""
 
-func agreeOptions(t *testing.T, env ...string) CoordinatorOptions {
+func coordinatorOptions(t *testing.T, env ...string) CoordinatorOptions {
 	t.Helper()
-	dir, err := built()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
+	return CoordinatorOptions{CoordinatorCommand: []string{dir + "/dockhinge-coord"},
+		LabCommand: []string{dir + "/dockhinge-lab"}, Dir: t.TempDir(), Env: env, CheckTimeout: time.Minute}
 }
 
-// Three seeds of all faults with real processes: two holders never act at once, and what nobody holds can be had again.
+// Runs three seeds of all faults with real processes: a lease must never have two holders at a
+// time, and each lease must be available again afterwards.
 func TestLeaseNeverHasTwoHoldersDespiteFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -57,8 +63,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine is no verdict
-			res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
+			f.Seed, f.DurationS, f.HealS = seed, 10, 60 // a slow machine must not fail the test
+			res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -70,16 +76,18 @@
 	}
 }
 
-// Holders that are stopped between their check and their act: the resource refuses what comes after another's.
+// Pauses holders between their check of the lease and their act, and delays acts: the resource must
+// refuse an act that comes after one with a higher token.
 func TestResourceRefusesActsOfStaleHolders(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
+	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}},
+		{What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
-	res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
+	res, err := RunLeaseFaults(t.Context(), f, coordinatorOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,26 +96,27 @@
 	}
 }
 
-// quiet is a group of coordinators without faults, and a live client of it.
-func quiet(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
+// startGroupWithClient starts a group of coordinators without faults and a client of it.
+func startGroupWithClient(t *testing.T, coordinators int, o CoordinatorOptions) (*coordinatorGroup, *client.Client) {
 	t.Helper()
 	a, err := startCoordinatorGroup(t.Context(), coordinators, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.close)
-	return a, live(t, a, "test")
+	return a, startClient(t, a, "test")
 }
 
-func live(t *testing.T, a *coordinatorGroup, name string) *client.Client {
+func startClient(t *testing.T, a *coordinatorGroup, name string) *client.Client {
 	t.Helper()
 	c, end := liveClient(context.Background(), a.addresses(), name, 20*time.Second)
 	t.Cleanup(end)
 	return c
 }
 
-// settled waits until one leads and all others follow it with all that it has.
-func settled(t *testing.T, a *coordinatorGroup) *coordinator {
+// awaitSettledGroup waits until all coordinators follow one leader and have nearly all its
+// entries. It returns the leader.
+func awaitSettledGroup(t *testing.T, a *coordinatorGroup) *coordinator {
 	t.Helper()
 	var l *coordinator
 	if err := retryUntil(t.Context(), time.Minute, func() (err error) {
@@ -119,7 +128,8 @@
 			return err
 		}
 		for _, c := range a.coords {
-			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex || s.Leader != l.name {
+			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex ||
+				s.Leader != l.name {
 				return errors.Join(fmt.Errorf("%s is behind", c.name), err)
 			}
 		}
@@ -130,11 +140,12 @@
 	return l
 }
 
-// A leader that is stopped, replaced and resumed neither answers for the state that it had nor takes a lease away.
+// Pauses the leader until another one leads, and resumes it: it must not serve its old state or
+// revoke a lease.
 func TestResumedLeaderServesNoStaleReads(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t))
-	old := settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
+	old := awaitSettledGroup(t, a)
 	first, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +154,7 @@
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		l, err := a.leader(t.Context())
 		if err == nil && l == old {
-			return errors.New("still the old one")
+			return errors.New("the old leader still leads")
 		}
 		return err
 	}); err != nil {
@@ -152,16 +163,18 @@
 	if err := first.Release(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	other := live(t, a, "other")
+	other := startClient(t, a, "other")
 	second, err := other.Acquire(t.Context(), "x", "", 20*time.Second)
 	if err != nil || second.Token <= first.Token {
 		t.Fatalf("%+v, %v", second, err)
 	}
 	old.signal(syscall.SIGCONT)
-	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api}, ClientName: "reader", TTL: 20 * time.Second})
-	for range 20 { // through the old one alone: the truth or nothing
-		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil && (len(rows) != 1 || rows[0].Token != second.Token) {
-			t.Fatalf("the old leader tells %+v", rows)
+	alone := client.New(client.Options{Coordinators: map[string]string{old.name: old.api},
+		ClientName: "reader", TTL: 20 * time.Second})
+	for range 20 { // through the old leader only: it may fail, but not return old state
+		if rows, err := alone.ListLeases(t.Context(), "x"); err == nil &&
+			(len(rows) != 1 || rows[0].Token != second.Token) {
+			t.Fatalf("the old leader returns %+v", rows)
 		}
 	}
 	if second.Remaining() <= 0 {
@@ -169,11 +182,13 @@
 	}
 }
 
-// A wiped disk doesn't come back as the old voter, and neither does yesterday's; each is told what to do.
+// A coordinator whose disk was restored from an old copy or wiped has forgotten its votes, and must
+// not act as the old voter. After a restore it must exit with an error, after a wipe wait to be
+// added.
 func TestCoordinatorWithOldOrWipedDiskIsNoVoter(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
-	lead := settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
+	lead := awaitSettledGroup(t, a)
 	var victim *coordinator
 	for _, x := range a.coords {
 		if x != lead {
@@ -190,8 +205,8 @@
 		t.Fatal(err)
 	}
 	a.restart(victim.proc)
-	settled(t, a)
-	for range 10 { // what yesterday's disk doesn't know
+	awaitSettledGroup(t, a)
+	for range 10 { // changes that the old copy of the disk lacks
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 		if err == nil {
 			err = l.Release(t.Context())
@@ -200,7 +215,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := retryUntil(t.Context(), time.Minute, func() error { // told to the others
+	if err := retryUntil(t.Context(), time.Minute, func() error { // the epoch must have reached the others
 		if s, err := victim.status(t.Context()); err != nil || s.Epoch < before.Epoch+6 {
 			return errors.Join(errors.New("its epoch has not grown yet"), err)
 		}
@@ -215,14 +230,14 @@
 	a.restart(victim.proc)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := victim.running(); up {
-			return errors.New("it runs on with yesterday's disk")
+			return errors.New("it keeps running with the old copy of its disk")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if said := victim.logTail(3); !strings.Contains(said, "put back from an old copy") {
-		t.Errorf("it said:\n%s", said)
+	if logged := victim.logTail(3); !strings.Contains(logged, "put back from an old copy") {
+		t.Errorf("it logged:\n%s", logged)
 	}
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
@@ -231,19 +246,20 @@
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		s, err := victim.status(t.Context())
 		if err == nil && (s.State != "Waiting" || s.Identity == before.Identity) {
-			return fmt.Errorf("wiped, it is %s as %s", s.State, s.Identity)
+			return fmt.Errorf("with a wiped disk it is in state %s with identity %s", s.State, s.Identity)
 		}
 		return err
 	}); err != nil {
 		t.Fatal(err)
 	}
-	tool(t, a, "members", "remove", victim.name)
-	tool(t, a, "members", "add", victim.name+"="+victim.api)
-	settled(t, a)
+	runToolForOutput(t, a, "members", "remove", victim.name)
+	runToolForOutput(t, a, "members", "add", victim.name+"="+victim.api)
+	awaitSettledGroup(t, a)
 }
 
-// tool runs the operators' tool, which must not fail, and returns what it printed.
-func tool(t *testing.T, a *coordinatorGroup, args ...string) string {
+// runToolForOutput runs the operators' runToolForOutput, which must not fail, and returns what it
+// printed.
+func runToolForOutput(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
 	if err != nil {
@@ -262,21 +278,22 @@
 	return cmd
 }
 
-// A rolling upgrade of the coordinators to the next version, one after the other, loses no lease; a program that is too old is
-// refused by words once the new version is in force.
+// Upgrades the coordinators to the next version one after the other: no lease may be lost, and a
+// program that is too old must exit with an error once the new version is in force.
 func TestRollingUpgradeKeepsLeasesAndRejectsOldProgram(t *testing.T) {
 	t.Parallel()
-	o := agreeOptions(t)
-	a, c := quiet(t, 3, o)
-	settled(t, a)
+	o := coordinatorOptions(t)
+	a, c := startGroupWithClient(t, 3, o)
+	awaitSettledGroup(t, a)
 	l, err := c.Acquire(t.Context(), "kept", "", 20*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, _ := built() // agreeOptions has seen to it
+	dir, _ := buildPrograms() // agreeOptions has checked the error
 	for i, x := range a.coords {
-		if i == 1 { // one is old still
-			if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version)) {
+		if i == 1 { // some still run the old version
+			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
+				fmt.Sprintf("version %d", coord.Version)) {
 				t.Errorf("%s", out)
 			}
 		}
@@ -285,9 +302,10 @@
 		}
 		x.command[0] = dir + "/next/dockhinge-coord"
 		a.restart(x.proc)
-		settled(t, a)
+		awaitSettledGroup(t, a)
 	}
-	if out := tool(t, a, "members", "upgrade"); !strings.Contains(out, fmt.Sprintf("version %d", coord.Version+1)) {
+	if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
+		fmt.Sprintf("version %d", coord.Version+1)) {
 		t.Errorf("%s", out)
 	}
 	rows, err := c.ListLeases(t.Context(), "kept")
@@ -302,24 +320,26 @@
 	a.restart(back.proc)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := back.running(); up {
-			return errors.New("the old program runs on")
+			return errors.New("the old program keeps running")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if said := back.logTail(3); !strings.Contains(said, "too old") {
-		t.Errorf("it said:\n%s", said)
+	if logged := back.logTail(3); !strings.Contains(logged, "too old") {
+		t.Errorf("it logged:\n%s", logged)
 	}
 }
 
-// A command under a lease is ended before the lease's time is out, also when it won't, once no coordinator answers any more.
+// A command that ignores SIGTERM must be killed before its lease expires when no coordinator
+// answers.
 func TestCommandIsKilledBeforeItsLeaseExpires(t *testing.T) {
 	t.Parallel()
-	a, _ := quiet(t, 3, agreeOptions(t))
-	settled(t, a)
+	a, _ := startGroupWithClient(t, 3, coordinatorOptions(t))
+	awaitSettledGroup(t, a)
 	marks := filepath.Join(t.TempDir(), "marks")
-	cmd := toolCommand(a, "lease", "take", "job", "--kind", "harmless", "--ttl", "4s", "--margin", "2s", "--", "sh", "-c",
+	cmd := toolCommand(a, "lease", "take", "job", "--kind", "harmless", "--ttl", "4s",
+		"--margin", "2s", "--", "sh", "-c",
 		"trap '' TERM; echo $DOCKHINGE_TOKEN $$ > "+marks+"; while :; do sleep 0.05; done")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -341,32 +361,34 @@
 	}
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if syscall.Kill(pid, 0) == nil {
-			return errors.New("the command runs on")
+			return errors.New("the command keeps running")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range a.coords { // nobody can have had the lease meanwhile: none of them ran
+	for _, x := range a.coords { // the lease can't have been granted again while all were paused
 		x.signal(syscall.SIGCONT)
 	}
 	if err := <-done; err == nil {
-		t.Error("the tool didn't say that the command was ended")
+		t.Error("the tool reported success for a killed command")
 	}
 	out, err := toolCommand(a, "lease", "take", "job", "--", "true").CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "none of checked, harmless") {
-		t.Errorf("a command of no kind was run: %s", out)
+		t.Errorf("a command without --kind was run: %s", out)
 	}
-	if out := tool(t, a, "lease", "take", "job", "--kind", "checked", "--", "sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
+	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--",
+		"sh", "-c", "echo token $DOCKHINGE_TOKEN"); !strings.Contains(out, "token ") {
 		t.Errorf("%s", out)
 	}
 }
 
-// A client whose requests arrive and whose answers don't stops believing in its lease in time, though the coordinators keep it.
+// A client whose requests arrive but whose answers are lost must treat its lease as lost in time,
+// even though the coordinators renew it.
 func TestClientDropsLeaseWhenResponsesAreLost(t *testing.T) {
 	t.Parallel()
-	a, c := quiet(t, 3, agreeOptions(t))
-	settled(t, a)
+	a, c := startGroupWithClient(t, 3, coordinatorOptions(t))
+	awaitSettledGroup(t, a)
 	addrs := map[string]string{}
 	var relays []*fakes.Relay
 	for _, x := range a.coords {
@@ -377,27 +399,29 @@
 		t.Cleanup(r.Close)
 		relays, addrs[x.name] = append(relays, r), r.Addr()
 	}
-	deaf, end := liveClient(context.Background(), addrs, "deaf", 3*time.Second)
+	cutOff, end := liveClient(context.Background(), addrs, "deaf", 3*time.Second)
 	t.Cleanup(end)
-	l, err := deaf.Acquire(t.Context(), "x", "", 2*time.Second)
+	l, err := cutOff.Acquire(t.Context(), "x", "", 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range relays {
 		r.Set(fakes.Net{DropBack: true})
 	}
-	// The referee's own client takes it, and at that moment the deaf one must know that it has lost it.
-	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second, func(context.Context, *client.Lease) error {
-		if left := l.Remaining(); left > 0 {
-			return fmt.Errorf("two hold it: the deaf one has %v left", left)
-		}
-		return nil
-	}); err != nil {
+	// When the other client acquires the lease, the client without answers must treat it as lost.
+	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second,
+		func(context.Context, *client.Lease) error {
+			if left := l.Remaining(); left > 0 {
+				return fmt.Errorf("two clients hold the lease: the client without answers has %v left", left)
+			}
+			return nil
+		}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Routers that probe for one another, whose coordinators are all killed and come back: no rule is broken, and all goes on.
+// Kills and restarts all coordinators of routers that share their probes: no rule may be broken,
+// and the routers must keep serving.
 func TestRoutersKeepServingWithoutCoordinators(t *testing.T) {
 	t.Parallel()
 	command := realRouter(t)
@@ -408,8 +432,9 @@
 	f.Fleet.Routers, f.DurationS, f.Load.Rate, f.Load.LateShare = 6, 9, 120, 1
 	f.Faults[0].AtS, f.Faults[0].ForS = 4, 3
 	f.Expect = scenario.Expect{Served: 100}
-	o := agreeOptions(t)
-	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand, Dir: o.Dir})
+	o := coordinatorOptions(t)
+	res, err := Run(t.Context(), f, Options{RouterCommand: command, CoordinatorCommand: o.CoordinatorCommand,
+		Dir: o.Dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -417,22 +442,24 @@
 		t.Errorf("%s", strings.Join(res.Failures, "\n"))
 	}
 	if res.Probes == 0 {
-		t.Error("nobody probed")
+		t.Error("no router probed")
 	}
 }
 
-// Two coordinators of five that die at a step of a snapshot: nothing that was agreed on is lost, and they come back with their disks.
+// Kills two coordinators of five at a step of a snapshot: no committed entry may be lost, and both
+// must restart with their disks.
 func TestCoordinatorsRecoverWhenKilledAtEachSnapshotStep(t *testing.T) {
-	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written", "snapshot-written", "snapshot-named", "restore-begun"} {
+	for _, step := range []string{"snapshot-begun", "snapshot-taken", "snapshot-half-written",
+		"snapshot-written", "snapshot-named", "restore-begun"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
-			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, agreeOptions(t))
+			a, err := startCoordinatorGroupWithSnapshots(t.Context(), 5, 16, coordinatorOptions(t))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(a.close)
-			c := live(t, a, "test")
-			settled(t, a)
+			c := startClient(t, a, "test")
+			awaitSettledGroup(t, a)
 			kept, err := c.Acquire(t.Context(), "kept", "", 20*time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -449,10 +476,11 @@
 				}
 			}
 			work()
-			var dying []*coordinator
+			var victims []*coordinator
 			for _, x := range a.coords[:2] {
-				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs one to begin from
-					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*", "state.bin")); len(made) == 0 {
+				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs a snapshot
+					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*",
+						"state.bin")); len(made) == 0 {
 						return errors.Join(errors.New("no snapshot yet"), err)
 					}
 					return nil
@@ -461,28 +489,28 @@
 				}
 				x.kill()
 				x.env = []string{"DOCKHINGE_KILL_AT=" + step}
-				dying = append(dying, x)
+				victims = append(victims, x)
 				a.restart(x.proc)
 			}
-			for _, x := range dying {
+			for _, x := range victims {
 				if err := retryUntil(t.Context(), time.Minute, func() error {
 					if up, _ := x.running(); up {
 						l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
 						if err == nil {
 							err = l.Release(t.Context())
 						}
-						return errors.Join(errors.New("it lives"), err)
+						return errors.Join(errors.New("it keeps running"), err)
 					}
 					return nil
 				}); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for _, x := range dying {
+			for _, x := range victims {
 				x.env = nil
 				a.restart(x.proc)
 			}
-			settled(t, a)
+			awaitSettledGroup(t, a)
 			rows, err := c.ListLeases(t.Context(), "kept")
 			if err != nil || len(rows) != 1 || rows[0].Token != kept.Token || kept.Remaining() <= 0 {
 				t.Errorf("%+v, %v: token %d was held, %v left", rows, err, kept.Token, kept.Remaining())
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -22,35 +22,38 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// Change is one planned change of a router or cache server: the operators' tool waits for the permit and runs a command, which
-// here is the laboratory's own. Times are in milliseconds on the laboratory's clock; 0 = not yet.
+// Change is one planned change of a router or cache server: the operators' tool waits for the
+// permit and runs a command, which here is the lab's own. Times are milliseconds on the lab's
+// clock; 0 = not yet.
 type Change struct {
 	Resource      string   `json:"thing"`
 	RequestedAtMS float64  `json:"asked_ms"`
-	StoppedAtMS   float64  `json:"gone_ms"` // the command was run: it may be stopped
-	RunningAtMS   float64  `json:"back_ms"` // it runs again
+	StoppedAtMS   float64  `json:"gone_ms"` // the command ran: the process may be stopped
+	RunningAtMS   float64  `json:"back_ms"` // the process runs again
 	ToolRuns      int      `json:"tools"`   // runs of the tool
-	Tokens        []uint64 `json:"tokens"`  // with which the command was run; more than one is a change done twice
+	Tokens        []uint64 `json:"tokens"`  // of the command's runs; more than one means that the change was made twice
 }
 
-// outage is what a fault takes out, whatever is planned.
+// outage is the time in which a fault has a router or cache server down or paused.
 type outage struct {
 	resource string
-	from, to float64 // 0 = it lasts
-	stopped  bool    // the process is there and does nothing: what it then sends it may not have known better
+	from, to float64 // to is 0 while it lasts
+	stopped  bool    // the process was paused: when it resumes it may act on old state
 }
 
-// noticeTimeoutMS is how long the fleet may take to notice that something is out: a session's time, a report, a probe.
+// noticeTimeoutMS is how long the fleet may take to notice an outage: the time of a session, a
+// report and a probe.
 const noticeTimeoutMS = 8000
 
-// warmed takes off what the fleet's clock may be faster, in milliseconds.
+// clockToleranceMS is taken off the warm-up time, since the fleet's clock may run faster.
 const clockToleranceMS = 100
 
-// upgradeTimeout bounds the wait for a leader that puts the newest version in force: on a busy machine the first one may be
-// replaced at any moment.
+// upgradeTimeout bounds the wait for a leader that puts the newest version in force. On a busy
+// machine the first leader may be replaced at any moment.
 const upgradeTimeout = 20 * time.Second
 
-// upgradeCoordinators has the leader of this moment put the newest version in force. It may be repeated.
+// upgradeCoordinators requests the current leader to put the newest version in force. It may be
+// called again.
 func (fl *Fleet) upgradeCoordinators(ctx context.Context) error {
 	leader, err := fl.coordinators.leader(ctx)
 	if err != nil {
@@ -73,7 +76,8 @@
 	text := fmt.Sprintf("version = 1\ngrace = \"8s\"\nquorum = %d\nbusy = %v\n", o.Quorum, o.Busy)
 	for kind, n := range map[string]int{"router": o.Routers, "server": o.Servers} {
 		if n > 0 {
-			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n", kind, kind, n, o.WarmS)
+			text += fmt.Sprintf("[[budget]]\nname = \"%ss\"\nkind = \"%s\"\nmost = %d\nwarm = \"%gs\"\n",
+				kind, kind, n, o.WarmS)
 		}
 	}
 	path := filepath.Join(fl.options.Dir, "budgets.toml")
@@ -94,13 +98,14 @@
 	return nil
 }
 
-// newToolProcess is a run of the operators' newToolProcess.
+// newToolProcess returns a process of the operators' tool that has not been started.
 func (fl *Fleet) newToolProcess(name string, args ...string) *proc {
 	var all []string
 	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...), env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
+	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...),
+		env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
 func (fl *Fleet) draw(n int) int {
@@ -109,7 +114,8 @@
 	return fl.rng.IntN(n)
 }
 
-// requestChanges has operators requestChanges servers or routers, all at once as far as they may: each asks for a permit of its own.
+// requestChanges starts planned changes of servers or routers, all at the same time. Each waits
+// for a permit of its own.
 func (fl *Fleet) requestChanges(ctx context.Context, f scenario.Fault) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -118,10 +124,10 @@
 		fl.mark("operators want to change %d cache servers", len(part))
 		for _, m := range part {
 			wg.Go(func() {
-				tell := func() {}
-				if f.DrainS > 0 { // operators tell discovery too, once the step has begun
-					tell = func() {
-						if !m.downMu.TryLock() { // a fault has it down, and tells discovery so
+				notifyDiscovery := func() {}
+				if f.DrainS > 0 { // operators update discovery too, once the change has begun
+					notifyDiscovery = func() {
+						if !m.downMu.TryLock() { // a fault has the server down and updates discovery
 							return
 						}
 						defer m.downMu.Unlock()
@@ -130,7 +136,7 @@
 						fl.discovery.Happened(e)
 					}
 				}
-				fl.changeOne(ctx, "server/"+m.entry.ID, &m.downMu, tell, func() {
+				fl.runChange(ctx, "server/"+m.entry.ID, &m.downMu, notifyDiscovery, func() {
 					m.Kill()
 					wait(ctx, max(f.DownS, 0.1))
 					fl.restartServer(m)
@@ -147,7 +153,7 @@
 	fl.mark("operators want to change %d routers", len(routers))
 	for _, r := range routers {
 		wg.Go(func() {
-			fl.changeOne(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
+			fl.runChange(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
 					fl.front.Down(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
@@ -164,12 +170,13 @@
 	}
 }
 
-// changeOne runs the tool until the change is done. Where the tool dies before its command has run, it is run again, as an
-// operator would; where it dies after it, the change is under way, and nobody does it twice.
-func (fl *Fleet) changeOne(ctx context.Context, thing string, busy *sync.Mutex, tell, act func()) {
-	c := &Change{Resource: thing, RequestedAtMS: fl.clock.Now()}
+// runChange runs the tool until the change is done. If the tool dies before its command has
+// run, it is run again, as an operator would do. If it dies later, the change is already being
+// made and is not repeated.
+func (fl *Fleet) runChange(ctx context.Context, resource string, busy *sync.Mutex, notifyDiscovery, makeChange func()) {
+	c := &Change{Resource: resource, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
-	first := len(fl.changes) == 0 // at its steps Options.Kill has somebody killed
+	first := len(fl.changes) == 0 // Options.Kill refers to the steps of the first change
 	fl.changes = append(fl.changes, c)
 	fl.mu.Unlock()
 	if first {
@@ -177,13 +184,15 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer end()
-		wg.Go(func() { fl.killAtStep(ctx, inner, thing) })
+		wg.Go(func() { fl.killAtStep(ctx, inner, resource) })
 	}
-	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(thing, "/", "-"))
-	// The operators' own command: it tells the laboratory its token, and waits until the thing is back.
+	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(resource, "/", "-"))
+	// The command writes its token to a file for the lab, and waits until the lab has made the
+	// change.
 	script := fmt.Sprintf(`echo $DOCKHINGE_TOKEN >%[1]s.tmp && mv %[1]s.tmp %[1]s.go; while [ ! -e %[1]s.done ]; do sleep 0.05; done`, base)
 	for ctx.Err() == nil {
-		p := fl.newToolProcess(filepath.Base(base), "permit", "take", thing, "--as", "operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
+		p := fl.newToolProcess(filepath.Base(base), "permit", "take", resource, "--as",
+			"operator/"+filepath.Base(base), "--why", "the laboratory changes it", "--", "sh", "-c", script)
 		if first && c.ToolRuns == 0 {
 			p.env = append(p.env, fl.options.Kill.env(fl.options.Dir)...)
 		}
@@ -193,21 +202,21 @@
 		}
 		fl.mu.Lock()
 		c.ToolRuns++
-		fl.runningTools[thing] = p
+		fl.runningTools[resource] = p
 		fl.mu.Unlock()
-		over, told := false, false
-		for !over && c.RunningAtMS == 0 {
+		hasExited, isNotified := false, false
+		for !hasExited && c.RunningAtMS == 0 {
 			select {
 			case <-p.done:
-				over = true
+				hasExited = true
 			case <-ctx.Done():
 				p.kill()
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			if !told && strings.Contains(p.logTail(1), "until nothing more is sent to it") {
-				told = true
-				tell()
+			if !isNotified && strings.Contains(p.logTail(1), "until nothing more is sent to it") {
+				isNotified = true
+				notifyDiscovery()
 			}
 			text, err := os.ReadFile(base + ".go")
 			if err != nil {
@@ -217,8 +226,8 @@
 			fl.mu.Lock()
 			c.StoppedAtMS, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
 			fl.mu.Unlock()
-			busy.Lock()                    // a fault may have it down
-			if up, _ := p.running(); !up { // the command ended with its tool before it did anything
+			busy.Lock()                    // a fault may have the process down
+			if up, _ := p.running(); !up { // the command ended with its tool before the change began
 				busy.Unlock()
 				fl.mu.Lock()
 				c.StoppedAtMS, c.Tokens = 0, nil
@@ -228,7 +237,7 @@
 				}
 				break
 			}
-			act()
+			makeChange()
 			busy.Unlock()
 			fl.mu.Lock()
 			c.RunningAtMS = fl.clock.Now()
@@ -238,17 +247,18 @@
 				fl.recordLabError(err)
 			}
 		}
-		select { // it gives the permit back
+		select { // the tool gives the permit back
 		case <-p.done:
 		case <-ctx.Done():
 			p.kill()
 		}
 		fl.mu.Lock()
-		delete(fl.runningTools, thing)
+		delete(fl.runningTools, resource)
 		done := c.RunningAtMS > 0
 		fl.mu.Unlock()
-		if _, err := p.running(); done && err != nil { // it died in the step: its operator says that it is over
-			fl.clearPermit(ctx, thing)
+		// the tool died during the change: its operator clears the permit
+		if _, err := p.running(); done && err != nil {
+			fl.clearPermit(ctx, resource)
 		}
 		if done || !wait(ctx, 0.2) {
 			return
@@ -256,10 +266,11 @@
 	}
 }
 
-// clearPermit has an operator say that a permit whose holder died isn't used any more. Until then it is.
-func (fl *Fleet) clearPermit(ctx context.Context, thing string) {
+// clearPermit clears a permit whose holder died, as an operator would. Until then the permit counts
+// as used.
+func (fl *Fleet) clearPermit(ctx context.Context, resource string) {
 	for range 30 {
-		p := fl.newToolProcess(strings.ReplaceAll(thing, "/", "-")+"-clear", "permit", "clear", thing)
+		p := fl.newToolProcess(strings.ReplaceAll(resource, "/", "-")+"-clear", "permit", "clear", resource)
 		if err := p.start(); err != nil {
 			fl.recordLabError(err)
 			return
@@ -270,13 +281,14 @@
 			p.kill()
 			return
 		}
-		if _, err := p.running(); err == nil || strings.Contains(p.logTail(1), "no permit of it is used") || !wait(ctx, 0.5) {
+		if _, err := p.running(); err == nil || strings.Contains(p.logTail(1), "no permit of it is used") ||
+			!wait(ctx, 0.5) {
 			return
 		}
 	}
 }
 
-// killTools kills one of the tools that are under way, again and again, or stops one for a time.
+// killTools kills a running tool f.Count times, or pauses one for a time.
 func (fl *Fleet) killTools(ctx context.Context, f scenario.Fault) {
 	for range f.Count {
 		fl.mu.Lock()
@@ -303,8 +315,9 @@
 	}
 }
 
-// faultRouters kills or stops routers or cuts them from the coordinators, and has them go on when the fault is over.
-func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, over func()) {
+// faultRouters kills or pauses routers or cuts them off from the coordinators, and reverts that
+// when the fault is over.
+func (fl *Fleet) faultRouters(ctx context.Context, f scenario.Fault, waitUntilOver func()) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		f.Count = int(math.Round(f.Share * float64(len(routers))))
@@ -314,9 +327,9 @@
 	fl.mu.Unlock()
 	routers = routers[:min(f.Count, len(routers))]
 	fl.mark("%s: %d", f.What, len(routers))
-	var hit []*outage
-	var down []*router
-	var resume []*process
+	var faultOutages []*outage
+	var killed []*router
+	var paused []*process
 	for _, r := range routers {
 		p := r.newest()
 		if p == nil {
@@ -327,33 +340,33 @@
 				continue
 			}
 			defer r.downMu.Unlock()
-			down = append(down, r)
+			killed = append(killed, r)
 		}
 		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
-			for _, relay := range fl.coordinatorRelays[r.name] { // made before the load
+			for _, relay := range fl.coordinatorRelays[r.name] { // all relays were made before the load
 				relay.Set(fakes.Net{Cut: true})
 				defer relay.Set(fakes.Net{})
 			}
 			continue
 		}
-		hit = append(hit, o)
+		faultOutages = append(faultOutages, o)
 		if o.stopped {
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended
-			resume = append(resume, p)
+			paused = append(paused, p)
 			continue
 		}
 		fl.kill(r, p)
 	}
-	over()
-	for _, p := range resume {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // likewise
+	waitUntilOver()
+	for _, p := range paused {
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may have ended
 	}
 	var wg sync.WaitGroup
-	for _, r := range down {
+	for _, r := range killed {
 		if ctx.Err() == nil {
 			wg.Go(func() {
-				if p := r.newest(); p != nil { // killed, and its end not booked yet
+				if p := r.newest(); p != nil { // killed, but its exit is not recorded yet
 					<-p.done
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
@@ -365,27 +378,30 @@
 	wg.Wait()
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	for _, o := range hit {
+	for _, o := range faultOutages {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused, Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused,
+				Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
 	}
 }
 
-// judgeChanges tells what did not hold of planned changes. It goes by what the laboratory did and by what servers saw: the words
-// of neither routers nor coordinators count. The caller holds mu.
+// judgeChanges returns the failures of planned changes. It uses what the lab did and what the
+// servers saw, not what routers or coordinators report. The caller holds mu.
 func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
 	warm := o.WarmS*1000 - clockToleranceMS
 	for _, c := range fl.changes {
 		if len(c.Tokens) > 1 {
-			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v", c.Resource, len(c.Tokens), c.Tokens))
+			fails = append(fails, fmt.Sprintf("%s was changed %d times, with tokens %v",
+				c.Resource, len(c.Tokens), c.Tokens))
 		}
 		if c.RunningAtMS == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)", c.Resource, c.ToolRuns))
+			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)",
+				c.Resource, c.ToolRuns))
 		}
 		if c.StoppedAtMS == 0 {
 			continue
@@ -393,24 +409,27 @@
 		kind, _, _ := strings.Cut(c.Resource, "/")
 		out := map[string]bool{}
 		for _, d := range fl.changes {
-			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 && d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
+			if k, _, _ := strings.Cut(d.Resource, "/"); d != c && k == kind && d.StoppedAtMS > 0 &&
+				d.StoppedAtMS <= c.StoppedAtMS && (d.RunningAtMS == 0 || d.RunningAtMS+warm > c.StoppedAtMS) {
 				out[fmt.Sprintf("%s (from %.0f, back %.0f)", d.Resource, d.StoppedAtMS, d.RunningAtMS)] = true
 			}
 		}
 		for _, d := range fl.outages {
-			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource && d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
+			if k, _, _ := strings.Cut(d.resource, "/"); k == kind && d.resource != c.Resource &&
+				d.from+noticeTimeoutMS < c.StoppedAtMS && (d.to == 0 || d.to > c.StoppedAtMS) {
 				out[d.resource] = true
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be", c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
+			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be",
+				c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
-	// Nothing begins at a server between the word that it is drained and its return.
-	of := map[string]string{} // router of a request
+	// No attempt may begin at a server between the report that it is drained and its return.
+	routerOf := map[string]string{} // router of a request
 	for _, e := range events {
 		if e.Kind == checker.Sent {
-			of[e.Request] = e.Router
+			routerOf[e.Request] = e.Router
 		}
 	}
 	for _, c := range fl.changes {
@@ -420,19 +439,22 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS || c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
+			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS ||
+				c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
 				continue
 			}
-			known := true
-			for _, d := range fl.outages { // a process that was stopped hears of it when it goes on
-				known = known && !(d.stopped && d.resource == "router/"+of[e.Request] && e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
+			isKnown := true
+			for _, d := range fl.outages { // a paused process learns of the drain when it resumes
+				isKnown = isKnown && !(d.stopped && d.resource == "router/"+routerOf[e.Request] &&
+					e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
-			if known {
+			if isKnown {
 				late++
 			}
 		}
 		if late > 0 {
-			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was said to be drained", c.Resource, late))
+			fails = append(fails, fmt.Sprintf("%s: %d attempts began after it was reported as drained",
+				c.Resource, late))
 		}
 	}
 	return fails
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -18,20 +18,22 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// changesOptions are those of a run with real routers, coordinators and tools.
-func changesOptions(t *testing.T) Options {
+// plannedChangeOptions returns options for a run with real routers, coordinators and tools.
+func plannedChangeOptions(t *testing.T) Options {
 	t.Helper()
-	dir, err := built()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
+	return Options{RouterCommand: realRouter(t), CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")},
+		Dir: t.TempDir(), ChangeTimeout: 3 * time.Minute, ReadyTimeout: time.Minute}
 }
 
-// Three seeds of planned changes of all servers and most routers, with faults between all processes: never more out by plan than
-// the budgets leave, nothing sent to a drained server, each change done once.
+// Runs three seeds of planned changes of all servers and most routers, with faults between all
+// processes: planned outages must stay within the budgets, nothing may be sent to a drained server,
+// and each change must be made once.
 func TestPlannedChangesStayWithinBudgets(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -55,10 +57,11 @@
 	}
 }
 
-// Releases of real routers, whose drivers are killed: a good version comes to all, one that doesn't get ready and one that crashes
-// halt by themselves and go back. No router is brought anywhere twice.
+// Releases a version to real routers and kills the drivers: a good version must reach all routers,
+// and one that never gets ready or crashes must halt the release and be rolled back. No version may
+// be installed twice on a router.
 func TestBadReleaseHaltsAndRollsBack(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for _, spoil := range []string{"", "never", "crash"} {
 		t.Run("spoilt by "+spoil, func(t *testing.T) {
 			t.Parallel()
@@ -67,11 +70,11 @@
 				t.Fatal(err)
 			}
 			f.DurationS, f.Load.Rate, f.Fleet.Out, f.Fleet.Coordinators = 8, 60, scenario.Out{Routers: 1, WarmS: 0.5}, 3
-			f.Faults[0].ForS, f.Faults[0].Count = 60, 0 // a slow machine is no bad version
+			f.Faults[0].ForS, f.Faults[0].Count = 60, 0 // a slow machine must not count as a bad version
 			switch spoil {
 			case "never":
 				f.Faults[0].ForS = 20
-			case "crash": // seen once the session of the router that has crashed is over
+			case "crash": // a crash is noticed when the router's session expires
 				f.Faults[0].DownS = 8
 			}
 			f.Faults = append(f.Faults, scenario.Fault{AtS: 3, What: "tools-die", Count: 4, ForS: 8})
@@ -89,9 +92,10 @@
 	}
 }
 
-// A driver killed at each of its steps: the release comes to its end, and no router is brought anywhere twice.
+// Kills a release's driver at each of its steps: the release must complete, and no version may be
+// installed twice on a router.
 func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
 		t.Run(at, func(t *testing.T) {
 			t.Parallel()
@@ -115,8 +119,8 @@
 	}
 }
 
-// The tool killed at each of its steps, and called again under the same name: it takes over, commands get ever higher tokens, and
-// nothing stays out.
+// Kills the tool at each of its steps and runs it again under the same name: it must take over the
+// permit, each run of the command must get a higher token, and no permit or drain may be left.
 func TestPermitIsTakenOverWhenToolIsKilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 7)
@@ -124,7 +128,7 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.Load.Rate, f.Fleet.Out = nil, 20, scenario.Out{Servers: 7, WarmS: 0}
-	fl := newFleet(f, changesOptions(t))
+	fl := newFleet(f, plannedChangeOptions(t))
 	t.Cleanup(fl.close)
 	if err := fl.start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -145,7 +149,8 @@
 			thing := "server/" + fl.members[i].entry.ID
 			file := filepath.Join(fl.options.Dir, at)
 			for run := 0; ; run++ {
-				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing, "--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
+				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing,
+					"--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
 					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
 				}
@@ -189,16 +194,19 @@
 	}
 }
 
-// A cache server breaks off all its answers: two routers find it out, and then all leave it out by their word, while a third tells that
-// all servers are bad and is not believed. No router is heard on what it hasn't asked, and the rules hold.
+// A cache server cuts off all its answers: two routers notice it, and then all must exclude the
+// server on their reports. Another router falsely reports all servers, which must have no effect.
+// No report on a server may count if its router has sent the server nothing.
 func TestFaultyServerIsExcludedAndLyingRouterIsIgnored(t *testing.T) {
 	t.Parallel()
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/", "../../cmd/dockhinge").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "mutants", "-o", dir+"/",
+		"../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
+	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"},
+		"lies-all", 0
 	f, err := scenario.Suspects(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -216,17 +224,19 @@
 	t.Logf("%+v", res.FaultySpells)
 }
 
-// The origin turns all away, so that the fleet refuses what is missing: nothing that operators ask for meanwhile goes out, and all of
-// it does once it is over.
+// The origin rejects all requests, so that the fleet rejects reads that miss: no planned change may
+// start meanwhile, and all must be made afterwards.
 func TestNoChangeStartsWhileFleetIsOverloaded(t *testing.T) {
 	t.Parallel()
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	f, err := scenario.Changes(5, 3, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.DurationS, f.Load.Rate, f.Fleet.Coordinators, f.Fleet.Out = 18, 150, 3, scenario.Out{Servers: 2, Routers: 1, WarmS: 0.5, Busy: 0.1}
-	f.Faults = []scenario.Fault{{AtS: 2, What: "origin-busy", ForS: 10}, {AtS: 9, What: "change-servers", Share: 1, DownS: 0.2}}
+	f.DurationS, f.Load.Rate, f.Fleet.Coordinators, f.Fleet.Out = 18, 150, 3,
+		scenario.Out{Servers: 2, Routers: 1, WarmS: 0.5, Busy: 0.1}
+	f.Faults = []scenario.Fault{{AtS: 2, What: "origin-busy", ForS: 10},
+		{AtS: 9, What: "change-servers", Share: 1, DownS: 0.2}}
 	res, err := Run(t.Context(), f, o)
 	if err != nil {
 		t.Fatal(err)
@@ -244,13 +254,14 @@
 	for _, c := range res.Changes {
 		first = min(first, c.StoppedAtMS-c.RequestedAtMS)
 	}
-	if first < 3000 { // asked three seconds before it is over
-		t.Errorf("a change went out %.0f ms after it was asked for, while the fleet was over its limit: %+v", first, res.Changes)
+	if first < 3000 { // requested three seconds before the fault is over
+		t.Errorf("a change started %.0f ms after it was requested, while the fleet was over its limit: %+v",
+			first, res.Changes)
 	}
-	t.Logf("the first went %.1f s after it was asked for", first/1000)
+	t.Logf("the first change started %.1f s after it was requested", first/1000)
 }
 
-// The referee finds each kind of fault in what is planned, by what the laboratory did and servers saw.
+// judgeChanges must report each kind of violation by planned changes.
 func TestJudgeChangesReportsEachViolation(t *testing.T) {
 	for _, x := range []struct {
 		want    string
@@ -258,15 +269,25 @@
 		outages []outage
 		events  []checker.Event
 	}{
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}}, {Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2}, {Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil},
-		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}}, []outage{{resource: "server/a", from: 5000}}, nil}, // not noticed yet
-		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1, 2}}}, nil, nil},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}},
+			{Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
+		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2},
+			{Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
+		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}},
+			[]outage{{resource: "server/a", from: 5000}}, nil},
+		// not noticed yet
+		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}},
+			[]outage{{resource: "server/a", from: 5000}}, nil},
+		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2,
+			Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
-		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15}, {Kind: checker.Whole, Server: "a", Began: 9}}},
-		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}}, []outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
-			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"}, {Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
+		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
+			nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15},
+				{Kind: checker.Whole, Server: "a", Began: 9}}},
+		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
+			[]outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
+			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"},
+				{Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
 		fl.File.Fleet.Out = scenario.Out{Servers: 1, Routers: 1, WarmS: 1}
@@ -277,8 +298,9 @@
 	}
 }
 
-// What operators do by hand: drain, look, halt, resume, undrain; a router that starts in the middle knows it before its first
-// client, and coordinators that take calls and never answer keep no router from starting.
+// An operator drains a server, halts, resumes and undrains it. A router that starts meanwhile must
+// apply the drain before it serves its first client, and must also start when the coordinators
+// accept calls but never answer.
 func TestManualDrainHaltResumeAndUndrain(t *testing.T) {
 	t.Parallel()
 	f, err := scenario.Changes(1, 2, 4)
@@ -286,7 +308,7 @@
 		t.Fatal(err)
 	}
 	f.Faults, f.DurationS, f.Load.Rate, f.Fleet.Out = nil, 600, 100, scenario.Out{Servers: 1, Routers: 1, WarmS: 0}
-	o := changesOptions(t)
+	o := plannedChangeOptions(t)
 	fl := newFleet(f, o)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(fl.close)
@@ -295,7 +317,7 @@
 		t.Fatal(err)
 	}
 	over := make(chan struct{})
-	go func() { defer close(over); fl.play(ctx) }() //nolint:errcheck // cut short, and judged here
+	go func() { defer close(over); fl.play(ctx) }() //nolint:errcheck // canceled, and checked below
 	t.Cleanup(func() { cancel(); <-over })
 
 	tool := func(args ...string) (string, error) {
@@ -308,7 +330,7 @@
 		text, _ := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 		return string(text), err
 	}
-	must := func(want string, args ...string) {
+	mustPrint := func(want string, args ...string) {
 		t.Helper()
 		if err := retryUntil(ctx, time.Minute, func() error {
 			out, err := tool(args...)
@@ -323,7 +345,7 @@
 			t.Fatal(err)
 		}
 	}
-	began := func(server string) (n int) {
+	countAttempts := func(server string) (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
 			if e.Kind == checker.Whole && e.Server == server {
@@ -334,21 +356,22 @@
 	}
 	first, second := fl.members[0].entry.ID, fl.members[1].entry.ID
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if began(first) == 0 {
+		if countAttempts(first) == 0 {
 			return fmt.Errorf("nothing is sent to %s", first)
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	must("drained", "drain", "server/"+first)
-	at := began(first)
-	must("by plan", "fleet")
-	if out, err := tool("drain", "server/"+second, "--within", "2s"); err == nil || !strings.Contains(out, "1 of at most 1 out: "+first+" (by plan)") {
-		t.Errorf("a second one: %v\n%s", err, out)
+	mustPrint("drained", "drain", "server/"+first)
+	at := countAttempts(first)
+	mustPrint("by plan", "fleet")
+	if out, err := tool("drain", "server/"+second, "--within", "2s"); err == nil ||
+		!strings.Contains(out, "1 of at most 1 out: "+first+" (by plan)") {
+		t.Errorf("a second drain: %v\n%s", err, out)
 	}
-	must("", "halt", "--why", "enough")
-	must("HALTED by", "fleet")
+	mustPrint("", "halt", "--why", "enough")
+	mustPrint("HALTED by", "fleet")
 	r := fl.allRouters()[0]
 	p := r.newest()
 	r.signal(p, 15)
@@ -356,7 +379,7 @@
 	if err := fl.startRouter(ctx, r); err != nil {
 		t.Fatal(err)
 	}
-	sent := func() (n int) {
+	countRequests := func() (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
 			if e.Kind == checker.Sent && e.Router == r.name {
@@ -365,19 +388,19 @@
 		}
 		return n
 	}
-	before := sent()
+	before := countRequests()
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if sent() < before+50 {
+		if countRequests() < before+50 {
 			return fmt.Errorf("router %s gets no requests", r.name)
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if n := began(first); n != at {
-		t.Errorf("%d attempts began at the drained server, over a router that started in the middle too", n-at)
+	if n := countAttempts(first); n != at {
+		t.Errorf("%d attempts began at the drained server, also counting the router that started meanwhile", n-at)
 	}
-	for _, c := range fl.coordinators.coords { // stopped, not dead: they take calls and don't answer
+	for _, c := range fl.coordinators.coords { // paused, so that they accept calls but don't answer
 		c.signal(19)
 	}
 	r = fl.allRouters()[1]
@@ -390,12 +413,12 @@
 	for _, c := range fl.coordinators.coords {
 		c.signal(18)
 	}
-	must("", "resume")
-	at = began(first)
-	must("", "undrain", "server/"+first)
+	mustPrint("", "resume")
+	at = countAttempts(first)
+	mustPrint("", "undrain", "server/"+first)
 	if err := retryUntil(ctx, time.Minute, func() error {
-		if began(first) == at {
-			return fmt.Errorf("nothing is sent to %s, which is back", first)
+		if countAttempts(first) == at {
+			return fmt.Errorf("nothing is sent to %s, which was undrained", first)
 		}
 		return nil
 	}); err != nil {
