--- a/lab/checker/changes_test.go
+++ b/lab/checker/changes_test.go
@@ -18,7 +18,8 @@
 func TestDeliveriesMustFollowTheAgreedOrder(t *testing.T) {
 	first := Delivery{Through: 1, Changes: []AgreedChange{agreedA1}, Documents: []AgreedChange{agreedA1}}
 	third := Delivery{After: 2, Through: 3, Changes: []AgreedChange{agreedA3}, Documents: []AgreedChange{agreedA3}}
-	rest := Delivery{After: 3, Through: 5, Changes: []AgreedChange{agreedA4, agreedA5}, Documents: []AgreedChange{agreedA4}}
+	rest := Delivery{After: 3, Through: 5, Changes: []AgreedChange{agreedA4, agreedA5},
+		Documents: []AgreedChange{agreedA4}}
 	snapshot := Delivery{Through: 4, Snapshot: true, Changes: []AgreedChange{agreedA3, agreedA4},
 		Documents: []AgreedChange{agreedA3, agreedA4}}
 	last := Delivery{After: 4, Through: 5, Changes: []AgreedChange{agreedA5}, Documents: []AgreedChange{agreedA4}}
--- a/lab/checker/leases.go
+++ b/lab/checker/leases.go
@@ -100,7 +100,7 @@
 			owner[k] = c.Holder
 		}
 		if owner[k] != c.Holder {
-			add("token", c.From, "lease %s: token %d was used by %s and by %s", c.Lease, c.Token, owner[k], c.Holder)
+			add("token", c.From, "lease %s: token %d was claimed by %s and by %s", c.Lease, c.Token, owner[k], c.Holder)
 		}
 	}
 	for lease, leaseClaims := range byLease {
--- a/lab/checker/unanswered_test.go
+++ b/lab/checker/unanswered_test.go
@@ -27,7 +27,8 @@
 		{"their router was killed", "", repeat(6, "0 sent read request=q{n}\n1600 left request=q{n}") + "500 killed"},
 		{"their router was stopped", "", repeat(6, late) + paused},
 	})
-	if got := brokenRules(t, rules, repeat(6, "0 sent read request=q{n}\n1600 left request=q{n}")); got["unanswered"] != 1 || got["answer"] != 6 {
+	if got := brokenRules(t, rules,
+		repeat(6, "0 sent read request=q{n}\n1600 left request=q{n}")); got["unanswered"] != 1 || got["answer"] != 6 {
 		t.Errorf("six requests that never got an answer: got violations %v", got)
 	}
 }
--- a/lab/fakes/fakes_test.go
+++ b/lab/fakes/fakes_test.go
@@ -232,8 +232,12 @@
 					t.Errorf("got %q", got)
 				}
 			}
-			e := r.waitForEvent(t, "end of the attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded })
-			if want := map[bool]checker.End{true: checker.Rejected, false: checker.Completed}[corruption == "busy"]; e.End != want {
+			e := r.waitForEvent(t, "end of the attempt", func(e checker.Event) bool {
+				return e.Kind == checker.AttemptEnded
+			})
+			if want := map[bool]checker.End{
+				true: checker.Rejected, false: checker.Completed,
+			}[corruption == "busy"]; e.End != want {
 				t.Errorf("the attempt ended as %v", e.End)
 			}
 		})
@@ -248,7 +252,9 @@
 	p.send("mg k v O1 Pc=read\r\n")
 	r.waitForEvent(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived })
 	p.Close()
-	if e := r.waitForEvent(t, "end", func(e checker.Event) bool { return e.Kind == checker.AttemptEnded }); e.End != checker.Dropped {
+	if e := r.waitForEvent(t, "end", func(e checker.Event) bool {
+		return e.Kind == checker.AttemptEnded
+	}); e.End != checker.Dropped {
 		t.Errorf("the attempt ended as %v, want Dropped", e.End)
 	}
 	if held, _ := s.Load(); held != 0 {
@@ -347,7 +353,9 @@
 	if collapse.Began != collapse.At-100 {
 		t.Errorf("the window began at %v, and the server collapsed at %v", collapse.Began, collapse.At)
 	}
-	if e := r.waitForEvent(t, "attempt", func(e checker.Event) bool { return e.Kind == checker.AttemptReceived }); e.Work != 100 {
+	if e := r.waitForEvent(t, "attempt", func(e checker.Event) bool {
+		return e.Kind == checker.AttemptReceived
+	}); e.Work != 100 {
 		t.Errorf("got work %v of an attempt, want 100", e.Work)
 	}
 	for end := time.Now().Add(maxWait); s.IsUp(); time.Sleep(time.Millisecond) {
@@ -359,7 +367,8 @@
 
 func TestDiscoveryAnswersListsAndWatchesUntilDown(t *testing.T) {
 	r := newRig()
-	d := NewDiscovery(model.DirectoryParams{}, 1, []model.Entry{{ID: "s1", Addr: "1.1.1.1:1", State: "active"}}, r.clock, r.journal)
+	d := NewDiscovery(model.DirectoryParams{}, 1,
+		[]model.Entry{{ID: "s1", Addr: "1.1.1.1:1", State: "active"}}, r.clock, r.journal)
 	t.Cleanup(d.Close)
 	addr, err := d.OpenListener("r0", func(e model.Entry) string { return "via " + e.Addr })
 	if err != nil {
--- a/lab/fakes/told_start_test.go
+++ b/lab/fakes/server_start_test.go
@@ -21,7 +21,9 @@
 		t.Fatal(err)
 	}
 	d.ScheduleChange(model.Entry{ID: "s1", State: "active", Started: r.clock.Unix(startedAt)})
-	listed := r.waitForEvent(t, "change of the list", func(e checker.Event) bool { return e.Kind == checker.ServerStateListed })
+	listed := r.waitForEvent(t, "change of the list", func(e checker.Event) bool {
+		return e.Kind == checker.ServerStateListed
+	})
 	resp, err := http.Get("http://" + addr + "/v1/servers")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +38,7 @@
 	})
 	for _, e := range []checker.Event{listed, asked, known} {
 		if e.Server != "s1" || math.Abs(e.ServerStartedAt-startedAt) > 0.01 {
-			t.Errorf("got event %+v, want the start of s1 at %v", e, startedAt)
+			t.Errorf("got event %+v, want the start time of s1", e)
 		}
 	}
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -67,7 +67,9 @@
 const maxWait = 20 * time.Second
 
 // sendUntil sends requests until isEnough accepts the recorded events.
-func sendUntil(t *testing.T, isEnough func([]checker.Event) bool, change func(*Params), addr string) (Result, []checker.Event) {
+func sendUntil(
+	t *testing.T, isEnough func([]checker.Event) bool, change func(*Params), addr string,
+) (Result, []checker.Event) {
 	t.Helper()
 	journal := checker.NewJournal(1 << 16)
 	ctx, stop := context.WithTimeout(t.Context(), maxWait)
@@ -109,7 +111,9 @@
 	return run(ctx, t, change, checker.NewJournal(1<<16), addrs...)
 }
 
-func run(ctx context.Context, t *testing.T, change func(*Params), journal *checker.Journal, addrs ...string) (Result, []checker.Event) {
+func run(
+	ctx context.Context, t *testing.T, change func(*Params), journal *checker.Journal, addrs ...string,
+) (Result, []checker.Event) {
 	t.Helper()
 	clock := fakes.NewClock()
 	front := fakes.NewFront(clock)
@@ -145,7 +149,9 @@
 		}
 		return validAnswer
 	})
-	res, _ := send(t, func(p *Params) { p.MaxRequests, p.Classes[0].LimitMS, p.TryShare = 200, 5000, 1 }, 1200*time.Millisecond, addr)
+	res, _ := send(t, func(p *Params) {
+		p.MaxRequests, p.Classes[0].LimitMS, p.TryShare = 200, 5000, 1
+	}, 1200*time.Millisecond, addr)
 	c := res.Classes["read"]
 	if c.Served != c.Asked || c.Asked < 100 {
 		t.Fatalf("got result %+v", c)
@@ -185,7 +191,9 @@
 		return "SERVER_ERROR busy 100\r\n"
 	})
 	isServed := func(e checker.Event) bool { return e.Kind == checker.Answered && e.Answer == checker.Served }
-	res, events := sendUntil(t, func(events []checker.Event) bool { return count(events, isServed) >= 40 }, func(p *Params) {
+	res, events := sendUntil(t, func(events []checker.Event) bool {
+		return count(events, isServed) >= 40
+	}, func(p *Params) {
 		p.Retries, p.Honour, p.MaxRequests, p.Keys, p.Zipf, p.Drift, p.Classes[0].LimitMS = 2, 1, 50, 100000, 0, 0, 5000
 	}, addr)
 	c := res.Classes["read"]
@@ -218,11 +226,13 @@
 		}
 	}
 	addr := startRouter(t, func(string) string { return "close" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || !events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 ||
+		events[1].Kind != checker.ClosedByRouter || !events[1].NewConnection {
 		t.Errorf("new connection closed without an answer: got events %+v", events)
 	}
 	addr = startRouter(t, func(string) string { return "close after VA" })
-	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 || events[1].Kind != checker.ClosedByRouter || events[1].NewConnection {
+	if _, events := sendAll(t, 1, func(*Params) {}, addr); len(events) != 2 ||
+		events[1].Kind != checker.ClosedByRouter || events[1].NewConnection {
 		t.Errorf("connection closed after some bytes: got events %+v", events)
 	}
 	asked := 0
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -145,7 +145,8 @@
 
 func TestChokeBeginsWhenCrowdedAndEndsAfterRest(t *testing.T) {
 	p := params()
-	p.Queue, p.ChokeAt, p.ChokeOverMS, p.ChokeSlower, p.ChokeBelow, p.ChokeRestMS, p.ChokeMostMS = 100, 2, 50, 3, 0.5, 100, 5000
+	p.Queue, p.ChokeAt, p.ChokeOverMS, p.ChokeSlower, p.ChokeBelow, p.ChokeRestMS, p.ChokeMostMS =
+		100, 2, 50, 3, 0.5, 100, 5000
 	p.Origin = true
 	s := New(p, 1, 0)
 	for i := range uint64(20) {
@@ -237,7 +238,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := Params{Cores: rapid.IntRange(1, 4).Draw(t, "cores"), Speed: rapid.Float64Range(0.5, 2).Draw(t, "speed"),
 			Slots: rapid.IntRange(0, 6).Draw(t, "slots"), Queue: rapid.IntRange(0, 8).Draw(t, "queue"), Memory: 500,
-			Thrash: 0.1, ThrashAt: 1, ColdFrom: 0.3, ColdMS: 500, ChokeAt: 1, ChokeOverMS: 20, ChokeSlower: 2, ChokeBelow: 0.5,
+			Thrash: 0.1, ThrashAt: 1, ColdFrom: 0.3, ColdMS: 500,
+			ChokeAt: 1, ChokeOverMS: 20, ChokeSlower: 2, ChokeBelow: 0.5,
 			ChokeRestMS: 30, ChokeMostMS: 200, PauseEveryMS: 100, PauseMS: 5, ErrorRate: 0.1, MissWork: 1, FetchMS: 50}
 		type step struct {
 			Gap, Work float64
@@ -291,7 +293,8 @@
 }
 
 func TestDirectoryPublishesChangesLateAndInOrder(t *testing.T) {
-	d := NewDirectory(DirectoryParams{LateMS: [2]float64{100, 500}}, 1, []Entry{{ID: "a", State: "active"}, {ID: "b", State: "active"}})
+	d := NewDirectory(DirectoryParams{LateMS: [2]float64{100, 500}}, 1,
+		[]Entry{{ID: "a", State: "active"}, {ID: "b", State: "active"}})
 	d.ScheduleChange(0, Entry{ID: "a", State: "leaving"})
 	d.ScheduleChange(1, Entry{ID: "a", State: "left"})
 	if d.Advance(99) || d.Version() != 1 {
--- a/lab/model/slow_start_test.go
+++ b/lab/model/slow_start_test.go
@@ -36,7 +36,8 @@
 
 // Work that arrived before the window does not count.
 func TestSlowStartBudgetIgnoresWorkBeforeWindow(t *testing.T) {
-	s := New(Params{Cores: 1, Speed: 1, Queue: 10000, ColdFrom: 0.5, ColdMS: 1e12, FallMultiple: 2, FallForMS: 100, MeanWork: 1}, 1, 0)
+	s := New(Params{Cores: 1, Speed: 1, Queue: 10000, ColdFrom: 0.5, ColdMS: 1e12,
+		FallMultiple: 2, FallForMS: 100, MeanWork: 1}, 1, 0)
 	s.Restart(0)
 	for i := range 10 {
 		now := float64(i) * 100
