--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -63,7 +63,7 @@
 						}
 						var res fleet.Result
 						if err == nil {
-							res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, Coord: coord, CoordEnv: env, Spoilt: planted, Lies: v.lies, Dir: dir})
+							res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: planted, FirstRouterMutant: v.lies, Dir: dir})
 						}
 						mu.Lock()
 						defer mu.Unlock()
@@ -76,7 +76,7 @@
 						} else {
 							os.RemoveAll(dir)
 						}
-						for _, x := range res.Ill {
+						for _, x := range res.FaultySpells {
 							all[i].attempts, all[i].late, all[i].by = append(all[i].attempts, float64(x.Attempts)), append(all[i].late, float64(x.Late)), append(all[i].by, float64(x.Routers))
 						}
 						if n := len(res.Samples); n > 1 {
@@ -85,7 +85,7 @@
 								all[i].cpu = append(all[i].cpu, (u.CPUMS-first.Routers[name].CPUMS)/(last.AtS-first.AtS)/10)
 							}
 						}
-						all[i].service, all[i].breaches = append(all[i].service, res.Service), append(all[i].breaches, float64(len(res.Broken)))
+						all[i].service, all[i].breaches = append(all[i].service, res.Service), append(all[i].breaches, float64(len(res.Breaches)))
 					})
 				}
 			}
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -83,7 +83,7 @@
 						if c.logs == "" {
 							defer os.RemoveAll(dir)
 						}
-						res, err = fleet.Run(cmd.Context(), f, fleet.Options{Command: command, Coord: coord, CoordEnv: env, Spoilt: spoilt, Dir: dir, Patience: 90 * time.Second})
+						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: spoilt, Dir: dir, ChangeTimeout: 90 * time.Second})
 					}
 					if err == nil && page != "" {
 						err = report.Write(strings.TrimSuffix(page, ".html")+fmt.Sprintf("-%d.html", f.Seed), []fleet.Result{res})
@@ -94,24 +94,24 @@
 						fmt.Printf("seed %d could not be played: %v\n", from+uint64(i), err)
 						return
 					}
-					if res.Cut {
+					if res.Interrupted {
 						return
 					}
 					played++
 					last := 0.0
 					for _, x := range res.Changes {
-						tools += x.Tools
-						if x.Back > 0 {
+						tools += x.ToolRuns
+						if x.RunningAtMS > 0 {
 							done++
 						}
-						last = max(last, (x.Back-x.Asked)/1000)
+						last = max(last, (x.RunningAtMS-x.RequestedAtMS)/1000)
 					}
 					n := len(f.Faults) - 2
 					if release != "" {
 						n++
 					}
 					faults += n
-					breaches += len(res.Broken)
+					breaches += len(res.Breaches)
 					if r := res.Released; r != nil {
 						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s, %d runs of the tool, %d repeats, %d old tokens refused\n", r.Exposed, r.HaltS, r.Halt, r.TookS, r.Drivers, r.Repeats, r.Refused)
 						last = r.TookS
--- a/internal/coord/client/request_timeout.go
+++ b/internal/coord/client/request_timeout.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// requestTimeout is how long one coordinator is given to respond to a command that is sent repeatedly.
-// It doubles after each timeout: a leader with a queue responds late, and retrying sooner would only
-// lengthen the queue.
+// requestTimeout is how long one coordinator is given to respond to a command that is sent
+// repeatedly. It doubles after each timeout: a leader with a queue responds late, and retrying
+// sooner would only lengthen the queue.
 type requestTimeout struct {
 	current time.Duration
 	longest time.Duration
@@ -16,8 +16,8 @@
 
 // newRequestTimeout returns the base timeout, which can grow to half of the session's TTL.
 func (c *Client) newRequestTimeout() requestTimeout {
-	usual := c.baseRequestTimeout()
-	return requestTimeout{current: usual, longest: max(usual, c.options.TTL/2)}
+	base := c.baseRequestTimeout()
+	return requestTimeout{current: base, longest: max(base, c.options.TTL/2)}
 }
 
 // observe doubles the timeout if the error is a timeout.
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -13,7 +13,8 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// lateCoordinator executes commands by itself, but those for the late lease only once released is closed.
+// lateCoordinator executes commands by itself, but those for the late lease only once released is
+// closed.
 type lateCoordinator struct {
 	mu       sync.Mutex
 	state    *coord.State
@@ -41,9 +42,9 @@
 }
 
 // One command's response is late while the client sends others. The coordinators remember
-// MaxCachedResponses from it on and reject commands beyond that window. The client must hold back such
-// commands until the late response has arrived.
-func TestLateCommandHoldsTheWindow(t *testing.T) {
+// MaxCachedResponses from it on and reject commands beyond that window. The client must hold back
+// such commands until the late response has arrived.
+func TestCommandsBeyondTheWindowAreHeldBack(t *testing.T) {
 	late := &lateCoordinator{state: coord.New(), late: "late", released: make(chan struct{})}
 	server := httptest.NewServer(late)
 	defer server.Close()
@@ -67,7 +68,7 @@
 	}
 	for i := range coord.MaxCachedResponses - 1 {
 		if _, err := c.Acquire(ctx, fmt.Sprint("l", i), "", 10*time.Second); err != nil {
-			t.Fatalf("number %d: %v", i, err)
+			t.Fatalf("acquire %d: %v", i, err)
 		}
 	}
 	next := make(chan error, 1)
@@ -78,7 +79,7 @@
 	shortContext, end := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer end()
 	if _, err := c.Acquire(shortContext, "beyond too", "", 10*time.Second); err == nil {
-		t.Error("a command beyond the window was carried out")
+		t.Error("a command beyond the window was executed")
 	}
 	close(late.released)
 	for what, c := range map[string]chan error{"late": errs, "beyond": next} {
--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -11,15 +11,16 @@
 type budgetsFile struct {
 	// Version is the version of the file format: 1.
 	Version int `toml:"version"`
-	// Grace must be longer than the TTL of routers' sessions, from 1s to 1h.
-	Grace string `toml:"grace"`
-	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the check.
+	// GracePeriod must be longer than the TTL of routers' sessions, from 1s to 1h.
+	GracePeriod string `toml:"grace"`
+	// ExpectedRouters is how many routers must take part before a server is drained; 0 disables the
+	// check.
 	ExpectedRouters int `toml:"routers"`
 	// EjectionQuorum is how many routers must find a server failing before all of them eject it; 0
 	// disables shared ejection.
 	EjectionQuorum int `toml:"quorum"`
-	// OverloadShare is the fraction of rejected or failed requests above which no further drain or permit
-	// starts; 0 disables the check.
+	// OverloadShare is the fraction of rejected or failed requests above which no outage may start
+	// except in an emergency; 0 disables the check.
 	OverloadShare float64 `toml:"busy"`
 	// Budgets limit how many routers or servers may be out of service at the same time.
 	Budgets []budgetEntry `toml:"budget"`
@@ -47,7 +48,7 @@
 
 // ParseBudgets parses the content of the budgets file at path.
 func ParseBudgets(path string, text []byte) (rollout.Command, error) {
-	file := budgetsFile{Grace: rollout.DefaultGracePeriod.String()}
+	file := budgetsFile{GracePeriod: rollout.DefaultGracePeriod.String()}
 	if err := decode(path, text, &file); err != nil {
 		return rollout.Command{Op: rollout.OpSetBudgets}, err
 	}
@@ -55,7 +56,7 @@
 	c.version(file.Version)
 	command := rollout.Command{
 		Op:              rollout.OpSetBudgets,
-		GracePeriod:     c.durationWithin("grace", file.Grace, rollout.MinGracePeriod, rollout.MaxDuration),
+		GracePeriod:     c.durationWithin("grace", file.GracePeriod, rollout.MinGracePeriod, rollout.MaxDuration),
 		ExpectedRouters: file.ExpectedRouters,
 		EjectionQuorum:  file.EjectionQuorum,
 		OverloadShare:   file.OverloadShare,
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -22,11 +22,12 @@
 
 // Limits and timeouts of the HTTP API for clients.
 const (
-	// MaxConnections is the number of client connections served at the same time: three per session.
-	// It is lower if the process may open fewer descriptors.
+	// MaxConnections is the number of client connections served at the same time: three per
+	// session. It is lower if the process may open fewer descriptors.
 	MaxConnections = 24576
 
-	// maxBodyBytes allows for a report of rollout.MaxReportedServers servers with the longest names.
+	// maxBodyBytes allows for a report of rollout.MaxReportedServers servers with the longest
+	// names.
 	maxBodyBytes = 256 << 10
 
 	maxHeaderBytes          = 16 << 10
@@ -65,8 +66,9 @@
 	return mux
 }
 
-// MetricsHandler returns a handler for monitoring, which accepts no commands. GET /-/metrics returns the
-// Status. GET /-/ready returns 200 if the coordinator belongs to a group and knows its leader, else 503.
+// MetricsHandler returns a handler for monitoring, which accepts no commands. GET /-/metrics
+// returns the Status. GET /-/ready returns 200 if the coordinator belongs to a group and knows its
+// leader, else 503.
 func (n *Node) MetricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/metrics", n.serveStatus)
@@ -88,8 +90,8 @@
 		http.Error(w, fmt.Sprintf("op: %s is the coordinators' own", c.Op), http.StatusBadRequest)
 		return
 	}
-	response, awaits, err := n.awaitsUpgrade(c)
-	if !awaits && err == nil {
+	response, isUpgradeRequired, err := n.requiresUpgrade(c)
+	if !isUpgradeRequired && err == nil {
 		response, err = n.Propose(c)
 	}
 	n.writeResponse(w, response, err)
@@ -125,8 +127,9 @@
 	n.writeResponse(w, coord.Response{Code: coord.CodeOK}, err)
 }
 
-// awaitNewer waits until there is a version newer than the query's "after", if this coordinator leads.
-// For after=0 it waits only with wait=true. It returns false if it has sent an error response.
+// awaitNewer waits until there is a version newer than the query's "after", if this coordinator
+// leads. For after=0 it waits only with wait=true. It returns false if it has sent an error
+// response.
 func (n *Node) awaitNewer(
 	w http.ResponseWriter, r *http.Request, watch func(ctx context.Context, after uint64) error,
 ) bool {
@@ -135,8 +138,8 @@
 		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
-	isWanted := after > 0 || r.URL.Query().Get("wait") == "true"
-	if !isWanted || n.raft.State() != raft.Leader {
+	mustWait := after > 0 || r.URL.Query().Get("wait") == "true"
+	if !mustWait || n.raft.State() != raft.Leader {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), maxRolloutWatchDuration)
@@ -218,8 +221,8 @@
 	return true
 }
 
-// writeResponse sends a value, or an error with the status code of its type. Write errors are ignored,
-// as they mean that the client has disconnected.
+// writeResponse sends a value, or an error with the status code of its type. Write errors are
+// ignored, as they mean that the client has disconnected.
 func (n *Node) writeResponse(w http.ResponseWriter, value any, err error) {
 	var limit *LimitError
 	if errors.As(err, &limit) {
@@ -249,14 +252,14 @@
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	limit := newConnectionLimit(connectionLimitForProcess())
 	server := &http.Server{
-		Handler:           limit.handler(handler),
+		Handler:           limit.wrapHandler(handler),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ConnContext:       limit.opened,
-		ConnState:         limit.changed,
+		ConnContext:       limit.registerConnection,
+		ConnState:         limit.unregisterConnection,
 	}
 	done := make(chan error, 1)
 	go func() { // ends with the server; done is received below
--- a/internal/coord/node/node.go
+++ b/internal/coord/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one coordinator: it drives the state machine of package coord with the consensus
-// library hashicorp/raft, which has its log in bbolt, its snapshots in files and a transport to the
-// other coordinators. Clients send commands over HTTP (see Node.Handler).
+// Package node runs one coordinator: it drives the state machine of package coord with the
+// consensus library hashicorp/raft, which has its log in bbolt, its snapshots in files and a
+// transport to the other coordinators. Clients send commands over HTTP (see Node.Handler).
 package node
 
 import (
@@ -30,8 +30,8 @@
 	ListenAddress string // host:port for the other coordinators
 	ClientAddress string // host:port for clients
 
-	// PeerAddresses override, by coordinator name, the addresses at which this coordinator connects to
-	// the others.
+	// PeerAddresses override, by coordinator name, the addresses at which this coordinator connects
+	// to the others.
 	PeerAddresses map[string]string
 
 	// ClockRateBound is the maximum fraction by which any clock may run fast or slow.
@@ -88,9 +88,9 @@
 
 	leaderClock      leaderClock
 	commandsInFlight atomic.Int64
-	rejected         atomic.Int64    // requests rejected because of a limit
-	tableReturns     *returnSchedule // retry times of clients rejected by a full table
-	commandReturns   *returnSchedule // retry times of clients rejected by too many commands in flight
+	rejected         atomic.Int64   // requests rejected because of a limit
+	tableRetries     *retrySchedule // retry times of clients rejected by a full table
+	commandRetries   *retrySchedule // retry times of clients rejected by too many commands in flight
 	readBarrier      sharedBarrier
 	duplicates       duplicateCommands
 
@@ -107,8 +107,8 @@
 		state:          coord.New(),
 		watches:        map[string]chan struct{}{},
 		commitLatency:  newLatencyHistogram(),
-		tableReturns:   newTableReturns(),
-		commandReturns: newCommandReturns(),
+		tableRetries:   newTableRetrySchedule(),
+		commandRetries: newCommandRetrySchedule(),
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // recordLatency records the time since began. The caller must hold the lock of the histogram.
 func recordLatency(histogram *hdrhistogram.Histogram, began time.Time) {
-	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // can't fail: the value is within range
+	_ = histogram.RecordValue(min(time.Since(began).Microseconds(), maxRecordedMicros)) // can't fail: within range
 }
 
 // Start opens the directory and starts the coordinator. Close stops it.
@@ -139,11 +139,11 @@
 		Output:      logWriter{o.Log},
 		DisableTime: true,
 	})
-	snapshots, floor, err := openSnapshots(o.Directory, log)
+	snapshots, snapshotIndex, err := openSnapshots(o.Directory, log)
 	if err != nil {
 		return nil, err
 	}
-	n.store, err = openStore(o.Directory, floor, o.OnFatal)
+	n.store, err = openStore(o.Directory, snapshotIndex, o.OnFatal)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -35,10 +35,10 @@
 	return &c
 }
 
-// ExpiryDelay returns how long, on State.Clock, the coordinators wait before a session or lease with
-// this TTL expires. The holder's clock may be slow and the coordinators' clock fast by the bound:
-// after this delay the TTL has passed on the holder's clock too, and the holder has stopped acting.
-// With a shorter delay a slow holder and its successor could act at the same time.
+// ExpiryDelay returns how long, on State.Clock, the coordinators wait before a session or lease
+// with this TTL expires. The holder's clock may be slow and the coordinators' clock fast by the
+// bound: after this delay the TTL has passed on the holder's clock too, and the holder has stopped
+// acting. With a shorter delay a slow holder and its successor could act at the same time.
 func (s *State) ExpiryDelay(ttl time.Duration) time.Duration {
 	if failpoint.IsInjected("rate-ignored") {
 		return ttl
@@ -46,8 +46,8 @@
 	return time.Duration(math.Ceil(float64(ttl)*(1+s.ClockRateBound)/(1-s.ClockRateBound))) + 1
 }
 
-// expiresAt returns the instant of State.Clock at which the session, or a lease of it, with this TTL
-// expires unless it is kept alive.
+// expiresAt returns the instant of State.Clock at which the session, or a lease of it, with this
+// TTL expires unless it is kept alive.
 func (s *State) expiresAt(session *Session, ttl time.Duration) time.Duration {
 	return session.KeptAliveAt + s.ExpiryDelay(ttl)
 }
@@ -64,13 +64,13 @@
 
 func (s *State) openSession(c Command) Response {
 	if problem := checkName("session", c.SessionID); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	if problem := checkName("client", c.Client); problem != "" {
-		return invalid("%s", problem)
+		return invalidResponse("%s", problem)
 	}
 	if c.TTL < MinTTL || c.TTL > MaxTTL {
-		return invalid("ttl: %v is not between %v and %v", c.TTL, MinTTL, MaxTTL)
+		return invalidResponse("ttl: %v is not between %v and %v", c.TTL, MinTTL, MaxTTL)
 	}
 	if session := s.Sessions[c.SessionID]; session != nil { // the command is a retry
 		session.KeptAliveAt = s.Clock
@@ -103,8 +103,9 @@
 }
 
 // expire ends the sessions and leases that were not kept alive in time. It scans all sessions only
-// after nextExpiry. Each keep-alive defers its session's expiry by at least a third of a TTL, so the
-// number of keep-alives bounds the cost. The order is by name, as tokens and reports depend on it.
+// after nextExpiry. Each keep-alive defers its session's expiry by at least a third of a TTL, so
+// the number of keep-alives bounds the cost. The order is by name, as tokens and reports depend on
+// it.
 func (s *State) expire() {
 	if s.Clock < s.nextExpiry {
 		return
@@ -134,8 +135,8 @@
 	}
 }
 
-// forgetAcknowledged drops the responses that the client has received.
-func (session *Session) forgetAcknowledged(through uint64) {
+// discardAcknowledged drops the responses that the client has received.
+func (session *Session) discardAcknowledged(through uint64) {
 	session.AcknowledgedThrough = max(session.AcknowledgedThrough, min(through, session.LastSequence))
 	maps.DeleteFunc(session.Responses, func(sequence uint64, _ Response) bool {
 		return sequence <= session.AcknowledgedThrough
@@ -163,8 +164,8 @@
 	return Response{}, false
 }
 
-// remember stores a response until the client acknowledges it.
-func (session *Session) remember(sequence uint64, response Response) {
+// storeResponse stores a response until the client acknowledges it.
+func (session *Session) storeResponse(sequence uint64, response Response) {
 	if session.Responses == nil {
 		session.Responses = map[uint64]Response{}
 	}
--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -140,7 +140,7 @@
 			control.setTimer()
 		}
 	})
-	slog.Info("number of processes of this router", "name", r.cfg.Name, "processes", processes)
+	slog.Info("processes are this router", "name", r.cfg.Name, "processes", processes)
 }
 
 // State returns the state for a successor, to be encoded as JSON. From then on the successor also
@@ -223,7 +223,7 @@
 	}
 }
 
-// RunLink runs the link to another process of this router until it closes.
+// RunLink records another process of this router as joined and runs the link to it until it closes.
 func (r *Router) RunLink(ctx context.Context, link *handover.Link) {
 	r.peers.add(link, true)
 	r.splitLimits()
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestForgottenIDsAreTheOldest(t *testing.T) {
+func TestLeastRecentlyListedIDIsForgotten(t *testing.T) {
 	var n serverIDs
 	n.add("first", 1)
 	for i := range maxServerIDs - 1 {
@@ -18,11 +18,11 @@
 		t.Errorf("%d ids", len(n.IDs))
 	}
 	if _, kept := n.IDs["s-0"]; kept {
-		t.Error("the one that was listed longest ago is kept")
+		t.Error("the least recently listed id is kept")
 	}
 }
 
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	for _, state := range []string{"leaving", "left"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/agree_build.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// holderIdle and holderHold are how long a holder waits between two tasks, and how long it holds a lease, at most.
+	// holderIdle is the longest pause of a holder between two tasks, holderHold the longest time
+	// for which it uses a lease.
 	holderIdle = 300 * time.Millisecond
 	holderHold = 1500 * time.Millisecond
 
-	slowSyncEnv = "DOCKHINGE_SLOW_SYNC=20ms" // of every fifth coordinator
+	slowSyncEnv = "DOCKHINGE_SLOW_SYNC=20ms" // for every fifth coordinator
 )
 
-// build makes directories, relays and files.
-func (a *agreement) build() error {
+// build starts the relays, writes the configuration files and sets the commands of all processes.
+func (a *coordinatorGroup) build() error {
 	for number := range a.scenario.Coordinators {
 		c, err := a.newCoordinator(number)
 		if err != nil {
@@ -39,7 +40,7 @@
 		return err
 	}
 	a.resource = &proc{name: "resource", dir: a.options.Dir, env: a.options.Env,
-		command: append(slices.Clone(a.options.Lab), "resource", resourceAddr, a.actsFile())}
+		command: append(slices.Clone(a.options.LabCommand), "resource", resourceAddr, a.actsFile())}
 	for number := range a.scenario.Holders {
 		holder, err := a.newHolder(number, resourceAddr)
 		if err != nil {
@@ -50,20 +51,23 @@
 	return nil
 }
 
-// actsFile is where the resource writes what was done with it.
-func (a *agreement) actsFile() string { return filepath.Join(a.options.Dir, "acts") }
+// actsFile returns the path of the resource's log of acts.
+func (a *coordinatorGroup) actsFile() string { return filepath.Join(a.options.Dir, "acts") }
 
-// holderLog is where a holder writes what it claimed and asked for.
-func (a *agreement) holderLog(name string) string { return filepath.Join(a.options.Dir, name+".jsonl") }
+// holderLog returns the path of a holder's log of claims and calls.
+func (a *coordinatorGroup) holderLog(name string) string {
+	return filepath.Join(a.options.Dir, name+".jsonl")
+}
 
 func holderName(number int) string { return fmt.Sprintf("h%d", number) }
 
 func leaseName(number int) string { return fmt.Sprintf("l%d", number) }
 
-// newCoordinator gives a coordinator its addresses.
-func (a *agreement) newCoordinator(number int) (*coordinator, error) {
+// newCoordinator returns a coordinator with addresses of its own.
+func (a *coordinatorGroup) newCoordinator(number int) (*coordinator, error) {
 	name := fmt.Sprintf("c%d", number)
-	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir}, data: filepath.Join(a.options.Dir, name)}
+	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir},
+		data: filepath.Join(a.options.Dir, name)}
 	var err error
 	if c.listen, err = FreeAddr(); err != nil {
 		return nil, err
@@ -74,13 +78,14 @@
 	return c, nil
 }
 
-// configureCoordinator writes a coordinator's settings, with a relay before each of the others, and sets its command.
-func (a *agreement) configureCoordinator(c *coordinator) error {
+// configureCoordinator writes a coordinator's settings, with a relay to each of the others, and
+// sets its command.
+func (a *coordinatorGroup) configureCoordinator(c *coordinator) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nclock_rate = %v\nsnapshot_every = %d\nlog_level = \"debug\"\n",
 		c.name, c.data, c.listen, c.api, a.scenario.ClockRate, a.scenario.SnapshotEach)
-	if a.options.Beat != "" {
-		fmt.Fprintf(&text, "beat = %q\n", a.options.Beat)
+	if a.options.HeartbeatInterval != "" {
+		fmt.Fprintf(&text, "beat = %q\n", a.options.HeartbeatInterval)
 	}
 	text.WriteString("[peers]\n")
 	for _, peer := range a.coords {
@@ -98,13 +103,14 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	c.command = append(slices.Clone(a.options.Coord), "serve", file)
+	c.command = append(slices.Clone(a.options.CoordinatorCommand), "serve", file)
 	c.env = a.coordinatorEnv(c.number)
 	return nil
 }
 
-// coordinatorEnv gives some coordinators a slow disk or a clock that steps, by the seed.
-func (a *agreement) coordinatorEnv(number int) []string {
+// coordinatorEnv returns a coordinator's environment. Depending on the seed it sets a slow disk or
+// a step of the wall clock.
+func (a *coordinatorGroup) coordinatorEnv(number int) []string {
 	seed := a.scenario.Seed
 	env := append(slices.Clone(a.options.Env), a.clockRate(number))
 	if (uint64(number)+seed)%5 == 0 {
@@ -117,14 +123,15 @@
 	return env
 }
 
-// clockRate sets the rate at which a process's clock runs: at an end of the bound, or true.
-func (a *agreement) clockRate(number int) string {
+// clockRate returns the setting of the rate of a process's clock: the upper bound, the lower bound
+// or the true rate.
+func (a *coordinatorGroup) clockRate(number int) string {
 	direction := []float64{1, -1, 0}[(number+int(a.scenario.Seed))%3]
 	return fmt.Sprintf("DOCKHINGE_CLOCK_RATE=%v", 1+a.scenario.ClockRate*direction)
 }
 
-// newHolder writes a holder's settings, with a relay before each coordinator and before the resource.
-func (a *agreement) newHolder(number int, resourceAddr string) (*proc, error) {
+// newHolder writes a holder's settings, with relays to each coordinator and to the resource.
+func (a *coordinatorGroup) newHolder(number int, resourceAddr string) (*proc, error) {
 	name := holderName(number)
 	cfg := HolderConfig{
 		Name:         name,
@@ -165,12 +172,12 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, err
 	}
-	return &proc{name: name, dir: a.options.Dir, command: append(slices.Clone(a.options.Lab), "holder", file),
+	return &proc{name: name, dir: a.options.Dir, command: append(slices.Clone(a.options.LabCommand), "holder", file),
 		env: append(slices.Clone(a.options.Env), a.clockRate(number+1))}, nil
 }
 
-// relay starts one to an address that stays the same over all restarts.
-func (a *agreement) relay(to string) (*fakes.Relay, error) {
+// relay starts a relay to an address, which must not change when the process restarts.
+func (a *coordinatorGroup) relay(to string) (*fakes.Relay, error) {
 	relay, err := fakes.NewRelay(func() string { return to })
 	if err == nil {
 		a.relayFaults[relay] = &relayFaults{}
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	relayDelayMillis = 60   // one way, of a link with a delay
-	fullDiskBytes    = 4096 // size of a file beyond which a full disk takes no more
+	relayDelayMillis = 60   // one-way delay of a delayed link
+	fullDiskBytes    = 4096 // file size at which the simulated disk is full
 
-	fullDiskEndS      = 0.3 // until a coordinator that can't go on has ended
-	damagedDiskEndS   = 1.0 // until one that finds its disk damaged has
-	emptyDiskWaitS    = 0.5 // in which one with an empty disk must not pass for the voter that it was
+	fullDiskEndS      = 0.3 // time for a coordinator that can't continue to exit
+	damagedDiskEndS   = 1.0 // time for a coordinator that finds its disk damaged to exit
+	emptyDiskWaitS    = 0.5 // time in which a coordinator with an empty disk must not act as its former voter
 	replaceTimeout    = 60 * time.Second
 	memberCallTimeout = 5 * time.Second
 )
 
-// relayFaults counts what is wrong on a relay, as faults may lie over one another.
+// relayFaults counts the faults in force on a relay, since faults may overlap.
 type relayFaults struct{ cut, dropThere, dropBack, delay int }
 
-// network is what the relay does while these faults last.
-func (f *relayFaults) network() fakes.Net {
-	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0, DelayMS: relayDelayMillis * float64(f.delay)}
+// network returns the relay's settings for these faults.
+func (f *relayFaults) network() fakes.NetworkConditions {
+	return fakes.NetworkConditions{Cut: f.cut > 0, HoldToTarget: f.dropThere > 0, HoldFromTarget: f.dropBack > 0,
+		DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
-// relayFault picks the count of one kind of fault.
+// relayFault selects the counter of one kind of fault.
 type relayFault func(*relayFaults) *int
 
 func cutFault(f *relayFaults) *int       { return &f.cut }
@@ -45,15 +46,15 @@
 func dropBackFault(f *relayFaults) *int  { return &f.dropBack }
 func delayFault(f *relayFaults) *int     { return &f.delay }
 
-// faultLinks has a fault on relays and takes it back after a time.
-func (a *agreement) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
+// faultLinks puts a fault on relays and removes it after forS seconds.
+func (a *coordinatorGroup) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
 	change := func(by int) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		for _, relay := range relays {
 			faults := a.relayFaults[relay]
 			*fault(faults) += by
-			relay.Set(faults.network())
+			relay.SetConditions(faults.network())
 		}
 	}
 	change(1)
@@ -61,8 +62,9 @@
 	change(-1)
 }
 
-// faultProcess has a process down or stopped for a time, by what comes first and last; faults of one process don't overlap.
-func (a *agreement) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
+// faultProcess calls first, waits forS seconds and calls last. Faults of one process don't overlap:
+// it does nothing while another fault of the process is in force.
+func (a *coordinatorGroup) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
 	a.mu.Lock()
 	isFaulty := a.processFault[p]
 	a.processFault[p] = true
@@ -79,24 +81,24 @@
 }
 
 // killAndRestart kills a process and starts it again after a time.
-func (a *agreement) killAndRestart(ctx context.Context, p *proc, forS float64) {
-	a.faultProcess(ctx, p, forS, p.kill, func() { a.up(p) })
+func (a *coordinatorGroup) killAndRestart(ctx context.Context, p *proc, forS float64) {
+	a.faultProcess(ctx, p, forS, p.kill, func() { a.restart(p) })
 }
 
-// stopAndContinue stops a process and has it go on after a time.
-func (a *agreement) stopAndContinue(ctx context.Context, p *proc, forS float64) {
+// stopAndContinue pauses a process and resumes it after a time.
+func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *proc, forS float64) {
 	a.faultProcess(ctx, p, forS, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT) })
 }
 
-// up starts a process that was down.
-func (a *agreement) up(p *proc) {
+// restart starts a process that is down.
+func (a *coordinatorGroup) restart(p *proc) {
 	if err := p.start(); err != nil {
 		a.fail("%v", err)
 	}
 }
 
 // play plays one fault of the schedule.
-func (a *agreement) play(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) play(ctx context.Context, t scenario.Trouble) {
 	c := a.coords[t.Who%len(a.coords)]
 	switch t.What {
 	case "kill-coordinator":
@@ -116,14 +118,15 @@
 		}
 		wg.Wait()
 	case "damage", "wipe":
-		a.faultProcess(ctx, c.proc, t.ForS, c.kill, func() { a.replace(ctx, c, t) })
+		a.faultProcess(ctx, c.proc, t.ForS, c.kill, func() { a.damageOrWipeDisk(ctx, c, t) })
 	default:
 		a.playLinkFault(ctx, t)
 	}
 }
 
-// playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or holders and resource.
-func (a *agreement) playLinkFault(ctx context.Context, t scenario.Trouble) {
+// playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or
+// holders and resource.
+func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.Trouble) {
 	switch t.What {
 	case "cut":
 		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
@@ -149,8 +152,9 @@
 	}
 }
 
-// someClientRelays are those from a holder to the coordinator that the fault names, or to all, by the number drawn for it.
-func (a *agreement) someClientRelays(t scenario.Trouble) []*fakes.Relay {
+// someClientRelays returns the relays from a holder to the coordinator that the fault names or,
+// depending on the fault's random number, to all coordinators.
+func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
@@ -161,8 +165,8 @@
 	return relays
 }
 
-// slowThenCut has a holder's answers come late, and from a third of the time on its requests not arrive.
-func (a *agreement) slowThenCut(ctx context.Context, t scenario.Trouble) {
+// slowThenCut delays a holder's answers, and drops its requests after a third of the time.
+func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
 	var relays []*fakes.Relay
 	for coordinator := range a.coords {
 		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
@@ -177,29 +181,32 @@
 	both.Wait()
 }
 
-// fillDisk has a coordinator's disk full for a time. One that says it can't go on is started again then.
-func (a *agreement) fillDisk(ctx context.Context, c *coordinator, forS float64) {
+// fillDisk makes a coordinator's disk full for a time. A coordinator that exits because of that is
+// restarted afterwards.
+func (a *coordinatorGroup) fillDisk(ctx context.Context, c *coordinator, forS float64) {
 	a.faultProcess(ctx, c.proc, forS, func() { limitFile(c.proc, fullDiskBytes) }, func() {
 		limitFile(c.proc, unix.RLIM_INFINITY)
 		wait(context.WithoutCancel(ctx), fullDiskEndS)
 		if up, _ := c.running(); !up {
-			a.up(c.proc)
+			a.restart(c.proc)
 		}
 	})
 }
 
-// limitFile bounds the size of the files that a process may write, as a full disk does.
+// limitFile limits the size of the files that a process may write, to simulate a full disk.
 func limitFile(p *proc, bytes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil) // it may have ended
+		// it may have ended
+		_ = unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: bytes, Max: unix.RLIM_INFINITY}, nil)
 	}
 }
 
-// replace damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
-// empty directory as a new member, after the old one has been taken out.
-func (a *agreement) replace(ctx context.Context, c *coordinator, t scenario.Trouble) {
+// damageOrWipeDisk damages or empties a stopped coordinator's disk and starts it. A coordinator
+// that rejects its disk, or has lost it, returns with an empty directory as a new member, after
+// the old member has been removed.
+func (a *coordinatorGroup) damageOrWipeDisk(ctx context.Context, c *coordinator, t scenario.Trouble) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
 		return
@@ -208,33 +215,34 @@
 		a.fail("%v", err)
 		return
 	}
-	a.up(c.proc)
+	a.restart(c.proc)
 	wait(ctx, emptyDiskWaitS)
-	if err := until(ctx, replaceTimeout, func() error { return a.replaceMember(ctx, c) }); err != nil {
+	if err := retryUntil(ctx, replaceTimeout, func() error { return a.replaceMember(ctx, c) }); err != nil {
 		a.fail("%s could not be replaced: %v", c.name, err)
 	}
 }
 
-// survivesDamage damages a coordinator's log and starts it. It tells whether no replacement is wanted: the damage met nothing
-// that is in use, or the file could not be damaged. One that ends must say why.
-func (a *agreement) survivesDamage(ctx context.Context, c *coordinator, u float64) bool {
+// survivesDamage damages a coordinator's log and starts it. It returns true if the coordinator need
+// not be replaced: the damage hit nothing in use, or the file could not be damaged. A coordinator
+// that exits must log the reason.
+func (a *coordinatorGroup) survivesDamage(ctx context.Context, c *coordinator, u float64) bool {
 	if err := a.damage(filepath.Join(c.data, "log.db"), u); err != nil {
 		a.fail("%v", err)
 		return true
 	}
-	a.up(c.proc)
+	a.restart(c.proc)
 	wait(ctx, damagedDiskEndS)
 	if up, _ := c.running(); up {
 		return true
 	}
 	if !strings.Contains(c.logTail(20), "damaged") {
-		a.fail("%s with a damaged disk ended without a word of it:\n%s", c.name, c.logTail(10))
+		a.fail("%s with a damaged disk exited without logging the damage:\n%s", c.name, c.logTail(10))
 	}
 	return false
 }
 
-// replaceMember takes a coordinator out of the group as the member that it was, and adds it as the one that it is.
-func (a *agreement) replaceMember(ctx context.Context, c *coordinator) error {
+// replaceMember removes a coordinator's old member from the group and adds its new one.
+func (a *coordinatorGroup) replaceMember(ctx context.Context, c *coordinator) error {
 	s, err := c.status(ctx)
 	if err != nil {
 		return err
@@ -253,8 +261,8 @@
 	return client.Call(ctx, http.MethodPost, leader.api, "/v1/members", member, nil)
 }
 
-// damage cuts a file off or flips one of its bits.
-func (a *agreement) damage(path string, u float64) error {
+// damage truncates a file or flips one of its bits.
+func (a *coordinatorGroup) damage(path string, u float64) error {
 	s, err := os.Stat(path)
 	if err != nil {
 		return err
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/agreecost.go
@@ -19,40 +19,44 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// AgreeCost is what coordinators cost with so many clients.
-type AgreeCost struct {
-	Clients, Leases int
-	Opened          time.Duration // until all had a session
-	Idle            AgreeUse      // while all only keep their sessions
-	Busy            AgreeUse      // while a share of them acquires and releases in a closed loop
-	PerS            float64       // commands carried out, busy
-	P50, P99        time.Duration // of those
-	IdleBytes       float64       // a second and client, bodies of keep-alives and answers
-	Failed          int
-	Refused         int    // clients that had no session within the patience,
-	Why             string // and what one of them was told
+// CoordinatorCost is the measured cost of coordinators with a number of clients.
+type CoordinatorCost struct {
+	Clients, Leases    int
+	SessionsOpenAfter  time.Duration    // until all had a session
+	Idle               CoordinatorUsage // while the clients only keep their sessions
+	Busy               CoordinatorUsage // while up to 64 clients acquire and release leases in a closed loop
+	CommandsPerSecond  float64          // carried out while busy
+	P50, P99           time.Duration    // of these commands
+	IdleBytesPerSecond float64          // per client, bodies of keep-alives and answers
+	Failed             int
+	Refused            int    // clients that got no session in time
+	RefusalReason      string // error that one of these clients got
 }
 
-// AgreeUse is what the leader and the busiest other use.
-type AgreeUse struct {
-	LeaderCPU, OtherCPU float64 // of a core
+// CoordinatorUsage is the usage of the leader and of the busiest follower.
+type CoordinatorUsage struct {
+	LeaderCPU, OtherCPU float64 // cores
 	LeaderMB, OtherMB   float64
-	FsyncP50, FsyncP99  float64 // ms, the leader's
+	FsyncP50, FsyncP99  float64 // of the leader, in milliseconds
 }
 
-// calm starts coordinators without faults.
-func calm(ctx context.Context, coordinators int, o AgreeOptions) (*agreement, error) {
-	return calmWith(ctx, coordinators, 8192, o)
+// startCoordinatorGroup starts coordinators without faults.
+func startCoordinatorGroup(ctx context.Context, coordinators int, o CoordinatorOptions) (*coordinatorGroup, error) {
+	return startCoordinatorGroupWithSnapshots(ctx, coordinators, 8192, o)
 }
 
-// calmWith starts coordinators that make a snapshot so often.
-func calmWith(ctx context.Context, coordinators, snapshotEach int, o AgreeOptions) (*agreement, error) {
+// startCoordinatorGroupWithSnapshots starts coordinators without faults that take a snapshot every
+// snapshotEach entries.
+func startCoordinatorGroupWithSnapshots(ctx context.Context, coordinators, snapshotEach int,
+	o CoordinatorOptions) (*coordinatorGroup, error) {
 	f, err := scenario.LoadAgreement("leases")
 	if err != nil {
 		return nil, err
 	}
-	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3, coord.DefaultClockRateBound, snapshotEach // no slow disk, no stepping clock that matters
-	a := newAgreement(f, o, 1)
+	// the environment is reset below
+	f.Coordinators, f.Holders, f.Seed, f.ClockRate, f.SnapshotEach = coordinators, 1, 3,
+		coord.DefaultClockRateBound, snapshotEach
+	a := newCoordinatorGroup(f, o, 1)
 	if err := a.build(); err != nil {
 		a.close()
 		return nil, err
@@ -61,7 +65,7 @@
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
-	if err := a.begin(ctx); err != nil {
+	if err := a.startAll(ctx); err != nil {
 		a.close()
 		return nil, err
 	}
@@ -72,15 +76,16 @@
 	return a, nil
 }
 
-// upgrade has the commands and bounds of a version in force.
-func (a *agreement) upgrade(ctx context.Context, version int) error {
-	return until(ctx, 20*time.Second, func() error {
+// upgrade puts the commands and limits of a version in force.
+func (a *coordinatorGroup) upgrade(ctx context.Context, version int) error {
+	return retryUntil(ctx, 20*time.Second, func() error {
 		l, err := a.leader(ctx)
 		if err != nil {
 			return err
 		}
 		var answer coord.Response
-		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: version}, &answer); err != nil {
+		if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade",
+			coord.Command{TargetVersion: version}, &answer); err != nil {
 			return err
 		}
 		if answer.Code != coord.CodeOK {
@@ -90,13 +95,13 @@
 	})
 }
 
-// use measures the coordinators over a time.
-func (a *agreement) use(ctx context.Context, over time.Duration) (u AgreeUse, err error) {
+// use measures the usage of the coordinators over a time.
+func (a *coordinatorGroup) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
 		return u, err
 	}
-	before := map[string]Use{}
+	before := map[string]Usage{}
 	for _, c := range a.coords {
 		if before[c.name], err = ProcessUse(c.cmd.Process.Pid); err != nil {
 			return u, err
@@ -120,7 +125,7 @@
 	return u, err
 }
 
-func (a *agreement) addresses() map[string]string {
+func (a *coordinatorGroup) addresses() map[string]string {
 	all := map[string]string{}
 	for _, c := range a.coords {
 		all[c.name] = c.api
@@ -128,50 +133,53 @@
 	return all
 }
 
-// MeasureAgreement plays so many clients that hold so many leases in all before coordinators without faults.
-func MeasureAgreement(ctx context.Context, coordinators, clients, leases int, o AgreeOptions) (m AgreeCost, err error) {
+// MeasureCoordinators measures coordinators without faults, with a number of clients that hold a
+// number of leases in all.
+func MeasureCoordinators(ctx context.Context, coordinators, clients, leases int,
+	o CoordinatorOptions) (m CoordinatorCost, err error) {
 	m.Clients, m.Leases = clients, leases
-	if err := EnoughDescriptors(clients); err != nil {
+	if err := CheckDescriptorLimit(clients); err != nil {
 		return m, err
 	}
-	a, err := calm(ctx, coordinators, o)
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return m, err
 	}
 	defer a.close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	run, end := context.WithCancel(ctx)
+	clientsCtx, end := context.WithCancel(ctx)
 	defer end()
 	all := make([]*client.Client, clients)
 	for i := range all {
-		all[i] = client.New(client.Options{Coordinators: a.addresses(), ClientName: fmt.Sprintf("r%d", i), TTL: 10 * time.Second})
-		wg.Go(func() { all[i].Run(run) })
+		all[i] = client.New(client.Options{Coordinators: a.addresses(), ClientName: fmt.Sprintf("r%d", i),
+			TTL: 10 * time.Second})
+		wg.Go(func() { all[i].Run(clientsCtx) })
 	}
 	began := time.Now()
 	var mu sync.Mutex
-	var held sync.WaitGroup
+	var waiting sync.WaitGroup
 	patience, endPatience := context.WithTimeout(ctx, opensWithin)
 	defer endPatience()
 	for i := range clients { // each takes its share of the leases
-		held.Go(func() {
+		waiting.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
-				if n >= leases { // one that holds none waits for its session all the same
-					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // refused: longer than the session
-					m.refused(&mu, err)
+				if n >= leases { // a client without a lease also waits for its session
+					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // rejected: longer than the session
+					m.countRefusal(&mu, err)
 					break
 				}
 				if _, err := all[i].Acquire(patience, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
 					mu.Lock()
 					m.Failed++
 					mu.Unlock()
-					m.refused(&mu, err)
+					m.countRefusal(&mu, err)
 				}
 			}
 		})
 	}
-	held.Wait()
-	m.Opened = time.Since(began)
+	waiting.Wait()
+	m.SessionsOpenAfter = time.Since(began)
 	sum := func() (n int64) {
 		for _, c := range all {
 			n += c.TransferredBytes()
@@ -183,25 +191,25 @@
 	if m.Idle, err = a.use(ctx, over); err != nil {
 		return m, err
 	}
-	m.IdleBytes = float64(sum()-bytes) / over.Seconds() / float64(clients)
+	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
 	var took []time.Duration
 	busy, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range min(clients, 64) {
-		held.Go(func() {
+		waiting.Go(func() {
 			name := fmt.Sprintf("busy-%d", i)
 			for busy.Err() == nil {
-				at := time.Now()
+				startedAt := time.Now()
 				l, err := all[i].Acquire(busy, name, "", 10*time.Second)
 				if err != nil {
 					continue
 				}
-				mid := time.Now()
+				acquiredAt := time.Now()
 				if l.Release(busy) != nil {
 					continue
 				}
 				mu.Lock()
-				took = append(took, mid.Sub(at), time.Since(mid))
+				took = append(took, acquiredAt.Sub(startedAt), time.Since(acquiredAt))
 				mu.Unlock()
 			}
 		})
@@ -210,48 +218,53 @@
 		return m, err
 	}
 	stop()
-	held.Wait()
+	waiting.Wait()
 	slices.Sort(took)
 	if len(took) > 0 {
-		m.PerS, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
+		m.CommandsPerSecond, m.P50, m.P99 = float64(len(took))/over.Seconds(), took[len(took)/2], took[len(took)*99/100]
 	}
 	return m, nil
 }
 
-// descriptorsPerClient are those that a client may open while all of them look for the leader; the relays between coordinators, which
-// are in this process too, must get theirs.
+// descriptorsPerClient is how many descriptors a client may open while all clients look for the
+// leader. The relays between coordinators run in this process too and must not run out of
+// descriptors.
 const descriptorsPerClient = 3
 
-// EnoughDescriptors tells whether this process may open what so many clients need. Where it may not, the coordinators would lose
-// one another by the laboratory's fault.
-func EnoughDescriptors(clients int) error {
+// CheckDescriptorLimit returns an error if this process may not open the descriptors that so many
+// clients need. The lab itself would then interrupt the connections between coordinators.
+func CheckDescriptorLimit(clients int) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	if want := uint64(clients * descriptorsPerClient); want > limit.Cur {
-		return fmt.Errorf("%d clients may need %d descriptors, and this process may open %d (ulimit -n)", clients, want, limit.Cur)
+		return fmt.Errorf("%d clients may need %d descriptors, and this process may open %d (ulimit -n)",
+			clients, want, limit.Cur)
 	}
 	return nil
 }
 
-// opensWithin bounds how long clients wait for a session: one over a bound of the coordinators never gets one.
+// opensWithin bounds how long clients wait for a session. A client beyond a limit of the
+// coordinators never gets one.
 const opensWithin = 30 * time.Second
 
-// refused counts a client that has no session.
-func (m *AgreeCost) refused(mu *sync.Mutex, err error) {
+// countRefusal counts a client that got no session.
+func (m *CoordinatorCost) countRefusal(mu *sync.Mutex, err error) {
 	if !errors.Is(err, client.ErrNoSession) {
 		return
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	m.Refused++
-	m.Why = err.Error()
+	m.RefusalReason = err.Error()
 }
 
-// FailOver kills the leader again and again, and tells how long it took each time until a client acquired a lease again.
-func FailOver(ctx context.Context, coordinators, kills int, o AgreeOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+// MeasureFailover kills the leader a number of times and returns how long it took each time until a
+// client acquired a lease.
+func MeasureFailover(ctx context.Context, coordinators, kills int, o CoordinatorOptions) (took []time.Duration,
+	err error) {
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
@@ -259,18 +272,19 @@
 	c, end := liveClient(ctx, a.addresses(), "f", 20*time.Second)
 	defer end()
 	for n := range kills {
-		if err := until(ctx, 20*time.Second, func() error { // all are there and have what the leader has
+		if err := retryUntil(ctx, 20*time.Second, func() error { // all follow the leader and are up to date
 			l, err := a.leader(ctx)
 			if err != nil {
 				return err
 			}
-			top, err := l.status(ctx)
+			leaderStatus, err := l.status(ctx)
 			if err != nil {
 				return err
 			}
 			for _, x := range a.coords {
-				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < top.LastLogIndex || s.Leader != l.name {
-					return errors.Join(errors.New("not all are there"), err)
+				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < leaderStatus.LastLogIndex ||
+					s.Leader != l.name {
+					return errors.Join(errors.New("not all coordinators follow the leader"), err)
 				}
 			}
 			return nil
@@ -281,25 +295,27 @@
 		if err != nil {
 			return took, err
 		}
-		at := time.Now()
+		killedAt := time.Now()
 		l.kill()
 		lease, err := c.Acquire(ctx, fmt.Sprintf("k%d", n), "", 10*time.Second)
 		if err != nil {
 			return took, err
 		}
-		took = append(took, time.Since(at))
+		took = append(took, time.Since(killedAt))
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
-		a.up(l.proc)
+		a.restart(l.proc)
 	}
 	return took, nil
 }
 
-// DeadHolders has holders cut off from all again and again, and tells how long after its last keep-alive could have been carried
-// out another one held the lease.
-func DeadHolders(ctx context.Context, coordinators, times int, ttl time.Duration, o AgreeOptions) (took []time.Duration, err error) {
-	a, err := calm(ctx, coordinators, o)
+// MeasureLeaseTakeover cuts a number of holders off from all coordinators and returns, for each
+// one, how long after the cut another client held its lease. No keep-alive can arrive after the
+// cut.
+func MeasureLeaseTakeover(ctx context.Context, coordinators, times int, ttl time.Duration,
+	o CoordinatorOptions) (took []time.Duration, err error) {
+	a, err := startCoordinatorGroup(ctx, coordinators, o)
 	if err != nil {
 		return nil, err
 	}
@@ -307,13 +323,13 @@
 	next, end := liveClient(ctx, a.addresses(), "next", ttl)
 	defer end()
 	var mu sync.Mutex
-	var fails []error
+	var errs []error
 	var each sync.WaitGroup
-	room := make(chan struct{}, 10)
+	slots := make(chan struct{}, 10)
 	for n := range times {
-		room <- struct{}{}
+		slots <- struct{}{}
 		each.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			name := fmt.Sprintf("d%d", n)
 			var relays []*fakes.Relay
 			addrs := map[string]string{}
@@ -329,13 +345,13 @@
 				}
 				relays, addrs[x.name] = append(relays, r), r.Addr()
 			}
-			c, die := liveClient(ctx, addrs, name, ttl)
-			defer die()
+			c, endClient := liveClient(ctx, addrs, name, ttl)
+			defer endClient()
 			_, err := c.Acquire(ctx, name, "", ttl)
 			if err == nil {
 				wait(ctx, rand.Float64()*ttl.Seconds())
 				for _, r := range relays {
-					r.Set(fakes.Net{Cut: true})
+					r.SetConditions(fakes.NetworkConditions{Cut: true})
 				}
 				at := time.Now()
 				err = next.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
@@ -346,10 +362,10 @@
 				})
 			}
 			mu.Lock()
-			fails = append(fails, err)
+			errs = append(errs, err)
 			mu.Unlock()
 		})
 	}
 	each.Wait()
-	return took, errors.Join(fails...)
+	return took, errors.Join(errs...)
 }
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -19,28 +19,28 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// wait lets so many seconds pass, and reports whether the run goes on.
+// wait sleeps for s seconds. It returns false if ctx was canceled.
 func wait(ctx context.Context, s float64) bool {
 	return clock.Sleep(ctx, time.Duration(s*float64(time.Second)))
 }
 
-// fault plays one fault of the time line.
-func (fl *Fleet) fault(ctx context.Context, f scenario.Fault) {
+// playFault plays one fault of the timeline.
+func (fl *Fleet) playFault(ctx context.Context, f scenario.Fault) {
 	if !wait(ctx, f.AtS) {
 		return
 	}
-	over := func() {
+	waitUntilOver := func() {
 		if f.ForS > 0 {
 			wait(ctx, f.ForS)
 		} else {
 			<-ctx.Done()
 		}
 	}
-	// both sets a state, waits until the fault is over and takes it back.
-	both := func(text string, set func(on bool)) {
+	// playAndRevert turns a fault on, waits until it is over and turns it off.
+	playAndRevert := func(text string, set func(on bool)) {
 		fl.mark("%s", text)
 		set(true)
-		over()
+		waitUntilOver()
 		set(false)
 		if ctx.Err() == nil {
 			fl.mark("%s: over", text)
@@ -50,31 +50,33 @@
 	case "crash":
 		fl.crash(ctx, f)
 	case "silence", "spoil", "slow":
-		part := fl.pick(f)
-		both(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
+		part := fl.pickServers(f)
+		playAndRevert(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
 			var faults fakes.Faults
 			if on {
-				faults = fakes.Faults{Silent: f.What == "silence", Spoil: f.Spoil, Share: f.Answers, BytesPerS: f.BytesS}
+				faults = fakes.Faults{Silent: f.What == "silence", Corruption: f.Spoil,
+					Share: f.Answers, BytesPerS: f.BytesS}
 			}
 			for _, m := range part {
-				m.Set(faults)
+				m.SetFaults(faults)
 			}
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			for _, m := range part {
-				if i := slices.IndexFunc(fl.ill, func(x Ill) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
-					fl.ill[i].To = fl.clock.Now()
+				if i := slices.IndexFunc(fl.faultySpells,
+					func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
+					fl.faultySpells[i].To = fl.clock.Now()
 				} else if on {
-					fl.ill = append(fl.ill, Ill{Server: m.ID(), From: fl.clock.Now()})
+					fl.faultySpells = append(fl.faultySpells, FaultySpell{Server: m.ID(), From: fl.clock.Now()})
 				}
 			}
 		})
 	case "origin-busy":
-		both("the origin turns all away", func(on bool) {
-			fl.origin.Set(map[bool]fakes.Faults{true: {Spoil: "busy", Share: 1}}[on])
+		playAndRevert("the origin turns all away", func(on bool) {
+			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Corruption: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
-		both("discovery is down", fl.discovery.SetDown)
+		playAndRevert("discovery is down", fl.discovery.SetDown)
 	case "watches-silent":
 		fl.mark("all open watches fall silent")
 		fl.discovery.SilenceWatches()
@@ -82,26 +84,26 @@
 		fl.mark("the list's version goes back by %d", f.Versions)
 		fl.discovery.Rewind(f.Versions)
 	case "partition", "partition-there", "partition-back", "delay":
-		part := fl.pick(f)
-		both(f.What+" at "+names(part), func(on bool) { fl.network(f, part, on) })
+		part := fl.pickServers(f)
+		playAndRevert(f.What+" at "+names(part), func(on bool) { fl.setNetworkFault(f, part, on) })
 	case "shrink":
 		fl.mark("the fleet shrinks")
-		fl.leave(ctx, fl.pick(f), f.DrainS)
+		fl.drainServers(ctx, fl.pickServers(f), f.DrainS)
 	case "deploy":
-		fl.deploy(ctx, f)
+		fl.replaceServers(ctx, f)
 	case "roll":
-		fl.roll(ctx, f)
+		fl.restartInBatches(ctx, f)
 	case "release":
-		fl.release(ctx)
+		fl.restartAllRouters(ctx)
 	case "upgrade":
-		fl.upgrade(ctx)
+		fl.upgradeRouters(ctx)
 	case "reload":
 		fl.mark("all routers read their configuration again")
 		for _, r := range fl.allRouters() {
 			r.signal(r.newest(), syscall.SIGHUP)
 		}
 	case "discovery-silent":
-		both("discovery is silent", fl.discovery.SetSilent)
+		playAndRevert("discovery is silent", fl.discovery.SetSilent)
 	case "end-routers":
 		fl.endRouters(ctx, f)
 	case "signals":
@@ -113,55 +115,55 @@
 	case "move-discovery":
 		fl.moveDiscovery(ctx, f)
 	case "coordinators-die":
-		if !fl.coordsBusy.TryLock() {
+		if !fl.coordinatorsDownMu.TryLock() {
 			return
 		}
-		defer fl.coordsBusy.Unlock()
+		defer fl.coordinatorsDownMu.Unlock()
 		fl.mark("all coordinators are killed")
-		for _, c := range fl.coords.coords {
+		for _, c := range fl.coordinators.coords {
 			c.kill()
 		}
-		if over(); ctx.Err() == nil {
+		if waitUntilOver(); ctx.Err() == nil {
 			fl.mark("the coordinators start again")
-			for _, c := range fl.coords.coords {
+			for _, c := range fl.coordinators.coords {
 				if err := c.start(); err != nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			}
 		}
 	case "coordinator-dies":
-		if !fl.coordsBusy.TryLock() {
+		if !fl.coordinatorsDownMu.TryLock() {
 			return
 		}
-		defer fl.coordsBusy.Unlock()
-		c := fl.coords.coords[fl.draw(len(fl.coords.coords))]
+		defer fl.coordinatorsDownMu.Unlock()
+		c := fl.coordinators.coords[fl.draw(len(fl.coordinators.coords))]
 		fl.mark("coordinator %s is killed", c.name)
 		c.kill()
-		if over(); ctx.Err() == nil {
+		if waitUntilOver(); ctx.Err() == nil {
 			if err := c.start(); err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		}
 	case "change-servers", "change-routers":
-		fl.change(ctx, f)
+		fl.requestChanges(ctx, f)
 	case "release-routers":
 		fl.releaseRouters(ctx, f)
 	case "tools-die", "tools-stop":
 		fl.killTools(ctx, f)
 	case "kill-routers", "stop-routers", "cut-routers":
-		fl.hitRouters(ctx, f, over)
+		fl.faultRouters(ctx, f, waitUntilOver)
 	case "rude":
-		fl.rudeClients(ctx, f.ForS)
+		fl.playMisbehavingClients(ctx, f.ForS)
 	}
 }
 
-// pick chooses the cache servers that a fault meets.
-func (fl *Fleet) pick(f scenario.Fault) (part []*member) {
+// pickServers chooses the cache servers that a fault affects.
+func (fl *Fleet) pickServers(f scenario.Fault) (part []*member) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var all []*member
 	for _, m := range fl.members {
-		if !m.gone {
+		if !m.isRemoved {
 			all = append(all, m)
 		}
 	}
@@ -189,12 +191,12 @@
 	return strings.Join(ids, " ")
 }
 
-// crash has servers die and come back cold.
+// crash kills servers and restarts them cold.
 func (fl *Fleet) crash(ctx context.Context, f scenario.Fault) {
-	part := slices.DeleteFunc(fl.pick(f), func(m *member) bool { return !fl.tryOwn(m) })
+	part := slices.DeleteFunc(fl.pickServers(f), func(m *member) bool { return !fl.tryLockServer(m) })
 	defer func() {
 		for _, m := range part {
-			m.busy.Unlock()
+			m.downMu.Unlock()
 		}
 	}()
 	fl.mark("crash of %s", names(part))
@@ -203,27 +205,28 @@
 		m.Kill()
 		e := m.entry
 		e.State = "left"
-		fl.discovery.Happened(e)
+		fl.discovery.ScheduleChange(e)
 	}
 	if f.ForS <= 0 || !wait(ctx, f.ForS) {
 		return
 	}
-	fl.mark("they come back cold")
+	fl.mark("the crashed servers restart cold")
 	for _, m := range part {
-		fl.back(m)
+		fl.restartServer(m)
 		fl.mu.Lock()
-		fl.outages = append(fl.outages, outage{thing: "server/" + m.entry.ID, from: from, to: fl.clock.Now()})
+		fl.outages = append(fl.outages, outage{resource: "server/" + m.entry.ID, from: from, to: fl.clock.Now()})
 		fl.mu.Unlock()
 	}
 }
 
-// tryOwn locks a server's busy for a fault, unless another has it or the server has left since it was picked.
-func (fl *Fleet) tryOwn(m *member) bool {
-	if !m.busy.TryLock() {
+// tryLockServer locks a server's downMu for a fault. It fails if another fault holds it or the
+// server has left since it was picked.
+func (fl *Fleet) tryLockServer(m *member) bool {
+	if !m.downMu.TryLock() {
 		return false
 	}
 	if fl.hasLeft(m) {
-		m.busy.Unlock()
+		m.downMu.Unlock()
 		return false
 	}
 	return true
@@ -233,81 +236,85 @@
 func (fl *Fleet) hasLeft(m *member) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return m.gone
+	return m.isRemoved
 }
 
-// back starts a server again, cold, unless it has left the fleet. The caller has locked the server's busy.
-func (fl *Fleet) back(m *member) {
+// restartServer restarts a server, cold, unless it has left the fleet. The caller holds the
+// server's downMu.
+func (fl *Fleet) restartServer(m *member) {
 	if fl.hasLeft(m) {
 		return
 	}
 	if err := m.Restart(); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 		return
 	}
 	m.entry.Started, m.entry.State = fl.clock.Unix(fl.clock.Now()), "active"
-	fl.discovery.Happened(m.entry)
+	fl.discovery.ScheduleChange(m.entry)
 }
 
-// trouble books what the lab could not do: the run does not hold.
-func (fl *Fleet) trouble(err error) {
+// recordLabError records an error of the lab itself. The run then fails.
+func (fl *Fleet) recordLabError(err error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.problem = append(fl.problem, "the lab: "+err.Error())
+	fl.problems = append(fl.problems, "the lab: "+err.Error())
 }
 
-// leave has servers say that they leave, and end after a time. It returns once all have ended.
-func (fl *Fleet) leave(ctx context.Context, part []*member, drainS float64) {
+// drainServers lists servers as leaving and stops them after drainS seconds. It returns once
+// all have stopped.
+func (fl *Fleet) drainServers(ctx context.Context, part []*member, drainS float64) {
 	var wg sync.WaitGroup
 	for _, m := range part {
-		wg.Go(func() { fl.leaveOne(ctx, m, drainS) })
+		wg.Go(func() { fl.drainServer(ctx, m, drainS) })
 	}
 	wg.Wait()
 }
 
-// leaveOne has one server leave, once it is up again where another fault has it down.
-func (fl *Fleet) leaveOne(ctx context.Context, m *member, drainS float64) {
-	m.busy.Lock()
-	defer m.busy.Unlock()
+// drainServer drains and stops one server. If another fault has the server down, it first waits for
+// its restart.
+func (fl *Fleet) drainServer(ctx context.Context, m *member, drainS float64) {
+	m.downMu.Lock()
+	defer m.downMu.Unlock()
 	if fl.hasLeft(m) {
 		return
 	}
 	e := m.entry
 	e.State = "leaving"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	wait(ctx, drainS)
 	e.State = "left"
-	fl.discovery.Happened(e)
+	fl.discovery.ScheduleChange(e)
 	m.Kill()
 	fl.mu.Lock()
-	m.gone = true
+	m.isRemoved = true
 	fl.mu.Unlock()
 }
 
-// deploy replaces servers batch by batch by new ones under new ids, which start cold.
-func (fl *Fleet) deploy(ctx context.Context, f scenario.Fault) {
-	part := fl.pick(f)
+// replaceServers replaces servers in batches by new ones, which have new IDs and start cold.
+func (fl *Fleet) replaceServers(ctx context.Context, f scenario.Fault) {
+	part := fl.pickServers(f)
 	fl.mark("rolling deploy of %d servers, %d at a time", len(part), f.Batch)
 	for batch := range slices.Chunk(part, f.Batch) {
-		fl.leave(ctx, batch, f.DrainS)
+		fl.drainServers(ctx, batch, f.DrainS)
 		if !wait(ctx, f.DownS) {
 			return
 		}
 		for _, m := range batch {
 			i := slices.IndexFunc(fl.File.Kinds, func(k scenario.Kind) bool { return k.Name == m.entry.Kind })
-			young, err := fl.newMember(fl.File.Kinds[i], true)
+			replacement, err := fl.newMember(fl.File.Kinds[i], true)
 			if err != nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 				return
 			}
-			fl.discovery.Happened(young.entry)
+			fl.discovery.ScheduleChange(replacement.entry)
 		}
 	}
 	fl.mark("the deploy is over")
 }
 
-// roll restarts routers batch by batch: SIGTERM, the end, a new start.
-func (fl *Fleet) roll(ctx context.Context, f scenario.Fault) {
+// restartInBatches restarts routers in batches: it sends SIGTERM, waits for the exit and starts
+// them again.
+func (fl *Fleet) restartInBatches(ctx context.Context, f scenario.Fault) {
 	routers := fl.allRouters()
 	if f.Share > 0 {
 		routers = routers[:int(math.Round(f.Share*float64(len(routers))))]
@@ -321,14 +328,14 @@
 				if p == nil {
 					return
 				}
-				fl.front.Down(r.name, 300) // planned: the front is told
+				fl.front.ReportRouterDeath(r.name, 300) // planned: the front is notified
 				r.signal(p, syscall.SIGTERM)
 				<-p.done
 				if !wait(ctx, f.DownS) {
 					return
 				}
 				if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-					fl.trouble(err)
+					fl.recordLabError(err)
 				}
 			})
 		}
@@ -340,8 +347,8 @@
 	fl.mark("all routers are back")
 }
 
-// release kills all routers at once and starts them again.
-func (fl *Fleet) release(ctx context.Context) {
+// restartAllRouters kills all routers at the same time and starts them again.
+func (fl *Fleet) restartAllRouters(ctx context.Context) {
 	fl.mark("all routers are killed and start at once")
 	var wg sync.WaitGroup
 	for _, r := range fl.allRouters() {
@@ -350,12 +357,12 @@
 			if p == nil {
 				return
 			}
-			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
-			fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+			fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
+			fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 			r.signal(p, syscall.SIGKILL)
 			<-p.done
 			if err := fl.startRouter(ctx, r); err != nil && ctx.Err() == nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 		})
 	}
@@ -365,17 +372,18 @@
 	}
 }
 
-// upgrade starts a new process beside the old one of each router in turn, and ends the old one once the new is ready.
-func (fl *Fleet) upgrade(ctx context.Context) {
+// upgradeRouters starts a new process beside the old one of each router in turn, and stops the old
+// one once the new one is ready.
+func (fl *Fleet) upgradeRouters(ctx context.Context) {
 	for _, r := range fl.allRouters() {
 		old := r.newest()
 		if old == nil || ctx.Err() != nil {
 			continue
 		}
 		fl.mark("upgrade of %s", r.name)
-		if err := fl.startProcess(ctx, r, fl.command(r), nil, fl.config(r)); err != nil {
+		if err := fl.startProcess(ctx, r, fl.routerCommand(r), nil, fl.routerConfig(r)); err != nil {
 			if ctx.Err() == nil {
-				fl.trouble(err)
+				fl.recordLabError(err)
 			}
 			return
 		}
@@ -383,45 +391,50 @@
 		select {
 		case <-old.done:
 		case <-time.After(10 * time.Second):
-			fl.trouble(errors.New("the old process of " + r.name + " did not end within 10 s"))
+			fl.recordLabError(errors.New("the old process of " + r.name + " did not end within 10 s"))
 		}
 	}
 	fl.mark("all routers are upgraded")
 }
 
-// network sets what is wrong between all routers and some servers, or takes it back.
-func (fl *Fleet) network(f scenario.Fault, part []*member, on bool) {
+// setNetworkFault turns a network fault between all routers and some servers on or off.
+func (fl *Fleet) setNetworkFault(f scenario.Fault, part []*member, on bool) {
 	for _, r := range fl.allRouters() {
 		for _, m := range part {
 			fl.mu.Lock()
 			relay := fl.relays[r.name+"/"+m.ID()]
 			fl.mu.Unlock()
 			if relay == nil {
-				continue // this router has never heard of it
+				continue // this router was never given the server
 			}
-			n := fl.plainNet(r, m.entry.Zone)
+			n := fl.baselineNetwork(r, m.entry.Zone)
 			if on {
 				n.Cut = f.What == "partition"
-				n.DropThere, n.DropBack = f.What == "partition-there", f.What == "partition-back"
+				n.HoldToTarget, n.HoldFromTarget = f.What == "partition-there", f.What == "partition-back"
 				if f.What == "delay" {
 					n.DelayMS = f.DelayMS
 				}
 			}
-			relay.Set(n)
+			relay.SetConditions(n)
 		}
 	}
 }
 
-// rude is what misbehaving clients send. Each is owed an error line or a close.
-var rude = []string{
-	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) + " v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
-	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n", "mg k v O4 Pc=fetch,d=soon\r\n",
-	"mg k v Pc=fetch,d=500\r\n", "get k\r\n", "\x00\x01\x02\xff\r\n", "ms k 3 O5 Pc=publish,d=500\r\nabcdef\r\n", "GET / HTTP/1.1\r\n\r\n",
+// malformedRequests are what misbehaving clients send. A router must answer each with an error line
+// or close the connection.
+var malformedRequests = []string{
+	strings.Repeat("x", 100_000), "mg\r\n", "mg " + strings.Repeat("k", 300) +
+		" v O1 Pc=fetch,d=500\r\n", "ms k -1 O1 Pc=publish,d=500\r\n",
+	"ms k 99999999999999999999 O2 Pc=publish,d=500\r\n", "mg k v O3 Pc=nonesuch,d=500\r\n",
+	"mg k v O4 Pc=fetch,d=soon\r\n",
+	"mg k v Pc=fetch,d=500\r\n", "get k\r\n", "\x00\x01\x02\xff\r\n",
+	"ms k 3 O5 Pc=publish,d=500\r\nabcdef\r\n", "GET / HTTP/1.1\r\n\r\n",
 	"ms k 60000000 O6 Pc=publish,d=500\r\nhalf", strings.Repeat("mg k v O7 Pc=fetch\r\n", 300),
 }
 
-// rudeClients sends what can't be read, until the fault is over, and counts who was told or closed on within 3 s.
-func (fl *Fleet) rudeClients(ctx context.Context, forS float64) {
+// playMisbehavingClients sends malformed requests until the fault is over, and counts those that
+// were rejected within 3 s, by an error line or a closed connection.
+func (fl *Fleet) playMisbehavingClients(ctx context.Context, forS float64) {
 	fl.mark("misbehaving clients")
 	if forS > 0 {
 		var cancel context.CancelFunc
@@ -433,17 +446,17 @@
 		if err != nil {
 			return
 		}
-		told := rudeTo(addr, rude[i%len(rude)])
+		isRejected := isMalformedRequestRejected(addr, malformedRequests[i%len(malformedRequests)])
 		fl.mu.Lock()
-		if fl.rude[1]++; told {
-			fl.rude[0]++
+		if fl.misbehavingClients[1]++; isRejected {
+			fl.misbehavingClients[0]++
 		}
 		fl.mu.Unlock()
 		wait(ctx, 0.02)
 	}
 }
 
-func rudeTo(addr, text string) bool {
+func isMalformedRequestRejected(addr, text string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return true // the connection was rejected
@@ -458,5 +471,6 @@
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return false
 	}
-	return err != nil || strings.HasPrefix(line, "CLIENT_ERROR") || strings.HasPrefix(line, "SERVER_ERROR") || strings.HasPrefix(line, "ERROR")
+	return err != nil || strings.HasPrefix(line, "CLIENT_ERROR") || strings.HasPrefix(line, "SERVER_ERROR") ||
+		strings.HasPrefix(line, "ERROR")
 }
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -13,32 +13,32 @@
 	"dockhinge.example/dockhinge/lab/load"
 )
 
-// play runs load and faults, and judges what came of it.
+// play runs the load and the faults and returns the checked result.
 func (fl *Fleet) play(ctx context.Context) (Result, error) {
 	p := fl.File.Load
-	if fl.o.Progress != nil {
-		p.Progress = func(n load.Now) { fl.o.Progress(n, fl) }
+	if fl.options.Progress != nil {
+		p.Progress = func(n load.ProgressReport) { fl.options.Progress(n, fl) }
 	}
 	l, err := load.New(p, fl.front, fl.clock, fl.journal)
 	if err != nil {
 		return Result{}, err
 	}
-	fl.warm(l)
+	fl.warmCaches(l)
 	fl.mu.Lock()
-	fl.began = fl.clock.Now()
+	fl.loadStartMS = fl.clock.Now()
 	fl.mu.Unlock()
 	running, stop := context.WithTimeout(ctx, time.Duration(fl.File.DurationS*float64(time.Second)))
 	defer stop()
 	var wg sync.WaitGroup
 	over, end := context.WithCancel(context.Background())
-	wg.Go(func() { fl.heartbeat(over) })
-	wg.Go(func() { fl.sample(over) })
+	wg.Go(func() { fl.measureLateness(over) })
+	wg.Go(func() { fl.sampleUsage(over) })
 	if fl.File.Fleet.Out.On() {
-		wg.Go(func() { fl.hear(over) })
+		wg.Go(func() { fl.watchBudgets(over) })
 	}
 	endLive := context.CancelFunc(func() {})
-	live := running // planned changes, and the faults beside them, may last longer than the load
-	if fl.o.Patience > 0 {
+	live := running // planned changes, and the faults beside them, may outlast the load
+	if fl.options.ChangeTimeout > 0 {
 		live, endLive = context.WithCancel(ctx)
 		defer endLive()
 	}
@@ -46,38 +46,39 @@
 	var changing sync.WaitGroup
 	for i, f := range fl.File.Faults {
 		if strings.HasPrefix(f.What, "change-") || f.What == "release-routers" {
-			changing.Go(func() { fl.fault(live, fl.File.Faults[i]) })
+			changing.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
 		} else {
-			wg.Go(func() { fl.fault(live, fl.File.Faults[i]) })
+			wg.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
 		}
 	}
 	wg.Go(func() { changing.Wait(); close(changed) })
 	got := l.Run(running)
-	if fl.o.Patience > 0 {
+	if fl.options.ChangeTimeout > 0 {
 		select {
 		case <-changed:
 		case <-ctx.Done():
-		case <-time.After(fl.o.Patience):
+		case <-time.After(fl.options.ChangeTimeout):
 		}
 		endLive()
 	}
 	cut := ctx.Err() != nil
-	doors := fl.doors(ctx)
+	doors := fl.readAdmission(ctx)
 	end()
 	stop()
 	wg.Wait()
 	res := fl.result(got, cut)
-	res.Doors = doors
+	res.Admission = doors
 	return res, nil
 }
 
-// doors asks each router how fair admission stands there; nothing of those where it is off.
-func (fl *Fleet) doors(ctx context.Context) map[string]admission.State {
+// readAdmission returns the admission state of each router that has fair admission enabled.
+func (fl *Fleet) readAdmission(ctx context.Context) map[string]admission.State {
 	all := map[string]admission.State{}
 	for _, r := range fl.allRouters() {
 		var s admission.State
 		if p := r.newest(); p != nil {
-			if text, err := admin.Call(ctx, p.admin, http.MethodGet, "/-/admission"); err == nil && json.Unmarshal(text, &s) == nil {
+			if text, err := admin.Call(ctx, p.admin, http.MethodGet, "/-/admission"); err == nil &&
+				json.Unmarshal(text, &s) == nil {
 				all[r.name] = s
 			}
 		}
@@ -85,8 +86,8 @@
 	return all
 }
 
-// heartbeat watches whether the machine lets the lab run when it should.
-func (fl *Fleet) heartbeat(ctx context.Context) {
+// measureLateness measures how late the machine runs the lab's timers.
+func (fl *Fleet) measureLateness(ctx context.Context) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	last := fl.clock.Now()
@@ -99,7 +100,7 @@
 		now := fl.clock.Now()
 		fl.mu.Lock()
 		late := now - last - 10
-		fl.late = max(fl.late, late)
+		fl.maxLateMS = max(fl.maxLateMS, late)
 		fl.mu.Unlock()
 		if late > 100 {
 			fl.mark("the machine was late by %.0f ms", late)
@@ -108,8 +109,8 @@
 	}
 }
 
-// sample reads what all use, twice a second.
-func (fl *Fleet) sample(ctx context.Context) {
+// sampleUsage samples the routers' usage and the servers' requests in flight twice a second.
+func (fl *Fleet) sampleUsage(ctx context.Context) {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -118,18 +119,18 @@
 			return
 		case <-tick.C:
 		}
-		s := Sample{Routers: map[string]Use{}, Held: map[string]int{}}
+		s := Sample{Routers: map[string]Usage{}, Held: map[string]int{}}
 		for _, r := range fl.allRouters() {
 			s.Routers[r.name] = r.use()
 		}
 		for _, m := range fl.allMembers() {
-			if m.Up() {
-				s.Held[m.ID()], _ = m.Busy()
+			if m.IsUp() {
+				s.Held[m.ID()], _ = m.Load()
 			}
 		}
-		s.Held["origin"], _ = fl.origin.Busy()
+		s.Held["origin"], _ = fl.origin.Load()
 		fl.mu.Lock()
-		s.AtS = (fl.clock.Now() - fl.began) / 1000
+		s.AtS = (fl.clock.Now() - fl.loadStartMS) / 1000
 		fl.samples = append(fl.samples, s)
 		fl.mu.Unlock()
 	}
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -22,79 +22,82 @@
 	"dockhinge.example/dockhinge/lab/fakes"
 )
 
-// router is one router: a name and an address, and the processes that are it, two of them during an upgrade.
+// router is one router: its name, its address and its processes, of which there are two during an
+// upgrade.
 type router struct {
 	name, zone, listen string
 	dir                string
 	number             int
-	busy               sync.Mutex // whoever has it down
-	configBusy         sync.Mutex // whoever writes its configuration
-	label              string     // of its program's version, guarded by the fleet's mu
+	downMu             sync.Mutex // held by a fault or planned change that has the router down
+	configMu           sync.Mutex // held while its configuration is written
+	label              string     // version of its program; guarded by Fleet.mu
 
-	mu        sync.Mutex
-	discovery string     // its address
-	procs     []*process // the newest last
-	bad       []string   // ends that nobody asked for
+	mu              sync.Mutex
+	discovery       string     // address
+	processes       []*process // the newest last
+	unexpectedExits []string   // messages on exits that the lab did not cause
 }
 
 // process is one run of the router's command.
 type process struct {
-	cmd      *exec.Cmd
-	admin    string
-	expected bool // its end is; guarded by the router's mu
-	done     chan struct{}
-	end      error // how it ended; to be read once done is closed
-	started  time.Time
-	isReady  atomic.Bool
+	cmd            *exec.Cmd
+	admin          string
+	isExitExpected bool // the lab has caused the exit; guarded by router.mu
+	done           chan struct{}
+	exitErr        error // valid once done is closed
+	started        time.Time
+	isReady        atomic.Bool
 }
 
-// reloadAfter is the time after a start before which no SIGHUP comes.
+// reloadAfter is the time after a process's start before which the lab sends it no SIGHUP.
 const reloadAfter = time.Second
 
-// mayReload reports whether a SIGHUP may come: never before a process is ready, nor in its first second.
+// mayReload reports whether the lab may send a SIGHUP: not before the process is ready, and not in
+// its first second.
 func (p *process) mayReload() bool { return p.isReady.Load() && time.Since(p.started) >= reloadAfter }
 
-// given are the addresses that FreeAddr has given: whoever got one may not have bound it yet, or again.
-var given sync.Map
+// usedAddresses holds the addresses that FreeAddr has returned. A caller may not have bound its
+// address yet, or may have closed it to bind it again.
+var usedAddresses sync.Map
 
-// FreeAddr finds an address that nobody listens at, on the laboratory's own host and never the same twice, so that neither
-// another laboratory nor another part of this one takes it before it is bound.
+// FreeAddr returns a free TCP address on the lab's own loopback host. It never returns an address
+// twice, so that no other lab and no other part of this one binds it before the caller does.
 func FreeAddr() (string, error) {
 	for range 100 {
-		ln, err := net.Listen("tcp", fakes.Host(fakes.Processes)+":0")
+		ln, err := net.Listen("tcp", fakes.LoopbackHost(fakes.Processes)+":0")
 		if err != nil {
-			return "", fmt.Errorf("no address: %w", err)
+			return "", fmt.Errorf("free address: %w", err)
 		}
 		addr := ln.Addr().String()
 		ln.Close()
-		if _, taken := given.LoadOrStore(addr, true); !taken {
+		if _, taken := usedAddresses.LoadOrStore(addr, true); !taken {
 			return addr, nil
 		}
 	}
-	return "", errors.New("no address: all are given")
+	return "", errors.New("free address: each one that was found is in use by this process")
 }
 
-// Spawn starts a command in a process group of its own, as Ctrl-C is for the laboratory, which ends its processes in order.
-// What it writes goes to the end of the file log.
+// Spawn starts a command in a process group of its own, so that Ctrl-C reaches only the lab, which
+// then stops its processes in order. The command's output is appended to the file log.
 func Spawn(command, env []string, log string) (*exec.Cmd, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close() // the process has its own
+	defer f.Close() // the process has its own descriptor
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), env...), f, f
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd, cmd.Start()
 }
 
-// start runs the router's command with a configuration, and returns once the process is ready.
+// start runs the router's command with a configuration and returns once the process is ready.
 func (r *router) start(ctx context.Context, command, env []string, config map[string]any, ready time.Duration) error {
-	second, err := FreeAddr()
+	adminAddr, err := FreeAddr()
 	if err != nil {
 		return err
 	}
-	config["admin_addr"] = second
+	config["admin_addr"] = adminAddr
 	tmp := filepath.Join(r.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
@@ -102,43 +105,44 @@
 	if err := r.writeConfig(config); err != nil {
 		return err
 	}
-	cmd, err := Spawn(command, append([]string{"GW_CONFIG=" + r.configFile(), "TMPDIR=" + tmp}, env...), filepath.Join(r.dir, "log"))
+	cmd, err := Spawn(command, append([]string{"GW_CONFIG=" + r.configFile(), "TMPDIR=" + tmp}, env...),
+		filepath.Join(r.dir, "log"))
 	if err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
 	}
-	p := &process{cmd: cmd, admin: second, done: make(chan struct{}), started: time.Now()}
+	p := &process{cmd: cmd, admin: adminAddr, done: make(chan struct{}), started: time.Now()}
 	r.mu.Lock()
-	r.procs = append(r.procs, p)
+	r.processes = append(r.processes, p)
 	r.mu.Unlock()
-	go func() { // ended by the end of the process, which stop waits for
+	go func() { // ends when the process exits; stop waits for that
 		err := cmd.Wait()
 		r.mu.Lock()
-		if !p.expected {
-			r.bad = append(r.bad, fmt.Sprintf("router %s ended by itself: %v", r.name, err))
+		if !p.isExitExpected {
+			r.unexpectedExits = append(r.unexpectedExits, fmt.Sprintf("router %s ended by itself: %v", r.name, err))
 		}
-		for i, q := range r.procs {
+		for i, q := range r.processes {
 			if q == p {
-				r.procs = append(r.procs[:i:i], r.procs[i+1:]...)
+				r.processes = append(r.processes[:i:i], r.processes[i+1:]...)
 				break
 			}
 		}
 		r.mu.Unlock()
-		p.end = err
+		p.exitErr = err
 		close(p.done)
 	}()
-	return p.ready(ctx, r, ready)
+	return p.awaitReady(ctx, r, ready)
 }
 
 func (r *router) configFile() string { return filepath.Join(r.dir, "config.json") }
 
-// writeConfig writes the configuration file, whole at any moment.
+// writeConfig replaces the configuration file atomically.
 func (r *router) writeConfig(config map[string]any) error {
 	text, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
 	}
-	r.configBusy.Lock()
-	defer r.configBusy.Unlock()
+	r.configMu.Lock()
+	defer r.configMu.Unlock()
 	next := r.configFile() + ".next"
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return fmt.Errorf("router %s: %w", r.name, err)
@@ -155,7 +159,7 @@
 	return r.discovery
 }
 
-// setDiscovery sets the address of discovery for configurations from now on, and returns the one before.
+// setDiscovery sets the address of discovery for later configurations and returns the previous one.
 func (r *router) setDiscovery(addr string) (before string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,8 +168,8 @@
 	return before
 }
 
-// ready waits until the second address says yes.
-func (p *process) ready(ctx context.Context, r *router, within time.Duration) error {
+// awaitReady waits until the admin address reports that the process is ready.
+func (p *process) awaitReady(ctx context.Context, r *router, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -178,7 +182,7 @@
 		select {
 		case <-p.done:
 			log, _ := os.ReadFile(filepath.Join(r.dir, "log"))
-			return fmt.Errorf("router %s ended before it was ready: %s\n%s", r.name, endOf(p.end), tail(log, 5))
+			return fmt.Errorf("router %s ended before it was ready: %s\n%s", r.name, exitText(p.exitErr), tail(log, 5))
 		case <-ctx.Done():
 			return fmt.Errorf("router %s: not ready within %v", r.name, within)
 		case <-tick.C:
@@ -186,8 +190,9 @@
 	}
 }
 
-// endOf tells how a process ended: its exit status, or the signal that ended it, which leaves no word in its log.
-func endOf(err error) string {
+// exitText returns a process's exit status or the signal that killed it, which its log doesn't
+// show.
+func exitText(err error) string {
 	if err == nil {
 		return "exit status 0"
 	}
@@ -199,31 +204,33 @@
 	return bytes.Join(all[max(0, len(all)-lines):], []byte("\n"))
 }
 
-// newest is the process that was started last; nil where none runs.
+// newest returns the process that was started last; nil if none runs.
 func (r *router) newest() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.procs) == 0 {
+	if len(r.processes) == 0 {
 		return nil
 	}
-	return r.procs[len(r.procs)-1]
+	return r.processes[len(r.processes)-1]
 }
 
-// signal ends a process as told, and reports whether it was there.
+// signal sends a signal to a process and reports whether that succeeded. After any signal but
+// SIGHUP the process's exit is expected.
 func (r *router) signal(p *process, sig syscall.Signal) bool {
 	if p == nil {
 		return false
 	}
 	r.mu.Lock()
-	p.expected = p.expected || sig != syscall.SIGHUP
+	p.isExitExpected = p.isExitExpected || sig != syscall.SIGHUP
 	r.mu.Unlock()
 	return p.cmd.Process.Signal(sig) == nil
 }
 
-// stop ends all processes of the router: with time to answer what they have, and then without.
+// stop sends SIGTERM to all processes of the router, and SIGKILL to those that still run after
+// patience.
 func (r *router) stop(patience time.Duration) {
 	r.mu.Lock()
-	procs := append([]*process(nil), r.procs...)
+	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
 	for _, p := range procs {
 		r.signal(p, syscall.SIGTERM)
@@ -239,17 +246,18 @@
 	}
 }
 
-// Use is what a router's processes use together.
-type Use struct {
+// Usage is the memory, descriptors and CPU time that one or more processes use.
+type Usage struct {
 	RSSMB float64 `json:"rss_mb"`
 	FDs   int     `json:"fds"`
 	CPUMS float64 `json:"cpu_ms"` // since their start
 }
 
-// use reads what the processes use from /proc; what has ended meanwhile counts nothing.
-func (r *router) use() (u Use) {
+// use returns the total usage of the router's processes, read from /proc. It skips processes that
+// have exited.
+func (r *router) use() (u Usage) {
 	r.mu.Lock()
-	procs := append([]*process(nil), r.procs...)
+	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
 	for _, p := range procs {
 		if one, err := ProcessUse(p.cmd.Process.Pid); err == nil {
@@ -259,16 +267,16 @@
 	return u
 }
 
-var errNoStat = errors.New("no such figures")
+var errNoStat = errors.New("malformed /proc/PID/stat")
 
-// ProcessUse reads what a process uses from /proc.
-func ProcessUse(pid int) (u Use, err error) {
+// ProcessUse reads a process's usage from /proc.
+func ProcessUse(pid int) (u Usage, err error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return u, err
 	}
-	_, rest, ok := strings.Cut(string(stat), ") ") // behind the name, which may hold anything
+	_, rest, ok := strings.Cut(string(stat), ") ") // skips the name, which may contain any character
 	f := strings.Fields(rest)
 	if !ok || len(f) < 22 {
 		return u, errNoStat
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -27,8 +27,9 @@
 		if err != nil {
 			return err
 		}
-		r := &router{name: fmt.Sprintf("r%d", i), zone: fl.File.Fleet.Zones[i%len(fl.File.Fleet.Zones)], listen: listen, number: i,
-			dir: filepath.Join(fl.o.Dir, fmt.Sprintf("r%d", i))}
+		r := &router{name: fmt.Sprintf("r%d", i), zone: fl.File.Fleet.Zones[i%len(fl.File.Fleet.Zones)],
+			listen: listen, number: i,
+			dir: filepath.Join(fl.options.Dir, fmt.Sprintf("r%d", i))}
 		addr, err := fl.openDiscovery(r)
 		if err != nil {
 			return err
@@ -51,21 +52,23 @@
 
 // openDiscovery opens a listener of discovery for a router.
 func (fl *Fleet) openDiscovery(r *router) (addr string, err error) {
-	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.addrFor(r, e) })
+	return fl.discovery.OpenListener(r.name, func(e model.Entry) string { return fl.serverAddr(r, e) })
 }
 
-func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.o.Dir, r.name+".toml") }
+func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.options.Dir, r.name+".toml") }
 
-// startCoordinators starts those that the scenario has, and writes the operator file that makes routers their clients.
+// startCoordinators starts the scenario's coordinators and puts its budgets in force.
 func (fl *Fleet) startCoordinators(ctx context.Context) (err error) {
 	n := fl.File.Fleet.Coordinators
 	if n == 0 {
 		return nil
 	}
-	if len(fl.o.Coord) == 0 {
-		return errors.New("fleet.coordinators: no command of a coordinator is given")
+	if len(fl.options.CoordinatorCommand) == 0 {
+		return errors.New("fleet.coordinators: Options has no command of a coordinator")
 	}
-	if fl.coords, err = calm(ctx, n, AgreeOptions{Coord: fl.o.Coord, Dir: fl.o.Dir, Env: fl.o.CoordEnv}); err != nil {
+	if fl.coordinators, err = startCoordinatorGroup(ctx, n,
+		CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir,
+			Env: fl.options.CoordinatorEnv}); err != nil {
 		return err
 	}
 	if fl.File.Fleet.Out.On() {
@@ -74,19 +77,19 @@
 	return nil
 }
 
-// writeOperator writes a router's operator file, which makes it a client of the coordinators. Where there are planned changes, a
-// relay stands before each of them.
+// writeOperator writes a router's operator file, which makes it a client of the coordinators. If
+// the scenario has budgets, the router reaches each coordinator through a relay.
 func (fl *Fleet) writeOperator(r *router) error {
-	if fl.coords == nil {
+	if fl.coordinators == nil {
 		return nil
 	}
 	var words []string
-	all := fl.coords.addresses()
+	all := fl.coordinators.addresses()
 	for i, name := range slices.Sorted(maps.Keys(all)) {
 		addr := all[name]
 		if fl.File.Fleet.Out.On() {
-			if i < len(fl.toCoord[r.name]) { // written before, with another label
-				words = append(words, fmt.Sprintf("%q", name+"="+fl.toCoord[r.name][i].Addr()))
+			if i < len(fl.coordinatorRelays[r.name]) { // the relay exists from an earlier call with another label
+				words = append(words, fmt.Sprintf("%q", name+"="+fl.coordinatorRelays[r.name][i].Addr()))
 				continue
 			}
 			target := addr
@@ -95,13 +98,14 @@
 				return err
 			}
 			fl.mu.Lock()
-			fl.toCoord[r.name] = append(fl.toCoord[r.name], relay)
+			fl.coordinatorRelays[r.name] = append(fl.coordinatorRelays[r.name], relay)
 			fl.mu.Unlock()
 			addr = relay.Addr()
 		}
 		words = append(words, fmt.Sprintf("%q", name+"="+addr))
 	}
-	text := fmt.Sprintf("version = 1\n[agreement]\ncoordinators = [%s]\nttl = \"5s\"\nprobes = true\n", strings.Join(words, ", "))
+	text := fmt.Sprintf("version = 1\n[agreement]\ncoordinators = [%s]\nttl = \"5s\"\nprobes = true\n",
+		strings.Join(words, ", "))
 	if fl.File.Fleet.Out.On() {
 		text += "drains = true\n"
 	}
@@ -114,51 +118,54 @@
 	return os.WriteFile(fl.operatorFile(r), []byte(text), 0o600)
 }
 
-// command is that of one router, with the operator file that the scenario names.
-func (fl *Fleet) command(r *router) []string {
-	if fl.coords != nil {
-		return append(slices.Clip(fl.o.Command), "--operator", fl.operatorFile(r))
+// routerCommand returns the command of a router, with its operator file if it has one.
+func (fl *Fleet) routerCommand(r *router) []string {
+	if fl.coordinators != nil {
+		return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.operatorFile(r))
 	}
 	if fl.File.Fleet.Operator == "" {
-		return fl.o.Command
+		return fl.options.RouterCommand
 	}
-	return append(slices.Clip(fl.o.Command), "--operator", fl.File.Fleet.Operator)
+	return append(slices.Clip(fl.options.RouterCommand), "--operator", fl.File.Fleet.Operator)
 }
 
-// startRouter starts a process of a router and has the front use it.
+// startRouter starts a process of a router and adds the router to the front.
 func (fl *Fleet) startRouter(ctx context.Context, r *router) error {
-	config := fl.config(r)
-	command, env := fl.command(r), []string(nil)
+	config := fl.routerConfig(r)
+	command, env := fl.routerCommand(r), []string(nil)
 	fl.mu.Lock()
-	if rel := fl.released; rel != nil && r.label == "v2" && plants[rel.Spoil] != "" {
-		command, env = append(slices.Clone(fl.o.Spoilt), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + plants[rel.Spoil]}
+	if rel := fl.released; rel != nil && r.label == "v2" && mutantOfFault[rel.Spoil] != "" {
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...),
+			[]string{"DOCKHINGE_MUTANT=" + mutantOfFault[rel.Spoil]}
 	}
 	fl.mu.Unlock()
-	if fl.o.Lies != "" && r.number == 0 {
-		command, env = append(slices.Clone(fl.o.Spoilt), command[len(fl.o.Command):]...), []string{"DOCKHINGE_MUTANT=" + fl.o.Lies}
+	if fl.options.FirstRouterMutant != "" && r.number == 0 {
+		command, env = append(slices.Clone(fl.options.MutantCommand), command[len(fl.options.RouterCommand):]...),
+			[]string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
 	}
-	if len(command) == 0 || len(env) > 0 && len(fl.o.Spoilt) == 0 {
-		return errors.New("a bad version of the router: no build of it is given")
+	if len(command) == 0 || len(env) > 0 && len(fl.options.MutantCommand) == 0 {
+		return errors.New("a bad version of the router is needed, and Options has no command of a build with mutants")
 	}
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
 		return err
 	}
-	fl.front.Up(r.name, r.zone, r.listen)
+	fl.front.AddRouter(r.name, r.zone, r.listen)
 	return nil
 }
 
 // startProcess starts a process of a router, and returns once it is ready.
 func (fl *Fleet) startProcess(ctx context.Context, r *router, command, env []string, config map[string]any) error {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterStarted, Router: r.name})
-	if err := r.start(ctx, command, env, config, fl.o.Ready); err != nil {
+	if err := r.start(ctx, command, env, config, fl.options.ReadyTimeout); err != nil {
 		return err
 	}
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterReady, Router: r.name})
 	return nil
 }
 
-// addrFor is the address at which a router reaches a server: a relay of its own where the scenario has them.
-func (fl *Fleet) addrFor(r *router, e model.Entry) string {
+// serverAddr returns the address at which a router reaches a server: that of a relay of the
+// router's own if the scenario has relays.
+func (fl *Fleet) serverAddr(r *router, e model.Entry) string {
 	if !fl.File.Fleet.Relays {
 		return e.Addr
 	}
@@ -171,18 +178,18 @@
 	target := e.Addr
 	relay, err := fakes.NewRelay(func() string { return target })
 	if err != nil {
-		fl.problem = append(fl.problem, err.Error())
+		fl.problems = append(fl.problems, err.Error())
 		return e.Addr
 	}
 	fl.relays[key] = relay
-	relay.Set(fl.plainNet(r, e.Zone))
+	relay.SetConditions(fl.baselineNetwork(r, e.Zone))
 	return relay.Addr()
 }
 
-// plainNet is the network between a router and a zone when nothing is wrong.
-func (fl *Fleet) plainNet(r *router, zone string) fakes.Net {
+// baselineNetwork returns the network conditions between a router and a zone without faults.
+func (fl *Fleet) baselineNetwork(r *router, zone string) fakes.NetworkConditions {
 	if r.zone != zone {
-		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
+		return fakes.NetworkConditions{DelayMS: fl.File.Fleet.ZoneDelayMS}
 	}
-	return fakes.Net{}
+	return fakes.NetworkConditions{}
 }
--- a/lab/fleet/signals.go
+++ b/lab/fleet/signals.go
@@ -10,8 +10,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// signal sequences: h is a SIGHUP with the same discovery, m one that moves it, t a SIGTERM. After
-// the first t the time to SIGKILL runs.
+// signalSequences are series of signals: h is a SIGHUP without a new address of discovery, m one
+// with a new address, t a SIGTERM. The time until SIGKILL begins with the first t.
 var signalSequences = []string{"hhh", "hm", "mh", "mmm", "ht", "mt", "tt", "th", "tm", "hth", "mtt", "hmhm"}
 
 const (
@@ -23,8 +23,8 @@
 	maxUpgradeTermDelay = 2 * time.Second
 )
 
-// sideBySide calls f for each router on a goroutine of its own, and waits for all.
-func (fl *Fleet) sideBySide(routers []*router, f func(r *router)) {
+// forEachRouter calls f for each router on a goroutine of its own, and waits for all.
+func (fl *Fleet) forEachRouter(routers []*router, f func(r *router)) {
 	var wg sync.WaitGroup
 	for _, r := range routers {
 		wg.Go(func() { f(r) })
@@ -32,16 +32,16 @@
 	wg.Wait()
 }
 
-// signalSeries has some routers get signals in series, each another one.
+// signalSeries sends a series of signals, drawn for each router, to some routers.
 func (fl *Fleet) signalSeries(ctx context.Context, f scenario.Fault) {
-	fl.sideBySide(fl.pickRouters(f), func(r *router) {
+	fl.forEachRouter(fl.pickRouters(f), func(r *router) {
 		sequence, gaps := fl.drawSeries()
 		fl.mark("%s gets signals: %s, %v apart", r.name, sequence, gaps)
 		fl.sendSeries(ctx, r, sequence, gaps, f.DownS)
 	})
 }
 
-// drawSeries draws a sequence and the gaps behind its signals.
+// drawSeries draws a sequence and the gaps after its signals.
 func (fl *Fleet) drawSeries() (sequence string, gaps []time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -56,7 +56,7 @@
 	return sequence, gaps
 }
 
-// sendSeries sends a series. A router that ends by it is started again.
+// sendSeries sends a series. A router that exits because of it is started again.
 func (fl *Fleet) sendSeries(ctx context.Context, r *router, sequence string, gaps []time.Duration, downS float64) {
 	for i, s := range sequence {
 		p := r.newest()
@@ -65,7 +65,7 @@
 		}
 		if s == 't' {
 			var rest sync.WaitGroup
-			fl.endAndStart(ctx, r, downS, func(p *process) {
+			fl.stopAndRestart(ctx, r, downS, func(p *process) {
 				r.signal(p, syscall.SIGTERM)
 				rest.Go(func() { fl.sendRest(ctx, r, p, sequence[i+1:], gaps[i:]) })
 			})
@@ -79,7 +79,7 @@
 	}
 }
 
-// sendRest sends what follows a SIGTERM to the process that ends.
+// sendRest sends the signals that follow a SIGTERM while the process is shutting down.
 func (fl *Fleet) sendRest(ctx context.Context, r *router, p *process, sequence string, gaps []time.Duration) {
 	for i, s := range sequence {
 		select {
@@ -99,27 +99,27 @@
 	case !p.mayReload():
 	case s == 'm':
 		if err := fl.moveDiscoveryOf(ctx, r); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 		}
 	default:
 		if err := fl.writeConfigOf(r, p); err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			return
 		}
 		r.signal(p, syscall.SIGHUP)
 	}
 }
 
-// upgradeOne starts a new process beside the old one of a router, signals both, and ends the old
-// one once the new is ready.
+// upgradeOne starts a new process beside the old one of a router and, once the new one is ready,
+// sends the old one SIGHUP and SIGTERM.
 func (fl *Fleet) upgradeOne(ctx context.Context) {
 	for _, r := range fl.pickRouters(scenario.Fault{Count: 1}) {
-		if !r.busy.TryLock() {
+		if !r.downMu.TryLock() {
 			return
 		}
-		defer r.busy.Unlock()
+		defer r.downMu.Unlock()
 		if err := fl.upgradeWithSignals(ctx, r); err != nil && ctx.Err() == nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		return nil
 	}
 	fl.mark("upgrade of %s, with signals", r.name)
-	if err := fl.startProcess(ctx, r, fl.command(r), nil, fl.config(r)); err != nil {
+	if err := fl.startProcess(ctx, r, fl.routerCommand(r), nil, fl.routerConfig(r)); err != nil {
 		return err
 	}
 	if old.mayReload() {
--- a/lab/fleet/steps.go
+++ b/lab/fleet/steps.go
@@ -12,11 +12,13 @@
 	"dockhinge.example/dockhinge/lab/checker"
 )
 
-// StepKill has a process killed just while the operators' tool stands at one of its steps (a build with the tag faults names them).
+// StepKill names a process to kill while the operators' tool is paused at one of its steps. Only
+// builds with the tag faults can pause.
 type StepKill struct{ Step, Victim string }
 
-// The steps of a driver of a release, those of the tool that changes one thing, and who is killed there. The router, or the cache
-// server, is the one that is being changed.
+// Steps of the driver of a release and of the tool that changes one resource, and the processes
+// that can be killed at them. The victims "router" and "server" are the ones that are being
+// changed.
 var (
 	DriverSteps   = []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"}
 	DriverVictims = []string{"tool", "leader", "follower", "router", "other-router", "other-driver"}
@@ -24,7 +26,8 @@
 	ToolVictims   = []string{"tool", "leader", "follower", "other-router", "server"}
 )
 
-// env has the tool wait at the step, or die there.
+// env returns the environment that makes the tool pause at the step, or exit there if it is the
+// victim.
 func (k *StepKill) env(dir string) []string {
 	switch {
 	case k == nil:
@@ -35,14 +38,15 @@
 	return []string{"DOCKHINGE_PAUSE_AT=" + k.Step, "DOCKHINGE_PAUSE_FILE=" + filepath.Join(dir, "at-step")}
 }
 
-// killAtStep waits until the tool stands at its step, kills the victim, lets the tool go on, and starts the victim again a little
-// later, as what supervises processes would. thing is what is being changed; once its change is over, nobody is killed any more.
-func (fl *Fleet) killAtStep(ctx, change context.Context, thing string) {
-	k := fl.o.Kill
+// killAtStep waits until the tool is paused at its step, kills the victim, lets the tool continue,
+// and restarts the victim a little later, as a process supervisor would. resource is what is being
+// changed; once the context change is done, no process is killed any more.
+func (fl *Fleet) killAtStep(ctx, change context.Context, resource string) {
+	k := fl.options.Kill
 	if k == nil || k.Victim == "tool" {
 		return
 	}
-	file := filepath.Join(fl.o.Dir, "at-step")
+	file := filepath.Join(fl.options.Dir, "at-step")
 	for {
 		if _, err := os.Stat(file); err == nil {
 			break
@@ -51,74 +55,78 @@
 			return
 		}
 	}
-	again := func() error { return nil }
+	restartVictim := func() error { return nil }
 	switch k.Victim {
 	case "leader", "follower":
-		fl.coordsBusy.Lock()
-		defer fl.coordsBusy.Unlock()
-		l, err := fl.coords.leader(ctx)
+		fl.coordinatorsDownMu.Lock()
+		defer fl.coordinatorsDownMu.Unlock()
+		l, err := fl.coordinators.leader(ctx)
 		if err != nil {
-			fl.trouble(err)
+			fl.recordLabError(err)
 			break
 		}
 		c := l
 		if k.Victim == "follower" {
-			c = fl.coords.coords[(l.number+1)%len(fl.coords.coords)]
+			c = fl.coordinators.coords[(l.number+1)%len(fl.coordinators.coords)]
 		}
 		c.kill()
-		again = c.start
+		restartVictim = c.start
 	case "router", "other-router":
 		routers := fl.allRouters()
-		slices.SortFunc(routers, func(a, b *router) int { return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.name, b.name)) })
-		i := slices.IndexFunc(routers, func(r *router) bool { return "router/"+r.name == thing })
+		slices.SortFunc(routers, func(a,
+			b *router) int {
+			return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.name, b.name))
+		})
+		i := slices.IndexFunc(routers, func(r *router) bool { return "router/"+r.name == resource })
 		r := routers[max(0, i)]
 		if k.Victim == "other-router" {
 			r = routers[(max(0, i)+1)%len(routers)]
 		}
-		r.busy.Lock()
-		defer r.busy.Unlock()
+		r.downMu.Lock()
+		defer r.downMu.Unlock()
 		if p := r.newest(); p != nil {
 			fl.kill(r, p)
 			<-p.done
-			again = func() error { return fl.startRouter(ctx, r) }
+			restartVictim = func() error { return fl.startRouter(ctx, r) }
 		}
 	case "server":
 		for _, m := range fl.allMembers() {
-			if "server/"+m.entry.ID == thing && m.busy.TryLock() { // else it is down already, by the tool's command
-				defer m.busy.Unlock()
+			// otherwise the tool's command already has it down
+			if "server/"+m.entry.ID == resource && m.downMu.TryLock() {
+				defer m.downMu.Unlock()
 				m.Kill()
-				again = func() error { fl.back(m); return nil }
+				restartVictim = func() error { fl.restartServer(m); return nil }
 			}
 		}
 	case "other-driver":
 		fl.mu.Lock()
-		p := fl.tools["driver-1"]
+		p := fl.runningTools["driver-1"]
 		fl.mu.Unlock()
-		if p != nil { // whoever started it starts it again
+		if p != nil { // runDriver restarts it
 			p.kill()
 		}
 	}
 	fl.mark("%s is killed at the step %s", k.Victim, k.Step)
 	fl.mu.Lock()
-	fl.killed = true
+	fl.isVictimKilled = true
 	fl.mu.Unlock()
 	if err := os.WriteFile(file+".go", nil, 0o600); err != nil {
-		fl.trouble(err)
+		fl.recordLabError(err)
 	}
 	if !wait(ctx, 0.7) {
 		return
 	}
-	if err := again(); err != nil && ctx.Err() == nil {
-		fl.trouble(err)
+	if err := restartVictim(); err != nil && ctx.Err() == nil {
+		fl.recordLabError(err)
 	}
 }
 
-// kill ends a router's process at once.
+// kill sends SIGKILL to a router's process and takes the router out of the front.
 func (fl *Fleet) kill(r *router, p *process) {
-	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
-	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+	fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 }
 
-// StepsPatience is how long a run with a kill at a step may last beyond its load.
-const StepsPatience = 2 * time.Minute
+// StepKillTimeout is the time that a run with a kill at a step may take after the end of its load.
+const StepKillTimeout = 2 * time.Minute
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -85,7 +85,7 @@
 // at rest, drains, and a restart of all coordinators.
 func MeasureStep(ctx context.Context, routers int, o Options) (step Step, err error) {
 	step.Routers, step.ReportedPairs = routers, routers*o.RegionServers
-	if err := fleet.EnoughDescriptors(routers); err != nil {
+	if err := fleet.CheckDescriptorLimit(routers); err != nil {
 		step.Failed = err.Error()
 		return step, err
 	}
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -131,7 +131,7 @@
 	r.parentDay.after(r.delayTo(a.target), func() {
 		if r.parentDay.inFlight[a.job] == a && a.target.isUp {
 			r.parentDay.advanceServer(a.target)
-			r.parentDay.sums.Wasted += a.target.serverModel.Spent(a.job)
+			r.parentDay.sums.Wasted += a.target.serverModel.WorkDone(a.job)
 			delete(r.parentDay.inFlight, a.job)
 			a.target.serverModel.Cancel(a.job)
 			r.parentDay.advanceServer(a.target)
@@ -516,7 +516,7 @@
 			r.balancer.UpdateEndpoints(d.now, decide.WatchFailed, nil)
 			return
 		}
-		l := d.directory.After(r.listVersion)
+		l := d.directory.ChangesAfter(r.listVersion)
 		r.listVersion = l.Version
 		kind := decide.ChangedEndpoints
 		if l.Full {
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -97,7 +97,7 @@
 		known = append(known, d.entry(v, "active", 0))
 	}
 	d.directory = model.NewDirectory(p.List, p.Seed, known)
-	d.initialList = d.directory.Whole()
+	d.initialList = d.directory.FullList()
 	total := 0.0
 	for i := range p.Config.Routers {
 		r, err := d.startRouter(i, d.initialList)
@@ -131,7 +131,7 @@
 		return d.sums, fmt.Errorf("simulation: more than %d attempts", MaxAttempts)
 	}
 	for _, v := range d.servers {
-		if v.serverModel.Fallen() {
+		if v.serverModel.HasCollapsed() {
 			d.sums.Fallen++
 		}
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	b.UpdateEndpoints(dayStart, decide.RestoredEndpoints, toEndpoints(d.directory.Whole()))
+	b.UpdateEndpoints(dayStart, decide.RestoredEndpoints, toEndpoints(d.directory.FullList()))
 	c := cfg.Classes[0]
 	for i := len(d.keyByRank) - 1; i >= 0; i-- {
 		id := uint32(i + 1)
@@ -237,7 +237,7 @@
 	for _, i := range f.Routers {
 		d.routers[i].kill()
 		if f.Kind == Start {
-			known := d.directory.Whole()
+			known := d.directory.FullList()
 			if f.HasStaleList {
 				known = d.initialList
 			}
@@ -286,7 +286,7 @@
 
 // publish reports a change of a server to discovery.
 func (d *day) publish(e model.Entry) {
-	d.directory.Happened(d.now, e)
+	d.directory.ScheduleChange(d.now, e)
 	d.after(d.directory.Next()-d.now, func() { d.directory.Advance(d.now) })
 }
 
@@ -343,7 +343,7 @@
 
 // sendResponse sends the response of a job back to its router, and stores a value fetched from the origin at the
 // first two servers that missed.
-func (d *day) sendResponse(v *machine, done model.Done) {
+func (d *day) sendResponse(v *machine, done model.Completion) {
 	a := d.inFlight[done.ID]
 	if a == nil {
 		return
