--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -24,12 +24,12 @@
 
 // Params configures and bounds a search.
 type Params struct {
-	Clients        int
-	Depth          int     // events from the first state
-	MaxInFlight    int     // most messages in flight at once, both directions together
-	MaxStates      int     // the search stops after so many states
-	ClockRateBound float64 // bound of the clock rate error, as a share
-	StartWithLease bool    // start with a session for each client and the lease held by the first
+	Clients           int
+	Depth             int     // events from the first state
+	MaxInFlight       int     // most messages in flight at once, both directions together
+	MaxStates         int     // the search stops after so many states
+	MaxClockRateError float64 // bound of the clock rate error, as a share
+	StartWithLease    bool    // start with a session for each client and the lease held by the first
 }
 
 // Result is the outcome of a search.
@@ -51,10 +51,10 @@
 // message is a command in flight to the coordinators, or its response in flight to the client.
 type message struct {
 	IsResponse  bool // it is a response
-	Client      int  // index of the client
+	ClientIndex int  // index of the client
 	Incarnation int  // incarnation of the client that sent it
-	Command     coord.Command
-	Response    coord.Response
+	Request     coord.Command
+	Reply       coord.Response
 	Sent        time.Duration // when the command was sent, on the client's clock
 	Duplicates  int           // how often it may still be duplicated
 }
@@ -65,7 +65,7 @@
 	Incarnation         int           // number of restarts
 	Session             int           // unused; part of the encoded state
 	HasRequestedSession bool          // it has requested a session
-	HasSession          bool          // it has a session, as far as it knows
+	HasOpenSession      bool          // it has a session, as far as it knows
 	LastSequence        uint64        // sequence number of its last numbered command
 	Pending             []uint64      // sequence numbers of its commands without a response yet, ascending
 	IsAcquiring         bool          // its acquire has no response yet
@@ -108,11 +108,11 @@
 func clockRate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
 
 func (w *state) clientClock(i int, p Params) time.Duration {
-	return time.Duration(float64(w.now) * clockRate(i, p.ClockRateBound))
+	return time.Duration(float64(w.now) * clockRate(i, p.MaxClockRateError))
 }
 
 func (w *state) leaderClock(p Params) time.Duration {
-	return time.Duration(float64(w.now) * (1 + p.ClockRateBound))
+	return time.Duration(float64(w.now) * (1 + p.MaxClockRateError))
 }
 
 func (w *state) clone() *state {
@@ -165,7 +165,8 @@
 
 func newState(p Params) *state {
 	w := &state{machine: coord.New()}
-	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate, ClockRateBound: p.ClockRateBound}, 1)
+	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate,
+		ClockRateBound: p.MaxClockRateError}, 1)
 	for range p.Clients {
 		w.clients = append(w.clients, clientState{ReleasedTokens: map[uint64]bool{}})
 	}
@@ -176,7 +177,7 @@
 		q, id := &w.clients[i], fmt.Sprintf("s%d.0", i)
 		w.applyCommand(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
 		q.leases.RecordSessionOpened(ttl, 0, 0)
-		q.HasRequestedSession, q.HasSession = true, true
+		q.HasRequestedSession, q.HasOpenSession = true, true
 		if i == 0 {
 			q.LastSequence = 1
 			q.Token = w.applyCommand(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease,
@@ -210,22 +211,22 @@
 		put := func(w *state, c coord.Command) {
 			q := &w.clients[i]
 			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acknowledgedThrough()
-			w.inFlight = append(w.inFlight, message{Client: i, Incarnation: q.Incarnation,
-				Command: c, Sent: w.clientClock(i, p), Duplicates: 1})
+			w.inFlight = append(w.inFlight, message{ClientIndex: i, Incarnation: q.Incarnation,
+				Request: c, Sent: w.clientClock(i, p), Duplicates: 1})
 		}
 		_, _, held := q.leases.HeldLease(lease, now)
-		if send && !q.HasRequestedSession && !q.HasSession {
+		if send && !q.HasRequestedSession && !q.HasOpenSession {
 			add(2, func(w *state) string {
 				w.clients[i].HasRequestedSession = true
 				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
 			}, "c%d requests a session", i)
 		}
-		if send && q.HasSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
+		if send && q.HasOpenSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
 			add(2, func(w *state) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" },
 				"c%d sends a keep-alive", i)
 		}
-		if send && q.HasSession && !q.IsAcquiring && !held {
+		if send && q.HasOpenSession && !q.IsAcquiring && !held {
 			add(2, func(w *state) string {
 				q := &w.clients[i]
 				q.IsAcquiring, q.AcquireSentAt = true, w.clientClock(i, p)
@@ -234,7 +235,7 @@
 				return ""
 			}, "c%d requests the lease", i)
 		}
-		if send && q.HasSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
+		if send && q.HasOpenSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
 			add(1, func(w *state) string {
 				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.clients[i].AcquireSequence})
 				return ""
@@ -271,7 +272,7 @@
 		if q.IsActing {
 			add(0.3, func(w *state) string { return w.writeToResource(i) }, "c%d's write reaches the resource", i)
 		}
-		if q.Incarnation < 1 && (q.HasSession || q.HasRequestedSession) {
+		if q.Incarnation < 1 && (q.HasOpenSession || q.HasRequestedSession) {
 			add(0.05, func(w *state) string {
 				w.clients[i] = clientState{Incarnation: w.clients[i].Incarnation + 1, ReleasedTokens: map[uint64]bool{}}
 				return ""
@@ -279,7 +280,7 @@
 		}
 	}
 	for k, m := range w.inFlight {
-		who := fmt.Sprintf("c%d's %s", m.Client, m.Command.Op)
+		who := fmt.Sprintf("c%d's %s", m.ClientIndex, m.Request.Op)
 		if m.IsResponse {
 			add(4, func(w *state) string {
 				w.inFlight = slices.Delete(w.inFlight, k, k+1)
@@ -306,7 +307,7 @@
 
 func (w *state) pendingCommands(i int, op coord.Op) (n int) {
 	for _, m := range w.inFlight {
-		if m.Client == i && m.Incarnation == w.clients[i].Incarnation && m.Command.Op == op {
+		if m.ClientIndex == i && m.Incarnation == w.clients[i].Incarnation && m.Request.Op == op {
 			n++
 		}
 	}
@@ -337,19 +338,19 @@
 // deliverCommand applies the command of a message and sends its response.
 func (w *state) deliverCommand(m message, p Params) string {
 	isRepeated := false // the command was applied before, and its stored response is returned
-	if se := w.machine.Sessions[m.Command.SessionID]; se != nil {
-		_, isRepeated = se.Responses[m.Command.Sequence]
+	if se := w.machine.Sessions[m.Request.SessionID]; se != nil {
+		_, isRepeated = se.Responses[m.Request.Sequence]
 	}
-	a := w.applyCommand(m.Command, p)
-	if m.Command.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !isRepeated {
-		if m.Command.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
+	a := w.applyCommand(m.Request, p)
+	if m.Request.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !isRepeated {
+		if m.Request.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
 			return fmt.Sprintf("c%d wrote a record with token %d after token %d was granted",
-				m.Client, m.Command.Token, w.machine.LastToken)
+				m.ClientIndex, m.Request.Token, w.machine.LastToken)
 		}
 	}
 	if len(w.inFlight) < p.MaxInFlight {
-		w.inFlight = append(w.inFlight, message{IsResponse: true, Client: m.Client, Incarnation: m.Incarnation,
-			Command: m.Command, Response: a, Sent: m.Sent})
+		w.inFlight = append(w.inFlight, message{IsResponse: true, ClientIndex: m.ClientIndex, Incarnation: m.Incarnation,
+			Request: m.Request, Reply: a, Sent: m.Sent})
 	}
 	return w.checkInvariants(p)
 }
@@ -424,45 +425,45 @@
 
 // deliverResponse processes a response as the client does.
 func (w *state) deliverResponse(m message, p Params) string {
-	q := &w.clients[m.Client]
+	q := &w.clients[m.ClientIndex]
 	if m.Incarnation != q.Incarnation {
 		return ""
 	}
-	now := w.clientClock(m.Client, p)
-	switch m.Command.Op {
+	now := w.clientClock(m.ClientIndex, p)
+	switch m.Request.Op {
 	case coord.OpOpenSession:
-		if q.HasSession || m.Response.Code != coord.CodeOK {
+		if q.HasOpenSession || m.Reply.Code != coord.CodeOK {
 			return ""
 		}
 		q.leases.RecordSessionOpened(ttl, m.Sent, now)
-		q.HasSession = q.leases.HasSession(now)
+		q.HasOpenSession = q.leases.HasSession(now)
 		return w.checkInvariants(p)
 	case coord.OpKeepAlive:
-		switch m.Response.Code {
+		switch m.Reply.Code {
 		case coord.CodeOK:
 			q.leases.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
 			q.leases.RecordSessionLost()
-			q.HasSession = false
+			q.HasOpenSession = false
 		}
 		return w.checkInvariants(p)
 	}
-	k := slices.Index(q.Pending, m.Command.Sequence)
+	k := slices.Index(q.Pending, m.Request.Sequence)
 	if k < 0 {
 		return "" // a response was processed before
 	}
 	q.Pending = slices.Delete(slices.Clone(q.Pending), k, k+1)
 	switch {
-	case m.Command.Op == coord.OpAcquire:
+	case m.Request.Op == coord.OpAcquire:
 		q.IsAcquiring = false
-		if m.Response.Code == coord.CodeOK {
-			q.LastGrantedToken = m.Response.Token
-			if q.leases.RecordGrant(lease, m.Response.Token, ttl, q.AcquireSentAt, now) {
-				q.Token = m.Response.Token
+		if m.Reply.Code == coord.CodeOK {
+			q.LastGrantedToken = m.Reply.Token
+			if q.leases.RecordGrant(lease, m.Reply.Token, ttl, q.AcquireSentAt, now) {
+				q.Token = m.Reply.Token
 			}
 		}
-	case m.Response.Code == coord.CodeOK && m.Command.Op != coord.OpWriteRecord:
-		q.ReleasedTokens[m.Command.Token] = true
+	case m.Reply.Code == coord.CodeOK && m.Request.Op != coord.OpWriteRecord:
+		q.ReleasedTokens[m.Request.Token] = true
 	}
 	return w.checkInvariants(p)
 }
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -10,18 +10,18 @@
 // searches are exhaustive up to their depth. DOCKHINGE_EXPLORE_DEEPER adds to the depth, for runs longer
 // than CI allows.
 var searches = map[string]Params{
-	"two clients": {Clients: 2, Depth: 7, MaxInFlight: 3, MaxStates: 3_000_000, ClockRateBound: 0.1},
+	"two clients": {Clients: 2, Depth: 7, MaxInFlight: 3, MaxStates: 3_000_000, MaxClockRateError: 0.1},
 	"two clients, one holds": {Clients: 2, Depth: 6, MaxInFlight: 3, MaxStates: 3_000_000,
-		ClockRateBound: 0.1, StartWithLease: true},
+		MaxClockRateError: 0.1, StartWithLease: true},
 	"three, one holds": {Clients: 3, Depth: 5, MaxInFlight: 3, MaxStates: 3_000_000,
-		ClockRateBound: 0.1, StartWithLease: true},
+		MaxClockRateError: 0.1, StartWithLease: true},
 }
 
 const walkCount = 500
 
 // walk runs a random walk that is longer than the depth of the searches.
 func walk(seed uint64) Result {
-	return Walk(Params{Clients: 3, MaxInFlight: 4, ClockRateBound: 0.1, StartWithLease: seed%2 == 0}, seed, 300)
+	return Walk(Params{Clients: 3, MaxInFlight: 4, MaxClockRateError: 0.1, StartWithLease: seed%2 == 0}, seed, 300)
 }
 
 // No order of events violates the lease properties, exhaustively up to a depth and at random beyond it.
--- a/lab/simulation/client.go
+++ b/lab/simulation/client.go
@@ -28,7 +28,7 @@
 	rate := d.params.Rate
 	for _, b := range d.params.Bursts {
 		if at := d.now - dayStart; at >= b.At && at < b.At+b.For {
-			rate *= b.Factor
+			rate *= b.RateFactor
 		}
 	}
 	return d.rng.ExpFloat64() * 1000 / rate
--- a/lab/simulation/days.go
+++ b/lab/simulation/days.go
@@ -120,7 +120,7 @@
 	lost := rng.IntN(p.Zones)
 	switch kind {
 	case "calm":
-		p.Bursts = []Burst{{At: 8000, For: 4000, Factor: 1.5}}
+		p.Bursts = []Burst{{At: 8000, For: 4000, RateFactor: 1.5}}
 	case "herd":
 		dead := rng.Perm(routers)[:routers*7/10]
 		p.Faults = append(p.Faults, Fault{At: 6000, Routers: dead, Kind: Kill}, Fault{At: 7000, Routers: dead, Kind: Start})
@@ -142,7 +142,7 @@
 			Fault{At: 13000, Servers: cut, Kind: Reconnect})
 	case "throng":
 		cut := rng.Perm(p.Servers)[:max(1, p.Servers/4)]
-		p.Bursts, p.SendsWorkHints = []Burst{{At: 7000, For: 5000, Factor: 2}}, true
+		p.Bursts, p.SendsWorkHints = []Burst{{At: 7000, For: 5000, RateFactor: 2}}, true
 		p.Faults = append(p.Faults, Fault{At: 4000, Servers: cut, Kind: Kill}, Fault{At: 6000, Servers: cut, Kind: Start})
 	case "zone":
 		cut := zoned(p.Servers, lost)
--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -46,7 +46,7 @@
 }
 
 // Burst multiplies the request rate by Times, for the period For from At on.
-type Burst struct{ At, For, Factor float64 }
+type Burst struct{ At, For, RateFactor float64 }
 
 // Clients describes how clients retry.
 type Clients struct {
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -224,7 +224,7 @@
 		work: q.work * lognormal(d.rng, d.params.AttemptWorkCV)}
 	q.attempts = append(q.attempts, a)
 	if v == nil { // the server was removed, and the list has not arrived yet
-		a.target = &machine{id: server, zone: r.zone, index: -1}
+		a.target = &machine{id: server, zone: r.zone, position: -1}
 	} else if v.isOrigin {
 		if d.sums.Fetches++; d.fetching[q.key] > 0 {
 			d.sums.SameKey++
@@ -234,7 +234,7 @@
 	} else {
 		d.sums.Attempts++
 		d.secondAt(d.now).Attempts++
-		d.sums.Servers[v.index].Attempts++
+		d.sums.Servers[v.position].Attempts++
 		b := d.bandOf(q.client)
 		b.Attempts++
 		if b.at == nil {
@@ -243,7 +243,7 @@
 		if b.at[q.key] == nil {
 			b.at[q.key] = map[int]int{}
 		}
-		b.at[q.key][v.index]++
+		b.at[q.key][v.position]++
 		if v.zone != r.zone {
 			d.sums.Crossings++
 		}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -64,7 +64,7 @@
 	// startedAt is when its process was restarted during the day; 0 before that.
 	startedAt   float64
 	nextEventAt float64 // time of its next scheduled event
-	index       int     // index in day.servers; -1 for a server that no longer exists
+	position    int     // index in day.servers; -1 for a server that no longer exists
 	zone        string
 }
 
@@ -85,7 +85,7 @@
 	d.initKeys()
 	var known []model.Entry
 	for i := range p.Servers + 1 {
-		v := &machine{isUp: true, index: i, zone: zoneName(i % p.Zones), params: p.Origin}
+		v := &machine{isUp: true, position: i, zone: zoneName(i % p.Zones), params: p.Origin}
 		if v.isOrigin = i == p.Servers; !v.isOrigin {
 			v.params = p.Kinds[i%len(p.Kinds)]
 			v.params.Speed *= lognormal(d.rng, p.SpeedCV)
@@ -169,7 +169,7 @@
 	e := model.Entry{ID: strconv.FormatUint(uint64(v.id), 16), Zone: v.zone, Kind: "origin", State: state,
 		Weight: float64(v.params.Cores), Started: started}
 	if !v.isOrigin {
-		e.Kind = "kind-" + strconv.Itoa(v.index%len(d.params.Kinds))
+		e.Kind = "kind-" + strconv.Itoa(v.position%len(d.params.Kinds))
 	}
 	return e
 }
@@ -394,18 +394,18 @@
 		d.sums.Misses++
 		d.bandOf(a.parent.client).Misses++
 		s.Misses++
-		if a.target.index >= 0 {
-			d.sums.Servers[a.target.index].Misses++
+		if a.target.position >= 0 {
+			d.sums.Servers[a.target.position].Misses++
 		}
 	case st == decide.Canceled && !a.parent.isDone:
 		d.sums.Cancels++
 		d.bandOf(a.parent.client).Cancels++
 		s.Cancels++
-		if a.target.index >= 0 {
-			d.sums.Servers[a.target.index].Cancels++
+		if a.target.position >= 0 {
+			d.sums.Servers[a.target.position].Cancels++
 		}
 	case st == decide.OK:
-		at := &d.sums.Servers[a.target.index]
+		at := &d.sums.Servers[a.target.position]
 		at.Hits++
 		at.MS += d.now - a.sentAt
 	case st == decide.QueueFull:
--- a/lab/simulation/slowstart_test.go
+++ b/lab/simulation/slowstart_test.go
@@ -54,19 +54,19 @@
 			params := model.Params{Cores: 1, Speed: 0.25, ColdFrom: 0.4, ColdMS: 1e12} // N is 8, the bound 15.7
 			v := &machine{id: 7, isUp: true, params: params, serverModel: model.New(params, 1, start-1), startedAt: start}
 			v.serverModel.Restart(start)
-			informed, uninformed := &router{knownStarts: map[uint32]float64{7: start}},
+			informedRouter, uninformedRouter := &router{knownStarts: map[uint32]float64{7: start}},
 				&router{knownStarts: map[uint32]float64{}}
 			send := func(from *router, n int) {
 				for range n {
 					d.recordCold(v, from, 2*work)
 				}
 			}
-			send(informed, 3)
+			send(informedRouter, 3)
 			d.now = start + window // drops these arrivals
-			send(uninformed, c.uninformed)
-			send(informed, c.informed-c.informed/2)
+			send(uninformedRouter, c.uninformed)
+			send(informedRouter, c.informed-c.informed/2)
 			d.now += window / 2
-			send(informed, c.informed/2)
+			send(informedRouter, c.informed/2)
 			most := d.sums.Cold.Fullest
 			if want := 2 * float64(c.informed+c.uninformed); most.Sent != want || most.SentByInformed != 2*float64(c.informed) ||
 				most.Allowed < 7.9 || most.Allowed > 8.1 {
