--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -99,12 +99,12 @@
 }
 
 // newToolProcess returns a process of the operators' tool that has not been started.
-func (fl *Fleet) newToolProcess(name string, args ...string) *proc {
+func (fl *Fleet) newToolProcess(name string, args ...string) *restartableProcess {
 	var all []string
 	for n, addr := range fl.coordinators.addresses() {
 		all = append(all, n+"="+addr)
 	}
-	return &proc{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...),
+	return &restartableProcess{name: name, command: append([]string{fl.options.CoordinatorCommand[0]}, args...),
 		env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
@@ -292,7 +292,7 @@
 func (fl *Fleet) killTools(ctx context.Context, f scenario.Fault) {
 	for range f.Count {
 		fl.mu.Lock()
-		var all []*proc
+		var all []*restartableProcess
 		for _, name := range slices.Sorted(maps.Keys(fl.runningTools)) {
 			all = append(all, fl.runningTools[name])
 		}
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -400,7 +400,7 @@
 	if n := countAttempts(first); n != at {
 		t.Errorf("%d attempts began at the drained server, also counting the router that started meanwhile", n-at)
 	}
-	for _, c := range fl.coordinators.coords { // paused, so that they accept calls but don't answer
+	for _, c := range fl.coordinators.nodes { // paused, so that they accept calls but don't answer
 		c.signal(19)
 	}
 	r = fl.allRouters()[1]
@@ -410,7 +410,7 @@
 	if err := fl.startRouter(ctx, r); err != nil {
 		t.Errorf("with coordinators that don't answer: %v", err)
 	}
-	for _, c := range fl.coordinators.coords {
+	for _, c := range fl.coordinators.nodes {
 		c.signal(18)
 	}
 	mustPrint("", "resume")
--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/coordinator_cost.go
@@ -61,7 +61,7 @@
 		a.close()
 		return nil, err
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
@@ -102,13 +102,13 @@
 		return u, err
 	}
 	before := map[string]Usage{}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if before[c.name], err = ProcessUse(c.cmd.Process.Pid); err != nil {
 			return u, err
 		}
 	}
 	wait(ctx, over.Seconds())
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		now, err := ProcessUse(c.cmd.Process.Pid)
 		if err != nil {
 			return u, err
@@ -127,7 +127,7 @@
 
 func (a *coordinatorGroup) addresses() map[string]string {
 	all := map[string]string{}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		all[c.name] = c.api
 	}
 	return all
@@ -159,7 +159,7 @@
 	began := time.Now()
 	var mu sync.Mutex
 	var waiting sync.WaitGroup
-	patience, endPatience := context.WithTimeout(ctx, opensWithin)
+	patience, endPatience := context.WithTimeout(ctx, sessionTimeout)
 	defer endPatience()
 	for i := range clients { // each takes its share of the leases
 		waiting.Go(func() {
@@ -245,9 +245,9 @@
 	return nil
 }
 
-// opensWithin bounds how long clients wait for a session. A client beyond a limit of the
+// sessionTimeout bounds how long clients wait for a session. A client beyond a limit of the
 // coordinators never gets one.
-const opensWithin = 30 * time.Second
+const sessionTimeout = 30 * time.Second
 
 // countRefusal counts a client that got no session.
 func (m *CoordinatorCost) countRefusal(mu *sync.Mutex, err error) {
@@ -281,7 +281,7 @@
 			if err != nil {
 				return err
 			}
-			for _, x := range a.coords {
+			for _, x := range a.nodes {
 				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < leaderStatus.LastLogIndex ||
 					s.Leader != l.name {
 					return errors.Join(errors.New("not all coordinators follow the leader"), err)
@@ -305,7 +305,7 @@
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
-		a.restart(l.proc)
+		a.restart(l.restartableProcess)
 	}
 	return took, nil
 }
@@ -338,7 +338,7 @@
 					r.Close()
 				}
 			}()
-			for _, x := range a.coords {
+			for _, x := range a.nodes {
 				r, err := fakes.NewRelay(func() string { return x.api })
 				if err != nil {
 					return
--- a/lab/fleet/agree_group.go
+++ b/lab/fleet/coordinator_group.go
@@ -20,7 +20,7 @@
 
 // coordinator is a coordinator process.
 type coordinator struct {
-	*proc
+	*restartableProcess
 	number      int
 	listen, api string
 	data        string // its directory
@@ -56,7 +56,7 @@
 			return err
 		}
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if err := c.start(); err != nil {
 			return err
 		}
@@ -75,7 +75,7 @@
 // formGroup initializes the group through its first coordinator and waits until there is a leader.
 func (a *coordinatorGroup) formGroup(ctx context.Context) error {
 	var group []node.Member
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if err := retryUntil(ctx, formTimeout, func() error {
 			s, err := c.status(ctx)
 			if err == nil {
@@ -86,7 +86,7 @@
 			return fmt.Errorf("%s: %w\n%s", c.name, err, c.logTail(5))
 		}
 	}
-	if err := client.Call(ctx, http.MethodPost, a.coords[0].api, "/v1/init", group, nil); err != nil {
+	if err := client.Call(ctx, http.MethodPost, a.nodes[0].api, "/v1/init", group, nil); err != nil {
 		return err
 	}
 	return retryUntil(ctx, formTimeout, func() error {
@@ -100,7 +100,7 @@
 	term := uint64(0)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		wg.Go(func() {
 			s, err := c.status(ctx)
 			mu.Lock()
--- a/lab/fleet/agree_build.go
+++ b/lab/fleet/coordinator_group_setup.go
@@ -28,9 +28,9 @@
 		if err != nil {
 			return err
 		}
-		a.coords = append(a.coords, c)
+		a.nodes = append(a.nodes, c)
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if err := a.configureCoordinator(c); err != nil {
 			return err
 		}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	a.resource = &proc{name: "resource", dir: a.options.Dir, env: a.options.Env,
+	a.resource = &restartableProcess{name: "resource", dir: a.options.Dir, env: a.options.Env,
 		command: append(slices.Clone(a.options.LabCommand), "resource", resourceAddr, a.actsFile())}
 	for number := range a.scenario.Holders {
 		holder, err := a.newHolder(number, resourceAddr)
@@ -66,7 +66,7 @@
 // newCoordinator returns a coordinator with addresses of its own.
 func (a *coordinatorGroup) newCoordinator(number int) (*coordinator, error) {
 	name := fmt.Sprintf("c%d", number)
-	c := &coordinator{number: number, proc: &proc{name: name, dir: a.options.Dir},
+	c := &coordinator{number: number, restartableProcess: &restartableProcess{name: name, dir: a.options.Dir},
 		data: filepath.Join(a.options.Dir, name)}
 	var err error
 	if c.listen, err = FreeAddr(); err != nil {
@@ -88,7 +88,7 @@
 		fmt.Fprintf(&text, "beat = %q\n", a.options.HeartbeatInterval)
 	}
 	text.WriteString("[peers]\n")
-	for _, peer := range a.coords {
+	for _, peer := range a.nodes {
 		if c == peer {
 			continue
 		}
@@ -131,7 +131,7 @@
 }
 
 // newHolder writes a holder's settings, with relays to each coordinator and to the resource.
-func (a *coordinatorGroup) newHolder(number int, resourceAddr string) (*proc, error) {
+func (a *coordinatorGroup) newHolder(number int, resourceAddr string) (*restartableProcess, error) {
 	name := holderName(number)
 	cfg := HolderConfig{
 		Name:         name,
@@ -150,7 +150,7 @@
 			cfg.Others = append(cfg.Others, holderName(other))
 		}
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		relay, err := a.relay(c.api)
 		if err != nil {
 			return nil, err
@@ -172,8 +172,9 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, err
 	}
-	return &proc{name: name, dir: a.options.Dir, command: append(slices.Clone(a.options.LabCommand), "holder", file),
-		env: append(slices.Clone(a.options.Env), a.clockRate(number+1))}, nil
+	return &restartableProcess{name: name, dir: a.options.Dir,
+		command: append(slices.Clone(a.options.LabCommand), "holder", file),
+		env:     append(slices.Clone(a.options.Env), a.clockRate(number+1))}, nil
 }
 
 // relay starts a relay to an address, which must not change when the process restarts.
--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/coordinators_test.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			return err
 		}
-		for _, c := range a.coords {
+		for _, c := range a.nodes {
 			if s, err := c.status(t.Context()); err != nil || s.AppliedIndex+20 < top.AppliedIndex ||
 				s.Leader != l.name {
 				return errors.Join(fmt.Errorf("%s is behind", c.name), err)
@@ -190,7 +190,7 @@
 	a, c := startGroupWithClient(t, 3, coordinatorOptions(t, "DOCKHINGE_EPOCH_EVERY=100ms"))
 	lead := awaitSettledGroup(t, a)
 	var victim *coordinator
-	for _, x := range a.coords {
+	for _, x := range a.nodes {
 		if x != lead {
 			victim = x
 		}
@@ -204,7 +204,7 @@
 	if err := os.CopyFS(copied, os.DirFS(victim.data)); err != nil {
 		t.Fatal(err)
 	}
-	a.restart(victim.proc)
+	a.restart(victim.restartableProcess)
 	awaitSettledGroup(t, a)
 	for range 10 { // changes that the old copy of the disk lacks
 		l, err := c.Acquire(t.Context(), "x", "", 20*time.Second)
@@ -227,7 +227,7 @@
 	if err := errors.Join(os.RemoveAll(victim.data), os.CopyFS(victim.data, os.DirFS(copied))); err != nil {
 		t.Fatal(err)
 	}
-	a.restart(victim.proc)
+	a.restart(victim.restartableProcess)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := victim.running(); up {
 			return errors.New("it keeps running with the old copy of its disk")
@@ -242,7 +242,7 @@
 	if err := os.RemoveAll(victim.data); err != nil {
 		t.Fatal(err)
 	}
-	a.restart(victim.proc)
+	a.restart(victim.restartableProcess)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		s, err := victim.status(t.Context())
 		if err == nil && (s.State != "Waiting" || s.Identity == before.Identity) {
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	dir, _ := buildPrograms() // agreeOptions has checked the error
-	for i, x := range a.coords {
+	for i, x := range a.nodes {
 		if i == 1 { // some still run the old version
 			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
 				fmt.Sprintf("version %d", coord.Version)) {
@@ -301,7 +301,7 @@
 			t.Fatal(err)
 		}
 		x.command[0] = dir + "/next/dockhinge-coord"
-		a.restart(x.proc)
+		a.restart(x.restartableProcess)
 		awaitSettledGroup(t, a)
 	}
 	if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
@@ -312,12 +312,12 @@
 	if err != nil || len(rows) != 1 || rows[0].Token != l.Token || l.Remaining() <= 0 {
 		t.Errorf("%+v, %v: token %d was held, %v left", rows, err, l.Token, l.Remaining())
 	}
-	back := a.coords[0]
+	back := a.nodes[0]
 	if err := back.end(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
 	back.command[0] = dir + "/dockhinge-coord"
-	a.restart(back.proc)
+	a.restart(back.restartableProcess)
 	if err := retryUntil(t.Context(), time.Minute, func() error {
 		if up, _ := back.running(); up {
 			return errors.New("the old program keeps running")
@@ -356,7 +356,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range a.coords {
+	for _, x := range a.nodes {
 		x.signal(syscall.SIGSTOP)
 	}
 	if err := retryUntil(t.Context(), time.Minute, func() error {
@@ -367,7 +367,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range a.coords { // the lease can't have been granted again while all were paused
+	for _, x := range a.nodes { // the lease can't have been granted again while all were paused
 		x.signal(syscall.SIGCONT)
 	}
 	if err := <-done; err == nil {
@@ -391,7 +391,7 @@
 	awaitSettledGroup(t, a)
 	addrs := map[string]string{}
 	var relays []*fakes.Relay
-	for _, x := range a.coords {
+	for _, x := range a.nodes {
 		r, err := fakes.NewRelay(func() string { return x.api })
 		if err != nil {
 			t.Fatal(err)
@@ -477,7 +477,7 @@
 			}
 			work()
 			var victims []*coordinator
-			for _, x := range a.coords[:2] {
+			for _, x := range a.nodes[:2] {
 				if err := retryUntil(t.Context(), time.Minute, func() error { // a restore needs a snapshot
 					if made, err := filepath.Glob(filepath.Join(x.data, "snapshots", "*",
 						"state.bin")); len(made) == 0 {
@@ -490,7 +490,7 @@
 				x.kill()
 				x.env = []string{"DOCKHINGE_KILL_AT=" + step}
 				victims = append(victims, x)
-				a.restart(x.proc)
+				a.restart(x.restartableProcess)
 			}
 			for _, x := range victims {
 				if err := retryUntil(t.Context(), time.Minute, func() error {
@@ -508,7 +508,7 @@
 			}
 			for _, x := range victims {
 				x.env = nil
-				a.restart(x.proc)
+				a.restart(x.restartableProcess)
 			}
 			awaitSettledGroup(t, a)
 			rows, err := c.ListLeases(t.Context(), "kept")
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -120,12 +120,12 @@
 		}
 		defer fl.coordinatorsDownMu.Unlock()
 		fl.mark("all coordinators are killed")
-		for _, c := range fl.coordinators.coords {
+		for _, c := range fl.coordinators.nodes {
 			c.kill()
 		}
 		if waitUntilOver(); ctx.Err() == nil {
 			fl.mark("the coordinators start again")
-			for _, c := range fl.coordinators.coords {
+			for _, c := range fl.coordinators.nodes {
 				if err := c.start(); err != nil {
 					fl.recordLabError(err)
 				}
@@ -136,7 +136,7 @@
 			return
 		}
 		defer fl.coordinatorsDownMu.Unlock()
-		c := fl.coordinators.coords[fl.draw(len(fl.coordinators.coords))]
+		c := fl.coordinators.nodes[fl.draw(len(fl.coordinators.nodes))]
 		fl.mark("coordinator %s is killed", c.name)
 		c.kill()
 		if waitUntilOver(); ctx.Err() == nil {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -79,8 +79,8 @@
 	serversStarted     int                 // from which the servers' IDs are made
 	changes            []*Change
 	outages            []outage
-	runningTools       map[string]*proc          // in progress, by resource or process name
-	coordinatorRelays  map[string][]*fakes.Relay // from each router to the coordinators
+	runningTools       map[string]*restartableProcess // in progress, by resource or process name
+	coordinatorRelays  map[string][]*fakes.Relay      // from each router to the coordinators
 }
 
 // member is a cache server and its entry in the endpoint list.
@@ -120,7 +120,7 @@
 		clock:             fakes.NewClock(),
 		journal:           checker.NewJournal(maxEvents),
 		relays:            map[string]*fakes.Relay{},
-		runningTools:      map[string]*proc{},
+		runningTools:      map[string]*restartableProcess{},
 		coordinatorRelays: map[string][]*fakes.Relay{},
 		rng:               rand.New(rand.NewPCG(f.Seed, stream)),
 	}
--- a/lab/fleet/agree.go
+++ b/lab/fleet/lease_faults.go
@@ -12,21 +12,21 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// defaultLeasePatience is the default of CoordinatorOptions.CheckTimeout.
-const defaultLeasePatience = 20 * time.Second
+// defaultCheckTimeout is the default of CoordinatorOptions.CheckTimeout.
+const defaultCheckTimeout = 20 * time.Second
 
 // holderEndTimeout is how long a holder may take to exit.
 const holderEndTimeout = 10 * time.Second
 
 // CoordinatorOptions configures a run of coordinators and leaseholders.
 type CoordinatorOptions struct {
-	CoordinatorCommand []string // the command of dockhinge-coord, built with the tag faults
-	LabCommand         []string // the command of dockhinge-lab, built with the tag faults
-	Dir                string   // for logs and data directories; must exist
-	Env                []string // for all processes
-	CheckTimeout       time.Duration
-	HeartbeatInterval  string // of the coordinators; "" = their default
-	Version            int    // version of commands and limits to put in force; 0 = this program's
+	CoordinatorCommand []string      // the command of dockhinge-coord, built with the tag faults
+	LabCommand         []string      // the command of dockhinge-lab, built with the tag faults
+	Dir                string        // for logs and data directories; must exist
+	Env                []string      // for all processes
+	CheckTimeout       time.Duration // for checking the leases' history; 0 = 20 s
+	HeartbeatInterval  string        // of the coordinators; "" = their default
+	Version            int           // version of commands and limits to put in force; 0 = this program's
 	Logf               func(form string, v ...any)
 }
 
@@ -38,7 +38,7 @@
 	Operations      int
 	Acts            int
 	Refused         int // acts that the resource refused for their old token
-	Grants          int
+	Grants          int // acquired leases
 	Breaches        []checker.Breach
 	Undecided       []string
 	Failures        []string // all failures, including breaches of the rules
@@ -55,16 +55,16 @@
 	options  CoordinatorOptions
 	rng      *rand.Rand // chooses what the schedule leaves open: which byte is damaged
 
-	coords         []*coordinator
-	holders        []*proc
-	resource       *proc
+	nodes          []*coordinator
+	holders        []*restartableProcess
+	resource       *restartableProcess
 	raftRelays     map[link]*fakes.Relay // between coordinators
 	clientRelays   map[link]*fakes.Relay // from a holder to a coordinator
 	resourceRelays []*fakes.Relay        // by holder
 
 	mu           sync.Mutex
 	relayFaults  map[*fakes.Relay]*relayFaults
-	processFault map[*proc]bool // a fault has it down or stopped
+	processFault map[*restartableProcess]bool // a fault has it down or stopped
 	problems     []string
 }
 
@@ -77,7 +77,7 @@
 		raftRelays:   map[link]*fakes.Relay{},
 		clientRelays: map[link]*fakes.Relay{},
 		relayFaults:  map[*fakes.Relay]*relayFaults{},
-		processFault: map[*proc]bool{},
+		processFault: map[*restartableProcess]bool{},
 	}
 }
 
@@ -89,7 +89,7 @@
 		o.Logf = func(string, ...any) {}
 	}
 	if o.CheckTimeout == 0 {
-		o.CheckTimeout = defaultLeasePatience
+		o.CheckTimeout = defaultCheckTimeout
 	}
 	a := newCoordinatorGroup(f, o, f.Seed)
 	defer a.close()
@@ -158,7 +158,7 @@
 	for _, holder := range a.holders {
 		wg.Go(holder.kill)
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		wg.Go(c.kill)
 	}
 	if a.resource != nil {
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/lease_faults_check.go
@@ -31,7 +31,7 @@
 			holder.signal(syscall.SIGCONT)
 		}
 	}()
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if up, err := c.running(); !up {
 			return fmt.Errorf("%s has ended: %v\n%s", c.name, err, c.logTail(8))
 		}
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/lease_faults_play.go
@@ -64,7 +64,7 @@
 
 // faultProcess calls first, waits forS seconds and calls last. Faults of one process don't overlap:
 // it does nothing while another fault of the process is in force.
-func (a *coordinatorGroup) faultProcess(ctx context.Context, p *proc, forS float64, first, last func()) {
+func (a *coordinatorGroup) faultProcess(ctx context.Context, p *restartableProcess, forS float64, first, last func()) {
 	a.mu.Lock()
 	isFaulty := a.processFault[p]
 	a.processFault[p] = true
@@ -81,17 +81,17 @@
 }
 
 // killAndRestart kills a process and starts it again after a time.
-func (a *coordinatorGroup) killAndRestart(ctx context.Context, p *proc, forS float64) {
+func (a *coordinatorGroup) killAndRestart(ctx context.Context, p *restartableProcess, forS float64) {
 	a.faultProcess(ctx, p, forS, p.kill, func() { a.restart(p) })
 }
 
 // stopAndContinue pauses a process and resumes it after a time.
-func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *proc, forS float64) {
+func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *restartableProcess, forS float64) {
 	a.faultProcess(ctx, p, forS, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT) })
 }
 
 // restart starts a process that is down.
-func (a *coordinatorGroup) restart(p *proc) {
+func (a *coordinatorGroup) restart(p *restartableProcess) {
 	if err := p.start(); err != nil {
 		a.fail("%v", err)
 	}
@@ -99,12 +99,12 @@
 
 // play plays one fault of the schedule.
 func (a *coordinatorGroup) play(ctx context.Context, t scenario.Trouble) {
-	c := a.coords[t.Who%len(a.coords)]
+	c := a.nodes[t.Who%len(a.nodes)]
 	switch t.What {
 	case "kill-coordinator":
-		a.killAndRestart(ctx, c.proc, t.ForS)
+		a.killAndRestart(ctx, c.restartableProcess, t.ForS)
 	case "stop-coordinator":
-		a.stopAndContinue(ctx, c.proc, t.ForS)
+		a.stopAndContinue(ctx, c.restartableProcess, t.ForS)
 	case "kill-holder":
 		a.killAndRestart(ctx, a.holders[t.Who], t.ForS)
 	case "stop-holder":
@@ -113,12 +113,12 @@
 		a.fillDisk(ctx, c, t.ForS)
 	case "restart-all":
 		var wg sync.WaitGroup
-		for _, c := range a.coords {
-			wg.Go(func() { a.killAndRestart(ctx, c.proc, t.ForS) })
+		for _, c := range a.nodes {
+			wg.Go(func() { a.killAndRestart(ctx, c.restartableProcess, t.ForS) })
 		}
 		wg.Wait()
 	case "damage", "wipe":
-		a.faultProcess(ctx, c.proc, t.ForS, c.kill, func() { a.damageOrWipeDisk(ctx, c, t) })
+		a.faultProcess(ctx, c.restartableProcess, t.ForS, c.kill, func() { a.damageOrWipeDisk(ctx, c, t) })
 	default:
 		a.playLinkFault(ctx, t)
 	}
@@ -136,7 +136,7 @@
 		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
 	case "cut-clients":
 		var relays []*fakes.Relay
-		coordinator := t.Who % len(a.coords)
+		coordinator := t.Who % len(a.nodes)
 		for holder := range a.holders {
 			relays = append(relays, a.clientRelays[link{holder, coordinator}])
 		}
@@ -157,7 +157,7 @@
 func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
-	for coordinator := range a.coords {
+	for coordinator := range a.nodes {
 		if meetsAll || coordinator == t.With {
 			relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
 		}
@@ -168,7 +168,7 @@
 // slowThenCut delays a holder's answers, and drops its requests after a third of the time.
 func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
 	var relays []*fakes.Relay
-	for coordinator := range a.coords {
+	for coordinator := range a.nodes {
 		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
 	}
 	var both sync.WaitGroup
@@ -184,17 +184,17 @@
 // fillDisk makes a coordinator's disk full for a time. A coordinator that exits because of that is
 // restarted afterwards.
 func (a *coordinatorGroup) fillDisk(ctx context.Context, c *coordinator, forS float64) {
-	a.faultProcess(ctx, c.proc, forS, func() { limitFile(c.proc, fullDiskBytes) }, func() {
-		limitFile(c.proc, unix.RLIM_INFINITY)
+	a.faultProcess(ctx, c.restartableProcess, forS, func() { limitFile(c.restartableProcess, fullDiskBytes) }, func() {
+		limitFile(c.restartableProcess, unix.RLIM_INFINITY)
 		wait(context.WithoutCancel(ctx), fullDiskEndS)
 		if up, _ := c.running(); !up {
-			a.restart(c.proc)
+			a.restart(c.restartableProcess)
 		}
 	})
 }
 
 // limitFile limits the size of the files that a process may write, to simulate a full disk.
-func limitFile(p *proc, bytes uint64) {
+func limitFile(p *restartableProcess, bytes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -215,7 +215,7 @@
 		a.fail("%v", err)
 		return
 	}
-	a.restart(c.proc)
+	a.restart(c.restartableProcess)
 	wait(ctx, emptyDiskWaitS)
 	if err := retryUntil(ctx, replaceTimeout, func() error { return a.replaceMember(ctx, c) }); err != nil {
 		a.fail("%s could not be replaced: %v", c.name, err)
@@ -230,7 +230,7 @@
 		a.fail("%v", err)
 		return true
 	}
-	a.restart(c.proc)
+	a.restart(c.restartableProcess)
 	wait(ctx, damagedDiskEndS)
 	if up, _ := c.running(); up {
 		return true
--- a/lab/fleet/observecost.go
+++ b/lab/fleet/observer_cost.go
@@ -33,7 +33,7 @@
 // costRun is a run of MeasureObservers.
 type costRun struct {
 	agreement *coordinatorGroup
-	observers []*proc
+	observers []*restartableProcess
 	addresses []string
 	clients   []*observerclient.Client
 	wg        sync.WaitGroup
@@ -126,7 +126,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	p := &proc{name: name, dir: dir, env: r.agreement.options.Env,
+	p := &restartableProcess{name: name, dir: dir, env: r.agreement.options.Env,
 		command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
 	r.observers, r.addresses = append(r.observers, p), append(r.addresses, api)
 	return p.start()
--- a/lab/fleet/observe_test.go
+++ b/lab/fleet/observer_faults_test.go
@@ -37,7 +37,7 @@
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := startObserverRun(t, seed, coordinatorOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", rigHistory)))
+			o := startObserverRun(t, seed, coordinatorOptions(t, fmt.Sprint("DOCKHINGE_MAX_HISTORY=", maxHistory)))
 			o.change(5)
 			o.awaitRouters("at the start", o.routers)
 			for _, i := range o.rng.Perm(len(observerFaults)) {
@@ -75,7 +75,7 @@
 		o.routers[i].start()
 	}
 	o.awaitRouters("by the other observer", o.routers)
-	o.agreement.restart(observer.proc)
+	o.agreement.restart(observer.restartableProcess)
 }
 
 // stopObserver pauses an observer, whose routers must notice that it is silent, and resumes it
@@ -131,7 +131,7 @@
 	}
 	setRelays(relays, fakes.Net{Cut: true})
 	defer setRelays(relays, fakes.Net{})
-	o.change(2 * rigHistory)
+	o.change(2 * maxHistory)
 	o.awaitRouters("in the other region", o.region(1))
 }
 
@@ -143,14 +143,14 @@
 	o.change(8)
 	wg.Wait()
 	o.awaitRouters("by the other coordinators", o.routers)
-	o.agreement.restart(leader.proc)
+	o.agreement.restart(leader.restartableProcess)
 	awaitSettledGroup(o.t, o.agreement)
 }
 
 // stopCoordinators pauses all coordinators: the observers must keep serving their state, also to a
 // router that starts then, and must report its age.
 func (o *observerRun) stopCoordinators() {
-	for _, c := range o.agreement.coords {
+	for _, c := range o.agreement.nodes {
 		c.signal(syscall.SIGSTOP)
 	}
 	router := o.routers[o.rng.IntN(len(o.routers))]
@@ -166,7 +166,7 @@
 			return err
 		})
 	}
-	for _, c := range o.agreement.coords {
+	for _, c := range o.agreement.nodes {
 		c.signal(syscall.SIGCONT)
 	}
 	awaitSettledGroup(o.t, o.agreement)
@@ -290,7 +290,7 @@
 	for _, observer := range o.observers {
 		observers = append(observers, observer.name+"="+observer.api)
 	}
-	want := fmt.Sprintf("revision 3 is in force at %d of %d", rigRouters, rigRouters)
+	want := fmt.Sprintf("revision 3 is in force at %d of %d", routerCount, routerCount)
 	o.await("the status", func() error {
 		out := runToolForOutput(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
 		if !strings.Contains(out, want) {
--- a/lab/fleet/observe_rig_test.go
+++ b/lab/fleet/observer_run_test.go
@@ -27,20 +27,20 @@
 
 // Sizes and limits of a run.
 const (
-	rigCoordinators = 3
-	rigObservers    = 2
-	rigRouters      = 24
-	rigRegions      = 2
-	rigHistory      = 16          // changes that coordinators and observers keep; few, so that compaction is frequent
-	rigPatience     = time.Minute // long, so that a slow machine does not fail the test
+	coordinatorCount = 3
+	observerCount    = 2
+	routerCount      = 24
+	regionCount      = 2
+	maxHistory       = 16          // changes that coordinators and observers keep; few, so that compaction is frequent
+	observerTimeout  = time.Minute // long, so that a slow machine does not fail the test
 )
 
-// rigPrefixes are what routers watch, in turn.
-var rigPrefixes = []string{"", "a/", "b/"}
+// watchedPrefixes are what routers watch, in turn.
+var watchedPrefixes = []string{"", "a/", "b/"}
 
 // observerProcess is an observer with the relays of its connections.
 type observerProcess struct {
-	*proc
+	*restartableProcess
 	api          string
 	upstream     []*fakes.Relay // to each coordinator
 	regionRelays []*fakes.Relay // from the routers of each region
@@ -78,15 +78,15 @@
 // test.
 func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
-	a, puts := startGroupWithClient(t, rigCoordinators, options)
+	a, puts := startGroupWithClient(t, coordinatorCount, options)
 	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)),
 		revisions: map[string]uint64{}}
 	awaitSettledGroup(t, a)
 	runToolForOutput(t, a, "members", "upgrade")
-	for i := range rigObservers {
+	for i := range observerCount {
 		o.observers = append(o.observers, o.startObserver(fmt.Sprint("o", i)))
 	}
-	for i := range rigRouters {
+	for i := range routerCount {
 		o.startRouter(i)
 	}
 	t.Cleanup(func() {
@@ -116,15 +116,16 @@
 		o.t.Fatal(err)
 	}
 	dir := o.agreement.options.Dir
-	observer := &observerProcess{api: api, proc: &proc{name: name, dir: dir, env: o.agreement.options.Env}}
+	observer := &observerProcess{api: api,
+		restartableProcess: &restartableProcess{name: name, dir: dir, env: o.agreement.options.Env}}
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\napi = %q\n[coordinators]\n", name, api)
-	for _, c := range o.agreement.coords {
+	for _, c := range o.agreement.nodes {
 		relay := o.relay(c.api)
 		observer.upstream = append(observer.upstream, relay)
 		fmt.Fprintf(&text, "%s = %q\n", c.name, relay.Addr())
 	}
-	for range rigRegions {
+	for range regionCount {
 		observer.regionRelays = append(observer.regionRelays, o.relay(api))
 	}
 	file := filepath.Join(dir, name+".toml")
@@ -139,9 +140,9 @@
 }
 
 func (o *observerRun) startRouter(i int) *watchingRouter {
-	router := &watchingRouter{name: fmt.Sprint("r", i), prefix: rigPrefixes[i%len(rigPrefixes)]}
+	router := &watchingRouter{name: fmt.Sprint("r", i), prefix: watchedPrefixes[i%len(watchedPrefixes)]}
 	for _, observer := range o.observers {
-		router.observers = append(router.observers, observer.regionRelays[i%rigRegions].Addr())
+		router.observers = append(router.observers, observer.regionRelays[i%regionCount].Addr())
 	}
 	o.routers = append(o.routers, router)
 	router.start()
@@ -261,7 +262,7 @@
 
 func (o *observerRun) await(what string, f func() error) {
 	o.t.Helper()
-	if err := retryUntil(o.t.Context(), rigPatience, f); err != nil {
+	if err := retryUntil(o.t.Context(), observerTimeout, f); err != nil {
 		o.checkHistories() // it may report the reason
 		o.t.Fatalf("%s: %v", what, err)
 	}
@@ -284,7 +285,7 @@
 // region returns the routers of a region.
 func (o *observerRun) region(number int) (routers []*watchingRouter) {
 	for i, router := range o.routers {
-		if i%rigRegions == number {
+		if i%regionCount == number {
 			routers = append(routers, router)
 		}
 	}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -149,7 +149,7 @@
 }
 
 // runAgent plays the agent that installs versions on routers: it rejects a token lower than one
-// that it has seen, and does nothing twice.
+// that it has seen, and does not repeat what it has done.
 func (fl *Fleet) runAgent(ctx context.Context, dir string, rel *Released) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/lab/fleet/procs.go
+++ b/lab/fleet/restartable_process.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// proc is a process that can be killed and started again under the same name.
-type proc struct {
+// restartableProcess is a process that can be killed and started again under the same name.
+type restartableProcess struct {
 	name    string
 	command []string
 	env     []string
@@ -26,7 +26,7 @@
 }
 
 // start starts the process, which must not be running.
-func (p *proc) start() error {
+func (p *restartableProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cmd, err := Spawn(p.command, p.env, filepath.Join(p.dir, p.name+".log"))
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (p *proc) signal(sig syscall.Signal) {
+func (p *restartableProcess) signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -55,7 +55,7 @@
 }
 
 // running reports whether the process runs. If not, the error tells how it exited.
-func (p *proc) running() (bool, error) {
+func (p *restartableProcess) running() (bool, error) {
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // kill sends SIGKILL and waits until the process has exited.
-func (p *proc) kill() {
+func (p *restartableProcess) kill() {
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -84,7 +84,7 @@
 }
 
 // end sends SIGTERM, and kills the process if it doesn't exit in time. It returns the exit error.
-func (p *proc) end(within time.Duration) error {
+func (p *restartableProcess) end(within time.Duration) error {
 	p.mu.Lock()
 	done := p.done
 	p.mu.Unlock()
@@ -111,7 +111,7 @@
 	return err
 }
 
-func (p *proc) logTail(lines int) string {
+func (p *restartableProcess) logTail(lines int) string {
 	text, _ := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 	return string(tail(text, lines))
 }
--- a/lab/fleet/routerconfig.go
+++ b/lab/fleet/routerconfig.go
@@ -28,17 +28,17 @@
 			scope = "all"
 		}
 		classes = append(classes, map[string]any{"name": c.Name, "effect": c.Effect,
-			"keyScope": scope, "window": c.WindowMS,
-			"target": c.AimMS, "hardLimit": c.LimitMS, "gain": c.Worth, "lateWorth": 0, "stream": false})
+			"keyScope": scope, "window": c.WindowMS, "target": c.AimMS, "hardLimit": c.LimitMS,
+			"gain": c.Worth, "lateWorth": 0, "stream": false})
 	}
-	fall, over := 3.0, 2000.0
-	cold, from := 1.0, 1.0
+	overloadFactor, overloadMS := 3.0, 2000.0
+	coldMS, coldFrom := 1.0, 1.0
 	for _, k := range f.Kinds { // one set of rules for all kinds: take the weakest one's
 		if k.Model.FallMultiple > 0 {
-			fall, over = min(fall, k.Model.FallMultiple), k.Model.FallForMS
+			overloadFactor, overloadMS = min(overloadFactor, k.Model.FallMultiple), k.Model.FallForMS
 		}
 		if k.Model.ColdFrom > 0 {
-			cold, from = max(cold, k.Model.ColdMS), min(from, k.Model.ColdFrom)
+			coldMS, coldFrom = max(coldMS, k.Model.ColdMS), min(coldFrom, k.Model.ColdFrom)
 		}
 	}
 	discovery := "push"
@@ -64,9 +64,8 @@
 				"connectTimeout": 250, "cpuUsPerS": 500000, "maxAttempts": f.Fleet.MaxAttempts,
 				"maxRetryAfter": f.Load.MaxAfterMS, "mayProbe": f.Fleet.Probes,
 				"retryAfter": f.Fleet.RetryAfter, "peers": false, "secondCopies": false},
-			"rules": map[string]any{"cold": cold, "coldFrom": from, "drainGrace": f.Fleet.DrainGrace * 1000,
-				"graceToAnswer": 20, "mustAskIn": 10000,
-				"overloadFactor": fall, "overloadFor": over}},
+			"rules": map[string]any{"cold": coldMS, "coldFrom": coldFrom, "drainGrace": f.Fleet.DrainGrace * 1000,
+				"graceToAnswer": 20, "mustAskIn": 10000, "overloadFactor": overloadFactor, "overloadFor": overloadMS}},
 	}
 }
 
--- a/lab/fleet/steps.go
+++ b/lab/fleet/step_kills.go
@@ -67,7 +67,7 @@
 		}
 		c := l
 		if k.Victim == "follower" {
-			c = fl.coordinators.coords[(l.number+1)%len(fl.coordinators.coords)]
+			c = fl.coordinators.nodes[(l.number+1)%len(fl.coordinators.nodes)]
 		}
 		c.kill()
 		restartVictim = c.start
