--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -173,18 +173,19 @@
 // runChange runs the tool until the change is done. If the tool dies before its command has
 // run, it is run again, as an operator would do. If it dies later, the change is already being
 // made and is not repeated.
-func (fl *Fleet) runChange(ctx context.Context, resource string, busy *sync.Mutex, notifyDiscovery, makeChange func()) {
+func (fl *Fleet) runChange(ctx context.Context, resource string, downMu *sync.Mutex,
+	notifyDiscovery, makeChange func()) {
 	c := &Change{Resource: resource, RequestedAtMS: fl.clock.Now()}
 	fl.mu.Lock()
 	first := len(fl.changes) == 0 // Options.Kill refers to the steps of the first change
 	fl.changes = append(fl.changes, c)
 	fl.mu.Unlock()
 	if first {
-		inner, end := context.WithCancel(ctx)
+		changeCtx, end := context.WithCancel(ctx)
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer end()
-		wg.Go(func() { fl.killAtStep(ctx, inner, resource) })
+		wg.Go(func() { fl.killAtStep(ctx, changeCtx, resource) })
 	}
 	base := filepath.Join(fl.options.Dir, strings.ReplaceAll(resource, "/", "-"))
 	// The command writes its token to a file for the lab, and waits until the lab has made the
@@ -226,9 +227,9 @@
 			fl.mu.Lock()
 			c.StoppedAtMS, c.Tokens = fl.clock.Now(), append(c.Tokens, token)
 			fl.mu.Unlock()
-			busy.Lock()                    // a fault may have the process down
+			downMu.Lock()                  // a fault may have the process down
 			if up, _ := p.running(); !up { // the command ended with its tool before the change began
-				busy.Unlock()
+				downMu.Unlock()
 				fl.mu.Lock()
 				c.StoppedAtMS, c.Tokens = 0, nil
 				fl.mu.Unlock()
@@ -238,7 +239,7 @@
 				break
 			}
 			makeChange()
-			busy.Unlock()
+			downMu.Unlock()
 			fl.mu.Lock()
 			c.RunningAtMS = fl.clock.Now()
 			fl.mu.Unlock()
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -96,8 +96,8 @@
 // installed twice on a router.
 func TestReleaseCompletesWhenDriverIsKilledAtEachStep(t *testing.T) {
 	o := plannedChangeOptions(t)
-	for _, at := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
-		t.Run(at, func(t *testing.T) {
+	for _, step := range []string{"started", "granted", "begun", "step-begun", "step-ran", "step-seen", "step-back"} {
+		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			f, err := scenario.Release(8, 2, 2, "", true)
 			if err != nil {
@@ -107,7 +107,7 @@
 			f.Faults[0].AtS, f.Faults[0].ForS, f.Faults[0].DownS, f.Faults[0].Count = 0.5, 100, 0.5, 0
 			f.Expect.Served = 1
 			o := o
-			o.Dir, o.Kill = t.TempDir(), &StepKill{at, "tool"}
+			o.Dir, o.Kill = t.TempDir(), &StepKill{step, "tool"}
 			res, err := Run(t.Context(), f, o)
 			if err != nil {
 				t.Fatal(err)
@@ -144,15 +144,15 @@
 		t.Fatal(err)
 	}
 	var wg sync.WaitGroup
-	for i, at := range []string{"granted", "begun", "drained", "ran", "given-back"} {
+	for i, step := range []string{"granted", "begun", "drained", "ran", "given-back"} {
 		wg.Go(func() {
-			thing := "server/" + fl.members[i].entry.ID
-			file := filepath.Join(fl.options.Dir, at)
+			resource := "server/" + fl.members[i].entry.ID
+			file := filepath.Join(fl.options.Dir, step)
 			for run := 0; ; run++ {
-				p := fl.newToolProcess(fmt.Sprint("take-", at, run), "permit", "take", thing,
-					"--as", at, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
+				p := fl.newToolProcess(fmt.Sprint("take-", step, run), "permit", "take", resource,
+					"--as", step, "--", "sh", "-c", "echo $DOCKHINGE_TOKEN >>"+file)
 				if run == 0 {
-					p.env = append(p.env, "DOCKHINGE_KILL_AT="+at)
+					p.env = append(p.env, "DOCKHINGE_KILL_AT="+step)
 				}
 				if err := retryUntil(t.Context(), time.Minute, p.start); err != nil {
 					t.Error(err)
@@ -164,7 +164,7 @@
 					break
 				}
 				if run == 1 || err == nil || err.Error() != "signal: killed" {
-					t.Errorf("%s, run %d: %v\n%s", at, run, err, p.logTail(5))
+					t.Errorf("%s, run %d: %v\n%s", step, run, err, p.logTail(5))
 					return
 				}
 			}
@@ -173,12 +173,13 @@
 			for _, w := range strings.Fields(string(text)) {
 				token, err := strconv.ParseUint(w, 10, 64)
 				if err != nil || token <= last {
-					t.Errorf("%s: tokens %s", at, text)
+					t.Errorf("%s: tokens %s", step, text)
 				}
 				last = token
 			}
-			if n := len(strings.Fields(string(text))); n < 1 || n > 2 || n == 2 && at != "ran" && at != "given-back" {
-				t.Errorf("%s: the command ran %d times", at, n)
+			if n := len(strings.Fields(string(text))); n < 1 || n > 2 || n == 2 &&
+				step != "ran" && step != "given-back" {
+				t.Errorf("%s: the command ran %d times", step, n)
 			}
 		})
 	}
--- a/lab/fleet/coordinator_cost.go
+++ b/lab/fleet/coordinator_cost.go
@@ -159,17 +159,18 @@
 	began := time.Now()
 	var mu sync.Mutex
 	var waiting sync.WaitGroup
-	patience, endPatience := context.WithTimeout(ctx, sessionTimeout)
-	defer endPatience()
+	sessionsCtx, cancelSessions := context.WithTimeout(ctx, sessionTimeout)
+	defer cancelSessions()
 	for i := range clients { // each takes its share of the leases
 		waiting.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
 				if n >= leases { // a client without a lease also waits for its session
-					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // rejected: longer than the session
+					// rejected: longer than the session
+					_, err := all[i].Acquire(sessionsCtx, "nobody's", "", time.Minute)
 					m.countRefusal(&mu, err)
 					break
 				}
-				if _, err := all[i].Acquire(patience, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
+				if _, err := all[i].Acquire(sessionsCtx, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
 					mu.Lock()
 					m.Failed++
 					mu.Unlock()
@@ -193,19 +194,19 @@
 	}
 	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
 	var took []time.Duration
-	busy, stop := context.WithCancel(ctx)
+	busyCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range min(clients, 64) {
 		waiting.Go(func() {
 			name := fmt.Sprintf("busy-%d", i)
-			for busy.Err() == nil {
+			for busyCtx.Err() == nil {
 				startedAt := time.Now()
-				l, err := all[i].Acquire(busy, name, "", 10*time.Second)
+				l, err := all[i].Acquire(busyCtx, name, "", 10*time.Second)
 				if err != nil {
 					continue
 				}
 				acquiredAt := time.Now()
-				if l.Release(busy) != nil {
+				if l.Release(busyCtx) != nil {
 					continue
 				}
 				mu.Lock()
@@ -320,15 +321,15 @@
 		return nil, err
 	}
 	defer a.close()
-	next, end := liveClient(ctx, a.addresses(), "next", ttl)
+	nextHolder, end := liveClient(ctx, a.addresses(), "next", ttl)
 	defer end()
 	var mu sync.Mutex
 	var errs []error
-	var each sync.WaitGroup
+	var holders sync.WaitGroup
 	slots := make(chan struct{}, 10)
 	for n := range times {
 		slots <- struct{}{}
-		each.Go(func() {
+		holders.Go(func() {
 			defer func() { <-slots }()
 			name := fmt.Sprintf("d%d", n)
 			var relays []*fakes.Relay
@@ -354,7 +355,7 @@
 					r.Set(fakes.Net{Cut: true})
 				}
 				at := time.Now()
-				err = next.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
+				err = nextHolder.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
 					mu.Lock()
 					took = append(took, time.Since(at))
 					mu.Unlock()
@@ -366,6 +367,6 @@
 			mu.Unlock()
 		})
 	}
-	each.Wait()
+	holders.Wait()
 	return took, errors.Join(errs...)
 }
--- a/lab/fleet/outlier_sharing.go
+++ b/lab/fleet/outlier_sharing.go
@@ -34,31 +34,31 @@
 		after = r.Version
 		fl.mu.Lock()
 		for _, b := range r.Budgets {
-			x := BudgetSample{(fl.clock.Now() - fl.loadStartMS) / 1000, b.Budget, b.Out, b.Allowed}
+			entry := BudgetSample{(fl.clock.Now() - fl.loadStartMS) / 1000, b.Budget, b.Out, b.Allowed}
 			if len(fl.budgetUse) < maxBudgetSamples && b.Zone == "" {
-				fl.budgetUse = append(fl.budgetUse, x)
+				fl.budgetUse = append(fl.budgetUse, entry)
 			}
 		}
-		for _, x := range r.Unavailable {
-			if len(x.ReportedBy) == 0 {
+		for _, entry := range r.Unavailable {
+			if len(entry.ReportedBy) == 0 {
 				continue
 			}
 			if fl.excludedBy == nil {
 				fl.excludedBy = map[string][]string{}
 			}
-			if fl.excludedBy[x.Name] == nil {
+			if fl.excludedBy[entry.Name] == nil {
 				fl.marks = append(fl.marks,
 					Mark{(fl.clock.Now() - fl.loadStartMS) / 1000,
-						fmt.Sprintf("all routers exclude %s, reported by %v", x.Name, x.ReportedBy)})
+						fmt.Sprintf("all routers exclude %s, reported by %v", entry.Name, entry.ReportedBy)})
 			}
-			if len(x.ReportedBy) < fl.File.Fleet.Out.Quorum {
+			if len(entry.ReportedBy) < fl.File.Fleet.Out.Quorum {
 				fl.problems = append(fl.problems,
 					fmt.Sprintf("%s is excluded on reports of %v, and %d routers must report it",
-						x.Name, x.ReportedBy, fl.File.Fleet.Out.Quorum))
+						entry.Name, entry.ReportedBy, fl.File.Fleet.Out.Quorum))
 			}
-			for _, name := range x.ReportedBy {
-				if !slices.Contains(fl.excludedBy[x.Name], name) {
-					fl.excludedBy[x.Name] = append(fl.excludedBy[x.Name], name)
+			for _, name := range entry.ReportedBy {
+				if !slices.Contains(fl.excludedBy[entry.Name], name) {
+					fl.excludedBy[entry.Name] = append(fl.excludedBy[entry.Name], name)
 				}
 			}
 		}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -55,15 +55,15 @@
 		fl.recordLabError(err)
 		return
 	}
-	inner, end := context.WithCancel(ctx)
+	releaseCtx, end := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer end()
-	wg.Go(func() { fl.runAgent(inner, dir, rel) })
+	wg.Go(func() { fl.runAgent(releaseCtx, dir, rel) })
 	fl.mark("a release to v2 begins")
-	wg.Go(func() { fl.killAtStep(ctx, inner, "") })
+	wg.Go(func() { fl.killAtStep(ctx, releaseCtx, "") })
 	for i := range 2 {
-		wg.Go(func() { fl.runDriver(inner, i, file, rel) })
+		wg.Go(func() { fl.runDriver(releaseCtx, i, file, rel) })
 	}
 	reader := client.New(client.Options{Coordinators: fl.coordinators.addresses(), TTL: 20 * time.Second})
 	isRollbackRequested := false
@@ -72,8 +72,8 @@
 		if err != nil || r.Release == nil {
 			continue
 		}
-		x := r.Release
-		if r.Halt != nil && x.GoalVersion == "v2" && rel.Halt == "" {
+		release := r.Release
+		if r.Halt != nil && release.GoalVersion == "v2" && rel.Halt == "" {
 			fl.mu.Lock()
 			rel.Halt, rel.HaltS = r.Halt.Reason, (fl.clock.Now()-began)/1000
 			fl.mu.Unlock()
@@ -82,11 +82,11 @@
 		if rel.Halt != "" && !isRollbackRequested { // the operator reacts to the halt
 			isRollbackRequested = fl.runTool(ctx, "release", "back")
 		}
-		if x.State == rollout.ReleaseDone {
+		if release.State == rollout.ReleaseDone {
 			fl.mu.Lock()
 			rel.TookS = (fl.clock.Now() - began) / 1000
 			fl.mu.Unlock()
-			fl.mark("all routers have %s", x.GoalVersion)
+			fl.mark("all routers have %s", release.GoalVersion)
 			return
 		}
 	}
--- a/lab/fleet/step_kills.go
+++ b/lab/fleet/step_kills.go
@@ -40,8 +40,8 @@
 
 // killAtStep waits until the tool is paused at its step, kills the victim, lets the tool continue,
 // and restarts the victim a little later, as a process supervisor would. resource is what is being
-// changed; once the context change is done, no process is killed any more.
-func (fl *Fleet) killAtStep(ctx, change context.Context, resource string) {
+// changed; once changeCtx is done, no process is killed any more.
+func (fl *Fleet) killAtStep(ctx, changeCtx context.Context, resource string) {
 	k := fl.options.Kill
 	if k == nil || k.Victim == "tool" {
 		return
@@ -51,7 +51,7 @@
 		if _, err := os.Stat(file); err == nil {
 			break
 		}
-		if !wait(change, 0.01) {
+		if !wait(changeCtx, 0.01) {
 			return
 		}
 	}
