--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -37,10 +37,10 @@
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 			return fmt.Errorf("%q is no loopback address", a)
 		}
-		front.Up(a, "", a)
+		front.AddRouter(a, "", a)
 	}
 	f.Load.Rate, f.Load.Shape, f.Load.Workers, f.Load.Zones = o.rate, o.shape, o.workers, nil
-	f.Load.Progress = func(n load.Now) {
+	f.Load.Progress = func(n load.ProgressReport) {
 		fmt.Printf("%6d s  asked %5d  served %5d  refused %4d  failed %4d  p50 %6.1f ms  p99 %6.1f ms  open %d\n",
 			n.Second-1, n.Asked, n.Served, n.Refused, n.Failed, n.P50MS, n.P99MS, n.Open)
 	}
@@ -51,7 +51,7 @@
 	ctx, stop := context.WithTimeout(ctx, time.Duration(o.seconds*float64(time.Second)))
 	defer stop()
 	got := l.Run(ctx)
-	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got, Service: got.Service(), TailService: got.Service()}
+	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got, Service: got.ServiceShare(), TailService: got.ServiceShare()}
 	if !got.Valid {
 		res.Failures = append(res.Failures, "the run does not count: "+got.Why)
 	}
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -283,12 +283,12 @@
 			Tokens: []uint64{1, 2}}}, nil, nil},
 		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
 		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
-			nil, []checker.Event{{Kind: checker.Whole, Server: "a", Began: 15},
-				{Kind: checker.Whole, Server: "a", Began: 9}}},
+			nil, []checker.Event{{Kind: checker.AttemptReceived, Server: "a", Began: 15},
+				{Kind: checker.AttemptReceived, Server: "a", Began: 9}}},
 		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
 			[]outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"},
-				{Kind: checker.Whole, Request: "q", Server: "a", Began: 15}}},
+				{Kind: checker.AttemptReceived, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
 		fl.File.Fleet.Out = scenario.Out{Servers: 1, Routers: 1, WarmS: 1}
@@ -349,7 +349,7 @@
 	countAttempts := func(server string) (n int) {
 		events, _ := fl.journal.Events()
 		for _, e := range events {
-			if e.Kind == checker.Whole && e.Server == server {
+			if e.Kind == checker.AttemptReceived && e.Server == server {
 				n++
 			}
 		}
--- a/lab/fleet/coordinator_cost.go
+++ b/lab/fleet/coordinator_cost.go
@@ -352,7 +352,7 @@
 			if err == nil {
 				wait(ctx, rand.Float64()*ttl.Seconds())
 				for _, r := range relays {
-					r.Set(fakes.Net{Cut: true})
+					r.SetConditions(fakes.NetworkConditions{Cut: true})
 				}
 				at := time.Now()
 				err = nextHolder.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
--- a/lab/fleet/coordinators_test.go
+++ b/lab/fleet/coordinators_test.go
@@ -406,7 +406,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range relays {
-		r.Set(fakes.Net{DropBack: true})
+		r.SetConditions(fakes.NetworkConditions{HoldFromTarget: true})
 	}
 	// When the other client acquires the lease, the client without answers must treat it as lost.
 	if err := c.RunWithLease(t.Context(), "x", "", 10*time.Second, time.Second,
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -39,7 +39,7 @@
 	Dir                string        // for logs and configurations; must exist
 	ReadyTimeout       time.Duration
 	MustExit           bool // after the run, each router must exit on SIGTERM, with all that it started
-	Progress           func(load.Now, *Fleet)
+	Progress           func(load.ProgressReport, *Fleet)
 	Logf               func(format string, v ...any) // reports events, one line each
 }
 
@@ -211,7 +211,7 @@
 	for _, m := range fl.allMembers() {
 		if !fl.hasLeft(m) {
 			all++
-			if m.Up() {
+			if m.IsUp() {
 				up++
 			}
 		}
--- a/lab/fleet/lease_faults_play.go
+++ b/lab/fleet/lease_faults_play.go
@@ -33,8 +33,8 @@
 type relayFaults struct{ cut, dropThere, dropBack, delay int }
 
 // network returns the relay's settings for these faults.
-func (f *relayFaults) network() fakes.Net {
-	return fakes.Net{Cut: f.cut > 0, DropThere: f.dropThere > 0, DropBack: f.dropBack > 0,
+func (f *relayFaults) network() fakes.NetworkConditions {
+	return fakes.NetworkConditions{Cut: f.cut > 0, HoldToTarget: f.dropThere > 0, HoldFromTarget: f.dropBack > 0,
 		DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
@@ -54,7 +54,7 @@
 		for _, relay := range relays {
 			faults := a.relayFaults[relay]
 			*fault(faults) += by
-			relay.Set(faults.network())
+			relay.SetConditions(faults.network())
 		}
 	}
 	change(1)
--- a/lab/fleet/observer_faults_test.go
+++ b/lab/fleet/observer_faults_test.go
@@ -94,8 +94,8 @@
 func (o *observerRun) disconnectObserver() {
 	i := o.rng.IntN(len(o.observers))
 	stale, other := o.observers[i], o.observers[1-i]
-	setRelays(stale.upstream, fakes.Net{Cut: true})
-	defer setRelays(stale.upstream, fakes.Net{})
+	setRelays(stale.upstream, fakes.NetworkConditions{Cut: true})
+	defer setRelays(stale.upstream, fakes.NetworkConditions{})
 	before, err := stale.status(o.t.Context())
 	if err != nil {
 		o.t.Fatal(err)
@@ -110,7 +110,7 @@
 		}
 		return errNotYet // if all routers watch the stale observer, they must notice that first
 	})
-	setRelays(other.regionRelays, fakes.Net{Cut: true})
+	setRelays(other.regionRelays, fakes.NetworkConditions{Cut: true})
 	o.await("its age, and a router that is ahead of it", func() error {
 		status, err := stale.status(o.t.Context())
 		if err == nil && (status.AgeMillis < 2000 || status.RejectedAhead == before.RejectedAhead) {
@@ -119,7 +119,7 @@
 		}
 		return err
 	})
-	setRelays(other.regionRelays, fakes.Net{})
+	setRelays(other.regionRelays, fakes.NetworkConditions{})
 }
 
 // disconnectRegion cuts a region off for more changes than the log keeps. All its routers
@@ -129,8 +129,8 @@
 	for _, observer := range o.observers {
 		relays = append(relays, observer.regionRelays[0])
 	}
-	setRelays(relays, fakes.Net{Cut: true})
-	defer setRelays(relays, fakes.Net{})
+	setRelays(relays, fakes.NetworkConditions{Cut: true})
+	defer setRelays(relays, fakes.NetworkConditions{})
 	o.change(2 * maxHistory)
 	o.awaitRouters("in the other region", o.region(1))
 }
@@ -215,9 +215,9 @@
 	close(gate)
 }
 
-func setRelays(relays []*fakes.Relay, net fakes.Net) {
+func setRelays(relays []*fakes.Relay, net fakes.NetworkConditions) {
 	for _, relay := range relays {
-		relay.Set(net)
+		relay.SetConditions(net)
 	}
 }
 
--- a/lab/fleet/observer_run_test.go
+++ b/lab/fleet/observer_run_test.go
@@ -309,7 +309,7 @@
 	for _, router := range o.routers {
 		router.mu.Lock()
 		for _, life := range router.histories {
-			if text := checker.JudgeChanges(agreed, *life); text != "" {
+			if text := checker.CheckDeliveries(agreed, *life); text != "" {
 				o.t.Error(text)
 			}
 			deliveries += len(life.Deliveries)
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -64,7 +64,7 @@
 // twice, so that no other lab and no other part of this one binds it before the caller does.
 func FreeAddr() (string, error) {
 	for range 100 {
-		ln, err := net.Listen("tcp", fakes.Host(fakes.Processes)+":0")
+		ln, err := net.Listen("tcp", fakes.LoopbackHost(fakes.Processes)+":0")
 		if err != nil {
 			return "", fmt.Errorf("free address: %w", err)
 		}
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -215,7 +215,7 @@
 	}
 	fl.mu.Unlock()
 	if p := r.newest(); p != nil {
-		fl.front.Down(r.name, 300)
+		fl.front.ReportRouterDeath(r.name, 300)
 		r.signal(p, syscall.SIGTERM)
 		<-p.done
 	}
--- a/lab/fleet/step_kills.go
+++ b/lab/fleet/step_kills.go
@@ -123,9 +123,9 @@
 
 // kill sends SIGKILL to a router's process and takes the router out of the front.
 func (fl *Fleet) kill(r *router, p *process) {
-	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.Killed, Router: r.name})
+	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
-	fl.front.Down(r.name, fl.File.Fleet.NoticeMS)
+	fl.front.ReportRouterDeath(r.name, fl.File.Fleet.NoticeMS)
 }
 
 // StepKillTimeout is the time that a run with a kill at a step may take after the end of its load.
