--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -113,7 +113,7 @@
 }
 
 // playSchedule plays the faults at their times, until the scenario's time is over.
-func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
+func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.ScheduledFault) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
 	defer stop()
--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -96,7 +96,7 @@
 }
 
 // play plays one fault of the schedule.
-func (a *coordinatorGroup) play(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) play(ctx context.Context, t scenario.ScheduledFault) {
 	c := a.coords[t.Who%len(a.coords)]
 	switch t.What {
 	case "kill-coordinator":
@@ -123,7 +123,7 @@
 }
 
 // playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or holders and resource.
-func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.ScheduledFault) {
 	switch t.What {
 	case "cut":
 		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
@@ -150,7 +150,7 @@
 }
 
 // someClientRelays are those from a holder to the coordinator that the fault names, or to all, by the number drawn for it.
-func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
+func (a *coordinatorGroup) someClientRelays(t scenario.ScheduledFault) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
@@ -162,7 +162,7 @@
 }
 
 // slowThenCut has a holder's answers come late, and from a third of the time on its requests not arrive.
-func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.ScheduledFault) {
 	var relays []*fakes.Relay
 	for coordinator := range a.coords {
 		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
@@ -199,7 +199,7 @@
 
 // replace damages or empties a dead coordinator's disk and starts it. One that refuses its disk, or has lost it, comes back with an
 // empty directory as a new member, after the old one has been taken out.
-func (a *coordinatorGroup) replace(ctx context.Context, c *coordinator, t scenario.Trouble) {
+func (a *coordinatorGroup) replace(ctx context.Context, c *coordinator, t scenario.ScheduledFault) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
 		return
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -35,8 +35,8 @@
 	ForS   [2]float64 `toml:"for_s"`
 }
 
-// Trouble is one fault that was drawn.
-type Trouble struct {
+// ScheduledFault is one fault that was drawn.
+type ScheduledFault struct {
 	AtS, ForS float64
 	What      string
 	Who, With int     // of coordinators or holders, as the kind has it
@@ -104,7 +104,7 @@
 }
 
 // Schedule draws the faults of a seed, in the order of time.
-func (f Agreement) Schedule() (all []Trouble) {
+func (f Agreement) Schedule() (all []ScheduledFault) {
 	rng := rand.New(rand.NewPCG(f.Seed, 31))
 	sum := 0.0
 	for _, k := range f.Faults {
@@ -117,7 +117,7 @@
 			i++
 		}
 		k := f.Faults[i]
-		t := Trouble{AtS: at, ForS: k.ForS[0] + rng.Float64()*(k.ForS[1]-k.ForS[0]), What: k.What, U: rng.Float64()}
+		t := ScheduledFault{AtS: at, ForS: k.ForS[0] + rng.Float64()*(k.ForS[1]-k.ForS[0]), What: k.What, U: rng.Float64()}
 		n, m := f.Coordinators, f.Coordinators
 		switch agreementFaults[k.What] {
 		case "h":
@@ -137,6 +137,6 @@
 		}
 		all = append(all, t)
 	}
-	slices.SortStableFunc(all, func(a, b Trouble) int { return int(a.AtS*1e6) - int(b.AtS*1e6) })
+	slices.SortStableFunc(all, func(a, b ScheduledFault) int { return int(a.AtS*1e6) - int(b.AtS*1e6) })
 	return all
 }
