--- a/lab/fleet/agree_test.go
+++ b/lab/fleet/agree_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Faults = []scenario.Kinds{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
+	f.Faults = []scenario.FaultKind{{What: "stop-holder", Weight: 1, ForS: [2]float64{3, 5}}, {What: "late-acts", Weight: 2, ForS: [2]float64{3, 5}}}
 	f.DurationS, f.TTLS, f.EveryS, f.HealS, f.Seed = 10, 1, 0.2, 60, 5
 	res, err := RunLeaseFaults(t.Context(), f, agreeOptions(t))
 	if err != nil {
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -25,11 +25,11 @@
 	ClockRate    float64 `toml:"clock_rate"`     // the bound that is set; clocks run at one of its ends or true
 	SnapshotEach int     `toml:"snapshot_every"` // entries
 	EveryS       float64 `toml:"every_s"`        // between two faults, in the mean
-	Faults       []Kinds `toml:"fault"`          // what may happen
+	Faults       []FaultKind `toml:"fault"`          // what may happen
 }
 
-// Kinds is a kind of fault and how often it is drawn beside others.
-type Kinds struct {
+// FaultKind is a kind of fault and how often it is drawn beside others.
+type FaultKind struct {
 	What   string     `toml:"what"`
 	Weight float64    `toml:"weight"`
 	ForS   [2]float64 `toml:"for_s"`
