--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -117,8 +117,8 @@
 	"change-servers": {"part", "out"}, "change-routers": {"part", "out"}, "release-routers": {"out"}, "kill-routers": {"part"}, "stop-routers": {"part"}, "cut-routers": {"part", "out"}, "tools-die": {"count", "out"}, "tools-stop": {"count", "out"},
 }
 
-// What lists the faults that a scenario may name.
-func What() (names []string) {
+// FaultNames lists the faults that a scenario may name.
+func FaultNames() (names []string) {
 	for name := range what {
 		names = append(names, name)
 	}
@@ -280,7 +280,7 @@
 		needs, ok := what[t.What]
 		at := fmt.Sprintf("fault[%d].", i)
 		if !ok {
-			return fmt.Errorf("%swhat: %q is none of %s", at, t.What, strings.Join(What(), ", "))
+			return fmt.Errorf("%swhat: %q is none of %s", at, t.What, strings.Join(FaultNames(), ", "))
 		}
 		for _, n := range needs {
 			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(fakes.Spoils, t.Spoil) || t.Answers <= 0,
