--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -56,7 +56,7 @@
 						if cmd.Context().Err() != nil {
 							return
 						}
-						f, err := scenario.Suspects(seed, routers, v.quorum)
+						f, err := scenario.FaultyServers(seed, routers, v.quorum)
 						var dir string
 						if err == nil {
 							dir, err = fleet.LogDir(logs, "suspects")
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -199,7 +199,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"}, "lies-all", 0
-	f, err := scenario.Suspects(3, 5, 2)
+	f, err := scenario.FaultyServers(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/scenario/changes.go
+++ b/lab/scenario/changes.go
@@ -64,9 +64,9 @@
 	return f, f.check()
 }
 
-// Suspects is a scenario in which two cache servers break off all their answers for a time, one after the other, and answer probes; quorum is of
+// FaultyServers is a scenario in which two cache servers break off all their answers for a time, one after the other, and answer probes; quorum is of
 // routers whose word has all leave one out, 0 = each finds out by itself.
-func Suspects(seed uint64, routers, quorum int) (File, error) {
+func FaultyServers(seed uint64, routers, quorum int) (File, error) {
 	f, err := Load("drains")
 	if err != nil {
 		return f, err
