--- a/cmd/dockhinge-lab/crash_points.go
+++ b/cmd/dockhinge-lab/crash_points.go
@@ -86,7 +86,7 @@
 			for seed := from; seed < from+uint64(rounds); seed++ {
 				for _, step := range fleet.DriverSteps {
 					for _, victim := range fleet.DriverVictims {
-						f, err := scenario.Steps(seed, true)
+						f, err := scenario.CrashPoints(seed, true)
 						if err != nil {
 							return err
 						}
@@ -95,7 +95,7 @@
 				}
 				for _, step := range fleet.ToolSteps {
 					for _, victim := range fleet.ToolVictims {
-						f, err := scenario.Steps(seed, false)
+						f, err := scenario.CrashPoints(seed, false)
 						if err != nil {
 							return err
 						}
--- a/lab/scenario/changes.go
+++ b/lab/scenario/changes.go
@@ -79,9 +79,9 @@
 	return f, f.check()
 }
 
-// Steps is a calm and short scenario in which operators release all routers, or change all cache servers, one at a time: for kills at
+// CrashPoints is a calm and short scenario in which operators release all routers, or change all cache servers, one at a time: for kills at
 // the steps of their tool.
-func Steps(seed uint64, release bool) (File, error) {
+func CrashPoints(seed uint64, release bool) (File, error) {
 	f, err := Release(seed, 2, 3, "", true)
 	if err != nil {
 		return f, err
