--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -97,16 +97,16 @@
 
 // play plays one fault of the schedule.
 func (a *coordinatorGroup) play(ctx context.Context, t scenario.ScheduledFault) {
-	c := a.coords[t.Who%len(a.coords)]
+	c := a.coords[t.Target%len(a.coords)]
 	switch t.What {
 	case "kill-coordinator":
 		a.killAndRestart(ctx, c.proc, t.ForS)
 	case "stop-coordinator":
 		a.stopAndContinue(ctx, c.proc, t.ForS)
 	case "kill-holder":
-		a.killAndRestart(ctx, a.holders[t.Who], t.ForS)
+		a.killAndRestart(ctx, a.holders[t.Target], t.ForS)
 	case "stop-holder":
-		a.stopAndContinue(ctx, a.holders[t.Who], t.ForS)
+		a.stopAndContinue(ctx, a.holders[t.Target], t.ForS)
 	case "disk-full":
 		a.fillDisk(ctx, c, t.ForS)
 	case "restart-all":
@@ -126,14 +126,14 @@
 func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.ScheduledFault) {
 	switch t.What {
 	case "cut":
-		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
+		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Target, t.With}], a.raftRelays[link{t.With, t.Target}])
 	case "hold-there":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Who, t.With}])
+		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.With}])
 	case "delay":
-		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
+		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Target, t.With}], a.raftRelays[link{t.With, t.Target}])
 	case "cut-clients":
 		var relays []*fakes.Relay
-		coordinator := t.Who % len(a.coords)
+		coordinator := t.Target % len(a.coords)
 		for holder := range a.holders {
 			relays = append(relays, a.clientRelays[link{holder, coordinator}])
 		}
@@ -145,7 +145,7 @@
 	case "slow-then-cut":
 		a.slowThenCut(ctx, t)
 	case "late-acts":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.resourceRelays[t.Who])
+		a.faultLinks(ctx, t.ForS, dropThereFault, a.resourceRelays[t.Target])
 	}
 }
 
@@ -155,7 +155,7 @@
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
 		if meetsAll || coordinator == t.With {
-			relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
+			relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 		}
 	}
 	return relays
@@ -165,7 +165,7 @@
 func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.ScheduledFault) {
 	var relays []*fakes.Relay
 	for coordinator := range a.coords {
-		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
+		relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 	}
 	var both sync.WaitGroup
 	both.Go(func() { a.faultLinks(ctx, t.ForS, delayFault, relays...) })
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -39,7 +39,7 @@
 type ScheduledFault struct {
 	AtS, ForS float64
 	What      string
-	Who, With int     // of coordinators or holders, as the kind has it
+	Target, With int     // of coordinators or holders, as the kind has it
 	U         float64 // drawn for the kind's own use
 }
 
@@ -125,8 +125,8 @@
 		case "hc":
 			n = f.Holders
 		}
-		t.Who, t.With = rng.IntN(n), rng.IntN(m)
-		if agreementFaults[k.What] == "cc" && t.Who == t.With {
+		t.Target, t.With = rng.IntN(n), rng.IntN(m)
+		if agreementFaults[k.What] == "cc" && t.Target == t.With {
 			t.With = (t.With + 1) % m
 		}
 		if k.What == "damage" || k.What == "wipe" {
