--- a/lab/fleet/agree_faults.go
+++ b/lab/fleet/agree_faults.go
@@ -126,11 +126,11 @@
 func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.ScheduledFault) {
 	switch t.What {
 	case "cut":
-		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Target, t.With}], a.raftRelays[link{t.With, t.Target}])
+		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "hold-there":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.With}])
+		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.Peer}])
 	case "delay":
-		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Target, t.With}], a.raftRelays[link{t.With, t.Target}])
+		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "cut-clients":
 		var relays []*fakes.Relay
 		coordinator := t.Target % len(a.coords)
@@ -154,7 +154,7 @@
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.coords {
-		if meetsAll || coordinator == t.With {
+		if meetsAll || coordinator == t.Peer {
 			relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 		}
 	}
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -39,7 +39,7 @@
 type ScheduledFault struct {
 	AtS, ForS float64
 	What      string
-	Target, With int     // of coordinators or holders, as the kind has it
+	Target, Peer int     // of coordinators or holders, as the kind has it
 	U         float64 // drawn for the kind's own use
 }
 
@@ -125,9 +125,9 @@
 		case "hc":
 			n = f.Holders
 		}
-		t.Target, t.With = rng.IntN(n), rng.IntN(m)
-		if agreementFaults[k.What] == "cc" && t.Target == t.With {
-			t.With = (t.With + 1) % m
+		t.Target, t.Peer = rng.IntN(n), rng.IntN(m)
+		if agreementFaults[k.What] == "cc" && t.Target == t.Peer {
+			t.Peer = (t.Peer + 1) % m
 		}
 		if k.What == "damage" || k.What == "wipe" {
 			if once["disk"] {
