--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -17,7 +17,8 @@
 		Classes: map[string]load.ClassResult{"read": {Asked: 5}}}, AttemptsBySecond: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
 		Samples: []fleet.Sample{{AtS: 0.5, Routers: map[string]fleet.Usage{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
 			{AtS: 1, Routers: map[string]fleet.Usage{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}}, Held: map[string]int{"s1": 4}}},
-		Breaches: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"}}
+		Breaches: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"},
+		Changes: []fleet.Change{{Resource: "server/s1", RequestedAtMS: 1000, StoppedAtMS: 2000, RunningAtMS: 3500, ToolRuns: 7}}}
 	path := filepath.Join(t.TempDir(), "x.html")
 	if err := Write(path, []fleet.Result{r}); err != nil {
 		t.Fatal(err)
@@ -30,6 +31,9 @@
 	if strings.Count(page, "<svg") != 8 || !strings.Contains(page, "crash of &lt;s1&gt;") || !strings.Contains(page, "copies: two out") {
 		t.Errorf("%d plots", strings.Count(page, "<svg"))
 	}
+	if row := "<td>server/s1</td><td>1.0</td><td>2.0</td><td>3.5</td><td>7</td>"; !strings.Contains(page, row) {
+		t.Errorf("the page lacks the planned change %s", row)
+	}
 	for _, from := range []string{"src=", "<script", "<link", "@import", "url("} {
 		if strings.Contains(page, from) {
 			t.Errorf("the page fetches something: %s", from)
