--- a/cmd/dockhinge-lab/capacity.go
+++ b/cmd/dockhinge-lab/capacity.go
@@ -16,7 +16,8 @@
 func capacityCommand() *cobra.Command {
 	var set []string
 	var sizesFile, slopesFile, page, plotInto string
-	cmd := &cobra.Command{Use: "capacity", Short: "What a fleet of a given size costs, by measured slopes", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "capacity", Short: "Compute what a fleet of a given size costs from measured slopes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			sizes, err := readSizes(sizesFile)
 			if err != nil {
@@ -43,22 +44,24 @@
 			capacity.WriteAll(cmd.OutOrStdout(), m, lines)
 			return nil
 		}}
-	cmd.Flags().StringArrayVar(&set, "set", nil, "another size, KEY=VALUE")
-	cmd.Flags().StringVar(&sizesFile, "sizes", "", "another file of sizes (default: lab/capacity/sizes.toml)")
+	cmd.Flags().StringArrayVar(&set, "set", nil, "KEY=VALUE of a size to change")
+	cmd.Flags().StringVar(&sizesFile, "sizes", "", "file of sizes (default: the built-in lab/capacity/sizes.toml)")
 	cmd.Flags().StringVar(&slopesFile, "slopes", "lab/capacity/slopes.json", "the file that 'hollow --out' wrote")
 	cmd.Flags().StringVar(&plotInto, "plot", "", "draw the lines into SVG files in this directory instead")
 	cmd.Flags().StringVar(&page, "page", "", "write the tables into this page between its markers")
 	return cmd
 }
 
-// plotLines draws what the page shows.
+// plotLines writes the plots of docs/CAPACITY.md as SVG files into dir.
 func plotLines(dir string, lines []scalingfit.Line) error {
 	return errors.Join(
-		capacity.Plot(filepath.Join(dir, "capacity-rest.svg"), "Processor time of coordinators at rest", lines, "rest.leader.cores", "rest.voter.cores"),
-		capacity.Plot(filepath.Join(dir, "capacity-drain.svg"), "Time until routers have a drain", lines, "drain.p50", "drain.p99", "drain.last"))
+		capacity.Plot(filepath.Join(dir, "capacity-rest.svg"), "Processor time of coordinators at rest", lines,
+			"rest.leader.cores", "rest.voter.cores"),
+		capacity.Plot(filepath.Join(dir, "capacity-drain.svg"), "Time until routers have a drain", lines,
+			"drain.p50", "drain.p99", "drain.last"))
 }
 
-// readSizes reads a file of sizes, or those that are shipped.
+// readSizes reads a file of sizes, or the built-in ones if path is empty.
 func readSizes(path string) (capacity.Sizes, error) {
 	if path == "" {
 		return capacity.ShippedSizes()
--- a/cmd/dockhinge-lab/crash_points.go
+++ b/cmd/dockhinge-lab/crash_points.go
@@ -15,21 +15,23 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// steps kills each process at each step of the operators' tool, over and over.
-func steps() *cobra.Command {
+// crashPointsCommand kills each process at each step of the operators' tool, once per round.
+func crashPointsCommand() *cobra.Command {
 	var rounds, side int
 	var from uint64
 	var logs string
-	cmd := &cobra.Command{Use: "crash-points", Aliases: []string{"steps"}, Short: "Each process killed at each step of a release and of a change, by permits of the fleet", Args: cobra.NoArgs,
-		Long: "A release of the routers, and a change of all cache servers, with real processes: at each step of the operators' tool the tool\n" +
-			"itself, the leading coordinator, another one, the router or cache server that is changed, another router or the other driver is\n" +
-			"killed, and started again as what supervises it would. All must come to the end that was asked for, each router once.",
+	cmd := &cobra.Command{Use: "crash-points", Aliases: []string{"steps"}, Args: cobra.NoArgs,
+		Short: "Kill each process at each step of a release and of a planned change",
+		Long: "Runs a release of the routers and a change of all cache servers with real processes. At each step of\n" +
+			"the operators' tool one process is killed: the tool, the leading coordinator, another coordinator, the\n" +
+			"router or cache server that is changed, another router, or the other driver. It is then restarted as\n" +
+			"its supervisor would. Each run must complete what was requested, and change each router exactly once.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			command, err := routerCommand(cmd.Context(), "")
+			command, err := routerCommandLine(cmd.Context(), "")
 			if err != nil {
 				return err
 			}
-			dir, err := faultsBuild(cmd.Context())
+			dir, err := buildWithFaults(cmd.Context())
 			if err != nil {
 				return err
 			}
@@ -39,7 +41,7 @@
 			var tookS []float64
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			room := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, side))
 			play := func(what string, k fleet.StepKill, seed uint64, f scenario.File) {
 				id := fmt.Sprintf("%s\t%s\t%s", what, k.Step, k.Victim)
 				mu.Lock()
@@ -48,16 +50,18 @@
 					order = append(order, id)
 				}
 				mu.Unlock()
-				room <- struct{}{}
+				slots <- struct{}{}
 				wg.Go(func() {
-					defer func() { <-room }()
+					defer func() { <-slots }()
 					if cmd.Context().Err() != nil {
 						return
 					}
-					into, err := fleet.LogDir(logs, "steps")
+					runDir, err := fleet.LogDir(logs, "steps")
 					var res fleet.Result
 					if err == nil {
-						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")}, Kill: &k, Dir: into, ChangeTimeout: fleet.StepKillTimeout})
+						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command,
+							CoordinatorCommand: []string{filepath.Join(dir, "dockhinge-coord")},
+							Kill:               &k, Dir: runDir, ChangeTimeout: fleet.StepKillTimeout})
 					}
 					mu.Lock()
 					defer mu.Unlock()
@@ -77,10 +81,11 @@
 					}
 					if len(res.Failures) > 0 {
 						c.broke++
-						fmt.Printf("%s, seed %d (logs in %s): %s\n", strings.ReplaceAll(id, "\t", " "), seed, into, strings.Join(res.Failures, "; "))
+						fmt.Printf("%s, seed %d (logs in %s): %s\n",
+							strings.ReplaceAll(id, "\t", " "), seed, runDir, strings.Join(res.Failures, "; "))
 						return
 					}
-					os.RemoveAll(into)
+					os.RemoveAll(runDir)
 				})
 			}
 			for seed := from; seed < from+uint64(rounds); seed++ {
@@ -115,16 +120,17 @@
 			w.Flush()
 			slices.Sort(tookS)
 			if len(tookS) > 0 {
-				fmt.Printf("%d runs, %d kills, %d broke; releases took %.1f s in the middle, %.1f s at most\n", runs, killed, broke, tookS[len(tookS)/2], tookS[len(tookS)-1])
+				fmt.Printf("%d runs, %d kills, %d broke; releases took %.1f s in the middle, %.1f s at most\n",
+					runs, killed, broke, tookS[len(tookS)/2], tookS[len(tookS)-1])
 			}
 			if broke > 0 {
-				return errHeldNot
+				return errExpectationFailed
 			}
 			return cmd.Context().Err()
 		}}
-	cmd.Flags().IntVar(&rounds, "rounds", 1, "how often each")
+	cmd.Flags().IntVar(&rounds, "rounds", 1, "runs of each combination of step and killed process")
 	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	cmd.Flags().IntVar(&side, "side", 1, "runs side by side")
-	cmd.Flags().StringVar(&logs, "logs", os.TempDir(), "logs of runs that broke are kept under this directory")
+	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().StringVar(&logs, "logs", os.TempDir(), "keep the logs of failed runs under this directory")
 	return cmd
 }
--- a/cmd/dockhinge-lab/experiments.go
+++ b/cmd/dockhinge-lab/experiments.go
@@ -18,12 +18,12 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// with changes keys of a scenario, given as KEY=VALUE.
-func with(f scenario.File, sets []string) (scenario.File, error) {
+// applySettings returns the scenario with the given keys changed; each setting has the form KEY=VALUE.
+func applySettings(f scenario.File, sets []string) (scenario.File, error) {
 	for _, s := range sets {
 		key, value, ok := strings.Cut(s, "=")
 		if !ok {
-			return f, fmt.Errorf("--set %s: is not KEY=VALUE", s)
+			return f, fmt.Errorf("--set %s: not of the form KEY=VALUE", s)
 		}
 		var err error
 		if f, err = f.With(strings.TrimSpace(key), strings.TrimSpace(value)); err != nil {
@@ -33,23 +33,24 @@
 	return f, nil
 }
 
-func compare() *cobra.Command {
-	var c common
+func compareCommand() *cobra.Command {
+	var c commonFlags
 	var pairs int
 	var sets, setsB []string
-	cmd := &cobra.Command{Use: "compare A B SCENARIO", Short: "Hold two router commands against each other", Args: cobra.ExactArgs(3),
-		Long: "Plays a scenario with router command A and with B in turns, each pair with a seed of its own, and tells the\n" +
-			"differences with a 95% confidence interval over the pairs. Quote a command that has arguments:\n\n" +
+	cmd := &cobra.Command{Use: "compare A B SCENARIO", Args: cobra.ExactArgs(3),
+		Short: "Compare two router commands on one scenario",
+		Long: "Plays a scenario with router commands A and B alternately, each pair of runs with another seed, and prints\n" +
+			"the differences with a 95% confidence interval over the pairs. Quote a command that has arguments:\n\n" +
 			"    dockhinge-lab compare 'old/dockhinge serve' 'bin/dockhinge serve --operator new.toml' crash",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := scenario.Load(args[2])
 			if err == nil {
-				f, err = with(f, sets)
+				f, err = applySettings(f, sets)
 			}
 			if err != nil {
 				return err
 			}
-			g, err := with(f, setsB)
+			g, err := applySettings(f, setsB)
 			if err != nil {
 				return err
 			}
@@ -58,16 +59,16 @@
 				f.Seed += uint64(i) * 1000
 				f.Load.Seed, g.Seed, g.Load.Seed = f.Seed, f.Seed, f.Seed
 				order := []int{0, 1}
-				if i%2 == 1 { // so that what grows with time meets both
+				if i%2 == 1 { // alternate the order, so that drift over time affects both equally
 					order = []int{1, 0}
 				}
 				for _, which := range order {
-					file, command, into := f, args[0], &a
+					file, command, results := f, args[0], &a
 					if which == 1 {
-						file, command, into = g, args[1], &b
+						file, command, results = g, args[1], &b
 					}
 					fmt.Printf("pair %d of %d: %s\n", i+1, pairs, command)
-					res, err := play(cmd.Context(), file, c, strings.Fields(command), nil)
+					res, err := playScenario(cmd.Context(), file, c, strings.Fields(command), nil)
 					if err != nil {
 						return err
 					}
@@ -77,12 +78,12 @@
 					if !res.Load.Valid {
 						return fmt.Errorf("the run does not count: %s", res.Load.Why)
 					}
-					*into = append(*into, res)
+					*results = append(*results, res)
 				}
 			}
 			report.CompareTable(os.Stdout, report.Compare(a, b))
 			if c.out != "" {
-				runs := []fleet.Result{a[0], b[0]} // the first pair beside one another
+				runs := []fleet.Result{a[0], b[0]} // the report draws the first pair in one plot
 				return report.Write(c.out, append(append(runs, a[1:]...), b[1:]...), "A: "+args[0], "B: "+args[1])
 			}
 			return nil
@@ -90,21 +91,22 @@
 	cmd.Flags().StringVar(&c.logs, "logs", "", "keep logs and configurations in this directory")
 	cmd.Flags().StringVar(&c.out, "out", "", "write a report of all runs to this file, HTML")
 	cmd.Flags().IntVar(&pairs, "pairs", 5, "pairs of runs")
-	cmd.Flags().StringArrayVar(&sets, "set", nil, "KEY=VALUE of the scenario, for both")
-	cmd.Flags().StringArrayVar(&setsB, "set-b", nil, "KEY=VALUE of the scenario, for B alone")
+	cmd.Flags().StringArrayVar(&sets, "set", nil, "KEY=VALUE to change in the scenario, for A and B")
+	cmd.Flags().StringArrayVar(&setsB, "set-b", nil, "KEY=VALUE to change in the scenario, for B only")
 	return cmd
 }
 
-func sweep() *cobra.Command {
-	var c common
+func sweepCommand() *cobra.Command {
+	var c commonFlags
 	var key, values string
-	cmd := &cobra.Command{Use: "sweep SCENARIO --key KEY --values V,V,...", Short: "One parameter of a scenario over values", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "sweep SCENARIO --key KEY --values V,V,...",
+		Short: "Play a scenario once for each value of one parameter", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
-			command, err := routerCommand(cmd.Context(), c.router)
+			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
 				return err
 			}
@@ -116,7 +118,7 @@
 					return err
 				}
 				fmt.Printf("%s = %s\n", key, v)
-				res, err := play(cmd.Context(), g, c, command, nil)
+				res, err := playScenario(cmd.Context(), g, c, command, nil)
 				if err != nil {
 					return err
 				}
@@ -133,22 +135,23 @@
 			return nil
 		}}
 	c.add(cmd)
-	cmd.Flags().StringVar(&key, "key", "load.rate", "the parameter, as it stands in a scenario file")
-	cmd.Flags().StringVar(&values, "values", "", "its values, with commas between")
-	_ = cmd.MarkFlagRequired("values") // the flag is there
+	cmd.Flags().StringVar(&key, "key", "load.rate", "the parameter, as written in a scenario file")
+	cmd.Flags().StringVar(&values, "values", "", "its values, separated by commas")
+	_ = cmd.MarkFlagRequired("values") // fails only if the flag does not exist
 	return cmd
 }
 
 func costCommand() *cobra.Command {
-	var c common
+	var c commonFlags
 	var conns, sizes []int
-	var each float64
-	cmd := &cobra.Command{Use: "cost", Short: "What the router costs, beside direct calls and a bare byte relay", Args: cobra.NoArgs,
-		Long: "Reads in a closed loop from a cache server that takes no time: directly, through a byte relay in Go that knows\n" +
-			"nothing of what it carries, and through the router, one after the other for each number of connections and each\n" +
-			"size. The ratios to the relay are what to go by: what the machine does meanwhile meets all three.",
+	var cellSeconds float64
+	cmd := &cobra.Command{Use: "cost", Args: cobra.NoArgs,
+		Short: "Measure what the router costs compared with direct calls and a plain byte relay",
+		Long: "Reads in a closed loop from a cache server that answers at once: directly, through a byte relay in Go that\n" +
+			"does not parse the data, and through the router, one after the other for each number of connections and\n" +
+			"each value size. Rely on the ratios to the relay: other load on the machine affects all three paths.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			command, err := routerCommand(cmd.Context(), c.router)
+			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
 				return err
 			}
@@ -157,16 +160,20 @@
 				return err
 			}
 			t := tabwriter.NewWriter(os.Stdout, 8, 4, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(t, "bytes\tconnections\tpath\ta second\tp50 us\tp99 us\tCPU us\tMB\t| to the relay: rate\tp50\tp99\tCPU\t")
+			fmt.Fprintln(t, "bytes\tconnections\tpath\ta second\tp50 us\tp99 us\tCPU us\tMB"+
+				"\t| to the relay: rate\tp50\tp99\tCPU\t")
 			var relay cost.Cell
-			all, err := cost.Run(cmd.Context(), cost.Params{Connections: conns, Bytes: sizes, For: time.Duration(each * float64(time.Second)),
-				Router: command, Relay: []string{self, "relay"}, Say: func(x cost.Cell) {
+			all, err := cost.Run(cmd.Context(), cost.Params{Connections: conns, Bytes: sizes,
+				Duration: time.Duration(cellSeconds * float64(time.Second)),
+				Router:   command, Relay: []string{self, "relay"}, OnCell: func(x cost.Cell) {
 					if x.Path == "relay" {
 						relay = x
 					}
-					fmt.Fprintf(t, "%d\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t", x.Bytes, x.Connections, x.Path, x.PerS, x.P50us, x.P99us, x.CPUus, x.PeakMB)
-					if x.Path == "router" && relay.PerS > 0 && relay.CPUus > 0 {
-						fmt.Fprintf(t, "| %.2f\t%.2f\t%.2f\t%.2f\t", x.PerS/relay.PerS, x.P50us/relay.P50us, x.P99us/relay.P99us, x.CPUus/relay.CPUus)
+					fmt.Fprintf(t, "%d\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t", x.Bytes, x.Connections, x.Path,
+						x.PerSecond, x.P50Micros, x.P99Micros, x.CPUMicros, x.PeakMB)
+					if x.Path == "router" && relay.PerSecond > 0 && relay.CPUMicros > 0 {
+						fmt.Fprintf(t, "| %.2f\t%.2f\t%.2f\t%.2f\t", x.PerSecond/relay.PerSecond,
+							x.P50Micros/relay.P50Micros, x.P99Micros/relay.P99Micros, x.CPUMicros/relay.CPUMicros)
 					}
 					if x.Failed > 0 {
 						fmt.Fprintf(t, "%d of %d connections failed: %v", x.Failed, x.Connections, x.Failures)
@@ -186,19 +193,20 @@
 			}
 			return nil
 		}}
-	cmd.Flags().StringVar(&c.router, "router", "", "the command of the router")
-	cmd.Flags().StringVar(&c.out, "out", "", "write the figures to this file, JSON")
+	cmd.Flags().StringVar(&c.router, "router", "", "command that starts the router")
+	cmd.Flags().StringVar(&c.out, "out", "", "write the results as JSON to this file")
 	cmd.Flags().IntSliceVar(&conns, "connections", []int{1, 16, 64, 256}, "numbers of connections")
-	cmd.Flags().IntSliceVar(&sizes, "bytes", []int{100, 8 << 10, 1 << 20}, "sizes of a value")
-	cmd.Flags().Float64Var(&each, "for", 2, "seconds for each measurement")
+	cmd.Flags().IntSliceVar(&sizes, "bytes", []int{100, 8 << 10, 1 << 20}, "value sizes in bytes")
+	cmd.Flags().Float64Var(&cellSeconds, "for", 2, "seconds for each measurement")
 	return cmd
 }
 
-// relayCommand is the bare byte relay that cost starts.
+// relayCommand runs the byte relay that costCommand starts as a process.
 func relayCommand() *cobra.Command {
-	return &cobra.Command{Use: "relay LISTEN TARGET", Short: "A bare byte relay on one core", Args: cobra.ExactArgs(2), Hidden: true,
+	return &cobra.Command{Use: "relay LISTEN TARGET", Short: "Run a plain byte relay on one core",
+		Args: cobra.ExactArgs(2), Hidden: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			runtime.GOMAXPROCS(1) // as the router
+			runtime.GOMAXPROCS(1) // as the router does
 			return cost.Relay(context.WithoutCancel(cmd.Context()), args[0], args[1])
 		}}
 }
--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -14,26 +14,27 @@
 	"dockhinge.example/dockhinge/lab/hollow"
 )
 
-// hollowCommand plays a ladder of hollow routers before real coordinators.
+// hollowCommand measures real coordinators with increasing numbers of hollow routers.
 func hollowCommand() *cobra.Command {
 	var routers []int
 	var out, why string
 	var onto bool
 	o := hollow.Options{}
-	cmd := &cobra.Command{Use: "hollow", Short: "What the control plane costs with so many hollow routers", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "hollow", Args: cobra.NoArgs,
+		Short: "Measure what the control plane costs with many hollow routers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if _, err := routerCommand(cmd.Context(), ""); err != nil { // builds the coordinators too
+			if _, err := routerCommandLine(cmd.Context(), ""); err != nil { // builds the coordinators too
 				return err
 			}
-			o.Command = coordCommand()
-			run, err := beginRun(why, o, out, onto)
+			o.Command = coordinatorCommandLine()
+			run, err := newRun(why, o, out, onto)
 			if err != nil {
 				return err
 			}
 			w := cmd.OutOrStdout()
 			run.Head(w)
 			for _, n := range routers {
-				step, err := hollowStep(cmd, n, o)
+				step, err := playHollowStep(cmd, n, o)
 				run.Steps = append(run.Steps, step)
 				run.Row(w, step)
 				if step.RestartFailed != "" {
@@ -46,23 +47,26 @@
 			}
 			return writeRun(w, run, out)
 		}}
-	cmd.Flags().IntSliceVar(&routers, "routers", []int{100, 300, 1000}, "the ladder's steps")
+	cmd.Flags().IntSliceVar(&routers, "routers", []int{100, 300, 1000}, "numbers of hollow routers, one step each")
 	cmd.Flags().IntVar(&o.Coordinators, "coordinators", 5, "coordinators")
-	cmd.Flags().IntVar(&o.RegionRouters, "region-routers", 392, "routers of a region")
-	cmd.Flags().IntVar(&o.RegionServers, "region-servers", 192, "cache servers of a region, which each of its routers reports")
-	cmd.Flags().DurationVar(&o.Beat, "beat", time.Second, "how long a leader may be silent: longer than the coordinators' own default, as all share one machine")
+	cmd.Flags().IntVar(&o.RegionRouters, "region-routers", 392, "routers in a region")
+	cmd.Flags().IntVar(&o.RegionServers, "region-servers", 192,
+		"cache servers in a region; each router of the region reports on all of them")
+	cmd.Flags().DurationVar(&o.Beat, "beat", time.Second,
+		"how long a leader may be silent; longer than the coordinators' default, because all share one machine")
 	cmd.Flags().DurationVar(&o.TTL, "ttl", 10*time.Second, "time to live of the routers' sessions")
 	cmd.Flags().DurationVar(&o.Idle, "idle", 8*time.Second, "how long the fleet is measured at rest")
-	cmd.Flags().IntVar(&o.Drains, "drains", 3, "drains of a server whose latency is measured")
-	cmd.Flags().DurationVar(&o.Patience, "patience", 40*time.Second, "for all routers to have what they wait for")
-	cmd.Flags().StringVar(&out, "out", "", "write the run to this file, JSON, for 'capacity --slopes'")
-	cmd.Flags().BoolVar(&onto, "onto", false, "add the steps to those that the file has")
-	cmd.Flags().StringVar(&why, "why", "", "what the run is for, kept in the file")
+	cmd.Flags().IntVar(&o.Drains, "drains", 3, "number of server drains whose latency is measured")
+	cmd.Flags().DurationVar(&o.Patience, "patience", 40*time.Second,
+		"timeout for all routers to reach the state that a step waits for")
+	cmd.Flags().StringVar(&out, "out", "", "write the run as JSON to this file, for 'capacity --slopes'")
+	cmd.Flags().BoolVar(&onto, "onto", false, "append the steps to those already in the --out file")
+	cmd.Flags().StringVar(&why, "why", "", "purpose of the run, stored in the file")
 	return cmd
 }
 
-// beginRun begins a ladder, or goes on with the one that a file has.
-func beginRun(why string, o hollow.Options, path string, onto bool) (*hollow.Run, error) {
+// newRun returns an empty run, or with onto the run stored in the file at path, to be continued.
+func newRun(why string, o hollow.Options, path string, onto bool) (*hollow.Run, error) {
 	run := hollow.NewRun(why, o)
 	if !onto {
 		return run, nil
@@ -74,8 +78,8 @@
 	return run, json.Unmarshal(text, run)
 }
 
-// hollowStep plays one step with directories of its own.
-func hollowStep(cmd *cobra.Command, n int, o hollow.Options) (hollow.Step, error) {
+// playHollowStep plays one step in a temporary directory of its own.
+func playHollowStep(cmd *cobra.Command, n int, o hollow.Options) (hollow.Step, error) {
 	dir, err := fleet.LogDir(os.TempDir(), "hollow")
 	if err != nil {
 		return hollow.Step{Routers: n}, err
@@ -85,7 +89,7 @@
 	return hollow.Play(cmd.Context(), n, o)
 }
 
-// writeRun writes a run to a file, where one is named.
+// writeRun fits the slopes and writes the run to path; an empty path writes nothing.
 func writeRun(w io.Writer, run *hollow.Run, path string) error {
 	if path == "" {
 		return nil
--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -21,8 +21,9 @@
 	workers       int
 }
 
-// loadAgainst sends a load to routers that the lab did not start. What a client can see of the rules is judged.
-func loadAgainst(ctx context.Context, addrs []string, o loadFlags) error {
+// sendLoad sends load to routers that this program did not start. Only the rules that a client can observe
+// are checked.
+func sendLoad(ctx context.Context, addrs []string, o loadFlags) error {
 	f, err := scenario.Load("calm")
 	if err != nil {
 		return err
@@ -32,10 +33,10 @@
 	for _, a := range addrs {
 		host, _, err := net.SplitHostPort(a)
 		if err != nil {
-			return fmt.Errorf("%q is no host:port", a)
+			return fmt.Errorf("%q is not of the form host:port", a)
 		}
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-			return fmt.Errorf("%q is no loopback address", a)
+			return fmt.Errorf("%q is not a loopback address", a)
 		}
 		front.Up(a, "", a)
 	}
@@ -51,13 +52,14 @@
 	ctx, stop := context.WithTimeout(ctx, time.Duration(o.seconds*float64(time.Second)))
 	defer stop()
 	got := l.Run(ctx)
-	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got, Service: got.Service(), TailService: got.Service()}
+	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got,
+		Service: got.Service(), TailService: got.Service()}
 	if !got.Valid {
 		res.Failures = append(res.Failures, "the run does not count: "+got.Why)
 	}
 	report.Table(os.Stdout, res)
 	if len(res.Failures) > 0 {
-		return errHeldNot
+		return errExpectationFailed
 	}
 	return nil
 }
--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -1,4 +1,5 @@
-// Command dockhinge-lab is the laboratory: a fleet of stand-ins on loopback, real routers, a load, and faults.
+// Command dockhinge-lab runs experiments on a fleet on loopback: simulated cache servers, origin and
+// discovery, real router processes, generated load and injected faults.
 package main
 
 import (
@@ -21,15 +22,15 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// errHeldNot tells that a scenario was played and something did not hold; what is printed already.
-var errHeldNot = errors.New("something did not hold")
+// errExpectationFailed means that a run was played and a rule or expectation failed, which is already printed.
+var errExpectationFailed = errors.New("something did not hold")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	err := root().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	stop()
 	switch {
-	case errors.Is(err, errHeldNot):
+	case errors.Is(err, errExpectationFailed):
 		os.Exit(3)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "dockhinge-lab:", err)
@@ -37,32 +38,39 @@
 	}
 }
 
-// common are the flags that several sub-commands have.
-type common struct{ router, logs, out string }
+// commonFlags are the flags that several sub-commands share.
+type commonFlags struct{ router, logs, out string }
 
-func (c *common) add(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&c.router, "router", "", "the command of one router (default: bin/dockhinge serve, built where it is not there)")
-	cmd.Flags().StringVar(&c.logs, "logs", "", "keep logs and configurations in this directory (default: a temporary one, removed)")
-	cmd.Flags().StringVar(&c.out, "out", "", "write the report to this file, HTML, and the same as JSON beside it")
+func (c *commonFlags) add(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&c.router, "router", "",
+		"command that starts one router (default: bin/dockhinge serve, built first if run in the repository)")
+	cmd.Flags().StringVar(&c.logs, "logs", "",
+		"keep logs and configurations in this directory (default: a temporary one, removed at the end)")
+	cmd.Flags().StringVar(&c.out, "out", "", "write the report as HTML to this file, and as JSON beside it")
 }
 
-func root() *cobra.Command {
-	r := &cobra.Command{Use: "dockhinge-lab", Short: "A fleet on loopback to try the router on", SilenceUsage: true, SilenceErrors: true,
-		Long: "A fleet on loopback to try the router on: stand-ins for cache servers, the origin, discovery and the network,\n" +
-			"real router processes, a load, and faults. docs/laboratory.md tells more.\n\n" +
-			"Exit: 0 where all held, 3 where something did not, 1 where it could not be played."}
-	r.AddCommand(up(), run(), all(), changes(), steps(), suspects())
-	r.AddCommand(agree(), agreeCost(), observeCost(), hollowCommand(), capacityCommand(), holderCommand(), resourceCommand())
-	r.AddCommand(list(), against(), compare(), sweep(), costCommand(), relayCommand(), tallyCommand(), twin(), dutyCommand(), soakCommand())
+func rootCommand() *cobra.Command {
+	r := &cobra.Command{Use: "dockhinge-lab", Short: "A fleet on loopback to try the router on",
+		SilenceUsage: true, SilenceErrors: true,
+		Long: "A fleet on loopback to try the router on: simulated cache servers, origin, discovery and network,\n" +
+			"real router processes, generated load and injected faults. See docs/laboratory.md.\n\n" +
+			"Exit status: 0 if all expectations were met, 3 if one was not, 1 if the run could not be played."}
+	r.AddCommand(upCommand(), runCommand(), allCommand(), plannedChangesCommand(), crashPointsCommand(),
+		outlierSharingCommand())
+	r.AddCommand(leaseFaultsCommand(), leaseCostCommand(), observerCostCommand(), hollowCommand(),
+		capacityCommand(), holderCommand(), resourceCommand())
+	r.AddCommand(listCommand(), loadCommand(), compareCommand(), sweepCommand(), costCommand(), relayCommand(),
+		traceSummaryCommand(), simulateCommand(), regressionCommand(), soakCommand())
 	return r
 }
 
-// routerCommand is what starts one router. Without a word of the user it is the router of this tree, built if need be.
-func routerCommand(ctx context.Context, given string) ([]string, error) {
+// routerCommandLine returns the command that starts one router: the given one, or if that is empty the router
+// of this repository, which is built first.
+func routerCommandLine(ctx context.Context, given string) ([]string, error) {
 	if given != "" {
 		return strings.Fields(given), nil
 	}
-	if _, err := os.Stat("go.mod"); err == nil { // always, as a build that is up to date costs nothing
+	if _, err := os.Stat("go.mod"); err == nil { // unconditionally: an up-to-date build costs nothing
 		build := exec.CommandContext(ctx, "go", "build", "-o", "bin/", "./cmd/dockhinge", "./cmd/dockhinge-coord")
 		build.Stdout, build.Stderr = os.Stderr, os.Stderr
 		if err := build.Run(); err != nil {
@@ -74,13 +82,13 @@
 		_, err = os.Stat(path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("no router: %w (say one with --router)", err)
+		return nil, fmt.Errorf("no router: %w (name its command with --router)", err)
 	}
 	return []string{path, "serve"}, nil
 }
 
-// coordCommand is what starts one coordinator, where it was built.
-func coordCommand() []string {
+// coordinatorCommandLine returns the command that starts one coordinator; routerCommandLine has built it.
+func coordinatorCommandLine() []string {
 	path, err := filepath.Abs("bin/dockhinge-coord")
 	if err != nil {
 		return nil
@@ -88,8 +96,10 @@
 	return []string{path}
 }
 
-// play plays a scenario with one router command.
-func play(ctx context.Context, f scenario.File, c common, command []string, progress func(load.Now, *fleet.Fleet)) (fleet.Result, error) {
+// playScenario plays a scenario with the given router command.
+func playScenario(
+	ctx context.Context, f scenario.File, c commonFlags, command []string, progress func(load.Now, *fleet.Fleet),
+) (fleet.Result, error) {
 	dir := c.logs
 	if dir == "" {
 		tmp, err := fleet.LogDir(os.TempDir(), "dockhinge-lab")
@@ -105,63 +115,68 @@
 		}
 		fmt.Println("logs in", dir)
 	}
-	return fleet.Run(ctx, f, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, Progress: progress,
+	return fleet.Run(ctx, f, fleet.Options{
+		RouterCommand: command, CoordinatorCommand: coordinatorCommandLine(), Dir: dir, Progress: progress,
 		Logf: func(form string, v ...any) { fmt.Printf(form+"\n", v...) }})
 }
 
-// line prints one second of a run.
-func line(n load.Now, fl *fleet.Fleet) {
+// printSecond prints the figures of one second of a run.
+func printSecond(n load.Now, fl *fleet.Fleet) {
 	up, all := fl.CountServers()
 	gain := 0.0
 	if n.Worth > 0 {
 		gain = n.Gained / n.Worth
 	}
-	fmt.Printf("%6d s  asked %4d  served %4d  refused %3d  failed %3d  service %5.3f  p50 %4.0f ms  p99 %4.0f ms  open %3d  cache servers %d of %d\n",
+	fmt.Printf("%6d s  asked %4d  served %4d  refused %3d  failed %3d  service %5.3f  p50 %4.0f ms  p99 %4.0f ms"+
+		"  open %3d  cache servers %d of %d\n",
 		n.Second-1, n.Asked, n.Served, n.Refused, n.Failed, gain, n.P50MS, n.P99MS, n.Open, up, all)
 }
 
-func up() *cobra.Command {
-	var c common
-	var forS float64
-	cmd := &cobra.Command{Use: "up", Short: "A served, breaking, healing fleet, until Ctrl-C", Args: cobra.NoArgs,
-		Long: "Starts cache servers, an origin, discovery, one router for each zone and a steady load, and prints a line\n" +
-			"each second. Every now and then a cache server dies and comes back cold, and one says that it leaves.\n" +
-			"The routers' addresses are printed: talk to them meanwhile. Ctrl-C ends all.",
+func upCommand() *cobra.Command {
+	var c commonFlags
+	var runSeconds float64
+	cmd := &cobra.Command{Use: "up", Short: "Run a fleet with recurring faults until Ctrl-C", Args: cobra.NoArgs,
+		Long: "Starts cache servers, an origin, discovery, one router per zone and a steady load, and prints a line\n" +
+			"each second. Every 30 seconds one cache server crashes and restarts with an empty cache, and another\n" +
+			"is drained and redeployed. The routers' addresses are printed, so that clients can connect to them.\n" +
+			"Ctrl-C stops everything.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			f, err := scenario.Load("up")
 			if err != nil {
 				return err
 			}
-			if forS > 0 {
-				f.DurationS = forS
+			if runSeconds > 0 {
+				f.DurationS = runSeconds
 			}
-			for at := 12.0; at < f.DurationS; at += 30 { // for as long as it runs
+			for at := 12.0; at < f.DurationS; at += 30 {
 				f.Faults = append(f.Faults, scenario.Fault{AtS: at, What: "crash", Count: 1, ForS: 8},
 					scenario.Fault{AtS: at + 15, What: "deploy", Count: 1, Batch: 1, DrainS: 4, DownS: 1})
 			}
 			return playAndReport(cmd.Context(), f, c, true)
 		}}
 	c.add(cmd)
-	cmd.Flags().Float64Var(&forS, "for", 0, "seconds (default: an hour)")
+	cmd.Flags().Float64Var(&runSeconds, "for", 0, "seconds (default: an hour)")
 	return cmd
 }
 
-// playAndReport plays a scenario, prints what became of it and writes the report.
-func playAndReport(ctx context.Context, f scenario.File, c common, addresses bool) error {
-	command, err := routerCommand(ctx, c.router)
+// playAndReport plays a scenario, prints its result and writes the report if --out names a file. With
+// printAddresses it first prints the routers' addresses.
+func playAndReport(ctx context.Context, f scenario.File, c commonFlags, printAddresses bool) error {
+	command, err := routerCommandLine(ctx, c.router)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %s\n%d routers, %.0f requests a second for %.0f s; Ctrl-C ends it\n", f.Name, f.About, f.Fleet.Routers, f.Load.Rate, f.DurationS)
-	shown := !addresses
+	fmt.Printf("%s: %s\n%d routers, %.0f requests a second for %.0f s; Ctrl-C ends it\n",
+		f.Name, f.About, f.Fleet.Routers, f.Load.Rate, f.DurationS)
+	areAddressesPrinted := !printAddresses
 	began := time.Now()
-	res, err := play(ctx, f, c, command, func(n load.Now, fl *fleet.Fleet) {
-		if !shown {
-			shown = true
+	res, err := playScenario(ctx, f, c, command, func(n load.Now, fl *fleet.Fleet) {
+		if !areAddressesPrinted {
+			areAddressesPrinted = true
 			fmt.Println(strings.Join(fl.RouterAddresses(), "\n"))
 		}
 		if n.Second > 1 {
-			line(n, fl)
+			printSecond(n, fl)
 		}
 	})
 	if err != nil {
@@ -176,24 +191,25 @@
 	}
 	fmt.Printf("%.0f s in all\n", time.Since(began).Seconds())
 	if len(res.Failures) > 0 {
-		return errHeldNot
+		return errExpectationFailed
 	}
 	return nil
 }
 
-func run() *cobra.Command {
-	var c common
+func runCommand() *cobra.Command {
+	var c commonFlags
 	var seed uint64
 	var sets []string
-	cmd := &cobra.Command{Use: "run SCENARIO", Short: "Play a scenario, judge it by the rules, report", Args: cobra.ExactArgs(1),
-		Long:      "Plays a scenario: a file, or one that is shipped, by its name. dockhinge-lab list names those.",
+	cmd := &cobra.Command{Use: "run SCENARIO", Args: cobra.ExactArgs(1),
+		Short:     "Play a scenario, check it against the rules and report",
+		Long:      "Plays a scenario, given as a file or by the name of a shipped one (see dockhinge-lab list).",
 		ValidArgs: scenario.Shipped(),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := scenario.Load(args[0])
 			if err != nil {
 				return err
 			}
-			if f, err = with(f, sets); err != nil {
+			if f, err = applySettings(f, sets); err != nil {
 				return err
 			}
 			if cmd.Flags().Changed("seed") {
@@ -202,13 +218,13 @@
 			return playAndReport(cmd.Context(), f, c, false)
 		}}
 	c.add(cmd)
-	cmd.Flags().Uint64Var(&seed, "seed", 0, "another seed than the scenario's")
-	cmd.Flags().StringArrayVar(&sets, "set", nil, "KEY=VALUE of the scenario, as load.rate=300")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed to use instead of the scenario's")
+	cmd.Flags().StringArrayVar(&sets, "set", nil, "KEY=VALUE to change in the scenario, such as load.rate=300")
 	return cmd
 }
 
-func list() *cobra.Command {
-	return &cobra.Command{Use: "list", Short: "List the scenarios that are shipped", Args: cobra.NoArgs,
+func listCommand() *cobra.Command {
+	return &cobra.Command{Use: "list", Short: "List the shipped scenarios", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, name := range scenario.Shipped() {
 				f, err := scenario.Load(name)
@@ -221,15 +237,16 @@
 		}}
 }
 
-func against() *cobra.Command {
+func loadCommand() *cobra.Command {
 	var o loadFlags
-	cmd := &cobra.Command{Use: "load ADDR [ADDR...]", Short: "Send a load to routers that run already", Args: cobra.MinimumNArgs(1),
-		Long: "Sends the calm scenario's classes and keys to routers at the addresses and tells what became of it. Only\n" +
-			"loopback addresses are taken.",
-		RunE: func(cmd *cobra.Command, addrs []string) error { return loadAgainst(cmd.Context(), addrs, o) }}
+	cmd := &cobra.Command{Use: "load ADDR [ADDR...]", Args: cobra.MinimumNArgs(1),
+		Short: "Send load to routers that already run",
+		Long: "Sends requests with the calm scenario's classes and keys to the routers at the given addresses and\n" +
+			"prints the results. Only loopback addresses are accepted.",
+		RunE: func(cmd *cobra.Command, addrs []string) error { return sendLoad(cmd.Context(), addrs, o) }}
 	cmd.Flags().Float64Var(&o.rate, "rate", 100, "requests a second")
 	cmd.Flags().Float64Var(&o.seconds, "for", 10, "seconds")
 	cmd.Flags().StringVar(&o.shape, "shape", "poisson", "poisson, bursty or closed")
-	cmd.Flags().IntVar(&o.workers, "workers", 8, "closed: clients with one request at a time each")
+	cmd.Flags().IntVar(&o.workers, "workers", 8, "with shape closed: clients, each with one request at a time")
 	return cmd
 }
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -14,45 +14,50 @@
 	"dockhinge.example/dockhinge/lab/simulation"
 )
 
-// suspects plays days on which cache servers break off their answers, with routers that tell one another and without, by the same seeds.
-func suspects() *cobra.Command {
+// outlierSharingCommand plays runs in which cache servers break off their answers, with and without routers
+// that share their outlier reports, on the same seeds.
+func outlierSharingCommand() *cobra.Command {
 	var seeds, side, routers, quorum int
 	var from uint64
 	var mutant, logs string
-	cmd := &cobra.Command{Use: "outlier-sharing", Aliases: []string{"suspects"}, Short: "What bad cache servers cost a fleet whose routers tell one another, and one whose don't", Args: cobra.NoArgs,
-		Long: "Two cache servers break off their answers, one after the other, and answer probes. For each seed: routers that each find out by themselves,\n" +
-			"routers that leave out what a quorum found bad, and the latter with a first router that tells of all servers, or of two, that they\n" +
-			"are bad. Counted by what the servers saw.",
+	cmd := &cobra.Command{Use: "outlier-sharing", Aliases: []string{"suspects"}, Args: cobra.NoArgs,
+		Short: "Measure what failing cache servers cost with and without routers that share outlier reports",
+		Long: "Two cache servers break off their answers, one after the other, but still answer probes. Each seed is\n" +
+			"played with routers that detect this on their own, with routers that eject a server which a quorum\n" +
+			"reported, and with the latter while the first router falsely reports all servers, or two of them.\n" +
+			"Attempts are counted by the cache servers.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			command, err := routerCommand(cmd.Context(), "")
+			command, err := routerCommandLine(cmd.Context(), "")
 			if err != nil {
 				return err
 			}
-			planted, plantedCoord, err := mutantsBuild(cmd.Context())
+			mutantRouter, mutantCoordinator, err := buildWithMutants(cmd.Context())
 			if err != nil {
 				return err
 			}
-			coord := coordCommand()
+			coord := coordinatorCommandLine()
 			var env []string
 			if mutant != "" {
-				env, coord, command = []string{"DOCKHINGE_MUTANT=" + mutant}, plantedCoord, planted
+				env, coord, command = []string{"DOCKHINGE_MUTANT=" + mutant}, mutantCoordinator, mutantRouter
 			}
 			variants := []struct {
-				name   string
-				quorum int
-				lies   string
-			}{{"each by itself", 0, ""}, {"quorum", quorum, ""}, {"and one that tells all are bad", quorum, "lies-all"}, {"and one that tells two are", quorum, "lies-some"}}
-			type figures struct{ attempts, late, by, service, breaches, cpu []float64 }
+				name              string
+				quorum            int
+				firstRouterMutant string
+			}{
+				{"each by itself", 0, ""}, {"quorum", quorum, ""},
+				{"and one that tells all are bad", quorum, "lies-all"}, {"and one that tells two are", quorum, "lies-some"}}
+			type figures struct{ attempts, late, routers, service, breaches, cpu []float64 }
 			all := make([]figures, len(variants))
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			room := make(chan struct{}, max(1, side))
-			broke := 0
+			slots := make(chan struct{}, max(1, side))
+			failed := 0
 			for seed := from; seed < from+uint64(seeds); seed++ {
 				for i, v := range variants {
-					room <- struct{}{}
+					slots <- struct{}{}
 					wg.Go(func() {
-						defer func() { <-room }()
+						defer func() { <-slots }()
 						if cmd.Context().Err() != nil {
 							return
 						}
@@ -63,13 +68,16 @@
 						}
 						var res fleet.Result
 						if err == nil {
-							res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: planted, FirstRouterMutant: v.lies, Dir: dir})
+							res, err = fleet.Run(cmd.Context(), f, fleet.Options{
+								RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env,
+								MutantCommand: mutantRouter, FirstRouterMutant: v.firstRouterMutant, Dir: dir})
 						}
 						mu.Lock()
 						defer mu.Unlock()
 						if err != nil || len(res.Failures) > 0 {
-							broke++
-							fmt.Printf("seed %d, %s (logs in %s): %v %s\n", seed, v.name, dir, err, strings.Join(res.Failures, "; "))
+							failed++
+							fmt.Printf("seed %d, %s (logs in %s): %v %s\n",
+								seed, v.name, dir, err, strings.Join(res.Failures, "; "))
 							if err != nil {
 								return
 							}
@@ -77,7 +85,8 @@
 							os.RemoveAll(dir)
 						}
 						for _, x := range res.FaultySpells {
-							all[i].attempts, all[i].late, all[i].by = append(all[i].attempts, float64(x.Attempts)), append(all[i].late, float64(x.Late)), append(all[i].by, float64(x.Routers))
+							all[i].attempts, all[i].late, all[i].routers = append(all[i].attempts, float64(x.Attempts)),
+								append(all[i].late, float64(x.Late)), append(all[i].routers, float64(x.Routers))
 						}
 						if n := len(res.Samples); n > 1 {
 							first, last := res.Samples[0], res.Samples[n-1]
@@ -85,13 +94,15 @@
 								all[i].cpu = append(all[i].cpu, (u.CPUMS-first.Routers[name].CPUMS)/(last.AtS-first.AtS)/10)
 							}
 						}
-						all[i].service, all[i].breaches = append(all[i].service, res.Service), append(all[i].breaches, float64(len(res.Breaches)))
+						all[i].service, all[i].breaches = append(all[i].service, res.Service),
+							append(all[i].breaches, float64(len(res.Breaches)))
 					})
 				}
 			}
 			wg.Wait()
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "\tbad servers\tattempts at one\t±95%\tafter its first second\t±95%\trouters\tservice\t±95%\tbreaches\tCPU a router, % of a core")
+			fmt.Fprintln(w, "\tbad servers\tattempts at one\t±95%\tafter its first second\t±95%\trouters\tservice\t±95%"+
+				"\tbreaches\tCPU a router, % of a core")
 			for i, v := range variants {
 				x := all[i]
 				fmt.Fprintf(w, "%s\t%d", v.name, len(x.attempts))
@@ -99,24 +110,25 @@
 					mean, half := simulation.Mean(col)
 					fmt.Fprintf(w, "\t%.1f\t%.1f", mean, half)
 				}
-				by, _ := simulation.Mean(x.by)
+				routers, _ := simulation.Mean(x.routers)
 				service, half := simulation.Mean(x.service)
 				breaches, _ := simulation.Mean(x.breaches)
 				cpu, _ := simulation.Mean(x.cpu)
-				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n", by, service, half, breaches*float64(len(x.breaches)), cpu)
+				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n",
+					routers, service, half, breaches*float64(len(x.breaches)), cpu)
 			}
 			w.Flush()
-			if broke > 0 {
-				return errHeldNot
+			if failed > 0 {
+				return errExpectationFailed
 			}
 			return cmd.Context().Err()
 		}}
-	cmd.Flags().IntVar(&seeds, "seeds", 3, "how many")
-	cmd.Flags().Uint64Var(&from, "from", 1, "the first")
-	cmd.Flags().IntVar(&side, "side", 1, "runs side by side")
+	cmd.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
+	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
+	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
 	cmd.Flags().IntVar(&routers, "routers", 24, "routers")
-	cmd.Flags().IntVar(&quorum, "quorum", 3, "routers whose word has all leave a server out")
-	cmd.Flags().StringVar(&mutant, "mutant", "", "plant a fault in coordinators and routers")
-	cmd.Flags().StringVar(&logs, "logs", os.TempDir(), "logs of runs that did not hold are kept under this directory")
+	cmd.Flags().IntVar(&quorum, "quorum", 3, "number of routers whose reports make all routers eject a server")
+	cmd.Flags().StringVar(&mutant, "mutant", "", "activate this deliberate bug in coordinators and routers")
+	cmd.Flags().StringVar(&logs, "logs", os.TempDir(), "keep the logs of failed runs under this directory")
 	return cmd
 }
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -16,54 +16,57 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// changes plays planned changes of a whole fleet with faults by seeds.
-func changes() *cobra.Command {
-	var c common
+// plannedChangesCommand plays planned changes of a whole fleet, with faults drawn from seeds.
+func plannedChangesCommand() *cobra.Command {
+	var c commonFlags
 	var seeds, side, routers, servers, coordinators, outRouters, outServers int
 	var from uint64
 	var durationS, bakeS float64
 	var mutant string
 	var first, calm bool
 	var release, page string
-	cmd := &cobra.Command{Use: "planned-changes", Aliases: []string{"changes"}, Short: "Planned changes of all cache servers and most routers, with faults by seeds", Args: cobra.NoArgs,
-		Long: "Operators change every cache server and most routers by permits of the fleet's agreement, while the seed has tools,\n" +
-			"routers, servers and coordinators die, stop or be cut off. Judged by what the laboratory did and what servers saw: more\n" +
-			"out by plan than the budgets leave, requests at a drained server, a change done twice or never.",
+	cmd := &cobra.Command{Use: "planned-changes", Aliases: []string{"changes"}, Args: cobra.NoArgs,
+		Short: "Play planned changes of all cache servers and most routers, with faults drawn from seeds",
+		Long: "Operators change every cache server and most routers by permits of the coordinators, while tools,\n" +
+			"routers, servers and coordinators are killed, stopped or cut off as drawn from the seed. A run fails if\n" +
+			"more was out by plan than the budgets allow, if a drained server got requests, or if a change was made\n" +
+			"twice or never. This is checked against the log of the fleet and of the cache servers.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			command, err := routerCommand(cmd.Context(), c.router)
+			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
 				return err
 			}
-			coord := coordCommand()
-			var env, spoilt []string
+			coord := coordinatorCommandLine()
+			var env, mutantCommand []string
 			if mutant != "" || release != "" {
-				planted, plantedCoord, err := mutantsBuild(cmd.Context())
+				mutantRouter, mutantCoordinator, err := buildWithMutants(cmd.Context())
 				if err != nil {
 					return err
 				}
-				spoilt = planted
+				mutantCommand = mutantRouter
 				if mutant != "" {
-					env, coord = []string{"DOCKHINGE_MUTANT=" + mutant}, plantedCoord
+					env, coord = []string{"DOCKHINGE_MUTANT=" + mutant}, mutantCoordinator
 				}
 			}
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			room := make(chan struct{}, max(1, side))
-			var broke, played, done, tools, faults, breaches int
+			slots := make(chan struct{}, max(1, side))
+			var failed, played, changed, toolRuns, faults, breaches int
 			var tookS, service []float64
 			for i := range seeds {
-				room <- struct{}{}
+				slots <- struct{}{}
 				mu.Lock()
-				over := cmd.Context().Err() != nil || first && broke > 0
+				mustStop := cmd.Context().Err() != nil || first && failed > 0
 				mu.Unlock()
-				if over {
+				if mustStop {
 					break
 				}
 				wg.Go(func() {
-					defer func() { <-room }()
+					defer func() { <-slots }()
 					f, err := scenario.Changes(from+uint64(i), routers, servers)
 					if release != "" {
-						f, err = scenario.Release(from+uint64(i), routers, servers, map[bool]string{true: release}[release != "good"], calm)
+						f, err = scenario.Release(from+uint64(i), routers, servers,
+							map[bool]string{true: release}[release != "good"], calm)
 					}
 					if err == nil {
 						f.Fleet.Coordinators, f.DurationS = coordinators, durationS
@@ -83,10 +86,13 @@
 						if c.logs == "" {
 							defer os.RemoveAll(dir)
 						}
-						res, err = fleet.Run(cmd.Context(), f, fleet.Options{RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env, MutantCommand: spoilt, Dir: dir, ChangeTimeout: 90 * time.Second})
+						res, err = fleet.Run(cmd.Context(), f, fleet.Options{
+							RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env,
+							MutantCommand: mutantCommand, Dir: dir, ChangeTimeout: 90 * time.Second})
 					}
 					if err == nil && page != "" {
-						err = report.Write(strings.TrimSuffix(page, ".html")+fmt.Sprintf("-%d.html", f.Seed), []fleet.Result{res})
+						err = report.Write(strings.TrimSuffix(page, ".html")+fmt.Sprintf("-%d.html", f.Seed),
+							[]fleet.Result{res})
 					}
 					mu.Lock()
 					defer mu.Unlock()
@@ -98,13 +104,13 @@
 						return
 					}
 					played++
-					last := 0.0
+					lastSeconds := 0.0
 					for _, x := range res.Changes {
-						tools += x.ToolRuns
+						toolRuns += x.ToolRuns
 						if x.RunningAtMS > 0 {
-							done++
+							changed++
 						}
-						last = max(last, (x.RunningAtMS-x.RequestedAtMS)/1000)
+						lastSeconds = max(lastSeconds, (x.RunningAtMS-x.RequestedAtMS)/1000)
 					}
 					n := len(f.Faults) - 2
 					if release != "" {
@@ -113,14 +119,17 @@
 					faults += n
 					breaches += len(res.Breaches)
 					if r := res.Released; r != nil {
-						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s, %d runs of the tool, %d repeats, %d old tokens refused\n", r.Exposed, r.HaltS, r.Halt, r.TookS, r.Drivers, r.Repeats, r.Refused)
-						last = r.TookS
+						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s, %d runs of the tool,"+
+							" %d repeats, %d old tokens refused\n",
+							r.Exposed, r.HaltS, r.Halt, r.TookS, r.Drivers, r.Repeats, r.Refused)
+						lastSeconds = r.TookS
 					}
-					tookS, service = append(tookS, last), append(service, res.Service)
+					tookS, service = append(tookS, lastSeconds), append(service, res.Service)
 					if len(res.Failures) > 0 {
-						broke++
+						failed++
 					}
-					fmt.Printf("seed %d: %d changes in %.0f s, %d faults, service %.3f %s\n", f.Seed, len(res.Changes), last, n, res.Service, strings.Join(res.Failures, "; "))
+					fmt.Printf("seed %d: %d changes in %.0f s, %d faults, service %.3f %s\n",
+						f.Seed, len(res.Changes), lastSeconds, n, res.Service, strings.Join(res.Failures, "; "))
 				})
 			}
 			wg.Wait()
@@ -129,29 +138,34 @@
 			}
 			slices.Sort(tookS)
 			slices.Sort(service)
-			fmt.Printf("%d seeds, %d broke; %d changes done with %d runs of the tool, %d faults, %d breaches of the rules; all changed after %.0f s in the middle, %.0f s at most; service %.3f in the middle, %.3f at least\n",
-				played, broke, done, tools, faults, breaches, tookS[len(tookS)/2], tookS[len(tookS)-1], service[len(service)/2], service[0])
-			if broke > 0 {
-				return errHeldNot
+			fmt.Printf("%d seeds, %d broke; %d changes done with %d runs of the tool, %d faults, %d breaches of the rules;"+
+				" all changed after %.0f s in the middle, %.0f s at most; service %.3f in the middle, %.3f at least\n",
+				played, failed, changed, toolRuns, faults, breaches,
+				tookS[len(tookS)/2], tookS[len(tookS)-1], service[len(service)/2], service[0])
+			if failed > 0 {
+				return errExpectationFailed
 			}
 			return cmd.Context().Err()
 		}}
-	cmd.Flags().StringVar(&c.router, "router", "", "the command of one router")
+	cmd.Flags().StringVar(&c.router, "router", "", "command that starts one router")
 	cmd.Flags().StringVar(&c.logs, "logs", "", "keep the logs under this directory")
-	cmd.Flags().IntVar(&seeds, "seeds", 10, "how many")
-	cmd.Flags().Uint64Var(&from, "from", 1, "the first")
-	cmd.Flags().IntVar(&side, "side", 1, "runs side by side")
+	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds")
+	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
+	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
 	cmd.Flags().IntVar(&routers, "routers", 6, "routers")
 	cmd.Flags().IntVar(&servers, "servers", 8, "cache servers")
 	cmd.Flags().IntVar(&coordinators, "coordinators", 5, "coordinators")
-	cmd.Flags().Float64Var(&durationS, "duration", 40, "seconds of load; changes that are left go on after it")
-	cmd.Flags().StringVar(&mutant, "mutant", "", "plant a fault in the coordinators")
-	cmd.Flags().StringVar(&release, "release", "", "a release of the routers instead: good, or what is wrong with the new version (never, crash, fails, slower)")
-	cmd.Flags().Float64Var(&bakeS, "bake", 0, "with it: seconds that a wave bakes, in which 20 requests a second are wanted; 0 = 2 s")
-	cmd.Flags().IntVar(&outRouters, "out-routers", 0, "routers that may be out at once; 0 = 2, and 2 servers")
-	cmd.Flags().IntVar(&outServers, "out-servers", 2, "cache servers that may be out at once, where --out-routers is said")
-	cmd.Flags().StringVar(&page, "report", "", "write a page of each run to this file, with the seed in its name")
-	cmd.Flags().BoolVar(&calm, "calm", false, "with it: no faults beside the release")
-	cmd.Flags().BoolVar(&first, "first", false, "end after the first seed that broke")
+	cmd.Flags().Float64Var(&durationS, "duration", 40, "seconds of load; pending changes continue after it")
+	cmd.Flags().StringVar(&mutant, "mutant", "", "activate this deliberate bug in the coordinators")
+	cmd.Flags().StringVar(&release, "release", "",
+		"play a release of the routers instead: good, or the defect of the new version (never, crash, fails, slower)")
+	cmd.Flags().Float64Var(&bakeS, "bake", 0,
+		"with --release: seconds that a wave bakes; it needs 20 requests for each of them; 0 = 2 s")
+	cmd.Flags().IntVar(&outRouters, "out-routers", 0, "routers that may be out at once; 0 = 2 routers and 2 servers")
+	cmd.Flags().IntVar(&outServers, "out-servers", 2, "with --out-routers: cache servers that may be out at once")
+	cmd.Flags().StringVar(&page, "report", "",
+		"write an HTML report of each run to this file, with the seed added to its name")
+	cmd.Flags().BoolVar(&calm, "calm", false, "with --release: inject no further faults")
+	cmd.Flags().BoolVar(&first, "first", false, "stop after the first seed that failed")
 	return cmd
 }
--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -19,33 +19,35 @@
 	"dockhinge.example/dockhinge/lab/simulation"
 )
 
-// played is one day as it was played: what --out writes and --against reads.
-type played struct {
+// playedDay is one simulated day and its results, as --out writes and --against reads them.
+type playedDay struct {
 	Day  string          `json:"day"`
 	Seed uint64          `json:"seed"`
 	Size [2]int          `json:"routers_servers"`
 	Sums simulation.Sums `json:"sums"`
 }
 
-func twin() *cobra.Command {
+func simulateCommand() *cobra.Command {
 	var routers, servers, seeds, workers int
 	var seed uint64
-	var out, old, plot string
+	var out, against, plot string
 	var bySecond bool
-	var shared float64
-	cmd := &cobra.Command{Use: "simulate DAY [DAY...]", Aliases: []string{"twin"}, Short: "Play days of hundreds of routers in virtual time",
-		Args: cobra.MinimumNArgs(1),
-		Long: "Plays days of the standing test's kinds with the decision module of this build before modelled servers, in virtual\n" +
-			"time: " + strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") + ". --out keeps what was counted; --against compares with what another build kept, seed\n" +
-			"by seed, and tells the mean difference with its 95% confidence interval. docs/simulation.md tells how far to trust it.",
+	var probeMillis float64
+	cmd := &cobra.Command{Use: "simulate DAY [DAY...]", Aliases: []string{"twin"}, Args: cobra.MinimumNArgs(1),
+		Short: "Simulate days of hundreds of routers in virtual time",
+		Long: "Simulates days of the regression test's kinds in virtual time, with the decision module of this build and\n" +
+			"modeled servers: " +
+			strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") +
+			".\n--out writes the results; --against compares them seed by seed with another build, and prints the mean\n" +
+			"difference with its 95% confidence interval. docs/simulation.md describes how far to trust the results.",
 		RunE: func(_ *cobra.Command, days []string) error {
-			var jobs []played
+			var jobs []playedDay
 			for _, day := range days {
 				for i := range seeds {
-					jobs = append(jobs, played{Day: day, Seed: seed + uint64(i), Size: [2]int{routers, servers}})
+					jobs = append(jobs, playedDay{Day: day, Seed: seed + uint64(i), Size: [2]int{routers, servers}})
 				}
 			}
-			if err := playAll(jobs, workers, shared); err != nil {
+			if err := playDays(jobs, workers, probeMillis); err != nil {
 				return err
 			}
 			if out != "" {
@@ -57,9 +59,9 @@
 					return err
 				}
 			}
-			var before []played
-			if old != "" {
-				text, err := os.ReadFile(old)
+			var before []playedDay
+			if against != "" {
+				text, err := os.ReadFile(against)
 				if err == nil {
 					err = json.Unmarshal(text, &before)
 				}
@@ -68,15 +70,15 @@
 				}
 			}
 			for _, day := range days {
-				if err := table(os.Stdout, day, jobs, before); err != nil {
+				if err := printDayTable(os.Stdout, day, jobs, before); err != nil {
 					return err
 				}
 			}
-			if err := coldTable(os.Stdout, jobs); err != nil {
+			if err := printSlowStartTable(os.Stdout, jobs); err != nil {
 				return err
 			}
 			if bySecond {
-				seconds(os.Stdout, jobs)
+				printSeconds(os.Stdout, jobs)
 			}
 			if plot != "" {
 				return plotReleases(plot, jobs)
@@ -84,29 +86,31 @@
 			return nil
 		}}
 	f := cmd.Flags()
-	f.IntVar(&routers, "routers", 300, "how many routers")
-	f.IntVar(&servers, "servers", 150, "how many cache servers")
-	f.IntVar(&seeds, "seeds", 1, "how many days of each kind, of seeds in a row")
+	f.IntVar(&routers, "routers", 300, "number of routers")
+	f.IntVar(&servers, "servers", 150, "number of cache servers")
+	f.IntVar(&seeds, "seeds", 1, "days of each kind, with consecutive seeds")
 	f.Uint64Var(&seed, "seed", 1, "the first seed")
-	f.IntVar(&workers, "workers", max(1, runtime.NumCPU()/2), "how many days are played side by side")
-	f.StringVar(&out, "out", "", "write what was counted to this file, JSON")
-	f.StringVar(&old, "against", "", "compare with what --out of another build wrote")
-	f.Float64Var(&shared, "shared-probes", 0, "one router probes a server for all, each so many ms, as [agreement] probes has it (700 there); 0 = each for itself")
-	f.StringVar(&plot, "plot", "", "draw what was served and who was out by second into this SVG file, of release days")
-	f.BoolVar(&bySecond, "by-second", false, "tell each second of each day")
+	f.IntVar(&workers, "workers", max(1, runtime.NumCPU()/2), "days simulated at a time")
+	f.StringVar(&out, "out", "", "write the results as JSON to this file")
+	f.StringVar(&against, "against", "", "compare with the file that --out of another build wrote")
+	f.Float64Var(&probeMillis, "shared-probes", 0,
+		"one router probes each server for all at this interval in ms (as [agreement] probes, 700 there); 0 = each alone")
+	f.StringVar(&plot, "plot", "", "plot the served share, and for release days what was out, by second to this SVG file")
+	f.BoolVar(&bySecond, "by-second", false, "print each second of each day")
 	return cmd
 }
 
-// plotReleases draws what was served of releases' days, and who was out, into a file.
-func plotReleases(path string, jobs []played) error {
+// plotReleases plots the share of requests served in time by second, and for release days the share of
+// routers and servers that were out, as an SVG file.
+func plotReleases(path string, jobs []playedDay) error {
 	var lines []report.Line
 	for _, p := range jobs {
 		l := report.Line{Name: p.Day + ": served in time, %"}
 		for _, s := range p.Sums.Seconds {
-			l.V = append(l.V, 100*simulation.Share(s.InTime, s.Asked))
+			l.Values = append(l.Values, 100*simulation.Share(s.InTime, s.Asked))
 		}
-		if n := len(l.V); n > 0 { // the last one is not a whole second
-			l.V = l.V[:n-1]
+		if n := len(l.Values); n > 0 { // the last second is incomplete
+			l.Values = l.Values[:n-1]
 		}
 		lines = append(lines, l)
 		if p.Day != "release" && p.Day != "release-zone" {
@@ -116,29 +120,32 @@
 		if err != nil {
 			return err
 		}
-		pl, err := simulation.PlanRelease(p.Size[0], p.Size[1], day.Zones, p.Day == "release-zone", p.Seed)
+		plan, err := simulation.PlanRelease(p.Size[0], p.Size[1], day.Zones, p.Day == "release-zone", p.Seed)
 		if err != nil {
 			return err
 		}
-		routers, servers := report.Line{Name: p.Day + ": routers out, %", V: make([]float64, 3)}, report.Line{Name: p.Day + ": servers out, %", V: make([]float64, 3)}
-		for _, o := range pl.Out {
-			routers.V, servers.V = append(routers.V, 100*float64(o[0])/float64(p.Size[0])), append(servers.V, 100*float64(o[1])/float64(p.Size[1]))
+		routers, servers := report.Line{Name: p.Day + ": routers out, %", Values: make([]float64, 3)},
+			report.Line{Name: p.Day + ": servers out, %", Values: make([]float64, 3)}
+		for _, out := range plan.Out {
+			routers.Values, servers.Values = append(routers.Values, 100*float64(out[0])/float64(p.Size[0])),
+				append(servers.Values, 100*float64(out[1])/float64(p.Size[1]))
 		}
 		lines = append(lines, routers, servers)
 	}
 	return report.Plot(path, "A release of all routers and cache servers", "per cent", lines)
 }
 
-// playAll plays the days side by side. What comes out does not depend on how many workers there are.
-func playAll(jobs []played, workers int, shared float64) error {
+// playDays simulates the days concurrently and stores the results in jobs. The results do not depend on the
+// number of workers.
+func playDays(jobs []playedDay, workers int, probeMillis float64) error {
 	next := make(chan int)
 	errs := make([]error, len(jobs))
-	var all sync.WaitGroup
+	var workersDone sync.WaitGroup
 	for range max(1, min(workers, len(jobs))) {
-		all.Go(func() {
+		workersDone.Go(func() {
 			for i := range next {
 				p, err := simulation.Twin(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
-				p.Shared = shared
+				p.Shared = probeMillis
 				if err == nil {
 					jobs[i].Sums, err = simulation.Play(p)
 				}
@@ -150,7 +157,7 @@
 		next <- i
 	}
 	close(next)
-	all.Wait()
+	workersDone.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -159,14 +166,15 @@
 	return nil
 }
 
-// table prints the figures of a day over its seeds, and beside them how they differ from those of the same days before.
-func table(w io.Writer, day string, jobs, before []played) error {
+// printDayTable prints the mean figures of a kind of day over its seeds and, if before is not nil, how they
+// differ from those of the same days in before.
+func printDayTable(w io.Writer, day string, jobs, before []playedDay) error {
 	var names []string
 	var now, diff [][]float64
-	was := map[string][]float64{}
-	id := func(p played) string { return fmt.Sprint(p.Day, p.Seed, p.Size) }
+	previous := map[string][]float64{}
+	id := func(p playedDay) string { return fmt.Sprint(p.Day, p.Seed, p.Size) }
 	for _, p := range before {
-		_, was[id(p)] = p.Sums.Figures()
+		_, previous[id(p)] = p.Sums.Figures()
 	}
 	for _, p := range jobs {
 		if p.Day != day {
@@ -175,7 +183,7 @@
 		var v []float64
 		names, v = p.Sums.Figures()
 		now = append(now, v)
-		if old := was[id(p)]; len(old) == len(v) {
+		if old := previous[id(p)]; len(old) == len(v) {
 			d := make([]float64, len(v))
 			for i := range v {
 				d[i] = v[i] - old[i]
@@ -184,7 +192,7 @@
 		}
 	}
 	if before != nil && len(diff) != len(now) {
-		return fmt.Errorf("--against: %d of %d days of %s were played there", len(diff), len(now), day)
+		return fmt.Errorf("--against: the file has %d of the %d days of %s", len(diff), len(now), day)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s, %d seeds\tmean\t95%%", day, len(now))
@@ -216,47 +224,53 @@
 	return all
 }
 
-// coldTable prints the fullest slow-start window of each day in which servers were started.
-func coldTable(w io.Writer, jobs []played) error {
+// printSlowStartTable prints, for each day in which servers were started, the slow-start window in which the
+// most was sent to a server.
+func printSlowStartTable(w io.Writer, jobs []playedDay) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "day\trouters\tservers\tseed\tcold starts\tover\tbroken\tage, ms\tN\tsent\ttold\tbound\tsent by told routers\tits N\tits bound\t")
+	fmt.Fprintln(t, "day\trouters\tservers\tseed\tcold starts\tover\tbroken\tage, ms\tN\tsent\ttold\tbound"+
+		"\tsent by told routers\tits N\tits bound\t")
 	for _, p := range jobs {
 		cold := &p.Sums.Cold
 		if cold.Starts == 0 {
 			continue
 		}
 		most, told := cold.Most, cold.MostTold
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", p.Day, p.Size[0], p.Size[1], p.Seed,
-			cold.Starts, cold.Over, cold.Broken, most.AgeMillis, most.Allowed, most.Sent, most.Told, most.Bound(), told.Sent, told.Allowed, told.Bound())
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
+			p.Day, p.Size[0], p.Size[1], p.Seed, cold.Starts, cold.Over, cold.Broken,
+			most.AgeMillis, most.Allowed, most.Sent, most.Told, most.Bound(), told.Sent, told.Allowed, told.Bound())
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
 }
 
-// seconds prints each second of each day.
-func seconds(w io.Writer, jobs []played) {
+// printSeconds prints each second of each day.
+func printSeconds(w io.Writer, jobs []playedDay) {
 	for _, p := range jobs {
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintf(w, "%s, seed %d\n", p.Day, p.Seed)
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
-			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n", i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway,
-				s.Attempts, simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
+			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n",
+				i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway, s.Attempts,
+				simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
 		fmt.Fprintln(w, "not in time, by how the first try ended:")
-		stories := slices.SortedFunc(maps.Keys(p.Sums.Lost), func(a, b string) int {
+		causes := slices.SortedFunc(maps.Keys(p.Sums.Lost), func(a, b string) int {
 			return cmp.Or(cmp.Compare(p.Sums.Lost[b], p.Sums.Lost[a]), cmp.Compare(a, b))
 		})
-		for _, s := range stories[:min(12, len(stories))] {
-			fmt.Fprintf(w, "%7d %s\n", p.Sums.Lost[s], s)
+		for _, cause := range causes[:min(12, len(causes))] {
+			fmt.Fprintf(w, "%7d %s\n", p.Sums.Lost[cause], cause)
 		}
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key\tmisses\tcancels\t")
+		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key"+
+			"\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
-			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n", b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway,
-				b.Attempts, simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys), simulation.Share(b.Misses, b.Attempts),
+			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n",
+				b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway, b.Attempts,
+				simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys), simulation.Share(b.Misses, b.Attempts),
 				simulation.Share(b.Cancels, b.Attempts))
 		}
 		t.Flush()
--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -16,7 +16,7 @@
 
 // soakOptions are the flags of the soak command.
 type soakOptions struct {
-	common
+	commonFlags
 	seeds   int
 	first   uint64
 	seconds float64
@@ -27,28 +27,28 @@
 	var o soakOptions
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Runs drawn from seeds: ends, signals, moves, drains and faults together",
+		Short: "Play runs drawn from seeds that combine restarts, signals, moves, drains and faults",
 		Args:  cobra.NoArgs,
-		Long: "Draws a fleet and an order of faults from each seed, plays it with real routers and judges\n" +
-			"it by the rules. A run that fails prints its command, what broke first and where its logs are.",
+		Long: "Draws a fleet and a schedule of faults from each seed, plays it with real routers and checks it\n" +
+			"against the rules. A run that fails prints its command, the first breach and where its logs are.",
 		RunE: func(cmd *cobra.Command, _ []string) error { return playSoak(cmd.Context(), o) },
 	}
 	cmd.Flags().StringVar(&o.router, "router", "",
-		"the command of one router (default: bin/dockhinge serve, built where it is not there)")
+		"command that starts one router (default: bin/dockhinge serve, built first if run in the repository)")
 	cmd.Flags().StringVar(&o.logs, "logs", "logs/soak", "keep the logs of runs that fail in this directory")
-	cmd.Flags().IntVar(&o.seeds, "seeds", 10, "runs")
+	cmd.Flags().IntVar(&o.seeds, "seeds", 10, "number of seeds, one run each")
 	cmd.Flags().Uint64Var(&o.first, "first", 1, "the first seed; the others follow it")
-	cmd.Flags().Float64Var(&o.seconds, "seconds", 15, "of load in each run")
+	cmd.Flags().Float64Var(&o.seconds, "seconds", 15, "seconds of load in each run")
 	cmd.Flags().IntVar(&o.side, "side", 1, "runs at a time")
 	return cmd
 }
 
-// playSoak plays all seeds, and returns errHeldNot where one of them failed.
+// playSoak plays all seeds. It returns errExpectationFailed if one of them failed.
 func playSoak(ctx context.Context, o soakOptions) error {
 	if o.seeds < 1 || o.side < 1 {
 		return errors.New("--seeds and --side: at least 1")
 	}
-	command, err := routerCommand(ctx, o.router)
+	command, err := routerCommandLine(ctx, o.router)
 	if err != nil {
 		return err
 	}
@@ -60,10 +60,10 @@
 	for range o.side {
 		wg.Go(func() {
 			for seed := range seeds {
-				text, isKept, err := playSeed(ctx, o, seed, command)
+				text, hasPassed, err := playSeed(ctx, o, seed, command)
 				mu.Lock()
 				fmt.Print(text)
-				if !isKept {
+				if !hasPassed {
 					failed = append(failed, seed)
 				}
 				if err != nil {
@@ -85,16 +85,16 @@
 		return errors.Join(append(failures, ctx.Err())...)
 	}
 	if len(failed) > 0 {
-		return errHeldNot
+		return errExpectationFailed
 	}
 	return nil
 }
 
-// playSeed plays one seed. The text is what became of it; the logs of a run that kept all rules are
-// removed. The error tells that it could not be played.
+// playSeed plays one seed and returns a description of the result. The logs of a run that kept all rules
+// are removed. An error means that the seed could not be played.
 func playSeed(
 	ctx context.Context, o soakOptions, seed uint64, command []string,
-) (text string, isKept bool, err error) {
+) (text string, hasPassed bool, err error) {
 	file, err := soak.Scenario(seed, o.seconds)
 	if err != nil {
 		return "", false, err
@@ -107,7 +107,8 @@
 	if err != nil {
 		return "", false, err
 	}
-	res, err := fleet.Run(ctx, file, fleet.Options{RouterCommand: command, CoordinatorCommand: coordCommand(), Dir: dir, MustExit: true})
+	res, err := fleet.Run(ctx, file, fleet.Options{
+		RouterCommand: command, CoordinatorCommand: coordinatorCommandLine(), Dir: dir, MustExit: true})
 	if err != nil {
 		return "", false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, dir)
 	}
@@ -120,8 +121,8 @@
 	for _, failure := range res.Failures {
 		text += "  " + failure + "\n"
 	}
-	for _, broken := range res.Breaches {
-		text += "  " + broken.String() + "\n"
+	for _, breach := range res.Breaches {
+		text += "  " + breach.String() + "\n"
 	}
 	for _, mark := range res.Marks {
 		text += fmt.Sprintf("  %6.2f s  %s\n", mark.AtS, mark.Text)
--- a/cmd/dockhinge-lab/trace_summary.go
+++ b/cmd/dockhinge-lab/trace_summary.go
@@ -8,15 +8,15 @@
 	"dockhinge.example/dockhinge/lab/traceanalysis"
 )
 
-func tallyCommand() *cobra.Command {
-	return &cobra.Command{Use: "trace-summary DIR", Aliases: []string{"tally"}, Short: "Add up over a fleet what its routers' logs in DIR hold (routers with log.trace)",
-		Args: cobra.ExactArgs(1),
+func traceSummaryCommand() *cobra.Command {
+	return &cobra.Command{Use: "trace-summary DIR", Aliases: []string{"tally"}, Args: cobra.ExactArgs(1),
+		Short: "Sum up the traces in the logs of a fleet's routers in DIR (routers with log.trace)",
 		RunE: func(_ *cobra.Command, args []string) error {
-			events, faults, err := traceanalysis.Dir(args[0])
+			events, lineErrors, err := traceanalysis.ReadDir(args[0])
 			if err != nil {
 				return err
 			}
-			traceanalysis.PrintFaults(os.Stderr, faults)
+			traceanalysis.PrintLineErrors(os.Stderr, lineErrors)
 			traceanalysis.Count(events).Print(os.Stdout)
 			return nil
 		}}
--- a/lab/cost/cost.go
+++ b/lab/cost/cost.go
@@ -32,10 +32,10 @@
 type Params struct {
 	Connections []int         // of the clients, each with one request at a time
 	Bytes       []int         // of a value
-	For         time.Duration // each cell
+	Duration         time.Duration // each cell
 	Router      []string      // its command
 	Relay       []string      // the relay's command; it is told where to listen and where to connect
-	Say         func(Cell)    // told of each cell
+	OnCell         func(Cell)    // told of each cell
 }
 
 // Cell is one measurement.
@@ -43,10 +43,10 @@
 	Path        string  `json:"path"` // direct, relay or router
 	Connections int     `json:"connections"`
 	Bytes       int     `json:"bytes"`
-	PerS        float64 `json:"requests_a_second"`
-	P50us       float64 `json:"p50_us"`
-	P99us       float64 `json:"p99_us"`
-	CPUus       float64 `json:"cpu_us_a_request"` // of the process in between; 0 where there is none
+	PerSecond        float64 `json:"requests_a_second"`
+	P50Micros       float64 `json:"p50_us"`
+	P99Micros       float64 `json:"p99_us"`
+	CPUMicros       float64 `json:"cpu_us_a_request"` // of the process in between; 0 where there is none
 	PeakMB      float64 `json:"peak_mb"`
 	Failed      int     `json:"failed"`
 	// Failures counts those by what ended them; nil where none did.
@@ -111,11 +111,11 @@
 			if ctx.Err() != nil {
 				return all, ctx.Err()
 			}
-			cell := load(ctx, c.addr, conns, size, p.For, c.pid)
+			cell := load(ctx, c.addr, conns, size, p.Duration, c.pid)
 			cell.Path = c.path
 			all = append(all, cell)
-			if p.Say != nil {
-				p.Say(cell)
+			if p.OnCell != nil {
+				p.OnCell(cell)
 			}
 		}
 	}
@@ -234,11 +234,11 @@
 		all.Merge(h)
 	}
 	n := float64(all.TotalCount())
-	cell.PerS, cell.P50us, cell.P99us = n/took, float64(all.ValueAtQuantile(50)), float64(all.ValueAtQuantile(99))
+	cell.PerSecond, cell.P50Micros, cell.P99Micros = n/took, float64(all.ValueAtQuantile(50)), float64(all.ValueAtQuantile(99))
 	cell.PeakMB = peak
 	cell.Failures, cell.Failed = failures.byKind()
 	if n > 0 {
-		cell.CPUus = (after.CPUMS - before.CPUMS) * 1000 / n
+		cell.CPUMicros = (after.CPUMS - before.CPUMS) * 1000 / n
 	}
 	return cell
 }
--- a/lab/cost/cost_test.go
+++ b/lab/cost/cost_test.go
@@ -26,13 +26,13 @@
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	cells, err := Run(t.Context(), Params{Connections: []int{1, 8}, Bytes: []int{100, 1 << 20}, For: 300 * time.Millisecond,
+	cells, err := Run(t.Context(), Params{Connections: []int{1, 8}, Bytes: []int{100, 1 << 20}, Duration: 300 * time.Millisecond,
 		Router: []string{bin, "serve"}, Relay: []string{os.Args[0], "relay"}})
 	if err != nil || len(cells) != 12 {
 		t.Fatalf("%d cells, %v", len(cells), err)
 	}
 	for _, c := range cells {
-		if c.Failed > 0 || c.PerS == 0 || c.P50us == 0 || (c.PeakMB == 0) != (c.Path == "direct") {
+		if c.Failed > 0 || c.PerSecond == 0 || c.P50Micros == 0 || (c.PeakMB == 0) != (c.Path == "direct") {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/lab/regression/regression.go
+++ b/lab/regression/regression.go
@@ -204,14 +204,14 @@
 	Run
 	Before *Run     // nil = the first of its days
 	Broken []string // what fails the version
-	Fell   []string // what fell by more than Allowed: the figure, or with the figure a day
+	Decreases   []string // what fell by more than Allowed: the figure, or with the figure a day
 }
 
-// Bad tells whether something has to be mended before any other work.
-func (v *Verdict) Bad() bool { return len(v.Broken) > 0 || len(v.Fell) > 0 }
+// HasFailed tells whether something has to be mended before any other work.
+func (v *Verdict) HasFailed() bool { return len(v.Broken) > 0 || len(v.Decreases) > 0 }
 
-// Judge gives the verdict on the newest run of each panel that began at or after since.
-func Judge(runs []Run, since time.Time) (all []Verdict) {
+// CompareRuns gives the verdict on the newest run of each panel that began at or after since.
+func CompareRuns(runs []Run, since time.Time) (all []Verdict) {
 	newest := map[string]int{}
 	for i, r := range runs {
 		newest[r.Cmd+r.Panel] = i
@@ -227,7 +227,7 @@
 			}
 		}
 		if v.Before != nil {
-			v.Fell = fell(v.Before, &r)
+			v.Decreases = fell(v.Before, &r)
 		}
 		all = append(all, v)
 	}
--- a/lab/regression/regression_test.go
+++ b/lab/regression/regression_test.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := Judge(runs, time.Date(2026, 12, 1, 10, 5, 0, 0, time.UTC))
-	if len(all) != 2 || all[0].Bad() || !all[1].Bad() {
+	all := CompareRuns(runs, time.Date(2026, 12, 1, 10, 5, 0, 0, time.UTC))
+	if len(all) != 2 || all[0].HasFailed() || !all[1].HasFailed() {
 		t.Errorf("got %+v", all)
 	}
 }
@@ -96,13 +96,13 @@
 		t.Fatal(err)
 	}
 	got := map[string]Verdict{}
-	for _, v := range Judge(runs, time.Date(2026, 12, 1, 10, 5, 0, 0, time.UTC)) {
+	for _, v := range CompareRuns(runs, time.Date(2026, 12, 1, 10, 5, 0, 0, time.UTC)) {
 		got[v.Panel] = v
 	}
-	if v := got["mass"]; v.ID != "4" || v.Before.ID != "1" || len(v.Fell) != 2 || !v.Bad() {
+	if v := got["mass"]; v.ID != "4" || v.Before.ID != "1" || len(v.Decreases) != 2 || !v.HasFailed() {
 		t.Errorf("mass: %+v", v)
 	}
-	if v := got["fleet"]; v.Bad() || v.Before.ID != "2" {
+	if v := got["fleet"]; v.HasFailed() || v.Before.ID != "2" {
 		t.Errorf("fleet: a fall of 0.02 is noise: %+v", v)
 	}
 	if v := got["soak"]; v.Before != nil || len(v.Broken) != 2 {
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -22,8 +22,8 @@
 	{"service", func(r fleet.Result) float64 { return r.Service }},
 	{"service, last fifth", func(r fleet.Result) float64 { return r.TailService }},
 	{"attempts a request", func(r fleet.Result) float64 { return r.AttemptsPerRequest }},
-	{"refused, share", func(r fleet.Result) float64 { return share(r, true) }},
-	{"failed, share", func(r fleet.Result) float64 { return share(r, false) }},
+	{"refused, share", func(r fleet.Result) float64 { return unservedShare(r, true) }},
+	{"failed, share", func(r fleet.Result) float64 { return unservedShare(r, false) }},
 	{"p99 of the first class, ms", func(r fleet.Result) float64 { return r.Load.Classes[largest(r)].P99MS }},
 	{"CPU of all routers, ms a request", func(r fleet.Result) float64 {
 		sum, asked := 0.0, 0
@@ -62,7 +62,7 @@
 	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
-func share(r fleet.Result, refused bool) float64 {
+func unservedShare(r fleet.Result, refused bool) float64 {
 	n, of := 0, 0
 	for _, c := range r.Load.Classes {
 		if of += c.Asked; refused {
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -20,24 +20,24 @@
 )
 
 // Colours that are told apart also by those who see red and green alike (Okabe and Ito).
-var colours = []color.Color{
+var seriesColors = []color.Color{
 	color.RGBA{0, 158, 115, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 120, 120, 255}, color.RGBA{0, 0, 0, 255},
 }
 
 type series struct {
 	name string
-	at   []float64
-	v    []float64
+	seconds   []float64
+	values    []float64
 }
 
 const (
 	width, height = 24 * vg.Centimeter, 7 * vg.Centimeter
-	mostNamed     = 10 // series of a plot that have a name; more are drawn thin and grey
+	maxNamedSeries     = 10 // series of a plot that have a name; more are drawn thin and grey
 )
 
-// chart draws series over time with the faults marked, as SVG.
-func chart(title, unit string, marks []fleet.Mark, lines []series) (template.HTML, error) {
+// drawChart draws series over time with the faults marked, as SVG.
+func drawChart(title, unit string, marks []fleet.Mark, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
 	p.Title.TextStyle.Font.Size, p.Legend.TextStyle.Font.Size = vg.Points(12), vg.Points(9)
@@ -47,20 +47,20 @@
 	p.Add(plotter.NewGrid())
 	most := 0.0
 	for i, s := range lines {
-		if len(s.at) == 0 {
+		if len(s.seconds) == 0 {
 			continue
 		}
-		xy := make(plotter.XYs, len(s.at))
-		for k := range s.at {
-			xy[k] = plotter.XY{X: s.at[k], Y: s.v[k]}
-			most = max(most, s.v[k])
+		xy := make(plotter.XYs, len(s.seconds))
+		for k := range s.seconds {
+			xy[k] = plotter.XY{X: s.seconds[k], Y: s.values[k]}
+			most = max(most, s.values[k])
 		}
 		l, err := plotter.NewLine(xy)
 		if err != nil {
 			return "", fmt.Errorf("plot %s: %w", title, err)
 		}
-		l.Width, l.Color = vg.Points(1.6), colours[i%len(colours)]
-		if len(lines) > mostNamed {
+		l.Width, l.Color = vg.Points(1.6), seriesColors[i%len(seriesColors)]
+		if len(lines) > maxNamedSeries {
 			l.Width, l.Color = vg.Points(0.6), color.NRGBA{70, 70, 70, 150}
 		} else {
 			p.Legend.Add(s.name, l)
@@ -89,7 +89,7 @@
 		}
 		p.Add(l)
 	}
-	p.X.Tick.Marker = plot.TickerFunc(ticks)
+	p.X.Tick.Marker = plot.TickerFunc(roundTicks)
 	c := vgsvg.New(width, height)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
@@ -103,20 +103,20 @@
 // Line is a series of a plot, by second.
 type Line struct {
 	Name string
-	V    []float64
+	Values    []float64
 }
 
 // Plot writes a plot over time as an SVG file.
 func Plot(path, title, unit string, lines []Line) error {
 	var all []series
 	for _, l := range lines {
-		s := series{name: l.Name, v: l.V}
-		for i := range l.V {
-			s.at = append(s.at, float64(i))
+		s := series{name: l.Name, values: l.Values}
+		for i := range l.Values {
+			s.seconds = append(s.seconds, float64(i))
 		}
 		all = append(all, s)
 	}
-	svg, err := chart(title, unit, nil, all)
+	svg, err := drawChart(title, unit, nil, all)
 	if err != nil {
 		return err
 	}
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// ticks are round seconds, about ten of them.
-func ticks(low, high float64) (all []plot.Tick) {
+// roundTicks are round seconds, about ten of them.
+func roundTicks(low, high float64) (all []plot.Tick) {
 	step := 1.0
 	for _, s := range []float64{2, 5, 10, 30, 60, 300, 600} {
 		if (high-low)/step > 12 {
@@ -140,17 +140,17 @@
 	return all
 }
 
-// bySecond makes one series of a load's seconds.
-func bySecond(r fleet.Result, name string, of func(i int) float64) series {
+// secondSeries makes one series of a load's seconds.
+func secondSeries(r fleet.Result, name string, of func(i int) float64) series {
 	s := series{name: name}
 	for i := range r.Load.Seconds {
-		s.at, s.v = append(s.at, float64(i)+0.5), append(s.v, of(i))
+		s.seconds, s.values = append(s.seconds, float64(i)+0.5), append(s.values, of(i))
 	}
 	return s
 }
 
-// use makes a series for each router.
-func use(r fleet.Result, of func(before, now fleet.Usage, dt float64) float64) (all []series) {
+// usageSeries makes a series for each router.
+func usageSeries(r fleet.Result, of func(before, now fleet.Usage, dt float64) float64) (all []series) {
 	byName := map[string]*series{}
 	var names []string
 	var last fleet.Sample
@@ -161,8 +161,8 @@
 				names = append(names, name)
 			}
 			if i > 0 {
-				byName[name].at = append(byName[name].at, s.AtS)
-				byName[name].v = append(byName[name].v, of(last.Routers[name], u, s.AtS-last.AtS))
+				byName[name].seconds = append(byName[name].seconds, s.AtS)
+				byName[name].values = append(byName[name].values, of(last.Routers[name], u, s.AtS-last.AtS))
 			}
 		}
 		last = s
@@ -176,14 +176,14 @@
 
 // heldTitle says so where there are too many servers for a legend.
 func heldTitle(n int) string {
-	if n > mostNamed {
+	if n > maxNamedSeries {
 		return "Requests held by each server (too many to name: one grey line each)"
 	}
 	return "Requests held by each server"
 }
 
-// out makes a series of steps for each budget of who may be out, and one of its bound.
-func out(r fleet.Result) (all []series) {
+// budgetSeries makes a series of steps for each budget of who may be budgetSeries, and one of its bound.
+func budgetSeries(r fleet.Result) (all []series) {
 	byName := map[string]*series{}
 	var names []string
 	for _, x := range r.BudgetUse {
@@ -196,10 +196,10 @@
 				names = append(names, s.name)
 			}
 			b := byName[s.name]
-			if n := len(b.v); n > 0 { // a step
-				b.at, b.v = append(b.at, x.AtS), append(b.v, b.v[n-1])
+			if n := len(b.values); n > 0 { // a step
+				b.seconds, b.values = append(b.seconds, x.AtS), append(b.values, b.values[n-1])
 			}
-			b.at, b.v = append(b.at, x.AtS), append(b.v, float64(s.v))
+			b.seconds, b.values = append(b.seconds, x.AtS), append(b.values, float64(s.v))
 		}
 	}
 	slices.Sort(names)
@@ -209,8 +209,8 @@
 	return all
 }
 
-// charts are the plots of a run.
-func charts(r fleet.Result) (all []template.HTML, err error) {
+// drawCharts are the plots of a run.
+func drawCharts(r fleet.Result) (all []template.HTML, err error) {
 	secs := r.Load.Seconds
 	held := map[string]*series{}
 	var names []string
@@ -220,7 +220,7 @@
 				held[id] = &series{name: id}
 				names = append(names, id)
 			}
-			held[id].at, held[id].v = append(held[id].at, s.AtS), append(held[id].v, float64(n))
+			held[id].seconds, held[id].values = append(held[id].seconds, s.AtS), append(held[id].values, float64(n))
 		}
 	}
 	slices.Sort(names)
@@ -233,33 +233,33 @@
 		lines       []series
 	}{
 		{"Requests by what became of them (by the second in which they were meant to be sent)", "a second", []series{
-			bySecond(r, "in aim", func(i int) float64 { return float64(secs[i].InAim) }),
-			bySecond(r, "served late", func(i int) float64 { return float64(secs[i].Served - secs[i].InAim) }),
-			bySecond(r, "refused", func(i int) float64 { return float64(secs[i].Refused) }),
-			bySecond(r, "failed", func(i int) float64 { return float64(secs[i].Failed) })}},
+			secondSeries(r, "in aim", func(i int) float64 { return float64(secs[i].InAim) }),
+			secondSeries(r, "served late", func(i int) float64 { return float64(secs[i].Served - secs[i].InAim) }),
+			secondSeries(r, "refused", func(i int) float64 { return float64(secs[i].Refused) }),
+			secondSeries(r, "failed", func(i int) float64 { return float64(secs[i].Failed) })}},
 		{"Worth", "a second", []series{
-			bySecond(r, "answered in aim", func(i int) float64 { return secs[i].Gained }),
-			bySecond(r, "lost", func(i int) float64 { return secs[i].Worth - secs[i].Gained })}},
+			secondSeries(r, "answered in aim", func(i int) float64 { return secs[i].Gained }),
+			secondSeries(r, "lost", func(i int) float64 { return secs[i].Worth - secs[i].Gained })}},
 		{"Latency of what was served, from the intended time", "ms", []series{
-			bySecond(r, "p50", func(i int) float64 { return secs[i].P50MS }),
-			bySecond(r, "p99", func(i int) float64 { return secs[i].P99MS })}},
+			secondSeries(r, "p50", func(i int) float64 { return secs[i].P50MS }),
+			secondSeries(r, "p99", func(i int) float64 { return secs[i].P99MS })}},
 		{"Attempts for each request", "attempts", []series{
-			bySecond(r, "attempts", func(i int) float64 {
+			secondSeries(r, "attempts", func(i int) float64 {
 				if i >= len(r.AttemptsBySecond) || secs[i].Asked == 0 {
 					return 0
 				}
 				return float64(r.AttemptsBySecond[i]) / float64(secs[i].Asked)
 			})}},
 		{heldTitle(len(servers)), "requests", servers},
-		{"Routers: resident memory", "MB", use(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
-		{"Routers: descriptors", "open", use(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
-		{"Routers: CPU", "share of a core", use(r, func(b, u fleet.Usage, dt float64) float64 { return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1) })},
-		{"Out, whatever the reason, against the budgets", "routers or servers", out(r)},
+		{"Routers: resident memory", "MB", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
+		{"Routers: descriptors", "open", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
+		{"Routers: CPU", "share of a core", usageSeries(r, func(b, u fleet.Usage, dt float64) float64 { return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1) })},
+		{"Out, whatever the reason, against the budgets", "routers or servers", budgetSeries(r)},
 	} {
 		if len(c.lines) == 0 {
 			continue
 		}
-		svg, err := chart(c.title, c.unit, r.Marks, c.lines)
+		svg, err := drawChart(c.title, c.unit, r.Marks, c.lines)
 		if err != nil {
 			return nil, err
 		}
@@ -268,7 +268,7 @@
 	return all, nil
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{"seconds": func(ms float64) string {
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"seconds": func(ms float64) string {
 	if ms == 0 {
 		return "-"
 	}
@@ -304,7 +304,7 @@
 	}
 	var all []shown
 	for i, r := range runs {
-		svgs, err := charts(r)
+		svgs, err := drawCharts(r)
 		if err != nil {
 			return err
 		}
@@ -321,15 +321,15 @@
 		var lines []series
 		for i, name := range names {
 			secs := runs[i].Load.Seconds
-			lines = append(lines, bySecond(runs[i], name, func(j int) float64 { return secs[j].Gained }))
+			lines = append(lines, secondSeries(runs[i], name, func(j int) float64 { return secs[j].Gained }))
 		}
 		var err error
-		if beside, err = chart("Worth answered in aim, beside one another", "a second", runs[0].Marks, lines); err != nil {
+		if beside, err = drawChart("Worth answered in aim, beside one another", "a second", runs[0].Marks, lines); err != nil {
 			return err
 		}
 	}
 	var b bytes.Buffer
-	if err := page.Execute(&b, struct {
+	if err := pageTemplate.Execute(&b, struct {
 		Beside template.HTML
 		Runs   []shown
 	}{beside, all}); err != nil {
--- a/lab/traceanalysis/fixture_test.go
+++ b/lab/traceanalysis/fixture_test.go
@@ -9,7 +9,7 @@
 // Logs of routers of an older version are read for the same table: the trace lines and the table's
 // words are what operators and their scripts know.
 func TestTraceOfOlderRouters(t *testing.T) {
-	events, faults, err := Dir("testdata/fleet")
+	events, faults, err := ReadDir("testdata/fleet")
 	if err != nil || len(faults) > 0 {
 		t.Fatal(err, faults)
 	}
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -38,14 +38,14 @@
 	return v
 }
 
-// Fault is a line that can't be read.
-type Fault struct {
+// LineError is a line that can't be read.
+type LineError struct {
 	File   string
 	Line   int
 	Reason string
 }
 
-func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
+func (f LineError) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
 
 // fields are what each event has to have.
 var fields = map[string][]string{"ask": {"r", "class", "key", "retry", "left"}, "send": {"r", "n", "s", "origin", "started", "key"},
@@ -83,7 +83,7 @@
 }
 
 // Read reads one log. What can't be read is a fault, and the rest is still read.
-func Read(name string, r io.Reader) (events []Event, faults []Fault) {
+func Read(name string, r io.Reader) (events []Event, faults []LineError) {
 	in := bufio.NewReaderSize(r, maxLine)
 	for n := 1; ; n++ {
 		text, err := in.ReadSlice('\n')
@@ -93,11 +93,11 @@
 			_, err = in.ReadSlice('\n')
 		}
 		if long {
-			faults = append(faults, Fault{name, n, fmt.Sprintf("over %d bytes", maxLine)})
+			faults = append(faults, LineError{name, n, fmt.Sprintf("over %d bytes", maxLine)})
 		} else if e, ok, bad := parse(line); bad != nil {
-			faults = append(faults, Fault{name, n, bad.Error()})
+			faults = append(faults, LineError{name, n, bad.Error()})
 		} else if ok && !whole { // its last figure may lack digits
-			faults = append(faults, Fault{name, n, "cut short"})
+			faults = append(faults, LineError{name, n, "cut short"})
 		} else if ok {
 			e.Router = name
 			events = append(events, e)
@@ -106,13 +106,13 @@
 			return events, faults
 		}
 		if err != nil {
-			return events, append(faults, Fault{name, n, err.Error()})
+			return events, append(faults, LineError{name, n, err.Error()})
 		}
 	}
 }
 
-// Dir reads all logs of a directory, and returns their events in the order of time.
-func Dir(dir string) (events []Event, faults []Fault, err error) {
+// ReadDir reads all logs of a directory, and returns their events in the order of time.
+func ReadDir(dir string) (events []Event, faults []LineError, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err == nil && len(paths) == 0 {
 		err = fmt.Errorf("no *.log in %s", dir)
@@ -162,8 +162,8 @@
 	started  float64
 }
 
-// Tally is what a fleet did.
-type Tally struct {
+// Summary is what a fleet did.
+type Summary struct {
 	Start   float64 // ms
 	Seconds []Second
 	Servers map[string]*Server
@@ -190,8 +190,8 @@
 type attemptID struct{ router, r, n string }
 
 // Count adds events up. They are in the order of time.
-func Count(events []Event) *Tally {
-	t := &Tally{Servers: map[string]*Server{}}
+func Count(events []Event) *Summary {
+	t := &Summary{Servers: map[string]*Server{}}
 	for _, e := range events { // clients come once all routers are ready
 		if t.Start = e.At; e.Name == "ask" {
 			break
@@ -325,7 +325,7 @@
 // maxSeconds bounds the seconds that are told apart; later events count in the last.
 const maxSeconds = 3600
 
-func (t *Tally) second(at float64) *Second {
+func (t *Summary) second(at float64) *Second {
 	i := min(maxSeconds-1, max(0, int((at-t.Start)/1000)))
 	for len(t.Seconds) <= i {
 		t.Seconds = append(t.Seconds, Second{})
@@ -333,7 +333,7 @@
 	return &t.Seconds[i]
 }
 
-func (t *Tally) server(id string) *Server {
+func (t *Summary) server(id string) *Server {
 	v := t.Servers[id]
 	if v == nil {
 		v = &Server{ID: id, ByStatus: map[string]int{}}
@@ -357,7 +357,7 @@
 }
 
 // Print writes the tables.
-func (t *Tally) Print(w io.Writer) {
+func (t *Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "%4s %6s %6s %6s %6s %6s %6s %5s %6s %5s %6s %5s %5s %6s %5s %5s %6s %6s %6s %5s %5s\n", "s", "asked", "retry", "sent",
 		"again", "cold", "fetch", "same", "dial", "undl", "probe", "unpr", "list", "lines", "refl", "open", "served", "turned", "failed", "late", "gone")
 	row := func(name string, s *Second) {
@@ -417,8 +417,8 @@
 	}
 }
 
-// PrintFaults lists lines that can't be read.
-func PrintFaults(w io.Writer, faults []Fault) {
+// PrintLineErrors lists lines that can't be read.
+func PrintLineErrors(w io.Writer, faults []LineError) {
 	for _, f := range faults[:min(len(faults), maxFaults)] {
 		fmt.Fprintln(w, f)
 	}
--- a/lab/traceanalysis/traceanalysis_test.go
+++ b/lab/traceanalysis/traceanalysis_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 	}
-	events, faults, err := Dir(dir)
+	events, faults, err := ReadDir(dir)
 	if err != nil || len(faults) > 0 {
 		t.Fatal(err, faults)
 	}
