--- a/lab/scenario/changes.go
+++ b/lab/scenario/changes.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Release is Changes with a release of the routers in place of the planned changes; spoil says what is wrong with the new version
-// ("" = nothing). With calm there are no faults beside it.
+// Release returns the scenario of Changes with a release of the routers in place of the planned changes.
+// spoil names the defect of the new version ("" = none). With calm there are no further faults.
 func Release(seed uint64, routers, servers int, spoil string, calm bool) (File, error) {
 	f, err := Changes(seed, routers, servers)
 	if err != nil {
@@ -12,16 +12,18 @@
 	faults := f.Faults[2:]
 	f.Faults = []Fault{{AtS: 2.5, What: "release-routers", Spoil: spoil, DownS: 2, Count: 20}}
 	for _, x := range faults {
-		// What kills routers or all coordinators would rightly halt it too.
-		if !calm && x.What != "kill-routers" && x.What != "stop-routers" && x.What != "coordinators-die" && x.What != "cut-routers" {
+		// Faults that take out routers or all coordinators would halt the release, and rightly so.
+		if !calm && x.What != "kill-routers" && x.What != "stop-routers" &&
+			x.What != "coordinators-die" && x.What != "cut-routers" {
 			f.Faults = append(f.Faults, x)
 		}
 	}
 	return f, f.check()
 }
 
-// Changes is the scenario drains with faults that the seed draws, while operators want to change every cache server and most
-// routers: tools and single routers die, are stopped or cut from the coordinators, a server crashes, coordinators die.
+// Changes returns the scenario drains in which operators change every cache server and most routers, with
+// faults drawn from the seed: tools and single routers are killed, stopped or cut off from the coordinators,
+// a server crashes, or coordinators are killed.
 func Changes(seed uint64, routers, servers int) (File, error) {
 	f, err := Load("drains")
 	if err != nil {
@@ -34,7 +36,7 @@
 	}
 	between := func(from, to float64) float64 { return from + rng.Float64()*(to-from) }
 	f.Expect = Expect{Served: 100}
-	f.Load.LateShare = 1 // the verdict is on what must never be, not on service
+	f.Load.LateShare = 1 // only breaches of rules fail the run, not a low service
 	f.Faults = []Fault{
 		{AtS: between(1, 4), What: "change-servers", Share: 1, DownS: between(0.1, 1), DrainS: float64(rng.IntN(2))},
 		{AtS: between(1, 10), What: "change-routers", Count: max(1, routers*2/3), DownS: between(0.1, 1)},
@@ -64,23 +66,27 @@
 	return f, f.check()
 }
 
-// FaultyServers is a scenario in which two cache servers break off all their answers for a time, one after the other, and answer probes; quorum is of
-// routers whose word has all leave one out, 0 = each finds out by itself.
+// FaultyServers returns a scenario in which two cache servers, one after the other, break off all their
+// answers for a time but still answer probes. quorum is the number of routers whose reports make all
+// routers eject a server; 0 means that each router decides on its own.
 func FaultyServers(seed uint64, routers, quorum int) (File, error) {
 	f, err := Load("drains")
 	if err != nil {
 		return f, err
 	}
 	f.Name, f.About = "suspects", "Two cache servers break off their answers, one after the other."
-	f.Seed, f.Load.Seed, f.Fleet.Routers, f.Fleet.Out.Quorum, f.Fleet.Coordinators, f.DurationS = seed, seed, routers, quorum, 3, 28
-	f.WarmS = 4 // until routers know their servers
+	f.Seed, f.Load.Seed, f.Fleet.Routers, f.Fleet.Out.Quorum, f.Fleet.Coordinators, f.DurationS =
+		seed, seed, routers, quorum, 3, 28
+	f.WarmS = 4 // until the routers have received their endpoint lists
 	f.Expect = Expect{Served: 100}
-	f.Faults = []Fault{{AtS: 8, What: "spoil", Spoil: "cut", Answers: 1, Count: 1, ForS: 7}, {AtS: 18, What: "spoil", Spoil: "cut", Answers: 1, Count: 1, ForS: 7}}
+	f.Faults = []Fault{
+		{AtS: 8, What: "spoil", Spoil: "cut", Answers: 1, Count: 1, ForS: 7},
+		{AtS: 18, What: "spoil", Spoil: "cut", Answers: 1, Count: 1, ForS: 7}}
 	return f, f.check()
 }
 
-// CrashPoints is a calm and short scenario in which operators release all routers, or change all cache servers, one at a time: for kills at
-// the steps of their tool.
+// CrashPoints returns a short scenario without further faults in which operators release all routers, or
+// else change all cache servers, one at a time. It is played with kills at the steps of the operators' tool.
 func CrashPoints(seed uint64, release bool) (File, error) {
 	f, err := Release(seed, 2, 3, "", true)
 	if err != nil {
--- a/lab/scenario/fixture_test.go
+++ b/lab/scenario/fixture_test.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Operators keep scenario files for years. The files in testdata hold every key of three shipped
-// scenarios, as an earlier version wrote them. A version that renamed a key would reject such a
-// file, and one that read a key into another field would write it back with another value.
-func TestScenarioFilesOfAnEarlierVersionMeanTheSame(t *testing.T) {
+// Operators keep scenario files for years. The files in testdata contain every key of three shipped
+// scenarios, as written by an earlier version. Renaming a key would reject such a file, and reading a
+// key into another field would write it back with another value.
+func TestScenarioFilesOfEarlierVersionKeepTheirMeaning(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) != 3 {
 		t.Fatalf("fixtures: %v, error %v", files, err)
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads scenario files: a fleet, a load, a time line of faults and what must hold. The same files are for
-// the laboratory on loopback and in virtual time. docs/laboratory.md describes each key.
+// Package scenario reads scenario files: a fleet, a load, a timeline of faults and the expected results. The
+// same files are played with real processes on loopback and in virtual time. docs/laboratory.md describes
+// each key.
 package scenario
 
 import (
@@ -20,14 +21,14 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// File is a scenario.
+// File is one scenario. Its durations are in seconds or milliseconds, as the suffix of the name says.
 type File struct {
 	Version   int                   `toml:"version"`
-	Base      string                `toml:"base"` // a shipped scenario whose keys hold where this one is silent; lists are taken whole
+	Base      string                `toml:"base"` // shipped scenario that provides missing keys; lists are replaced whole
 	Name      string                `toml:"name"`
 	About     string                `toml:"about"`
 	DurationS float64               `toml:"duration_s"` // of the load, once the routers are ready
-	WarmS     float64               `toml:"warm_s"`     // at its beginning, not counted in what must hold
+	WarmS     float64               `toml:"warm_s"`     // warm-up at its beginning, ignored by the expectations
 	Seed      uint64                `toml:"seed"`
 	Fleet     Fleet                 `toml:"fleet"`
 	Kinds     []Kind                `toml:"kind"`
@@ -39,38 +40,39 @@
 	Expect    Expect                `toml:"expect"`
 }
 
-// Fleet describes the routers and where all stand.
+// Fleet describes the routers, the zones and the network between them.
 type Fleet struct {
 	Routers      int      `toml:"routers"`
 	Zones        []string `toml:"zones"`
-	Relays       bool     `toml:"relays"`        // a relay between each router and each server, where faults of the network need one
-	ZoneDelayMS  float64  `toml:"zone_delay_ms"` // one way, between zones; needs relays
-	MemoryMB     int      `toml:"memory_mb"`     // of a router
-	Sockets      int      `toml:"sockets"`       // of a router
+	Relays       bool     `toml:"relays"`        // a relay between each router and server, as network faults require
+	ZoneDelayMS  float64  `toml:"zone_delay_ms"` // one-way delay between zones; needs relays
+	MemoryMB     int      `toml:"memory_mb"`     // limit for each router
+	Sockets      int      `toml:"sockets"`       // limit for each router
 	MaxAttempts  int      `toml:"max_attempts"`
 	Probes       bool     `toml:"probes"`
 	RetryAfter   bool     `toml:"retry_after"`
 	Cancel       bool     `toml:"cancel"`
-	AskList      bool     `toml:"ask_list"`      // discovery is asked; else it is an agent that answers at once
-	DrainGrace   float64  `toml:"drain_grace_s"` // the rule on drains
-	NoticeMS     float64  `toml:"notice_ms"`     // the front notices a router's death this much later
-	Cells        int      `toml:"cells"`         // servers are dealt into so many cells
-	Operator     string   `toml:"operator"`      // an operator file, for each router
-	Coordinators int      `toml:"coordinators"`  // 0 to 9; the routers are their clients, and one probes a server for all
-	Warm         bool     `toml:"warm"`          // servers begin with the most popular keys in memory
-	Out          Out      `toml:"out"`           // budgets of who may be out; needs coordinators
+	AskList      bool     `toml:"ask_list"`      // routers query discovery; otherwise it is an agent that answers at once
+	DrainGrace   float64  `toml:"drain_grace_s"` // seconds that the drain rule allows
+	NoticeMS     float64  `toml:"notice_ms"`     // delay until the front detects that a router has exited
+	Cells        int      `toml:"cells"`         // number of cells into which the servers are divided
+	Operator     string   `toml:"operator"`      // operator file for each router
+	Coordinators int      `toml:"coordinators"`  // 0 to 9; with them one router probes a server for all
+	Warm         bool     `toml:"warm"`          // servers start with the most popular keys in memory
+	Out          Out      `toml:"out"`           // budgets for routers and servers that are out; needs coordinators
 }
 
-// Out bounds what may be out at once by the fleet's agreement; all 0: it is off.
+// Out limits how many routers and cache servers may be out at the same time, as the coordinators enforce it.
+// The zero value turns it off.
 type Out struct {
 	Routers int     `toml:"routers"`
 	Servers int     `toml:"servers"`
-	WarmS   float64 `toml:"warm_s"` // one that is back counts as out for so long
-	Quorum  int     `toml:"quorum"` // so many routers must find a server bad for all to leave it out; 0 = each for itself
-	Busy    float64 `toml:"busy"`   // where the fleet refuses or fails more than this share, nothing new goes out; 0 = whatever it does
+	WarmS   float64 `toml:"warm_s"` // how long one that has returned still counts as out
+	Quorum  int     `toml:"quorum"` // routers that must report a server before all eject it; 0 = each on its own
+	Busy    float64 `toml:"busy"`   // no new permits while a larger share of requests is not served; 0 = no limit
 }
 
-// On reports whether there are budgets.
+// On reports whether any budget is set.
 func (o Out) On() bool { return o.Routers > 0 || o.Servers > 0 }
 
 // Kind is a kind of cache server.
@@ -80,56 +82,62 @@
 	Model model.Params `toml:"model"`
 }
 
-// Fault is one trouble on the time line.
+// Fault is one fault on the timeline.
 type Fault struct {
 	AtS      float64  `toml:"at_s"`
 	What     string   `toml:"what"`
-	ForS     float64  `toml:"for_s"`    // until it is over; 0 = to the end of the run
-	Share    float64  `toml:"share"`    // of servers or routers that it meets, 0 to 1
-	Count    int      `toml:"count"`    // so many of them, where share is 0
-	Servers  []string `toml:"servers"`  // or these, by id
-	Spoil    string   `toml:"spoil"`    // spoil: how
-	Answers  float64  `toml:"answers"`  // spoil: share of the answers
-	BytesS   float64  `toml:"bytes_s"`  // slow: of answers
-	DelayMS  float64  `toml:"delay_ms"` // network: one way
+	ForS     float64  `toml:"for_s"`    // duration; 0 = to the end of the run
+	Share    float64  `toml:"share"`    // share of servers or routers affected, 0 to 1
+	Count    int      `toml:"count"`    // number of servers or routers affected if Share is 0
+	Servers  []string `toml:"servers"`  // or the IDs of the affected servers
+	Spoil    string   `toml:"spoil"`    // spoil: kind of damage
+	Answers  float64  `toml:"answers"`  // spoil: share of answers affected
+	BytesS   float64  `toml:"bytes_s"`  // slow: bytes per second of answers
+	DelayMS  float64  `toml:"delay_ms"` // network: one-way delay
 	Batch    int      `toml:"batch"`    // deploy, roll: how many at a time
-	DrainS   float64  `toml:"drain_s"`  // deploy, shrink: between the word that one leaves and its end
-	DownS    float64  `toml:"down_s"`   // deploy, roll: between an end and the next start
-	Versions int64    `toml:"versions"` // rewind: back by so many
+	DrainS   float64  `toml:"drain_s"`  // deploy, shrink: time between announcing a removal and the stop
+	DownS    float64  `toml:"down_s"`   // deploy, roll: time between the stop and the restart
+	Versions int64    `toml:"versions"` // rewind: number of versions to go back
 }
 
-// Expect is what must hold. A rule broken is never borne.
+// Expect holds the expectations of a run. A broken rule fails a run regardless of them.
 type Expect struct {
-	Service float64 `toml:"service"`   // at least this share of the worth, after the warm-up
-	Served  int     `toml:"served"`    // at least so many requests served
-	Tail    float64 `toml:"tail"`      // at least this share of the worth in the last fifth of the run: it has healed
-	Tries   float64 `toml:"attempts"`  // at most so many attempts for a request; 0 = no bound
-	Rude    bool    `toml:"rude_told"` // misbehaving clients are each told or closed on
+	Service float64 `toml:"service"`   // minimum share of the worth gained after the warm-up
+	Served  int     `toml:"served"`    // minimum number of requests served
+	Tail    float64 `toml:"tail"`      // minimum share of the worth in the last fifth of the run: the fleet has recovered
+	Tries   float64 `toml:"attempts"`  // maximum of attempts per request; 0 = no limit
+	Rude    bool    `toml:"rude_told"` // each misbehaving client gets an error or is disconnected
 }
 
-// Kinds of faults, and which of the further keys each needs.
-var what = map[string][]string{
+// faultRequirements maps each kind of fault to the further keys that it needs.
+var faultRequirements = map[string][]string{
 	"crash": {"part"}, "silence": {"part"}, "spoil": {"part", "spoil"}, "slow": {"part", "bytes_s"}, "shrink": {"part"},
-	"deploy": {"part", "batch"}, "roll": {"batch"}, "discovery-down": nil, "watches-silent": nil, "rewind": {"versions"}, "origin-busy": nil,
+	"deploy": {"part", "batch"}, "roll": {"batch"}, "discovery-down": nil, "watches-silent": nil,
+	"rewind": {"versions"}, "origin-busy": nil,
 	"partition-there": {"part", "relays"}, "partition-back": {"part", "relays"}, "partition": {"part", "relays"},
-	"delay": {"part", "relays", "delay_ms"}, "rude": nil, "upgrade": nil, "release": nil, "reload": nil, "move-discovery": nil, "discovery-silent": nil, "end-routers": {"part"}, "signals": {"part"}, "upgrade-one": nil, "crowd": nil,
+	"delay": {"part", "relays", "delay_ms"}, "rude": nil, "upgrade": nil, "release": nil, "reload": nil,
+	"move-discovery": nil, "discovery-silent": nil, "end-routers": {"part"}, "signals": {"part"},
+	"upgrade-one": nil, "crowd": nil,
 	"coordinators-die": {"coordinators"}, "coordinator-dies": {"coordinators"},
-	"change-servers": {"part", "out"}, "change-routers": {"part", "out"}, "release-routers": {"out"}, "kill-routers": {"part"}, "stop-routers": {"part"}, "cut-routers": {"part", "out"}, "tools-die": {"count", "out"}, "tools-stop": {"count", "out"},
+	"change-servers": {"part", "out"}, "change-routers": {"part", "out"}, "release-routers": {"out"},
+	"kill-routers": {"part"}, "stop-routers": {"part"}, "cut-routers": {"part", "out"},
+	"tools-die": {"count", "out"}, "tools-stop": {"count", "out"},
 }
 
-// FaultNames lists the faults that a scenario may name.
+// FaultNames returns the names of all kinds of faults, sorted.
 func FaultNames() (names []string) {
-	for name := range what {
+	for name := range faultRequirements {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Defaults are what a scenario leaves out.
+// Defaults returns the values of the keys that a scenario leaves out.
 func Defaults() File {
 	return File{DurationS: 20, WarmS: 3, Seed: 1, Load: load.Defaults(),
-		Fleet: Fleet{Routers: 2, Zones: []string{"a"}, MemoryMB: 64, Sockets: 512, MaxAttempts: 3, Probes: true, RetryAfter: true,
+		Fleet: Fleet{Routers: 2, Zones: []string{"a"}, MemoryMB: 64, Sockets: 512, MaxAttempts: 3,
+			Probes: true, RetryAfter: true,
 			Cancel: true, AskList: true, DrainGrace: 2, NoticeMS: 1500, Cells: 2, Warm: true},
 		Origin:    model.Params{Cores: 8, Speed: 1, Queue: 200, Origin: true, ReportEveryMS: 250, KeyedMS: 3000},
 		Discovery: model.DirectoryParams{LateMS: [2]float64{500, 1500}, CallsPerS: 40, TimeoutMS: 2000}}
@@ -138,7 +146,7 @@
 //go:embed files/*.toml files/agreement/*.toml
 var shipped embed.FS
 
-// Shipped lists the scenarios that come with the laboratory.
+// Shipped returns the names of the scenarios built into the program.
 func Shipped() (names []string) {
 	files, _ := fs.Glob(shipped, "files/*.toml") // the pattern is well-formed
 	for _, f := range files {
@@ -147,7 +155,7 @@
 	return names
 }
 
-// Load reads a scenario: a file, or one that is shipped by its name.
+// Load reads a scenario: a file if name contains a slash or a dot, otherwise a shipped scenario.
 func Load(name string) (File, error) {
 	if !strings.ContainsAny(name, "/.") {
 		text, err := shipped.ReadFile("files/" + name + ".toml")
@@ -163,7 +171,7 @@
 	return Parse(name, text)
 }
 
-// Parse reads a scenario from its text.
+// Parse parses and checks the text of a scenario; name identifies it in errors.
 func Parse(name string, text []byte) (File, error) {
 	f := Defaults()
 	if err := f.decode(name, text, 0); err != nil {
@@ -172,11 +180,11 @@
 	if err := f.check(); err != nil {
 		return File{}, fmt.Errorf("%s: %w", name, err)
 	}
-	f.finish()
+	f.deriveLoad()
 	return f, nil
 }
 
-// With is the scenario with one key changed, as "load.rate" and a value in TOML.
+// With returns the scenario with one key changed, such as "load.rate"; value is in TOML syntax.
 func (f File) With(key, value string) (File, error) {
 	if err := f.decode(key+" = "+value, []byte(key+" = "+value), 0); err != nil {
 		return File{}, err
@@ -184,28 +192,30 @@
 	if err := f.check(); err != nil {
 		return File{}, fmt.Errorf("%s = %s: %w", key, value, err)
 	}
-	f.finish()
+	f.deriveLoad()
 	return f, nil
 }
 
-// finish hands to the load what it takes from the rest of the scenario.
-func (f *File) finish() {
+// deriveLoad sets the load parameters that follow from the rest of the scenario.
+func (f *File) deriveLoad() {
 	f.Load.Classes, f.Load.Seed, f.Load.Zones, f.Load.FromMS = f.Classes, f.Seed, nil, f.WarmS*1000
-	for i, z := range f.Fleet.Zones { // uneven on purpose: the first zone has more traffic than its share
+	for i, z := range f.Fleet.Zones { // uneven on purpose: earlier zones get more traffic than later ones
 		f.Load.Zones = append(f.Load.Zones, load.Zone{Name: z, Share: 1 + 0.5*float64(len(f.Fleet.Zones)-1-i)})
 	}
 }
 
-// maxBases bounds how many scenarios may stand under one another.
+// maxBases limits the depth of a chain of base scenarios.
 const maxBases = 8
 
-// decode reads a text over what its bases say. Keys that the file does not name keep their value; lists are taken whole.
+// decode decodes the text on top of its base scenarios. Keys that the text does not contain keep their value;
+// lists are replaced as a whole.
 func (f *File) decode(name string, text []byte, depth int) error {
 	var first struct{ Base string }
-	if toml.Unmarshal(text, &first) == nil && first.Base != "" { // what else is wrong shows below
+	if toml.Unmarshal(text, &first) == nil && first.Base != "" { // other errors are reported by DecodeTOML below
 		base, err := shipped.ReadFile("files/" + first.Base + ".toml")
 		if err != nil || depth == maxBases {
-			return configerror.Problem{File: name, Setting: "base", Reason: fmt.Sprintf("%q is not shipped, or stands on itself", first.Base)}
+			return configerror.Problem{File: name, Setting: "base",
+				Reason: fmt.Sprintf("%q is not shipped, or its chain of bases is too long or circular", first.Base)}
 		}
 		if err := f.decode(first.Base, base, depth+1); err != nil {
 			return err
@@ -224,7 +234,7 @@
 	return err
 }
 
-// check names the first key that is missing or impossible.
+// check returns an error that names the first key that is missing or invalid.
 func (f *File) check() error {
 	bad := func(key string, v any) error { return fmt.Errorf("%s: impossible value %v", key, v) }
 	switch {
@@ -239,7 +249,8 @@
 	case f.Fleet.Coordinators < 0 || f.Fleet.Coordinators > 9:
 		return bad("fleet.coordinators", f.Fleet.Coordinators)
 	case f.Fleet.Coordinators > 0 && f.Fleet.Operator != "":
-		return errors.New("fleet.coordinators: the routers' operator file is the laboratory's then, and fleet.operator must not name another")
+		return errors.New("fleet.coordinators: the laboratory then writes the routers' operator file," +
+			" and fleet.operator must not name another")
 	case len(f.Fleet.Zones) == 0:
 		return errors.New("fleet.zones: none")
 	case f.Fleet.ZoneDelayMS > 0 && !f.Fleet.Relays:
@@ -267,7 +278,7 @@
 	}
 	for i, c := range f.Classes {
 		if c.Name == "" || !(c.Share > 0) || !(c.AimMS > 0) || !(c.LimitMS > 0) || !(c.Worth > 0) || !(c.WorkMS > 0) {
-			return fmt.Errorf("class[%d]: name, share, aim_ms, deadline_ms, worth and work_ms must be there and above 0", i)
+			return fmt.Errorf("class[%d]: name, share, aim_ms, deadline_ms, worth and work_ms must be set and above 0", i)
 		}
 		if c.Effect != "repeatable" && c.Effect != "by_key" && c.Effect != "once" {
 			return bad(fmt.Sprintf("class[%d].effect", i), c.Effect)
@@ -277,17 +288,21 @@
 		}
 	}
 	for i, t := range f.Faults {
-		needs, ok := what[t.What]
+		needs, ok := faultRequirements[t.What]
 		at := fmt.Sprintf("fault[%d].", i)
 		if !ok {
 			return fmt.Errorf("%swhat: %q is none of %s", at, t.What, strings.Join(FaultNames(), ", "))
 		}
 		for _, n := range needs {
-			lacks := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0, "spoil": !slices.Contains(fakes.Spoils, t.Spoil) || t.Answers <= 0,
-				"bytes_s": t.BytesS <= 0, "batch": t.Batch < 1, "relays": !f.Fleet.Relays, "coordinators": f.Fleet.Coordinators == 0, "versions": t.Versions < 1, "count": t.Count < 1, "out": !f.Fleet.Out.On() || f.Fleet.Coordinators == 0, "delay_ms": t.DelayMS <= 0}[n]
-			if lacks {
+			isMissing := map[string]bool{"part": t.Share <= 0 && t.Count <= 0 && len(t.Servers) == 0,
+				"spoil":   !slices.Contains(fakes.Spoils, t.Spoil) || t.Answers <= 0,
+				"bytes_s": t.BytesS <= 0, "batch": t.Batch < 1, "relays": !f.Fleet.Relays,
+				"coordinators": f.Fleet.Coordinators == 0, "versions": t.Versions < 1, "count": t.Count < 1,
+				"out": !f.Fleet.Out.On() || f.Fleet.Coordinators == 0, "delay_ms": t.DelayMS <= 0}[n]
+			if isMissing {
 				return fmt.Errorf("%swhat: %s needs %s", at, t.What, map[string]string{"part": "share, count or servers",
-					"spoil": "spoil (" + strings.Join(fakes.Spoils, ", ") + ") and answers", "relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
+					"spoil":  "spoil (" + strings.Join(fakes.Spoils, ", ") + ") and answers",
+					"relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
 					map[bool]string{true: n}[n != "part" && n != "spoil" && n != "relays"])
 			}
 		}
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestShippedScenariosAreWhole(t *testing.T) {
+func TestShippedScenariosAreComplete(t *testing.T) {
 	if len(Shipped()) < 10 {
 		t.Errorf("%v", Shipped())
 	}
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestInvalidScenarioErrorNamesTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"version = 1\nbase = \"calm\"\nname = \"x\"\nfurther = 1\n":                                                          "x:4: further: unknown key",
 		"version = 1\nbase = \"none\"\nname = \"x\"\n":                                                                       `base: "none" is not shipped`,
@@ -53,7 +53,8 @@
 		t.Fatal(err)
 	}
 	g, err := f.With("load.rate", "77")
-	if err != nil || g.Load.Rate != 77 || f.Load.Rate == 77 || len(g.Faults) != len(f.Faults) || len(g.Kinds) != len(f.Kinds) || g.Load.Zipf != f.Load.Zipf {
+	if err != nil || g.Load.Rate != 77 || f.Load.Rate == 77 || len(g.Faults) != len(f.Faults) ||
+		len(g.Kinds) != len(f.Kinds) || g.Load.Zipf != f.Load.Zipf {
 		t.Errorf("%v: %+v", err, g.Load)
 	}
 	if _, err := f.With("load.rat", "77"); err == nil || !strings.Contains(err.Error(), "load.rat: unknown key") {
