--- a/cmd/dockhinge-lab/experiments.go
+++ b/cmd/dockhinge-lab/experiments.go
@@ -18,7 +18,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// applySettings returns the scenario with the given keys changed; each setting has the form KEY=VALUE.
+// applySettings returns the scenario with the given keys changed; each setting has the form
+// KEY=VALUE.
 func applySettings(f scenario.File, sets []string) (scenario.File, error) {
 	for _, s := range sets {
 		key, value, ok := strings.Cut(s, "=")
--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -150,8 +150,8 @@
 	return cmd
 }
 
-// buildWithMutants builds router and coordinator with the tag mutants, which compiles in deliberate bugs
-// that an environment variable activates, and returns the commands that start them.
+// buildWithMutants builds router and coordinator with the tag mutants, which compiles in deliberate
+// bugs that an environment variable activates, and returns the commands that start them.
 func buildWithMutants(ctx context.Context) (router, coord []string, err error) {
 	dir, err := filepath.Abs("bin/mutants")
 	if err != nil {
@@ -166,8 +166,8 @@
 	return []string{filepath.Join(dir, "dockhinge"), "serve"}, []string{filepath.Join(dir, "dockhinge-coord")}, nil
 }
 
-// buildWithFaults builds the coordinator and this program with the tags faults and mutants, and returns the
-// directory of the programs.
+// buildWithFaults builds the coordinator and this program with the tags faults and mutants, and
+// returns the directory of the programs.
 func buildWithFaults(ctx context.Context) (string, error) {
 	dir, err := filepath.Abs("bin/faults")
 	if err != nil {
--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -21,8 +21,8 @@
 	workers       int
 }
 
-// sendLoad sends load to routers that this program did not start. Only the rules that a client can observe
-// are checked.
+// sendLoad sends load to routers that this program did not start. Only the rules that a client can
+// observe are checked.
 func sendLoad(ctx context.Context, addrs []string, o loadFlags) error {
 	f, err := scenario.Load("calm")
 	if err != nil {
--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -1,5 +1,5 @@
-// Command dockhinge-lab runs experiments on a fleet on loopback: simulated cache servers, origin and
-// discovery, real router processes, generated load and injected faults.
+// Command dockhinge-lab runs experiments on a fleet on loopback: simulated cache servers, origin
+// and discovery, real router processes, generated load and injected faults.
 package main
 
 import (
@@ -22,7 +22,8 @@
 	"dockhinge.example/dockhinge/lab/scenario"
 )
 
-// errExpectationFailed means that a run was played and a rule or expectation failed, which is already printed.
+// errExpectationFailed means that a run was played and a rule or expectation failed, which is
+// already printed.
 var errExpectationFailed = errors.New("something did not hold")
 
 func main() {
@@ -64,8 +65,8 @@
 	return r
 }
 
-// routerCommandLine returns the command that starts one router: the given one, or if that is empty the router
-// of this repository, which is built first.
+// routerCommandLine returns the command that starts one router: the given one, or if that is empty
+// the router of this repository, which is built first.
 func routerCommandLine(ctx context.Context, given string) ([]string, error) {
 	if given != "" {
 		return strings.Fields(given), nil
@@ -87,7 +88,8 @@
 	return []string{path, "serve"}, nil
 }
 
-// coordinatorCommandLine returns the command that starts one coordinator; routerCommandLine has built it.
+// coordinatorCommandLine returns the command that starts one coordinator; routerCommandLine has
+// built it.
 func coordinatorCommandLine() []string {
 	path, err := filepath.Abs("bin/dockhinge-coord")
 	if err != nil {
@@ -159,8 +161,8 @@
 	return cmd
 }
 
-// playAndReport plays a scenario, prints its result and writes the report if --out names a file. With
-// printAddresses it first prints the routers' addresses.
+// playAndReport plays a scenario, prints its result and writes the report if --out names a file.
+// With printAddresses it first prints the routers' addresses.
 func playAndReport(ctx context.Context, f scenario.File, c commonFlags, printAddresses bool) error {
 	command, err := routerCommandLine(ctx, c.router)
 	if err != nil {
--- a/cmd/dockhinge-lab/observer_cost.go
+++ b/cmd/dockhinge-lab/observer_cost.go
@@ -9,7 +9,8 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// observerCostCommand measures what coordinators and observers cost while many routers watch, without faults.
+// observerCostCommand measures what coordinators and observers cost while many routers watch,
+// without faults.
 func observerCostCommand() *cobra.Command {
 	var routers []int
 	var coordinators, observers, puts int
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -14,8 +14,8 @@
 	"dockhinge.example/dockhinge/lab/simulation"
 )
 
-// outlierSharingCommand plays runs in which cache servers break off their answers, with and without routers
-// that share their outlier reports, on the same seeds.
+// outlierSharingCommand plays runs in which cache servers break off their answers, with and without
+// routers that share their outlier reports, on the same seeds.
 func outlierSharingCommand() *cobra.Command {
 	var seeds, side, routers, quorum int
 	var from uint64
--- a/cmd/dockhinge-lab/regression.go
+++ b/cmd/dockhinge-lab/regression.go
@@ -101,7 +101,8 @@
 	return sites
 }
 
-// listChangedFiles returns the files that differ from a revision, including uncommitted and untracked ones.
+// listChangedFiles returns the files that differ from a revision, including uncommitted and
+// untracked ones.
 func listChangedFiles(ctx context.Context, rev string) ([]string, error) {
 	var all []string
 	for _, args := range [][]string{{"diff", "--name-only", rev}, {"ls-files", "--others", "--exclude-standard"}} {
--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -100,8 +100,8 @@
 	return cmd
 }
 
-// plotReleases plots the share of requests served in time by second, and for release days the share of
-// routers and servers that were out, as an SVG file.
+// plotReleases plots the share of requests served in time by second, and for release days the share
+// of routers and servers that were out, as an SVG file.
 func plotReleases(path string, jobs []playedDay) error {
 	var lines []report.Line
 	for _, p := range jobs {
@@ -135,8 +135,8 @@
 	return report.Plot(path, "A release of all routers and cache servers", "per cent", lines)
 }
 
-// playDays simulates the days concurrently and stores the results in jobs. The results do not depend on the
-// number of workers.
+// playDays simulates the days concurrently and stores the results in jobs. The results do not
+// depend on the number of workers.
 func playDays(jobs []playedDay, workers int, probeMillis float64) error {
 	next := make(chan int)
 	errs := make([]error, len(jobs))
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// printDayTable prints the mean figures of a kind of day over its seeds and, if before is not nil, how they
-// differ from those of the same days in before.
+// printDayTable prints the mean figures of a kind of day over its seeds and, if before is not nil,
+// how they differ from those of the same days in before.
 func printDayTable(w io.Writer, day string, jobs, before []playedDay) error {
 	var names []string
 	var now, diff [][]float64
@@ -224,8 +224,8 @@
 	return all
 }
 
-// printSlowStartTable prints, for each day in which servers were started, the slow-start window in which the
-// most was sent to a server.
+// printSlowStartTable prints, for each day in which servers were started, the slow-start window in
+// which the most was sent to a server.
 func printSlowStartTable(w io.Writer, jobs []playedDay) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "day\trouters\tservers\tseed\tcold starts\tover\tbroken\tage, ms\tN\tsent\ttold\tbound"+
--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// playSeed plays one seed and returns a description of the result. The logs of a run that kept all rules
-// are removed. An error means that the seed could not be played.
+// playSeed plays one seed and returns a description of the result. The logs of a run that kept all
+// rules are removed. An error means that the seed could not be played.
 func playSeed(
 	ctx context.Context, o soakOptions, seed uint64, command []string,
 ) (text string, hasPassed bool, err error) {
--- a/lab/report/compare.go
+++ b/lab/report/compare.go
@@ -12,10 +12,10 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// metric is a figure of a run.
+// metric is a figure that can be computed for each run.
 type metric struct {
-	name string
-	of   func(r fleet.Result) float64
+	name  string
+	value func(r fleet.Result) float64
 }
 
 var metrics = []metric{
@@ -24,10 +24,10 @@
 	{"attempts a request", func(r fleet.Result) float64 { return r.AttemptsPerRequest }},
 	{"refused, share", func(r fleet.Result) float64 { return unservedShare(r, true) }},
 	{"failed, share", func(r fleet.Result) float64 { return unservedShare(r, false) }},
-	{"p99 of the first class, ms", func(r fleet.Result) float64 { return r.Load.Classes[largest(r)].P99MS }},
+	{"p99 of the first class, ms", func(r fleet.Result) float64 { return r.Load.Classes[largestClass(r)].P99MS }},
 	{"CPU of all routers, ms a request", func(r fleet.Result) float64 {
 		sum, asked := 0.0, 0
-		for _, u := range peaks(r) {
+		for _, u := range peakUsage(r) {
 			sum += u.CPUMS
 		}
 		for _, c := range r.Load.Classes {
@@ -37,7 +37,7 @@
 	}},
 	{"peak memory of a router, MB", func(r fleet.Result) float64 {
 		most := 0.0
-		for _, u := range peaks(r) {
+		for _, u := range peakUsage(r) {
 			most = max(most, u.RSSMB)
 		}
 		return most
@@ -62,6 +62,7 @@
 	{"broken rules", func(r fleet.Result) float64 { return float64(len(r.Breaches)) }},
 }
 
+// unservedShare returns the share of requests that were refused, or else of those that failed.
 func unservedShare(r fleet.Result, refused bool) float64 {
 	n, of := 0, 0
 	for _, c := range r.Load.Classes {
@@ -74,9 +75,9 @@
 	return float64(n) / math.Max(1, float64(of))
 }
 
-// largest is the class with the most requests.
-func largest(r fleet.Result) (name string) {
-	for _, n := range sorted(r.Load.Classes) {
+// largestClass returns the name of the class with the most requests.
+func largestClass(r fleet.Result) (name string) {
+	for _, n := range sortedKeys(r.Load.Classes) {
 		if name == "" || r.Load.Classes[n].Asked > r.Load.Classes[name].Asked {
 			name = n
 		}
@@ -84,18 +85,18 @@
 	return name
 }
 
-// Difference is how much a figure of B is above that of A.
+// Difference compares one figure between the runs of A and those of B.
 type Difference struct {
 	Name       string  `json:"name"`
 	A, B       float64 // means
 	Mean       float64 // of B - A, pair by pair
-	Low, High  float64 // the 95% confidence interval of it, by Student's t over the pairs
+	Low, High  float64 // 95% confidence interval of Mean, by Student's t over the pairs
 	Pairs      int
-	Conclusive bool // the interval leaves 0 out
+	Conclusive bool // the interval does not contain 0
 }
 
-// Compare holds runs of B against runs of A, pair by pair: each pair was played with one seed, one after the other. With
-// fewer than two pairs there is no interval.
+// Compare compares the runs of B with those of A, pair by pair; both runs of a pair have the same
+// seed. With fewer than two pairs the confidence interval is infinite.
 func Compare(a, b []fleet.Result) (all []Difference) {
 	n := min(len(a), len(b))
 	if n == 0 {
@@ -104,12 +105,14 @@
 	for _, m := range metrics {
 		var as, bs, ds []float64
 		for i := range n {
-			x, y := m.of(a[i]), m.of(b[i])
+			x, y := m.value(a[i]), m.value(b[i])
 			as, bs, ds = append(as, x), append(bs, y), append(ds, y-x)
 		}
-		d := Difference{Name: m.name, A: stat.Mean(as, nil), B: stat.Mean(bs, nil), Mean: stat.Mean(ds, nil), Pairs: n, Low: math.Inf(-1), High: math.Inf(1)}
+		d := Difference{Name: m.name, A: stat.Mean(as, nil), B: stat.Mean(bs, nil), Mean: stat.Mean(ds, nil),
+			Pairs: n, Low: math.Inf(-1), High: math.Inf(1)}
 		if n > 1 {
-			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975) * stat.StdDev(ds, nil) / math.Sqrt(float64(n))
+			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(0.975) *
+				stat.StdDev(ds, nil) / math.Sqrt(float64(n))
 			d.Low, d.High = d.Mean-half, d.Mean+half
 			d.Conclusive = d.Low > 0 || d.High < 0
 		}
@@ -118,7 +121,7 @@
 	return all
 }
 
-// CompareTable prints differences for the terminal.
+// CompareTable writes the differences as a text table.
 func CompareTable(w io.Writer, all []Difference) {
 	t := tabwriter.NewWriter(w, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\t A\t B\t B - A\t 95% from\t to\t \t")
@@ -132,7 +135,8 @@
 	t.Flush()
 }
 
-// SweepTable prints a figure by the values of a parameter.
+// SweepTable writes a text table with all figures for each value of a parameter; runs[i] belongs to
+// values[i].
 func SweepTable(w io.Writer, key string, values []string, runs []fleet.Result) {
 	t := tabwriter.NewWriter(w, 2, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s\t", key)
@@ -143,7 +147,7 @@
 	for i, r := range runs {
 		fmt.Fprintf(t, "%s\t", values[i])
 		for _, m := range metrics {
-			fmt.Fprintf(t, "%.3f\t", m.of(r))
+			fmt.Fprintf(t, "%.3f\t", m.value(r))
 		}
 		fmt.Fprintln(t)
 	}
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -19,24 +19,26 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Colours that are told apart also by those who see red and green alike (Okabe and Ito).
+// seriesColors is the palette by Okabe and Ito, which readers with red-green color blindness can
+// distinguish.
 var seriesColors = []color.Color{
 	color.RGBA{0, 158, 115, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255},
-	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 120, 120, 255}, color.RGBA{0, 0, 0, 255},
+	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 120, 120, 255},
+	color.RGBA{0, 0, 0, 255},
 }
 
 type series struct {
-	name string
-	seconds   []float64
-	values    []float64
+	name    string
+	seconds []float64
+	values  []float64
 }
 
 const (
-	width, height = 24 * vg.Centimeter, 7 * vg.Centimeter
-	maxNamedSeries     = 10 // series of a plot that have a name; more are drawn thin and grey
+	width, height  = 24 * vg.Centimeter, 7 * vg.Centimeter
+	maxNamedSeries = 10 // a plot with more series draws them thin and gray, without a legend
 )
 
-// drawChart draws series over time with the faults marked, as SVG.
+// drawChart draws series over time as SVG, with a numbered dashed line at each mark.
 func drawChart(title, unit string, marks []fleet.Mark, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
@@ -96,17 +98,17 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", fmt.Errorf("plot %s: %w", title, err)
 	}
-	_, svg, _ := strings.Cut(b.String(), "<svg") // without the declarations of a file of its own
-	return template.HTML("<svg" + svg), nil      // drawn by the library from numbers; its texts are escaped there
+	_, svg, _ := strings.Cut(b.String(), "<svg") // drop the XML declarations, which only a separate file needs
+	return template.HTML("<svg" + svg), nil      // safe: the library draws it and escapes its texts
 }
 
-// Line is a series of a plot, by second.
+// Line is a series of a plot with one value per second.
 type Line struct {
-	Name string
-	Values    []float64
+	Name   string
+	Values []float64
 }
 
-// Plot writes a plot over time as an SVG file.
+// Plot writes a plot of the lines over time as an SVG file.
 func Plot(path, title, unit string, lines []Line) error {
 	var all []series
 	for _, l := range lines {
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// roundTicks are round seconds, about ten of them.
+// roundTicks returns ticks at round numbers of seconds, at most about a dozen.
 func roundTicks(low, high float64) (all []plot.Tick) {
 	step := 1.0
 	for _, s := range []float64{2, 5, 10, 30, 60, 300, 600} {
@@ -140,7 +142,7 @@
 	return all
 }
 
-// secondSeries makes one series of a load's seconds.
+// secondSeries returns a series with one value for each second of the load.
 func secondSeries(r fleet.Result, name string, of func(i int) float64) series {
 	s := series{name: name}
 	for i := range r.Load.Seconds {
@@ -149,7 +151,7 @@
 	return s
 }
 
-// usageSeries makes a series for each router.
+// usageSeries returns a series for each router, computed from consecutive samples.
 func usageSeries(r fleet.Result, of func(before, now fleet.Usage, dt float64) float64) (all []series) {
 	byName := map[string]*series{}
 	var names []string
@@ -174,7 +176,7 @@
 	return all
 }
 
-// heldTitle says so where there are too many servers for a legend.
+// heldTitle returns the title of the plot of requests held by n servers.
 func heldTitle(n int) string {
 	if n > maxNamedSeries {
 		return "Requests held by each server (too many to name: one grey line each)"
@@ -182,7 +184,8 @@
 	return "Requests held by each server"
 }
 
-// budgetSeries makes a series of steps for each budget of who may be budgetSeries, and one of its bound.
+// budgetSeries returns, for each budget, a step series of how many are out and one of how many are
+// allowed.
 func budgetSeries(r fleet.Result) (all []series) {
 	byName := map[string]*series{}
 	var names []string
@@ -209,7 +212,7 @@
 	return all
 }
 
-// drawCharts are the plots of a run.
+// drawCharts returns the plots of a run as SVG.
 func drawCharts(r fleet.Result) (all []template.HTML, err error) {
 	secs := r.Load.Seconds
 	held := map[string]*series{}
@@ -253,7 +256,9 @@
 		{heldTitle(len(servers)), "requests", servers},
 		{"Routers: resident memory", "MB", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
 		{"Routers: descriptors", "open", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
-		{"Routers: CPU", "share of a core", usageSeries(r, func(b, u fleet.Usage, dt float64) float64 { return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1) })},
+		{"Routers: CPU", "share of a core", usageSeries(r, func(b, u fleet.Usage, dt float64) float64 {
+			return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1)
+		})},
 		{"Out, whatever the reason, against the budgets", "routers or servers", budgetSeries(r)},
 	} {
 		if len(c.lines) == 0 {
@@ -293,8 +298,8 @@
 {{end}}</body></html>
 `))
 
-// Write writes runs as one HTML page that needs nothing beside itself, and the same as JSON beside it. The first runs may
-// have names, and are shown in one plot then.
+// Write writes the runs to path as one self-contained HTML page, and as JSON to a file beside it.
+// names label the first runs; two or more of them are also drawn in one plot.
 func Write(path string, runs []fleet.Result, names ...string) error {
 	type shown struct {
 		fleet.Result
@@ -324,7 +329,8 @@
 			lines = append(lines, secondSeries(runs[i], name, func(j int) float64 { return secs[j].Gained }))
 		}
 		var err error
-		if beside, err = drawChart("Worth answered in aim, beside one another", "a second", runs[0].Marks, lines); err != nil {
+		if beside, err = drawChart("Worth answered in aim, beside one another", "a second",
+			runs[0].Marks, lines); err != nil {
 			return err
 		}
 	}
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -12,13 +12,16 @@
 	"dockhinge.example/dockhinge/lab/load"
 )
 
-func TestPageNeedsNothingBesideIt(t *testing.T) {
-	r := fleet.Result{Scenario: "crash <b>", Load: load.Result{Seconds: []load.Second{{Asked: 5, Served: 4, Worth: 5, Gained: 3, P50MS: 9, P99MS: 20}, {Asked: 3}},
-		Classes: map[string]load.ClassResult{"read": {Asked: 5}}}, AttemptsBySecond: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
+func TestPageFetchesNothing(t *testing.T) {
+	r := fleet.Result{Scenario: "crash <b>", Load: load.Result{
+		Seconds: []load.Second{{Asked: 5, Served: 4, Worth: 5, Gained: 3, P50MS: 9, P99MS: 20}, {Asked: 3}},
+		Classes: map[string]load.ClassResult{"read": {Asked: 5}}},
+		AttemptsBySecond: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
 		Samples: []fleet.Sample{{AtS: 0.5, Routers: map[string]fleet.Usage{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
 			{AtS: 1, Routers: map[string]fleet.Usage{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}}, Held: map[string]int{"s1": 4}}},
 		Breaches: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"},
-		Changes: []fleet.Change{{Resource: "server/s1", RequestedAtMS: 1000, StoppedAtMS: 2000, RunningAtMS: 3500, ToolRuns: 7}}}
+		Changes: []fleet.Change{{
+			Resource: "server/s1", RequestedAtMS: 1000, StoppedAtMS: 2000, RunningAtMS: 3500, ToolRuns: 7}}}
 	path := filepath.Join(t.TempDir(), "x.html")
 	if err := Write(path, []fleet.Result{r}); err != nil {
 		t.Fatal(err)
@@ -28,15 +31,16 @@
 		t.Fatal(err)
 	}
 	page := string(text)
-	if strings.Count(page, "<svg") != 8 || !strings.Contains(page, "crash of &lt;s1&gt;") || !strings.Contains(page, "copies: two out") {
-		t.Errorf("%d plots", strings.Count(page, "<svg"))
+	if strings.Count(page, "<svg") != 8 ||
+		!strings.Contains(page, "crash of &lt;s1&gt;") || !strings.Contains(page, "copies: two out") {
+		t.Errorf("want 8 plots, the mark and the breach; the page has %d plots", strings.Count(page, "<svg"))
 	}
 	if row := "<td>server/s1</td><td>1.0</td><td>2.0</td><td>3.5</td><td>7</td>"; !strings.Contains(page, row) {
 		t.Errorf("the page lacks the planned change %s", row)
 	}
 	for _, from := range []string{"src=", "<script", "<link", "@import", "url("} {
 		if strings.Contains(page, from) {
-			t.Errorf("the page fetches something: %s", from)
+			t.Errorf("the page refers to an external resource: %s", from)
 		}
 	}
 	text, err = os.ReadFile(strings.TrimSuffix(path, ".html") + ".json")
@@ -49,7 +53,7 @@
 	}
 }
 
-func TestCompareByPairs(t *testing.T) {
+func TestCompareUsesDifferencesWithinPairs(t *testing.T) {
 	run := func(service, attempts float64) fleet.Result {
 		return fleet.Result{Service: service, AttemptsPerRequest: attempts}
 	}
@@ -66,16 +70,17 @@
 		t.Errorf("service: %+v", d)
 	}
 	if d := got["attempts a request"]; d.Conclusive {
-		t.Errorf("noise taken for a difference: %+v", d)
+		t.Errorf("noise is reported as a difference: %+v", d)
 	}
 	if one := Compare(a[:1], b[:1]); one[0].Conclusive {
-		t.Errorf("one pair: %+v", one[0])
+		t.Errorf("conclusive after a single pair: %+v", one[0])
 	}
 }
 
-func TestTableTellsOfTimeoutHints(t *testing.T) {
+func TestTableShowsOverstatedTimeoutHints(t *testing.T) {
 	var text strings.Builder
-	Table(&text, fleet.Result{TimeoutHints: checker.TimeoutHintCounts{First: 40, FirstOverstated: 3, Further: 20, FurtherOverstated: 1}})
+	Table(&text, fleet.Result{
+		TimeoutHints: checker.TimeoutHintCounts{First: 40, FirstOverstated: 3, Further: 20, FurtherOverstated: 1}})
 	if !strings.Contains(text.String(), "3 of 40 first ones, 1 of 20 further ones") {
 		t.Error(text.String())
 	}
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -9,8 +9,8 @@
 	"dockhinge.example/dockhinge/internal/configerror"
 )
 
-// Agreement is a scenario of coordinators and leaseholders: which processes run and which faults may occur.
-// The order of faults depends on the seed alone.
+// Agreement is a scenario of coordinators and leaseholders: which processes run and which faults
+// may occur. The order of faults depends on the seed alone.
 type Agreement struct {
 	Version      int         `toml:"version"`
 	Name         string      `toml:"name"`
@@ -53,15 +53,16 @@
 	"cut-clients":  "c",  // cuts a coordinator off from all holders
 	"hold-answers": "hc", // a holder's requests arrive, but the answers are late
 	"hold-asks":    "hc", // a holder's requests are late
-	// A holder's answers are late and then missing: a period counted from the arrival of an answer would
-	// last too long.
+	// A holder's answers are late and then missing: a period counted from the arrival of an answer
+	// would last too long.
 	"slow-then-cut": "h",
 	"late-acts":     "h", // a holder's acts reach the resource late
 	// Faults of a coordinator's disk while the coordinator is down.
 	"damage": "c", "wipe": "c", "disk-full": "c", "restart-all": "",
 }
 
-// ParseAgreement parses the text of a scenario of coordinators and holders; path names it in errors.
+// ParseAgreement parses the text of a scenario of coordinators and holders; path names it in
+// errors.
 func ParseAgreement(path string, text []byte) (Agreement, error) {
 	f := Agreement{Seed: 1, DurationS: 20, HealS: 15, Coordinators: 5, Holders: 8, Leases: 3, TTLS: 2,
 		ClockRate: 0.01, SnapshotEach: 200, EveryS: 0.7}
@@ -117,8 +118,8 @@
 	for _, k := range f.Faults {
 		sum += k.Weight
 	}
-	// At most one fault per run destroys a disk: two lost disks and a third coordinator down would lose a
-	// majority.
+	// At most one fault per run destroys a disk: two lost disks and a third coordinator down would
+	// lose a majority.
 	once := map[string]bool{}
 	for at := rng.ExpFloat64() * f.EveryS; at < f.DurationS && sum > 0; at += rng.ExpFloat64() * f.EveryS {
 		u, i := rng.Float64()*sum, 0
--- a/lab/scenario/changes.go
+++ b/lab/scenario/changes.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// Release returns the scenario of Changes with a release of the routers in place of the planned changes.
-// spoil names the defect of the new version ("" = none). With calm there are no further faults.
+// Release returns the scenario of Changes with a release of the routers in place of the planned
+// changes. spoil names the defect of the new version ("" = none). With calm there are no further
+// faults.
 func Release(seed uint64, routers, servers int, spoil string, calm bool) (File, error) {
 	f, err := Changes(seed, routers, servers)
 	if err != nil {
@@ -21,9 +22,9 @@
 	return f, f.check()
 }
 
-// Changes returns the scenario drains in which operators change every cache server and most routers, with
-// faults drawn from the seed: tools and single routers are killed, stopped or cut off from the coordinators,
-// a server crashes, or coordinators are killed.
+// Changes returns the scenario drains in which operators change every cache server and most
+// routers, with faults drawn from the seed: tools and single routers are killed, stopped or cut off
+// from the coordinators, a server crashes, or coordinators are killed.
 func Changes(seed uint64, routers, servers int) (File, error) {
 	f, err := Load("drains")
 	if err != nil {
@@ -66,9 +67,9 @@
 	return f, f.check()
 }
 
-// FaultyServers returns a scenario in which two cache servers, one after the other, break off all their
-// answers for a time but still answer probes. quorum is the number of routers whose reports make all
-// routers eject a server; 0 means that each router decides on its own.
+// FaultyServers returns a scenario in which two cache servers, one after the other, break off all
+// their answers for a time but still answer probes. quorum is the number of routers whose reports
+// make all routers eject a server; 0 means that each router decides on its own.
 func FaultyServers(seed uint64, routers, quorum int) (File, error) {
 	f, err := Load("drains")
 	if err != nil {
@@ -85,8 +86,9 @@
 	return f, f.check()
 }
 
-// CrashPoints returns a short scenario without further faults in which operators release all routers, or
-// else change all cache servers, one at a time. It is played with kills at the steps of the operators' tool.
+// CrashPoints returns a short scenario without further faults in which operators release all
+// routers, or else change all cache servers, one at a time. It is played with kills at the steps of
+// the operators' tool.
 func CrashPoints(seed uint64, release bool) (File, error) {
 	f, err := Release(seed, 2, 3, "", true)
 	if err != nil {
--- a/lab/scenario/fixture_test.go
+++ b/lab/scenario/fixture_test.go
@@ -10,8 +10,8 @@
 )
 
 // Operators keep scenario files for years. The files in testdata contain every key of three shipped
-// scenarios, as written by an earlier version. Renaming a key would reject such a file, and reading a
-// key into another field would write it back with another value.
+// scenarios, as written by an earlier version. Renaming a key would reject such a file, and reading
+// a key into another field would write it back with another value.
 func TestScenarioFilesOfEarlierVersionKeepTheirMeaning(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) != 3 {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads scenario files: a fleet, a load, a timeline of faults and the expected results. The
-// same files are played with real processes on loopback and in virtual time. docs/laboratory.md describes
-// each key.
+// Package scenario reads scenario files: a fleet, a load, a timeline of faults and the expected
+// results. The same files are played with real processes on loopback and in virtual time.
+// docs/laboratory.md describes each key.
 package scenario
 
 import (
@@ -21,7 +21,8 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// File is one scenario. Its durations are in seconds or milliseconds, as the suffix of the name says.
+// File is one scenario. Its durations are in seconds or milliseconds, as the suffix of the name
+// says.
 type File struct {
 	Version   int                   `toml:"version"`
 	Base      string                `toml:"base"` // shipped scenario that provides missing keys; lists are replaced whole
@@ -62,8 +63,8 @@
 	Out          Out      `toml:"out"`           // budgets for routers and servers that are out; needs coordinators
 }
 
-// Out limits how many routers and cache servers may be out at the same time, as the coordinators enforce it.
-// The zero value turns it off.
+// Out limits how many routers and cache servers may be out at the same time, as the coordinators
+// enforce it. The zero value turns it off.
 type Out struct {
 	Routers int     `toml:"routers"`
 	Servers int     `toml:"servers"`
@@ -207,8 +208,8 @@
 // maxBases limits the depth of a chain of base scenarios.
 const maxBases = 8
 
-// decode decodes the text on top of its base scenarios. Keys that the text does not contain keep their value;
-// lists are replaced as a whole.
+// decode decodes the text on top of its base scenarios. Keys that the text does not contain keep
+// their value; lists are replaced as a whole.
 func (f *File) decode(name string, text []byte, depth int) error {
 	var first struct{ Base string }
 	if toml.Unmarshal(text, &first) == nil && first.Base != "" { // other errors are reported by DecodeTOML below
