--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -24,7 +24,7 @@
 
 // errExpectationFailed means that a run was played and a rule or expectation failed, which is
 // already printed.
-var errExpectationFailed = errors.New("something did not hold")
+var errExpectationFailed = errors.New("a rule or expectation failed")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
--- a/lab/traceanalysis/fixture_test.go
+++ b/lab/traceanalysis/fixture_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Logs of routers of an older version are read for the same table: the trace lines and the table's
-// words are what operators and their scripts know.
+// Logs written by routers of an older version must yield the same table: operators' scripts rely on
+// the trace lines and on the table's wording.
 func TestTraceOfOlderRouters(t *testing.T) {
-	events, faults, err := ReadDir("testdata/fleet")
-	if err != nil || len(faults) > 0 {
-		t.Fatal(err, faults)
+	events, lineErrors, err := ReadDir("testdata/fleet")
+	if err != nil || len(lineErrors) > 0 {
+		t.Fatal(err, lineErrors)
 	}
 	want, err := os.ReadFile("testdata/table.txt")
 	if err != nil {
--- a/lab/traceanalysis/traceanalysis.go
+++ b/lab/traceanalysis/traceanalysis.go
@@ -1,5 +1,5 @@
-// Package traceanalysis counts over the logs of a whole fleet what single routers can't see: it reads the lines that a router
-// writes with log.trace, and adds them up by second and by server.
+// Package traceanalysis computes statistics of a whole fleet that no single router can collect: it
+// reads the lines that routers write with log.trace, and sums them up by second and by server.
 package traceanalysis
 
 import (
@@ -18,19 +18,20 @@
 )
 
 const (
-	maxLine   = 1 << 20 // bytes of a line that is read
-	maxFaults = 20      // lines that can't be read and are told one by one
+	maxLineBytes     = 1 << 20 // longer lines are reported as errors
+	maxPrintedErrors = 20      // further line errors are only counted
 )
 
 // Event is one line of a trace.
 type Event struct {
-	Router string  // the log that it stands in
+	Router string  // file name of the log that contains it
 	At     float64 // Unix time, ms
 	Name   string
 	Fields map[string]string
 }
 
-func (e *Event) num(name string) float64 {
+// number returns the value of a numeric field, or 0 if it is missing or malformed.
+func (e *Event) number(name string) float64 {
 	v, err := strconv.ParseFloat(e.Fields[name], 64)
 	if err != nil {
 		return 0
@@ -38,7 +39,7 @@
 	return v
 }
 
-// LineError is a line that can't be read.
+// LineError describes a trace line that could not be parsed.
 type LineError struct {
 	File   string
 	Line   int
@@ -47,13 +48,14 @@
 
 func (f LineError) String() string { return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.Reason) }
 
-// fields are what each event has to have.
-var fields = map[string][]string{"ask": {"r", "class", "key", "retry", "left"}, "send": {"r", "n", "s", "origin", "started", "key"},
+// requiredFields maps each event to the fields that it must have.
+var requiredFields = map[string][]string{
+	"ask": {"r", "class", "key", "retry", "left"}, "send": {"r", "n", "s", "origin", "started", "key"},
 	"got": {"r", "n", "s", "status", "note", "ms"}, "end": {"r", "how", "why", "left", "tries"}, "dial": {"to", "ok"},
 	"probe": {"s", "status", "qps", "util"}, "list": {"kind", "lines", "version"}, "dropped": {"n"}}
 
-// parse reads a line; ok is false where it holds no event.
-func parse(line string) (e Event, ok bool, err error) {
+// parseLine parses a line of a log; ok is false if the line is not a trace event.
+func parseLine(line string) (e Event, ok bool, err error) {
 	at := strings.Index(line, trace.LinePrefix)
 	if at < 0 || at > 0 && strings.Contains(line[:at], "msg=") {
 		return e, false, nil
@@ -65,7 +67,7 @@
 	if e.At, err = strconv.ParseFloat(parts[0], 64); err != nil {
 		return e, true, fmt.Errorf("time %.40q is no number", parts[0])
 	}
-	want := fields[parts[1]]
+	want := requiredFields[parts[1]]
 	if want == nil {
 		return e, true, fmt.Errorf("unknown event %.40q", parts[1])
 	}
@@ -82,37 +84,38 @@
 	return e, true, nil
 }
 
-// Read reads one log. What can't be read is a fault, and the rest is still read.
-func Read(name string, r io.Reader) (events []Event, faults []LineError) {
-	in := bufio.NewReaderSize(r, maxLine)
+// Read reads one log; name identifies it in events and errors. Lines that cannot be parsed are
+// returned as errors, and reading continues after them.
+func Read(name string, r io.Reader) (events []Event, lineErrors []LineError) {
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	for n := 1; ; n++ {
 		text, err := in.ReadSlice('\n')
-		line, whole := string(text), err == nil
-		long := err == bufio.ErrBufferFull
-		for err == bufio.ErrBufferFull { // the rest of a line that nobody keeps
+		line, isTerminated := string(text), err == nil
+		isTooLong := err == bufio.ErrBufferFull
+		for err == bufio.ErrBufferFull { // skip the rest of an overlong line
 			_, err = in.ReadSlice('\n')
 		}
-		if long {
-			faults = append(faults, LineError{name, n, fmt.Sprintf("over %d bytes", maxLine)})
-		} else if e, ok, bad := parse(line); bad != nil {
-			faults = append(faults, LineError{name, n, bad.Error()})
-		} else if ok && !whole { // its last figure may lack digits
-			faults = append(faults, LineError{name, n, "cut short"})
+		if isTooLong {
+			lineErrors = append(lineErrors, LineError{name, n, fmt.Sprintf("over %d bytes", maxLineBytes)})
+		} else if e, ok, bad := parseLine(line); bad != nil {
+			lineErrors = append(lineErrors, LineError{name, n, bad.Error()})
+		} else if ok && !isTerminated { // digits of its last number may be missing
+			lineErrors = append(lineErrors, LineError{name, n, "cut short"})
 		} else if ok {
 			e.Router = name
 			events = append(events, e)
 		}
 		if err == io.EOF {
-			return events, faults
+			return events, lineErrors
 		}
 		if err != nil {
-			return events, append(faults, LineError{name, n, err.Error()})
+			return events, append(lineErrors, LineError{name, n, err.Error()})
 		}
 	}
 }
 
-// ReadDir reads all logs of a directory, and returns their events in the order of time.
-func ReadDir(dir string) (events []Event, faults []LineError, err error) {
+// ReadDir reads all files *.log of a directory and returns their events sorted by time.
+func ReadDir(dir string) (events []Event, lineErrors []LineError, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err == nil && len(paths) == 0 {
 		err = fmt.Errorf("no *.log in %s", dir)
@@ -127,42 +130,42 @@
 		}
 		e, bad := Read(filepath.Base(p), f)
 		f.Close()
-		events, faults = append(events, e...), append(faults, bad...)
+		events, lineErrors = append(events, e...), append(lineErrors, bad...)
 	}
 	slices.SortStableFunc(events, func(p, q Event) int { return cmp.Compare(p.At, q.At) })
-	return events, faults, nil
+	return events, lineErrors, nil
 }
 
-// Second counts what a fleet did in one second.
+// Second holds the counts of a whole fleet for one second.
 type Second struct {
-	Asked, Retried         int // requests of clients, and those that they had asked before
-	Sent, Again, Cold      int // attempts at cache servers, those that were not a request's first, those at cold ones
-	Fetched, SameKey       int // attempts at the origin, and those whose key another attempt there was out for or was just answered
-	Dialled, Undialled     int // connections that came up and that did not
-	Probed, Unprobed       int // probes answered and not
-	Lists, Lines, Refused  int // lists that came, their lines, and calls that failed
-	Open                   int // attempts out at the end
-	Served, Turned, Failed int // requests by their end
-	Late, Gone             int // served with under half of the time left; left by their clients
-	ByCause                map[string]int
-	ByStatus               map[string]int // attempts at cache servers by outcome
-	ByOrigin               map[string]int // and at the origin
-	Dropped                int            // events that routers had no room for
+	Asked, Retried              int // requests of clients, and those that are retries by the client
+	Sent, FurtherAttempts, Cold int // attempts at cache servers, those after a request's first, those at cold servers
+	Fetched, SameKey            int // attempts at the origin, and those for a key in flight or just fetched there
+	Dials, FailedDials          int // connections that were established and that failed
+	Probes, FailedProbes        int // probes that were answered and that failed
+	Lists, Lines, FailedLists   int // endpoint lists received, their lines, and calls that failed
+	Open                        int // attempts in flight at the end
+	Served, Rejected, Failed    int // requests by outcome
+	Late, Abandoned             int // requests served with under 100 ms left, and those abandoned by their clients
+	ByCause                     map[string]int
+	ByStatus                    map[string]int // attempts at cache servers by outcome
+	ByOrigin                    map[string]int // attempts at the origin by outcome
+	Dropped                     int            // events that routers discarded because their buffer was full
 }
 
-// Server counts what a fleet did to one server.
+// Server holds the counts of a whole fleet for one cache server or origin.
 type Server struct {
-	ID       string
-	Origin   bool
-	Sent     int
-	ByStatus map[string]int
-	MS       float64 // of those answered, together
-	ColdPeak int     // most attempts in any window of ColdWindow while it was cold
-	recent   []float64
-	started  float64
+	ID          string
+	Origin      bool
+	Sent        int
+	ByStatus    map[string]int
+	TotalMillis float64 // sum of the durations of completed attempts
+	ColdPeak    int     // maximum of attempts in any ColdWindowMillis while it was cold
+	recentSends []float64
+	started     float64
 }
 
-// Summary is what a fleet did.
+// Summary holds the counts of a whole fleet: by second, by server and in total.
 type Summary struct {
 	Start   float64 // ms
 	Seconds []Second
@@ -171,42 +174,44 @@
 }
 
 const (
-	coldFor = 8800.0 // ms after its start for which a server is counted as cold
-	// ColdWindow is the length of the windows in which the attempts at a cold server are counted, in milliseconds.
-	ColdWindow = 2000.0
-	justNow    = 1000.0 // ms after an origin's answer within which another fetch of the key is counted as the same
+	coldMillis = 8800.0 // time after its start for which a server counts as cold
+	// ColdWindowMillis is the length of the sliding window in which attempts at a cold server are
+	// counted.
+	ColdWindowMillis = 2000.0
+	sameFetchMillis  = 1000.0 // a fetch of a key this soon after the origin's answer counts as SameKey
 )
 
-var statuses = map[string]string{}
+var statusNames = map[string]string{}
 
 func init() {
-	for st, name := range map[decide.AttemptStatus]string{decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
+	for st, name := range map[decide.AttemptStatus]string{
+		decide.OK: "ok", decide.Failed: "failed", decide.QueueFull: "full",
 		decide.Timeout: "timeout", decide.ConnectError: "connect", decide.Reset: "reset", decide.Canceled: "cancelled",
 		decide.Unprocessed: "ignored", decide.Miss: "miss", decide.MalformedResponse: "spoilt"} {
-		statuses[strconv.Itoa(int(st))] = name
+		statusNames[strconv.Itoa(int(st))] = name
 	}
 }
 
 type attemptID struct{ router, r, n string }
 
-// Count adds events up. They are in the order of time.
+// Count sums up events, which must be sorted by time.
 func Count(events []Event) *Summary {
 	t := &Summary{Servers: map[string]*Server{}}
-	for _, e := range events { // clients come once all routers are ready
+	for _, e := range events { // seconds count from the first request, as clients start once all routers are ready
 		if t.Start = e.At; e.Name == "ask" {
 			break
 		}
 	}
-	out := map[attemptID]*Event{}
+	inFlight := map[attemptID]*Event{}
 	fetching, fetched := map[string]int{}, map[string]float64{}
-	last := map[string]string{} // by request, how its last attempt ended
+	lastOutcome := map[string]string{} // outcome of each request's last attempt
 	open := 0
 	for i := range events {
 		e := &events[i]
 		s := t.second(e.At)
 		both := func(do func(*Second)) { do(s); do(&t.Total) }
 		request := e.Router + " " + e.Fields["r"]
-		at := attemptID{e.Router, e.Fields["r"], e.Fields["n"]}
+		id := attemptID{e.Router, e.Fields["r"], e.Fields["n"]}
 		switch e.Name {
 		case "ask":
 			both(func(s *Second) {
@@ -214,15 +219,15 @@
 					s.Retried++
 				}
 			})
-			delete(last, request) // ids are a process's own
+			delete(lastOutcome, request) // a restarted router reuses request IDs
 		case "send":
 			open++
-			out[at] = e
+			inFlight[id] = e
 			v := t.server(e.Fields["s"])
 			v.Sent++
 			if v.Origin = e.Fields["origin"] == "true"; v.Origin {
 				key := e.Fields["key"]
-				same := fetching[key] > 0 || e.At-fetched[key] < justNow
+				same := fetching[key] > 0 || e.At-fetched[key] < sameFetchMillis
 				fetching[key]++
 				both(func(s *Second) {
 					if s.Fetched++; same {
@@ -231,90 +236,90 @@
 				})
 				break
 			}
-			cold := v.cold(e)
+			cold := v.recordCold(e)
 			both(func(s *Second) {
 				if s.Sent++; e.Fields["n"] != "0" {
-					s.Again++
+					s.FurtherAttempts++
 				}
 				if cold {
 					s.Cold++
 				}
 			})
 		case "got":
-			sent := out[at]
+			sent := inFlight[id]
 			if sent == nil {
 				break
 			}
 			open--
-			delete(out, at)
-			st := cmp.Or(statuses[e.Fields["status"]], "?")
+			delete(inFlight, id)
+			st := cmp.Or(statusNames[e.Fields["status"]], "?")
 			v := t.server(e.Fields["s"])
 			v.ByStatus[st]++
-			if v.MS += e.num("ms"); v.Origin {
+			if v.TotalMillis += e.number("ms"); v.Origin {
 				key := sent.Fields["key"]
 				if fetching[key]--; st == "ok" {
 					fetched[key] = e.At
 				}
-				both(func(s *Second) { s.ByOrigin = add(s.ByOrigin, st) })
-				last[request] = "origin-" + st
+				both(func(s *Second) { s.ByOrigin = increment(s.ByOrigin, st) })
+				lastOutcome[request] = "origin-" + st
 			} else {
-				both(func(s *Second) { s.ByStatus = add(s.ByStatus, st) })
-				last[request] = st
+				both(func(s *Second) { s.ByStatus = increment(s.ByStatus, st) })
+				lastOutcome[request] = st
 			}
 		case "end":
 			both(func(s *Second) {
-				cause := e.Fields["why"] + " after " + cmp.Or(last[request], "nothing")
+				cause := e.Fields["why"] + " after " + cmp.Or(lastOutcome[request], "nothing")
 				switch e.Fields["how"] {
 				case "0":
-					if s.Served++; e.num("left") < 100 {
+					if s.Served++; e.number("left") < 100 {
 						s.Late++
 					}
 				case "1":
-					s.Turned++
-					s.ByCause = add(s.ByCause, cause)
+					s.Rejected++
+					s.ByCause = increment(s.ByCause, cause)
 				case "2":
 					s.Failed++
-					s.ByCause = add(s.ByCause, "failed "+cause)
+					s.ByCause = increment(s.ByCause, "failed "+cause)
 				default:
-					s.Gone++
+					s.Abandoned++
 				}
 			})
-			delete(last, request)
+			delete(lastOutcome, request)
 		case "dial":
 			both(func(s *Second) {
 				if e.Fields["ok"] == "true" {
-					s.Dialled++
+					s.Dials++
 				} else {
-					s.Undialled++
+					s.FailedDials++
 				}
 			})
 		case "probe":
 			both(func(s *Second) {
 				if e.Fields["status"] == "0" {
-					s.Probed++
+					s.Probes++
 				} else {
-					s.Unprobed++
+					s.FailedProbes++
 				}
 			})
 		case "list":
 			both(func(s *Second) {
-				switch decide.EndpointUpdateKind(e.num("kind")) {
+				switch decide.EndpointUpdateKind(e.number("kind")) {
 				case decide.WatchFailed:
-					s.Refused++
+					s.FailedLists++
 				case decide.RestoredEndpoints:
 				default:
-					s.Lists, s.Lines = s.Lists+1, s.Lines+int(e.num("lines"))
+					s.Lists, s.Lines = s.Lists+1, s.Lines+int(e.number("lines"))
 				}
 			})
 		case "dropped":
-			both(func(s *Second) { s.Dropped += int(e.num("n")) })
+			both(func(s *Second) { s.Dropped += int(e.number("n")) })
 		}
 		s.Open = open
 	}
 	return t
 }
 
-func add(m map[string]int, name string) map[string]int {
+func increment(m map[string]int, name string) map[string]int {
 	if m == nil {
 		m = map[string]int{}
 	}
@@ -322,7 +327,7 @@
 	return m
 }
 
-// maxSeconds bounds the seconds that are told apart; later events count in the last.
+// maxSeconds limits the number of seconds; later events are counted in the last one.
 const maxSeconds = 3600
 
 func (t *Summary) second(at float64) *Second {
@@ -342,28 +347,30 @@
 	return v
 }
 
-// cold books an attempt and tells whether its server was cold.
-func (v *Server) cold(e *Event) bool {
-	v.started = max(v.started, e.num("started"))
-	if v.started == 0 || e.At > v.started+coldFor {
+// recordCold reports whether the server was cold at the attempt e, and if so records the attempt.
+func (v *Server) recordCold(e *Event) bool {
+	v.started = max(v.started, e.number("started"))
+	if v.started == 0 || e.At > v.started+coldMillis {
 		return false
 	}
-	v.recent = append(v.recent, e.At)
-	for v.recent[0] < e.At-ColdWindow {
-		v.recent = v.recent[1:]
+	v.recentSends = append(v.recentSends, e.At)
+	for v.recentSends[0] < e.At-ColdWindowMillis {
+		v.recentSends = v.recentSends[1:]
 	}
-	v.ColdPeak = max(v.ColdPeak, len(v.recent))
+	v.ColdPeak = max(v.ColdPeak, len(v.recentSends))
 	return true
 }
 
-// Print writes the tables.
+// Print writes the counts as text tables.
 func (t *Summary) Print(w io.Writer) {
-	fmt.Fprintf(w, "%4s %6s %6s %6s %6s %6s %6s %5s %6s %5s %6s %5s %5s %6s %5s %5s %6s %6s %6s %5s %5s\n", "s", "asked", "retry", "sent",
-		"again", "cold", "fetch", "same", "dial", "undl", "probe", "unpr", "list", "lines", "refl", "open", "served", "turned", "failed", "late", "gone")
+	fmt.Fprintf(w, "%4s %6s %6s %6s %6s %6s %6s %5s %6s %5s %6s %5s %5s %6s %5s %5s %6s %6s %6s %5s %5s\n",
+		"s", "asked", "retry", "sent", "again", "cold", "fetch", "same", "dial", "undl", "probe", "unpr", "list",
+		"lines", "refl", "open", "served", "turned", "failed", "late", "gone")
 	row := func(name string, s *Second) {
-		fmt.Fprintf(w, "%4s %6d %6d %6d %6d %6d %6d %5d %6d %5d %6d %5d %5d %6d %5d %5d %6d %6d %6d %5d %5d\n", name, s.Asked, s.Retried, s.Sent,
-			s.Again, s.Cold, s.Fetched, s.SameKey, s.Dialled, s.Undialled, s.Probed, s.Unprobed, s.Lists, s.Lines, s.Refused, s.Open,
-			s.Served, s.Turned, s.Failed, s.Late, s.Gone)
+		fmt.Fprintf(w, "%4s %6d %6d %6d %6d %6d %6d %5d %6d %5d %6d %5d %5d %6d %5d %5d %6d %6d %6d %5d %5d\n",
+			name, s.Asked, s.Retried, s.Sent, s.FurtherAttempts, s.Cold, s.Fetched, s.SameKey,
+			s.Dials, s.FailedDials, s.Probes, s.FailedProbes, s.Lists, s.Lines, s.FailedLists, s.Open,
+			s.Served, s.Rejected, s.Failed, s.Late, s.Abandoned)
 	}
 	for i := range t.Seconds {
 		row(strconv.Itoa(i), &t.Seconds[i])
@@ -394,12 +401,14 @@
 			fmt.Fprintln(w)
 		}
 	}
-	fmt.Fprintf(w, "\nservers: attempts, mean ms, most in %.0f s while cold, outcomes\n", ColdWindow/1000)
+	fmt.Fprintf(w, "\nservers: attempts, mean ms, most in %.0f s while cold, outcomes\n", ColdWindowMillis/1000)
 	servers := make([]*Server, 0, len(t.Servers))
 	for _, v := range t.Servers {
 		servers = append(servers, v)
 	}
-	slices.SortFunc(servers, func(p, q *Server) int { return cmp.Or(cmp.Compare(q.Sent, p.Sent), cmp.Compare(p.ID, q.ID)) })
+	slices.SortFunc(servers, func(p, q *Server) int {
+		return cmp.Or(cmp.Compare(q.Sent, p.Sent), cmp.Compare(p.ID, q.ID))
+	})
 	for _, v := range servers {
 		what := ""
 		if v.Origin {
@@ -410,19 +419,21 @@
 			outcomes = append(outcomes, fmt.Sprintf("%s=%d", st, n))
 		}
 		slices.Sort(outcomes)
-		fmt.Fprintf(w, "%s %6d %8.1f %5d  %s%s\n", v.ID, v.Sent, v.MS/float64(max(1, v.Sent)), v.ColdPeak, strings.Join(outcomes, " "), what)
+		fmt.Fprintf(w, "%s %6d %8.1f %5d  %s%s\n",
+			v.ID, v.Sent, v.TotalMillis/float64(max(1, v.Sent)), v.ColdPeak, strings.Join(outcomes, " "), what)
 	}
 	if t.Total.Dropped > 0 {
-		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n", t.Total.Dropped, trace.MaxEventsPerFlush)
+		fmt.Fprintf(w, "\n%d events were not written: routers keep %d between two writes\n",
+			t.Total.Dropped, trace.MaxEventsPerFlush)
 	}
 }
 
-// PrintLineErrors lists lines that can't be read.
-func PrintLineErrors(w io.Writer, faults []LineError) {
-	for _, f := range faults[:min(len(faults), maxFaults)] {
+// PrintLineErrors writes the first maxPrintedErrors errors and the number of further ones.
+func PrintLineErrors(w io.Writer, lineErrors []LineError) {
+	for _, f := range lineErrors[:min(len(lineErrors), maxPrintedErrors)] {
 		fmt.Fprintln(w, f)
 	}
-	if more := len(faults) - maxFaults; more > 0 {
+	if more := len(lineErrors) - maxPrintedErrors; more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
 }
--- a/lab/traceanalysis/traceanalysis_test.go
+++ b/lab/traceanalysis/traceanalysis_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-const two = `time=x msg=listening address=10.0.0.1:1
+const routerLog = `time=x msg=listening address=10.0.0.1:1
 0.016 trace 500.00 list kind=2 lines=61 version=0
 0.234 trace 1000.00 ask r=1 class=fetch key=ab retry=false left=700
 trace 1000.10 send r=1 n=0 s=0000000a origin=false started=900 key=ab
@@ -29,22 +29,23 @@
 trace 2200.00 list kind=3 lines=0 version=0
 `
 
-func TestTwoRoutersAreAddedUp(t *testing.T) {
+func TestCountsOfTwoRoutersAreSummed(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"a.log", "b.log"} {
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(two), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(routerLog), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	events, faults, err := ReadDir(dir)
-	if err != nil || len(faults) > 0 {
-		t.Fatal(err, faults)
+	events, lineErrors, err := ReadDir(dir)
+	if err != nil || len(lineErrors) > 0 {
+		t.Fatal(err, lineErrors)
 	}
 	got := Count(events)
 	s := got.Total
-	for what, v := range map[string][2]int{"asked": {s.Asked, 4}, "retried": {s.Retried, 2}, "sent": {s.Sent, 4}, "cold": {s.Cold, 4},
-		"fetched": {s.Fetched, 2}, "of one key": {s.SameKey, 1}, "dialled": {s.Dialled, 2}, "undialled": {s.Undialled, 2},
-		"refused lists": {s.Refused, 2}, "served": {s.Served, 2}, "turned away": {s.Turned, 2},
+	for what, v := range map[string][2]int{
+		"asked": {s.Asked, 4}, "retried": {s.Retried, 2}, "sent": {s.Sent, 4}, "cold": {s.Cold, 4},
+		"fetched": {s.Fetched, 2}, "of one key": {s.SameKey, 1}, "dialled": {s.Dials, 2}, "undialled": {s.FailedDials, 2},
+		"refused lists": {s.FailedLists, 2}, "served": {s.Served, 2}, "turned away": {s.Rejected, 2},
 		"by cause": {s.ByCause["no-retry after connect"], 2}, "in the first second": {got.Seconds[0].Asked, 2},
 		"in two seconds of the cold": {got.Servers["0000000a"].ColdPeak, 4}, "open": {got.Seconds[1].Open, 0}} {
 		if v[0] != v[1] {
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestWhatCantBeReadIsNamedAndTheRestCounted(t *testing.T) {
+func TestMalformedLinesAreReportedAndOthersCounted(t *testing.T) {
 	for line, want := range map[string]string{
 		"trace":                                   "",
 		"trace 12.0":                              "l.log:2: cut short",
@@ -68,27 +69,30 @@
 		`time=x msg="trace 12.0 nap a=1"`:         "",
 		"0.1 trace 12.0 end r=1 how=1 why= left=": "l.log:2: end without why",
 	} {
-		events, faults := Read("l.log", strings.NewReader("trace 1.0 dial to=a ok=true\n"+line+"\ntrace 2.0 dial to=a ok=true\n"))
-		said := ""
-		for _, f := range faults {
-			said += f.String()
+		events, lineErrors := Read("l.log",
+			strings.NewReader("trace 1.0 dial to=a ok=true\n"+line+"\ntrace 2.0 dial to=a ok=true\n"))
+		got := ""
+		for _, f := range lineErrors {
+			got += f.String()
 		}
-		if len(events) != 2 || said != want {
-			t.Errorf("%q: %d events, %q, want 2 and %q", line, len(events), said, want)
+		if len(events) != 2 || got != want {
+			t.Errorf("%q: %d events, %q, want 2 and %q", line, len(events), got, want)
 		}
 	}
-	long := strings.Repeat("x", 3*maxLine) + "\ntrace 2.0 dial to=a ok=true\n"
-	if events, faults := Read("l.log", strings.NewReader(long)); len(events) != 1 || len(faults) != 1 || faults[0].Line != 1 {
-		t.Errorf("a line over the bound: %d events, faults %v", len(events), faults)
+	long := strings.Repeat("x", 3*maxLineBytes) + "\ntrace 2.0 dial to=a ok=true\n"
+	if events, lineErrors := Read("l.log", strings.NewReader(long)); len(events) != 1 || len(lineErrors) != 1 ||
+		lineErrors[0].Line != 1 {
+		t.Errorf("a line over the limit: %d events, errors %v", len(events), lineErrors)
 	}
-	if _, faults := Read("l.log", strings.NewReader("trace 1.0 dial to=a ok=tru")); len(faults) != 1 || faults[0].String() != "l.log:1: cut short" {
-		t.Errorf("a last line without an end: %v", faults)
+	if _, lineErrors := Read("l.log", strings.NewReader("trace 1.0 dial to=a ok=tru")); len(lineErrors) != 1 ||
+		lineErrors[0].String() != "l.log:1: cut short" {
+		t.Errorf("a last line without a newline: %v", lineErrors)
 	}
 }
 
-// Whatever stands in a log, reading and counting end, and all lines that are events are counted.
-func TestAnyLog(t *testing.T) {
-	lines := strings.SplitAfter(two, "\n")
+// Reading and counting must terminate for arbitrary logs, and every valid event must be counted.
+func TestArbitraryLogsAreCounted(t *testing.T) {
+	lines := strings.SplitAfter(routerLog, "\n")
 	rapid.Check(t, func(t *rapid.T) {
 		var log []byte
 		for _, l := range rapid.SliceOfN(rapid.SampledFrom(lines), 0, 40).Draw(t, "lines") {
