--- a/lab/cost/cost.go
+++ b/lab/cost/cost.go
@@ -1,5 +1,5 @@
-// Package cost measures what a router costs: beside direct calls and beside a bare byte relay, in one run, so that what
-// the machine does meanwhile meets all three alike.
+// Package cost measures what a router costs compared with direct calls and with a plain byte relay.
+// All three are measured in one run, so that other load on the machine affects them alike.
 package cost
 
 import (
@@ -28,35 +28,36 @@
 	"dockhinge.example/dockhinge/lab/model"
 )
 
-// Params say what to measure.
+// Params says what to measure.
 type Params struct {
-	Connections []int         // of the clients, each with one request at a time
-	Bytes       []int         // of a value
-	Duration         time.Duration // each cell
-	Router      []string      // its command
-	Relay       []string      // the relay's command; it is told where to listen and where to connect
-	OnCell         func(Cell)    // told of each cell
+	Connections []int         // numbers of client connections, each with one request at a time
+	Bytes       []int         // value sizes
+	Duration    time.Duration // of each cell
+	Router      []string      // command that starts the router
+	Relay       []string      // command that starts the relay; the addresses to listen on and to connect to are appended
+	OnCell      func(Cell)    // called after each cell; may be nil
 }
 
-// Cell is one measurement.
+// Cell is the result of one measurement.
 type Cell struct {
 	Path        string  `json:"path"` // direct, relay or router
 	Connections int     `json:"connections"`
 	Bytes       int     `json:"bytes"`
-	PerSecond        float64 `json:"requests_a_second"`
-	P50Micros       float64 `json:"p50_us"`
-	P99Micros       float64 `json:"p99_us"`
-	CPUMicros       float64 `json:"cpu_us_a_request"` // of the process in between; 0 where there is none
+	PerSecond   float64 `json:"requests_a_second"`
+	P50Micros   float64 `json:"p50_us"`
+	P99Micros   float64 `json:"p99_us"`
+	CPUMicros   float64 `json:"cpu_us_a_request"` // of the relay or router; 0 for direct calls
 	PeakMB      float64 `json:"peak_mb"`
 	Failed      int     `json:"failed"`
-	// Failures counts those by what ended them; nil where none did.
+	// Failures counts the failed connections by cause; nil if none failed.
 	Failures map[string]int `json:"failures,omitempty"`
 }
 
-// keys is how many different keys are asked for.
-const keys = 64
+// keyCount is the number of different keys requested.
+const keyCount = 64
 
-// Run measures all cells.
+// Run measures all combinations of size, number of connections and path. On an error it also
+// returns the cells measured so far.
 func Run(ctx context.Context, p Params) (all []Cell, err error) {
 	dir, err := os.MkdirTemp("", "dockhinge-cost-")
 	if err != nil {
@@ -68,7 +69,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cells, err := measure(ctx, p, dir, server, size)
+		cells, err := measureSize(ctx, p, dir, server, size)
 		server.close()
 		all = append(all, cells...)
 		if err != nil {
@@ -78,8 +79,8 @@
 	return all, nil
 }
 
-// measure runs the cells of one size.
-func measure(ctx context.Context, p Params, dir string, server *server, size int) (all []Cell, err error) {
+// measureSize measures the cells of one value size.
+func measureSize(ctx context.Context, p Params, dir string, server *cacheServer, size int) (all []Cell, err error) {
 	relayAt, err := fleet.FreeAddr()
 	if err != nil {
 		return nil, err
@@ -89,18 +90,18 @@
 	if err != nil {
 		return nil, err
 	}
-	defer end(relay)
-	config, listen, second, err := config(server.addr(), dir)
+	defer killProcess(relay)
+	stub, listen, adminAddr, err := writeConfig(server.addr(), dir)
 	if err != nil {
 		return nil, err
 	}
-	defer config.close()
+	defer stub.close()
 	router, err := fleet.Spawn(p.Router, []string{"GW_CONFIG=" + filepath.Join(dir, "config.json"), "TMPDIR=" + dir}, log)
 	if err != nil {
 		return nil, err
 	}
-	defer end(router)
-	if err := await(ctx, relayAt, second); err != nil {
+	defer killProcess(router)
+	if err := awaitReady(ctx, relayAt, adminAddr); err != nil {
 		return nil, err
 	}
 	for _, conns := range p.Connections {
@@ -111,7 +112,7 @@
 			if ctx.Err() != nil {
 				return all, ctx.Err()
 			}
-			cell := load(ctx, c.addr, conns, size, p.Duration, c.pid)
+			cell := measureCell(ctx, c.addr, conns, size, p.Duration, c.pid)
 			cell.Path = c.path
 			all = append(all, cell)
 			if p.OnCell != nil {
@@ -122,37 +123,39 @@
 	return all, nil
 }
 
-// end ends a process: what it has to answer is of no interest any more.
-func end(cmd *exec.Cmd) {
-	_ = cmd.Process.Kill() // it may have ended
+// killProcess kills a process without a graceful shutdown, as it has no more requests to answer.
+func killProcess(cmd *exec.Cmd) {
+	_ = cmd.Process.Kill() // it may have exited already
 	_ = cmd.Wait()
 }
 
-// stub is the discovery and the origin of a router that never needs them.
-type stub struct{ s *http.Server }
+// stubServer serves as discovery and as origin; the router never sends requests to the origin.
+type stubServer struct{ s *http.Server }
 
-func (s stub) close() { s.s.Close() }
+func (s stubServer) close() { s.s.Close() }
 
-// config writes the configuration of a router before one cache server.
-func config(cache, dir string) (s stub, listen, second string, err error) {
+// writeConfig starts a stub for discovery and origin, and writes the configuration of a router with
+// one cache server to dir. It returns the router's listen address and its admin address.
+func writeConfig(cache, dir string) (s stubServer, listen, adminAddr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return s, "", "", fmt.Errorf("cost: %w", err)
 	}
 	if listen, err = fleet.FreeAddr(); err == nil {
-		second, err = fleet.FreeAddr()
+		adminAddr, err = fleet.FreeAddr()
 	}
 	if err != nil {
 		ln.Close()
 		return s, "", "", err
 	}
-	known := model.List{Version: 1, Full: true, Servers: []model.Entry{{ID: "s-00000001", Addr: cache, Zone: "a", Kind: "box", State: "active", Weight: 1},
+	known := model.List{Version: 1, Full: true, Servers: []model.Entry{
+		{ID: "s-00000001", Addr: cache, Zone: "a", Kind: "box", State: "active", Weight: 1},
 		{ID: "s-0000ffff", Addr: ln.Addr().String(), Zone: "a", Kind: "origin", State: "active", Weight: 1}}}
 	list, err := json.Marshal(known)
 	if err != nil {
 		return s, "", "", err
 	}
-	s = stub{&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s = stubServer{&http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") != "" { // nothing ever changes
 			select {
 			case <-time.After(2 * time.Second):
@@ -161,24 +164,27 @@
 			fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 			return
 		}
-		_, _ = w.Write(list) // a router that has gone
+		_, _ = w.Write(list) // fails only if the router has disconnected
 	})}}
 	go func() { _ = s.s.Serve(ln) }() // until close
-	text, err := json.Marshal(map[string]any{"name": "cost", "listen": listen, "discovery": ln.Addr().String(), "admin_addr": second, "seed": "1", "known": known,
+	text, err := json.Marshal(map[string]any{"name": "cost", "listen": listen, "discovery": ln.Addr().String(),
+		"admin_addr": adminAddr, "seed": "1", "known": known,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"settings": map[string]any{"balancers": 1, "myNumber": 0, "zone": "a",
-			"categories": []any{map[string]any{"name": "read", "effect": "repeatable", "keyScope": "all", "target": 5000, "hardLimit": 10000, "gain": 1}},
-			"kinds":      []string{"box", "origin"}, "familyInfo": map[string]any{"mode": "aside", "originKind": 1}, "discovery": "push",
+			"categories": []any{map[string]any{"name": "read", "effect": "repeatable", "keyScope": "all",
+				"target": 5000, "hardLimit": 10000, "gain": 1}},
+			"kinds":      []string{"box", "origin"},
+			"familyInfo": map[string]any{"mode": "aside", "originKind": 1}, "discovery": "push",
 			"caps":  map[string]any{"cancel": true, "maxAttempts": 3, "connIdle": 10000, "connectTimeout": 250},
 			"rules": map[string]any{"cold": 1000, "coldFrom": 0.9, "overloadFactor": 1e6, "overloadFor": 2000}}})
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "config.json"), text, 0o600)
 	}
-	return s, listen, second, err
+	return s, listen, adminAddr, err
 }
 
-// await waits for the relay and the router.
-func await(ctx context.Context, relay, second string) error {
+// awaitReady waits up to 20 s until the relay accepts connections and the router is ready.
+func awaitReady(ctx context.Context, relay, adminAddr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	for ; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
@@ -187,27 +193,28 @@
 			continue
 		}
 		c.Close()
-		if _, err := admin.Call(ctx, second, http.MethodGet, "/-/ready"); err == nil {
+		if _, err := admin.Call(ctx, adminAddr, http.MethodGet, "/-/ready"); err == nil {
 			return nil
 		}
 	}
 	return errors.New("cost: the relay or the router is not ready")
 }
 
-// load asks in a closed loop over so many connections.
-func load(ctx context.Context, addr string, conns, size int, during time.Duration, pid int) Cell {
+// measureCell sends requests in a closed loop over conns connections for the given duration, and
+// measures the resource use of the process pid; 0 stands for no process.
+func measureCell(ctx context.Context, addr string, conns, size int, during time.Duration, pid int) Cell {
 	ctx, stop := context.WithTimeout(ctx, during)
 	defer stop()
 	cell := Cell{Connections: conns, Bytes: size}
 	var wg sync.WaitGroup
 	var failures failureCounts
 	hists := make([]*hdrhistogram.Histogram, conns)
-	before, _ := fleet.ProcessUse(pid) // of no process: nothing
+	before, _ := fleet.ProcessUse(pid) // zero for pid 0
 	began := time.Now()
 	for i := range conns {
 		hists[i] = hdrhistogram.New(1, 60_000_000, 3)
 		wg.Go(func() {
-			if err := client(ctx, addr, i, hists[i]); err != nil {
+			if err := runClient(ctx, addr, i, hists[i]); err != nil {
 				failures.add(err)
 			}
 		})
@@ -234,7 +241,8 @@
 		all.Merge(h)
 	}
 	n := float64(all.TotalCount())
-	cell.PerSecond, cell.P50Micros, cell.P99Micros = n/took, float64(all.ValueAtQuantile(50)), float64(all.ValueAtQuantile(99))
+	cell.PerSecond, cell.P50Micros, cell.P99Micros =
+		n/took, float64(all.ValueAtQuantile(50)), float64(all.ValueAtQuantile(99))
 	cell.PeakMB = peak
 	cell.Failures, cell.Failed = failures.byKind()
 	if n > 0 {
@@ -243,7 +251,7 @@
 	return cell
 }
 
-// failureCounts counts what ended connections. Its methods may be called concurrently.
+// failureCounts counts failed connections by cause. Its methods may be called concurrently.
 type failureCounts struct {
 	mu    sync.Mutex
 	kinds map[string]int
@@ -267,12 +275,13 @@
 	return f.kinds, all
 }
 
-// rejectedError is an answer by which a request was rejected or failed.
+// rejectedError is an answer other than a value: the request was rejected or failed.
 type rejectedError struct{ answer string }
 
 func (e *rejectedError) Error() string { return "answer " + e.answer }
 
-// failureKind names what ended a connection: what was answered, or what became of the connection.
+// failureKind names the cause of a failure: the answer that rejected a request, or the kind of
+// network error.
 func failureKind(err error) string {
 	var rejected *rejectedError
 	var timeout net.Error
@@ -289,8 +298,9 @@
 	return err.Error()
 }
 
-// client asks for one key after the other over a connection.
-func client(ctx context.Context, addr string, number int, h *hdrhistogram.Histogram) error {
+// runClient requests one key after the other over one connection until ctx ends, and records the
+// latencies in microseconds.
+func runClient(ctx context.Context, addr string, number int, h *hdrhistogram.Histogram) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -299,7 +309,7 @@
 	r := bufio.NewReaderSize(c, 64<<10)
 	var wire []byte
 	for n := 0; ctx.Err() == nil; n++ {
-		wire = fmt.Appendf(wire[:0], "mg %016x v O%08x%08x Pc=read,d=9000\r\n", (n+number)%keys, number, n)
+		wire = fmt.Appendf(wire[:0], "mg %016x v O%08x%08x Pc=read,d=9000\r\n", (n+number)%keyCount, number, n)
 		if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			return err
 		}
@@ -329,8 +339,8 @@
 	return nil
 }
 
-// server is a cache server that has every key and takes no time.
-type server struct {
+// cacheServer is a cache server that answers a request for any key at once, with the same value.
+type cacheServer struct {
 	ln    net.Listener
 	wg    sync.WaitGroup
 	value []byte
@@ -339,12 +349,12 @@
 	conns map[net.Conn]struct{}
 }
 
-func newServer(size int) (*server, error) {
+func newServer(size int) (*cacheServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("cost: %w", err)
 	}
-	s := &server{ln: ln, value: append(make([]byte, size), "\r\n"...), conns: map[net.Conn]struct{}{}}
+	s := &cacheServer{ln: ln, value: append(make([]byte, size), "\r\n"...), conns: map[net.Conn]struct{}{}}
 	s.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -360,9 +370,9 @@
 	return s, nil
 }
 
-func (s *server) addr() string { return s.ln.Addr().String() }
+func (s *cacheServer) addr() string { return s.ln.Addr().String() }
 
-func (s *server) serve(c net.Conn) {
+func (s *cacheServer) serve(c net.Conn) {
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -391,7 +401,7 @@
 	}
 }
 
-func (s *server) close() {
+func (s *cacheServer) close() {
 	s.ln.Close()
 	s.mu.Lock()
 	for c := range s.conns {
@@ -401,7 +411,8 @@
 	s.wg.Wait()
 }
 
-// Relay is the bare byte relay to measure against: it knows nothing of what it carries. It runs until ctx ends.
+// Relay runs the byte relay that serves as the baseline: it forwards bytes without parsing them. It
+// returns nil when ctx ends.
 func Relay(ctx context.Context, listen, target string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -434,7 +445,8 @@
 	}
 }
 
-// copyBytes goes through a buffer, as a router must, and not from socket to socket within the kernel.
+// copyBytes copies through a buffer, as a router must, and not from socket to socket within the
+// kernel.
 func copyBytes(to, from net.Conn) {
 	_, _ = io.CopyBuffer(struct{ io.Writer }{to}, struct{ io.Reader }{from}, make([]byte, 32<<10))
 	to.Close()
--- a/lab/cost/cost_test.go
+++ b/lab/cost/cost_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// TestMain lets the test's own program be the relay.
+// TestMain lets the test binary serve as the relay process.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "relay" {
 		if err := Relay(context.Background(), os.Args[2], os.Args[3]); err != nil {
@@ -20,14 +20,15 @@
 	os.Exit(m.Run())
 }
 
-// Every path answers every request, and the figures are there; how good they are is no matter of a test.
+// Every path must answer every request and yield figures. Their values are not checked, as they
+// depend on the machine.
 func TestAllPathsAnswer(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "dockhinge")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/dockhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	cells, err := Run(t.Context(), Params{Connections: []int{1, 8}, Bytes: []int{100, 1 << 20}, Duration: 300 * time.Millisecond,
-		Router: []string{bin, "serve"}, Relay: []string{os.Args[0], "relay"}})
+	cells, err := Run(t.Context(), Params{Connections: []int{1, 8}, Bytes: []int{100, 1 << 20},
+		Duration: 300 * time.Millisecond, Router: []string{bin, "serve"}, Relay: []string{os.Args[0], "relay"}})
 	if err != nil || len(cells) != 12 {
 		t.Fatalf("%d cells, %v", len(cells), err)
 	}
