--- a/cmd/dockhinge-lab/all.go
+++ b/cmd/dockhinge-lab/all.go
@@ -21,9 +21,10 @@
 	var only []string
 	cmd := &cobra.Command{Use: "all", Args: cobra.NoArgs,
 		Short: "Play every shipped scenario several times and print one table",
-		Long: "Plays every shipped scenario several times, each time with another seed (the scenario's, plus 1,000 for\n" +
-			"each repetition), and prints how often the rules were kept and which service was reached. Concurrent runs\n" +
-			"use different addresses but share the machine: compare service only between sequential runs.",
+		Long: "Plays every shipped scenario several times, each time with another seed (the scenario's, plus\n" +
+			"1,000 for each repetition), and prints how often the rules were kept and which service was\n" +
+			"reached. Concurrent runs use different addresses but share the machine: compare service only\n" +
+			"between sequential runs.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
@@ -104,8 +105,8 @@
 			}
 			wg.Wait()
 			t := tabwriter.NewWriter(os.Stdout, 4, 4, 1, ' ', 0)
-			fmt.Fprintln(t, "| scenario\t| runs\t| rules broken\t| load tool late\t| else short\t| service, least\t| middle"+
-				"\t| first failure\t|")
+			fmt.Fprintln(t, "| scenario\t| runs\t| rules broken\t| load tool late\t| else short\t| service, least"+
+				"\t| middle\t| first failure\t|")
 			fmt.Fprintln(t, "| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t| ---\t|")
 			areExpectationsMet := true
 			for _, name := range names {
--- a/cmd/dockhinge-lab/experiments.go
+++ b/cmd/dockhinge-lab/experiments.go
@@ -40,8 +40,8 @@
 	var sets, setsB []string
 	cmd := &cobra.Command{Use: "compare A B SCENARIO", Args: cobra.ExactArgs(3),
 		Short: "Compare two router commands on one scenario",
-		Long: "Plays a scenario with router commands A and B alternately, each pair of runs with another seed, and prints\n" +
-			"the differences with a 95% confidence interval over the pairs. Quote a command that has arguments:\n\n" +
+		Long: "Plays a scenario with router commands A and B alternately, each pair of runs with another seed, and\n" +
+			"prints the differences with a 95% confidence interval over pairs. Quote a command with arguments:\n\n" +
 			"    dockhinge-lab compare 'old/dockhinge serve' 'bin/dockhinge serve --operator new.toml' crash",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f, err := scenario.Load(args[2])
@@ -148,9 +148,10 @@
 	var cellSeconds float64
 	cmd := &cobra.Command{Use: "cost", Args: cobra.NoArgs,
 		Short: "Measure what the router costs compared with direct calls and a plain byte relay",
-		Long: "Reads in a closed loop from a cache server that answers at once: directly, through a byte relay in Go that\n" +
-			"does not parse the data, and through the router, one after the other for each number of connections and\n" +
-			"each value size. Rely on the ratios to the relay: other load on the machine affects all three paths.",
+		Long: "Reads in a closed loop from a cache server that answers at once: directly, through a byte relay\n" +
+			"in Go that does not parse the data, and through the router, one after the other for each number\n" +
+			"of connections and each value size. Rely on the ratios to the relay: other load on the machine\n" +
+			"affects all three paths.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
@@ -165,8 +166,8 @@
 				"\t| to the relay: rate\tp50\tp99\tCPU\t")
 			var relay cost.Cell
 			all, err := cost.Run(cmd.Context(), cost.Params{Connections: conns, Bytes: sizes,
-				Duration: time.Duration(cellSeconds * float64(time.Second)),
-				Router:   command, Relay: []string{self, "relay"}, OnCell: func(x cost.Cell) {
+				CellDuration: time.Duration(cellSeconds * float64(time.Second)),
+				Router:       command, Relay: []string{self, "relay"}, OnCell: func(x cost.Cell) {
 					if x.Path == "relay" {
 						relay = x
 					}
--- a/cmd/dockhinge-lab/lease_cost.go
+++ b/cmd/dockhinge-lab/lease_cost.go
@@ -26,12 +26,13 @@
 			options := func() (fleet.CoordinatorOptions, error) {
 				runDir, err := fleet.LogDir(os.TempDir(), "agree-cost")
 				return fleet.CoordinatorOptions{
-					CoordinatorCommand: []string{dir + "/dockhinge-coord"}, LabCommand: []string{dir + "/dockhinge-lab"},
-					Dir: runDir, HeartbeatInterval: beat, Version: version}, err
+					CoordinatorCommand: []string{dir + "/dockhinge-coord"},
+					LabCommand:         []string{dir + "/dockhinge-lab"},
+					Dir:                runDir, HeartbeatInterval: beat, Version: version}, err
 			}
 			if len(clients) > 0 {
-				fmt.Println("| clients | leases | all held after s | commands a s | p50 ms | p99 ms | fsync p50, p99 ms" +
-					" | leader: cores, MB (idle) | (busy) | other: cores, MB (idle) | (busy)" +
+				fmt.Println("| clients | leases | all held after s | commands a s | p50 ms | p99 ms" +
+					" | fsync p50, p99 ms | leader: cores, MB (idle) | (busy) | other: cores, MB (idle) | (busy)" +
 					" | keep-alive bytes a s and client |")
 				fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 			}
--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -24,10 +24,10 @@
 	var isVerbose, first bool
 	cmd := &cobra.Command{Use: "lease-faults", Aliases: []string{"agree"}, Args: cobra.NoArgs,
 		Short: "Run coordinators and leaseholders with injected faults",
-		Long: "Starts coordinators, leaseholders and a simulated resource as processes, injects the faults drawn from\n" +
-			"each seed, and checks that two holders never acted at the same time. With --mutant the programs contain\n" +
-			"a deliberate bug, and the exit status is 0 if it was detected. The programs are built with the tags\n" +
-			"faults and mutants into bin/faults.",
+		Long: "Starts coordinators, leaseholders and a simulated resource as processes, injects the faults\n" +
+			"drawn from each seed, and checks that two holders never acted at the same time. With --mutant\n" +
+			"the programs contain a deliberate bug, and the exit status is 0 if it was detected. The programs\n" +
+			"are built with the tags faults and mutants into bin/faults.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			f, err := scenario.LoadAgreement(name)
 			if err == nil && file != "" {
@@ -93,7 +93,8 @@
 						res.Failures = append(res.Failures, err.Error())
 					}
 					faults, claims, ops, acts, refused, grants, undecided = faults+res.Faults, claims+res.Claims,
-						ops+res.Operations, acts+res.Acts, refused+res.Refused, grants+res.Grants, undecided+len(res.Undecided)
+						ops+res.Operations, acts+res.Acts, refused+res.Refused, grants+res.Grants,
+						undecided+len(res.Undecided)
 					maxRecoverySeconds = max(maxRecoverySeconds, res.RecoverySeconds)
 					for _, b := range res.Breaches {
 						breachesByRule[b.Rule]++
@@ -110,7 +111,8 @@
 					} else if !isVerbose {
 						fmt.Fprintf(os.Stderr, "seed %d: %d faults, %d grants, %d claims, %d acts (%d refused),"+
 							" recovered after %.1f s, undecided %v\n", seed,
-							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused, res.RecoverySeconds, res.Undecided)
+							res.Faults, res.Grants, res.Claims, res.Acts, res.Refused,
+							res.RecoverySeconds, res.Undecided)
 					}
 					if logs == "" && (len(res.Failures) == 0 || mutant != "") {
 						os.RemoveAll(p.Dir)
@@ -120,8 +122,9 @@
 				})
 			}
 			wg.Wait()
-			fmt.Printf("| seeds | not held | breaches | faults | grants | claims | commands | acts | refused | undecided" +
-				" | healed at most |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+			fmt.Printf("| seeds | not held | breaches | faults | grants | claims | commands | acts | refused" +
+				" | undecided | healed at most |\n" +
+				"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 			fmt.Printf("| %d to %d | %d | %v | %d | %d | %d | %d | %d | %d | %d | %.1f s |\n",
 				from, from+seeds-1, failed, breachesByRule, faults, grants, claims, ops, acts, refused, undecided,
 				maxRecoverySeconds)
--- a/cmd/dockhinge-lab/observer_cost.go
+++ b/cmd/dockhinge-lab/observer_cost.go
@@ -15,7 +15,7 @@
 	var routers []int
 	var coordinators, observers, puts int
 	cmd := &cobra.Command{Use: "observer-cost", Aliases: []string{"observe-cost"}, Args: cobra.NoArgs,
-		Short: "Measure what coordinators and observers cost with watching routers, and how long a change takes to reach all",
+		Short: "Measure what coordinators and observers cost, and how long a change takes to reach all routers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			dir, err := buildWithFaults(cmd.Context())
 			if err != nil {
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -22,10 +22,10 @@
 	var mutant, logs string
 	cmd := &cobra.Command{Use: "outlier-sharing", Aliases: []string{"suspects"}, Args: cobra.NoArgs,
 		Short: "Measure what failing cache servers cost with and without routers that share outlier reports",
-		Long: "Two cache servers break off their answers, one after the other, but still answer probes. Each seed is\n" +
-			"played with routers that detect this on their own, with routers that eject a server which a quorum\n" +
-			"reported, and with the latter while the first router falsely reports all servers, or two of them.\n" +
-			"Attempts are counted by the cache servers.",
+		Long: "Two cache servers break off their answers, one after the other, but still answer probes. Each\n" +
+			"seed is played with routers that detect this on their own, with routers that eject a server\n" +
+			"which a quorum reported, and with the latter while the first router falsely reports all servers,\n" +
+			"or two of them. Attempts are counted by the cache servers.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			command, err := routerCommandLine(cmd.Context(), "")
 			if err != nil {
@@ -46,8 +46,9 @@
 				firstRouterMutant string
 			}{
 				{"each by itself", 0, ""}, {"quorum", quorum, ""},
-				{"and one that tells all are bad", quorum, "lies-all"}, {"and one that tells two are", quorum, "lies-some"}}
-			type figures struct{ attempts, late, routers, service, breaches, cpu []float64 }
+				{"and one that tells all are bad", quorum, "lies-all"},
+				{"and one that tells two are", quorum, "lies-some"}}
+			type figures struct{ attempts, late, routerCounts, service, breaches, cpu []float64 }
 			all := make([]figures, len(variants))
 			var mu sync.Mutex
 			var wg sync.WaitGroup
@@ -85,13 +86,15 @@
 							os.RemoveAll(dir)
 						}
 						for _, x := range res.FaultySpells {
-							all[i].attempts, all[i].late, all[i].routers = append(all[i].attempts, float64(x.Attempts)),
-								append(all[i].late, float64(x.Late)), append(all[i].routers, float64(x.Routers))
+							all[i].attempts, all[i].late, all[i].routerCounts =
+								append(all[i].attempts, float64(x.Attempts)),
+								append(all[i].late, float64(x.Late)), append(all[i].routerCounts, float64(x.Routers))
 						}
 						if n := len(res.Samples); n > 1 {
 							first, last := res.Samples[0], res.Samples[n-1]
 							for name, u := range last.Routers {
-								all[i].cpu = append(all[i].cpu, (u.CPUMS-first.Routers[name].CPUMS)/(last.AtS-first.AtS)/10)
+								all[i].cpu = append(all[i].cpu,
+									(u.CPUMS-first.Routers[name].CPUMS)/(last.AtS-first.AtS)/10)
 							}
 						}
 						all[i].service, all[i].breaches = append(all[i].service, res.Service),
@@ -101,8 +104,8 @@
 			}
 			wg.Wait()
 			w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "\tbad servers\tattempts at one\t±95%\tafter its first second\t±95%\trouters\tservice\t±95%"+
-				"\tbreaches\tCPU a router, % of a core")
+			fmt.Fprintln(w, "\tbad servers\tattempts at one\t±95%\tafter its first second\t±95%\trouters"+
+				"\tservice\t±95%\tbreaches\tCPU a router, % of a core")
 			for i, v := range variants {
 				x := all[i]
 				fmt.Fprintf(w, "%s\t%d", v.name, len(x.attempts))
@@ -110,12 +113,12 @@
 					mean, half := simulation.Mean(col)
 					fmt.Fprintf(w, "\t%.1f\t%.1f", mean, half)
 				}
-				routers, _ := simulation.Mean(x.routers)
+				meanRouters, _ := simulation.Mean(x.routerCounts)
 				service, half := simulation.Mean(x.service)
 				breaches, _ := simulation.Mean(x.breaches)
 				cpu, _ := simulation.Mean(x.cpu)
 				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n",
-					routers, service, half, breaches*float64(len(x.breaches)), cpu)
+					meanRouters, service, half, breaches*float64(len(x.breaches)), cpu)
 			}
 			w.Flush()
 			if failed > 0 {
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -27,10 +27,11 @@
 	var release, page string
 	cmd := &cobra.Command{Use: "planned-changes", Aliases: []string{"changes"}, Args: cobra.NoArgs,
 		Short: "Play planned changes of all cache servers and most routers, with faults drawn from seeds",
-		Long: "Operators change every cache server and most routers by permits of the coordinators, while tools,\n" +
-			"routers, servers and coordinators are killed, stopped or cut off as drawn from the seed. A run fails if\n" +
-			"more was out by plan than the budgets allow, if a drained server got requests, or if a change was made\n" +
-			"twice or never. This is checked against the log of the fleet and of the cache servers.",
+		Long: "Operators change every cache server and most routers by permits of the coordinators, while\n" +
+			"tools, routers, servers and coordinators are killed, stopped or cut off as drawn from the seed.\n" +
+			"A run fails if more was out by plan than the budgets allow, if a drained server got requests, or\n" +
+			"if a change was made twice or never. This is checked against the log of the fleet and of the\n" +
+			"cache servers.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			command, err := routerCommandLine(cmd.Context(), c.router)
 			if err != nil {
@@ -119,8 +120,8 @@
 					faults += n
 					breaches += len(res.Breaches)
 					if r := res.Released; r != nil {
-						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s, %d runs of the tool,"+
-							" %d repeats, %d old tokens refused\n",
+						fmt.Printf("release: %d routers exposed, halted after %.1f s (%s), over after %.1f s,"+
+							" %d runs of the tool, %d repeats, %d old tokens refused\n",
 							r.Exposed, r.HaltS, r.Halt, r.TookS, r.Drivers, r.Repeats, r.Refused)
 						lastSeconds = r.TookS
 					}
@@ -138,8 +139,9 @@
 			}
 			slices.Sort(tookS)
 			slices.Sort(service)
-			fmt.Printf("%d seeds, %d broke; %d changes done with %d runs of the tool, %d faults, %d breaches of the rules;"+
-				" all changed after %.0f s in the middle, %.0f s at most; service %.3f in the middle, %.3f at least\n",
+			fmt.Printf("%d seeds, %d broke; %d changes done with %d runs of the tool, %d faults,"+
+				" %d breaches of the rules; all changed after %.0f s in the middle, %.0f s at most;"+
+				" service %.3f in the middle, %.3f at least\n",
 				played, failed, changed, toolRuns, faults, breaches,
 				tookS[len(tookS)/2], tookS[len(tookS)-1], service[len(service)/2], service[0])
 			if failed > 0 {
--- a/cmd/dockhinge-lab/regression.go
+++ b/cmd/dockhinge-lab/regression.go
@@ -24,11 +24,11 @@
 	cmd := &cobra.Command{Use: "regression --kit DIR --site FILE --why TEXT", Aliases: []string{"duty"},
 		Args:  cobra.NoArgs,
 		Short: "Run the regression programs that the current change requires and report what got worse",
-		Long: "Lists the files that differ from --since, runs the operators' programs that these files require, one after\n" +
-			"the other, from the repository's root, and compares the results in the journal with the last run of the\n" +
-			"same days. The exit status is 3 if a score fell by more than 0.03, a rule was broken, a program crashed or\n" +
-			"the gate failed; docs/regression.md describes what to do then. The files must not change during the run:\n" +
-			"use a second worktree.",
+		Long: "Lists the files that differ from --since, runs the operators' programs that these files require,\n" +
+			"one after the other, from the repository's root, and compares the results in the journal with\n" +
+			"the last run of the same days. The exit status is 3 if a score fell by more than 0.03, a rule\n" +
+			"was broken, a program crashed or the gate failed; docs/regression.md describes what to do then.\n" +
+			"The files must not change during the run: use a second worktree.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			changed, err := listChangedFiles(cmd.Context(), since)
 			if err != nil {
--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -35,11 +35,12 @@
 	var probeMillis float64
 	cmd := &cobra.Command{Use: "simulate DAY [DAY...]", Aliases: []string{"twin"}, Args: cobra.MinimumNArgs(1),
 		Short: "Simulate days of hundreds of routers in virtual time",
-		Long: "Simulates days of the regression test's kinds in virtual time, with the decision module of this build and\n" +
-			"modeled servers: " +
+		Long: "Simulates days of the regression test's kinds in virtual time, with the decision module of\n" +
+			"this build and modeled servers: " +
 			strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") +
-			".\n--out writes the results; --against compares them seed by seed with another build, and prints the mean\n" +
-			"difference with its 95% confidence interval. docs/simulation.md describes how far to trust the results.",
+			".\n--out writes the results; --against compares them seed by seed with another build, and prints the\n" +
+			"mean difference with its 95% confidence interval. docs/simulation.md describes how far to\n" +
+			"trust the results.",
 		RunE: func(_ *cobra.Command, days []string) error {
 			var jobs []playedDay
 			for _, day := range days {
@@ -94,8 +95,9 @@
 	f.StringVar(&out, "out", "", "write the results as JSON to this file")
 	f.StringVar(&against, "against", "", "compare with the file that --out of another build wrote")
 	f.Float64Var(&probeMillis, "shared-probes", 0,
-		"one router probes each server for all at this interval in ms (as [agreement] probes, 700 there); 0 = each alone")
-	f.StringVar(&plot, "plot", "", "plot the served share, and for release days what was out, by second to this SVG file")
+		"one router probes each server for all, at this interval in ms (700 in [agreement] probes); 0 = each alone")
+	f.StringVar(&plot, "plot", "",
+		"plot the served share, and for release days what was out, by second to this SVG file")
 	f.BoolVar(&bySecond, "by-second", false, "print each second of each day")
 	return cmd
 }
@@ -253,7 +255,8 @@
 		for i, s := range p.Sums.Seconds {
 			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n",
 				i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway, s.Attempts,
-				simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts), s.Full, s.Fetches, s.Dials)
+				simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts),
+				s.Full, s.Fetches, s.Dials)
 		}
 		t.Flush()
 		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
@@ -270,8 +273,8 @@
 		for _, b := range p.Sums.Bands {
 			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n",
 				b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway, b.Attempts,
-				simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys), simulation.Share(b.Misses, b.Attempts),
-				simulation.Share(b.Cancels, b.Attempts))
+				simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys),
+				simulation.Share(b.Misses, b.Attempts), simulation.Share(b.Cancels, b.Attempts))
 		}
 		t.Flush()
 		fmt.Fprintln(w)
--- a/lab/cost/cost.go
+++ b/lab/cost/cost.go
@@ -30,12 +30,12 @@
 
 // Params says what to measure.
 type Params struct {
-	Connections []int         // numbers of client connections, each with one request at a time
-	Bytes       []int         // value sizes
-	Duration    time.Duration // of each cell
-	Router      []string      // command that starts the router
-	Relay       []string      // command that starts the relay; the addresses to listen on and to connect to are appended
-	OnCell      func(Cell)    // called after each cell; may be nil
+	Connections  []int         // numbers of client connections, each with one request at a time
+	Bytes        []int         // value sizes
+	CellDuration time.Duration // of each cell
+	Router       []string      // command that starts the router
+	Relay        []string      // command that starts the relay; listen and target address are appended
+	OnCell       func(Cell)    // called after each cell; may be nil
 }
 
 // Cell is the result of one measurement.
@@ -96,7 +96,8 @@
 		return nil, err
 	}
 	defer stub.close()
-	router, err := fleet.Spawn(p.Router, []string{"GW_CONFIG=" + filepath.Join(dir, "config.json"), "TMPDIR=" + dir}, log)
+	router, err := fleet.Spawn(p.Router,
+		[]string{"GW_CONFIG=" + filepath.Join(dir, "config.json"), "TMPDIR=" + dir}, log)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +113,7 @@
 			if ctx.Err() != nil {
 				return all, ctx.Err()
 			}
-			cell := measureCell(ctx, c.addr, conns, size, p.Duration, c.pid)
+			cell := measureCell(ctx, c.addr, conns, size, p.CellDuration, c.pid)
 			cell.Path = c.path
 			all = append(all, cell)
 			if p.OnCell != nil {
--- a/lab/cost/cost_test.go
+++ b/lab/cost/cost_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	cells, err := Run(t.Context(), Params{Connections: []int{1, 8}, Bytes: []int{100, 1 << 20},
-		Duration: 300 * time.Millisecond, Router: []string{bin, "serve"}, Relay: []string{os.Args[0], "relay"}})
+		CellDuration: 300 * time.Millisecond, Router: []string{bin, "serve"}, Relay: []string{os.Args[0], "relay"}})
 	if err != nil || len(cells) != 12 {
 		t.Fatalf("%d cells, %v", len(cells), err)
 	}
--- a/lab/regression/regression_test.go
+++ b/lab/regression/regression_test.go
@@ -77,7 +77,8 @@
 // writeRun writes a scored run into the journal in dir; more is JSON of further days.
 func writeRun(t *testing.T, dir, id string, at int, panel string, figure float64, more string) {
 	t.Helper()
-	text := fmt.Sprintf(`{"id":%q,"at":["2026-12-01T10:%02d:00Z","2026-12-01T10:%02d:30Z"],"cmd":"real-score","panel":%q,"ok":true,"score":null,
+	text := fmt.Sprintf(`{"id":%q,"at":["2026-12-01T10:%02d:00Z","2026-12-01T10:%02d:30Z"],`+
+		`"cmd":"real-score","panel":%q,"ok":true,"score":null,
 		"figures":{"real_score":%g,"gate":1},"days":[{"name":"a","score":%g,"rules":{"lost":0},"fault":null}%s]}`,
 		id, at, at, panel, figure, figure, more)
 	if err := os.WriteFile(filepath.Join(dir, id+".json"), []byte(text), 0o600); err != nil {
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -22,7 +22,8 @@
 // seriesColors is the palette by Okabe and Ito, which readers with red-green color blindness can
 // distinguish.
 var seriesColors = []color.Color{
-	color.RGBA{0, 158, 115, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255},
+	color.RGBA{0, 158, 115, 255}, color.RGBA{230, 159, 0, 255}, color.RGBA{0, 114, 178, 255},
+	color.RGBA{213, 94, 0, 255},
 	color.RGBA{204, 121, 167, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 120, 120, 255},
 	color.RGBA{0, 0, 0, 255},
 }
@@ -254,8 +255,10 @@
 				return float64(r.AttemptsBySecond[i]) / float64(secs[i].Asked)
 			})}},
 		{heldTitle(len(servers)), "requests", servers},
-		{"Routers: resident memory", "MB", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
-		{"Routers: descriptors", "open", usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
+		{"Routers: resident memory", "MB",
+			usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return u.RSSMB })},
+		{"Routers: descriptors", "open",
+			usageSeries(r, func(_, u fleet.Usage, _ float64) float64 { return float64(u.FDs) })},
 		{"Routers: CPU", "share of a core", usageSeries(r, func(b, u fleet.Usage, dt float64) float64 {
 			return max(0, u.CPUMS-b.CPUMS) / 1000 / max(dt, 0.1)
 		})},
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -17,8 +17,10 @@
 		Seconds: []load.Second{{Asked: 5, Served: 4, Worth: 5, Gained: 3, P50MS: 9, P99MS: 20}, {Asked: 3}},
 		Classes: map[string]load.ClassResult{"read": {Asked: 5}}},
 		AttemptsBySecond: []int{6, 3}, Marks: []fleet.Mark{{AtS: 1, Text: "crash of <s1>"}},
-		Samples: []fleet.Sample{{AtS: 0.5, Routers: map[string]fleet.Usage{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
-			{AtS: 1, Routers: map[string]fleet.Usage{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}}, Held: map[string]int{"s1": 4}}},
+		Samples: []fleet.Sample{
+			{AtS: 0.5, Routers: map[string]fleet.Usage{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
+			{AtS: 1, Routers: map[string]fleet.Usage{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}},
+				Held: map[string]int{"s1": 4}}},
 		Breaches: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"},
 		Changes: []fleet.Change{{
 			Resource: "server/s1", RequestedAtMS: 1000, StoppedAtMS: 2000, RunningAtMS: 3500, ToolRuns: 7}}}
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -128,7 +128,8 @@
 			i++
 		}
 		k := f.Faults[i]
-		t := ScheduledFault{AtS: at, ForS: k.ForS[0] + rng.Float64()*(k.ForS[1]-k.ForS[0]), What: k.What, U: rng.Float64()}
+		t := ScheduledFault{AtS: at, ForS: k.ForS[0] + rng.Float64()*(k.ForS[1]-k.ForS[0]),
+			What: k.What, U: rng.Float64()}
 		n, m := f.Coordinators, f.Coordinators
 		switch faultTargets[k.What] {
 		case "h":
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -25,7 +25,7 @@
 // says.
 type File struct {
 	Version   int                   `toml:"version"`
-	Base      string                `toml:"base"` // shipped scenario that provides missing keys; lists are replaced whole
+	Base      string                `toml:"base"` // shipped scenario that provides missing keys
 	Name      string                `toml:"name"`
 	About     string                `toml:"about"`
 	DurationS float64               `toml:"duration_s"` // of the load, once the routers are ready
@@ -53,7 +53,7 @@
 	Probes       bool     `toml:"probes"`
 	RetryAfter   bool     `toml:"retry_after"`
 	Cancel       bool     `toml:"cancel"`
-	AskList      bool     `toml:"ask_list"`      // routers query discovery; otherwise it is an agent that answers at once
+	AskList      bool     `toml:"ask_list"`      // routers query discovery; otherwise an agent answers at once
 	DrainGrace   float64  `toml:"drain_grace_s"` // seconds that the drain rule allows
 	NoticeMS     float64  `toml:"notice_ms"`     // delay until the front detects that a router has exited
 	Cells        int      `toml:"cells"`         // number of cells into which the servers are divided
@@ -105,7 +105,7 @@
 type Expect struct {
 	Service float64 `toml:"service"`   // minimum share of the worth gained after the warm-up
 	Served  int     `toml:"served"`    // minimum number of requests served
-	Tail    float64 `toml:"tail"`      // minimum share of the worth in the last fifth of the run: the fleet has recovered
+	Tail    float64 `toml:"tail"`      // the same for the last fifth of the run, when the fleet must have recovered
 	Tries   float64 `toml:"attempts"`  // maximum of attempts per request; 0 = no limit
 	Rude    bool    `toml:"rude_told"` // each misbehaving client gets an error or is disconnected
 }
@@ -279,7 +279,8 @@
 	}
 	for i, c := range f.Classes {
 		if c.Name == "" || !(c.Share > 0) || !(c.AimMS > 0) || !(c.LimitMS > 0) || !(c.Worth > 0) || !(c.WorkMS > 0) {
-			return fmt.Errorf("class[%d]: name, share, aim_ms, deadline_ms, worth and work_ms must be set and above 0", i)
+			return fmt.Errorf("class[%d]: name, share, aim_ms, deadline_ms, worth and work_ms must be set"+
+				" and above 0", i)
 		}
 		if c.Effect != "repeatable" && c.Effect != "by_key" && c.Effect != "once" {
 			return bad(fmt.Sprintf("class[%d].effect", i), c.Effect)
@@ -301,9 +302,11 @@
 				"coordinators": f.Fleet.Coordinators == 0, "versions": t.Versions < 1, "count": t.Count < 1,
 				"out": !f.Fleet.Out.On() || f.Fleet.Coordinators == 0, "delay_ms": t.DelayMS <= 0}[n]
 			if isMissing {
-				return fmt.Errorf("%swhat: %s needs %s", at, t.What, map[string]string{"part": "share, count or servers",
+				return fmt.Errorf("%swhat: %s needs %s", at, t.What, map[string]string{
+					"part":   "share, count or servers",
 					"spoil":  "spoil (" + strings.Join(fakes.Spoils, ", ") + ") and answers",
-					"relays": "fleet.relays = true", "coordinators": "fleet.", "out": "fleet.coordinators and fleet."}[n]+
+					"relays": "fleet.relays = true", "coordinators": "fleet.",
+					"out": "fleet.coordinators and fleet."}[n]+
 					map[bool]string{true: n}[n != "part" && n != "spoil" && n != "relays"])
 			}
 		}
--- a/lab/traceanalysis/traceanalysis_test.go
+++ b/lab/traceanalysis/traceanalysis_test.go
@@ -44,7 +44,8 @@
 	s := got.Total
 	for what, v := range map[string][2]int{
 		"asked": {s.Asked, 4}, "retried": {s.Retried, 2}, "sent": {s.Sent, 4}, "cold": {s.Cold, 4},
-		"fetched": {s.Fetched, 2}, "of one key": {s.SameKey, 1}, "dialled": {s.Dials, 2}, "undialled": {s.FailedDials, 2},
+		"fetched": {s.Fetched, 2}, "of one key": {s.SameKey, 1}, "dialled": {s.Dials, 2},
+		"undialled":     {s.FailedDials, 2},
 		"refused lists": {s.FailedLists, 2}, "served": {s.Served, 2}, "turned away": {s.Rejected, 2},
 		"by cause": {s.ByCause["no-retry after connect"], 2}, "in the first second": {got.Seconds[0].Asked, 2},
 		"in two seconds of the cold": {got.Servers["0000000a"].ColdPeak, 4}, "open": {got.Seconds[1].Open, 0}} {
