--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -100,7 +100,7 @@
 
 // playScenario plays a scenario with the given router command.
 func playScenario(
-	ctx context.Context, f scenario.File, c commonFlags, command []string, progress func(load.Now, *fleet.Fleet),
+	ctx context.Context, f scenario.File, c commonFlags, command []string, progress func(load.ProgressReport, *fleet.Fleet),
 ) (fleet.Result, error) {
 	dir := c.logs
 	if dir == "" {
@@ -123,7 +123,7 @@
 }
 
 // printSecond prints the figures of one second of a run.
-func printSecond(n load.Now, fl *fleet.Fleet) {
+func printSecond(n load.ProgressReport, fl *fleet.Fleet) {
 	up, all := fl.CountServers()
 	gain := 0.0
 	if n.Worth > 0 {
@@ -172,7 +172,7 @@
 		f.Name, f.About, f.Fleet.Routers, f.Load.Rate, f.DurationS)
 	areAddressesPrinted := !printAddresses
 	began := time.Now()
-	res, err := playScenario(ctx, f, c, command, func(n load.Now, fl *fleet.Fleet) {
+	res, err := playScenario(ctx, f, c, command, func(n load.ProgressReport, fl *fleet.Fleet) {
 		if !areAddressesPrinted {
 			areAddressesPrinted = true
 			fmt.Println(strings.Join(fl.RouterAddresses(), "\n"))
--- a/lab/fleet/agree.go
+++ b/lab/fleet/agree.go
@@ -39,7 +39,7 @@
 	Acts            int
 	Refused         int // acts that the resource refused for their old token
 	Grants          int
-	Breaches        []checker.Breach
+	Breaches        []checker.Violation
 	Undecided       []string
 	Failures        []string // all failures, including breaches of the rules
 	RecoverySeconds float64  // from the end of the faults until each lease had been acquired again
--- a/lab/fleet/agree_judge.go
+++ b/lab/fleet/agree_judge.go
@@ -63,7 +63,7 @@
 			res.Grants++
 		}
 	}
-	res.Breaches, res.Undecided = checker.JudgeLeases(claims, operations, acts,
+	res.Breaches, res.Undecided = checker.CheckLeases(claims, operations, acts,
 		checker.LeaseRules{Patience: a.options.CheckTimeout})
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -133,7 +133,7 @@
 						defer m.downMu.Unlock()
 						e := m.entry
 						e.State = "leaving"
-						fl.discovery.Happened(e)
+						fl.discovery.ScheduleChange(e)
 					}
 				}
 				fl.runChange(ctx, "server/"+m.entry.ID, &m.downMu, notifyDiscovery, func() {
@@ -155,7 +155,7 @@
 		wg.Go(func() {
 			fl.runChange(ctx, "router/"+r.name, &r.downMu, func() {}, func() {
 				if p := r.newest(); p != nil { // a fault may have it down
-					fl.front.Down(r.name, 300)
+					fl.front.ReportRouterDeath(r.name, 300)
 					r.signal(p, syscall.SIGTERM)
 					<-p.done
 				}
@@ -345,8 +345,8 @@
 		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
 			for _, relay := range fl.coordinatorRelays[r.name] { // all relays were made before the load
-				relay.Set(fakes.Net{Cut: true})
-				defer relay.Set(fakes.Net{})
+				relay.SetConditions(fakes.NetworkConditions{Cut: true})
+				defer relay.SetConditions(fakes.NetworkConditions{})
 			}
 			continue
 		}
@@ -381,7 +381,7 @@
 	for _, o := range faultOutages {
 		o.to = fl.clock.Now()
 		if o.stopped {
-			fl.journal.Add(checker.Event{At: o.from, Kind: checker.Paused,
+			fl.journal.Add(checker.Event{At: o.from, Kind: checker.RouterPaused,
 				Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
 		fl.outages = append(fl.outages, *o)
@@ -439,7 +439,7 @@
 		}
 		late := 0
 		for _, e := range events {
-			if e.Kind != checker.Whole || e.Server != id || e.Began <= c.StoppedAtMS ||
+			if e.Kind != checker.AttemptReceived || e.Server != id || e.Began <= c.StoppedAtMS ||
 				c.RunningAtMS > 0 && e.Began >= c.RunningAtMS {
 				continue
 			}
--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -95,7 +95,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.Now, fl *Fleet) {
+	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.ProgressReport, fl *Fleet) {
 		if up, all := fl.CountServers(); up != 6 || all != 6 {
 			t.Errorf("%d of %d up", up, all)
 		}
@@ -124,7 +124,7 @@
 	f.DurationS, f.Expect = 3, scenario.Expect{}
 	killed := false
 	res, err := Run(t.Context(), f, Options{RouterCommand: command, Dir: t.TempDir(),
-		Progress: func(_ load.Now, fl *Fleet) {
+		Progress: func(_ load.ProgressReport, fl *Fleet) {
 			if !killed {
 				killed = true
 				_ = fl.allRouters()[0].newest().cmd.Process.Kill() // not through the lab, which would expect the exit
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -52,7 +52,7 @@
 
 // openDiscovery opens a listener of discovery for a router.
 func (fl *Fleet) openDiscovery(r *router) (addr string, err error) {
-	return fl.discovery.Door(r.name, func(e model.Entry) string { return fl.serverAddr(r, e) })
+	return fl.discovery.OpenListener(r.name, func(e model.Entry) string { return fl.serverAddr(r, e) })
 }
 
 func (fl *Fleet) operatorFile(r *router) string { return filepath.Join(fl.options.Dir, r.name+".toml") }
@@ -149,7 +149,7 @@
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
 		return err
 	}
-	fl.front.Up(r.name, r.zone, r.listen)
+	fl.front.AddRouter(r.name, r.zone, r.listen)
 	return nil
 }
 
@@ -182,14 +182,14 @@
 		return e.Addr
 	}
 	fl.relays[key] = relay
-	relay.Set(fl.baselineNetwork(r, e.Zone))
+	relay.SetConditions(fl.baselineNetwork(r, e.Zone))
 	return relay.Addr()
 }
 
 // baselineNetwork returns the network conditions between a router and a zone without faults.
-func (fl *Fleet) baselineNetwork(r *router, zone string) fakes.Net {
+func (fl *Fleet) baselineNetwork(r *router, zone string) fakes.NetworkConditions {
 	if r.zone != zone {
-		return fakes.Net{DelayMS: fl.File.Fleet.ZoneDelayMS}
+		return fakes.NetworkConditions{DelayMS: fl.File.Fleet.ZoneDelayMS}
 	}
-	return fakes.Net{}
+	return fakes.NetworkConditions{}
 }
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -19,9 +19,9 @@
 // build starts the fake origin, cache servers and discovery.
 func (fl *Fleet) build() (err error) {
 	f := fl.File
-	if fl.origin, err = fakes.Start(fakes.Host(fakes.Servers)+":0",
+	if fl.origin, err = fakes.Start(fakes.LoopbackHost(fakes.Servers)+":0",
 		fakes.Options{ID: "s-0000ffff", Model: f.Origin, Seed: f.Seed + 1, Clock: fl.clock,
-			Journal: fl.journal, Work: fl.requestWork, Asked: fl.storeOriginAnswer}); err != nil {
+			Journal: fl.journal, Work: fl.requestWork, OnComplete: fl.storeOriginAnswer}); err != nil {
 		return err
 	}
 	known := []model.Entry{{ID: fl.origin.ID(), Addr: fl.origin.Addr(), Zone: f.Fleet.Zones[0],
@@ -49,10 +49,10 @@
 	if k.Model.MeanWork == 0 {
 		k.Model.MeanWork = fl.meanWork()
 	}
-	s, err := fakes.Start(fakes.Host(fakes.Servers)+":0",
+	s, err := fakes.Start(fakes.LoopbackHost(fakes.Servers)+":0",
 		fakes.Options{ID: fmt.Sprintf("s-%08x", 0x1000+n*0x9e37%0xe000), Model: k.Model,
 			Seed:  fl.File.Seed + uint64(n)*7 + 100,
-			Clock: fl.clock, Journal: fl.journal, Work: fl.requestWork, Asked: fl.recordMiss,
+			Clock: fl.clock, Journal: fl.journal, Work: fl.requestWork, OnComplete: fl.recordMiss,
 			Probes: fl.File.Fleet.Probes, IdleMS: connIdleMS})
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 func (fl *Fleet) requestWork(id, key, class string) (float64, int) {
 	for _, c := range fl.File.Classes {
 		if c.Name == class {
-			return load.Work(c, id), load.Size(c, key)
+			return load.RequestWorkMillis(c, id), load.ValueBytes(c, key)
 		}
 	}
 	return 1, 1
@@ -122,7 +122,7 @@
 	fl.mu.Unlock()
 	for i, s := range at {
 		if write {
-			s.Void(key)
+			s.Invalidate(key)
 		} else if i < 2 {
 			s.Store(key, size)
 		}
@@ -138,7 +138,7 @@
 	reads := fl.File.Classes[0]
 	for _, key := range slices.Backward(l.Keys()) { // the most popular keys last, as the most recently used
 		for range 2 {
-			fl.members[fl.rng.IntN(len(fl.members))].Store(key, load.Size(reads, key))
+			fl.members[fl.rng.IntN(len(fl.members))].Store(key, load.ValueBytes(reads, key))
 		}
 	}
 }
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -21,7 +21,7 @@
 			{AtS: 0.5, Routers: map[string]fleet.Usage{"r0": {RSSMB: 9}}, Held: map[string]int{"s1": 3}},
 			{AtS: 1, Routers: map[string]fleet.Usage{"r0": {RSSMB: 10, FDs: 7, CPUMS: 100}},
 				Held: map[string]int{"s1": 4}}},
-		Breaches: []checker.Breach{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"},
+		Breaches: []checker.Violation{{Rule: "copies", At: 3, Text: "two out"}}, Failures: []string{"1 breaches"},
 		Changes: []fleet.Change{{
 			Resource: "server/s1", RequestedAtMS: 1000, StoppedAtMS: 2000, RunningAtMS: 3500, ToolRuns: 7}}}
 	path := filepath.Join(t.TempDir(), "x.html")
