--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -100,7 +100,8 @@
 
 // playScenario plays a scenario with the given router command.
 func playScenario(
-	ctx context.Context, f scenario.File, c commonFlags, command []string, progress func(load.ProgressReport, *fleet.Fleet),
+	ctx context.Context, f scenario.File, c commonFlags, command []string,
+	progress func(load.ProgressReport, *fleet.Fleet),
 ) (fleet.Result, error) {
 	dir := c.logs
 	if dir == "" {
