--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -208,7 +208,7 @@
 	}
 	o.MutantCommand, o.FirstRouterMutant, o.ChangeTimeout = []string{filepath.Join(dir, "dockhinge"), "serve"},
 		"lies-all", 0
-	f, err := scenario.Suspects(3, 5, 2)
+	f, err := scenario.FaultyServers(3, 5, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/fleet/lease_faults.go
+++ b/lab/fleet/lease_faults.go
@@ -116,14 +116,14 @@
 }
 
 // playSchedule plays the faults at their times, until the scenario's duration is over.
-func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.Trouble) {
+func (a *coordinatorGroup) playSchedule(ctx context.Context, schedule []scenario.ScheduledFault) {
 	var wg sync.WaitGroup
 	running, stop := context.WithTimeout(ctx, time.Duration(a.scenario.DurationS*float64(time.Second)))
 	defer stop()
 	for _, fault := range schedule {
 		wg.Go(func() {
 			if wait(running, fault.AtS) {
-				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Who, fault.With, fault.ForS)
+				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Target, fault.Peer, fault.ForS)
 				a.play(running, fault)
 			}
 		})
--- a/lab/fleet/lease_faults_play.go
+++ b/lab/fleet/lease_faults_play.go
@@ -98,17 +98,17 @@
 }
 
 // play plays one fault of the schedule.
-func (a *coordinatorGroup) play(ctx context.Context, t scenario.Trouble) {
-	c := a.nodes[t.Who%len(a.nodes)]
+func (a *coordinatorGroup) play(ctx context.Context, t scenario.ScheduledFault) {
+	c := a.nodes[t.Target%len(a.nodes)]
 	switch t.What {
 	case "kill-coordinator":
 		a.killAndRestart(ctx, c.restartableProcess, t.ForS)
 	case "stop-coordinator":
 		a.stopAndContinue(ctx, c.restartableProcess, t.ForS)
 	case "kill-holder":
-		a.killAndRestart(ctx, a.holders[t.Who], t.ForS)
+		a.killAndRestart(ctx, a.holders[t.Target], t.ForS)
 	case "stop-holder":
-		a.stopAndContinue(ctx, a.holders[t.Who], t.ForS)
+		a.stopAndContinue(ctx, a.holders[t.Target], t.ForS)
 	case "disk-full":
 		a.fillDisk(ctx, c, t.ForS)
 	case "restart-all":
@@ -126,17 +126,17 @@
 
 // playLinkFault plays a fault of the network between two coordinators, holders and coordinators, or
 // holders and resource.
-func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) playLinkFault(ctx context.Context, t scenario.ScheduledFault) {
 	switch t.What {
 	case "cut":
-		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
+		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "hold-there":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Who, t.With}])
+		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.Peer}])
 	case "delay":
-		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Who, t.With}], a.raftRelays[link{t.With, t.Who}])
+		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "cut-clients":
 		var relays []*fakes.Relay
-		coordinator := t.Who % len(a.nodes)
+		coordinator := t.Target % len(a.nodes)
 		for holder := range a.holders {
 			relays = append(relays, a.clientRelays[link{holder, coordinator}])
 		}
@@ -148,28 +148,28 @@
 	case "slow-then-cut":
 		a.slowThenCut(ctx, t)
 	case "late-acts":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.resourceRelays[t.Who])
+		a.faultLinks(ctx, t.ForS, dropThereFault, a.resourceRelays[t.Target])
 	}
 }
 
 // someClientRelays returns the relays from a holder to the coordinator that the fault names or,
 // depending on the fault's random number, to all coordinators.
-func (a *coordinatorGroup) someClientRelays(t scenario.Trouble) []*fakes.Relay {
+func (a *coordinatorGroup) someClientRelays(t scenario.ScheduledFault) []*fakes.Relay {
 	var relays []*fakes.Relay
 	meetsAll := t.U < 0.5
 	for coordinator := range a.nodes {
-		if meetsAll || coordinator == t.With {
-			relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
+		if meetsAll || coordinator == t.Peer {
+			relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 		}
 	}
 	return relays
 }
 
 // slowThenCut delays a holder's answers, and drops its requests after a third of the time.
-func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.Trouble) {
+func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.ScheduledFault) {
 	var relays []*fakes.Relay
 	for coordinator := range a.nodes {
-		relays = append(relays, a.clientRelays[link{t.Who, coordinator}])
+		relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 	}
 	var both sync.WaitGroup
 	both.Go(func() { a.faultLinks(ctx, t.ForS, delayFault, relays...) })
@@ -206,7 +206,7 @@
 // damageOrWipeDisk damages or empties a stopped coordinator's disk and starts it. A coordinator
 // that rejects its disk, or has lost it, returns with an empty directory as a new member, after
 // the old member has been removed.
-func (a *coordinatorGroup) damageOrWipeDisk(ctx context.Context, c *coordinator, t scenario.Trouble) {
+func (a *coordinatorGroup) damageOrWipeDisk(ctx context.Context, c *coordinator, t scenario.ScheduledFault) {
 	ctx = context.WithoutCancel(ctx)
 	if t.What == "damage" && a.survivesDamage(ctx, c, t.U) {
 		return
