--- a/lab/fleet/fleet_test.go
+++ b/lab/fleet/fleet_test.go
@@ -95,12 +95,13 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(), Progress: func(n load.ProgressReport, fl *Fleet) {
-		if up, all := fl.CountServers(); up != 6 || all != 6 {
-			t.Errorf("%d of %d up", up, all)
-		}
-		stop()
-	}})
+	res, err := Run(ctx, f, Options{RouterCommand: command, Dir: t.TempDir(),
+		Progress: func(n load.ProgressReport, fl *Fleet) {
+			if up, all := fl.CountServers(); up != 6 || all != 6 {
+				t.Errorf("%d of %d up", up, all)
+			}
+			stop()
+		}})
 	if err != nil || !res.Interrupted || res.Load.Tries == 0 {
 		t.Errorf("%v, cut %t, %d tries", err, res.Interrupted, res.Load.Tries)
 	}
--- a/lab/fleet/lease_faults.go
+++ b/lab/fleet/lease_faults.go
@@ -123,7 +123,8 @@
 	for _, fault := range schedule {
 		wg.Go(func() {
 			if wait(running, fault.AtS) {
-				a.options.Logf("%6.2f s  %s %d %d for %.2f s", fault.AtS, fault.What, fault.Target, fault.Peer, fault.ForS)
+				a.options.Logf("%6.2f s  %s %d %d for %.2f s",
+					fault.AtS, fault.What, fault.Target, fault.Peer, fault.ForS)
 				a.play(running, fault)
 			}
 		})
--- a/lab/fleet/lease_faults_play.go
+++ b/lab/fleet/lease_faults_play.go
@@ -133,7 +133,8 @@
 	case "hold-there":
 		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.Peer}])
 	case "delay":
-		a.faultLinks(ctx, t.ForS, delayFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
+		a.faultLinks(ctx, t.ForS, delayFault,
+			a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "cut-clients":
 		var relays []*fakes.Relay
 		coordinator := t.Target % len(a.nodes)
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -83,7 +83,8 @@
 		switch {
 		case e.Kind == checker.Sent:
 			routerOf[e.Request] = e.Router
-		case e.Kind == checker.AttemptReceived && e.Server == x.Server && e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
+		case e.Kind == checker.AttemptReceived && e.Server == x.Server &&
+			e.Began >= x.From && (x.To == 0 || e.Began <= x.To):
 			x.Attempts++
 			routers[routerOf[e.Request]] = true
 			if e.Began > x.From+1000 {
