--- a/lab/fleet/agreecost.go
+++ b/lab/fleet/coordinator_cost.go
@@ -61,7 +61,7 @@
 		a.close()
 		return nil, err
 	}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		c.env = o.Env
 	}
 	a.holders, a.resource = nil, nil
@@ -102,13 +102,13 @@
 		return u, err
 	}
 	before := map[string]Usage{}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		if before[c.name], err = ProcessUse(c.cmd.Process.Pid); err != nil {
 			return u, err
 		}
 	}
 	wait(ctx, over.Seconds())
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		now, err := ProcessUse(c.cmd.Process.Pid)
 		if err != nil {
 			return u, err
@@ -127,7 +127,7 @@
 
 func (a *coordinatorGroup) addresses() map[string]string {
 	all := map[string]string{}
-	for _, c := range a.coords {
+	for _, c := range a.nodes {
 		all[c.name] = c.api
 	}
 	return all
@@ -159,17 +159,18 @@
 	began := time.Now()
 	var mu sync.Mutex
 	var waiting sync.WaitGroup
-	patience, endPatience := context.WithTimeout(ctx, opensWithin)
-	defer endPatience()
+	sessionsCtx, cancelSessions := context.WithTimeout(ctx, sessionTimeout)
+	defer cancelSessions()
 	for i := range clients { // each takes its share of the leases
 		waiting.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
 				if n >= leases { // a client without a lease also waits for its session
-					_, err := all[i].Acquire(patience, "nobody's", "", time.Minute) // rejected: longer than the session
+					// rejected: longer than the session
+					_, err := all[i].Acquire(sessionsCtx, "nobody's", "", time.Minute)
 					m.countRefusal(&mu, err)
 					break
 				}
-				if _, err := all[i].Acquire(patience, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
+				if _, err := all[i].Acquire(sessionsCtx, fmt.Sprintf("lease-%d", n), "", 10*time.Second); err != nil {
 					mu.Lock()
 					m.Failed++
 					mu.Unlock()
@@ -193,19 +194,19 @@
 	}
 	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
 	var took []time.Duration
-	busy, stop := context.WithCancel(ctx)
+	busyCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range min(clients, 64) {
 		waiting.Go(func() {
 			name := fmt.Sprintf("busy-%d", i)
-			for busy.Err() == nil {
+			for busyCtx.Err() == nil {
 				startedAt := time.Now()
-				l, err := all[i].Acquire(busy, name, "", 10*time.Second)
+				l, err := all[i].Acquire(busyCtx, name, "", 10*time.Second)
 				if err != nil {
 					continue
 				}
 				acquiredAt := time.Now()
-				if l.Release(busy) != nil {
+				if l.Release(busyCtx) != nil {
 					continue
 				}
 				mu.Lock()
@@ -245,9 +246,9 @@
 	return nil
 }
 
-// opensWithin bounds how long clients wait for a session. A client beyond a limit of the
+// sessionTimeout bounds how long clients wait for a session. A client beyond a limit of the
 // coordinators never gets one.
-const opensWithin = 30 * time.Second
+const sessionTimeout = 30 * time.Second
 
 // countRefusal counts a client that got no session.
 func (m *CoordinatorCost) countRefusal(mu *sync.Mutex, err error) {
@@ -281,7 +282,7 @@
 			if err != nil {
 				return err
 			}
-			for _, x := range a.coords {
+			for _, x := range a.nodes {
 				if s, err := x.status(ctx); err != nil || s.LastLogIndex+5 < leaderStatus.LastLogIndex ||
 					s.Leader != l.name {
 					return errors.Join(errors.New("not all coordinators follow the leader"), err)
@@ -305,7 +306,7 @@
 		if err := lease.Release(ctx); err != nil {
 			return took, err
 		}
-		a.restart(l.proc)
+		a.restart(l.restartableProcess)
 	}
 	return took, nil
 }
@@ -320,15 +321,15 @@
 		return nil, err
 	}
 	defer a.close()
-	next, end := liveClient(ctx, a.addresses(), "next", ttl)
+	nextHolder, end := liveClient(ctx, a.addresses(), "next", ttl)
 	defer end()
 	var mu sync.Mutex
 	var errs []error
-	var each sync.WaitGroup
+	var holders sync.WaitGroup
 	slots := make(chan struct{}, 10)
 	for n := range times {
 		slots <- struct{}{}
-		each.Go(func() {
+		holders.Go(func() {
 			defer func() { <-slots }()
 			name := fmt.Sprintf("d%d", n)
 			var relays []*fakes.Relay
@@ -338,7 +339,7 @@
 					r.Close()
 				}
 			}()
-			for _, x := range a.coords {
+			for _, x := range a.nodes {
 				r, err := fakes.NewRelay(func() string { return x.api })
 				if err != nil {
 					return
@@ -354,7 +355,7 @@
 					r.SetConditions(fakes.NetworkConditions{Cut: true})
 				}
 				at := time.Now()
-				err = next.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
+				err = nextHolder.RunWithLease(ctx, name, "", ttl, ttl/4, func(context.Context, *client.Lease) error {
 					mu.Lock()
 					took = append(took, time.Since(at))
 					mu.Unlock()
@@ -366,6 +367,6 @@
 			mu.Unlock()
 		})
 	}
-	each.Wait()
+	holders.Wait()
 	return took, errors.Join(errs...)
 }
