--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -32,11 +32,11 @@
 				return err
 			}
 			w := cmd.OutOrStdout()
-			run.Head(w)
+			run.WriteTableHeader(w)
 			for _, n := range routers {
 				step, err := playHollowStep(cmd, n, o)
 				run.Steps = append(run.Steps, step)
-				run.Row(w, step)
+				run.WriteTableRow(w, step)
 				if step.RestartFailed != "" {
 					fmt.Fprintf(w, "%d routers: %s\n", n, step.RestartFailed)
 				}
@@ -52,12 +52,12 @@
 	cmd.Flags().IntVar(&o.RegionRouters, "region-routers", 392, "routers in a region")
 	cmd.Flags().IntVar(&o.RegionServers, "region-servers", 192,
 		"cache servers in a region; each router of the region reports on all of them")
-	cmd.Flags().DurationVar(&o.Beat, "beat", time.Second,
+	cmd.Flags().DurationVar(&o.HeartbeatTimeout, "beat", time.Second,
 		"how long a leader may be silent; longer than the coordinators' default, because all share one machine")
 	cmd.Flags().DurationVar(&o.TTL, "ttl", 10*time.Second, "time to live of the routers' sessions")
 	cmd.Flags().DurationVar(&o.Idle, "idle", 8*time.Second, "how long the fleet is measured at rest")
 	cmd.Flags().IntVar(&o.Drains, "drains", 3, "number of server drains whose latency is measured")
-	cmd.Flags().DurationVar(&o.Patience, "patience", 40*time.Second,
+	cmd.Flags().DurationVar(&o.Timeout, "patience", 40*time.Second,
 		"timeout for all routers to reach the state that a step waits for")
 	cmd.Flags().StringVar(&out, "out", "", "write the run as JSON to this file, for 'capacity --slopes'")
 	cmd.Flags().BoolVar(&onto, "onto", false, "append the steps to those already in the --out file")
@@ -86,7 +86,7 @@
 	}
 	defer os.RemoveAll(dir)
 	o.Dir = dir
-	return hollow.Play(cmd.Context(), n, o)
+	return hollow.MeasureStep(cmd.Context(), n, o)
 }
 
 // writeRun fits the slopes and writes the run to path; an empty path writes nothing.
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -110,13 +110,13 @@
 				x := all[i]
 				fmt.Fprintf(w, "%s\t%d", v.name, len(x.attempts))
 				for _, col := range [][]float64{x.attempts, x.late} {
-					mean, half := simulation.Mean(col)
+					mean, half := simulation.MeanWithInterval(col)
 					fmt.Fprintf(w, "\t%.1f\t%.1f", mean, half)
 				}
-				meanRouters, _ := simulation.Mean(x.routerCounts)
-				service, half := simulation.Mean(x.service)
-				breaches, _ := simulation.Mean(x.breaches)
-				cpu, _ := simulation.Mean(x.cpu)
+				meanRouters, _ := simulation.MeanWithInterval(x.routerCounts)
+				service, half := simulation.MeanWithInterval(x.service)
+				breaches, _ := simulation.MeanWithInterval(x.breaches)
+				cpu, _ := simulation.MeanWithInterval(x.cpu)
 				fmt.Fprintf(w, "\t%.1f\t%.4f\t%.4f\t%.0f\t%.2f\n",
 					meanRouters, service, half, breaches*float64(len(x.breaches)), cpu)
 			}
--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -37,7 +37,7 @@
 		Short: "Simulate days of hundreds of routers in virtual time",
 		Long: "Simulates days of the regression test's kinds in virtual time, with the decision module of\n" +
 			"this build and modeled servers: " +
-			strings.Join(slices.Concat(simulation.Days, simulation.SlowStarts, simulation.Releases), ", ") +
+			strings.Join(slices.Concat(simulation.Days, simulation.SlowStartDays, simulation.ReleaseDays), ", ") +
 			".\n--out writes the results; --against compares them seed by seed with another build, and prints the\n" +
 			"mean difference with its 95% confidence interval. docs/simulation.md describes how far to\n" +
 			"trust the results.",
@@ -109,7 +109,7 @@
 	for _, p := range jobs {
 		l := report.Line{Name: p.Day + ": served in time, %"}
 		for _, s := range p.Sums.Seconds {
-			l.Values = append(l.Values, 100*simulation.Share(s.InTime, s.Asked))
+			l.Values = append(l.Values, 100*simulation.Quotient(s.InTime, s.Requests))
 		}
 		if n := len(l.Values); n > 0 { // the last second is incomplete
 			l.Values = l.Values[:n-1]
@@ -118,7 +118,7 @@
 		if p.Day != "release" && p.Day != "release-zone" {
 			continue
 		}
-		day, err := simulation.Twin(p.Day, p.Size[0], p.Size[1], p.Seed)
+		day, err := simulation.GenerateDay(p.Day, p.Size[0], p.Size[1], p.Seed)
 		if err != nil {
 			return err
 		}
@@ -128,7 +128,7 @@
 		}
 		routers, servers := report.Line{Name: p.Day + ": routers out, %", Values: make([]float64, 3)},
 			report.Line{Name: p.Day + ": servers out, %", Values: make([]float64, 3)}
-		for _, out := range plan.Out {
+		for _, out := range plan.OutBySecond {
 			routers.Values, servers.Values = append(routers.Values, 100*float64(out[0])/float64(p.Size[0])),
 				append(servers.Values, 100*float64(out[1])/float64(p.Size[1]))
 		}
@@ -146,8 +146,8 @@
 	for range max(1, min(workers, len(jobs))) {
 		workersDone.Go(func() {
 			for i := range next {
-				p, err := simulation.Twin(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
-				p.Shared = probeMillis
+				p, err := simulation.GenerateDay(jobs[i].Day, jobs[i].Size[0], jobs[i].Size[1], jobs[i].Seed)
+				p.SharedProbeMillis = probeMillis
 				if err == nil {
 					jobs[i].Sums, err = simulation.Play(p)
 				}
@@ -203,10 +203,10 @@
 	}
 	fmt.Fprintln(t)
 	for i, name := range names {
-		mean, half := simulation.Mean(column(now, i))
+		mean, half := simulation.MeanWithInterval(column(now, i))
 		fmt.Fprintf(t, "%s\t%.4f\t±%.4f", name, mean, half)
 		if before != nil {
-			mean, half := simulation.Mean(column(diff, i))
+			mean, half := simulation.MeanWithInterval(column(diff, i))
 			mark := ""
 			if mean > half || mean < -half {
 				mark = "*"
@@ -237,10 +237,10 @@
 		if cold.Starts == 0 {
 			continue
 		}
-		most, told := cold.Most, cold.MostTold
+		most, told := cold.Fullest, cold.FullestByInformed
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
-			p.Day, p.Size[0], p.Size[1], p.Seed, cold.Starts, cold.Over, cold.Broken,
-			most.AgeMillis, most.Allowed, most.Sent, most.Told, most.Bound(), told.Sent, told.Allowed, told.Bound())
+			p.Day, p.Size[0], p.Size[1], p.Seed, cold.Starts, cold.OverBound, cold.OverBoundByInformed,
+			most.AgeMillis, most.Allowed, most.Sent, most.SentByInformed, most.Bound(), told.Sent, told.Allowed, told.Bound())
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
@@ -254,27 +254,27 @@
 		fmt.Fprintln(t, "s\tasked\tin time\tasks\tturned away\tattempts\tmisses\tcancels\tfull\tfetches\tdials\t")
 		for i, s := range p.Sums.Seconds {
 			fmt.Fprintf(t, "%d\t%d\t%.2f\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t\n",
-				i, s.Asked, simulation.Share(s.InTime, s.Asked), s.Asks, s.TurnedAway, s.Attempts,
-				simulation.Share(s.Misses, s.Attempts), simulation.Share(s.Cancels, s.Attempts),
-				s.Full, s.Fetches, s.Dials)
+				i, s.Requests, simulation.Quotient(s.InTime, s.Requests), s.Tries, s.Rejected, s.Attempts,
+				simulation.Quotient(s.Misses, s.Attempts), simulation.Quotient(s.Cancels, s.Attempts),
+				s.QueueFullAttempts, s.Fetches, s.Dials)
 		}
 		t.Flush()
-		fmt.Fprintln(w, "refused:", p.Sums.ByCause)
+		fmt.Fprintln(w, "refused:", p.Sums.RejectedByCause)
 		fmt.Fprintln(w, "not in time, by how the first try ended:")
-		causes := slices.SortedFunc(maps.Keys(p.Sums.Lost), func(a, b string) int {
-			return cmp.Or(cmp.Compare(p.Sums.Lost[b], p.Sums.Lost[a]), cmp.Compare(a, b))
+		causes := slices.SortedFunc(maps.Keys(p.Sums.NotInTimeByOutcome), func(a, b string) int {
+			return cmp.Or(cmp.Compare(p.Sums.NotInTimeByOutcome[b], p.Sums.NotInTimeByOutcome[a]), cmp.Compare(a, b))
 		})
 		for _, cause := range causes[:min(12, len(causes))] {
-			fmt.Fprintf(w, "%7d %s\n", p.Sums.Lost[cause], cause)
+			fmt.Fprintf(w, "%7d %s\n", p.Sums.NotInTimeByOutcome[cause], cause)
 		}
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "ranks below\tkeys\tasked\tin time\tturned away\tattempts\tat the main server\tservers a key"+
 			"\tmisses\tcancels\t")
 		for _, b := range p.Sums.Bands {
 			fmt.Fprintf(t, "%d\t%d\t%d\t%.2f\t%d\t%d\t%.2f\t%.1f\t%.2f\t%.2f\t\n",
-				b.Below, b.Keys, b.Asked, simulation.Share(b.InTime, b.Asked), b.TurnedAway, b.Attempts,
-				simulation.Share(b.AtMains, b.Attempts), simulation.Share(b.Places, b.Keys),
-				simulation.Share(b.Misses, b.Attempts), simulation.Share(b.Cancels, b.Attempts))
+				b.RankLimit, b.Keys, b.Requests, simulation.Quotient(b.InTime, b.Requests), b.Rejected, b.Attempts,
+				simulation.Quotient(b.AtMainServer, b.Attempts), simulation.Quotient(b.ServersTried, b.Keys),
+				simulation.Quotient(b.Misses, b.Attempts), simulation.Quotient(b.Cancels, b.Attempts))
 		}
 		t.Flush()
 		fmt.Fprintln(w)
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -20,27 +20,28 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Times of a group of coordinators.
+// Timeouts of a group of coordinators, and the pause between two polls.
 const (
-	startWithin  = 20 * time.Second
-	endWithin    = 5 * time.Second
-	statusWithin = 5 * time.Second
-	askAgain     = 50 * time.Millisecond
+	startTimeout    = 20 * time.Second
+	shutdownTimeout = 5 * time.Second
+	statusTimeout   = 5 * time.Second
+	pollInterval    = 50 * time.Millisecond
 )
 
-// coordinator is one process.
+// coordinator is one coordinator process.
 type coordinator struct {
 	name, listen, api string
 	command           []string
-	log               string
+	logPath           string
 	cmd               *exec.Cmd
-	done              chan struct{} // closed at its end
+	done              chan struct{} // closed when the process has ended
 }
 
-// group is a group of coordinators that are real processes, without faults.
+// group is a group of coordinators, each a real process without injected faults.
 type group struct{ all []*coordinator }
 
-// startGroup starts coordinators in a directory, has them form a group and brings this program's version in force.
+// startGroup starts the coordinators, forms a group of them and upgrades it to the state version of
+// this program.
 func startGroup(ctx context.Context, o Options) (g *group, err error) {
 	g = &group{}
 	defer func() {
@@ -58,7 +59,7 @@
 	var members []node.Member
 	for _, c := range g.all {
 		var s node.Status
-		if err := repeat(ctx, startWithin, func() error { s, err = c.status(ctx); return err }); err != nil {
+		if err := retryUntil(ctx, startTimeout, func() error { s, err = c.status(ctx); return err }); err != nil {
 			return nil, fmt.Errorf("coordinator %s: %w", c.name, err)
 		}
 		members = append(members, node.Member{Name: c.name, Identity: s.Identity, Address: c.listen})
@@ -66,12 +67,12 @@
 	if err := client.Call(ctx, http.MethodPost, g.all[0].api, "/v1/init", members, nil); err != nil {
 		return nil, fmt.Errorf("forming the group: %w", err)
 	}
-	return g, repeat(ctx, startWithin, func() error { return g.upgrade(ctx) })
+	return g, retryUntil(ctx, startTimeout, func() error { return g.upgrade(ctx) })
 }
 
-// startCoordinator starts one process with addresses and a directory of its own.
+// startCoordinator starts one process with its own addresses and directory.
 func startCoordinator(name string, o Options) (*coordinator, error) {
-	c := &coordinator{name: name, log: filepath.Join(o.Dir, name+".log")}
+	c := &coordinator{name: name, logPath: filepath.Join(o.Dir, name+".log")}
 	var err error
 	if c.listen, err = fleet.FreeAddr(); err != nil {
 		return nil, err
@@ -80,7 +81,8 @@
 		return nil, err
 	}
 	file := filepath.Join(o.Dir, name+".toml")
-	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name, filepath.Join(o.Dir, name), c.listen, c.api, o.Beat)
+	text := fmt.Sprintf("version = 1\nname = %q\ndir = %q\nlisten = %q\napi = %q\nbeat = %q\n", name,
+		filepath.Join(o.Dir, name), c.listen, c.api, o.HeartbeatTimeout)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -88,25 +90,25 @@
 	return c, c.start()
 }
 
-// start starts the process, also again after its end.
+// start starts the process, or restarts it after it has ended.
 func (c *coordinator) start() error {
-	cmd, err := fleet.Spawn(c.command, nil, c.log)
+	cmd, err := fleet.Spawn(c.command, nil, c.logPath)
 	if err != nil {
 		return fmt.Errorf("coordinator %s: %w", c.name, err)
 	}
 	done := make(chan struct{})
 	c.cmd, c.done = cmd, done
-	go func() { // ended by the end of the process, which close waits for
-		_ = cmd.Wait() // what became of it is seen by its answers
+	go func() { // returns when the process ends; close waits for it
+		_ = cmd.Wait() // a process that failed shows by its missing answers
 		close(done)
 	}()
 	return nil
 }
 
-// restart kills all coordinators at once and starts them again with their directories.
+// restart kills all coordinators at once and restarts them on their directories.
 func (g *group) restart() error {
 	for _, c := range g.all {
-		_ = c.cmd.Process.Kill() // it may have ended
+		_ = c.cmd.Process.Kill() // the process may have ended
 	}
 	for _, c := range g.all {
 		<-c.done
@@ -117,14 +119,15 @@
 	return nil
 }
 
-// upgrade brings the commands and bounds of this program in force.
+// upgrade raises the group to the commands and limits of this program's state version.
 func (g *group) upgrade(ctx context.Context) error {
 	l, _, err := g.leader(ctx)
 	if err != nil {
 		return err
 	}
 	var a coord.Response
-	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade", coord.Command{TargetVersion: coord.Version}, &a); err != nil {
+	if err := client.Call(ctx, http.MethodPost, l.api, "/v1/upgrade",
+		coord.Command{TargetVersion: coord.Version}, &a); err != nil {
 		return err
 	}
 	if a.Code != coord.CodeOK {
@@ -133,9 +136,9 @@
 	return nil
 }
 
-// status asks a coordinator how it stands.
+// status returns the status that the coordinator reports.
 func (c *coordinator) status(ctx context.Context) (s node.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	err = client.Call(ctx, http.MethodGet, c.api, "/v1/status", nil, &s)
 	return s, err
@@ -143,7 +146,7 @@
 
 var errNoLeader = errors.New("no coordinator leads")
 
-// leader finds the one that leads in the highest term.
+// leader returns the coordinator that reports to lead in the highest term, and its status.
 func (g *group) leader(ctx context.Context) (l *coordinator, status node.Status, err error) {
 	for _, c := range g.all {
 		if s, err := c.status(ctx); err == nil && s.State == "Leader" && s.Term > status.Term {
@@ -156,7 +159,7 @@
 	return l, status, nil
 }
 
-// addresses are those for clients, by name.
+// addresses returns the API addresses of the coordinators by name.
 func (g *group) addresses() map[string]string {
 	all := map[string]string{}
 	for _, c := range g.all {
@@ -165,37 +168,38 @@
 	return all
 }
 
-// close ends all processes and waits for them.
+// close terminates all processes and waits until they have ended.
 func (g *group) close() {
 	for _, c := range g.all {
-		_ = c.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = c.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 	}
-	over := time.After(endWithin)
+	timeout := time.After(shutdownTimeout)
 	for _, c := range g.all {
 		select {
 		case <-c.done:
-		case <-over:
+		case <-timeout:
 			_ = c.cmd.Process.Kill()
 			<-c.done
 		}
 	}
 }
 
-// use is what a process has used since its start, and holds now.
-type use struct {
+// processUsage is the resource use of a process: CPU time and bytes read since its start, memory and
+// descriptors at present.
+type processUsage struct {
 	cpu         time.Duration
 	residentMB  float64
 	descriptors int
-	readBytes   int64 // by read calls: sockets, as the log and the state's files are mapped or only written
+	readBytes   int64 // by read calls; nearly all from sockets, as log and state files are mapped or only written
 }
 
-// processUse reads it from /proc.
-func processUse(pid int) (u use, err error) {
+// readProcessUsage reads the resource use of a process from /proc.
+func readProcessUsage(pid int) (u processUsage, err error) {
 	p, err := fleet.ProcessUse(pid)
 	if err != nil {
 		return u, err
 	}
-	u = use{cpu: time.Duration(p.CPUMS * float64(time.Millisecond)), residentMB: p.RSSMB, descriptors: p.FDs}
+	u = processUsage{cpu: time.Duration(p.CPUMS * float64(time.Millisecond)), residentMB: p.RSSMB, descriptors: p.FDs}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return u, err
@@ -208,8 +212,8 @@
 	return u, err
 }
 
-// repeat tries until f succeeds or the time is over.
-func repeat(ctx context.Context, within time.Duration, f func() error) error {
+// retryUntil calls f until it succeeds; when ctx ends or the time is up, it returns the last error of f.
+func retryUntil(ctx context.Context, within time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
@@ -220,7 +224,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(askAgain):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -18,72 +18,73 @@
 	"dockhinge.example/dockhinge/lab/fleet"
 )
 
-// Options say what is played.
+// Options configure a step.
 type Options struct {
-	Coordinators  int           // processes
-	Command       []string      // that starts one
-	Dir           string        // for their files; it must be there
-	Beat          time.Duration // of the coordinators: how long a leader may be silent
-	RegionRouters int           // routers of a region,
-	RegionServers int           // and the servers that each of them sees
-	TTL           time.Duration // of the routers' sessions
-	Idle          time.Duration // over which the fleet at rest is measured
-	Drains        int           // drains of a server whose latency is measured
-	Patience      time.Duration // for all routers to have what they wait for
+	Coordinators     int           // number of processes
+	Command          []string      // starts one coordinator
+	Dir              string        // of the coordinators' files; must exist
+	HeartbeatTimeout time.Duration // of the coordinators: how long a leader may be silent before an election
+	RegionRouters    int           // routers of a region
+	RegionServers    int           // servers of a region, each seen by all routers of the region
+	TTL              time.Duration // of the routers' sessions
+	Idle             time.Duration // duration of the measurement at rest
+	Drains           int           // number of drains to measure
+	Timeout          time.Duration // of each wait for all routers
 }
 
-// Usage is what one process costs.
+// Usage is the resource use of one process.
 type Usage struct {
-	Name       string  `json:"name"`
-	Leader     bool    `json:"leader"`
-	Cores      float64 `json:"cores"`       // of processor time a second
-	ResidentMB float64 `json:"resident_mb"` // at the end of the measurement
-	Open       int     `json:"open"`        // descriptors
-	ReadPerS   float64 `json:"read_per_s"`  // bytes read, of sockets
+	Name        string  `json:"name"`
+	Leader      bool    `json:"leader"`
+	Cores       float64 `json:"cores"`       // CPU seconds per second
+	ResidentMB  float64 `json:"resident_mb"` // at the end of the measurement
+	Descriptors int     `json:"open"`        // file descriptors
+	ReadPerS    float64 `json:"read_per_s"`  // bytes read from sockets per second
 }
 
-// Step is a ladder's step: what so many hollow routers cost.
+// Step is one step of a ladder of fleet sizes: what a number of hollow routers cost the coordinators.
 type Step struct {
-	Routers   int     `json:"routers"`
-	Sightings int     `json:"sightings"` // pairs of a router and a server that it reports
-	SessionS  float64 `json:"session_s"` // all at once: until all have a session,
-	FirstS    float64 `json:"first_s"`   // until all have what is drained,
-	ReportedS float64 `json:"reported_s"`
-	// Join is what the leader and the busiest other voter used until then, in seconds of processor time.
+	Routers        int     `json:"routers"`
+	ReportedPairs  int     `json:"sightings"` // pairs of a router and a server in its reports
+	SessionS       float64 `json:"session_s"` // from when all routers started until all have a session
+	FirstDrainSetS float64 `json:"first_s"`   // likewise, until all have the first set of drained servers
+	ReportedS      float64 `json:"reported_s"`
+	// CPU seconds of the leader and of the busiest other voter until all routers had reported.
 	JoinLeaderCPUS float64 `json:"join_leader_cpu_s"`
 	JoinVoterCPUS  float64 `json:"join_voter_cpu_s"`
-	// A router's bytes until then.
+	// Bytes received and sent per router until all had reported.
 	JoinRouterIn  float64 `json:"join_router_in"`
 	JoinRouterOut float64 `json:"join_router_out"`
 
-	Idle           []Usage `json:"idle"` // of the coordinators,
+	Idle           []Usage `json:"idle"` // of the coordinators at rest
 	HollowCores    float64 `json:"hollow_cores"`
-	HollowMB       float64 `json:"hollow_mb"`      // of the process that plays all routers
-	RouterInPerS   float64 `json:"router_in_s"`    // bytes a second and router at rest
+	HollowMB       float64 `json:"hollow_mb"`      // of the process that runs all hollow routers
+	RouterInPerS   float64 `json:"router_in_s"`    // bytes per second and router at rest
 	RouterOutPerS  float64 `json:"router_out_s"`   // likewise
-	ReportBytes    float64 `json:"report_bytes"`   // of what 'fleet' shows
-	Connections    float64 `json:"connections"`    // a router
-	EntriesPerS    float64 `json:"entries_s"`      // of the log, at rest
-	CommitP99MS    float64 `json:"commit_p99_ms"`  // of commands, by the leader's own figures over its life
-	Drains         int     `json:"drains"`         // that were measured
-	DrainP50MS     float64 `json:"drain_p50_ms"`   // from when the drain was sent until a router had it
+	ReportBytes    float64 `json:"report_bytes"`   // size of the answer that the operators' tool shows as 'fleet'
+	Connections    float64 `json:"connections"`    // per router
+	EntriesPerS    float64 `json:"entries_s"`      // log entries per second at rest
+	CommitP99MS    float64 `json:"commit_p99_ms"`  // of commands, as the leader reports it since its start
+	Drains         int     `json:"drains"`         // number of drains measured
+	DrainP50MS     float64 `json:"drain_p50_ms"`   // from when the drain was sent until a router applied it
 	DrainP99MS     float64 `json:"drain_p99_ms"`   // likewise
-	DrainLastMS    float64 `json:"drain_last_ms"`  // the last router of the slowest drain
-	DrainAckedMS   float64 `json:"drain_acked_ms"` // the slowest drain, until all had acknowledged it
+	DrainLastMS    float64 `json:"drain_last_ms"`  // of the last router of the slowest drain
+	DrainAckedMS   float64 `json:"drain_acked_ms"` // of the slowest drain, until all routers had acknowledged it
 	DrainLeaderCPU float64 `json:"drain_leader_cpu_s"`
-	DrainRouterIn  float64 `json:"drain_router_in"` // bytes a router and drain, its end included
+	DrainRouterIn  float64 `json:"drain_router_in"` // bytes per router and drain, including the end of the drain
 
-	// RestartS is from when all coordinators were killed and started again until the last router had a drain that was set as soon as
-	// they took one.
+	// RestartS is the time from when all coordinators were killed and restarted until the last router
+	// applied a drain that was begun as soon as the coordinators accepted one.
 	RestartS      float64 `json:"restart_s"`
-	RestartFailed string  `json:"restart_failed,omitempty"` // why that is not known
+	RestartFailed string  `json:"restart_failed,omitempty"` // why RestartS is unknown
 
 	Failed string `json:"failed,omitempty"` // why the step was not finished
 }
 
-// Play plays one step: coordinators start, so many routers join all at once, rest, and follow drains.
-func Play(ctx context.Context, routers int, o Options) (step Step, err error) {
-	step.Routers, step.Sightings = routers, routers*o.RegionServers
+// MeasureStep starts coordinators, has the routers join all at once, and measures the join, the fleet
+// at rest, drains, and a restart of all coordinators.
+func MeasureStep(ctx context.Context, routers int, o Options) (step Step, err error) {
+	step.Routers, step.ReportedPairs = routers, routers*o.RegionServers
 	if err := fleet.CheckDescriptorLimit(routers); err != nil {
 		step.Failed = err.Error()
 		return step, err
@@ -98,49 +99,52 @@
 	defer f.wg.Wait()
 	defer stop()
 	operator := f.operator(run, g.addresses())
-	if err := f.budget(ctx, operator); err != nil {
+	if err := f.setBudget(ctx, operator); err != nil {
 		return step, err
 	}
 	for _, measure := range []func(context.Context) error{
-		func(ctx context.Context) error { return f.join(ctx, run, g, operator, &step) },
-		func(ctx context.Context) error { return f.rest(ctx, g, &step) },
-		func(ctx context.Context) error { return f.follow(ctx, g, operator, &step) }} {
+		func(ctx context.Context) error { return f.measureJoin(ctx, run, g, operator, &step) },
+		func(ctx context.Context) error { return f.measureIdle(ctx, g, &step) },
+		func(ctx context.Context) error { return f.measureDrains(ctx, g, operator, &step) }} {
 		if err := measure(ctx); err != nil {
 			step.Failed = err.Error()
 			return step, err
 		}
 	}
-	if err := f.restart(ctx, g, operator, &step); err != nil {
+	if err := f.measureRestart(ctx, g, operator, &step); err != nil {
 		step.RestartFailed = err.Error()
 	}
 	return step, nil
 }
 
-// roll has a command of the operators' tool carried out, coming back as told where a bound was reached.
-func (f *hollowFleet) roll(ctx context.Context, operator *client.Client, c rollout.Command) (a coord.Response, err error) {
+// execute executes a command of the operators' tool. It retries commands that are rejected because a
+// limit was reached, after the delay that the rejection gives.
+func (f *hollowFleet) execute(ctx context.Context, operator *client.Client, c rollout.Command,
+) (a coord.Response, err error) {
 	for {
 		a, err = operator.ExecuteRollout(ctx, c)
 		var refused *client.RejectedError
-		if !errors.As(err, &refused) || refused.Code != coord.CodeLimitReached || !clock.Sleep(ctx, client.RetryDelay(err, askAgain)) {
+		if !errors.As(err, &refused) || refused.Code != coord.CodeLimitReached ||
+			!clock.Sleep(ctx, client.RetryDelay(err, pollInterval)) {
 			return a, err
 		}
 	}
 }
 
-// hollowFleet is all routers of a step.
+// hollowFleet holds all routers of a step.
 type hollowFleet struct {
-	o       Options
-	routers []*router
-	traffic Traffic
-	drains  chan drainSeen
-	first   sync.WaitGroup // until all have what is drained
-	started atomic.Int64   // routers that have
-	wg      sync.WaitGroup
+	options           Options
+	routers           []*router
+	traffic           Traffic
+	drains            chan drainUpdate
+	firstDrainSets    sync.WaitGroup // done once all routers have the first set of drained servers
+	withFirstDrainSet atomic.Int64   // number of routers that have it
+	wg                sync.WaitGroup
 }
 
 func newFleet(n int, coordinators map[string]string, o Options) *hollowFleet {
-	f := &hollowFleet{o: o, drains: make(chan drainSeen, n)}
-	f.first.Add(n)
+	f := &hollowFleet{options: o, drains: make(chan drainUpdate, n)}
+	f.firstDrainSets.Add(n)
 	var servers []rollout.ServerObservation
 	for i := range n {
 		region := i / o.RegionRouters
@@ -148,52 +152,56 @@
 			servers = regionServers(region, o.RegionServers)
 		}
 		first := func() {
-			f.started.Add(1)
-			f.first.Done()
+			f.withFirstDrainSet.Add(1)
+			f.firstDrainSets.Done()
 		}
-		f.routers = append(f.routers, newRouter(fmt.Sprintf("router-%05d", i), zoneName(region, i%zonesPerRegion), servers, coordinators, o.TTL, &f.traffic, f.drains, first))
+		f.routers = append(f.routers, newRouter(fmt.Sprintf("router-%05d", i), zoneName(region, i%zonesPerRegion),
+			servers, coordinators, o.TTL, &f.traffic, f.drains, first))
 	}
 	return f
 }
 
-// operatorTTL is longer than all coordinators need to start again on a machine that is busy.
+// operatorTTL is longer than all coordinators need to restart on a busy machine.
 const operatorTTL = time.Minute
 
-// operator is a session of the operators' tool.
+// operator opens a session as the operators' tool does.
 func (f *hollowFleet) operator(ctx context.Context, coordinators map[string]string) *client.Client {
 	c := client.New(client.Options{Coordinators: coordinators, ClientName: "operator", TTL: operatorTTL})
 	f.wg.Go(func() { c.Run(ctx) })
 	return c
 }
 
-// budget allows one server at a time to be out.
-func (f *hollowFleet) budget(ctx context.Context, operator *client.Client) error {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
+// setBudget sets a budget of one server out of service at a time.
+func (f *hollowFleet) setBudget(ctx context.Context, operator *client.Client) error {
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timeout)
 	defer cancel()
-	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.o.TTL, Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
+	_, err := operator.ExecuteRollout(ctx, rollout.Command{Op: rollout.OpSetBudgets, GracePeriod: 2 * f.options.TTL,
+		Budgets: []rollout.Budget{{Name: "servers", Kind: rollout.KindServer, MaxOut: 1}}})
 	return err
 }
 
-// waitFor waits for a group of routers, within the patience.
+// waitFor waits until a wait group of the routers is done, for Options.Timeout at most.
 func (f *hollowFleet) waitFor(ctx context.Context, what string, group *sync.WaitGroup) error {
 	done := make(chan struct{})
-	go func() { // ends with the group, at the latest when the step's routers have ended
+	go func() { // returns when the group is done, at the latest when the routers of the step have ended
 		group.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
 		return nil
-	case <-time.After(f.o.Patience):
-		return fmt.Errorf("%s: not all of %d routers within %v (%d have what is drained)", what, len(f.routers), f.o.Patience, f.started.Load())
+	case <-time.After(f.options.Timeout):
+		return fmt.Errorf("%s: not all of %d routers within %v (%d have the first set of drained servers)",
+			what, len(f.routers), f.options.Timeout, f.withFirstDrainSet.Load())
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// join starts all routers at once and waits until they have a session, what is drained, and have reported what they see.
-func (f *hollowFleet) join(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
-	before, err := g.use(ctx)
+// measureJoin starts all routers at once and measures until all have a session, have the first set of drained
+// servers, and have reported their servers.
+func (f *hollowFleet) measureJoin(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
@@ -201,93 +209,96 @@
 	for _, r := range f.routers {
 		f.wg.Go(func() { r.run(run) })
 	}
-	if err := f.sessions(ctx); err != nil {
+	if err := f.waitForSessions(ctx); err != nil {
 		return err
 	}
 	step.SessionS = time.Since(began).Seconds()
-	if err := f.waitFor(ctx, "what is drained", &f.first); err != nil {
+	if err := f.waitFor(ctx, "first set of drained servers", &f.firstDrainSets); err != nil {
 		return err
 	}
-	step.FirstS = time.Since(began).Seconds()
-	if err := f.reported(ctx, operator, step); err != nil {
+	step.FirstDrainSetS = time.Since(began).Seconds()
+	if err := f.waitForReports(ctx, operator, step); err != nil {
 		return err
 	}
 	step.ReportedS = time.Since(began).Seconds()
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	step.JoinLeaderCPUS, step.JoinVoterCPUS = after.since(before)
+	step.JoinLeaderCPUS, step.JoinVoterCPUS = after.cpuSecondsSince(before)
 	n := float64(len(f.routers))
 	step.JoinRouterIn, step.JoinRouterOut = float64(f.traffic.In.Load())/n, float64(f.traffic.Out.Load())/n
 	return nil
 }
 
-// sessions waits until all routers have one.
-func (f *hollowFleet) sessions(ctx context.Context) error {
+// waitForSessions waits until all routers have a session.
+func (f *hollowFleet) waitForSessions(ctx context.Context) error {
 	missing := f.routers
-	return repeat(ctx, f.o.Patience, func() error {
+	return retryUntil(ctx, f.options.Timeout, func() error {
 		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.SessionID() != "" })
 		if len(missing) > 0 {
-			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.o.Patience)
+			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.options.Timeout)
 		}
 		return nil
 	})
 }
 
-// reportShare is how many times as long as a report took nobody asks for the next.
-const reportShare = 10
+// reportPauseFactor is the pause before the next report is requested, in multiples of the time that the last
+// one took.
+const reportPauseFactor = 10
 
-// errNotReported tells that some have not reported yet.
-var errNotReported = errors.New("not all routers have reported what they see")
+// errNotReported is returned while some routers have not reported their servers.
+var errNotReported = errors.New("not all routers have reported their servers")
 
-// reported waits until the coordinators count all routers, and no server's state is unknown: its last router has told of it.
-func (f *hollowFleet) reported(ctx context.Context, operator *client.Client, step *Step) error {
-	regions := (len(f.routers) + f.o.RegionRouters - 1) / f.o.RegionRouters
-	return repeat(ctx, f.o.Patience, func() error {
+// waitForReports waits until the report of the coordinators counts all routers and all servers. A server is
+// counted once the last of its routers has reported it.
+func (f *hollowFleet) waitForReports(ctx context.Context, operator *client.Client, step *Step) error {
+	regions := (len(f.routers) + f.options.RegionRouters - 1) / f.options.RegionRouters
+	return retryUntil(ctx, f.options.Timeout, func() error {
 		began, bytes := time.Now(), operator.TransferredBytes()
 		report, err := operator.RolloutReport(ctx, 0)
 		if err != nil {
 			return err
 		}
 		step.ReportBytes = float64(operator.TransferredBytes() - bytes)
-		if report.Routers < len(f.routers) || report.Servers < regions*f.o.RegionServers {
-			time.Sleep(reportShare * time.Since(began)) // the leader copies its whole state for each
+		if report.Routers < len(f.routers) || report.Servers < regions*f.options.RegionServers {
+			time.Sleep(reportPauseFactor * time.Since(began)) // the leader copies its whole state for each report
 			return errNotReported
 		}
 		return nil
 	})
 }
 
-// groupUse is what the coordinators use, with the leader's name.
-type groupUse struct {
-	leader  string
-	process map[string]use
-	at      time.Time
-	last    uint64 // entry of the leader's log
-	p99MS   float64
+// groupUsage is the resource use of all coordinators at one time.
+type groupUsage struct {
+	leader       string
+	byName       map[string]processUsage
+	at           time.Time
+	lastLogIndex uint64 // index of the last entry in the leader's log
+	p99MS        float64
 }
 
-// use reads what all coordinators use.
-func (g *group) use(ctx context.Context) (u groupUse, err error) {
+// usage reads the resource use of all coordinators.
+func (g *group) usage(ctx context.Context) (u groupUsage, err error) {
 	var l *coordinator
 	var status node.Status
-	if err := repeat(ctx, startWithin, func() error { l, status, err = g.leader(ctx); return err }); err != nil {
+	if err := retryUntil(ctx, startTimeout, func() error { l, status, err = g.leader(ctx); return err }); err != nil {
 		return u, err
 	}
-	u = groupUse{leader: l.name, process: map[string]use{}, at: time.Now(), last: status.LastLogIndex, p99MS: status.CommitP99Millis}
+	u = groupUsage{leader: l.name, byName: map[string]processUsage{}, at: time.Now(),
+		lastLogIndex: status.LastLogIndex, p99MS: status.CommitP99Millis}
 	for _, c := range g.all {
-		if u.process[c.name], err = processUse(c.cmd.Process.Pid); err != nil {
+		if u.byName[c.name], err = readProcessUsage(c.cmd.Process.Pid); err != nil {
 			return u, err
 		}
 	}
 	return u, nil
 }
 
-// since is the processor time in seconds that the leader and the busiest other voter have used.
-func (u groupUse) since(before groupUse) (leader, voter float64) {
-	for name, p := range u.process {
-		cpu := (p.cpu - before.process[name].cpu).Seconds()
+// cpuSecondsSince returns the CPU seconds that the leader and the busiest other voter used since before.
+func (u groupUsage) cpuSecondsSince(before groupUsage) (leader, voter float64) {
+	for name, p := range u.byName {
+		cpu := (p.cpu - before.byName[name].cpu).Seconds()
 		if name == u.leader {
 			leader = cpu
 		} else {
@@ -297,13 +308,13 @@
 	return leader, voter
 }
 
-// rest measures the fleet while nothing happens.
-func (f *hollowFleet) rest(ctx context.Context, g *group, step *Step) error {
-	own, err := processUse(os.Getpid())
+// measureIdle measures the fleet at rest, without changes.
+func (f *hollowFleet) measureIdle(ctx context.Context, g *group, step *Step) error {
+	own, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
-	before, err := g.use(ctx)
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
@@ -311,13 +322,13 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(f.o.Idle):
+	case <-time.After(f.options.Idle):
 	}
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	ownAfter, err := processUse(os.Getpid())
+	ownAfter, err := readProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
@@ -327,26 +338,28 @@
 	step.RouterOutPerS = float64(f.traffic.Out.Load()-out) / over / n
 	step.Connections = float64(f.traffic.Connections.Load()) / n
 	step.HollowCores, step.HollowMB = (ownAfter.cpu-own.cpu).Seconds()/over, ownAfter.residentMB
-	step.EntriesPerS = float64(after.last-before.last) / over
+	step.EntriesPerS = float64(after.lastLogIndex-before.lastLogIndex) / over
 	step.CommitP99MS = after.p99MS
 	for _, c := range g.all {
-		a, b := after.process[c.name], before.process[c.name]
-		step.Idle = append(step.Idle, Usage{Name: c.name, Leader: c.name == after.leader, Cores: (a.cpu - b.cpu).Seconds() / over, ResidentMB: a.residentMB,
-			Open: a.descriptors, ReadPerS: float64(a.readBytes-b.readBytes) / over})
+		a, b := after.byName[c.name], before.byName[c.name]
+		step.Idle = append(step.Idle, Usage{Name: c.name, Leader: c.name == after.leader,
+			Cores: (a.cpu - b.cpu).Seconds() / over, ResidentMB: a.residentMB,
+			Descriptors: a.descriptors, ReadPerS: float64(a.readBytes-b.readBytes) / over})
 	}
 	return nil
 }
 
-// follow drains servers of the first region one after the other, and measures until each router has it.
-func (f *hollowFleet) follow(ctx context.Context, g *group, operator *client.Client, step *Step) error {
-	before, err := g.use(ctx)
+// measureDrains drains servers of the first region one after the other and measures how long each router takes
+// to apply the drain.
+func (f *hollowFleet) measureDrains(ctx context.Context, g *group, operator *client.Client, step *Step) error {
+	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
 	in := f.traffic.In.Load()
 	var latency []time.Duration
-	for i := range f.o.Drains {
-		took, acked, err := f.drain(ctx, operator, serverName(0, i%f.o.RegionServers))
+	for i := range f.options.Drains {
+		took, acked, err := f.drain(ctx, operator, serverName(0, i%f.options.RegionServers))
 		if err != nil {
 			return fmt.Errorf("drain %d: %w", i, err)
 		}
@@ -355,29 +368,30 @@
 		}
 		step.DrainAckedMS = max(step.DrainAckedMS, millis(acked))
 	}
-	after, err := g.use(ctx)
+	after, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
-	if f.o.Drains == 0 {
+	if f.options.Drains == 0 {
 		return nil
 	}
 	slices.Sort(latency)
-	step.Drains = f.o.Drains
-	step.DrainP50MS, step.DrainP99MS, step.DrainLastMS = millis(latency[len(latency)/2]), millis(latency[len(latency)*99/100]), millis(latency[len(latency)-1])
-	leader, _ := after.since(before)
-	step.DrainLeaderCPU = leader / float64(f.o.Drains)
-	step.DrainRouterIn = float64(f.traffic.In.Load()-in) / float64(f.o.Drains) / float64(len(f.routers))
+	step.Drains = f.options.Drains
+	step.DrainP50MS, step.DrainP99MS, step.DrainLastMS = millis(latency[len(latency)/2]),
+		millis(latency[len(latency)*99/100]), millis(latency[len(latency)-1])
+	leader, _ := after.cpuSecondsSince(before)
+	step.DrainLeaderCPU = leader / float64(f.options.Drains)
+	step.DrainRouterIn = float64(f.traffic.In.Load()-in) / float64(f.options.Drains) / float64(len(f.routers))
 	return nil
 }
 
-// restart has all coordinators end and start at once.
-func (f *hollowFleet) restart(ctx context.Context, g *group, operator *client.Client, step *Step) error {
+// measureRestart kills and restarts all coordinators at once and measures until the last router applies a drain.
+func (f *hollowFleet) measureRestart(ctx context.Context, g *group, operator *client.Client, step *Step) error {
 	began := time.Now()
 	if err := g.restart(); err != nil {
 		return err
 	}
-	took, _, err := f.drain(ctx, operator, serverName(0, f.o.Drains%f.o.RegionServers))
+	took, _, err := f.drain(ctx, operator, serverName(0, f.options.Drains%f.options.RegionServers))
 	if err != nil {
 		return fmt.Errorf("after all coordinators were restarted: %w", err)
 	}
@@ -389,24 +403,26 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// drain takes a server out and back. It tells how long each router took to have it, and how long until all had acknowledged.
-func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string) (took []reached, acked time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, f.o.Patience)
+// drain drains a server and ends the drain. It returns how long each router took to apply the drain, and
+// how long it took until all had acknowledged it.
+func (f *hollowFleet) drain(ctx context.Context, operator *client.Client, server string,
+) (took []drainReceipt, acked time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timeout)
 	defer cancel()
-	thing := rollout.Command{Kind: rollout.KindServer, Name: server}
+	permit := rollout.Command{Kind: rollout.KindServer, Name: server}
 	var began time.Time
-	if err := repeat(ctx, f.o.Patience, func() error {
-		thing.Op, thing.Token = rollout.OpRequestPermit, 0
-		a, err := f.roll(ctx, operator, thing)
+	if err := retryUntil(ctx, f.options.Timeout, func() error {
+		permit.Op, permit.Token = rollout.OpRequestPermit, 0
+		a, err := f.execute(ctx, operator, permit)
 		if err != nil {
 			return err
 		}
 		if a.Stage != rollout.StageGranted {
-			return errors.New("waits: " + a.Text)
+			return errors.New("waiting for the permit: " + a.Text)
 		}
 		began = time.Now()
-		thing.Op, thing.Token = rollout.OpBeginOutage, a.Token
-		_, err = operator.ExecuteRollout(ctx, thing) // it may have been taken back meanwhile, or a bound was reached
+		permit.Op, permit.Token = rollout.OpBeginOutage, a.Token
+		_, err = operator.ExecuteRollout(ctx, permit) // fails if the permit was withdrawn meanwhile or a limit was reached
 		if err != nil {
 			clock.Sleep(ctx, client.RetryDelay(err, 0))
 		}
@@ -414,11 +430,11 @@
 	}); err != nil {
 		return nil, 0, err
 	}
-	if took, err = f.all(ctx, server, true, began); err != nil {
+	if took, err = f.waitForDrain(ctx, server, true, began); err != nil {
 		return nil, 0, err
 	}
-	if err := repeat(ctx, f.o.Patience, func() error {
-		a, err := f.roll(ctx, operator, thing) // repeated it tells how the permit stands
+	if err := retryUntil(ctx, f.options.Timeout, func() error {
+		a, err := f.execute(ctx, operator, permit) // repeating the command returns the state of the permit
 		if err == nil && !a.IsDrained {
 			err = errors.New("not drained: " + a.Text)
 		}
@@ -427,30 +443,32 @@
 		return nil, 0, err
 	}
 	acked = time.Since(began)
-	thing.Op = rollout.OpEndOutage
-	if _, err := f.roll(ctx, operator, thing); err != nil {
+	permit.Op = rollout.OpEndOutage
+	if _, err := f.execute(ctx, operator, permit); err != nil {
 		return nil, 0, err
 	}
-	_, err = f.all(ctx, server, false, time.Now())
+	_, err = f.waitForDrain(ctx, server, false, time.Now())
 	return took, acked, err
 }
 
-// reached is when a router had a drain, and how long after it was sent.
-type reached struct {
+// drainReceipt is when a router applied a drain, and how long after it was sent.
+type drainReceipt struct {
 	at      time.Time
 	latency time.Duration
 }
 
-// all waits until each router has a server out, or back in.
-func (f *hollowFleet) all(ctx context.Context, server string, out bool, began time.Time) (took []reached, err error) {
+// waitForDrain waits until each router has drained a server, or has ended the drain.
+func (f *hollowFleet) waitForDrain(ctx context.Context, server string, out bool, began time.Time,
+) (took []drainReceipt, err error) {
 	for len(took) < len(f.routers) {
 		select {
 		case seen := <-f.drains:
-			if seen.server == server && seen.out == out {
-				took = append(took, reached{seen.at, seen.at.Sub(began)})
+			if seen.server == server && seen.isDrained == out {
+				took = append(took, drainReceipt{seen.at, seen.at.Sub(began)})
 			}
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%d of %d routers have %s (out: %v): %w", len(took), len(f.routers), server, out, ctx.Err())
+			return nil, fmt.Errorf("%d of %d routers applied the change of %s (drained: %v): %w",
+				len(took), len(f.routers), server, out, ctx.Err())
 		}
 	}
 	return took, nil
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -1,7 +1,9 @@
-// Package modelcheck goes through every order of events of leases, breadth first: the real machine of internal/coord as the one
-// agreed log, the real book-keeping of clients (client.Book), and between them a network that loses, repeats and delays, clocks
-// at both ends of their bound, holders that are stopped between their check and their act, and restarts. What it looks for is two
-// holders that act at once. The consensus beneath is the library's and not explored here.
+// Package modelcheck is a model checker for leases. It explores every order of events breadth first, and
+// longer orders at random. It uses the real state machine of internal/coord as the replicated log and the
+// real lease table of clients (client.LeaseTable). Between them it models a network that loses, repeats
+// and delays messages, clocks at both ends of their rate bound, holders that are paused between checking
+// and using the lease, and client restarts. The main property is that two holders never act at the same
+// time. Consensus itself is left to the raft library and not modeled.
 package modelcheck
 
 import (
@@ -20,118 +22,119 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Params bound a search.
+// Params configures and bounds a search.
 type Params struct {
-	Clients  int
-	Depth    int // events
-	Messages int // on the way at once at most, both directions
-	States   int // it ends after so many, and says so
-	Rate     float64
-	Warm     bool // all have a session and the first one holds the lease when it begins
+	Clients           int
+	Depth             int     // events from the first state
+	MaxInFlight       int     // most messages in flight at once, both directions together
+	MaxStates         int     // the search stops after so many states
+	MaxClockRateError float64 // bound of the clock rate error, as a share
+	StartWithLease    bool    // start with a session for each client and the lease held by the first
 }
 
-// Result is what a search found.
+// Result is the outcome of a search.
 type Result struct {
 	States, Depth int
-	Whole         bool // all states up to the depth were seen
-	Broken        string
-	Trace         []string // the events that lead there
+	IsComplete    bool     // all states up to Params.Depth were explored
+	Violation     string   // the property that was violated; empty: none
+	Trace         []string // the events that lead to the violation
 }
 
-// The times of the model: one step of the true clock, and what is given for how long. The steps are few, so that all ends
-// fall between them as well as on them.
+// One step of the true clock, the TTL of sessions and of the lease, and the name of the lease. The TTL is
+// only two steps, so that expiries fall both on and between steps.
 const (
 	step  = 500 * time.Millisecond
 	ttl   = time.Second
 	lease = "l"
 )
 
-// message is a command on its way to the coordinators, or its answer on its way back.
+// message is a command in flight to the coordinators, or its response in flight to the client.
 type message struct {
-	Back    bool
-	From    int
-	Life    int // of the client that sent it
-	Cmd     coord.Command
-	Answer  coord.Response
-	Sent    time.Duration // on the client's clock
-	Repeats int           // how often it may still be carried out
+	IsResponse  bool // it is a response
+	ClientIndex int  // index of the client
+	Incarnation int  // incarnation of the client that sent it
+	Request     coord.Command
+	Reply       coord.Response
+	Sent        time.Duration // when the command was sent, on the client's clock
+	Duplicates  int           // how often it may still be duplicated
 }
 
-// party is one client.
-type party struct {
-	book    client.LeaseTable
-	Life    int // how often it was started
-	Session int // its number, in its id
-	Asked   bool
-	Open    bool // it believes that its session is there
-	Seq     uint64
-	Under   []uint64 // its numbered commands whose answers have not come, in their order
-	Wants   bool     // its acquire is under way
-	Asks    uint64   // the acquire's number
-	First   time.Duration
-	Token   uint64 // of the lease that it believes to hold
-	Given   uint64 // the token that it was told last
-	Acting  bool   // between check and act: with Checked
-	Checked uint64
-	Dropped map[uint64]bool // tokens that it has given back, and been told so
+// clientState is the state of one client.
+type clientState struct {
+	leases              client.LeaseTable
+	Incarnation         int           // number of restarts
+	Session             int           // unused; part of the encoded state
+	HasRequestedSession bool          // it has requested a session
+	HasOpenSession      bool          // it has a session, as far as it knows
+	LastSequence        uint64        // sequence number of its last numbered command
+	Pending             []uint64      // sequence numbers of its commands without a response yet, ascending
+	IsAcquiring         bool          // its acquire has no response yet
+	AcquireSequence     uint64        // sequence number of the acquire
+	AcquireSentAt       time.Duration // when it first sent the acquire, on its clock
+	Token               uint64        // of the lease that it holds by its lease table
+	LastGrantedToken    uint64        // token in its last grant
+	IsActing            bool          // it has checked that it holds the lease with CheckedToken, and has not acted yet
+	CheckedToken        uint64
+	ReleasedTokens      map[uint64]bool // tokens whose release or transfer was confirmed to it
 }
 
-// world is one state of all.
-type world struct {
-	machine  *coord.State
-	now      time.Duration // the true time
-	leaderAt time.Duration // the leader's clock at its last command
-	parties  []party
-	net      []message
-	lastAct  uint64 // the highest token that the resource has seen
+// state is one state of the model.
+type state struct {
+	machine       *coord.State
+	now           time.Duration // the true time since the start
+	leaderTime    time.Duration // the leader's clock when it last applied a command
+	clients       []clientState
+	inFlight      []message
+	resourceToken uint64 // the highest token that the resource has accepted
 }
 
-// acked is up to where all answers have come.
-func (q *party) acked() uint64 {
-	if len(q.Under) > 0 {
-		return q.Under[0] - 1
+// acknowledgedThrough returns the sequence number up to which all responses have been received.
+func (q *clientState) acknowledgedThrough() uint64 {
+	if len(q.Pending) > 0 {
+		return q.Pending[0] - 1
 	}
-	return q.Seq
+	return q.LastSequence
 }
 
-// number gives the next command its number.
-func (q *party) number() uint64 {
-	q.Seq++
-	q.Under = append(q.Under, q.Seq)
-	return q.Seq
+// nextSequence returns the sequence number of the next command and marks it as without a response.
+func (q *clientState) nextSequence() uint64 {
+	q.LastSequence++
+	q.Pending = append(q.Pending, q.LastSequence)
+	return q.LastSequence
 }
 
-// rates of the clocks by party: one slow, one fast, one true; the leader's is fast.
-func rate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
+// clockRate returns the clock rate of a client: in turn the slowest, the fastest and the true one. The
+// leader's clock runs at the fastest rate.
+func clockRate(i int, bound float64) float64 { return 1 + bound*[]float64{-1, 1, 0}[i%3] }
 
-func (w *world) clockOf(i int, p Params) time.Duration {
-	return time.Duration(float64(w.now) * rate(i, p.Rate))
+func (w *state) clientClock(i int, p Params) time.Duration {
+	return time.Duration(float64(w.now) * clockRate(i, p.MaxClockRateError))
 }
 
-func (w *world) leaderClock(p Params) time.Duration {
-	return time.Duration(float64(w.now) * (1 + p.Rate))
+func (w *state) leaderClock(p Params) time.Duration {
+	return time.Duration(float64(w.now) * (1 + p.MaxClockRateError))
 }
 
-func (w *world) clone() *world {
+func (w *state) clone() *state {
 	c := *w
 	c.machine = w.machine.Clone()
-	c.parties = slices.Clone(w.parties)
-	for i := range c.parties {
-		c.parties[i].book = w.parties[i].book.Clone()
+	c.clients = slices.Clone(w.clients)
+	for i := range c.clients {
+		c.clients[i].leases = w.clients[i].leases.Clone()
 		d := map[uint64]bool{}
-		for t := range w.parties[i].Dropped {
+		for t := range w.clients[i].ReleasedTokens {
 			d[t] = true
 		}
-		c.parties[i].Dropped = d
+		c.clients[i].ReleasedTokens = d
 	}
-	c.net = slices.Clone(w.net)
+	c.inFlight = slices.Clone(w.inFlight)
 	return &c
 }
 
-// key tells states apart.
-func (w *world) key() uint64 {
+// hash returns a hash of the state, by which Search recognizes states that it has explored.
+func (w *state) hash() uint64 {
 	h := xxhash.New()
-	text, _ := w.machine.Marshal() // made by this package
+	text, _ := w.machine.Marshal() // does not fail for states built by commands
 	_, _ = h.Write(text)
 	var n [8]byte
 	num := func(v uint64) {
@@ -139,17 +142,17 @@
 		_, _ = h.Write(n[:])
 	}
 	num(uint64(w.now))
-	num(uint64(w.leaderAt))
-	num(w.lastAct)
-	for i := range w.parties {
-		p := w.parties[i]
-		text, _ := json.Marshal(p) // plain data
+	num(uint64(w.leaderTime))
+	num(w.resourceToken)
+	for i := range w.clients {
+		p := w.clients[i]
+		text, _ := json.Marshal(p) // does not fail: only numbers, strings and maps
 		_, _ = h.Write(text)
-		_, _ = h.Write([]byte(p.book.Fingerprint()))
+		_, _ = h.Write([]byte(p.leases.Fingerprint()))
 	}
 	var msgs [][]byte
-	for _, m := range w.net {
-		text, _ := json.Marshal(m) // plain data
+	for _, m := range w.inFlight {
+		text, _ := json.Marshal(m) // does not fail: only numbers, strings and maps
 		msgs = append(msgs, text)
 	}
 	slices.SortFunc(msgs, bytes.Compare)
@@ -160,161 +163,167 @@
 	return h.Sum64()
 }
 
-func newWorld(p Params) *world {
-	w := &world{machine: coord.New()}
-	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate, ClockRateBound: p.Rate}, 1)
+func newState(p Params) *state {
+	w := &state{machine: coord.New()}
+	w.machine.Apply(coord.Command{Version: coord.Version, Op: coord.OpSetClockRate,
+		ClockRateBound: p.MaxClockRateError}, 1)
 	for range p.Clients {
-		w.parties = append(w.parties, party{Dropped: map[uint64]bool{}})
+		w.clients = append(w.clients, clientState{ReleasedTokens: map[uint64]bool{}})
 	}
-	for i := range w.parties {
-		if !p.Warm {
+	for i := range w.clients {
+		if !p.StartWithLease {
 			break
 		}
-		q, id := &w.parties[i], fmt.Sprintf("s%d.0", i)
-		w.agree(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
-		q.book.RecordSessionOpened(ttl, 0, 0)
-		q.Asked, q.Open = true, true
+		q, id := &w.clients[i], fmt.Sprintf("s%d.0", i)
+		w.applyCommand(coord.Command{Op: coord.OpOpenSession, SessionID: id, Client: fmt.Sprintf("c%d", i), TTL: ttl}, p)
+		q.leases.RecordSessionOpened(ttl, 0, 0)
+		q.HasRequestedSession, q.HasOpenSession = true, true
 		if i == 0 {
-			q.Seq = 1
-			q.Token = w.agree(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease, TTL: ttl, Sequence: 1}, p).Token
-			q.Given = q.Token
-			q.book.RecordGrant(lease, q.Token, ttl, 0, 0)
+			q.LastSequence = 1
+			q.Token = w.applyCommand(coord.Command{Op: coord.OpAcquire, SessionID: id, Lease: lease,
+				TTL: ttl, Sequence: 1}, p).Token
+			q.LastGrantedToken = q.Token
+			q.leases.RecordGrant(lease, q.Token, ttl, 0, 0)
 		}
 	}
 	return w
 }
 
-// event is one thing that may happen next.
+// event is a possible transition from a state.
 type event struct {
-	what   string
-	weight float64             // how often a random walk takes it, beside others
-	do     func(*world) string // what is broken, or ""
+	name   string
+	weight float64             // relative probability in a random walk
+	apply  func(*state) string // returns the violated property, or ""
 }
 
-// events are all that may happen next.
-func (w *world) events(p Params) (all []event) {
-	add := func(weight float64, do func(*world) string, form string, v ...any) {
+// events returns all transitions that are possible in the state.
+func (w *state) events(p Params) (all []event) {
+	add := func(weight float64, do func(*state) string, form string, v ...any) {
 		all = append(all, event{fmt.Sprintf(form, v...), weight, do})
 	}
-	add(1, func(w *world) string { w.now += step; return "" }, "time passes")
-	add(0.5, func(w *world) string { return w.tick(p) }, "the leader lets time pass")
-	for i := range w.parties {
-		q := &w.parties[i]
-		now := w.clockOf(i, p)
-		send := len(w.net) < p.Messages
-		session := fmt.Sprintf("s%d.%d", i, q.Life)
-		put := func(w *world, c coord.Command) {
-			q := &w.parties[i]
-			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acked()
-			w.net = append(w.net, message{From: i, Life: q.Life, Cmd: c, Sent: w.clockOf(i, p), Repeats: 1})
-		}
-		_, _, held := q.book.HeldLease(lease, now)
-		if send && !q.Asked && !q.Open {
-			add(2, func(w *world) string {
-				w.parties[i].Asked = true
+	add(1, func(w *state) string { w.now += step; return "" }, "the clock advances")
+	add(0.5, func(w *state) string { return w.tick(p) }, "the leader applies a tick")
+	for i := range w.clients {
+		q := &w.clients[i]
+		now := w.clientClock(i, p)
+		send := len(w.inFlight) < p.MaxInFlight
+		session := fmt.Sprintf("s%d.%d", i, q.Incarnation)
+		put := func(w *state, c coord.Command) {
+			q := &w.clients[i]
+			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acknowledgedThrough()
+			w.inFlight = append(w.inFlight, message{ClientIndex: i, Incarnation: q.Incarnation,
+				Request: c, Sent: w.clientClock(i, p), Duplicates: 1})
+		}
+		_, _, held := q.leases.HeldLease(lease, now)
+		if send && !q.HasRequestedSession && !q.HasOpenSession {
+			add(2, func(w *state) string {
+				w.clients[i].HasRequestedSession = true
 				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
-			}, "c%d asks for a session", i)
-		}
-		if send && q.Open && q.book.HasSession(now) && w.underWay(i, coord.OpKeepAlive) == 0 {
-			add(2, func(w *world) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" }, "c%d keeps its session", i)
-		}
-		if send && q.Open && !q.Wants && !held {
-			add(2, func(w *world) string {
-				q := &w.parties[i]
-				q.Wants, q.First = true, w.clockOf(i, p)
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.number()})
-				q.Asks = q.Seq
+			}, "c%d requests a session", i)
+		}
+		if send && q.HasOpenSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
+			add(2, func(w *state) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" },
+				"c%d sends a keep-alive", i)
+		}
+		if send && q.HasOpenSession && !q.IsAcquiring && !held {
+			add(2, func(w *state) string {
+				q := &w.clients[i]
+				q.IsAcquiring, q.AcquireSentAt = true, w.clientClock(i, p)
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.nextSequence()})
+				q.AcquireSequence = q.LastSequence
 				return ""
-			}, "c%d asks for the lease", i)
+			}, "c%d requests the lease", i)
 		}
-		if send && q.Open && q.Wants && w.underWay(i, coord.OpAcquire) == 0 {
-			add(1, func(w *world) string {
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.parties[i].Asks})
+		if send && q.HasOpenSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
+			add(1, func(w *state) string {
+				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.clients[i].AcquireSequence})
 				return ""
-			}, "c%d repeats that it asks for the lease", i)
-		}
-		if held && !q.Acting {
-			add(1, func(w *world) string {
-				q := &w.parties[i]
-				q.Acting, q.Checked = true, q.Token
-				return w.overlap(p)
-			}, "c%d begins to act", i)
-			if send && !q.Wants {
-				give := func(op coord.Op, to string) func(*world) string {
-					return func(w *world) string {
-						q := &w.parties[i]
-						q.book.Forget(lease, q.Token)
-						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.number(), Successor: to})
+			}, "c%d repeats its request for the lease", i)
+		}
+		if held && !q.IsActing {
+			add(1, func(w *state) string {
+				q := &w.clients[i]
+				q.IsActing, q.CheckedToken = true, q.Token
+				return w.checkOverlap(p)
+			}, "c%d checks the lease and begins to act", i)
+			if send && !q.IsAcquiring {
+				give := func(op coord.Op, to string) func(*state) string {
+					return func(w *state) string {
+						q := &w.clients[i]
+						q.leases.Forget(lease, q.Token)
+						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.nextSequence(), Successor: to})
 						return ""
 					}
 				}
-				add(0.3, give(coord.OpRelease, ""), "c%d gives the lease back", i)
-				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.parties))), "c%d hands the lease over", i)
+				add(0.3, give(coord.OpRelease, ""), "c%d releases the lease", i)
+				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.clients))), "c%d transfers the lease", i)
 			}
 		}
-		if q.Acting && send {
-			add(0.3, func(w *world) string {
-				q := &w.parties[i]
-				q.Acting = false
-				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.Checked, Sequence: q.number(), Record: []byte("x")})
+		if q.IsActing && send {
+			add(0.3, func(w *state) string {
+				q := &w.clients[i]
+				q.IsActing = false
+				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.CheckedToken,
+					Sequence: q.nextSequence(), Record: []byte("x")})
 				return ""
-			}, "c%d acts through the agreed state", i)
+			}, "c%d writes a record to the state machine", i)
 		}
-		if q.Acting {
-			add(0.3, func(w *world) string { return w.act(i) }, "c%d's act reaches the resource", i)
+		if q.IsActing {
+			add(0.3, func(w *state) string { return w.writeToResource(i) }, "c%d's write reaches the resource", i)
 		}
-		if q.Life < 1 && (q.Open || q.Asked) {
-			add(0.05, func(w *world) string {
-				w.parties[i] = party{Life: w.parties[i].Life + 1, Dropped: map[uint64]bool{}}
+		if q.Incarnation < 1 && (q.HasOpenSession || q.HasRequestedSession) {
+			add(0.05, func(w *state) string {
+				w.clients[i] = clientState{Incarnation: w.clients[i].Incarnation + 1, ReleasedTokens: map[uint64]bool{}}
 				return ""
-			}, "c%d is killed and starts again", i)
+			}, "c%d is killed and restarted", i)
 		}
 	}
-	for k, m := range w.net {
-		who := fmt.Sprintf("c%d's %s", m.From, m.Cmd.Op)
-		if m.Back {
-			add(4, func(w *world) string {
-				w.net = slices.Delete(w.net, k, k+1)
-				return w.answered(m, p)
-			}, "the answer to %s comes", who)
+	for k, m := range w.inFlight {
+		who := fmt.Sprintf("c%d's %s", m.ClientIndex, m.Request.Op)
+		if m.IsResponse {
+			add(4, func(w *state) string {
+				w.inFlight = slices.Delete(w.inFlight, k, k+1)
+				return w.deliverResponse(m, p)
+			}, "the response to %s is received", who)
 		} else {
-			add(4, func(w *world) string {
-				w.net = slices.Delete(w.net, k, k+1)
-				return w.carryOut(m, p)
-			}, "%s is carried out", who)
-			if m.Repeats > 0 && len(w.net) < p.Messages {
-				add(0.5, func(w *world) string {
-					w.net[k].Repeats--
-					again := w.net[k]
-					return w.carryOut(again, p)
-				}, "%s is carried out, and will be again", who)
+			add(4, func(w *state) string {
+				w.inFlight = slices.Delete(w.inFlight, k, k+1)
+				return w.deliverCommand(m, p)
+			}, "%s is applied", who)
+			if m.Duplicates > 0 && len(w.inFlight) < p.MaxInFlight {
+				add(0.5, func(w *state) string {
+					w.inFlight[k].Duplicates--
+					again := w.inFlight[k]
+					return w.deliverCommand(again, p)
+				}, "%s is applied, and a duplicate remains", who)
 			}
 		}
-		add(0.3, func(w *world) string { w.net = slices.Delete(w.net, k, k+1); return "" }, "%s is lost (back: %t)", who, m.Back)
+		add(0.3, func(w *state) string { w.inFlight = slices.Delete(w.inFlight, k, k+1); return "" },
+			"%s is lost (response: %t)", who, m.IsResponse)
 	}
 	return all
 }
 
-func (w *world) underWay(i int, op coord.Op) (n int) {
-	for _, m := range w.net {
-		if m.From == i && m.Life == w.parties[i].Life && m.Cmd.Op == op {
+func (w *state) pendingCommands(i int, op coord.Op) (n int) {
+	for _, m := range w.inFlight {
+		if m.ClientIndex == i && m.Incarnation == w.clients[i].Incarnation && m.Request.Op == op {
 			n++
 		}
 	}
 	return n
 }
 
-// agree has a command carried out with the time that has passed at the leader.
-func (w *world) agree(c coord.Command, p Params) coord.Response {
-	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderAt
-	w.leaderAt = w.leaderClock(p)
+// applyCommand applies a command to the state machine, with the time elapsed on the leader's clock.
+func (w *state) applyCommand(c coord.Command, p Params) coord.Response {
+	c.Version, c.Term, c.Elapsed = coord.Version, 1, w.leaderClock(p)-w.leaderTime
+	w.leaderTime = w.leaderClock(p)
 	return w.machine.Apply(c, 1)
 }
 
-func (w *world) tick(p Params) string {
-	w.agree(coord.Command{Op: coord.OpTick}, p)
-	if w.now%(2*step) == 0 { // a snapshot is read back
+func (w *state) tick(p Params) string {
+	w.applyCommand(coord.Command{Op: coord.OpTick}, p)
+	if w.now%(2*step) == 0 { // restore the state machine from a snapshot
 		text, err := w.machine.Marshal()
 		if err == nil {
 			w.machine, err = coord.Unmarshal(text)
@@ -323,145 +332,153 @@
 			return err.Error()
 		}
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
-// carryOut has a command agreed on and sends its answer.
-func (w *world) carryOut(m message, p Params) string {
-	said := false // it was carried out before, and is only told again
-	if se := w.machine.Sessions[m.Cmd.SessionID]; se != nil {
-		_, said = se.Responses[m.Cmd.Sequence]
+// deliverCommand applies the command of a message and sends its response.
+func (w *state) deliverCommand(m message, p Params) string {
+	isRepeated := false // the command was applied before, and its stored response is returned
+	if se := w.machine.Sessions[m.Request.SessionID]; se != nil {
+		_, isRepeated = se.Responses[m.Request.Sequence]
 	}
-	a := w.agree(m.Cmd, p)
-	if m.Cmd.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !said {
-		if m.Cmd.Token < w.machine.LastToken { // there is one lease, so the newest token is its newest holder's
-			return fmt.Sprintf("c%d acted in the agreed state with token %d after token %d was given", m.From, m.Cmd.Token, w.machine.LastToken)
+	a := w.applyCommand(m.Request, p)
+	if m.Request.Op == coord.OpWriteRecord && a.Code == coord.CodeOK && !isRepeated {
+		if m.Request.Token < w.machine.LastToken { // there is only one lease, so LastToken is the token of its latest holder
+			return fmt.Sprintf("c%d wrote a record with token %d after token %d was granted",
+				m.ClientIndex, m.Request.Token, w.machine.LastToken)
 		}
 	}
-	if len(w.net) < p.Messages {
-		w.net = append(w.net, message{Back: true, From: m.From, Life: m.Life, Cmd: m.Cmd, Answer: a, Sent: m.Sent})
+	if len(w.inFlight) < p.MaxInFlight {
+		w.inFlight = append(w.inFlight, message{IsResponse: true, ClientIndex: m.ClientIndex, Incarnation: m.Incarnation,
+			Request: m.Request, Reply: a, Sent: m.Sent})
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
-// promised is the invariant: who by its own book may act holds the lease in the agreed state, with that token.
-func (w *world) promised(p Params) string {
-	for i := range w.parties {
-		q := &w.parties[i]
-		token, _, held := q.book.HeldLease(lease, w.clockOf(i, p))
+// checkInvariants checks the invariant: a client that holds the lease by its own lease table holds it with the
+// same token in the state machine. It also checks that a token that was given back is not held again, and
+// that a client knows the token of each acquire whose response it has received.
+func (w *state) checkInvariants(p Params) string {
+	for i := range w.clients {
+		q := &w.clients[i]
+		token, _, held := q.leases.HeldLease(lease, w.clientClock(i, p))
 		if !held {
 			continue
 		}
 		l := w.machine.Leases[lease]
 		if l == nil || l.Token != token {
-			return fmt.Sprintf("c%d may act with token %d, and the coordinators have given the lease to another", i, token)
+			return fmt.Sprintf("c%d holds the lease with token %d by its lease table, but not in the state machine", i, token)
 		}
 	}
 	if l := w.machine.Leases[lease]; l != nil {
-		for i := range w.parties {
-			q := &w.parties[i]
-			if q.Dropped[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) {
-				return fmt.Sprintf("c%d has given back token %d, was told so, and holds it again", i, l.Token)
+		for i := range w.clients {
+			q := &w.clients[i]
+			if q.ReleasedTokens[l.Token] && l.SessionID == fmt.Sprintf("s%d.%d", i, q.Incarnation) {
+				return fmt.Sprintf("c%d holds token %d again after its release was confirmed", i, l.Token)
 			}
-			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Life) && l.AcquireSequence > 0 && l.AcquireSequence <= q.acked() && l.Token != q.Given {
-				return fmt.Sprintf("c%d holds token %d by a command that it has had its answer to, and doesn't know of it", i, l.Token)
+			if l.SessionID == fmt.Sprintf("s%d.%d", i, q.Incarnation) && l.AcquireSequence > 0 &&
+				l.AcquireSequence <= q.acknowledgedThrough() && l.Token != q.LastGrantedToken {
+				return fmt.Sprintf("c%d holds token %d by an acquire whose response it received, but its lease table lacks it",
+					i, l.Token)
 			}
 		}
 	}
 	return ""
 }
 
-// overlap reports two that act by leases that both hold.
-func (w *world) overlap(p Params) string {
+// checkOverlap checks that no two clients act while both hold the lease by their lease tables.
+func (w *state) checkOverlap(p Params) string {
 	var who []int
-	for i := range w.parties {
-		if _, _, held := w.parties[i].book.HeldLease(lease, w.clockOf(i, p)); held && w.parties[i].Acting {
+	for i := range w.clients {
+		if _, _, held := w.clients[i].leases.HeldLease(lease, w.clientClock(i, p)); held && w.clients[i].IsActing {
 			who = append(who, i)
 		}
 	}
 	if len(who) > 1 {
-		return fmt.Sprintf("c%d and c%d act at once", who[0], who[1])
+		return fmt.Sprintf("c%d and c%d act at the same time", who[0], who[1])
 	}
 	return ""
 }
 
-// act brings an act to the resource, which checks its token.
-func (w *world) act(i int) string {
-	q := &w.parties[i]
-	q.Acting = false
-	if q.Checked < w.lastAct && !failpoint.IsInjected("resource-unchecked") {
-		return "" // refused
-	}
-	if q.Checked < w.lastAct {
-		return fmt.Sprintf("c%d acted with token %d after one with token %d", i, q.Checked, w.lastAct)
-	}
-	if q.Checked == w.lastAct {
+// writeToResource delivers a write of a client to the resource, which checks its fencing token.
+func (w *state) writeToResource(i int) string {
+	q := &w.clients[i]
+	q.IsActing = false
+	if q.CheckedToken < w.resourceToken && !failpoint.IsInjected("resource-unchecked") {
+		return "" // rejected
+	}
+	if q.CheckedToken < w.resourceToken {
+		return fmt.Sprintf("c%d wrote to the resource with token %d after a write with token %d",
+			i, q.CheckedToken, w.resourceToken)
+	}
+	if q.CheckedToken == w.resourceToken {
 		return ""
 	}
-	for j := range w.parties {
-		if j != i && w.parties[j].Acting && w.parties[j].Checked == q.Checked {
-			return fmt.Sprintf("c%d and c%d act with the same token %d", i, j, q.Checked)
+	for j := range w.clients {
+		if j != i && w.clients[j].IsActing && w.clients[j].CheckedToken == q.CheckedToken {
+			return fmt.Sprintf("c%d and c%d use the same token %d", i, j, q.CheckedToken)
 		}
 	}
-	w.lastAct = q.Checked
+	w.resourceToken = q.CheckedToken
 	return ""
 }
 
-// answered books an answer as a client does.
-func (w *world) answered(m message, p Params) string {
-	q := &w.parties[m.From]
-	if m.Life != q.Life {
+// deliverResponse processes a response as the client does.
+func (w *state) deliverResponse(m message, p Params) string {
+	q := &w.clients[m.ClientIndex]
+	if m.Incarnation != q.Incarnation {
 		return ""
 	}
-	now := w.clockOf(m.From, p)
-	switch m.Cmd.Op {
+	now := w.clientClock(m.ClientIndex, p)
+	switch m.Request.Op {
 	case coord.OpOpenSession:
-		if q.Open || m.Answer.Code != coord.CodeOK {
+		if q.HasOpenSession || m.Reply.Code != coord.CodeOK {
 			return ""
 		}
-		q.book.RecordSessionOpened(ttl, m.Sent, now)
-		q.Open = q.book.HasSession(now)
-		return w.promised(p)
+		q.leases.RecordSessionOpened(ttl, m.Sent, now)
+		q.HasOpenSession = q.leases.HasSession(now)
+		return w.checkInvariants(p)
 	case coord.OpKeepAlive:
-		switch m.Answer.Code {
+		switch m.Reply.Code {
 		case coord.CodeOK:
-			q.book.RecordKeepAlive(m.Sent, now)
+			q.leases.RecordKeepAlive(m.Sent, now)
 		case coord.CodeNoSession:
-			q.book.RecordSessionLost()
-			q.Open = false
+			q.leases.RecordSessionLost()
+			q.HasOpenSession = false
 		}
-		return w.promised(p)
+		return w.checkInvariants(p)
 	}
-	k := slices.Index(q.Under, m.Cmd.Sequence)
+	k := slices.Index(q.Pending, m.Request.Sequence)
 	if k < 0 {
-		return "" // answered before
+		return "" // a response was processed before
 	}
-	q.Under = slices.Delete(slices.Clone(q.Under), k, k+1)
+	q.Pending = slices.Delete(slices.Clone(q.Pending), k, k+1)
 	switch {
-	case m.Cmd.Op == coord.OpAcquire:
-		q.Wants = false
-		if m.Answer.Code == coord.CodeOK {
-			q.Given = m.Answer.Token
-			if q.book.RecordGrant(lease, m.Answer.Token, ttl, q.First, now) {
-				q.Token = m.Answer.Token
+	case m.Request.Op == coord.OpAcquire:
+		q.IsAcquiring = false
+		if m.Reply.Code == coord.CodeOK {
+			q.LastGrantedToken = m.Reply.Token
+			if q.leases.RecordGrant(lease, m.Reply.Token, ttl, q.AcquireSentAt, now) {
+				q.Token = m.Reply.Token
 			}
 		}
-	case m.Answer.Code == coord.CodeOK && m.Cmd.Op != coord.OpWriteRecord:
-		q.Dropped[m.Cmd.Token] = true
+	case m.Reply.Code == coord.CodeOK && m.Request.Op != coord.OpWriteRecord:
+		q.ReleasedTokens[m.Request.Token] = true
 	}
-	return w.promised(p)
+	return w.checkInvariants(p)
 }
 
-// Search goes through all orders of events up to a depth, breadth first.
+// Search explores all orders of events up to Params.Depth, breadth first. It stops at the first violation
+// and after Params.States states.
 func Search(p Params) Result {
 	type node struct {
-		w      *world
+		w      *state
 		parent int
 		what   string
 	}
-	first := newWorld(p)
+	first := newState(p)
 	nodes := []node{{w: first, parent: -1}}
-	seen := map[uint64]bool{first.key(): true}
+	seen := map[uint64]bool{first.hash(): true}
 	trace := func(i int, last string) (t []string) {
 		t = []string{last}
 		for ; nodes[i].parent >= 0; i = nodes[i].parent {
@@ -476,31 +493,32 @@
 			level, end = level+1, len(nodes)
 		}
 		if level >= p.Depth {
-			return Result{States: len(nodes), Depth: level, Whole: true}
+			return Result{States: len(nodes), Depth: level, IsComplete: true}
 		}
 		w := nodes[i].w
 		for _, e := range w.events(p) {
 			next := w.clone()
-			if broken := e.do(next); broken != "" {
-				return Result{States: len(nodes), Depth: level + 1, Broken: broken, Trace: trace(i, e.what)}
+			if broken := e.apply(next); broken != "" {
+				return Result{States: len(nodes), Depth: level + 1, Violation: broken, Trace: trace(i, e.name)}
 			}
-			if k := next.key(); !seen[k] {
+			if k := next.hash(); !seen[k] {
 				seen[k] = true
-				nodes = append(nodes, node{next, i, e.what})
-				if len(nodes) >= p.States {
+				nodes = append(nodes, node{next, i, e.name})
+				if len(nodes) >= p.MaxStates {
 					return Result{States: len(nodes), Depth: level}
 				}
 			}
 		}
-		nodes[i].w = nil // its states have been gone through
+		nodes[i].w = nil // its successors have been explored; free the memory
 	}
-	return Result{States: len(nodes), Depth: level, Whole: true}
+	return Result{States: len(nodes), Depth: level, IsComplete: true}
 }
 
-// Walk goes one random way of at most so many events, by a seed.
+// Walk follows one random order of at most so many events, chosen by the seed. It stops at the first
+// violation.
 func Walk(p Params, seed uint64, events int) Result {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	w := newWorld(p)
+	w := newState(p)
 	var trace []string
 	for n := range events {
 		all := w.events(p)
@@ -513,9 +531,9 @@
 			at++
 		}
 		e := all[at]
-		trace = append(trace, e.what)
-		if broken := e.do(w); broken != "" {
-			return Result{States: n + 1, Depth: n + 1, Broken: broken, Trace: trace}
+		trace = append(trace, e.name)
+		if broken := e.apply(w); broken != "" {
+			return Result{States: n + 1, Depth: n + 1, Violation: broken, Trace: trace}
 		}
 	}
 	return Result{States: events, Depth: events}
--- a/lab/modelcheck/mutants_test.go
+++ b/lab/modelcheck/mutants_test.go
@@ -9,30 +9,31 @@
 	"dockhinge.example/dockhinge/internal/failpoint"
 )
 
-// Each planted fault is found: by the searches where it lies within their depth, else by a walk.
+// Each injected fault is found, by a search or by a random walk.
 func TestMutantsAreFound(t *testing.T) {
 	defer failpoint.Inject("")
-	for _, name := range []string{"time-from-answer", "rate-ignored", "token-unchecked", "command-twice", "release-overtaken",
-		"token-reused", "snapshot-without-leases", "resource-unchecked"} {
+	for _, name := range []string{"time-from-answer", "rate-ignored", "token-unchecked", "command-twice",
+		"release-overtaken", "token-reused", "snapshot-without-leases", "resource-unchecked"} {
 		t.Run(name, func(t *testing.T) {
 			failpoint.Inject(name)
 			found := false
 			for what, p := range searches {
 				p.Depth++
-				if r := Search(p); r.Broken != "" {
+				if r := Search(p); r.Violation != "" {
 					found = true
-					t.Logf("search, %s: %d states, %d events: %s:\n  %s", what, r.States, len(r.Trace), r.Broken, strings.Join(r.Trace, "\n  "))
+					t.Logf("search, %s: %d states, %d events: %s:\n  %s", what, r.States, len(r.Trace), r.Violation,
+						strings.Join(r.Trace, "\n  "))
 				}
 			}
-			for seed := range uint64(40 * walks) {
-				if r := walk(seed); r.Broken != "" {
+			for seed := range uint64(40 * walkCount) {
+				if r := walk(seed); r.Violation != "" {
 					found = true
-					t.Logf("walk, seed %d: %d events: %s", seed, len(r.Trace), r.Broken)
+					t.Logf("walk, seed %d: %d events: %s", seed, len(r.Trace), r.Violation)
 					break
 				}
 			}
 			if !found {
-				t.Error("not found")
+				t.Error("neither the searches nor the walks found the fault")
 			}
 		})
 	}
