--- a/cmd/dockhinge-lab/simulate.go
+++ b/cmd/dockhinge-lab/simulate.go
@@ -237,10 +237,11 @@
 		if cold.Starts == 0 {
 			continue
 		}
-		most, told := cold.Fullest, cold.FullestByInformed
+		fullest, informed := cold.Fullest, cold.FullestByInformed
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
 			p.Day, p.Size[0], p.Size[1], p.Seed, cold.Starts, cold.OverBound, cold.OverBoundByInformed,
-			most.AgeMillis, most.Allowed, most.Sent, most.SentByInformed, most.Bound(), told.Sent, told.Allowed, told.Bound())
+			fullest.AgeMillis, fullest.Allowed, fullest.Sent, fullest.SentByInformed, fullest.Bound(),
+			informed.Sent, informed.Allowed, informed.Bound())
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
--- a/lab/modelcheck/modelcheck_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -38,7 +38,8 @@
 				t.Fatalf("%s:\n%s", r.Violation, strings.Join(r.Trace, "\n"))
 			}
 			if !r.IsComplete {
-				t.Errorf("the search stopped at its limit of %d states, at depth %d of %d", p.MaxStates, r.Depth, p.Depth)
+				t.Errorf("the search stopped at its limit of %d states, at depth %d of %d",
+					p.MaxStates, r.Depth, p.Depth)
 			}
 		})
 	}
