--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -25,7 +25,7 @@
 // says.
 type File struct {
 	Version   int                   `toml:"version"`
-	Base      string                `toml:"base"` // shipped scenario that provides missing keys; a list replaces its list
+	Base      string                `toml:"base"` // shipped scenario that provides missing keys, lists as a whole
 	Name      string                `toml:"name"`
 	About     string                `toml:"about"`
 	DurationS float64               `toml:"duration_s"` // of the load, once the routers are ready
