--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// Malformed and oversized calls must be rejected with a matching status, and must have no effect.
+// Malformed and oversized calls must be rejected with a matching status. A small body is accepted.
 func TestMalformedAndOversizedCallsAreRejected(t *testing.T) {
 	const disable = "/-/cache-servers/s-0b/disable"
 	addr := serve(t, &fakeRouter{disabled: map[string]bool{"s-0b": false}})
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -43,6 +43,8 @@
 	})
 }
 
+// serve starts a process that serves addr and hands over state until the test ends or stop is
+// called.
 func serve(t *testing.T, dir, addr string, state string) (*process, context.CancelFunc) {
 	t.Helper()
 	ln, err := Listen(t.Context(), "127.0.0.1:0")
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -17,7 +17,7 @@
 	`"caps":{"cancel":true,"mayProbe":true,"secondCopies":true,"maxAttempts":4,"cpuUsPerS":8000},` +
 	`"rules":{"cold":8000,"coldFrom":0.3,"overloadFactor":3,"overloadFor":2000,"mustAskIn":10000}}`
 
-const opening = "SYNC 1000\nOPEN_INSTANCE 3 42 " + testSettings + "\nDIRECTORY_UPDATE 3 remembered 1 3\n" +
+const setup = "SYNC 1000\nOPEN_INSTANCE 3 42 " + testSettings + "\nDIRECTORY_UPDATE 3 remembered 1 3\n" +
 	"M - 1 11 ready a 0 box\nM 400.5 1.5 12 ready a 0 box\nM - - 13 ready a 0 origin\nCOMMIT\n"
 
 func run(t testing.TB, in string) (string, error) {
@@ -30,7 +30,7 @@
 // Each batch, including an empty one, must get one reply with its actions: a read goes to a cache
 // server, a write to the origin.
 func TestBatchesAreAnswered(t *testing.T) {
-	out, err := run(t, "SYNC 1\nCOMMIT\n\n"+opening+
+	out, err := run(t, "SYNC 1\nCOMMIT\n\n"+setup+
 		"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nASK 3 8 lock - - 500 - - 0 1\nCOMMIT\n")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 // A batch has all kinds of events, including late ones, events for instances that are not open, and
 // timers that no Balancer has set. Each batch must get a reply.
 func TestEveryEventIsRead(t *testing.T) {
-	out, err := run(t, opening+"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 - - 0 0\nCOMMIT\n"+
+	out, err := run(t, setup+"SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 - - 0 0\nCOMMIT\n"+
 		"SYNC 1010\nRETURNED 3 7 0 11 Failed 5.0 0 - 140,7,0.62\nRETURNED 3 7 0 12 Miss 5.0 0 2 -\n"+
 		"STATUS_BACK 3 11 Ok 2.5 10,-,0.5\nSTATUS_BACK 3 11 TimedOut 200 -\nMESSAGE 3 1 aGkgNw==\nMESSAGE 3 1 -\n"+
 		"UNDER_WAY 3 99 0 11 5.0\nVANISHED 3 99\nVANISHED 5 242166553\nFIRED 3 sweep\nFIRED 3 9223372036854775808\n"+
@@ -86,16 +86,16 @@
 		"half a line":     {"SYNC 1\nCOMM", "line 2: input ends within a line"},
 		"unknown event":   {"SYNC 1\nDANCE 3\nCOMMIT\n", `line 2: unknown event "DANCE"`},
 		"bad instance":    {"SYNC 1\nFIRED x sweep\nCOMMIT\n", "line 2: FIRED: bad instance"},
-		"too few values":  {opening + "SYNC 2\nASK 3 7 read\nCOMMIT\n", "line 9: ASK: too few values"},
-		"too many values": {opening + "SYNC 2\nVANISHED 3 7 8\nCOMMIT\n", "line 9: VANISHED: too many values"},
-		"bad key": {opening + "SYNC 2\nASK 3 7 read t zz 240 - - 0 0\nCOMMIT\n",
+		"too few values":  {setup + "SYNC 2\nASK 3 7 read\nCOMMIT\n", "line 9: ASK: too few values"},
+		"too many values": {setup + "SYNC 2\nVANISHED 3 7 8\nCOMMIT\n", "line 9: VANISHED: too many values"},
+		"bad key": {setup + "SYNC 2\nASK 3 7 read t zz 240 - - 0 0\nCOMMIT\n",
 			`line 9: ASK: bad affinity "zz"`},
-		"bad outcome": {opening + "SYNC 2\nRETURNED 3 7 0 11 Fine 5 0 - -\nCOMMIT\n", "bad outcome"},
-		"bad report":  {opening + "SYNC 2\nRETURNED 3 7 0 11 Ok 5 0 - 1,2\nCOMMIT\n", "bad load report"},
-		"infinite":    {opening + "SYNC 2\nASK 3 7 read t - inf - - 0 0\nCOMMIT\n", "bad remaining"},
-		"list cut short": {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 2\nM - 1 11 ready a 0 box\nCOMMIT\n",
+		"bad outcome": {setup + "SYNC 2\nRETURNED 3 7 0 11 Fine 5 0 - -\nCOMMIT\n", "bad outcome"},
+		"bad report":  {setup + "SYNC 2\nRETURNED 3 7 0 11 Ok 5 0 - 1,2\nCOMMIT\n", "bad load report"},
+		"infinite":    {setup + "SYNC 2\nASK 3 7 read t - inf - - 0 0\nCOMMIT\n", "bad remaining"},
+		"list cut short": {setup + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 2\nM - 1 11 ready a 0 box\nCOMMIT\n",
 			"line 11: want a list entry"},
-		"bad mode": {opening + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 1\nM - 1 11 asleep a 0 box\nCOMMIT\n",
+		"bad mode": {setup + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 1\nM - 1 11 asleep a 0 box\nCOMMIT\n",
 			"bad mode"},
 		"settings no JSON": {"SYNC 1\nOPEN_INSTANCE 3 42 {\nCOMMIT\n", "line 2: settings"},
 		"settings empty":   {"SYNC 1\nOPEN_INSTANCE 3 42 {}\nCOMMIT\n", "settings: balancers"},
@@ -116,7 +116,7 @@
 // this batch may have been written.
 func TestMalformedBatchGetsNoReply(t *testing.T) {
 	var in strings.Builder
-	in.WriteString(opening + "SYNC 1005\n")
+	in.WriteString(setup + "SYNC 1005\n")
 	for i := range 20000 {
 		fmt.Fprintf(&in, "ASK 3 %d read t %016x 240 - - 0 0\n", i, i)
 	}
@@ -126,7 +126,7 @@
 	}
 	out, err := run(t, in.String()+"DANCE 3\nCOMMIT\n")
 	if err == nil || strings.Count(out, "\n") != strings.Count(out, "OK\n")+1 {
-		t.Errorf("%d bytes of reply, error %v: want only the reply to the opening batch", len(out), err)
+		t.Errorf("%d bytes of reply, error %v: want only the reply to the setup batch", len(out), err)
 	}
 }
 
@@ -177,11 +177,11 @@
 }
 
 func FuzzRun(f *testing.F) {
-	f.Add(opening + "SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nFIRED 3 1793\nCOMMIT\n")
-	f.Add(opening + "SYNC 1005\nRETURNED 3 7 0 11 Ok 18.5 1 - 140,7,0.62\nSTATUS_BACK 3 11 Ok 1 nan,1,1e300\nCOMMIT\n")
-	f.Add(opening + "SYNC 1005\nDIRECTORY_UPDATE 3 all 2 1\nM 9e9 -1 12 draining b -3 box\n" +
+	f.Add(setup + "SYNC 1005\nASK 3 7 read t 91f03b7c55d20a64 240.0 12.0 1800 0 0\nFIRED 3 1793\nCOMMIT\n")
+	f.Add(setup + "SYNC 1005\nRETURNED 3 7 0 11 Ok 18.5 1 - 140,7,0.62\nSTATUS_BACK 3 11 Ok 1 nan,1,1e300\nCOMMIT\n")
+	f.Add(setup + "SYNC 1005\nDIRECTORY_UPDATE 3 all 2 1\nM 9e9 -1 12 draining b -3 box\n" +
 		"ASK 3 1 lock - - 0 -1 -1 1 1\nCOMMIT\n")
-	f.Add(opening + "SYNC 900\nMESSAGE 3 1 aGkgNw==\nVANISHED 3 7\nSHUTDOWN 3\nUNDER_WAY 3 1 1 1 1\nCOMMIT\n")
+	f.Add(setup + "SYNC 900\nMESSAGE 3 1 aGkgNw==\nVANISHED 3 7\nSHUTDOWN 3\nUNDER_WAY 3 1 1 1 1\nCOMMIT\n")
 	f.Add("SYNC 1\nDIRECTORY_UPDATE 3 all 2 4294967295\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
