--- a/internal/admission/events_test.go
+++ b/internal/admission/events_test.go
@@ -15,7 +15,7 @@
 	Kind            int // 0 to 4 new request, 5 retry, 6 served, 7 rejected downstream, 8 disconnected, 9 tick
 	Tenant          int
 	Class           int
-	Selector        int // selects one of the requests that the event can apply to
+	Which           int // selects one of the requests that the event can apply to
 	Key             uint64
 	RemainingMillis float64
 	SizeBytes       int
@@ -27,7 +27,7 @@
 		Kind:            rapid.IntRange(0, 9).Draw(t, "kind"),
 		Tenant:          rapid.IntRange(0, 12).Draw(t, "tenant"),
 		Class:           rapid.IntRange(0, 1).Draw(t, "class"),
-		Selector:        rapid.IntRange(0, 50).Draw(t, "which"),
+		Which:           rapid.IntRange(0, 50).Draw(t, "which"),
 		Key:             uint64(rapid.IntRange(0, 5).Draw(t, "key")),
 		RemainingMillis: rapid.Float64Range(0, 500).Draw(t, "remaining"),
 		SizeBytes:       rapid.IntRange(0, 1<<20).Draw(t, "size"),
@@ -71,7 +71,7 @@
 	case e.Kind < 6:
 		p.arrive(e)
 	case e.Kind < 8 && len(p.host.admitted) > 0:
-		id := p.host.admitted[e.Selector%len(p.host.admitted)]
+		id := p.host.admitted[e.Which%len(p.host.admitted)]
 		if p.ended[id] {
 			return
 		}
@@ -82,10 +82,10 @@
 			Rejected:      e.Kind == 7,
 			LatencyMillis: e.GapMillis + 1,
 			WorkMillis:    e.GapMillis + 1,
-			Attempts:      e.Selector % 4,
+			Attempts:      e.Which % 4,
 		})
 	case e.Kind == 8 && p.lastID > 0:
-		id := uint32(e.Selector)%p.lastID + 1
+		id := uint32(e.Which)%p.lastID + 1
 		if p.host.decisions[id] == 0 {
 			p.disconnected[id] = true
 		}
