--- a/cmd/dockhinge-coord/permit.go
+++ b/cmd/dockhinge-coord/permit.go
@@ -214,7 +214,7 @@
 			"(later than 'grace' after its outage began), or until 'permit clear', or until the same " +
 			"command with the same --as takes\n" +
 			"the permit over. The command then runs again, so it must do no harm twice, or the " +
-			"resource it changes must reject a token lower than one it has already seen.",
+			"resource it changes must reject\na token lower than one it has already seen.",
 		args:  cobra.MinimumNArgs(2),
 		flags: request.addFlags,
 		run: func(cmd *cobra.Command, args []string, c *coordinators) error {
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// testsPerRelease is how many statistical tests a release must pass: the one of its failures and
-// the one of its latencies. The allowed share of false halts is divided evenly between them.
+// testsPerRelease is how many statistical tests a release must pass: FailsMoreOften and IsSlower.
+// The allowed share of false halts is divided evenly between them.
 const testsPerRelease = 2
 
 // failureOddsRatios are the alternative hypotheses of CompareFailures: the odds of a failure at the
