--- a/lab/checker/disconnect_test.go
+++ b/lab/checker/disconnect_test.go
@@ -35,7 +35,7 @@
 	expectRules(t, late, []ruleCase{{"the machine was late", "", repeat(20, withTime(first, "310"))}})
 }
 
-func TestRequestsThatWaitedWhenTheClientDisconnected(t *testing.T) {
+func TestWaitingRequestsSentAfterDisconnectAreReported(t *testing.T) {
 	const (
 		never = "0 sent read request=x{n}\n200 disconnected request=x{n}"
 		sent  = "0 sent read request=q{n}\n200 disconnected request=q{n}\n%AT whole s1 request=q{n}"
