--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -113,8 +113,8 @@
 	return b, nil
 }
 
-// initialFetchLimit is a router's share of initialFleetFetchLimit, but at least one: a router with
-// one fetch at a time cannot outpace the origin.
+// initialFetchLimit returns a router's share of initialFleetFetchLimit, but at least one: a router
+// with one fetch at a time cannot outpace the origin.
 func initialFetchLimit(routers int) float64 {
 	return min(maxInitialFetchLimit, max(1, initialFleetFetchLimit/float64(routers)))
 }
@@ -144,8 +144,8 @@
 	}
 }
 
-// Cause is the reason, in one or two words, for the rejection or failure that the Host is carrying
-// out.
+// Cause returns the reason, in one or two words, for the rejection or failure that the Host is
+// carrying out.
 func (b *Balancer) Cause() string { return string(b.cause) }
 
 // Request handles a new request of a client. A request of an unknown class fails.
@@ -192,7 +192,7 @@
 	b.forward(r)
 }
 
-// forward sends a request to a server, or answers it if no attempt would help.
+// forward sends a request to a server, or rejects or fails it if no server can take it.
 func (b *Balancer) forward(r *request) {
 	s := b.pick(r)
 	if s == nil {
@@ -221,8 +221,8 @@
 	b.host.Send(r.ID, s.ID, 0)
 }
 
-// AttemptEnded handles the end of an attempt. Of one that is not in flight it uses only the load
-// report.
+// AttemptEnded handles the end of an attempt. If the attempt is not in flight, only the load report
+// is used.
 func (b *Balancer) AttemptEnded(now float64, o Outcome) {
 	b.beginEvent(now)
 	if s := b.membership.servers[o.ServerID]; s != nil {
--- a/decide/config.go
+++ b/decide/config.go
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// setting returns a SettingError for a field of Config itself.
-func setting(name string, value any) error { return &SettingError{Field: name, Value: value} }
+// invalidSetting returns a SettingError for a field of Config itself.
+func invalidSetting(name string, value any) error { return &SettingError{Field: name, Value: value} }
 
 func isPositive(v float64) bool    { return v > 0 && !math.IsInf(v, 1) }
 func isNotNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
@@ -198,13 +198,13 @@
 func (c *Config) validateRouter() error {
 	switch {
 	case c.Routers < 1:
-		return setting("Routers", c.Routers)
+		return invalidSetting("Routers", c.Routers)
 	case c.RouterIndex < 0 || c.RouterIndex >= c.Routers:
-		return setting("RouterIndex", c.RouterIndex)
+		return invalidSetting("RouterIndex", c.RouterIndex)
 	case len(c.Classes) == 0:
-		return setting(classList, noValue)
+		return invalidSetting(classList, noValue)
 	case c.MaxAttempts < 1:
-		return setting("MaxAttempts", c.MaxAttempts)
+		return invalidSetting("MaxAttempts", c.MaxAttempts)
 	}
 	return nil
 }
@@ -212,13 +212,13 @@
 func (c *Config) validateSlowStart() error {
 	switch {
 	case !isNotNegative(c.SlowStartMillis):
-		return setting("SlowStartMillis", c.SlowStartMillis)
+		return invalidSetting("SlowStartMillis", c.SlowStartMillis)
 	case !(c.SlowStartInitialShare > 0 && c.SlowStartInitialShare <= 1):
-		return setting("SlowStartInitialShare", c.SlowStartInitialShare)
+		return invalidSetting("SlowStartInitialShare", c.SlowStartInitialShare)
 	case !isPositive(c.OverloadFactor):
-		return setting("OverloadFactor", c.OverloadFactor)
+		return invalidSetting("OverloadFactor", c.OverloadFactor)
 	case !isPositive(c.OverloadMillis):
-		return setting("OverloadMillis", c.OverloadMillis)
+		return invalidSetting("OverloadMillis", c.OverloadMillis)
 	}
 	return nil
 }
@@ -226,22 +226,22 @@
 func (c *Config) validateLimits() error {
 	switch {
 	case !isNotNegative(c.IdleTimeoutMillis):
-		return setting("IdleTimeoutMillis", c.IdleTimeoutMillis)
+		return invalidSetting("IdleTimeoutMillis", c.IdleTimeoutMillis)
 	case !isNotNegative(c.CPUMicrosPerSecond):
-		return setting("CPUMicrosPerSecond", c.CPUMicrosPerSecond)
+		return invalidSetting("CPUMicrosPerSecond", c.CPUMicrosPerSecond)
 	case !isNotNegative(c.OverQuotaWeight):
-		return setting("OverQuotaWeight", c.OverQuotaWeight)
+		return invalidSetting("OverQuotaWeight", c.OverQuotaWeight)
 	case c.CacheAside && c.OriginKind == "":
-		return setting("OriginKind", noValue)
+		return invalidSetting("OriginKind", noValue)
 	}
 	return nil
 }
 
 // validate returns a *SettingError for the first invalid field of the class at an index of
 // Config.Classes.
-func (c *Class) validate(at int) error {
+func (c *Class) validate(index int) error {
 	invalid := func(field string, value any) error {
-		return &SettingError{field, classList, at, c.Name, value}
+		return &SettingError{field, classList, index, c.Name, value}
 	}
 	switch {
 	case c.Name == "":
--- a/decide/discovery_backoff.go
+++ b/decide/discovery_backoff.go
@@ -5,21 +5,21 @@
 // The time budget of a router that must poll discovery. It starts when the router's list is known
 // to have been current. A change counts as announced to all routers discoveryBudgetMillis after
 // discovery had it and was reachable, or DiscoveryChangeBudgetMillis after a configuration that
-// names another discovery. The pauses and the calls of a router have to fit in that time:
+// names another discovery service. The pauses and the calls of a router have to fit in that time:
 //
 //   - After a failed call, the next one follows within MaxPollBackoffMillis. A call that discovery
 //     has accepted is answered, or is abandoned, within MaxPollCallMillis. Both together are
 //     discoveryBudgetMillis.
 //   - A restarted router polls like one whose calls have been failing: its list is as old as the
 //     restart took, and the calls of a fleet that starts at the same time are spread evenly.
-//   - After a change of the discovery, the first call is made at once, and each pause is a share of
-//     the remaining time.
+//   - After a change of the discovery service, the first call is made at once, and each pause is a
+//     share of the remaining time.
 const (
 	// discoveryBudgetMillis is the time after which a change counts as announced, even if calls
 	// failed.
 	discoveryBudgetMillis = 6000
 	// DiscoveryChangeBudgetMillis is the same time from a configuration that names another
-	// discovery.
+	// discovery service.
 	DiscoveryChangeBudgetMillis = 4000
 	// MaxPollBackoffMillis is the longest time between two calls of a router whose calls fail.
 	MaxPollBackoffMillis = 3500
@@ -71,9 +71,9 @@
 	changeBudgetEndsAt float64
 }
 
-// DiscoveryChanged makes the Balancer poll at once, as the configuration names another discovery.
-// It is also called if another process polls from now on. The current list is kept until the first
-// answer.
+// DiscoveryChanged makes the Balancer poll at once, as the configuration names another discovery
+// service. It is also called in a new process that from now on polls in place of the old one. The
+// current list is kept until the first answer.
 func (b *Balancer) DiscoveryChanged(now float64) {
 	b.beginEvent(now)
 	b.discovery = discoveryPolling{pollAt: now, changeBudgetEndsAt: now + DiscoveryChangeBudgetMillis}
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// hashTableBits gives the memento-hash table 8192 buckets, so that few servers claim the same.
+	// hashTableBits gives the memento-hash table 8192 buckets, so that servers rarely claim the
+	// same one.
 	hashTableBits = 13
 	// bucketClaims is the number of buckets that a server claims.
 	bucketClaims = 64
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -48,7 +48,7 @@
 	}
 	for _, s := range successorHost.sends {
 		if s.server == disabledID || s.server == endpoints[2].ID || s.server == failing.ID {
-			t.Fatalf("sent to %d", s.server)
+			t.Fatalf("sent to server %d, which is disabled, draining or ejected", s.server)
 		}
 	}
 	successor.UpdateEndpoints(100400, AllEndpoints, readyEndpoints(6)) // a list that shows no disabled server
--- a/decide/health_check.go
+++ b/decide/health_check.go
@@ -2,8 +2,8 @@
 
 const (
 	// checksPerArrival is the largest number of health checks that each request adds to the budget.
-	// A bound on the age of reports instead would make a router of a large fleet send many per
-	// request.
+	// A bound on the age of reports instead would make a router of a large fleet send many
+	// checks per request.
 	checksPerArrival = 0.15
 	// maxHealthCheckBudget is the largest budget that can accumulate.
 	maxHealthCheckBudget = 4
@@ -52,8 +52,8 @@
 	return true
 }
 
-// HealthCheckEnded handles the result of a health check. One without an answer counts as
-// unanswered.
+// HealthCheckEnded handles the result of a health check. A check without an answer counts like an
+// unanswered attempt.
 func (b *Balancer) HealthCheckEnded(now float64, serverID uint32, status AttemptStatus, l LoadReport) {
 	b.beginEvent(now)
 	s := b.membership.servers[serverID]
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -143,12 +143,12 @@
 // countSentAtOnce sends 200 requests of a key at one time and returns how many went to the given
 // server.
 func countSentAtOnce(b *Balancer, h *fakeHost, now float64, id *uint32, key uint64, to uint32) (n int) {
-	was := len(h.sends)
+	sendsBefore := len(h.sends)
 	for range 200 {
 		*id++
 		sendRequest(b, now, *id, "read", key)
 	}
-	for _, s := range h.sends[was:] {
+	for _, s := range h.sends[sendsBefore:] {
 		if s.server == to {
 			n++
 		}
--- a/decide/idle_connections.go
+++ b/decide/idle_connections.go
@@ -8,9 +8,9 @@
 	// minIdleTimeoutMillis is the shortest idle timeout: a shorter one costs a handshake per
 	// request.
 	minIdleTimeoutMillis = 200
-	// fullTableWindowMillis is the time after a refused connection within which an answer shows
-	// that the server is alive and at its connection limit.
-	fullTableWindowMillis = 1000
+	// connectionLimitWindowMillis is the time after a refused connection within which an answer
+	// shows that the server is alive and at its connection limit.
+	connectionLimitWindowMillis = 1000
 )
 
 // adaptIdleTimeout adapts the idle timeout to an answer of a server. If the server has just refused
@@ -18,9 +18,9 @@
 // then halves its idle timeout.
 func (b *Balancer) adaptIdleTimeout(s *server) {
 	b.idleTimeoutMillis = min(b.cfg.IdleTimeoutMillis, idleTimeoutGrowth*b.idleTimeoutMillis)
-	if b.now-s.connection.rejectedAt < fullTableWindowMillis {
+	if b.now-s.connection.refusedAt < connectionLimitWindowMillis {
 		b.idleTimeoutMillis = max(minIdleTimeoutMillis, b.idleTimeoutMillis/2)
-		s.connection.rejectedAt = math.Inf(-1)
+		s.connection.refusedAt = math.Inf(-1)
 	}
 }
 
--- a/decide/origin_fetch.go
+++ b/decide/origin_fetch.go
@@ -237,10 +237,10 @@
 	)
 }
 
-// fetchLimitGrowth returns by how much a fast fetch raises the limit: by at least a tenth, or less
-// if the limit is below one, and by so much that during the time of a fetch the limits of all
-// routers together grow by at least four. If each router added one, the limits of eighty routers
-// would grow by two thirds.
+// fetchLimitGrowth returns by how much a fast fetch raises the limit: by a tenth, or by a tenth of
+// the limit if that is below one, or by more if the limits of all routers together would otherwise
+// grow by less than four during the time of a fetch. A limit grows by at most one in that time. If
+// each router added one, the limits of eighty routers would grow by two thirds.
 func fetchLimitGrowth(limit float64, routers int) float64 {
 	routerGrowth := fetchGrowthShare * min(1, limit)
 	fleetGrowth := fleetFetchGrowth / float64(routers) / max(1, limit)
--- a/decide/origin_fetch_test.go
+++ b/decide/origin_fetch_test.go
@@ -282,6 +282,6 @@
 	}
 	// Two fetches per second of 100 ms each, a tenth of the requests.
 	if b.originFetches.limit < 0.15 || b.originFetches.limit > 0.8 {
-		t.Errorf("limit %.3f", b.originFetches.limit)
+		t.Errorf("limit %.3f, want 0.15 to 0.8", b.originFetches.limit)
 	}
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -89,7 +89,7 @@
 		h.latestAnsweredSentAt = max(h.latestAnsweredSentAt, sentAt)
 	case ConnectError:
 		// The server is at its connection limit, or dead if it has not replied recently.
-		s.connection.rejectedAt = b.now
+		s.connection.refusedAt = b.now
 		if b.now-h.lastReplyAt > recentReplyMillis {
 			h.evidence = maxEvidence
 		}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -10,7 +10,7 @@
 // Distributed Object Placement and Load Balancing Strategies in Large-Scale Networked Multimedia
 // Storage Systems". The equations and tables that comments cite are from that paper. The steps are:
 //
-//  1. candidates and home: the servers of the key's memento-hash list that are in use.
+//  1. candidates: the servers of the key's memento-hash list that are in use, the home first.
 //  2. prepareModels: each server as an M/G/m queue with the load that other routers send it.
 //  3. solve: all keys, in descending order of λ_i/μ_i.
 //  4. chooseCopies: copies of a hot key, in ascending order of their first derivative length (FDL),
@@ -39,8 +39,8 @@
 	// minHotArrivals is the decayed number of arrivals from which a key may be split.
 	minHotArrivals = 1.5
 	// maxFetchesPerSecond bounds the rate of fetches that a copy of a key adds. A frequently
-	// requested copy costs one fetch each time its server drops the value, and one for a value that
-	// it evicts.
+	// requested copy costs one fetch each time its server drops the value, and one for the other
+	// value that storing it evicts.
 	maxFetchesPerSecond = 0.8
 
 	// maxSweeps ends equalizeFDL if it does not converge.
--- a/decide/records.go
+++ b/decide/records.go
@@ -40,9 +40,9 @@
 type serverConnection struct {
 	// mayBeOpen says that a connection may have been open since the last attempt.
 	mayBeOpen bool
-	// rejectedAt is when the server last refused a connection, ms; -Inf = never, or already
+	// refusedAt is when the server last refused a connection, ms; -Inf = never, or already
 	// handled.
-	rejectedAt float64
+	refusedAt float64
 }
 
 // serverHealth is the evidence of a server's faults, and its ejection.
@@ -126,7 +126,7 @@
 	never := math.Inf(-1)
 	return &server{
 		isDisabled: isDisabled,
-		connection: serverConnection{rejectedAt: never},
+		connection: serverConnection{refusedAt: never},
 		health:     serverHealth{acceptedShare: 1, lastReplyAt: now, checkedAt: never},
 		slowStart:  serverSlowStart{startedAt: never},
 		load:       serverLoad{reportedAt: never},
--- a/decide/rejection.go
+++ b/decide/rejection.go
@@ -23,7 +23,8 @@
 	// maxToleratedWaitShare bounds toleratedWaitShare.
 	maxToleratedWaitShare = 0.25
 	// inTimeIncrease and lateDecrease keep toleratedWaitShare where one answer in twenty is late.
-	// With a fixed share, idle servers would reject or overloaded ones would answer late.
+	// A fixed share would reject requests while servers are idle, or lead to late answers while
+	// they are overloaded.
 	inTimeIncrease = 0.0005
 	lateDecrease   = 0.01
 	// priorityWaitShare is the additional share of the remaining time that a queue may take for a
@@ -120,9 +121,9 @@
 	}
 }
 
-// retryAfterMillis returns the Retry-After of a rejected request: when the shortest queue of its
-// key's servers should be processed, but early enough for the answer to be in time; 0 = none is
-// sent.
+// retryAfterMillis returns the Retry-After of a rejected request: the time until the shortest queue
+// of its key's servers should be processed, but short enough for the answer to be in time; 0 = none
+// is sent.
 func (b *Balancer) retryAfterMillis(r *request) float64 {
 	if !b.cfg.SendRetryAfter {
 		return 0
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -221,9 +221,9 @@
 	stepRetry
 	// stepFreeRetry: the same, without using the retry budget.
 	stepFreeRetry
-	// stepAnswer: no further attempt would help.
+	// stepAnswer: the request is rejected or fails, as no further attempt would help.
 	stepAnswer
-	// stepAnswerWithoutRetry: a retry might help, but is not allowed.
+	// stepAnswerWithoutRetry: the same, though a retry might help: it is not allowed.
 	stepAnswerWithoutRetry
 )
 
--- a/decide/slow_start.go
+++ b/decide/slow_start.go
@@ -37,13 +37,14 @@
 // process an equal part of it.
 //
 // A process's part starts with a random fraction of a request and grows at the allowed rate.
-// Whenever it exceeds one request plus the inflow of OverloadMillis, one request lapses. So parts
-// smaller than one request allow a request at once only by their random fraction, and the fleet
-// holds at most the inflow of a window: the sum over all routers depends on the settings and not on
-// the number of routers. If each part could fill up to one request, hundreds of routers could send
-// one at the same moment. Every request needs a whole one, as otherwise half of the routers could
-// send a light request right after the start. A heavy request may only use budget that is about to
-// lapse, as the same work serves more light requests.
+// Whenever it exceeds one request plus the inflow of OverloadMillis, one request lapses. So if the
+// parts are smaller than one request, their random fractions decide which routers may send one at
+// once, and the fleet holds at most the inflow of a window: the sum over all routers depends on the
+// settings and not on the number of routers. If each part could fill up to one request, hundreds of
+// routers could send one at the same moment. Every request, however light, needs a budget of at
+// least one, as otherwise half of the routers could send a light request right after the start. A
+// heavy request may only use budget that is about to lapse, as the same work serves more light
+// requests.
 func (b *Balancer) hasSlowStartBudget(s *server, work float64) bool {
 	if b.now >= s.slowStart.startedAt+warmAgeFactor*b.cfg.SlowStartMillis {
 		return true
