--- a/internal/admission/arrive.go
+++ b/internal/admission/arrive.go
@@ -22,28 +22,28 @@
 // admission or a rejection before Arrive returns.
 func (a *Admission) Arrive(nowMillis float64, req Request) {
 	a.advance(nowMillis)
-	in := a.newArrival(req)
-	hasContention := a.waiting > 0 || !a.hasCapacity(in.cost)
+	incoming := a.newArrival(req)
+	hasContention := a.waiting > 0 || !a.hasCapacity(incoming.cost)
 	if !hasContention && len(a.freeRecords) > 0 {
-		if in.earlyMillis > 0 {
-			a.releaseReservation(a.reservations.byIdentity[in.identity])
+		if incoming.earlyMillis > 0 {
+			a.releaseReservation(a.reservations.byIdentity[incoming.identity])
 		}
-		a.admit(a.newRecord(&in))
+		a.admit(a.newRecord(&incoming))
 		return
 	}
-	if a.rejectOnArrival(&in) {
+	if a.rejectOnArrival(&incoming) {
 		return
 	}
-	allowed := a.allowedWait(&in)
-	wait := a.expectedWait(in.flow, max(0, allowed))
-	if in.isGuaranteed {
-		wait = min(wait, (a.guaranteedBacklog+in.cost)/a.workRate())
+	allowed := a.allowedWait(&incoming)
+	wait := a.expectedWait(incoming.flow, max(0, allowed))
+	if incoming.isGuaranteed {
+		wait = min(wait, (a.guaranteedBacklog+incoming.cost)/a.workRate())
 	}
-	if allowed <= 0 || !in.isDue() && wait > allowed {
-		a.reject(req.ID, in.flow, in.cost, in.identity)
+	if allowed <= 0 || !incoming.isDue() && wait > allowed {
+		a.reject(req.ID, incoming.flow, incoming.cost, incoming.identity)
 		return
 	}
-	a.enqueue(a.newRecord(&in), a.now+allowed, in.isDue())
+	a.enqueue(a.newRecord(&incoming), a.now+allowed, incoming.isDue())
 	a.admitWaiting()
 }
 
@@ -52,46 +52,46 @@
 	flowIndex, hash := a.findFlow(req.Tenant)
 	f := &a.flows[flowIndex]
 	f.stats.Requests++
-	in := arrival{request: req, flow: flowIndex}
-	in.cost = a.costs.estimate(req.Class) * sizeFactor(req.SizeBytes)
-	in.identity = combinedHash(hash, req.Key, uint64(req.Class))
-	in.isRetry = req.IsRetry || a.recentRejections.has(in.identity, a.now)
-	in.claim = a.claimReservation(in.identity)
-	in.hasFreeShare = in.isDue() && f.waiting == 0 && f.finishTag <= a.queueOf(f).virtualTime
-	if in.isDue() {
+	incoming := arrival{request: req, flow: flowIndex}
+	incoming.cost = a.costs.estimate(req.Class) * sizeFactor(req.SizeBytes)
+	incoming.identity = combinedHash(hash, req.Key, uint64(req.Class))
+	incoming.isRetry = req.IsRetry || a.recentRejections.has(incoming.identity, a.now)
+	incoming.claim = a.claimReservation(incoming.identity)
+	incoming.hasFreeShare = incoming.isDue() && f.waiting == 0 && f.finishTag <= a.queueOf(f).virtualTime
+	if incoming.isDue() {
 		a.returnStats.returned++
 	}
-	if in.hasFreeShare {
+	if incoming.hasFreeShare {
 		a.returnStats.returnedWithinShare++
 	}
-	if !in.isRetry && !in.isDue() {
+	if !incoming.isRetry && !incoming.isDue() {
 		f.retryTokens = min(a.cfg.RetryBudgetBurst, f.retryTokens+a.cfg.RetryBudgetShare)
 	}
 	f.refillGuarantee(a.now)
-	in.isGuaranteed = f.guaranteedTokens >= 1
-	return in
+	incoming.isGuaranteed = f.guaranteedTokens >= 1
+	return incoming
 }
 
 // rejectOnArrival rejects a request that must not be queued however short its wait would be, and
 // reports whether it did. A retry that may be queued uses a token of its tenant's retry budget.
-func (a *Admission) rejectOnArrival(in *arrival) bool {
-	f := &a.flows[in.flow]
-	needsToken := in.isRetry && !in.isDue()
-	if in.earlyMillis > 0 { // returning early gains nothing: the client gets the rest of its retry-after
+func (a *Admission) rejectOnArrival(incoming *arrival) bool {
+	f := &a.flows[incoming.flow]
+	needsToken := incoming.isRetry && !incoming.isDue()
+	if incoming.earlyMillis > 0 { // returning early gains nothing: the client gets the rest of its retry-after
 		f.stats.Rejected++
 		f.stats.RejectedEarly++
-		a.host.Reject(in.request.ID, in.earlyMillis)
+		a.host.Reject(incoming.request.ID, incoming.earlyMillis)
 		return true
 	}
 	// A tenant that has no queued request is within its share, and may retry without a token.
-	if needsToken && !in.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 {
+	if needsToken && !incoming.isGuaranteed && f.retryTokens < 1 && f.waiting > 0 {
 		f.stats.RejectedRetries++
-		a.reject(in.request.ID, in.flow, in.cost, in.identity)
+		a.reject(incoming.request.ID, incoming.flow, incoming.cost, incoming.identity)
 		return true
 	}
 	isFull := a.waiting >= a.cfg.QueueLimit
-	if len(a.freeRecords) == 0 || isFull && !a.evictFor(in.flow) {
-		a.reject(in.request.ID, in.flow, in.cost, in.identity)
+	if len(a.freeRecords) == 0 || isFull && !a.evictFor(incoming.flow) {
+		a.reject(incoming.request.ID, incoming.flow, incoming.cost, incoming.identity)
 		return true
 	}
 	if needsToken {
@@ -116,14 +116,14 @@
 // allowedWait returns how long a request may be queued, in ms, so that the rest of its remaining
 // time is enough for an answer. A request that returns when its retry-after is over may wait
 // longer, as long as an answer in time is likely.
-func (a *Admission) allowedWait(in *arrival) float64 {
-	remaining := in.request.RemainingMillis
-	latency := a.costs.latencyByClass[in.request.Class]
-	if !in.isDue() {
+func (a *Admission) allowedWait(incoming *arrival) float64 {
+	remaining := incoming.request.RemainingMillis
+	latency := a.costs.latencyByClass[incoming.request.Class]
+	if !incoming.isDue() {
 		return min(a.cfg.MaxWaitMillis, remaining*waitShareOfRemaining, remaining-latencyReserve*latency)
 	}
 	allowed := min(a.cfg.MaxWaitMillis, remaining-latency)
-	if in.hasFreeShare {
+	if incoming.hasFreeShare {
 		allowed = max(allowed, min(a.cfg.MaxWaitMillis, remaining*reservedWaitShareOfRemaining))
 	}
 	return allowed
--- a/internal/admission/costs.go
+++ b/internal/admission/costs.go
@@ -91,9 +91,9 @@
 }
 
 // expectedWait returns how long a new request of a flow would have to wait until its start tag, in
-// ms. At the flow's rate, this work comes first: what the flow received beyond its share, its
-// queued requests, and, scaled by the return rate, its reservations that become due within the
-// given time.
+// ms: the time that the flow needs, at its rate, for the work that comes first. That is what the
+// flow received beyond its share, its queued requests, and, scaled by the return rate, its
+// reservations that become due within the given time.
 func (a *Admission) expectedWait(i int32, within float64) float64 {
 	f := &a.flows[i]
 	rate := a.workRateOf(i)
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,11 +1,12 @@
 package admission
 
-// heap is a binary heap of record indices, ordered by key with the lowest first. It stores the
-// position of each record, so that a record can be moved or removed, and does not allocate after
-// newHeap: container/heap would allocate an interface value for each index.
+// heap is a binary heap of indices into a table (of records, flows or reservations), ordered by key
+// with the lowest first. It stores the position of each index, so that an index can be moved or
+// removed, and does not allocate after newHeap: container/heap would allocate an interface value
+// for each index.
 type heap struct {
-	items     []int32 // record indices, in heap order
-	positions []int32 // by record: its index in items + 1; 0 = not in the heap
+	items     []int32 // table indices, in heap order
+	positions []int32 // by table index: its position in items + 1; 0 = not in the heap
 	keys      []float64
 }
 
@@ -19,7 +20,7 @@
 
 func (h *heap) firstKey() float64 { return h.keys[h.items[0]] }
 
-// set adds a record, or changes the key of one that is in the heap.
+// set adds an index, or changes the key of one that is in the heap.
 func (h *heap) set(i int32, key float64) {
 	h.keys[i] = key
 	if h.positions[i] == 0 {
@@ -30,7 +31,7 @@
 	h.down(int(h.positions[i]) - 1)
 }
 
-// remove removes a record, if it is in the heap.
+// remove removes an index, if it is in the heap.
 func (h *heap) remove(i int32) {
 	position := int(h.positions[i]) - 1
 	if position < 0 {
@@ -46,8 +47,8 @@
 	}
 }
 
-// less orders two records by key, and by index if the keys are equal, so that the order is
-// deterministic.
+// less orders two indices by key, and by their own values if the keys are equal, so that the order
+// is deterministic.
 func (h *heap) less(a, b int32) bool {
 	if h.keys[a] != h.keys[b] {
 		return h.keys[a] < h.keys[b]
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -68,7 +68,8 @@
 	minLimit, maxLimit float64
 	// recentHigh is the recent maximum of the limit.
 	recentHigh float64
-	inUse      float64
+	// inUse is the part of the limit that admitted requests occupy.
+	inUse float64
 	// peakInUse is the maximum of inUse since the last adjustment.
 	peakInUse float64
 	// adjustAt is the time of the next adjustment, in ms.
@@ -220,9 +221,9 @@
 }
 
 // updateAverage returns an EWMA after one more value. An average of 0 has no value yet.
-func updateAverage(average, value, share float64) float64 {
+func updateAverage(average, value, gain float64) float64 {
 	if average == 0 {
 		return value
 	}
-	return average + share*(value-average)
+	return average + gain*(value-average)
 }
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -76,7 +76,7 @@
 		model := &exactModel{weights: weights, finishTags: make([]float64, 3), freeSlots: slots}
 		ended := map[uint32]bool{}
 		for n, e := range events[:min(len(events), 1<<11)] {
-			inWork := slices.DeleteFunc(slices.Clone(host.admitted), func(id uint32) bool { return ended[id] })
+			inProgress := slices.DeleteFunc(slices.Clone(host.admitted), func(id uint32) bool { return ended[id] })
 			switch {
 			case e < 0x80:
 				id := uint32(n)
@@ -88,8 +88,8 @@
 					RemainingMillis: math.MaxFloat32,
 				})
 				model.arrive(id, flow, costMillis)
-			case len(inWork) > 0:
-				id := inWork[int(e&0x7f)%len(inWork)]
+			case len(inProgress) > 0:
+				id := inProgress[int(e&0x7f)%len(inProgress)]
 				ended[id] = true
 				a.RequestEnded(0, Outcome{
 					ID:            id,
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -28,35 +28,35 @@
 }
 
 // newRecord initializes a free record for a request and returns its index.
-func (a *Admission) newRecord(in *arrival) int32 {
+func (a *Admission) newRecord(incoming *arrival) int32 {
 	last := len(a.freeRecords) - 1
 	i := a.freeRecords[last]
 	a.freeRecords = a.freeRecords[:last]
 	list := uint8(ordinaryList)
 	switch {
-	case in.isGuaranteed:
+	case incoming.isGuaranteed:
 		list = guaranteedList
-		a.flows[in.flow].guaranteedTokens--
-	case a.cfg.Classes[in.request.Class].HasPriority:
+		a.flows[incoming.flow].guaranteedTokens--
+	case a.cfg.Classes[incoming.request.Class].HasPriority:
 		list = priorityList
 	}
 	a.records[i] = record{
-		id:               in.request.ID,
-		flow:             in.flow,
-		class:            int32(in.request.Class),
+		id:               incoming.request.ID,
+		flow:             incoming.flow,
+		class:            int32(incoming.request.Class),
 		next:             noIndex,
 		prev:             noIndex,
-		cost:             in.cost,
-		sizeBytes:        in.request.SizeBytes,
-		identity:         in.identity,
+		cost:             incoming.cost,
+		sizeBytes:        incoming.request.SizeBytes,
+		identity:         incoming.identity,
 		list:             list,
-		isRetry:          in.isRetry || in.isDue(),
-		hadFreeShare:     in.hasFreeShare,
-		retryAfterMillis: in.retryAfterMillis,
-		rejectedAt:       in.rejectedAt,
+		isRetry:          incoming.isRetry || incoming.isDue(),
+		hadFreeShare:     incoming.hasFreeShare,
+		retryAfterMillis: incoming.retryAfterMillis,
+		rejectedAt:       incoming.rejectedAt,
 	}
-	a.byID[in.request.ID] = i
-	a.flows[in.flow].open++
+	a.byID[incoming.request.ID] = i
+	a.flows[incoming.flow].open++
 	return i
 }
 
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -26,7 +26,7 @@
 	identity         uint64 // of tenant, key and class
 	flow             int32
 	dueAt            float64 // ms
-	retryAfterMillis float64 // before dueAt
+	retryAfterMillis float64 // ends at dueAt
 	cost             float64 // ms
 }
 
--- a/internal/admission/rules_test.go
+++ b/internal/admission/rules_test.go
@@ -213,7 +213,7 @@
 	a.Arrive(2, Request{ID: 99, Tenant: "a", Key: 99, RemainingMillis: 1e6})
 	a.RequestEnded(3, Outcome{ID: 0, Served: true, LatencyMillis: 3, WorkMillis: 3, Attempts: 1})
 	if n := len(host.admitted); n != 2 || host.admitted[1] != 99 {
-		t.Errorf("admitted requests: %v", host.admitted)
+		t.Errorf("admitted requests: %v, want 0 and 99", host.admitted)
 	}
 }
 
