--- a/internal/coord/config/budgets.go
+++ b/internal/coord/config/budgets.go
@@ -65,7 +65,7 @@
 		c.add("routers", "%d is not from 0 to %d", file.ExpectedRouters, rollout.MaxRouters)
 	}
 	if !rollout.IsValidEjectionQuorum(file.EjectionQuorum) {
-		c.add("quorum", "%d is neither 0 nor from %d to %d: one router alone is never believed",
+		c.add("quorum", "%d is neither 0 nor from %d to %d: the reports of one router alone never eject a server",
 			file.EjectionQuorum, rollout.MinEjectionQuorum, rollout.MaxEjectionQuorum)
 	}
 	if !(file.OverloadShare >= 0 && file.OverloadShare < 1) {
@@ -78,7 +78,7 @@
 // checkBudgets checks the budgets and returns the valid ones.
 func (f *budgetsFile) checkBudgets(c *checker) (budgets []rollout.Budget) {
 	if len(f.Budgets) == 0 {
-		c.add("budget", "none: nothing would ever be let out")
+		c.add("budget", "none: no router or server could ever be taken out of service")
 	}
 	if len(f.Budgets) > rollout.MaxBudgets {
 		c.add("budget", "%d, %d at most", len(f.Budgets), rollout.MaxBudgets)
@@ -94,7 +94,7 @@
 			c.add(setting, "%v", err)
 		}
 		if names[entry.Name] {
-			c.add(setting+".name", "%q is there twice", entry.Name)
+			c.add(setting+".name", "%q is used twice", entry.Name)
 		}
 		names[entry.Name] = true
 		budgets = append(budgets, budget)
--- a/internal/coord/config/check.go
+++ b/internal/coord/config/check.go
@@ -73,7 +73,7 @@
 
 func (c *checker) address(setting, address string) {
 	if !isAddress(address) {
-		c.add(setting, "%q is no host:port", address)
+		c.add(setting, "%q is not a host:port", address)
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func (c *checker) logLevel(level string) {
 	if !slices.Contains(logLevels, level) {
-		c.add("log_level", "%q is none of %s", level, strings.Join(logLevels, ", "))
+		c.add("log_level", "%q is not one of %s", level, strings.Join(logLevels, ", "))
 	}
 }
 
@@ -96,7 +96,7 @@
 func (c *checker) duration(setting, text string) (d time.Duration, isValid bool) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		c.add(setting, "%q is no duration", text)
+		c.add(setting, "%q is not a duration", text)
 		return 0, false
 	}
 	return d, true
@@ -106,7 +106,7 @@
 func (c *checker) durationWithin(setting, text string, minimum, maximum time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < minimum || d > maximum {
-		c.add(setting, "%q is no duration from %v to %v", text, minimum, maximum)
+		c.add(setting, "%q is not a duration from %v to %v", text, minimum, maximum)
 	}
 	return d
 }
@@ -120,7 +120,8 @@
 // digits, dots, dashes and underscores.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.Trim(name, nameCharacters) != "" {
-		return fmt.Errorf("%q is no name of 1 to %d letters, digits, dots, dashes and underscores", name, maxNameBytes)
+		return fmt.Errorf("%q is not a name of 1 to %d letters, digits, dots, dashes and underscores",
+			name, maxNameBytes)
 	}
 	return nil
 }
--- a/internal/coord/config/config.go
+++ b/internal/coord/config/config.go
@@ -106,9 +106,9 @@
 	c.address("api", f.API)
 	isOwn := f.MetricsAddress != f.API && f.MetricsAddress != f.Listen
 	if f.MetricsAddress != "" && !(isAddress(f.MetricsAddress) && isOwn) {
-		c.add("figures", "%q is no host:port of its own", f.MetricsAddress)
+		c.add("figures", "%q is not a host:port other than listen and api", f.MetricsAddress)
 	}
 	if f.Listen != "" && f.Listen == f.API {
-		c.add("api", "%q is the address for the other coordinators too", f.API)
+		c.add("api", "%q is also the address for the other coordinators", f.API)
 	}
 }
--- a/internal/coord/config/config_test.go
+++ b/internal/coord/config/config_test.go
@@ -61,13 +61,13 @@
 	for _, mistake := range []struct{ name, text, want string }{
 		{"empty", "", "version: 0 is not 1"},
 		{"unknown key", "version = 1\nx = 1", "x"},
-		{"grace", "version = 1\ngrace = \"1\"", "grace: \"1\" is no duration"},
+		{"grace", "version = 1\ngrace = \"1\"", "grace: \"1\" is not a duration"},
 		{"no budget", "version = 1", "budget: none"},
-		{"name twice", goodBudgets + secondBudget, "budget[2].name: \"a\" is there twice"},
+		{"name twice", goodBudgets + secondBudget, "budget[2].name: \"a\" is used twice"},
 		{"share", strings.Replace(goodBudgets, "0.2", "0", 1), "it would never let anything out"},
 		{"kind", strings.Replace(goodBudgets, "server", "cat", 1), "budget[1]: kind: \"cat\""},
 		{"routers", strings.Replace(goodBudgets, "= 3", "= -3", 1), "routers: -3 is not from 0 to 8192"},
-		{"slow start", strings.Replace(goodBudgets, "30s", "soon", 1), "budget[1].warm: \"soon\" is no duration"},
+		{"slow start", strings.Replace(goodBudgets, "30s", "soon", 1), "budget[1].warm: \"soon\" is not a duration"},
 		{"match", strings.Replace(goodBudgets, "\"a\"", "\"a\"\nmatch = \"[\"", 1), "match: \"[\""},
 	} {
 		t.Run("budgets/"+mistake.name, func(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 	for _, mistake := range []struct{ name, text, want string }{
 		{"version", "version = 2", "version: 2 is not 1"},
-		{"name", "name = \"a b\"", "name: \"a b\" is no name"},
-		{"listen", "listen = \"a\"", "listen: \"a\" is no host:port"},
+		{"name", "name = \"a b\"", "name: \"a b\" is not a name"},
+		{"listen", "listen = \"a\"", "listen: \"a\" is not a host:port"},
 		{"clock rate", "clock_rate = 0.5", "clock_rate: 0.5"},
 		{"beat", "beat = \"1ms\"", "beat: \"1ms\""},
 		{"snapshots", "snapshot_every = 1", "snapshot_every: 1"},
@@ -107,7 +107,7 @@
 	})
 	for _, mistake := range []struct{ name, text, want string }{
 		{"empty", "", "version: 0 is not 1"},
-		{"bake", goodRelease + "bake = \"x\"", "bake: \"x\" is no duration"},
+		{"bake", goodRelease + "bake = \"x\"", "bake: \"x\" is not a duration"},
 		{"floor", goodRelease + "floor = 1.5", "floor: 1.5 is not from 0 to 1"},
 		{"learn", goodRelease + "learn = \"-1s\"", "learn: -1s is not from 0"},
 		{"alpha", goodRelease + "alpha = 1", "alpha: 1 is not"},
@@ -115,7 +115,7 @@
 		{"first", goodRelease + "first = 0", "first: 0 is not"},
 		{"match", goodRelease + "match = \"[\"", "match: \"[\""},
 		{"same version", strings.Replace(goodRelease, "\"b\"", "\"a\"", 1), "there is nothing to do, and no way back"},
-		{"kind", strings.Replace(goodRelease, "checked", "sure", 1), "kind: \"sure\" is none of checked, harmless"},
+		{"kind", strings.Replace(goodRelease, "checked", "sure", 1), "kind: \"sure\" is not one of checked, harmless"},
 		{"command", strings.Replace(goodRelease, "[\"true\", \"{name}\"]", "[]", 1), "command: empty"},
 	} {
 		t.Run(mistake.name, func(t *testing.T) {
--- a/internal/coord/config/observer.go
+++ b/internal/coord/config/observer.go
@@ -7,8 +7,8 @@
 	MaxObserverWatchers = 8192
 	// MaxJoinsPerSecond is the highest limit on new watches per second.
 	MaxJoinsPerSecond = 10_000
-	// MinWatcherBytesPerSecond and MaxWatcherBytes bound the limit on bytes per second to each
-	// watcher.
+	// MinWatcherBytesPerSecond and MaxWatcherBytesPerSecond bound the limit on bytes per second to
+	// each watcher.
 	MinWatcherBytesPerSecond = 16 << 10
 	MaxWatcherBytesPerSecond = 1 << 30
 )
--- a/internal/coord/config/release.go
+++ b/internal/coord/config/release.go
@@ -135,7 +135,7 @@
 	}
 	if !slices.Contains(RerunKinds, f.RerunKind) {
 		c.add("kind",
-			"%q is none of checked, harmless: the command may run twice for one router, where who ran it has died",
+			"%q is not one of checked, harmless: the command may run twice for one router if its driver crashes",
 			f.RerunKind)
 	}
 	if f.MaxAttempts < 1 || f.MaxAttempts > maxAttemptsLimit {
