--- a/internal/coord/client/queries.go
+++ b/internal/coord/client/queries.go
@@ -25,8 +25,8 @@
 	return list, err
 }
 
-// WatchLease waits, for watchDuration at most, until a lease is held with another token (0: is
-// free).
+// WatchLease waits, for watchDuration at most, until a lease has another token than the given one
+// (0: the lease is free).
 func (c *Client) WatchLease(ctx context.Context, name string, token uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, watchDuration)
 	defer cancel()
--- a/internal/coord/client/window_test.go
+++ b/internal/coord/client/window_test.go
@@ -13,12 +13,12 @@
 	"dockhinge.example/dockhinge/internal/coord"
 )
 
-// lateCoordinator executes commands by itself, but those for the late lease only once released is
-// closed.
+// lateCoordinator is a coordinator without a group. It executes each command at once, except that
+// commands for one lease wait until released is closed.
 type lateCoordinator struct {
 	mu       sync.Mutex
 	state    *coord.State
-	late     string
+	late     string // name of the lease whose commands wait
 	released chan struct{}
 }
 
--- a/internal/coord/node/admission.go
+++ b/internal/coord/node/admission.go
@@ -182,7 +182,8 @@
 	delete(l.open, c)
 }
 
-// wrapHandler returns a wrapHandler that passes requests within the bound to another wrapHandler.
+// wrapHandler returns a handler that passes requests on connections within the bound to another
+// handler.
 func (l *connectionLimit) wrapHandler(within http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if isOver, _ := r.Context().Value(overLimitKey{}).(bool); !isOver {
--- a/internal/coord/node/api.go
+++ b/internal/coord/node/api.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if c.Op.IsInternal() {
-		http.Error(w, fmt.Sprintf("op: %s is the coordinators' own", c.Op), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("op: %s is reserved for coordinators", c.Op), http.StatusBadRequest)
 		return
 	}
 	response, isUpgradeRequired, err := n.requiresUpgrade(c)
--- a/internal/coord/node/changes.go
+++ b/internal/coord/node/changes.go
@@ -58,7 +58,7 @@
 	}
 	lastContact := n.raft.LastContact()
 	if lastContact.IsZero() {
-		return 0, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no leader has been heard of"}
+		return 0, &protocol.Rejection{Code: protocol.CodeNotReady, Text: "no contact with a leader yet"}
 	}
 	return time.Since(lastContact), nil
 }
--- a/internal/coord/node/duplicates_test.go
+++ b/internal/coord/node/duplicates_test.go
@@ -16,18 +16,18 @@
 func TestRetriedCommandIsExecutedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r duplicateCommands
-		var carried atomic.Int64
+		var executions atomic.Int64
 		release := make(chan struct{})
-		lost := errors.New("not the leader")
+		notLeader := errors.New("not the leader")
 		slow := func() (coord.Response, error) {
-			carried.Add(1)
+			executions.Add(1)
 			<-release
-			return coord.Response{Code: coord.CodeOK, Token: 7}, lost
+			return coord.Response{Code: coord.CodeOK, Token: 7}, notLeader
 		}
 		var wg sync.WaitGroup
 		send := func(c coord.Command) {
 			wg.Go(func() {
-				if a, err := r.do(c, slow); a.Token != 7 || !errors.Is(err, lost) {
+				if a, err := r.do(c, slow); a.Token != 7 || !errors.Is(err, notLeader) {
 					t.Errorf("%+v, %v", a, err)
 				}
 			})
@@ -36,7 +36,7 @@
 			send(coord.Command{SessionID: "s", Sequence: 1})
 		}
 		synctest.Wait()
-		if n := carried.Load(); n != 1 {
+		if n := executions.Load(); n != 1 {
 			t.Errorf("executed %d times, want 1", n)
 		}
 		send(coord.Command{SessionID: "s", Sequence: 2})
@@ -44,13 +44,13 @@
 		send(coord.Command{SessionID: "s"})
 		send(coord.Command{SessionID: "s"})
 		synctest.Wait()
-		if n := carried.Load(); n != 5 {
+		if n := executions.Load(); n != 5 {
 			t.Errorf("%d commands were executed, want 5", n)
 		}
 		close(release)
 		wg.Wait()
 		_, err := r.do(coord.Command{SessionID: "s", Sequence: 1}, slow)
-		if !errors.Is(err, lost) || carried.Load() != 6 {
+		if !errors.Is(err, notLeader) || executions.Load() != 6 {
 			t.Errorf("a later retry: %v", err)
 		}
 		if len(r.pending) != 0 {
--- a/internal/coord/node/membership.go
+++ b/internal/coord/node/membership.go
@@ -94,7 +94,7 @@
 // Bootstrap forms the first group from coordinators whose directories are all empty.
 func (n *Node) Bootstrap(members []Member) error {
 	if len(members) == 0 || len(members) > MaxMembers {
-		return fmt.Errorf("members: %d, between 1 and %d must be named", len(members), MaxMembers)
+		return fmt.Errorf("members: %d given, want 1 to %d", len(members), MaxMembers)
 	}
 	if len(n.servers()) > 0 {
 		return fmt.Errorf("coordinator %s belongs to a group already", n.options.Name)
@@ -132,7 +132,7 @@
 	for _, server := range servers {
 		address, err := parsePeerAddress(server.Address)
 		if err == nil && address.name == m.Name && address.identity != m.Identity {
-			return fmt.Errorf("members: %s is one already, with another disk (%s): remove that one first",
+			return fmt.Errorf("members: %s is already a member, with another disk (%s): remove that member first",
 				m.Name, address.identity)
 		}
 	}
@@ -153,7 +153,7 @@
 // group including it would respond.
 func (n *Node) checkAddition(added raft.Server) error {
 	if !n.probeMembers([]raft.Server{added})[added.ID] {
-		return fmt.Errorf("members: %s does not respond, or is not the one that is meant: it gets no vote",
+		return fmt.Errorf("members: %s does not respond or has another identity: it gets no vote",
 			added.Address)
 	}
 	others := slices.DeleteFunc(n.servers(), func(server raft.Server) bool { return server.ID == added.ID })
@@ -173,10 +173,10 @@
 		return err == nil && address.name == name
 	})
 	if i < 0 {
-		return fmt.Errorf("members: %s is none", name)
+		return fmt.Errorf("members: there is none named %s", name)
 	}
 	if len(servers) == 1 {
-		return fmt.Errorf("members: %s is the last one", name)
+		return fmt.Errorf("members: %s is the last one and can't be removed", name)
 	}
 	if string(servers[i].ID) == n.identity {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
@@ -207,7 +207,7 @@
 		}
 	}
 	if alive <= voters/2 {
-		return fmt.Errorf("of the %d coordinators that there would be %d answer, which is no majority: "+
+		return fmt.Errorf("of the %d voters after the change only %d respond, which is not a majority: "+
 			"nothing was changed", voters, alive)
 	}
 	return nil
--- a/internal/coord/node/proposal.go
+++ b/internal/coord/node/proposal.go
@@ -61,7 +61,7 @@
 	}
 	response, ok := future.Response().(coord.Response)
 	if !ok {
-		return response, fmt.Errorf("no answer: %v", future.Response())
+		return response, fmt.Errorf("unexpected response to a command: %v", future.Response())
 	}
 	if response.Code == coord.CodeLimitReached {
 		response = n.withRetryAfter(response, n.tableRetries)
--- a/internal/coord/node/state_machine.go
+++ b/internal/coord/node/state_machine.go
@@ -26,7 +26,7 @@
 	revision := m.state.Revision()
 	response := m.state.Apply(c, entry.Term)
 	if response.Code == coord.CodeUnknownVersion { // this state would diverge from the others'
-		m.options.OnFatal(fmt.Errorf("%s: this program is too old for what the others agree on", response.Text))
+		m.options.OnFatal(fmt.Errorf("%s: this program is too old for the version in force", response.Text))
 	}
 	m.appliedIndex = entry.Index
 	node := (*Node)(m)
--- a/internal/coord/node/watch.go
+++ b/internal/coord/node/watch.go
@@ -18,8 +18,8 @@
 	documentsWatchKey = "\x00changes"
 )
 
-// WatchLease waits until a lease is held with another token than this one (0: is free), its record
-// is written, or ctx ends. A return only means that the lease may have changed.
+// WatchLease waits until a lease has another token than the given one (0: the lease is free), its
+// record is written, or ctx ends. A return only means that the lease may have changed.
 func (n *Node) WatchLease(ctx context.Context, name string, token uint64) error {
 	return n.watch(ctx, name, func(s *coord.State) bool {
 		lease := s.Leases[name]
