--- a/internal/coord/observer/client/acknowledge.go
+++ b/internal/coord/observer/client/acknowledge.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	sent := clock.Now()
+	sentAt := clock.Now()
 	url := "http://" + address + protocol.AcknowledgePath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -65,19 +65,19 @@
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxRejectionBytes)).Decode(&answer); err != nil {
 		return err
 	}
-	c.recordAge(answer, sent)
+	c.recordAge(answer, sentAt)
 	return nil
 }
 
 // recordAge updates the age of the state from the response to an acknowledgement that was sent at
-// sent.
-func (c *Client) recordAge(answer protocol.AcknowledgementResponse, sent time.Duration) {
+// sentAt.
+func (c *Client) recordAge(answer protocol.AcknowledgementResponse, sentAt time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if answer.AgeMillis < 0 || c.replica.Revision() < answer.Newest {
 		return
 	}
-	completeAt := sent - time.Duration(answer.AgeMillis)*time.Millisecond
+	completeAt := sentAt - time.Duration(answer.AgeMillis)*time.Millisecond
 	c.completeAt = max(c.completeAt, completeAt)
 	c.isComplete = true
 }
--- a/internal/coord/observer/observer_test.go
+++ b/internal/coord/observer/observer_test.go
@@ -19,7 +19,7 @@
 	"dockhinge.example/dockhinge/internal/coord/observer/watchlog"
 )
 
-// fakeCoordinator is a fake fakeCoordinator that answers polls from its own log.
+// fakeCoordinator is a coordinator that answers polls from its own log.
 type fakeCoordinator struct {
 	mu      sync.Mutex
 	log     *watchlog.Log
@@ -137,7 +137,7 @@
 	}
 }
 
-// openWatch opens a openWatch as a router does.
+// openWatch opens a watch as a router does.
 func openWatch(t *testing.T, routers *httptest.Server, query string) *http.Response {
 	t.Helper()
 	url := routers.URL + protocol.WatchPath + "?" + query
@@ -159,7 +159,7 @@
 	return lines
 }
 
-// nextUpdate applies the watch's nextUpdate update to a replica.
+// nextUpdate applies the watch's next update to a replica.
 func nextUpdate(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) protocol.Update {
 	t.Helper()
 	update, ok := tryNextUpdate(t, lines, replica)
@@ -169,7 +169,7 @@
 	return update
 }
 
-// tryNextUpdate is like next, but returns false if the watch has ended, possibly within a line.
+// tryNextUpdate is like nextUpdate, but returns false if the watch has ended, possibly within a line.
 func tryNextUpdate(t *testing.T, lines *bufio.Scanner, replica *watchlog.Replica) (update protocol.Update, ok bool) {
 	t.Helper()
 	if !lines.Scan() || json.Unmarshal(lines.Bytes(), &update) != nil {
--- a/internal/coord/observer/watchlog/check_test.go
+++ b/internal/coord/observer/watchlog/check_test.go
@@ -34,33 +34,33 @@
 // simulation is the agreed sequence of changes with observers and watchers.
 type simulation struct {
 	rng           *rand.Rand
-	agreedChanges []Change // agreed[i] has revision i+1
+	agreedChanges []Change // agreedChanges[i] has revision i+1
 	voters        *Log
 	observers     []*Log
 	watchers      []*watcher
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 34)), voters: NewLog(checkLimits)}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 34)), voters: NewLog(checkLimits)}
 	for range checkObservers {
-		w.observers = append(w.observers, NewLog(checkLimits))
+		s.observers = append(s.observers, NewLog(checkLimits))
 	}
 	for i := range checkWatchers {
 		added := &watcher{prefix: []string{"", "a/", "b/", "none/"}[i]}
 		added.restart()
-		w.watchers = append(w.watchers, added)
+		s.watchers = append(s.watchers, added)
 	}
-	return w
+	return s
 }
 
-func (x *watcher) restart() {
-	x.replica, x.documents, x.delivered, x.applied = NewReplica(), map[string]Change{}, 0, 0
+func (w *watcher) restart() {
+	w.replica, w.documents, w.delivered, w.applied = NewReplica(), map[string]Change{}, 0, 0
 }
 
 // state returns the documents under a prefix at a revision, according to the agreed sequence.
-func (w *simulation) state(prefix string, through uint64) map[string]Change {
+func (s *simulation) state(prefix string, through uint64) map[string]Change {
 	documents := map[string]Change{}
-	for _, c := range w.agreedChanges[:through] {
+	for _, c := range s.agreedChanges[:through] {
 		switch {
 		case !strings.HasPrefix(c.Name, prefix):
 		case c.Deleted:
@@ -73,58 +73,58 @@
 }
 
 // step simulates one random event. It returns an error if an invariant is violated.
-func (w *simulation) step() error {
-	switch w.rng.IntN(16) {
+func (s *simulation) step() error {
+	switch s.rng.IntN(16) {
 	case 0, 1, 2, 3:
-		return w.change()
+		return s.change()
 	case 4, 5, 6, 7:
-		return w.pull(w.rng.IntN(checkObservers))
+		return s.pull(s.rng.IntN(checkObservers))
 	case 8:
-		i := w.rng.IntN(checkObservers)
-		w.observers[i].Compact(w.observers[i].CompactedRevision() + uint64(w.rng.IntN(6)))
+		i := s.rng.IntN(checkObservers)
+		s.observers[i].Compact(s.observers[i].CompactedRevision() + uint64(s.rng.IntN(6)))
 	case 9:
-		if w.rng.IntN(4) == 0 { // killed: its state is only in memory
-			w.observers[w.rng.IntN(checkObservers)] = NewLog(checkLimits)
+		if s.rng.IntN(4) == 0 { // killed: its state is only in memory
+			s.observers[s.rng.IntN(checkObservers)] = NewLog(checkLimits)
 		}
 	case 10:
-		w.watchers[w.rng.IntN(checkWatchers)].observer = w.rng.IntN(checkObservers)
+		s.watchers[s.rng.IntN(checkWatchers)].observer = s.rng.IntN(checkObservers)
 	case 11:
-		if w.rng.IntN(8) == 0 {
-			w.watchers[w.rng.IntN(checkWatchers)].restart()
+		if s.rng.IntN(8) == 0 {
+			s.watchers[s.rng.IntN(checkWatchers)].restart()
 		}
 	case 12:
-		x := w.watchers[w.rng.IntN(checkWatchers)]
-		x.applied = x.replica.Revision()
-		x.replica.MarkApplied(x.applied)
+		w := s.watchers[s.rng.IntN(checkWatchers)]
+		w.applied = w.replica.Revision()
+		w.replica.MarkApplied(w.applied)
 	default:
-		return w.deliver(w.watchers[w.rng.IntN(checkWatchers)])
+		return s.deliver(s.watchers[s.rng.IntN(checkWatchers)])
 	}
 	return nil
 }
 
-func (w *simulation) change() error {
-	name := fmt.Sprintf("%s/%d", []string{"a", "b"}[w.rng.IntN(2)], w.rng.IntN(3))
-	c := Change{Revision: uint64(len(w.agreedChanges) + 1), Name: name}
-	if w.rng.IntN(5) == 0 {
+func (s *simulation) change() error {
+	name := fmt.Sprintf("%s/%d", []string{"a", "b"}[s.rng.IntN(2)], s.rng.IntN(3))
+	c := Change{Revision: uint64(len(s.agreedChanges) + 1), Name: name}
+	if s.rng.IntN(5) == 0 {
 		c.Deleted = true
 	} else {
-		c.Value = bytes.Repeat([]byte{byte(len(w.agreedChanges))}, w.rng.IntN(200))
+		c.Value = bytes.Repeat([]byte{byte(len(s.agreedChanges))}, s.rng.IntN(200))
 	}
-	w.agreedChanges = append(w.agreedChanges, c)
-	return w.voters.Append(c)
+	s.agreedChanges = append(s.agreedChanges, c)
+	return s.voters.Append(c)
 }
 
 // pull makes an observer poll the voters for a batch.
-func (w *simulation) pull(i int) error {
-	batch, err := w.voters.ReadAfter(w.observers[i].NewestRevision(), "", 1+w.rng.IntN(600))
+func (s *simulation) pull(i int) error {
+	batch, err := s.voters.ReadAfter(s.observers[i].NewestRevision(), "", 1+s.rng.IntN(600))
 	var compacted *CompactedError
 	if errors.As(err, &compacted) {
-		batch, err = w.voters.Snapshot(""), nil
+		batch, err = s.voters.Snapshot(""), nil
 	}
 	if err != nil {
 		return fmt.Errorf("observer %d pulls: %w", i, err)
 	}
-	if err := w.observers[i].Extend(encodeAndDecode(batch)); err != nil {
+	if err := s.observers[i].Extend(encodeAndDecode(batch)); err != nil {
 		return fmt.Errorf("observer %d extends: %w", i, err)
 	}
 	return nil
@@ -132,80 +132,80 @@
 
 // deliver sends a batch from a watcher's observer to the watcher and checks it against the agreed
 // sequence.
-func (w *simulation) deliver(x *watcher) error {
-	log := w.observers[x.observer]
-	batch, err := log.ReadAfter(x.replica.Revision(), x.prefix, 1+w.rng.IntN(600))
+func (s *simulation) deliver(w *watcher) error {
+	log := s.observers[w.observer]
+	batch, err := log.ReadAfter(w.replica.Revision(), w.prefix, 1+s.rng.IntN(600))
 	var compacted *CompactedError
 	var behind *BehindError
 	switch {
 	case errors.As(err, &compacted):
-		batch = log.Snapshot(x.prefix)
+		batch = log.Snapshot(w.prefix)
 	case errors.As(err, &behind):
-		if !w.servesStaleSnapshot() {
+		if !s.servesStaleSnapshot() {
 			return nil
 		}
-		batch = log.Snapshot(x.prefix) // a faulty observer's response: the replica must reject it
+		batch = log.Snapshot(w.prefix) // a faulty observer's response: the replica must reject it
 	case err != nil:
 		return err
 	}
 	batch = encodeAndDecode(batch)
-	if err := x.replica.Apply(batch); err != nil {
+	if err := w.replica.Apply(batch); err != nil {
 		var stale *StaleError
-		if batch.Snapshot && batch.Through < x.delivered && errors.As(err, &stale) {
+		if batch.Snapshot && batch.Through < w.delivered && errors.As(err, &stale) {
 			return nil
 		}
 		return fmt.Errorf("a batch that follows the replica was rejected: %w", err)
 	}
-	return w.checkDelivery(x, batch)
+	return s.checkDelivery(w, batch)
 }
 
 // servesStaleSnapshot decides randomly whether a stale observer serves its snapshot although it
 // must not.
-func (w *simulation) servesStaleSnapshot() bool { return w.rng.IntN(2) == 0 }
+func (s *simulation) servesStaleSnapshot() bool { return s.rng.IntN(2) == 0 }
 
 // checkDelivery checks a delivery against the agreed sequence.
-func (w *simulation) checkDelivery(x *watcher, batch Batch) error {
-	if batch.Through < x.delivered {
-		return fmt.Errorf("revision decreased from %d to %d", x.delivered, batch.Through)
+func (s *simulation) checkDelivery(w *watcher, batch Batch) error {
+	if batch.Through < w.delivered {
+		return fmt.Errorf("revision decreased from %d to %d", w.delivered, batch.Through)
 	}
 	if batch.Snapshot {
-		x.documents = map[string]Change{}
+		w.documents = map[string]Change{}
 	} else {
 		for _, c := range batch.Changes {
-			if c.Revision <= x.delivered {
+			if c.Revision <= w.delivered {
 				return fmt.Errorf("revision %d was delivered twice", c.Revision)
 			}
-			x.delivered = c.Revision
+			w.delivered = c.Revision
 		}
 	}
 	for _, c := range batch.Changes {
 		if c.Deleted {
-			delete(x.documents, c.Name)
+			delete(w.documents, c.Name)
 		} else {
-			x.documents[c.Name] = c
+			w.documents[c.Name] = c
 		}
 	}
-	x.delivered = batch.Through
-	if err := compareDocuments(x.documents, w.state(x.prefix, x.delivered)); err != nil {
-		return fmt.Errorf("at revision %d: %w", x.delivered, err)
+	w.delivered = batch.Through
+	if err := compareDocuments(w.documents, s.state(w.prefix, w.delivered)); err != nil {
+		return fmt.Errorf("at revision %d: %w", w.delivered, err)
 	}
-	if err := w.checkAllDelivered(x.prefix, batch); err != nil {
+	if err := s.checkAllDelivered(w.prefix, batch); err != nil {
 		return err
 	}
-	if got := x.replica.Acknowledged(); got > x.applied {
-		return fmt.Errorf("revision %d was acknowledged, and %d is applied", got, x.applied)
+	if got := w.replica.Acknowledged(); got > w.applied {
+		return fmt.Errorf("revision %d was acknowledged, and %d is applied", got, w.applied)
 	}
 	return nil
 }
 
 // checkAllDelivered checks that a batch has exactly the changes of the agreed sequence, including
 // changes that a later change in the batch replaces.
-func (w *simulation) checkAllDelivered(prefix string, batch Batch) error {
+func (s *simulation) checkAllDelivered(prefix string, batch Batch) error {
 	if batch.Snapshot {
 		return nil
 	}
 	var want []Change
-	for _, c := range w.agreedChanges[batch.After:batch.Through] {
+	for _, c := range s.agreedChanges[batch.After:batch.Through] {
 		if strings.HasPrefix(c.Name, prefix) {
 			want = append(want, c)
 		}
@@ -236,29 +236,29 @@
 
 // catchUp lets all observers and watchers catch up, and checks their documents against the agreed
 // sequence.
-func (w *simulation) catchUp() error {
-	newest := uint64(len(w.agreedChanges))
-	for i, log := range w.observers {
+func (s *simulation) catchUp() error {
+	newest := uint64(len(s.agreedChanges))
+	for i, log := range s.observers {
 		for log.NewestRevision() < newest {
-			if err := w.pull(i); err != nil {
+			if err := s.pull(i); err != nil {
 				return err
 			}
 		}
 	}
-	for i, x := range w.watchers {
-		for x.replica.Revision() < newest {
-			if err := w.deliver(x); err != nil {
+	for i, w := range s.watchers {
+		for w.replica.Revision() < newest {
+			if err := s.deliver(w); err != nil {
 				return err
 			}
 		}
-		if x.replica.Revision() != newest {
-			return fmt.Errorf("watcher %d ends at revision %d of %d", i, x.replica.Revision(), newest)
+		if w.replica.Revision() != newest {
+			return fmt.Errorf("watcher %d ends at revision %d of %d", i, w.replica.Revision(), newest)
 		}
 		held := map[string]Change{}
-		for _, c := range x.replica.Documents() {
+		for _, c := range w.replica.Documents() {
 			held[c.Name] = c
 		}
-		if err := compareDocuments(held, w.state(x.prefix, newest)); err != nil {
+		if err := compareDocuments(held, s.state(w.prefix, newest)); err != nil {
 			return fmt.Errorf("watcher %d at the end: %w", i, err)
 		}
 	}
@@ -279,14 +279,14 @@
 
 // runWalk simulates the random walk of a seed. It returns an error if an invariant is violated.
 func runWalk(seed uint64) error {
-	w := newSimulation(seed)
+	s := newSimulation(seed)
 	for i := range checkEvents {
-		if err := w.step(); err != nil {
+		if err := s.step(); err != nil {
 			return fmt.Errorf("seed %d, event %d: %w", seed, i, err)
 		}
 	}
-	if err := w.catchUp(); err != nil {
-		return fmt.Errorf("seed %d, healed: %w", seed, err)
+	if err := s.catchUp(); err != nil {
+		return fmt.Errorf("seed %d, catching up: %w", seed, err)
 	}
 	return nil
 }
--- a/internal/coord/observer/watchlog/log.go
+++ b/internal/coord/observer/watchlog/log.go
@@ -234,7 +234,7 @@
 	return &c
 }
 
-// storedLog is the storedLog form of a Log.
+// storedLog is the stored form of a Log.
 type storedLog struct {
 	Compacted uint64            `json:"compacted"`
 	Newest    uint64            `json:"newest"`
