--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -156,16 +156,16 @@
 		return
 	}
 	for i, tilt := range latencyTilts {
-		drawn := 0.0
+		sampleScore := 0.0
 		meanExp := 0.0
 		for k, n := range h.counts {
 			score := tilt * (float64(k) - mean) / deviation
 			meanExp += n / total * math.Exp(score)
 			if toCounts != nil {
-				drawn += float64(toCounts[k]) * score
+				sampleScore += float64(toCounts[k]) * score
 			}
 		}
-		logEvidence[i] += min(maxLogEvidencePerBucket, drawn-h.requests[toVersion]*math.Log(meanExp))
+		logEvidence[i] += min(maxLogEvidencePerBucket, sampleScore-h.requests[toVersion]*math.Log(meanExp))
 	}
 }
 
