--- a/cmd/dockhinge-coord/errors.go
+++ b/cmd/dockhinge-coord/errors.go
@@ -9,7 +9,7 @@
 	errLeaderTimeout   = errors.New(
 		"no answer in time: the command may have been carried out; check 'members' and 'status'")
 	errNotConfirmed = errors.New(
-		"--i-have-waited: confirm that all others have ended and the longest time to live has passed since")
+		"--i-have-waited: confirm that all other coordinators have ended and the longest time to live has passed since")
 	errNoHaltReason     = errors.New("--why: a reason is required; 'fleet' shows it to others")
 	errNoReleaseStarted = errors.New("no release has been started")
 
--- a/cmd/dockhinge-coord/permit.go
+++ b/cmd/dockhinge-coord/permit.go
@@ -74,7 +74,7 @@
 ) (token uint64, err error) {
 	priority, isKnown := priorities[r.priority]
 	if !isKnown {
-		return 0, fmt.Errorf("--priority: %q is none of release, normal, emergency", r.priority)
+		return 0, fmt.Errorf("--priority: %q is not one of release, normal, emergency", r.priority)
 	}
 	a := &permitAcquisition{
 		session: session,
@@ -213,7 +213,7 @@
 			"counts as out until it is restarted\n" +
 			"(later than 'grace' after its outage began), or until 'permit clear', or until the same " +
 			"command with the same --as takes\n" +
-			"the permit over. The command then runs again, so it must do no harm twice, or the " +
+			"the permit over. The command then runs again, so running it twice must do no harm, or the " +
 			"resource it changes must reject\na token lower than one it has already seen.",
 		args:  cobra.MinimumNArgs(2),
 		flags: request.addFlags,
