--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -241,7 +241,7 @@
 	}
 	select {
 	case <-p.joined:
-		t.Error("a peer that is no successor has joined")
+		t.Error("a peer that is not a successor has joined")
 	default:
 	}
 }
--- a/internal/healthcheck/report_cache.go
+++ b/internal/healthcheck/report_cache.go
@@ -22,13 +22,13 @@
 
 type cachedReport struct {
 	load decide.LoadReport
-	// trueAtMillis is the earliest time at which the server may have measured the report.
-	trueAtMillis float64
+	// measuredAtMillis is the earliest time at which the server may have measured the report.
+	measuredAtMillis float64
 }
 
 // isStale reports whether a cached report is too old at the given time.
 func (c *ReportCache) isStale(report cachedReport, nowMillis float64) bool {
-	return report.trueAtMillis+c.staleMillis < nowMillis
+	return report.measuredAtMillis+c.staleMillis < nowMillis
 }
 
 // NewReportCache returns a cache in which reports are stale once they are older than staleMillis.
@@ -41,9 +41,9 @@
 func (c *ReportCache) Add(nowMillis, ageMillis float64, r Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	report := cachedReport{load: r.Load, trueAtMillis: nowMillis - ageMillis}
+	report := cachedReport{load: r.Load, measuredAtMillis: nowMillis - ageMillis}
 	cached, isCached := c.reports[r.ServerID]
-	if isCached && cached.trueAtMillis >= report.trueAtMillis || c.isStale(report, nowMillis) {
+	if isCached && cached.measuredAtMillis >= report.measuredAtMillis || c.isStale(report, nowMillis) {
 		return
 	}
 	if !isCached && len(c.reports) >= maxReports {
--- a/internal/healthcheck/report_cache_test.go
+++ b/internal/healthcheck/report_cache_test.go
@@ -22,10 +22,10 @@
 			server := rapid.Uint32Range(0, 3).Draw(t, "server")
 			if rapid.Bool().Draw(t, "add") {
 				age := float64(rapid.IntRange(0, 1500).Draw(t, "age"))
-				trueAt := now - age
-				cache.Add(now, age, Report{ServerID: server, Load: decide.LoadReport{RequestsPerSecond: trueAt}})
-				if old, ok := newest[server]; age <= staleMillis && (!ok || trueAt > old) {
-					newest[server] = trueAt
+				measuredAt := now - age
+				cache.Add(now, age, Report{ServerID: server, Load: decide.LoadReport{RequestsPerSecond: measuredAt}})
+				if old, ok := newest[server]; age <= staleMillis && (!ok || measuredAt > old) {
+					newest[server] = measuredAt
 				}
 			}
 			at, isKnown := newest[server]
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -77,7 +77,7 @@
 			}
 			var problem configerror.Problem
 			if !errors.As(err, &problem) {
-				t.Errorf("%q: the error is no configerror.Problem: %v", c.text, err)
+				t.Errorf("%q: the error is not a configerror.Problem: %v", c.text, err)
 			}
 		})
 	}
--- a/internal/router/agreement.go
+++ b/internal/router/agreement.go
@@ -44,24 +44,24 @@
 
 // runCoordination runs the client of the coordinators until ctx ends. Shared health checks end when
 // stop ends. onDrainsKnown is called once the drains known at the start are in effect.
-func (r *Router) runCoordination(ctx, stop context.Context, a *CoordinationConfig, onDrainsKnown func()) {
+func (r *Router) runCoordination(ctx, stop context.Context, config *CoordinationConfig, onDrainsKnown func()) {
 	client := leases.New(leases.Options{
-		Coordinators: a.Coordinators,
+		Coordinators: config.Coordinators,
 		ClientName:   "router/" + r.cfg.Name,
-		TTL:          a.SessionTTL,
+		TTL:          config.SessionTTL,
 		Log:          slog.Default(),
 	})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { client.Run(ctx) })
-	if a.SharesHealthChecks {
-		wg.Go(func() { r.runHealthChecks(stop, a, client) })
+	if config.SharesHealthChecks {
+		wg.Go(func() { r.runHealthChecks(stop, config, client) })
 	}
-	if a.FollowsDrains {
+	if config.FollowsDrains {
 		follow.Run(ctx, follow.Options{
 			Client:          client,
 			Zone:            r.cfg.settings.Config.Zone,
-			Version:         a.VersionLabel,
+			Version:         config.VersionLabel,
 			IsReady:         r.Ready,
 			ObserveServers:  r.loop.observeServers,
 			OpenAttempts:    r.loop.openAttempts,
@@ -80,11 +80,11 @@
 }
 
 // runHealthChecks runs this router's part of the fleet's shared health checks until ctx ends.
-func (r *Router) runHealthChecks(ctx context.Context, a *CoordinationConfig, client *leases.Client) {
+func (r *Router) runHealthChecks(ctx context.Context, config *CoordinationConfig, client *leases.Client) {
 	healthcheck.Run(ctx, healthcheck.Options{
 		Client:    client,
-		LeaseTTL:  a.SessionTTL,
-		Interval:  a.HealthCheckInterval,
+		LeaseTTL:  config.SessionTTL,
+		Interval:  config.HealthCheckInterval,
 		Reports:   r.loop.healthReports,
 		NowMillis: r.loop.now,
 		Servers:   r.loop.cacheServerIDs,
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -93,9 +93,9 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	a.cancelContext = cancel
 	r.attempts = append(r.attempts, a)
-	r.attemptsOut++
+	r.pendingAttempts++
 	t := l.targets[server]
-	isForbidden := a.index >= r.maxAttempts || r.attemptsOut > 1 && !r.allowsHedge
+	isForbidden := a.index >= r.maxAttempts || r.pendingAttempts > 1 && !r.allowsHedge
 	if r.isDone || t == nil || remaining <= 0 || isForbidden {
 		l.deferOutcome(a, decide.Unprocessed)
 		return
@@ -191,7 +191,7 @@
 	a.cancelContext()
 	l.timers.stop(a.timeoutTimer)
 	r := a.request
-	r.attemptsOut--
+	r.pendingAttempts--
 	now := l.now()
 	latencyMillis := now - a.startedAt
 	r.attemptMillis += latencyMillis
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -107,7 +107,7 @@
 			})
 			receive(t, closing, "the close of the first attempt's connection")
 			onLoop(l, func() {
-				if r := l.unanswered["w0"]; r == nil || len(r.attempts) != 1 || r.attemptsOut != 1 {
+				if r := l.unanswered["w0"]; r == nil || len(r.attempts) != 1 || r.pendingAttempts != 1 {
 					t.Errorf("continued before the connection was closed: %+v", r)
 				}
 			})
--- a/internal/router/config_update.go
+++ b/internal/router/config_update.go
@@ -23,7 +23,7 @@
 	updates <-chan *Config, onList func(endpointList)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	d := l.newWatch(cfg, onList)
+	d := l.newDiscoveryClient(cfg, onList)
 	d.setHeldList(initialList)
 	if isHandover {
 		d.replacedAt = time.Now()
@@ -37,7 +37,7 @@
 		if cfg == nil {
 			return
 		}
-		d = l.newWatch(cfg, onList)
+		d = l.newDiscoveryClient(cfg, onList)
 		d.startAsReplacement(cfg.KnownEndpoints)
 	}
 }
@@ -69,9 +69,9 @@
 	l.staleGuard = staleGuard{} // versions of different discoveries can't be compared
 }
 
-// newWatch returns the discovery client of a configuration. Its answers are ignored once the loop
-// follows another discovery, whose lists are newer.
-func (l *loop) newWatch(cfg *Config, onList func(endpointList)) *discovery {
+// newDiscoveryClient returns the discovery client of a configuration. Its answers are ignored once
+// the loop follows another discovery, whose lists are newer.
+func (l *loop) newDiscoveryClient(cfg *Config, onList func(endpointList)) *discovery {
 	var d *discovery
 	isPolled := cfg.settings.Config.PollEndpoints
 	// ifFollowed runs an event on the loop if d is the current discovery then, and waits for it.
@@ -88,7 +88,7 @@
 		case <-l.done:
 		}
 	}
-	takeList := func(list endpointList) {
+	handleList := func(list endpointList) {
 		ifFollowed(func() {
 			if !l.staleGuard.isStale(list.Version) {
 				l.updateEndpoints(list.updateKind(), list)
@@ -99,12 +99,12 @@
 		// order a process could miss the list.
 		onList(list)
 	}
-	takeFailure := func() {
+	handleFailure := func() {
 		if isPolled {
 			ifFollowed(func() { l.updateEndpoints(decide.WatchFailed, endpointList{}) })
 		}
 	}
-	d = newDiscovery(cfg.Discovery, isPolled, cfg.settings.Config.Routers, takeList, takeFailure)
+	d = newDiscovery(cfg.Discovery, isPolled, cfg.settings.Config.Routers, handleList, handleFailure)
 	return d
 }
 
--- a/internal/router/discovery.go
+++ b/internal/router/discovery.go
@@ -42,8 +42,8 @@
 	// base is the held list if it differs from the router's list, whose versions are those of
 	// another discovery. It has no servers if the two are the same.
 	base endpointList
-	// replacedAt is when this client replaced that of another discovery or process; zero = it did
-	// not.
+	// replacedAt is when this client replaced the client of another discovery or process; zero = it
+	// replaced none.
 	replacedAt time.Time
 }
 
@@ -51,8 +51,8 @@
 // from one without changes until its wait is over. Only then is a lost watch detected, with all the
 // changes lost on it.
 type discoveryTiming struct {
-	// turnTimeout is the timeout of a call that discovery answers without waiting for changes.
-	turnTimeout time.Duration
+	// callTimeout is the timeout of a call that discovery answers without waiting for changes.
+	callTimeout time.Duration
 	// watchWait is how long one call of a watch waits for changes.
 	watchWait time.Duration
 	// firstWatchWait is the wait of the first call, whose answer confirms that the list is current.
@@ -77,7 +77,7 @@
 	// cost. Changes that it has sent, even into a broken connection, must take effect within 500
 	// ms. After an outage its changes count as received at once, so it is called often.
 	agentTiming = discoveryTiming{
-		turnTimeout:           250 * time.Millisecond,
+		callTimeout:           250 * time.Millisecond,
 		watchWait:             2 * time.Second,
 		watchSlack:            250 * time.Millisecond,
 		maxBackoff:            100 * time.Millisecond,
@@ -86,7 +86,7 @@
 	// sharedTiming is for one discovery service for all routers. It processes calls one at a time,
 	// so calls are rare and wait long.
 	sharedTiming = discoveryTiming{
-		turnTimeout:      decide.MaxPollCallMillis * time.Millisecond,
+		callTimeout:      decide.MaxPollCallMillis * time.Millisecond,
 		watchWait:        10 * time.Second,
 		firstWatchWait:   time.Millisecond,
 		newWatchWait:     time.Second,
@@ -159,10 +159,10 @@
 //
 //   - A watch ends with the first call that fails or isn't answered within its wait and watchSlack.
 //     The next watch begins with the complete list, or with all changes since the held list, so its
-//     first answer contains the changes that were lost. The timeout of that call is turnTimeout.
+//     first answer contains the changes that were lost. The timeout of that call is callTimeout.
 //   - A polled watch that was not answered by the end of its wait is replaced at once, because the
 //     changes lost on it count as received soon after. While discovery does not answer, that means
-//     one call per turnTimeout, without backoff and without a report to the Balancer.
+//     one call per callTimeout, without backoff and without a report to the Balancer.
 //   - After any other failure, the Balancer is notified if discovery is polled, and the next watch
 //     begins when it requests one. An agent is called again after the backoff.
 func (d *discovery) run(ctx context.Context) {
@@ -267,9 +267,9 @@
 	d.heldVersion = list.Version
 }
 
-// startAsReplacement makes this client startAsReplacement that of another discovery. list is in
-// this discovery's versions, as for setHeldList, but is not the router's list; completed by the
-// first answer, it replaces that.
+// startAsReplacement makes this client replace the client of another discovery. As for setHeldList,
+// the version of list must be one of this discovery. But list is not the router's list: combined
+// with the first answer, it replaces the router's list.
 func (d *discovery) startAsReplacement(list endpointList) {
 	d.replacedAt = time.Now()
 	d.setHeldList(list)
@@ -293,9 +293,9 @@
 // call does not wait for changes, so that a discovery that does not answer is detected soon.
 func (d *discovery) firstCall(ctx context.Context) (endpointList, error) {
 	if !d.holdsList {
-		return d.get(ctx, d.url, d.timing.turnTimeout)
+		return d.get(ctx, d.url, d.timing.callTimeout)
 	}
-	return d.callWatch(ctx, d.heldVersion, d.timing.firstWatchWait, d.timing.turnTimeout)
+	return d.callWatch(ctx, d.heldVersion, d.timing.firstWatchWait, d.timing.callTimeout)
 }
 
 // watchWait returns how long the next watch call waits for changes.
--- a/internal/router/discovery_test.go
+++ b/internal/router/discovery_test.go
@@ -110,7 +110,7 @@
 		sharedTiming.watchSlack; sum > receivedWithin {
 		t.Errorf("polled: changes arrive at most %v after a failure", sum)
 	}
-	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.turnTimeout; sum > receivedWithin {
+	if sum := decide.MaxPollBackoffMillis*time.Millisecond + sharedTiming.callTimeout; sum > receivedWithin {
 		t.Errorf("polled: a queued call times out at most %v after a failure", sum)
 	}
 	if sharedTiming.maxBackoff > decide.MaxPollBackoffMillis*time.Millisecond {
--- a/internal/router/handover_fixture_test.go
+++ b/internal/router/handover_fixture_test.go
@@ -84,8 +84,8 @@
 			t.Errorf("disabled by operator %q, by fleet %q", state.DisabledByOperator, state.DisabledByFleet)
 		}
 		if len(state.Decisions.Servers) != 7 || len(state.Decisions.Keys) == 0 || len(state.Decisions.DisabledAt) == 0 {
-			t.Errorf("decisions: %d servers, %d keys, %d bans", len(state.Decisions.Servers), len(state.Decisions.Keys),
-				len(state.Decisions.DisabledAt))
+			t.Errorf("decisions: %d servers, %d keys, %d disabled servers", len(state.Decisions.Servers),
+				len(state.Decisions.Keys), len(state.Decisions.DisabledAt))
 		}
 		if state.Admission == nil || len(state.Admission.Tenants) != 3 {
 			t.Errorf("admission: %+v", state.Admission)
--- a/internal/router/harness_test.go
+++ b/internal/router/harness_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// runningRouter is a runningRouter router under test.
+// runningRouter is a router under test, with what a test needs to use and stop it.
 type runningRouter struct {
 	router  *Router
 	addr    string
--- a/internal/router/loop.go
+++ b/internal/router/loop.go
@@ -173,8 +173,8 @@
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
 	l.ctx = ctx
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	nextTimer := time.NewTimer(0)
+	defer nextTimer.Stop()
 	if l.onStart != nil {
 		l.onStart()
 	}
@@ -187,7 +187,7 @@
 		default:
 		}
 		if len(l.timers) > 0 {
-			alarm.Reset(time.Duration(max(0, l.timers[0].at-l.now()) * float64(time.Millisecond)))
+			nextTimer.Reset(time.Duration(max(0, l.timers[0].at-l.now()) * float64(time.Millisecond)))
 		}
 		select {
 		case <-ctx.Done():
@@ -196,7 +196,7 @@
 			event()
 		case event := <-l.events:
 			event()
-		case <-alarm.C:
+		case <-nextTimer.C:
 		}
 		l.runDeferred()
 		for len(l.timers) > 0 && l.timers[0].at <= l.now() {
--- a/internal/router/membership_test.go
+++ b/internal/router/membership_test.go
@@ -7,17 +7,17 @@
 )
 
 func TestLeastRecentlyListedIDIsForgotten(t *testing.T) {
-	var n serverIDs
-	n.add("first", 1)
+	var ids serverIDs
+	ids.add("first", 1)
 	for i := range maxServerIDs - 1 {
-		n.add(fmt.Sprint("s-", i), uint32(i))
+		ids.add(fmt.Sprint("s-", i), uint32(i))
 	}
-	n.add("first", 1) // listed again, so it is not the oldest
-	n.add("one more", 2)
-	if len(n.IDs) != maxServerIDs || n.IDs["first"] != 1 || n.IDs["one more"] != 2 {
-		t.Errorf("%d ids", len(n.IDs))
+	ids.add("first", 1) // listed again, so it is not the oldest
+	ids.add("one more", 2)
+	if len(ids.IDs) != maxServerIDs || ids.IDs["first"] != 1 || ids.IDs["one more"] != 2 {
+		t.Errorf("%d ids", len(ids.IDs))
 	}
-	if _, kept := n.IDs["s-0"]; kept {
+	if _, kept := ids.IDs["s-0"]; kept {
 		t.Error("the least recently listed id is kept")
 	}
 }
--- a/internal/router/pool.go
+++ b/internal/router/pool.go
@@ -223,16 +223,16 @@
 // server may close an idle connection early, and a request written at that moment is lost.
 func (u *upstreams) takeIdle(t *target, isNotRepeatable bool) *upstreamConn {
 	for {
-		rested := len(t.idle)
-		for rested > 0 && t.isOrigin && time.Since(t.idle[rested-1].idleSince) < originIdleMinimum {
-			rested--
+		eligible := len(t.idle)
+		for eligible > 0 && t.isOrigin && time.Since(t.idle[eligible-1].idleSince) < originIdleMinimum {
+			eligible--
 		}
-		if rested == 0 {
+		if eligible == 0 {
 			return nil
 		}
 		i := 0
 		if isNotRepeatable {
-			i = rested - 1
+			i = eligible - 1
 		}
 		c := t.idle[i]
 		t.idle = slices.Delete(t.idle, i, i+1)
--- a/internal/router/reload_test.go
+++ b/internal/router/reload_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, current := l.newWatch(cfg, func(endpointList) {}), l.newWatch(cfg, func(endpointList) {})
+	old, current := l.newDiscoveryClient(cfg, func(endpointList) {}), l.newDiscoveryClient(cfg, func(endpointList) {})
 	// deliver delivers a list from a discovery; the loop processes it after calling between.
 	deliver := func(d *discovery, between func()) {
 		done := make(chan struct{})
@@ -276,7 +276,7 @@
 	drained.Version = 2
 	drained.Servers[0].State = "leaving"
 	second := startFakeDiscovery(t, drained)
-	crowded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- time.Now()
 		if len(calls) <= rejectedCalls {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -284,9 +284,9 @@
 		}
 		second.Config.Handler.ServeHTTP(w, r)
 	}))
-	t.Cleanup(func() { crowded.CloseClientConnections(); crowded.Close() })
+	t.Cleanup(func() { overloaded.CloseClientConnections(); overloaded.Close() })
 	movedAt := time.Now()
-	r.updates <- withPolledDiscovery(t, testConfig(t, crowded.Listener.Addr().String(), completeList(entries...)))
+	r.updates <- withPolledDiscovery(t, testConfig(t, overloaded.Listener.Addr().String(), completeList(entries...)))
 	receive(t, second.calls, "accepted call")
 	receive(t, second.calls, "watch")
 	if took := time.Since(movedAt); took > 4*time.Second {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -35,8 +35,8 @@
 	allowsHedge bool
 
 	attempts []*attempt
-	// attemptsOut counts the attempts that have no outcome yet.
-	attemptsOut int
+	// pendingAttempts counts the attempts that have no outcome yet.
+	pendingAttempts int
 	// attemptMillis is the total duration of all attempts.
 	attemptMillis float64
 	// isDone is set once the request has its final answer or its client has disconnected.
@@ -188,22 +188,22 @@
 
 // finish ends a request and sends its answer. Only startStream, for streamed values, answers
 // requests elsewhere. isDone prevents a second answer.
-func (l *loop) finish(r *request, answer []byte, end metrics.Outcome) {
+func (l *loop) finish(r *request, answer []byte, outcome metrics.Outcome) {
 	if r.isDone {
 		return
 	}
 	r.isDone = true
 	l.metrics.Concurrent.Add(-1)
-	if end != outcomeDisconnected {
-		r.rule.count.CountOutcome(end)
+	if outcome != outcomeDisconnected {
+		r.rule.count.CountOutcome(outcome)
 	}
-	if end == metrics.Success && l.latencies != nil {
+	if outcome == metrics.Success && l.latencies != nil {
 		l.latencies[rollout.LatencyBucket((l.now()-r.arrivedAt)/r.rule.LatencyObjectiveMillis)].Add(1)
 	}
 	if l.trace.Enabled() {
-		l.traceEnd(r, end)
+		l.traceEnd(r, outcome)
 	}
-	l.admission.handleEnd(r, end == metrics.Success, end == metrics.Overload, len(answer))
+	l.admission.handleEnd(r, outcome == metrics.Success, outcome == metrics.Overload, len(answer))
 	r.response.answer(answer)
 	r.detachResponse()
 	l.timers.stop(r.deadlineTimer)
@@ -229,7 +229,7 @@
 	r.isDone = true
 	l.timers.stop(a.timeoutTimer)
 	l.timers.stop(r.deadlineTimer)
-	r.attemptsOut--
+	r.pendingAttempts--
 	client := r.response
 	r.detachResponse()
 	now := l.now()
@@ -263,18 +263,18 @@
 
 // deleteIfFinished deletes a request that is done and has no attempt in flight.
 func (l *loop) deleteIfFinished(r *request) {
-	if r.isDone && r.attemptsOut == 0 && l.requests[r.id] == r {
+	if r.isDone && r.pendingAttempts == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		l.releaseValue(&r.command)
 	}
 }
 
 // traceEnd writes the end of a request to the trace.
-func (l *loop) traceEnd(r *request, end metrics.Outcome) {
+func (l *loop) traceEnd(r *request, outcome metrics.Outcome) {
 	cause := "-"
-	if end == metrics.Overload || end == metrics.Error {
+	if outcome == metrics.Overload || outcome == metrics.Error {
 		cause = strings.ReplaceAll(l.balancer.Cause(), " ", "-")
 	}
 	l.trace.Event(l.now(), "end", "r=%d how=%d why=%s left=%.0f tries=%d",
-		r.id, end, cause, r.deadline-l.now(), len(r.attempts))
+		r.id, outcome, cause, r.deadline-l.now(), len(r.attempts))
 }
--- a/internal/router/upstream.go
+++ b/internal/router/upstream.go
@@ -88,7 +88,8 @@
 	openStream func(got reply) *valueStream
 }
 
-// errStreamAborted closes the connection of a streamed value that is no longer forwarded.
+// errStreamAborted is the error for a value that is not streamed to its end. The connections used
+// for it are closed.
 var errStreamAborted = errors.New("streamed value aborted")
 
 // answerReader reads a target's answer to a command.
--- a/internal/settings/missing_key.go
+++ b/internal/settings/missing_key.go
@@ -10,8 +10,8 @@
 // MissingKey returns the path of the first key of the JSON object earlier that the object later
 // lacks, for example "limits.memory_mb", or "" if there is none. Each object in a list of later
 // must have the keys that all objects in the list of earlier have in common. The contents of the
-// keys listed in data may differ in any way.
-func MissingKey(earlier, later []byte, data ...string) (string, error) {
+// keys at exemptPaths may differ in any way.
+func MissingKey(earlier, later []byte, exemptPaths ...string) (string, error) {
 	var earlierValue, laterValue any
 	if err := json.Unmarshal(earlier, &earlierValue); err != nil {
 		return "", err
@@ -19,24 +19,24 @@
 	if err := json.Unmarshal(later, &laterValue); err != nil {
 		return "", err
 	}
-	return missingKey("", earlierValue, laterValue, data), nil
+	return missingKey("", earlierValue, laterValue, exemptPaths), nil
 }
 
 // missingKey compares the two values at path.
-func missingKey(path string, earlier, later any, data []string) string {
-	if slices.Contains(data, path) {
+func missingKey(path string, earlier, later any, exemptPaths []string) string {
+	if slices.Contains(exemptPaths, path) {
 		return ""
 	}
 	switch earlier := earlier.(type) {
 	case map[string]any:
-		return missingKeyOfObject(path, earlier, later, data)
+		return missingKeyOfObject(path, earlier, later, exemptPaths)
 	case []any:
-		return missingKeyOfList(path, earlier, later, data)
+		return missingKeyOfList(path, earlier, later, exemptPaths)
 	}
 	return ""
 }
 
-func missingKeyOfObject(path string, earlier map[string]any, later any, data []string) string {
+func missingKeyOfObject(path string, earlier map[string]any, later any, exemptPaths []string) string {
 	laterObject, isObject := later.(map[string]any)
 	if !isObject {
 		return path
@@ -50,14 +50,14 @@
 		if !isPresent {
 			return name
 		}
-		if missing := missingKey(name, earlier[key], value, data); missing != "" {
+		if missing := missingKey(name, earlier[key], value, exemptPaths); missing != "" {
 			return missing
 		}
 	}
 	return ""
 }
 
-func missingKeyOfList(path string, earlier []any, later any, data []string) string {
+func missingKeyOfList(path string, earlier []any, later any, exemptPaths []string) string {
 	laterList, isList := later.([]any)
 	if !isList {
 		return path
@@ -67,7 +67,7 @@
 		return ""
 	}
 	for i, value := range laterList {
-		if missing := missingKey(fmt.Sprintf("%s[%d]", path, i), common, value, data); missing != "" {
+		if missing := missingKey(fmt.Sprintf("%s[%d]", path, i), common, value, exemptPaths); missing != "" {
 			return missing
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// The later version of an object must have every key of the earlier one, except inside the keys
-// given as data.
+// The later version of an object must have every key of the earlier one, except inside the keys at
+// the exempt paths.
 func TestMissingKeyFindsLostKeys(t *testing.T) {
 	earlier := `{"a":{"b":1,"c":[{"x":1,"y":2},{"x":1}]},"d":{"e":1},"f":[1,2]}`
 	for later, want := range map[string]string{
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -16,8 +16,8 @@
 // eventFunc passes an event to a Balancer.
 type eventFunc func(b *decide.Balancer)
 
-// handleEvent reads one handleEvent and passes it to its instance. An handleEvent for an instance
-// that is not open is validated like any other, and then ignored.
+// handleEvent reads one event and passes it to its instance. An event for an instance that is not
+// open is validated like any other, and then ignored.
 func (s *session) handleEvent(now float64, text string) error {
 	f := newFields(text)
 	kind := f.word()
@@ -33,7 +33,7 @@
 		return nil
 	}
 	in := s.instances[id]
-	to, err := s.readEvent(kind, &f, now, in)
+	deliver, err := s.readEvent(kind, &f, now, in)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		return err
 	}
 	if in != nil {
-		to(in.balancer)
+		deliver(in.balancer)
 	}
 	return nil
 }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -97,8 +97,8 @@
 			"line 11: want a list entry"},
 		"bad mode": {setup + "SYNC 2\nDIRECTORY_UPDATE 3 all 1 1\nM - 1 11 asleep a 0 box\nCOMMIT\n",
 			"bad mode"},
-		"settings no JSON": {"SYNC 1\nOPEN_INSTANCE 3 42 {\nCOMMIT\n", "line 2: settings"},
-		"settings empty":   {"SYNC 1\nOPEN_INSTANCE 3 42 {}\nCOMMIT\n", "settings: balancers"},
+		"settings not JSON": {"SYNC 1\nOPEN_INSTANCE 3 42 {\nCOMMIT\n", "line 2: settings"},
+		"settings empty":    {"SYNC 1\nOPEN_INSTANCE 3 42 {}\nCOMMIT\n", "settings: balancers"},
 		"settings effect": {"SYNC 1\nOPEN_INSTANCE 3 42 " + strings.Replace(testSettings, "once", "never", 1) +
 			"\nCOMMIT\n", "categories[1].effect"},
 		"settings origin": {"SYNC 1\nOPEN_INSTANCE 3 42 " +
