--- a/cmd/dockhinge/cmd_test.go
+++ b/cmd/dockhinge/cmd_test.go
@@ -34,7 +34,7 @@
 			"two.json",
 			strings.Replace(edited(`"memory_mb": 192`, `"memory_mb": 1`), `"maxAttempts": 4, `, "", 1),
 			[]string{
-				"two.json:2: limits.memory_mb: 1 is missing or under 16",
+				"two.json:2: limits.memory_mb: 1 is missing or below the minimum of 16",
 				"two.json:9: settings.caps.maxAttempts: missing",
 			},
 		},
@@ -51,7 +51,7 @@
 		{
 			"addr.json",
 			edited(`"127.0.0.1:9"`, `"nowhere"`),
-			[]string{`addr.json:1: discovery: "nowhere" is no host:port`},
+			[]string{`addr.json:1: discovery: "nowhere" is not a host:port`},
 		},
 		{"bad.toml", "version = 1\nfurther = 2\n", []string{"bad.toml:2: further: unknown key"}},
 		{"gone.json", "", []string{"gone.json"}},
@@ -98,7 +98,7 @@
 		"check":                          "check: FILE...: missing",
 		"version 3":                      `takes no arguments, got "3"`,
 		"serve --oprator x":              "unknown flag",
-		"completion tcsh":                "none of bash, zsh, fish",
+		"completion tcsh":                "not one of bash, zsh, fish",
 		"serve --operator /nowhere.toml": "operator file:",
 	} {
 		t.Run(args, func(t *testing.T) {
--- a/cmd/dockhinge/completion.go
+++ b/cmd/dockhinge/completion.go
@@ -33,7 +33,7 @@
 	case "fish":
 		script = fishScript(commands)
 	default:
-		return fmt.Errorf("completion: %q is none of bash, zsh, fish", shell)
+		return fmt.Errorf("completion: %q is not one of bash, zsh, fish", shell)
 	}
 	_, err := io.WriteString(stdout, script)
 	return err
--- a/cmd/dockhinge/tenants.go
+++ b/cmd/dockhinge/tenants.go
@@ -25,7 +25,7 @@
 	var failed []error
 	for _, addr := range addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			failed = append(failed, fmt.Errorf("tenants: %q is no host:port of an admin address", addr))
+			failed = append(failed, fmt.Errorf("tenants: %q is not the host:port of an admin address", addr))
 			continue
 		}
 		state, err := fetchAdmissionState(context.Background(), addr)
--- a/internal/operator/admission.go
+++ b/internal/operator/admission.go
@@ -106,18 +106,18 @@
 		rule.Source = admission.TenantFromClient
 	case "key":
 		if m.Prefix == "" || m.Tenant == "" {
-			return rule, errors.New("by key needs prefix and tenant")
+			return rule, errors.New(`by "key" requires prefix and tenant`)
 		}
 		rule.Source = admission.TenantFromKey
 	case "network":
 		network, err := netip.ParsePrefix(m.Network)
 		if err != nil {
-			return rule, fmt.Errorf("by network needs network: %w", err)
+			return rule, fmt.Errorf(`by "network" requires a valid network: %w`, err)
 		}
 		rule.Source = admission.TenantFromNetwork
 		rule.Network = network
 	default:
-		return rule, fmt.Errorf("by: %q is none of fact, key, network", m.By)
+		return rule, fmt.Errorf("by: %q is not one of fact, key, network", m.By)
 	}
 	return rule, nil
 }
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -99,14 +99,14 @@
 // oneOf checks that a setting has one of the given values.
 func (c *checker) oneOf(setting, value string, allowed ...string) {
 	if !slices.Contains(allowed, value) {
-		c.add(setting, "%q is none of %s", value, strings.Join(allowed, ", "))
+		c.add(setting, "%q is not one of %s", value, strings.Join(allowed, ", "))
 	}
 }
 
 // duration checks that a setting is a duration within bounds.
 func (c *checker) duration(setting, value string, minimum, maximum time.Duration) {
 	if d, err := time.ParseDuration(value); err != nil || d < minimum || d > maximum {
-		c.add(setting, "%q is no duration from %v to %v", value, minimum, maximum)
+		c.add(setting, "%q is not a duration from %v to %v", value, minimum, maximum)
 	}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -24,15 +24,15 @@
 		},
 		{
 			"unknown value", "version = 1\n[log]\nlevel = \"loud\"\n",
-			`f.toml:3: log.level: "loud" is none of debug, info, warn, error`,
+			`f.toml:3: log.level: "loud" is not one of debug, info, warn, error`,
 		},
 		{
 			"dotted key", "version = 1\nlog.format = \"xml\"\n",
-			`f.toml:2: log.format: "xml" is none of text, json`,
+			`f.toml:2: log.format: "xml" is not one of text, json`,
 		},
 		{
 			"invalid duration", "version = 1\n[log]\n\nrepeat_every = \"7d\"\n",
-			`f.toml:4: log.repeat_every: "7d" is no duration from 1s to 1h`,
+			`f.toml:4: log.repeat_every: "7d" is not a duration from 1s to 1h`,
 		},
 		{
 			"below its lower bound", "version = 1\n[log]\nrepeat_burst = 0\n",
@@ -55,19 +55,19 @@
 		},
 		{
 			"unknown tenant source", fileWithIdentifyRule(`by = "name"`),
-			`admission.identify[0]: by: "name" is none of fact, key, network`,
+			`admission.identify[0]: by: "name" is not one of fact, key, network`,
 		},
 		{
 			"key without a tenant", fileWithIdentifyRule(`by = "key"`, `prefix = "x"`),
-			"identify[0]: by key needs prefix and tenant",
+			`identify[0]: by "key" requires prefix and tenant`,
 		},
 		{
 			"key without a prefix", fileWithIdentifyRule(`by = "key"`, `tenant = "x"`),
-			"identify[0]: by key needs prefix and tenant",
+			`identify[0]: by "key" requires prefix and tenant`,
 		},
 		{
 			"invalid network", fileWithIdentifyRule(`by = "network"`, `network = "10.0.0.0/40"`, `tenant = "x"`),
-			"identify[0]: by network needs network: ",
+			`identify[0]: by "network" requires a valid network: `,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -86,7 +86,7 @@
 	case ad == nil && cfg.Admission == nil:
 		return nil
 	case ad == nil || cfg.Admission == nil:
-		return &admission.SettingError{Setting: "enabled", Reason: "changes, which takes a new process"}
+		return &admission.SettingError{Setting: "enabled", Reason: "a change requires a new process"}
 	}
 	return ad.admission.Check(withPlatformBounds(cfg.Admission.Rules, cfg))
 }
--- a/internal/router/clients.go
+++ b/internal/router/clients.go
@@ -115,7 +115,7 @@
 		case errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded):
 			return
 		default:
-			slog.Warn("accepting", "error", err)
+			slog.Warn("accepting a client connection failed", "error", err)
 			time.Sleep(acceptRetryDelay)
 		}
 	}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		if _, _, err := net.SplitHostPort(*field.value); field.isAddr && err != nil {
-			add(field.name, "%q is no host:port", *field.value)
+			add(field.name, "%q is not a host:port", *field.value)
 		}
 	}
 	var err error
@@ -173,10 +173,10 @@
 		add("seed", "%q is not a number of up to 16 hex digits", c.Seed)
 	}
 	if c.Limits.MemoryMB < minMemoryMB {
-		add("limits.memory_mb", "%d is missing or under %d", c.Limits.MemoryMB, minMemoryMB)
+		add("limits.memory_mb", "%d is missing or below the minimum of %d", c.Limits.MemoryMB, minMemoryMB)
 	}
 	if c.Limits.Sockets < minSockets {
-		add("limits.sockets", "%d is missing or under %d", c.Limits.Sockets, minSockets)
+		add("limits.sockets", "%d is missing or below the minimum of %d", c.Limits.Sockets, minSockets)
 	}
 	if len(c.Settings) == 0 {
 		add("settings", "missing")
--- a/internal/router/decision_host.go
+++ b/internal/router/decision_host.go
@@ -89,4 +89,4 @@
 func (l *loop) Gossip([]byte) {}
 
 // Log logs a message of the decision module.
-func (l *loop) Log(text string) { slog.Info("module", "text", text) }
+func (l *loop) Log(text string) { slog.Info("decision module", "text", text) }
--- a/internal/router/endpoint_list.go
+++ b/internal/router/endpoint_list.go
@@ -88,7 +88,7 @@
 		return decide.Endpoint{}, fmt.Errorf("server at %q without an id", e.Addr)
 	}
 	if _, _, err := net.SplitHostPort(e.Addr); err != nil && state != decide.Removed {
-		return decide.Endpoint{}, fmt.Errorf("server %q: %q is no host:port", e.ID, e.Addr)
+		return decide.Endpoint{}, fmt.Errorf("server %q: %q is not a host:port", e.ID, e.Addr)
 	}
 	return decide.Endpoint{
 		ID:        serverID(e.ID),
