--- a/cmd/dockhinge-lab/all.go
+++ b/cmd/dockhinge-lab/all.go
@@ -17,7 +17,7 @@
 // allCommand plays every shipped scenario several times and prints one table.
 func allCommand() *cobra.Command {
 	var c commonFlags
-	var times, side int
+	var times, concurrentRuns int
 	var only []string
 	cmd := &cobra.Command{Use: "all", Args: cobra.NoArgs,
 		Short: "Play every shipped scenario several times and print one table",
@@ -38,7 +38,7 @@
 			var mu sync.Mutex
 			rows := map[string]*row{}
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, concurrentRuns))
 			names := scenario.Shipped()
 			for _, name := range only {
 				if !slices.Contains(names, name) {
@@ -128,7 +128,7 @@
 		}}
 	cmd.Flags().StringVar(&c.router, "router", "", "command that starts one router")
 	cmd.Flags().IntVar(&times, "times", 10, "runs of each scenario")
-	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&concurrentRuns, "side", 1, "runs at a time")
 	cmd.Flags().StringSliceVar(&only, "only", nil, "play only these scenarios")
 	return cmd
 }
--- a/cmd/dockhinge-lab/capacity.go
+++ b/cmd/dockhinge-lab/capacity.go
@@ -15,7 +15,7 @@
 // capacityCommand writes the tables of docs/CAPACITY.md from sizes and measured slopes.
 func capacityCommand() *cobra.Command {
 	var set []string
-	var sizesFile, slopesFile, page, plotInto string
+	var sizesFile, slopesFile, page, plotDir string
 	cmd := &cobra.Command{
 		Use: "capacity", Short: "Compute what a fleet of a given size costs from measured slopes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -34,8 +34,8 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", slopesFile, err)
 			}
-			if plotInto != "" {
-				return plotLines(plotInto, lines)
+			if plotDir != "" {
+				return plotLines(plotDir, lines)
 			}
 			m := capacity.NewModel(sizes, lines)
 			if page != "" {
@@ -47,7 +47,7 @@
 	cmd.Flags().StringArrayVar(&set, "set", nil, "KEY=VALUE of a size to change")
 	cmd.Flags().StringVar(&sizesFile, "sizes", "", "file of sizes (default: the built-in lab/capacity/sizes.toml)")
 	cmd.Flags().StringVar(&slopesFile, "slopes", "lab/capacity/slopes.json", "the file that 'hollow --out' wrote")
-	cmd.Flags().StringVar(&plotInto, "plot", "", "draw the lines into SVG files in this directory instead")
+	cmd.Flags().StringVar(&plotDir, "plot", "", "draw the lines into SVG files in this directory instead")
 	cmd.Flags().StringVar(&page, "page", "", "write the tables into this page between its markers")
 	return cmd
 }
--- a/cmd/dockhinge-lab/crash_points.go
+++ b/cmd/dockhinge-lab/crash_points.go
@@ -17,7 +17,7 @@
 
 // crashPointsCommand kills each process at each step of the operators' tool, once per round.
 func crashPointsCommand() *cobra.Command {
-	var rounds, side int
+	var rounds, concurrentRuns int
 	var from uint64
 	var logs string
 	cmd := &cobra.Command{Use: "crash-points", Aliases: []string{"steps"}, Args: cobra.NoArgs,
@@ -41,7 +41,7 @@
 			var tookS []float64
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, concurrentRuns))
 			play := func(what string, k fleet.StepKill, seed uint64, f scenario.File) {
 				id := fmt.Sprintf("%s\t%s\t%s", what, k.Step, k.Victim)
 				mu.Lock()
@@ -130,7 +130,7 @@
 		}}
 	cmd.Flags().IntVar(&rounds, "rounds", 1, "runs of each combination of step and killed process")
 	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&concurrentRuns, "side", 1, "runs at a time")
 	cmd.Flags().StringVar(&logs, "logs", os.TempDir(), "keep the logs of failed runs under this directory")
 	return cmd
 }
--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -18,7 +18,7 @@
 func hollowCommand() *cobra.Command {
 	var routers []int
 	var out, why string
-	var onto bool
+	var appendSteps bool
 	o := hollow.Options{}
 	cmd := &cobra.Command{Use: "hollow", Args: cobra.NoArgs,
 		Short: "Measure what the control plane costs with many hollow routers",
@@ -27,7 +27,7 @@
 				return err
 			}
 			o.Command = coordinatorCommandLine()
-			run, err := newRun(why, o, out, onto)
+			run, err := newRun(why, o, out, appendSteps)
 			if err != nil {
 				return err
 			}
@@ -60,15 +60,15 @@
 	cmd.Flags().DurationVar(&o.Timeout, "patience", 40*time.Second,
 		"timeout for all routers to reach the state that a step waits for")
 	cmd.Flags().StringVar(&out, "out", "", "write the run as JSON to this file, for 'capacity --slopes'")
-	cmd.Flags().BoolVar(&onto, "onto", false, "append the steps to those already in the --out file")
+	cmd.Flags().BoolVar(&appendSteps, "onto", false, "append the steps to those already in the --out file")
 	cmd.Flags().StringVar(&why, "why", "", "purpose of the run, stored in the file")
 	return cmd
 }
 
-// newRun returns an empty run, or with onto the run stored in the file at path, to be continued.
-func newRun(why string, o hollow.Options, path string, onto bool) (*hollow.Run, error) {
+// newRun returns an empty run, or with appendSteps the run stored in the file at path, to be continued.
+func newRun(why string, o hollow.Options, path string, appendSteps bool) (*hollow.Run, error) {
 	run := hollow.NewRun(why, o)
-	if !onto {
+	if !appendSteps {
 		return run, nil
 	}
 	text, err := os.ReadFile(path)
--- a/cmd/dockhinge-lab/lease_faults.go
+++ b/cmd/dockhinge-lab/lease_faults.go
@@ -20,8 +20,8 @@
 func leaseFaultsCommand() *cobra.Command {
 	var file, name, logs, mutant string
 	var seeds, from uint64
-	var side int
-	var isVerbose, first bool
+	var concurrentRuns int
+	var isVerbose, stopAtFirst bool
 	cmd := &cobra.Command{Use: "lease-faults", Aliases: []string{"agree"}, Args: cobra.NoArgs,
 		Short: "Run coordinators and leaseholders with injected faults",
 		Long: "Starts coordinators, leaseholders and a simulated resource as processes, injects the faults\n" +
@@ -54,7 +54,7 @@
 			}
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, concurrentRuns))
 			var failed, claims, ops, acts, refused, grants, faults, undecided int
 			maxRecoverySeconds := 0.0
 			breachesByRule := map[string]int{}
@@ -105,7 +105,7 @@
 							detectingSeeds = append(detectingSeeds, seed)
 						}
 						fmt.Printf("seed %d: %s\n", seed, strings.Join(res.Failures, "; "))
-						if first && len(res.Breaches) > 0 {
+						if stopAtFirst && len(res.Breaches) > 0 {
 							stop()
 						}
 					} else if !isVerbose {
@@ -147,9 +147,9 @@
 	cmd.Flags().StringVar(&mutant, "mutant", "", "activate this deliberate bug: see docs/agreement-design.md")
 	cmd.Flags().Uint64Var(&seeds, "seeds", 1, "number of seeds")
 	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&concurrentRuns, "side", 1, "runs at a time")
 	cmd.Flags().BoolVar(&isVerbose, "say", false, "print each event")
-	cmd.Flags().BoolVar(&first, "first", false, "stop at the first breach")
+	cmd.Flags().BoolVar(&stopAtFirst, "first", false, "stop at the first breach")
 	return cmd
 }
 
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -17,7 +17,7 @@
 // outlierSharingCommand plays runs in which cache servers break off their answers, with and without
 // routers that share their outlier reports, on the same seeds.
 func outlierSharingCommand() *cobra.Command {
-	var seeds, side, routers, quorum int
+	var seeds, concurrentRuns, routers, quorum int
 	var from uint64
 	var mutant, logs string
 	cmd := &cobra.Command{Use: "outlier-sharing", Aliases: []string{"suspects"}, Args: cobra.NoArgs,
@@ -52,7 +52,7 @@
 			all := make([]figures, len(variants))
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, concurrentRuns))
 			failed := 0
 			for seed := from; seed < from+uint64(seeds); seed++ {
 				for i, v := range variants {
@@ -128,7 +128,7 @@
 		}}
 	cmd.Flags().IntVar(&seeds, "seeds", 3, "number of seeds")
 	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&concurrentRuns, "side", 1, "runs at a time")
 	cmd.Flags().IntVar(&routers, "routers", 24, "routers")
 	cmd.Flags().IntVar(&quorum, "quorum", 3, "number of routers whose reports make all routers eject a server")
 	cmd.Flags().StringVar(&mutant, "mutant", "", "activate this deliberate bug in coordinators and routers")
--- a/cmd/dockhinge-lab/planned_changes.go
+++ b/cmd/dockhinge-lab/planned_changes.go
@@ -19,12 +19,12 @@
 // plannedChangesCommand plays planned changes of a whole fleet, with faults drawn from seeds.
 func plannedChangesCommand() *cobra.Command {
 	var c commonFlags
-	var seeds, side, routers, servers, coordinators, outRouters, outServers int
+	var seeds, concurrentRuns, routers, servers, coordinators, outRouters, outServers int
 	var from uint64
 	var durationS, bakeS float64
 	var mutant string
-	var first, calm bool
-	var release, page string
+	var stopAtFirst, calm bool
+	var release, reportPath string
 	cmd := &cobra.Command{Use: "planned-changes", Aliases: []string{"changes"}, Args: cobra.NoArgs,
 		Short: "Play planned changes of all cache servers and most routers, with faults drawn from seeds",
 		Long: "Operators change every cache server and most routers by permits of the coordinators, while\n" +
@@ -51,13 +51,13 @@
 			}
 			var mu sync.Mutex
 			var wg sync.WaitGroup
-			slots := make(chan struct{}, max(1, side))
+			slots := make(chan struct{}, max(1, concurrentRuns))
 			var failed, played, changed, toolRuns, faults, breaches int
 			var tookS, service []float64
 			for i := range seeds {
 				slots <- struct{}{}
 				mu.Lock()
-				mustStop := cmd.Context().Err() != nil || first && failed > 0
+				mustStop := cmd.Context().Err() != nil || stopAtFirst && failed > 0
 				mu.Unlock()
 				if mustStop {
 					break
@@ -91,8 +91,8 @@
 							RouterCommand: command, CoordinatorCommand: coord, CoordinatorEnv: env,
 							MutantCommand: mutantCommand, Dir: dir, ChangeTimeout: 90 * time.Second})
 					}
-					if err == nil && page != "" {
-						err = report.Write(strings.TrimSuffix(page, ".html")+fmt.Sprintf("-%d.html", f.Seed),
+					if err == nil && reportPath != "" {
+						err = report.Write(strings.TrimSuffix(reportPath, ".html")+fmt.Sprintf("-%d.html", f.Seed),
 							[]fleet.Result{res})
 					}
 					mu.Lock()
@@ -153,7 +153,7 @@
 	cmd.Flags().StringVar(&c.logs, "logs", "", "keep the logs under this directory")
 	cmd.Flags().IntVar(&seeds, "seeds", 10, "number of seeds")
 	cmd.Flags().Uint64Var(&from, "from", 1, "the first seed")
-	cmd.Flags().IntVar(&side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&concurrentRuns, "side", 1, "runs at a time")
 	cmd.Flags().IntVar(&routers, "routers", 6, "routers")
 	cmd.Flags().IntVar(&servers, "servers", 8, "cache servers")
 	cmd.Flags().IntVar(&coordinators, "coordinators", 5, "coordinators")
@@ -165,9 +165,9 @@
 		"with --release: seconds that a wave bakes; it needs 20 requests for each of them; 0 = 2 s")
 	cmd.Flags().IntVar(&outRouters, "out-routers", 0, "routers that may be out at once; 0 = 2 routers and 2 servers")
 	cmd.Flags().IntVar(&outServers, "out-servers", 2, "with --out-routers: cache servers that may be out at once")
-	cmd.Flags().StringVar(&page, "report", "",
+	cmd.Flags().StringVar(&reportPath, "report", "",
 		"write an HTML report of each run to this file, with the seed added to its name")
 	cmd.Flags().BoolVar(&calm, "calm", false, "with --release: inject no further faults")
-	cmd.Flags().BoolVar(&first, "first", false, "stop after the first seed that failed")
+	cmd.Flags().BoolVar(&stopAtFirst, "first", false, "stop after the first seed that failed")
 	return cmd
 }
--- a/cmd/dockhinge-lab/soak.go
+++ b/cmd/dockhinge-lab/soak.go
@@ -17,10 +17,10 @@
 // soakOptions are the flags of the soak command.
 type soakOptions struct {
 	commonFlags
-	seeds   int
-	first   uint64
-	seconds float64
-	side    int
+	seeds          int
+	first          uint64
+	seconds        float64
+	concurrentRuns int
 }
 
 func soakCommand() *cobra.Command {
@@ -39,13 +39,13 @@
 	cmd.Flags().IntVar(&o.seeds, "seeds", 10, "number of seeds, one run each")
 	cmd.Flags().Uint64Var(&o.first, "first", 1, "the first seed; the others follow it")
 	cmd.Flags().Float64Var(&o.seconds, "seconds", 15, "seconds of load in each run")
-	cmd.Flags().IntVar(&o.side, "side", 1, "runs at a time")
+	cmd.Flags().IntVar(&o.concurrentRuns, "side", 1, "runs at a time")
 	return cmd
 }
 
 // playSoak plays all seeds. It returns errExpectationFailed if one of them failed.
 func playSoak(ctx context.Context, o soakOptions) error {
-	if o.seeds < 1 || o.side < 1 {
+	if o.seeds < 1 || o.concurrentRuns < 1 {
 		return errors.New("--seeds and --side: at least 1")
 	}
 	command, err := routerCommandLine(ctx, o.router)
@@ -57,7 +57,7 @@
 	var failed []uint64
 	var failures []error
 	var wg sync.WaitGroup
-	for range o.side {
+	for range o.concurrentRuns {
 		wg.Go(func() {
 			for seed := range seeds {
 				text, hasPassed, err := playSeed(ctx, o, seed, command)
--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -95,15 +95,15 @@
 	}
 	defer g.close()
 	f := newFleet(routers, g.addresses(), o)
-	run, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer f.wg.Wait()
 	defer stop()
-	operator := f.operator(run, g.addresses())
+	operator := f.operator(runCtx, g.addresses())
 	if err := f.setBudget(ctx, operator); err != nil {
 		return step, err
 	}
 	for _, measure := range []func(context.Context) error{
-		func(ctx context.Context) error { return f.measureJoin(ctx, run, g, operator, &step) },
+		func(ctx context.Context) error { return f.measureJoin(ctx, runCtx, g, operator, &step) },
 		func(ctx context.Context) error { return f.measureIdle(ctx, g, &step) },
 		func(ctx context.Context) error { return f.measureDrains(ctx, g, operator, &step) }} {
 		if err := measure(ctx); err != nil {
@@ -200,14 +200,14 @@
 
 // measureJoin starts all routers at once and measures until all have a session, have the first set of drained
 // servers, and have reported their servers.
-func (f *hollowFleet) measureJoin(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
+func (f *hollowFleet) measureJoin(ctx, runCtx context.Context, g *group, operator *client.Client, step *Step) error {
 	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
 	for _, r := range f.routers {
-		f.wg.Go(func() { r.run(run) })
+		f.wg.Go(func() { r.run(runCtx) })
 	}
 	if err := f.waitForSessions(ctx); err != nil {
 		return err
--- a/lab/modelcheck/modelcheck.go
+++ b/lab/modelcheck/modelcheck.go
@@ -206,38 +206,39 @@
 	for i := range w.clients {
 		q := &w.clients[i]
 		now := w.clientClock(i, p)
-		send := len(w.inFlight) < p.MaxInFlight
+		canSend := len(w.inFlight) < p.MaxInFlight
 		session := fmt.Sprintf("s%d.%d", i, q.Incarnation)
-		put := func(w *state, c coord.Command) {
+		sendCommand := func(w *state, c coord.Command) {
 			q := &w.clients[i]
 			c.Version, c.SessionID, c.AcknowledgedThrough = coord.Version, session, q.acknowledgedThrough()
 			w.inFlight = append(w.inFlight, message{ClientIndex: i, Incarnation: q.Incarnation,
 				Request: c, Sent: w.clientClock(i, p), Duplicates: 1})
 		}
 		_, _, held := q.leases.HeldLease(lease, now)
-		if send && !q.HasRequestedSession && !q.HasOpenSession {
+		if canSend && !q.HasRequestedSession && !q.HasOpenSession {
 			add(2, func(w *state) string {
 				w.clients[i].HasRequestedSession = true
-				put(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
+				sendCommand(w, coord.Command{Op: coord.OpOpenSession, Client: fmt.Sprintf("c%d", i), TTL: ttl})
 				return ""
 			}, "c%d requests a session", i)
 		}
-		if send && q.HasOpenSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
-			add(2, func(w *state) string { put(w, coord.Command{Op: coord.OpKeepAlive}); return "" },
+		if canSend && q.HasOpenSession && q.leases.HasSession(now) && w.pendingCommands(i, coord.OpKeepAlive) == 0 {
+			add(2, func(w *state) string { sendCommand(w, coord.Command{Op: coord.OpKeepAlive}); return "" },
 				"c%d sends a keep-alive", i)
 		}
-		if send && q.HasOpenSession && !q.IsAcquiring && !held {
+		if canSend && q.HasOpenSession && !q.IsAcquiring && !held {
 			add(2, func(w *state) string {
 				q := &w.clients[i]
 				q.IsAcquiring, q.AcquireSentAt = true, w.clientClock(i, p)
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.nextSequence()})
+				sendCommand(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: q.nextSequence()})
 				q.AcquireSequence = q.LastSequence
 				return ""
 			}, "c%d requests the lease", i)
 		}
-		if send && q.HasOpenSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
+		if canSend && q.HasOpenSession && q.IsAcquiring && w.pendingCommands(i, coord.OpAcquire) == 0 {
 			add(1, func(w *state) string {
-				put(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl, Sequence: w.clients[i].AcquireSequence})
+				sendCommand(w, coord.Command{Op: coord.OpAcquire, Lease: lease, TTL: ttl,
+					Sequence: w.clients[i].AcquireSequence})
 				return ""
 			}, "c%d repeats its request for the lease", i)
 		}
@@ -247,24 +248,25 @@
 				q.IsActing, q.CheckedToken = true, q.Token
 				return w.checkOverlap(p)
 			}, "c%d checks the lease and begins to act", i)
-			if send && !q.IsAcquiring {
-				give := func(op coord.Op, to string) func(*state) string {
+			if canSend && !q.IsAcquiring {
+				giveUp := func(op coord.Op, to string) func(*state) string {
 					return func(w *state) string {
 						q := &w.clients[i]
 						q.leases.Forget(lease, q.Token)
-						put(w, coord.Command{Op: op, Lease: lease, Token: q.Token, Sequence: q.nextSequence(), Successor: to})
+						sendCommand(w, coord.Command{Op: op, Lease: lease, Token: q.Token,
+							Sequence: q.nextSequence(), Successor: to})
 						return ""
 					}
 				}
-				add(0.3, give(coord.OpRelease, ""), "c%d releases the lease", i)
-				add(0.3, give(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.clients))), "c%d transfers the lease", i)
+				add(0.3, giveUp(coord.OpRelease, ""), "c%d releases the lease", i)
+				add(0.3, giveUp(coord.OpTransfer, fmt.Sprintf("c%d", (i+1)%len(w.clients))), "c%d transfers the lease", i)
 			}
 		}
-		if q.IsActing && send {
+		if q.IsActing && canSend {
 			add(0.3, func(w *state) string {
 				q := &w.clients[i]
 				q.IsActing = false
-				put(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.CheckedToken,
+				sendCommand(w, coord.Command{Op: coord.OpWriteRecord, Lease: lease, Token: q.CheckedToken,
 					Sequence: q.nextSequence(), Record: []byte("x")})
 				return ""
 			}, "c%d writes a record to the state machine", i)
--- a/lab/scalingfit/scalingfit.go
+++ b/lab/scalingfit/scalingfit.go
@@ -42,7 +42,7 @@
 
 // Fit fits a line to points. It returns an error for fewer than three points and for points that all have
 // the same size.
-func Fit(name, unit, per, run string, points []Point) (Line, error) {
+func Fit(name, unit, sizeUnit, run string, points []Point) (Line, error) {
 	if len(points) < minPoints {
 		return Line{}, fmt.Errorf("slope %s: %d points, at least %d are needed", name, len(points), minPoints)
 	}
@@ -52,7 +52,8 @@
 	for i, p := range points {
 		xs[i], ys[i] = p.Size, p.Value
 	}
-	l := Line{Name: name, Unit: unit, SizeUnit: per, Run: run, Points: points, MinSize: xs[0], MaxSize: xs[len(xs)-1]}
+	l := Line{Name: name, Unit: unit, SizeUnit: sizeUnit, Run: run, Points: points,
+		MinSize: xs[0], MaxSize: xs[len(xs)-1]}
 	if l.MinSize == l.MaxSize {
 		return Line{}, fmt.Errorf("slope %s: all points have the size %v", name, l.MinSize)
 	}
@@ -67,16 +68,16 @@
 
 // computeErrors sets RMSError and MaxRelativeError from the residuals.
 func (l *Line) computeErrors() {
-	squares, most, largest := 0.0, 0.0, 0.0
+	squares, maxResidual, maxValue := 0.0, 0.0, 0.0
 	for _, p := range l.Points {
-		miss := p.Value - l.At(p.Size)
-		squares += miss * miss
-		most = max(most, math.Abs(miss))
-		largest = max(largest, math.Abs(l.At(p.Size)))
+		residual := p.Value - l.At(p.Size)
+		squares += residual * residual
+		maxResidual = max(maxResidual, math.Abs(residual))
+		maxValue = max(maxValue, math.Abs(l.At(p.Size)))
 	}
 	l.RMSError = math.Sqrt(squares / float64(len(l.Points)))
-	if largest > 0 {
-		l.MaxRelativeError = most / largest
+	if maxValue > 0 {
+		l.MaxRelativeError = maxResidual / maxValue
 	}
 }
 
--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -130,16 +130,16 @@
 		k := f.Faults[i]
 		t := ScheduledFault{AtS: at, ForS: k.ForS[0] + rng.Float64()*(k.ForS[1]-k.ForS[0]),
 			What: k.What, U: rng.Float64()}
-		n, m := f.Coordinators, f.Coordinators
+		targetCount, peerCount := f.Coordinators, f.Coordinators
 		switch faultTargets[k.What] {
 		case "h":
-			n = f.Holders
+			targetCount = f.Holders
 		case "hc":
-			n = f.Holders
+			targetCount = f.Holders
 		}
-		t.Target, t.Peer = rng.IntN(n), rng.IntN(m)
+		t.Target, t.Peer = rng.IntN(targetCount), rng.IntN(peerCount)
 		if faultTargets[k.What] == "cc" && t.Target == t.Peer {
-			t.Peer = (t.Peer + 1) % m
+			t.Peer = (t.Peer + 1) % peerCount
 		}
 		if k.What == "damage" || k.What == "wipe" {
 			if once["disk"] {
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -134,9 +134,9 @@
 // Weights of the whole day, of its worst ten seconds and of its worst class in the score G, and the length of the
 // window for the worst ten seconds.
 const (
-	wholePart          = 0.7
-	windowPart         = 0.1
-	classPart          = 0.2
+	wholeDayWeight     = 0.7
+	worstWindowWeight  = 0.1
+	worstClassWeight   = 0.2
 	worstWindowSeconds = 10 // s
 )
 
@@ -149,8 +149,8 @@
 			worst = min(worst, s.Gained[i]/s.Worth[i])
 		}
 	}
-	return wholePart*s.Service() + windowPart*s.worstWindowShare() + classPart*worst - s.Price.Cross - s.Price.Waste -
-		s.Price.Probe - s.Price.Dial - s.Price.Call
+	return wholeDayWeight*s.Service() + worstWindowWeight*s.worstWindowShare() + worstClassWeight*worst -
+		s.Price.Cross - s.Price.Waste - s.Price.Probe - s.Price.Dial - s.Price.Call
 }
 
 // worstWindowShare returns the lowest share of requests served in time over ten consecutive seconds.
--- a/lab/simulation/recovery_test.go
+++ b/lab/simulation/recovery_test.go
@@ -62,13 +62,13 @@
 }
 
 // runCalmDay runs a calm day whose parameters were modified by change.
-func runCalmDay(t *testing.T, do func(p *Params)) (service, last float64) {
+func runCalmDay(t *testing.T, change func(p *Params)) (service, last float64) {
 	p, err := GenerateDay("calm", hardRouters, hardServers, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.LengthMillis, p.Bursts = 15000, nil
-	do(&p)
+	change(&p)
 	s, err := Play(p)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/simulation/release.go
+++ b/lab/simulation/release.go
@@ -44,17 +44,17 @@
 func PlanRelease(routers, servers, zones int, losesZone bool, seed uint64) (ReleaseTimeline, error) {
 	rng := rand.New(rand.NewPCG(seed, 61))
 	timeline := ReleaseTimeline{MaxPlannedOut: map[rollout.Kind]int{}, Allowed: map[rollout.Kind]int{}}
-	s := rollout.New()
+	state := rollout.New()
 	var now time.Duration // the replicated clock
 	var token, opened uint64
-	next := func() uint64 { token++; return token }
+	nextToken := func() uint64 { token++; return token }
 	senderFor := func(client string, n int) rollout.Sender {
 		return rollout.Sender{Time: now, Session: fmt.Sprint(client, "#", n), Client: client,
-			SessionOrder: opened, NextToken: next}
+			SessionOrder: opened, NextToken: nextToken}
 	}
-	apply := func(c rollout.Command, f rollout.Sender) (rollout.Result, error) {
-		f.Time = now
-		a := s.Apply(c, f)
+	apply := func(c rollout.Command, sender rollout.Sender) (rollout.Result, error) {
+		sender.Time = now
+		a := state.Apply(c, sender)
 		if a.Code != rollout.CodeOK {
 			return a, fmt.Errorf("%s %s: %s: %s", c.Op, c.Name, a.Code, a.Text)
 		}
@@ -99,16 +99,16 @@
 		}
 	}
 	now = releaseStartMillis * time.Millisecond
-	s.Advance(now+time.Minute, next) // until all are past slow start
+	state.Advance(now+time.Minute, nextToken) // until all are past slow start
 	now += time.Minute
 	base := now
-	at := func() float64 { return releaseStartMillis + float64((now-base)/time.Millisecond) }
+	nowMillis := func() float64 { return releaseStartMillis + float64((now-base)/time.Millisecond) }
 	if _, err := apply(rollout.Command{Op: rollout.OpStartRelease, Plan: &rollout.ReleasePlan{Name: "twin",
 		FromVersion: "v1", ToVersion: "v2", FirstWave: 3, GrowthFactor: 3, BakeTime: 2 * time.Second,
 		StepTimeout: time.Minute}}, senderFor("release", 0)); err != nil {
 		return timeline, err
 	}
-	for _, b := range s.Report(now).Budgets {
+	for _, b := range state.Report(now).Budgets {
 		if b.Zone == "" {
 			timeline.Allowed[b.Kind] = b.Allowed
 		}
@@ -133,11 +133,11 @@
 			for i := z; i < servers; i += zones {
 				part, isLost[i] = append(part, i), true
 			}
-			timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: part, Kind: Kill})
-			detectStatus := func(is rollout.ServerStatus) func() error {
+			timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Servers: part, Kind: Kill})
+			detectStatus := func(status rollout.ServerStatus) func() error {
 				return func() error {
 					for _, i := range part {
-						serverStatus[i] = is
+						serverStatus[i] = status
 					}
 					for i := range routers {
 						if version[i] != "" {
@@ -151,7 +151,7 @@
 			}
 			after(detectionMillis, detectStatus(rollout.StatusFailing))
 			after(zoneOutageMillis, func() error {
-				timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: part, Kind: Start})
+				timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Servers: part, Kind: Start})
 				for _, i := range part {
 					delete(isLost, i)
 				}
@@ -164,9 +164,9 @@
 	// The change of a server, and the release of a router.
 	changeServer := func(i int, token uint64) {
 		name, who := server(i), senderFor("op/"+server(i), 0)
-		timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: BeginDrain})
+		timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Servers: []int{i}, Kind: BeginDrain})
 		after(drainMillis, func() error {
-			timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: Kill})
+			timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Servers: []int{i}, Kind: Kill})
 			var start func() error
 			start = func() error {
 				if isLost[i] { // wait until its zone is back
@@ -175,8 +175,8 @@
 				}
 				serverIncarnation[i]++
 				changed++
-				timeline.Faults = append(timeline.Faults, Fault{At: at(), Servers: []int{i}, Kind: Start},
-					Fault{At: at(), Servers: []int{i}, Kind: EndDrain})
+				timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Servers: []int{i}, Kind: Start},
+					Fault{At: nowMillis(), Servers: []int{i}, Kind: EndDrain})
 				_, err := apply(rollout.Command{Op: rollout.OpEndOutage, Kind: rollout.KindServer, Name: name,
 					Token: token}, who)
 				return err
@@ -186,12 +186,12 @@
 		})
 	}
 	changeRouter := func(i int, token uint64) {
-		timeline.Faults = append(timeline.Faults, Fault{At: at(), Routers: []int{i}, Kind: Kill})
-		f := senderFor(rollout.RouterClientPrefix+router(i), routerIncarnation[i])
-		s.SessionEnded(f.Session, f.Client, now, next)
+		timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Routers: []int{i}, Kind: Kill})
+		sender := senderFor(rollout.RouterClientPrefix+router(i), routerIncarnation[i])
+		state.SessionEnded(sender.Session, sender.Client, now, nextToken)
 		version[i] = ""
 		after(restartMillis, func() error {
-			timeline.Faults = append(timeline.Faults, Fault{At: at(), Routers: []int{i}, Kind: Start})
+			timeline.Faults = append(timeline.Faults, Fault{At: nowMillis(), Routers: []int{i}, Kind: Start})
 			after(startupMillis, func() error {
 				routerIncarnation[i]++
 				version[i] = "v2"
@@ -206,10 +206,10 @@
 		})
 	}
 	const tick = 100 * time.Millisecond
-	for steps := 0; changed < servers || s.Release.State == rollout.ReleaseRunning; steps++ {
+	for steps := 0; changed < servers || state.Release.State == rollout.ReleaseRunning; steps++ {
 		if steps > 100_000 {
 			return timeline, fmt.Errorf("the release does not end: %d servers changed, unavailable: %+v",
-				changed, s.Report(now).Unavailable)
+				changed, state.Report(now).Unavailable)
 		}
 		for len(scheduled) > 0 {
 			i := 0
@@ -227,15 +227,15 @@
 				return timeline, err
 			}
 		}
-		s.Advance(now, next)
+		state.Advance(now, nextToken)
 		// The tools request a permit for each outstanding change and begin those that are granted.
 		type permitRequest struct {
-			k      rollout.Kind
-			i      int
+			kind   rollout.Kind
+			index  int
 			client string
 		}
 		var permitRequests []permitRequest
-		for _, name := range s.PendingRouters() {
+		for _, name := range state.PendingRouters() {
 			i, err := strconv.Atoi(name[1:])
 			if err != nil {
 				return timeline, err
@@ -252,29 +252,30 @@
 			}
 		}
 		for _, x := range permitRequests[:min(len(permitRequests), rollout.MaxPermits/2)] {
-			name := router(x.i)
-			if x.k == rollout.KindServer {
-				name = server(x.i)
+			name := router(x.index)
+			if x.kind == rollout.KindServer {
+				name = server(x.index)
 			}
-			a, err := apply(rollout.Command{Op: rollout.OpRequestPermit, Kind: x.k, Name: name}, senderFor(x.client, 0))
+			a, err := apply(rollout.Command{Op: rollout.OpRequestPermit, Kind: x.kind, Name: name},
+				senderFor(x.client, 0))
 			if err != nil {
 				return timeline, err
 			}
 			if a.Stage != rollout.StageGranted {
 				continue
 			}
-			if _, err := apply(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.k, Name: name, Token: a.Token},
+			if _, err := apply(rollout.Command{Op: rollout.OpBeginOutage, Kind: x.kind, Name: name, Token: a.Token},
 				senderFor(x.client, 0)); err != nil {
 				return timeline, err
 			}
-			if x.k == rollout.KindServer {
+			if x.kind == rollout.KindServer {
 				hasPermit[name] = true
-				changeServer(x.i, a.Token)
+				changeServer(x.index, a.Token)
 			} else {
-				changeRouter(x.i, a.Token)
+				changeRouter(x.index, a.Token)
 			}
 		}
-		r := s.Report(now)
+		r := state.Report(now)
 		planned := map[rollout.Kind]int{}
 		var out [2]int
 		for _, m := range r.Unavailable {
@@ -293,7 +294,7 @@
 		if steps%10 == 0 {
 			timeline.OutBySecond = append(timeline.OutBySecond, out)
 		}
-		timeline.DurationMillis = at() - releaseStartMillis
+		timeline.DurationMillis = nowMillis() - releaseStartMillis
 		now += tick
 	}
 	slices.SortStableFunc(timeline.Faults, func(a, b Fault) int {
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -270,14 +270,14 @@
 
 // connect takes an idle connection to a machine or dials one, and calls on with it, or with nil if the dial
 // failed.
-func (r *router) connect(v *machine, on func(*conn)) {
-	d, way := r.parentDay, r.delayTo(v)
+func (r *router) connect(v *machine, onConn func(*conn)) {
+	d, delay := r.parentDay, r.delayTo(v)
 	keep := d.params.Config.IdleTimeoutMillis - min(d.params.Config.IdleTimeoutMillis/4, 1000)
 	for kept := r.idleConns[v]; len(kept) > 0; kept = r.idleConns[v] {
 		c := kept[0]
 		r.idleConns[v] = kept[1:]
 		if c.incarnation == v.incarnation && (keep <= 0 || d.now-c.idleSince < keep) {
-			on(c)
+			onConn(c)
 			return
 		}
 		r.closeConn(c)
@@ -287,19 +287,19 @@
 		d.sums.Dials++
 		d.secondAt(d.now).Dials++
 	}
-	d.after(2*way*rtts, func() {
+	d.after(2*delay*rtts, func() {
 		switch {
 		case r.isDead:
 		case v.isPartitioned:
 			d.after(d.params.Conn.Timeout, func() {
 				if !r.isDead {
-					on(nil)
+					onConn(nil)
 				}
 			})
 		case !v.isUp || rtts > 0 && !v.serverModel.Connect():
-			on(nil)
+			onConn(nil)
 		default:
-			on(&conn{target: v, incarnation: v.incarnation})
+			onConn(&conn{target: v, incarnation: v.incarnation})
 		}
 	})
 }
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -151,8 +151,8 @@
 }
 
 // studentQuantile returns the 97.5% quantile of Student's t distribution, for a two-sided 95% interval.
-func studentQuantile(freedom float64) float64 {
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile(0.975)
+func studentQuantile(degreesOfFreedom float64) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile(0.975)
 }
 
 // assignID assigns a new ID to a machine.
@@ -352,11 +352,11 @@
 	if a.isDone || a.parent.isDone {
 		d.sums.Wasted += done.Work
 	}
-	st, note := decide.Failed, 0
+	st, cacheResult := decide.Failed, 0
 	switch done.Outcome {
 	case model.Served, model.Repeated:
-		if st, note = decide.OK, 1; v.isOrigin {
-			note = 0
+		if st, cacheResult = decide.OK, 1; v.isOrigin {
+			cacheResult = 0
 			for _, at := range a.parent.missedAt[:min(2, len(a.parent.missedAt))] {
 				if at.isUp && !a.isDone {
 					at.serverModel.Store(d.now, done.Key, done.Size)
@@ -364,24 +364,24 @@
 			}
 		}
 	case model.Missed:
-		st, note = decide.Miss, 2
+		st, cacheResult = decide.Miss, 2
 		a.parent.missedAt = append(a.parent.missedAt, v)
 	case model.Fetching:
-		st, note = decide.Miss, 3
+		st, cacheResult = decide.Miss, 3
 		a.parent.missedAt = append(a.parent.missedAt, v)
 	}
-	d.respond(a, st, note)
+	d.respond(a, st, cacheResult)
 }
 
 // respond sends a response to the router, unless the machine is cut off from the network.
-func (d *day) respond(a *attempt, st decide.AttemptStatus, note int) {
+func (d *day) respond(a *attempt, st decide.AttemptStatus, cacheResult int) {
 	if !a.target.isPartitioned {
-		d.after(a.fromRouter.delayTo(a.target), func() { d.endAttempt(a, st, note, decide.NoLoadReport) })
+		d.after(a.fromRouter.delayTo(a.target), func() { d.endAttempt(a, st, cacheResult, decide.NoLoadReport) })
 	}
 }
 
 // endAttempt reports the outcome of an attempt to its router. Only the first outcome counts.
-func (d *day) endAttempt(a *attempt, st decide.AttemptStatus, note int, l decide.LoadReport) {
+func (d *day) endAttempt(a *attempt, st decide.AttemptStatus, cacheResult int, l decide.LoadReport) {
 	if a.isDone || a.fromRouter.isDead {
 		return
 	}
@@ -419,7 +419,7 @@
 	a.fromRouter.balancer.AttemptEnded(d.now, decide.Outcome{RequestID: a.parent.id, Attempt: a.index,
 		ServerID: a.target.id, Status: st,
 		LatencyMillis: d.now - a.sentAt,
-		IsFinal:       a.parent.isDone, CacheResult: decide.CacheResult(note), Load: l})
+		IsFinal:       a.parent.isDone, CacheResult: decide.CacheResult(cacheResult), Load: l})
 }
 
 // toEndpoints converts an endpoint list to the types of the decision module.
--- a/lab/simulation/simulation_test.go
+++ b/lab/simulation/simulation_test.go
@@ -30,8 +30,8 @@
 }
 
 // multiplesBelow returns the multiples of nth below of.
-func multiplesBelow(nth, of int) (all []int) {
-	for i := 0; i < of; i += nth {
+func multiplesBelow(factor, limit int) (all []int) {
+	for i := 0; i < limit; i += factor {
 		all = append(all, i)
 	}
 	return all
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -41,9 +41,9 @@
 
 // coldWindow holds the arrivals of the last OverloadMillis at one process of a server.
 type coldWindow struct {
-	boot     int
-	arrivals []coldArrival
-	isOver   bool // it has exceeded the bound
+	incarnation int
+	arrivals    []coldArrival
+	isOver      bool // it has exceeded the bound
 }
 
 // recordCold counts work from a router that reaches a server, if the server is in slow start.
@@ -52,8 +52,8 @@
 		return
 	}
 	window := d.coldWindows[v]
-	if window == nil || window.boot != v.incarnation {
-		window = &coldWindow{boot: v.incarnation}
+	if window == nil || window.incarnation != v.incarnation {
+		window = &coldWindow{incarnation: v.incarnation}
 		d.coldWindows[v] = window
 	}
 	cfg := &d.params.Config
