--- a/cmd/dockhinge-lab/main.go
+++ b/cmd/dockhinge-lab/main.go
@@ -83,7 +83,7 @@
 		_, err = os.Stat(path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("no router: %w (name its command with --router)", err)
+		return nil, fmt.Errorf("router not found: %w (pass its command with --router)", err)
 	}
 	return []string{path, "serve"}, nil
 }
@@ -171,11 +171,11 @@
 	}
 	fmt.Printf("%s: %s\n%d routers, %.0f requests a second for %.0f s; Ctrl-C ends it\n",
 		f.Name, f.About, f.Fleet.Routers, f.Load.Rate, f.DurationS)
-	areAddressesPrinted := !printAddresses
+	skipAddresses := !printAddresses
 	began := time.Now()
 	res, err := playScenario(ctx, f, c, command, func(n load.ProgressReport, fl *fleet.Fleet) {
-		if !areAddressesPrinted {
-			areAddressesPrinted = true
+		if !skipAddresses {
+			skipAddresses = true
 			fmt.Println(strings.Join(fl.RouterAddresses(), "\n"))
 		}
 		if n.Second > 1 {
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// upgrade raises the group to the commands and limits of this program's state version.
+// upgrade switches the group to the commands and limits of this program's state version.
 func (g *group) upgrade(ctx context.Context) error {
 	l, _, err := g.leader(ctx)
 	if err != nil {
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -161,7 +161,8 @@
 	if !strings.ContainsAny(name, "/.") {
 		text, err := shipped.ReadFile("files/" + name + ".toml")
 		if err != nil {
-			return File{}, fmt.Errorf("scenario %q: not shipped; there are %s", name, strings.Join(Shipped(), ", "))
+			return File{}, fmt.Errorf("scenario %q is not shipped; the shipped scenarios are %s", name,
+				strings.Join(Shipped(), ", "))
 		}
 		return Parse(name, text)
 	}
--- a/lab/simulation/router.go
+++ b/lab/simulation/router.go
@@ -268,15 +268,15 @@
 	}
 }
 
-// connect takes an idle connection to a machine or dials one, and calls on with it, or with nil if the dial
+// connect takes an idle connection to a machine or dials one, and calls onConn with it, or with nil if the dial
 // failed.
 func (r *router) connect(v *machine, onConn func(*conn)) {
 	d, delay := r.parentDay, r.delayTo(v)
-	keep := d.params.Config.IdleTimeoutMillis - min(d.params.Config.IdleTimeoutMillis/4, 1000)
+	maxIdleMillis := d.params.Config.IdleTimeoutMillis - min(d.params.Config.IdleTimeoutMillis/4, 1000)
 	for kept := r.idleConns[v]; len(kept) > 0; kept = r.idleConns[v] {
 		c := kept[0]
 		r.idleConns[v] = kept[1:]
-		if c.incarnation == v.incarnation && (keep <= 0 || d.now-c.idleSince < keep) {
+		if c.incarnation == v.incarnation && (maxIdleMillis <= 0 || d.now-c.idleSince < maxIdleMillis) {
 			onConn(c)
 			return
 		}
--- a/lab/simulation/simulation.go
+++ b/lab/simulation/simulation.go
@@ -104,11 +104,11 @@
 		if err != nil {
 			return Sums{}, err
 		}
-		part := lognormal(d.rng, p.RouterTrafficCV)
+		traffic := lognormal(d.rng, p.RouterTrafficCV)
 		if i == 0 && p.FirstRouterTraffic > 0 {
-			part = p.FirstRouterTraffic
+			traffic = p.FirstRouterTraffic
 		}
-		total += part
+		total += traffic
 		d.routers, d.cumulativeTraffic = append(d.routers, r), append(d.cumulativeTraffic, total)
 	}
 	if err := d.warmCaches(); err != nil {
