--- a/lab/hollow/ladder.go
+++ b/lab/hollow/ladder.go
@@ -42,7 +42,7 @@
 	ReadPerS    float64 `json:"read_per_s"`  // bytes read from sockets per second
 }
 
-// Step is one step of a ladder of fleet sizes: what a number of hollow routers cost the coordinators.
+// Step is the measurement at one fleet size: what this number of hollow routers costs the coordinators.
 type Step struct {
 	Routers        int     `json:"routers"`
 	ReportedPairs  int     `json:"sightings"` // pairs of a router and a server in its reports
@@ -95,15 +95,15 @@
 	}
 	defer g.close()
 	f := newFleet(routers, g.addresses(), o)
-	run, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer f.wg.Wait()
 	defer stop()
-	operator := f.operator(run, g.addresses())
+	operator := f.operator(runCtx, g.addresses())
 	if err := f.setBudget(ctx, operator); err != nil {
 		return step, err
 	}
 	for _, measure := range []func(context.Context) error{
-		func(ctx context.Context) error { return f.measureJoin(ctx, run, g, operator, &step) },
+		func(ctx context.Context) error { return f.measureJoin(ctx, runCtx, g, operator, &step) },
 		func(ctx context.Context) error { return f.measureIdle(ctx, g, &step) },
 		func(ctx context.Context) error { return f.measureDrains(ctx, g, operator, &step) }} {
 		if err := measure(ctx); err != nil {
@@ -200,14 +200,14 @@
 
 // measureJoin starts all routers at once and measures until all have a session, have the first set of drained
 // servers, and have reported their servers.
-func (f *hollowFleet) measureJoin(ctx, run context.Context, g *group, operator *client.Client, step *Step) error {
+func (f *hollowFleet) measureJoin(ctx, runCtx context.Context, g *group, operator *client.Client, step *Step) error {
 	before, err := g.usage(ctx)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
 	for _, r := range f.routers {
-		f.wg.Go(func() { r.run(run) })
+		f.wg.Go(func() { r.run(runCtx) })
 	}
 	if err := f.waitForSessions(ctx); err != nil {
 		return err
@@ -237,7 +237,7 @@
 	return retryUntil(ctx, f.options.Timeout, func() error {
 		missing = slices.DeleteFunc(slices.Clone(missing), func(r *router) bool { return r.client.SessionID() != "" })
 		if len(missing) > 0 {
-			return fmt.Errorf("sessions: %d of %d routers have none within %v", len(missing), len(f.routers), f.options.Timeout)
+			return fmt.Errorf("sessions: %d of %d routers have none after %v", len(missing), len(f.routers), f.options.Timeout)
 		}
 		return nil
 	})
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -131,12 +131,12 @@
 // Service returns the share of the priority weight of all requests that was served in time.
 func (s *Sums) Service() float64 { return Quotient(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
 
-// Weights in G of the whole day, of its worst ten seconds and of its worst class, and the length of that
-// window.
+// Weights of the whole day, of its worst ten seconds and of its worst class in the score G, and the length of the
+// window for the worst ten seconds.
 const (
-	wholePart          = 0.7
-	windowPart         = 0.1
-	classPart          = 0.2
+	wholeDayWeight     = 0.7
+	worstWindowWeight  = 0.1
+	worstClassWeight   = 0.2
 	worstWindowSeconds = 10 // s
 )
 
@@ -149,8 +149,8 @@
 			worst = min(worst, s.Gained[i]/s.Worth[i])
 		}
 	}
-	return wholePart*s.Service() + windowPart*s.worstWindowShare() + classPart*worst - s.Price.Cross - s.Price.Waste -
-		s.Price.Probe - s.Price.Dial - s.Price.Call
+	return wholeDayWeight*s.Service() + worstWindowWeight*s.worstWindowShare() + worstClassWeight*worst -
+		s.Price.Cross - s.Price.Waste - s.Price.Probe - s.Price.Dial - s.Price.Call
 }
 
 // worstWindowShare returns the lowest share of requests served in time over ten consecutive seconds.
