--- a/internal/router/handover.go
+++ b/internal/router/handover.go
@@ -140,7 +140,7 @@
 			control.setTimer()
 		}
 	})
-	slog.Info("number of processes of this router changed", "name", r.cfg.Name, "processes", processes)
+	slog.Info("processes are this router", "name", r.cfg.Name, "processes", processes)
 }
 
 // State returns the state for a successor, to be encoded as JSON. From then on the successor also
