--- a/cmd/dockhinge-coord/lease.go
+++ b/cmd/dockhinge-coord/lease.go
@@ -107,7 +107,7 @@
 
 func (r *leaseRequest) check() error {
 	if !slices.Contains(config.RerunKinds, r.rerunKind) {
-		return fmt.Errorf("--kind: %q is none of checked, harmless; other commands must not be run under a lease",
+		return fmt.Errorf("--kind: %q is not one of checked, harmless; other commands must not be run under a lease",
 			r.rerunKind)
 	}
 	if r.margin < minLeaseMargin || r.margin > r.ttl/2 {
--- a/lab/fleet/coordinators_test.go
+++ b/lab/fleet/coordinators_test.go
@@ -374,7 +374,8 @@
 		t.Error("the tool reported success for a killed command")
 	}
 	out, err := toolCommand(a, "lease", "take", "job", "--", "true").CombinedOutput()
-	if err == nil || !strings.Contains(string(out), "none of checked, harmless") {
+	if err == nil || !strings.Contains(string(out),
+		`--kind: "" is not one of checked, harmless; other commands must not be run under a lease`) {
 		t.Errorf("a command without --kind was run: %s", out)
 	}
 	if out := runToolForOutput(t, a, "lease", "take", "job", "--kind", "checked", "--",
