--- a/lab/checker/changes.go
+++ b/lab/checker/changes.go
@@ -83,7 +83,7 @@
 		case i >= len(got):
 			return fmt.Sprintf("revision %d was left out", want[i].Revision)
 		case i >= len(want):
-			return fmt.Sprintf("revision %d was given, and doesn't follow", got[i].Revision)
+			return fmt.Sprintf("unexpected revision %d was delivered", got[i].Revision)
 		case got[i] != want[i]:
 			return fmt.Sprintf("%+v was given in place of %+v", got[i], want[i])
 		}
@@ -105,11 +105,11 @@
 
 func compareState(got []AgreedChange, want map[string]AgreedChange) string {
 	if len(got) != len(want) {
-		return fmt.Sprintf("%d documents were held, and %d agreed on", len(got), len(want))
+		return fmt.Sprintf("the watcher holds %d documents instead of the agreed %d", len(got), len(want))
 	}
 	for _, document := range got {
 		if want[document.Name] != document {
-			return fmt.Sprintf("%+v was held, and %+v agreed on", document, want[document.Name])
+			return fmt.Sprintf("the watcher holds %+v instead of the agreed %+v", document, want[document.Name])
 		}
 	}
 	return ""
--- a/lab/checker/changes_test.go
+++ b/lab/checker/changes_test.go
@@ -38,13 +38,13 @@
 		{"went back", []Delivery{snapshot, first}},
 		{"revision 3 was left out", []Delivery{first, broken(third, func(d *Delivery) { d.Changes = nil })}},
 		{"given in place of", []Delivery{first, rest}},
-		{"doesn't follow", []Delivery{first, third, broken(third, func(d *Delivery) {})}},
+		{"unexpected revision 3 was delivered", []Delivery{first, third, broken(third, func(d *Delivery) {})}},
 		{"left out", []Delivery{first, third, broken(rest, func(d *Delivery) { d.Changes = d.Changes[:1] })}},
 		{"nothing beyond", []Delivery{broken(first, func(d *Delivery) { d.Through = 6 })}},
-		{"was held, and", []Delivery{broken(snapshot, func(d *Delivery) {
-			d.Documents = []AgreedChange{agreedA1, agreedA4}
-		})}},
-		{"documents were held", []Delivery{broken(snapshot, func(d *Delivery) { d.Documents = nil })}},
+		{"the watcher holds {Revision:1 Name:a/1 Sum:11 Deleted:false} instead of the agreed {",
+			[]Delivery{broken(snapshot, func(d *Delivery) { d.Documents = []AgreedChange{agreedA1, agreedA4} })}},
+		{"the watcher holds 0 documents instead of the agreed 2",
+			[]Delivery{broken(snapshot, func(d *Delivery) { d.Documents = nil })}},
 	} {
 		got := CheckDeliveries(agreed, WatchHistory{Watcher: "w", Prefix: "a/", Deliveries: c.deliveries})
 		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
--- a/lab/checker/checker.go
+++ b/lab/checker/checker.go
@@ -172,14 +172,14 @@
 	Text string  `json:"text"`
 }
 
-func (b Violation) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", b.At, b.Rule, b.Text) }
+func (v Violation) String() string { return fmt.Sprintf("%8.0f ms  %s: %s", v.At, v.Rule, v.Text) }
 
 // CheckRun returns the violations of the rules in the order of time. The events must be in that
 // order too.
-func CheckRun(events []Event, r Rules) (broken []Violation) {
+func CheckRun(events []Event, r Rules) (violations []Violation) {
 	h := newHistory(events, r)
-	add := func(rule string, at float64, form string, v ...any) {
-		broken = append(broken, Violation{rule, at, fmt.Sprintf(form, v...)})
+	add := func(rule string, at float64, format string, v ...any) {
+		violations = append(violations, Violation{rule, at, fmt.Sprintf(format, v...)})
 	}
 	for _, q := range h.requests {
 		if q.isSent {
@@ -197,8 +197,8 @@
 	checkReadiness(h, r, add)
 	checkCollapses(h, r, add)
 	checkMalformed(h, add)
-	slices.SortStableFunc(broken, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return broken
+	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return violations
 }
 
 // checkRequest checks the answers and the attempts of one request.
--- a/lab/checker/checker_test.go
+++ b/lab/checker/checker_test.go
@@ -19,7 +19,8 @@
 // them in the order of time.
 func script(t *testing.T, text string) (events []Event) {
 	t.Helper()
-	ends := map[string]End{"made": Completed, "missed": Missed, "turned": Rejected, "erred": Errored, "dropped": Dropped}
+	ends := map[string]End{"completed": Completed, "missed": Missed, "rejected": Rejected, "errored": Errored,
+		"dropped": Dropped}
 	answers := map[string]Answer{"served": Served, "refused": Refused, "failed": Failed}
 	for line := range strings.Lines(text) {
 		words := strings.Fields(line)
@@ -32,23 +33,23 @@
 		switch words[1] {
 		case "sent":
 			e.Kind, e.Class, e.Deadline = Sent, word(2), 1000
-		case "whole":
+		case "received":
 			e.Kind, e.Server, e.Began = AttemptReceived, word(2), e.At
-		case "over":
+		case "ended":
 			e.Kind, e.Server, e.End = AttemptEnded, word(2), ends[word(3)]
 		case "answer":
 			e.Kind, e.Answer = Answered, answers[word(2)]
 		case "extra":
 			e.Kind = ExtraAnswer
-		case "other":
+		case "other-value":
 			e.Kind, e.Answer, e.Sum = Answered, Served, 2
 		case "closed":
 			e.Kind = ClosedByRouter
-		case "left":
+		case "timed-out":
 			e.Kind = ClientTimedOut
 		case "disconnected":
 			e.Kind = Disconnected
-		case "told":
+		case "state-sent":
 			e.Kind, e.Server, e.State = ServerStateSent, word(2), word(3)
 		case "listed":
 			e.Kind, e.Server, e.State = ServerStateListed, word(2), word(3)
@@ -58,7 +59,7 @@
 			e.Kind = DiscoveryUp
 		case "called":
 			e.Kind = ListCalled
-		case "crowded":
+		case "descriptors-exhausted":
 			e.Kind, e.Deadline = DescriptorsExhausted, 500
 		case "moved":
 			e.Kind = DiscoveryMoved
@@ -73,13 +74,13 @@
 			e.Kind, e.Deadline = RouterPaused, 100
 		case "killed":
 			e.Kind = RouterKilled
-		case "fell":
+		case "collapsed":
 			e.Kind, e.Server = ServerCollapsed, word(2)
 		case "malformed":
 			e.Kind, e.Server = Malformed, word(2)
 		case "server-started":
 			e.Kind, e.Server = Started, word(2)
-		case "ran":
+		case "executed":
 			e.Kind, e.Server = EffectExecuted, word(2)
 		default:
 			t.Fatalf("script line %q has an unknown kind", line)
@@ -158,39 +159,39 @@
 
 func TestEachViolationIsReportedUnderItsRule(t *testing.T) {
 	for _, c := range []struct{ name, want, text string }{
-		{"served", "", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 answer served"},
-		{"miss, then the origin", "", "0 sent read\n 1 whole s1\n 3 over s1 missed\n 4 whole o\n 9 over o made\n 10 answer served"},
+		{"served", "", "0 sent read\n 1 received s1\n 9 ended s1 completed\n 10 answer served"},
+		{"miss, then the origin", "", "0 sent read\n 1 received s1\n 3 ended s1 missed\n 4 received o\n 9 ended o completed\n 10 answer served"},
 		{"refused, never sent", "", "0 sent tag\n 1 answer refused"},
-		{"turned away, then refused", "", "0 sent tag\n 1 whole s1\n 2 over s1 turned\n 3 answer refused"},
-		{"failed after an error", "", "0 sent tag\n 1 whole s1\n 2 over s1 erred\n 3 answer failed"},
-		{"a read repeated after a cancel", "", "0 sent read\n 1 whole s1\n 50 over s1 dropped\n 51 whole s2\n 60 over s2 made\n 61 answer served"},
-		{"the router was killed", "", "0 sent read\n 1 whole s1\n 5 killed\n 6 over s1 dropped\n 6 closed"},
-		{"a broken value is cut off", "", "0 sent read\n 1 whole s1\n 5 over s1 erred\n 6 closed"},
-		{"sent within the grace", "", "0 told s1 leaving\n 1900 sent read\n 2040 whole s1\n 2050 over s1 made\n 2051 answer served"},
-		{"back on the list", "", "0 told s1 leaving\n 2900 told s1 active\n 3000 sent read\n 3040 whole s1\n 3050 over s1 made\n 3051 answer served"},
-		{"keyed, within the window", "", "0 sent put\n 1 whole s1\n 5 over s1 dropped\n 500 whole s3\n 510 over s3 made\n 511 answer served"},
-		{"keyed, any refusal", "", "0 sent put\n 1 whole s1\n 5 over s1 dropped\n 6 answer refused"},
+		{"rejected, then refused", "", "0 sent tag\n 1 received s1\n 2 ended s1 rejected\n 3 answer refused"},
+		{"failed after an error", "", "0 sent tag\n 1 received s1\n 2 ended s1 errored\n 3 answer failed"},
+		{"a read repeated after a cancel", "", "0 sent read\n 1 received s1\n 50 ended s1 dropped\n 51 received s2\n 60 ended s2 completed\n 61 answer served"},
+		{"the router was killed", "", "0 sent read\n 1 received s1\n 5 killed\n 6 ended s1 dropped\n 6 closed"},
+		{"a broken value is cut off", "", "0 sent read\n 1 received s1\n 5 ended s1 errored\n 6 closed"},
+		{"sent within the grace", "", "0 state-sent s1 leaving\n 1900 sent read\n 2040 received s1\n 2050 ended s1 completed\n 2051 answer served"},
+		{"back on the list", "", "0 state-sent s1 leaving\n 2900 state-sent s1 active\n 3000 sent read\n 3040 received s1\n 3050 ended s1 completed\n 3051 answer served"},
+		{"keyed, within the window", "", "0 sent put\n 1 received s1\n 5 ended s1 dropped\n 500 received s3\n 510 ended s3 completed\n 511 answer served"},
+		{"keyed, any refusal", "", "0 sent put\n 1 received s1\n 5 ended s1 dropped\n 6 answer refused"},
 
-		{"two answers", "answer", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 answer served\n 11 extra"},
-		{"no answer", "answer", "0 sent read\n 1 whole s1\n 9 over s1 made\n 1050 left"},
-		{"late, which earns nothing", "", "0 sent read\n 1 whole s1\n 1090 over s1 made\n 1100 answer served"},
-		{"too late", "answer", "0 sent read\n 1 whole s1\n 1550 over s1 made\n 1560 answer served"},
-		{"cut off", "answer", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 closed"},
-		{"another value", "value", "0 sent read\n 1 whole s1\n 9 over s1 made\n 10 other"},
-		{"a value out of nothing", "value", "0 sent read\n 10 answer served"},
-		{"a request out of nothing", "value", "1 whole s1\n 9 over s1 made"},
-		{"two copies out", "copies", "0 sent read\n 1 whole s1\n 20 whole s2\n 90 over s1 dropped\n 95 over s2 made\n 99 answer served"},
-		{"a release twice", "effect", "0 sent tag\n 1 whole s1\n 5 over s1 dropped\n 6 whole s2\n 9 over s2 made\n 10 answer served"},
-		{"a release carried out twice", "effect", "0 sent tag\n 1 whole s1\n 2 ran s1\n 3 ran s1\n 5 over s1 made\n 6 answer served"},
-		{"a release refused after it may have run", "effect", "0 sent tag\n 1 whole s1\n 5 over s1 erred\n 6 answer refused"},
-		{"keyed, past the window", "effect", "0 sent put\n 1 whole s1\n 5 over s1 dropped\n 1100 whole s2"},
-		{"keyed, refused past the window", "effect", "0 sent put\n 1 whole s1\n 5 over s1 dropped\n 1100 answer refused"},
-		{"keyed, outside the group", "effect", "0 sent zput\n 1 whole s1\n 5 over s1 dropped\n 6 whole s3\n 9 over s3 made\n 10 answer served"},
-		{"a drained server", "drain", "0 told s1 leaving\n 2000 sent read\n 2060 whole s1\n 2070 over s1 made\n 2071 answer served"},
-		{"told twice that it drains", "drain", "0 told s1 leaving\n 1500 told s1 left\n 2000 sent read\n 2060 whole s1\n 2070 over s1 made\n 2071 answer served"},
-		{"a cold server", "cold", "5 fell s1"},
-		{"a command that can't be read", "form", "5 malformed s1"},
-		{"four attempts", "attempts", "0 sent read\n 1 whole s1\n 2 over s1 missed\n 3 whole s2\n 4 over s2 missed\n 5 whole s3\n 6 over s3 missed\n 7 whole o\n 8 over o made\n 9 answer served"},
+		{"two answers", "answer", "0 sent read\n 1 received s1\n 9 ended s1 completed\n 10 answer served\n 11 extra"},
+		{"no answer", "answer", "0 sent read\n 1 received s1\n 9 ended s1 completed\n 1050 timed-out"},
+		{"late within the tolerance", "", "0 sent read\n 1 received s1\n 1090 ended s1 completed\n 1100 answer served"},
+		{"too late", "answer", "0 sent read\n 1 received s1\n 1550 ended s1 completed\n 1560 answer served"},
+		{"cut off", "answer", "0 sent read\n 1 received s1\n 9 ended s1 completed\n 10 closed"},
+		{"another value", "value", "0 sent read\n 1 received s1\n 9 ended s1 completed\n 10 other-value"},
+		{"a value that no server produced", "value", "0 sent read\n 10 answer served"},
+		{"a request that no client sent", "value", "1 received s1\n 9 ended s1 completed"},
+		{"two attempts in progress", "copies", "0 sent read\n 1 received s1\n 20 received s2\n 90 ended s1 dropped\n 95 ended s2 completed\n 99 answer served"},
+		{"a once-only request sent again", "effect", "0 sent tag\n 1 received s1\n 5 ended s1 dropped\n 6 received s2\n 9 ended s2 completed\n 10 answer served"},
+		{"a once-only request executed twice", "effect", "0 sent tag\n 1 received s1\n 2 executed s1\n 3 executed s1\n 5 ended s1 completed\n 6 answer served"},
+		{"a once-only request refused after it may have run", "effect", "0 sent tag\n 1 received s1\n 5 ended s1 errored\n 6 answer refused"},
+		{"keyed, past the window", "effect", "0 sent put\n 1 received s1\n 5 ended s1 dropped\n 1100 received s2"},
+		{"keyed, refused past the window", "effect", "0 sent put\n 1 received s1\n 5 ended s1 dropped\n 1100 answer refused"},
+		{"keyed, outside the group", "effect", "0 sent zput\n 1 received s1\n 5 ended s1 dropped\n 6 received s3\n 9 ended s3 completed\n 10 answer served"},
+		{"a drained server", "drain", "0 state-sent s1 leaving\n 2000 sent read\n 2060 received s1\n 2070 ended s1 completed\n 2071 answer served"},
+		{"notified twice that it drains", "drain", "0 state-sent s1 leaving\n 1500 state-sent s1 left\n 2000 sent read\n 2060 received s1\n 2070 ended s1 completed\n 2071 answer served"},
+		{"a cold server", "cold", "5 collapsed s1"},
+		{"a malformed command", "form", "5 malformed s1"},
+		{"four attempts", "attempts", "0 sent read\n 1 received s1\n 2 ended s1 missed\n 3 received s2\n 4 ended s2 missed\n 5 received s3\n 6 ended s3 missed\n 7 received o\n 8 ended o completed\n 9 answer served"},
 	} {
 		broken := CheckRun(script(t, c.text), rules)
 		switch {
--- a/lab/checker/disconnect.go
+++ b/lab/checker/disconnect.go
@@ -68,7 +68,7 @@
 	}
 	if sent >= minWaitingSent && float64(sent) > maxWaitingSentShare*float64(waiting) {
 		add("disconnected", lastAt,
-			"%d of the %d requests that were unsent when their client disconnected were sent on over %d ms later",
+			"%d of the %d requests without an attempt when their client disconnected were sent over %d ms later",
 			sent, waiting, waitingNoticeMillis)
 	}
 }
--- a/lab/checker/disconnect_test.go
+++ b/lab/checker/disconnect_test.go
@@ -6,17 +6,17 @@
 	const (
 		first = `0 sent read request=q{n}
 200 disconnected request=q{n}
-%AT whole s1 request=q{n}`
+%AT received s1 request=q{n}`
 		further = `0 sent read request=q{n}
-1 whole s1 request=q{n}
-250 over s1 missed request=q{n}
+1 received s1 request=q{n}
+250 ended s1 missed request=q{n}
 200 disconnected request=q{n}
-%AT whole o request=q{n}`
+%AT received o request=q{n}`
 		hung = `0 sent read request=q{n}
-1 whole s1 request=q{n}
-1050 over s1 dropped request=q{n}
-1250 left request=q{n}
-%AT whole s2 request=q{n}`
+1 received s1 request=q{n}
+1050 ended s1 dropped request=q{n}
+1250 timed-out request=q{n}
+%AT received s2 request=q{n}`
 	)
 	answered := withTime(hung, "1400") // it also has no answer in time, which violates another rule
 	expectRules(t, rules, []ruleCase{
@@ -38,7 +38,7 @@
 func TestWaitingRequestsSentAfterDisconnectAreReported(t *testing.T) {
 	const (
 		never = "0 sent read request=x{n}\n200 disconnected request=x{n}"
-		sent  = "0 sent read request=q{n}\n200 disconnected request=q{n}\n%AT whole s1 request=q{n}"
+		sent  = "0 sent read request=q{n}\n200 disconnected request=q{n}\n%AT received s1 request=q{n}"
 	)
 	for _, c := range []struct {
 		name, text   string
@@ -49,7 +49,7 @@
 		{"five of twenty", repeat(5, withTime(sent, "510")) + repeat(15, never), 0},
 		{"six of twenty", repeat(6, withTime(sent, "510")) + repeat(14, never), 1},
 		{"within the time", repeat(6, withTime(sent, "490")) + repeat(14, never), 0},
-		{"the first attempt was before", repeat(9, "0 sent read request=q{n}\n1 whole s1 request=q{n}\n5 over s1 missed request=q{n}\n200 disconnected request=q{n}\n510 whole o request=q{n}"), 0},
+		{"the first attempt was before", repeat(9, "0 sent read request=q{n}\n1 received s1 request=q{n}\n5 ended s1 missed request=q{n}\n200 disconnected request=q{n}\n510 received o request=q{n}"), 0},
 	} {
 		if got := brokenRules(t, rules, c.text); got["disconnected"] != c.disconnected {
 			t.Errorf("%s: got violations %v", c.name, got)
--- a/lab/checker/discovery_clock_test.go
+++ b/lab/checker/discovery_clock_test.go
@@ -5,7 +5,7 @@
 func TestListChangesCountAsReceivedAfterMaximumDelay(t *testing.T) {
 	const (
 		// GraceMS is 2000, SlackMS 50.
-		sent   = "\n%AT sent read\n%AT whole s1\n%AT over s1 made\n%AT answer served"
+		sent   = "\n%AT sent read\n%AT received s1\n%AT ended s1 completed\n%AT answer served"
 		listed = "1000 listed s1 leaving"
 		back   = "\n8500 listed s1 active"
 		silent = "500 silent 20000\n1000 listed s1 leaving"
@@ -16,7 +16,7 @@
 		{"it leaves for good later", "drain", listed + "\n8000 listed s1 left" + withTime(sent, "9060")},
 		{"back on the list", "", listed + back + withTime(sent, "9060")},
 		{"it drains anew", "drain", listed + back + "\n9000 listed s1 leaving" + withTime(sent, "17060")},
-		{"told before", "drain", listed + "\n1500 told s1 leaving" + withTime(sent, "3600")},
+		{"notified before", "drain", listed + "\n1500 state-sent s1 leaving" + withTime(sent, "3600")},
 		{"discovery was down", "", "800 down\n" + listed + "\n3000 up" + withTime(sent, "11040")},
 		{"discovery was down, and 6 s have passed", "drain",
 			"800 down\n" + listed + "\n3000 up" + withTime(sent, "11060")},
@@ -58,7 +58,7 @@
 		{"pushed, the watch was silent", "", silent + withTime(sent, "24540")},
 		{"pushed, and called again", "drain", silent + "\n1500 called" + withTime(sent, "3560")},
 	})
-	if got := brokenRules(t, rules, listed+"\n1500 told s1 leaving"+withTime(sent, "9060")); got["drain"] != 1 {
+	if got := brokenRules(t, rules, listed+"\n1500 state-sent s1 leaving"+withTime(sent, "9060")); got["drain"] != 1 {
 		t.Errorf("change both received and assumed received: got %v, want one violation", got)
 	}
 }
--- a/lab/checker/history.go
+++ b/lab/checker/history.go
@@ -6,7 +6,7 @@
 )
 
 // reportFunc records a violation: its rule, its time, and a text formatted as by fmt.Sprintf.
-type reportFunc func(rule string, at float64, form string, v ...any)
+type reportFunc func(rule string, at float64, format string, v ...any)
 
 // span is a time interval, in milliseconds.
 type span struct{ from, to float64 }
--- a/lab/checker/leases.go
+++ b/lab/checker/leases.go
@@ -54,10 +54,10 @@
 //	linear        no order of the commands explains the answers (not linearizable)
 //
 // undecided names the leases whose linearizability check exceeded r.Patience.
-func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (broken []Violation, undecided []string) {
-	add := func(rule string, at int64, form string, v ...any) {
-		if len(broken) < maxLeaseViolations {
-			broken = append(broken, Violation{rule, float64(at) / 1e6, fmt.Sprintf(form, v...)})
+func CheckLeases(claims []Claim, ops []Op, acts []Act, r LeaseRules) (violations []Violation, undecided []string) {
+	add := func(rule string, at int64, format string, v ...any) {
+		if len(violations) < maxLeaseViolations {
+			violations = append(violations, Violation{rule, float64(at) / 1e6, fmt.Sprintf(format, v...)})
 		}
 	}
 	checkClaims(claims, add)
@@ -77,7 +77,7 @@
 		}
 	}
 	slices.Sort(undecided)
-	return broken, undecided
+	return violations, undecided
 }
 
 // maxLeaseViolations limits the reported violations; one is enough to fail a run.
@@ -86,10 +86,10 @@
 // checkClaims finds claims with an older token that began after the end of a claim with a newer one,
 // and tokens that two holders used.
 func checkClaims(claims []Claim, add func(string, int64, string, ...any)) {
-	type newest struct {
-		token uint64
-		to    int64 // the end of the claim that ended first, of those with this token or a higher one
-		who   string
+	type earliestEnd struct {
+		token  uint64
+		to     int64 // the end of the claim that ended first, of those with this token or a higher one
+		holder string
 	}
 	byLease := map[string][]Claim{}
 	owner := map[string]string{}
@@ -106,19 +106,19 @@
 	for lease, leaseClaims := range byLease {
 		// Highest token first: no claim may begin after the end of a claim with a higher token.
 		slices.SortFunc(leaseClaims, func(a, b Claim) int { return cmp.Compare(b.Token, a.Token) })
-		var best, same newest
+		var higher, current earliestEnd
 		for i, c := range leaseClaims {
-			if i == 0 || c.Token != same.token {
-				if same.to != 0 && (best.to == 0 || same.to < best.to) {
-					best = same
+			if i == 0 || c.Token != current.token {
+				if current.to != 0 && (higher.to == 0 || current.to < higher.to) {
+					higher = current
 				}
-				same = newest{c.Token, c.To, c.Holder}
-			} else if c.To < same.to {
-				same.to, same.who = c.To, c.Holder
+				current = earliestEnd{c.Token, c.To, c.Holder}
+			} else if c.To < current.to {
+				current.to, current.holder = c.To, c.Holder
 			}
-			if best.to != 0 && c.From > best.to {
+			if higher.to != 0 && c.From > higher.to {
 				add("overlap", c.From, "lease %s: %s was allowed to act with token %d, %.1f ms after %s with token %d",
-					lease, c.Holder, c.Token, float64(c.From-best.to)/1e6, best.who, best.token)
+					lease, c.Holder, c.Token, float64(c.From-higher.to)/1e6, higher.holder, higher.token)
 			}
 		}
 	}
@@ -209,8 +209,8 @@
 		s, in, out := state.(leaseState), input.(Op), output.(Op)
 		free := leaseState{top: max(s.top, s.token)}
 		var next []any
-		// is returns the state in which h holds token t, and whether s may be that state.
-		is := func(h string, t uint64) (leaseState, bool) {
+		// stateHeldBy returns the state in which h holds token t, and whether s may be that state.
+		stateHeldBy := func(h string, t uint64) (leaseState, bool) {
 			if s.holder != h || h == "" {
 				return s, false
 			}
@@ -225,13 +225,13 @@
 			case "": // no answer: executed or not; the client may be the holder whose lease expired
 				next = append(next, s, leaseState{in.Client, 0, free.top})
 			case "ok":
-				if same, ok := is(in.Client, out.Got); ok {
+				if same, ok := stateHeldBy(in.Client, out.Got); ok {
 					next = append(next, same)
 				} else if out.Got > free.top {
 					next = append(next, leaseState{in.Client, out.Got, out.Got})
 				}
 			case "held":
-				if same, ok := is(out.Holder, out.Got); ok {
+				if same, ok := stateHeldBy(out.Holder, out.Got); ok {
 					next = append(next, same)
 				}
 			case "no-session": // a repeat arrived after the session's end; the first copy may have been executed
@@ -240,7 +240,7 @@
 				next = append(next, s, free)
 			}
 		case "release", "handover":
-			mine, ok := is(in.Client, in.Token)
+			mine, ok := stateHeldBy(in.Client, in.Token)
 			after := leaseState{top: max(free.top, in.Token)}
 			if in.Kind == "handover" {
 				after = leaseState{in.Holder, out.Got, max(after.top, out.Got)}
@@ -268,7 +268,7 @@
 				}
 			}
 		case "write":
-			_, ok := is(in.Client, in.Token)
+			_, ok := stateHeldBy(in.Client, in.Token)
 			switch {
 			case out.Code == "ok" && ok:
 				next = append(next, s)
@@ -285,7 +285,7 @@
 			case out.Got == 0:
 				next = append(next, free)
 			default:
-				if same, ok := is(out.Holder, out.Got); ok {
+				if same, ok := stateHeldBy(out.Holder, out.Got); ok {
 					next = append(next, same)
 				}
 			}
@@ -297,7 +297,7 @@
 
 // checkLinearizable reports whether some order of a lease's commands explains all answers, with each
 // command executed between its sending and its answer.
-func checkLinearizable(ops []Op, patience time.Duration) porcupine.CheckResult {
+func checkLinearizable(ops []Op, timeout time.Duration) porcupine.CheckResult {
 	var history []porcupine.Operation
 	clients := map[string]int{}
 	end := int64(0)
@@ -320,5 +320,5 @@
 		})
 	}
 	m := leaseModel.ToModel()
-	return porcupine.CheckOperationsTimeout(m, history, patience)
+	return porcupine.CheckOperationsTimeout(m, history, timeout)
 }
--- a/lab/checker/readiness_test.go
+++ b/lab/checker/readiness_test.go
@@ -13,7 +13,7 @@
 		killed     = notReady + "\n1100 killed router=not{n}"
 		laterStart = "\n1200 started router=not0\n1300 ready router=not0"
 	)
-	end := "\n10000 told s1 active router=r0"
+	end := "\n10000 state-sent s1 active router=r0"
 	expectRules(t, rules, []ruleCase{
 		{"all in time", "", repeat(10, restart)},
 		{"one of ten is slow", "", repeat(9, restart) + repeat(1, slow)},
@@ -24,7 +24,7 @@
 		{"just started before the end", "", withTime(repeat(1, notReady), "4100") + end},
 		{"killed before it was ready", "", withTime(repeat(1, killed), "1000") + end},
 		{"killed and started again", "", withTime(repeat(1, killed), "1000") + laterStart + end},
-		{"one of a hundred restarts is never ready", "ready", repeat(99, restart) + withTime(repeat(1, notReady), "1000") + "\n31100 told s1 active"},
+		{"one of a hundred restarts is never ready", "ready", repeat(99, restart) + withTime(repeat(1, notReady), "1000") + "\n31100 state-sent s1 active"},
 	})
 	late := rules
 	late.MachineLateMS = 200
--- a/lab/checker/refused_connection_test.go
+++ b/lab/checker/refused_connection_test.go
@@ -7,7 +7,7 @@
 
 func TestTooManyRefusedConnectionsAreReported(t *testing.T) {
 	const (
-		served  = "0 sent read request=q{n}\n1 whole s1 request=q{n}\n9 over s1 made request=q{n}\n10 answer served request=q{n}"
+		served  = "0 sent read request=q{n}\n1 received s1 request=q{n}\n9 ended s1 completed request=q{n}\n10 answer served request=q{n}"
 		refused = "0 sent read request=x{n}\n5 closed connection=new request=x{n}"
 		crossed = "0 sent read request=x{n}\n5 closed request=x{n}"
 	)
@@ -19,9 +19,9 @@
 		{"the router had been killed just before", "", "100 killed\n" +
 			repeat(10, "120 sent read request=x{n}\n121 closed connection=new request=x{n}")},
 		{"it had been killed long before", "lost", "100 killed\n" + repeat(10, "900 sent read request=x{n}\n901 closed connection=new request=x{n}")},
-		{"idle clients filled its descriptors", "", repeat(10, refused) + "0 crowded"},
-		{"idle clients had left", "lost", "0 crowded\n" + repeat(10, "900 sent read request=x{n}\n901 closed connection=new request=x{n}")},
-		{"idle clients filled another's", "lost", repeat(10, refused) + "0 crowded router=other"},
+		{"idle clients filled its descriptors", "", repeat(10, refused) + "0 descriptors-exhausted"},
+		{"idle clients had left", "lost", "0 descriptors-exhausted\n" + repeat(10, "900 sent read request=x{n}\n901 closed connection=new request=x{n}")},
+		{"idle clients filled another's", "lost", repeat(10, refused) + "0 descriptors-exhausted router=other"},
 		{"it was stopped", "", repeat(10, refused) + "4 paused"},
 	})
 }
--- a/lab/checker/rejecting_test.go
+++ b/lab/checker/rejecting_test.go
@@ -18,11 +18,11 @@
 func TestRoutersThatRejectEverythingAreReported(t *testing.T) {
 	calm := rules
 	calm.HasOnlyPlanned = true
-	const attemptBetween = "\n2050 sent read request=x router=r0\n2051 whole s1 request=x\n2060 over s1 made request=x\n2061 answer served request=x router=r0"
-	const refusedAfterAttempt = "\n2050 sent read request=x router=r0\n2051 whole s1 request=x\n2060 over s1 turned request=x\n2061 answer refused request=x router=r0"
+	const attemptBetween = "\n2050 sent read request=x router=r0\n2051 received s1 request=x\n2060 ended s1 completed request=x\n2061 answer served request=x router=r0"
+	const refusedAfterAttempt = "\n2050 sent read request=x router=r0\n2051 received s1 request=x\n2060 ended s1 rejected request=x\n2061 answer refused request=x router=r0"
 	others := func(n int) (text string) {
 		for i := range n {
-			text += fmt.Sprintf("\n0 told s1 active router=other%d", i)
+			text += fmt.Sprintf("\n0 state-sent s1 active router=other%d", i)
 		}
 		return text
 	}
@@ -36,8 +36,8 @@
 		{"fifteen", "rejecting", rejections("r0", "refused", 15, 400)},
 		{"many in a short time", "", rejections("r0", "refused", 300, 10)},
 		{"an attempt between", "", all + attemptBetween},
-		{"an attempt that was turned away", "", all + refusedAfterAttempt},
+		{"an attempt that was rejected", "", all + refusedAfterAttempt},
 		{"a new process", "", all + "\n2050 killed router=r0"},
 	})
-	expectRules(t, rules, []ruleCase{{"where something went wrong", "", all}})
+	expectRules(t, rules, []ruleCase{{"a run with other faults", "", all}})
 }
--- a/lab/checker/timeout_hint_test.go
+++ b/lab/checker/timeout_hint_test.go
@@ -8,10 +8,10 @@
 // missAndFetch is a request with a deadline of 1000 ms that misses at a cache server and is fetched from
 // the origin at 400 ms.
 const missAndFetch = `0 sent read request=q{n}
-1 whole s1 hint=999 request=q{n}
-400 over s1 missed request=q{n}
-400 whole o %HINT request=q{n}
-450 over o made request=q{n}
+1 received s1 hint=999 request=q{n}
+400 ended s1 missed request=q{n}
+400 received o %HINT request=q{n}
+450 ended o completed request=q{n}
 451 answer served request=q{n}`
 
 // fetchWithHint returns missAndFetch with a timeout hint at the origin, or with none.
@@ -40,8 +40,8 @@
 
 func TestTimeoutHintsOfFirstAttemptsAreOnlyCounted(t *testing.T) {
 	text := repeat(20, `0 sent read request=q{n}
-500 whole s1 hint=1000 request=q{n}
-510 over s1 made request=q{n}
+500 received s1 hint=1000 request=q{n}
+510 ended s1 completed request=q{n}
 511 answer served request=q{n}`) + "\n" + renameRequests(repeat(3, fetchWithHint("999")), "q", "x")
 	events := script(t, text)
 	if broken := CheckRun(events, rules); len(broken) > 0 {
