--- a/lab/fakes/codec.go
+++ b/lab/fakes/codec.go
@@ -126,7 +126,7 @@
 	}
 	if w[0] == "ms" {
 		if q.size, err = strconv.Atoi(w[2]); err != nil || q.size < 0 || q.size > MaxValue {
-			return request{kind: "bad"}, fmt.Errorf("length %q", w[2])
+			return request{kind: "bad"}, fmt.Errorf("invalid value length %q", w[2])
 		}
 		q.kind = "set"
 		if _, err := io.CopyN(io.Discard, r, int64(q.size)+2); err != nil {
--- a/lab/fakes/discovery.go
+++ b/lab/fakes/discovery.go
@@ -336,12 +336,12 @@
 		return d.List(), true
 	}
 	version, err := strconv.ParseInt(after, 10, 64)
-	patience, err2 := strconv.ParseFloat(q.Get("wait_ms"), 64)
-	if err != nil || err2 != nil || patience < 0 {
+	waitMillis, err2 := strconv.ParseFloat(q.Get("wait_ms"), 64)
+	if err != nil || err2 != nil || waitMillis < 0 {
 		http.Error(w, "after and wait_ms must be numbers", http.StatusBadRequest)
 		return l, false
 	}
-	if l, ok = d.watch(r.Context(), router, version, min(patience, 60000)); !ok {
+	if l, ok = d.watch(r.Context(), router, version, min(waitMillis, 60000)); !ok {
 		http.Error(w, "not now", http.StatusServiceUnavailable)
 	}
 	return l, ok
@@ -364,12 +364,12 @@
 	return d.directory.CallFor(now, len(d.directory.ChangesAfter(version).Servers))
 }
 
-// watch waits up to patience milliseconds for changes after a version. It returns false if the watch
+// watch waits up to waitMillis milliseconds for changes after a version. It returns false if the watch
 // gets no answer.
-func (d *Discovery) watch(ctx context.Context, router string, version int64, patience float64) (model.List, bool) {
-	over := time.NewTimer(millis(patience))
-	defer over.Stop()
-	waitEndAt := d.clock.Now() + patience
+func (d *Discovery) watch(ctx context.Context, router string, version int64, waitMillis float64) (model.List, bool) {
+	waitTimer := time.NewTimer(millis(waitMillis))
+	defer waitTimer.Stop()
+	waitEndAt := d.clock.Now() + waitMillis
 	d.mu.Lock()
 	silence := d.silence
 	d.mu.Unlock()
@@ -385,7 +385,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-waitTimer.C:
 			return l, true
 		case <-silence:
 			now := d.clock.Now()
--- a/lab/fakes/front.go
+++ b/lab/fakes/front.go
@@ -29,7 +29,7 @@
 }
 
 // ErrNoRouter is returned when no router is in use.
-var ErrNoRouter = errors.New("no router")
+var ErrNoRouter = errors.New("no router is in use")
 
 const forever = 1e18
 
--- a/lab/fakes/relay.go
+++ b/lab/fakes/relay.go
@@ -144,9 +144,9 @@
 			b := make([]byte, 32<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				net, _ := r.state()
+				conditions, _ := r.state()
 				select {
-				case chunks <- chunk{time.Now().Add(millis(net.DelayMS)), b[:n]}:
+				case chunks <- chunk{time.Now().Add(millis(conditions.DelayMS)), b[:n]}:
 				case <-ctx.Done():
 					return
 				}
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -20,7 +20,7 @@
 )
 
 // readSlackMillis is how long a client reads after its deadline, so that a late answer is recorded as late
-// and not as missing: an answer that is up to half a second late only counts as worthless.
+// and not as missing. The checker tolerates single answers that are up to half a second late.
 const readSlackMillis = 700
 
 // drawRequest draws the class, key, zone, tenant, value size and a uniform random number of a request.
@@ -72,7 +72,7 @@
 
 // request sends one client's request with its further tries, and records the outcome.
 func (l *Load) request(intended float64) {
-	c, key, zone, tenant, size, honours := l.drawRequest()
+	c, key, zone, tenant, size, uniform := l.drawRequest()
 	idem := ""
 	if c.Effect == "by_key" {
 		idem = l.newID()
@@ -80,15 +80,15 @@
 	deadline, end, answered := intended+c.LimitMS, checker.Failed, false
 	for try := 0; ; try++ {
 		now := l.clock.Now()
-		patience := deadline - now
+		timeoutMillis := deadline - now
 		if try < l.p.Retries {
-			patience *= l.p.TryShare
+			timeoutMillis *= l.p.TryShare
 		}
-		if patience < 1 {
+		if timeoutMillis < 1 {
 			break
 		}
 		id := l.newID()
-		t := l.try(id, c, key, zone, tenant, idem, size, patience, try > 0)
+		t := l.try(id, c, key, zone, tenant, idem, size, timeoutMillis, try > 0)
 		end, answered = t.end, t.answered
 		if t.disconnected || try >= l.p.Retries || !mayRepeat(c, t) {
 			break
@@ -96,8 +96,8 @@
 		if t.isIdleClose {
 			continue // retry at once on an open connection
 		}
-		pause := l.p.BackoffMS * math.Pow(2, float64(try)) * (0.5 + honours)
-		if answered && t.retryAfterMillis > 0 && honours < l.p.Honour && t.retryAfterMillis <= l.p.MaxAfterMS {
+		pause := l.p.BackoffMS * math.Pow(2, float64(try)) * (0.5 + uniform)
+		if answered && t.retryAfterMillis > 0 && uniform < l.p.Honour && t.retryAfterMillis <= l.p.MaxAfterMS {
 			pause = t.retryAfterMillis
 		}
 		if l.clock.Now()+pause >= deadline {
@@ -135,14 +135,14 @@
 // that closed the connection, or was killed, had read the request. So it never sends the same id again,
 // and the method request decides by the class whether to make a further try.
 func (l *Load) try(
-	id string, c Class, key, zone, tenant, idem string, size int, patience float64, isRetry bool,
+	id string, c Class, key, zone, tenant, idem string, size int, timeoutMillis float64, isRetry bool,
 ) attempt {
 	router, addr, kept, err := l.pick(zone)
 	if err != nil {
 		return attempt{end: checker.Failed}
 	}
 	var wire strings.Builder
-	facts := fmt.Sprintf("c=%s,d=%d", c.Name, int(patience))
+	facts := fmt.Sprintf("c=%s,d=%d", c.Name, int(timeoutMillis))
 	for _, f := range []struct{ k, v string }{{"k", idem}, {"t", tenant}} {
 		if f.v != "" {
 			facts += "," + f.k + "=" + f.v
@@ -161,19 +161,19 @@
 	// record adds the events of a request that was sent, and ended without an answer.
 	record := func(sent float64, k checker.Kind, newConnection bool) {
 		l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name,
-			Idem: idem, Deadline: patience})
+			Idem: idem, Deadline: timeoutMillis})
 		l.journal.Add(checker.Event{At: l.clock.Now(), Kind: k, Request: id, Router: router,
 			NewConnection: newConnection})
 	}
 	conn, used := kept, true
 	if conn == nil {
-		conn, used, err = l.pool.take(addr, patience)
+		conn, used, err = l.pool.take(addr, timeoutMillis)
 	}
 	if err != nil {
 		return attempt{end: checker.Failed}
 	}
 	sent := l.clock.Now()
-	waitMillis, disconnects := l.waitFor(patience)
+	waitMillis, disconnects := l.waitFor(timeoutMillis)
 	_ = conn.SetDeadline(time.Now().Add(time.Duration(waitMillis * float64(time.Millisecond))))
 	if n, err := io.WriteString(conn, wire.String()); err != nil {
 		conn.Close()
@@ -203,7 +203,7 @@
 		return attempt{end: checker.Failed, mayHaveArrived: true, isIdleClose: used && errors.Is(err, errNoAnswer)}
 	}
 	l.journal.Add(checker.Event{At: sent, Kind: checker.Sent, Request: id, Router: router, Class: c.Name,
-		Idem: idem, Deadline: patience})
+		Idem: idem, Deadline: timeoutMillis})
 	now := l.clock.Now()
 	l.journal.Add(checker.Event{At: now, Kind: checker.Answered, Request: id, Router: router, Answer: end, Sum: sum})
 	if conn.r.Buffered() > 0 { // more than one answer
@@ -267,7 +267,7 @@
 	case len(w) >= 2 && w[0] == "VA":
 		n, err := strconv.Atoi(w[1])
 		if err != nil || n < 0 || n > fakes.MaxValue {
-			return checker.Failed, 0, 0, fmt.Errorf("length %q", w[1])
+			return checker.Failed, 0, 0, fmt.Errorf("invalid value length %q", w[1])
 		}
 		value := make([]byte, n+2)
 		if _, err := io.ReadFull(r, value); err != nil {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -220,7 +220,7 @@
 		return nil, err
 	}
 	if len(p.Classes) == 0 {
-		return nil, fmt.Errorf("class: none")
+		return nil, fmt.Errorf("class: at least one is required")
 	}
 	l := &Load{p: p, front: front, clock: clock, journal: journal, pool: newPool(p.Connections, clock),
 		rng: rand.New(rand.NewPCG(p.Seed, 5)), byClass: map[string]*hdrhistogram.Histogram{},
--- a/lab/soak/soak.go
+++ b/lab/soak/soak.go
@@ -36,7 +36,8 @@
 // seconds is less than MinSeconds.
 func Scenario(seed uint64, seconds float64) (scenario.File, error) {
 	if !(seconds >= MinSeconds) {
-		return scenario.File{}, fmt.Errorf("soak: %v seconds, at least %v are needed", seconds, MinSeconds)
+		return scenario.File{}, fmt.Errorf("soak: a load of %v seconds is too short, at least %v are needed",
+			seconds, MinSeconds)
 	}
 	file, err := scenario.Load(baseScenario)
 	if err != nil {
@@ -44,7 +45,7 @@
 	}
 	d := generator{rng: rand.New(rand.NewPCG(seed, randomStream)), file: file}
 	d.file.Name = fmt.Sprintf("soak-%d", seed)
-	d.file.About = "Planned ends, signals, moves of discovery, drains and faults, drawn from a seed."
+	d.file.About = "Planned stops, signals, moves of discovery, drains and faults, drawn from a seed."
 	d.file.DurationS = seconds
 	d.file.WarmS = 0
 	d.file.Expect = scenario.Expect{Served: 1}
@@ -88,12 +89,12 @@
 // drawClasses draws deadlines, and idempotency windows that may end before them.
 func (d *generator) drawClasses() {
 	classes := append(d.file.Classes[:0:0], d.file.Classes...)
-	deadlines := d.between(0.5, 2)
-	windows := d.between(0.1, 1.2)
+	deadlineFactor := d.between(0.5, 2)
+	windowFactor := d.between(0.1, 1.2)
 	for i := range classes {
-		classes[i].LimitMS *= deadlines
-		classes[i].AimMS *= min(1, deadlines)
-		classes[i].WindowMS *= windows
+		classes[i].LimitMS *= deadlineFactor
+		classes[i].AimMS *= min(1, deadlineFactor)
+		classes[i].WindowMS *= windowFactor
 	}
 	d.file.Classes = classes
 }
@@ -150,8 +151,8 @@
 }
 
 func (d *generator) drawBadAnswers(at float64) scenario.Fault {
-	how := []string{"reset", "cut", "noise", "wrong-id", "busy"}
-	return scenario.Fault{AtS: at, What: "spoil", Spoil: how[d.rng.IntN(len(how))],
+	corruptions := []string{"reset", "cut", "noise", "wrong-id", "busy"}
+	return scenario.Fault{AtS: at, What: "spoil", Spoil: corruptions[d.rng.IntN(len(corruptions))],
 		Answers: d.between(0.1, 1), Count: 1, ForS: d.between(0.5, 4)}
 }
 
@@ -160,8 +161,8 @@
 }
 
 func (d *generator) drawDiscoveryFault(at float64) scenario.Fault {
-	what := []string{"discovery-down", "discovery-silent", "watches-silent"}
-	return scenario.Fault{AtS: at, What: what[d.rng.IntN(len(what))], ForS: d.between(0.3, 3)}
+	faults := []string{"discovery-down", "discovery-silent", "watches-silent"}
+	return scenario.Fault{AtS: at, What: faults[d.rng.IntN(len(faults))], ForS: d.between(0.3, 3)}
 }
 
 func (d *generator) drawUpgrade(at float64) scenario.Fault {
