--- a/lab/checker/unanswered.go
+++ b/lab/checker/unanswered.go
@@ -2,7 +2,7 @@
 
 // Limits of the rule on requests without an answer at their deadline.
 const (
-	lateAnswerMillis       = 500       // an answer up to this late loses its worth; a later one violates the rule answer
+	lateAnswerMillis       = 500       // an answer up to this late only loses its worth; a later one breaks a rule
 	unansweredAllowance    = 5         // this many requests,
 	unansweredRequestShare = 1.0 / 500 // plus this share of all, may have no answer at their deadline
 )
--- a/lab/checker/unanswered_test.go
+++ b/lab/checker/unanswered_test.go
@@ -24,11 +24,13 @@
 		{"one in 500 more", "", repeat(6, late) + repeat(494, inTime)},
 		{"two in 500 more", "unanswered", repeat(7, late) + repeat(493, inTime)},
 		{"their clients disconnected", "", repeat(50, disconnected)},
-		{"their router was killed", "", repeat(6, "0 sent read request=q{n}\n1600 timed-out request=q{n}") + "500 killed"},
+		{"their router was killed", "",
+			repeat(6, "0 sent read request=q{n}\n1600 timed-out request=q{n}") + "500 killed"},
 		{"their router was stopped", "", repeat(6, late) + paused},
 	})
 	if got := brokenRules(t, rules,
-		repeat(6, "0 sent read request=q{n}\n1600 timed-out request=q{n}")); got["unanswered"] != 1 || got["answer"] != 6 {
+		repeat(6, "0 sent read request=q{n}\n1600 timed-out request=q{n}")); got["unanswered"] != 1 ||
+		got["answer"] != 6 {
 		t.Errorf("six requests that never got an answer: got violations %v", got)
 	}
 }
