--- a/lab/fleet/change.go
+++ b/lab/fleet/change.go
@@ -38,7 +38,7 @@
 type outage struct {
 	resource string
 	from, to float64 // to is 0 while it lasts
-	stopped  bool    // the process was paused: when it resumes it may act on old state
+	paused   bool    // the process was paused: when it resumes it may act on old state
 }
 
 // noticeTimeoutMS is how long the fleet may take to notice an outage: the time of a session, a
@@ -108,6 +108,7 @@
 		env: []string{"DOCKHINGE_COORDINATORS=" + strings.Join(all, ",")}, dir: fl.options.Dir}
 }
 
+// draw draws a random number from 0 to n-1.
 func (fl *Fleet) draw(n int) int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -120,9 +121,9 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if f.What == "change-servers" {
-		part := fl.pickServers(f)
-		fl.mark("operators want to change %d cache servers", len(part))
-		for _, m := range part {
+		servers := fl.pickServers(f)
+		fl.mark("operators want to change %d cache servers", len(servers))
+		for _, m := range servers {
 			wg.Go(func() {
 				notifyDiscovery := func() {}
 				if f.DrainS > 0 { // operators update discovery too, once the change has begun
@@ -289,7 +290,7 @@
 	}
 }
 
-// killTools kills a running tool f.Count times, or pauses one for a time.
+// killTools kills or pauses a running tool f.Count times.
 func (fl *Fleet) killTools(ctx context.Context, f scenario.Fault) {
 	for range f.Count {
 		fl.mu.Lock()
@@ -301,7 +302,7 @@
 		if len(all) > 0 {
 			p := all[fl.draw(len(all))]
 			if f.What == "tools-stop" {
-				fl.mark("the tool %s is stopped", p.name)
+				fl.mark("the tool %s is paused", p.name)
 				p.signal(syscall.SIGSTOP)
 				wait(ctx, max(f.ForS, 0.1))
 				p.signal(syscall.SIGCONT)
@@ -343,7 +344,7 @@
 			defer r.downMu.Unlock()
 			killed = append(killed, r)
 		}
-		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), stopped: f.What == "stop-routers"}
+		o := &outage{resource: "router/" + r.name, from: fl.clock.Now(), paused: f.What == "stop-routers"}
 		if f.What == "cut-routers" {
 			for _, relay := range fl.coordinatorRelays[r.name] { // all relays were made before the load
 				relay.SetConditions(fakes.NetworkConditions{Cut: true})
@@ -352,7 +353,7 @@
 			continue
 		}
 		faultOutages = append(faultOutages, o)
-		if o.stopped {
+		if o.paused {
 			_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended
 			paused = append(paused, p)
 			continue
@@ -381,7 +382,7 @@
 	defer fl.mu.Unlock()
 	for _, o := range faultOutages {
 		o.to = fl.clock.Now()
-		if o.stopped {
+		if o.paused {
 			fl.journal.Add(checker.Event{At: o.from, Kind: checker.RouterPaused,
 				Router: strings.TrimPrefix(o.resource, "router/"), Deadline: o.to - o.from})
 		}
@@ -389,9 +390,9 @@
 	}
 }
 
-// judgeChanges returns the failures of planned changes. It uses what the lab did and what the
+// checkChanges returns the failures of planned changes. It uses what the lab did and what the
 // servers saw, not what routers or coordinators report. The caller holds mu.
-func (fl *Fleet) judgeChanges(events []checker.Event) (fails []string) {
+func (fl *Fleet) checkChanges(events []checker.Event) (fails []string) {
 	o := fl.File.Fleet.Out
 	allowed := map[string]int{"router": o.Routers, "server": o.Servers}
 	warm := o.WarmS*1000 - clockToleranceMS
@@ -401,7 +402,7 @@
 				c.Resource, len(c.Tokens), c.Tokens))
 		}
 		if c.RunningAtMS == 0 {
-			fails = append(fails, fmt.Sprintf("%s was not changed to the end (%d runs of the tool)",
+			fails = append(fails, fmt.Sprintf("the change of %s was not completed (%d runs of the tool)",
 				c.Resource, c.ToolRuns))
 		}
 		if c.StoppedAtMS == 0 {
@@ -422,7 +423,7 @@
 			}
 		}
 		if len(out)+1 > allowed[kind] {
-			fails = append(fails, fmt.Sprintf("%s went at %.0f ms, when %v were out and %d may be",
+			fails = append(fails, fmt.Sprintf("%s was stopped at %.0f ms while %v were out, and at most %d may be",
 				c.Resource, c.StoppedAtMS, slices.Sorted(maps.Keys(out)), allowed[kind]))
 		}
 	}
@@ -446,7 +447,7 @@
 			}
 			isKnown := true
 			for _, d := range fl.outages { // a paused process learns of the drain when it resumes
-				isKnown = isKnown && !(d.stopped && d.resource == "router/"+routerOf[e.Request] &&
+				isKnown = isKnown && !(d.paused && d.resource == "router/"+routerOf[e.Request] &&
 					e.Began >= d.from && (d.to == 0 || e.Began <= d.to+2000))
 			}
 			if isKnown {
--- a/lab/fleet/change_test.go
+++ b/lab/fleet/change_test.go
@@ -244,7 +244,7 @@
 	}
 	over := 0.0
 	for _, m := range res.Marks {
-		if strings.Contains(m.Text, "the origin turns all away: over") {
+		if strings.Contains(m.Text, "the origin rejects all requests: over") {
 			over = 1000 * m.AtS
 		}
 	}
@@ -262,8 +262,8 @@
 	t.Logf("the first change started %.1f s after it was requested", first/1000)
 }
 
-// judgeChanges must report each kind of violation by planned changes.
-func TestJudgeChangesReportsEachViolation(t *testing.T) {
+// checkChanges must report each kind of violation by planned changes.
+func TestCheckChangesReportsEachViolation(t *testing.T) {
 	for _, x := range []struct {
 		want    string
 		changes []*Change
@@ -272,27 +272,28 @@
 	}{
 		{"", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2, Tokens: []uint64{1}},
 			{Resource: "server/b", StoppedAtMS: 1002, RunningAtMS: 1003, Tokens: []uint64{2}}}, nil, nil},
-		{"server/b went at 900 ms", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2},
+		{"server/b was stopped at 900 ms while", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2},
 			{Resource: "server/b", StoppedAtMS: 900, RunningAtMS: 1003}}, nil, nil},
-		{"server/b went at 20000 ms", []*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}},
+		{"server/b was stopped at 20000 ms while",
+			[]*Change{{Resource: "server/b", StoppedAtMS: 20000, RunningAtMS: 21000}},
 			[]outage{{resource: "server/a", from: 5000}}, nil},
 		// not noticed yet
 		{"", []*Change{{Resource: "server/b", StoppedAtMS: 12000, RunningAtMS: 21000}},
 			[]outage{{resource: "server/a", from: 5000}}, nil},
 		{"was changed 2 times", []*Change{{Resource: "server/a", StoppedAtMS: 1, RunningAtMS: 2,
 			Tokens: []uint64{1, 2}}}, nil, nil},
-		{"was not changed to the end", []*Change{{Resource: "server/a"}}, nil, nil},
+		{"the change of server/a was not completed", []*Change{{Resource: "server/a"}}, nil, nil},
 		{"1 attempts began after", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
 			nil, []checker.Event{{Kind: checker.AttemptReceived, Server: "a", Began: 15},
 				{Kind: checker.AttemptReceived, Server: "a", Began: 9}}},
 		{"", []*Change{{Resource: "server/a", StoppedAtMS: 10, RunningAtMS: 20}},
-			[]outage{{resource: "router/r", from: 5, to: 12, stopped: true}},
+			[]outage{{resource: "router/r", from: 5, to: 12, paused: true}},
 			[]checker.Event{{Kind: checker.Sent, Request: "q", Router: "r"},
 				{Kind: checker.AttemptReceived, Request: "q", Server: "a", Began: 15}}},
 	} {
 		fl := &Fleet{changes: x.changes, outages: x.outages}
 		fl.File.Fleet.Out = scenario.Out{Servers: 1, Routers: 1, WarmS: 1}
-		got := strings.Join(fl.judgeChanges(x.events), "; ")
+		got := strings.Join(fl.checkChanges(x.events), "; ")
 		if (x.want == "") != (got == "") || !strings.Contains(got, x.want) {
 			t.Errorf("%q, want %q", got, x.want)
 		}
--- a/lab/fleet/coordinator_cost.go
+++ b/lab/fleet/coordinator_cost.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// use measures the usage of the coordinators over a time.
-func (a *coordinatorGroup) use(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
+// measureUsage measures the usage of the coordinators over a time.
+func (a *coordinatorGroup) measureUsage(ctx context.Context, over time.Duration) (u CoordinatorUsage, err error) {
 	l, err := a.leader(ctx)
 	if err != nil {
 		return u, err
@@ -165,7 +165,7 @@
 		waiting.Go(func() {
 			for n := i; n < max(leases, clients); n += clients {
 				if n >= leases { // a client without a lease also waits for its session
-					// rejected: longer than the session
+					// rejected, because the lease would outlast the session
 					_, err := all[i].Acquire(sessionsCtx, "nobody's", "", time.Minute)
 					m.countRefusal(&mu, err)
 					break
@@ -189,7 +189,7 @@
 	}
 	bytes := sum()
 	const over = 8 * time.Second
-	if m.Idle, err = a.use(ctx, over); err != nil {
+	if m.Idle, err = a.measureUsage(ctx, over); err != nil {
 		return m, err
 	}
 	m.IdleBytesPerSecond = float64(sum()-bytes) / over.Seconds() / float64(clients)
@@ -215,7 +215,7 @@
 			}
 		})
 	}
-	if m.Busy, err = a.use(ctx, over); err != nil {
+	if m.Busy, err = a.measureUsage(ctx, over); err != nil {
 		return m, err
 	}
 	stop()
--- a/lab/fleet/coordinators_test.go
+++ b/lab/fleet/coordinators_test.go
@@ -257,8 +257,7 @@
 	awaitSettledGroup(t, a)
 }
 
-// runToolForOutput runs the operators' runToolForOutput, which must not fail, and returns what it
-// printed.
+// runToolForOutput runs the operators' tool, which must not fail, and returns what it printed.
 func runToolForOutput(t *testing.T, a *coordinatorGroup, args ...string) string {
 	t.Helper()
 	out, err := toolCommand(a, args...).CombinedOutput()
@@ -289,7 +288,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dir, _ := buildPrograms() // agreeOptions has checked the error
+	dir, _ := buildPrograms() // coordinatorOptions has checked the error
 	for i, x := range a.nodes {
 		if i == 1 { // some still run the old version
 			if out := runToolForOutput(t, a, "members", "upgrade"); !strings.Contains(out,
@@ -399,7 +398,7 @@
 		t.Cleanup(r.Close)
 		relays, addrs[x.name] = append(relays, r), r.Addr()
 	}
-	cutOff, end := liveClient(context.Background(), addrs, "deaf", 3*time.Second)
+	cutOff, end := liveClient(context.Background(), addrs, "cut-off", 3*time.Second)
 	t.Cleanup(end)
 	l, err := cutOff.Acquire(t.Context(), "x", "", 2*time.Second)
 	if err != nil {
--- a/lab/fleet/crowd.go
+++ b/lab/fleet/crowd.go
@@ -20,7 +20,7 @@
 // crowd opens as many idle connections to each router as it may have descriptors, and keeps them
 // until the fault is over.
 func (fl *Fleet) crowd(ctx context.Context, f scenario.Fault) {
-	fl.mark("idle clients crowd all routers")
+	fl.mark("idle clients use up the descriptors of all routers")
 	began := fl.clock.Now()
 	var mu sync.Mutex
 	var open []net.Conn
@@ -43,5 +43,5 @@
 	for _, r := range fl.allRouters() {
 		fl.journal.Add(checker.Event{At: began, Kind: checker.DescriptorsExhausted, Router: r.name, Deadline: lasted})
 	}
-	fl.mark("the crowd has left")
+	fl.mark("the idle clients have disconnected")
 }
--- a/lab/fleet/end_routers.go
+++ b/lab/fleet/end_routers.go
@@ -122,9 +122,9 @@
 	return failures
 }
 
-// judgeLimits returns a failure for each router that exceeded a limit, counting all processes of
+// checkLimits returns a failure for each router that exceeded a limit, counting all processes of
 // the router together.
-func (fl *Fleet) judgeLimits() (failures []string) {
+func (fl *Fleet) checkLimits() (failures []string) {
 	for _, r := range fl.routers {
 		peak := Usage{}
 		for _, s := range fl.samples {
@@ -133,11 +133,13 @@
 		}
 		if peak.RSSMB > float64(fl.File.Fleet.MemoryMB) {
 			failures = append(failures,
-				fmt.Sprintf("router %s had %.0f MB of %d", r.name, peak.RSSMB, fl.File.Fleet.MemoryMB))
+				fmt.Sprintf("router %s used %.0f MB of memory, the limit is %d MB",
+					r.name, peak.RSSMB, fl.File.Fleet.MemoryMB))
 		}
 		if peak.FDs > fl.File.Fleet.Sockets {
 			failures = append(failures,
-				fmt.Sprintf("router %s had %d descriptors of %d", r.name, peak.FDs, fl.File.Fleet.Sockets))
+				fmt.Sprintf("router %s had %d descriptors open, the limit is %d",
+					r.name, peak.FDs, fl.File.Fleet.Sockets))
 		}
 	}
 	return failures
--- a/lab/fleet/fake_router_test.go
+++ b/lab/fleet/fake_router_test.go
@@ -71,7 +71,7 @@
 			if err != nil {
 				return
 			}
-			if f.mode == "slams" && accepted.Add(1)%3 == 0 {
+			if f.mode == "closes-unread" && accepted.Add(1)%3 == 0 {
 				conn.Close()
 				continue
 			}
@@ -149,7 +149,7 @@
 				id = x[1:]
 			}
 		}
-		isConnected := func() bool { return f.mode == "deaf" || !clientDisconnected(c, r) }
+		isConnected := func() bool { return f.mode == "ignores-disconnects" || !clientDisconnected(c, r) }
 		answer := f.fetchAnswer(line, w, id, body, arrived, isConnected)
 		switch {
 		case f.mode == "no-answer" && n%5 == 4:
@@ -165,8 +165,8 @@
 	}
 }
 
-// fetchAnswer returns a request's fetchAnswer: that of a cache server, or of the origin after a miss and
-// for a write.
+// fetchAnswer returns the answer to a request: that of a cache server, or of the origin after a miss
+// and for a write.
 func (f *fakeRouterState) fetchAnswer(line string, w []string, id string, body []byte,
 	arrived time.Time, isConnected func() bool) string {
 	if f.mode == "rejects" {
@@ -356,11 +356,11 @@
 	for mode, rule := range map[string]string{"right": "", "two-answers": "answer",
 		"no-answer": "answer", "altered": "value", "copies": "copies",
 		"repeats": "effect", "refuses": "effect", "drained": "drain", "cold": "cold", "attempts": "attempts",
-		"long-hint": "timeout-hint", "deaf": "lost", "slams": "lost"} {
+		"long-hint": "timeout-hint", "ignores-disconnects": "lost", "closes-unread": "lost"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			f := f
-			if mode == "deaf" {
+			if mode == "ignores-disconnects" {
 				f.Load.DisconnectShare = 0.3
 			}
 			res, err := Run(t.Context(), f,
--- a/lab/fleet/faults.go
+++ b/lab/fleet/faults.go
@@ -50,19 +50,19 @@
 	case "crash":
 		fl.crash(ctx, f)
 	case "silence", "spoil", "slow":
-		part := fl.pickServers(f)
-		playAndRevert(f.What+" "+f.Spoil+" at "+names(part), func(on bool) {
+		servers := fl.pickServers(f)
+		playAndRevert(f.What+" "+f.Spoil+" at "+names(servers), func(on bool) {
 			var faults fakes.Faults
 			if on {
 				faults = fakes.Faults{Silent: f.What == "silence", Corruption: f.Spoil,
 					Share: f.Answers, BytesPerS: f.BytesS}
 			}
-			for _, m := range part {
+			for _, m := range servers {
 				m.SetFaults(faults)
 			}
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
-			for _, m := range part {
+			for _, m := range servers {
 				if i := slices.IndexFunc(fl.faultySpells,
 					func(x FaultySpell) bool { return x.Server == m.ID() && x.To == 0 }); !on && i >= 0 {
 					fl.faultySpells[i].To = fl.clock.Now()
@@ -72,7 +72,7 @@
 			}
 		})
 	case "origin-busy":
-		playAndRevert("the origin turns all away", func(on bool) {
+		playAndRevert("the origin rejects all requests", func(on bool) {
 			fl.origin.SetFaults(map[bool]fakes.Faults{true: {Corruption: "busy", Share: 1}}[on])
 		})
 	case "discovery-down":
@@ -84,8 +84,8 @@
 		fl.mark("the list's version goes back by %d", f.Versions)
 		fl.discovery.Rewind(f.Versions)
 	case "partition", "partition-there", "partition-back", "delay":
-		part := fl.pickServers(f)
-		playAndRevert(f.What+" at "+names(part), func(on bool) { fl.setNetworkFault(f, part, on) })
+		servers := fl.pickServers(f)
+		playAndRevert(f.What+" at "+names(servers), func(on bool) { fl.setNetworkFault(f, servers, on) })
 	case "shrink":
 		fl.mark("the fleet shrinks")
 		fl.drainServers(ctx, fl.pickServers(f), f.DrainS)
@@ -158,7 +158,7 @@
 }
 
 // pickServers chooses the cache servers that a fault affects.
-func (fl *Fleet) pickServers(f scenario.Fault) (part []*member) {
+func (fl *Fleet) pickServers(f scenario.Fault) (servers []*member) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var all []*member
@@ -170,10 +170,10 @@
 	if len(f.Servers) > 0 {
 		for _, m := range all {
 			if slices.Contains(f.Servers, m.entry.ID) {
-				part = append(part, m)
+				servers = append(servers, m)
 			}
 		}
-		return part
+		return servers
 	}
 	n := f.Count
 	if f.Share > 0 {
@@ -183,9 +183,9 @@
 	return all[:max(0, min(n, len(all)))]
 }
 
-func names(part []*member) string {
+func names(servers []*member) string {
 	var ids []string
-	for _, m := range part {
+	for _, m := range servers {
 		ids = append(ids, m.ID())
 	}
 	return strings.Join(ids, " ")
@@ -193,15 +193,15 @@
 
 // crash kills servers and restarts them cold.
 func (fl *Fleet) crash(ctx context.Context, f scenario.Fault) {
-	part := slices.DeleteFunc(fl.pickServers(f), func(m *member) bool { return !fl.tryLockServer(m) })
+	servers := slices.DeleteFunc(fl.pickServers(f), func(m *member) bool { return !fl.tryLockServer(m) })
 	defer func() {
-		for _, m := range part {
+		for _, m := range servers {
 			m.downMu.Unlock()
 		}
 	}()
-	fl.mark("crash of %s", names(part))
+	fl.mark("crash of %s", names(servers))
 	from := fl.clock.Now()
-	for _, m := range part {
+	for _, m := range servers {
 		m.Kill()
 		e := m.entry
 		e.State = "left"
@@ -211,7 +211,7 @@
 		return
 	}
 	fl.mark("the crashed servers restart cold")
-	for _, m := range part {
+	for _, m := range servers {
 		fl.restartServer(m)
 		fl.mu.Lock()
 		fl.outages = append(fl.outages, outage{resource: "server/" + m.entry.ID, from: from, to: fl.clock.Now()})
@@ -262,9 +262,9 @@
 
 // drainServers lists servers as leaving and stops them after drainS seconds. It returns once
 // all have stopped.
-func (fl *Fleet) drainServers(ctx context.Context, part []*member, drainS float64) {
+func (fl *Fleet) drainServers(ctx context.Context, servers []*member, drainS float64) {
 	var wg sync.WaitGroup
-	for _, m := range part {
+	for _, m := range servers {
 		wg.Go(func() { fl.drainServer(ctx, m, drainS) })
 	}
 	wg.Wait()
@@ -292,9 +292,9 @@
 
 // replaceServers replaces servers in batches by new ones, which have new IDs and start cold.
 func (fl *Fleet) replaceServers(ctx context.Context, f scenario.Fault) {
-	part := fl.pickServers(f)
-	fl.mark("rolling deploy of %d servers, %d at a time", len(part), f.Batch)
-	for batch := range slices.Chunk(part, f.Batch) {
+	servers := fl.pickServers(f)
+	fl.mark("rolling deploy of %d servers, %d at a time", len(servers), f.Batch)
+	for batch := range slices.Chunk(servers, f.Batch) {
 		fl.drainServers(ctx, batch, f.DrainS)
 		if !wait(ctx, f.DownS) {
 			return
@@ -398,9 +398,9 @@
 }
 
 // setNetworkFault turns a network fault between all routers and some servers on or off.
-func (fl *Fleet) setNetworkFault(f scenario.Fault, part []*member, on bool) {
+func (fl *Fleet) setNetworkFault(f scenario.Fault, servers []*member, on bool) {
 	for _, r := range fl.allRouters() {
-		for _, m := range part {
+		for _, m := range servers {
 			fl.mu.Lock()
 			relay := fl.relays[r.name+"/"+m.ID()]
 			fl.mu.Unlock()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -34,7 +34,7 @@
 	CoordinatorEnv     []string      // added to the coordinators' environment
 	Kill               *StepKill     // the process to kill at a step of the tool; nil = none
 	FirstRouterMutant  string        // mutant that makes the first router report false facts on servers; "" = none
-	MutantCommand      []string      // of a router built with mutants, for bad versions and lying routers
+	MutantCommand      []string      // of a router built with mutants, for bad versions and false reports
 	ChangeTimeout      time.Duration // time for planned changes after the end of the load; 0 = none
 	Dir                string        // for logs and configurations; must exist
 	ReadyTimeout       time.Duration
@@ -184,8 +184,8 @@
 }
 
 // mark records and logs an event.
-func (fl *Fleet) mark(form string, v ...any) {
-	text := fmt.Sprintf(form, v...)
+func (fl *Fleet) mark(format string, v ...any) {
+	text := fmt.Sprintf(format, v...)
 	fl.mu.Lock()
 	at := (fl.clock.Now() - fl.loadStartMS) / 1000
 	fl.marks = append(fl.marks, Mark{at, text})
--- a/lab/fleet/holder.go
+++ b/lab/fleet/holder.go
@@ -47,12 +47,12 @@
 // holder is the state of a running leaseholder process.
 type holder struct {
 	HolderConfig
-	c   *client.Client
-	rng *rand.Rand
+	client *client.Client
+	rng    *rand.Rand
 
-	mu   sync.Mutex
-	file *os.File
-	next int
+	mu         sync.Mutex
+	file       *os.File
+	lastCallID int
 }
 
 func (h *holder) log(e logEntry) {
@@ -63,15 +63,15 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, err := h.file.Write(append(text, '\n')); err != nil {
-		panic(err) // without its log nothing can be judged
+		panic(err) // without its log nothing can be checked
 	}
 }
 
 // recordOperation logs a call, makes it and logs its result.
 func (h *holder) recordOperation(o checker.Op, f func() (code string, got uint64, holder string)) {
 	h.mu.Lock()
-	h.next++
-	id := h.next
+	h.lastCallID++
+	id := h.lastCallID
 	h.mu.Unlock()
 	o.Client = h.Name
 	o.From = int64(clock.SinceBoot())
@@ -110,11 +110,11 @@
 	}
 	defer f.Close()
 	h := &holder{HolderConfig: cfg, file: f, rng: rand.New(rand.NewPCG(cfg.Seed, 21)),
-		next: int(clock.SinceBoot()/time.Millisecond) << 12,
-		c:    client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
+		lastCallID: int(clock.SinceBoot()/time.Millisecond) << 12,
+		client:     client.New(client.Options{Coordinators: cfg.Coordinators, ClientName: cfg.Name, TTL: cfg.TTL})}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { h.c.Run(ctx) })
+	wg.Go(func() { h.client.Run(ctx) })
 	for ctx.Err() == nil {
 		h.holdOneLease(ctx)
 		wait(ctx, h.rng.Float64()*h.Idle.Seconds())
@@ -127,7 +127,7 @@
 	name := h.Leases[h.rng.IntN(len(h.Leases))]
 	if h.rng.Float64() < 0.3 {
 		h.recordOperation(checker.Op{Kind: "read", Lease: name}, func() (string, uint64, string) {
-			rows, err := h.c.ListLeases(ctx, name)
+			rows, err := h.client.ListLeases(ctx, name)
 			if err != nil {
 				return "", 0, ""
 			}
@@ -139,7 +139,7 @@
 	}
 	var l *client.Lease
 	h.recordOperation(checker.Op{Kind: "acquire", Lease: name}, func() (string, uint64, string) {
-		got, err := h.c.Acquire(ctx, name, "the rig's", h.TTL)
+		got, err := h.client.Acquire(ctx, name, "the rig's", h.TTL)
 		if errors.Is(err, client.ErrLeaseLost) { // it was granted, but too late
 			return "", 0, ""
 		}
@@ -244,7 +244,7 @@
 		top[a.Lease] = max(top[a.Lease], token)
 		text, _ := json.Marshal(a) // plain data
 		if _, err := f.Write(append(text, '\n')); err != nil {
-			panic(err) // without its log nothing can be judged
+			panic(err) // without its log nothing can be checked
 		}
 		if a.Refused {
 			http.Error(w, "an older token", http.StatusConflict)
--- a/lab/fleet/lease_faults.go
+++ b/lab/fleet/lease_faults.go
@@ -27,7 +27,7 @@
 	CheckTimeout       time.Duration // for checking the leases' history; 0 = 20 s
 	HeartbeatInterval  string        // of the coordinators; "" = their default
 	Version            int           // version of commands and limits to put in force; 0 = this program's
-	Logf               func(form string, v ...any)
+	Logf               func(format string, v ...any)
 }
 
 // LeaseFaultsResult is the outcome of a run of RunLeaseFaults.
@@ -111,7 +111,7 @@
 	}
 	res.RecoverySeconds = time.Since(healingSince).Seconds()
 	a.endHolders()
-	a.judge(&res)
+	a.checkHistory(&res)
 	return res, nil
 }
 
@@ -147,10 +147,10 @@
 }
 
 // fail records a failure.
-func (a *coordinatorGroup) fail(form string, v ...any) {
+func (a *coordinatorGroup) fail(format string, v ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.problems = append(a.problems, fmt.Sprintf(form, v...))
+	a.problems = append(a.problems, fmt.Sprintf(format, v...))
 }
 
 // close stops everything that was started.
--- a/lab/fleet/lease_faults_check.go
+++ b/lab/fleet/lease_faults_check.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// judge reads the logs of the holders and of the resource and checks them.
-func (a *coordinatorGroup) judge(res *LeaseFaultsResult) {
+// checkHistory reads the logs of the holders and of the resource and checks them.
+func (a *coordinatorGroup) checkHistory(res *LeaseFaultsResult) {
 	claims, operations := a.readHolders()
 	acts := a.readActs()
 	res.Claims, res.Operations, res.Acts = len(claims), len(operations), len(acts)
--- a/lab/fleet/lease_faults_play.go
+++ b/lab/fleet/lease_faults_play.go
@@ -30,21 +30,22 @@
 )
 
 // relayFaults counts the faults in force on a relay, since faults may overlap.
-type relayFaults struct{ cut, dropThere, dropBack, delay int }
+type relayFaults struct{ cut, holdToTarget, holdFromTarget, delay int }
 
 // network returns the relay's settings for these faults.
 func (f *relayFaults) network() fakes.NetworkConditions {
-	return fakes.NetworkConditions{Cut: f.cut > 0, HoldToTarget: f.dropThere > 0, HoldFromTarget: f.dropBack > 0,
+	return fakes.NetworkConditions{Cut: f.cut > 0,
+		HoldToTarget: f.holdToTarget > 0, HoldFromTarget: f.holdFromTarget > 0,
 		DelayMS: relayDelayMillis * float64(f.delay)}
 }
 
 // relayFault selects the counter of one kind of fault.
 type relayFault func(*relayFaults) *int
 
-func cutFault(f *relayFaults) *int       { return &f.cut }
-func dropThereFault(f *relayFaults) *int { return &f.dropThere }
-func dropBackFault(f *relayFaults) *int  { return &f.dropBack }
-func delayFault(f *relayFaults) *int     { return &f.delay }
+func cutFault(f *relayFaults) *int            { return &f.cut }
+func holdToTargetFault(f *relayFaults) *int   { return &f.holdToTarget }
+func holdFromTargetFault(f *relayFaults) *int { return &f.holdFromTarget }
+func delayFault(f *relayFaults) *int          { return &f.delay }
 
 // faultLinks puts a fault on relays and removes it after forS seconds.
 func (a *coordinatorGroup) faultLinks(ctx context.Context, forS float64, fault relayFault, relays ...*fakes.Relay) {
@@ -85,8 +86,8 @@
 	a.faultProcess(ctx, p, forS, p.kill, func() { a.restart(p) })
 }
 
-// stopAndContinue pauses a process and resumes it after a time.
-func (a *coordinatorGroup) stopAndContinue(ctx context.Context, p *restartableProcess, forS float64) {
+// pauseAndResume pauses a process and resumes it after a time.
+func (a *coordinatorGroup) pauseAndResume(ctx context.Context, p *restartableProcess, forS float64) {
 	a.faultProcess(ctx, p, forS, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT) })
 }
 
@@ -104,11 +105,11 @@
 	case "kill-coordinator":
 		a.killAndRestart(ctx, c.restartableProcess, t.ForS)
 	case "stop-coordinator":
-		a.stopAndContinue(ctx, c.restartableProcess, t.ForS)
+		a.pauseAndResume(ctx, c.restartableProcess, t.ForS)
 	case "kill-holder":
 		a.killAndRestart(ctx, a.holders[t.Target], t.ForS)
 	case "stop-holder":
-		a.stopAndContinue(ctx, a.holders[t.Target], t.ForS)
+		a.pauseAndResume(ctx, a.holders[t.Target], t.ForS)
 	case "disk-full":
 		a.fillDisk(ctx, c, t.ForS)
 	case "restart-all":
@@ -131,7 +132,7 @@
 	case "cut":
 		a.faultLinks(ctx, t.ForS, cutFault, a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
 	case "hold-there":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.raftRelays[link{t.Target, t.Peer}])
+		a.faultLinks(ctx, t.ForS, holdToTargetFault, a.raftRelays[link{t.Target, t.Peer}])
 	case "delay":
 		a.faultLinks(ctx, t.ForS, delayFault,
 			a.raftRelays[link{t.Target, t.Peer}], a.raftRelays[link{t.Peer, t.Target}])
@@ -143,13 +144,13 @@
 		}
 		a.faultLinks(ctx, t.ForS, cutFault, relays...)
 	case "hold-answers":
-		a.faultLinks(ctx, t.ForS, dropBackFault, a.someClientRelays(t)...)
+		a.faultLinks(ctx, t.ForS, holdFromTargetFault, a.someClientRelays(t)...)
 	case "hold-asks":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.someClientRelays(t)...)
+		a.faultLinks(ctx, t.ForS, holdToTargetFault, a.someClientRelays(t)...)
 	case "slow-then-cut":
 		a.slowThenCut(ctx, t)
 	case "late-acts":
-		a.faultLinks(ctx, t.ForS, dropThereFault, a.resourceRelays[t.Target])
+		a.faultLinks(ctx, t.ForS, holdToTargetFault, a.resourceRelays[t.Target])
 	}
 }
 
@@ -157,16 +158,16 @@
 // depending on the fault's random number, to all coordinators.
 func (a *coordinatorGroup) someClientRelays(t scenario.ScheduledFault) []*fakes.Relay {
 	var relays []*fakes.Relay
-	meetsAll := t.U < 0.5
+	affectsAll := t.U < 0.5
 	for coordinator := range a.nodes {
-		if meetsAll || coordinator == t.Peer {
+		if affectsAll || coordinator == t.Peer {
 			relays = append(relays, a.clientRelays[link{t.Target, coordinator}])
 		}
 	}
 	return relays
 }
 
-// slowThenCut delays a holder's answers, and drops its requests after a third of the time.
+// slowThenCut delays a holder's traffic, and holds back its requests after a third of the time.
 func (a *coordinatorGroup) slowThenCut(ctx context.Context, t scenario.ScheduledFault) {
 	var relays []*fakes.Relay
 	for coordinator := range a.nodes {
@@ -176,7 +177,7 @@
 	both.Go(func() { a.faultLinks(ctx, t.ForS, delayFault, relays...) })
 	both.Go(func() {
 		if wait(ctx, t.ForS/3) {
-			a.faultLinks(ctx, t.ForS, dropThereFault, relays...)
+			a.faultLinks(ctx, t.ForS, holdToTargetFault, relays...)
 		}
 	})
 	both.Wait()
--- a/lab/fleet/observer_cost.go
+++ b/lab/fleet/observer_cost.go
@@ -32,12 +32,12 @@
 
 // costRun is a run of MeasureObservers.
 type costRun struct {
-	agreement *coordinatorGroup
-	observers []*restartableProcess
-	addresses []string
-	clients   []*observerclient.Client
-	wg        sync.WaitGroup
-	cancel    context.CancelFunc
+	coordinators *coordinatorGroup
+	observers    []*restartableProcess
+	addresses    []string
+	clients      []*observerclient.Client
+	wg           sync.WaitGroup
+	cancel       context.CancelFunc
 }
 
 // MeasureObservers measures observers that a number of routers watch, idle and while a document is
@@ -49,7 +49,7 @@
 		return cost, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	run := &costRun{agreement: a, cancel: cancel}
+	run := &costRun{coordinators: a, cancel: cancel}
 	defer run.close()
 	if err := run.upgrade(ctx); err != nil {
 		return cost, err
@@ -94,7 +94,7 @@
 }
 
 func (r *costRun) upgrade(ctx context.Context) error {
-	leader, err := r.agreement.leader(ctx)
+	leader, err := r.coordinators.leader(ctx)
 	if err != nil {
 		return err
 	}
@@ -118,16 +118,16 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\napi = %q\nmax_watchers = %d\n[coordinators]\n",
 		name, api, max(routers, 1))
-	for coordinator, address := range r.agreement.addresses() {
+	for coordinator, address := range r.coordinators.addresses() {
 		fmt.Fprintf(&text, "%s = %q\n", coordinator, address)
 	}
-	dir := r.agreement.options.Dir
+	dir := r.coordinators.options.Dir
 	file := filepath.Join(dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		return err
 	}
-	p := &restartableProcess{name: name, dir: dir, env: r.agreement.options.Env,
-		command: append(slices.Clone(r.agreement.options.CoordinatorCommand), "observe", file)}
+	p := &restartableProcess{name: name, dir: dir, env: r.coordinators.options.Env,
+		command: append(slices.Clone(r.coordinators.options.CoordinatorCommand), "observe", file)}
 	r.observers, r.addresses = append(r.observers, p), append(r.addresses, api)
 	return p.start()
 }
@@ -164,7 +164,7 @@
 			return err
 		}
 	}
-	if cost.Coordinators, err = r.agreement.use(ctx, observeIdle); err != nil {
+	if cost.Coordinators, err = r.coordinators.measureUsage(ctx, observeIdle); err != nil {
 		return err
 	}
 	for i, p := range r.observers {
@@ -186,5 +186,5 @@
 	for _, p := range r.observers {
 		p.kill()
 	}
-	r.agreement.close()
+	r.coordinators.close()
 }
--- a/lab/fleet/observer_faults_test.go
+++ b/lab/fleet/observer_faults_test.go
@@ -75,7 +75,7 @@
 		o.routers[i].start()
 	}
 	o.awaitRouters("by the other observer", o.routers)
-	o.agreement.restart(observer.restartableProcess)
+	o.coordinators.restart(observer.restartableProcess)
 }
 
 // stopObserver pauses an observer, whose routers must notice that it is silent, and resumes it
@@ -137,20 +137,20 @@
 
 // killLeader kills the leader while changes are in progress; the others must go on.
 func (o *observerRun) killLeader() {
-	leader := awaitSettledGroup(o.t, o.agreement)
+	leader := awaitSettledGroup(o.t, o.coordinators)
 	var wg sync.WaitGroup
 	wg.Go(leader.kill)
 	o.change(8)
 	wg.Wait()
 	o.awaitRouters("by the other coordinators", o.routers)
-	o.agreement.restart(leader.restartableProcess)
-	awaitSettledGroup(o.t, o.agreement)
+	o.coordinators.restart(leader.restartableProcess)
+	awaitSettledGroup(o.t, o.coordinators)
 }
 
 // stopCoordinators pauses all coordinators: the observers must keep serving their state, also to a
 // router that starts then, and must report its age.
 func (o *observerRun) stopCoordinators() {
-	for _, c := range o.agreement.nodes {
+	for _, c := range o.coordinators.nodes {
 		c.signal(syscall.SIGSTOP)
 	}
 	router := o.routers[o.rng.IntN(len(o.routers))]
@@ -166,10 +166,10 @@
 			return err
 		})
 	}
-	for _, c := range o.agreement.nodes {
+	for _, c := range o.coordinators.nodes {
 		c.signal(syscall.SIGCONT)
 	}
-	awaitSettledGroup(o.t, o.agreement)
+	awaitSettledGroup(o.t, o.coordinators)
 }
 
 // delayApplyAndForgeAck makes one router slow to apply a state: it must be counted as lagging
@@ -257,7 +257,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return runToolForOutput(t, o.agreement, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
+		return runToolForOutput(t, o.coordinators, append([]string{"config", "put", "a/quota.toml", file}, words...)...)
 	}
 	put("x = 1\n")
 	if out := put("x = 2\n", "--expect", "1"); !strings.Contains(out, "revision 2") {
@@ -268,22 +268,22 @@
 		"isn't kept": {"config", "back", "a/quota.toml", "7"},
 		"is none":    {"config", "get", "a/other"},
 	} {
-		out, err := toolCommand(o.agreement, words...).CombinedOutput()
+		out, err := toolCommand(o.coordinators, words...).CombinedOutput()
 		if err == nil || !strings.Contains(string(out), want) {
 			t.Errorf("%v: %v, %s, want %q", words, err, out, want)
 		}
 	}
-	if out := runToolForOutput(t, o.agreement, "config", "back", "a/quota.toml",
+	if out := runToolForOutput(t, o.coordinators, "config", "back", "a/quota.toml",
 		"1"); !strings.Contains(out, "revision 3") {
 		t.Errorf("%s", out)
 	}
-	if out := runToolForOutput(t, o.agreement, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
+	if out := runToolForOutput(t, o.coordinators, "config", "get", "a/quota.toml"); !strings.Contains(out, "x = 1") {
 		t.Errorf("%s", out)
 	}
-	if out := runToolForOutput(t, o.agreement, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
+	if out := runToolForOutput(t, o.coordinators, "config", "history", "a/quota.toml"); strings.Count(out, "\n") != 4 {
 		t.Errorf("%s", out)
 	}
-	if out := runToolForOutput(t, o.agreement, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
+	if out := runToolForOutput(t, o.coordinators, "config", "list", "a/"); !strings.Contains(out, "a/quota.toml") {
 		t.Errorf("%s", out)
 	}
 	var observers []string
@@ -292,13 +292,13 @@
 	}
 	want := fmt.Sprintf("revision 3 is in force at %d of %d", routerCount, routerCount)
 	o.await("the status", func() error {
-		out := runToolForOutput(t, o.agreement, "config", "status", "--observers", strings.Join(observers, ","))
+		out := runToolForOutput(t, o.coordinators, "config", "status", "--observers", strings.Join(observers, ","))
 		if !strings.Contains(out, want) {
 			return fmt.Errorf("%s", out)
 		}
 		return nil
 	})
-	if out := runToolForOutput(t, o.agreement, "config", "delete", "a/quota.toml", "--expect",
+	if out := runToolForOutput(t, o.coordinators, "config", "delete", "a/quota.toml", "--expect",
 		"3"); !strings.Contains(out, "revision 4") {
 		t.Errorf("%s", out)
 	}
--- a/lab/fleet/observer_run_test.go
+++ b/lab/fleet/observer_run_test.go
@@ -62,12 +62,12 @@
 
 // observerRun is a run of coordinators, observers and routers.
 type observerRun struct {
-	t         *testing.T
-	agreement *coordinatorGroup
-	puts      *client.Client
-	rng       *rand.Rand
-	observers []*observerProcess
-	routers   []*watchingRouter
+	t            *testing.T
+	coordinators *coordinatorGroup
+	puts         *client.Client
+	rng          *rand.Rand
+	observers    []*observerProcess
+	routers      []*watchingRouter
 
 	mu        sync.Mutex
 	agreed    []checker.AgreedChange
@@ -79,7 +79,7 @@
 func startObserverRun(t *testing.T, seed uint64, options CoordinatorOptions) *observerRun {
 	t.Helper()
 	a, puts := startGroupWithClient(t, coordinatorCount, options)
-	o := &observerRun{t: t, agreement: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)),
+	o := &observerRun{t: t, coordinators: a, puts: puts, rng: rand.New(rand.NewPCG(seed, 34)),
 		revisions: map[string]uint64{}}
 	awaitSettledGroup(t, a)
 	runToolForOutput(t, a, "members", "upgrade")
@@ -102,7 +102,7 @@
 
 func (o *observerRun) relay(to string) *fakes.Relay {
 	o.t.Helper()
-	relay, err := o.agreement.relay(to)
+	relay, err := o.coordinators.relay(to)
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -115,12 +115,12 @@
 	if err != nil {
 		o.t.Fatal(err)
 	}
-	dir := o.agreement.options.Dir
+	dir := o.coordinators.options.Dir
 	observer := &observerProcess{api: api,
-		restartableProcess: &restartableProcess{name: name, dir: dir, env: o.agreement.options.Env}}
+		restartableProcess: &restartableProcess{name: name, dir: dir, env: o.coordinators.options.Env}}
 	var text strings.Builder
 	fmt.Fprintf(&text, "version = 1\nname = %q\napi = %q\n[coordinators]\n", name, api)
-	for _, c := range o.agreement.nodes {
+	for _, c := range o.coordinators.nodes {
 		relay := o.relay(c.api)
 		observer.upstream = append(observer.upstream, relay)
 		fmt.Fprintf(&text, "%s = %q\n", c.name, relay.Addr())
@@ -132,7 +132,7 @@
 	if err := os.WriteFile(file, []byte(text.String()), 0o600); err != nil {
 		o.t.Fatal(err)
 	}
-	observer.command = append(slices.Clone(o.agreement.options.CoordinatorCommand), "observe", file)
+	observer.command = append(slices.Clone(o.coordinators.options.CoordinatorCommand), "observe", file)
 	if err := observer.start(); err != nil {
 		o.t.Fatal(err)
 	}
@@ -151,15 +151,15 @@
 
 // start starts the router with no state, as after a restart.
 func (r *watchingRouter) start() {
-	life := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
+	history := &checker.WatchHistory{Watcher: r.name, Prefix: r.prefix}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := observerclient.New(observerclient.Options{Observers: r.observers, WatcherName: r.name, Prefix: r.prefix,
-		Apply: func(ctx context.Context, state observerclient.State) error { return r.apply(ctx, life, state) }})
+		Apply: func(ctx context.Context, state observerclient.State) error { return r.apply(ctx, history, state) }})
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Run(ctx) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.histories, r.client = append(r.histories, life), c
+	r.histories, r.client = append(r.histories, history), c
 	r.end = func() { cancel(); wg.Wait() }
 }
 
@@ -176,11 +176,11 @@
 	return r.client
 }
 
-func (r *watchingRouter) apply(ctx context.Context, life *checker.WatchHistory, state observerclient.State) error {
+func (r *watchingRouter) apply(ctx context.Context, history *checker.WatchHistory, state observerclient.State) error {
 	r.mu.Lock()
 	gate := r.gate
 	update := state.Update
-	life.Deliveries = append(life.Deliveries,
+	history.Deliveries = append(history.Deliveries,
 		checker.Delivery{After: update.After, Through: update.Through, Snapshot: update.Snapshot,
 			Changes: agreedChanges(update.Changes), Documents: agreedChanges(state.Documents)})
 	r.mu.Unlock()
@@ -308,12 +308,12 @@
 	slices.SortFunc(agreed, func(a, b checker.AgreedChange) int { return int(a.Revision) - int(b.Revision) })
 	for _, router := range o.routers {
 		router.mu.Lock()
-		for _, life := range router.histories {
-			if text := checker.CheckDeliveries(agreed, *life); text != "" {
+		for _, history := range router.histories {
+			if text := checker.CheckDeliveries(agreed, *history); text != "" {
 				o.t.Error(text)
 			}
-			deliveries += len(life.Deliveries)
-			for _, d := range life.Deliveries {
+			deliveries += len(history.Deliveries)
+			for _, d := range history.Deliveries {
 				if d.Snapshot {
 					snapshots++
 				}
--- a/lab/fleet/outlier_sharing.go
+++ b/lab/fleet/outlier_sharing.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// judgeExclusions returns a failure for each router whose report on a server counted although the
+// checkExclusions returns a failure for each router whose report on a server counted although the
 // router had sent that server nothing, and so can't have seen it fail. The router that runs a
 // mutant is exempt. The caller holds mu.
-func (fl *Fleet) judgeExclusions(events []checker.Event) (fails []string) {
+func (fl *Fleet) checkExclusions(events []checker.Event) (fails []string) {
 	if len(fl.excludedBy) == 0 {
 		return nil
 	}
@@ -86,7 +86,7 @@
 		for _, r := range fl.excludedBy[server] {
 			if !hasSent[r+" "+server] && (fl.options.FirstRouterMutant == "" || r != "r0") {
 				fails = append(fails,
-					fmt.Sprintf("the report of router %s on server %s counted, and the router had sent it nothing",
+					fmt.Sprintf("the report of router %s on server %s counted, although it had sent the server nothing",
 						r, server))
 			}
 		}
--- a/lab/fleet/play.go
+++ b/lab/fleet/play.go
@@ -27,47 +27,47 @@
 	fl.mu.Lock()
 	fl.loadStartMS = fl.clock.Now()
 	fl.mu.Unlock()
-	running, stop := context.WithTimeout(ctx, time.Duration(fl.File.DurationS*float64(time.Second)))
-	defer stop()
+	loadCtx, stopLoad := context.WithTimeout(ctx, time.Duration(fl.File.DurationS*float64(time.Second)))
+	defer stopLoad()
 	var wg sync.WaitGroup
-	over, end := context.WithCancel(context.Background())
-	wg.Go(func() { fl.measureLateness(over) })
-	wg.Go(func() { fl.sampleUsage(over) })
+	samplingCtx, stopSampling := context.WithCancel(context.Background())
+	wg.Go(func() { fl.measureLateness(samplingCtx) })
+	wg.Go(func() { fl.sampleUsage(samplingCtx) })
 	if fl.File.Fleet.Out.On() {
-		wg.Go(func() { fl.watchBudgets(over) })
+		wg.Go(func() { fl.watchBudgets(samplingCtx) })
 	}
-	endLive := context.CancelFunc(func() {})
-	live := running // planned changes, and the faults beside them, may outlast the load
+	endFaults := context.CancelFunc(func() {})
+	faultsCtx := loadCtx // planned changes, and the faults beside them, may outlast the load
 	if fl.options.ChangeTimeout > 0 {
-		live, endLive = context.WithCancel(ctx)
-		defer endLive()
+		faultsCtx, endFaults = context.WithCancel(ctx)
+		defer endFaults()
 	}
-	changed := make(chan struct{})
-	var changing sync.WaitGroup
+	changesDone := make(chan struct{})
+	var changes sync.WaitGroup
 	for i, f := range fl.File.Faults {
 		if strings.HasPrefix(f.What, "change-") || f.What == "release-routers" {
-			changing.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
+			changes.Go(func() { fl.playFault(faultsCtx, fl.File.Faults[i]) })
 		} else {
-			wg.Go(func() { fl.playFault(live, fl.File.Faults[i]) })
+			wg.Go(func() { fl.playFault(faultsCtx, fl.File.Faults[i]) })
 		}
 	}
-	wg.Go(func() { changing.Wait(); close(changed) })
-	got := l.Run(running)
+	wg.Go(func() { changes.Wait(); close(changesDone) })
+	loadResult := l.Run(loadCtx)
 	if fl.options.ChangeTimeout > 0 {
 		select {
-		case <-changed:
+		case <-changesDone:
 		case <-ctx.Done():
 		case <-time.After(fl.options.ChangeTimeout):
 		}
-		endLive()
+		endFaults()
 	}
-	cut := ctx.Err() != nil
-	doors := fl.readAdmission(ctx)
-	end()
-	stop()
+	interrupted := ctx.Err() != nil
+	admissionStates := fl.readAdmission(ctx)
+	stopSampling()
+	stopLoad()
 	wg.Wait()
-	res := fl.result(got, cut)
-	res.Admission = doors
+	res := fl.result(loadResult, interrupted)
+	res.Admission = admissionStates
 	return res, nil
 }
 
@@ -121,7 +121,7 @@
 		}
 		s := Sample{Routers: map[string]Usage{}, Held: map[string]int{}}
 		for _, r := range fl.allRouters() {
-			s.Routers[r.name] = r.use()
+			s.Routers[r.name] = r.usage()
 		}
 		for _, m := range fl.allMembers() {
 			if m.IsUp() {
--- a/lab/fleet/process.go
+++ b/lab/fleet/process.go
@@ -74,7 +74,7 @@
 			return addr, nil
 		}
 	}
-	return "", errors.New("free address: each one that was found is in use by this process")
+	return "", errors.New("free address: this process has already used each one that was found")
 }
 
 // Spawn starts a command in a process group of its own, so that Ctrl-C reaches only the lab, which
@@ -227,15 +227,15 @@
 }
 
 // stop sends SIGTERM to all processes of the router, and SIGKILL to those that still run after
-// patience.
-func (r *router) stop(patience time.Duration) {
+// timeout.
+func (r *router) stop(timeout time.Duration) {
 	r.mu.Lock()
 	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
 	for _, p := range procs {
 		r.signal(p, syscall.SIGTERM)
 	}
-	over := time.After(patience)
+	over := time.After(timeout)
 	for _, p := range procs {
 		select {
 		case <-p.done:
@@ -253,9 +253,9 @@
 	CPUMS float64 `json:"cpu_ms"` // since their start
 }
 
-// use returns the total usage of the router's processes, read from /proc. It skips processes that
+// usage returns the total usage of the router's processes, read from /proc. It skips processes that
 // have exited.
-func (r *router) use() (u Usage) {
+func (r *router) usage() (u Usage) {
 	r.mu.Lock()
 	procs := append([]*process(nil), r.processes...)
 	r.mu.Unlock()
--- a/lab/fleet/release.go
+++ b/lab/fleet/release.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// judge returns the failures of a release. The caller holds Fleet.mu.
-func (rel *Released) judge(routers []*router) (fails []string) {
-	fail := func(form string, v ...any) { fails = append(fails, fmt.Sprintf(form, v...)) }
+// check returns the failures of a release. The caller holds Fleet.mu.
+func (rel *Released) check(routers []*router) (fails []string) {
+	fail := func(format string, v ...any) { fails = append(fails, fmt.Sprintf(format, v...)) }
 	for what, n := range rel.Actions {
 		if n > 1 && rel.Spoil == "" { // a bad version goes down by itself, and the driver that takes over tries again
 			fail("router and version %s: installed %d times", what, n)
--- a/lab/fleet/result.go
+++ b/lab/fleet/result.go
@@ -41,7 +41,7 @@
 	Service            float64 `json:"service"`
 	TailService        float64 `json:"tail"` // the same in the last fifth
 	AttemptsPerRequest float64 `json:"attempts_a_request"`
-	// completely written, by second of the load
+	// attempts that servers received completely, by second of the load
 	AttemptsBySecond []int                     `json:"attempts_by_second"`
 	Breaches         []checker.Violation       `json:"broken"`
 	TimeoutHints     checker.TimeoutHintCounts `json:"timeout_hints"`
@@ -55,7 +55,7 @@
 	MisbehavingClients [2]int    `json:"rude"`
 	Changes            []Change  `json:"changes,omitempty"` // planned changes
 	Released           *Released `json:"released,omitempty"`
-	// as the coordinators reported it, at each change
+	// use of the budgets as the coordinators reported it, at each change
 	BudgetUse    []BudgetSample `json:"out,omitempty"`
 	FaultySpells []FaultySpell  `json:"ill,omitempty"`
 	Killed       bool           `json:"killed,omitempty"` // the victim of Options.Kill was killed
@@ -96,7 +96,7 @@
 }
 
 // result collects the run's results and checks them.
-func (fl *Fleet) result(got load.Result, cut bool) Result {
+func (fl *Fleet) result(loadResult load.Result, interrupted bool) Result {
 	for _, r := range fl.allRouters() {
 		r.mu.Lock()
 		fl.problems = append(fl.problems, r.unexpectedExits...)
@@ -104,11 +104,11 @@
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	events, whole := fl.journal.Events()
+	events, isComplete := fl.journal.Events()
 	res := Result{
 		Scenario:           fl.File.Name,
 		Command:            strings.Join(fl.options.RouterCommand, " "),
-		Load:               got,
+		Load:               loadResult,
 		Marks:              fl.marks,
 		Samples:            fl.samples,
 		Breaches:           checker.CheckRun(events, fl.rules()),
@@ -116,32 +116,32 @@
 		DiscoveryCalls:     fl.discovery.CallCount(),
 		LateMS:             fl.maxLateMS,
 		MisbehavingClients: fl.misbehavingClients,
-		Interrupted:        cut,
+		Interrupted:        interrupted,
 		Failures:           fl.problems,
 	}
 	served := fl.summarizeLoad(&res, events)
 	fl.addServers(&res)
-	if !whole {
+	if !isComplete {
 		res.fail("the journal is full at %d events: the rules were checked on the first part of the run only",
 			maxEvents)
 	}
 	if len(res.Breaches) > 0 {
 		res.fail("%d breaches of the rules, the first: %s", len(res.Breaches), res.Breaches[0])
 	}
-	if !got.Valid {
-		res.fail("the run does not count: %s", got.Why)
+	if !loadResult.Valid {
+		res.fail("the run is invalid: %s", loadResult.Why)
 	}
-	if cut {
+	if interrupted {
 		return res
 	}
-	fl.judgeEvents(&res, events)
-	res.judgeExpectations(fl.File.Expect, served)
+	fl.checkEvents(&res, events)
+	res.checkExpectations(fl.File.Expect, served)
 	return res
 }
 
 // fail records a failure.
-func (r *Result) fail(form string, v ...any) {
-	r.Failures = append(r.Failures, fmt.Sprintf(form, v...))
+func (r *Result) fail(format string, v ...any) {
+	r.Failures = append(r.Failures, fmt.Sprintf(format, v...))
 }
 
 // summarizeLoad sets the result's service, tail and attempts, and returns how many requests were
@@ -190,30 +190,30 @@
 	res.Servers = append(res.Servers, ServerResult{fl.origin.ID(), "", "origin", fl.origin.Stats()})
 }
 
-// judgeEvents adds planned changes, releases and excluded servers, and checks them.
-func (fl *Fleet) judgeEvents(res *Result, events []checker.Event) {
+// checkEvents adds planned changes, releases and excluded servers, and checks them.
+func (fl *Fleet) checkEvents(res *Result, events []checker.Event) {
 	for _, c := range fl.changes {
 		res.Changes = append(res.Changes, *c)
 	}
-	res.Failures = append(res.Failures, fl.judgeChanges(events)...)
+	res.Failures = append(res.Failures, fl.checkChanges(events)...)
 	res.Killed, res.BudgetUse = fl.isVictimKilled, fl.budgetUse
 	for _, x := range fl.faultySpells {
 		x.count(events)
 		x.Accused = len(fl.excludedBy[x.Server]) > 0
 		res.FaultySpells = append(res.FaultySpells, x)
 	}
-	res.Failures = append(res.Failures, fl.judgeExclusions(events)...)
+	res.Failures = append(res.Failures, fl.checkExclusions(events)...)
 	if fl.options.MustExit {
-		res.Failures = append(res.Failures, fl.judgeLimits()...)
+		res.Failures = append(res.Failures, fl.checkLimits()...)
 	}
 	res.Released = fl.released
 	if res.Released != nil {
-		res.Failures = append(res.Failures, res.Released.judge(fl.routers)...)
+		res.Failures = append(res.Failures, res.Released.check(fl.routers)...)
 	}
 }
 
-// judgeExpectations compares the result with the scenario's expectations.
-func (r *Result) judgeExpectations(expect scenario.Expect, served int) {
+// checkExpectations compares the result with the scenario's expectations.
+func (r *Result) checkExpectations(expect scenario.Expect, served int) {
 	for _, expectation := range []struct {
 		name              string
 		measured, atLeast float64
--- a/lab/fleet/routers.go
+++ b/lab/fleet/routers.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	if len(fl.options.CoordinatorCommand) == 0 {
-		return errors.New("fleet.coordinators: Options has no command of a coordinator")
+		return errors.New("fleet.coordinators: Options.CoordinatorCommand is not set")
 	}
 	if fl.coordinators, err = startCoordinatorGroup(ctx, n,
 		CoordinatorOptions{CoordinatorCommand: fl.options.CoordinatorCommand, Dir: fl.options.Dir,
@@ -144,7 +144,7 @@
 			[]string{"DOCKHINGE_MUTANT=" + fl.options.FirstRouterMutant}
 	}
 	if len(command) == 0 || len(env) > 0 && len(fl.options.MutantCommand) == 0 {
-		return errors.New("a bad version of the router is needed, and Options has no command of a build with mutants")
+		return errors.New("a bad version of the router is needed, but Options.MutantCommand is not set")
 	}
 	if err := fl.startProcess(ctx, r, command, env, config); err != nil {
 		return err
--- a/lab/fleet/servers.go
+++ b/lab/fleet/servers.go
@@ -100,8 +100,8 @@
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	at, _ := fl.missedReads.Get(id)
-	fl.missedReads.Add(id, append(slices.Clip(at), s))
+	servers, _ := fl.missedReads.Get(id)
+	fl.missedReads.Add(id, append(slices.Clip(servers), s))
 }
 
 // storeOriginAnswer stores the origin's answer to a read at up to two of the servers that missed
@@ -111,16 +111,16 @@
 		return
 	}
 	fl.mu.Lock()
-	at, _ := fl.missedReads.Get(id)
+	servers, _ := fl.missedReads.Get(id)
 	fl.missedReads.Remove(id)
 	if write {
-		at = nil
+		servers = nil
 		for _, m := range fl.members {
-			at = append(at, m.Server)
+			servers = append(servers, m.Server)
 		}
 	}
 	fl.mu.Unlock()
-	for i, s := range at {
+	for i, s := range servers {
 		if write {
 			s.Invalidate(key)
 		} else if i < 2 {
--- a/lab/fleet/step_kills.go
+++ b/lab/fleet/step_kills.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// kill sends SIGKILL to a router's process and takes the router out of the front.
+// kill sends SIGKILL to a router's process and reports the router's death to the front.
 func (fl *Fleet) kill(r *router, p *process) {
 	fl.journal.Add(checker.Event{At: fl.clock.Now(), Kind: checker.RouterKilled, Router: r.name})
 	r.signal(p, syscall.SIGKILL)
