--- a/lab/scenario/agreement.go
+++ b/lab/scenario/agreement.go
@@ -57,8 +57,9 @@
 	// would last too long.
 	"slow-then-cut": "h",
 	"late-acts":     "h", // a holder's acts reach the resource late
-	// Faults of a coordinator's disk while the coordinator is down.
-	"damage": "c", "wipe": "c", "disk-full": "c", "restart-all": "",
+	// Faults of a coordinator's disk; it is damaged or wiped while the coordinator is down.
+	"damage": "c", "wipe": "c", "disk-full": "c",
+	"restart-all": "", // kills and restarts all coordinators
 }
 
 // ParseAgreement parses the text of a scenario of coordinators and holders; path names it in
