--- a/cmd/dockhinge-lab/hollow.go
+++ b/cmd/dockhinge-lab/hollow.go
@@ -41,7 +41,7 @@
 					fmt.Fprintf(w, "%d routers: %s\n", n, step.RestartFailed)
 				}
 				if err != nil {
-					fmt.Fprintf(w, "%d routers were not reached: %v\n", n, err)
+					fmt.Fprintf(w, "%d routers: the step failed: %v\n", n, err)
 					break
 				}
 			}
--- a/cmd/dockhinge-lab/load.go
+++ b/cmd/dockhinge-lab/load.go
@@ -55,7 +55,7 @@
 	res := fleet.Result{Scenario: "load", Command: "not the lab's", Load: got,
 		Service: got.ServiceShare(), TailService: got.ServiceShare()}
 	if !got.Valid {
-		res.Failures = append(res.Failures, "the run does not count: "+got.Why)
+		res.Failures = append(res.Failures, "the run is invalid: "+got.Why)
 	}
 	report.Table(os.Stdout, res)
 	if len(res.Failures) > 0 {
--- a/cmd/dockhinge-lab/outlier_sharing.go
+++ b/cmd/dockhinge-lab/outlier_sharing.go
@@ -46,8 +46,8 @@
 				firstRouterMutant string
 			}{
 				{"each by itself", 0, ""}, {"quorum", quorum, ""},
-				{"and one that tells all are bad", quorum, "lies-all"},
-				{"and one that tells two are", quorum, "lies-some"}}
+				{"quorum, one router falsely reports all", quorum, "lies-all"},
+				{"quorum, one router falsely reports two", quorum, "lies-some"}}
 			type figures struct{ attempts, late, routerCounts, service, breaches, cpu []float64 }
 			all := make([]figures, len(variants))
 			var mu sync.Mutex
--- a/lab/capacity/plot.go
+++ b/lab/capacity/plot.go
@@ -18,8 +18,8 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// errNothingToPlot is returned if no line has one of the names.
-var errNothingToPlot = errors.New("no line has one of the names")
+// errNothingToPlot is returned if none of the names belongs to a line.
+var errNothingToPlot = errors.New("none of the names belongs to a line")
 
 // Plot draws the named lines and their measured points over the size into an SVG file. All of them must
 // have the same unit. Names without a line are ignored unless there is no line at all.
--- a/lab/hollow/coordinators.go
+++ b/lab/hollow/coordinators.go
@@ -99,7 +99,7 @@
 	done := make(chan struct{})
 	c.cmd, c.done = cmd, done
 	go func() { // returns when the process ends; close waits for it
-		_ = cmd.Wait() // a process that failed shows by its missing answers
+		_ = cmd.Wait() // a failed process is detected by its missing responses
 		close(done)
 	}()
 	return nil
@@ -146,7 +146,7 @@
 
 var errNoLeader = errors.New("no coordinator leads")
 
-// leader returns the coordinator that reports to lead in the highest term, and its status.
+// leader returns the coordinator that reports itself as leader of the highest term, and its status.
 func (g *group) leader(ctx context.Context) (l *coordinator, status node.Status, err error) {
 	for _, c := range g.all {
 		if s, err := c.status(ctx); err == nil && s.State == "Leader" && s.Term > status.Term {
--- a/lab/hollow/run.go
+++ b/lab/hollow/run.go
@@ -9,7 +9,7 @@
 	"dockhinge.example/dockhinge/lab/scalingfit"
 )
 
-// Run is the result of a ladder of fleet sizes, as written to its file.
+// Run is the result of measurements at increasing fleet sizes, as written to its file.
 type Run struct {
 	Why           string  `json:"why,omitempty"`
 	At            string  `json:"at"` // UTC
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -296,7 +296,7 @@
 {{range .Charts}}{{.}}{{end}}
 {{if .Changes}}<table><tr><th>planned change</th><th>asked, s</th><th>out, s</th><th>back, s</th><th>runs of the tool</th></tr>
 {{range .Changes}}<tr><td>{{.Resource}}</td><td>{{.RequestedAtMS | seconds}}</td><td>{{.StoppedAtMS | seconds}}</td><td>{{.RunningAtMS | seconds}}</td><td>{{.ToolRuns}}</td></tr>{{end}}</table>
-<p>Times of this table are of the laboratory's clock, which began when its parties were started.</p>{{end}}
+<p>The times in this table are on the laboratory's clock, which started with the fleet.</p>{{end}}
 <pre>{{.Table}}</pre>
 {{end}}</body></html>
 `))
--- a/lab/scalingfit/file.go
+++ b/lab/scalingfit/file.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// ErrNoLines is returned for a file without lines, as its ladder had too few steps for a fit.
+// ErrNoLines is returned for a file without lines, because its run had too few steps for a fit.
 var ErrNoLines = errors.New("the file has no slopes")
 
-// Read returns the lines in the JSON text of a ladder's file.
+// Read returns the lines in the JSON text of a file that a run of measurements wrote.
 func Read(text []byte) ([]Line, error) {
 	var file struct {
 		Slopes []Line `json:"slopes"`
--- a/lab/simulation/days.go
+++ b/lab/simulation/days.go
@@ -18,7 +18,7 @@
 var SlowStartDays = []string{"throng"}
 
 // GenerateDay returns the parameters of a day of the given kind and size, drawn from the seed: machines and
-// classes as in the standing test, a load of about two thirds of what the servers can serve with all their
+// classes as in the regression test, a load of about two thirds of what the servers can serve with all their
 // memory as one cache, and the faults that the day is named after. It returns an error for an unknown kind
 // and for sizes that are too small.
 func GenerateDay(kind string, routers, servers int, seed uint64) (Params, error) {
--- a/lab/simulation/ledger.go
+++ b/lab/simulation/ledger.go
@@ -131,8 +131,8 @@
 // Service returns the share of the priority weight of all requests that was served in time.
 func (s *Sums) Service() float64 { return Quotient(floats.Sum(s.Gained), floats.Sum(s.Worth)) }
 
-// Weights in G of the whole day, of its worst ten seconds and of its worst class, and the length of that
-// window.
+// Weights of the whole day, of its worst ten seconds and of its worst class in the score G, and the length of the
+// window for the worst ten seconds.
 const (
 	wholePart          = 0.7
 	windowPart         = 0.1
--- a/lab/simulation/params.go
+++ b/lab/simulation/params.go
@@ -45,7 +45,7 @@
 	Faults               []Fault
 }
 
-// Burst multiplies the request rate by Times, for the period For from At on.
+// Burst multiplies the request rate by RateFactor, for the period For from At on.
 type Burst struct{ At, For, RateFactor float64 }
 
 // Clients describes how clients retry.
--- a/lab/simulation/slowstart.go
+++ b/lab/simulation/slowstart.go
@@ -7,7 +7,7 @@
 	Starts int // servers started during the day
 	// OverBound counts the windows over their bound, at most one for each process of a server.
 	OverBound int `json:"Over"`
-	// OverBoundByInformed counts those of Over with more than informedShare of their work from informed routers.
+	// OverBoundByInformed counts those of OverBound with more than informedShare of their work from informed routers.
 	OverBoundByInformed int `json:"Broken"`
 	// Fullest is the window with the highest load relative to its bound.
 	Fullest ColdWindow `json:"Most"`
